--- a/internal/extproc/server/record_test.go
+++ b/internal/extproc/server/record_test.go
@@ -38,7 +38,7 @@
 			fleet, d := newFleet(t, 1), crash.New()
 			open := func() *rig {
 				return newRig(t, fleet, file(c.mode, ""), func(cfg *proxy.Config) {
-					k, err := keeper.Open(d, keeper.Options{Options: ledger.Options{Limits: orders.Limits{Keep: time.Hour, Most: 100, MostBytes: 1 << 20},
+					k, err := keeper.Open(d, keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20},
 						SegmentSize: 64 << 10, CompactAt: 100, Line: 10}}, ledger.WallClock, slog.New(slog.DiscardHandler))
 					if err != nil {
 						t.Fatal(err)
--- a/internal/mgmt/orders.go
+++ b/internal/mgmt/orders.go
@@ -58,7 +58,7 @@
 		Orders []listed `json:"orders"`
 	}{all, []listed{}}
 	for _, e := range some {
-		told.Orders = append(told.Orders, listed{e.Tenant, e.Key, time.Unix(0, int64(e.At)).UTC(), e.Tries, e.To})
+		told.Orders = append(told.Orders, listed{e.Tenant, e.Key, time.Unix(0, int64(e.ChangedAt)).UTC(), e.Attempts, e.Member})
 	}
 	answer(w, told)
 }
@@ -77,7 +77,7 @@
 	case !ok:
 		http.Error(w, fmt.Sprintf("as is %q; it can be done or never_ran", ask.As), http.StatusBadRequest)
 		return
-	case strings.TrimSpace(ask.By) == "" || len(ask.By) > orders.MaxText:
+	case strings.TrimSpace(ask.By) == "" || len(ask.By) > orders.MaxTextBytes:
 		http.Error(w, "by, who has looked it up, is missing or too long", http.StatusBadRequest)
 		return
 	case s == orders.NeverRan && ask.Receipt != "":
@@ -86,9 +86,9 @@
 	}
 	err := o.Settle(orders.Name{Tenant: ask.Tenant, Key: ask.Key}, s, []byte(ask.Receipt), ask.By)
 	switch {
-	case errors.Is(err, orders.ErrBy):
+	case errors.Is(err, orders.ErrOperatorName):
 		http.Error(w, err.Error(), http.StatusBadRequest)
-	case errors.Is(err, orders.ErrSettled):
+	case errors.Is(err, orders.ErrNotUnknown):
 		http.Error(w, err.Error(), http.StatusConflict)
 	case err != nil:
 		f.log.Error("call to settle an order failed", "tenant", ask.Tenant, "key", ask.Key, "err", err)
--- a/internal/mgmt/orders_test.go
+++ b/internal/mgmt/orders_test.go
@@ -21,7 +21,7 @@
 // takes orders again. What was settled stands after the next opening.
 func TestSettleWhileServing(t *testing.T) {
 	const most = 8
-	opt := keeper.Options{Options: ledger.Options{Limits: orders.Limits{Keep: time.Nanosecond, Most: most, MostBytes: 1 << 20}, SegmentSize: 64 << 10,
+	opt := keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Nanosecond, MaxOrders: most, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10,
 		CompactAt: 10, Line: 100}}
 	d, quiet := crash.New(), slog.New(slog.DiscardHandler)
 	led, err := ledger.Open(d, opt.Options, ledger.WallClock)
@@ -59,7 +59,7 @@
 				}
 				n, wait := orders.Name{Tenant: "kiosk", Key: fmt.Sprint("new-", c, "-", i)}, make(chan struct{})
 				k.Take(orders.Order{Name: n}, func(v orders.Verdict, _ []byte, err error) {
-					if v != orders.Go || err != nil {
+					if v != orders.Proceed || err != nil {
 						refused.Add(1)
 						close(wait)
 						return
@@ -125,7 +125,7 @@
 		t.Error(err)
 	}
 	call("GET", "/orders/unknown", "", 503)
-	if led, err = ledger.Open(d, ledger.Options{Limits: orders.Limits{Keep: time.Hour, Most: 100, MostBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAt: 100}, ledger.WallClock); err != nil {
+	if led, err = ledger.Open(d, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAt: 100}, ledger.WallClock); err != nil {
 		t.Fatal(err)
 	}
 	if _, all := led.Unknown(0); all != most-2 {
--- a/internal/operator/orders.go
+++ b/internal/operator/orders.go
@@ -29,7 +29,7 @@
 // Options are the keeper's.
 func (o *Orders) Options(follows bool) keeper.Options {
 	return keeper.Options{Follows: follows, RunStrangers: o.Strangers == "run", Options: ledger.Options{
-		Limits:      orders.Limits{Keep: o.Keep.D(), Most: o.Most, MostBytes: o.MostBytes},
+		Limits:      orders.Limits{Retention: o.Keep.D(), MaxOrders: o.Most, MaxReceiptBytes: o.MostBytes},
 		SegmentSize: int64(o.Segment), CompactAt: o.CompactAt, Line: o.Line}}
 }
 
--- a/internal/ordercmd/ordercmd.go
+++ b/internal/ordercmd/ordercmd.go
@@ -92,7 +92,7 @@
 			fmt.Fprintln(t, "state\tchanged\ttenant\tkey\tsent\tto\tsettled by")
 			l.Each(func(e *orders.Entry) bool {
 				if *state == "" || *state == e.State.String() {
-					fmt.Fprintf(t, "%v\t%s\t%q\t%q\t%d\t%s\t%s\n", e.State, at(e.At), e.Tenant, e.Key, e.Tries, e.To, e.By)
+					fmt.Fprintf(t, "%v\t%s\t%q\t%q\t%d\t%s\t%s\n", e.State, at(e.ChangedAt), e.Tenant, e.Key, e.Attempts, e.Member, e.ReportedBy)
 				}
 				return true
 			})
@@ -104,7 +104,7 @@
 				return errors.New("no such order is on record")
 			}
 			fmt.Fprintf(out, "state    %v\nchanged  %s\nsent     %d times, last to %q\ntoken    %q\nsettled  %q\ndigest   %x\nreceipt  %d bytes\n%s",
-				e.State, at(e.At), e.Tries, e.To, e.Token, e.By, e.Digest, len(e.Receipt), e.Receipt)
+				e.State, at(e.ChangedAt), e.Attempts, e.Member, e.Token, e.ReportedBy, e.Digest, len(e.Receipt), e.Receipt)
 			return nil
 		}},
 		"settle": {must: []string{"tenant", "key", "as", "by"}, do: func(l *ledger.Ledger, out io.Writer) error {
--- a/internal/ordercmd/ordercmd_test.go
+++ b/internal/ordercmd/ordercmd_test.go
@@ -20,7 +20,7 @@
 	now := func() time.Duration { return time.Duration(1_800_000_000) * time.Second }
 	open := func() *ledger.Ledger {
 		t.Helper()
-		l, err := ledger.Open(disk.Dir(dir), ledger.Options{Limits: orders.Limits{Keep: time.Hour, Most: 9, MostBytes: 999}, SegmentSize: 400, CompactAt: 99}, now)
+		l, err := ledger.Open(disk.Dir(dir), ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 9, MaxReceiptBytes: 999}, SegmentSize: 400, CompactAt: 99}, now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,7 +29,7 @@
 	l := open()
 	for _, key := range []string{"k1", "k2"} {
 		n := orders.Name{Tenant: "kiosk", Key: key}
-		if v, _, err := l.Take(orders.Order{Name: n}); v != orders.Go || err != nil {
+		if v, _, err := l.Take(orders.Order{Name: n}); v != orders.Proceed || err != nil {
 			t.Fatal(v, err)
 		}
 		if err := l.Send(n, "o-1"); err != nil {
@@ -71,7 +71,7 @@
 	if v, r, _ := l.Take(orders.Order{Name: orders.Name{Tenant: "kiosk", Key: "k1"}}); v != orders.Receipt || string(r) != "pass 77" {
 		t.Errorf("asked again: %v %q", v, r)
 	}
-	if v, _, _ := l.Take(orders.Order{Name: orders.Name{Tenant: "kiosk", Key: "k2"}}); v != orders.Go {
+	if v, _, _ := l.Take(orders.Order{Name: orders.Name{Tenant: "kiosk", Key: "k2"}}); v != orders.Proceed {
 		t.Errorf("what never ran: %v", v)
 	}
 	l.Close()
--- a/internal/orders/entry.go
+++ b/internal/orders/entry.go
@@ -9,16 +9,16 @@
 
 // Entry is what a log holds of one change of an order; the latest of an order counts, and says all that is known of it.
 type Entry struct {
-	State State
-	At    time.Duration // of the change, since the epoch
+	State     State
+	ChangedAt time.Duration // of the change, since the epoch
 	Name
-	Digest  [32]byte
-	To      string        // the member that it was sent to last
-	Tries   int           // how often it was sent
-	Token   string        // the id of the token that it uses up
-	Until   time.Duration // when that has run out
-	Receipt []byte        // Done
-	By      string        // the operator who settled it; "": nobody has
+	Digest      [32]byte
+	Member      string        // the member that it was sent to last
+	Attempts    int           // how often it was sent
+	Token       string        // the id of the token that it uses up
+	TokenExpiry time.Duration // when that has run out
+	Receipt     []byte        // Done
+	ReportedBy  string        // the operator who settled it; "": nobody has
 }
 
 // entryVersion is the first byte of an entry. Later versions go on reading this one.
@@ -26,22 +26,22 @@
 
 // Bounds of what is read.
 const (
-	MaxText    = 4 << 10
-	MaxReceipt = 4 << 20
+	MaxTextBytes    = 4 << 10
+	MaxReceiptBytes = 4 << 20
 )
 
-// ErrEntry is wrapped by what tells that bytes are no entry.
-var ErrEntry = errors.New("orders: no entry")
+// ErrInvalidEntry is wrapped by what tells that bytes are no entry.
+var ErrInvalidEntry = errors.New("orders: no entry")
 
 // Append appends an entry's written form (docs/orders.md): version, state, five texts with their lengths, digest, and numbers, all as
 // unsigned varints.
 func (e *Entry) Append(b []byte) []byte {
 	b = append(b, entryVersion, byte(e.State))
-	for _, n := range []uint64{uint64(max(0, e.At)), uint64(max(0, e.Until)), uint64(max(0, e.Tries))} {
+	for _, n := range []uint64{uint64(max(0, e.ChangedAt)), uint64(max(0, e.TokenExpiry)), uint64(max(0, e.Attempts))} {
 		b = binary.AppendUvarint(b, n)
 	}
 	b = append(b, e.Digest[:]...)
-	for _, t := range []string{e.Tenant, e.Key, e.To, e.Token, e.By} {
+	for _, t := range []string{e.Tenant, e.Key, e.Member, e.Token, e.ReportedBy} {
 		b = binary.AppendUvarint(b, uint64(len(t)))
 		b = append(b, t...)
 	}
@@ -52,7 +52,9 @@
 // Parse reads an entry, whole or not at all.
 func Parse(b []byte) (e *Entry, err error) {
 	at := 0
-	fault := func(what string) (*Entry, error) { return nil, fmt.Errorf("%w: %s at byte %d", ErrEntry, what, at) }
+	fault := func(what string) (*Entry, error) {
+		return nil, fmt.Errorf("%w: %s at byte %d", ErrInvalidEntry, what, at)
+	}
 	number := func() (uint64, bool) {
 		n, size := binary.Uvarint(b[at:])
 		if size <= 0 || size > 1 && b[at+size-1] == 0 { // one form for each number
@@ -80,15 +82,15 @@
 		}
 		numbers[i] = n
 	}
-	e.At, e.Until, e.Tries = time.Duration(numbers[0]), time.Duration(numbers[1]), int(numbers[2])
+	e.ChangedAt, e.TokenExpiry, e.Attempts = time.Duration(numbers[0]), time.Duration(numbers[1]), int(numbers[2])
 	if len(b)-at < len(e.Digest) {
 		return fault("cut short")
 	}
 	at += copy(e.Digest[:], b[at:])
-	for i, t := range []*string{&e.Tenant, &e.Key, &e.To, &e.Token, &e.By, nil} {
-		most := MaxText
+	for i, t := range []*string{&e.Tenant, &e.Key, &e.Member, &e.Token, &e.ReportedBy, nil} {
+		most := MaxTextBytes
 		if i == 5 {
-			most = MaxReceipt
+			most = MaxReceiptBytes
 		}
 		n, ok := number()
 		if !ok || n > uint64(most) || n > uint64(len(b)-at) {
--- a/internal/orders/keeper/keeper.go
+++ b/internal/orders/keeper/keeper.go
@@ -16,7 +16,7 @@
 )
 
 // ErrClosed tells that the record is closed. What is asked for then has not been done.
-var ErrClosed = fmt.Errorf("keeper: the record of orders is closed: %w", orders.ErrBehind)
+var ErrClosed = fmt.Errorf("keeper: the record of orders is closed: %w", orders.ErrOverloaded)
 
 // lookEvery is how often a successor looks whether the process before has closed the record.
 const lookEvery = 5 * time.Millisecond
@@ -135,12 +135,12 @@
 // that it never ran, and must not hear that it is in hand.
 func (k *Keeper) Take(o orders.Order, done func(orders.Verdict, []byte, error)) {
 	if k.opt.RunStrangers {
-		o.Again = false
+		o.Retry = false
 	}
 	k.begin(func() {
 		led, err := k.opened()
 		if err != nil {
-			done(orders.Full, nil, err)
+			done(orders.RecordFull, nil, err)
 			return
 		}
 		k.mu.Lock()
@@ -150,7 +150,7 @@
 			<-end
 		}
 		done(led.Take(o))
-	}, func() { done(orders.Full, nil, ErrClosed) })
+	}, func() { done(orders.RecordFull, nil, ErrClosed) })
 }
 
 // returned notes, where it is so, that an order that was sent has surely not run.
--- a/internal/orders/ledger/ledger.go
+++ b/internal/orders/ledger/ledger.go
@@ -31,13 +31,13 @@
 }
 
 // Unbounded is for who opens a ledger by hand: nothing is forgotten, turned away or compacted by looking.
-var Unbounded = Options{Limits: orders.Limits{Keep: 1 << 62, Most: 1 << 40, MostBytes: 1 << 50}, SegmentSize: 4 << 20, CompactAt: 1 << 40}
+var Unbounded = Options{Limits: orders.Limits{Retention: 1 << 62, MaxOrders: 1 << 40, MaxReceiptBytes: 1 << 50}, SegmentSize: 4 << 20, CompactAt: 1 << 40}
 
 // WallClock is the time since the epoch, which what lasts is told by.
 func WallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
 // ErrSlow tells that an order was not taken, since too many changes wait for the disk. It has not run, and may come again.
-var ErrSlow = fmt.Errorf("ledger: the disk is behind: %w", orders.ErrBehind)
+var ErrSlow = fmt.Errorf("ledger: the disk is behind: %w", orders.ErrOverloaded)
 
 // Ledger is an open record. It is safe for concurrent use; whoever changes it waits for the disk, and those who come meanwhile share a sync.
 type Ledger struct {
@@ -47,7 +47,7 @@
 
 	writes sync.RWMutex // held for a write, and alone for a compaction
 	mu     sync.Mutex   // of what follows; nothing waits under it
-	book   *orders.Book
+	book   *orders.Table
 	since  int // entries since the last compaction
 	line   int // changes that wait for the disk
 	broken error
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	l.book.Opened(now())
+	l.book.FinishReplay(now())
 	return l, nil
 }
 
@@ -86,10 +86,10 @@
 	l.mu.Lock()
 	l.line--
 	if err != nil {
-		l.book.Lost(e)
+		l.book.MarkWriteFailed(e)
 		err = fmt.Errorf("ledger: %w", err)
 	} else {
-		l.book.Durable(e)
+		l.book.MarkDurable(e)
 		l.since++
 	}
 	full := err == nil && l.due()
@@ -102,7 +102,7 @@
 }
 
 // decide runs one of the book's decisions and has the entry that it asks for written.
-func (l *Ledger) decide(f func(b *orders.Book, now time.Duration) (*orders.Entry, error)) error {
+func (l *Ledger) decide(f func(b *orders.Table, now time.Duration) (*orders.Entry, error)) error {
 	l.mu.Lock()
 	e, err := f(l.book, l.now())
 	if err == nil && e != nil {
@@ -117,7 +117,7 @@
 
 // Take decides on an order that comes. With Go it is in hand, and on record. An error means that it could not be recorded, and has not run.
 func (l *Ledger) Take(o orders.Order) (v orders.Verdict, receipt []byte, err error) {
-	err = l.decide(func(b *orders.Book, now time.Duration) (e *orders.Entry, _ error) {
+	err = l.decide(func(b *orders.Table, now time.Duration) (e *orders.Entry, _ error) {
 		if l.opt.Line > 0 && l.line >= l.opt.Line {
 			if _, known := b.Get(o.Name); !known { // what a repeat is told needs no disk
 				return nil, ErrSlow
@@ -131,25 +131,25 @@
 
 // Send records that an order in hand is sent to a member. It must be sent only if there is no error.
 func (l *Ledger) Send(n orders.Name, to string) error {
-	return l.decide(func(b *orders.Book, now time.Duration) (*orders.Entry, error) { return b.Send(now, n, to) })
+	return l.decide(func(b *orders.Table, now time.Duration) (*orders.Entry, error) { return b.Send(now, n, to) })
 }
 
 // Returned notes that an order that was sent has surely not run.
 func (l *Ledger) Returned(n orders.Name) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.Returned(n)
+	return l.book.MarkNotRun(n)
 }
 
 // End records how an order in hand has ended. Its client may be told so only if there is no error; of one that was sent it then is told
 // that it may have run.
 func (l *Ledger) End(n orders.Name, s orders.State, receipt []byte, by string) error {
-	return l.decide(func(b *orders.Book, now time.Duration) (*orders.Entry, error) { return b.End(now, n, s, receipt, by) })
+	return l.decide(func(b *orders.Table, now time.Duration) (*orders.Entry, error) { return b.End(now, n, s, receipt, by) })
 }
 
 // Settle records what an operator has found out about an unknown order.
 func (l *Ledger) Settle(n orders.Name, s orders.State, receipt []byte, by string) error {
-	return l.decide(func(b *orders.Book, now time.Duration) (*orders.Entry, error) {
+	return l.decide(func(b *orders.Table, now time.Duration) (*orders.Entry, error) {
 		return b.Settle(now, n, s, receipt, by)
 	})
 }
@@ -165,7 +165,7 @@
 func (l *Ledger) Unknown(most int) (some []orders.Entry, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.Unknown(most)
+	return l.book.ListUnknown(most)
 }
 
 // Each tells all that is on record, in the order of the latest changes.
@@ -182,7 +182,7 @@
 }
 
 // due tells whether the log holds so much more than what counts that it is to be compacted; under mu.
-func (l *Ledger) due() bool { return l.since >= l.opt.CompactAt+2*l.book.Size() }
+func (l *Ledger) due() bool { return l.since >= l.opt.CompactAt+2*l.book.OrderCount() }
 
 // compact compacts, unless somebody else has.
 func (l *Ledger) compact() error {
--- a/internal/orders/ledger/ledger_test.go
+++ b/internal/orders/ledger/ledger_test.go
@@ -19,7 +19,7 @@
 	"linenloom/internal/store/disk"
 )
 
-var usual = Options{Limits: orders.Limits{Keep: time.Hour, Most: 1000, MostBytes: 1 << 20}, SegmentSize: 600, CompactAt: 10}
+var usual = Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 600, CompactAt: 10}
 
 func clock() time.Duration { return time.Minute }
 
@@ -48,7 +48,7 @@
 			}
 		}
 		o := orders.Order{Name: name(i)}
-		if v, _, err := l.Take(o); v != orders.Go || err != nil {
+		if v, _, err := l.Take(o); v != orders.Proceed || err != nil {
 			continue
 		}
 		if i%4 == 3 {
@@ -92,7 +92,7 @@
 		if e.State == orders.Done && !p.ran[name(i)] {
 			t.Fatalf("order %d is on record as done, and has not run", i)
 		}
-		if v, _, _ := l.Take(orders.Order{Name: name(i)}); v == orders.Go && p.ran[name(i)] {
+		if v, _, _ := l.Take(orders.Order{Name: name(i)}); v == orders.Proceed && p.ran[name(i)] {
 			t.Fatalf("order %d has run, and may be sent again: %v", i, e.State)
 		}
 	}
@@ -165,7 +165,7 @@
 		all.Go(func() {
 			for i := 0; ; i++ {
 				o := from + i*8 + w
-				if v, _, err := l.Take(orders.Order{Name: name(o)}); v != orders.Go || err != nil {
+				if v, _, err := l.Take(orders.Order{Name: name(o)}); v != orders.Proceed || err != nil {
 					continue // its number is taken, after a run that was cut short
 				}
 				if l.Send(name(o), "o-1") != nil {
@@ -188,7 +188,7 @@
 func TestKilledAgainAndAgain(t *testing.T) {
 	dir := t.TempDir()
 	p := played{map[orders.Name][]byte{}, map[orders.Name]bool{}}
-	many := Options{Limits: orders.Limits{Keep: time.Hour, Most: 1 << 20, MostBytes: 1 << 30}, SegmentSize: usual.SegmentSize, CompactAt: usual.CompactAt}
+	many := Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: usual.SegmentSize, CompactAt: usual.CompactAt}
 	most := 0
 	for round := range 8 {
 		c := exec.Command(os.Args[0])
@@ -314,7 +314,7 @@
 	if err := <-ended; err != nil {
 		t.Errorf("what has run is not recorded: %v", err)
 	}
-	if v, err := take(9); v != orders.Go || err != nil {
+	if v, err := take(9); v != orders.Proceed || err != nil {
 		t.Errorf("once the disk is back: %v, %v", v, err)
 	}
 	if _, there := l.Get(name(1)); !there || l.line != 0 {
@@ -344,7 +344,7 @@
 				if err != nil {
 					t.Error(err)
 				}
-				if v != orders.Go {
+				if v != orders.Proceed {
 					continue
 				}
 				if err := l.Send(n, "o-1"); err != nil {
@@ -373,7 +373,7 @@
 			t.Errorf("order %d ran %d times; asked again: %v %q", i, ran[name(i)], v, r)
 		}
 	}
-	if err := l.Settle(name(0), orders.NeverRan, nil, "ops"); !errors.Is(err, orders.ErrSettled) {
+	if err := l.Settle(name(0), orders.NeverRan, nil, "ops"); !errors.Is(err, orders.ErrNotUnknown) {
 		t.Errorf("settling what is done: %v", err)
 	}
 }
--- a/internal/orders/ledger/model_test.go
+++ b/internal/orders/ledger/model_test.go
@@ -39,7 +39,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Minute // the clock may jump back
 		clock := func() time.Duration { return now }
-		opt := Options{Limits: orders.Limits{Keep: 1 << 60, Most: 1000, MostBytes: 1 << 20}, SegmentSize: 700, CompactAt: 20}
+		opt := Options{Limits: orders.Limits{Retention: 1 << 60, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 700, CompactAt: 20}
 		d := crash.New()
 		l, err := Open(d, opt, clock)
 		if err != nil {
@@ -127,7 +127,7 @@
 							return true
 						}
 						v, _, err := l.Take(orders.Order{Name: j.n})
-						if err == nil && v != orders.Go || !step(orders.Taken, err) {
+						if err == nil && v != orders.Proceed || !step(orders.Taken, err) {
 							return
 						}
 						if j.ends == orders.NeverRan {
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -48,10 +48,10 @@
 // Order is a request that must not run twice, as a front has taken it.
 type Order struct {
 	Name
-	Digest [32]byte      // of what it asks for: the same name for something else is a fault of its client
-	Again  bool          // its client says that it has asked before
-	Token  string        // the id of the token that it uses up; "": none
-	Until  time.Duration // when that token has run out
+	Digest      [32]byte      // of what it asks for: the same name for something else is a fault of its client
+	Retry       bool          // its client says that it has asked before
+	Token       string        // the id of the token that it uses up; "": none
+	TokenExpiry time.Duration // when that token has run out
 }
 
 // Verdict is what is to be done with an order that comes.
@@ -59,140 +59,140 @@
 
 // The verdicts.
 const (
-	Go       Verdict = iota // it is taken: append the entry, and go on once it is durable
-	Receipt                 // it has run: this is its receipt
-	InHand                  // it is in hand already; who has it gets the answer
-	LookUp                  // it may have run, here or elsewhere: never a second run
-	Mismatch                // the name stands for something else
-	Used                    // its token has been used by another order
-	Full                    // there is no room to remember it
-	Ran                     // it has run, and its receipt is not on record
+	Proceed        Verdict = iota // it is taken: append the entry, and go on once it is durable
+	Receipt                       // it has run: this is its receipt
+	InProgress                    // it is in hand already; who has it gets the answer
+	OutcomeUnknown                // it may have run, here or elsewhere: never a second run
+	Mismatch                      // the name stands for something else
+	TokenUsed                     // its token has been used by another order
+	RecordFull                    // there is no room to remember it
+	ReceiptMissing                // it has run, and its receipt is not on record
 )
 
-var verdicts = [...]string{"go", "receipt", "in_hand", "look_up", "mismatch", "used", "full", "ran"}
+var verdictNames = [...]string{"go", "receipt", "in_hand", "look_up", "mismatch", "used", "full", "ran"}
 
-func (v Verdict) String() string { return verdicts[v] }
+func (v Verdict) String() string { return verdictNames[v] }
 
 // Limits bound a Book.
 type Limits struct {
-	Keep      time.Duration // an order that has ended is remembered for so long, at the least
-	Most      int           // orders, in any state
-	MostBytes int           // of receipts, together
+	Retention       time.Duration // an order that has ended is remembered for so long, at the least
+	MaxOrders       int           // orders, in any state
+	MaxReceiptBytes int           // of receipts, together
 }
 
 // Who says that an order has run, where its receipt is not on record; operators have other names.
 const (
-	ByCaller  = "(caller)"  // who made the exchange itself
-	ByPassing = "(passing)" // it was passed on piece by piece, too long to be kept
+	ReportedByCaller    = "(caller)"  // who made the exchange itself
+	ReportedByStreaming = "(passing)" // it was passed on piece by piece, too long to be kept
 )
 
 // Errors of what a host asks for.
 var (
-	ErrNotInHand = errors.New("orders: it is not in hand")
-	ErrNotSent   = errors.New("orders: it has not been sent")
-	ErrPending   = errors.New("orders: an entry of it is not durable yet")
-	ErrSettled   = errors.New("orders: only an unknown order can be settled")
-	// ErrBehind is wrapped by what tells that an order was not taken, since the disk has too much to do. It has not run.
-	ErrBehind = errors.New("too much waits for the record of orders")
-	ErrBy     = errors.New("orders: that is no operator's name")
+	ErrNotInProgress = errors.New("orders: it is not in hand")
+	ErrNotSent       = errors.New("orders: it has not been sent")
+	ErrPending       = errors.New("orders: an entry of it is not durable yet")
+	ErrNotUnknown    = errors.New("orders: only an unknown order can be settled")
+	// ErrOverloaded is wrapped by what tells that an order was not taken, since the disk has too much to do. It has not run.
+	ErrOverloaded   = errors.New("too much waits for the record of orders")
+	ErrOperatorName = errors.New("orders: that is no operator's name")
 )
 
 // order is what the book has of an order. Ended ones stand in the order of their ends.
 type order struct {
 	Entry
-	pending bool // an entry of it is on its way to stable storage
-	inHand  bool // by this process
-	done    bool // it stands in ended
+	pending    bool // an entry of it is on its way to stable storage
+	inProgress bool // by this process
+	listed     bool // it stands in ended
 }
 
-// Book is the record. It is not safe for concurrent use.
-type Book struct {
-	limits Limits
-	now    time.Duration
-	by     map[Name]*order
-	tokens map[Name]*token // by tenant and token id
-	ended  []*order
-	bytes  int
+// Table is the record. It is not safe for concurrent use.
+type Table struct {
+	limits       Limits
+	now          time.Duration
+	orders       map[Name]*order
+	tokens       map[Name]*usedToken // by tenant and token id
+	ended        []*order
+	receiptBytes int
 }
 
-// token is a token's id that an order has used up.
-type token struct {
-	by    Name
-	until time.Duration
+// usedToken is a token's id that an order has used up.
+type usedToken struct {
+	order  Name
+	expiry time.Duration
 }
 
 // New makes an empty book.
-func New(l Limits) *Book {
-	return &Book{limits: l, by: map[Name]*order{}, tokens: map[Name]*token{}}
+func New(l Limits) *Table {
+	return &Table{limits: l, orders: map[Name]*order{}, tokens: map[Name]*usedToken{}}
 }
 
 // advance takes the time, which may have jumped back: then it stands, so that nothing is forgotten early.
-func (b *Book) advance(now time.Duration) { b.now = max(b.now, now) }
+func (b *Table) advance(now time.Duration) { b.now = max(b.now, now) }
 
 // Take decides on an order that comes. With Go there is an entry to append; it is not in hand before Durable.
-func (b *Book) Take(now time.Duration, o Order) (v Verdict, receipt []byte, e *Entry) {
+func (b *Table) Take(now time.Duration, o Order) (v Verdict, receipt []byte, e *Entry) {
 	b.advance(now)
-	b.forget()
-	was := b.by[o.Name]
+	b.removeExpired()
+	was := b.orders[o.Name]
 	switch {
-	case was == nil && o.Again:
+	case was == nil && o.Retry:
 		// It was forgotten, or whoever had it first keeps a record of its own. What has not run is known to who refused it.
-		return LookUp, nil, nil
+		return OutcomeUnknown, nil, nil
 	case was == nil:
 	case was.Digest != o.Digest:
 		return Mismatch, nil, nil
-	case was.State == Done && (was.By == ByCaller || was.By == ByPassing):
-		return Ran, nil, nil
+	case was.State == Done && (was.ReportedBy == ReportedByCaller || was.ReportedBy == ReportedByStreaming):
+		return ReceiptMissing, nil, nil
 	case was.State == Done:
 		return Receipt, was.Receipt, nil
 	case was.State == Unknown:
-		return LookUp, nil, nil
-	case was.inHand || was.pending:
-		return InHand, nil, nil
+		return OutcomeUnknown, nil, nil
+	case was.inProgress || was.pending:
+		return InProgress, nil, nil
 	}
 	if o.Token != "" {
 		t := b.tokens[Name{o.Tenant, o.Token}]
 		switch {
-		case t != nil && b.now < t.until && (t.by != o.Name || was == nil): // its order may be forgotten, and it is still used
-			return Used, nil, nil
-		case t == nil && len(b.tokens) >= 2*b.limits.Most:
-			return Full, nil, nil
+		case t != nil && b.now < t.expiry && (t.order != o.Name || was == nil): // its order may be forgotten, and it is still used
+			return TokenUsed, nil, nil
+		case t == nil && len(b.tokens) >= 2*b.limits.MaxOrders:
+			return RecordFull, nil, nil
 		}
 	}
-	if was == nil && len(b.by) >= b.limits.Most || b.bytes >= b.limits.MostBytes {
-		return Full, nil, nil
+	if was == nil && len(b.orders) >= b.limits.MaxOrders || b.receiptBytes >= b.limits.MaxReceiptBytes {
+		return RecordFull, nil, nil
 	}
-	e = &Entry{State: Taken, At: b.now, Name: o.Name, Digest: o.Digest, Token: o.Token, Until: o.Until}
+	e = &Entry{State: Taken, ChangedAt: b.now, Name: o.Name, Digest: o.Digest, Token: o.Token, TokenExpiry: o.TokenExpiry}
 	if was != nil { // it never ran: it comes anew
-		e.Tries = was.Tries
-		b.unend(was)
+		e.Attempts = was.Attempts
+		b.removeEnded(was)
 	}
-	b.by[o.Name] = &order{Entry: *e, pending: true, inHand: true}
-	b.use(e)
-	return Go, nil, e
+	b.orders[o.Name] = &order{Entry: *e, pending: true, inProgress: true}
+	b.updateToken(e)
+	return Proceed, nil, e
 }
 
 // Send asks to send an order in hand to a member. It must not be sent before the entry is Durable.
-func (b *Book) Send(now time.Duration, n Name, to string) (*Entry, error) {
+func (b *Table) Send(now time.Duration, n Name, to string) (*Entry, error) {
 	b.advance(now)
-	o := b.by[n]
+	o := b.orders[n]
 	switch {
-	case o == nil || !o.inHand || o.State != Taken:
-		return nil, ErrNotInHand
+	case o == nil || !o.inProgress || o.State != Taken:
+		return nil, ErrNotInProgress
 	case o.pending:
 		return nil, ErrPending
 	}
 	e := o.Entry
-	e.State, e.At, e.To, e.Tries = Sent, b.now, to, o.Tries+1
+	e.State, e.ChangedAt, e.Member, e.Attempts = Sent, b.now, to, o.Attempts+1
 	o.pending = true
 	return &e, nil
 }
 
-// Returned tells that an order that was sent has surely not run. Nothing has to be written: until the next entry a crash makes it unknown,
+// MarkNotRun tells that an order that was sent has surely not run. Nothing has to be written: until the next entry a crash makes it unknown,
 // which is safe.
-func (b *Book) Returned(n Name) error {
-	o := b.by[n]
-	if o == nil || !o.inHand || o.State != Sent || o.pending {
+func (b *Table) MarkNotRun(n Name) error {
+	o := b.orders[n]
+	if o == nil || !o.inProgress || o.State != Sent || o.pending {
 		return ErrNotSent
 	}
 	o.State = Taken
@@ -201,35 +201,35 @@
 
 // End ends an order in hand: with its receipt (Done), without having run (NeverRan), or Unknown. The client is told of it once the entry
 // is Durable; where it can't be made durable, an order that was sent is unknown to its client. by is "", or tells why a receipt is missing.
-func (b *Book) End(now time.Duration, n Name, s State, receipt []byte, by string) (*Entry, error) {
+func (b *Table) End(now time.Duration, n Name, s State, receipt []byte, by string) (*Entry, error) {
 	b.advance(now)
-	o := b.by[n]
+	o := b.orders[n]
 	switch {
-	case o == nil || !o.inHand:
-		return nil, ErrNotInHand
+	case o == nil || !o.inProgress:
+		return nil, ErrNotInProgress
 	case o.pending:
 		return nil, ErrPending
 	case s == NeverRan && o.State != Taken, (s == Done || s == Unknown) && o.State != Sent, s < Done:
 		return nil, ErrNotSent
 	}
 	e := o.Entry
-	e.State, e.At, e.By = s, b.now, ""
+	e.State, e.ChangedAt, e.ReportedBy = s, b.now, ""
 	if s == Done {
-		e.By = by
+		e.ReportedBy = by
 		e.Receipt = slices.Clone(receipt)
 	}
 	o.pending = true
 	return &e, nil
 }
 
-// Durable takes in that an entry is on stable storage.
-func (b *Book) Durable(e *Entry) { b.apply(e, true) }
+// MarkDurable takes in that an entry is on stable storage.
+func (b *Table) MarkDurable(e *Entry) { b.apply(e, true) }
 
-// Lost takes in that an entry could not be written. Whether it is there after a crash nobody knows, and neither is harmful: an order that
+// MarkWriteFailed takes in that an entry could not be written. Whether it is there after a crash nobody knows, and neither is harmful: an order that
 // could not be taken has not run, one that could not be marked as sent is not sent, and one that has run and whose receipt could not be
 // recorded is unknown.
-func (b *Book) Lost(e *Entry) {
-	o := b.by[e.Name]
+func (b *Table) MarkWriteFailed(e *Entry) {
+	o := b.orders[e.Name]
 	if o == nil || !o.pending {
 		return
 	}
@@ -239,31 +239,31 @@
 		if o.State == Unknown { // it was not settled
 			return
 		}
-		o.State, o.inHand, o.At = Unknown, false, e.At
-		b.end(o)
+		o.State, o.inProgress, o.ChangedAt = Unknown, false, e.ChangedAt
+		b.addEnded(o)
 	case Taken, NeverRan: // it has not run, whatever is on record
 		if o.State == Unknown {
 			return
 		}
-		o.State, o.inHand, o.At = NeverRan, false, e.At
-		b.end(o)
+		o.State, o.inProgress, o.ChangedAt = NeverRan, false, e.ChangedAt
+		b.addEnded(o)
 	}
 }
 
 // Settle puts on record what an operator has found out about an unknown order: Done with a receipt, or NeverRan.
-func (b *Book) Settle(now time.Duration, n Name, s State, receipt []byte, by string) (*Entry, error) {
+func (b *Table) Settle(now time.Duration, n Name, s State, receipt []byte, by string) (*Entry, error) {
 	b.advance(now)
-	o := b.by[n]
+	o := b.orders[n]
 	switch {
 	case o == nil || o.State != Unknown || s != Done && s != NeverRan:
-		return nil, ErrSettled
-	case by == ByCaller || by == ByPassing:
-		return nil, ErrBy
+		return nil, ErrNotUnknown
+	case by == ReportedByCaller || by == ReportedByStreaming:
+		return nil, ErrOperatorName
 	case o.pending:
 		return nil, ErrPending
 	}
 	e := o.Entry
-	e.State, e.At, e.By = s, b.now, by
+	e.State, e.ChangedAt, e.ReportedBy = s, b.now, by
 	if s == Done {
 		e.Receipt = slices.Clone(receipt)
 	}
@@ -272,93 +272,95 @@
 }
 
 // Replay takes in an entry of the log, in its order, at an opening; Opened ends it.
-func (b *Book) Replay(e *Entry) {
-	b.advance(e.At)
+func (b *Table) Replay(e *Entry) {
+	b.advance(e.ChangedAt)
 	b.apply(e, false)
 }
 
-// Opened ends the replay: what was in hand when the process ended is not any more. What was taken and not sent has not run, and what was
+// FinishReplay ends the replay: what was in hand when the process ended is not any more. What was taken and not sent has not run, and what was
 // sent may have.
-func (b *Book) Opened(now time.Duration) {
+func (b *Table) FinishReplay(now time.Duration) {
 	b.advance(now)
-	for _, o := range b.by {
+	for _, o := range b.orders {
 		switch o.State {
 		case Taken:
-			o.State, o.At = NeverRan, b.now
-			b.end(o)
+			o.State, o.ChangedAt = NeverRan, b.now
+			b.addEnded(o)
 		case Sent:
-			o.State, o.At = Unknown, b.now
-			b.end(o)
+			o.State, o.ChangedAt = Unknown, b.now
+			b.addEnded(o)
 		}
 	}
-	slices.SortStableFunc(b.ended, func(x, y *order) int { return cmp.Or(cmp.Compare(x.At, y.At), cmpNames(x.Name, y.Name)) })
-	b.forget()
+	slices.SortStableFunc(b.ended, func(x, y *order) int {
+		return cmp.Or(cmp.Compare(x.ChangedAt, y.ChangedAt), compareNames(x.Name, y.Name))
+	})
+	b.removeExpired()
 }
 
-func cmpNames(a, b Name) int {
+func compareNames(a, b Name) int {
 	return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Key, b.Key))
 }
 
-func (b *Book) apply(e *Entry, inHand bool) {
-	o := b.by[e.Name]
+func (b *Table) apply(e *Entry, inHand bool) {
+	o := b.orders[e.Name]
 	if o == nil {
 		o = &order{}
-		b.by[e.Name] = o
+		b.orders[e.Name] = o
 	}
-	b.unend(o)
-	o.Entry, o.pending, o.inHand = *e, false, inHand && e.State < Done
-	b.use(e)
+	b.removeEnded(o)
+	o.Entry, o.pending, o.inProgress = *e, false, inHand && e.State < Done
+	b.updateToken(e)
 	if e.State >= Done {
-		b.end(o)
+		b.addEnded(o)
 	}
 }
 
-// use notes the token that an order uses up; an order that never ran gives it back.
-func (b *Book) use(e *Entry) {
+// updateToken notes the token that an order uses up; an order that never ran gives it back.
+func (b *Table) updateToken(e *Entry) {
 	if e.Token == "" {
 		return
 	}
 	n := Name{e.Tenant, e.Token}
 	if e.State != NeverRan {
-		b.tokens[n] = &token{e.Name, e.Until}
-	} else if t := b.tokens[n]; t != nil && t.by == e.Name {
+		b.tokens[n] = &usedToken{e.Name, e.TokenExpiry}
+	} else if t := b.tokens[n]; t != nil && t.order == e.Name {
 		delete(b.tokens, n)
 	}
 }
 
-// end puts an order behind those that have ended; unend takes it out again.
-func (b *Book) end(o *order) {
-	b.unend(o)
-	o.done = true
+// addEnded puts an order behind those that have ended; unend takes it out again.
+func (b *Table) addEnded(o *order) {
+	b.removeEnded(o)
+	o.listed = true
 	b.ended = append(b.ended, o)
-	b.bytes += len(o.Receipt)
-	b.use(&o.Entry)
+	b.receiptBytes += len(o.Receipt)
+	b.updateToken(&o.Entry)
 }
 
-func (b *Book) unend(o *order) {
-	if !o.done {
+func (b *Table) removeEnded(o *order) {
+	if !o.listed {
 		return
 	}
-	o.done = false
+	o.listed = false
 	if i := slices.Index(b.ended, o); i >= 0 {
 		b.ended = slices.Delete(b.ended, i, i+1)
 	}
-	b.bytes -= len(o.Receipt)
+	b.receiptBytes -= len(o.Receipt)
 }
 
-func (b *Book) drop(o *order) {
-	b.unend(o)
-	delete(b.by, o.Name)
-	if t := b.tokens[Name{o.Tenant, o.Token}]; t != nil && t.by == o.Name && (o.State == Taken || o.State == NeverRan || b.now >= t.until) {
+func (b *Table) deleteOrder(o *order) {
+	b.removeEnded(o)
+	delete(b.orders, o.Name)
+	if t := b.tokens[Name{o.Tenant, o.Token}]; t != nil && t.order == o.Name && (o.State == Taken || o.State == NeverRan || b.now >= t.expiry) {
 		delete(b.tokens, Name{o.Tenant, o.Token})
 	}
 }
 
-// forget lets go of what ended longer than Keep ago. An unknown order is kept until an operator has settled it: it is what the record is
+// removeExpired lets go of what ended longer than Keep ago. An unknown order is kept until an operator has settled it: it is what the record is
 // for. Where all is younger, new orders are refused rather than old ones forgotten.
-func (b *Book) forget() {
+func (b *Table) removeExpired() {
 	old := 0
-	for old < len(b.ended) && b.now-b.ended[old].At >= b.limits.Keep {
+	for old < len(b.ended) && b.now-b.ended[old].ChangedAt >= b.limits.Retention {
 		old++ // all behind it ended later
 	}
 	var kept []*order
@@ -367,16 +369,16 @@
 			kept = append(kept, o)
 			continue
 		}
-		o.done = false
-		b.bytes -= len(o.Receipt)
-		b.drop(o)
+		o.listed = false
+		b.receiptBytes -= len(o.Receipt)
+		b.deleteOrder(o)
 	}
 	if len(kept) < old {
 		b.ended = slices.Replace(b.ended, 0, old, kept...)
 	}
-	if len(b.tokens) >= 2*b.limits.Most { // those of orders that are forgotten, until they have run out
+	if len(b.tokens) >= 2*b.limits.MaxOrders { // those of orders that are forgotten, until they have run out
 		for n, t := range b.tokens {
-			if b.now >= t.until && b.by[t.by] == nil {
+			if b.now >= t.expiry && b.orders[t.order] == nil {
 				delete(b.tokens, n)
 			}
 		}
@@ -384,16 +386,16 @@
 }
 
 // Get tells what is on record of an order.
-func (b *Book) Get(n Name) (e Entry, ok bool) {
-	o := b.by[n]
+func (b *Table) Get(n Name) (e Entry, ok bool) {
+	o := b.orders[n]
 	if o == nil {
 		return Entry{}, false
 	}
 	return o.Entry, true
 }
 
-// Unknown tells at most so many unknown orders, by the time when they became that, and how many there are.
-func (b *Book) Unknown(most int) (some []Entry, all int) {
+// ListUnknown tells at most so many unknown orders, by the time when they became that, and how many there are.
+func (b *Table) ListUnknown(most int) (some []Entry, all int) {
 	for _, o := range b.ended {
 		if o.State == Unknown {
 			if all++; len(some) < most {
@@ -404,26 +406,28 @@
 	return some, all
 }
 
-// Size counts orders.
-func (b *Book) Size() int { return len(b.by) }
+// OrderCount counts orders.
+func (b *Table) OrderCount() int { return len(b.orders) }
 
-// Len counts orders, and those that are unknown. It looks at all of them.
-func (b *Book) Len() (all, unknown int) {
-	for _, o := range b.by {
+// Counts counts orders, and those that are unknown. It looks at all of them.
+func (b *Table) Counts() (all, unknown int) {
+	for _, o := range b.orders {
 		if o.State == Unknown {
 			unknown++
 		}
 	}
-	return len(b.by), unknown
+	return len(b.orders), unknown
 }
 
 // Entries tells all that a fresh log has to hold for the same record, in a fixed order: for compaction.
-func (b *Book) Entries(yield func(*Entry) bool) {
-	all := make([]*order, 0, len(b.by))
-	for _, o := range b.by {
+func (b *Table) Entries(yield func(*Entry) bool) {
+	all := make([]*order, 0, len(b.orders))
+	for _, o := range b.orders {
 		all = append(all, o)
 	}
-	slices.SortFunc(all, func(x, y *order) int { return cmp.Or(cmp.Compare(x.At, y.At), cmpNames(x.Name, y.Name)) })
+	slices.SortFunc(all, func(x, y *order) int {
+		return cmp.Or(cmp.Compare(x.ChangedAt, y.ChangedAt), compareNames(x.Name, y.Name))
+	})
 	for _, o := range all {
 		e := o.Entry
 		if !yield(&e) {
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -60,7 +60,7 @@
 	"keyed orders":                 {ask: orderOf("keyed")},
 	"orders on record": {ask: orderOf("pass-order"), set: func(t *testing.T, cfg *Config) {
 		opt := recordOptions
-		opt.Limits.Most = 100_000 // however many are asked for until enough have been tried again
+		opt.Limits.MaxOrders = 100_000 // however many are asked for until enough have been tried again
 		cfg.Record = openRecord(t, crash.New(), opt)
 	}},
 	"reads that share an attempt": {
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -180,7 +180,7 @@
 		x.a.req.done = true
 		x.p.fence(x.a.req)
 		if c := x.a.req.rec; c != nil {
-			c.ok, c.by = true, orders.ByCaller
+			c.ok, c.by = true, orders.ReportedByCaller
 		}
 		x.p.end(x.a, logic.StatusCancelled, 0)
 	}
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -89,14 +89,14 @@
 			o.Tenant = string(value)
 		case "k":
 			// A request's id is new with every try, and a repeat can't be known by it.
-			o.Key, o.Again = string(value), lr.Retry
+			o.Key, o.Retry = string(value), lr.Retry
 		}
 	}
-	o.Again = o.Again || r.Again
+	o.Retry = o.Retry || r.Again
 	if r.By != nil {
 		o.Tenant = r.By.Tenant
 		if r.By.ID != "" {
-			o.Token, o.Until = r.By.ID, time.Duration(r.By.Until.UnixNano())
+			o.Token, o.TokenExpiry = r.By.ID, time.Duration(r.By.Until.UnixNano())
 		}
 	}
 	r.rec = &recorded{name: o.Name, lr: lr}
@@ -121,7 +121,7 @@
 // taken goes on with what the record says of an order that has come.
 func (p *Proxy) taken(r *Request, v orders.Verdict, receipt []byte, err error) {
 	c := r.rec
-	if err != nil || v != orders.Go {
+	if err != nil || v != orders.Proceed {
 		p.unrecord(c)
 	} else {
 		c.phase = inHand
@@ -133,11 +133,11 @@
 		}
 	case err != nil:
 		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
-	case v == orders.Go:
+	case v == orders.Proceed:
 		p.bal.Request(p.now, c.lr)
-	case v == orders.Full:
+	case v == orders.RecordFull:
 		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: reasons.RecordFull})
-	case v == orders.Used:
+	case v == orders.TokenUsed:
 		r.denied = &identity.Error{Why: identity.Replayed}
 		p.conclude(r.id, Answer{Kind: Failed, Why: logic.Rejected})
 	case v == orders.Receipt && slices.Contains(p.cfg.Receipts, r.Front):
@@ -146,8 +146,8 @@
 		p.settle(r)
 	default:
 		p.conclude(r.id, Answer{Kind: Failed, Why: map[orders.Verdict]logic.Reason{
-			orders.InHand: reasons.OrderInHand, orders.Mismatch: reasons.OtherOrder, orders.LookUp: reasons.OrderUnknown,
-			orders.Receipt: reasons.OrderHasRun, orders.Ran: reasons.OrderHasRun,
+			orders.InProgress: reasons.OrderInHand, orders.Mismatch: reasons.OtherOrder, orders.OutcomeUnknown: reasons.OrderUnknown,
+			orders.Receipt: reasons.OrderHasRun, orders.ReceiptMissing: reasons.OrderHasRun,
 		}[v]})
 	}
 }
@@ -161,7 +161,7 @@
 }
 
 func whyOf(err error) logic.Reason {
-	if errors.Is(err, orders.ErrBehind) {
+	if errors.Is(err, orders.ErrOverloaded) {
 		return reasons.RecordBehind
 	}
 	return reasons.RecordFault
@@ -240,8 +240,8 @@
 	case s == logic.StatusOK:
 		c.ok = true
 		if c.phase == inHand {
-			if c.by = orders.ByPassing; a.carried {
-				c.by = orders.ByCaller
+			if c.by = orders.ReportedByStreaming; a.carried {
+				c.by = orders.ReportedByCaller
 			}
 		}
 	case s.NeverRan() && !a.recording:
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -20,7 +20,7 @@
 )
 
 var recordOptions = keeper.Options{Options: ledger.Options{
-	Limits: orders.Limits{Keep: time.Hour, Most: 1000, MostBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAt: 1000, Line: 32}}
+	Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAt: 1000, Line: 32}}
 
 func openRecord(t *testing.T, d *crash.Disk, opt keeper.Options) *keeper.Keeper {
 	t.Helper()
--- a/internal/storecmd/storecmd.go
+++ b/internal/storecmd/storecmd.go
@@ -136,7 +136,7 @@
 // show is what a record says: an order's entry in words, anything else as it stands.
 func show(r log.Record, most int) string {
 	if e, err := orders.Parse(r.Payload); err == nil {
-		return fmt.Sprintf(": order %q %q %v, sent %d times", e.Tenant, e.Key, e.State, e.Tries)
+		return fmt.Sprintf(": order %q %q %v, sent %d times", e.Tenant, e.Key, e.State, e.Attempts)
 	}
 	if most == 0 || len(r.Payload) == 0 {
 		return ""
--- a/internal/storecmd/storecmd_test.go
+++ b/internal/storecmd/storecmd_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := orders.Entry{State: orders.Sent, Name: orders.Name{Tenant: "kiosk", Key: "k1"}, Tries: 1}
+	e := orders.Entry{State: orders.Sent, Name: orders.Name{Tenant: "kiosk", Key: "k1"}, Attempts: 1}
 	for _, p := range [][]byte{[]byte("first\x00"), e.Append(nil)} {
 		if _, err := l.Append(1, p); err != nil {
 			t.Fatal(err)
--- a/logic/digest.go
+++ b/logic/digest.go
@@ -55,5 +55,5 @@
 	return [16]byte(h.Sum(nil))
 }
 
-// InHand is how many requests the Balancer knows, those that are answered and have attempts out included.
+// InProgress is how many requests the Balancer knows, those that are answered and have attempts out included.
 func (b *Balancer) InHand() int { return len(b.flights) }
