--- a/internal/extproc/server/record_test.go
+++ b/internal/extproc/server/record_test.go
@@ -39,7 +39,7 @@
 			open := func() *rig {
 				return newRig(t, fleet, file(c.mode, ""), func(cfg *proxy.Config) {
 					k, err := keeper.Open(d, keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20},
-						SegmentSize: 64 << 10, CompactAt: 100, Line: 10}}, ledger.WallClock, slog.New(slog.DiscardHandler))
+						SegmentSize: 64 << 10, CompactAfter: 100, MaxPending: 10}}, ledger.WallClock, slog.New(slog.DiscardHandler))
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/lab/orderer.go
+++ b/internal/lab/orderer.go
@@ -126,7 +126,7 @@
 				fault("%s: its client has the receipt %q; on record is %v %q", key, receipt, e.State, e.Receipt)
 			}
 		}
-		l.Each(func(e *orders.Entry) bool {
+		l.All(func(e *orders.Entry) bool {
 			states[e.State]++
 			n := ran[e.Key]
 			if e.State < orders.Done || n > 1 || e.State == orders.NeverRan && n > 0 || e.State == orders.Done && n != 1 {
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -153,7 +153,7 @@
 		defer l.Close()
 		return many(writers, d, func(int, int) error { _, err := l.Append(1, payload); return err })
 	}
-	l, err := ledger.Open(dir, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: storeSegment, CompactAt: 1 << 30},
+	l, err := ledger.Open(dir, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: storeSegment, CompactAfter: 1 << 30},
 		ledger.WallClock)
 	if err != nil {
 		return 0, err
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -30,7 +30,7 @@
 	maxCalls = 16
 	maxBody  = 1 << 10
 	maxHead  = 8 << 10
-	// lookEvery is how often the record is looked at: a call at one process has to bind the other too.
+	// openRetryInterval is how often the record is looked at: a call at one process has to bind the other too.
 	lookEvery = 50 * time.Millisecond
 )
 
--- a/internal/mgmt/orders.go
+++ b/internal/mgmt/orders.go
@@ -19,7 +19,7 @@
 
 // Orders is the record of orders, as operators may look at it and settle what is unknown while it serves. Its calls may wait for a disk.
 type Orders interface {
-	Unknown(most int) (some []orders.Entry, all int, err error)
+	ListUnknown(most int) (some []orders.Entry, all int, err error)
 	Settle(n orders.Name, s orders.State, receipt []byte, by string) error
 }
 
@@ -48,7 +48,7 @@
 			return
 		}
 	}
-	some, all, err := o.Unknown(most)
+	some, all, err := o.ListUnknown(most)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/mgmt/orders_test.go
+++ b/internal/mgmt/orders_test.go
@@ -22,7 +22,7 @@
 func TestSettleWhileServing(t *testing.T) {
 	const most = 8
 	opt := keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Nanosecond, MaxOrders: most, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10,
-		CompactAt: 10, Line: 100}}
+		CompactAfter: 10, MaxPending: 100}}
 	d, quiet := crash.New(), slog.New(slog.DiscardHandler)
 	led, err := ledger.Open(d, opt.Options, ledger.WallClock)
 	if err != nil {
@@ -125,10 +125,10 @@
 		t.Error(err)
 	}
 	call("GET", "/orders/unknown", "", 503)
-	if led, err = ledger.Open(d, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAt: 100}, ledger.WallClock); err != nil {
+	if led, err = ledger.Open(d, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAfter: 100}, ledger.WallClock); err != nil {
 		t.Fatal(err)
 	}
-	if _, all := led.Unknown(0); all != most-2 {
+	if _, all := led.ListUnknown(0); all != most-2 {
 		t.Errorf("%d are unknown after the opening", all)
 	}
 }
--- a/internal/operator/orders.go
+++ b/internal/operator/orders.go
@@ -28,9 +28,9 @@
 
 // Options are the keeper's.
 func (o *Orders) Options(follows bool) keeper.Options {
-	return keeper.Options{Follows: follows, RunStrangers: o.Strangers == "run", Options: ledger.Options{
+	return keeper.Options{WaitForPredecessor: follows, RunUnknownRetries: o.Strangers == "run", Options: ledger.Options{
 		Limits:      orders.Limits{Retention: o.Keep.D(), MaxOrders: o.Most, MaxReceiptBytes: o.MostBytes},
-		SegmentSize: int64(o.Segment), CompactAt: o.CompactAt, Line: o.Line}}
+		SegmentSize: int64(o.Segment), CompactAfter: o.CompactAt, MaxPending: o.Line}}
 }
 
 func (d *doc) checkOrders(o *Orders) {
--- a/internal/ordercmd/ordercmd.go
+++ b/internal/ordercmd/ordercmd.go
@@ -90,7 +90,7 @@
 		"list": {do: func(l *ledger.Ledger, out io.Writer) error {
 			t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "state\tchanged\ttenant\tkey\tsent\tto\tsettled by")
-			l.Each(func(e *orders.Entry) bool {
+			l.All(func(e *orders.Entry) bool {
 				if *state == "" || *state == e.State.String() {
 					fmt.Fprintf(t, "%v\t%s\t%q\t%q\t%d\t%s\t%s\n", e.State, at(e.ChangedAt), e.Tenant, e.Key, e.Attempts, e.Member, e.ReportedBy)
 				}
@@ -131,7 +131,7 @@
 		}},
 		"check": {do: func(l *ledger.Ledger, out io.Writer) error {
 			counts := map[orders.State]int{}
-			l.Each(func(e *orders.Entry) bool { counts[e.State]++; return true })
+			l.All(func(e *orders.Entry) bool { counts[e.State]++; return true })
 			for s := orders.Taken; s <= orders.Unknown; s++ {
 				fmt.Fprintf(out, "%-10v %d\n", s, counts[s])
 			}
--- a/internal/ordercmd/ordercmd_test.go
+++ b/internal/ordercmd/ordercmd_test.go
@@ -20,7 +20,7 @@
 	now := func() time.Duration { return time.Duration(1_800_000_000) * time.Second }
 	open := func() *ledger.Ledger {
 		t.Helper()
-		l, err := ledger.Open(disk.Dir(dir), ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 9, MaxReceiptBytes: 999}, SegmentSize: 400, CompactAt: 99}, now)
+		l, err := ledger.Open(disk.Dir(dir), ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 9, MaxReceiptBytes: 999}, SegmentSize: 400, CompactAfter: 99}, now)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/orders/ledger/model_test.go
+++ b/internal/orders/ledger/model_test.go
@@ -16,14 +16,14 @@
 	"linenloom/internal/store/crash"
 )
 
-// kept is what a plain map knows of an order: the state that was acknowledged last, and one that was asked for since, which may be there or not.
-type kept struct {
-	acked, asked orders.State
-	receipt      string
+// modelOrder is what a plain map knows of an order: the state that was acknowledged last, and one that was asked for since, which may be there or not.
+type modelOrder struct {
+	acknowledged, requested orders.State
+	receipt                 string
 }
 
-// opened is what an opening makes of a state.
-func opened(s orders.State) orders.State {
+// stateAfterOpen is what an opening makes of a state.
+func stateAfterOpen(s orders.State) orders.State {
 	switch s {
 	case orders.Taken:
 		return orders.NeverRan
@@ -35,17 +35,17 @@
 
 // Random batches by writers at once, a disk whose steps fail, crashes that leave any part of what was not synced, compactions and openings,
 // against a plain map: what was acknowledged is there after each of three openings, and nothing is there that nobody asked for.
-func TestLedgerAgainstAMap(t *testing.T) {
+func TestLedgerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Minute // the clock may jump back
 		clock := func() time.Duration { return now }
-		opt := Options{Limits: orders.Limits{Retention: 1 << 60, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 700, CompactAt: 20}
+		opt := Options{Limits: orders.Limits{Retention: 1 << 60, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 700, CompactAfter: 20}
 		d := crash.New()
 		l, err := Open(d, opt, clock)
 		if err != nil {
 			t.Fatal(err)
 		}
-		model := map[orders.Name]*kept{}
+		model := map[orders.Name]*modelOrder{}
 		reopen := func(t *rapid.T) {
 			var first map[orders.Name]orders.State
 			for range 3 {
@@ -53,10 +53,10 @@
 					t.Fatal(err)
 				}
 				got := map[orders.Name]orders.State{}
-				l.Each(func(e *orders.Entry) bool {
+				l.All(func(e *orders.Entry) bool {
 					got[e.Name] = e.State
 					k := model[e.Name]
-					if k == nil || e.State != opened(k.acked) && (k.asked == 0 || e.State != opened(k.asked)) {
+					if k == nil || e.State != stateAfterOpen(k.acknowledged) && (k.requested == 0 || e.State != stateAfterOpen(k.requested)) {
 						t.Fatalf("%s is %v; the map has %+v", e.Key, e.State, k)
 					}
 					if e.State == orders.Done && string(e.Receipt) != k.receipt {
@@ -65,8 +65,8 @@
 					return true
 				})
 				for n, k := range model {
-					if got[n] == 0 && k.acked != 0 {
-						t.Fatalf("%s is lost, which was %v", n.Key, k.acked)
+					if got[n] == 0 && k.acknowledged != 0 {
+						t.Fatalf("%s is lost, which was %v", n.Key, k.acknowledged)
 					}
 				}
 				if first == nil {
@@ -81,9 +81,9 @@
 			if l, err = Open(d, opt, clock); err != nil {
 				t.Fatal(err)
 			}
-			model = map[orders.Name]*kept{}
-			l.Each(func(e *orders.Entry) bool {
-				model[e.Name] = &kept{acked: e.State, receipt: string(e.Receipt)}
+			model = map[orders.Name]*modelOrder{}
+			l.All(func(e *orders.Entry) bool {
+				model[e.Name] = &modelOrder{acknowledged: e.State, receipt: string(e.Receipt)}
 				return true
 			})
 		}
@@ -91,14 +91,14 @@
 			"batch": func(t *rapid.T) {
 				type job struct {
 					n    orders.Name
-					k    *kept
+					k    *modelOrder
 					ends orders.State // 0: it stays in hand
 				}
 				var jobs []job
 				for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 15), 1, 8, rapid.ID[int]).Draw(t, "orders") {
-					n := name(i)
+					n := orderName(i)
 					if model[n] == nil {
-						model[n] = &kept{}
+						model[n] = &modelOrder{}
 					}
 					jobs = append(jobs, job{n, model[n], rapid.SampledFrom([]orders.State{0, orders.Done, orders.Done, orders.NeverRan, orders.Unknown}).Draw(t, "ends")})
 				}
@@ -120,10 +120,10 @@
 					writers.Go(func() {
 						step := func(s orders.State, err error) bool {
 							if err != nil {
-								j.k.asked = s
+								j.k.requested = s
 								return false
 							}
-							j.k.acked, j.k.asked = s, 0
+							j.k.acknowledged, j.k.requested = s, 0
 							return true
 						}
 						v, _, err := l.Take(orders.Order{Name: j.n})
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -20,7 +20,7 @@
 )
 
 var recordOptions = keeper.Options{Options: ledger.Options{
-	Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAt: 1000, Line: 32}}
+	Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAfter: 1000, MaxPending: 32}}
 
 func openRecord(t *testing.T, d *crash.Disk, opt keeper.Options) *keeper.Keeper {
 	t.Helper()
@@ -155,7 +155,7 @@
 		"a repeat without it": {false, ",r=1", "receipt of p"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := recording(t, newTill(t), crash.New(), func(_ *Config, opt *keeper.Options) { opt.RunStrangers = c.run })
+			p := recording(t, newTill(t), crash.New(), func(_ *Config, opt *keeper.Options) { opt.RunUnknownRetries = c.run })
 			client := p.dial()
 			client.send(order("p", "1", "a pass", c.more))
 			if got := client.answer(); got != c.want {
@@ -246,7 +246,7 @@
 func TestSlowDisk(t *testing.T) {
 	o, d := newTill(t), crash.New()
 	var on func(*testProxy, time.Duration)
-	p := recording(t, o, d, func(cfg *Config, opt *keeper.Options) { on, opt.Line = handClock(cfg), 4 })
+	p := recording(t, o, d, func(cfg *Config, opt *keeper.Options) { on, opt.MaxPending = handClock(cfg), 4 })
 	client := p.dial()
 	stuck, reached := make(chan struct{}), make(chan struct{}, 100)
 	var block atomic.Bool
@@ -323,7 +323,7 @@
 	a := p.dial()
 	a.send(order("long", "1", "a pass", ",k=long"))
 	<-o.asked
-	next := recording(t, o, d, func(_ *Config, opt *keeper.Options) { opt.Follows = true })
+	next := recording(t, o, d, func(_ *Config, opt *keeper.Options) { opt.WaitForPredecessor = true })
 	b := next.dial()
 	b.send(order("p", "2", "a pass", ",k=p"))
 	next.eventually("it waits", func() bool { return next.recorded == 1 })
