--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -20,7 +20,7 @@
 // asProxy makes the test's own program a proxy: one that was built as the tests were.
 const asProxy = "LINENLOOM_CLUSTER_PROXY"
 
-// lyingDisk has what lasts stand on a disk that lies, as crash.ParseLying has it.
+// lyingDisk has what lasts stand on a disk that lies, as crash.ParseUnreliable has it.
 const lyingDisk = "LINENLOOM_CLUSTER_DISK"
 
 func TestMain(m *testing.M) {
@@ -28,7 +28,7 @@
 		g := app.Program{Name: "proxy", Instances: func(j app.Joined) (app.Fleet, error) { return instances.New(j) }}
 		if lies := os.Getenv(lyingDisk); lies != "" {
 			g.Disk = func(dir string) disk.FS {
-				fs, err := crash.ParseLying(disk.Dir(dir), lies)
+				fs, err := crash.ParseUnreliable(disk.Dir(dir), lies)
 				if err != nil {
 					panic(err)
 				}
--- a/internal/ordercmd/ordercmd.go
+++ b/internal/ordercmd/ordercmd.go
@@ -37,8 +37,8 @@
 
 // command is the flags that a command needs, and what it does with the open ledger.
 type command struct {
-	must []string
-	do   func(l *ledger.Ledger, out io.Writer) error
+	requiredFlags []string
+	run           func(l *ledger.Ledger, out io.Writer) error
 }
 
 func run(args []string, out, errs io.Writer, now func() time.Duration) int {
@@ -53,22 +53,22 @@
 		fmt.Fprint(errs, usage)
 		return usageStatus
 	}
-	if err := flags.Parse(f, errs, args[1:], append([]string{"dir"}, c.must...)...); err != nil {
+	if err := flags.Parse(f, errs, args[1:], append([]string{"dir"}, c.requiredFlags...)...); err != nil {
 		if !errors.Is(err, flags.ErrUsage) {
 			fmt.Fprintf(errs, "linenloom orders %s: %v\n", name, err)
 		}
 		return usageStatus
 	}
-	if err := on(*dir, now, out, c.do); err != nil {
+	if err := withLedger(*dir, now, out, c.run); err != nil {
 		fmt.Fprintf(errs, "linenloom orders %s: %v\n", name, err)
 		return 1
 	}
 	return 0
 }
 
-// on opens the ledger in a folder that is there.
-func on(dir string, now func() time.Duration, out io.Writer, do func(*ledger.Ledger, io.Writer) error) error {
-	if err := disk.Dir(dir).There(); err != nil {
+// withLedger opens the ledger in a folder that is there.
+func withLedger(dir string, now func() time.Duration, out io.Writer, do func(*ledger.Ledger, io.Writer) error) error {
+	if err := disk.Dir(dir).CheckExists(); err != nil {
 		return err
 	}
 	l, err := ledger.Open(disk.Dir(dir), ledger.Unbounded, now)
@@ -87,27 +87,27 @@
 	tenant, key := f.String("tenant", "", "the order's tenant"), f.String("key", "", "its idempotency key, or its request's id")
 	by, file := f.String("by", "", "who has looked it up"), f.String("receipt", "", "the file that holds the receipt of an order that is done")
 	return map[string]*command{
-		"list": {do: func(l *ledger.Ledger, out io.Writer) error {
+		"list": {run: func(l *ledger.Ledger, out io.Writer) error {
 			t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "state\tchanged\ttenant\tkey\tsent\tto\tsettled by")
 			l.All(func(e *orders.Entry) bool {
 				if *state == "" || *state == e.State.String() {
-					fmt.Fprintf(t, "%v\t%s\t%q\t%q\t%d\t%s\t%s\n", e.State, at(e.ChangedAt), e.Tenant, e.Key, e.Attempts, e.Member, e.ReportedBy)
+					fmt.Fprintf(t, "%v\t%s\t%q\t%q\t%d\t%s\t%s\n", e.State, formatTime(e.ChangedAt), e.Tenant, e.Key, e.Attempts, e.Member, e.ReportedBy)
 				}
 				return true
 			})
 			return t.Flush()
 		}},
-		"show": {must: []string{"tenant", "key"}, do: func(l *ledger.Ledger, out io.Writer) error {
+		"show": {requiredFlags: []string{"tenant", "key"}, run: func(l *ledger.Ledger, out io.Writer) error {
 			e, ok := l.Get(orders.Name{Tenant: *tenant, Key: *key})
 			if !ok {
 				return errors.New("no such order is on record")
 			}
 			fmt.Fprintf(out, "state    %v\nchanged  %s\nsent     %d times, last to %q\ntoken    %q\nsettled  %q\ndigest   %x\nreceipt  %d bytes\n%s",
-				e.State, at(e.ChangedAt), e.Attempts, e.Member, e.Token, e.ReportedBy, e.Digest, len(e.Receipt), e.Receipt)
+				e.State, formatTime(e.ChangedAt), e.Attempts, e.Member, e.Token, e.ReportedBy, e.Digest, len(e.Receipt), e.Receipt)
 			return nil
 		}},
-		"settle": {must: []string{"tenant", "key", "as", "by"}, do: func(l *ledger.Ledger, out io.Writer) error {
+		"settle": {requiredFlags: []string{"tenant", "key", "as", "by"}, run: func(l *ledger.Ledger, out io.Writer) error {
 			states := map[string]orders.State{"done": orders.Done, "never_ran": orders.NeverRan}
 			s, ok := states[*as]
 			if !ok {
@@ -129,7 +129,7 @@
 			fmt.Fprintf(out, "settled as %v\n", s)
 			return nil
 		}},
-		"check": {do: func(l *ledger.Ledger, out io.Writer) error {
+		"check": {run: func(l *ledger.Ledger, out io.Writer) error {
 			counts := map[orders.State]int{}
 			l.All(func(e *orders.Entry) bool { counts[e.State]++; return true })
 			for s := orders.Taken; s <= orders.Unknown; s++ {
@@ -137,7 +137,7 @@
 			}
 			return nil
 		}},
-		"compact": {do: func(l *ledger.Ledger, out io.Writer) error {
+		"compact": {run: func(l *ledger.Ledger, out io.Writer) error {
 			if err := l.Compact(); err != nil {
 				return err
 			}
@@ -147,4 +147,4 @@
 	}
 }
 
-func at(d time.Duration) string { return time.Unix(0, int64(d)).UTC().Format(time.RFC3339) }
+func formatTime(d time.Duration) string { return time.Unix(0, int64(d)).UTC().Format(time.RFC3339) }
--- a/internal/orders/ledger/ledger_test.go
+++ b/internal/orders/ledger/ledger_test.go
@@ -104,11 +104,11 @@
 func TestPowerLossAtEveryStep(t *testing.T) {
 	const n = 26
 	whole := crash.New()
-	if p := runOrders(whole, n); len(p.reported) < n/2 || whole.Ops < 100 {
-		t.Fatalf("%d receipts, %d steps", len(p.reported), whole.Ops)
+	if p := runOrders(whole, n); len(p.reported) < n/2 || whole.Operations < 100 {
+		t.Fatalf("%d receipts, %d steps", len(p.reported), whole.Operations)
 	}
 	errPower := errors.New("the power is gone")
-	for step := 1; step <= whole.Ops; step++ {
+	for step := 1; step <= whole.Operations; step++ {
 		for cut := -2; cut < 200; cut += 1 + max(0, cut)*2/3 {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
--- a/internal/orders/ledger/model_test.go
+++ b/internal/orders/ledger/model_test.go
@@ -102,7 +102,7 @@
 					}
 					jobs = append(jobs, job{n, model[n], rapid.SampledFrom([]orders.State{0, orders.Done, orders.Done, orders.NeverRan, orders.Unknown}).Draw(t, "ends")})
 				}
-				from, to := d.Ops+rapid.IntRange(1, 12).Draw(t, "fails from"), 0
+				from, to := d.Operations+rapid.IntRange(1, 12).Draw(t, "fails from"), 0
 				if rapid.Bool().Draw(t, "fails") {
 					to = from + rapid.IntRange(0, 8).Draw(t, "for")
 				}
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -211,7 +211,7 @@
 					t.Errorf("a read: %q", got)
 				}
 			}
-			from := d.Ops
+			from := d.Operations
 			var well atomic.Bool
 			d.Fail = func(op int, what string) error {
 				if !well.Load() && c.fails(op-from) {
--- a/internal/store/crash/crash.go
+++ b/internal/store/crash/crash.go
@@ -17,11 +17,11 @@
 
 // Disk is a folder whose every change is counted, and may fail or be the last.
 type Disk struct {
-	mu      sync.Mutex
-	files   map[string]*file // as the program sees them
-	entries map[string]*file // those whose entry is on stable storage
-	locked  bool
-	Ops     int // changes and syncs so far
+	mu         sync.Mutex
+	files      map[string]*file // as the program sees them
+	entries    map[string]*file // those whose entry is on stable storage
+	locked     bool
+	Operations int // changes and syncs so far
 	// Fail, if set, is asked before each of them: an error is what it ends with. ErrShort has half of a write done.
 	Fail func(op int, what string) error
 }
@@ -30,10 +30,10 @@
 var ErrShort = errors.New("crash: short write")
 
 type file struct {
-	name   string
-	data   []byte // as the program sees it
-	synced int    // so much of it is on stable storage
-	writes []int  // where writes since the last sync begin
+	name           string
+	data           []byte // as the program sees it
+	syncedSize     int    // so much of it is on stable storage
+	unsyncedWrites []int  // where writes since the last sync begin
 }
 
 var _ disk.FS = (*Disk)(nil)
@@ -41,10 +41,10 @@
 // New is an empty disk.
 func New() *Disk { return &Disk{files: map[string]*file{}, entries: map[string]*file{}} }
 
-func (d *Disk) op(what string) error {
-	d.Ops++
+func (d *Disk) startOperation(what string) error {
+	d.Operations++
 	if d.Fail != nil {
-		if err := d.Fail(d.Ops, what); err != nil {
+		if err := d.Fail(d.Operations, what); err != nil {
 			return fmt.Errorf("%s: %w", what, err)
 		}
 	}
@@ -58,7 +58,7 @@
 	if d.files[name] != nil {
 		return nil, fs.ErrExist
 	}
-	if err := d.op("create " + name); err != nil {
+	if err := d.startOperation("create " + name); err != nil {
 		return nil, err
 	}
 	f := &file{name: name}
@@ -67,34 +67,34 @@
 }
 
 type handle struct {
-	d *Disk
-	f *file
+	disk *Disk
+	file *file
 }
 
 func (h *handle) Write(b []byte) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	err := h.d.op("write " + h.f.name)
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	err := h.disk.startOperation("write " + h.file.name)
 	if err != nil {
 		if !errors.Is(err, ErrShort) {
 			return 0, err
 		}
 		b = b[:len(b)/2]
 	}
-	h.f.writes = append(h.f.writes, len(h.f.data))
-	h.f.data = append(h.f.data, b...)
+	h.file.unsyncedWrites = append(h.file.unsyncedWrites, len(h.file.data))
+	h.file.data = append(h.file.data, b...)
 	return len(b), err
 }
 
 // Sync has a file's data on stable storage. One that fails has not, and the next one has nothing to do: what the kernel has dropped it
 // does not write again.
 func (h *handle) Sync() error {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if err := h.d.op("sync " + h.f.name); err != nil {
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if err := h.disk.startOperation("sync " + h.file.name); err != nil {
 		return err
 	}
-	h.f.synced, h.f.writes = len(h.f.data), nil
+	h.file.syncedSize, h.file.unsyncedWrites = len(h.file.data), nil
 	return nil
 }
 
@@ -111,26 +111,26 @@
 	return reader{slices.Clone(f.data)}, nil
 }
 
-type reader struct{ b []byte }
+type reader struct{ data []byte }
 
 func (r reader) ReadAt(b []byte, at int64) (int, error) {
-	if at >= int64(len(r.b)) {
+	if at >= int64(len(r.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, r.b[at:])
+	n := copy(b, r.data[at:])
 	if n < len(b) {
 		return n, io.EOF
 	}
 	return n, nil
 }
-func (r reader) Size() int64  { return int64(len(r.b)) }
+func (r reader) Size() int64  { return int64(len(r.data)) }
 func (r reader) Close() error { return nil }
 
 // Remove removes a file.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.op("remove " + name); err != nil {
+	if err := d.startOperation("remove " + name); err != nil {
 		return err
 	}
 	delete(d.files, name)
@@ -148,7 +148,7 @@
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.op("sync folder"); err != nil {
+	if err := d.startOperation("sync folder"); err != nil {
 		return err
 	}
 	d.entries = maps.Clone(d.files)
@@ -163,15 +163,15 @@
 		return nil, disk.ErrLocked
 	}
 	d.locked = true
-	return unlock{d}, nil
+	return lockHolder{d}, nil
 }
 
-type unlock struct{ d *Disk }
+type lockHolder struct{ disk *Disk }
 
-func (u unlock) Close() error {
-	u.d.mu.Lock()
-	defer u.d.mu.Unlock()
-	u.d.locked = false
+func (u lockHolder) Close() error {
+	u.disk.mu.Lock()
+	defer u.disk.mu.Unlock()
+	u.disk.locked = false
 	return nil
 }
 
@@ -199,12 +199,12 @@
 		g := &file{name: name, data: slices.Clone(f.data)}
 		switch {
 		case cut >= 0:
-			g.data = g.data[:min(len(g.data), f.synced+cut)]
+			g.data = g.data[:min(len(g.data), f.syncedSize+cut)]
 		default:
-			for i, from := range f.writes {
+			for i, from := range f.unsyncedWrites {
 				to := len(f.data)
-				if i+1 < len(f.writes) {
-					to = f.writes[i+1]
+				if i+1 < len(f.unsyncedWrites) {
+					to = f.unsyncedWrites[i+1]
 				}
 				kept := from + rng.IntN(to-from+1)
 				if rng.IntN(3) == 0 {
@@ -216,17 +216,17 @@
 				clear(g.data[kept:to])
 			}
 			if rng.IntN(2) == 0 {
-				g.data = g.data[:f.synced+rng.IntN(len(g.data)-f.synced+1)]
+				g.data = g.data[:f.syncedSize+rng.IntN(len(g.data)-f.syncedSize+1)]
 			}
 		}
-		g.synced = len(g.data)
+		g.syncedSize = len(g.data)
 		after.files[name], after.entries[name] = g, g
 	}
 	return after
 }
 
-// Flip flips a bit of a file.
-func (d *Disk) Flip(name string, bit int) {
+// FlipBit flips a bit of a file.
+func (d *Disk) FlipBit(name string, bit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files[name].data[bit/8] ^= 1 << (bit % 8)
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -46,8 +46,8 @@
 
 var _ FS = Dir("")
 
-// There tells what is wrong with a folder that should be there.
-func (d Dir) There() error {
+// CheckExists tells what is wrong with a folder that should be there.
+func (d Dir) CheckExists() error {
 	switch s, err := os.Stat(string(d)); {
 	case err != nil:
 		return err
--- a/internal/store/log/frame.go
+++ b/internal/store/log/frame.go
@@ -20,15 +20,15 @@
 
 // header begins a segment. It tells how much of the segment before counts: what stands there beyond was never acknowledged.
 type header struct {
-	generation, first uint64
-	before            uint64 // 0: none
-	beforeSize        uint64
+	generation, firstSequence uint64
+	previous                  uint64 // 0: none
+	previousSize              uint64
 }
 
 func (h header) append(b []byte) []byte {
 	from := len(b)
 	b = append(append(b, magic...), version)
-	for _, n := range []uint64{h.generation, h.first, h.before, h.beforeSize} {
+	for _, n := range []uint64{h.generation, h.firstSequence, h.previous, h.previousSize} {
 		b = binary.LittleEndian.AppendUint64(b, n)
 	}
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[from:], castagnoli))
@@ -59,14 +59,14 @@
 // lastOfGroup, in a frame's kind, tells that the records that were written together end with it.
 const lastOfGroup = 0x80
 
-// MostKind is the highest kind of a record.
-const MostKind = lastOfGroup - 1
+// MaxKind is the highest kind of a record.
+const MaxKind = lastOfGroup - 1
 
 // Record is what was appended.
 type Record struct {
-	Seq     uint64
-	Kind    byte
-	Payload []byte
+	Sequence uint64
+	Kind     byte
+	Payload  []byte
 }
 
 // appendFrame appends a record's frame. Durable is the sequence up to which all was on stable storage when it was made: by that, damage
@@ -74,7 +74,7 @@
 func appendFrame(b []byte, r Record, durable uint64, last bool) []byte {
 	from := len(b)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(r.Payload)))
-	b = binary.LittleEndian.AppendUint64(b, r.Seq)
+	b = binary.LittleEndian.AppendUint64(b, r.Sequence)
 	b = binary.LittleEndian.AppendUint64(b, durable)
 	if b = append(b, r.Kind); last {
 		b[len(b)-1] |= lastOfGroup
@@ -100,5 +100,5 @@
 	return Record{binary.LittleEndian.Uint64(b[4:]), b[20] &^ lastOfGroup, payload}, binary.LittleEndian.Uint64(b[12:]), b[20]&lastOfGroup != 0, frameSize + n
 }
 
-// name is a segment's file.
-func name(generation uint64) string { return fmt.Sprintf("%016x.log", generation) }
+// segmentName is a segment's file.
+func segmentName(generation uint64) string { return fmt.Sprintf("%016x.log", generation) }
--- a/internal/store/log/log.go
+++ b/internal/store/log/log.go
@@ -30,14 +30,14 @@
 
 // Damage tells where a log is damaged.
 type Damage struct {
-	File   string
-	Offset int64
-	What   string
-	Twice  bool // records stand there that the segment before counts too: Repair may mend it
+	File      string
+	Offset    int64
+	Reason    string
+	Duplicate bool // records stand there that the segment before counts too: Repair may mend it
 }
 
 func (d *Damage) Error() string {
-	return fmt.Sprintf("log: %s at byte %d: %s", d.File, d.Offset, d.What)
+	return fmt.Sprintf("log: %s at byte %d: %s", d.File, d.Offset, d.Reason)
 }
 
 // Unwrap makes it ErrDamage.
@@ -45,22 +45,22 @@
 
 // Log is an open log. It is safe for concurrent use.
 type Log struct {
-	fs   disk.FS
-	opt  Options
-	lock io.Closer
-
-	mu      sync.Mutex
-	file    disk.File // nil: the latest segment has failed, or none was begun; the next write begins one
-	gen     uint64    // of the latest segment, whatever became of it
-	good    uint64    // of the latest segment that has something durable, or whose header is
-	goodEnd int64     // how much of it counts
-	next    uint64    // sequence
-	durable uint64    // all up to it is on stable storage
-	writing bool      // one of the callers writes for all
-	group   *group    // those who wait for the next write
-	closed  bool
-	idle    *sync.Cond // nobody writes
-	Syncs   int        // groups that were written, for the rig
+	fs      disk.FS
+	options Options
+	lock    io.Closer
+
+	mu               sync.Mutex
+	file             disk.File // nil: the latest segment has failed, or none was begun; the next write begins one
+	latestGeneration uint64    // of the latest segment, whatever became of it
+	validGeneration  uint64    // of the latest segment that has something durable, or whose header is
+	validSize        int64     // how much of it counts
+	nextSequence     uint64    // sequence
+	durableSequence  uint64    // all up to it is on stable storage
+	writing          bool      // one of the callers writes for all
+	pendingGroup     *group    // those who wait for the next write
+	closed           bool
+	idleCond         *sync.Cond // nobody writes
+	GroupsWritten    int        // groups that were written, for the rig
 }
 
 // group is records that are written and synced together.
@@ -77,24 +77,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	l := &Log{fs: fs, opt: opt, lock: lock, next: 1}
-	l.idle = sync.NewCond(&l.mu)
-	if err := l.recover(replay); err != nil {
+	l := &Log{fs: fs, options: opt, lock: lock, nextSequence: 1}
+	l.idleCond = sync.NewCond(&l.mu)
+	if err := l.recoverRecords(replay); err != nil {
 		lock.Close()
 		return nil, err
 	}
-	l.durable = l.next - 1
+	l.durableSequence = l.nextSequence - 1
 	return l, nil
 }
 
 // segment is a file of the log, as it was found.
 type segment struct {
-	gen uint64
+	fileGeneration uint64
 	header
-	ok bool
+	valid bool
 }
 
-func (l *Log) segments() (all []segment, err error) {
+func (l *Log) listSegments() (all []segment, err error) {
 	names, err := l.fs.List()
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
@@ -105,14 +105,14 @@
 			continue // another's
 		}
 		gen, err := strconv.ParseUint(text, 16, 64)
-		if err != nil || name(gen) != n || gen == 0 {
-			return nil, &Damage{File: n, What: "no segment's name"}
+		if err != nil || segmentName(gen) != n || gen == 0 {
+			return nil, &Damage{File: n, Reason: "no segment's name"}
 		}
 		f, err := l.fs.Open(n)
 		if err != nil {
 			return nil, fmt.Errorf("log: %w", err)
 		}
-		s, err := look(f, n, gen)
+		s, err := readSegment(f, n, gen)
 		f.Close()
 		if err != nil {
 			return nil, err
@@ -122,134 +122,134 @@
 	return all, nil
 }
 
-// look reads a segment's header. It counts only with the first group behind it: it says how much of the segment before counts, and what it leaves
+// readSegment reads a segment's header. It counts only with the first group behind it: it says how much of the segment before counts, and what it leaves
 // out there may stand in that group.
-func look(f disk.Reader, file string, gen uint64) (s segment, err error) {
-	w := window{f: f, file: file, size: f.Size()}
-	b, err := w.at(0, headerSize)
+func readSegment(f disk.Reader, file string, gen uint64) (s segment, err error) {
+	w := segmentReader{file: f, fileName: file, size: f.Size()}
+	b, err := w.readAt(0, headerSize)
 	if err != nil {
 		return s, err
 	}
-	s.gen = gen
+	s.fileGeneration = gen
 	h, foreign, ok := parseHeader(b)
 	switch {
 	case foreign:
-		return s, &Damage{File: file, What: "no segment of a version that is known"}
+		return s, &Damage{File: file, Reason: "no segment of a version that is known"}
 	case !ok:
 		return s, nil
 	case h.generation != gen:
-		return s, &Damage{File: file, Offset: 8, What: fmt.Sprintf("its header is of segment %d", h.generation)}
+		return s, &Damage{File: file, Offset: 8, Reason: fmt.Sprintf("its header is of segment %d", h.generation)}
 	}
 	s.header = h
-	for at, seq := int64(headerSize), h.first; ; seq++ {
-		r, _, last, n, err := w.frame(at)
-		if err != nil || n == 0 || r.Seq != seq {
+	for at, seq := int64(headerSize), h.firstSequence; ; seq++ {
+		r, _, last, n, err := w.readFrame(at)
+		if err != nil || n == 0 || r.Sequence != seq {
 			return s, err
 		}
 		if last {
-			s.ok = true
+			s.valid = true
 			return s, nil
 		}
 		at += int64(n)
 	}
 }
 
-// recover finds the segments that count and replays them.
-func (l *Log) recover(replay func(Record) error) error {
-	all, err := l.segments()
+// recoverRecords finds the segments that count and replays them.
+func (l *Log) recoverRecords(replay func(Record) error) error {
+	all, err := l.listSegments()
 	if err != nil {
 		return err
 	}
-	chain, err := l.chain(all)
+	chain, err := l.buildChain(all)
 	if err != nil {
 		return err
 	}
-	tail, err := l.replayAll(chain, replay)
+	tail, err := l.replayChain(chain, replay)
 	if err != nil {
 		return err
 	}
-	if err := l.noneLater(all, latest(chain)); err != nil {
+	if err := l.checkLaterSegments(all, lastGeneration(chain)); err != nil {
 		return err
 	}
-	return l.settle(tail)
+	return l.rewriteTail(tail)
 }
 
-// link is a segment that counts, and how much of it, if another follows it.
-type link struct {
+// chainLink is a segment that counts, and how much of it, if another follows it.
+type chainLink struct {
 	*segment
-	size  int64
-	known bool
+	size      int64
+	sizeKnown bool
 }
 
-// latest is the generation that a chain ends with; 0: of none.
-func latest(chain []link) uint64 {
+// lastGeneration is the generation that a chain ends with; 0: of none.
+func lastGeneration(chain []chainLink) uint64 {
 	if len(chain) == 0 {
 		return 0
 	}
-	return chain[len(chain)-1].gen
+	return chain[len(chain)-1].fileGeneration
 }
 
-// chain is the segments that count, oldest first, by the headers from the latest back. It is empty for a new log, and for one whose first
+// buildChain is the segments that count, oldest first, by the headers from the latest back. It is empty for a new log, and for one whose first
 // segment never came to be.
-func (l *Log) chain(all []segment) (chain []link, err error) {
+func (l *Log) buildChain(all []segment) (chain []chainLink, err error) {
 	byGen := map[uint64]*segment{}
 	var last *segment
 	for i := range all {
 		s := &all[i]
-		byGen[s.gen] = s
-		l.gen = max(l.gen, s.gen)
-		if s.ok {
+		byGen[s.fileGeneration] = s
+		l.latestGeneration = max(l.latestGeneration, s.fileGeneration)
+		if s.valid {
 			last = s
 		}
 	}
 	if last == nil {
 		return nil, nil
 	}
-	for s, of := last, (link{segment: last}); ; {
+	for s, of := last, (chainLink{segment: last}); ; {
 		chain = append(chain, of)
-		if s.before == 0 {
+		if s.previous == 0 {
 			break
 		}
-		b := byGen[s.before]
-		if b == nil || !b.ok || b.gen >= s.gen {
-			return nil, &Damage{File: name(s.before), What: fmt.Sprintf("it is missing or its header is broken, and segment %d follows it", s.gen)}
+		b := byGen[s.previous]
+		if b == nil || !b.valid || b.fileGeneration >= s.fileGeneration {
+			return nil, &Damage{File: segmentName(s.previous), Reason: fmt.Sprintf("it is missing or its header is broken, and segment %d follows it", s.fileGeneration)}
 		}
-		s, of = b, link{b, int64(s.beforeSize), true}
+		s, of = b, chainLink{b, int64(s.previousSize), true}
 	}
 	slices.Reverse(chain)
-	l.next = chain[0].first
+	l.nextSequence = chain[0].firstSequence
 	return chain, nil
 }
 
-// replayAll replays a chain, and returns those records at its end that nothing vouches for.
-func (l *Log) replayAll(chain []link, replay func(Record) error) (tail []Record, err error) {
+// replayChain replays a chain, and returns those records at its end that nothing vouches for.
+func (l *Log) replayChain(chain []chainLink, replay func(Record) error) (tail []Record, err error) {
 	for _, s := range chain {
-		if s.first != l.next {
-			d := &Damage{File: name(s.gen), Offset: 16, What: fmt.Sprintf("it begins with record %d, not %d", s.first, l.next)}
-			if d.Twice = s.first < l.next; d.Twice {
-				d.What += fmt.Sprintf(": records %d to %d stand in segment %d too", s.first, l.next-1, s.before)
+		if s.firstSequence != l.nextSequence {
+			d := &Damage{File: segmentName(s.fileGeneration), Offset: 16, Reason: fmt.Sprintf("it begins with record %d, not %d", s.firstSequence, l.nextSequence)}
+			if d.Duplicate = s.firstSequence < l.nextSequence; d.Duplicate {
+				d.Reason += fmt.Sprintf(": records %d to %d stand in segment %d too", s.firstSequence, l.nextSequence-1, s.previous)
 			}
 			return nil, d
 		}
-		if tail, err = l.replay(s, replay); err != nil {
+		if tail, err = l.replaySegment(s, replay); err != nil {
 			return nil, err
 		}
 	}
 	return tail, nil
 }
 
-// noneLater looks into the segments behind the last whose header stands: a crash may have left them without one, but not what follows.
-func (l *Log) noneLater(all []segment, last uint64) error {
+// checkLaterSegments looks into the segments behind the last whose header stands: a crash may have left them without one, but not what follows.
+func (l *Log) checkLaterSegments(all []segment, last uint64) error {
 	for _, s := range all {
-		if s.gen <= last {
+		if s.fileGeneration <= last {
 			continue
 		}
-		f, err := l.fs.Open(name(s.gen))
+		f, err := l.fs.Open(segmentName(s.fileGeneration))
 		if err != nil {
 			return fmt.Errorf("log: %w", err)
 		}
-		w := window{f: f, file: name(s.gen), size: f.Size()}
-		err = w.torn(-1, l.next)
+		w := segmentReader{file: f, fileName: segmentName(s.fileGeneration), size: f.Size()}
+		err = w.checkTorn(-1, l.nextSequence)
 		f.Close()
 		if err != nil {
 			return err
@@ -258,32 +258,32 @@
 	return nil
 }
 
-// settle has the last records, of which nothing says that they were on stable storage, written anew: that they can be read may be the memory's
+// rewriteTail has the last records, of which nothing says that they were on stable storage, written anew: that they can be read may be the memory's
 // doing, after a sync that failed in a process that has ended since. To count them, and then lose them in a crash, would break what follows.
-func (l *Log) settle(tail []Record) error {
+func (l *Log) rewriteTail(tail []Record) error {
 	if len(tail) == 0 {
 		return nil
 	}
-	f, err := l.begin(tail[0].Seq)
+	f, err := l.createNextSegment(tail[0].Sequence)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
 	var b []byte
 	for i, r := range tail {
-		b = appendFrame(b, r, tail[0].Seq-1, i == len(tail)-1)
+		b = appendFrame(b, r, tail[0].Sequence-1, i == len(tail)-1)
 	}
-	if err := put(f, b); err != nil {
+	if err := writeAndSync(f, b); err != nil {
 		f.Close()
 		return fmt.Errorf("log: %w", err)
 	}
-	l.file, l.good, l.goodEnd = f, l.gen, headerSize+int64(len(b))
+	l.file, l.validGeneration, l.validSize = f, l.latestGeneration, headerSize+int64(len(b))
 	return nil
 }
 
-// replay goes through a segment: as much of it as its follower says that counts, or, of the last one, up to where a crash may have cut it. Of
+// replaySegment goes through a segment: as much of it as its follower says that counts, or, of the last one, up to where a crash may have cut it. Of
 // the last one it returns those records that nothing vouches for.
-func (l *Log) replay(s link, replay func(Record) error) (tail []Record, err error) {
-	file, size, known := name(s.gen), s.size, s.known
+func (l *Log) replaySegment(s chainLink, replay func(Record) error) (tail []Record, err error) {
+	file, size, known := segmentName(s.fileGeneration), s.size, s.sizeKnown
 	f, err := l.fs.Open(file)
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
@@ -292,43 +292,43 @@
 	if !known {
 		size = f.Size()
 	} else if f.Size() < size {
-		return nil, &Damage{File: file, Offset: f.Size(), What: fmt.Sprintf("%d bytes of it count", size)}
+		return nil, &Damage{File: file, Offset: f.Size(), Reason: fmt.Sprintf("%d bytes of it count", size)}
 	}
-	w := window{f: f, file: file, size: size}
+	w := segmentReader{file: f, fileName: file, size: size}
 	at := int64(headerSize)
 	for at < size {
-		r, durable, _, n, err := w.frame(at)
+		r, durable, _, n, err := w.readFrame(at)
 		if err != nil {
 			return nil, err
 		}
-		if n == 0 || r.Seq != l.next {
+		if n == 0 || r.Sequence != l.nextSequence {
 			if known {
-				return nil, &Damage{File: file, Offset: at, What: fmt.Sprintf("record %d is broken", l.next)}
+				return nil, &Damage{File: file, Offset: at, Reason: fmt.Sprintf("record %d is broken", l.nextSequence)}
 			}
-			if err := w.torn(at, l.next); err != nil {
+			if err := w.checkTorn(at, l.nextSequence); err != nil {
 				return nil, err
 			}
 			break
 		}
 		if err := replay(r); err != nil {
-			return nil, fmt.Errorf("log: record %d: %w", r.Seq, err)
+			return nil, fmt.Errorf("log: record %d: %w", r.Sequence, err)
 		}
 		if !known {
 			// It vouches for those before it, and for the segment. Only the first of a group vouches for all that stands before
 			// its own place: behind it, records of its group stand before the next ones, and nothing has told of them yet.
-			if durable >= s.first && r.Seq <= durable+1 {
-				l.good, l.goodEnd = s.gen, at
+			if durable >= s.firstSequence && r.Sequence <= durable+1 {
+				l.validGeneration, l.validSize = s.fileGeneration, at
 			}
-			if len(tail) > 0 && tail[0].Seq <= durable {
-				tail = slices.DeleteFunc(tail, func(t Record) bool { return t.Seq <= durable })
+			if len(tail) > 0 && tail[0].Sequence <= durable {
+				tail = slices.DeleteFunc(tail, func(t Record) bool { return t.Sequence <= durable })
 			}
-			tail = append(tail, Record{r.Seq, r.Kind, slices.Clone(r.Payload)})
+			tail = append(tail, Record{r.Sequence, r.Kind, slices.Clone(r.Payload)})
 		}
-		l.next++
+		l.nextSequence++
 		at += int64(n)
 	}
 	if known {
-		l.good, l.goodEnd = s.gen, size
+		l.validGeneration, l.validSize = s.fileGeneration, size
 	}
 	return tail, nil
 }
@@ -339,18 +339,18 @@
 	if len(payload) > MaxRecord {
 		return 0, fmt.Errorf("log: a record of %d bytes; %d are allowed", len(payload), MaxRecord)
 	}
-	if kind > MostKind {
-		return 0, fmt.Errorf("log: kind %d; %d is the highest", kind, MostKind)
+	if kind > MaxKind {
+		return 0, fmt.Errorf("log: kind %d; %d is the highest", kind, MaxKind)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return 0, ErrClosed
 	}
-	g := l.group
+	g := l.pendingGroup
 	if g == nil {
 		g = &group{done: make(chan struct{})}
-		l.group = g
+		l.pendingGroup = g
 	}
 	place := len(g.records)
 	g.records = append(g.records, Record{Kind: kind, Payload: payload})
@@ -360,42 +360,42 @@
 		<-g.done
 		l.mu.Lock()
 	} else {
-		for l.writing = true; l.group != nil; { // also for those who come meanwhile
-			l.write()
+		for l.writing = true; l.pendingGroup != nil; { // also for those who come meanwhile
+			l.writeGroup()
 		}
 		l.writing = false
-		l.idle.Broadcast()
+		l.idleCond.Broadcast()
 	}
-	return g.records[place].Seq, g.err
+	return g.records[place].Sequence, g.err
 }
 
-// write writes the group that waits. The lock is let go of meanwhile.
-func (l *Log) write() {
-	g := l.group
-	l.group = nil
+// writeGroup writes the group that waits. The lock is let go of meanwhile.
+func (l *Log) writeGroup() {
+	g := l.pendingGroup
+	l.pendingGroup = nil
 	if l.closed {
 		g.err = ErrClosed
 		close(g.done)
 		return
 	}
 	b := make([]byte, 0, g.size)
-	seq := l.next
+	seq := l.nextSequence
 	for i := range g.records {
-		g.records[i].Seq = seq
-		b = appendFrame(b, g.records[i], l.durable, i == len(g.records)-1)
+		g.records[i].Sequence = seq
+		b = appendFrame(b, g.records[i], l.durableSequence, i == len(g.records)-1)
 		seq++
 	}
-	file, end := l.file, l.goodEnd
-	if file != nil && end >= l.opt.SegmentSize {
+	file, end := l.file, l.validSize
+	if file != nil && end >= l.options.SegmentSize {
 		file.Close() // all of it is durable
 		file, l.file = nil, nil
 	}
 	l.mu.Unlock()
 	if file == nil {
-		file, g.err = l.begin(seq - uint64(len(g.records)))
+		file, g.err = l.createNextSegment(seq - uint64(len(g.records)))
 	}
 	if g.err == nil {
-		g.err = put(file, b)
+		g.err = writeAndSync(file, b)
 	}
 	l.mu.Lock()
 	if g.err != nil {
@@ -408,11 +408,11 @@
 		g.err = fmt.Errorf("log: %w", g.err)
 	} else {
 		if l.file != file {
-			l.file, l.good, l.goodEnd = file, l.gen, headerSize
+			l.file, l.validGeneration, l.validSize = file, l.latestGeneration, headerSize
 		}
-		l.goodEnd += int64(len(b))
-		l.next, l.durable = seq, seq-1
-		l.Syncs++
+		l.validSize += int64(len(b))
+		l.nextSequence, l.durableSequence = seq, seq-1
+		l.GroupsWritten++
 	}
 	close(g.done)
 }
@@ -424,22 +424,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.writing && !l.closed {
-		l.idle.Wait()
+		l.idleCond.Wait()
 	}
 	if l.closed {
 		return ErrClosed
 	}
 	l.writing = true
 	defer func() {
-		for l.group != nil { // of those who have come meanwhile
-			l.write()
+		for l.pendingGroup != nil { // of those who have come meanwhile
+			l.writeGroup()
 		}
 		l.writing = false
-		l.idle.Broadcast()
+		l.idleCond.Broadcast()
 	}()
-	first, durable := l.next, l.durable
+	first, durable := l.nextSequence, l.durableSequence
 	l.mu.Unlock()
-	file, end, err := l.rewrite(first, durable, records, mark)
+	file, end, err := l.writeCompacted(first, durable, records, mark)
 	l.mu.Lock()
 	if l.file != nil {
 		l.file.Close() // all of it is durable
@@ -450,15 +450,15 @@
 		// segment follows what counted before, and is later than both.
 		return fmt.Errorf("log: compaction: %w", err)
 	}
-	l.file, l.good, l.goodEnd = file, l.gen, end
-	l.next = first + uint64(len(records)) + 1
-	l.durable = l.next - 1
-	return l.sweep(l.gen)
+	l.file, l.validGeneration, l.validSize = file, l.latestGeneration, end
+	l.nextSequence = first + uint64(len(records)) + 1
+	l.durableSequence = l.nextSequence - 1
+	return l.removeSegmentsBefore(l.latestGeneration)
 }
 
-// rewrite begins a chain of its own with the records and the mark. Only one caller at a time is here, without the lock.
-func (l *Log) rewrite(first, durable uint64, records []Record, mark Record) (_ disk.File, end int64, err error) {
-	file, err := l.beginAfter(first, 0, 0)
+// writeCompacted begins a chain of its own with the records and the mark. Only one caller at a time is here, without the lock.
+func (l *Log) writeCompacted(first, durable uint64, records []Record, mark Record) (_ disk.File, end int64, err error) {
+	file, err := l.createSegment(first, 0, 0)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -470,36 +470,36 @@
 	var b []byte
 	seq := first
 	for i, r := range records {
-		if len(r.Payload) > MaxRecord || r.Kind > MostKind {
+		if len(r.Payload) > MaxRecord || r.Kind > MaxKind {
 			return nil, 0, fmt.Errorf("record %d is too long, or of no kind", i)
 		}
-		r.Seq = seq
+		r.Sequence = seq
 		b = appendFrame(b, r, durable, i == len(records)-1)
 		seq++
 	}
 	if len(b) > 0 {
-		if err = put(file, b); err != nil {
+		if err = writeAndSync(file, b); err != nil {
 			return nil, 0, err
 		}
 	}
-	mark.Seq = seq
+	mark.Sequence = seq
 	m := appendFrame(nil, mark, seq-1, true)
-	if err = put(file, m); err != nil {
+	if err = writeAndSync(file, m); err != nil {
 		return nil, 0, err
 	}
 	return file, headerSize + int64(len(b)+len(m)), nil
 }
 
-// sweep removes the segments before one that nothing needs any more. What it can't remove is left for the next time: it is no part of the
+// removeSegmentsBefore removes the segments before one that nothing needs any more. What it can't remove is left for the next time: it is no part of the
 // chain.
-func (l *Log) sweep(before uint64) error {
-	all, err := l.segments()
+func (l *Log) removeSegmentsBefore(before uint64) error {
+	all, err := l.listSegments()
 	if err != nil {
 		return err
 	}
 	for _, s := range all {
-		if s.gen < before {
-			err = errors.Join(err, l.fs.Remove(name(s.gen)))
+		if s.fileGeneration < before {
+			err = errors.Join(err, l.fs.Remove(segmentName(s.fileGeneration)))
 		}
 	}
 	if err = errors.Join(err, l.fs.SyncDir()); err != nil {
@@ -508,19 +508,19 @@
 	return nil
 }
 
-// begin begins a segment after what counts. Only one caller at a time is here, without the lock.
-func (l *Log) begin(first uint64) (disk.File, error) {
-	return l.beginAfter(first, l.good, uint64(l.goodEnd))
+// createNextSegment begins a segment after what counts. Only one caller at a time is here, without the lock.
+func (l *Log) createNextSegment(first uint64) (disk.File, error) {
+	return l.createSegment(first, l.validGeneration, uint64(l.validSize))
 }
 
-func (l *Log) beginAfter(first, before, size uint64) (disk.File, error) {
-	l.gen++
-	f, err := l.fs.Create(name(l.gen))
+func (l *Log) createSegment(first, before, size uint64) (disk.File, error) {
+	l.latestGeneration++
+	f, err := l.fs.Create(segmentName(l.latestGeneration))
 	if err != nil {
 		return nil, err
 	}
-	h := header{generation: l.gen, first: first, before: before, beforeSize: size}
-	if err = put(f, h.append(nil)); err == nil {
+	h := header{generation: l.latestGeneration, firstSequence: first, previous: before, previousSize: size}
+	if err = writeAndSync(f, h.append(nil)); err == nil {
 		err = l.fs.SyncDir()
 	}
 	if err != nil {
@@ -530,8 +530,8 @@
 	return f, nil
 }
 
-// put writes and syncs.
-func put(f disk.File, b []byte) error {
+// writeAndSync writes and syncs.
+func writeAndSync(f disk.File, b []byte) error {
 	n, err := f.Write(b)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
@@ -551,7 +551,7 @@
 	}
 	l.closed = true
 	for l.writing { // the lock of the folder must not go before the last write
-		l.idle.Wait()
+		l.idleCond.Wait()
 	}
 	var err error
 	if l.file != nil {
--- a/internal/store/log/log_test.go
+++ b/internal/store/log/log_test.go
@@ -14,46 +14,46 @@
 	"linenloom/internal/store/disk"
 )
 
-var small = Options{SegmentSize: 200}
+var testOptions = Options{SegmentSize: 200}
 
-// opened opens a log and tells what it holds.
-func opened(t *testing.T, d disk.FS) (l *Log, all []string, err error) {
+// openLog opens a log and tells what it holds.
+func openLog(t *testing.T, d disk.FS) (l *Log, all []string, err error) {
 	t.Helper()
-	l, err = Open(d, small, func(r Record) error {
-		all = append(all, fmt.Sprintf("%d:%d:%s", r.Seq, r.Kind, r.Payload))
+	l, err = Open(d, testOptions, func(r Record) error {
+		all = append(all, fmt.Sprintf("%d:%d:%s", r.Sequence, r.Kind, r.Payload))
 		return nil
 	})
 	return l, all, err
 }
 
-// together appends records as one group, as callers at one time have them written.
-func together(l *Log, records ...Record) error {
+// appendGroup appends records as one group, as callers at one time have them written.
+func appendGroup(l *Log, records ...Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g := &group{done: make(chan struct{}), records: records}
-	l.group = g
-	l.write()
+	l.pendingGroup = g
+	l.writeGroup()
 	return g.err
 }
 
-// mostGroup is the largest group of the scripts.
-const mostGroup = 8
+// maxGroupSize is the largest group of the scripts.
+const maxGroupSize = 8
 
-// steps is how many groups the scripts of crashes append.
-const steps = 22
+// groupCount is how many groups the scripts of crashes append.
+const groupCount = 22
 
-// script appends groups of records, opening the log again now and then, and tells which were acknowledged, in order, and how many were tried.
-func script(d *crash.Disk, groups int) (acked []string, all int) {
+// appendGroups appends groups of records, opening the log again now and then, and tells which were acknowledged, in order, and how many were tried.
+func appendGroups(d *crash.Disk, groups int) (acked []string, all int) {
 	var l *Log
 	for i := range groups {
-		size := 1 + i*5%mostGroup
+		size := 1 + i*5%maxGroupSize
 		all += size
 		if l == nil || i%7 == 6 {
 			if l != nil {
 				l.Close()
 			}
 			var err error
-			if l, err = Open(d, small, func(Record) error { return nil }); err != nil {
+			if l, err = Open(d, testOptions, func(Record) error { return nil }); err != nil {
 				l = nil // it is asked again with the next group
 				continue
 			}
@@ -62,9 +62,9 @@
 		for k := range size {
 			g = append(g, Record{Kind: byte(i), Payload: []byte(fmt.Sprintf("order %d.%d %s", i, k, string(make([]byte, i%40))))})
 		}
-		if together(l, g...) == nil {
+		if appendGroup(l, g...) == nil {
 			for _, r := range g {
-				acked = append(acked, fmt.Sprintf("%d:%d:%s", r.Seq, r.Kind, r.Payload))
+				acked = append(acked, fmt.Sprintf("%d:%d:%s", r.Sequence, r.Kind, r.Payload))
 			}
 		}
 	}
@@ -74,8 +74,8 @@
 	return acked, all
 }
 
-// holds tells whether all that was acknowledged is there, once and in order, with no more than so many that were not.
-func holds(got, acked []string, more int) bool {
+// holdsAcknowledged tells whether all that was acknowledged is there, once and in order, with no more than so many that were not.
+func holdsAcknowledged(got, acked []string, more int) bool {
 	for _, g := range got {
 		if len(acked) > 0 && g == acked[0] {
 			acked = acked[1:]
@@ -88,20 +88,20 @@
 
 var errPower = errors.New("the power is gone")
 
-// openings is how often what a crash has left is opened: an opening that goes well may leave what the next one can't read.
-const openings = 3
+// openCount is how often what a crash has left is opened: an opening that goes well may leave what the next one can't read.
+const openCount = 3
 
-// found opens a log three times: all that was acknowledged is there, with at most a group more, and each time the same.
-func found(t *testing.T, what string, d *crash.Disk, acked []string) {
+// verifyRecovery opens a log three times: all that was acknowledged is there, with at most a group more, and each time the same.
+func verifyRecovery(t *testing.T, what string, d *crash.Disk, acked []string) {
 	t.Helper()
 	var first []string
-	for n := range openings {
-		l, got, err := opened(t, d)
+	for n := range openCount {
+		l, got, err := openLog(t, d)
 		if err != nil {
 			t.Fatalf("%s, opening %d: %v", what, n+1, err)
 		}
 		l.Close()
-		if !holds(got, acked, mostGroup) {
+		if !holdsAcknowledged(got, acked, maxGroupSize) {
 			t.Fatalf("%s, opening %d: %d are acknowledged, %d there", what, n+1, len(acked), len(got))
 		}
 		if n > 0 && !slices.Equal(got, first) {
@@ -113,12 +113,12 @@
 
 // The power goes at every step of a run with rotations, openings and groups: each acknowledged record is there, in order, and at most the group
 // more that was being written; opening again, and again, finds the same.
-func TestPowerGoesAtEveryStep(t *testing.T) {
+func TestPowerLossAtEveryStep(t *testing.T) {
 	whole := crash.New()
-	if acked, all := script(whole, steps); len(acked) != all || whole.Ops < 60 {
-		t.Fatalf("%d records of %d, %d steps", len(acked), all, whole.Ops)
+	if acked, all := appendGroups(whole, groupCount); len(acked) != all || whole.Operations < 60 {
+		t.Fatalf("%d records of %d, %d steps", len(acked), all, whole.Operations)
 	}
-	for step := 1; step <= whole.Ops; step++ {
+	for step := 1; step <= whole.Operations; step++ {
 		for cut := -4; cut < 300; cut += 1 + max(0, cut)/2 { // below 0: any part, by chance
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
@@ -127,18 +127,18 @@
 				}
 				return nil
 			}
-			acked, _ := script(d, steps)
-			found(t, fmt.Sprintf("step %d, cut %d", step, cut), d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+100)))), acked)
+			acked, _ := appendGroups(d, groupCount)
+			verifyRecovery(t, fmt.Sprintf("step %d, cut %d", step, cut), d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+100)))), acked)
 		}
 	}
 }
 
 // Every change and sync fails once, in turn: that group is not acknowledged, those after it are, and all that was acknowledged is there.
-func TestEachStepFailsOnce(t *testing.T) {
+func TestEachStepFailing(t *testing.T) {
 	whole := crash.New()
-	script(whole, steps)
+	appendGroups(whole, groupCount)
 	for _, how := range []error{errors.New("input/output error"), crash.ErrShort} {
-		for step := 1; step <= whole.Ops; step++ {
+		for step := 1; step <= whole.Operations; step++ {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
 				if op == step {
@@ -146,28 +146,28 @@
 				}
 				return nil
 			}
-			acked, all := script(d, steps)
-			if len(acked) < all-mostGroup {
+			acked, all := appendGroups(d, groupCount)
+			if len(acked) < all-maxGroupSize {
 				t.Fatalf("step %d: %d of %d are acknowledged", step, len(acked), all)
 			}
-			found(t, fmt.Sprintf("step %d", step), d.Crash(-1, rand.New(rand.NewPCG(1, uint64(step)))), acked)
+			verifyRecovery(t, fmt.Sprintf("step %d", step), d.Crash(-1, rand.New(rand.NewPCG(1, uint64(step)))), acked)
 		}
 	}
 }
 
 // A bit is flipped at any place: it is found and named, or it is in the last group of all, which can't be told from what a crash leaves; what is
 // replayed before is what was written, and opening again says the same.
-func TestEveryBitFlipped(t *testing.T) {
+func TestFlippedBits(t *testing.T) {
 	d := crash.New()
-	all, _ := script(d, 11) // the last group has 3
+	all, _ := appendGroups(d, 11) // the last group has 3
 	names, _ := d.List()
 	for _, n := range names {
 		for bit := range d.Size(n) * 8 {
 			bad := d.Crash(0, nil)
-			bad.Flip(n, bit)
+			bad.FlipBit(n, bit)
 			sound := false
-			for try := range openings {
-				l, got, err := opened(t, bad)
+			for try := range openCount {
+				l, got, err := openLog(t, bad)
 				if err == nil {
 					l.Close()
 					if last := names[len(names)-1]; len(got) < len(all) && (n != last || len(got) < len(all)-3) {
@@ -186,13 +186,13 @@
 }
 
 // Many write at once: each is acknowledged with a sequence of its own, and they share syncs. On a real folder a second process is told so.
-func TestManyWriters(t *testing.T) {
+func TestConcurrentWriters(t *testing.T) {
 	dir := disk.Dir(t.TempDir())
-	l, _, err := opened(t, dir)
+	l, _, err := openLog(t, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := opened(t, dir); !errors.Is(err, disk.ErrLocked) {
+	if _, _, err := openLog(t, dir); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("a second one: %v", err)
 	}
 	const writers, each = 32, 20
@@ -219,19 +219,19 @@
 	if _, err := l.Append(1, nil); !errors.Is(err, ErrClosed) {
 		t.Errorf("after the end: %v", err)
 	}
-	for n := range openings {
-		again, got, err := opened(t, dir)
+	for n := range openCount {
+		again, got, err := openLog(t, dir)
 		if err != nil || len(got) != writers*each {
 			t.Fatalf("opening %d: %d records, %v", n+1, len(got), err)
 		}
 		again.Close()
 	}
-	t.Logf("%d records, %d syncs", writers*each, l.Syncs)
+	t.Logf("%d records, %d syncs", writers*each, l.GroupsWritten)
 }
 
-// puts writes numbers under a few names, compacts now and then, and tells what was acknowledged last under each, and what was not
+// writeValues writes numbers under a few names, compacts now and then, and tells what was acknowledged last under each, and what was not
 // acknowledged since.
-func puts(d *crash.Disk, n int) (acked map[string]string, unsure map[string][]string) {
+func writeValues(d *crash.Disk, n int) (acked map[string]string, unsure map[string][]string) {
 	acked, unsure = map[string]string{}, map[string][]string{}
 	var l *Log
 	for i := range n {
@@ -241,7 +241,7 @@
 			}
 			var err error
 			at := map[string]string{}
-			if l, err = Open(d, small, put1(at)); err != nil {
+			if l, err = Open(d, testOptions, collectValues(at)); err != nil {
 				l = nil
 				continue
 			}
@@ -259,10 +259,10 @@
 			l.Compact(all, Record{Kind: 2})
 		}
 		var g []Record
-		for k := range 1 + i%mostGroup {
+		for k := range 1 + i%maxGroupSize {
 			g = append(g, Record{Kind: 1, Payload: fmt.Appendf(nil, "n%d=%d.%d", (i+k)%5, i, k)})
 		}
-		err := together(l, g...)
+		err := appendGroup(l, g...)
 		for _, r := range g {
 			name, value, _ := strings.Cut(string(r.Payload), "=")
 			if err == nil {
@@ -279,8 +279,8 @@
 	return acked, unsure
 }
 
-// put1 takes in records of kind 1.
-func put1(m map[string]string) func(Record) error {
+// collectValues takes in records of kind 1.
+func collectValues(m map[string]string) func(Record) error {
 	return func(r Record) error {
 		if name, value, ok := strings.Cut(string(r.Payload), "="); ok && r.Kind == 1 {
 			m[name] = value
@@ -289,10 +289,10 @@
 	}
 }
 
-// state opens a log and tells what stands under each name.
-func state(d disk.FS) (map[string]string, error) {
+// readValues opens a log and tells what stands under each name.
+func readValues(d disk.FS) (map[string]string, error) {
 	m := map[string]string{}
-	l, err := Open(d, small, put1(m))
+	l, err := Open(d, testOptions, collectValues(m))
 	if err == nil {
 		l.Close()
 	}
@@ -304,14 +304,14 @@
 func TestCompaction(t *testing.T) {
 	const n = 30
 	whole := crash.New()
-	puts(whole, n)
+	writeValues(whole, n)
 	files, _ := whole.List()
 	if len(files) > 8 {
 		t.Errorf("%d files are left", len(files))
 	}
 	check := func(what string, d *crash.Disk, acked map[string]string, unsure map[string][]string) {
 		t.Helper()
-		first, err := state(d)
+		first, err := readValues(d)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
@@ -320,13 +320,13 @@
 				t.Fatalf("%s: %s is %q, want %q", what, name, got, want)
 			}
 		}
-		for range openings - 1 {
-			if again, err := state(d); err != nil || !maps.Equal(again, first) {
+		for range openCount - 1 {
+			if again, err := readValues(d); err != nil || !maps.Equal(again, first) {
 				t.Fatalf("%s: another opening finds %v, not %v: %v", what, again, first, err)
 			}
 		}
 	}
-	for step := 1; step <= whole.Ops; step++ {
+	for step := 1; step <= whole.Operations; step++ {
 		for cut := -3; cut < 200; cut += 1 + max(0, cut)/2 {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
@@ -335,7 +335,7 @@
 				}
 				return nil
 			}
-			acked, unsure := puts(d, n)
+			acked, unsure := writeValues(d, n)
 			check(fmt.Sprintf("step %d, cut %d", step, cut), d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+100)))), acked, unsure)
 		}
 		for _, how := range []error{errors.New("input/output error"), crash.ErrShort} {
@@ -346,7 +346,7 @@
 				}
 				return nil
 			}
-			acked, unsure := puts(d, n)
+			acked, unsure := writeValues(d, n)
 			d.Fail = nil
 			check(fmt.Sprintf("step %d fails", step), d.Crash(-1, rand.New(rand.NewPCG(uint64(step), 1))), acked, unsure)
 		}
--- a/internal/store/log/window.go
+++ b/internal/store/log/window.go
@@ -9,41 +9,41 @@
 	"linenloom/internal/store/disk"
 )
 
-// window reads a segment through a buffer that is no longer than the longest record and some more.
-type window struct {
-	f    disk.Reader
-	file string
-	size int64
-	from int64
-	buf  []byte
+// segmentReader reads a segment through a buffer that is no longer than the longest record and some more.
+type segmentReader struct {
+	file         disk.Reader
+	fileName     string
+	size         int64
+	bufferOffset int64
+	buffer       []byte
 }
 
-const windowSize = 256 << 10
+const minReadSize = 256 << 10
 
-// at is so many bytes from a place on, or as many as there are.
-func (w *window) at(at int64, n int) ([]byte, error) {
+// readAt is so many bytes from a place on, or as many as there are.
+func (w *segmentReader) readAt(at int64, n int) ([]byte, error) {
 	n = int(min(int64(n), w.size-at))
-	if at < w.from || at+int64(n) > w.from+int64(len(w.buf)) {
-		size := min(int64(max(n, windowSize)), w.size-at)
-		if int64(cap(w.buf)) < size {
-			w.buf = make([]byte, size)
+	if at < w.bufferOffset || at+int64(n) > w.bufferOffset+int64(len(w.buffer)) {
+		size := min(int64(max(n, minReadSize)), w.size-at)
+		if int64(cap(w.buffer)) < size {
+			w.buffer = make([]byte, size)
 		}
-		w.buf, w.from = w.buf[:size], at
-		if k, err := w.f.ReadAt(w.buf, at); err != nil && (!errors.Is(err, io.EOF) || int64(k) < size) {
-			return nil, fmt.Errorf("log: %s: %w", w.file, err)
+		w.buffer, w.bufferOffset = w.buffer[:size], at
+		if k, err := w.file.ReadAt(w.buffer, at); err != nil && (!errors.Is(err, io.EOF) || int64(k) < size) {
+			return nil, fmt.Errorf("log: %s: %w", w.fileName, err)
 		}
 	}
-	return w.buf[at-w.from : at-w.from+int64(n)], nil
+	return w.buffer[at-w.bufferOffset : at-w.bufferOffset+int64(n)], nil
 }
 
-// frame reads the frame at a place; size is 0 if there is none whole.
-func (w *window) frame(at int64) (r Record, durable uint64, last bool, size int, err error) {
-	b, err := w.at(at, frameSize)
+// readFrame reads the frame at a place; size is 0 if there is none whole.
+func (w *segmentReader) readFrame(at int64) (r Record, durable uint64, last bool, size int, err error) {
+	b, err := w.readAt(at, frameSize)
 	if err != nil {
 		return r, 0, false, 0, err
 	}
-	if n := need(b); n > 0 {
-		if b, err = w.at(at, n); err != nil {
+	if n := frameLength(b); n > 0 {
+		if b, err = w.readAt(at, n); err != nil {
 			return r, 0, false, 0, err
 		}
 	}
@@ -51,8 +51,8 @@
 	return r, durable, last, size, nil
 }
 
-// need is how long the frame is that begins here; 0: that can't be told.
-func need(b []byte) int {
+// frameLength is how long the frame is that begins here; 0: that can't be told.
+func frameLength(b []byte) int {
 	if len(b) < frameSize {
 		return 0
 	}
@@ -62,26 +62,26 @@
 	return 0
 }
 
-// torn tells whether a crash explains that the record expected here is broken. It does not, if a later record says that this one was on
+// checkTorn tells whether a crash explains that the record expected here is broken. It does not, if a later record says that this one was on
 // stable storage before it was written itself.
-func (w *window) torn(at int64, seq uint64) error {
+func (w *segmentReader) checkTorn(at int64, seq uint64) error {
 	for p := at + 1; p+frameSize <= w.size; p++ {
-		b, err := w.at(p, frameSize)
+		b, err := w.readAt(p, frameSize)
 		if err != nil {
 			return err
 		}
 		// Most places are told by the sequence alone: one that follows the broken record, and names it as durable.
 		got, durable := binary.LittleEndian.Uint64(b[4:]), binary.LittleEndian.Uint64(b[12:])
-		n := need(b)
+		n := frameLength(b)
 		if got <= seq || durable < seq || durable >= got || n == 0 || p+int64(n) > w.size {
 			continue
 		}
-		r, _, _, size, err := w.frame(p)
+		r, _, _, size, err := w.readFrame(p)
 		if err != nil {
 			return err
 		}
 		if size > 0 {
-			return &Damage{File: w.file, Offset: at, What: fmt.Sprintf("record %d is broken, and was whole when record %d was written", seq, r.Seq)}
+			return &Damage{File: w.fileName, Offset: at, Reason: fmt.Sprintf("record %d is broken, and was whole when record %d was written", seq, r.Sequence)}
 		}
 	}
 	return nil
--- a/internal/storecmd/storecmd.go
+++ b/internal/storecmd/storecmd.go
@@ -16,8 +16,8 @@
 
 const (
 	usageStatus = 2
-	// segment is for what an opening writes anew: the last group, which nothing vouches for yet.
-	segment = 4 << 20
+	// segmentSize is for what an opening writes anew: the last group, which nothing vouches for yet.
+	segmentSize = 4 << 20
 
 	usage = `usage: linenloom store check DIR                  read a log, and name damage by file and byte
        linenloom store dump [-bytes 64] DIR       its records, in their order, with so much of each
@@ -56,41 +56,41 @@
 		return usageStatus
 	}
 	if name == "repair" {
-		if err := repair(f.Arg(0), copies, out); err != nil {
+		if err := repairLog(f.Arg(0), copies, out); err != nil {
 			fmt.Fprintf(errs, "linenloom store repair: %v\nNothing of the log was changed\n", err)
 			return 1
 		}
 		return 0
 	}
-	if err := read(f.Arg(0), name == "dump", most, out); err != nil {
+	if err := readLog(f.Arg(0), name == "dump", most, out); err != nil {
 		fmt.Fprintf(errs, "linenloom store %s: %v\n", name, err)
 		return 1
 	}
 	return 0
 }
 
-// read goes through the log in a folder that is there.
-func read(dir string, dump bool, most int, out io.Writer) error {
-	if err := disk.Dir(dir).There(); err != nil {
+// readLog goes through the log in a folder that is there.
+func readLog(dir string, dump bool, most int, out io.Writer) error {
+	if err := disk.Dir(dir).CheckExists(); err != nil {
 		return err
 	}
 	records, bytes, first, last := 0, 0, uint64(0), uint64(0)
-	l, err := log.Open(disk.Dir(dir), log.Options{SegmentSize: segment}, func(r log.Record) error {
+	l, err := log.Open(disk.Dir(dir), log.Options{SegmentSize: segmentSize}, func(r log.Record) error {
 		if records == 0 {
-			first = r.Seq
+			first = r.Sequence
 		}
-		records, bytes, last = records+1, bytes+len(r.Payload), r.Seq
+		records, bytes, last = records+1, bytes+len(r.Payload), r.Sequence
 		if !dump {
 			return nil
 		}
-		_, err := fmt.Fprintf(out, "%d kind %d, %d bytes%s\n", r.Seq, r.Kind, len(r.Payload), show(r, most))
+		_, err := fmt.Fprintf(out, "%d kind %d, %d bytes%s\n", r.Sequence, r.Kind, len(r.Payload), describeRecord(r, most))
 		return err
 	})
 	if err != nil {
 		var damage *log.Damage
 		if errors.As(err, &damage) {
 			err = fmt.Errorf("%w\n%d records before it were read", err, records)
-			if damage.Twice {
+			if damage.Duplicate {
 				err = fmt.Errorf("%w\nlinenloom store repair may mend that, with nothing lost", err)
 			}
 		}
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// repair mends the log in a folder, after a copy.
-func repair(dir, copies string, out io.Writer) error {
-	if err := disk.Dir(dir).There(); err != nil {
+// repairLog mends the log in a folder, after a copy.
+func repairLog(dir, copies string, out io.Writer) error {
+	if err := disk.Dir(dir).CheckExists(); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(copies, 0o700); err != nil {
@@ -122,19 +122,19 @@
 	if err != nil {
 		return err
 	}
-	if !m.Twice {
+	if !m.Duplicate {
 		fmt.Fprintln(out, "no record stands twice: nothing was changed, nothing was copied")
 		return nil
 	}
-	fmt.Fprintf(out, "Records %d to %d stood in %s from byte %d on, and again in %s.\n", m.First, m.Last, m.Before, m.At, m.Spoilt)
+	fmt.Fprintf(out, "Records %d to %d stood in %s from byte %d on, and again in %s.\n", m.FirstDuplicate, m.LastDuplicate, m.PrecedingFile, m.PrecedingSize, m.DuplicateFile)
 	fmt.Fprintf(out, "The log was copied to %s as it was.\n", copies)
 	fmt.Fprintf(out, "%d records, from %d on, were written to %s, which follows %s up to that byte. No record was left out, no file changed or removed.\n",
-		m.Records, m.First, m.File, m.Before)
+		m.RecordsWritten, m.FirstDuplicate, m.NewFile, m.PrecedingFile)
 	return nil
 }
 
-// show is what a record says: an order's entry in words, anything else as it stands.
-func show(r log.Record, most int) string {
+// describeRecord is what a record says: an order's entry in words, anything else as it stands.
+func describeRecord(r log.Record, most int) string {
 	if e, err := orders.Parse(r.Payload); err == nil {
 		return fmt.Sprintf(": order %q %q %v, sent %d times", e.Tenant, e.Key, e.State, e.Attempts)
 	}
