--- a/internal/orders/entry.go
+++ b/internal/orders/entry.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// Entry is what a log holds of one change of an order; the latest of an order counts, and says all that is known of it.
+// Entry is one change of an order as the log stores it. It holds the complete state of the order, so
+// only the latest entry of an order counts.
 type Entry struct {
 	State     State
-	ChangedAt time.Duration // of the change, since the epoch
+	ChangedAt time.Duration // time of the change, since the epoch
 	Name
 	Digest      [32]byte
-	Member      string        // the member that it was sent to last
-	Attempts    int           // how often it was sent
-	Token       string        // the id of the token that it uses up
-	TokenExpiry time.Duration // when that has run out
-	Receipt     []byte        // Done
-	ReportedBy  string        // the operator who settled it; "": nobody has
+	Member      string        // member that the order was last sent to
+	Attempts    int           // number of times the order was sent
+	Token       string        // id of the token that the order consumes
+	TokenExpiry time.Duration // expiry of that token, since the epoch
+	Receipt     []byte        // set only in state Done
+	ReportedBy  string        // operator who settled the order, or a ReportedBy constant; "" otherwise
 }
 
-// entryVersion is the first byte of an entry. Later versions go on reading this one.
+// entryVersion is the first byte of an entry. Later versions must keep reading it.
 const entryVersion = 1
 
-// Bounds of what is read.
+// Limits that Parse enforces.
 const (
 	MaxTextBytes    = 4 << 10
 	MaxReceiptBytes = 4 << 20
 )
 
-// ErrInvalidEntry is wrapped by what tells that bytes are no entry.
+// ErrInvalidEntry is wrapped by every error of Parse.
 var ErrInvalidEntry = errors.New("orders: no entry")
 
-// Append appends an entry's written form (docs/orders.md): version, state, five texts with their lengths, digest, and numbers, all as
-// unsigned varints.
+// Append appends the encoded entry to b: version, state, three numbers, digest, five texts, and the
+// receipt, the texts and the receipt each preceded by its length. Numbers and lengths are unsigned
+// varints. docs/orders.md describes the format.
 func (e *Entry) Append(b []byte) []byte {
 	b = append(b, entryVersion, byte(e.State))
 	for _, n := range []uint64{uint64(max(0, e.ChangedAt)), uint64(max(0, e.TokenExpiry)), uint64(max(0, e.Attempts))} {
@@ -49,62 +51,62 @@
 	return append(b, e.Receipt...)
 }
 
-// Parse reads an entry, whole or not at all.
-func Parse(b []byte) (e *Entry, err error) {
-	at := 0
-	fault := func(what string) (*Entry, error) {
-		return nil, fmt.Errorf("%w: %s at byte %d", ErrInvalidEntry, what, at)
+// Parse decodes an entry. It fails on truncated input and on trailing bytes.
+func Parse(data []byte) (entry *Entry, err error) {
+	offset := 0
+	fail := func(what string) (*Entry, error) {
+		return nil, fmt.Errorf("%w: %s at byte %d", ErrInvalidEntry, what, offset)
 	}
-	number := func() (uint64, bool) {
-		n, size := binary.Uvarint(b[at:])
-		if size <= 0 || size > 1 && b[at+size-1] == 0 { // one form for each number
+	readNumber := func() (uint64, bool) {
+		n, size := binary.Uvarint(data[offset:])
+		if size <= 0 || size > 1 && data[offset+size-1] == 0 { // each number has exactly one encoding
 			return 0, false
 		}
-		at += size
+		offset += size
 		return n, true
 	}
-	if len(b) < 2 {
-		return fault("cut short")
+	if len(data) < 2 {
+		return fail("cut short")
 	}
-	if b[0] != entryVersion {
-		return fault(fmt.Sprintf("version %d", b[0]))
+	if data[0] != entryVersion {
+		return fail(fmt.Sprintf("version %d", data[0]))
 	}
-	e = &Entry{State: State(b[1])}
-	if e.State < Taken || e.State > Unknown {
-		return fault("no state")
+	entry = &Entry{State: State(data[1])}
+	if entry.State < Taken || entry.State > Unknown {
+		return fail("no state")
 	}
-	at = 2
+	offset = 2
 	var numbers [3]uint64
 	for i := range numbers {
-		n, ok := number()
+		n, ok := readNumber()
 		if !ok || n > 1<<62 {
-			return fault("no number")
+			return fail("no number")
 		}
 		numbers[i] = n
 	}
-	e.ChangedAt, e.TokenExpiry, e.Attempts = time.Duration(numbers[0]), time.Duration(numbers[1]), int(numbers[2])
-	if len(b)-at < len(e.Digest) {
-		return fault("cut short")
+	entry.ChangedAt, entry.TokenExpiry, entry.Attempts = time.Duration(numbers[0]), time.Duration(numbers[1]), int(numbers[2])
+	if len(data)-offset < len(entry.Digest) {
+		return fail("cut short")
 	}
-	at += copy(e.Digest[:], b[at:])
-	for i, t := range []*string{&e.Tenant, &e.Key, &e.Member, &e.Token, &e.ReportedBy, nil} {
-		most := MaxTextBytes
+	offset += copy(entry.Digest[:], data[offset:])
+	for i, field := range []*string{&entry.Tenant, &entry.Key, &entry.Member, &entry.Token, &entry.ReportedBy, nil} {
+		maxLength := MaxTextBytes
 		if i == 5 {
-			most = MaxReceiptBytes
+			maxLength = MaxReceiptBytes
 		}
-		n, ok := number()
-		if !ok || n > uint64(most) || n > uint64(len(b)-at) {
-			return fault("no length")
+		n, ok := readNumber()
+		if !ok || n > uint64(maxLength) || n > uint64(len(data)-offset) {
+			return fail("no length")
 		}
-		if text := b[at : at+int(n)]; t != nil {
-			*t = string(text)
+		if text := data[offset : offset+int(n)]; field != nil {
+			*field = string(text)
 		} else if n > 0 {
-			e.Receipt = append([]byte(nil), text...)
+			entry.Receipt = append([]byte(nil), text...)
 		}
-		at += int(n)
+		offset += int(n)
 	}
-	if at != len(b) {
-		return fault("more than an entry")
+	if offset != len(data) {
+		return fail("more than an entry")
 	}
-	return e, nil
+	return entry, nil
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,9 +1,12 @@
-// Package orders is the record of orders: what has become of each request that must not run twice, across crashes. It decides whether an
-// order may be sent and what a client that asks again is told, and makes the entries that a durable log has to hold; a host appends them,
-// and says when each is on stable storage. It is free of I/O, clock and goroutines, knows no members' protocol, and never sends anything.
+// Package orders implements the record of orders: the state of each request that must not run twice,
+// kept across crashes. It decides whether an order may be sent and how a client that retries is
+// answered, and it creates the entries that a durable log must store. The caller appends these entries
+// to the log and reports when each is on stable storage. The package does no I/O, reads no clock,
+// starts no goroutines, knows no protocol of the members and never sends an order.
 //
-// Two rules carry it. An order is sent only once its entry Sent is durable, so whatever may have run is on record after any crash. Its
-// receipt goes to the client only once the entry Done is durable, so a receipt that was told can be told again.
+// Two rules ensure this. An order is sent only after its entry Sent is durable, so every order that may
+// have run is on record after a crash. A receipt is passed to the client only after the entry Done is
+// durable, so a receipt that was reported once can be reported again.
 package orders
 
 import (
@@ -14,16 +17,17 @@
 	"time"
 )
 
-// State is what is on record of an order.
+// State is the recorded state of an order.
 type State uint8
 
-// The states. Where the process ends, an order that is Taken has surely not run, and one that is Sent is Unknown from then on.
+// The states. When the process ends, an order in state Taken has not run, and an order in state Sent
+// becomes Unknown.
 const (
-	Taken    State = iota + 1 // in hand, never sent, or known not to have run when it was
-	Sent                      // it may have run, or may yet
+	Taken    State = iota + 1 // accepted; either never sent, or sent and known not to have run
+	Sent                      // it may have run or may still run
 	Done                      // it has run, and its receipt is on record
-	NeverRan                  // it has ended without having run, and may come again
-	Unknown                   // it may have run, and nobody here can tell
+	NeverRan                  // it ended without running, and may be submitted again
+	Unknown                   // it may have run, and this process cannot determine whether it did
 )
 
 func (s State) String() string {
@@ -42,140 +46,148 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// Name tells orders apart: the tenant, and the idempotency key, or where there is none the request's id.
+// Name identifies an order: the tenant and the idempotency key, or the request id if there is no key.
 type Name struct{ Tenant, Key string }
 
-// Order is a request that must not run twice, as a front has taken it.
+// Order is a request that must not run twice, as a front end received it.
 type Order struct {
 	Name
-	Digest      [32]byte      // of what it asks for: the same name for something else is a fault of its client
-	Retry       bool          // its client says that it has asked before
-	Token       string        // the id of the token that it uses up; "": none
-	TokenExpiry time.Duration // when that token has run out
+	Digest      [32]byte      // hash of the request; a different digest under the same name is a client error
+	Retry       bool          // the client marked the request as a retry
+	Token       string        // id of the token that the order consumes; "": none
+	TokenExpiry time.Duration // expiry of that token, since the epoch
 }
 
-// Verdict is what is to be done with an order that comes.
+// Verdict is the decision on a submitted order.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Proceed        Verdict = iota // it is taken: append the entry, and go on once it is durable
-	Receipt                       // it has run: this is its receipt
-	InProgress                    // it is in hand already; who has it gets the answer
-	OutcomeUnknown                // it may have run, here or elsewhere: never a second run
-	Mismatch                      // the name stands for something else
-	TokenUsed                     // its token has been used by another order
-	RecordFull                    // there is no room to remember it
-	ReceiptMissing                // it has run, and its receipt is not on record
+	Proceed        Verdict = iota // accepted: append the entry, and continue once it is durable
+	Receipt                       // it has run; the recorded receipt is returned
+	InProgress                    // another request is processing it and gets the answer
+	OutcomeUnknown                // it may have run, here or in another process; it must not run again
+	Mismatch                      // the name belongs to a different request
+	TokenUsed                     // another order has consumed its token
+	RecordFull                    // the record has no capacity for it
+	ReceiptMissing                // it has run, but its receipt is not on record
 )
 
 var verdictNames = [...]string{"go", "receipt", "in_hand", "look_up", "mismatch", "used", "full", "ran"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Limits bound a Book.
+// Limits bounds a Table.
 type Limits struct {
-	Retention       time.Duration // an order that has ended is remembered for so long, at the least
-	MaxOrders       int           // orders, in any state
-	MaxReceiptBytes int           // of receipts, together
+	Retention       time.Duration // minimum time for which an ended order is remembered
+	MaxOrders       int           // number of orders in any state
+	MaxReceiptBytes int           // total size of all receipts
 }
 
-// Who says that an order has run, where its receipt is not on record; operators have other names.
+// Values of Entry.ReportedBy for orders in state Done whose receipt is not on record. An operator must
+// not use them as a name.
 const (
-	ReportedByCaller    = "(caller)"  // who made the exchange itself
-	ReportedByStreaming = "(passing)" // it was passed on piece by piece, too long to be kept
+	ReportedByCaller    = "(caller)"  // the caller made the exchange with the member itself
+	ReportedByStreaming = "(passing)" // the answer was streamed to the client and was too long to store
 )
 
-// Errors of what a host asks for.
+// Errors of the methods of Table.
 var (
-	ErrNotInProgress = errors.New("orders: it is not in hand")
-	ErrNotSent       = errors.New("orders: it has not been sent")
+	ErrNotInProgress = errors.New("orders: the order is not in progress")
+	ErrNotSent       = errors.New("orders: the order has not been sent")
 	ErrPending       = errors.New("orders: an entry of it is not durable yet")
 	ErrNotUnknown    = errors.New("orders: only an unknown order can be settled")
-	// ErrOverloaded is wrapped by what tells that an order was not taken, since the disk has too much to do. It has not run.
+	// ErrOverloaded is wrapped by errors that report that an order was not accepted because too many
+	// changes wait for the disk. The order has not run.
 	ErrOverloaded   = errors.New("too much waits for the record of orders")
 	ErrOperatorName = errors.New("orders: that is no operator's name")
 )
 
-// order is what the book has of an order. Ended ones stand in the order of their ends.
+// order is the in-memory state of an order.
 type order struct {
 	Entry
-	pending    bool // an entry of it is on its way to stable storage
-	inProgress bool // by this process
-	listed     bool // it stands in ended
+	pending    bool // an entry of it is being written to stable storage
+	inProgress bool // this process is handling the order
+	listed     bool // the order is in Table.ended
 }
 
-// Table is the record. It is not safe for concurrent use.
+// Table is the in-memory record of orders. It is not safe for concurrent use.
 type Table struct {
 	limits       Limits
 	now          time.Duration
 	orders       map[Name]*order
 	tokens       map[Name]*usedToken // by tenant and token id
-	ended        []*order
+	ended        []*order            // sorted by the time at which they ended
 	receiptBytes int
 }
 
-// usedToken is a token's id that an order has used up.
+// usedToken describes a consumed token.
 type usedToken struct {
 	order  Name
 	expiry time.Duration
 }
 
-// New makes an empty book.
+// New creates an empty table.
 func New(l Limits) *Table {
 	return &Table{limits: l, orders: map[Name]*order{}, tokens: map[Name]*usedToken{}}
 }
 
-// advance takes the time, which may have jumped back: then it stands, so that nothing is forgotten early.
-func (b *Table) advance(now time.Duration) { b.now = max(b.now, now) }
+// advance sets the current time. If the clock has jumped back, the time stays as it is, so that no
+// order is removed before its retention time.
+func (t *Table) advance(now time.Duration) { t.now = max(t.now, now) }
 
-// Take decides on an order that comes. With Go there is an entry to append; it is not in hand before Durable.
-func (b *Table) Take(now time.Duration, o Order) (v Verdict, receipt []byte, e *Entry) {
-	b.advance(now)
-	b.removeExpired()
-	was := b.orders[o.Name]
+// Take decides on a submitted order. If the verdict is Proceed, the caller appends the returned entry;
+// the order must not be processed before MarkDurable.
+func (t *Table) Take(now time.Duration, submitted Order) (v Verdict, receipt []byte, entry *Entry) {
+	t.advance(now)
+	t.removeExpired()
+	previous := t.orders[submitted.Name]
 	switch {
-	case was == nil && o.Retry:
-		// It was forgotten, or whoever had it first keeps a record of its own. What has not run is known to who refused it.
+	case previous == nil && submitted.Retry:
+		// The order was removed after its retention time, or another process has accepted it and
+		// records it there. The process that refuses an order without running it knows that, so an
+		// order that is not known here may have run.
 		return OutcomeUnknown, nil, nil
-	case was == nil:
-	case was.Digest != o.Digest:
+	case previous == nil:
+	case previous.Digest != submitted.Digest:
 		return Mismatch, nil, nil
-	case was.State == Done && (was.ReportedBy == ReportedByCaller || was.ReportedBy == ReportedByStreaming):
+	case previous.State == Done && (previous.ReportedBy == ReportedByCaller || previous.ReportedBy == ReportedByStreaming):
 		return ReceiptMissing, nil, nil
-	case was.State == Done:
-		return Receipt, was.Receipt, nil
-	case was.State == Unknown:
+	case previous.State == Done:
+		return Receipt, previous.Receipt, nil
+	case previous.State == Unknown:
 		return OutcomeUnknown, nil, nil
-	case was.inProgress || was.pending:
+	case previous.inProgress || previous.pending:
 		return InProgress, nil, nil
 	}
-	if o.Token != "" {
-		t := b.tokens[Name{o.Tenant, o.Token}]
+	if submitted.Token != "" {
+		token := t.tokens[Name{submitted.Tenant, submitted.Token}]
 		switch {
-		case t != nil && b.now < t.expiry && (t.order != o.Name || was == nil): // its order may be forgotten, and it is still used
+		// A token stays used until it expires, even after its order was removed.
+		case token != nil && t.now < token.expiry && (token.order != submitted.Name || previous == nil):
 			return TokenUsed, nil, nil
-		case t == nil && len(b.tokens) >= 2*b.limits.MaxOrders:
+		case token == nil && len(t.tokens) >= 2*t.limits.MaxOrders:
 			return RecordFull, nil, nil
 		}
 	}
-	if was == nil && len(b.orders) >= b.limits.MaxOrders || b.receiptBytes >= b.limits.MaxReceiptBytes {
+	if previous == nil && len(t.orders) >= t.limits.MaxOrders || t.receiptBytes >= t.limits.MaxReceiptBytes {
 		return RecordFull, nil, nil
 	}
-	e = &Entry{State: Taken, ChangedAt: b.now, Name: o.Name, Digest: o.Digest, Token: o.Token, TokenExpiry: o.TokenExpiry}
-	if was != nil { // it never ran: it comes anew
-		e.Attempts = was.Attempts
-		b.removeEnded(was)
+	entry = &Entry{State: Taken, ChangedAt: t.now, Name: submitted.Name, Digest: submitted.Digest, Token: submitted.Token, TokenExpiry: submitted.TokenExpiry}
+	if previous != nil { // the order ended without running; this is a new submission
+		entry.Attempts = previous.Attempts
+		t.removeEnded(previous)
 	}
-	b.orders[o.Name] = &order{Entry: *e, pending: true, inProgress: true}
-	b.updateToken(e)
-	return Proceed, nil, e
+	t.orders[submitted.Name] = &order{Entry: *entry, pending: true, inProgress: true}
+	t.updateToken(entry)
+	return Proceed, nil, entry
 }
 
-// Send asks to send an order in hand to a member. It must not be sent before the entry is Durable.
-func (b *Table) Send(now time.Duration, n Name, to string) (*Entry, error) {
-	b.advance(now)
-	o := b.orders[n]
+// Send returns the entry that records that an accepted order is being sent to a member. The order must
+// not be sent before MarkDurable was called with that entry.
+func (t *Table) Send(now time.Duration, n Name, member string) (*Entry, error) {
+	t.advance(now)
+	o := t.orders[n]
 	switch {
 	case o == nil || !o.inProgress || o.State != Taken:
 		return nil, ErrNotInProgress
@@ -183,15 +195,15 @@
 		return nil, ErrPending
 	}
 	e := o.Entry
-	e.State, e.ChangedAt, e.Member, e.Attempts = Sent, b.now, to, o.Attempts+1
+	e.State, e.ChangedAt, e.Member, e.Attempts = Sent, t.now, member, o.Attempts+1
 	o.pending = true
 	return &e, nil
 }
 
-// MarkNotRun tells that an order that was sent has surely not run. Nothing has to be written: until the next entry a crash makes it unknown,
-// which is safe.
-func (b *Table) MarkNotRun(n Name) error {
-	o := b.orders[n]
+// MarkNotRun records in memory that an order that was sent has certainly not run. Nothing is written:
+// after a crash before the next entry the order is Unknown, which is safe.
+func (t *Table) MarkNotRun(n Name) error {
+	o := t.orders[n]
 	if o == nil || !o.inProgress || o.State != Sent || o.pending {
 		return ErrNotSent
 	}
@@ -199,11 +211,13 @@
 	return nil
 }
 
-// End ends an order in hand: with its receipt (Done), without having run (NeverRan), or Unknown. The client is told of it once the entry
-// is Durable; where it can't be made durable, an order that was sent is unknown to its client. by is "", or tells why a receipt is missing.
-func (b *Table) End(now time.Duration, n Name, s State, receipt []byte, by string) (*Entry, error) {
-	b.advance(now)
-	o := b.orders[n]
+// End returns the entry that ends an order in progress: Done with its receipt, NeverRan or Unknown. The
+// client is answered once the entry is durable. If writing the entry fails, the client of an order that
+// was sent has to be told that its outcome is unknown. reportedBy is "", or a ReportedBy constant if the
+// receipt is missing.
+func (t *Table) End(now time.Duration, n Name, s State, receipt []byte, reportedBy string) (*Entry, error) {
+	t.advance(now)
+	o := t.orders[n]
 	switch {
 	case o == nil || !o.inProgress:
 		return nil, ErrNotInProgress
@@ -213,57 +227,59 @@
 		return nil, ErrNotSent
 	}
 	e := o.Entry
-	e.State, e.ChangedAt, e.ReportedBy = s, b.now, ""
+	e.State, e.ChangedAt, e.ReportedBy = s, t.now, ""
 	if s == Done {
-		e.ReportedBy = by
+		e.ReportedBy = reportedBy
 		e.Receipt = slices.Clone(receipt)
 	}
 	o.pending = true
 	return &e, nil
 }
 
-// MarkDurable takes in that an entry is on stable storage.
-func (b *Table) MarkDurable(e *Entry) { b.apply(e, true) }
+// MarkDurable applies an entry that has reached stable storage.
+func (t *Table) MarkDurable(e *Entry) { t.apply(e, true) }
 
-// MarkWriteFailed takes in that an entry could not be written. Whether it is there after a crash nobody knows, and neither is harmful: an order that
-// could not be taken has not run, one that could not be marked as sent is not sent, and one that has run and whose receipt could not be
-// recorded is unknown.
-func (b *Table) MarkWriteFailed(e *Entry) {
-	o := b.orders[e.Name]
+// MarkWriteFailed handles an entry that could not be written. The entry may or may not be present after
+// a crash; both cases are safe. An order that could not be recorded as Taken has not run, an order that
+// could not be recorded as Sent is not sent, and an order that has run but whose receipt could not be
+// recorded becomes Unknown.
+func (t *Table) MarkWriteFailed(e *Entry) {
+	o := t.orders[e.Name]
 	if o == nil || !o.pending {
 		return
 	}
 	o.pending = false
 	switch e.State {
 	case Done, Unknown:
-		if o.State == Unknown { // it was not settled
+		if o.State == Unknown { // writing the entry of Settle failed
 			return
 		}
 		o.State, o.inProgress, o.ChangedAt = Unknown, false, e.ChangedAt
-		b.addEnded(o)
-	case Taken, NeverRan: // it has not run, whatever is on record
+		t.addEnded(o)
+	case Taken, NeverRan: // it has not run, whatever the log contains
 		if o.State == Unknown {
 			return
 		}
 		o.State, o.inProgress, o.ChangedAt = NeverRan, false, e.ChangedAt
-		b.addEnded(o)
+		t.addEnded(o)
 	}
 }
 
-// Settle puts on record what an operator has found out about an unknown order: Done with a receipt, or NeverRan.
-func (b *Table) Settle(now time.Duration, n Name, s State, receipt []byte, by string) (*Entry, error) {
-	b.advance(now)
-	o := b.orders[n]
+// Settle returns the entry that records the outcome of an unknown order as an operator determined it:
+// Done with a receipt, or NeverRan.
+func (t *Table) Settle(now time.Duration, n Name, s State, receipt []byte, operator string) (*Entry, error) {
+	t.advance(now)
+	o := t.orders[n]
 	switch {
 	case o == nil || o.State != Unknown || s != Done && s != NeverRan:
 		return nil, ErrNotUnknown
-	case by == ReportedByCaller || by == ReportedByStreaming:
+	case operator == ReportedByCaller || operator == ReportedByStreaming:
 		return nil, ErrOperatorName
 	case o.pending:
 		return nil, ErrPending
 	}
 	e := o.Entry
-	e.State, e.ChangedAt, e.ReportedBy = s, b.now, by
+	e.State, e.ChangedAt, e.ReportedBy = s, t.now, operator
 	if s == Done {
 		e.Receipt = slices.Clone(receipt)
 	}
@@ -271,164 +287,170 @@
 	return &e, nil
 }
 
-// Replay takes in an entry of the log, in its order, at an opening; Opened ends it.
-func (b *Table) Replay(e *Entry) {
-	b.advance(e.ChangedAt)
-	b.apply(e, false)
+// Replay applies an entry of the log while it is opened. Entries are passed in log order, and
+// FinishReplay follows the last one.
+func (t *Table) Replay(e *Entry) {
+	t.advance(e.ChangedAt)
+	t.apply(e, false)
 }
 
-// FinishReplay ends the replay: what was in hand when the process ended is not any more. What was taken and not sent has not run, and what was
-// sent may have.
-func (b *Table) FinishReplay(now time.Duration) {
-	b.advance(now)
-	for _, o := range b.orders {
+// FinishReplay ends the replay. No order is in progress any more: orders in state Taken were never sent
+// and become NeverRan; orders in state Sent may have run and become Unknown.
+func (t *Table) FinishReplay(now time.Duration) {
+	t.advance(now)
+	for _, o := range t.orders {
 		switch o.State {
 		case Taken:
-			o.State, o.ChangedAt = NeverRan, b.now
-			b.addEnded(o)
+			o.State, o.ChangedAt = NeverRan, t.now
+			t.addEnded(o)
 		case Sent:
-			o.State, o.ChangedAt = Unknown, b.now
-			b.addEnded(o)
+			o.State, o.ChangedAt = Unknown, t.now
+			t.addEnded(o)
 		}
 	}
-	slices.SortStableFunc(b.ended, func(x, y *order) int {
+	slices.SortStableFunc(t.ended, func(x, y *order) int {
 		return cmp.Or(cmp.Compare(x.ChangedAt, y.ChangedAt), compareNames(x.Name, y.Name))
 	})
-	b.removeExpired()
+	t.removeExpired()
 }
 
 func compareNames(a, b Name) int {
 	return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Key, b.Key))
 }
 
-func (b *Table) apply(e *Entry, inHand bool) {
-	o := b.orders[e.Name]
+func (t *Table) apply(e *Entry, inProgress bool) {
+	o := t.orders[e.Name]
 	if o == nil {
 		o = &order{}
-		b.orders[e.Name] = o
+		t.orders[e.Name] = o
 	}
-	b.removeEnded(o)
-	o.Entry, o.pending, o.inProgress = *e, false, inHand && e.State < Done
-	b.updateToken(e)
+	t.removeEnded(o)
+	o.Entry, o.pending, o.inProgress = *e, false, inProgress && e.State < Done
+	t.updateToken(e)
 	if e.State >= Done {
-		b.addEnded(o)
+		t.addEnded(o)
 	}
 }
 
-// updateToken notes the token that an order uses up; an order that never ran gives it back.
-func (b *Table) updateToken(e *Entry) {
+// updateToken marks the token of an order as used, or releases it if the order never ran.
+func (t *Table) updateToken(e *Entry) {
 	if e.Token == "" {
 		return
 	}
-	n := Name{e.Tenant, e.Token}
+	key := Name{e.Tenant, e.Token}
 	if e.State != NeverRan {
-		b.tokens[n] = &usedToken{e.Name, e.TokenExpiry}
-	} else if t := b.tokens[n]; t != nil && t.order == e.Name {
-		delete(b.tokens, n)
+		t.tokens[key] = &usedToken{e.Name, e.TokenExpiry}
+	} else if token := t.tokens[key]; token != nil && token.order == e.Name {
+		delete(t.tokens, key)
 	}
 }
 
-// addEnded puts an order behind those that have ended; unend takes it out again.
-func (b *Table) addEnded(o *order) {
-	b.removeEnded(o)
+// addEnded appends an order to the list of ended orders.
+func (t *Table) addEnded(o *order) {
+	t.removeEnded(o)
 	o.listed = true
-	b.ended = append(b.ended, o)
-	b.receiptBytes += len(o.Receipt)
-	b.updateToken(&o.Entry)
+	t.ended = append(t.ended, o)
+	t.receiptBytes += len(o.Receipt)
+	t.updateToken(&o.Entry)
 }
 
-func (b *Table) removeEnded(o *order) {
+// removeEnded removes an order from the list of ended orders.
+func (t *Table) removeEnded(o *order) {
 	if !o.listed {
 		return
 	}
 	o.listed = false
-	if i := slices.Index(b.ended, o); i >= 0 {
-		b.ended = slices.Delete(b.ended, i, i+1)
+	if i := slices.Index(t.ended, o); i >= 0 {
+		t.ended = slices.Delete(t.ended, i, i+1)
 	}
-	b.receiptBytes -= len(o.Receipt)
+	t.receiptBytes -= len(o.Receipt)
 }
 
-func (b *Table) deleteOrder(o *order) {
-	b.removeEnded(o)
-	delete(b.orders, o.Name)
-	if t := b.tokens[Name{o.Tenant, o.Token}]; t != nil && t.order == o.Name && (o.State == Taken || o.State == NeverRan || b.now >= t.expiry) {
-		delete(b.tokens, Name{o.Tenant, o.Token})
+func (t *Table) deleteOrder(o *order) {
+	t.removeEnded(o)
+	delete(t.orders, o.Name)
+	if token := t.tokens[Name{o.Tenant, o.Token}]; token != nil && token.order == o.Name &&
+		(o.State == Taken || o.State == NeverRan || t.now >= token.expiry) {
+		delete(t.tokens, Name{o.Tenant, o.Token})
 	}
 }
 
-// removeExpired lets go of what ended longer than Keep ago. An unknown order is kept until an operator has settled it: it is what the record is
-// for. Where all is younger, new orders are refused rather than old ones forgotten.
-func (b *Table) removeExpired() {
-	old := 0
-	for old < len(b.ended) && b.now-b.ended[old].ChangedAt >= b.limits.Retention {
-		old++ // all behind it ended later
+// removeExpired removes orders that ended more than the retention time ago. Unknown orders are kept
+// until an operator settles them, which is the purpose of the record. If all orders are younger than
+// the retention time, new orders are refused instead of removing old ones.
+func (t *Table) removeExpired() {
+	expired := 0
+	for expired < len(t.ended) && t.now-t.ended[expired].ChangedAt >= t.limits.Retention {
+		expired++ // the orders after it ended later
 	}
 	var kept []*order
-	for _, o := range b.ended[:old] {
+	for _, o := range t.ended[:expired] {
 		if o.State == Unknown || o.pending {
 			kept = append(kept, o)
 			continue
 		}
 		o.listed = false
-		b.receiptBytes -= len(o.Receipt)
-		b.deleteOrder(o)
+		t.receiptBytes -= len(o.Receipt)
+		t.deleteOrder(o)
 	}
-	if len(kept) < old {
-		b.ended = slices.Replace(b.ended, 0, old, kept...)
+	if len(kept) < expired {
+		t.ended = slices.Replace(t.ended, 0, expired, kept...)
 	}
-	if len(b.tokens) >= 2*b.limits.MaxOrders { // those of orders that are forgotten, until they have run out
-		for n, t := range b.tokens {
-			if b.now >= t.expiry && b.orders[t.order] == nil {
-				delete(b.tokens, n)
+	if len(t.tokens) >= 2*t.limits.MaxOrders { // remove expired tokens of removed orders
+		for n, token := range t.tokens {
+			if t.now >= token.expiry && t.orders[token.order] == nil {
+				delete(t.tokens, n)
 			}
 		}
 	}
 }
 
-// Get tells what is on record of an order.
-func (b *Table) Get(n Name) (e Entry, ok bool) {
-	o := b.orders[n]
+// Get returns the latest entry of an order.
+func (t *Table) Get(n Name) (e Entry, ok bool) {
+	o := t.orders[n]
 	if o == nil {
 		return Entry{}, false
 	}
 	return o.Entry, true
 }
 
-// ListUnknown tells at most so many unknown orders, by the time when they became that, and how many there are.
-func (b *Table) ListUnknown(most int) (some []Entry, all int) {
-	for _, o := range b.ended {
+// ListUnknown returns up to limit unknown orders, sorted by the time at which they became unknown, and
+// the total number of unknown orders.
+func (t *Table) ListUnknown(limit int) (list []Entry, total int) {
+	for _, o := range t.ended {
 		if o.State == Unknown {
-			if all++; len(some) < most {
-				some = append(some, o.Entry)
+			if total++; len(list) < limit {
+				list = append(list, o.Entry)
 			}
 		}
 	}
-	return some, all
+	return list, total
 }
 
-// OrderCount counts orders.
-func (b *Table) OrderCount() int { return len(b.orders) }
+// OrderCount returns the number of orders.
+func (t *Table) OrderCount() int { return len(t.orders) }
 
-// Counts counts orders, and those that are unknown. It looks at all of them.
-func (b *Table) Counts() (all, unknown int) {
-	for _, o := range b.orders {
+// Counts returns the number of orders and the number of unknown ones. It iterates over all orders.
+func (t *Table) Counts() (total, unknown int) {
+	for _, o := range t.orders {
 		if o.State == Unknown {
 			unknown++
 		}
 	}
-	return len(b.orders), unknown
+	return len(t.orders), unknown
 }
 
-// Entries tells all that a fresh log has to hold for the same record, in a fixed order: for compaction.
-func (b *Table) Entries(yield func(*Entry) bool) {
-	all := make([]*order, 0, len(b.orders))
-	for _, o := range b.orders {
-		all = append(all, o)
+// Entries yields the entries that a new log needs to hold the same record, sorted by time and name.
+// Compaction uses it.
+func (t *Table) Entries(yield func(*Entry) bool) {
+	sorted := make([]*order, 0, len(t.orders))
+	for _, o := range t.orders {
+		sorted = append(sorted, o)
 	}
-	slices.SortFunc(all, func(x, y *order) int {
+	slices.SortFunc(sorted, func(x, y *order) int {
 		return cmp.Or(cmp.Compare(x.ChangedAt, y.ChangedAt), compareNames(x.Name, y.Name))
 	})
-	for _, o := range all {
+	for _, o := range sorted {
 		e := o.Entry
 		if !yield(&e) {
 			return
