--- a/internal/orders/keeper/keeper.go
+++ b/internal/orders/keeper/keeper.go
@@ -1,6 +1,7 @@
-// Package keeper lets a host keep its orders on record without waiting for a disk: each change goes to the ledger (package ledger) in a
-// goroutine of its own, and the host is told when it is on stable storage. It opens the ledger once the process before has closed it. It
-// decides nothing about orders, never sends one, and calls nobody back from within a call.
+// Package keeper records orders without blocking the caller: each change goes to the ledger (package
+// ledger) in a goroutine of its own, and a callback reports when it is on stable storage. Callbacks
+// never run within the call that passed them. At a restart the package opens the ledger once the
+// predecessor process has closed it. It makes no decisions about orders and never sends one.
 package keeper
 
 import (
@@ -15,50 +16,53 @@
 	"linenloom/internal/store/disk"
 )
 
-// ErrClosed tells that the record is closed. What is asked for then has not been done.
+// ErrClosed reports that the record is closed. The requested change was not made.
 var ErrClosed = fmt.Errorf("keeper: the record of orders is closed: %w", orders.ErrOverloaded)
 
-// openRetryInterval is how often a successor looks whether the process before has closed the record.
+// openRetryInterval is the interval at which a successor process tries to open the record until its
+// predecessor has closed it.
 const openRetryInterval = 5 * time.Millisecond
 
-// Options set up a Keeper.
+// Options configures a Keeper.
 type Options struct {
 	ledger.Options
-	// WaitForPredecessor: another process may have the record open, and closes it soon. Else that is an error.
+	// WaitForPredecessor means that another process may have the record open and will close it soon.
+	// Without it a locked record is an error.
 	WaitForPredecessor bool
-	// RunUnknownRetries has a repeat that nobody here knows of run like a new order. It stands for an installation whose clients repeat only what
-	// they were told has never run.
+	// RunUnknownRetries treats a retry of an order that is not on record as a new order. It is meant
+	// for installations whose clients only retry orders that were reported as never run.
 	RunUnknownRetries bool
 }
 
-// Keeper keeps orders on record. It is safe for concurrent use.
+// Keeper records orders asynchronously. It is safe for concurrent use.
 type Keeper struct {
 	fs      disk.FS
 	options Options
 	now     func() time.Duration
 	log     *slog.Logger
-	ready   chan struct{} // closed once led or fault stands
+	ready   chan struct{} // closed once ledger or openErr is set
 	quit    chan struct{} // closed by Close
 	tasks   sync.WaitGroup
 
-	mu          sync.Mutex // of what follows; nothing waits under it
+	mu          sync.Mutex // guards the fields below; never held while waiting
 	ledger      *ledger.Ledger
 	openErr     error
-	waiting     int // orders that wait for the opening
+	waiting     int // orders that wait until the record is open
 	closed      bool
-	pendingEnds map[orders.Name]chan struct{} // orders whose end is on its way to the disk
+	pendingEnds map[orders.Name]chan struct{} // orders whose end is being written to the disk
 }
 
-// Open opens the record in a folder. Where it follows another process it returns at once, and orders wait until that one has closed it.
-func Open(fs disk.FS, opt Options, now func() time.Duration, log *slog.Logger) (*Keeper, error) {
-	k := &Keeper{fs: fs, options: opt, now: now, log: log, ready: make(chan struct{}), quit: make(chan struct{}),
+// Open opens the record in a folder. With WaitForPredecessor it returns at once even if another process
+// has the record open; orders wait until that process has closed it.
+func Open(fs disk.FS, options Options, now func() time.Duration, log *slog.Logger) (*Keeper, error) {
+	k := &Keeper{fs: fs, options: options, now: now, log: log, ready: make(chan struct{}), quit: make(chan struct{}),
 		pendingEnds: map[orders.Name]chan struct{}{}}
-	led, err := ledger.Open(fs, opt.Options, now)
+	opened, err := ledger.Open(fs, options.Options, now)
 	switch {
 	case err == nil:
-		k.ledger = led
+		k.ledger = opened
 		close(k.ready)
-	case opt.WaitForPredecessor && errors.Is(err, disk.ErrLocked):
+	case options.WaitForPredecessor && errors.Is(err, disk.ErrLocked):
 		k.tasks.Go(k.openAfterPredecessor)
 	default:
 		return nil, fmt.Errorf("orders: %w", err)
@@ -66,37 +70,38 @@
 	return k, nil
 }
 
-// openAfterPredecessor opens the record once the process before has closed it, or has died.
+// openAfterPredecessor opens the record once the predecessor process has closed it or has died.
 func (k *Keeper) openAfterPredecessor() {
-	k.log.Info("the record of orders is open in the process before; orders wait for it")
-	began := time.Now()
-	tick := time.NewTicker(openRetryInterval)
-	defer tick.Stop()
+	k.log.Info("the predecessor process has the record of orders open; orders wait until it closes it")
+	startedAt := time.Now()
+	ticker := time.NewTicker(openRetryInterval)
+	defer ticker.Stop()
 	for {
-		led, err := ledger.Open(k.fs, k.options.Options, k.now)
+		opened, err := ledger.Open(k.fs, k.options.Options, k.now)
 		if errors.Is(err, disk.ErrLocked) {
 			select {
-			case <-tick.C:
+			case <-ticker.C:
 				continue
 			case <-k.quit:
 				err = ErrClosed
 			}
 		}
 		k.mu.Lock()
-		k.ledger, k.openErr = led, err
+		k.ledger, k.openErr = opened, err
 		k.mu.Unlock()
 		close(k.ready)
 		switch {
 		case err == nil:
-			k.log.Info("the record of orders is open", "after_ms", time.Since(began).Milliseconds())
+			k.log.Info("the record of orders is open", "after_ms", time.Since(startedAt).Milliseconds())
 		case !errors.Is(err, ErrClosed):
-			k.log.Error("the record of orders can't be opened: all orders are refused", "err", err)
+			k.log.Error("opening the record of orders failed; all orders are refused", "err", err)
 		}
 		return
 	}
 }
 
-// awaitOpen waits for the ledger. Of those who wait only so many may: an order that is turned away has not run.
+// awaitOpen waits until the ledger is open. At most MaxPending orders may wait; an order that is
+// refused here has not run.
 func (k *Keeper) awaitOpen() (*ledger.Ledger, error) {
 	select {
 	case <-k.ready:
@@ -120,7 +125,7 @@
 	return k.ledger, k.openErr
 }
 
-// start runs f beside the caller, unless the record is closed.
+// start runs f in a goroutine, or closed if the record is closed.
 func (k *Keeper) start(f func(), closed func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -131,71 +136,74 @@
 	k.tasks.Go(f)
 }
 
-// Take decides on an order that comes, as ledger.Take does. One whose end is on its way to the disk is waited for: its client was told at once
-// that it never ran, and must not hear that it is in hand.
+// Take decides on a submitted order like ledger.Take. If the end of an order with the same name is
+// being written, Take waits for it: its client was told at once that the order never ran and must not
+// be told on a retry that it is in progress.
 func (k *Keeper) Take(o orders.Order, done func(orders.Verdict, []byte, error)) {
 	if k.options.RunUnknownRetries {
 		o.Retry = false
 	}
 	k.start(func() {
-		led, err := k.awaitOpen()
+		openLedger, err := k.awaitOpen()
 		if err != nil {
 			done(orders.RecordFull, nil, err)
 			return
 		}
 		k.mu.Lock()
-		end := k.pendingEnds[o.Name]
+		pendingEnd := k.pendingEnds[o.Name]
 		k.mu.Unlock()
-		if end != nil {
-			<-end
+		if pendingEnd != nil {
+			<-pendingEnd
 		}
-		done(led.Take(o))
+		done(openLedger.Take(o))
 	}, func() { done(orders.RecordFull, nil, ErrClosed) })
 }
 
-// markNotRun notes, where it is so, that an order that was sent has surely not run.
-func (k *Keeper) markNotRun(n orders.Name, so bool) error {
-	if !so {
+// markNotRun records that an order that was sent has certainly not run, if notRun is set.
+func (k *Keeper) markNotRun(n orders.Name, notRun bool) error {
+	if !notRun {
 		return nil
 	}
 	return k.ledger.MarkNotRun(n)
 }
 
-// Send records that an order in hand is about to be sent to a member. returned tells that it had been sent before, and has surely not run.
-func (k *Keeper) Send(n orders.Name, to string, returned bool, done func(error)) {
+// Send records that an order in progress is about to be sent to a member. notRun reports that it was
+// sent before and has certainly not run.
+func (k *Keeper) Send(n orders.Name, member string, notRun bool, done func(error)) {
 	k.start(func() {
-		err := k.markNotRun(n, returned)
+		err := k.markNotRun(n, notRun)
 		if err == nil {
-			err = k.ledger.Send(n, to)
+			err = k.ledger.Send(n, member)
 		}
 		done(err)
 	}, func() { done(ErrClosed) })
 }
 
-// End records how an order in hand has ended.
-func (k *Keeper) End(n orders.Name, s orders.State, receipt []byte, by string, returned bool, done func(error)) {
-	end := make(chan struct{})
+// End records how an order in progress has ended. notRun is as for Send.
+func (k *Keeper) End(n orders.Name, s orders.State, receipt []byte, reportedBy string, notRun bool, done func(error)) {
+	ended := make(chan struct{})
 	k.mu.Lock()
-	k.pendingEnds[n] = end
+	k.pendingEnds[n] = ended
 	k.mu.Unlock()
-	over := func(err error) {
+	finish := func(err error) {
 		k.mu.Lock()
 		delete(k.pendingEnds, n)
 		k.mu.Unlock()
-		close(end)
+		close(ended)
 		done(err)
 	}
 	k.start(func() {
-		err := k.markNotRun(n, returned)
+		err := k.markNotRun(n, notRun)
 		if err == nil {
-			err = k.ledger.End(n, s, receipt, by)
+			err = k.ledger.End(n, s, receipt, reportedBy)
 		}
-		over(err)
-	}, func() { over(ErrClosed) })
+		finish(err)
+	}, func() { finish(ErrClosed) })
 }
 
-// acquire gives an operator the ledger, where it is open; done lets go of it.
-func (k *Keeper) acquire() (led *ledger.Ledger, done func(), err error) {
+// acquire returns the ledger for an operator command, if it is open. The caller calls release when it
+// is finished, and Close waits for that.
+func (k *Keeper) acquire() (openLedger *ledger.Ledger, release func(), err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
@@ -210,28 +218,30 @@
 	return k.ledger, k.tasks.Done, nil
 }
 
-// ListUnknown tells at most so many unknown orders, the oldest first, and how many there are.
-func (k *Keeper) ListUnknown(most int) (some []orders.Entry, all int, err error) {
-	led, done, err := k.acquire()
+// ListUnknown returns up to limit unknown orders, oldest first, and their total number.
+func (k *Keeper) ListUnknown(limit int) (list []orders.Entry, total int, err error) {
+	openLedger, release, err := k.acquire()
 	if err != nil {
 		return nil, 0, err
 	}
-	defer done()
-	some, all = led.ListUnknown(most)
-	return some, all, nil
+	defer release()
+	list, total = openLedger.ListUnknown(limit)
+	return list, total, nil
 }
 
-// Settle records what an operator has found out about an unknown order, and waits until that is on stable storage.
-func (k *Keeper) Settle(n orders.Name, s orders.State, receipt []byte, by string) error {
-	led, done, err := k.acquire()
+// Settle records the outcome of an unknown order as an operator determined it, and returns once that is
+// on stable storage.
+func (k *Keeper) Settle(n orders.Name, s orders.State, receipt []byte, operator string) error {
+	openLedger, release, err := k.acquire()
 	if err != nil {
 		return err
 	}
-	defer done()
-	return led.Settle(n, s, receipt, by)
+	defer release()
+	return openLedger.Settle(n, s, receipt, operator)
 }
 
-// Close closes the record once all that it was asked for is done. Whoever waits for it to be opened is turned away.
+// Close closes the record after all requested changes are finished. Orders that wait for the record to
+// open are refused.
 func (k *Keeper) Close() error {
 	k.mu.Lock()
 	if k.closed {
--- a/internal/orders/ledger/ledger.go
+++ b/internal/orders/ledger/ledger.go
@@ -1,5 +1,7 @@
-// Package ledger keeps the record of orders (package orders) in a log on a disk. It writes what the record asks for, waits until that is on
-// stable storage before it says so, opens it again after a crash and compacts it. It decides nothing about orders and never sends one.
+// Package ledger stores the record of orders (package orders) in a log on disk. It writes the entries
+// that the table of orders returns, waits until they are on stable storage before it reports success,
+// replays the log after a crash and compacts it. It makes no decisions about orders and never sends
+// one.
 package ledger
 
 import (
@@ -13,51 +15,57 @@
 	"linenloom/internal/store/log"
 )
 
-// The kinds of the log's records.
+// Kinds of log records.
 const (
 	kindEntry = 1
-	kindMark  = 2 // ends a compaction, and says nothing
+	kindMark  = 2 // marks the end of a compaction; it has no payload
 )
 
-// Options set a ledger's bounds.
+// Options configures a ledger.
 type Options struct {
 	orders.Limits
 	SegmentSize int64
-	// CompactAfter is how many entries more than orders the log holds before it is compacted, at the least.
+	// CompactAfter is the minimum number of log entries in excess of the orders before the log is
+	// compacted.
 	CompactAfter int
-	// MaxPending is how many changes may wait for the disk before no further order is taken; 0: any number. What is in hand is always written:
-	// an order that has run would else be unknown for a slow disk.
+	// MaxPending is the number of changes that may wait for the disk before new orders are refused; 0
+	// means no limit. Changes of orders in progress are always written: otherwise a slow disk would
+	// make an order that has run Unknown.
 	MaxPending int
 }
 
-// Unbounded is for who opens a ledger by hand: nothing is forgotten, turned away or compacted by looking.
+// Unbounded is for commands that open a ledger manually: opening it removes no order, refuses none and
+// starts no compaction.
 var Unbounded = Options{Limits: orders.Limits{Retention: 1 << 62, MaxOrders: 1 << 40, MaxReceiptBytes: 1 << 50}, SegmentSize: 4 << 20, CompactAfter: 1 << 40}
 
-// WallClock is the time since the epoch, which what lasts is told by.
+// WallClock returns the time since the epoch. Stored times are based on it.
 func WallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// ErrDiskOverloaded tells that an order was not taken, since too many changes wait for the disk. It has not run, and may come again.
+// ErrDiskOverloaded reports that an order was not accepted because too many changes wait for the disk.
+// It has not run and may be submitted again.
 var ErrDiskOverloaded = fmt.Errorf("ledger: the disk is behind: %w", orders.ErrOverloaded)
 
-// Ledger is an open record. It is safe for concurrent use; whoever changes it waits for the disk, and those who come meanwhile share a sync.
+// Ledger is an open record of orders. It is safe for concurrent use. Each change waits for the disk;
+// concurrent changes share a sync.
 type Ledger struct {
 	options Options
 	now     func() time.Duration
 	log     *log.Log
 
-	writeLock      sync.RWMutex // held for a write, and alone for a compaction
-	mu             sync.Mutex   // of what follows; nothing waits under it
+	writeLock      sync.RWMutex // read-locked for a write, write-locked for a compaction
+	mu             sync.Mutex   // guards the fields below; never held while waiting
 	table          *orders.Table
-	entriesWritten int // entries since the last compaction
+	entriesWritten int // entries in the log since the last compaction
 	pending        int // changes that wait for the disk
 	compactionErr  error
 }
 
-// Open opens the ledger in a folder. The clock is the time since the epoch; it may jump.
-func Open(fs disk.FS, opt Options, now func() time.Duration) (*Ledger, error) {
-	l := &Ledger{options: opt, now: now, table: orders.New(opt.Limits)}
+// Open opens the ledger in a folder and replays its log. now returns the time since the epoch; it may
+// jump.
+func Open(fs disk.FS, options Options, now func() time.Duration) (*Ledger, error) {
+	l := &Ledger{options: options, now: now, table: orders.New(options.Limits)}
 	var err error
-	l.log, err = log.Open(fs, log.Options{SegmentSize: opt.SegmentSize}, func(r log.Record) error {
+	l.log, err = log.Open(fs, log.Options{SegmentSize: options.SegmentSize}, func(r log.Record) error {
 		switch r.Kind {
 		case kindMark:
 		case kindEntry:
@@ -79,7 +87,7 @@
 	return l, nil
 }
 
-// write has an entry on stable storage, and the book know of it.
+// write appends an entry to the log, waits until it is on stable storage and updates the table.
 func (l *Ledger) write(e *orders.Entry) error {
 	l.writeLock.RLock()
 	_, err := l.log.Append(kindEntry, e.Append(nil))
@@ -92,101 +100,106 @@
 		l.table.MarkDurable(e)
 		l.entriesWritten++
 	}
-	full := err == nil && l.compactionDue()
+	due := err == nil && l.compactionDue()
 	l.mu.Unlock()
 	l.writeLock.RUnlock()
-	if full {
-		l.compactIfDue() // an order does not fail for it; the next one tries again
+	if due {
+		l.compactIfDue() // a failed compaction does not fail the order; the next write tries again
 	}
 	return err
 }
 
-// change runs one of the book's decisions and has the entry that it asks for written.
-func (l *Ledger) change(f func(b *orders.Table, now time.Duration) (*orders.Entry, error)) error {
+// change calls a method of the table and writes the entry that it returns.
+func (l *Ledger) change(decide func(t *orders.Table, now time.Duration) (*orders.Entry, error)) error {
 	l.mu.Lock()
-	e, err := f(l.table, l.now())
-	if err == nil && e != nil {
+	entry, err := decide(l.table, l.now())
+	if err == nil && entry != nil {
 		l.pending++
 	}
 	l.mu.Unlock()
-	if err != nil || e == nil {
+	if err != nil || entry == nil {
 		return err
 	}
-	return l.write(e)
+	return l.write(entry)
 }
 
-// Take decides on an order that comes. With Go it is in hand, and on record. An error means that it could not be recorded, and has not run.
+// Take decides on a submitted order. With the verdict Proceed the order is in progress and on record.
+// An error means that it could not be recorded; it has not run.
 func (l *Ledger) Take(o orders.Order) (v orders.Verdict, receipt []byte, err error) {
-	err = l.change(func(b *orders.Table, now time.Duration) (e *orders.Entry, _ error) {
+	err = l.change(func(t *orders.Table, now time.Duration) (e *orders.Entry, _ error) {
 		if l.options.MaxPending > 0 && l.pending >= l.options.MaxPending {
-			if _, known := b.Get(o.Name); !known { // what a repeat is told needs no disk
+			if _, known := t.Get(o.Name); !known { // answering a retry of a known order needs no disk write
 				return nil, ErrDiskOverloaded
 			}
 		}
-		v, receipt, e = b.Take(now, o)
+		v, receipt, e = t.Take(now, o)
 		return e, nil
 	})
 	return v, receipt, err
 }
 
-// Send records that an order in hand is sent to a member. It must be sent only if there is no error.
-func (l *Ledger) Send(n orders.Name, to string) error {
-	return l.change(func(b *orders.Table, now time.Duration) (*orders.Entry, error) { return b.Send(now, n, to) })
+// Send records that an order in progress is being sent to a member. The order must be sent only if Send
+// returns nil.
+func (l *Ledger) Send(n orders.Name, member string) error {
+	return l.change(func(t *orders.Table, now time.Duration) (*orders.Entry, error) { return t.Send(now, n, member) })
 }
 
-// MarkNotRun notes that an order that was sent has surely not run.
+// MarkNotRun records in memory that an order that was sent has certainly not run.
 func (l *Ledger) MarkNotRun(n orders.Name) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.MarkNotRun(n)
 }
 
-// End records how an order in hand has ended. Its client may be told so only if there is no error; of one that was sent it then is told
-// that it may have run.
-func (l *Ledger) End(n orders.Name, s orders.State, receipt []byte, by string) error {
-	return l.change(func(b *orders.Table, now time.Duration) (*orders.Entry, error) { return b.End(now, n, s, receipt, by) })
+// End records how an order in progress has ended. The client may be told the result only if End returns
+// nil; after an error the client of an order that was sent is told that it may have run.
+func (l *Ledger) End(n orders.Name, s orders.State, receipt []byte, reportedBy string) error {
+	return l.change(func(t *orders.Table, now time.Duration) (*orders.Entry, error) {
+		return t.End(now, n, s, receipt, reportedBy)
+	})
 }
 
-// Settle records what an operator has found out about an unknown order.
-func (l *Ledger) Settle(n orders.Name, s orders.State, receipt []byte, by string) error {
-	return l.change(func(b *orders.Table, now time.Duration) (*orders.Entry, error) {
-		return b.Settle(now, n, s, receipt, by)
+// Settle records the outcome of an unknown order as an operator determined it.
+func (l *Ledger) Settle(n orders.Name, s orders.State, receipt []byte, operator string) error {
+	return l.change(func(t *orders.Table, now time.Duration) (*orders.Entry, error) {
+		return t.Settle(now, n, s, receipt, operator)
 	})
 }
 
-// Get tells what is on record of an order.
+// Get returns the latest entry of an order.
 func (l *Ledger) Get(n orders.Name) (orders.Entry, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Get(n)
 }
 
-// ListUnknown tells at most so many unknown orders, the oldest first, and how many there are.
-func (l *Ledger) ListUnknown(most int) (some []orders.Entry, all int) {
+// ListUnknown returns up to limit unknown orders, oldest first, and their total number.
+func (l *Ledger) ListUnknown(limit int) (list []orders.Entry, total int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.table.ListUnknown(most)
+	return l.table.ListUnknown(limit)
 }
 
-// All tells all that is on record, in the order of the latest changes.
+// All yields the latest entry of every order, sorted by the time of the change.
 func (l *Ledger) All(yield func(*orders.Entry) bool) {
-	var all []*orders.Entry
+	var entries []*orders.Entry
 	l.mu.Lock()
-	l.table.Entries(func(e *orders.Entry) bool { all = append(all, e); return true })
+	l.table.Entries(func(e *orders.Entry) bool { entries = append(entries, e); return true })
 	l.mu.Unlock()
-	for _, e := range all {
+	for _, e := range entries {
 		if !yield(e) {
 			return
 		}
 	}
 }
 
-// compactionDue tells whether the log holds so much more than what counts that it is to be compacted; under mu.
+// compactionDue reports whether the log holds enough superseded entries to be compacted. The caller
+// holds mu.
 func (l *Ledger) compactionDue() bool {
 	return l.entriesWritten >= l.options.CompactAfter+2*l.table.OrderCount()
 }
 
-// compactIfDue compacts, unless somebody else has.
+// compactIfDue compacts the log, unless another caller has done so in the meantime.
 func (l *Ledger) compactIfDue() error {
 	l.writeLock.Lock()
 	defer l.writeLock.Unlock()
@@ -199,7 +212,7 @@
 	return l.rewrite()
 }
 
-// Compact puts what is on record in the place of all that was written. Changes wait for as long as it takes.
+// Compact replaces the content of the log with the current entries. Changes wait until it is finished.
 func (l *Ledger) Compact() error {
 	l.writeLock.Lock()
 	defer l.writeLock.Unlock()
@@ -223,14 +236,14 @@
 	return err
 }
 
-// CompactionError tells why the latest compaction failed; nil, if it did not.
+// CompactionError returns the error of the latest compaction, or nil if it succeeded.
 func (l *Ledger) CompactionError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.compactionErr
 }
 
-// Close ends the ledger. What is in hand stands as it is on record.
+// Close closes the log. Orders in progress keep their recorded state.
 func (l *Ledger) Close() error {
 	if err := l.log.Close(); err != nil && !errors.Is(err, log.ErrClosed) {
 		return fmt.Errorf("ledger: %w", err)
--- a/internal/orders/ledger/ledger_test.go
+++ b/internal/orders/ledger/ledger_test.go
@@ -25,90 +25,92 @@
 
 func orderName(i int) orders.Name { return orders.Name{Tenant: "kiosk", Key: fmt.Sprint("k", i)} }
 
-// outcome is what clients and the origin know of a run.
+// outcome is what clients and the origin observed during a run.
 type outcome struct {
-	reported map[orders.Name][]byte
+	reported map[orders.Name][]byte // receipts that clients have received
 	ran      map[orders.Name]bool
 }
 
-// runOrders takes so many orders through, one after another; every fourth is given up before it is sent, every fifth comes back unrun once, and
-// the ledger is opened anew now and then.
-func runOrders(d disk.FS, n int) outcome {
-	p := outcome{map[orders.Name][]byte{}, map[orders.Name]bool{}}
-	var l *Ledger
-	for i := range n {
-		if l == nil || i%9 == 8 {
-			if l != nil {
-				l.Close()
+// runOrders processes n orders one after another. Every fourth is ended before it is sent, every fifth
+// is rejected unrun by its first member and sent again, and the ledger is reopened every nine orders.
+func runOrders(fs disk.FS, count int) outcome {
+	result := outcome{map[orders.Name][]byte{}, map[orders.Name]bool{}}
+	var ledger *Ledger
+	for i := range count {
+		if ledger == nil || i%9 == 8 {
+			if ledger != nil {
+				ledger.Close()
 			}
 			var err error
-			if l, err = Open(d, testOptions, clock); err != nil {
-				l = nil
+			if ledger, err = Open(fs, testOptions, clock); err != nil {
+				ledger = nil
 				continue
 			}
 		}
 		o := orders.Order{Name: orderName(i)}
-		if v, _, err := l.Take(o); v != orders.Proceed || err != nil {
+		if v, _, err := ledger.Take(o); v != orders.Proceed || err != nil {
 			continue
 		}
 		if i%4 == 3 {
-			l.End(o.Name, orders.NeverRan, nil, "")
+			ledger.End(o.Name, orders.NeverRan, nil, "")
 			continue
 		}
-		if l.Send(o.Name, "o-1") != nil {
+		if ledger.Send(o.Name, "o-1") != nil {
 			continue
 		}
 		if i%5 == 4 {
-			l.MarkNotRun(o.Name)
-			if l.Send(o.Name, "o-2") != nil {
+			ledger.MarkNotRun(o.Name)
+			if ledger.Send(o.Name, "o-2") != nil {
 				continue
 			}
 		}
-		p.ran[o.Name] = true
-		if r := []byte(fmt.Sprint("receipt ", i)); l.End(o.Name, orders.Done, r, "") == nil {
-			p.reported[o.Name] = r
+		result.ran[o.Name] = true
+		if receipt := []byte(fmt.Sprint("receipt ", i)); ledger.End(o.Name, orders.Done, receipt, "") == nil {
+			result.reported[o.Name] = receipt
 		}
 	}
-	if l != nil {
-		l.Close()
+	if ledger != nil {
+		ledger.Close()
 	}
-	return p
+	return result
 }
 
-// verifyRecovery opens a ledger after a crash and tells what contradicts what is known outside.
-func verifyRecovery(t *testing.T, d disk.FS, p outcome, n int) (all []orders.Entry) {
+// verifyRecovery opens a ledger after a crash and fails the test if its content contradicts the
+// outcome.
+func verifyRecovery(t *testing.T, fs disk.FS, observed outcome, count int) (entries []orders.Entry) {
 	t.Helper()
-	l, err := Open(d, testOptions, clock)
+	ledger, err := Open(fs, testOptions, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	l.All(func(e *orders.Entry) bool { all = append(all, *e); return true })
-	for i := range n {
-		e, _ := l.Get(orderName(i))
-		if r := p.reported[orderName(i)]; r != nil && (e.State != orders.Done || !bytes.Equal(e.Receipt, r)) {
+	defer ledger.Close()
+	ledger.All(func(e *orders.Entry) bool { entries = append(entries, *e); return true })
+	for i := range count {
+		e, _ := ledger.Get(orderName(i))
+		if r := observed.reported[orderName(i)]; r != nil && (e.State != orders.Done || !bytes.Equal(e.Receipt, r)) {
 			t.Fatalf("order %d: its receipt was told, and on record is %v", i, e.State)
 		}
-		if e.State == orders.Done && !p.ran[orderName(i)] {
+		if e.State == orders.Done && !observed.ran[orderName(i)] {
 			t.Fatalf("order %d is on record as done, and has not run", i)
 		}
-		if v, _, _ := l.Take(orders.Order{Name: orderName(i)}); v == orders.Proceed && p.ran[orderName(i)] {
+		if v, _, _ := ledger.Take(orders.Order{Name: orderName(i)}); v == orders.Proceed && observed.ran[orderName(i)] {
 			t.Fatalf("order %d has run, and may be sent again: %v", i, e.State)
 		}
 	}
-	return all
+	return entries
 }
 
-// The power goes at every step of a run with rotations, openings and compactions, with every part of what was not synced; or each step fails
-// once. No order that has run may be sent again, each receipt that was told is on record.
+// The power fails at every step of a run with segment rotations, reopenings and compactions, with any
+// part of the unsynced data surviving, or a single step fails. No order that has run may be sent again,
+// and each reported receipt must be on record.
 func TestPowerLossAtEveryStep(t *testing.T) {
 	const n = 26
-	whole := crash.New()
-	if p := runOrders(whole, n); len(p.reported) < n/2 || whole.Operations < 100 {
-		t.Fatalf("%d receipts, %d steps", len(p.reported), whole.Operations)
+	complete := crash.New()
+	if observed := runOrders(complete, n); len(observed.reported) < n/2 || complete.Operations < 100 {
+		t.Fatalf("%d receipts, %d steps", len(observed.reported), complete.Operations)
 	}
 	errPower := errors.New("the power is gone")
-	for step := 1; step <= whole.Operations; step++ {
+	for step := 1; step <= complete.Operations; step++ {
 		for cut := -2; cut < 200; cut += 1 + max(0, cut)*2/3 {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
@@ -117,25 +119,26 @@
 				}
 				return nil
 			}
-			p := runOrders(d, n)
-			verifyRecovery(t, d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+9)))), p, n)
+			observed := runOrders(d, n)
+			verifyRecovery(t, d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+9)))), observed, n)
 		}
-		for _, how := range []error{errors.New("no space left on device"), crash.ErrShort} {
+		for _, failure := range []error{errors.New("no space left on device"), crash.ErrShort} {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
 				if op == step {
-					return how
+					return failure
 				}
 				return nil
 			}
-			p := runOrders(d, n)
+			observed := runOrders(d, n)
 			d.Fail = nil
-			verifyRecovery(t, d.Crash(-1, rand.New(rand.NewPCG(uint64(step), 1))), p, n)
+			verifyRecovery(t, d.Crash(-1, rand.New(rand.NewPCG(uint64(step), 1))), observed, n)
 		}
 	}
 }
 
-// writersDirEnv has the test's binary be a process that writes orders until it is killed, in the folder that it names.
+// writersDirEnv makes the test binary run runWriters, in the folder that the variable names, until the
+// process is killed.
 const writersDirEnv = "LEDGER_TEST_WRITERS"
 
 func TestMain(m *testing.M) {
@@ -145,103 +148,105 @@
 	os.Exit(m.Run())
 }
 
-// runWriters has eight clients take orders through at once, without an end, and tells of each what it knows: that it will run, and its receipt.
+// runWriters lets eight concurrent clients process orders without end. It prints "ran" before an order
+// is ended and "told" once its receipt is on record.
 func runWriters(dir disk.Dir, out io.Writer) int {
-	l, err := Open(dir, testOptions, clock)
+	ledger, err := Open(dir, testOptions, clock)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	var mu sync.Mutex
-	tell := func(what string, o int) {
+	report := func(what string, number int) {
 		mu.Lock()
-		fmt.Fprintln(out, what, o)
+		fmt.Fprintln(out, what, number)
 		mu.Unlock()
 	}
 	from := 0
-	l.All(func(*orders.Entry) bool { from++; return true })
-	var all sync.WaitGroup
-	for w := range 8 {
-		all.Go(func() {
+	ledger.All(func(*orders.Entry) bool { from++; return true })
+	var clients sync.WaitGroup
+	for client := range 8 {
+		clients.Go(func() {
 			for i := 0; ; i++ {
-				o := from + i*8 + w
-				if v, _, err := l.Take(orders.Order{Name: orderName(o)}); v != orders.Proceed || err != nil {
-					continue // its number is taken, after a run that was cut short
+				number := from + i*8 + client
+				if v, _, err := ledger.Take(orders.Order{Name: orderName(number)}); v != orders.Proceed || err != nil {
+					continue // an earlier process was killed after it had used this number
 				}
-				if l.Send(orderName(o), "o-1") != nil {
+				if ledger.Send(orderName(number), "o-1") != nil {
 					return
 				}
-				tell("ran", o)
-				if l.End(orderName(o), orders.Done, []byte("r"), "") != nil {
+				report("ran", number)
+				if ledger.End(orderName(number), orders.Done, []byte("r"), "") != nil {
 					return
 				}
-				tell("told", o)
+				report("told", number)
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 	return 1
 }
 
-// A real process with eight writers is killed again and again, each time after another count of lines, and its folder is opened by the
-// next, and three times here: all that it told of is on record, nothing that has run may be sent again.
+// A process with eight writers is killed repeatedly, each time after a different number of lines, and
+// the next process reopens its folder. After each kill the folder is opened three times: everything
+// that the process reported must be on record, and no order that has run may be sent again.
 func TestRepeatedKills(t *testing.T) {
 	dir := t.TempDir()
-	p := outcome{map[orders.Name][]byte{}, map[orders.Name]bool{}}
-	many := Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: testOptions.SegmentSize, CompactAfter: testOptions.CompactAfter}
-	most := 0
+	observed := outcome{map[orders.Name][]byte{}, map[orders.Name]bool{}}
+	options := Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: testOptions.SegmentSize, CompactAfter: testOptions.CompactAfter}
+	highest := 0
 	for round := range 8 {
-		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), writersDirEnv+"="+dir)
-		c.Stderr = os.Stderr
-		out, err := c.StdoutPipe()
+		process := exec.Command(os.Args[0])
+		process.Env = append(os.Environ(), writersDirEnv+"="+dir)
+		process.Stderr = os.Stderr
+		out, err := process.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Start(); err != nil {
+		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
 		lines := bufio.NewScanner(out)
 		for n := 0; lines.Scan(); n++ {
-			what, o := "", 0
-			if k, err := fmt.Sscan(lines.Text(), &what, &o); k == 2 && err == nil {
-				if most = max(most, o+1); what == "told" {
-					p.reported[orderName(o)] = []byte("r")
+			what, number := "", 0
+			if k, err := fmt.Sscan(lines.Text(), &what, &number); k == 2 && err == nil {
+				if highest = max(highest, number+1); what == "told" {
+					observed.reported[orderName(number)] = []byte("r")
 				}
-				p.ran[orderName(o)] = true
+				observed.ran[orderName(number)] = true
 			}
 			if n == 20+7*round {
-				c.Process.Kill()
+				process.Process.Kill()
 			}
 		}
-		c.Wait() // it was killed
-		if len(p.reported) < 5*(round+1) {
-			t.Fatalf("round %d: %d receipts", round, len(p.reported))
+		process.Wait() // the error is that it was killed
+		if len(observed.reported) < 5*(round+1) {
+			t.Fatalf("round %d: %d receipts", round, len(observed.reported))
 		}
 		for n := range 3 {
-			l, err := Open(disk.Dir(dir), many, clock)
+			ledger, err := Open(disk.Dir(dir), options, clock)
 			if err != nil {
 				t.Fatalf("round %d, opening %d: %v", round, n+1, err)
 			}
-			for i := range most {
-				e, _ := l.Get(orderName(i))
-				if p.reported[orderName(i)] != nil && e.State != orders.Done {
+			for i := range highest {
+				e, _ := ledger.Get(orderName(i))
+				if observed.reported[orderName(i)] != nil && e.State != orders.Done {
 					t.Fatalf("round %d: order %d was told done, and is %v", round, i, e.State)
 				}
-				if p.ran[orderName(i)] && e.State != orders.Done && e.State != orders.Unknown {
+				if observed.ran[orderName(i)] && e.State != orders.Done && e.State != orders.Unknown {
 					t.Fatalf("round %d: order %d may have run, and is %v", round, i, e.State)
 				}
 			}
-			l.Close()
+			ledger.Close()
 		}
 	}
 }
 
-// stalledDisk is a disk whose syncs wait, once it is told so.
+// stalledDisk is a disk whose syncs block while release is set.
 type stalledDisk struct {
 	*crash.Disk
 	mu      sync.Mutex
-	release chan struct{} // nil: they don't
+	release chan struct{} // nil: syncs do not block
 }
 
 func (s *stalledDisk) Create(name string) (disk.File, error) {
@@ -264,40 +269,41 @@
 	return f.File.Sync()
 }
 
-// The disk takes its time: so many orders wait for it and no more are taken, at once and as never run; repeats of what is known are answered, and what
-// is in hand ends as it should when the disk is back.
+// While the disk blocks, at most MaxPending orders wait for it; further orders are refused at once as
+// not run. Retries of known orders are answered, and orders in progress end normally once the disk
+// works again.
 func TestSlowDisk(t *testing.T) {
-	s := &stalledDisk{Disk: crash.New()}
-	opt := testOptions
-	opt.MaxPending = 4
-	l, err := Open(s, opt, clock)
+	slow := &stalledDisk{Disk: crash.New()}
+	options := testOptions
+	options.MaxPending = 4
+	ledger, err := Open(slow, options, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	take := func(i int) (orders.Verdict, error) {
-		v, _, err := l.Take(orders.Order{Name: orderName(i)})
+		v, _, err := ledger.Take(orders.Order{Name: orderName(i)})
 		return v, err
 	}
 	if _, err := take(0); err != nil {
 		t.Fatal(err)
 	}
-	errs := []error{l.Send(orderName(0), "o-1"), l.End(orderName(0), orders.Done, []byte("r"), "")}
+	errs := []error{ledger.Send(orderName(0), "o-1"), ledger.End(orderName(0), orders.Done, []byte("r"), "")}
 	_, err = take(1)
-	if err := errors.Join(append(errs, err, l.Send(orderName(1), "o-1"))...); err != nil {
+	if err := errors.Join(append(errs, err, ledger.Send(orderName(1), "o-1"))...); err != nil {
 		t.Fatal(err)
 	}
-	s.mu.Lock()
-	s.release = make(chan struct{})
-	s.mu.Unlock()
-	ended, came := make(chan error, 1), make(chan error, 3)
-	go func() { ended <- l.End(orderName(1), orders.Done, []byte("late"), "") }()
+	slow.mu.Lock()
+	slow.release = make(chan struct{})
+	slow.mu.Unlock()
+	ended, taken := make(chan error, 1), make(chan error, 3)
+	go func() { ended <- ledger.End(orderName(1), orders.Done, []byte("late"), "") }()
 	for i := range 3 {
-		go func() { _, err := take(2 + i); came <- err }()
+		go func() { _, err := take(2 + i); taken <- err }()
 	}
-	for waiting := 0; waiting < opt.MaxPending; runtime.Gosched() { // each of them is in line now
-		l.mu.Lock()
-		waiting = l.pending
-		l.mu.Unlock()
+	for waiting := 0; waiting < options.MaxPending; runtime.Gosched() { // until each of them waits for the disk
+		ledger.mu.Lock()
+		waiting = ledger.pending
+		ledger.mu.Unlock()
 	}
 	if _, err := take(9); !errors.Is(err, ErrDiskOverloaded) {
 		t.Errorf("one more is taken: %v", err)
@@ -305,9 +311,9 @@
 	if v, err := take(0); v != orders.Receipt || err != nil {
 		t.Errorf("a repeat: %v, %v", v, err)
 	}
-	close(s.release)
+	close(slow.release)
 	for range 3 {
-		if err := <-came; err != nil {
+		if err := <-taken; err != nil {
 			t.Error(err)
 		}
 	}
@@ -317,63 +323,64 @@
 	if v, err := take(9); v != orders.Proceed || err != nil {
 		t.Errorf("once the disk is back: %v, %v", v, err)
 	}
-	if _, there := l.Get(orderName(1)); !there || l.pending != 0 {
-		t.Errorf("%d changes wait", l.pending)
+	if _, there := ledger.Get(orderName(1)); !there || ledger.pending != 0 {
+		t.Errorf("%d changes wait", ledger.pending)
 	}
 }
 
-// Many at once on a real folder: each order is taken by one of those that ask for it, and compactions lose none.
+// Several clients submit the same orders concurrently to a ledger in a real folder. Exactly one client
+// gets each order, and compactions lose no order.
 func TestConcurrentOrders(t *testing.T) {
 	dir := disk.Dir(t.TempDir())
-	l, err := Open(dir, testOptions, clock)
+	ledger, err := Open(dir, testOptions, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(dir, testOptions, clock); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
-	const names, askers = 60, 8
+	const orderCount, clientCount = 60, 8
 	var mu sync.Mutex
 	ran := map[orders.Name]int{}
-	var all sync.WaitGroup
-	for a := range askers {
-		all.Go(func() {
-			for i := range names {
-				n := orderName((i + a*7) % names)
-				v, _, err := l.Take(orders.Order{Name: n})
+	var clients sync.WaitGroup
+	for client := range clientCount {
+		clients.Go(func() {
+			for i := range orderCount {
+				name := orderName((i + client*7) % orderCount)
+				v, _, err := ledger.Take(orders.Order{Name: name})
 				if err != nil {
 					t.Error(err)
 				}
 				if v != orders.Proceed {
 					continue
 				}
-				if err := l.Send(n, "o-1"); err != nil {
+				if err := ledger.Send(name, "o-1"); err != nil {
 					t.Error(err)
 				}
 				mu.Lock()
-				ran[n]++
+				ran[name]++
 				mu.Unlock()
-				if err := l.End(n, orders.Done, []byte("r "+n.Key), ""); err != nil {
+				if err := ledger.End(name, orders.Done, []byte("r "+name.Key), ""); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
-	all.Wait()
-	if err := errors.Join(l.CompactionError(), l.Close()); err != nil {
+	clients.Wait()
+	if err := errors.Join(ledger.CompactionError(), ledger.Close()); err != nil {
 		t.Error(err)
 	}
-	l, err = Open(dir, testOptions, clock)
+	ledger, err = Open(dir, testOptions, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	for i := range names {
-		if v, r, _ := l.Take(orders.Order{Name: orderName(i)}); ran[orderName(i)] != 1 || v != orders.Receipt || string(r) != "r "+orderName(i).Key {
+	defer ledger.Close()
+	for i := range orderCount {
+		if v, r, _ := ledger.Take(orders.Order{Name: orderName(i)}); ran[orderName(i)] != 1 || v != orders.Receipt || string(r) != "r "+orderName(i).Key {
 			t.Errorf("order %d ran %d times; asked again: %v %q", i, ran[orderName(i)], v, r)
 		}
 	}
-	if err := l.Settle(orderName(0), orders.NeverRan, nil, "ops"); !errors.Is(err, orders.ErrNotUnknown) {
+	if err := ledger.Settle(orderName(0), orders.NeverRan, nil, "ops"); !errors.Is(err, orders.ErrNotUnknown) {
 		t.Errorf("settling what is done: %v", err)
 	}
 }
--- a/internal/orders/ledger/model_test.go
+++ b/internal/orders/ledger/model_test.go
@@ -16,13 +16,14 @@
 	"linenloom/internal/store/crash"
 )
 
-// modelOrder is what a plain map knows of an order: the state that was acknowledged last, and one that was asked for since, which may be there or not.
+// modelOrder is what the model knows of an order: the last acknowledged state, and a state requested
+// since then that may or may not be on record.
 type modelOrder struct {
 	acknowledged, requested orders.State
 	receipt                 string
 }
 
-// stateAfterOpen is what an opening makes of a state.
+// stateAfterOpen returns the state that a recorded state becomes when the log is reopened.
 func stateAfterOpen(s orders.State) orders.State {
 	switch s {
 	case orders.Taken:
@@ -33,8 +34,9 @@
 	return s
 }
 
-// Random batches by writers at once, a disk whose steps fail, crashes that leave any part of what was not synced, compactions and openings,
-// against a plain map: what was acknowledged is there after each of three openings, and nothing is there that nobody asked for.
+// Concurrent writers, a disk with failing steps, crashes that keep any part of the unsynced data,
+// compactions and reopenings are compared with a map. Each of three consecutive openings must contain
+// everything that was acknowledged and nothing that was not requested.
 func TestLedgerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Minute // the clock may jump back
@@ -90,9 +92,9 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"batch": func(t *rapid.T) {
 				type job struct {
-					n    orders.Name
-					k    *modelOrder
-					ends orders.State // 0: it stays in hand
+					name  orders.Name
+					order *modelOrder
+					ends  orders.State // 0: it stays in progress
 				}
 				var jobs []job
 				for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 15), 1, 8, rapid.ID[int]).Draw(t, "orders") {
@@ -107,7 +109,7 @@
 					to = from + rapid.IntRange(0, 8).Draw(t, "for")
 				}
 				d.Fail = func(op int, _ string) error {
-					for range 50 { // others come meanwhile, and share the next sync
+					for range 50 { // let other writers queue up and share the next sync
 						runtime.Gosched()
 					}
 					if op >= from && op < to {
@@ -120,25 +122,25 @@
 					writers.Go(func() {
 						step := func(s orders.State, err error) bool {
 							if err != nil {
-								j.k.requested = s
+								j.order.requested = s
 								return false
 							}
-							j.k.acknowledged, j.k.requested = s, 0
+							j.order.acknowledged, j.order.requested = s, 0
 							return true
 						}
-						v, _, err := l.Take(orders.Order{Name: j.n})
+						v, _, err := l.Take(orders.Order{Name: j.name})
 						if err == nil && v != orders.Proceed || !step(orders.Taken, err) {
 							return
 						}
 						if j.ends == orders.NeverRan {
-							step(j.ends, l.End(j.n, j.ends, nil, ""))
+							step(j.ends, l.End(j.name, j.ends, nil, ""))
 							return
 						}
-						if !step(orders.Sent, l.Send(j.n, "o-1")) || j.ends == 0 {
+						if !step(orders.Sent, l.Send(j.name, "o-1")) || j.ends == 0 {
 							return
 						}
-						j.k.receipt = "receipt of " + j.n.Key
-						step(j.ends, l.End(j.n, j.ends, []byte(j.k.receipt), ""))
+						j.order.receipt = "receipt of " + j.name.Key
+						step(j.ends, l.End(j.name, j.ends, []byte(j.order.receipt), ""))
 					})
 				}
 				writers.Wait()
