--- a/internal/store/crash/crash.go
+++ b/internal/store/crash/crash.go
@@ -1,5 +1,6 @@
-// Package crash is a disk that fails, for tests: in memory, with the state that a crash may leave at any moment. What was synced is
-// there; of what was not, any part may be, in any order. It is no file system of a machine, and never used by the program.
+// Package crash implements a failing disk in memory, for tests. It produces the states that a crash may
+// leave at any moment: synced data is present; of unsynced data any part may be, in any order. The
+// program does not use it.
 package crash
 
 import (
@@ -15,30 +16,32 @@
 	"linenloom/internal/store/disk"
 )
 
-// Disk is a folder whose every change is counted, and may fail or be the last.
+// Disk is a folder in memory. It counts changes and syncs, and each of them may fail or be the last
+// before a crash.
 type Disk struct {
 	mu         sync.Mutex
-	files      map[string]*file // as the program sees them
-	entries    map[string]*file // those whose entry is on stable storage
+	files      map[string]*file // as seen by the program
+	entries    map[string]*file // entries that are on stable storage
 	locked     bool
-	Operations int // changes and syncs so far
-	// Fail, if set, is asked before each of them: an error is what it ends with. ErrShort has half of a write done.
+	Operations int // number of changes and syncs so far
+	// Fail, if set, is called before each change and sync; the operation fails with the error that it
+	// returns. With ErrShort half of a write is done.
 	Fail func(op int, what string) error
 }
 
-// ErrShort has a write end half way.
+// ErrShort makes a write stop half way.
 var ErrShort = errors.New("crash: short write")
 
 type file struct {
 	name           string
-	data           []byte // as the program sees it
-	syncedSize     int    // so much of it is on stable storage
-	unsyncedWrites []int  // where writes since the last sync begin
+	data           []byte // as seen by the program
+	syncedSize     int    // number of bytes on stable storage
+	unsyncedWrites []int  // offsets of the writes since the last sync
 }
 
 var _ disk.FS = (*Disk)(nil)
 
-// New is an empty disk.
+// New returns an empty disk.
 func New() *Disk { return &Disk{files: map[string]*file{}, entries: map[string]*file{}} }
 
 func (d *Disk) startOperation(what string) error {
@@ -51,7 +54,7 @@
 	return nil
 }
 
-// Create makes a file.
+// Create creates a file.
 func (d *Disk) Create(name string) (disk.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,8 +89,9 @@
 	return len(b), err
 }
 
-// Sync has a file's data on stable storage. One that fails has not, and the next one has nothing to do: what the kernel has dropped it
-// does not write again.
+// Sync marks the data of the file as being on stable storage. After a failed sync it is not. A kernel
+// may drop the data of a failed sync, and a later sync then does not write it; the simulation does not
+// model this: a later successful sync marks all data.
 func (h *handle) Sync() error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
@@ -100,7 +104,7 @@
 
 func (h *handle) Close() error { return nil }
 
-// Open opens a file to read.
+// Open opens a file for reading.
 func (d *Disk) Open(name string) (disk.Reader, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,7 +130,6 @@
 func (r reader) Size() int64  { return int64(len(r.data)) }
 func (r reader) Close() error { return nil }
 
-// Remove removes a file.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,14 +140,14 @@
 	return nil
 }
 
-// List tells the names.
+// List returns the file names.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-// SyncDir has the entries on stable storage.
+// SyncDir marks the entries of the folder as being on stable storage.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// Lock takes the lock.
+// Lock locks the folder; the file name is ignored.
 func (d *Disk) Lock(string) (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,36 +178,39 @@
 	return nil
 }
 
-// Crash is the disk after the power went and came back. Cut tells how many bytes of each file's unsynced end are there; below 0: any, by chance: each
-// write since the last sync there or zero, whole or in part, whatever became of those before, and entries that were not synced there or not.
+// Crash returns the disk as it is after a power failure. If cut is not negative, each file keeps at
+// most cut bytes of its unsynced end, unsynced creations are present and unsynced removals are undone.
+// If cut is negative, the result is random: each write since the last sync is present or zeroed, whole
+// or in part, independently of the writes before it, and entries that were not synced are present or
+// missing.
 func (d *Disk) Crash(cut int, rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	after := New()
+	crashed := New()
 	names := map[string]*file{}
 	maps.Copy(names, d.entries)
-	for name, f := range d.files {
+	for name, original := range d.files {
 		if cut >= 0 || names[name] != nil || rng.IntN(2) == 0 {
-			names[name] = f
+			names[name] = original
 		}
 	}
-	for name, f := range d.entries { // removed, and the entry not synced: it may be back
+	for name, original := range d.entries { // the removal was not synced and may be undone
 		if d.files[name] == nil && (cut >= 0 || rng.IntN(2) == 0) {
-			names[name] = f
+			names[name] = original
 		} else if d.files[name] == nil {
 			delete(names, name)
 		}
 	}
-	for name, f := range names {
-		g := &file{name: name, data: slices.Clone(f.data)}
+	for name, original := range names {
+		survived := &file{name: name, data: slices.Clone(original.data)}
 		switch {
 		case cut >= 0:
-			g.data = g.data[:min(len(g.data), f.syncedSize+cut)]
+			survived.data = survived.data[:min(len(survived.data), original.syncedSize+cut)]
 		default:
-			for i, from := range f.unsyncedWrites {
-				to := len(f.data)
-				if i+1 < len(f.unsyncedWrites) {
-					to = f.unsyncedWrites[i+1]
+			for i, from := range original.unsyncedWrites {
+				to := len(original.data)
+				if i+1 < len(original.unsyncedWrites) {
+					to = original.unsyncedWrites[i+1]
 				}
 				kept := from + rng.IntN(to-from+1)
 				if rng.IntN(3) == 0 {
@@ -213,16 +219,16 @@
 				if rng.IntN(3) == 0 {
 					kept = from
 				}
-				clear(g.data[kept:to])
+				clear(survived.data[kept:to])
 			}
 			if rng.IntN(2) == 0 {
-				g.data = g.data[:f.syncedSize+rng.IntN(len(g.data)-f.syncedSize+1)]
+				survived.data = survived.data[:original.syncedSize+rng.IntN(len(survived.data)-original.syncedSize+1)]
 			}
 		}
-		g.syncedSize = len(g.data)
-		after.files[name], after.entries[name] = g, g
+		survived.syncedSize = len(survived.data)
+		crashed.files[name], crashed.entries[name] = survived, survived
 	}
-	return after
+	return crashed
 }
 
 // FlipBit flips a bit of a file.
@@ -232,7 +238,7 @@
 	d.files[name].data[bit/8] ^= 1 << (bit % 8)
 }
 
-// Size is how long a file is.
+// Size returns the size of a file.
 func (d *Disk) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/store/crash/lying.go
+++ b/internal/store/crash/lying.go
@@ -9,45 +9,46 @@
 	"linenloom/internal/store/disk"
 )
 
-// UnreliableFS is a folder on a disk that does not keep its word, for programs that are built for tests. What the real one has is what a process that
-// is killed leaves behind: what was written after the last sync that was true is lost with it.
+// UnreliableFS wraps a folder and makes its disk fail at random, for programs that are built for tests.
+// The underlying folder contains what remains after the process is killed: data written after the last
+// successful sync is lost.
 type UnreliableFS struct {
 	disk.FS
-	ShortWriteRate float64 // share of the writes that put a part there, and fail
-	SyncErrorRate  float64 // share of the syncs that fail
-	LostSyncRate   float64 // share of the syncs that say yes and did not
+	ShortWriteRate float64 // fraction of writes that write only a part and fail
+	SyncErrorRate  float64 // fraction of syncs that fail
+	LostSyncRate   float64 // fraction of syncs that report success without syncing
 	Seed           uint64
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// ErrInjected is what a disk says where it fails.
-var ErrInjected = errors.New("crash: input/output error, made up")
+// ErrInjected is the error of injected failures.
+var ErrInjected = errors.New("crash: injected input/output error")
 
-// ParseUnreliable reads a text like "short=0.01 fail=0.02 forget=0.2 seed=7".
+// ParseUnreliable parses a text like "short=0.01 fail=0.02 forget=0.2 seed=7".
 func ParseUnreliable(fs disk.FS, text string) (*UnreliableFS, error) {
-	l := &UnreliableFS{FS: fs}
-	if _, err := fmt.Sscanf(text, "short=%f fail=%f forget=%f seed=%d", &l.ShortWriteRate, &l.SyncErrorRate, &l.LostSyncRate, &l.Seed); err != nil {
+	unreliable := &UnreliableFS{FS: fs}
+	if _, err := fmt.Sscanf(text, "short=%f fail=%f forget=%f seed=%d", &unreliable.ShortWriteRate, &unreliable.SyncErrorRate, &unreliable.LostSyncRate, &unreliable.Seed); err != nil {
 		return nil, fmt.Errorf("crash: %q: %w", text, err)
 	}
-	l.rng = rand.New(rand.NewPCG(l.Seed, 11))
-	return l, nil
+	unreliable.rng = rand.New(rand.NewPCG(unreliable.Seed, 11))
+	return unreliable, nil
 }
 
-func (l *UnreliableFS) draw(share float64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.rng.Float64() < share
+func (u *UnreliableFS) draw(rate float64) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.rng.Float64() < rate
 }
 
-// Create makes a file whose writes stay in the process until a sync that is true.
-func (l *UnreliableFS) Create(name string) (disk.File, error) {
-	f, err := l.FS.Create(name)
+// Create creates a file whose writes stay in memory until a successful sync.
+func (u *UnreliableFS) Create(name string) (disk.File, error) {
+	f, err := u.FS.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	return &unreliableFile{File: f, fs: l}, nil
+	return &unreliableFile{File: f, fs: u}, nil
 }
 
 type unreliableFile struct {
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -1,4 +1,5 @@
-// Package disk is what a store needs of a file system, and the one of the machine. It never decides what is written, and hides no error.
+// Package disk defines the file system interface that the store needs and implements it for folders of
+// the operating system. It returns every error to the caller.
 package disk
 
 import (
@@ -12,54 +13,55 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is a folder of plain files.
+// FS is a folder of regular files.
 type FS interface {
-	Create(name string) (File, error) // a file that is not there yet
+	Create(name string) (File, error) // fails if the file exists
 	Open(name string) (Reader, error)
 	Remove(name string) error
-	List() ([]string, error) // names, in order
-	// SyncDir has the folder's own entries on stable storage.
+	List() ([]string, error) // sorted names
+	// SyncDir puts the entries of the folder on stable storage.
 	SyncDir() error
-	// Lock holds a lock until it is closed or the process ends, however it ends. ErrLocked: another process has it.
+	// Lock holds a lock until it is closed or the process ends in any way. It returns ErrLocked if
+	// another process holds the lock.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is a file that is appended to.
+// File is a file opened for appending.
 type File interface {
 	io.Writer
-	Sync() error // what was written is on stable storage
+	Sync() error // puts the written data on stable storage
 	Close() error
 }
 
-// Reader reads a file at any place.
+// Reader reads a file at any offset.
 type Reader interface {
 	io.ReaderAt
 	Size() int64
 	Close() error
 }
 
-// ErrLocked tells that another process has the folder.
+// ErrLocked reports that another process holds the lock of the folder.
 var ErrLocked = errors.New("another process has it open")
 
-// Dir is a folder of the machine's.
+// Dir is the path of a folder of the operating system.
 type Dir string
 
 var _ FS = Dir("")
 
-// CheckExists tells what is wrong with a folder that should be there.
+// CheckExists returns an error if the folder does not exist or is not a folder.
 func (d Dir) CheckExists() error {
 	switch s, err := os.Stat(string(d)); {
 	case err != nil:
 		return err
 	case !s.IsDir():
-		return fmt.Errorf("%s is no folder", string(d))
+		return fmt.Errorf("%s is not a folder", string(d))
 	}
 	return nil
 }
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Create makes a file that is not there yet.
+// Create creates a file. It fails if the file exists.
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
 	if err != nil {
@@ -68,7 +70,8 @@
 	return dirFile{f}, nil
 }
 
-// dirFile syncs data and what is needed to find it: the size, but not the times.
+// dirFile syncs the data and the metadata needed to read it back, such as the size, but not the
+// timestamps.
 type dirFile struct{ *os.File }
 
 func (f dirFile) Sync() error {
@@ -83,7 +86,7 @@
 	}
 }
 
-// Open opens a file to read.
+// Open opens a file for reading.
 func (d Dir) Open(name string) (Reader, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
@@ -107,10 +110,9 @@
 
 func (r dirReader) Size() int64 { return r.size }
 
-// Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// List tells the names of what is there, in order.
+// List returns the sorted names of the entries.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -124,7 +126,7 @@
 	return names, nil
 }
 
-// SyncDir has the folder's entries on stable storage.
+// SyncDir puts the entries of the folder on stable storage.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -133,7 +135,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock takes the lock of a file (flock, which the kernel lets go of with the process).
+// Lock locks a file with flock, which the kernel releases when the process ends.
 func (d Dir) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/store/log/log.go
+++ b/internal/store/log/log.go
@@ -1,8 +1,10 @@
-// Package log is an append-only log of records in segments: what is acknowledged is on stable storage, what a crash leaves of the rest is
-// left out, and damage that a crash can't explain is named by file and place and never passed over.
+// Package log implements an append-only log of records in segment files. Acknowledged records are on
+// stable storage. Records that a crash left incomplete are dropped at the next opening. Damage that a
+// crash cannot explain is reported with file and offset and is never skipped.
 //
-// It never changes what it has written: an opened log goes on in a new segment, whose header says how much of the one before counts. So
-// recovery writes nothing that a crash could tear. It knows nothing of what records mean, and keeps none in memory.
+// The log never changes data that it has written: after an opening it continues in a new segment, whose
+// header records how much of the previous segment is valid. Recovery therefore writes nothing that a
+// crash could corrupt. The package does not interpret records and keeps none in memory.
 package log
 
 import (
@@ -17,30 +19,30 @@
 	"linenloom/internal/store/disk"
 )
 
-// Options set a log's sizes.
+// Options configures a log.
 type Options struct {
-	SegmentSize int64 // a segment that has reached it is followed by another
+	SegmentSize int64 // a segment that reaches this size is followed by a new one
 }
 
-// ErrClosed tells that a log is closed.
+// ErrClosed reports that the log is closed.
 var ErrClosed = errors.New("log: closed")
 
-// ErrDamage is wrapped by what tells of damage.
+// ErrDamage is wrapped by every Damage.
 var ErrDamage = errors.New("damaged, by more than a crash")
 
-// Damage tells where a log is damaged.
+// Damage is an error that describes where a log is damaged.
 type Damage struct {
 	File      string
 	Offset    int64
 	Reason    string
-	Duplicate bool // records stand there that the segment before counts too: Repair may mend it
+	Duplicate bool // records of the previous segment are repeated there; Repair may fix it
 }
 
 func (d *Damage) Error() string {
 	return fmt.Sprintf("log: %s at byte %d: %s", d.File, d.Offset, d.Reason)
 }
 
-// Unwrap makes it ErrDamage.
+// Unwrap returns ErrDamage.
 func (d *Damage) Unwrap() error { return ErrDamage }
 
 // Log is an open log. It is safe for concurrent use.
@@ -50,20 +52,20 @@
 	lock    io.Closer
 
 	mu               sync.Mutex
-	file             disk.File // nil: the latest segment has failed, or none was begun; the next write begins one
-	latestGeneration uint64    // of the latest segment, whatever became of it
-	validGeneration  uint64    // of the latest segment that has something durable, or whose header is
-	validSize        int64     // how much of it counts
-	nextSequence     uint64    // sequence
-	durableSequence  uint64    // all up to it is on stable storage
-	writing          bool      // one of the callers writes for all
-	pendingGroup     *group    // those who wait for the next write
+	file             disk.File // nil: no segment was created or the latest one has failed; the next write creates one
+	latestGeneration uint64    // of the latest segment, whether or not it is valid
+	validGeneration  uint64    // of the latest segment with a durable record or header
+	validSize        int64     // valid bytes of that segment
+	nextSequence     uint64    // of the next record
+	durableSequence  uint64    // all records up to it are on stable storage
+	writing          bool      // one caller of Append is writing for all
+	pendingGroup     *group    // records that wait for the next write
 	closed           bool
-	idleCond         *sync.Cond // nobody writes
-	GroupsWritten    int        // groups that were written, for the rig
+	idleCond         *sync.Cond // signaled when writing becomes false
+	GroupsWritten    int        // for tests and benchmarks
 }
 
-// group is records that are written and synced together.
+// group is a set of records that are written and synced together.
 type group struct {
 	records []Record
 	size    int
@@ -71,13 +73,14 @@
 	err     error
 }
 
-// Open opens the log in a folder, and replays every record that counts, in order. Damage and what replay returns end it.
-func Open(fs disk.FS, opt Options, replay func(Record) error) (*Log, error) {
+// Open opens the log in a folder and calls replay for every valid record in order. It fails on damage
+// and on an error from replay.
+func Open(fs disk.FS, options Options, replay func(Record) error) (*Log, error) {
 	lock, err := fs.Lock("LOCK")
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	l := &Log{fs: fs, options: opt, lock: lock, nextSequence: 1}
+	l := &Log{fs: fs, options: options, lock: lock, nextSequence: 1}
 	l.idleCond = sync.NewCond(&l.mu)
 	if err := l.recoverRecords(replay); err != nil {
 		lock.Close()
@@ -87,80 +90,81 @@
 	return l, nil
 }
 
-// segment is a file of the log, as it was found.
+// segment is a file of the log as found at the opening.
 type segment struct {
 	fileGeneration uint64
 	header
 	valid bool
 }
 
-func (l *Log) listSegments() (all []segment, err error) {
+func (l *Log) listSegments() (segments []segment, err error) {
 	names, err := l.fs.List()
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	for _, n := range names {
-		text, is := strings.CutSuffix(n, ".log")
-		if !is {
-			continue // another's
+	for _, fileName := range names {
+		text, isSegment := strings.CutSuffix(fileName, ".log")
+		if !isSegment {
+			continue // a file of another component
 		}
-		gen, err := strconv.ParseUint(text, 16, 64)
-		if err != nil || segmentName(gen) != n || gen == 0 {
-			return nil, &Damage{File: n, Reason: "no segment's name"}
+		generation, err := strconv.ParseUint(text, 16, 64)
+		if err != nil || segmentName(generation) != fileName || generation == 0 {
+			return nil, &Damage{File: fileName, Reason: "no segment's name"}
 		}
-		f, err := l.fs.Open(n)
+		file, err := l.fs.Open(fileName)
 		if err != nil {
 			return nil, fmt.Errorf("log: %w", err)
 		}
-		s, err := readSegment(f, n, gen)
-		f.Close()
+		found, err := readSegment(file, fileName, generation)
+		file.Close()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, s)
+		segments = append(segments, found)
 	}
-	return all, nil
+	return segments, nil
 }
 
-// readSegment reads a segment's header. It counts only with the first group behind it: it says how much of the segment before counts, and what it leaves
-// out there may stand in that group.
-func readSegment(f disk.Reader, file string, gen uint64) (s segment, err error) {
-	w := segmentReader{file: f, fileName: file, size: f.Size()}
-	b, err := w.readAt(0, headerSize)
+// readSegment reads the header of a segment. The segment is valid only if its first group is complete:
+// the header limits the valid part of the previous segment, and records beyond that limit may have been
+// rewritten in this group.
+func readSegment(file disk.Reader, fileName string, generation uint64) (found segment, err error) {
+	reader := segmentReader{file: file, fileName: fileName, size: file.Size()}
+	data, err := reader.readAt(0, headerSize)
 	if err != nil {
-		return s, err
+		return found, err
 	}
-	s.fileGeneration = gen
-	h, foreign, ok := parseHeader(b)
+	found.fileGeneration = generation
+	h, foreign, ok := parseHeader(data)
 	switch {
 	case foreign:
-		return s, &Damage{File: file, Reason: "no segment of a version that is known"}
+		return found, &Damage{File: fileName, Reason: "no segment of a version that is known"}
 	case !ok:
-		return s, nil
-	case h.generation != gen:
-		return s, &Damage{File: file, Offset: 8, Reason: fmt.Sprintf("its header is of segment %d", h.generation)}
-	}
-	s.header = h
-	for at, seq := int64(headerSize), h.firstSequence; ; seq++ {
-		r, _, last, n, err := w.readFrame(at)
-		if err != nil || n == 0 || r.Sequence != seq {
-			return s, err
+		return found, nil
+	case h.generation != generation:
+		return found, &Damage{File: fileName, Offset: 8, Reason: fmt.Sprintf("its header is of segment %d", h.generation)}
+	}
+	found.header = h
+	for offset, sequence := int64(headerSize), h.firstSequence; ; sequence++ {
+		r, _, last, n, err := reader.readFrame(offset)
+		if err != nil || n == 0 || r.Sequence != sequence {
+			return found, err
 		}
 		if last {
-			s.valid = true
-			return s, nil
+			found.valid = true
+			return found, nil
 		}
-		at += int64(n)
+		offset += int64(n)
 	}
 }
 
-// recoverRecords finds the segments that count and replays them.
+// recoverRecords determines the valid segments and replays them.
 func (l *Log) recoverRecords(replay func(Record) error) error {
-	all, err := l.listSegments()
+	segments, err := l.listSegments()
 	if err != nil {
 		return err
 	}
-	chain, err := l.buildChain(all)
+	chain, err := l.buildChain(segments)
 	if err != nil {
 		return err
 	}
@@ -168,20 +172,20 @@
 	if err != nil {
 		return err
 	}
-	if err := l.checkLaterSegments(all, lastGeneration(chain)); err != nil {
+	if err := l.checkLaterSegments(segments, lastGeneration(chain)); err != nil {
 		return err
 	}
 	return l.rewriteTail(tail)
 }
 
-// chainLink is a segment that counts, and how much of it, if another follows it.
+// chainLink is a valid segment. If another one follows it, size is its valid length.
 type chainLink struct {
 	*segment
 	size      int64
 	sizeKnown bool
 }
 
-// lastGeneration is the generation that a chain ends with; 0: of none.
+// lastGeneration returns the generation of the last segment of a chain, or 0 if the chain is empty.
 func lastGeneration(chain []chainLink) uint64 {
 	if len(chain) == 0 {
 		return 0
@@ -189,14 +193,14 @@
 	return chain[len(chain)-1].fileGeneration
 }
 
-// buildChain is the segments that count, oldest first, by the headers from the latest back. It is empty for a new log, and for one whose first
-// segment never came to be.
-func (l *Log) buildChain(all []segment) (chain []chainLink, err error) {
-	byGen := map[uint64]*segment{}
+// buildChain returns the valid segments, oldest first. It follows the headers backwards from the latest
+// valid segment. The chain is empty for a new log and for a log whose first segment was not completed.
+func (l *Log) buildChain(segments []segment) (chain []chainLink, err error) {
+	byGeneration := map[uint64]*segment{}
 	var last *segment
-	for i := range all {
-		s := &all[i]
-		byGen[s.fileGeneration] = s
+	for i := range segments {
+		s := &segments[i]
+		byGeneration[s.fileGeneration] = s
 		l.latestGeneration = max(l.latestGeneration, s.fileGeneration)
 		if s.valid {
 			last = s
@@ -205,23 +209,24 @@
 	if last == nil {
 		return nil, nil
 	}
-	for s, of := last, (chainLink{segment: last}); ; {
-		chain = append(chain, of)
+	for s, link := last, (chainLink{segment: last}); ; {
+		chain = append(chain, link)
 		if s.previous == 0 {
 			break
 		}
-		b := byGen[s.previous]
-		if b == nil || !b.valid || b.fileGeneration >= s.fileGeneration {
+		previous := byGeneration[s.previous]
+		if previous == nil || !previous.valid || previous.fileGeneration >= s.fileGeneration {
 			return nil, &Damage{File: segmentName(s.previous), Reason: fmt.Sprintf("it is missing or its header is broken, and segment %d follows it", s.fileGeneration)}
 		}
-		s, of = b, chainLink{b, int64(s.previousSize), true}
+		s, link = previous, chainLink{previous, int64(s.previousSize), true}
 	}
 	slices.Reverse(chain)
 	l.nextSequence = chain[0].firstSequence
 	return chain, nil
 }
 
-// replayChain replays a chain, and returns those records at its end that nothing vouches for.
+// replayChain replays the segments of a chain and returns the records at its end that no later record
+// confirms as durable.
 func (l *Log) replayChain(chain []chainLink, replay func(Record) error) (tail []Record, err error) {
 	for _, s := range chain {
 		if s.firstSequence != l.nextSequence {
@@ -238,18 +243,19 @@
 	return tail, nil
 }
 
-// checkLaterSegments looks into the segments behind the last whose header stands: a crash may have left them without one, but not what follows.
-func (l *Log) checkLaterSegments(all []segment, last uint64) error {
-	for _, s := range all {
-		if s.fileGeneration <= last {
+// checkLaterSegments checks the segments after the last valid one. A crash may leave a segment without
+// a valid header, but not with records written after a record that was durable.
+func (l *Log) checkLaterSegments(segments []segment, generation uint64) error {
+	for _, s := range segments {
+		if s.fileGeneration <= generation {
 			continue
 		}
 		f, err := l.fs.Open(segmentName(s.fileGeneration))
 		if err != nil {
 			return fmt.Errorf("log: %w", err)
 		}
-		w := segmentReader{file: f, fileName: segmentName(s.fileGeneration), size: f.Size()}
-		err = w.checkTorn(-1, l.nextSequence)
+		reader := segmentReader{file: f, fileName: segmentName(s.fileGeneration), size: f.Size()}
+		err = reader.checkTorn(-1, l.nextSequence)
 		f.Close()
 		if err != nil {
 			return err
@@ -258,54 +264,56 @@
 	return nil
 }
 
-// rewriteTail has the last records, of which nothing says that they were on stable storage, written anew: that they can be read may be the memory's
-// doing, after a sync that failed in a process that has ended since. To count them, and then lose them in a crash, would break what follows.
+// rewriteTail writes the last records, which nothing confirms as durable, to a new segment. They may be
+// readable only from the page cache, after a failed sync in a process that has since ended. If they
+// were accepted and then lost in a crash, the records that follow would no longer be valid.
 func (l *Log) rewriteTail(tail []Record) error {
 	if len(tail) == 0 {
 		return nil
 	}
-	f, err := l.createNextSegment(tail[0].Sequence)
+	file, err := l.createNextSegment(tail[0].Sequence)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	var b []byte
+	var frames []byte
 	for i, r := range tail {
-		b = appendFrame(b, r, tail[0].Sequence-1, i == len(tail)-1)
+		frames = appendFrame(frames, r, tail[0].Sequence-1, i == len(tail)-1)
 	}
-	if err := writeAndSync(f, b); err != nil {
-		f.Close()
+	if err := writeAndSync(file, frames); err != nil {
+		file.Close()
 		return fmt.Errorf("log: %w", err)
 	}
-	l.file, l.validGeneration, l.validSize = f, l.latestGeneration, headerSize+int64(len(b))
+	l.file, l.validGeneration, l.validSize = file, l.latestGeneration, headerSize+int64(len(frames))
 	return nil
 }
 
-// replaySegment goes through a segment: as much of it as its follower says that counts, or, of the last one, up to where a crash may have cut it. Of
-// the last one it returns those records that nothing vouches for.
-func (l *Log) replaySegment(s chainLink, replay func(Record) error) (tail []Record, err error) {
-	file, size, known := segmentName(s.fileGeneration), s.size, s.sizeKnown
-	f, err := l.fs.Open(file)
+// replaySegment replays the part of a segment that its successor declares valid, or, for the last
+// segment, everything up to the place where a crash may have truncated it. For the last segment it
+// returns the records that no later record confirms as durable.
+func (l *Log) replaySegment(link chainLink, replay func(Record) error) (tail []Record, err error) {
+	fileName, size, sizeKnown := segmentName(link.fileGeneration), link.size, link.sizeKnown
+	file, err := l.fs.Open(fileName)
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	defer f.Close()
-	if !known {
-		size = f.Size()
-	} else if f.Size() < size {
-		return nil, &Damage{File: file, Offset: f.Size(), Reason: fmt.Sprintf("%d bytes of it count", size)}
+	defer file.Close()
+	if !sizeKnown {
+		size = file.Size()
+	} else if file.Size() < size {
+		return nil, &Damage{File: fileName, Offset: file.Size(), Reason: fmt.Sprintf("%d bytes of it count", size)}
 	}
-	w := segmentReader{file: f, fileName: file, size: size}
-	at := int64(headerSize)
-	for at < size {
-		r, durable, _, n, err := w.readFrame(at)
+	reader := segmentReader{file: file, fileName: fileName, size: size}
+	offset := int64(headerSize)
+	for offset < size {
+		r, durable, _, length, err := reader.readFrame(offset)
 		if err != nil {
 			return nil, err
 		}
-		if n == 0 || r.Sequence != l.nextSequence {
-			if known {
-				return nil, &Damage{File: file, Offset: at, Reason: fmt.Sprintf("record %d is broken", l.nextSequence)}
+		if length == 0 || r.Sequence != l.nextSequence {
+			if sizeKnown {
+				return nil, &Damage{File: fileName, Offset: offset, Reason: fmt.Sprintf("record %d is broken", l.nextSequence)}
 			}
-			if err := w.checkTorn(at, l.nextSequence); err != nil {
+			if err := reader.checkTorn(offset, l.nextSequence); err != nil {
 				return nil, err
 			}
 			break
@@ -313,11 +321,12 @@
 		if err := replay(r); err != nil {
 			return nil, fmt.Errorf("log: record %d: %w", r.Sequence, err)
 		}
-		if !known {
-			// It vouches for those before it, and for the segment. Only the first of a group vouches for all that stands before
-			// its own place: behind it, records of its group stand before the next ones, and nothing has told of them yet.
-			if durable >= s.firstSequence && r.Sequence <= durable+1 {
-				l.validGeneration, l.validSize = s.fileGeneration, at
+		if !sizeKnown {
+			// The record confirms the records before it and the segment. Only the first record of a
+			// group confirms everything up to its own offset: the records before a later member of the
+			// group belong to the same group, and nothing has confirmed them yet.
+			if durable >= link.firstSequence && r.Sequence <= durable+1 {
+				l.validGeneration, l.validSize = link.fileGeneration, offset
 			}
 			if len(tail) > 0 && tail[0].Sequence <= durable {
 				tail = slices.DeleteFunc(tail, func(t Record) bool { return t.Sequence <= durable })
@@ -325,101 +334,104 @@
 			tail = append(tail, Record{r.Sequence, r.Kind, slices.Clone(r.Payload)})
 		}
 		l.nextSequence++
-		at += int64(n)
+		offset += int64(length)
 	}
-	if known {
-		l.validGeneration, l.validSize = s.fileGeneration, size
+	if sizeKnown {
+		l.validGeneration, l.validSize = link.fileGeneration, size
 	}
 	return tail, nil
 }
 
-// Append appends a record, and returns once it is on stable storage. An error tells that it is not known to be: it does not count as
-// soon as a later record is acknowledged; after a crash before that it may be there or not. Callers at one time are written and synced together.
+// Append appends a record and returns once it is on stable storage. After an error the record is not
+// known to be durable. It is not part of the log once a later record is acknowledged; after a crash
+// before that it may or may not be present. Concurrent callers are written and synced together.
 func (l *Log) Append(kind byte, payload []byte) (seq uint64, err error) {
 	if len(payload) > MaxRecord {
 		return 0, fmt.Errorf("log: a record of %d bytes; %d are allowed", len(payload), MaxRecord)
 	}
 	if kind > MaxKind {
-		return 0, fmt.Errorf("log: kind %d; %d is the highest", kind, MaxKind)
+		return 0, fmt.Errorf("log: record kind %d exceeds the maximum of %d", kind, MaxKind)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return 0, ErrClosed
 	}
-	g := l.pendingGroup
-	if g == nil {
-		g = &group{done: make(chan struct{})}
-		l.pendingGroup = g
+	pending := l.pendingGroup
+	if pending == nil {
+		pending = &group{done: make(chan struct{})}
+		l.pendingGroup = pending
 	}
-	place := len(g.records)
-	g.records = append(g.records, Record{Kind: kind, Payload: payload})
-	g.size += frameSize + len(payload)
+	index := len(pending.records)
+	pending.records = append(pending.records, Record{Kind: kind, Payload: payload})
+	pending.size += frameSize + len(payload)
 	if l.writing {
 		l.mu.Unlock()
-		<-g.done
+		<-pending.done
 		l.mu.Lock()
 	} else {
-		for l.writing = true; l.pendingGroup != nil; { // also for those who come meanwhile
+		for l.writing = true; l.pendingGroup != nil; { // includes records that are added meanwhile
 			l.writeGroup()
 		}
 		l.writing = false
 		l.idleCond.Broadcast()
 	}
-	return g.records[place].Sequence, g.err
+	return pending.records[index].Sequence, pending.err
 }
 
-// writeGroup writes the group that waits. The lock is let go of meanwhile.
+// writeGroup writes the pending group. The caller holds the lock, which is released during the write.
 func (l *Log) writeGroup() {
-	g := l.pendingGroup
+	written := l.pendingGroup
 	l.pendingGroup = nil
 	if l.closed {
-		g.err = ErrClosed
-		close(g.done)
+		written.err = ErrClosed
+		close(written.done)
 		return
 	}
-	b := make([]byte, 0, g.size)
-	seq := l.nextSequence
-	for i := range g.records {
-		g.records[i].Sequence = seq
-		b = appendFrame(b, g.records[i], l.durableSequence, i == len(g.records)-1)
-		seq++
+	frames := make([]byte, 0, written.size)
+	sequence := l.nextSequence
+	for i := range written.records {
+		written.records[i].Sequence = sequence
+		frames = appendFrame(frames, written.records[i], l.durableSequence, i == len(written.records)-1)
+		sequence++
 	}
-	file, end := l.file, l.validSize
-	if file != nil && end >= l.options.SegmentSize {
-		file.Close() // all of it is durable
+	file, size := l.file, l.validSize
+	if file != nil && size >= l.options.SegmentSize {
+		file.Close() // all of its data is durable
 		file, l.file = nil, nil
 	}
 	l.mu.Unlock()
 	if file == nil {
-		file, g.err = l.createNextSegment(seq - uint64(len(g.records)))
+		file, written.err = l.createNextSegment(sequence - uint64(len(written.records)))
 	}
-	if g.err == nil {
-		g.err = writeAndSync(file, b)
+	if written.err == nil {
+		written.err = writeAndSync(file, frames)
 	}
 	l.mu.Lock()
-	if g.err != nil {
-		// What has become of these bytes is not known, and asking again would tell wrongly that they are there: the segment is done with. What it
-		// has acknowledged counts, and the next one says how much that is.
+	if written.err != nil {
+		// It is unknown whether these bytes are on the disk, and a second sync could wrongly report
+		// success. The segment is therefore abandoned. Its acknowledged records remain valid, and the
+		// header of the next segment records how many bytes that is.
 		if file != nil {
 			file.Close()
 		}
 		l.file = nil
-		g.err = fmt.Errorf("log: %w", g.err)
+		written.err = fmt.Errorf("log: %w", written.err)
 	} else {
 		if l.file != file {
 			l.file, l.validGeneration, l.validSize = file, l.latestGeneration, headerSize
 		}
-		l.validSize += int64(len(b))
-		l.nextSequence, l.durableSequence = seq, seq-1
+		l.validSize += int64(len(frames))
+		l.nextSequence, l.durableSequence = sequence, sequence-1
 		l.GroupsWritten++
 	}
-	close(g.done)
+	close(written.done)
 }
 
-// Compact puts records in the place of all that the log holds: what they say together has to be what all before them says. They are there
-// whole or not at all, whatever happens, and only then is what they replace removed. Appends that come meanwhile wait. The mark, a record
-// that says nothing, follows them: it is what vouches for them at the next opening.
+// Compact replaces the content of the log with the given records, which must be equivalent to all
+// records so far. After a crash they are either all present or none of them is, and the old segments
+// are removed only after that is certain. Concurrent appends wait. The mark, a record without content,
+// follows them and confirms them as durable at the next opening.
 func (l *Log) Compact(records []Record, mark Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -431,7 +443,7 @@
 	}
 	l.writing = true
 	defer func() {
-		for l.pendingGroup != nil { // of those who have come meanwhile
+		for l.pendingGroup != nil { // records that were added meanwhile
 			l.writeGroup()
 		}
 		l.writing = false
@@ -439,25 +451,27 @@
 	}()
 	first, durable := l.nextSequence, l.durableSequence
 	l.mu.Unlock()
-	file, end, err := l.writeCompacted(first, durable, records, mark)
+	file, size, err := l.writeCompacted(first, durable, records, mark)
 	l.mu.Lock()
 	if l.file != nil {
-		l.file.Close() // all of it is durable
+		l.file.Close() // all of its data is durable
 		l.file = nil
 	}
 	if err != nil {
-		// What was begun may be whole on the disk, and then is the latest that counts: nothing may be appended to what is older. The next
-		// segment follows what counted before, and is later than both.
+		// The new segment may be complete on the disk and would then be the latest valid one, so
+		// nothing may be appended to an older segment. The next segment follows the data that was valid
+		// before and is later than both.
 		return fmt.Errorf("log: compaction: %w", err)
 	}
-	l.file, l.validGeneration, l.validSize = file, l.latestGeneration, end
+	l.file, l.validGeneration, l.validSize = file, l.latestGeneration, size
 	l.nextSequence = first + uint64(len(records)) + 1
 	l.durableSequence = l.nextSequence - 1
 	return l.removeSegmentsBefore(l.latestGeneration)
 }
 
-// writeCompacted begins a chain of its own with the records and the mark. Only one caller at a time is here, without the lock.
-func (l *Log) writeCompacted(first, durable uint64, records []Record, mark Record) (_ disk.File, end int64, err error) {
+// writeCompacted starts a new chain with the records and the mark. It is called without the lock, by
+// one caller at a time.
+func (l *Log) writeCompacted(first, durable uint64, records []Record, mark Record) (_ disk.File, size int64, err error) {
 	file, err := l.createSegment(first, 0, 0)
 	if err != nil {
 		return nil, 0, err
@@ -467,38 +481,38 @@
 			file.Close()
 		}
 	}()
-	var b []byte
-	seq := first
+	var frames []byte
+	sequence := first
 	for i, r := range records {
 		if len(r.Payload) > MaxRecord || r.Kind > MaxKind {
-			return nil, 0, fmt.Errorf("record %d is too long, or of no kind", i)
+			return nil, 0, fmt.Errorf("record %d is too long or its kind is invalid", i)
 		}
-		r.Sequence = seq
-		b = appendFrame(b, r, durable, i == len(records)-1)
-		seq++
+		r.Sequence = sequence
+		frames = appendFrame(frames, r, durable, i == len(records)-1)
+		sequence++
 	}
-	if len(b) > 0 {
-		if err = writeAndSync(file, b); err != nil {
+	if len(frames) > 0 {
+		if err = writeAndSync(file, frames); err != nil {
 			return nil, 0, err
 		}
 	}
-	mark.Sequence = seq
-	m := appendFrame(nil, mark, seq-1, true)
-	if err = writeAndSync(file, m); err != nil {
+	mark.Sequence = sequence
+	markFrame := appendFrame(nil, mark, sequence-1, true)
+	if err = writeAndSync(file, markFrame); err != nil {
 		return nil, 0, err
 	}
-	return file, headerSize + int64(len(b)+len(m)), nil
+	return file, headerSize + int64(len(frames)+len(markFrame)), nil
 }
 
-// removeSegmentsBefore removes the segments before one that nothing needs any more. What it can't remove is left for the next time: it is no part of the
-// chain.
-func (l *Log) removeSegmentsBefore(before uint64) error {
-	all, err := l.listSegments()
+// removeSegmentsBefore removes all segments older than the given generation. A segment that cannot be
+// removed is not part of the chain and is left for the next compaction.
+func (l *Log) removeSegmentsBefore(generation uint64) error {
+	segments, err := l.listSegments()
 	if err != nil {
 		return err
 	}
-	for _, s := range all {
-		if s.fileGeneration < before {
+	for _, s := range segments {
+		if s.fileGeneration < generation {
 			err = errors.Join(err, l.fs.Remove(segmentName(s.fileGeneration)))
 		}
 	}
@@ -508,29 +522,32 @@
 	return nil
 }
 
-// createNextSegment begins a segment after what counts. Only one caller at a time is here, without the lock.
+// createNextSegment creates a segment that follows the valid data. It is called without the lock, by
+// one caller at a time.
 func (l *Log) createNextSegment(first uint64) (disk.File, error) {
 	return l.createSegment(first, l.validGeneration, uint64(l.validSize))
 }
 
-func (l *Log) createSegment(first, before, size uint64) (disk.File, error) {
+// createSegment creates a segment and writes its header. previous is the generation that it follows, or
+// 0.
+func (l *Log) createSegment(first, previous, size uint64) (disk.File, error) {
 	l.latestGeneration++
-	f, err := l.fs.Create(segmentName(l.latestGeneration))
+	file, err := l.fs.Create(segmentName(l.latestGeneration))
 	if err != nil {
 		return nil, err
 	}
-	h := header{generation: l.latestGeneration, firstSequence: first, previous: before, previousSize: size}
-	if err = writeAndSync(f, h.append(nil)); err == nil {
+	h := header{generation: l.latestGeneration, firstSequence: first, previous: previous, previousSize: size}
+	if err = writeAndSync(file, h.append(nil)); err == nil {
 		err = l.fs.SyncDir()
 	}
 	if err != nil {
-		f.Close()
+		file.Close()
 		return nil, err
 	}
-	return f, nil
+	return file, nil
 }
 
-// writeAndSync writes and syncs.
+// writeAndSync appends b to a file and syncs it.
 func writeAndSync(f disk.File, b []byte) error {
 	n, err := f.Write(b)
 	if err == nil && n < len(b) {
@@ -542,7 +559,7 @@
 	return f.Sync()
 }
 
-// Close ends the log. What waits to be written is told so.
+// Close closes the log. Records that wait to be written fail with ErrClosed.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -550,7 +567,7 @@
 		return ErrClosed
 	}
 	l.closed = true
-	for l.writing { // the lock of the folder must not go before the last write
+	for l.writing { // the folder must stay locked until the last write is finished
 		l.idleCond.Wait()
 	}
 	var err error
--- a/internal/store/log/log_test.go
+++ b/internal/store/log/log_test.go
@@ -16,54 +16,55 @@
 
 var testOptions = Options{SegmentSize: 200}
 
-// openLog opens a log and tells what it holds.
-func openLog(t *testing.T, d disk.FS) (l *Log, all []string, err error) {
+// openLog opens a log and returns the records that it contains.
+func openLog(t *testing.T, fs disk.FS) (l *Log, records []string, err error) {
 	t.Helper()
-	l, err = Open(d, testOptions, func(r Record) error {
-		all = append(all, fmt.Sprintf("%d:%d:%s", r.Sequence, r.Kind, r.Payload))
+	l, err = Open(fs, testOptions, func(r Record) error {
+		records = append(records, fmt.Sprintf("%d:%d:%s", r.Sequence, r.Kind, r.Payload))
 		return nil
 	})
-	return l, all, err
+	return l, records, err
 }
 
-// appendGroup appends records as one group, as callers at one time have them written.
+// appendGroup appends records as one group, as for concurrent callers of Append.
 func appendGroup(l *Log, records ...Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	g := &group{done: make(chan struct{}), records: records}
-	l.pendingGroup = g
+	pending := &group{done: make(chan struct{}), records: records}
+	l.pendingGroup = pending
 	l.writeGroup()
-	return g.err
+	return pending.err
 }
 
-// maxGroupSize is the largest group of the scripts.
+// maxGroupSize is the size of the largest group that appendGroups and writeValues append.
 const maxGroupSize = 8
 
-// groupCount is how many groups the scripts of crashes append.
+// groupCount is the number of groups that the crash tests append.
 const groupCount = 22
 
-// appendGroups appends groups of records, opening the log again now and then, and tells which were acknowledged, in order, and how many were tried.
-func appendGroups(d *crash.Disk, groups int) (acked []string, all int) {
+// appendGroups appends groups of records and reopens the log every seven groups. It returns the
+// acknowledged records in order and the number of records attempted.
+func appendGroups(storage *crash.Disk, groups int) (acked []string, attempted int) {
 	var l *Log
 	for i := range groups {
 		size := 1 + i*5%maxGroupSize
-		all += size
+		attempted += size
 		if l == nil || i%7 == 6 {
 			if l != nil {
 				l.Close()
 			}
 			var err error
-			if l, err = Open(d, testOptions, func(Record) error { return nil }); err != nil {
-				l = nil // it is asked again with the next group
+			if l, err = Open(storage, testOptions, func(Record) error { return nil }); err != nil {
+				l = nil // the next group tries to open it again
 				continue
 			}
 		}
-		var g []Record
+		var records []Record
 		for k := range size {
-			g = append(g, Record{Kind: byte(i), Payload: []byte(fmt.Sprintf("order %d.%d %s", i, k, string(make([]byte, i%40))))})
+			records = append(records, Record{Kind: byte(i), Payload: []byte(fmt.Sprintf("order %d.%d %s", i, k, string(make([]byte, i%40))))})
 		}
-		if appendGroup(l, g...) == nil {
-			for _, r := range g {
+		if appendGroup(l, records...) == nil {
+			for _, r := range records {
 				acked = append(acked, fmt.Sprintf("%d:%d:%s", r.Sequence, r.Kind, r.Payload))
 			}
 		}
@@ -71,15 +72,16 @@
 	if l != nil {
 		l.Close()
 	}
-	return acked, all
+	return acked, attempted
 }
 
-// holdsAcknowledged tells whether all that was acknowledged is there, once and in order, with no more than so many that were not.
-func holdsAcknowledged(got, acked []string, more int) bool {
-	for _, g := range got {
-		if len(acked) > 0 && g == acked[0] {
+// holdsAcknowledged reports whether all acknowledged records are present, once and in order, with at
+// most extra other records.
+func holdsAcknowledged(records, acked []string, extra int) bool {
+	for _, record := range records {
+		if len(acked) > 0 && record == acked[0] {
 			acked = acked[1:]
-		} else if more--; more < 0 {
+		} else if extra--; extra < 0 {
 			return false
 		}
 	}
@@ -88,38 +90,41 @@
 
 var errPower = errors.New("the power is gone")
 
-// openCount is how often what a crash has left is opened: an opening that goes well may leave what the next one can't read.
+// openCount is how often a log is opened after a crash: a successful opening may leave a state that the
+// next one cannot read.
 const openCount = 3
 
-// verifyRecovery opens a log three times: all that was acknowledged is there, with at most a group more, and each time the same.
-func verifyRecovery(t *testing.T, what string, d *crash.Disk, acked []string) {
+// verifyRecovery opens a log three times. Each opening must find all acknowledged records and at most
+// one more group, and all must find the same records.
+func verifyRecovery(t *testing.T, context string, storage *crash.Disk, acked []string) {
 	t.Helper()
 	var first []string
-	for n := range openCount {
-		l, got, err := openLog(t, d)
+	for i := range openCount {
+		l, records, err := openLog(t, storage)
 		if err != nil {
-			t.Fatalf("%s, opening %d: %v", what, n+1, err)
+			t.Fatalf("%s, opening %d: %v", context, i+1, err)
 		}
 		l.Close()
-		if !holdsAcknowledged(got, acked, maxGroupSize) {
-			t.Fatalf("%s, opening %d: %d are acknowledged, %d there", what, n+1, len(acked), len(got))
+		if !holdsAcknowledged(records, acked, maxGroupSize) {
+			t.Fatalf("%s, opening %d: %d are acknowledged, %d there", context, i+1, len(acked), len(records))
 		}
-		if n > 0 && !slices.Equal(got, first) {
-			t.Fatalf("%s, opening %d finds %q, not %q", what, n+1, got, first)
+		if i > 0 && !slices.Equal(records, first) {
+			t.Fatalf("%s, opening %d finds %q, not %q", context, i+1, records, first)
 		}
-		first = got
+		first = records
 	}
 }
 
-// The power goes at every step of a run with rotations, openings and groups: each acknowledged record is there, in order, and at most the group
-// more that was being written; opening again, and again, finds the same.
+// The power fails at every step of a run with segment rotations, reopenings and groups. Each
+// acknowledged record must be present in order, with at most the group that was being written in
+// addition, and each further opening must find the same records.
 func TestPowerLossAtEveryStep(t *testing.T) {
-	whole := crash.New()
-	if acked, all := appendGroups(whole, groupCount); len(acked) != all || whole.Operations < 60 {
-		t.Fatalf("%d records of %d, %d steps", len(acked), all, whole.Operations)
+	complete := crash.New()
+	if acked, attempted := appendGroups(complete, groupCount); len(acked) != attempted || complete.Operations < 60 {
+		t.Fatalf("%d records of %d, %d steps", len(acked), attempted, complete.Operations)
 	}
-	for step := 1; step <= whole.Operations; step++ {
-		for cut := -4; cut < 300; cut += 1 + max(0, cut)/2 { // below 0: any part, by chance
+	for step := 1; step <= complete.Operations; step++ {
+		for cut := -4; cut < 300; cut += 1 + max(0, cut)/2 { // below 0: any part survives, at random
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
 				if op >= step {
@@ -133,59 +138,62 @@
 	}
 }
 
-// Every change and sync fails once, in turn: that group is not acknowledged, those after it are, and all that was acknowledged is there.
+// Each change and sync fails once, in turn. Only the group affected is not acknowledged, and all
+// acknowledged records must be present.
 func TestEachStepFailing(t *testing.T) {
-	whole := crash.New()
-	appendGroups(whole, groupCount)
-	for _, how := range []error{errors.New("input/output error"), crash.ErrShort} {
-		for step := 1; step <= whole.Operations; step++ {
+	complete := crash.New()
+	appendGroups(complete, groupCount)
+	for _, failure := range []error{errors.New("input/output error"), crash.ErrShort} {
+		for step := 1; step <= complete.Operations; step++ {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
 				if op == step {
-					return how
+					return failure
 				}
 				return nil
 			}
-			acked, all := appendGroups(d, groupCount)
-			if len(acked) < all-maxGroupSize {
-				t.Fatalf("step %d: %d of %d are acknowledged", step, len(acked), all)
+			acked, attempted := appendGroups(d, groupCount)
+			if len(acked) < attempted-maxGroupSize {
+				t.Fatalf("step %d: %d of %d are acknowledged", step, len(acked), attempted)
 			}
 			verifyRecovery(t, fmt.Sprintf("step %d", step), d.Crash(-1, rand.New(rand.NewPCG(1, uint64(step)))), acked)
 		}
 	}
 }
 
-// A bit is flipped at any place: it is found and named, or it is in the last group of all, which can't be told from what a crash leaves; what is
-// replayed before is what was written, and opening again says the same.
+// Each bit of the log is flipped in turn. The damage must be reported with its location, unless it is
+// in the last group, where it cannot be told from the effect of a crash. The records replayed before it
+// must be unchanged, and each further opening must give the same result.
 func TestFlippedBits(t *testing.T) {
 	d := crash.New()
-	all, _ := appendGroups(d, 11) // the last group has 3
+	written, _ := appendGroups(d, 11) // the last group has 3
 	names, _ := d.List()
-	for _, n := range names {
-		for bit := range d.Size(n) * 8 {
-			bad := d.Crash(0, nil)
-			bad.FlipBit(n, bit)
-			sound := false
+	for _, file := range names {
+		for bit := range d.Size(file) * 8 {
+			damaged := d.Crash(0, nil)
+			damaged.FlipBit(file, bit)
+			opened := false
 			for try := range openCount {
-				l, got, err := openLog(t, bad)
+				l, records, err := openLog(t, damaged)
 				if err == nil {
 					l.Close()
-					if last := names[len(names)-1]; len(got) < len(all) && (n != last || len(got) < len(all)-3) {
-						t.Fatalf("%s, bit %d: %d of %d records are there, and nothing is said", n, bit, len(got), len(all))
+					if last := names[len(names)-1]; len(records) < len(written) && (file != last || len(records) < len(written)-3) {
+						t.Fatalf("%s, bit %d: %d of %d records are there, and nothing is said", file, bit, len(records), len(written))
 					}
-					sound = true
-				} else if sound || !errors.Is(err, ErrDamage) {
-					t.Fatalf("%s, bit %d, opening %d: %v", n, bit, try+1, err)
+					opened = true
+				} else if opened || !errors.Is(err, ErrDamage) {
+					t.Fatalf("%s, bit %d, opening %d: %v", file, bit, try+1, err)
 				}
-				if len(got) > len(all) || !slices.Equal(got, all[:len(got)]) {
-					t.Fatalf("%s, bit %d: another record is served: %q", n, bit, got)
+				if len(records) > len(written) || !slices.Equal(records, written[:len(records)]) {
+					t.Fatalf("%s, bit %d: another record is served: %q", file, bit, records)
 				}
 			}
 		}
 	}
 }
 
-// Many write at once: each is acknowledged with a sequence of its own, and they share syncs. On a real folder a second process is told so.
+// Each record of concurrent writers is acknowledged with its own sequence, and writers share syncs. A
+// second opening of a real folder fails with ErrLocked.
 func TestConcurrentWriters(t *testing.T) {
 	dir := disk.Dir(t.TempDir())
 	l, _, err := openLog(t, dir)
@@ -195,13 +203,13 @@
 	if _, _, err := openLog(t, dir); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("a second one: %v", err)
 	}
-	const writers, each = 32, 20
+	const writers, perWriter = 32, 20
 	var mu sync.Mutex
 	seen := map[uint64]bool{}
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	for w := range writers {
-		g.Go(func() {
-			for i := range each {
+		group.Go(func() {
+			for i := range perWriter {
 				seq, err := l.Append(1, fmt.Appendf(nil, "%d-%d", w, i))
 				mu.Lock()
 				if err != nil || seen[seq] {
@@ -212,7 +220,7 @@
 			}
 		})
 	}
-	g.Wait()
+	group.Wait()
 	if err := l.Close(); err != nil {
 		t.Error(err)
 	}
@@ -221,112 +229,112 @@
 	}
 	for n := range openCount {
 		again, got, err := openLog(t, dir)
-		if err != nil || len(got) != writers*each {
+		if err != nil || len(got) != writers*perWriter {
 			t.Fatalf("opening %d: %d records, %v", n+1, len(got), err)
 		}
 		again.Close()
 	}
-	t.Logf("%d records, %d syncs", writers*each, l.GroupsWritten)
+	t.Logf("%d records, %d syncs", writers*perWriter, l.GroupsWritten)
 }
 
-// writeValues writes numbers under a few names, compacts now and then, and tells what was acknowledged last under each, and what was not
-// acknowledged since.
-func writeValues(d *crash.Disk, n int) (acked map[string]string, unsure map[string][]string) {
-	acked, unsure = map[string]string{}, map[string][]string{}
+// writeValues writes numbered values under a few names and compacts the log every eight groups. It
+// returns the last acknowledged value of each name and the unacknowledged values written since.
+func writeValues(storage *crash.Disk, groups int) (acked map[string]string, unacknowledged map[string][]string) {
+	acked, unacknowledged = map[string]string{}, map[string][]string{}
 	var l *Log
-	for i := range n {
+	for i := range groups {
 		if l == nil || i%11 == 10 {
 			if l != nil {
 				l.Close()
 			}
 			var err error
-			at := map[string]string{}
-			if l, err = Open(d, testOptions, collectValues(at)); err != nil {
+			found := map[string]string{}
+			if l, err = Open(storage, testOptions, collectValues(found)); err != nil {
 				l = nil
 				continue
 			}
 			for name, want := range acked {
-				if got := at[name]; got != want && !slices.Contains(unsure[name], got) {
+				if got := found[name]; got != want && !slices.Contains(unacknowledged[name], got) {
 					panic(fmt.Sprintf("opened in between, %s is %q, want %q", name, got, want))
 				}
 			}
 		}
 		if i%8 == 7 {
-			var all []Record
+			var compacted []Record
 			for _, name := range slices.Sorted(maps.Keys(acked)) {
-				all = append(all, Record{Kind: 1, Payload: []byte(name + "=" + acked[name])})
+				compacted = append(compacted, Record{Kind: 1, Payload: []byte(name + "=" + acked[name])})
 			}
-			l.Compact(all, Record{Kind: 2})
+			l.Compact(compacted, Record{Kind: 2})
 		}
-		var g []Record
+		var records []Record
 		for k := range 1 + i%maxGroupSize {
-			g = append(g, Record{Kind: 1, Payload: fmt.Appendf(nil, "n%d=%d.%d", (i+k)%5, i, k)})
+			records = append(records, Record{Kind: 1, Payload: fmt.Appendf(nil, "n%d=%d.%d", (i+k)%5, i, k)})
 		}
-		err := appendGroup(l, g...)
-		for _, r := range g {
+		err := appendGroup(l, records...)
+		for _, r := range records {
 			name, value, _ := strings.Cut(string(r.Payload), "=")
 			if err == nil {
 				acked[name] = value
-				delete(unsure, name)
+				delete(unacknowledged, name)
 			} else {
-				unsure[name] = append(unsure[name], value)
+				unacknowledged[name] = append(unacknowledged[name], value)
 			}
 		}
 	}
 	if l != nil {
 		l.Close()
 	}
-	return acked, unsure
+	return acked, unacknowledged
 }
 
-// collectValues takes in records of kind 1.
-func collectValues(m map[string]string) func(Record) error {
+// collectValues returns a replay function that stores the records of kind 1.
+func collectValues(values map[string]string) func(Record) error {
 	return func(r Record) error {
 		if name, value, ok := strings.Cut(string(r.Payload), "="); ok && r.Kind == 1 {
-			m[name] = value
+			values[name] = value
 		}
 		return nil
 	}
 }
 
-// readValues opens a log and tells what stands under each name.
-func readValues(d disk.FS) (map[string]string, error) {
-	m := map[string]string{}
-	l, err := Open(d, testOptions, collectValues(m))
+// readValues opens a log and returns the value of each name.
+func readValues(fs disk.FS) (map[string]string, error) {
+	values := map[string]string{}
+	l, err := Open(fs, testOptions, collectValues(values))
 	if err == nil {
 		l.Close()
 	}
-	return m, err
+	return values, err
 }
 
-// The power goes at every step of a run with compactions, or each step fails once: what was acknowledged stands, and opening again finds the
-// same.
+// The power fails at every step of a run with compactions, or a single step fails. Acknowledged values
+// must be present, and each further opening must find the same values.
 func TestCompaction(t *testing.T) {
-	const n = 30
-	whole := crash.New()
-	writeValues(whole, n)
-	files, _ := whole.List()
+	const groups = 30
+	complete := crash.New()
+	writeValues(complete, groups)
+	files, _ := complete.List()
 	if len(files) > 8 {
 		t.Errorf("%d files are left", len(files))
 	}
-	check := func(what string, d *crash.Disk, acked map[string]string, unsure map[string][]string) {
+	check := func(context string, d *crash.Disk, acked map[string]string, unacknowledged map[string][]string) {
 		t.Helper()
 		first, err := readValues(d)
 		if err != nil {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", context, err)
 		}
 		for name, want := range acked {
-			if got := first[name]; got != want && !slices.Contains(unsure[name], got) {
-				t.Fatalf("%s: %s is %q, want %q", what, name, got, want)
+			if got := first[name]; got != want && !slices.Contains(unacknowledged[name], got) {
+				t.Fatalf("%s: %s is %q, want %q", context, name, got, want)
 			}
 		}
 		for range openCount - 1 {
 			if again, err := readValues(d); err != nil || !maps.Equal(again, first) {
-				t.Fatalf("%s: another opening finds %v, not %v: %v", what, again, first, err)
+				t.Fatalf("%s: another opening finds %v, not %v: %v", context, again, first, err)
 			}
 		}
 	}
-	for step := 1; step <= whole.Operations; step++ {
+	for step := 1; step <= complete.Operations; step++ {
 		for cut := -3; cut < 200; cut += 1 + max(0, cut)/2 {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
@@ -335,20 +343,20 @@
 				}
 				return nil
 			}
-			acked, unsure := writeValues(d, n)
-			check(fmt.Sprintf("step %d, cut %d", step, cut), d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+100)))), acked, unsure)
+			acked, unacknowledged := writeValues(d, groups)
+			check(fmt.Sprintf("step %d, cut %d", step, cut), d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+100)))), acked, unacknowledged)
 		}
-		for _, how := range []error{errors.New("input/output error"), crash.ErrShort} {
+		for _, failure := range []error{errors.New("input/output error"), crash.ErrShort} {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
 				if op == step {
-					return how
+					return failure
 				}
 				return nil
 			}
-			acked, unsure := writeValues(d, n)
+			acked, unacknowledged := writeValues(d, groups)
 			d.Fail = nil
-			check(fmt.Sprintf("step %d fails", step), d.Crash(-1, rand.New(rand.NewPCG(uint64(step), 1))), acked, unsure)
+			check(fmt.Sprintf("step %d fails", step), d.Crash(-1, rand.New(rand.NewPCG(uint64(step), 1))), acked, unacknowledged)
 		}
 	}
 }
--- a/internal/store/log/repair.go
+++ b/internal/store/log/repair.go
@@ -10,37 +10,39 @@
 	"linenloom/internal/store/disk"
 )
 
-// RepairResult tells what Repair has found and done. Without Twice it has changed nothing.
+// RepairResult describes what Repair has found and done. If Duplicate is false, nothing was changed.
 type RepairResult struct {
 	Duplicate                     bool
-	PrecedingFile                 string // the segment of which too much was counted
-	PrecedingSize                 int64  // how much of it counts
-	DuplicateFile                 string // the segment that begins with records of the one before
-	FirstDuplicate, LastDuplicate uint64 // the records that stood twice
-	NewFile                       string // the segment that now holds the records from First on
-	RecordsWritten                int    // how many
+	PrecedingFile                 string // segment whose valid length was declared too long
+	PrecedingSize                 int64  // correct valid length of that segment
+	DuplicateFile                 string // segment that begins with records of the preceding one
+	FirstDuplicate, LastDuplicate uint64 // sequences of the records that occur in both segments
+	NewFile                       string // segment that now holds the records from FirstDuplicate on
+	RecordsWritten                int    // number of records in NewFile
 }
 
-// Repair mends a log in which a segment begins with records that the one before counts too, and nothing else is wrong: openings up to
-// December 2026 left it so where the latest group had more than one record. All that was acknowledged stands in it. It copies each segment
-// to a folder that has none, and then writes the records from the first that stands twice on into a segment of their own, as one group:
-// after a crash that is whole or does not count. Nothing is removed or changed. It holds those records in memory.
+// Repair fixes a log in which a segment begins with records that the preceding segment also contains,
+// and which has no other damage. Versions up to December 2026 left such a log when they opened one
+// whose latest group had more than one record. All acknowledged records are still in it. Repair copies
+// each segment to a folder that contains none, and then writes all records from the first duplicate on
+// to a new segment as one group, which after a crash is either complete or not valid. Nothing is
+// removed or changed. The rewritten records are held in memory.
 //
-// Records that stand twice and differ, and any other damage, are named and left as they are.
-func Repair(fs, copies disk.FS) (m RepairResult, err error) {
+// Duplicate records that differ, and any other damage, are reported and left as they are.
+func Repair(fs, copyTo disk.FS) (result RepairResult, err error) {
 	lock, err := fs.Lock("LOCK")
 	if err != nil {
-		return m, fmt.Errorf("log: %w", err)
+		return result, fmt.Errorf("log: %w", err)
 	}
 	defer func() { err = errors.Join(err, lock.Close()) }()
 	l := &Log{fs: fs, nextSequence: 1}
-	all, err := l.listSegments()
+	segments, err := l.listSegments()
 	if err != nil {
-		return m, err
+		return result, err
 	}
-	chain, err := l.buildChain(all)
+	chain, err := l.buildChain(segments)
 	if err != nil {
-		return m, err
+		return result, err
 	}
 	for i := range chain {
 		if i == 0 {
@@ -48,88 +50,89 @@
 		}
 		found, err := l.findDuplicates(&chain[i-1], chain[i])
 		if err != nil {
-			return m, err
+			return result, err
 		}
-		if found.Duplicate && !m.Duplicate {
-			m = found
+		if found.Duplicate && !result.Duplicate {
+			result = found
 		}
 	}
-	var from []Record
+	var rewritten []Record
 	if _, err = l.replayChain(chain, func(r Record) error {
-		if m.Duplicate && r.Sequence >= m.FirstDuplicate {
+		if result.Duplicate && r.Sequence >= result.FirstDuplicate {
 			r.Payload = slices.Clone(r.Payload)
-			from = append(from, r)
+			rewritten = append(rewritten, r)
 		}
 		return nil
 	}); err != nil {
-		return m, err
+		return result, err
 	}
-	if err := l.checkLaterSegments(all, lastGeneration(chain)); err != nil || !m.Duplicate {
-		return m, err
+	if err := l.checkLaterSegments(segments, lastGeneration(chain)); err != nil || !result.Duplicate {
+		return result, err
 	}
-	if err := copySegments(fs, copies, all); err != nil {
-		return m, fmt.Errorf("log: the copy: %w", err)
+	if err := copySegments(fs, copyTo, segments); err != nil {
+		return result, fmt.Errorf("log: copying the segments: %w", err)
 	}
-	i := slices.IndexFunc(chain, func(s chainLink) bool { return segmentName(s.fileGeneration) == m.PrecedingFile })
-	l.validGeneration, l.validSize = chain[i].fileGeneration, m.PrecedingSize
-	if err := l.rewriteTail(from); err != nil {
-		return m, err
+	i := slices.IndexFunc(chain, func(s chainLink) bool { return segmentName(s.fileGeneration) == result.PrecedingFile })
+	l.validGeneration, l.validSize = chain[i].fileGeneration, result.PrecedingSize
+	if err := l.rewriteTail(rewritten); err != nil {
+		return result, err
 	}
-	m.NewFile, m.RecordsWritten = segmentName(l.latestGeneration), len(from)
-	return m, l.file.Close()
+	result.NewFile, result.RecordsWritten = segmentName(l.latestGeneration), len(rewritten)
+	return result, l.file.Close()
 }
 
-// findDuplicates finds where in a segment the first record of its follower stands, and counts no more than up to there. What stands behind it has
-// to be what the follower holds, as far as it can be read: nothing has ever told that it was on stable storage.
-func (l *Log) findDuplicates(s *chainLink, follower chainLink) (m RepairResult, err error) {
-	f, err := l.fs.Open(segmentName(s.fileGeneration))
+// findDuplicates searches a segment for the first record of its follower and limits the valid length of
+// the segment to that record. As far as they are readable, the records after that place must equal
+// those of the follower; nothing has ever confirmed them as durable.
+func (l *Log) findDuplicates(link *chainLink, follower chainLink) (result RepairResult, err error) {
+	file, err := l.fs.Open(segmentName(link.fileGeneration))
 	if err != nil {
-		return m, fmt.Errorf("log: %w", err)
+		return result, fmt.Errorf("log: %w", err)
 	}
-	defer f.Close()
-	g, err := l.fs.Open(segmentName(follower.fileGeneration))
+	defer file.Close()
+	followerFile, err := l.fs.Open(segmentName(follower.fileGeneration))
 	if err != nil {
-		return m, fmt.Errorf("log: %w", err)
-	}
-	defer g.Close()
-	w := segmentReader{file: f, fileName: segmentName(s.fileGeneration), size: min(f.Size(), s.size)}
-	v := segmentReader{file: g, fileName: segmentName(follower.fileGeneration), size: g.Size()}
-	other := int64(headerSize)
-	for at, seq := int64(headerSize), s.firstSequence; at < w.size; seq++ {
-		r, _, _, n, err := w.readFrame(at)
+		return result, fmt.Errorf("log: %w", err)
+	}
+	defer followerFile.Close()
+	reader := segmentReader{file: file, fileName: segmentName(link.fileGeneration), size: min(file.Size(), link.size)}
+	followerReader := segmentReader{file: followerFile, fileName: segmentName(follower.fileGeneration), size: followerFile.Size()}
+	followerOffset := int64(headerSize)
+	for offset, sequence := int64(headerSize), link.firstSequence; offset < reader.size; sequence++ {
+		record, _, _, length, err := reader.readFrame(offset)
 		if err != nil {
-			return m, err
+			return result, err
 		}
-		if n == 0 || r.Sequence != seq {
-			break // where it counts, the replay names it
+		if length == 0 || record.Sequence != sequence {
+			break // if the record is valid data, the replay reports the damage
 		}
-		if seq == follower.firstSequence {
-			m = RepairResult{Duplicate: true, PrecedingFile: w.fileName, PrecedingSize: at, DuplicateFile: v.fileName, FirstDuplicate: seq}
+		if sequence == follower.firstSequence {
+			result = RepairResult{Duplicate: true, PrecedingFile: reader.fileName, PrecedingSize: offset, DuplicateFile: followerReader.fileName, FirstDuplicate: sequence}
 		}
-		if m.Duplicate {
-			q, _, _, k, err := v.readFrame(other)
+		if result.Duplicate {
+			duplicate, _, _, duplicateLength, err := followerReader.readFrame(followerOffset)
 			switch {
 			case err != nil:
-				return m, err
-			case k == 0:
-				return m, &Damage{File: v.fileName, Offset: other, Reason: fmt.Sprintf("record %d is broken", seq)}
-			case q.Sequence != seq || q.Kind != r.Kind || !bytes.Equal(q.Payload, r.Payload):
-				return m, &Damage{File: v.fileName, Offset: other, Reason: fmt.Sprintf("record %d is another than in %s at byte %d", seq, w.fileName, at)}
+				return result, err
+			case duplicateLength == 0:
+				return result, &Damage{File: followerReader.fileName, Offset: followerOffset, Reason: fmt.Sprintf("record %d is broken", sequence)}
+			case duplicate.Sequence != sequence || duplicate.Kind != record.Kind || !bytes.Equal(duplicate.Payload, record.Payload):
+				return result, &Damage{File: followerReader.fileName, Offset: followerOffset, Reason: fmt.Sprintf("record %d differs from the one in %s at byte %d", sequence, reader.fileName, offset)}
 			}
-			m.LastDuplicate = seq
-			other += int64(k)
+			result.LastDuplicate = sequence
+			followerOffset += int64(duplicateLength)
 		}
-		at += int64(n)
+		offset += int64(length)
 	}
-	if m.Duplicate {
-		s.size = m.PrecedingSize
+	if result.Duplicate {
+		link.size = result.PrecedingSize
 	}
-	return m, nil
+	return result, nil
 }
 
-// copySegments copies segments into another folder, which must have none of them.
-func copySegments(from, to disk.FS, all []segment) error {
-	for _, s := range all {
+// copySegments copies segments to another folder, which must not contain any of them.
+func copySegments(from, to disk.FS, segments []segment) error {
+	for _, s := range segments {
 		if err := copySegment(from, to, segmentName(s.fileGeneration)); err != nil {
 			return err
 		}
@@ -138,18 +141,18 @@
 }
 
 func copySegment(from, to disk.FS, name string) error {
-	r, err := from.Open(name)
+	source, err := from.Open(name)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	w, err := to.Create(name)
+	defer source.Close()
+	target, err := to.Create(name)
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(w, io.NewSectionReader(r, 0, r.Size()))
+	_, err = io.Copy(target, io.NewSectionReader(source, 0, source.Size()))
 	if err == nil {
-		err = w.Sync()
+		err = target.Sync()
 	}
-	return errors.Join(err, w.Close())
+	return errors.Join(err, target.Close())
 }
--- a/internal/store/log/repair_test.go
+++ b/internal/store/log/repair_test.go
@@ -10,24 +10,25 @@
 	"linenloom/internal/store/crash"
 )
 
-// logWithDuplicates is a log as openings left it that counted of the latest group all but its last record, and wrote the whole group anew: with records
-// appended and rotations after that. It tells what was acknowledged, and where the segment begins that is spoilt.
-func logWithDuplicates(t *testing.T, groups int) (d *crash.Disk, acked []string) {
+// logWithDuplicates returns a log with duplicate records, as left by versions whose opening treated all
+// records of the latest group except the last as valid and then rewrote the whole group. Further
+// records and rotations follow. It also returns the acknowledged records.
+func logWithDuplicates(t *testing.T, groups int) (disk *crash.Disk, acked []string) {
 	t.Helper()
-	d = crash.New()
-	acked, _ = appendGroups(d, groups)
-	lock, err := d.Lock("")
+	disk = crash.New()
+	acked, _ = appendGroups(disk, groups)
+	lock, err := disk.Lock("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Log{fs: d, options: testOptions, lock: lock, nextSequence: 1}
-	all, err1 := l.listSegments()
-	chain, err2 := l.buildChain(all)
+	l := &Log{fs: disk, options: testOptions, lock: lock, nextSequence: 1}
+	segments, err1 := l.listSegments()
+	chain, err2 := l.buildChain(segments)
 	tail, err3 := l.replayChain(chain, func(Record) error { return nil })
 	if err := errors.Join(err1, err2, err3); err != nil || len(tail) < 2 {
 		t.Fatal(len(tail), err)
 	}
-	if l.validGeneration != lastGeneration(chain) { // nothing of the latest segment is vouched for: the fault left such a one alone
+	if l.validGeneration != lastGeneration(chain) { // without confirmed records in the latest segment the old versions wrote no duplicates
 		t.Fatal("the latest segment has one group")
 	}
 	for _, r := range tail[:len(tail)-1] {
@@ -47,10 +48,10 @@
 		}
 	}
 	lock.Close()
-	if _, _, err := openLog(t, d); !isDuplicateDamage(err) {
+	if _, _, err := openLog(t, disk); !isDuplicateDamage(err) {
 		t.Fatalf("it is not spoilt: %v", err)
 	}
-	return d, acked
+	return disk, acked
 }
 
 func isDuplicateDamage(err error) bool {
@@ -58,74 +59,76 @@
 	return errors.As(err, &d) && d.Duplicate
 }
 
-// A spoilt log is mended without a record lost; the copy is what it was before; a log that is whole, and damage of other kinds, are left alone.
+// Repair fixes a log with duplicate records without losing a record, and the copy equals the original.
+// Logs without duplicates and other kinds of damage are left unchanged.
 func TestRepair(t *testing.T) {
-	d, acked := logWithDuplicates(t, 4)
-	copies := crash.New()
-	before, _ := d.List()
-	m, err := Repair(d, copies)
-	if err != nil || !m.Duplicate || m.LastDuplicate < m.FirstDuplicate || m.RecordsWritten < 18 {
-		t.Fatalf("%+v, %v", m, err)
-	}
-	verifyRecovery(t, "mended", d, acked)
-	if names, _ := copies.List(); !slices.Equal(names, before) {
+	disk, acked := logWithDuplicates(t, 4)
+	copyTo := crash.New()
+	before, _ := disk.List()
+	result, err := Repair(disk, copyTo)
+	if err != nil || !result.Duplicate || result.LastDuplicate < result.FirstDuplicate || result.RecordsWritten < 18 {
+		t.Fatalf("%+v, %v", result, err)
+	}
+	verifyRecovery(t, "mended", disk, acked)
+	if names, _ := copyTo.List(); !slices.Equal(names, before) {
 		t.Errorf("the copy has %q, not %q", names, before)
 	}
-	if _, _, err := openLog(t, copies); !isDuplicateDamage(err) {
+	if _, _, err := openLog(t, copyTo); !isDuplicateDamage(err) {
 		t.Errorf("the copy opens with %v", err)
 	}
-	ops := d.Operations
-	if m, err := Repair(d, crash.New()); err != nil || m.Duplicate || d.Operations != ops {
-		t.Errorf("a whole log: %+v, %v, %d changes", m, err, d.Operations-ops)
+	ops := disk.Operations
+	if result, err := Repair(disk, crash.New()); err != nil || result.Duplicate || disk.Operations != ops {
+		t.Errorf("a whole log: %+v, %v, %d changes", result, err, disk.Operations-ops)
 	}
-	d, _ = logWithDuplicates(t, 4)
-	copies = crash.New()
-	if f, err := copies.Create(segmentName(1)); err != nil || f == nil {
+	disk, _ = logWithDuplicates(t, 4)
+	copyTo = crash.New()
+	if f, err := copyTo.Create(segmentName(1)); err != nil || f == nil {
 		t.Fatal(err)
 	}
-	ops = d.Operations
-	if _, err := Repair(d, copies); err == nil || d.Operations != ops {
-		t.Errorf("a folder with another log for the copy: %v, %d changes", err, d.Operations-ops)
-	}
-	for _, at := range []int64{m.PrecedingSize + frameSize, m.PrecedingSize - 1} { // a record that stands twice, and one that stands once
-		d, _ = logWithDuplicates(t, 4)
-		d.FlipBit(m.PrecedingFile, int(at*8))
-		ops = d.Operations
-		m, err := Repair(d, crash.New())
-		if at >= m.PrecedingSize && m.Duplicate {
-			continue // it can't be read there, nothing ever vouched for it, and its follower has it
+	ops = disk.Operations
+	if _, err := Repair(disk, copyTo); err == nil || disk.Operations != ops {
+		t.Errorf("a folder with another log for the copy: %v, %d changes", err, disk.Operations-ops)
+	}
+	for _, at := range []int64{result.PrecedingSize + frameSize, result.PrecedingSize - 1} { // a duplicate record, and one that occurs once
+		disk, _ = logWithDuplicates(t, 4)
+		disk.FlipBit(result.PrecedingFile, int(at*8))
+		ops = disk.Operations
+		result, err := Repair(disk, crash.New())
+		if at >= result.PrecedingSize && result.Duplicate {
+			continue // the record is unreadable here, was never confirmed, and the follower contains it
 		}
-		if !errors.Is(err, ErrDamage) || d.Operations != ops {
-			t.Errorf("bit flipped at byte %d: %v, %d changes", at, err, d.Operations-ops)
+		if !errors.Is(err, ErrDamage) || disk.Operations != ops {
+			t.Errorf("bit flipped at byte %d: %v, %d changes", at, err, disk.Operations-ops)
 		}
 	}
 }
 
-// The power goes, or a step fails, at every step of a repair: it is as before, or mended, and in the end nothing is lost.
+// The power fails at every step of a repair. The log must be either unchanged or repaired, and after
+// another repair if necessary no record is lost.
 func TestPowerLossDuringRepair(t *testing.T) {
-	whole, _ := logWithDuplicates(t, 4)
-	first := whole.Operations
-	if _, err := Repair(whole, crash.New()); err != nil {
+	complete, _ := logWithDuplicates(t, 4)
+	first := complete.Operations
+	if _, err := Repair(complete, crash.New()); err != nil {
 		t.Fatal(err)
 	}
-	for step := first + 1; step <= whole.Operations; step++ {
+	for step := first + 1; step <= complete.Operations; step++ {
 		for cut := 0; cut < 3000; cut += 1 + cut {
-			d, acked := logWithDuplicates(t, 4)
-			d.Fail = func(op int, _ string) error {
+			disk, acked := logWithDuplicates(t, 4)
+			disk.Fail = func(op int, _ string) error {
 				if op >= step {
 					return errPower
 				}
 				return nil
 			}
-			if _, err := Repair(d, crash.New()); !errors.Is(err, errPower) {
+			if _, err := Repair(disk, crash.New()); !errors.Is(err, errPower) {
 				t.Fatalf("step %d: %v", step, err)
 			}
-			after := d.Crash(cut, nil)
+			after := disk.Crash(cut, nil)
 			if l, _, err := openLog(t, after); err == nil {
 				l.Close()
 			} else if isDuplicateDamage(err) {
-				if m, err := Repair(after, crash.New()); err != nil || !m.Duplicate {
-					t.Fatalf("step %d, cut %d: again %+v, %v", step, cut, m, err)
+				if result, err := Repair(after, crash.New()); err != nil || !result.Duplicate {
+					t.Fatalf("step %d, cut %d: again %+v, %v", step, cut, result, err)
 				}
 			}
 			verifyRecovery(t, fmt.Sprintf("step %d, cut %d", step, cut), after, acked)
--- a/internal/store/log/window.go
+++ b/internal/store/log/window.go
@@ -9,7 +9,8 @@
 	"linenloom/internal/store/disk"
 )
 
-// segmentReader reads a segment through a buffer that is no longer than the longest record and some more.
+// segmentReader reads a segment through a buffer that is at most slightly larger than the longest
+// record.
 type segmentReader struct {
 	file         disk.Reader
 	fileName     string
@@ -18,32 +19,33 @@
 	buffer       []byte
 }
 
+// minReadSize is the number of bytes that are read from the file at once, unless more are requested.
 const minReadSize = 256 << 10
 
-// readAt is so many bytes from a place on, or as many as there are.
-func (w *segmentReader) readAt(at int64, n int) ([]byte, error) {
-	n = int(min(int64(n), w.size-at))
-	if at < w.bufferOffset || at+int64(n) > w.bufferOffset+int64(len(w.buffer)) {
-		size := min(int64(max(n, minReadSize)), w.size-at)
-		if int64(cap(w.buffer)) < size {
-			w.buffer = make([]byte, size)
+// readAt returns n bytes at an offset, or fewer at the end of the segment.
+func (s *segmentReader) readAt(offset int64, n int) ([]byte, error) {
+	n = int(min(int64(n), s.size-offset))
+	if offset < s.bufferOffset || offset+int64(n) > s.bufferOffset+int64(len(s.buffer)) {
+		size := min(int64(max(n, minReadSize)), s.size-offset)
+		if int64(cap(s.buffer)) < size {
+			s.buffer = make([]byte, size)
 		}
-		w.buffer, w.bufferOffset = w.buffer[:size], at
-		if k, err := w.file.ReadAt(w.buffer, at); err != nil && (!errors.Is(err, io.EOF) || int64(k) < size) {
-			return nil, fmt.Errorf("log: %s: %w", w.fileName, err)
+		s.buffer, s.bufferOffset = s.buffer[:size], offset
+		if read, err := s.file.ReadAt(s.buffer, offset); err != nil && (!errors.Is(err, io.EOF) || int64(read) < size) {
+			return nil, fmt.Errorf("log: %s: %w", s.fileName, err)
 		}
 	}
-	return w.buffer[at-w.bufferOffset : at-w.bufferOffset+int64(n)], nil
+	return s.buffer[offset-s.bufferOffset : offset-s.bufferOffset+int64(n)], nil
 }
 
-// readFrame reads the frame at a place; size is 0 if there is none whole.
-func (w *segmentReader) readFrame(at int64) (r Record, durable uint64, last bool, size int, err error) {
-	b, err := w.readAt(at, frameSize)
+// readFrame reads the frame at an offset. size is 0 if there is no complete and valid frame.
+func (s *segmentReader) readFrame(offset int64) (r Record, durable uint64, last bool, size int, err error) {
+	b, err := s.readAt(offset, frameSize)
 	if err != nil {
 		return r, 0, false, 0, err
 	}
 	if n := frameLength(b); n > 0 {
-		if b, err = w.readAt(at, n); err != nil {
+		if b, err = s.readAt(offset, n); err != nil {
 			return r, 0, false, 0, err
 		}
 	}
@@ -51,7 +53,7 @@
 	return r, durable, last, size, nil
 }
 
-// frameLength is how long the frame is that begins here; 0: that can't be told.
+// frameLength returns the length of the frame that starts at b, or 0 if it cannot be determined.
 func frameLength(b []byte) int {
 	if len(b) < frameSize {
 		return 0
@@ -62,26 +64,28 @@
 	return 0
 }
 
-// checkTorn tells whether a crash explains that the record expected here is broken. It does not, if a later record says that this one was on
-// stable storage before it was written itself.
-func (w *segmentReader) checkTorn(at int64, seq uint64) error {
-	for p := at + 1; p+frameSize <= w.size; p++ {
-		b, err := w.readAt(p, frameSize)
+// checkTorn returns Damage if a crash does not explain that the record with the given sequence is
+// broken at this offset. That is the case if a later record states that this one was on stable storage
+// before the later one was written.
+func (s *segmentReader) checkTorn(offset int64, broken uint64) error {
+	for position := offset + 1; position+frameSize <= s.size; position++ {
+		data, err := s.readAt(position, frameSize)
 		if err != nil {
 			return err
 		}
-		// Most places are told by the sequence alone: one that follows the broken record, and names it as durable.
-		got, durable := binary.LittleEndian.Uint64(b[4:]), binary.LittleEndian.Uint64(b[12:])
-		n := frameLength(b)
-		if got <= seq || durable < seq || durable >= got || n == 0 || p+int64(n) > w.size {
+		// Most offsets are ruled out by the sequences alone: a match needs a frame with a later
+		// sequence that states that the broken record was durable.
+		sequence, durable := binary.LittleEndian.Uint64(data[4:]), binary.LittleEndian.Uint64(data[12:])
+		length := frameLength(data)
+		if sequence <= broken || durable < broken || durable >= sequence || length == 0 || position+int64(length) > s.size {
 			continue
 		}
-		r, _, _, size, err := w.readFrame(p)
+		r, _, _, size, err := s.readFrame(position)
 		if err != nil {
 			return err
 		}
 		if size > 0 {
-			return &Damage{File: w.fileName, Offset: at, Reason: fmt.Sprintf("record %d is broken, and was whole when record %d was written", seq, r.Sequence)}
+			return &Damage{File: s.fileName, Offset: offset, Reason: fmt.Sprintf("record %d is broken, and was whole when record %d was written", broken, r.Sequence)}
 		}
 	}
 	return nil
