--- a/internal/flags/flags.go
+++ b/internal/flags/flags.go
@@ -1,4 +1,4 @@
-// Package flags reads the flags of commands that operators call by hand. It decides nothing else about them.
+// Package flags parses the flags of operator commands.
 package flags
 
 import (
@@ -8,24 +8,24 @@
 	"io"
 )
 
-// ErrUsage tells that the flags could not be read, and that why has been told.
+// ErrUsage reports that the flags could not be parsed and that the cause has been printed.
 var ErrUsage = errors.New("usage")
 
-// Parse reads flags; those named must be given, and nothing else may follow them.
-func Parse(f *flag.FlagSet, errs io.Writer, args []string, must ...string) error {
-	f.SetOutput(errs)
-	if err := f.Parse(args); err != nil {
-		return ErrUsage // it has been told
+// Parse parses args. The required flags must be given, and no arguments may follow the flags.
+func Parse(flagSet *flag.FlagSet, output io.Writer, args []string, required ...string) error {
+	flagSet.SetOutput(output)
+	if err := flagSet.Parse(args); err != nil {
+		return ErrUsage // flagSet.Parse has printed the error
 	}
 	given := map[string]bool{}
-	f.Visit(func(g *flag.Flag) { given[g.Name] = true })
-	for _, m := range must {
-		if !given[m] {
-			return fmt.Errorf("-%s is missing", m)
+	flagSet.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	for _, name := range required {
+		if !given[name] {
+			return fmt.Errorf("-%s is missing", name)
 		}
 	}
-	if f.NArg() > 0 {
-		return fmt.Errorf("unexpected argument %q", f.Arg(0))
+	if flagSet.NArg() > 0 {
+		return fmt.Errorf("unexpected argument %q", flagSet.Arg(0))
 	}
 	return nil
 }
--- a/internal/ordercmd/ordercmd.go
+++ b/internal/ordercmd/ordercmd.go
@@ -1,5 +1,6 @@
-// Package ordercmd is the command for the record of orders, for an operator by hand: what is on record, what is unknown, and settling what has
-// been looked up. It works on a folder that no process has open, says so where one has, and is no part of serving.
+// Package ordercmd implements the operator command for the record of orders: it lists orders, shows
+// one, records the outcome of unknown ones, and checks and compacts the record. It works on a folder
+// that no process has open and fails if one has. The serving process does not use it.
 package ordercmd
 
 import (
@@ -21,21 +22,22 @@
 
 const usageStatus = 2
 
-const usage = `usage: linenloom orders list -dir DIR [-state unknown]     what is on record, by the time of the latest change
-       linenloom orders show -dir DIR -tenant T -key K    all that is on record of an order
+const usage = `usage: linenloom orders list -dir DIR [-state unknown]     list the orders by the time of their latest change
+       linenloom orders show -dir DIR -tenant T -key K    show an order
        linenloom orders settle -dir DIR -tenant T -key K -as done|never_ran -by NAME [-receipt FILE]
-                                                          put on record what has become of an unknown order
-       linenloom orders check -dir DIR                    read all of it, and name damage by file and byte
-       linenloom orders compact -dir DIR                  write anew what is on record, and remove the rest
-No process may have the folder open. What was in hand when the last one ended is unknown, if it had been sent.
+                                                          record the outcome of an unknown order
+       linenloom orders check -dir DIR                    read the whole record and report damage by file and byte
+       linenloom orders compact -dir DIR                  rewrite the current entries and remove superseded ones
+No process may have the folder open. Orders that had been sent and were in progress when the last process ended are unknown.
 `
 
-// Run runs the command.
+// Run runs the command and returns its exit status.
 func Run(args []string) int {
 	return run(args, os.Stdout, os.Stderr, ledger.WallClock)
 }
 
-// command is the flags that a command needs, and what it does with the open ledger.
+// command is a subcommand: the flags that it requires, and the function that runs it on the open
+// ledger.
 type command struct {
 	requiredFlags []string
 	run           func(l *ledger.Ledger, out io.Writer) error
@@ -46,60 +48,60 @@
 	if len(args) > 0 {
 		name = args[0]
 	}
-	f := flag.NewFlagSet("orders "+name, flag.ContinueOnError)
-	dir := f.String("dir", "", "the folder of the record")
-	c := commands(f)[name]
-	if c == nil {
+	flagSet := flag.NewFlagSet("orders "+name, flag.ContinueOnError)
+	dir := flagSet.String("dir", "", "folder of the record")
+	selected := commands(flagSet)[name]
+	if selected == nil {
 		fmt.Fprint(errs, usage)
 		return usageStatus
 	}
-	if err := flags.Parse(f, errs, args[1:], append([]string{"dir"}, c.requiredFlags...)...); err != nil {
+	if err := flags.Parse(flagSet, errs, args[1:], append([]string{"dir"}, selected.requiredFlags...)...); err != nil {
 		if !errors.Is(err, flags.ErrUsage) {
 			fmt.Fprintf(errs, "linenloom orders %s: %v\n", name, err)
 		}
 		return usageStatus
 	}
-	if err := withLedger(*dir, now, out, c.run); err != nil {
+	if err := withLedger(*dir, now, out, selected.run); err != nil {
 		fmt.Fprintf(errs, "linenloom orders %s: %v\n", name, err)
 		return 1
 	}
 	return 0
 }
 
-// withLedger opens the ledger in a folder that is there.
-func withLedger(dir string, now func() time.Duration, out io.Writer, do func(*ledger.Ledger, io.Writer) error) error {
+// withLedger opens the ledger in an existing folder, calls operation and closes the ledger.
+func withLedger(dir string, now func() time.Duration, out io.Writer, operation func(*ledger.Ledger, io.Writer) error) error {
 	if err := disk.Dir(dir).CheckExists(); err != nil {
 		return err
 	}
-	l, err := ledger.Open(disk.Dir(dir), ledger.Unbounded, now)
+	opened, err := ledger.Open(disk.Dir(dir), ledger.Unbounded, now)
 	var damage *log.Damage
 	switch {
 	case errors.As(err, &damage):
-		return fmt.Errorf("%w\nNothing was changed. A copy of the folder from before the damage, or the segments up to it, hold what was on record until then", err)
+		return fmt.Errorf("%w\nNothing was changed. A copy of the folder from before the damage, or the segments up to the damage, contain the record up to that point", err)
 	case err != nil:
 		return err
 	}
-	return errors.Join(do(l, out), l.Close())
+	return errors.Join(operation(opened, out), opened.Close())
 }
 
-func commands(f *flag.FlagSet) map[string]*command {
-	state, as := f.String("state", "", "only orders in this state"), f.String("as", "", "done or never_ran")
-	tenant, key := f.String("tenant", "", "the order's tenant"), f.String("key", "", "its idempotency key, or its request's id")
-	by, file := f.String("by", "", "who has looked it up"), f.String("receipt", "", "the file that holds the receipt of an order that is done")
+func commands(flagSet *flag.FlagSet) map[string]*command {
+	state, outcome := flagSet.String("state", "", "only orders in this state"), flagSet.String("as", "", "done or never_ran")
+	tenant, key := flagSet.String("tenant", "", "the order's tenant"), flagSet.String("key", "", "the order's idempotency key, or the request id if there was none")
+	operator, receiptFile := flagSet.String("by", "", "name of the operator who determined the outcome"), flagSet.String("receipt", "", "file with the receipt of an order that is done")
 	return map[string]*command{
-		"list": {run: func(l *ledger.Ledger, out io.Writer) error {
-			t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-			fmt.Fprintln(t, "state\tchanged\ttenant\tkey\tsent\tto\tsettled by")
-			l.All(func(e *orders.Entry) bool {
+		"list": {run: func(record *ledger.Ledger, out io.Writer) error {
+			table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+			fmt.Fprintln(table, "state\tchanged\ttenant\tkey\tsent\tto\tsettled by")
+			record.All(func(e *orders.Entry) bool {
 				if *state == "" || *state == e.State.String() {
-					fmt.Fprintf(t, "%v\t%s\t%q\t%q\t%d\t%s\t%s\n", e.State, formatTime(e.ChangedAt), e.Tenant, e.Key, e.Attempts, e.Member, e.ReportedBy)
+					fmt.Fprintf(table, "%v\t%s\t%q\t%q\t%d\t%s\t%s\n", e.State, formatTime(e.ChangedAt), e.Tenant, e.Key, e.Attempts, e.Member, e.ReportedBy)
 				}
 				return true
 			})
-			return t.Flush()
+			return table.Flush()
 		}},
-		"show": {requiredFlags: []string{"tenant", "key"}, run: func(l *ledger.Ledger, out io.Writer) error {
-			e, ok := l.Get(orders.Name{Tenant: *tenant, Key: *key})
+		"show": {requiredFlags: []string{"tenant", "key"}, run: func(record *ledger.Ledger, out io.Writer) error {
+			e, ok := record.Get(orders.Name{Tenant: *tenant, Key: *key})
 			if !ok {
 				return errors.New("no such order is on record")
 			}
@@ -107,38 +109,38 @@
 				e.State, formatTime(e.ChangedAt), e.Attempts, e.Member, e.Token, e.ReportedBy, e.Digest, len(e.Receipt), e.Receipt)
 			return nil
 		}},
-		"settle": {requiredFlags: []string{"tenant", "key", "as", "by"}, run: func(l *ledger.Ledger, out io.Writer) error {
+		"settle": {requiredFlags: []string{"tenant", "key", "as", "by"}, run: func(record *ledger.Ledger, out io.Writer) error {
 			states := map[string]orders.State{"done": orders.Done, "never_ran": orders.NeverRan}
-			s, ok := states[*as]
+			settled, ok := states[*outcome]
 			if !ok {
-				return fmt.Errorf("-as is done or never_ran, not %q", *as)
+				return fmt.Errorf("-as is done or never_ran, not %q", *outcome)
 			}
 			var receipt []byte
-			if *file != "" {
+			if *receiptFile != "" {
 				var err error
-				if receipt, err = os.ReadFile(*file); err != nil {
+				if receipt, err = os.ReadFile(*receiptFile); err != nil {
 					return err
 				}
 			}
-			if strings.TrimSpace(*by) == "" {
+			if strings.TrimSpace(*operator) == "" {
 				return errors.New("-by is empty")
 			}
-			if err := l.Settle(orders.Name{Tenant: *tenant, Key: *key}, s, receipt, *by); err != nil {
+			if err := record.Settle(orders.Name{Tenant: *tenant, Key: *key}, settled, receipt, *operator); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "settled as %v\n", s)
+			fmt.Fprintf(out, "settled as %v\n", settled)
 			return nil
 		}},
-		"check": {run: func(l *ledger.Ledger, out io.Writer) error {
+		"check": {run: func(record *ledger.Ledger, out io.Writer) error {
 			counts := map[orders.State]int{}
-			l.All(func(e *orders.Entry) bool { counts[e.State]++; return true })
-			for s := orders.Taken; s <= orders.Unknown; s++ {
-				fmt.Fprintf(out, "%-10v %d\n", s, counts[s])
+			record.All(func(e *orders.Entry) bool { counts[e.State]++; return true })
+			for state := orders.Taken; state <= orders.Unknown; state++ {
+				fmt.Fprintf(out, "%-10v %d\n", state, counts[state])
 			}
 			return nil
 		}},
-		"compact": {run: func(l *ledger.Ledger, out io.Writer) error {
-			if err := l.Compact(); err != nil {
+		"compact": {run: func(record *ledger.Ledger, out io.Writer) error {
+			if err := record.Compact(); err != nil {
 				return err
 			}
 			fmt.Fprintln(out, "compacted")
--- a/internal/storecmd/storecmd_test.go
+++ b/internal/storecmd/storecmd_test.go
@@ -12,7 +12,7 @@
 
 func TestCheckAndDump(t *testing.T) {
 	dir := t.TempDir()
-	call := func(want int, args ...string) string {
+	runCommand := func(want int, args ...string) string {
 		t.Helper()
 		var out, errs bytes.Buffer
 		if got := run(args, &out, &errs); got != want {
@@ -20,35 +20,35 @@
 		}
 		return out.String() + errs.String()
 	}
-	if got := call(0, "check", dir); got != "no record\n" {
+	if got := runCommand(0, "check", dir); got != "no record\n" {
 		t.Errorf("an empty folder: %q", got)
 	}
-	l, err := log.Open(disk.Dir(dir), log.Options{SegmentSize: 400}, func(log.Record) error { return nil })
+	opened, err := log.Open(disk.Dir(dir), log.Options{SegmentSize: 400}, func(log.Record) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := orders.Entry{State: orders.Sent, Name: orders.Name{Tenant: "kiosk", Key: "k1"}, Attempts: 1}
-	for _, p := range [][]byte{[]byte("first\x00"), e.Append(nil)} {
-		if _, err := l.Append(1, p); err != nil {
+	entry := orders.Entry{State: orders.Sent, Name: orders.Name{Tenant: "kiosk", Key: "k1"}, Attempts: 1}
+	for _, payload := range [][]byte{[]byte("first\x00"), entry.Append(nil)} {
+		if _, err := opened.Append(1, payload); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := call(1, "check", dir); !strings.Contains(got, "another process") {
+	if got := runCommand(1, "check", dir); !strings.Contains(got, "another process") {
 		t.Errorf("in use: %q", got)
 	}
-	l.Close()
+	opened.Close()
 	want := "1 kind 1, 6 bytes: \"fir\"\n2 kind 1, 50 bytes: order \"kiosk\" \"k1\" sent, sent 1 times\n2 records, 1 to 2, 56 bytes: whole\n"
-	if got := call(0, "dump", "-bytes", "3", dir); got != want {
+	if got := runCommand(0, "dump", "-bytes", "3", dir); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	call(2, "compact", dir)
-	call(2, "repair", dir)
-	if got := call(0, "repair", "-copy", dir+"/copy", dir); !strings.Contains(got, "nothing was changed") {
+	runCommand(2, "compact", dir)
+	runCommand(2, "repair", dir)
+	if got := runCommand(0, "repair", "-copy", dir+"/copy", dir); !strings.Contains(got, "nothing was changed") {
 		t.Errorf("a whole log is mended: %q", got)
 	}
-	if got := call(1, "repair", "-copy", dir, dir); !strings.Contains(got, "is not empty") {
+	if got := runCommand(1, "repair", "-copy", dir, dir); !strings.Contains(got, "is not empty") {
 		t.Errorf("a copy over the log: %q", got)
 	}
-	call(2, "dump")
-	call(1, "check", dir+"/none")
+	runCommand(2, "dump")
+	runCommand(1, "check", dir+"/none")
 }
