--- a/internal/orders/ledger/ledger_test.go
+++ b/internal/orders/ledger/ledger_test.go
@@ -149,7 +149,7 @@
 }
 
 // runWriters lets eight concurrent clients process orders without end. It prints "ran" before an order
-// is ended and "told" once its receipt is on record.
+// is ended and "recorded" once its receipt is on record.
 func runWriters(dir disk.Dir, out io.Writer) int {
 	ledger, err := Open(dir, testOptions, clock)
 	if err != nil {
@@ -179,7 +179,7 @@
 				if ledger.End(orderName(number), orders.Done, []byte("r"), "") != nil {
 					return
 				}
-				report("told", number)
+				report("recorded", number)
 			}
 		})
 	}
@@ -210,7 +210,7 @@
 		for n := 0; lines.Scan(); n++ {
 			what, number := "", 0
 			if k, err := fmt.Sscan(lines.Text(), &what, &number); k == 2 && err == nil {
-				if highest = max(highest, number+1); what == "told" {
+				if highest = max(highest, number+1); what == "recorded" {
 					observed.reported[orderName(number)] = []byte("r")
 				}
 				observed.ran[orderName(number)] = true
--- a/internal/orders/ledger/model_test.go
+++ b/internal/orders/ledger/model_test.go
@@ -41,9 +41,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Minute // the clock may jump back
 		clock := func() time.Duration { return now }
-		opt := Options{Limits: orders.Limits{Retention: 1 << 60, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 700, CompactAfter: 20}
-		d := crash.New()
-		l, err := Open(d, opt, clock)
+		options := Options{Limits: orders.Limits{Retention: 1 << 60, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 700, CompactAfter: 20}
+		disk := crash.New()
+		ledger, err := Open(disk, options, clock)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,40 +51,40 @@
 		reopen := func(t *rapid.T) {
 			var first map[orders.Name]orders.State
 			for range 3 {
-				if l, err = Open(d, opt, clock); err != nil {
+				if ledger, err = Open(disk, options, clock); err != nil {
 					t.Fatal(err)
 				}
-				got := map[orders.Name]orders.State{}
-				l.All(func(e *orders.Entry) bool {
-					got[e.Name] = e.State
-					k := model[e.Name]
-					if k == nil || e.State != stateAfterOpen(k.acknowledged) && (k.requested == 0 || e.State != stateAfterOpen(k.requested)) {
-						t.Fatalf("%s is %v; the map has %+v", e.Key, e.State, k)
+				found := map[orders.Name]orders.State{}
+				ledger.All(func(e *orders.Entry) bool {
+					found[e.Name] = e.State
+					expected := model[e.Name]
+					if expected == nil || e.State != stateAfterOpen(expected.acknowledged) && (expected.requested == 0 || e.State != stateAfterOpen(expected.requested)) {
+						t.Fatalf("%s is %v; the map has %+v", e.Key, e.State, expected)
 					}
-					if e.State == orders.Done && string(e.Receipt) != k.receipt {
-						t.Fatalf("%s has the receipt %q, not %q", e.Key, e.Receipt, k.receipt)
+					if e.State == orders.Done && string(e.Receipt) != expected.receipt {
+						t.Fatalf("%s has the receipt %q, not %q", e.Key, e.Receipt, expected.receipt)
 					}
 					return true
 				})
-				for n, k := range model {
-					if got[n] == 0 && k.acknowledged != 0 {
-						t.Fatalf("%s is lost, which was %v", n.Key, k.acknowledged)
+				for n, expected := range model {
+					if found[n] == 0 && expected.acknowledged != 0 {
+						t.Fatalf("%s is lost, which was %v", n.Key, expected.acknowledged)
 					}
 				}
 				if first == nil {
-					first = got
-				} else if !maps.Equal(first, got) {
-					t.Fatalf("another opening says %v, not %v", got, first)
+					first = found
+				} else if !maps.Equal(first, found) {
+					t.Fatalf("another opening says %v, not %v", found, first)
 				}
-				if err := l.Close(); err != nil {
+				if err := ledger.Close(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if l, err = Open(d, opt, clock); err != nil {
+			if ledger, err = Open(disk, options, clock); err != nil {
 				t.Fatal(err)
 			}
 			model = map[orders.Name]*modelOrder{}
-			l.All(func(e *orders.Entry) bool {
+			ledger.All(func(e *orders.Entry) bool {
 				model[e.Name] = &modelOrder{acknowledged: e.State, receipt: string(e.Receipt)}
 				return true
 			})
@@ -104,11 +104,11 @@
 					}
 					jobs = append(jobs, job{n, model[n], rapid.SampledFrom([]orders.State{0, orders.Done, orders.Done, orders.NeverRan, orders.Unknown}).Draw(t, "ends")})
 				}
-				from, to := d.Operations+rapid.IntRange(1, 12).Draw(t, "fails from"), 0
+				from, to := disk.Operations+rapid.IntRange(1, 12).Draw(t, "fails from"), 0
 				if rapid.Bool().Draw(t, "fails") {
 					to = from + rapid.IntRange(0, 8).Draw(t, "for")
 				}
-				d.Fail = func(op int, _ string) error {
+				disk.Fail = func(op int, _ string) error {
 					for range 50 { // let other writers queue up and share the next sync
 						runtime.Gosched()
 					}
@@ -128,28 +128,28 @@
 							j.order.acknowledged, j.order.requested = s, 0
 							return true
 						}
-						v, _, err := l.Take(orders.Order{Name: j.name})
+						v, _, err := ledger.Take(orders.Order{Name: j.name})
 						if err == nil && v != orders.Proceed || !step(orders.Taken, err) {
 							return
 						}
 						if j.ends == orders.NeverRan {
-							step(j.ends, l.End(j.name, j.ends, nil, ""))
+							step(j.ends, ledger.End(j.name, j.ends, nil, ""))
 							return
 						}
-						if !step(orders.Sent, l.Send(j.name, "o-1")) || j.ends == 0 {
+						if !step(orders.Sent, ledger.Send(j.name, "o-1")) || j.ends == 0 {
 							return
 						}
 						j.order.receipt = "receipt of " + j.name.Key
-						step(j.ends, l.End(j.name, j.ends, []byte(j.order.receipt), ""))
+						step(j.ends, ledger.End(j.name, j.ends, []byte(j.order.receipt), ""))
 					})
 				}
 				writers.Wait()
-				d.Fail = nil
+				disk.Fail = nil
 			},
-			"compact":  func(t *rapid.T) { l.Compact() },
+			"compact":  func(t *rapid.T) { ledger.Compact() },
 			"the time": func(t *rapid.T) { now = time.Duration(rapid.Int64Range(0, int64(48*time.Hour)).Draw(t, "now")) },
 			"close and open": func(t *rapid.T) {
-				if err := l.Close(); err != nil {
+				if err := ledger.Close(); err != nil {
 					t.Skip(fmt.Sprint("not closed: ", err))
 				}
 				reopen(t)
@@ -157,7 +157,7 @@
 			"crash": func(t *rapid.T) {
 				cut := rapid.IntRange(-1, 200).Draw(t, "cut")
 				rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-				d = d.Crash(cut, rng)
+				disk = disk.Crash(cut, rng)
 				reopen(t)
 			},
 		})
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -162,22 +162,22 @@
 }
 
 // completeOrder processes an order up to state Done with a receipt.
-func completeOrder(t *testing.T, b *Table, now time.Duration, o Order) {
+func completeOrder(t *testing.T, table *Table, now time.Duration, o Order) {
 	t.Helper()
-	v, _, e := b.Take(now, o)
+	v, _, e := table.Take(now, o)
 	if v != Proceed {
 		t.Fatalf("%v: %v", o.Name, v)
 	}
-	b.MarkDurable(e)
+	table.MarkDurable(e)
 	for _, step := range []func() (*Entry, error){
-		func() (*Entry, error) { return b.Send(now, o.Name, "o-1") },
-		func() (*Entry, error) { return b.End(now, o.Name, Done, make([]byte, 10), "") },
+		func() (*Entry, error) { return table.Send(now, o.Name, "o-1") },
+		func() (*Entry, error) { return table.End(now, o.Name, Done, make([]byte, 10), "") },
 	} {
 		e, err := step()
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.MarkDurable(e)
+		table.MarkDurable(e)
 	}
 }
 
--- a/internal/store/log/log.go
+++ b/internal/store/log/log.go
@@ -370,7 +370,7 @@
 		<-pending.done
 		l.mu.Lock()
 	} else {
-		for l.writing = true; l.pendingGroup != nil; { // includes records that are added meanwhile
+		for l.writing = true; l.pendingGroup != nil; { // includes records that other callers add during a write
 			l.writeGroup()
 		}
 		l.writing = false
@@ -443,7 +443,7 @@
 	}
 	l.writing = true
 	defer func() {
-		for l.pendingGroup != nil { // records that were added meanwhile
+		for l.pendingGroup != nil { // records that other callers added during the compaction
 			l.writeGroup()
 		}
 		l.writing = false
--- a/internal/store/log/log_test.go
+++ b/internal/store/log/log_test.go
@@ -45,17 +45,17 @@
 // appendGroups appends groups of records and reopens the log every seven groups. It returns the
 // acknowledged records in order and the number of records attempted.
 func appendGroups(storage *crash.Disk, groups int) (acked []string, attempted int) {
-	var l *Log
+	var opened *Log
 	for i := range groups {
 		size := 1 + i*5%maxGroupSize
 		attempted += size
-		if l == nil || i%7 == 6 {
-			if l != nil {
-				l.Close()
+		if opened == nil || i%7 == 6 {
+			if opened != nil {
+				opened.Close()
 			}
 			var err error
-			if l, err = Open(storage, testOptions, func(Record) error { return nil }); err != nil {
-				l = nil // the next group tries to open it again
+			if opened, err = Open(storage, testOptions, func(Record) error { return nil }); err != nil {
+				opened = nil // the next group tries to open it again
 				continue
 			}
 		}
@@ -63,14 +63,14 @@
 		for k := range size {
 			records = append(records, Record{Kind: byte(i), Payload: []byte(fmt.Sprintf("order %d.%d %s", i, k, string(make([]byte, i%40))))})
 		}
-		if appendGroup(l, records...) == nil {
+		if appendGroup(opened, records...) == nil {
 			for _, r := range records {
 				acked = append(acked, fmt.Sprintf("%d:%d:%s", r.Sequence, r.Kind, r.Payload))
 			}
 		}
 	}
-	if l != nil {
-		l.Close()
+	if opened != nil {
+		opened.Close()
 	}
 	return acked, attempted
 }
@@ -165,18 +165,18 @@
 // in the last group, where it cannot be told from the effect of a crash. The records replayed before it
 // must be unchanged, and each further opening must give the same result.
 func TestFlippedBits(t *testing.T) {
-	d := crash.New()
-	written, _ := appendGroups(d, 11) // the last group has 3
-	names, _ := d.List()
+	original := crash.New()
+	written, _ := appendGroups(original, 11) // the last group has 3
+	names, _ := original.List()
 	for _, file := range names {
-		for bit := range d.Size(file) * 8 {
-			damaged := d.Crash(0, nil)
+		for bit := range original.Size(file) * 8 {
+			damaged := original.Crash(0, nil)
 			damaged.FlipBit(file, bit)
 			opened := false
 			for try := range openCount {
-				l, records, err := openLog(t, damaged)
+				log, records, err := openLog(t, damaged)
 				if err == nil {
-					l.Close()
+					log.Close()
 					if last := names[len(names)-1]; len(records) < len(written) && (file != last || len(records) < len(written)-3) {
 						t.Fatalf("%s, bit %d: %d of %d records are there, and nothing is said", file, bit, len(records), len(written))
 					}
@@ -196,7 +196,7 @@
 // second opening of a real folder fails with ErrLocked.
 func TestConcurrentWriters(t *testing.T) {
 	dir := disk.Dir(t.TempDir())
-	l, _, err := openLog(t, dir)
+	opened, _, err := openLog(t, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 	for w := range writers {
 		group.Go(func() {
 			for i := range perWriter {
-				seq, err := l.Append(1, fmt.Appendf(nil, "%d-%d", w, i))
+				seq, err := opened.Append(1, fmt.Appendf(nil, "%d-%d", w, i))
 				mu.Lock()
 				if err != nil || seen[seq] {
 					t.Errorf("record %d: %v", seq, err)
@@ -221,10 +221,10 @@
 		})
 	}
 	group.Wait()
-	if err := l.Close(); err != nil {
+	if err := opened.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := l.Append(1, nil); !errors.Is(err, ErrClosed) {
+	if _, err := opened.Append(1, nil); !errors.Is(err, ErrClosed) {
 		t.Errorf("after the end: %v", err)
 	}
 	for n := range openCount {
@@ -234,23 +234,23 @@
 		}
 		again.Close()
 	}
-	t.Logf("%d records, %d syncs", writers*perWriter, l.GroupsWritten)
+	t.Logf("%d records, %d syncs", writers*perWriter, opened.GroupsWritten)
 }
 
 // writeValues writes numbered values under a few names and compacts the log every eight groups. It
 // returns the last acknowledged value of each name and the unacknowledged values written since.
 func writeValues(storage *crash.Disk, groups int) (acked map[string]string, unacknowledged map[string][]string) {
 	acked, unacknowledged = map[string]string{}, map[string][]string{}
-	var l *Log
+	var opened *Log
 	for i := range groups {
-		if l == nil || i%11 == 10 {
-			if l != nil {
-				l.Close()
+		if opened == nil || i%11 == 10 {
+			if opened != nil {
+				opened.Close()
 			}
 			var err error
 			found := map[string]string{}
-			if l, err = Open(storage, testOptions, collectValues(found)); err != nil {
-				l = nil
+			if opened, err = Open(storage, testOptions, collectValues(found)); err != nil {
+				opened = nil
 				continue
 			}
 			for name, want := range acked {
@@ -264,13 +264,13 @@
 			for _, name := range slices.Sorted(maps.Keys(acked)) {
 				compacted = append(compacted, Record{Kind: 1, Payload: []byte(name + "=" + acked[name])})
 			}
-			l.Compact(compacted, Record{Kind: 2})
+			opened.Compact(compacted, Record{Kind: 2})
 		}
 		var records []Record
 		for k := range 1 + i%maxGroupSize {
 			records = append(records, Record{Kind: 1, Payload: fmt.Appendf(nil, "n%d=%d.%d", (i+k)%5, i, k)})
 		}
-		err := appendGroup(l, records...)
+		err := appendGroup(opened, records...)
 		for _, r := range records {
 			name, value, _ := strings.Cut(string(r.Payload), "=")
 			if err == nil {
@@ -281,8 +281,8 @@
 			}
 		}
 	}
-	if l != nil {
-		l.Close()
+	if opened != nil {
+		opened.Close()
 	}
 	return acked, unacknowledged
 }
--- a/internal/store/log/repair.go
+++ b/internal/store/log/repair.go
@@ -35,12 +35,12 @@
 		return result, fmt.Errorf("log: %w", err)
 	}
 	defer func() { err = errors.Join(err, lock.Close()) }()
-	l := &Log{fs: fs, nextSequence: 1}
-	segments, err := l.listSegments()
+	opened := &Log{fs: fs, nextSequence: 1}
+	segments, err := opened.listSegments()
 	if err != nil {
 		return result, err
 	}
-	chain, err := l.buildChain(segments)
+	chain, err := opened.buildChain(segments)
 	if err != nil {
 		return result, err
 	}
@@ -48,7 +48,7 @@
 		if i == 0 {
 			continue
 		}
-		found, err := l.findDuplicates(&chain[i-1], chain[i])
+		found, err := opened.findDuplicates(&chain[i-1], chain[i])
 		if err != nil {
 			return result, err
 		}
@@ -57,7 +57,7 @@
 		}
 	}
 	var rewritten []Record
-	if _, err = l.replayChain(chain, func(r Record) error {
+	if _, err = opened.replayChain(chain, func(r Record) error {
 		if result.Duplicate && r.Sequence >= result.FirstDuplicate {
 			r.Payload = slices.Clone(r.Payload)
 			rewritten = append(rewritten, r)
@@ -66,19 +66,19 @@
 	}); err != nil {
 		return result, err
 	}
-	if err := l.checkLaterSegments(segments, lastGeneration(chain)); err != nil || !result.Duplicate {
+	if err := opened.checkLaterSegments(segments, lastGeneration(chain)); err != nil || !result.Duplicate {
 		return result, err
 	}
 	if err := copySegments(fs, copyTo, segments); err != nil {
 		return result, fmt.Errorf("log: copying the segments: %w", err)
 	}
 	i := slices.IndexFunc(chain, func(s chainLink) bool { return segmentName(s.fileGeneration) == result.PrecedingFile })
-	l.validGeneration, l.validSize = chain[i].fileGeneration, result.PrecedingSize
-	if err := l.rewriteTail(rewritten); err != nil {
+	opened.validGeneration, opened.validSize = chain[i].fileGeneration, result.PrecedingSize
+	if err := opened.rewriteTail(rewritten); err != nil {
 		return result, err
 	}
-	result.NewFile, result.RecordsWritten = segmentName(l.latestGeneration), len(rewritten)
-	return result, l.file.Close()
+	result.NewFile, result.RecordsWritten = segmentName(opened.latestGeneration), len(rewritten)
+	return result, opened.file.Close()
 }
 
 // findDuplicates searches a segment for the first record of its follower and limits the valid length of
--- a/internal/store/log/repair_test.go
+++ b/internal/store/log/repair_test.go
@@ -21,30 +21,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Log{fs: disk, options: testOptions, lock: lock, nextSequence: 1}
-	segments, err1 := l.listSegments()
-	chain, err2 := l.buildChain(segments)
-	tail, err3 := l.replayChain(chain, func(Record) error { return nil })
+	opened := &Log{fs: disk, options: testOptions, lock: lock, nextSequence: 1}
+	segments, err1 := opened.listSegments()
+	chain, err2 := opened.buildChain(segments)
+	tail, err3 := opened.replayChain(chain, func(Record) error { return nil })
 	if err := errors.Join(err1, err2, err3); err != nil || len(tail) < 2 {
 		t.Fatal(len(tail), err)
 	}
-	if l.validGeneration != lastGeneration(chain) { // without confirmed records in the latest segment the old versions wrote no duplicates
+	// Without confirmed records in the latest segment the old versions wrote no duplicates.
+	if opened.validGeneration != lastGeneration(chain) {
 		t.Fatal("the latest segment has one group")
 	}
 	for _, r := range tail[:len(tail)-1] {
-		l.validSize += int64(frameSize + len(r.Payload))
+		opened.validSize += int64(frameSize + len(r.Payload))
 	}
-	if err := l.rewriteTail(tail); err != nil {
+	if err := opened.rewriteTail(tail); err != nil {
 		t.Fatal(err)
 	}
-	l.durableSequence = l.nextSequence - 1
+	opened.durableSequence = opened.nextSequence - 1
 	for i := range 9 {
 		r := Record{Kind: 9, Payload: fmt.Appendf(nil, "after %d %s", i, strings.Repeat("x", 50))}
-		if err := appendGroup(l, r, r); err != nil {
+		if err := appendGroup(opened, r, r); err != nil {
 			t.Fatal(err)
 		}
 		for k := range uint64(2) {
-			acked = append(acked, fmt.Sprintf("%d:9:%s", l.nextSequence-2+k, r.Payload))
+			acked = append(acked, fmt.Sprintf("%d:9:%s", opened.nextSequence-2+k, r.Payload))
 		}
 	}
 	lock.Close()
@@ -89,7 +90,8 @@
 	if _, err := Repair(disk, copyTo); err == nil || disk.Operations != ops {
 		t.Errorf("a folder with another log for the copy: %v, %d changes", err, disk.Operations-ops)
 	}
-	for _, at := range []int64{result.PrecedingSize + frameSize, result.PrecedingSize - 1} { // a duplicate record, and one that occurs once
+	// The first offset is in a duplicate record, the second in a record that occurs once.
+	for _, at := range []int64{result.PrecedingSize + frameSize, result.PrecedingSize - 1} {
 		disk, _ = logWithDuplicates(t, 4)
 		disk.FlipBit(result.PrecedingFile, int(at*8))
 		ops = disk.Operations
