--- a/internal/store/log/log.go
+++ b/internal/store/log/log.go
@@ -431,7 +431,7 @@
 // Compact replaces the content of the log with the given records, which must be equivalent to all
 // records so far. After a crash they are either all present or none of them is, and the old segments
 // are removed only after that is certain. Concurrent appends wait. The mark, a record without content,
-// follows them and confirms them as durable at the next opening.
+// is written after the records and confirms them as durable at the next opening.
 func (l *Log) Compact(records []Record, mark Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
