--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -28,7 +28,7 @@
 		g := app.Program{Name: "proxy", Instances: func(j app.Joined) (app.Fleet, error) { return instances.New(j) }}
 		if lies := os.Getenv(lyingDisk); lies != "" {
 			g.Disk = func(dir string) disk.FS {
-				fs, err := crash.ParseLying(disk.Dir(dir), lies)
+				fs, err := crash.ParseUnreliable(disk.Dir(dir), lies)
 				if err != nil {
 					panic(err)
 				}
--- a/internal/orders/ledger/ledger_test.go
+++ b/internal/orders/ledger/ledger_test.go
@@ -19,96 +19,98 @@
 	"linenloom/internal/store/disk"
 )
 
-var usual = Options{Limits: orders.Limits{Keep: time.Hour, Most: 1000, MostBytes: 1 << 20}, SegmentSize: 600, CompactAt: 10}
+var testOptions = Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 600, CompactAfter: 10}
 
 func clock() time.Duration { return time.Minute }
 
-func name(i int) orders.Name { return orders.Name{Tenant: "kiosk", Key: fmt.Sprint("k", i)} }
+func orderName(i int) orders.Name { return orders.Name{Tenant: "kiosk", Key: fmt.Sprint("k", i)} }
 
-// played is what clients and the origin know of a run.
-type played struct {
-	told map[orders.Name][]byte
-	ran  map[orders.Name]bool
+// outcome is what clients and the origin observed during a run.
+type outcome struct {
+	reported map[orders.Name][]byte // receipts that clients have received
+	ran      map[orders.Name]bool
 }
 
-// play takes so many orders through, one after another; every fourth is given up before it is sent, every fifth comes back unrun once, and
-// the ledger is opened anew now and then.
-func play(d disk.FS, n int) played {
-	p := played{map[orders.Name][]byte{}, map[orders.Name]bool{}}
-	var l *Ledger
-	for i := range n {
-		if l == nil || i%9 == 8 {
-			if l != nil {
-				l.Close()
+// runOrders processes n orders one after another. Every fourth is ended before it is sent, every fifth
+// is rejected unrun by its first member and sent again, and the ledger is reopened every nine orders.
+func runOrders(fs disk.FS, count int) outcome {
+	result := outcome{map[orders.Name][]byte{}, map[orders.Name]bool{}}
+	var ledger *Ledger
+	for i := range count {
+		if ledger == nil || i%9 == 8 {
+			if ledger != nil {
+				ledger.Close()
 			}
 			var err error
-			if l, err = Open(d, usual, clock); err != nil {
-				l = nil
+			if ledger, err = Open(fs, testOptions, clock); err != nil {
+				ledger = nil
 				continue
 			}
 		}
-		o := orders.Order{Name: name(i)}
-		if v, _, err := l.Take(o); v != orders.Go || err != nil {
+		o := orders.Order{Name: orderName(i)}
+		if v, _, err := ledger.Take(o); v != orders.Proceed || err != nil {
 			continue
 		}
 		if i%4 == 3 {
-			l.End(o.Name, orders.NeverRan, nil, "")
+			ledger.End(o.Name, orders.NeverRan, nil, "")
 			continue
 		}
-		if l.Send(o.Name, "o-1") != nil {
+		if ledger.Send(o.Name, "o-1") != nil {
 			continue
 		}
 		if i%5 == 4 {
-			l.Returned(o.Name)
-			if l.Send(o.Name, "o-2") != nil {
+			ledger.MarkNotRun(o.Name)
+			if ledger.Send(o.Name, "o-2") != nil {
 				continue
 			}
 		}
-		p.ran[o.Name] = true
-		if r := []byte(fmt.Sprint("receipt ", i)); l.End(o.Name, orders.Done, r, "") == nil {
-			p.told[o.Name] = r
+		result.ran[o.Name] = true
+		if receipt := []byte(fmt.Sprint("receipt ", i)); ledger.End(o.Name, orders.Done, receipt, "") == nil {
+			result.reported[o.Name] = receipt
 		}
 	}
-	if l != nil {
-		l.Close()
+	if ledger != nil {
+		ledger.Close()
 	}
-	return p
+	return result
 }
 
-// held opens a ledger after a crash and tells what contradicts what is known outside.
-func held(t *testing.T, d disk.FS, p played, n int) (all []orders.Entry) {
+// verifyRecovery opens a ledger after a crash and fails the test if its content contradicts the
+// outcome.
+func verifyRecovery(t *testing.T, fs disk.FS, observed outcome, count int) (entries []orders.Entry) {
 	t.Helper()
-	l, err := Open(d, usual, clock)
+	ledger, err := Open(fs, testOptions, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	l.Each(func(e *orders.Entry) bool { all = append(all, *e); return true })
-	for i := range n {
-		e, _ := l.Get(name(i))
-		if r := p.told[name(i)]; r != nil && (e.State != orders.Done || !bytes.Equal(e.Receipt, r)) {
+	defer ledger.Close()
+	ledger.All(func(e *orders.Entry) bool { entries = append(entries, *e); return true })
+	for i := range count {
+		e, _ := ledger.Get(orderName(i))
+		if r := observed.reported[orderName(i)]; r != nil && (e.State != orders.Done || !bytes.Equal(e.Receipt, r)) {
 			t.Fatalf("order %d: its receipt was told, and on record is %v", i, e.State)
 		}
-		if e.State == orders.Done && !p.ran[name(i)] {
+		if e.State == orders.Done && !observed.ran[orderName(i)] {
 			t.Fatalf("order %d is on record as done, and has not run", i)
 		}
-		if v, _, _ := l.Take(orders.Order{Name: name(i)}); v == orders.Go && p.ran[name(i)] {
+		if v, _, _ := ledger.Take(orders.Order{Name: orderName(i)}); v == orders.Proceed && observed.ran[orderName(i)] {
 			t.Fatalf("order %d has run, and may be sent again: %v", i, e.State)
 		}
 	}
-	return all
+	return entries
 }
 
-// The power goes at every step of a run with rotations, openings and compactions, with every part of what was not synced; or each step fails
-// once. No order that has run may be sent again, each receipt that was told is on record.
-func TestPowerGoesAtEveryStep(t *testing.T) {
+// The power fails at every step of a run with segment rotations, reopenings and compactions, with any
+// part of the unsynced data surviving, or a single step fails. No order that has run may be sent again,
+// and each reported receipt must be on record.
+func TestPowerLossAtEveryStep(t *testing.T) {
 	const n = 26
-	whole := crash.New()
-	if p := play(whole, n); len(p.told) < n/2 || whole.Ops < 100 {
-		t.Fatalf("%d receipts, %d steps", len(p.told), whole.Ops)
+	complete := crash.New()
+	if observed := runOrders(complete, n); len(observed.reported) < n/2 || complete.Operations < 100 {
+		t.Fatalf("%d receipts, %d steps", len(observed.reported), complete.Operations)
 	}
 	errPower := errors.New("the power is gone")
-	for step := 1; step <= whole.Ops; step++ {
+	for step := 1; step <= complete.Operations; step++ {
 		for cut := -2; cut < 200; cut += 1 + max(0, cut)*2/3 {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
@@ -117,263 +119,268 @@
 				}
 				return nil
 			}
-			p := play(d, n)
-			held(t, d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+9)))), p, n)
+			observed := runOrders(d, n)
+			verifyRecovery(t, d.Crash(max(-1, cut), rand.New(rand.NewPCG(uint64(step), uint64(cut+9)))), observed, n)
 		}
-		for _, how := range []error{errors.New("no space left on device"), crash.ErrShort} {
+		for _, failure := range []error{errors.New("no space left on device"), crash.ErrShort} {
 			d := crash.New()
 			d.Fail = func(op int, _ string) error {
 				if op == step {
-					return how
+					return failure
 				}
 				return nil
 			}
-			p := play(d, n)
+			observed := runOrders(d, n)
 			d.Fail = nil
-			held(t, d.Crash(-1, rand.New(rand.NewPCG(uint64(step), 1))), p, n)
+			verifyRecovery(t, d.Crash(-1, rand.New(rand.NewPCG(uint64(step), 1))), observed, n)
 		}
 	}
 }
 
-// writersEnv has the test's binary be a process that writes orders until it is killed, in the folder that it names.
-const writersEnv = "LEDGER_TEST_WRITERS"
+// writersDirEnv makes the test binary run runWriters, in the folder that the variable names, until the
+// process is killed.
+const writersDirEnv = "LEDGER_TEST_WRITERS"
 
 func TestMain(m *testing.M) {
-	if dir := os.Getenv(writersEnv); dir != "" {
-		os.Exit(writers(disk.Dir(dir), os.Stdout))
+	if dir := os.Getenv(writersDirEnv); dir != "" {
+		os.Exit(runWriters(disk.Dir(dir), os.Stdout))
 	}
 	os.Exit(m.Run())
 }
 
-// writers has eight clients take orders through at once, without an end, and tells of each what it knows: that it will run, and its receipt.
-func writers(dir disk.Dir, out io.Writer) int {
-	l, err := Open(dir, usual, clock)
+// runWriters lets eight concurrent clients process orders without end. It prints "ran" before an order
+// is ended and "recorded" once its receipt is on record.
+func runWriters(dir disk.Dir, out io.Writer) int {
+	ledger, err := Open(dir, testOptions, clock)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	var mu sync.Mutex
-	tell := func(what string, o int) {
+	report := func(what string, number int) {
 		mu.Lock()
-		fmt.Fprintln(out, what, o)
+		fmt.Fprintln(out, what, number)
 		mu.Unlock()
 	}
 	from := 0
-	l.Each(func(*orders.Entry) bool { from++; return true })
-	var all sync.WaitGroup
-	for w := range 8 {
-		all.Go(func() {
+	ledger.All(func(*orders.Entry) bool { from++; return true })
+	var clients sync.WaitGroup
+	for client := range 8 {
+		clients.Go(func() {
 			for i := 0; ; i++ {
-				o := from + i*8 + w
-				if v, _, err := l.Take(orders.Order{Name: name(o)}); v != orders.Go || err != nil {
-					continue // its number is taken, after a run that was cut short
+				number := from + i*8 + client
+				if v, _, err := ledger.Take(orders.Order{Name: orderName(number)}); v != orders.Proceed || err != nil {
+					continue // an earlier process was killed after it had used this number
 				}
-				if l.Send(name(o), "o-1") != nil {
+				if ledger.Send(orderName(number), "o-1") != nil {
 					return
 				}
-				tell("ran", o)
-				if l.End(name(o), orders.Done, []byte("r"), "") != nil {
+				report("ran", number)
+				if ledger.End(orderName(number), orders.Done, []byte("r"), "") != nil {
 					return
 				}
-				tell("told", o)
+				report("recorded", number)
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 	return 1
 }
 
-// A real process with eight writers is killed again and again, each time after another count of lines, and its folder is opened by the
-// next, and three times here: all that it told of is on record, nothing that has run may be sent again.
-func TestKilledAgainAndAgain(t *testing.T) {
+// A process with eight writers is killed repeatedly, each time after a different number of lines, and
+// the next process reopens its folder. After each kill the folder is opened three times: everything
+// that the process reported must be on record, and no order that has run may be sent again.
+func TestRepeatedKills(t *testing.T) {
 	dir := t.TempDir()
-	p := played{map[orders.Name][]byte{}, map[orders.Name]bool{}}
-	many := Options{Limits: orders.Limits{Keep: time.Hour, Most: 1 << 20, MostBytes: 1 << 30}, SegmentSize: usual.SegmentSize, CompactAt: usual.CompactAt}
-	most := 0
+	observed := outcome{map[orders.Name][]byte{}, map[orders.Name]bool{}}
+	options := Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: testOptions.SegmentSize, CompactAfter: testOptions.CompactAfter}
+	highest := 0
 	for round := range 8 {
-		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), writersEnv+"="+dir)
-		c.Stderr = os.Stderr
-		out, err := c.StdoutPipe()
+		process := exec.Command(os.Args[0])
+		process.Env = append(os.Environ(), writersDirEnv+"="+dir)
+		process.Stderr = os.Stderr
+		out, err := process.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Start(); err != nil {
+		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
 		lines := bufio.NewScanner(out)
 		for n := 0; lines.Scan(); n++ {
-			what, o := "", 0
-			if k, err := fmt.Sscan(lines.Text(), &what, &o); k == 2 && err == nil {
-				if most = max(most, o+1); what == "told" {
-					p.told[name(o)] = []byte("r")
+			what, number := "", 0
+			if k, err := fmt.Sscan(lines.Text(), &what, &number); k == 2 && err == nil {
+				if highest = max(highest, number+1); what == "recorded" {
+					observed.reported[orderName(number)] = []byte("r")
 				}
-				p.ran[name(o)] = true
+				observed.ran[orderName(number)] = true
 			}
 			if n == 20+7*round {
-				c.Process.Kill()
+				process.Process.Kill()
 			}
 		}
-		c.Wait() // it was killed
-		if len(p.told) < 5*(round+1) {
-			t.Fatalf("round %d: %d receipts", round, len(p.told))
+		process.Wait() // the error is that it was killed
+		if len(observed.reported) < 5*(round+1) {
+			t.Fatalf("round %d: %d receipts", round, len(observed.reported))
 		}
 		for n := range 3 {
-			l, err := Open(disk.Dir(dir), many, clock)
+			ledger, err := Open(disk.Dir(dir), options, clock)
 			if err != nil {
 				t.Fatalf("round %d, opening %d: %v", round, n+1, err)
 			}
-			for i := range most {
-				e, _ := l.Get(name(i))
-				if p.told[name(i)] != nil && e.State != orders.Done {
+			for i := range highest {
+				e, _ := ledger.Get(orderName(i))
+				if observed.reported[orderName(i)] != nil && e.State != orders.Done {
 					t.Fatalf("round %d: order %d was told done, and is %v", round, i, e.State)
 				}
-				if p.ran[name(i)] && e.State != orders.Done && e.State != orders.Unknown {
+				if observed.ran[orderName(i)] && e.State != orders.Done && e.State != orders.Unknown {
 					t.Fatalf("round %d: order %d may have run, and is %v", round, i, e.State)
 				}
 			}
-			l.Close()
+			ledger.Close()
 		}
 	}
 }
 
-// stuck is a disk whose syncs wait, once it is told so.
-type stuck struct {
+// stalledDisk is a disk whose syncs block while release is set.
+type stalledDisk struct {
 	*crash.Disk
-	mu   sync.Mutex
-	hold chan struct{} // nil: they don't
+	mu      sync.Mutex
+	release chan struct{} // nil: syncs do not block
 }
 
-func (s *stuck) Create(name string) (disk.File, error) {
+func (s *stalledDisk) Create(name string) (disk.File, error) {
 	f, err := s.Disk.Create(name)
-	return stuckFile{f, s}, err
+	return stalledFile{f, s}, err
 }
 
-type stuckFile struct {
+type stalledFile struct {
 	disk.File
-	s *stuck
+	disk *stalledDisk
 }
 
-func (f stuckFile) Sync() error {
-	f.s.mu.Lock()
-	hold := f.s.hold
-	f.s.mu.Unlock()
+func (f stalledFile) Sync() error {
+	f.disk.mu.Lock()
+	hold := f.disk.release
+	f.disk.mu.Unlock()
 	if hold != nil {
 		<-hold
 	}
 	return f.File.Sync()
 }
 
-// The disk takes its time: so many orders wait for it and no more are taken, at once and as never run; repeats of what is known are answered, and what
-// is in hand ends as it should when the disk is back.
-func TestDiskIsSlow(t *testing.T) {
-	s := &stuck{Disk: crash.New()}
-	opt := usual
-	opt.Line = 4
-	l, err := Open(s, opt, clock)
+// While the disk blocks, at most MaxPending orders wait for it; further orders are refused at once as
+// not run. Retries of known orders are answered, and orders in progress end normally once the disk
+// works again.
+func TestSlowDisk(t *testing.T) {
+	slow := &stalledDisk{Disk: crash.New()}
+	options := testOptions
+	options.MaxPending = 4
+	ledger, err := Open(slow, options, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	take := func(i int) (orders.Verdict, error) {
-		v, _, err := l.Take(orders.Order{Name: name(i)})
+		v, _, err := ledger.Take(orders.Order{Name: orderName(i)})
 		return v, err
 	}
 	if _, err := take(0); err != nil {
 		t.Fatal(err)
 	}
-	errs := []error{l.Send(name(0), "o-1"), l.End(name(0), orders.Done, []byte("r"), "")}
+	errs := []error{ledger.Send(orderName(0), "o-1"), ledger.End(orderName(0), orders.Done, []byte("r"), "")}
 	_, err = take(1)
-	if err := errors.Join(append(errs, err, l.Send(name(1), "o-1"))...); err != nil {
+	if err := errors.Join(append(errs, err, ledger.Send(orderName(1), "o-1"))...); err != nil {
 		t.Fatal(err)
 	}
-	s.mu.Lock()
-	s.hold = make(chan struct{})
-	s.mu.Unlock()
-	ended, came := make(chan error, 1), make(chan error, 3)
-	go func() { ended <- l.End(name(1), orders.Done, []byte("late"), "") }()
+	slow.mu.Lock()
+	slow.release = make(chan struct{})
+	slow.mu.Unlock()
+	ended, taken := make(chan error, 1), make(chan error, 3)
+	go func() { ended <- ledger.End(orderName(1), orders.Done, []byte("late"), "") }()
 	for i := range 3 {
-		go func() { _, err := take(2 + i); came <- err }()
+		go func() { _, err := take(2 + i); taken <- err }()
 	}
-	for waiting := 0; waiting < opt.Line; runtime.Gosched() { // each of them is in line now
-		l.mu.Lock()
-		waiting = l.line
-		l.mu.Unlock()
+	for waiting := 0; waiting < options.MaxPending; runtime.Gosched() { // until each of them waits for the disk
+		ledger.mu.Lock()
+		waiting = ledger.pending
+		ledger.mu.Unlock()
 	}
-	if _, err := take(9); !errors.Is(err, ErrSlow) {
+	if _, err := take(9); !errors.Is(err, ErrDiskOverloaded) {
 		t.Errorf("one more is taken: %v", err)
 	}
 	if v, err := take(0); v != orders.Receipt || err != nil {
 		t.Errorf("a repeat: %v, %v", v, err)
 	}
-	close(s.hold)
+	close(slow.release)
 	for range 3 {
-		if err := <-came; err != nil {
+		if err := <-taken; err != nil {
 			t.Error(err)
 		}
 	}
 	if err := <-ended; err != nil {
 		t.Errorf("what has run is not recorded: %v", err)
 	}
-	if v, err := take(9); v != orders.Go || err != nil {
+	if v, err := take(9); v != orders.Proceed || err != nil {
 		t.Errorf("once the disk is back: %v, %v", v, err)
 	}
-	if _, there := l.Get(name(1)); !there || l.line != 0 {
-		t.Errorf("%d changes wait", l.line)
+	if _, there := ledger.Get(orderName(1)); !there || ledger.pending != 0 {
+		t.Errorf("%d changes wait", ledger.pending)
 	}
 }
 
-// Many at once on a real folder: each order is taken by one of those that ask for it, and compactions lose none.
-func TestManyAtOnce(t *testing.T) {
+// Several clients submit the same orders concurrently to a ledger in a real folder. Exactly one client
+// gets each order, and compactions lose no order.
+func TestConcurrentOrders(t *testing.T) {
 	dir := disk.Dir(t.TempDir())
-	l, err := Open(dir, usual, clock)
+	ledger, err := Open(dir, testOptions, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, usual, clock); !errors.Is(err, disk.ErrLocked) {
+	if _, err := Open(dir, testOptions, clock); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
-	const names, askers = 60, 8
+	const orderCount, clientCount = 60, 8
 	var mu sync.Mutex
 	ran := map[orders.Name]int{}
-	var all sync.WaitGroup
-	for a := range askers {
-		all.Go(func() {
-			for i := range names {
-				n := name((i + a*7) % names)
-				v, _, err := l.Take(orders.Order{Name: n})
+	var clients sync.WaitGroup
+	for client := range clientCount {
+		clients.Go(func() {
+			for i := range orderCount {
+				name := orderName((i + client*7) % orderCount)
+				v, _, err := ledger.Take(orders.Order{Name: name})
 				if err != nil {
 					t.Error(err)
 				}
-				if v != orders.Go {
+				if v != orders.Proceed {
 					continue
 				}
-				if err := l.Send(n, "o-1"); err != nil {
+				if err := ledger.Send(name, "o-1"); err != nil {
 					t.Error(err)
 				}
 				mu.Lock()
-				ran[n]++
+				ran[name]++
 				mu.Unlock()
-				if err := l.End(n, orders.Done, []byte("r "+n.Key), ""); err != nil {
+				if err := ledger.End(name, orders.Done, []byte("r "+name.Key), ""); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
-	all.Wait()
-	if err := errors.Join(l.Fault(), l.Close()); err != nil {
+	clients.Wait()
+	if err := errors.Join(ledger.CompactionError(), ledger.Close()); err != nil {
 		t.Error(err)
 	}
-	l, err = Open(dir, usual, clock)
+	ledger, err = Open(dir, testOptions, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	for i := range names {
-		if v, r, _ := l.Take(orders.Order{Name: name(i)}); ran[name(i)] != 1 || v != orders.Receipt || string(r) != "r "+name(i).Key {
-			t.Errorf("order %d ran %d times; asked again: %v %q", i, ran[name(i)], v, r)
+	defer ledger.Close()
+	for i := range orderCount {
+		if v, r, _ := ledger.Take(orders.Order{Name: orderName(i)}); ran[orderName(i)] != 1 || v != orders.Receipt || string(r) != "r "+orderName(i).Key {
+			t.Errorf("order %d ran %d times; asked again: %v %q", i, ran[orderName(i)], v, r)
 		}
 	}
-	if err := l.Settle(name(0), orders.NeverRan, nil, "ops"); !errors.Is(err, orders.ErrSettled) {
+	if err := ledger.Settle(orderName(0), orders.NeverRan, nil, "ops"); !errors.Is(err, orders.ErrNotUnknown) {
 		t.Errorf("settling what is done: %v", err)
 	}
 }
--- a/internal/store/crash/crash.go
+++ b/internal/store/crash/crash.go
@@ -1,5 +1,6 @@
-// Package crash is a disk that fails, for tests: in memory, with the state that a crash may leave at any moment. What was synced is
-// there; of what was not, any part may be, in any order. It is no file system of a machine, and never used by the program.
+// Package crash implements a failing disk in memory, for tests. It produces the states that a crash may
+// leave at any moment: synced data is present; of unsynced data any part may be, in any order. The
+// program does not use it.
 package crash
 
 import (
@@ -15,50 +16,52 @@
 	"linenloom/internal/store/disk"
 )
 
-// Disk is a folder whose every change is counted, and may fail or be the last.
+// Disk is a folder in memory. It counts changes and syncs, and each of them may fail or be the last
+// before a crash.
 type Disk struct {
-	mu      sync.Mutex
-	files   map[string]*file // as the program sees them
-	entries map[string]*file // those whose entry is on stable storage
-	locked  bool
-	Ops     int // changes and syncs so far
-	// Fail, if set, is asked before each of them: an error is what it ends with. ErrShort has half of a write done.
+	mu         sync.Mutex
+	files      map[string]*file // as seen by the program
+	entries    map[string]*file // entries that are on stable storage
+	locked     bool
+	Operations int // number of changes and syncs so far
+	// Fail, if set, is called before each change and sync; the operation fails with the error that it
+	// returns. With ErrShort half of a write is done.
 	Fail func(op int, what string) error
 }
 
-// ErrShort has a write end half way.
+// ErrShort makes a write stop half way.
 var ErrShort = errors.New("crash: short write")
 
 type file struct {
-	name   string
-	data   []byte // as the program sees it
-	synced int    // so much of it is on stable storage
-	writes []int  // where writes since the last sync begin
+	name           string
+	data           []byte // as seen by the program
+	syncedSize     int    // number of bytes on stable storage
+	unsyncedWrites []int  // offsets of the writes since the last sync
 }
 
 var _ disk.FS = (*Disk)(nil)
 
-// New is an empty disk.
+// New returns an empty disk.
 func New() *Disk { return &Disk{files: map[string]*file{}, entries: map[string]*file{}} }
 
-func (d *Disk) op(what string) error {
-	d.Ops++
+func (d *Disk) startOperation(what string) error {
+	d.Operations++
 	if d.Fail != nil {
-		if err := d.Fail(d.Ops, what); err != nil {
+		if err := d.Fail(d.Operations, what); err != nil {
 			return fmt.Errorf("%s: %w", what, err)
 		}
 	}
 	return nil
 }
 
-// Create makes a file.
+// Create creates a file.
 func (d *Disk) Create(name string) (disk.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.files[name] != nil {
 		return nil, fs.ErrExist
 	}
-	if err := d.op("create " + name); err != nil {
+	if err := d.startOperation("create " + name); err != nil {
 		return nil, err
 	}
 	f := &file{name: name}
@@ -67,40 +70,41 @@
 }
 
 type handle struct {
-	d *Disk
-	f *file
+	disk *Disk
+	file *file
 }
 
 func (h *handle) Write(b []byte) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	err := h.d.op("write " + h.f.name)
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	err := h.disk.startOperation("write " + h.file.name)
 	if err != nil {
 		if !errors.Is(err, ErrShort) {
 			return 0, err
 		}
 		b = b[:len(b)/2]
 	}
-	h.f.writes = append(h.f.writes, len(h.f.data))
-	h.f.data = append(h.f.data, b...)
+	h.file.unsyncedWrites = append(h.file.unsyncedWrites, len(h.file.data))
+	h.file.data = append(h.file.data, b...)
 	return len(b), err
 }
 
-// Sync has a file's data on stable storage. One that fails has not, and the next one has nothing to do: what the kernel has dropped it
-// does not write again.
+// Sync marks the data of the file as being on stable storage. After a failed sync it is not. A kernel
+// may drop the data of a failed sync, and a later sync then does not write it; the simulation does not
+// model this: a later successful sync marks all data.
 func (h *handle) Sync() error {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if err := h.d.op("sync " + h.f.name); err != nil {
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if err := h.disk.startOperation("sync " + h.file.name); err != nil {
 		return err
 	}
-	h.f.synced, h.f.writes = len(h.f.data), nil
+	h.file.syncedSize, h.file.unsyncedWrites = len(h.file.data), nil
 	return nil
 }
 
 func (h *handle) Close() error { return nil }
 
-// Open opens a file to read.
+// Open opens a file for reading.
 func (d *Disk) Open(name string) (disk.Reader, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,51 +115,50 @@
 	return reader{slices.Clone(f.data)}, nil
 }
 
-type reader struct{ b []byte }
+type reader struct{ data []byte }
 
 func (r reader) ReadAt(b []byte, at int64) (int, error) {
-	if at >= int64(len(r.b)) {
+	if at >= int64(len(r.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, r.b[at:])
+	n := copy(b, r.data[at:])
 	if n < len(b) {
 		return n, io.EOF
 	}
 	return n, nil
 }
-func (r reader) Size() int64  { return int64(len(r.b)) }
+func (r reader) Size() int64  { return int64(len(r.data)) }
 func (r reader) Close() error { return nil }
 
-// Remove removes a file.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.op("remove " + name); err != nil {
+	if err := d.startOperation("remove " + name); err != nil {
 		return err
 	}
 	delete(d.files, name)
 	return nil
 }
 
-// List tells the names.
+// List returns the file names.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-// SyncDir has the entries on stable storage.
+// SyncDir marks the entries of the folder as being on stable storage.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.op("sync folder"); err != nil {
+	if err := d.startOperation("sync folder"); err != nil {
 		return err
 	}
 	d.entries = maps.Clone(d.files)
 	return nil
 }
 
-// Lock takes the lock.
+// Lock locks the folder; the file name is ignored.
 func (d *Disk) Lock(string) (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,48 +166,51 @@
 		return nil, disk.ErrLocked
 	}
 	d.locked = true
-	return unlock{d}, nil
+	return lockHolder{d}, nil
 }
 
-type unlock struct{ d *Disk }
+type lockHolder struct{ disk *Disk }
 
-func (u unlock) Close() error {
-	u.d.mu.Lock()
-	defer u.d.mu.Unlock()
-	u.d.locked = false
+func (u lockHolder) Close() error {
+	u.disk.mu.Lock()
+	defer u.disk.mu.Unlock()
+	u.disk.locked = false
 	return nil
 }
 
-// Crash is the disk after the power went and came back. Cut tells how many bytes of each file's unsynced end are there; below 0: any, by chance: each
-// write since the last sync there or zero, whole or in part, whatever became of those before, and entries that were not synced there or not.
+// Crash returns the disk as it is after a power failure. If cut is not negative, each file keeps at
+// most cut bytes of its unsynced end, unsynced creations are present and unsynced removals are undone.
+// If cut is negative, the result is random: each write since the last sync is present or zeroed, whole
+// or in part, independently of the writes before it, and entries that were not synced are present or
+// missing.
 func (d *Disk) Crash(cut int, rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	after := New()
+	crashed := New()
 	names := map[string]*file{}
 	maps.Copy(names, d.entries)
-	for name, f := range d.files {
+	for name, original := range d.files {
 		if cut >= 0 || names[name] != nil || rng.IntN(2) == 0 {
-			names[name] = f
+			names[name] = original
 		}
 	}
-	for name, f := range d.entries { // removed, and the entry not synced: it may be back
+	for name, original := range d.entries { // the removal was not synced and may be undone
 		if d.files[name] == nil && (cut >= 0 || rng.IntN(2) == 0) {
-			names[name] = f
+			names[name] = original
 		} else if d.files[name] == nil {
 			delete(names, name)
 		}
 	}
-	for name, f := range names {
-		g := &file{name: name, data: slices.Clone(f.data)}
+	for name, original := range names {
+		survived := &file{name: name, data: slices.Clone(original.data)}
 		switch {
 		case cut >= 0:
-			g.data = g.data[:min(len(g.data), f.synced+cut)]
+			survived.data = survived.data[:min(len(survived.data), original.syncedSize+cut)]
 		default:
-			for i, from := range f.writes {
-				to := len(f.data)
-				if i+1 < len(f.writes) {
-					to = f.writes[i+1]
+			for i, from := range original.unsyncedWrites {
+				to := len(original.data)
+				if i+1 < len(original.unsyncedWrites) {
+					to = original.unsyncedWrites[i+1]
 				}
 				kept := from + rng.IntN(to-from+1)
 				if rng.IntN(3) == 0 {
@@ -213,26 +219,26 @@
 				if rng.IntN(3) == 0 {
 					kept = from
 				}
-				clear(g.data[kept:to])
+				clear(survived.data[kept:to])
 			}
 			if rng.IntN(2) == 0 {
-				g.data = g.data[:f.synced+rng.IntN(len(g.data)-f.synced+1)]
+				survived.data = survived.data[:original.syncedSize+rng.IntN(len(survived.data)-original.syncedSize+1)]
 			}
 		}
-		g.synced = len(g.data)
-		after.files[name], after.entries[name] = g, g
+		survived.syncedSize = len(survived.data)
+		crashed.files[name], crashed.entries[name] = survived, survived
 	}
-	return after
+	return crashed
 }
 
-// Flip flips a bit of a file.
-func (d *Disk) Flip(name string, bit int) {
+// FlipBit flips a bit of a file.
+func (d *Disk) FlipBit(name string, bit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files[name].data[bit/8] ^= 1 << (bit % 8)
 }
 
-// Size is how long a file is.
+// Size returns the size of a file.
 func (d *Disk) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/store/crash/lying.go
+++ b/internal/store/crash/lying.go
@@ -9,68 +9,69 @@
 	"linenloom/internal/store/disk"
 )
 
-// Lying is a folder on a disk that does not keep its word, for programs that are built for tests. What the real one has is what a process that
-// is killed leaves behind: what was written after the last sync that was true is lost with it.
-type Lying struct {
+// UnreliableFS wraps a folder and makes its disk fail at random, for programs that are built for tests.
+// The underlying folder contains what remains after the process is killed: data written after the last
+// successful sync is lost.
+type UnreliableFS struct {
 	disk.FS
-	Short  float64 // share of the writes that put a part there, and fail
-	Fail   float64 // share of the syncs that fail
-	Forget float64 // share of the syncs that say yes and did not
-	Seed   uint64
+	ShortWriteRate float64 // fraction of writes that write only a part and fail
+	SyncErrorRate  float64 // fraction of syncs that fail
+	LostSyncRate   float64 // fraction of syncs that report success without syncing
+	Seed           uint64
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// ErrLying is what a disk says where it fails.
-var ErrLying = errors.New("crash: input/output error, made up")
+// ErrInjected is the error of injected failures.
+var ErrInjected = errors.New("crash: injected input/output error")
 
-// ParseLying reads a text like "short=0.01 fail=0.02 forget=0.2 seed=7".
-func ParseLying(fs disk.FS, text string) (*Lying, error) {
-	l := &Lying{FS: fs}
-	if _, err := fmt.Sscanf(text, "short=%f fail=%f forget=%f seed=%d", &l.Short, &l.Fail, &l.Forget, &l.Seed); err != nil {
+// ParseUnreliable parses a text like "short=0.01 fail=0.02 forget=0.2 seed=7".
+func ParseUnreliable(fs disk.FS, text string) (*UnreliableFS, error) {
+	unreliable := &UnreliableFS{FS: fs}
+	if _, err := fmt.Sscanf(text, "short=%f fail=%f forget=%f seed=%d", &unreliable.ShortWriteRate, &unreliable.SyncErrorRate, &unreliable.LostSyncRate, &unreliable.Seed); err != nil {
 		return nil, fmt.Errorf("crash: %q: %w", text, err)
 	}
-	l.rng = rand.New(rand.NewPCG(l.Seed, 11))
-	return l, nil
+	unreliable.rng = rand.New(rand.NewPCG(unreliable.Seed, 11))
+	return unreliable, nil
 }
 
-func (l *Lying) draw(share float64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.rng.Float64() < share
+func (u *UnreliableFS) draw(rate float64) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.rng.Float64() < rate
 }
 
-// Create makes a file whose writes stay in the process until a sync that is true.
-func (l *Lying) Create(name string) (disk.File, error) {
-	f, err := l.FS.Create(name)
+// Create creates a file whose writes stay in memory until a successful sync.
+func (u *UnreliableFS) Create(name string) (disk.File, error) {
+	f, err := u.FS.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	return &lyingFile{File: f, l: l}, nil
+	return &unreliableFile{File: f, fs: u}, nil
 }
 
-type lyingFile struct {
+type unreliableFile struct {
 	disk.File
-	l       *Lying
+	fs      *UnreliableFS
 	pending []byte
 }
 
-func (f *lyingFile) Write(b []byte) (int, error) {
-	if f.l.draw(f.l.Short) {
+func (f *unreliableFile) Write(b []byte) (int, error) {
+	if f.fs.draw(f.fs.ShortWriteRate) {
 		n := len(b) / 2
 		f.pending = append(f.pending, b[:n]...)
-		return n, ErrLying
+		return n, ErrInjected
 	}
 	f.pending = append(f.pending, b...)
 	return len(b), nil
 }
 
-func (f *lyingFile) Sync() error {
+func (f *unreliableFile) Sync() error {
 	switch {
-	case f.l.draw(f.l.Fail):
-		return ErrLying
-	case f.l.draw(f.l.Forget):
+	case f.fs.draw(f.fs.SyncErrorRate):
+		return ErrInjected
+	case f.fs.draw(f.fs.LostSyncRate):
 		return nil
 	}
 	if err := f.flush(); err != nil {
@@ -79,11 +80,11 @@
 	return f.File.Sync()
 }
 
-func (f *lyingFile) flush() error {
+func (f *unreliableFile) flush() error {
 	b := f.pending
 	f.pending = nil
 	_, err := f.File.Write(b)
 	return err
 }
 
-func (f *lyingFile) Close() error { return errors.Join(f.flush(), f.File.Close()) }
+func (f *unreliableFile) Close() error { return errors.Join(f.flush(), f.File.Close()) }
