--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -27,7 +27,7 @@
 	// within shareEvery of the moment in which it is seen to be followed.
 	leaveWait = 250 * time.Millisecond
 	leaveLook = 5 * time.Millisecond
-	// mostShare is the part of the memory that either may take: what one holds can't be given back at once.
+	// maxShare is the part of the memory that either may take: what one holds can't be given back at once.
 	mostShare = 0.6
 )
 
--- a/internal/discovery/frames.go
+++ b/internal/discovery/frames.go
@@ -6,27 +6,27 @@
 	"io"
 )
 
-// errLong tells that an object goes over the bound.
-var errLong = errors.New("an object of the list is too long")
+// errObjectTooLong tells that an object goes over the bound.
+var errObjectTooLong = errors.New("an object of the list is too long")
 
-// frames takes a watch's stream apart: one JSON object after the other, each on one line or on several, and empty lines between them. It
+// objectReader takes a watch's stream apart: one JSON object after the other, each on one line or on several, and empty lines between them. It
 // knows no more of JSON than where an object ends; what stands in it is read elsewhere.
-type frames struct {
-	in  *bufio.Reader
-	buf []byte
-	// begun counts the objects, inner ones too, that have begun in what was read since it was last set to 0.
-	begun int
+type objectReader struct {
+	reader *bufio.Reader
+	buf    []byte
+	// started counts the objects, inner ones too, that have begun in what was read since it was last set to 0.
+	started int
 }
 
-func newFrames(r io.Reader) *frames { return &frames{in: bufio.NewReader(r)} }
+func newObjectReader(r io.Reader) *objectReader { return &objectReader{reader: bufio.NewReader(r)} }
 
 // next is the next object, or nothing for an empty line; valid until the call after. What is no object goes up to its line's end. With an
 // error comes what had been read of an object by then.
-func (f *frames) next() ([]byte, error) {
+func (f *objectReader) next() ([]byte, error) {
 	f.buf = f.buf[:0]
 	depth, inText, escaped, other := 0, false, false, false
 	for {
-		c, err := f.in.ReadByte()
+		c, err := f.reader.ReadByte()
 		if err != nil {
 			return f.buf, err
 		}
@@ -34,13 +34,13 @@
 			continue
 		}
 		if c == '{' {
-			f.begun++
+			f.started++
 		}
 		if c == '\n' && (len(f.buf) == 0 || other) {
 			return f.buf, nil
 		}
-		if len(f.buf) == maxLine {
-			return f.buf, errLong
+		if len(f.buf) == maxListBytes {
+			return f.buf, errObjectTooLong
 		}
 		f.buf = append(f.buf, c)
 		switch {
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// service is a discovery that works through calls in turn, and works off what it has taken in though the caller has long been
+// simulatedService is a discovery that works through calls in turn, and works off what it has taken in though the caller has long been
 // told that it waited too long.
-type service struct {
-	each, timeout time.Duration
-	overbook      float64 // it turns a call away whose answer would take more than so many time-outs
-	free          time.Duration
-	calls         int
-	downAt, upAt  time.Duration // it is down between these: calls break off, and what it had taken in is lost
+type simulatedService struct {
+	callTime, timeout time.Duration
+	overbook          float64 // it turns a call away whose answer would take more than so many time-outs
+	freeAt            time.Duration
+	calls             int
+	downAt, upAt      time.Duration // it is down between these: calls break off, and what it had taken in is lost
 }
 
 // call tells when a call ends, and whether with a list.
-func (s *service) call(now time.Duration) (end time.Duration, listed bool) {
+func (s *simulatedService) call(now time.Duration) (end time.Duration, listed bool) {
 	s.calls++
 	if now >= s.downAt && now < s.upAt {
-		s.free = s.upAt
+		s.freeAt = s.upAt
 		return now + time.Millisecond, false
 	}
-	s.free = max(s.free, now)
-	done := s.free + s.each
+	s.freeAt = max(s.freeAt, now)
+	done := s.freeAt + s.callTime
 	if float64(done-now) > s.overbook*float64(s.timeout) {
 		return now + time.Millisecond, false
 	}
-	s.free = done
+	s.freeAt = done
 	if now < s.downAt && done >= s.downAt {
-		s.free = now
+		s.freeAt = now
 		return s.downAt, false
 	}
 	if done-now > s.timeout {
@@ -39,15 +39,15 @@
 	return done, true
 }
 
-// storm has the watches of so many proxies break in the same instant, and tells when each has a list again.
-func storm(s *service, proxies int, wait func(proxy int, p *Pace, failed bool) time.Duration) (last time.Duration, most int) {
+// reconnectAll has the watches of so many proxies break in the same instant, and tells when each has a list again.
+func reconnectAll(s *simulatedService, proxies int, wait func(proxy int, p *Backoff, failed bool) time.Duration) (last time.Duration, most int) {
 	type asker struct {
 		at   time.Duration
-		pace *Pace
+		pace *Backoff
 	}
 	var open []*asker
 	for i := range proxies {
-		a := &asker{pace: NewPace(true, i, proxies, 10*time.Second, uint64(i)*977+5)}
+		a := &asker{pace: NewBackoff(true, i, proxies, 10*time.Second, uint64(i)*977+5)}
 		a.at = wait(i, a.pace, false)
 		open = append(open, a)
 	}
@@ -76,25 +76,25 @@
 	return last, most
 }
 
-func paced(_ int, p *Pace, failed bool) time.Duration {
+func reconnectDelay(_ int, p *Backoff, failed bool) time.Duration {
 	if failed {
-		return p.Failed()
+		return p.RetryDelay()
 	}
-	return p.Broken()
+	return p.ReconnectDelay()
 }
 
-func started(_ int, p *Pace, failed bool) time.Duration {
+func startDelay(_ int, p *Backoff, failed bool) time.Duration {
 	if failed {
-		return p.Failed()
+		return p.RetryDelay()
 	}
-	return p.Start()
+	return p.StartDelay()
 }
 
 // Most proxies are killed and start again in the same instant, while discovery still works off the calls of the others. They
 // have the list of their configuration, and can wait.
 func TestManyStartAtOnce(t *testing.T) {
-	s := &service{each: 70 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, free: 2 * time.Second}
-	last, most := storm(s, 64, started)
+	s := &simulatedService{callTime: 70 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, freeAt: 2 * time.Second}
+	last, most := reconnectAll(s, 64, startDelay)
 	t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, most)
 	if last > 25*time.Second || most > 40 {
 		t.Errorf("the last proxy has a list after %v, with %d calls in the worst second; want 25s and 40", last, most)
@@ -103,11 +103,11 @@
 
 // Discovery goes down for five seconds while most proxies start. Calls stay bounded, those in vain during the outage included, and once it
 // is back all have a list within the time that a start in a quiet hour takes.
-func TestDownInTheMiddleOfAStart(t *testing.T) {
+func TestOutageDuringStart(t *testing.T) {
 	for _, proxies := range []int{64, 4} {
-		s := &service{each: 40 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, downAt: time.Duration(proxies) * 25 * time.Millisecond,
+		s := &simulatedService{callTime: 40 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, downAt: time.Duration(proxies) * 25 * time.Millisecond,
 			upAt: 6500 * time.Millisecond}
-		last, most := storm(s, proxies, started)
+		last, most := reconnectAll(s, proxies, startDelay)
 		t.Logf("%d proxies: all have a list %v after it is back, %d calls, %d in the worst second", proxies, last-s.upAt, s.calls, most)
 		if last-s.upAt > 8*time.Second || most > 40 {
 			t.Errorf("%d proxies: the last has a list %v after discovery is back, with %d calls in the worst second; want 8s and 40",
@@ -118,34 +118,34 @@
 
 // A proxy asks as often as it must, whatever becomes of its calls: the time that a silent watch takes to be found out, and a
 // call in vain, included. An agent of its own is asked again soon.
-func TestPaceAsksInTime(t *testing.T) {
+func TestCallsAreInTime(t *testing.T) {
 	const mustAsk = 10 * time.Second
 	for _, instances := range []int{1, 4, 80, 1000} {
 		self := instances / 3
-		p := NewPace(true, self, instances, mustAsk, 1)
+		p := NewBackoff(true, self, instances, mustAsk, 1)
 		const restart = 2 * time.Second // from the kill to the next process's start
 		for range 1000 {
-			start := p.Start()
-			if d := silence + p.Broken() + restart + start; d > mustAsk {
+			start := p.StartDelay()
+			if d := silenceTimeout + p.ReconnectDelay() + restart + start; d > mustAsk {
 				t.Fatalf("%d proxies: killed after its watch fell silent, the next process asks after %v", instances, d)
 			}
 			const vain = 2 * time.Second
 			for range 6 {
-				if d := vain + p.Failed(); d > mustAsk {
+				if d := vain + p.RetryDelay(); d > mustAsk {
 					t.Fatalf("%d proxies: asks %v after a call in vain", instances, d)
 				}
 			}
 		}
 	}
-	agent := NewPace(false, 7, 80, 0, 1)
-	if d := agent.Start(); d != 0 {
+	agent := NewBackoff(false, 7, 80, 0, 1)
+	if d := agent.StartDelay(); d != 0 {
 		t.Errorf("the agent is first asked after %v", d)
 	}
-	if d := agent.Broken(); d > agentFirst {
+	if d := agent.ReconnectDelay(); d > agentReconnectSpread {
 		t.Errorf("the agent is asked again after %v", d)
 	}
 	for range 10 {
-		if d := agent.Failed(); d > agentMost {
+		if d := agent.RetryDelay(); d > agentRetrySpread {
 			t.Errorf("the agent is asked again after %v", d)
 		}
 	}
@@ -153,7 +153,7 @@
 
 // All watches break at once before a discovery that takes in more than it can answer in time. Asked by all in the same instant,
 // and again soon, it answers nobody for as long as that goes on.
-func TestStormOfCalls(t *testing.T) {
+func TestAllReconnectAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		proxies  int
 		all      time.Duration // one call of each proxy takes it this long
@@ -169,8 +169,8 @@
 		{proxies: 1, all: 100 * time.Millisecond, overbook: 1, within: 200 * time.Millisecond, perS: 2},
 	} {
 		t.Run(fmt.Sprintf("%d proxies, %v for all, overbooked %v times", c.proxies, c.all, c.overbook), func(t *testing.T) {
-			s := &service{each: c.all / time.Duration(c.proxies), timeout: 2 * time.Second, overbook: c.overbook}
-			last, most := storm(s, c.proxies, paced)
+			s := &simulatedService{callTime: c.all / time.Duration(c.proxies), timeout: 2 * time.Second, overbook: c.overbook}
+			last, most := reconnectAll(s, c.proxies, reconnectDelay)
 			t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, most)
 			if last > c.within {
 				t.Errorf("the last proxy has a list after %v, want within %v", last, c.within)
@@ -184,17 +184,17 @@
 
 // A process that takes another's place asks as long after its start as that one did, whatever their seeds, and who begins late asks
 // again early: so the asks of a place lie no further apart than its starts, and both waits together stay within the longer one.
-func TestPlacesInTheSpread(t *testing.T) {
+func TestPositionsInTheSpread(t *testing.T) {
 	const proxies, mustAsk = 80, 10 * time.Second
-	longest := part(mustAsk, startShare)
+	longest := fraction(mustAsk, startShare)
 	step := longest / proxies
 	for self := range proxies {
-		one, next := NewPace(true, self, proxies, mustAsk, uint64(self)), NewPace(true, self, proxies, mustAsk, 1e6+uint64(self))
-		a, b := one.Start(), next.Start()
+		one, next := NewBackoff(true, self, proxies, mustAsk, uint64(self)), NewBackoff(true, self, proxies, mustAsk, 1e6+uint64(self))
+		a, b := one.StartDelay(), next.StartDelay()
 		if d := (a - b).Abs(); d > step {
 			t.Errorf("place %d: %v after one start, %v after the next", self, a, b)
 		}
-		if d := a + one.Broken(); d > longest+2*step {
+		if d := a + one.ReconnectDelay(); d > longest+2*step {
 			t.Errorf("place %d waits %v in all", self, d)
 		}
 	}
--- a/internal/discovery/salvage.go
+++ b/internal/discovery/salvage.go
@@ -5,12 +5,12 @@
 	"encoding/json"
 )
 
-// drains are the entries that stand whole in a line that breaks off or can't be read to its end, and say that a member drains or is
+// salvageDrains are the entries that stand whole in a line that breaks off or can't be read to its end, and say that a member drains or is
 // gone. They have been told, though the rest has not; to go on sending there until the difference has been asked for would break
 // what they say. Nothing else is taken of such a line: not its revision, nor any member that it brings or would leave out. Where the
 // revision stands behind the members, it may not have come: what drained at any time does not come back under its id, so an entry of
 // a line that is not newer would do no harm.
-func drains(line []byte, known int64) (out []Member) {
+func salvageDrains(line []byte, known int64) (out []Member) {
 	in := json.NewDecoder(bytes.NewReader(line))
 	if t, err := in.Token(); err != nil || t != json.Delim('{') {
 		return nil
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -16,25 +16,25 @@
 	"time"
 )
 
-// player is a discovery of one connection at a time, each played by an act of its own: the first connection by the first, and so on, and all
+// scriptedServer is a discovery of one connection at a time, each played by an act of its own: the first connection by the first, and so on, and all
 // later ones by the last. A watcher with short limits on a busy machine may leave a connection before it has heard anything, and opens one more:
 // what the last act has to tell must not be lost with the connection that came to it first.
-type player struct {
-	t     *testing.T
-	addr  string
-	asked chan string // the query of each call, as it comes
+type scriptedServer struct {
+	t       *testing.T
+	addr    string
+	queries chan string // the query of each call, as it comes
 }
 
-// act plays one connection, once its call has come. The connection ends when it returns.
-type act func(conn net.Conn)
+// connScript plays one connection, once its call has come. The connection ends when it returns.
+type connScript func(conn net.Conn)
 
-func play(t *testing.T, parts ...act) *player {
+func startScriptedServer(t *testing.T, parts ...connScript) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &player{t: t, addr: l.Addr().String(), asked: make(chan string, 100)}
+	p := &scriptedServer{t: t, addr: l.Addr().String(), queries: make(chan string, 100)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for n := 0; ; n++ {
@@ -48,7 +48,7 @@
 				if err != nil {
 					return
 				}
-				p.asked <- r.URL.RawQuery
+				p.queries <- r.URL.RawQuery
 				parts[min(n, len(parts)-1)](conn)
 			}()
 		}
@@ -57,19 +57,19 @@
 }
 
 // call waits for the next call.
-func (p *player) call() string {
+func (p *scriptedServer) call() string {
 	p.t.Helper()
 	select {
-	case q := <-p.asked:
+	case q := <-p.queries:
 		return q
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Fatal("not asked again")
 		return ""
 	}
 }
 
-// says writes the head of an answer and some chunks, and then nothing, until the connection ends.
-func says(chunks ...string) act {
+// writesChunks writes the head of an answer and some chunks, and then nothing, until the connection ends.
+func writesChunks(chunks ...string) connScript {
 	return func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, c := range chunks {
@@ -89,45 +89,45 @@
 }
 
 const (
-	whole  = `{"revision":5,"complete":true,"members":[{"id":"s-a","phase":"in_service"},{"id":"s-b","phase":"in_service"}]}` + "\n"
-	drain  = `{"revision":6,"complete":false,"members":[{"id":"s-a","phase":"terminating"}]}` + "\n"
-	beatIt = "\n"
+	wholeList   = `{"revision":5,"complete":true,"members":[{"id":"s-a","phase":"in_service"},{"id":"s-b","phase":"in_service"}]}` + "\n"
+	drainUpdate = `{"revision":6,"complete":false,"members":[{"id":"s-a","phase":"terminating"}]}` + "\n"
+	heartbeat   = "\n"
 )
 
 // What a watch misses once it has fallen silent is asked for, wherever it fell silent, and whatever becomes of the first calls after.
 func TestSilentWatchIsReplaced(t *testing.T) {
-	silent := map[string]act{
-		"from its first line on":  says(),
-		"behind a whole list":     says(whole),
-		"behind heartbeats":       says(beatIt, beatIt),
-		"within a line":           says(whole, drain[:40]),
-		"within an indented list": says(whole, indented(drain)[:40]),
+	silent := map[string]connScript{
+		"from its first line on":  writesChunks(),
+		"behind a whole list":     writesChunks(wholeList),
+		"behind heartbeats":       writesChunks(heartbeat, heartbeat),
+		"within a line":           writesChunks(wholeList, drainUpdate[:40]),
+		"within an indented list": writesChunks(wholeList, indented(drainUpdate)[:40]),
 		"behind half a chunk's head": func(c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2")
 			hangs(c)
 		},
 		"before its head": hangs,
 	}
-	again := map[string][]act{
+	again := map[string][]connScript{
 		"opened at once":           nil,
 		"refused":                  {refuses, refuses},
 		"reset":                    {resets, resets},
 		"hangs":                    {hangs},
-		"is silent too":            {says()},
-		"is silent behind a beat":  {says(beatIt)},
+		"is silent too":            {writesChunks()},
+		"is silent behind a beat":  {writesChunks(heartbeat)},
 		"ends":                     {func(net.Conn) {}},
-		"is cut in its first line": {says(drain[:20])},
+		"is cut in its first line": {writesChunks(drainUpdate[:20])},
 	}
 	for name, first := range silent {
 		for then, parts := range again {
 			t.Run(name+", then "+then, func(t *testing.T) {
 				t.Parallel()
-				p := play(t, append(append([]act{first}, parts...), says(drain))...)
+				p := startScriptedServer(t, append(append([]connScript{first}, parts...), writesChunks(drainUpdate))...)
 				taken := make(chan List, 10)
 				ctx, stop := context.WithCancel(context.Background())
-				w := Watcher{Addr: p.addr, Pace: NewPace(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), Broken: func() {},
-					Take:    func(l List) (int64, bool) { taken <- l; return l.Revision, true },
-					silence: 30 * time.Millisecond, answer: 30 * time.Millisecond}
+				w := Watcher{Addr: p.addr, Backoff: NewBackoff(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), OnBreak: func() {},
+					OnList:         func(l List) (int64, bool) { taken <- l; return l.Revision, true },
+					silenceTimeout: 30 * time.Millisecond, callTimeout: 30 * time.Millisecond}
 				done := make(chan struct{})
 				go func() { w.Run(ctx); close(done) }()
 				t.Cleanup(func() { stop(); <-done })
@@ -137,7 +137,7 @@
 						if !l.Complete && l.Members[0].ID == "s-a" && l.Members[0].Phase == PhaseTerminating {
 							return
 						}
-					case <-time.After(patience):
+					case <-time.After(testTimeout):
 						t.Fatal("the drain was never taken in")
 					}
 				}
@@ -148,13 +148,13 @@
 
 // Each time limit on the way from silence to the news, and their sum for the longest way: under the 6 s after which what was missed counts
 // as told. An agent answers at once; a discovery that is asked has 2 s for a call.
-func TestLongestWayFromSilenceToNews(t *testing.T) {
+func TestLongestDelayFromSilenceToUpdate(t *testing.T) {
 	const counts = 6 * time.Second
-	agent := NewPace(false, 3, 4, 0, 1)
+	agent := NewBackoff(false, 3, 4, 0, 1)
 	// Two that were opened in the first one's place: one hangs, or is silent from its first line on, and the next tells it.
-	for name, second := range map[string]time.Duration{"hangs": agentAnswer + agent.first, "is silent too": agentAnswer + silence + agent.first,
-		"is refused": agent.failed} {
-		way := silence + agent.first + second
+	for name, second := range map[string]time.Duration{"hangs": agentCallTimeout + agent.reconnectSpread, "is silent too": agentCallTimeout + silenceTimeout + agent.reconnectSpread,
+		"is refused": agent.retrySpread} {
+		way := silenceTimeout + agent.reconnectSpread + second
 		t.Logf("pushed, and the second one %s: at most %v", name, way)
 		if way >= counts {
 			t.Errorf("pushed, and the second one %s: at most %v", name, way)
@@ -164,9 +164,9 @@
 	for _, instances := range []int{1, 4, 80, 300, 2000} {
 		for _, mustAsk := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute} {
 			for self := 0; self < instances; self += max(1, instances/7) {
-				p := NewPace(true, self, instances, mustAsk, 1)
+				p := NewBackoff(true, self, instances, mustAsk, 1)
 				for range 100 {
-					if way := silence + p.Broken() + call; way >= counts {
+					if way := silenceTimeout + p.ReconnectDelay() + call; way >= counts {
 						t.Fatalf("asked, %d proxies that must ask every %v: at most %v", instances, mustAsk, way)
 					}
 				}
@@ -187,11 +187,11 @@
 // Lists may come on several lines each, with empty lines between and texts that look like the end of one.
 func TestIndentedLists(t *testing.T) {
 	odd := `{"revision":5,"complete":true,"members":[{"id":"s-{\"}]","phase":"in_service"},{"id":"s-a","phase":"in_service"}]}`
-	p := play(t, says(indented(odd), beatIt, indented(drain)[:30], indented(drain)[30:], beatIt))
+	p := startScriptedServer(t, writesChunks(indented(odd), heartbeat, indented(drainUpdate)[:30], indented(drainUpdate)[30:], heartbeat))
 	taken := make(chan List, 10)
 	ctx, stop := context.WithCancel(context.Background())
-	w := Watcher{Addr: p.addr, Pace: NewPace(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), Broken: func() {},
-		Take: func(l List) (int64, bool) { taken <- l; return l.Revision, true }}
+	w := Watcher{Addr: p.addr, Backoff: NewBackoff(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), OnBreak: func() {},
+		OnList: func(l List) (int64, bool) { taken <- l; return l.Revision, true }}
 	done := make(chan struct{})
 	go func() { w.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
@@ -201,22 +201,22 @@
 			if l.Revision != want || want == 5 && l.Members[0].ID != `s-{"}]` {
 				t.Errorf("taken %+v, want revision %d", l, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("revision %d was never taken in", want)
 		}
 	}
-	if len(p.asked) != 1 {
-		t.Errorf("asked %d times, want one watch", len(p.asked))
+	if len(p.queries) != 1 {
+		t.Errorf("asked %d times, want one watch", len(p.queries))
 	}
 }
 
 // However a stream of objects is written and cut into pieces, the same objects come out of it.
-func FuzzFrames(f *testing.F) {
-	for _, s := range []string{"", "\n", whole + beatIt + drain, indented(whole), "{}{}\n", "x\n{}", `{"a":"}\""}`, "]", "[[", `"{`} {
+func FuzzObjectReader(f *testing.F) {
+	for _, s := range []string{"", "\n", wholeList + heartbeat + drainUpdate, indented(wholeList), "{}{}\n", "x\n{}", `{"a":"}\""}`, "]", "[[", `"{`} {
 		f.Add(s, 3)
 	}
 	all := func(r io.Reader) (out []string, err error) {
-		for in := newFrames(r); ; {
+		for in := newObjectReader(r); ; {
 			var b []byte
 			if b, err = in.next(); err != nil {
 				return append(out, "cut:"+string(b)), err
@@ -228,10 +228,10 @@
 	}
 	f.Fuzz(func(t *testing.T, text string, piece int) {
 		want, err := all(strings.NewReader(text))
-		if !errors.Is(err, io.EOF) && !errors.Is(err, errLong) {
+		if !errors.Is(err, io.EOF) && !errors.Is(err, errObjectTooLong) {
 			t.Fatalf("ended with %v", err)
 		}
-		got, _ := all(&pieces{text, max(1, piece%9)})
+		got, _ := all(&pieceReader{text, max(1, piece%9)})
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%q in pieces of %d: %q, want %q", text, piece, got, want)
 		}
@@ -244,16 +244,16 @@
 	})
 }
 
-type pieces struct {
+type pieceReader struct {
 	text string
-	n    int
+	size int
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *pieceReader) Read(b []byte) (int, error) {
 	if p.text == "" {
 		return 0, io.EOF
 	}
-	n := copy(b[:min(len(b), p.n)], p.text)
+	n := copy(b[:min(len(b), p.size)], p.text)
 	p.text = p.text[n:]
 	return n, nil
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second // a test that waits this long has failed
+const testTimeout = 20 * time.Second // a test that waits this long has failed
 
 // What discovery breaks off, or what can't be read, changes nothing: what is known stays, and the difference to it is asked for,
 // soon, also where the connection stays open behind half a line.
@@ -57,14 +57,14 @@
 			ctx, stop := context.WithCancel(context.Background())
 			taken := make(chan List, 10)
 			var log strings.Builder // the watcher's alone until it has ended
-			w := Watcher{Addr: s.Listener.Addr().String(), Pace: NewPace(false, 7, 80, 0, 1), Log: slog.New(slog.NewTextHandler(&log, nil)),
-				Take: func(l List) (int64, bool) { taken <- l; return 0, true }, Broken: func() {}}
+			w := Watcher{Addr: s.Listener.Addr().String(), Backoff: NewBackoff(false, 7, 80, 0, 1), Log: slog.New(slog.NewTextHandler(&log, nil)),
+				OnList: func(l List) (int64, bool) { taken <- l; return 0, true }, OnBreak: func() {}}
 			done := make(chan struct{})
 			go func() { w.Run(ctx); close(done) }()
 			t.Cleanup(func() { stop(); <-done; s.Close() })
 			select {
 			case <-again:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("not asked again")
 			}
 			first, second := <-taken, <-taken
@@ -87,7 +87,7 @@
 
 // A whole list that is empty, or older than what is known, leaves what is known in force, also where it comes again and again; a
 // change behind it counts. Once discovery has been behind for long enough it has begun to count anew, and its list holds.
-func TestListsThatGoBack(t *testing.T) {
+func TestEmptyAndOlderLists(t *testing.T) {
 	for name, c := range map[string]struct {
 		bad   string
 		since time.Duration // discovery has been behind for so long
@@ -109,15 +109,15 @@
 			defer s.Close()
 			var took []int64
 			var log strings.Builder
-			ctx, stop := context.WithTimeout(context.Background(), patience)
+			ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 			defer stop()
-			w := Watcher{Addr: s.Listener.Addr().String(), Revision: 5, Held: true, Log: slog.New(slog.NewTextHandler(&log, nil)),
-				Take: func(l List) (int64, bool) { took = append(took, l.Revision); stop(); return 0, true }, Broken: func() {}}
+			w := Watcher{Addr: s.Listener.Addr().String(), Revision: 5, HasMembers: true, Log: slog.New(slog.NewTextHandler(&log, nil)),
+				OnList: func(l List) (int64, bool) { took = append(took, l.Revision); stop(); return 0, true }, OnBreak: func() {}}
 			if c.since > 0 {
-				w.behind = time.Now().Add(-c.since)
+				w.behindSince = time.Now().Add(-c.since)
 			}
 			_, err := w.watch(ctx, s.Client())
-			if errors.Is(err, errBehind) { // asked again, it has caught up
+			if errors.Is(err, errStaleList) { // asked again, it has caught up
 				if len(took) > 0 || w.Revision != 5 {
 					t.Fatalf("taken %v, revision %d", took, w.Revision)
 				}
@@ -132,21 +132,21 @@
 
 // Of a line that breaks off, whatever the place, only drains that stand whole in it count, and only if it is newer, as far as that can be
 // told: the revision may stand in front of the members or behind them.
-func TestDrainsOfHalfALine(t *testing.T) {
+func TestDrainsInTruncatedLine(t *testing.T) {
 	const members = `"members":[{"id":"s-a","phase":"terminating"},{"id":"s-b","phase":"in_service"},` +
 		`{"id":"s-c","phase":"terminated"},{"id":"s-d","phase":"in_service"}]`
-	halves(t, `{"revision":6,"complete":false,`+members+`}`)
-	halves(t, `{"complete":false,`+members+`,"revision":6}`)
-	if got := drains([]byte(`{"revision":6,"complete":false,`+members), 6); len(got) > 0 {
+	checkPrefixes(t, `{"revision":6,"complete":false,`+members+`}`)
+	checkPrefixes(t, `{"complete":false,`+members+`,"revision":6}`)
+	if got := salvageDrains([]byte(`{"revision":6,"complete":false,`+members), 6); len(got) > 0 {
 		t.Errorf("of a line that is not newer: %+v", got)
 	}
 }
 
-func halves(t *testing.T, line string) {
+func checkPrefixes(t *testing.T, line string) {
 	t.Helper()
 	for n := range len(line) {
 		got := ""
-		for _, m := range drains([]byte(line[:n]), 5) {
+		for _, m := range salvageDrains([]byte(line[:n]), 5) {
 			got += m.ID + " "
 		}
 		want := ""
@@ -162,13 +162,13 @@
 	}
 }
 
-func FuzzDrains(f *testing.F) {
+func FuzzSalvageDrains(f *testing.F) {
 	for _, s := range []string{"", "{", `{"revision":6,"members":[{"id":"s-a","phase":"terminating"},{`, `{"members":[{"id":"s-a"}]}`,
 		`{"x":{"y":[1,2]},"revision":9,"members":[{"id":"a","phase":"terminated"} false`} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
-		for _, m := range drains(line, 5) {
+		for _, m := range salvageDrains(line, 5) {
 			if m.ID == "" || m.Phase == PhaseInService {
 				t.Errorf("%q: %+v", line, m)
 			}
@@ -178,7 +178,7 @@
 
 // A chunk that stops short, on a connection that stays open, is given up like a line that does, and the drains in it count: what has
 // come of a chunk is not read until it is whole.
-func TestHalfAChunk(t *testing.T) {
+func TestTruncatedChunk(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -196,9 +196,9 @@
 		conn.Close()
 	}()
 	var took []List
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	w := &Watcher{Addr: l.Addr().String(), Revision: 5, Log: slog.New(slog.DiscardHandler), Take: func(l List) (int64, bool) { took = append(took, l); return 0, true }}
+	w := &Watcher{Addr: l.Addr().String(), Revision: 5, Log: slog.New(slog.DiscardHandler), OnList: func(l List) (int64, bool) { took = append(took, l); return 0, true }}
 	_, err = w.watch(ctx, &http.Client{Transport: &http.Transport{DialContext: w.dial, DisableKeepAlives: true}})
 	if err == nil || !strings.Contains(err.Error(), "stopped short") {
 		t.Errorf("ended with %v", err)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -274,7 +274,7 @@
 // Clock is the time right now, on the module's clock. It needs no lock.
 func (p *Proxy) Clock() time.Duration { return p.offset + p.elapsed() }
 
-// catchUp takes the time anew in the midst of an event, which may have been held up since it began.
+// catchUpTimeout takes the time anew in the midst of an event, which may have been held up since it began.
 func (p *Proxy) catchUp() { p.now = max(p.now, p.Clock()) }
 
 func (p *Proxy) elapsed() time.Duration {
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -17,7 +17,7 @@
 	told   chan struct{} // closed with its first list
 	opened chan struct{} // closed once discovery has taken it up
 	cancel context.CancelFunc
-	pace   *discovery.Pace
+	pace   *discovery.Backoff
 	wait   time.Duration // before its first call
 }
 
@@ -43,9 +43,9 @@
 	}
 	s := &p.cfg.Settings
 	w := &watch{addr: addr, told: make(chan struct{}), opened: make(chan struct{}), cancel: func() {},
-		pace: discovery.NewPace(s.Subscribe, s.Self, s.Instances, s.MustAskIn, p.cfg.Seed)}
+		pace: discovery.NewBackoff(s.Subscribe, s.Self, s.Instances, s.MustAskIn, p.cfg.Seed)}
 	if !whole && len(p.cfg.Known.Members) > 0 { // there is a list to begin with
-		w.wait = w.pace.Start()
+		w.wait = w.pace.StartDelay()
 	}
 	p.watches = append(p.watches, w)
 	p.startWatch(w, whole)
@@ -65,10 +65,10 @@
 		return
 	}
 	watcher := discovery.Watcher{
-		Addr: w.addr, Revision: revision, Whole: whole, Pace: w.pace, Wait: w.wait, Held: held, Log: p.log,
-		Take:   func(l discovery.List) (int64, bool) { return p.take(w, l) },
-		Opened: sync.OnceFunc(func() { close(w.opened) }),
-		Broken: func() { p.broken(w) },
+		Addr: w.addr, Revision: revision, FetchFirst: whole, Backoff: w.pace, InitialDelay: w.wait, HasMembers: held, Log: p.log,
+		OnList:  func(l discovery.List) (int64, bool) { return p.take(w, l) },
+		OnOpen:  sync.OnceFunc(func() { close(w.opened) }),
+		OnBreak: func() { p.broken(w) },
 	}
 	watcher.Run(ctx)
 }
@@ -86,7 +86,7 @@
 	switch {
 	case at < 0:
 		return l.Revision, true // it is being ended
-	case at > 0 && l.Revision < p.revision && !l.Anew:
+	case at > 0 && l.Revision < p.revision && !l.RevisionsReset:
 		return p.revision, false
 	}
 	for _, old := range p.watches[:at] {
