--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -56,7 +56,7 @@
 		log.Warn("no directory to hand over by: members out of use are forgotten at the end of this process", "err", err)
 	}
 	s.first = s.alone
-	if settings.Out, _, err = s.dir.Look(); err != nil {
+	if settings.Out, _, err = s.dir.Reload(); err != nil {
 		log.Error("the record of members out of use can't be read", "err", err)
 	}
 	if !s.alone {
@@ -64,7 +64,7 @@
 		s.keep(nil)
 		settings.Sockets, settings.MemoryMB = s.sockets, int(s.memory)
 	}
-	if s.dir.Lasts() {
+	if s.dir.Persistent() {
 		settings.Inherit = s.inherit
 	}
 	return s
@@ -73,7 +73,7 @@
 // inherit reads what the process before has learnt. One that still serves is waited for until it has left what it knows now.
 func (s *sharing) inherit() (*inherit.Snapshot, error) {
 	for {
-		text, err := s.dir.Left(inherit.MaxBytes)
+		text, err := s.dir.ReadState(inherit.MaxBytes)
 		if err != nil {
 			return nil, err
 		}
@@ -94,12 +94,12 @@
 
 // leave writes what this process has learnt.
 func (s *sharing) leave(p *proxy.Proxy) {
-	if !s.dir.Lasts() {
+	if !s.dir.Persistent() {
 		return
 	}
 	text, err := inherit.Encode(p.Learnt())
 	if err == nil {
-		err = s.dir.Leave(text)
+		err = s.dir.WriteState(text)
 	}
 	if err != nil {
 		s.log.Error("what has been learnt can't be left", "err", err)
@@ -134,7 +134,7 @@
 			}
 		}
 		was := followed
-		if followed = s.alone && s.dir.Followed(); followed && !was {
+		if followed = s.alone && s.dir.HasSuccessor(); followed && !was {
 			s.leave(p)
 		}
 		switch {
@@ -153,7 +153,7 @@
 	if p != nil {
 		mine.Descriptors = int64(p.Load().Descriptors)
 	}
-	theirs, err := s.dir.Share(mine)
+	theirs, err := s.dir.ExchangeUsage(mine)
 	if err != nil {
 		s.log.Error("handover", "err", err)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	recordName = "maintenance" // JSON; replaced whole
-	lockName   = "lock"        // guards changes of the record
-	servesName = "serves"      // locked by the process that serves
-	followName = "follows"     // locked by the one that is to follow it
-	usageName  = "usage"       // two slots of usageSize: the one that serves, the one that follows
-	usageSize  = 16
-	learntName = "learnt" // what the process that serves has learnt; replaced whole
-	maxRecord  = 4 << 20
+	recordName     = "maintenance" // JSON; replaced whole
+	lockName       = "lock"        // guards changes of the record
+	servesName     = "serves"      // locked by the process that serves
+	followsName    = "follows"     // locked by the one that is to follow it
+	usageName      = "usage"       // two slots of usageSize: the one that serves, the one that follows
+	usageSize      = 16
+	stateName      = "learnt" // what the process that serves has learnt; replaced whole
+	maxRecordBytes = 4 << 20
 )
 
 // Usage is what a process holds.
@@ -43,12 +43,12 @@
 type Dir struct {
 	path string
 
-	mu      sync.Mutex
-	set     maintenance.Set
-	seen    fs.FileInfo // of the record as last read
-	serves  *os.File    // locked; nil: another process serves
-	follows *os.File
-	usage   *os.File
+	mu          sync.Mutex
+	record      maintenance.Set
+	recordInfo  fs.FileInfo // of the record as last read
+	servesLock  *os.File    // locked; nil: another process serves
+	followsLock *os.File
+	usageFile   *os.File
 }
 
 // Open opens the directory of one proxy under path and tells whether another process serves already. The proxies of a
@@ -72,19 +72,19 @@
 			alone = true
 		}
 	}()
-	if d.usage, err = d.open(usageName); err != nil {
+	if d.usageFile, err = d.open(usageName); err != nil {
 		return d, true, err
 	}
-	if d.follows, err = d.open(followName); err != nil {
+	if d.followsLock, err = d.open(followsName); err != nil {
 		return d, true, err
 	}
 	if alone, err = d.Promote(); err != nil {
 		return d, true, err
 	}
-	if alone && d.Followed() {
+	if alone && d.HasSuccessor() {
 		// The process that served has just ended, and the one that follows it has yet to see that: the place is that one's.
-		d.serves.Close()
-		d.serves, alone = nil, false
+		d.servesLock.Close()
+		d.servesLock, alone = nil, false
 	}
 	return d, alone, nil
 }
@@ -113,7 +113,7 @@
 func (d *Dir) Promote() (bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.path == "" || d.serves != nil {
+	if d.path == "" || d.servesLock != nil {
 		return true, nil
 	}
 	f, err := d.open(servesName)
@@ -124,90 +124,90 @@
 		f.Close()
 		if err == nil {
 			// Of two that follow at once the later one shares the slot, until the earlier one serves.
-			_, err = tryLock(d.follows)
+			_, err = tryLock(d.followsLock)
 		}
 		return false, err
 	}
-	d.serves = f
-	unix.Flock(int(d.follows.Fd()), unix.LOCK_UN)
+	d.servesLock = f
+	unix.Flock(int(d.followsLock.Fd()), unix.LOCK_UN)
 	return true, nil
 }
 
-// Followed tells whether another process is there to take over from this one.
-func (d *Dir) Followed() bool {
+// HasSuccessor tells whether another process is there to take over from this one.
+func (d *Dir) HasSuccessor() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.serves == nil || d.follows == nil {
+	if d.servesLock == nil || d.followsLock == nil {
 		return false
 	}
-	free, err := tryLock(d.follows)
+	free, err := tryLock(d.followsLock)
 	if free {
-		unix.Flock(int(d.follows.Fd()), unix.LOCK_UN)
+		unix.Flock(int(d.followsLock.Fd()), unix.LOCK_UN)
 	}
 	return !free && err == nil
 }
 
-// Share notes what this process holds and tells what the other one noted last.
-func (d *Dir) Share(mine Usage) (theirs Usage, err error) {
+// ExchangeUsage notes what this process holds and tells what the other one noted last.
+func (d *Dir) ExchangeUsage(mine Usage) (theirs Usage, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.usage == nil {
+	if d.usageFile == nil {
 		return Usage{}, nil
 	}
 	me, other := int64(0), int64(usageSize)
-	if d.serves == nil {
+	if d.servesLock == nil {
 		me, other = other, me
 	}
 	var b [usageSize]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(mine.Descriptors))
 	binary.LittleEndian.PutUint64(b[8:], uint64(mine.Memory))
-	if _, err := d.usage.WriteAt(b[:], me); err != nil {
+	if _, err := d.usageFile.WriteAt(b[:], me); err != nil {
 		return Usage{}, fmt.Errorf("handover: %w", err)
 	}
 	b = [usageSize]byte{}
-	d.usage.ReadAt(b[:], other) // short until the other has written: then it holds nothing yet
+	d.usageFile.ReadAt(b[:], other) // short until the other has written: then it holds nothing yet
 	return Usage{int64(binary.LittleEndian.Uint64(b[:])), int64(binary.LittleEndian.Uint64(b[8:]))}, nil
 }
 
-// Change changes the record, and with it every process's: once it returns without an error, one that starts later has
+// Update changes the record, and with it every process's: once it returns without an error, one that starts later has
 // the change too. It returns the record as it stands then.
-func (d *Dir) Change(f func(maintenance.Set) (maintenance.Set, error)) (maintenance.Set, error) {
+func (d *Dir) Update(f func(maintenance.Set) (maintenance.Set, error)) (maintenance.Set, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.path == "" {
-		set, err := f(d.set)
+		set, err := f(d.record)
 		if err == nil {
-			d.set = set
+			d.record = set
 		}
-		return d.set, err
+		return d.record, err
 	}
-	err := d.locked(func() error {
+	err := d.withLock(func() error {
 		if err := d.read(); err != nil {
 			return err
 		}
-		set, err := f(d.set)
+		set, err := f(d.record)
 		if err != nil {
 			return err
 		}
 		if err := d.write(set); err != nil {
 			return err
 		}
-		d.set = set
+		d.record = set
 		return nil
 	})
-	return d.set, err
+	return d.record, err
 }
 
-// Look reads the record, if it is not the one read last, and tells whether it was another.
-func (d *Dir) Look() (set maintenance.Set, changed bool, err error) {
+// Reload reads the record, if it is not the one read last, and tells whether it was another.
+func (d *Dir) Reload() (set maintenance.Set, changed bool, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.path == "" {
-		return d.set, false, nil
+		return d.record, false, nil
 	}
-	was := d.seen
+	was := d.recordInfo
 	err = d.read()
-	return d.set, d.seen != was, err
+	return d.record, d.recordInfo != was, err
 }
 
 // read takes in the record, if it is not the one seen last. One that can't be read leaves what is known: a member that
@@ -221,10 +221,10 @@
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if d.seen != nil && os.SameFile(info, d.seen) && info.ModTime().Equal(d.seen.ModTime()) && info.Size() == d.seen.Size() {
+	if d.recordInfo != nil && os.SameFile(info, d.recordInfo) && info.ModTime().Equal(d.recordInfo.ModTime()) && info.Size() == d.recordInfo.Size() {
 		return nil
 	}
-	if info.Size() > maxRecord {
+	if info.Size() > maxRecordBytes {
 		return fmt.Errorf("handover: %s has %d bytes", path, info.Size())
 	}
 	text, err := os.ReadFile(path)
@@ -235,7 +235,7 @@
 	if err := json.Unmarshal(text, &set); err != nil {
 		return fmt.Errorf("handover: %s: %w", path, err)
 	}
-	d.set, d.seen = d.set.Merge(set), info
+	d.record, d.recordInfo = d.record.Merge(set), info
 	return nil
 }
 
@@ -250,7 +250,7 @@
 		return err
 	}
 	if info, err := os.Stat(filepath.Join(d.path, recordName)); err == nil {
-		d.seen = info
+		d.recordInfo = info
 	}
 	return nil
 }
@@ -267,8 +267,8 @@
 	return nil
 }
 
-// locked runs f while no other process changes files.
-func (d *Dir) locked(f func() error) error {
+// withLock runs f while no other process changes files.
+func (d *Dir) withLock(f func() error) error {
 	lock, err := d.open(lockName)
 	if err != nil {
 		return err
@@ -280,26 +280,26 @@
 	return f()
 }
 
-// Lasts tells whether there is a directory.
-func (d *Dir) Lasts() bool { return d.path != "" }
+// Persistent tells whether there is a directory.
+func (d *Dir) Persistent() bool { return d.path != "" }
 
-// Leave leaves what this process has learnt for the one that takes its place. Only the one that serves may.
-func (d *Dir) Leave(learnt []byte) error {
+// WriteState leaves what this process has learnt for the one that takes its place. Only the one that serves may.
+func (d *Dir) WriteState(learnt []byte) error {
 	d.mu.Lock()
-	path, serves := d.path, d.serves != nil
+	path, serves := d.path, d.servesLock != nil
 	d.mu.Unlock()
 	if path == "" || !serves {
 		return nil
 	}
-	return d.locked(func() error { return d.replace(learntName, learnt) })
+	return d.withLock(func() error { return d.replace(stateName, learnt) })
 }
 
-// Left is what the process before has learnt, up to so many bytes; nil, if it has left nothing.
-func (d *Dir) Left(most int) ([]byte, error) {
+// ReadState is what the process before has learnt, up to so many bytes; nil, if it has left nothing.
+func (d *Dir) ReadState(most int) ([]byte, error) {
 	if d.path == "" {
 		return nil, nil
 	}
-	f, err := os.Open(filepath.Join(d.path, learntName))
+	f, err := os.Open(filepath.Join(d.path, stateName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -309,7 +309,7 @@
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, int64(most)+1))
 	if err == nil && len(text) > most {
-		err = fmt.Errorf("%s has more than %d bytes", learntName, most)
+		err = fmt.Errorf("%s has more than %d bytes", stateName, most)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -321,10 +321,10 @@
 func (d *Dir) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, f := range []*os.File{d.serves, d.follows, d.usage} {
+	for _, f := range []*os.File{d.servesLock, d.followsLock, d.usageFile} {
 		if f != nil {
 			f.Close()
 		}
 	}
-	d.serves, d.follows, d.usage = nil, nil, nil
+	d.servesLock, d.followsLock, d.usageFile = nil, nil, nil
 }
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -28,8 +28,8 @@
 	Out     bool  `json:"out"`
 	Entered int64 `json:"entered_ms"`
 	Exited  int64 `json:"exited_ms,omitempty"`
-	// Turn counts the calls, so that of two sets the one that knows the latest of them is told apart.
-	Turn int64 `json:"turn"`
+	// Sequence counts the calls, so that of two sets the one that knows the latest of them is told apart.
+	Sequence int64 `json:"turn"`
 }
 
 // Set is which members are out. The zero value is empty. A Set that has been handed out is never changed: Enter, Exit
@@ -59,10 +59,10 @@
 		return s, nil
 	}
 	n := s.clone()
-	if !known && len(n.entries) >= maxEntries && !n.forget() {
+	if !known && len(n.entries) >= maxEntries && !n.dropOldest() {
 		return s, ErrFull
 	}
-	n.entries[id] = entry{Out: true, Entered: now, Turn: e.Turn + 1}
+	n.entries[id] = entry{Out: true, Entered: now, Sequence: e.Sequence + 1}
 	return n, nil
 }
 
@@ -73,13 +73,13 @@
 		return s
 	}
 	n := s.clone()
-	e.Out, e.Exited, e.Turn = false, max(now, e.Entered), e.Turn+1
+	e.Out, e.Exited, e.Sequence = false, max(now, e.Entered), e.Sequence+1
 	n.entries[id] = e
 	return n
 }
 
-// forget drops the entry of the member that came back first.
-func (s Set) forget() bool {
+// dropOldest drops the entry of the member that came back first.
+func (s Set) dropOldest() bool {
 	oldest := ""
 	for id, e := range s.entries {
 		if was := s.entries[oldest]; !e.Out && (oldest == "" || e.Exited < was.Exited || e.Exited == was.Exited && id < oldest) {
@@ -97,8 +97,8 @@
 	return Set{maps.Clone(s.entries)}
 }
 
-// Out tells whether a member is out of use.
-func (s Set) Out(id string) bool { return s.entries[id].Out }
+// IsOut tells whether a member is out of use.
+func (s Set) IsOut(id string) bool { return s.entries[id].Out }
 
 // UpSince is since when a member counts as started, given what the list says (0: long ago). Operators restart a member
 // while it is out, and the list tells of that late: as long as it names a start from before the member was called out,
@@ -115,8 +115,8 @@
 	return float64(e.Exited)
 }
 
-// Outs counts the members that are out.
-func (s Set) Outs() (n int) {
+// CountOut counts the members that are out.
+func (s Set) CountOut() (n int) {
 	for _, e := range s.entries {
 		if e.Out {
 			n++
@@ -129,11 +129,11 @@
 func (s Set) Merge(o Set) Set {
 	n := s.clone()
 	for id, e := range o.entries {
-		if was, known := n.entries[id]; !known || e.Turn > was.Turn || e.Turn == was.Turn && e.Out && !was.Out {
+		if was, known := n.entries[id]; !known || e.Sequence > was.Sequence || e.Sequence == was.Sequence && e.Out && !was.Out {
 			n.entries[id] = e
 		}
 	}
-	for len(n.entries) > maxEntries && n.forget() {
+	for len(n.entries) > maxEntries && n.dropOldest() {
 	}
 	return n
 }
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func enter(t *testing.T, s Set, id string, now int64) Set {
+func mustEnter(t *testing.T, s Set, id string, now int64) Set {
 	t.Helper()
 	n, err := s.Enter(id, now)
 	if err != nil {
@@ -18,13 +18,13 @@
 	return n
 }
 
-func TestTwoCallsOutTakeOneBack(t *testing.T) {
+func TestRepeatedEnterNeedsOneExit(t *testing.T) {
 	var s Set
-	s = enter(t, enter(t, s, "a", 10), "a", 20)
-	if !s.Out("a") || s.Out("b") || s.Outs() != 1 {
+	s = mustEnter(t, mustEnter(t, s, "a", 10), "a", 20)
+	if !s.IsOut("a") || s.IsOut("b") || s.CountOut() != 1 {
 		t.Fatalf("%+v", s)
 	}
-	if s = s.Exit("a", 30); s.Out("a") {
+	if s = s.Exit("a", 30); s.IsOut("a") {
 		t.Error("still out")
 	}
 	if n := s.Exit("a", 40); !reflect.DeepEqual(n, s) {
@@ -34,7 +34,7 @@
 
 // The list tells late of a restart that operators made while the member was out.
 func TestUpSince(t *testing.T) {
-	s := enter(t, Set{}, "a", 1000)
+	s := mustEnter(t, Set{}, "a", 1000)
 	back := s.Exit("a", 5000)
 	for _, c := range []struct {
 		s            Set
@@ -57,7 +57,7 @@
 }
 
 // However the sets of two processes travel, both come to the same members as one that saw all calls.
-func TestMergeAgrees(t *testing.T) {
+func TestMergeConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var all Set
@@ -67,7 +67,7 @@
 			// A process looks at the record before it changes it (handover.Change), and now and then besides.
 			sets[at] = sets[at].Merge(sets[1-at])
 			if rng.IntN(2) == 0 {
-				all, sets[at] = enter(t, all, id, now), enter(t, sets[at], id, now)
+				all, sets[at] = mustEnter(t, all, id, now), mustEnter(t, sets[at], id, now)
 			} else {
 				all, sets[at] = all.Exit(id, now), sets[at].Exit(id, now)
 			}
@@ -80,10 +80,10 @@
 	}
 }
 
-func TestMergeKeepsOutWhereInDoubt(t *testing.T) {
-	out := Set{map[string]entry{"a": {Out: true, Turn: 3}}}
-	in := Set{map[string]entry{"a": {Turn: 3}}}
-	if !out.Merge(in).Out("a") || !in.Merge(out).Out("a") {
+func TestMergePrefersOutOnTie(t *testing.T) {
+	out := Set{map[string]entry{"a": {Out: true, Sequence: 3}}}
+	in := Set{map[string]entry{"a": {Sequence: 3}}}
+	if !out.Merge(in).IsOut("a") || !in.Merge(out).IsOut("a") {
 		t.Error("a member came back on a record that knows no more")
 	}
 }
@@ -92,13 +92,13 @@
 	var s Set
 	for i := range maxEntries {
 		s.entries = s.clone().entries
-		s.entries[fmt.Sprint("m", i)] = entry{Out: true, Turn: 1}
+		s.entries[fmt.Sprint("m", i)] = entry{Out: true, Sequence: 1}
 	}
 	if _, err := s.Enter("more", 1); !errors.Is(err, ErrFull) {
 		t.Errorf("%v, want ErrFull", err)
 	}
 	s = s.Exit("m7", 5)
-	if n := enter(t, s, "more", 6); !n.Out("more") || len(n.entries) != maxEntries || !n.Out("m8") {
+	if n := mustEnter(t, s, "more", 6); !n.IsOut("more") || len(n.entries) != maxEntries || !n.IsOut("m8") {
 		t.Error("the member that is back did not give up its place")
 	}
 	for _, id := range []string{"", "a b", "a\n", "\x7f", string(make([]byte, 300))} {
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -102,12 +102,12 @@
 			return
 		case <-tick.C:
 		}
-		set, changed, err := f.dir.Look()
+		set, changed, err := f.dir.Reload()
 		if err != nil && !faulty {
 			f.log.Error("the record of members out of use can't be read, what is known stays in force", "err", err)
 		}
 		if faulty = err != nil; changed && !faulty {
-			f.log.Info("members out of use, by another process's record", "count", set.Outs())
+			f.log.Info("members out of use, by another process's record", "count", set.CountOut())
 			f.p.Maintain(set)
 		}
 	}
@@ -234,13 +234,13 @@
 		http.Error(w, fmt.Sprintf("no member has the id %q", id), http.StatusNotFound)
 		return
 	}
-	set, err := f.dir.Change(func(s maintenance.Set) (maintenance.Set, error) { return to(s, id) })
+	set, err := f.dir.Update(func(s maintenance.Set) (maintenance.Set, error) { return to(s, id) })
 	if err != nil {
 		f.log.Error("call to take a member out of use or back failed, nothing is changed", "member", id, "out", out, "err", err)
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	f.p.Maintain(set)
-	f.log.Info("maintenance", "member", id, "out", out, "all_out", set.Outs())
+	f.log.Info("maintenance", "member", id, "out", out, "all_out", set.CountOut())
 	fmt.Fprintf(w, "%s out=%t\n", id, out)
 }
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -208,7 +208,7 @@
 		t.Fatalf("alone %t %v", alone, err)
 	}
 	defer other.Close()
-	if _, err := other.Change(func(s maintenance.Set) (maintenance.Set, error) { return s.Enter("s-2", 1) }); err != nil {
+	if _, err := other.Update(func(s maintenance.Set) (maintenance.Set, error) { return s.Enter("s-2", 1) }); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(patience); r.p.Load().Ready != 2; time.Sleep(time.Millisecond) { // a box and the origin
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -219,7 +219,7 @@
 		g.Wait()
 		return err
 	}
-	p.log.Info("ready", "listen", p.Addr().String(), "out_of_use", p.cfg.Out.Outs(), "members", len(p.cfg.Known.Members))
+	p.log.Info("ready", "listen", p.Addr().String(), "out_of_use", p.cfg.Out.CountOut(), "members", len(p.cfg.Known.Members))
 	served := make(chan error, len(p.fronts))
 	p.Do(func() { p.serving = true })
 	for _, f := range p.fronts {
@@ -345,7 +345,7 @@
 		m.State = logic.Draining
 	}
 	// Nothing new goes to a member out of use, as if the list said that it drains.
-	if m.State == logic.Ready && p.out.Out(e.ID) {
+	if m.State == logic.Ready && p.out.IsOut(e.ID) {
 		m.State = logic.Draining
 	}
 	return m
@@ -372,7 +372,7 @@
 func (p *Proxy) Knows(id string) (known bool) {
 	p.Do(func() {
 		m := p.members[MemberID(id)]
-		known = m != nil && m.listed.ID == id && m.state != logic.Gone || p.out.Out(id)
+		known = m != nil && m.listed.ID == id && m.state != logic.Gone || p.out.IsOut(id)
 	})
 	return known
 }
