--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -60,12 +60,12 @@
 
 // Snapshot is what one process has learnt.
 type Snapshot struct {
-	Fleet   uint64 // of Fleet
-	TakenMS int64  // Unix time
-	Learnt  logic.Learnt
-	Members map[logic.MemberID]Link
+	Fleet   uint64                  // of Fleet
+	TakenMS int64                   // Unix time
+	Learnt  logic.Learnt            `json:"Learnt"`
+	Members map[logic.MemberID]Link `json:"Members"`
 	Idle    pool.IdleLearnt
-	Reuse   float64 // the share of clients' connections that are asked on again
+	Reuse   float64 `json:"Reuse"` // the share of clients' connections that are asked on again
 }
 
 // Link is how a member is reached: its address, by which a reused id is told, and what is known of the connections there.
