--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -29,43 +29,43 @@
 	MaxBytes = 1 << 20
 	// MaxAge is how old a snapshot may be. Popularity, ejections and load have moved on long before.
 	MaxAge = time.Minute
-	// leastKnown is the share of a snapshot's members that the present list has to name. Under it, it is of another fleet, or of one
+	// minKnownShare is the share of a snapshot's members that the present list has to name. Under it, it is of another fleet, or of one
 	// that has been replaced.
-	leastKnown = 0.5
+	minKnownShare = 0.5
 
-	magic     = "LLIN"
-	headBytes = len(magic) + 2 + 4 + 4 // version, length and CRC32C of what follows, in big-endian order
+	magic       = "LLIN"
+	headerBytes = len(magic) + 2 + 4 + 4 // version, length and CRC32C of what follows, in big-endian order
 )
 
 // Half of a figure's distance from what a fresh process would assume is gone after so long. Counts follow the window that they are
 // halved in; how quick a member is and what it can take hold longer than who is ejected.
 const (
-	countsHalf  = 4 * time.Second
-	loadHalf    = 4 * time.Second
-	membersHalf = 20 * time.Second
-	failsHalf   = 2 * time.Second
-	idleHalf    = 30 * time.Second
+	countsHalfLife  = 4 * time.Second
+	loadHalfLife    = 4 * time.Second
+	membersHalfLife = 20 * time.Second
+	failsHalfLife   = 2 * time.Second
+	idleHalfLife    = 30 * time.Second
 )
 
 // Reasons for turning a snapshot down.
 var (
-	ErrCut     = errors.New("it is cut short")
-	ErrForeign = errors.New("it is none")
-	ErrDamaged = errors.New("its checksum is wrong")
-	ErrVersion = errors.New("it is of another version")
-	ErrFleet   = errors.New("it is of another fleet")
-	ErrOld     = errors.New("it is too old")
-	ErrFuture  = errors.New("it is from the future")
+	ErrTruncated   = errors.New("it is cut short")
+	ErrNotSnapshot = errors.New("it is none")
+	ErrChecksum    = errors.New("its checksum is wrong")
+	ErrVersion     = errors.New("it is of another version")
+	ErrFleet       = errors.New("it is of another fleet")
+	ErrTooOld      = errors.New("it is too old")
+	ErrFuture      = errors.New("it is from the future")
 )
 
 // Snapshot is what one process has learnt.
 type Snapshot struct {
-	Fleet   uint64                  // of Fleet
-	TakenMS int64                   // Unix time
-	Learnt  logic.Learnt            `json:"Learnt"`
-	Members map[logic.MemberID]Link `json:"Members"`
-	Idle    pool.IdleLearnt
-	Reuse   float64 `json:"Reuse"` // the share of clients' connections that are asked on again
+	Fleet      uint64                  // of Fleet
+	TakenMS    int64                   // Unix time
+	Balancer   logic.Learnt            `json:"Learnt"`
+	Links      map[logic.MemberID]Link `json:"Members"`
+	Idle       pool.IdleLearnt
+	ReuseShare float64 `json:"Reuse"` // the share of clients' connections that are asked on again
 }
 
 // Link is how a member is reached: its address, by which a reused id is told, and what is known of the connections there.
@@ -74,8 +74,8 @@
 	pool.Learnt
 }
 
-// Fleet tells fleets and proxies apart by what a configuration says of them.
-func Fleet(parts ...string) uint64 {
+// FleetHash tells fleets and proxies apart by what a configuration says of them.
+func FleetHash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		fmt.Fprintf(h, "%d:%s", len(p), p)
@@ -93,49 +93,49 @@
 		if err != nil {
 			return nil, fmt.Errorf("inherit: %w", err)
 		}
-		if headBytes+len(body) <= MaxBytes {
-			b := make([]byte, 0, headBytes+len(body))
+		if headerBytes+len(body) <= MaxBytes {
+			b := make([]byte, 0, headerBytes+len(body))
 			b = binary.BigEndian.AppendUint16(append(b, magic...), Version)
 			b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 			b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli()))
 			return append(b, body...), nil
 		}
-		n := len(s.Learnt.Members) / 2
+		n := len(s.Balancer.Members) / 2
 		if n == 0 {
 			return nil, fmt.Errorf("inherit: %d bytes without members", len(body))
 		}
-		members := slices.Clone(s.Learnt.Members)
+		members := slices.Clone(s.Balancer.Members)
 		slices.SortStableFunc(members, func(a, b logic.LearntMember) int { return b.Seen - a.Seen })
-		s.Learnt.Members = members[:n]
+		s.Balancer.Members = members[:n]
 		links := map[logic.MemberID]Link{}
-		for _, m := range s.Learnt.Members {
-			links[m.ID] = s.Members[m.ID]
+		for _, m := range s.Balancer.Members {
+			links[m.ID] = s.Links[m.ID]
 		}
-		s.Members = links
+		s.Links = links
 	}
 }
 
 // Decode reads what Encode has written, whole or not at all.
 func Decode(b []byte) (s Snapshot, err error) {
 	switch {
-	case len(b) < headBytes && magic[:min(len(b), len(magic))] == string(b[:min(len(b), len(magic))]):
-		return s, ErrCut
-	case len(b) < headBytes || string(b[:len(magic)]) != magic:
-		return s, ErrForeign
+	case len(b) < headerBytes && magic[:min(len(b), len(magic))] == string(b[:min(len(b), len(magic))]):
+		return s, ErrTruncated
+	case len(b) < headerBytes || string(b[:len(magic)]) != magic:
+		return s, ErrNotSnapshot
 	}
-	head := b[len(magic):headBytes]
+	head := b[len(magic):headerBytes]
 	if v := binary.BigEndian.Uint16(head); v != Version {
 		return s, fmt.Errorf("%w: %d, not %d", ErrVersion, v, Version)
 	}
-	body := b[headBytes:]
+	body := b[headerBytes:]
 	switch n := binary.BigEndian.Uint32(head[2:]); {
 	case int64(len(body)) < int64(n):
-		return s, fmt.Errorf("%w: %d of %d bytes", ErrCut, len(body), n)
+		return s, fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(body), n)
 	case int64(len(body)) > int64(n):
-		return s, fmt.Errorf("%w: %d bytes follow it", ErrForeign, len(body)-int(n))
+		return s, fmt.Errorf("%w: %d bytes follow it", ErrNotSnapshot, len(body)-int(n))
 	}
 	if crc32.Checksum(body, castagnoli()) != binary.BigEndian.Uint32(head[6:]) {
-		return s, ErrDamaged
+		return s, ErrChecksum
 	}
 	in := json.NewDecoder(bytes.NewReader(body))
 	in.DisallowUnknownFields()
@@ -145,15 +145,15 @@
 	return s, nil
 }
 
-// Member is what a successor knows of a member.
-type Member struct {
+// CurrentMember is what a successor knows of a member.
+type CurrentMember struct {
 	StartedAt time.Duration
 	Addr      string
 }
 
-// For is what of the snapshot holds for a successor of this fleet at a time, before the members that its list names as ready. Members
+// AdjustFor is what of the snapshot holds for a successor of this fleet at a time, before the members that its list names as ready. Members
 // that are gone, have started anew or stand at another address are left out.
-func (s Snapshot) For(fleet uint64, nowMS int64, now map[logic.MemberID]Member) (Snapshot, error) {
+func (s Snapshot) AdjustFor(fleet uint64, nowMS int64, now map[logic.MemberID]CurrentMember) (Snapshot, error) {
 	age := time.Duration(nowMS-s.TakenMS) * time.Millisecond
 	switch {
 	case s.Fleet != fleet:
@@ -161,68 +161,70 @@
 	case age < -time.Second:
 		return Snapshot{}, fmt.Errorf("%w, by %v", ErrFuture, -age)
 	case age > MaxAge:
-		return Snapshot{}, fmt.Errorf("%w: %v", ErrOld, age)
+		return Snapshot{}, fmt.Errorf("%w: %v", ErrTooOld, age)
 	}
 	age = max(0, age)
-	l := s.Learnt
+	l := s.Balancer
 	was := len(l.Members)
 	l.Members = nil
-	known := func(id logic.MemberID) bool { m, ok := now[id]; return ok && m.Addr == s.Members[id].Addr }
+	known := func(id logic.MemberID) bool { m, ok := now[id]; return ok && m.Addr == s.Links[id].Addr }
 	named := 0
-	for _, m := range s.Learnt.Members {
+	for _, m := range s.Balancer.Members {
 		if !known(m.ID) {
 			continue
 		}
 		if named++; now[m.ID].StartedAt == m.StartedAt {
-			l.Members = append(l.Members, fadeMember(m, age))
+			l.Members = append(l.Members, decayMember(m, age))
 		}
 	}
-	if float64(named) < leastKnown*float64(was) {
+	if float64(named) < minKnownShare*float64(was) {
 		return Snapshot{}, fmt.Errorf("%w: the list names %d of its %d members", ErrFleet, named, was)
 	}
-	c := keep(age, countsHalf)
+	c := remainingShare(age, countsHalfLife)
 	l.Total, l.Kept = l.Total*c, l.Kept*c
 	l.Keys = nil
-	for _, k := range s.Learnt.Keys {
+	for _, k := range s.Balancer.Keys {
 		k.Count, k.Err = k.Count*c, k.Err*c
 		l.Keys = append(l.Keys, k)
 	}
-	c = keep(age, loadHalf)
+	c = remainingShare(age, loadHalfLife)
 	l.Arrivals, l.Carried, l.Span = l.Arrivals*c, l.Carried*c, l.Span*c
 	l.Asked, l.Answered = l.Asked*c, l.Answered*c
-	l.Fails *= keep(age, failsHalf)
-	s.Learnt = l
-	links := make(map[logic.MemberID]Link, len(s.Members))
+	l.Fails *= remainingShare(age, failsHalfLife)
+	s.Balancer = l
+	links := make(map[logic.MemberID]Link, len(s.Links))
 	for _, m := range l.Members {
-		links[m.ID] = s.Members[m.ID]
+		links[m.ID] = s.Links[m.ID]
 	}
-	s.Members = links
-	s.Idle = fadeIdle(s.Idle, keep(age, idleHalf))
-	if !(s.Reuse >= 0 && s.Reuse <= 1) {
-		s.Reuse = 1
+	s.Links = links
+	s.Idle = decayIdle(s.Idle, remainingShare(age, idleHalfLife))
+	if !(s.ReuseShare >= 0 && s.ReuseShare <= 1) {
+		s.ReuseShare = 1
 	}
-	s.Reuse = 1 - (1-s.Reuse)*keep(age, idleHalf)
+	s.ReuseShare = 1 - (1-s.ReuseShare)*remainingShare(age, idleHalfLife)
 	return s, nil
 }
 
-// fadeMember is what holds of a member after a while. The longer it is, the less answers it counts as known by, so that the next ones
+// decayMember is what holds of a member after a while. The longer it is, the less answers it counts as known by, so that the next ones
 // say more; a streak of failures and an ejection run on.
-func fadeMember(m logic.LearntMember, age time.Duration) logic.LearntMember {
-	k := keep(age, membersHalf)
+func decayMember(m logic.LearntMember, age time.Duration) logic.LearntMember {
+	k := remainingShare(age, membersHalfLife)
 	m.Limit = logic.StartLimit + (m.Limit-logic.StartLimit)*k
 	m.Seen = int(math.Round(float64(max(0, m.Seen)) * k))
-	m.Fails *= keep(age, failsHalf)
-	m.Streak = int(float64(max(0, m.Streak)) * keep(age, failsHalf))
+	m.Fails *= remainingShare(age, failsHalfLife)
+	m.Streak = int(float64(max(0, m.Streak)) * remainingShare(age, failsHalfLife))
 	m.Out = max(0, m.Out-age)
 	return m
 }
 
-func fadeIdle(t pool.IdleLearnt, k float64) (n pool.IdleLearnt) {
+func decayIdle(t pool.IdleLearnt, k float64) (n pool.IdleLearnt) {
 	for i := range min(len(t.Used), len(t.Broke)) {
 		n.Used, n.Broke = append(n.Used, t.Used[i]*k), append(n.Broke, t.Broke[i]*k)
 	}
 	return n
 }
 
-// keep is the share that is left of a figure.
-func keep(age, half time.Duration) float64 { return math.Exp2(-age.Seconds() / half.Seconds()) }
+// remainingShare is the share that is left of a figure.
+func remainingShare(age, half time.Duration) float64 {
+	return math.Exp2(-age.Seconds() / half.Seconds())
+}
--- a/internal/inherit/inherit_test.go
+++ b/internal/inherit/inherit_test.go
@@ -11,28 +11,28 @@
 	"linenloom/logic"
 )
 
-const takenMS = 1_800_000_000_000
+const sampleTakenMS = 1_800_000_000_000
 
-// sample is a snapshot of so many members, and what its successor's list says of them.
-func sample(members int) (Snapshot, map[logic.MemberID]Member) {
-	s := Snapshot{Fleet: Fleet("a", "b"), TakenMS: takenMS, Members: map[logic.MemberID]Link{}, Reuse: 0.1,
-		Idle:   pool.IdleLearnt{Used: []float64{8, 4}, Broke: []float64{0, 4}},
-		Learnt: logic.Learnt{Total: 100, Kept: 40, Latency: 0.02, Fails: 0.1, Arrivals: 60, Carried: 50, Span: 4, Asked: 30, Answered: 28}}
-	now := map[logic.MemberID]Member{}
+// sampleSnapshot is a snapshot of so many members, and what its successor's list says of them.
+func sampleSnapshot(members int) (Snapshot, map[logic.MemberID]CurrentMember) {
+	s := Snapshot{Fleet: FleetHash("a", "b"), TakenMS: sampleTakenMS, Links: map[logic.MemberID]Link{}, ReuseShare: 0.1,
+		Idle:     pool.IdleLearnt{Used: []float64{8, 4}, Broke: []float64{0, 4}},
+		Balancer: logic.Learnt{Total: 100, Kept: 40, Latency: 0.02, Fails: 0.1, Arrivals: 60, Carried: 50, Span: 4, Asked: 30, Answered: 28}}
+	now := map[logic.MemberID]CurrentMember{}
 	for i := range members {
 		id := logic.MemberID(i + 1)
-		s.Learnt.Members = append(s.Learnt.Members, logic.LearntMember{ID: id, Limit: 30, Latency: 0.01, Seen: 1000 + i, Fails: 0.2,
+		s.Balancer.Members = append(s.Balancer.Members, logic.LearntMember{ID: id, Limit: 30, Latency: 0.01, Seen: 1000 + i, Fails: 0.2,
 			Streak: 2, Out: time.Second})
-		s.Members[id] = Link{Addr: "10.1.0.1:6379", Learnt: pool.Learnt{Turn: time.Millisecond, Clean: 9}}
-		now[id] = Member{Addr: "10.1.0.1:6379"}
+		s.Links[id] = Link{Addr: "10.1.0.1:6379", Learnt: pool.Learnt{Turn: time.Millisecond, Clean: 9}}
+		now[id] = CurrentMember{Addr: "10.1.0.1:6379"}
 	}
-	s.Learnt.Keys = []logic.LearntKey{{Key: 7, Count: 20, Err: 2, At: []logic.MemberID{1}}}
+	s.Balancer.Keys = []logic.LearntKey{{Key: 7, Count: 20, Err: 2, At: []logic.MemberID{1}}}
 	return s, now
 }
 
 // What is cut anywhere, has any byte changed, or is something else is turned down with the reason, and nothing of it is taken.
 func TestDamaged(t *testing.T) {
-	s, _ := sample(3)
+	s, _ := sampleSnapshot(3)
 	b, err := Encode(s)
 	if err != nil {
 		t.Fatal(err)
@@ -41,9 +41,9 @@
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for n := range b {
-		want := ErrCut
+		want := ErrTruncated
 		if n == 0 {
-			want = ErrCut // an empty file is one that was never written
+			want = ErrTruncated // an empty file is one that was never written
 		}
 		if got, err := Decode(b[:n]); !errors.Is(err, want) || !reflect.DeepEqual(got, Snapshot{}) {
 			t.Fatalf("cut at %d: %v", n, err)
@@ -56,7 +56,7 @@
 	}
 	later := append([]byte(nil), b...)
 	later[len(magic)+1]++
-	for want, text := range map[error][]byte{ErrVersion: later, ErrForeign: append(b[:len(b):len(b)], 0)} {
+	for want, text := range map[error][]byte{ErrVersion: later, ErrNotSnapshot: append(b[:len(b):len(b)], 0)} {
 		if _, err := Decode(text); !errors.Is(err, want) {
 			t.Errorf("%v, want %v", err, want)
 		}
@@ -64,9 +64,9 @@
 }
 
 // One of another fleet, of another time, or of members that have been replaced is turned down; else what still fits is kept.
-func TestFor(t *testing.T) {
+func TestAdjustFor(t *testing.T) {
 	for name, c := range map[string]struct {
-		change  func(s *Snapshot, now map[logic.MemberID]Member)
+		change  func(s *Snapshot, now map[logic.MemberID]CurrentMember)
 		fleet   uint64
 		age     time.Duration
 		want    error
@@ -74,54 +74,58 @@
 	}{
 		"the same":         {members: 4},
 		"another fleet":    {fleet: 1, want: ErrFleet},
-		"too old":          {age: MaxAge + time.Second, want: ErrOld},
+		"too old":          {age: MaxAge + time.Second, want: ErrTooOld},
 		"from the future":  {age: -time.Hour, want: ErrFuture},
 		"a clock set back": {age: -time.Second / 2, members: 4},
-		"one is gone":      {change: func(_ *Snapshot, now map[logic.MemberID]Member) { delete(now, 2) }, members: 3},
-		"one started anew": {change: func(_ *Snapshot, now map[logic.MemberID]Member) { now[2] = Member{5, now[2].Addr} }, members: 3},
-		"a zone started": {change: func(_ *Snapshot, now map[logic.MemberID]Member) {
-			now[2], now[1], now[3] = Member{5, now[2].Addr}, Member{5, now[2].Addr}, Member{5, now[2].Addr}
+		"one is gone":      {change: func(_ *Snapshot, now map[logic.MemberID]CurrentMember) { delete(now, 2) }, members: 3},
+		"one started anew": {change: func(_ *Snapshot, now map[logic.MemberID]CurrentMember) { now[2] = CurrentMember{5, now[2].Addr} }, members: 3},
+		"a zone started": {change: func(_ *Snapshot, now map[logic.MemberID]CurrentMember) {
+			now[2], now[1], now[3] = CurrentMember{5, now[2].Addr}, CurrentMember{5, now[2].Addr}, CurrentMember{5, now[2].Addr}
 		}, members: 1},
-		"an id reused":       {change: func(_ *Snapshot, now map[logic.MemberID]Member) { now[2] = Member{0, "10.1.0.2:6379"} }, members: 3},
-		"most are replaced":  {change: func(_ *Snapshot, now map[logic.MemberID]Member) { delete(now, 1); delete(now, 2); delete(now, 3) }, want: ErrFleet},
-		"no share of a kind": {change: func(s *Snapshot, _ map[logic.MemberID]Member) { s.Reuse = math.NaN() }, members: 4},
+		"an id reused": {change: func(_ *Snapshot, now map[logic.MemberID]CurrentMember) { now[2] = CurrentMember{0, "10.1.0.2:6379"} }, members: 3},
+		"most are replaced": {change: func(_ *Snapshot, now map[logic.MemberID]CurrentMember) {
+			delete(now, 1)
+			delete(now, 2)
+			delete(now, 3)
+		}, want: ErrFleet},
+		"no share of a kind": {change: func(s *Snapshot, _ map[logic.MemberID]CurrentMember) { s.ReuseShare = math.NaN() }, members: 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, now := sample(4)
+			s, now := sampleSnapshot(4)
 			fleet := s.Fleet + c.fleet
 			if c.change != nil {
 				c.change(&s, now)
 			}
-			got, err := s.For(fleet, takenMS+c.age.Milliseconds(), now)
-			if !errors.Is(err, c.want) || len(got.Learnt.Members) != c.members || len(got.Members) != c.members {
-				t.Fatalf("%d members, %v", len(got.Learnt.Members), err)
+			got, err := s.AdjustFor(fleet, sampleTakenMS+c.age.Milliseconds(), now)
+			if !errors.Is(err, c.want) || len(got.Balancer.Members) != c.members || len(got.Links) != c.members {
+				t.Fatalf("%d members, %v", len(got.Balancer.Members), err)
 			}
-			if err == nil && !(got.Reuse >= 0 && got.Reuse <= 1) {
-				t.Errorf("reuse %v", got.Reuse)
+			if err == nil && !(got.ReuseShare >= 0 && got.ReuseShare <= 1) {
+				t.Errorf("reuse %v", got.ReuseShare)
 			}
 		})
 	}
 }
 
 // Each figure moves from what was learnt to what a fresh process assumes, and never past either; an ejection runs on.
-func TestFades(t *testing.T) {
-	s, now := sample(1)
-	last, err := s.For(s.Fleet, takenMS, now)
-	if err != nil || !reflect.DeepEqual(last.Learnt, s.Learnt) {
-		t.Fatalf("at once: %+v %v", last.Learnt, err)
+func TestDecay(t *testing.T) {
+	s, now := sampleSnapshot(1)
+	last, err := s.AdjustFor(s.Fleet, sampleTakenMS, now)
+	if err != nil || !reflect.DeepEqual(last.Balancer, s.Balancer) {
+		t.Fatalf("at once: %+v %v", last.Balancer, err)
 	}
 	for age := time.Second; age <= MaxAge; age += time.Second {
-		next, err := s.For(s.Fleet, takenMS+age.Milliseconds(), now)
+		next, err := s.AdjustFor(s.Fleet, sampleTakenMS+age.Milliseconds(), now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		was, is := last.Learnt, next.Learnt
+		was, is := last.Balancer, next.Balancer
 		m, n := was.Members[0], is.Members[0]
 		if n.Limit >= m.Limit || n.Limit <= logic.StartLimit || n.Seen > m.Seen || n.Fails >= m.Fails || n.Out > max(0, time.Second-age) {
 			t.Fatalf("%v: %+v after %+v", age, n, m)
 		}
 		if is.Total >= was.Total || is.Keys[0].Count >= was.Keys[0].Count || is.Carried >= was.Carried || is.Fails >= was.Fails ||
-			next.Reuse <= last.Reuse || next.Reuse > 1 {
+			next.ReuseShare <= last.ReuseShare || next.ReuseShare > 1 {
 			t.Fatalf("%v: %+v after %+v", age, is, was)
 		}
 		if rate := is.Carried / is.Span; math.Abs(rate-12.5) > 1e-9 {
@@ -129,34 +133,34 @@
 		}
 		last = next
 	}
-	if m := last.Learnt.Members[0]; m.Limit > 12 || m.Fails > 0.001 || m.Out != 0 {
+	if m := last.Balancer.Members[0]; m.Limit > 12 || m.Fails > 0.001 || m.Out != 0 {
 		t.Errorf("after %v: %+v", MaxAge, m)
 	}
 }
 
 // A snapshot past the bound is written with the members that are known best.
-func TestBounded(t *testing.T) {
-	s, _ := sample(20_000)
+func TestEncodeIsBounded(t *testing.T) {
+	s, _ := sampleSnapshot(20_000)
 	b, err := Encode(s)
 	if err != nil || len(b) > MaxBytes {
 		t.Fatalf("%d bytes, %v", len(b), err)
 	}
 	got, err := Decode(b)
-	if err != nil || len(got.Learnt.Members) < 1000 || len(got.Members) != len(got.Learnt.Members) {
-		t.Fatalf("%d members, %v", len(got.Learnt.Members), err)
+	if err != nil || len(got.Balancer.Members) < 1000 || len(got.Links) != len(got.Balancer.Members) {
+		t.Fatalf("%d members, %v", len(got.Balancer.Members), err)
 	}
-	if least := got.Learnt.Members[len(got.Learnt.Members)-1].Seen; least < 1000+20_000-len(got.Learnt.Members) {
+	if least := got.Balancer.Members[len(got.Balancer.Members)-1].Seen; least < 1000+20_000-len(got.Balancer.Members) {
 		t.Errorf("the least known has %d answers", least)
 	}
 	for _, n := range []int{60, 2000} {
-		s, _ := sample(n)
+		s, _ := sampleSnapshot(n)
 		b, _ := Encode(s)
 		t.Logf("%d members: %d bytes", n, len(b))
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	s, now := sample(2)
+	s, now := sampleSnapshot(2)
 	b, err := Encode(s)
 	if err != nil {
 		f.Fatal(err)
@@ -173,7 +177,7 @@
 		if len(b) > MaxBytes {
 			return // the host reads no more
 		}
-		s.For(s.Fleet, s.TakenMS, now)
+		s.AdjustFor(s.Fleet, s.TakenMS, now)
 		again, err := Encode(s)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/inherit/keys_test.go
+++ b/internal/inherit/keys_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	body := b[headBytes:]
+	body := b[headerBytes:]
 	if got := string(body); got != writtenSnapshot {
 		t.Errorf("written as\n%s\nwant\n%s", got, writtenSnapshot)
 	}
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -13,17 +13,17 @@
 func (c *Config) fleet() uint64 {
 	s := &c.Settings
 	place := fmt.Sprint(s.Self, s.Instances, s.Zone, s.Mode, s.OriginKind)
-	return inherit.Fleet(slices.Concat([]string{place}, c.Zones, []string{"kinds"}, c.Kinds)...)
+	return inherit.FleetHash(slices.Concat([]string{place}, c.Zones, []string{"kinds"}, c.Kinds)...)
 }
 
 // Learnt is what this proxy has learnt, for the process that takes its place. Only the copy is made under the lock.
 func (p *Proxy) Learnt() (s inherit.Snapshot) {
 	p.Do(func() {
-		s = inherit.Snapshot{Fleet: p.cfg.fleet(), TakenMS: time.Now().UnixMilli(), Learnt: p.bal.Learnt(p.now),
-			Members: make(map[logic.MemberID]inherit.Link), Idle: p.ups.IdleLearnt(), Reuse: p.redis.reuse}
-		for _, m := range s.Learnt.Members {
+		s = inherit.Snapshot{Fleet: p.cfg.fleet(), TakenMS: time.Now().UnixMilli(), Balancer: p.bal.Learnt(p.now),
+			Links: make(map[logic.MemberID]inherit.Link), Idle: p.ups.IdleLearnt(), ReuseShare: p.redis.reuse}
+		for _, m := range s.Balancer.Members {
 			if known := p.members[m.ID]; known != nil {
-				s.Members[m.ID] = inherit.Link{Addr: known.Addr, Learnt: known.Member.Learnt()}
+				s.Links[m.ID] = inherit.Link{Addr: known.Addr, Learnt: known.Member.Learnt()}
 			}
 		}
 	})
@@ -43,28 +43,28 @@
 	members := 0
 	if err == nil {
 		p.Do(func() {
-			now := make(map[logic.MemberID]inherit.Member, len(p.members))
+			now := make(map[logic.MemberID]inherit.CurrentMember, len(p.members))
 			for id, m := range p.members {
 				if m.state == logic.Ready {
-					now[id] = inherit.Member{StartedAt: m.started, Addr: m.Addr}
+					now[id] = inherit.CurrentMember{StartedAt: m.started, Addr: m.Addr}
 				}
 			}
 			var held inherit.Snapshot
-			if held, err = s.For(p.cfg.fleet(), time.Now().UnixMilli(), now); err != nil {
+			if held, err = s.AdjustFor(p.cfg.fleet(), time.Now().UnixMilli(), now); err != nil {
 				return
 			}
-			members = p.bal.Inherit(p.now, held.Learnt)
-			for id, link := range held.Members {
+			members = p.bal.Inherit(p.now, held.Balancer)
+			for id, link := range held.Links {
 				p.members[id].Inherit(link.Learnt)
 			}
 			p.ups.InheritIdle(held.Idle)
-			p.redis.reuse = held.Reuse
+			p.redis.reuse = held.ReuseShare
 		})
 	}
 	if err != nil {
 		p.log.Warn("what the process before has learnt is not taken over", "err", err)
 		return
 	}
-	p.log.Info("taken over from the process before", "members", members, "of", len(s.Learnt.Members), "keys", len(s.Learnt.Keys),
+	p.log.Info("taken over from the process before", "members", members, "of", len(s.Balancer.Members), "keys", len(s.Balancer.Keys),
 		"age_ms", time.Now().UnixMilli()-s.TakenMS)
 }
