--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -251,10 +251,10 @@
 			return err
 		}
 		if record != nil {
-			calls.KeepsOrders(record)
+			calls.HandleOrders(record)
 		}
 		if others.Fleet != nil {
-			calls.KnowsOthers(others.Fleet)
+			calls.HandleInstances(others.Fleet)
 		}
 		p.AddFront(calls)
 	}
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -16,7 +16,7 @@
 
 // Fleet is this process among the others of its installation.
 type Fleet interface {
-	mgmt.Others
+	mgmt.Instances
 	// Join hears what holds, for a moment at the most.
 	Join()
 	// Run goes on until the context ends, and leaves the others with a word.
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -21,7 +21,7 @@
 	"linenloom/internal/operator"
 )
 
-// lookEvery is how often the key file is looked at. A key that is retired by its file is refused so long after the file was
+// recordPollInterval is how often the key file is looked at. A key that is retired by its file is refused so long after the file was
 // replaced at the most; one that is retired by its own moment, from that moment on.
 const lookEvery = time.Second
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -360,7 +360,7 @@
 
 // View is what it tells operators.
 func (p *Proxy) View() (v mgmt.View, err error) {
-	text, err := mgmt.Ask("GET", p.Mgmt, "/members", "", callTime)
+	text, err := mgmt.CallOK("GET", p.Mgmt, "/members", "", callTime)
 	if err != nil {
 		return v, err
 	}
@@ -369,13 +369,13 @@
 
 // Status is what it tells operators of itself and its members.
 func (p *Proxy) Status() (string, error) {
-	text, err := mgmt.Ask("GET", p.Mgmt, "/status", "", callTime)
+	text, err := mgmt.CallOK("GET", p.Mgmt, "/status", "", callTime)
 	return string(text), err
 }
 
 // CallZone makes an operator's call at it.
-func (p *Proxy) CallZone(mode, zone string) (t mgmt.Told, err error) {
-	text, err := mgmt.Ask("PUT", p.Mgmt, "/zones/"+mode, zone+" the rig", callTime)
+func (p *Proxy) CallZone(mode, zone string) (t mgmt.CallReport, err error) {
+	text, err := mgmt.CallOK("PUT", p.Mgmt, "/zones/"+mode, zone+" the rig", callTime)
 	if err != nil {
 		return t, err
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -357,7 +357,7 @@
 		if err := late.Start(); err != nil {
 			s.t.Fatal(err)
 		}
-		if v, err := late.View(); err != nil || v.Zones[2].Here > v.Zones[2].Share+0.1 || v.Zones[2].Share == 1 {
+		if v, err := late.View(); err != nil || v.Zones[2].LocalShare > v.Zones[2].Share+0.1 || v.Zones[2].Share == 1 {
 			s.t.Errorf("started while the zone is returned to, it takes %+v, %v", v.Zones, err)
 		}
 		for _, p := range s.Proxies[3:5] {
@@ -409,7 +409,7 @@
 		told, err := s.Proxies[4].CallZone("out", "c")
 		from := time.Now().Add(250 * time.Millisecond)
 		late := standin.MeasureLateness()
-		if err != nil || len(told.Told) != len(s.Proxies) {
+		if err != nil || len(told.Notified) != len(s.Proxies) {
 			s.t.Fatalf("told %+v, %v", told, err)
 		}
 		s.state("c", "out")
--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -11,7 +11,7 @@
 
 // Long values, in mode answer: an answer is one message, so a value is held whole, in the room that the host has for long values, until
 // the caller has it. A body comes in pieces, and is not read on before there is room for all of it; in one message it would be in memory
-// before anybody could say so, and stays within maxBody.
+// before anybody could say so, and stays within maxBodyBytes.
 
 // whole is a call whose exchange is made here.
 type whole struct{ *call }
@@ -98,7 +98,7 @@
 	}
 }
 
-// longBody takes a piece of a body that is over maxBody, once there is room for all of it.
+// longBody takes a piece of a body that is over maxBodyBytes, once there is room for all of it.
 func (s *stream) longBody(piece []byte) (room bool) {
 	if s.place == nil {
 		n := maxLong
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -517,7 +517,7 @@
 }
 
 const (
-	// maxBody is the longest body of a request that comes in one message, and maxLong of one that comes in pieces, which are not read
+	// maxBodyBytes is the longest body of a request that comes in one message, and maxLong of one that comes in pieces, which are not read
 	// before there is room for them.
 	maxBody = resp.MaxValue
 	maxLong = resp.MaxLong
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -59,7 +59,7 @@
 	// Under the host's lock.
 	call   *call
 	body   []byte
-	place  upstream.Place // in the room for long values, of a body over maxBody; nil: it is counted as held
+	place  upstream.Place // in the room for long values, of a body over maxBodyBytes; nil: it is counted as held
 	window int            // held for what the caller may have sent ahead
 	due    time.Duration  // when it has stood for too long
 	idle   bool           // all has been said; more may come, and needs nothing
--- a/internal/instances/view.go
+++ b/internal/instances/view.go
@@ -26,7 +26,7 @@
 		for z, name := range i.o.Zones {
 			here, _ := m.Share(z)
 			v.Zones = append(v.Zones, mgmt.ZoneView{Name: name, State: verdict.Zones[z].State.String(), Share: float64(verdict.Zones[z].Share) / zones.Whole,
-				Here: here, Hand: hands[z].Mode.String(), Who: hands[z].Who, At: hands[z].Stamp, By: hands[z].At})
+				LocalShare: here, Mode: hands[z].Mode.String(), RequestedBy: hands[z].Who, AtMS: hands[z].Stamp, CalledInstance: hands[z].At})
 		}
 		for _, r := range append(m.Reported(), m.Own()) {
 			reports[r.Number] = r
@@ -34,9 +34,9 @@
 	}
 	add := func(m meta, state string, heard int64) {
 		r := reports[m.Number]
-		v.Members = append(v.Members, mgmt.MemberView{Name: m.Name, Number: m.Number, Zone: m.Zone, Since: m.Since,
+		v.Members = append(v.Members, mgmt.MemberView{Name: m.Name, Number: m.Number, Zone: m.Zone, SinceMS: m.Since,
 			Program: m.Version.Program, Settings: m.Version.Settings, State: state, HeardMS: heard, Epoch: r.Epoch,
-			Suspects: append([]int{}, r.Suspects...), Sees: append([]zones.Sight{}, r.Sights...)})
+			Suspects: append([]int{}, r.Suspects...), Sights: append([]zones.Sight{}, r.Sights...)})
 	}
 	add(i.self, "there", 0)
 	for _, m := range i.others() {
@@ -46,9 +46,9 @@
 	return v
 }
 
-// Zone carries out an operator's call for a zone or region, here and at once, and tells the others: those that can't be told now are
+// SetZoneMode carries out an operator's call for a zone or region, here and at once, and tells the others: those that can't be told now are
 // told as soon as they are heard.
-func (i *Instances) Zone(name string, mode zones.Mode, who string) (told mgmt.Told, err error) {
+func (i *Instances) SetZoneMode(name string, mode zones.Mode, who string) (told mgmt.CallReport, err error) {
 	if i.o.Machine == nil {
 		return told, fmt.Errorf("[zones] is not in the operator's file")
 	}
@@ -72,10 +72,10 @@
 	all := i.others()
 	i.mu.Unlock()
 	reached := i.reliably(all, msg.Append(nil))
-	told = mgmt.Told{Told: []string{i.self.Name}, Missed: []string{}}
+	told = mgmt.CallReport{Notified: []string{i.self.Name}, Missed: []string{}}
 	for _, m := range all {
 		if reached[m.Name] {
-			told.Told = append(told.Told, m.Name)
+			told.Notified = append(told.Notified, m.Name)
 		} else {
 			told.Missed = append(told.Missed, m.Name)
 		}
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -123,7 +123,7 @@
 	fail(false)
 	back := time.Now()
 	for z.whole = math.MaxInt64; z.together && time.Since(back) < zoneBack && ctx.Err() == nil; wait(ctx, 100*time.Millisecond) {
-		if v, err := c.Proxies[0].View(); err == nil && v.Zones[2].Here == 1 && z.whole == math.MaxInt64 {
+		if v, err := c.Proxies[0].View(); err == nil && v.Zones[2].LocalShare == 1 && z.whole == math.MaxInt64 {
 			z.whole = time.Since(back)
 		}
 	}
--- a/internal/mgmt/client.go
+++ b/internal/mgmt/client.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// maxAnswer bounds what is read of an answer.
-const maxAnswer = 1 << 20
+// maxResponseBytes bounds what is read of an answer.
+const maxResponseBytes = 1 << 20
 
 // Call makes an operator's call at an instance, within a time, and tells the status and the answer's text.
 func Call(method, addr, path, body string, within time.Duration) (status int, text []byte, err error) {
@@ -24,12 +24,12 @@
 		return 0, nil, err
 	}
 	defer res.Body.Close()
-	text, err = io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	text, err = io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return res.StatusCode, text, err
 }
 
-// Ask is Call for who wants an answer of 200: any other is an error.
-func Ask(method, addr, path, body string, within time.Duration) ([]byte, error) {
+// CallOK is Call for who wants an answer of 200: any other is an error.
+func CallOK(method, addr, path, body string, within time.Duration) ([]byte, error) {
 	status, text, err := Call(method, addr, path, body, within)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("%d %s: %s", status, http.StatusText(status), bytes.TrimSpace(text))
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -23,37 +23,37 @@
 )
 
 const (
-	// callTime is how long a call may take to arrive. Callers that send nothing or half a call hold a place for no longer.
-	callTime   = 2 * time.Second
-	answerTime = time.Second
-	// maxCalls bounds the calls at once; one more takes the place of the oldest, which can only be one that stays silent.
-	maxCalls = 16
-	maxBody  = 1 << 10
-	maxHead  = 8 << 10
-	// lookEvery is how often the record is looked at: a call at one process has to bind the other too.
-	lookEvery = 50 * time.Millisecond
+	// readTimeout is how long a call may take to arrive. Callers that send nothing or half a call hold a place for no longer.
+	readTimeout  = 2 * time.Second
+	writeTimeout = time.Second
+	// maxConnections bounds the calls at once; one more takes the place of the oldest, which can only be one that stays silent.
+	maxConnections = 16
+	maxBodyBytes   = 1 << 10
+	maxHeaderBytes = 8 << 10
+	// recordPollInterval is how often the record is looked at: a call at one process has to bind the other too.
+	recordPollInterval = 50 * time.Millisecond
 )
 
 // Front takes operators' calls.
 type Front struct {
-	p      *proxy.Proxy
-	dir    *handover.Dir
-	log    *slog.Logger
-	listen net.Listener
-	server *http.Server
-	mux    *http.ServeMux
-	quit   chan struct{}
-
-	mu     sync.Mutex
-	open   []*call // the oldest first
-	closed bool
+	proxy    *proxy.Proxy
+	dir      *handover.Dir
+	log      *slog.Logger
+	listener net.Listener
+	server   *http.Server
+	mux      *http.ServeMux
+	quit     chan struct{}
+
+	mu          sync.Mutex
+	connections []*connection // the oldest first
+	closed      bool
 }
 
-// call is a caller's connection.
-type call struct {
+// connection is a caller's connection.
+type connection struct {
 	net.Conn
-	f    *Front
-	once sync.Once
+	front *Front
+	once  sync.Once
 }
 
 var _ proxy.Front = (*Front)(nil)
@@ -65,14 +65,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
-	f := &Front{p: p, dir: dir, log: log, listen: l, quit: make(chan struct{})}
+	f := &Front{proxy: p, dir: dir, log: log, listener: l, quit: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", f.status)
 	mux.HandleFunc("PUT /maintenance/enter", f.enter)
 	mux.HandleFunc("PUT /maintenance/exit", f.exit)
 	f.mux = mux
 	f.server = &http.Server{
-		Handler: mux, ReadTimeout: callTime, WriteTimeout: callTime + answerTime, MaxHeaderBytes: maxHead,
+		Handler: mux, ReadTimeout: readTimeout, WriteTimeout: readTimeout + writeTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	f.server.SetKeepAlivesEnabled(false) // one call a connection
@@ -80,20 +80,20 @@
 }
 
 // Addr is where calls are taken.
-func (f *Front) Addr() net.Addr { return f.listen.Addr() }
+func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
 // Serve takes calls until Close, and follows the record meanwhile.
 func (f *Front) Serve() error {
-	go f.look()
-	if err := f.server.Serve(listener{f.listen, f}); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+	go f.followRecord()
+	if err := f.server.Serve(boundedListener{f.listener, f}); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("mgmt: %w", err)
 	}
 	return nil
 }
 
-// look takes over what another process has changed.
-func (f *Front) look() {
-	tick := time.NewTicker(lookEvery)
+// followRecord takes over what another process has changed.
+func (f *Front) followRecord() {
+	tick := time.NewTicker(recordPollInterval)
 	defer tick.Stop()
 	faulty := false
 	for {
@@ -108,7 +108,7 @@
 		}
 		if faulty = err != nil; changed && !faulty {
 			f.log.Info("members out of use, by another process's record", "count", set.CountOut())
-			f.p.Maintain(set)
+			f.proxy.Maintain(set)
 		}
 	}
 }
@@ -142,29 +142,29 @@
 	}
 	close(f.quit)
 	go f.server.Close()
-	f.listen.Close()
+	f.listener.Close()
 }
 
-// listener makes room for each new call.
-type listener struct {
+// boundedListener makes room for each new call.
+type boundedListener struct {
 	net.Listener
-	f *Front
+	front *Front
 }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l boundedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &call{Conn: conn, f: l.f}
-	l.f.mu.Lock()
-	var oldest *call
-	if len(l.f.open) >= maxCalls {
-		oldest = l.f.open[0]
+	c := &connection{Conn: conn, front: l.front}
+	l.front.mu.Lock()
+	var oldest *connection
+	if len(l.front.connections) >= maxConnections {
+		oldest = l.front.connections[0]
 	}
-	l.f.open = append(l.f.open, c)
-	l.f.mu.Unlock()
-	l.f.p.Do(func() { l.f.p.Descriptors(1) })
+	l.front.connections = append(l.front.connections, c)
+	l.front.mu.Unlock()
+	l.front.proxy.Do(func() { l.front.proxy.Descriptors(1) })
 	if oldest != nil {
 		oldest.Close()
 	}
@@ -172,20 +172,20 @@
 }
 
 // Close ends a call's connection.
-func (c *call) Close() error {
+func (c *connection) Close() error {
 	c.once.Do(func() {
-		c.f.mu.Lock()
-		if i := slices.Index(c.f.open, c); i >= 0 {
-			c.f.open = slices.Delete(c.f.open, i, i+1)
+		c.front.mu.Lock()
+		if i := slices.Index(c.front.connections, c); i >= 0 {
+			c.front.connections = slices.Delete(c.front.connections, i, i+1)
 		}
-		c.f.mu.Unlock()
-		go c.f.p.Do(func() { c.f.p.Descriptors(-1) }) // the host's lock may be held by who closes
+		c.front.mu.Unlock()
+		go c.front.proxy.Do(func() { c.front.proxy.Descriptors(-1) }) // the host's lock may be held by who closes
 	})
 	return c.Conn.Close()
 }
 
 func (f *Front) status(w http.ResponseWriter, _ *http.Request) {
-	if !f.p.Serving() {
+	if !f.proxy.Serving() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 		return
 	}
@@ -204,17 +204,17 @@
 	})
 }
 
-// body is a call's text; where it can't be read the call has been answered.
-func body(w http.ResponseWriter, r *http.Request, what string) (text string, ok bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+// readBody is a call's text; where it can't be read the call has been answered.
+func readBody(w http.ResponseWriter, r *http.Request, what string) (text string, ok bool) {
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "the body, "+what+", can't be read: "+err.Error(), http.StatusBadRequest)
 	}
 	return strings.TrimSpace(string(b)), err == nil
 }
 
-// answer answers a call in JSON.
-func answer(w http.ResponseWriter, v any) {
+// writeJSON answers a call in JSON.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("content-type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
@@ -222,7 +222,7 @@
 // change records what a call asks for and carries it out, and only then answers yes.
 func (f *Front) change(w http.ResponseWriter, r *http.Request, out bool,
 	to func(maintenance.Set, string) (maintenance.Set, error)) {
-	id, ok := body(w, r, "the id of a member")
+	id, ok := readBody(w, r, "the id of a member")
 	if !ok {
 		return
 	}
@@ -230,7 +230,7 @@
 	case !maintenance.ValidID(id):
 		http.Error(w, "the body is the id of a member: "+maintenance.ErrBadID.Error(), http.StatusBadRequest)
 		return
-	case !f.p.Knows(id):
+	case !f.proxy.Knows(id):
 		http.Error(w, fmt.Sprintf("no member has the id %q", id), http.StatusNotFound)
 		return
 	}
@@ -240,7 +240,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	f.p.Maintain(set)
+	f.proxy.Maintain(set)
 	f.log.Info("maintenance", "member", id, "out", out, "all_out", set.CountOut())
 	fmt.Fprintf(w, "%s out=%t\n", id, out)
 }
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -22,21 +22,21 @@
 	"linenloom/logic"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-type rig struct {
-	t     *testing.T
-	fleet *standin.Fleet
-	p     *proxy.Proxy
-	calls string
-	in    *bufio.Reader
-	conn  net.Conn
-	n     int
+type harness struct {
+	t        *testing.T
+	fleet    *standin.Fleet
+	proxy    *proxy.Proxy
+	addr     string
+	reader   *bufio.Reader
+	conn     net.Conn
+	requests int
 
-	sentTo map[logic.MemberID]int // attempts so far, under the proxy's lock
+	attemptsByMember map[logic.MemberID]int // attempts so far, under the proxy's lock
 }
 
-func start(t *testing.T, path string, record ...mgmt.Orders) *rig {
+func startHarness(t *testing.T, path string, record ...mgmt.Orders) *harness {
 	t.Helper()
 	fleet, err := standin.NewFleet(2, 100)
 	if err != nil {
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	for _, o := range record {
-		f.KeepsOrders(o)
+		f.HandleOrders(o)
 	}
 	p.AddFront(f)
 	ctx, stop := context.WithCancel(context.Background())
@@ -85,14 +85,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { conn.Close() })
-	return &rig{t: t, fleet: fleet, p: p, sentTo: sentTo, calls: f.Addr().String(), conn: conn, in: bufio.NewReader(conn)}
+	return &harness{t: t, fleet: fleet, proxy: p, attemptsByMember: sentTo, addr: f.Addr().String(), conn: conn, reader: bufio.NewReader(conn)}
 }
 
-func (r *rig) call(method, path, body string) int {
+func (r *harness) call(method, path, body string) int {
 	r.t.Helper()
-	status, _, err := mgmt.Call(method, r.calls, path, body, patience)
+	status, _, err := mgmt.Call(method, r.addr, path, body, testTimeout)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -100,33 +100,33 @@
 }
 
 // read asks for a key and waits for the value.
-func (r *rig) read(key string) {
+func (r *harness) read(key string) {
 	r.t.Helper()
-	r.n++
+	r.requests++
 	b := resp.AppendArray(nil, 4)
-	for _, w := range []string{"OBJ.GET", key, fmt.Sprintf("%016x", r.n), "c=tile-read,d=3000"} {
+	for _, w := range []string{"OBJ.GET", key, fmt.Sprintf("%016x", r.requests), "c=tile-read,d=3000"} {
 		b = resp.AppendBulk(b, w)
 	}
 	if _, err := r.conn.Write(b); err != nil {
 		r.t.Fatal(err)
 	}
-	line, err := r.in.ReadString('\n')
+	line, err := r.reader.ReadString('\n')
 	if err != nil || line[0] != '$' {
 		r.t.Fatalf("%q %v", line, err)
 	}
-	if _, err := io.CopyN(io.Discard, r.in, 102); err != nil {
+	if _, err := io.CopyN(io.Discard, r.reader, 102); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// sent is how many requests each box has begun after a number of reads of different keys.
-func (r *rig) sent(reads int) (n [2]int) {
+// attemptsForReads is how many requests each box has begun after a number of reads of different keys.
+func (r *harness) attemptsForReads(reads int) (n [2]int) {
 	r.t.Helper()
-	before := r.sends()
+	before := r.attempts()
 	for i := range reads {
 		r.read(fmt.Sprintf("%x", 0x1000+i))
 	}
-	after := r.sends()
+	after := r.attempts()
 	for i := range n {
 		id := proxy.MemberID(r.fleet.Boxes[i].ID)
 		n[i] = after[id] - before[id]
@@ -134,14 +134,14 @@
 	return n
 }
 
-// sends is how many attempts each member has been sent.
-func (r *rig) sends() (sends map[logic.MemberID]int) {
-	r.p.Do(func() { sends = maps.Clone(r.sentTo) })
+// attempts is how many attempts each member has been sent.
+func (r *harness) attempts() (sends map[logic.MemberID]int) {
+	r.proxy.Do(func() { sends = maps.Clone(r.attemptsByMember) })
 	return sends
 }
 
 func TestCalls(t *testing.T) {
-	r := start(t, t.TempDir())
+	r := startHarness(t, t.TempDir())
 	for _, c := range []struct {
 		method, path, body string
 		want               int
@@ -161,7 +161,7 @@
 			t.Errorf("%s %s %.10q: %d, want %d", c.method, c.path, c.body, got, c.want)
 		}
 	}
-	if n := r.sent(60); n[0] == 0 || n[1] == 0 {
+	if n := r.attemptsForReads(60); n[0] == 0 || n[1] == 0 {
 		t.Fatalf("before: %v", n)
 	}
 	for range 2 { // two calls out
@@ -169,7 +169,7 @@
 			t.Fatalf("enter: %d", got)
 		}
 	}
-	if n := r.sent(60); n[0] != 0 || n[1] == 0 {
+	if n := r.attemptsForReads(60); n[0] != 0 || n[1] == 0 {
 		t.Errorf("s-1 is out: %v", n)
 	}
 	// Whatever discovery says: it drains, is gone, and comes back at its place.
@@ -181,17 +181,17 @@
 	member := r.fleet.Registry.List().Members[1]
 	member.Phase = "in_service"
 	r.fleet.Registry.Tell(member)
-	for !r.p.Knows("s-3") {
+	for !r.proxy.Knows("s-3") {
 		time.Sleep(time.Millisecond)
 	}
-	if n := r.sent(60); n[0] != 0 {
+	if n := r.attemptsForReads(60); n[0] != 0 {
 		t.Errorf("discovery has called s-1 back: %v", n)
 	}
 	if got := r.call("PUT", "/maintenance/exit", "s-1"); got != 200 { // and one back
 		t.Fatalf("exit: %d", got)
 	}
 	// It counts as cold, and is used as its budget, which goes by the time, lets it.
-	for end := time.Now().Add(patience); r.sent(90)[0] == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.attemptsForReads(90)[0] == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("s-1 is back and unused")
 		}
@@ -199,10 +199,10 @@
 }
 
 // A call at another process of this proxy binds this one.
-func TestAnothersRecord(t *testing.T) {
+func TestRecordOfAnotherProcess(t *testing.T) {
 	path := t.TempDir()
-	r := start(t, path)
-	r.sent(10)
+	r := startHarness(t, path)
+	r.attemptsForReads(10)
 	other, alone, err := handover.Open(path, "m")
 	if err != nil || alone {
 		t.Fatalf("alone %t %v", alone, err)
@@ -211,21 +211,21 @@
 	if _, err := other.Update(func(s maintenance.Set) (maintenance.Set, error) { return s.Enter("s-2", 1) }); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); r.p.Load().Ready != 2; time.Sleep(time.Millisecond) { // a box and the origin
+	for end := time.Now().Add(testTimeout); r.proxy.Load().Ready != 2; time.Sleep(time.Millisecond) { // a box and the origin
 		if time.Now().After(end) {
 			t.Fatal("s-2 is still in use")
 		}
 	}
-	if n := r.sent(60); n[1] != 0 {
+	if n := r.attemptsForReads(60); n[1] != 0 {
 		t.Errorf("s-2 is out: %v", n)
 	}
 }
 
 // Callers that say nothing, or half a call, hold up nobody.
 func TestSilentCallers(t *testing.T) {
-	r := start(t, "")
+	r := startHarness(t, "")
 	for i := range 60 {
-		conn, err := net.Dial("tcp", r.calls)
+		conn, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/mgmt/orders.go
+++ b/internal/mgmt/orders.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxSettle  = 512 << 10 // of a call that settles an order, with its receipt
-	mostListed = 1000
+	maxSettleBytes = 512 << 10 // of a call that settles an order, with its receipt
+	maxListed      = 1000
 )
 
 // Orders is the record of orders, as operators may look at it and settle what is unknown while it serves. Its calls may wait for a disk.
@@ -23,14 +23,14 @@
 	Settle(n orders.Name, s orders.State, receipt []byte, by string) error
 }
 
-// KeepsOrders has operators' calls reach a record of orders. It comes before Serve.
-func (f *Front) KeepsOrders(o Orders) {
+// HandleOrders has operators' calls reach a record of orders. It comes before Serve.
+func (f *Front) HandleOrders(o Orders) {
 	f.mux.HandleFunc("GET /orders/unknown", func(w http.ResponseWriter, r *http.Request) { f.unknown(o, w, r) })
 	f.mux.HandleFunc("PUT /orders/settle", func(w http.ResponseWriter, r *http.Request) { f.settle(o, w, r) })
 }
 
-// listed is an unknown order as a call is told of it.
-type listed struct {
+// unknownOrder is an unknown order as a call is told of it.
+type unknownOrder struct {
 	Tenant string    `json:"tenant"`
 	Key    string    `json:"key"`
 	At     time.Time `json:"at"`
@@ -43,8 +43,8 @@
 	most := 100
 	if text := r.URL.Query().Get("most"); text != "" {
 		var err error
-		if most, err = strconv.Atoi(text); err != nil || most < 0 || most > mostListed {
-			http.Error(w, fmt.Sprintf("most is %q; it can be from 0 to %d", text, mostListed), http.StatusBadRequest)
+		if most, err = strconv.Atoi(text); err != nil || most < 0 || most > maxListed {
+			http.Error(w, fmt.Sprintf("most is %q; it can be from 0 to %d", text, maxListed), http.StatusBadRequest)
 			return
 		}
 	}
@@ -54,19 +54,19 @@
 		return
 	}
 	told := struct {
-		All    int      `json:"all"`
-		Orders []listed `json:"orders"`
-	}{all, []listed{}}
+		All    int            `json:"all"`
+		Orders []unknownOrder `json:"orders"`
+	}{all, []unknownOrder{}}
 	for _, e := range some {
-		told.Orders = append(told.Orders, listed{e.Tenant, e.Key, time.Unix(0, int64(e.At)).UTC(), e.Tries, e.To})
+		told.Orders = append(told.Orders, unknownOrder{e.Tenant, e.Key, time.Unix(0, int64(e.At)).UTC(), e.Tries, e.To})
 	}
-	answer(w, told)
+	writeJSON(w, told)
 }
 
 // settle puts on record what has become of an unknown order. Yes is said only once that is on stable storage.
 func (f *Front) settle(o Orders, w http.ResponseWriter, r *http.Request) {
 	var ask struct{ Tenant, Key, As, By, Receipt string }
-	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSettle))
+	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSettleBytes))
 	in.DisallowUnknownFields()
 	if err := in.Decode(&ask); err != nil {
 		http.Error(w, `the body is {"tenant", "key", "as", "by", "receipt"}: `+err.Error(), http.StatusBadRequest)
--- a/internal/mgmt/orders_test.go
+++ b/internal/mgmt/orders_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := start(t, t.TempDir(), k)
+	r := startHarness(t, t.TempDir(), k)
 
 	var refused, taken atomic.Int64
 	quit := make(chan struct{})
@@ -72,7 +72,7 @@
 	}
 	eventually := func(what string, ok func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("never came about: %s", what)
 			}
@@ -84,7 +84,7 @@
 	}
 	call := func(method, path, body string, want int) string {
 		t.Helper()
-		status, text, err := mgmt.Call(method, r.calls, path, body, patience)
+		status, text, err := mgmt.Call(method, r.addr, path, body, testTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/orders/keeper/keeper.go
+++ b/internal/orders/keeper/keeper.go
@@ -18,7 +18,7 @@
 // ErrClosed tells that the record is closed. What is asked for then has not been done.
 var ErrClosed = fmt.Errorf("keeper: the record of orders is closed: %w", orders.ErrBehind)
 
-// lookEvery is how often a successor looks whether the process before has closed the record.
+// recordPollInterval is how often a successor looks whether the process before has closed the record.
 const lookEvery = 5 * time.Millisecond
 
 // Options set up a Keeper.
--- a/internal/zonecmd/zonecmd.go
+++ b/internal/zonecmd/zonecmd.go
@@ -62,9 +62,9 @@
 			if m.Number == v.Number && v.Leads {
 				is = "leads"
 			}
-			fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s", m.Number, m.Name, m.Zone, m.Program, m.Settings, at(m.Since), is, time.Duration(m.HeardMS)*time.Millisecond,
+			fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s", m.Number, m.Name, m.Zone, m.Program, m.Settings, at(m.SinceMS), is, time.Duration(m.HeardMS)*time.Millisecond,
 				m.Epoch, strings.Trim(fmt.Sprint(m.Suspects), "[]"))
-			for _, s := range m.Sees {
+			for _, s := range m.Sights {
 				fmt.Fprintf(t, "\t%d of %d bad", s.Bad, s.Judged)
 			}
 			fmt.Fprintln(t)
@@ -105,10 +105,10 @@
 		fmt.Fprintf(t, "zone\tstate\tshare\there\tby hand\twho\tasked\tepoch %d, decided by %d\n", v.Epoch, v.Leader)
 		for _, z := range v.Zones {
 			asked := ""
-			if z.At > 0 {
-				asked = at(z.At)
+			if z.AtMS > 0 {
+				asked = at(z.AtMS)
 			}
-			fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%s\t%s\t%s\t\n", z.Name, z.State, z.Share, z.Here, z.Hand, z.Who, asked)
+			fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%s\t%s\t%s\t\n", z.Name, z.State, z.Share, z.LocalShare, z.Mode, z.RequestedBy, asked)
 		}
 		return t.Flush()
 	})
@@ -134,7 +134,7 @@
 }
 
 func view(addr string) (v mgmt.View, err error) {
-	text, err := mgmt.Ask(http.MethodGet, addr, "/members", "", callTime)
+	text, err := mgmt.CallOK(http.MethodGet, addr, "/members", "", callTime)
 	if err != nil {
 		return v, err
 	}
@@ -146,16 +146,16 @@
 	if len(who) > zones.MostWho {
 		return fmt.Errorf("-who is longer than %d bytes", zones.MostWho)
 	}
-	text, err := mgmt.Ask(http.MethodPut, addr, "/zones/"+name, which+" "+who, callTime)
+	text, err := mgmt.CallOK(http.MethodPut, addr, "/zones/"+name, which+" "+who, callTime)
 	if err != nil {
 		return err
 	}
-	var told mgmt.Told
+	var told mgmt.CallReport
 	if err := json.Unmarshal(text, &told); err != nil {
 		return err
 	}
-	slices.Sort(told.Told)
-	fmt.Fprintf(out, "%s %s; told: %s\n", which, name, strings.Join(told.Told, ", "))
+	slices.Sort(told.Notified)
+	fmt.Fprintf(out, "%s %s; told: %s\n", which, name, strings.Join(told.Notified, ", "))
 	if len(told.Missed) > 0 {
 		return fmt.Errorf("not told yet, and will be once they are heard: %s", strings.Join(told.Missed, ", "))
 	}
--- a/internal/zonecmd/zonecmd_test.go
+++ b/internal/zonecmd/zonecmd_test.go
@@ -18,8 +18,8 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(mgmt.View{Name: "n0", Leads: true, Epoch: 7, Members: []mgmt.MemberView{
-			{Name: "n0", Zone: "a", State: "there", Sees: []zones.Sight{{Judged: 9, Bad: 4}}}, {Name: "n1", Number: 1, Zone: "b", Program: "beef", Settings: "cafe", State: "lost", Suspects: []int{0, 5}}},
-			Zones: []mgmt.ZoneView{{Name: "a", State: "returning", Share: 0.3, Here: 0.25, Hand: "auto", Who: "ann", At: 1000}}})
+			{Name: "n0", Zone: "a", State: "there", Sights: []zones.Sight{{Judged: 9, Bad: 4}}}, {Name: "n1", Number: 1, Zone: "b", Program: "beef", Settings: "cafe", State: "lost", Suspects: []int{0, 5}}},
+			Zones: []mgmt.ZoneView{{Name: "a", State: "returning", Share: 0.3, LocalShare: 0.25, Mode: "auto", RequestedBy: "ann", AtMS: 1000}}})
 	})
 	mux.HandleFunc("PUT /zones/{mode}", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -28,9 +28,9 @@
 		case strings.HasPrefix(string(body), "z "):
 			http.Error(w, `no zone or region has the name "z"`, http.StatusNotFound)
 		case strings.HasPrefix(string(body), "b "):
-			json.NewEncoder(w).Encode(mgmt.Told{Told: []string{"n0"}, Missed: []string{"n1"}})
+			json.NewEncoder(w).Encode(mgmt.CallReport{Notified: []string{"n0"}, Missed: []string{"n1"}})
 		default:
-			json.NewEncoder(w).Encode(mgmt.Told{Told: []string{"n1", "n0"}})
+			json.NewEncoder(w).Encode(mgmt.CallReport{Notified: []string{"n1", "n0"}})
 		}
 	})
 	s := httptest.NewServer(mux)
