--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -84,7 +84,7 @@
 
 // retune moves to other classes: first to what is allowed by both, and to the new ones once no client goes by the old.
 func (r *reloader) retune(classes []logic.Class, tries int) error {
-	both, fewer := retune.Between(r.classes, classes, r.tries, tries)
+	both, fewer := retune.Transition(r.classes, classes, r.tries, tries)
 	if err := r.force(both, fewer); err != nil {
 		return err
 	}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -367,7 +367,7 @@
 	}
 	was := p.cfg.Settings.Classes
 	p.cfg.Settings.Classes, p.cfg.Settings.TryLimit = slices.Clone(classes), tryLimit
-	p.redis.gate.Retune(classes)
+	p.redis.gate.SetClasses(classes)
 	names := logic.ClassNames(classes)
 	p.reasons = p.reasons.For(names)
 	if p.reasonsTold != nil {
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -48,9 +48,9 @@
 
 	bodies []*Body // shared values that are being written
 
-	line   shed.Line // what has come and was not read yet; the reader's own
-	corked bool      // refusals have yet to be written; the reader's own
-	turn   int       // commands worked on since it last waited or gave way; the reader's own
+	line   shed.ReadQueue // what has come and was not read yet; the reader's own
+	corked bool           // refusals have yet to be written; the reader's own
+	turn   int            // commands worked on since it last waited or gave way; the reader's own
 
 	cert    *identity.Proof // by its certificate; nil: it has none
 	proof   *identity.Proof // by AUTH, or by its certificate; the reader's own
@@ -73,7 +73,7 @@
 	}
 	n, err := c.stream.Read(b)
 	c.arrived.Read(c.p.Clock(), n == len(b))
-	if n >= shed.LineLeast || c.line.Active() {
+	if n >= shed.MinBatchBytes || c.line.Active() {
 		c.measure(n, n == len(b))
 	}
 	// What has stood unread for long, with the kernel until the connection was accepted or because the core is short, may be of a client
@@ -312,7 +312,7 @@
 		err = c.p.Submit(&o.Request)
 	}
 	if err == nil {
-		c.f.gate.Came(o.tenant)
+		c.f.gate.CountRequest(o.tenant)
 		return
 	}
 	c.p.letGo(&o.Request)
--- a/internal/proxy/redis_front.go
+++ b/internal/proxy/redis_front.go
@@ -23,7 +23,7 @@
 	asked    int        // clients that have asked
 	reuse    float64    // the share of connections that are asked on again, lately
 	count    int        // of clients
-	gate     *shed.Gate
+	gate     *shed.Controller
 	used     func(now time.Duration) float64 // the share of the core; tests set it
 	draining bool                            // a planned stop has begun
 	// ending is since when no connection is taken any more, and those that stand end; 0: they don't yet.
@@ -133,8 +133,8 @@
 	f.closeIdleClients()
 	f.closeLeft()
 	f.sweepProofs()
-	f.gate.Used(f.p.now, f.used(f.p.now), f.told)
-	f.told, f.pipeline = 0, f.gate.Pipeline(f.asked, maxPipeline)
+	f.gate.UpdateUsage(f.p.now, f.used(f.p.now), f.told)
+	f.told, f.pipeline = 0, f.gate.MaxPipeline(f.asked, maxPipeline)
 }
 
 // MakeRoom closes the idle client that is missed least.
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -37,12 +37,12 @@
 // measure takes in what was read of what stands unread.
 func (c *client) measure(n int, full bool) {
 	now := c.p.elapsed()
-	if !c.line.Read(now, n, full) {
+	if !c.line.RecordRead(now, n, full) {
 		return
 	}
 	unread := 0
 	c.w.Raw().Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
-	c.line.Unread(now, unread)
+	c.line.SetUnread(now, unread)
 }
 
 // shed turns a read away that has waited too long to be read, if the gate says so. Its refusal goes out with those of
@@ -62,7 +62,7 @@
 	if err != nil || c.f.gate.Admit(&r, &p.cfg.Settings.Classes[r.Class], waited) {
 		return false
 	}
-	c.f.gate.Came(r.Tenant)
+	c.f.gate.CountRequest(r.Tenant)
 	p.reasons.Add(reasons.Refused, r.Class, r.Tenant, reasons.Overload)
 	c.mid = false
 	c.ask()
--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -45,7 +45,7 @@
 		return Faults{fmt.Sprintf("something follows the configuration, at byte %d", d.InputOffset())}
 	}
 	var faults Faults
-	compare("", was, now, &faults)
+	findMissing("", was, now, &faults)
 	if len(faults) == 0 {
 		return nil
 	}
@@ -55,13 +55,13 @@
 	return faults
 }
 
-// compare notes what is lacking at a place.
-func compare(at string, was, now any, faults *Faults) {
+// findMissing notes what is lacking at a place.
+func findMissing(at string, was, now any, faults *Faults) {
 	switch was := was.(type) {
 	case map[string]any:
 		has, ok := now.(map[string]any)
 		if !ok {
-			*faults = append(*faults, fmt.Sprintf("%s is no object", name(at)))
+			*faults = append(*faults, fmt.Sprintf("%s is no object", displayPath(at)))
 			return
 		}
 		for _, key := range slices.Sorted(maps.Keys(was)) {
@@ -73,32 +73,32 @@
 			case value == nil && was[key] != nil:
 				*faults = append(*faults, path+" is null")
 			default:
-				compare(path, was[key], value, faults)
+				findMissing(path, was[key], value, faults)
 			}
 		}
 	case []any:
 		has, ok := now.([]any)
 		if !ok {
-			*faults = append(*faults, fmt.Sprintf("%s is no list", name(at)))
+			*faults = append(*faults, fmt.Sprintf("%s is no list", displayPath(at)))
 			return
 		}
-		if entry := common(was); entry != nil {
+		if entry := commonKeys(was); entry != nil {
 			for i, e := range has {
-				compare(fmt.Sprintf("%s[%d]", at, i), entry, e, faults)
+				findMissing(fmt.Sprintf("%s[%d]", at, i), entry, e, faults)
 			}
 		}
 	}
 }
 
-func name(at string) string {
+func displayPath(at string) string {
 	if at == "" {
 		return "the configuration"
 	}
 	return at
 }
 
-// common is what all entries of a list have: an object with the keys of each; nil, if they are none.
-func common(list []any) (all map[string]any) {
+// commonKeys is what all entries of a list have: an object with the keys of each; nil, if they are none.
+func commonKeys(list []any) (all map[string]any) {
 	for _, e := range list {
 		o, ok := e.(map[string]any)
 		if !ok {
@@ -112,9 +112,9 @@
 	return all
 }
 
-// Between are the classes and the number of attempts that hold while clients may still go by the old configuration: what
+// Transition are the classes and the number of attempts that hold while clients may still go by the old configuration: what
 // either allows is not allowed unless the other does. A class that is dropped stays until then.
-func Between(was, now []logic.Class, wasTries, nowTries int) ([]logic.Class, int) {
+func Transition(was, now []logic.Class, wasTries, nowTries int) ([]logic.Class, int) {
 	both := slices.Clone(now)
 	for _, c := range was {
 		i := slices.IndexFunc(both, func(n logic.Class) bool { return n.Name == c.Name })
--- a/internal/retune/retune_test.go
+++ b/internal/retune/retune_test.go
@@ -12,7 +12,7 @@
 	"linenloom/logic"
 )
 
-func inForce(t testing.TB) []byte {
+func currentConfig(t testing.TB) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../../cmd/linenloom/testdata/config.json")
 	if err != nil {
@@ -23,7 +23,7 @@
 
 // A file cut at any byte is turned down, and so is one that lacks any of its keys.
 func TestCheckWhole(t *testing.T) {
-	whole := inForce(t)
+	whole := currentConfig(t)
 	if err := Check(whole, whole); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	n := 0
-	without(c, func(key string) {
+	withoutEachKey(c, func(key string) {
 		cut, err := json.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
@@ -56,8 +56,8 @@
 	}
 }
 
-// without takes each key away in turn, and puts it back.
-func without(v any, try func(key string)) {
+// withoutEachKey takes each key away in turn, and puts it back.
+func withoutEachKey(v any, try func(key string)) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, was := range v {
@@ -66,16 +66,16 @@
 			v[k] = nil
 			try(k)
 			v[k] = was
-			without(was, try)
+			withoutEachKey(was, try)
 		}
 	case []any:
 		for _, e := range v {
-			without(e, try)
+			withoutEachKey(e, try)
 		}
 	}
 }
 
-func TestCheckTellsWhatIsWrong(t *testing.T) {
+func TestCheckMessages(t *testing.T) {
 	was := []byte(`{"a":{"b":[{"n":1,"x":2},{"n":3}],"c":[]},"d":"e"}`)
 	for next, want := range map[string]string{
 		``:          "empty",
@@ -102,7 +102,7 @@
 }
 
 // What holds in between never allows more than either of the two.
-func TestBetween(t *testing.T) {
+func TestTransition(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	random := func() (cs []logic.Class) {
 		for _, n := range []string{"a", "b", "c"} {
@@ -115,7 +115,7 @@
 	}
 	for range 3000 {
 		was, now := random(), random()
-		both, tries := Between(was, now, 1+rng.IntN(4), 3)
+		both, tries := Transition(was, now, 1+rng.IntN(4), 3)
 		if tries > 3 {
 			t.Fatal("more attempts than either allows")
 		}
@@ -141,7 +141,7 @@
 }
 
 func FuzzCheck(f *testing.F) {
-	whole := inForce(f)
+	whole := currentConfig(f)
 	f.Add(whole)
 	f.Add([]byte(`{"a":{}}`))
 	f.Add([]byte(`[1,{"a":null}]`))
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -18,7 +18,7 @@
 	{Name: "edit", Aim: 1500 * ms, Worth: 3, Effect: logic.ByKey},
 }
 
-func TestWhoIsTurnedAway(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	tenants := []logic.Tenant{{Share: 0.5}, {Share: 0.5}}
 	for name, c := range map[string]struct {
 		class, tenant int
@@ -40,20 +40,20 @@
 	} {
 		g := New(classes, tenants)
 		for i := range 100 {
-			g.Came(min(1, i/20)) // a fifth is the first tenant's
+			g.CountRequest(min(1, i/20)) // a fifth is the first tenant's
 		}
-		g.Used(0, c.used, 0)
+		g.UpdateUsage(0, c.used, 0)
 		r := logic.Request{Class: c.class, Tenant: c.tenant, Write: c.write}
 		if got := g.Admit(&r, &classes[c.class], c.waited); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 	g := New(classes[:1], nil)
-	g.Used(0, 1, 0)
+	g.UpdateUsage(0, 1, 0)
 	if g.Admit(&logic.Request{}, &classes[0], 201*ms) {
 		t.Error("without tenants, a read that has waited is not turned away")
 	}
-	g.Retune([]logic.Class{{Aim: 8 * time.Second, Effect: logic.Repeatable}})
+	g.SetClasses([]logic.Class{{Aim: 8 * time.Second, Effect: logic.Repeatable}})
 	if !g.Admit(&logic.Request{}, &classes[0], 201*ms) {
 		t.Error("a longer aim leaves no longer wait")
 	}
@@ -61,7 +61,7 @@
 
 // One connection of a proxy whose core serves a read in serve and turns one away in turn. Whatever comes, little is served
 // too late and little of the core is lost; and nothing is turned away while the core can do all.
-func TestLineKeepsWhatIsServedInTime(t *testing.T) {
+func TestSheddingKeepsReadsInTime(t *testing.T) {
 	const (
 		serve, turn = 400 * time.Microsecond, 20 * time.Microsecond
 		size        = 100 // bytes a read
@@ -77,8 +77,8 @@
 		t.Run(fmt.Sprintf("load %v, bursts of %d", c.load, c.burst), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, uint64(c.burst)))
 			g := New(classes[:1], nil)
-			g.Used(0, 1, 0)
-			var l Line
+			g.UpdateUsage(0, 1, 0)
+			var l ReadQueue
 			var unread []time.Duration // when each came
 			var now, next time.Duration
 			var buffered []time.Duration
@@ -102,8 +102,8 @@
 					n := min(len(unread), 4096/size)
 					buffered, unread = unread[:n], unread[n:]
 					full := n == 4096/size
-					if (n*size >= LineLeast || l.Active()) && l.Read(now, n*size, full) {
-						l.Unread(now, len(unread)*size)
+					if (n*size >= MinBatchBytes || l.Active()) && l.RecordRead(now, n*size, full) {
+						l.SetUnread(now, len(unread)*size)
 					}
 				}
 				at := buffered[0]
@@ -131,18 +131,18 @@
 
 // In hand is no more than the core answers in a part of the wait that is allowed, over all connections; while it has time
 // to spare, as much as ever.
-func TestPipelinesShrinkWithTheCore(t *testing.T) {
+func TestMaxPipelineShrinksUnderLoad(t *testing.T) {
 	g := New(classes, nil)
-	g.Used(time.Second, 0.5, 0)
+	g.UpdateUsage(time.Second, 0.5, 0)
 	for range 40 {
-		g.Used(g.usedAt+50*ms, 0.5, 1500) // 30,000 a second
+		g.UpdateUsage(g.usageAt+50*ms, 0.5, 1500) // 30,000 a second
 	}
-	if got := g.Pipeline(300, 32); got != 32 {
+	if got := g.MaxPipeline(300, 32); got != 32 {
 		t.Errorf("%d with time to spare", got)
 	}
-	g.Used(g.usedAt+50*ms, 1, 1500)
-	for conns, want := range map[int]int{1: 32, 64: 32, 310: 9, 5000: leastPipeline} {
-		if got := g.Pipeline(conns, 32); got != want {
+	g.UpdateUsage(g.usageAt+50*ms, 1, 1500)
+	for conns, want := range map[int]int{1: 32, 64: 32, 310: 9, 5000: minPipeline} {
+		if got := g.MaxPipeline(conns, 32); got != want {
 			t.Errorf("%d connections: %d, want %d", conns, got, want)
 		}
 	}
