--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -51,7 +51,7 @@
 }
 
 // Told takes what became of a key.
-func (m *manyCall) Told(k int, mark manykeys.Mark, a proxy.Answer, _ error) {
+func (m *manyCall) Told(k int, mark manykeys.Outcome, a proxy.Answer, _ error) {
 	t := told{Key: m.many.Gather.Key(k)}
 	switch mark {
 	case manykeys.Served:
--- a/internal/extproc/server/many_test.go
+++ b/internal/extproc/server/many_test.go
@@ -36,7 +36,7 @@
 	n := newProvers()
 	n.policy = identity.NewPolicy([]identity.Rights{{Tenant: "kiosk", Prefixes: []string{"k1"}}, {Tenant: "shop"}}, nil)
 	r := newRig(t, fleet, file("answer", "")+manyMap, func(c *proxy.Config) {
-		c.ManyKeys = &manykeys.Limits{Keys: 20, Bytes: 1 << 20, Out: 8, Part: 2}
+		c.ManyKeys = &manykeys.Limits{Keys: 20, Bytes: 1 << 20, Outstanding: 8, PartSize: 2}
 		c.Callers = n
 	})
 	get := func(as, id string, keys ...string) caller.Result {
--- a/internal/joining/joining.go
+++ b/internal/joining/joining.go
@@ -21,24 +21,24 @@
 type Limits struct {
 	Followers int // in all
 	PerTenant int
-	Flights   int // that can be joined at once
+	Groups    int // that can be joined at once
 	// AcrossTenants lets one tenant's reads share another's attempt. Whether each may see the key has been asked before.
 	AcrossTenants bool
 }
 
-// mostApart is how many keys are remembered that are not joined.
-const mostApart = 256
+// maxUnshared is how many keys are remembered that are not joined.
+const maxUnshared = 256
 
 // Read is a request that may share another's answer.
 type Read struct {
-	id     ID
-	what   what
-	tenant int
-	until  time.Duration
+	id       ID
+	identity readIdentity
+	tenant   int
+	deadline time.Duration
 }
 
-// what makes answers differ.
-type what struct {
+// readIdentity makes answers differ.
+type readIdentity struct {
 	key, names string
 	class      int
 	tenant     int // -1: whoever asks
@@ -50,11 +50,11 @@
 	if r.Write || effect != logic.Repeatable || key == "" {
 		return Read{}, false
 	}
-	w := what{key: key, names: names, class: r.Class, tenant: -1}
+	w := readIdentity{key: key, names: names, class: r.Class, tenant: -1}
 	if !l.AcrossTenants {
 		w.tenant = r.Tenant
 	}
-	return Read{id: r.ID, what: w, tenant: r.Tenant, until: r.Deadline}, true
+	return Read{id: r.ID, identity: w, tenant: r.Tenant, deadline: r.Deadline}, true
 }
 
 // Role is what becomes of a read.
@@ -67,41 +67,41 @@
 	Follow
 )
 
-// flight is one read on its way, and those who wait for what it gets.
-type flight struct {
-	what      what
+// group is one read on its way, and those who wait for what it gets.
+type group struct {
+	identity  readIdentity
 	lead      ID
-	followers followers
+	followers followerHeap
 	closed    bool // nobody joins it any more
 }
 
-type party struct {
-	id     ID
-	tenant int
-	until  time.Duration
-	at     int // in the heap
-	of     *flight
+type follower struct {
+	id        ID
+	tenant    int
+	deadline  time.Duration
+	heapIndex int // in the heap
+	group     *group
 }
 
-// followers is a heap: who has most time is on top.
-type followers []*party
+// followerHeap is a heap: who has most time is on top.
+type followerHeap []*follower
 
-func (f followers) Len() int           { return len(f) }
-func (f followers) Less(i, j int) bool { return f[i].until > f[j].until }
-func (f followers) Swap(i, j int) {
+func (f followerHeap) Len() int           { return len(f) }
+func (f followerHeap) Less(i, j int) bool { return f[i].deadline > f[j].deadline }
+func (f followerHeap) Swap(i, j int) {
 	f[i], f[j] = f[j], f[i]
-	f[i].at, f[j].at = i, j
+	f[i].heapIndex, f[j].heapIndex = i, j
 }
 
 // Push is heap's.
-func (f *followers) Push(x any) {
-	p := x.(*party)
-	p.at = len(*f)
+func (f *followerHeap) Push(x any) {
+	p := x.(*follower)
+	p.heapIndex = len(*f)
 	*f = append(*f, p)
 }
 
 // Pop is heap's.
-func (f *followers) Pop() any {
+func (f *followerHeap) Pop() any {
 	old := *f
 	p := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -111,19 +111,19 @@
 
 // Table is the reads that are out, by what they ask.
 type Table struct {
-	limits  Limits
-	open    map[what]*flight
-	byKey   map[string][]*flight // all, also those that are closed
-	leads   map[ID]*flight
-	follows map[ID]*party
-	tenants map[int]int // followers
-	apart   map[string]struct{}
+	limits            Limits
+	joinable          map[readIdentity]*group
+	byKey             map[string][]*group // all, also those that are closed
+	leads             map[ID]*group
+	followers         map[ID]*follower
+	followersByTenant map[int]int // followers
+	unshared          map[string]struct{}
 }
 
 // New makes a Table.
 func New(l Limits) *Table {
-	return &Table{limits: l, open: map[what]*flight{}, byKey: map[string][]*flight{}, leads: map[ID]*flight{}, follows: map[ID]*party{},
-		tenants: map[int]int{}, apart: map[string]struct{}{}}
+	return &Table{limits: l, joinable: map[readIdentity]*group{}, byKey: map[string][]*group{}, leads: map[ID]*group{}, followers: map[ID]*follower{},
+		followersByTenant: map[int]int{}, unshared: map[string]struct{}{}}
 }
 
 // Limits are the table's.
@@ -132,121 +132,121 @@
 // Join tells what becomes of a read. Past its tenant's followers, or all, it is an ordinary request: it gets nothing of another's
 // attempt, and stands in nobody's way.
 func (t *Table) Join(r Read) Role {
-	if _, apart := t.apart[r.what.key]; apart {
+	if _, apart := t.unshared[r.identity.key]; apart {
 		return Alone
 	}
-	f := t.open[r.what]
+	f := t.joinable[r.identity]
 	if f == nil {
-		if len(t.leads) >= t.limits.Flights {
+		if len(t.leads) >= t.limits.Groups {
 			return Alone
 		}
-		f = &flight{what: r.what, lead: r.id}
-		t.open[r.what], t.leads[r.id] = f, f
-		t.byKey[r.what.key] = append(t.byKey[r.what.key], f)
+		f = &group{identity: r.identity, lead: r.id}
+		t.joinable[r.identity], t.leads[r.id] = f, f
+		t.byKey[r.identity.key] = append(t.byKey[r.identity.key], f)
 		return Lead
 	}
-	if len(t.follows) >= t.limits.Followers || t.tenants[r.tenant] >= t.limits.PerTenant {
+	if len(t.followers) >= t.limits.Followers || t.followersByTenant[r.tenant] >= t.limits.PerTenant {
 		return Alone
 	}
-	p := &party{id: r.id, tenant: r.tenant, until: r.until, of: f}
+	p := &follower{id: r.id, tenant: r.tenant, deadline: r.deadline, group: f}
 	heap.Push(&f.followers, p)
-	t.follows[r.id] = p
-	t.tenants[r.tenant]++
+	t.followers[r.id] = p
+	t.followersByTenant[r.tenant]++
 	return Follow
 }
 
-// forget takes a follower out of the counts.
-func (t *Table) forget(p *party) {
-	delete(t.follows, p.id)
-	if t.tenants[p.tenant]--; t.tenants[p.tenant] == 0 {
-		delete(t.tenants, p.tenant)
+// uncountFollower takes a follower out of the counts.
+func (t *Table) uncountFollower(p *follower) {
+	delete(t.followers, p.id)
+	if t.followersByTenant[p.tenant]--; t.followersByTenant[p.tenant] == 0 {
+		delete(t.followersByTenant, p.tenant)
 	}
 }
 
-// close keeps further reads from joining a flight.
-func (t *Table) close(f *flight) {
+// closeGroup keeps further reads from joining a flight.
+func (t *Table) closeGroup(f *group) {
 	f.closed = true
-	if t.open[f.what] == f {
-		delete(t.open, f.what)
+	if t.joinable[f.identity] == f {
+		delete(t.joinable, f.identity)
 	}
 }
 
-// end takes a flight out of the table.
-func (t *Table) end(f *flight) {
-	t.close(f)
+// removeGroup takes a flight out of the table.
+func (t *Table) removeGroup(f *group) {
+	t.closeGroup(f)
 	delete(t.leads, f.lead)
-	all := t.byKey[f.what.key]
-	if all = slices.DeleteFunc(all, func(g *flight) bool { return g == f }); len(all) == 0 {
-		delete(t.byKey, f.what.key)
+	all := t.byKey[f.identity.key]
+	if all = slices.DeleteFunc(all, func(g *group) bool { return g == f }); len(all) == 0 {
+		delete(t.byKey, f.identity.key)
 	} else {
-		t.byKey[f.what.key] = all
+		t.byKey[f.identity.key] = all
 	}
 }
 
-// Landed tells who shares the answer that a lead has got, those first whose time ends first. The flight is over.
-func (t *Table) Landed(lead ID) []ID {
+// Complete tells who shares the answer that a lead has got, those first whose time ends first. The flight is over.
+func (t *Table) Complete(lead ID) []ID {
 	f := t.leads[lead]
 	if f == nil {
 		return nil
 	}
-	t.end(f)
-	slices.SortFunc(f.followers, func(a, b *party) int {
-		if a.until != b.until {
-			return int(max(-1, min(1, a.until-b.until)))
+	t.removeGroup(f)
+	slices.SortFunc(f.followers, func(a, b *follower) int {
+		if a.deadline != b.deadline {
+			return int(max(-1, min(1, a.deadline-b.deadline)))
 		}
 		return int(max(-1, min(1, int64(a.id)-int64(b.id))))
 	})
 	ids := make([]ID, len(f.followers))
 	for i, p := range f.followers {
 		ids[i] = p.id
-		t.forget(p)
+		t.uncountFollower(p)
 	}
 	return ids
 }
 
-// Lost passes the lead on from one that has got no answer and will get none: to who has most time, one at a time, so that what
+// PassLead passes the lead on from one that has got no answer and will get none: to who has most time, one at a time, so that what
 // condemned the one neither condemns the others nor is met by all of them at once. false: nobody is left.
-func (t *Table) Lost(lead ID) (next ID, ok bool) {
+func (t *Table) PassLead(lead ID) (next ID, ok bool) {
 	f := t.leads[lead]
 	if f == nil {
 		return 0, false
 	}
 	if len(f.followers) == 0 {
-		t.end(f)
+		t.removeGroup(f)
 		return 0, false
 	}
-	p := heap.Pop(&f.followers).(*party)
-	t.forget(p)
+	p := heap.Pop(&f.followers).(*follower)
+	t.uncountFollower(p)
 	delete(t.leads, f.lead)
 	f.lead = p.id
 	t.leads[p.id] = f
 	return p.id, true
 }
 
-// Left takes out a follower that waits no longer. It names the lead where that one has been left alone: nobody else waits for what it
+// RemoveFollower takes out a follower that waits no longer. It names the lead where that one has been left alone: nobody else waits for what it
 // gets. The lead does not leave while others do: ask Waited, then Lost.
-func (t *Table) Left(id ID) (lead ID, alone bool) {
-	p := t.follows[id]
+func (t *Table) RemoveFollower(id ID) (lead ID, alone bool) {
+	p := t.followers[id]
 	if p == nil {
 		return 0, false
 	}
-	heap.Remove(&p.of.followers, p.at)
-	t.forget(p)
-	return p.of.lead, len(p.of.followers) == 0
+	heap.Remove(&p.group.followers, p.heapIndex)
+	t.uncountFollower(p)
+	return p.group.lead, len(p.group.followers) == 0
 }
 
-// Waited tells how many wait for what a lead gets.
-func (t *Table) Waited(lead ID) int {
+// FollowerCount tells how many wait for what a lead gets.
+func (t *Table) FollowerCount(lead ID) int {
 	if f := t.leads[lead]; f != nil {
 		return len(f.followers)
 	}
 	return 0
 }
 
-// Until is the latest time at which one of those who wait for what a lead gets still waits; 0: nobody does.
-func (t *Table) Until(lead ID) time.Duration {
+// LatestDeadline is the latest time at which one of those who wait for what a lead gets still waits; 0: nobody does.
+func (t *Table) LatestDeadline(lead ID) time.Duration {
 	if f := t.leads[lead]; f != nil && len(f.followers) > 0 {
-		return f.followers[0].until
+		return f.followers[0].deadline
 	}
 	return 0
 }
@@ -255,26 +255,26 @@
 // asked for before may not show it.
 func (t *Table) Fence(key string) {
 	for _, f := range t.byKey[key] {
-		t.close(f)
+		t.closeGroup(f)
 	}
 }
 
-// Apart ends a flight whose answer can't be shared, and tells who followed it: each makes its own way now, and so do reads of the key
+// MarkUnshareable ends a flight whose answer can't be shared, and tells who followed it: each makes its own way now, and so do reads of the key
 // from now on, for as long as it is remembered.
-func (t *Table) Apart(lead ID) []ID {
+func (t *Table) MarkUnshareable(lead ID) []ID {
 	f := t.leads[lead]
 	if f == nil {
 		return nil
 	}
-	for key := range t.apart {
-		if len(t.apart) < mostApart {
+	for key := range t.unshared {
+		if len(t.unshared) < maxUnshared {
 			break
 		}
-		delete(t.apart, key)
+		delete(t.unshared, key)
 	}
-	t.apart[f.what.key] = struct{}{}
-	return t.Landed(lead)
+	t.unshared[f.identity.key] = struct{}{}
+	return t.Complete(lead)
 }
 
 // Len counts the flights and those who follow.
-func (t *Table) Len() (flights, followers int) { return len(t.leads), len(t.follows) }
+func (t *Table) Len() (flights, followers int) { return len(t.leads), len(t.followers) }
--- a/internal/joining/joining_test.go
+++ b/internal/joining/joining_test.go
@@ -9,9 +9,9 @@
 	"linenloom/logic"
 )
 
-var some = Limits{Followers: 100, PerTenant: 100, Flights: 100}
+var testLimits = Limits{Followers: 100, PerTenant: 100, Groups: 100}
 
-func read(t *testing.T, l Limits, id ID, key string, tenant int, until time.Duration) Read {
+func newTestRead(t *testing.T, l Limits, id ID, key string, tenant int, until time.Duration) Read {
 	t.Helper()
 	r, ok := l.NewRead(&logic.Request{ID: id, Tenant: tenant, Deadline: until}, logic.Repeatable, key, "")
 	if !ok {
@@ -21,7 +21,7 @@
 }
 
 // What is no plain read can't be made one, and what differs in anything that makes answers differ is not joined.
-func TestWhatJoins(t *testing.T) {
+func TestWhichReadsJoin(t *testing.T) {
 	for name, c := range map[string]struct {
 		r      logic.Request
 		effect logic.Effect
@@ -32,11 +32,11 @@
 		"a keyed request":  {logic.Request{}, logic.ByKey, "k"},
 		"one without keys": {logic.Request{}, logic.Repeatable, ""},
 	} {
-		if _, ok := some.NewRead(&c.r, c.effect, c.key, ""); ok {
+		if _, ok := testLimits.NewRead(&c.r, c.effect, c.key, ""); ok {
 			t.Errorf("%s may share an answer", name)
 		}
 	}
-	across := some
+	across := testLimits
 	across.AcrossTenants = true
 	for name, c := range map[string]struct {
 		limits Limits
@@ -45,14 +45,14 @@
 		names  string
 		want   Role
 	}{
-		"the same":                       {some, logic.Request{}, "k", "n=1", Follow},
-		"another key":                    {some, logic.Request{}, "l", "n=1", Lead},
-		"another name":                   {some, logic.Request{}, "k", "n=2", Lead},
-		"another class":                  {some, logic.Request{Class: 1}, "k", "n=1", Lead},
-		"another tenant":                 {some, logic.Request{Tenant: 1}, "k", "n=1", Lead},
+		"the same":                       {testLimits, logic.Request{}, "k", "n=1", Follow},
+		"another key":                    {testLimits, logic.Request{}, "l", "n=1", Lead},
+		"another name":                   {testLimits, logic.Request{}, "k", "n=2", Lead},
+		"another class":                  {testLimits, logic.Request{Class: 1}, "k", "n=1", Lead},
+		"another tenant":                 {testLimits, logic.Request{Tenant: 1}, "k", "n=1", Lead},
 		"another tenant, shared":         {across, logic.Request{Tenant: 1}, "k", "n=1", Follow},
 		"another class, tenants shared":  {across, logic.Request{Class: 1, Tenant: 1}, "k", "n=1", Lead},
-		"another time to wait, the same": {some, logic.Request{Deadline: time.Hour}, "k", "n=1", Follow},
+		"another time to wait, the same": {testLimits, logic.Request{Deadline: time.Hour}, "k", "n=1", Follow},
 	} {
 		tab := New(c.limits)
 		first, _ := c.limits.NewRead(&logic.Request{ID: 1}, logic.Repeatable, "k", "n=1")
@@ -68,12 +68,12 @@
 }
 
 // One tenant's storm takes its own room; past it a read goes alone, and others still join.
-func TestTenantsShare(t *testing.T) {
-	l := Limits{Followers: 10, PerTenant: 4, Flights: 2, AcrossTenants: true}
+func TestTenantLimits(t *testing.T) {
+	l := Limits{Followers: 10, PerTenant: 4, Groups: 2, AcrossTenants: true}
 	tab := New(l)
-	tab.Join(read(t, l, 1, "k", 0, 0))
+	tab.Join(newTestRead(t, l, 1, "k", 0, 0))
 	id := ID(1)
-	join := func(tenant int) Role { id++; return tab.Join(read(t, l, id, "k", tenant, 0)) }
+	join := func(tenant int) Role { id++; return tab.Join(newTestRead(t, l, id, "k", tenant, 0)) }
 	for i := range 6 {
 		if got := join(0); (got == Follow) != (i < 4) || got == Lead {
 			t.Errorf("the storm's follower %d: %v", i, got)
@@ -90,13 +90,13 @@
 			}
 		}
 	}
-	if got := tab.Join(read(t, l, 100, "l", 0, 0)); got != Lead {
+	if got := tab.Join(newTestRead(t, l, 100, "l", 0, 0)); got != Lead {
 		t.Error(got)
 	}
-	if got := tab.Join(read(t, l, 101, "m", 0, 0)); got != Alone {
+	if got := tab.Join(newTestRead(t, l, 101, "m", 0, 0)); got != Alone {
 		t.Errorf("more flights than there may be: %v", got)
 	}
-	tab.Left(2)
+	tab.RemoveFollower(2)
 	if got := join(0); got != Follow {
 		t.Errorf("after one has left: %v", got)
 	}
@@ -104,26 +104,26 @@
 
 // After a write's answer nobody joins what was out before; what follows it is served by that all the same.
 func TestFence(t *testing.T) {
-	tab := New(some)
-	tab.Join(read(t, some, 1, "k", 0, 0))
-	tab.Join(read(t, some, 2, "k", 0, 0))
+	tab := New(testLimits)
+	tab.Join(newTestRead(t, testLimits, 1, "k", 0, 0))
+	tab.Join(newTestRead(t, testLimits, 2, "k", 0, 0))
 	tab.Fence("k")
-	if got := tab.Join(read(t, some, 3, "k", 0, 0)); got != Lead {
+	if got := tab.Join(newTestRead(t, testLimits, 3, "k", 0, 0)); got != Lead {
 		t.Errorf("a read after the write: %v", got)
 	}
-	if got := tab.Join(read(t, some, 4, "k", 0, 0)); got != Follow {
+	if got := tab.Join(newTestRead(t, testLimits, 4, "k", 0, 0)); got != Follow {
 		t.Errorf("and the next: %v", got)
 	}
-	if ids := tab.Landed(1); len(ids) != 1 || ids[0] != 2 {
+	if ids := tab.Complete(1); len(ids) != 1 || ids[0] != 2 {
 		t.Errorf("the first one's followers: %v", ids)
 	}
-	tab.Lost(3)
-	if got := tab.Join(read(t, some, 5, "k", 0, 0)); got != Follow {
+	tab.PassLead(3)
+	if got := tab.Join(newTestRead(t, testLimits, 5, "k", 0, 0)); got != Follow {
 		t.Errorf("a flight whose lead was passed on is closed: %v", got)
 	}
 	tab.Fence("k")
-	tab.Lost(4)
-	if got := tab.Join(read(t, some, 6, "k", 0, 0)); got != Lead {
+	tab.PassLead(4)
+	if got := tab.Join(newTestRead(t, testLimits, 6, "k", 0, 0)); got != Lead {
 		t.Errorf("the lead was passed on, and the fence is gone: %v", got)
 	}
 }
@@ -133,7 +133,7 @@
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		l := Limits{Followers: 1 + rng.IntN(30), PerTenant: 1 + rng.IntN(20), Flights: 1 + rng.IntN(6), AcrossTenants: seed%2 == 0}
+		l := Limits{Followers: 1 + rng.IntN(30), PerTenant: 1 + rng.IntN(20), Groups: 1 + rng.IntN(6), AcrossTenants: seed%2 == 0}
 		tab := New(l)
 		until, since, what := map[ID]time.Duration{}, map[ID]int{}, map[ID]string{}
 		leads, follows := map[ID]bool{}, map[ID]bool{}
@@ -152,7 +152,7 @@
 			case k < 7:
 				key, tenant := fmt.Sprint("k", rng.IntN(4)), rng.IntN(3)
 				until[id], since[id], what[id] = time.Duration(rng.IntN(50)), step, key
-				switch tab.Join(read(t, l, id, key, tenant, until[id])) {
+				switch tab.Join(newTestRead(t, l, id, key, tenant, until[id])) {
 				case Lead:
 					leads[id] = true
 				case Follow:
@@ -160,7 +160,7 @@
 				}
 			case k == 7:
 				if lead, ok := pick(leads); ok {
-					for _, f := range tab.Landed(lead) {
+					for _, f := range tab.Complete(lead) {
 						if !follows[f] || what[f] != what[lead] {
 							t.Fatalf("seed %d: %d shares what %d got", seed, f, lead)
 						}
@@ -173,8 +173,8 @@
 				}
 			case k == 8:
 				if lead, ok := pick(leads); ok {
-					n := tab.Waited(lead)
-					next, ok := tab.Lost(lead)
+					n := tab.FollowerCount(lead)
+					next, ok := tab.PassLead(lead)
 					if ok != (n > 0) || ok && (!follows[next] || what[next] != what[lead]) {
 						t.Fatalf("seed %d: of %d the lead goes to %d, %v", seed, n, next, ok)
 					}
@@ -187,7 +187,7 @@
 				}
 			case k == 9:
 				if f, ok := pick(follows); ok {
-					tab.Left(f)
+					tab.RemoveFollower(f)
 					delete(follows, f)
 				}
 			case k == 10:
@@ -196,36 +196,36 @@
 				fenced[key] = step
 			case k == 11 && rng.IntN(8) == 0:
 				if lead, ok := pick(leads); ok {
-					for _, f := range tab.Apart(lead) {
+					for _, f := range tab.MarkUnshareable(lead) {
 						delete(follows, f)
 					}
 					delete(leads, lead)
 				}
 			}
-			if n, m := tab.Len(); n != len(leads) || m != len(follows) || m > l.Followers || n > l.Flights {
+			if n, m := tab.Len(); n != len(leads) || m != len(follows) || m > l.Followers || n > l.Groups {
 				t.Fatalf("seed %d: %d flights and %d followers, %d and %d are known", seed, n, m, len(leads), len(follows))
 			}
 		}
 		for lead := range leads {
-			tab.Landed(lead)
+			tab.Complete(lead)
 		}
-		if n, m := tab.Len(); n+m+len(tab.open)+len(tab.byKey)+len(tab.tenants) > 0 {
-			t.Fatalf("seed %d: %d flights, %d followers, %d, %d, %d are left", seed, n, m, len(tab.open), len(tab.byKey), len(tab.tenants))
+		if n, m := tab.Len(); n+m+len(tab.joinable)+len(tab.byKey)+len(tab.followersByTenant) > 0 {
+			t.Fatalf("seed %d: %d flights, %d followers, %d, %d, %d are left", seed, n, m, len(tab.joinable), len(tab.byKey), len(tab.followersByTenant))
 		}
 	}
 }
 
 // The lead goes to who has most time.
-func TestLeadGoesToWhoHasMostTime(t *testing.T) {
-	tab := New(some)
+func TestLeadPassesToLatestDeadline(t *testing.T) {
+	tab := New(testLimits)
 	for i, until := range []time.Duration{5, 3, 9, 1, 7} {
-		tab.Join(read(t, some, ID(i+1), "k", 0, until))
+		tab.Join(newTestRead(t, testLimits, ID(i+1), "k", 0, until))
 	}
-	tab.Left(5)
+	tab.RemoveFollower(5)
 	lead := ID(1)
 	var got []ID
 	for {
-		next, ok := tab.Lost(lead)
+		next, ok := tab.PassLead(lead)
 		if !ok {
 			break
 		}
@@ -238,16 +238,16 @@
 }
 
 // The keys that are not joined are bounded.
-func TestApartIsBounded(t *testing.T) {
-	tab := New(some)
-	for i := range ID(2 * mostApart) {
-		tab.Join(read(t, some, i, fmt.Sprint("k", i), 0, 0))
-		tab.Apart(i)
+func TestUnsharedKeysAreBounded(t *testing.T) {
+	tab := New(testLimits)
+	for i := range ID(2 * maxUnshared) {
+		tab.Join(newTestRead(t, testLimits, i, fmt.Sprint("k", i), 0, 0))
+		tab.MarkUnshareable(i)
 	}
-	if len(tab.apart) != mostApart {
-		t.Errorf("%d keys are remembered", len(tab.apart))
+	if len(tab.unshared) != maxUnshared {
+		t.Errorf("%d keys are remembered", len(tab.unshared))
 	}
-	if got := tab.Join(read(t, some, 1<<20, fmt.Sprint("k", 2*mostApart-1), 0, 0)); got != Alone {
+	if got := tab.Join(newTestRead(t, testLimits, 1<<20, fmt.Sprint("k", 2*maxUnshared-1), 0, 0)); got != Alone {
 		t.Errorf("a read of a key whose answers can't be shared: %v", got)
 	}
 }
--- a/internal/manykeys/manykeys.go
+++ b/internal/manykeys/manykeys.go
@@ -12,18 +12,18 @@
 
 // Limits bound a request.
 type Limits struct {
-	Keys  int // of a request, those that stand twice included
-	Bytes int // of the values of its reply
-	Out   int // keys that are out at once: so many misses of one request are at the origin at the most
-	Part  int // keys at one cache at a time
+	Keys        int // of a request, those that stand twice included
+	Bytes       int // of the values of its reply
+	Outstanding int // keys that are out at once: so many misses of one request are at the origin at the most
+	PartSize    int // keys at one cache at a time
 }
 
-// Mark is what became of a key.
-type Mark uint8
+// Outcome is what became of a key.
+type Outcome uint8
 
 // The marks.
 const (
-	Waiting Mark = iota
+	Pending Outcome = iota
 	Served
 	Refused // asking again is harmless
 	Late    // it could not be had in time
@@ -32,9 +32,9 @@
 	Large   // the reply would have been too long with it
 )
 
-var markText = [...]string{"waiting", "served", "refused", "late", "failed", "denied", "large"}
+var outcomeNames = [...]string{"waiting", "served", "refused", "late", "failed", "denied", "large"}
 
-func (m Mark) String() string { return markText[min(int(m), len(markText)-1)] }
+func (m Outcome) String() string { return outcomeNames[min(int(m), len(outcomeNames)-1)] }
 
 // ErrNoKeys and ErrTooMany find fault with a request as a whole; nothing of it is asked for.
 var (
@@ -44,23 +44,23 @@
 
 // Gather is one request. Keys that stand twice are asked for once.
 type Gather struct {
-	limits Limits
-	keys   []string         // each once, in the order in which they came
-	at     []int            // by place in the request: which of keys
-	home   []uint64         // of each of keys, when its part was made
-	marks  []Mark           // of each of keys
-	lines  map[uint64]*line // by cache
-	order  []*line          // in the order of their first keys
-	turn   int
-	out    int
-	left   int
-	bytes  int
+	limits      Limits
+	keys        []string               // each once, in the order in which they came
+	places      []int                  // by place in the request: which of keys
+	caches      []uint64               // of each of keys, when its part was made
+	outcomes    []Outcome              // of each of keys
+	queues      map[uint64]*cacheQueue // by cache
+	queueOrder  []*cacheQueue          // in the order of their first keys
+	nextQueue   int
+	outstanding int
+	pending     int
+	replyBytes  int
 }
 
-// line is the keys that one cache has and that were not asked for yet.
-type line struct {
-	waiting []int
-	out     int // of its part
+// cacheQueue is the keys that one cache has and that were not asked for yet.
+type cacheQueue struct {
+	pending     []int
+	outstanding int // of its part
 }
 
 // New begins a request. Home names the cache that has a key.
@@ -71,7 +71,7 @@
 	case len(keys) > l.Keys:
 		return nil, fmt.Errorf("%w: %d, and %d are allowed", ErrTooMany, len(keys), l.Keys)
 	}
-	g := &Gather{limits: l, at: make([]int, len(keys)), lines: map[uint64]*line{}}
+	g := &Gather{limits: l, places: make([]int, len(keys)), queues: map[uint64]*cacheQueue{}}
 	seen := make(map[string]int, len(keys))
 	for i, key := range keys {
 		k, twice := seen[key]
@@ -80,76 +80,76 @@
 			seen[key] = k
 			g.keys = append(g.keys, key)
 			at := home(key)
-			g.home = append(g.home, at)
-			ln := g.lines[at]
+			g.caches = append(g.caches, at)
+			ln := g.queues[at]
 			if ln == nil {
-				ln = &line{}
-				g.lines[at] = ln
-				g.order = append(g.order, ln)
+				ln = &cacheQueue{}
+				g.queues[at] = ln
+				g.queueOrder = append(g.queueOrder, ln)
 			}
-			ln.waiting = append(ln.waiting, k)
+			ln.pending = append(ln.pending, k)
 		}
-		g.at[i] = k
+		g.places[i] = k
 	}
-	g.marks = make([]Mark, len(g.keys))
-	g.left = len(g.keys)
+	g.outcomes = make([]Outcome, len(g.keys))
+	g.pending = len(g.keys)
 	return g, nil
 }
 
 // Next names the keys to ask for now. Caches have their turns, so that one with a long line does not take all that may be out.
 func (g *Gather) Next() (now []int) {
-	for range g.order {
-		ln := g.order[g.turn]
-		g.turn = (g.turn + 1) % len(g.order)
-		if ln.out > 0 { // its part is not through
+	for range g.queueOrder {
+		ln := g.queueOrder[g.nextQueue]
+		g.nextQueue = (g.nextQueue + 1) % len(g.queueOrder)
+		if ln.outstanding > 0 { // its part is not through
 			continue
 		}
-		n := min(len(ln.waiting), g.limits.Part, g.limits.Out-g.out)
+		n := min(len(ln.pending), g.limits.PartSize, g.limits.Outstanding-g.outstanding)
 		if n <= 0 {
 			continue
 		}
-		now = append(now, ln.waiting[:n]...)
-		ln.waiting = ln.waiting[n:]
-		ln.out += n
-		g.out += n
+		now = append(now, ln.pending[:n]...)
+		ln.pending = ln.pending[n:]
+		ln.outstanding += n
+		g.outstanding += n
 	}
 	return now
 }
 
-// Done notes what became of a key that was asked for, with the size of its value. The mark that counts is told: a value that the reply has
+// Complete notes what became of a key that was asked for, with the size of its value. The mark that counts is told: a value that the reply has
 // no room for is marked as large.
-func (g *Gather) Done(k int, m Mark, size int) Mark {
-	if g.marks[k] != Waiting || m == Waiting {
-		return g.marks[k]
+func (g *Gather) Complete(k int, m Outcome, size int) Outcome {
+	if g.outcomes[k] != Pending || m == Pending {
+		return g.outcomes[k]
 	}
 	if m == Served {
-		if g.bytes+size > g.limits.Bytes {
+		if g.replyBytes+size > g.limits.Bytes {
 			m = Large
 		} else {
-			g.bytes += size
+			g.replyBytes += size
 		}
 	}
-	g.marks[k] = m
-	g.out--
-	g.left--
-	g.lines[g.home[k]].out--
+	g.outcomes[k] = m
+	g.outstanding--
+	g.pending--
+	g.queues[g.caches[k]].outstanding--
 	return m
 }
 
-// Over tells whether every key has its mark.
-func (g *Gather) Over() bool { return g.left == 0 }
+// Finished tells whether every key has its mark.
+func (g *Gather) Finished() bool { return g.pending == 0 }
 
-// Out is how many keys are out.
-func (g *Gather) Out() int { return g.out }
+// Outstanding is how many keys are out.
+func (g *Gather) Outstanding() int { return g.outstanding }
 
 // Key is the k-th of the keys, and Mark what became of it.
 func (g *Gather) Key(k int) string { return g.keys[k] }
 
-// Mark is what became of the k-th of the keys.
-func (g *Gather) Mark(k int) Mark { return g.marks[k] }
+// Outcome is what became of the k-th of the keys.
+func (g *Gather) Outcome(k int) Outcome { return g.outcomes[k] }
 
 // Len counts the keys, each once.
 func (g *Gather) Len() int { return len(g.keys) }
 
 // Places are, for each place in the request, which of the keys stands there.
-func (g *Gather) Places() []int { return g.at }
+func (g *Gather) Places() []int { return g.places }
--- a/internal/manykeys/manykeys_test.go
+++ b/internal/manykeys/manykeys_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-var usual = Limits{Keys: 64, Bytes: 1000, Out: 8, Part: 4}
+var testLimits = Limits{Keys: 64, Bytes: 1000, Outstanding: 8, PartSize: 4}
 
 func TestFaultyRequests(t *testing.T) {
 	home := func(string) uint64 { return 1 }
-	if _, err := New(usual, nil, home); !errors.Is(err, ErrNoKeys) {
+	if _, err := New(testLimits, nil, home); !errors.Is(err, ErrNoKeys) {
 		t.Error(err)
 	}
-	if _, err := New(usual, make([]string, 65), home); !errors.Is(err, ErrTooMany) {
+	if _, err := New(testLimits, make([]string, 65), home); !errors.Is(err, ErrTooMany) {
 		t.Error(err)
 	}
 }
@@ -24,7 +24,7 @@
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		l := Limits{Keys: 200, Bytes: rng.IntN(3000), Out: 1 + rng.IntN(20), Part: 1 + rng.IntN(8)}
+		l := Limits{Keys: 200, Bytes: rng.IntN(3000), Outstanding: 1 + rng.IntN(20), PartSize: 1 + rng.IntN(8)}
 		keys := make([]string, 1+rng.IntN(150))
 		for i := range keys {
 			keys[i] = fmt.Sprint("k", rng.IntN(120))
@@ -43,7 +43,7 @@
 		var out []int
 		part := map[uint64]map[int]bool{} // by cache: its part
 		bytes := 0
-		for steps := 0; !g.Over(); steps++ {
+		for steps := 0; !g.Finished(); steps++ {
 			if steps > 10_000 {
 				t.Fatalf("seed %d: it never ends", seed)
 			}
@@ -58,7 +58,7 @@
 				out = append(out, k)
 			}
 			for at, ks := range fresh {
-				if len(part[at]) > 0 || len(ks) > l.Part {
+				if len(part[at]) > 0 || len(ks) > l.PartSize {
 					t.Fatalf("seed %d: %d keys go to cache %d, where %d are out", seed, len(ks), at, len(part[at]))
 				}
 				part[at] = map[int]bool{}
@@ -66,22 +66,22 @@
 					part[at][k] = true
 				}
 			}
-			if len(out) > l.Out || len(out) != g.Out() || len(out) == 0 {
-				t.Fatalf("seed %d: %d are out, %d counted, %d allowed", seed, len(out), g.Out(), l.Out)
+			if len(out) > l.Outstanding || len(out) != g.Outstanding() || len(out) == 0 {
+				t.Fatalf("seed %d: %d are out, %d counted, %d allowed", seed, len(out), g.Outstanding(), l.Outstanding)
 			}
 			i := rng.IntN(len(out))
 			k := out[i]
 			out = append(out[:i], out[i+1:]...)
 			delete(part[home(g.Key(k))], k)
-			m, size := Mark(1+rng.IntN(5)), rng.IntN(60)
-			switch got := g.Done(k, m, size); {
+			m, size := Outcome(1+rng.IntN(5)), rng.IntN(60)
+			switch got := g.Complete(k, m, size); {
 			case got == Served:
 				bytes += size
 			case got == Large && m == Served && bytes+size > l.Bytes:
 			case got != m:
 				t.Fatalf("seed %d: marked %v, not %v", seed, got, m)
 			}
-			if again := g.Done(k, Failed, 0); again != g.Mark(k) {
+			if again := g.Complete(k, Failed, 0); again != g.Outcome(k) {
 				t.Fatalf("seed %d: a key is marked twice", seed)
 			}
 		}
@@ -89,8 +89,8 @@
 			t.Fatalf("seed %d: %d bytes of %d, %d out", seed, bytes, l.Bytes, len(out))
 		}
 		for i, k := range g.Places() {
-			if g.Key(k) != keys[i] || g.Mark(k) == Waiting || !asked[keys[i]] {
-				t.Fatalf("seed %d: place %d: %s, %v", seed, i, g.Key(k), g.Mark(k))
+			if g.Key(k) != keys[i] || g.Outcome(k) == Pending || !asked[keys[i]] {
+				t.Fatalf("seed %d: place %d: %s, %v", seed, i, g.Key(k), g.Outcome(k))
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 	for i := range keys {
 		keys[i] = fmt.Sprint(i)
 	}
-	g, err := New(usual, keys, func(key string) uint64 {
+	g, err := New(testLimits, keys, func(key string) uint64 {
 		if len(key) == 1 {
 			return 1 // ten keys
 		}
@@ -115,7 +115,7 @@
 		t.Fatalf("%d are asked for", len(first))
 	}
 	for k := range 4 { // the short line's part is through, the other's is not
-		g.Done(k, Served, 1)
+		g.Complete(k, Served, 1)
 	}
 	if next := g.Next(); len(next) != 4 || next[0] != 4 {
 		t.Errorf("next: %v", next)
--- a/internal/operator/joining.go
+++ b/internal/operator/joining.go
@@ -14,7 +14,7 @@
 
 // Limits are in the deciding module's terms.
 func (j *Joining) Limits() *joining.Limits {
-	return &joining.Limits{Followers: j.Followers, PerTenant: j.PerTenant, Flights: j.Flights, AcrossTenants: j.AcrossTenants}
+	return &joining.Limits{Followers: j.Followers, PerTenant: j.PerTenant, Groups: j.Flights, AcrossTenants: j.AcrossTenants}
 }
 
 func (d *doc) checkJoining(j *Joining) {
--- a/internal/operator/manykeys.go
+++ b/internal/operator/manykeys.go
@@ -14,7 +14,7 @@
 
 // Limits are in the deciding module's terms.
 func (m *ManyKeys) Limits() *manykeys.Limits {
-	return &manykeys.Limits{Keys: m.Keys, Bytes: m.Bytes, Out: m.Out, Part: m.Part}
+	return &manykeys.Limits{Keys: m.Keys, Bytes: m.Bytes, Outstanding: m.Out, PartSize: m.Part}
 }
 
 func (d *doc) checkManyKeys(m *ManyKeys) {
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -517,7 +517,7 @@
 func TestManyKeysShareOneDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.TryLimit = 1
-	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Out: 1, Part: 1}
+	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Outstanding: 1, PartSize: 1}
 	w := watchDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{}, 10)
 	p := start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string {
@@ -542,7 +542,7 @@
 func TestJoinedReadTellsWhatItsFollowersHaveLeft(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.TryLimit = 2 // so that the second attempt may take all that is left
-	cfg.Joining = &joining.Limits{Followers: 10, PerTenant: 10, Flights: 10}
+	cfg.Joining = &joining.Limits{Followers: 10, PerTenant: 10, Groups: 10}
 	w := watchDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{})
 	var asks atomic.Int32
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -110,7 +110,7 @@
 
 // share gives what a lead has got to those who follow it: to some now, to the others in turns that let everybody else in between.
 func (p *Proxy) share(r *Request, value []byte) {
-	ids := p.joins.Landed(r.id)
+	ids := p.joins.Complete(r.id)
 	if len(ids) == 0 {
 		return
 	}
@@ -199,7 +199,7 @@
 	for len(p.lost) > 0 {
 		id := p.lost[0]
 		p.lost = p.lost[1:]
-		next, ok := p.joins.Lost(id)
+		next, ok := p.joins.PassLead(id)
 		if !ok {
 			continue
 		}
@@ -222,7 +222,7 @@
 	if r.join == nil || !r.join.lead {
 		return
 	}
-	for _, id := range p.joins.Apart(r.id) {
+	for _, id := range p.joins.MarkUnshareable(r.id) {
 		if f := p.requests[id]; f != nil && !f.done {
 			lr := f.join.lr
 			f.join = nil
@@ -236,7 +236,7 @@
 	switch {
 	case r.join == nil || r.done:
 		return false
-	case r.join.lead && p.joins.Waited(r.id) > 0:
+	case r.join.lead && p.joins.FollowerCount(r.id) > 0:
 		r.Taker = nobody{}
 		return true
 	case r.join.lead:
@@ -255,7 +255,7 @@
 
 // joinLeft takes a follower out. A lead that has gone on for others after its own client had left ends with the last of them.
 func (p *Proxy) joinLeft(id logic.RequestID) {
-	lead, alone := p.joins.Left(id)
+	lead, alone := p.joins.RemoveFollower(id)
 	if r := p.requests[lead]; alone && r != nil && r.Taker == (nobody{}) {
 		p.Withdraw(r)
 	}
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -16,7 +16,7 @@
 	"linenloom/logic"
 )
 
-var joinAll = joining.Limits{Followers: 5000, PerTenant: 5000, Flights: 100}
+var joinAll = joining.Limits{Followers: 5000, PerTenant: 5000, Groups: 100}
 
 // gate is a cache whose answers wait until they are let out.
 type gate struct {
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -15,7 +15,7 @@
 type ManyTaker interface {
 	// Told tells of a key, by its number in the Gather: its value, which is valid during the call, or why there is none. It may come in
 	// the midst of the Balancer's work.
-	Told(k int, mark manykeys.Mark, a Answer, denied error)
+	Told(k int, mark manykeys.Outcome, a Answer, denied error)
 	// Over comes once every key has been told of.
 	Over()
 }
@@ -107,7 +107,7 @@
 			m.ask(k)
 		}
 	}
-	if m.Gather.Over() {
+	if m.Gather.Finished() {
 		m.over = true
 		m.to.Over()
 	}
@@ -150,11 +150,11 @@
 }
 
 // tell notes what became of a key. What follows from it waits until the Balancer has done its work.
-func (m *Many) tell(k int, mark manykeys.Mark, a Answer, denied error) {
+func (m *Many) tell(k int, mark manykeys.Outcome, a Answer, denied error) {
 	if m.withdrew {
 		return
 	}
-	m.to.Told(k, m.Gather.Done(k, mark, len(a.Value)), a, denied)
+	m.to.Told(k, m.Gather.Complete(k, mark, len(a.Value)), a, denied)
 	m.queue()
 }
 
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -17,7 +17,7 @@
 	"linenloom/internal/resp"
 )
 
-var manyUsual = manykeys.Limits{Keys: 100, Bytes: 200_000, Out: 16, Part: 4}
+var manyUsual = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
 
 // manyFleet is a proxy that takes OBJ.MGET before three caches that all answer alike, and an origin.
 func manyFleet(t *testing.T, l manykeys.Limits, answer func(box int, a asked) string) *testProxy {
@@ -90,7 +90,7 @@
 		t.Errorf("the next command: %q", got)
 	}
 	for box := range 3 {
-		if n := most[box].Load(); n > int32(manyUsual.Part) {
+		if n := most[box].Load(); n > int32(manyUsual.PartSize) {
 			t.Errorf("cache %d worked on %d keys of one request", box, n)
 		}
 	}
@@ -295,7 +295,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		limits := manykeys.Limits{Keys: 8, Bytes: 100, Out: 2, Part: 2}
+		limits := manykeys.Limits{Keys: 8, Bytes: 100, Outstanding: 2, PartSize: 2}
 		p := &Proxy{cfg: Config{ManyKeys: &limits, MemoryMB: 1}, heldMax: 1 << 20}
 		c := &client{p: p, conn: &net.TCPConn{}, stream: &net.TCPConn{}}
 		c.in = resp.NewReader(bytes.NewReader(text), 256)
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -77,7 +77,7 @@
 }
 
 // Told puts what became of a key into RESP2.
-func (m *manyReply) Told(k int, mark manykeys.Mark, a Answer, denied error) {
+func (m *manyReply) Told(k int, mark manykeys.Outcome, a Answer, denied error) {
 	p := m.p
 	b := p.scratch[:0]
 	switch mark {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -86,7 +86,7 @@
 // answer, the latest of theirs. Whatever a member or caller is told of a deadline comes from here.
 func (r *Request) deadlineNow() time.Duration {
 	if r.join != nil && r.Taker == (nobody{}) {
-		return min(r.deadline, r.p.joins.Until(r.id))
+		return min(r.deadline, r.p.joins.LatestDeadline(r.id))
 	}
 	return r.deadline
 }
