--- a/internal/arrival/arrival.go
+++ b/internal/arrival/arrival.go
@@ -10,87 +10,87 @@
 
 // Connection dates what is read on one connection. It belongs to the connection's reader.
 type Connection struct {
-	empty  time.Duration // nothing stood unread then
-	latest time.Duration // what was read last has come since then
-	behind bool          // something may have come since empty and not been read
+	emptySince      time.Duration // nothing stood unread then
+	earliestArrival time.Duration // what was read last has come since then
+	mayHaveUnread   bool          // something may have come since empty and not been read
 }
 
-// Accepted is a connection that was taken in now and came up no earlier than since.
-func Accepted(since, now time.Duration) Connection {
-	return Connection{empty: since, latest: since, behind: since < now}
+// NewConnection is a connection that was taken in now and came up no earlier than since.
+func NewConnection(since, now time.Duration) Connection {
+	return Connection{emptySince: since, earliestArrival: since, mayHaveUnread: since < now}
 }
 
-// Missed notes that nothing was read for a while, though something may have come.
-func (c *Connection) Missed() { c.behind = true }
+// NoteUnreadPossible notes that nothing was read for a while, though something may have come.
+func (c *Connection) NoteUnreadPossible() { c.mayHaveUnread = true }
 
-// Behind tells whether something may stand unread. Whoever can look should, before the next read, and call CaughtUp if nothing does: what comes
+// MayHaveUnread tells whether something may stand unread. Whoever can look should, before the next read, and call NoteDrained if nothing does: what comes
 // later is then dated by its own reading.
-func (c *Connection) Behind() bool { return c.behind }
+func (c *Connection) MayHaveUnread() bool { return c.mayHaveUnread }
 
-// CaughtUp notes that nothing stands unread.
-func (c *Connection) CaughtUp() { c.behind = false }
+// NoteDrained notes that nothing stands unread.
+func (c *Connection) NoteDrained() { c.mayHaveUnread = false }
 
-// Read notes that bytes were read; more tells that others may stand behind them.
-func (c *Connection) Read(now time.Duration, more bool) {
-	if !c.behind {
-		c.empty = now
+// NoteRead notes that bytes were read; more tells that others may stand behind them.
+func (c *Connection) NoteRead(now time.Duration, more bool) {
+	if !c.mayHaveUnread {
+		c.emptySince = now
 	}
-	c.latest = c.empty
-	c.behind = more
+	c.earliestArrival = c.emptySince
+	c.mayHaveUnread = more
 	if !more {
-		c.empty = now
+		c.emptySince = now
 	}
 }
 
-// Latest is since when what was read last has come, at the earliest.
-func (c *Connection) Latest() time.Duration { return c.latest }
+// EarliestArrival is since when what was read last has come, at the earliest.
+func (c *Connection) EarliestArrival() time.Duration { return c.earliestArrival }
 
 const (
-	// longEvent is how long the handling of one event may take before the process counts as held up in it. Ordinary events take far less;
+	// stallThreshold is how long the handling of one event may take before the process counts as held up in it. Ordinary events take far less;
 	// a shorter limit would date requests too early on a slow core.
-	longEvent = 5 * time.Millisecond
-	// readAfter is how long after it was held up a process may still be reading what has come meanwhile.
-	readAfter = 20 * time.Millisecond
-	// mergedMost bounds by how much stalls that follow one another, taken for one, are longer than the longest of them. On a core that is short
+	stallThreshold = 5 * time.Millisecond
+	// catchUpTime is how long after it was held up a process may still be reading what has come meanwhile.
+	catchUpTime = 20 * time.Millisecond
+	// maxMergeExtension bounds by how much stalls that follow one another, taken for one, are longer than the longest of them. On a core that is short
 	// for good each is near the next, and requests would be dated ever earlier.
-	mergedMost = 250 * time.Millisecond
+	maxMergeExtension = 250 * time.Millisecond
 )
 
 // Stalls remembers when the process was last held up and read nothing. The zero value knows of none.
 type Stalls struct {
-	// Gap is how long the process may be without any event before it counts as held up. It has to exceed the interval of its own timer.
-	Gap time.Duration
+	// MaxGap is how long the process may be without any event before it counts as held up. It has to exceed the interval of its own timer.
+	MaxGap time.Duration
 
 	from, until time.Duration
 	longest     time.Duration // of the stalls that are taken for this one
 }
 
-// Between notes that no event has come from one time to another.
-func (s *Stalls) Between(last, next time.Duration) {
-	if next-last > s.Gap {
-		s.note(last, next)
+// NoteGap notes that no event has come from one time to another.
+func (s *Stalls) NoteGap(last, next time.Duration) {
+	if next-last > s.MaxGap {
+		s.record(last, next)
 	}
 }
 
-// Event notes how long an event took.
-func (s *Stalls) Event(began, ended time.Duration) {
-	if ended-began > longEvent {
-		s.note(began, ended)
+// NoteEvent notes how long an event took.
+func (s *Stalls) NoteEvent(began, ended time.Duration) {
+	if ended-began > stallThreshold {
+		s.record(began, ended)
 	}
 }
 
-func (s *Stalls) note(from, until time.Duration) {
+func (s *Stalls) record(from, until time.Duration) {
 	longest := until - from
-	if s.until > 0 && from <= s.until+readAfter {
+	if s.until > 0 && from <= s.until+catchUpTime {
 		longest = max(longest, s.longest)
-		from = max(s.from, until-longest-mergedMost)
+		from = max(s.from, until-longest-maxMergeExtension)
 	}
 	s.from, s.until, s.longest = from, until, longest
 }
 
-// Earliest is when bytes that were read at a time may have come.
-func (s *Stalls) Earliest(read time.Duration) time.Duration {
-	if s.until > 0 && s.from <= read && read <= s.until+readAfter {
+// EarliestArrival is when bytes that were read at a time may have come.
+func (s *Stalls) EarliestArrival(read time.Duration) time.Duration {
+	if s.until > 0 && s.from <= read && read <= s.until+catchUpTime {
 		return s.from
 	}
 	return read
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -140,14 +140,14 @@
 func mostOf(c *reasons.Counts) string {
 	var most reasons.Row
 	for _, r := range c.Rows() {
-		if r.What != reasons.Waited && r.Count > most.Count {
+		if r.Outcome != reasons.Waited && r.Count > most.Count {
 			most = r
 		}
 	}
 	if most.Count == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%s %s: %s %d", most.Class, most.What, reasons.Name(most.Why), most.Count)
+	return fmt.Sprintf("%s %s: %s %d", most.Class, most.Outcome, reasons.Name(most.Reason), most.Count)
 }
 
 // happen stages the second's event, in rounds of 20 seconds.
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -143,8 +143,8 @@
 			}
 			r.quiet()
 			for _, row := range r.p.Reasons().Rows() {
-				if row.What != reasons.Waited {
-					t.Errorf("%d requests that nobody waited for were %v: %s", row.Count, row.What, reasons.Name(row.Why))
+				if row.Outcome != reasons.Waited {
+					t.Errorf("%d requests that nobody waited for were %v: %s", row.Count, row.Outcome, reasons.Name(row.Reason))
 				}
 			}
 		})
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -576,7 +576,7 @@
 // A process that was held up dates what it reads right afterwards by when it may have come: in the midst of an event, and between two.
 func TestStallsDateRequests(t *testing.T) {
 	p := &Proxy{cfg: Config{}, started: time.Now().Add(-time.Minute), ups: upstream.New(pool.Config{}, nil)}
-	p.stalls.Gap = stallGap
+	p.stalls.MaxGap = stallGap
 	p.timers = newTimers(time.Millisecond, p.Clock())
 	p.timer = time.AfterFunc(time.Hour, func() {})
 	p.now = p.Clock()
@@ -592,7 +592,7 @@
 		t.Errorf("read right after an event that took long, dated %v after it began", got-began)
 	}
 	last := p.now - time.Second
-	p.now, p.stalls = last, arrival.Stalls{Gap: stallGap} // nothing has happened for a second
+	p.now, p.stalls = last, arrival.Stalls{MaxGap: stallGap} // nothing has happened for a second
 	p.mu.Unlock()
 	p.enter()
 	if got := p.arrivedAt(p.now); got != last {
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -276,7 +276,7 @@
 	if read == 0 {
 		return p.now
 	}
-	return p.stalls.Earliest(min(read, p.now))
+	return p.stalls.EarliestArrival(min(read, p.now))
 }
 
 // named finds the members at these addresses; an address without a port is all of its host's. Never nil.
@@ -369,9 +369,9 @@
 	p.cfg.Settings.Classes, p.cfg.Settings.TryLimit = slices.Clone(classes), tryLimit
 	p.redis.gate.SetClasses(classes)
 	names := logic.ClassNames(classes)
-	p.reasons = p.reasons.For(names)
+	p.reasons = p.reasons.ForClasses(names)
 	if p.reasonsTold != nil {
-		p.reasonsTold = p.reasonsTold.For(names)
+		p.reasonsTold = p.reasonsTold.ForClasses(names)
 	}
 	for _, r := range p.requests {
 		if r.class >= 0 {
--- a/internal/proxy/givenup_test.go
+++ b/internal/proxy/givenup_test.go
@@ -56,7 +56,7 @@
 		origin func(t *testing.T) string
 		ask    string
 		want   string
-		what   reasons.What
+		what   reasons.Outcome
 		why    logic.Reason
 	}{
 		"an order that has run, and failed": {miss, func(t *testing.T) string { return origin(t, failing) },
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -146,7 +146,7 @@
 	p.Do(func() { c.waits = gone })
 	w := p.longRoom(n, cmp.Or(p.long.longest, longestWait), gone)
 	let := w.Wait()
-	c.arrived.Missed()
+	c.arrived.NoteUnreadPossible()
 	p.Do(func() { c.waits = nil })
 	if !let { // it is read over, and refused
 		*cmd = input{refused: true}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -154,7 +154,7 @@
 		p.offset = time.Hour
 	}
 	p.now = p.offset
-	p.stalls.Gap = stallGap
+	p.stalls.MaxGap = stallGap
 	p.timers = newTimers(tickOf(&p.cfg.Settings), p.now)
 	p.reasons = countReasons(&p.cfg.Settings)
 	p.ups = upstream.New(pool.Config{
@@ -266,7 +266,7 @@
 	p.now = p.Clock()
 	p.began = p.now
 	if p.cfg.Clock == nil { // a clock that is set moves in leaps
-		p.stalls.Between(last, p.now)
+		p.stalls.NoteGap(last, p.now)
 	}
 	p.ups.Advance(p.now)
 }
@@ -291,7 +291,7 @@
 	p.arm()
 	p.long.grant(p.longMax())
 	if p.cfg.Clock == nil {
-		p.stalls.Event(p.began, p.Clock())
+		p.stalls.NoteEvent(p.began, p.Clock())
 	}
 	p.mu.Unlock()
 }
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -68,11 +68,11 @@
 		c.uncork()
 	}
 	c.turn = 0
-	if c.arrived.Behind() && !c.unread() {
-		c.arrived.CaughtUp()
+	if c.arrived.MayHaveUnread() && !c.unread() {
+		c.arrived.NoteDrained()
 	}
 	n, err := c.stream.Read(b)
-	c.arrived.Read(c.p.Clock(), n == len(b))
+	c.arrived.NoteRead(c.p.Clock(), n == len(b))
 	if n >= shed.MinBatchBytes || c.line.Active() {
 		c.measure(n, n == len(b))
 	}
@@ -199,7 +199,7 @@
 		if err != nil {
 			return err
 		}
-		cmd.Arrived = c.arrived.Latest()
+		cmd.Arrived = c.arrived.EarliestArrival()
 		if c.line.Active() && c.shed(&cmd) {
 			continue
 		}
@@ -253,7 +253,7 @@
 		if wait != nil {
 			<-wait
 			c.stale = true
-			c.arrived.Missed()
+			c.arrived.NoteUnreadPossible()
 		}
 	}
 }
--- a/internal/proxy/redis_front.go
+++ b/internal/proxy/redis_front.go
@@ -219,7 +219,7 @@
 		return nil, nil
 	}
 	c := &client{p: p, f: f, conn: conn, intake: in, stream: in, w: w, active: p.now, limited: true, stale: true,
-		arrived: arrival.Accepted(f.inLineSince(), p.now)}
+		arrived: arrival.NewConnection(f.inLineSince(), p.now)}
 	size := clientBuffer
 	if p.cfg.Callers != nil {
 		c.from = AddrOf(conn)
--- a/internal/reasons/reasons.go
+++ b/internal/reasons/reasons.go
@@ -13,19 +13,19 @@
 	"linenloom/logic"
 )
 
-// What became of a request.
-type What uint8
+// Outcome became of a request.
+type Outcome uint8
 
 // A request may wait more than once; it is refused or fails once at the most.
 const (
-	Waited What = iota
+	Waited Outcome = iota
 	Refused
 	Failed
-	whats
+	outcomeCount
 )
 
-func (w What) String() string {
-	return [...]string{"waited", "refused", "failed", "unknown"}[min(w, whats)]
+func (w Outcome) String() string {
+	return [...]string{"waited", "refused", "failed", "unknown"}[min(w, outcomeCount)]
 }
 
 // Host's own reasons follow those of the module.
@@ -40,13 +40,13 @@
 	OtherOrder                                       // the order's name stands for another order
 	OrderHasRun                                      // and its receipt is not told here
 	OrderUnknown                                     // it may have run, and is to be looked up
-	all
+	reasonCount
 )
 
 // Name is a reason's name in logs and reports.
 func Name(r logic.Reason) string {
-	if r >= HostFull && r < all {
-		return [all - HostFull]string{"host_full", "stopping", "overload", "record_full", "record_behind", "record_fault", "order_in_hand", "other_order",
+	if r >= HostFull && r < reasonCount {
+		return [reasonCount - HostFull]string{"host_full", "stopping", "overload", "record_full", "record_behind", "record_fault", "order_in_hand", "other_order",
 			"order_has_run", "order_unknown"}[r-HostFull]
 	}
 	return r.String()
@@ -55,7 +55,7 @@
 // Counts are counts since the start. Its size is fixed when it is made.
 type Counts struct {
 	classes, tenants []string
-	n                []uint64
+	values           []uint64
 }
 
 // New makes counts for these classes and tenants, by their places in the settings. No tenant at all counts as one
@@ -65,37 +65,37 @@
 		tenants = []string{""}
 	}
 	c := &Counts{classes: slices.Clone(classes), tenants: slices.Clone(tenants)}
-	c.n = make([]uint64, len(c.classes)*len(c.tenants)*int(whats)*int(all))
+	c.values = make([]uint64, len(c.classes)*len(c.tenants)*int(outcomeCount)*int(reasonCount))
 	return c
 }
 
 // Add counts one. A class or tenant that the settings don't have is counted with none.
-func (c *Counts) Add(w What, class, tenant int, why logic.Reason) {
+func (c *Counts) Add(w Outcome, class, tenant int, why logic.Reason) {
 	if tenant < 0 || tenant >= len(c.tenants) {
 		tenant = 0
 	}
-	if class < 0 || class >= len(c.classes) || w >= whats || why >= all {
+	if class < 0 || class >= len(c.classes) || w >= outcomeCount || why >= reasonCount {
 		return
 	}
-	c.n[c.at(class, tenant, w, why)]++
+	c.values[c.index(class, tenant, w, why)]++
 }
 
-func (c *Counts) at(class, tenant int, w What, why logic.Reason) int {
-	return ((class*len(c.tenants)+tenant)*int(whats)+int(w))*int(all) + int(why)
+func (c *Counts) index(class, tenant int, w Outcome, why logic.Reason) int {
+	return ((class*len(c.tenants)+tenant)*int(outcomeCount)+int(w))*int(reasonCount) + int(why)
 }
 
 // Clone is a copy that changes no more.
 func (c *Counts) Clone() *Counts {
-	return &Counts{classes: c.classes, tenants: c.tenants, n: slices.Clone(c.n)}
+	return &Counts{classes: c.classes, tenants: c.tenants, values: slices.Clone(c.values)}
 }
 
-// For is the counts for other classes: a class that is in both keeps its own.
-func (c *Counts) For(classes []string) *Counts {
+// ForClasses is the counts for other classes: a class that is in both keeps its own.
+func (c *Counts) ForClasses(classes []string) *Counts {
 	n := New(classes, c.tenants)
-	each := len(c.n) / max(1, len(c.classes))
+	each := len(c.values) / max(1, len(c.classes))
 	for i, name := range classes {
 		if was := slices.Index(c.classes, name); was >= 0 {
-			copy(n.n[i*each:(i+1)*each], c.n[was*each:])
+			copy(n.values[i*each:(i+1)*each], c.values[was*each:])
 		}
 	}
 	return n
@@ -105,8 +105,8 @@
 func (c *Counts) Since(was *Counts) *Counts {
 	d := c.Clone()
 	if was != nil {
-		for i := range d.n {
-			d.n[i] -= was.n[i]
+		for i := range d.values {
+			d.values[i] -= was.values[i]
 		}
 	}
 	return d
@@ -114,9 +114,9 @@
 
 // Row is one count.
 type Row struct {
-	What          What
+	Outcome       Outcome
 	Class, Tenant string
-	Why           logic.Reason
+	Reason        logic.Reason
 	Count         uint64
 }
 
@@ -124,10 +124,10 @@
 func (c *Counts) Rows() (rows []Row) {
 	for i, class := range c.classes {
 		for k, tenant := range c.tenants {
-			for w := range whats {
+			for w := range outcomeCount {
 				from := len(rows)
-				for why := range all {
-					if n := c.n[c.at(i, k, w, why)]; n > 0 {
+				for why := range reasonCount {
+					if n := c.values[c.index(i, k, w, why)]; n > 0 {
 						rows = append(rows, Row{w, class, tenant, why, n})
 					}
 				}
@@ -139,10 +139,10 @@
 }
 
 // Total is how many requests of all classes and tenants became that for that reason.
-func (c *Counts) Total(w What, why logic.Reason) (n uint64) {
+func (c *Counts) Total(w Outcome, why logic.Reason) (n uint64) {
 	for i := range c.classes {
 		for k := range c.tenants {
-			n += c.n[c.at(i, k, w, why)]
+			n += c.values[c.index(i, k, w, why)]
 		}
 	}
 	return n
@@ -153,7 +153,7 @@
 	var name string
 	var text strings.Builder
 	for _, r := range c.Rows() {
-		group := r.What.String() + "_" + r.Class
+		group := r.Outcome.String() + "_" + r.Class
 		if r.Tenant != "" {
 			group += "_" + r.Tenant
 		}
@@ -164,7 +164,7 @@
 		if name = group; text.Len() > 0 {
 			text.WriteByte(' ')
 		}
-		fmt.Fprintf(&text, "%s=%d", Name(r.Why), r.Count)
+		fmt.Fprintf(&text, "%s=%d", Name(r.Reason), r.Count)
 	}
 	if name != "" {
 		attrs = append(attrs, name, text.String())
@@ -182,7 +182,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "class\ttenant\toutcome\treason\tcount")
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\n", r.Class, r.Tenant, r.What, Name(r.Why), r.Count)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\n", r.Class, r.Tenant, r.Outcome, Name(r.Reason), r.Count)
 	}
 	return t.Flush()
 }
--- a/internal/reasons/reasons_test.go
+++ b/internal/reasons/reasons_test.go
@@ -21,7 +21,7 @@
 	for _, bad := range []int{-1, 2} {
 		c.Add(Failed, bad, 0, logic.MayHaveRun)
 	}
-	c.Add(Failed, 0, 0, all)
+	c.Add(Failed, 0, 0, reasonCount)
 	want := []any{"refused_read_peak", "throttled=3 no_room=1", "refused_order_acme", "host_full=1",
 		"failed_order_acme", "may_have_run=1"}
 	if got := c.Since(was).Attrs(); !slices.Equal(got, want) {
@@ -38,15 +38,15 @@
 // Each reason has a name of its own, so that none hides behind another.
 func TestEveryReasonHasAName(t *testing.T) {
 	seen := map[string]bool{}
-	for r := range all {
+	for r := range reasonCount {
 		if n := Name(r); n == "" || n == "unknown" || seen[n] {
 			t.Errorf("reason %d is called %q", r, n)
 		} else {
 			seen[n] = true
 		}
 	}
-	if Name(all) != "unknown" {
-		t.Errorf("a reason that does not exist is called %q", Name(all))
+	if Name(reasonCount) != "unknown" {
+		t.Errorf("a reason that does not exist is called %q", Name(reasonCount))
 	}
 }
 
