--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package discovery keeps a watch on the list of members.
+// Package discovery watches the list of members that a discovery service keeps.
 //
-// It uses net/http's client: here, unlike on the way to members, nothing rests on when bytes are written,
-// and a resent call is harmless.
+// It uses the client of net/http: unlike on connections to members, the exact time at which bytes are
+// written does not matter here, and a call that is sent again does no harm.
 package discovery
 
 import (
@@ -23,26 +23,28 @@
 )
 
 const (
-	// silenceTimeout is how long a watch may say nothing before it counts as broken. A heartbeat comes every 2 s, and what discovery had to
-	// tell counts as told 6 s after the watch fell silent: by then one that was opened in its place and is silent too, from its first
-	// line on, must have been replaced as well. A heartbeat that is late by more than 0.4 s ends a watch for nothing, which
-	// costs the call for another.
+	// silenceTimeout is how long a watch may be silent before it counts as broken. Discovery sends a
+	// heartbeat every 2 s. A change counts as announced 6 s after the watch fell silent; by then even a
+	// second watch that is silent from its first line on must have been replaced. A heartbeat that is
+	// late by more than 0.4 s ends a healthy watch, which costs one more call.
 	silenceTimeout = 2400 * time.Millisecond
-	// callTimeout is how long discovery may take to begin its answer where it is asked. Whatever its load, it tells a caller within 2 s that
-	// it has waited too long; one that says nothing by then does not hear the call. An agent answers at once: agentCallTimeout is for a machine
-	// that is short of its core.
+	// callTimeout is how long a discovery service that is polled may take to begin its response. Whatever
+	// its load, it rejects a call that has waited too long within 2 s; a service that sends nothing by
+	// then has not received the call. An agent responds at once: agentCallTimeout leaves time for a
+	// machine that is short of CPU.
 	callTimeout      = 2200 * time.Millisecond
 	agentCallTimeout = 750 * time.Millisecond
 	dialTimeout      = time.Second
-	// lineStallTimeout is how long a line may pause once it has begun. What it says may be that a member drains, so half of one must not be
-	// waited for; a line is written in one go, and pauses only if it has stopped short.
+	// lineStallTimeout is how long a line may pause once it has begun. The line may say that a member
+	// drains, so the rest of it is not waited for. Discovery writes a line in one piece; a line that
+	// pauses is truncated.
 	lineStallTimeout = 150 * time.Millisecond
-	maxListBytes     = 1 << 20 // of the list: room for some thousands of members
-	// catchUpTimeout is how long a discovery that is asked for the first time may lag behind the one before it.
+	maxListBytes     = 1 << 20 // holds some thousands of members
+	// catchUpTimeout is how long the list of another discovery service may be older than the known one.
 	catchUpTimeout = 1500 * time.Millisecond
 )
 
-// The phases of a member.
+// Phases of a member.
 const (
 	PhaseInService   = "in_service"
 	PhaseTerminating = "terminating"
@@ -61,45 +63,48 @@
 	UpSinceMS float64 `json:"up_since_ms"`
 }
 
-// List is the whole list, or the entries that changed.
+// List is the whole list of members, or the entries that have changed.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
-	// RevisionsReset tells, of a whole list that is older than what is known, that it holds all the same: discovery has begun to count anew.
+	// RevisionsReset is set on a whole list that is valid although its revision is lower than the known
+	// one: discovery has restarted its revision numbers.
 	RevisionsReset bool `json:"-"`
 }
 
-// Watcher follows the list. Take is called with each list, one at a time, and tells the newest revision known, and whether the list is
-// taken: another watch may have brought a newer one since this one began; Opened, each time discovery has taken up a watch: what it
-// has to tell beyond Revision is then on its way, and where that is nothing the first line is only the next change; Broken, each
-// time a watch ends.
+// Watcher follows the list of members.
+//
+// It calls OnList with each list, one at a time. OnList returns the newest known revision and whether it
+// accepted the list: another watch may have delivered a newer one since this watch began. OnOpen is
+// called each time discovery has accepted a watch: the changes after Revision are then on their way, and
+// if there are none the first line is the next change. OnBreak is called each time a watch ends.
 type Watcher struct {
 	Addr     string
-	Revision int64 // the last one known
-	// FetchFirst asks for the whole list first, for a discovery that need not have counted its revisions like the
-	// one before it.
+	Revision int64 // the newest known revision
+	// FetchFirst requests the whole list before the watch, for a discovery service whose revision numbers
+	// may differ from those of the previous one.
 	FetchFirst   bool
-	Backoff      *Backoff      // when to ask again
-	InitialDelay time.Duration // before the first call
-	HasMembers   bool          // members are known, which an empty list would take away
+	Backoff      *Backoff      // delays between calls
+	InitialDelay time.Duration // delay before the first call
+	HasMembers   bool          // members are known; an empty list would remove them
 	OnList       func(List) (newest int64, taken bool)
 	OnOpen       func() // may be nil
 	OnBreak      func()
 	Log          *slog.Logger
 
-	stallTimer     atomic.Pointer[stallTimer] // of the watch that is open
-	silenceTimeout time.Duration              // as the constant; tests have it shorter
-	callTimeout    time.Duration              // likewise, callTimeout or agentCallTimeout
-	behindSince    time.Time                  // since when its whole list has been older than what is known; zero: it is not
-	loggedEmpty    bool                       // logged that its whole list is empty
+	stallTimer     atomic.Pointer[stallTimer] // of the open watch
+	silenceTimeout time.Duration              // the constant; tests set a shorter one
+	callTimeout    time.Duration              // callTimeout or agentCallTimeout; tests set a shorter one
+	behindSince    time.Time                  // since when the whole list has been older than the known one; zero: it is not
+	loggedEmpty    bool                       // the empty whole list has been logged
 }
 
 // Run watches until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{
 		DialContext:       w.dial,
-		DisableKeepAlives: true, // a watch lasts as long as its connection; none is left over to use again
+		DisableKeepAlives: true, // a watch lasts as long as its connection, so no connection is reused
 	}}
 	w.setDefaults()
 	down := false
@@ -117,14 +122,14 @@
 			return
 		}
 		wait := w.Backoff.RetryDelay
-		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // that tells of no load: to be put off for long would help nobody
+		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // neither is a sign of load, so the long delay has no use
 			wait = w.Backoff.ReconnectDelay
 		}
 		if n > 0 {
 			wait, down = w.Backoff.ReconnectDelay, false
 		}
-		if !down { // once for each time it goes down, however often it is tried
-			w.Log.Warn("discovery watch broken, list may be stale", "revision", w.Revision, "err", err)
+		if !down { // logged once per outage, not for each retry
+			w.Log.Warn("discovery watch broken; the list may be stale", "revision", w.Revision, "err", err)
 		}
 		down = true
 		w.OnBreak()
@@ -132,7 +137,7 @@
 	}
 }
 
-// setDefaults sets what is not set.
+// setDefaults sets the time limits that have no value.
 func (w *Watcher) setDefaults() {
 	w.silenceTimeout = cmp.Or(w.silenceTimeout, silenceTimeout)
 	if w.callTimeout == 0 {
@@ -142,7 +147,7 @@
 	}
 }
 
-// sleep waits, until the context ends at the most.
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -155,17 +160,19 @@
 	}
 }
 
-// errSilent tells that nothing has come for too long.
-var errSilent = errors.New("silent for too long")
+// errSilent: no data has arrived for too long.
+var errSilent = errors.New("no data for too long")
 
-// errEmptyList tells that discovery's whole list names no member.
-var errEmptyList = errors.New("discovery list names no member")
+// errEmptyList: the whole list has no members.
+var errEmptyList = errors.New("discovery list has no members")
 
-// errStaleList tells that discovery does not know yet what it, or another, has told before.
-var errStaleList = errors.New("discovery list is older than the one known")
+// errStaleList: the list of this discovery service is older than one that it, or another, has sent
+// before.
+var errStaleList = errors.New("discovery list is older than the known list")
 
-// revisionsReset tells whether a whole list that is older than what is known holds all the same. It would call members back that
-// drain by now; discovery catches up soon, or else has begun to count anew.
+// revisionsReset reports whether a whole list that is older than the known one is valid all the same. A
+// stale list would put members back in use that drain by now. A discovery service that is behind catches
+// up within catchUpTimeout; one that stays behind for longer has restarted its revision numbers.
 func (w *Watcher) revisionsReset() bool {
 	if w.behindSince.IsZero() {
 		w.behindSince = time.Now()
@@ -173,7 +180,7 @@
 	return time.Since(w.behindSince) > catchUpTimeout
 }
 
-// fetch takes the whole list once.
+// fetch requests the whole list once.
 func (w *Watcher) fetch(ctx context.Context, client *http.Client) error {
 	w.setDefaults()
 	ctx, cancel := context.WithTimeoutCause(ctx, w.callTimeout, errSilent)
@@ -209,7 +216,8 @@
 	return nil
 }
 
-// apply hands a list on that holds, unless a newer one has come another way meanwhile.
+// apply passes a valid list to OnList. It returns false if a newer list has arrived by another watch
+// meanwhile.
 func (w *Watcher) apply(list List) bool {
 	if newest, taken := w.OnList(list); !taken {
 		w.Revision = newest
@@ -221,16 +229,16 @@
 	return true
 }
 
-// watch follows one watch until it breaks and returns how many lines it brought.
+// watch follows one watch until it breaks and returns the number of lines that it delivered.
 func (w *Watcher) watch(ctx context.Context, client *http.Client) (lines int, err error) {
 	w.setDefaults()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	alarm := time.AfterFunc(w.callTimeout, func() { cancel(errSilent) })
-	defer alarm.Stop()
-	short := &stallTimer{timer: time.AfterFunc(time.Hour, func() { cancel(fmt.Errorf("a line stopped short for %v", lineStallTimeout)) })}
-	defer short.timer.Stop()
-	w.stallTimer.Store(short)
+	silenceTimer := time.AfterFunc(w.callTimeout, func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
+	stalled := &stallTimer{timer: time.AfterFunc(time.Hour, func() { cancel(fmt.Errorf("a line stalled for %v", lineStallTimeout)) })}
+	defer stalled.timer.Stop()
+	w.stallTimer.Store(stalled)
 	defer w.stallTimer.Store(nil)
 	u := url.URL{Scheme: "http", Host: w.Addr, Path: "/registry/instances", RawQuery: url.Values{
 		"watch": {"1"}, "from": {strconv.FormatInt(w.Revision, 10)}}.Encode()}
@@ -246,17 +254,17 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("discovery watch: status %s", resp.Status)
 	}
-	alarm.Reset(w.silenceTimeout)
+	silenceTimer.Reset(w.silenceTimeout)
 	if w.OnOpen != nil {
 		w.OnOpen()
 	}
-	in := newObjectReader(resp.Body)
+	objects := newObjectReader(resp.Body)
 	for {
-		object, err := in.next()
-		short.update(0, in.started)
-		in.started = 0
+		object, err := objects.next()
+		stalled.update(0, objects.started)
+		objects.started = 0
 		if err == nil {
-			alarm.Reset(w.silenceTimeout)
+			silenceTimer.Reset(w.silenceTimeout)
 			lines++
 		}
 		if len(object) == 0 {
@@ -270,19 +278,19 @@
 			err = json.Unmarshal(object, &list)
 		}
 		if err != nil {
-			if gone := salvageDrains(object, w.Revision); len(gone) > 0 {
-				w.OnList(List{Revision: w.Revision, Members: gone})
+			if drained := salvageDrains(object, w.Revision); len(drained) > 0 {
+				w.OnList(List{Revision: w.Revision, Members: drained})
 			}
 			return lines, fmt.Errorf("discovery line: %w", cmp.Or(context.Cause(ctx), err))
 		}
 		switch {
 		case !list.Complete && list.Revision <= w.Revision:
-			continue // changes that are not newer could call a member back that drains by now
+			continue // changes that are not newer could put a draining member back in use
 		case list.Complete && len(list.Members) == 0 && w.HasMembers:
-			// It is far more likely that discovery has lost its records than that the whole fleet is gone; members that go
-			// are told one by one. Taken at its word, it would have every request refused.
+			// Discovery has far more likely lost its records than the whole fleet is gone: members that leave are
+			// reported one by one. An empty list in force would refuse every request.
 			if !w.loggedEmpty {
-				w.Log.Warn("discovery's whole list names no member; the known one stays", "revision", w.Revision, "told", list.Revision)
+				w.Log.Warn("discovery sent a whole list without members; the known list stays in force", "revision", w.Revision, "told", list.Revision)
 			}
 			w.loggedEmpty = true
 			continue
@@ -297,7 +305,7 @@
 	}
 }
 
-// endError tells why a watch has.
+// endError returns the reason for the end of a watch.
 func (w *Watcher) endError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return fmt.Errorf("discovery watch: %w", cause)
@@ -317,12 +325,13 @@
 	return &watchConn{Conn: c, watcher: w}, nil
 }
 
-// stallTimer rings when a line, or an object on several, that has begun pauses. It is begun when it, or an object in it, has come and was
-// not read yet: net/http holds back what has come of a chunk until the chunk is whole or the connection ends.
+// stallTimer fires when a line, or an object on several lines, pauses after it has begun. An object,
+// inner ones included, has begun once its first byte is received, and is pending until it is parsed:
+// net/http holds back the received part of a chunk until the chunk is whole or the connection ends.
 type stallTimer struct {
 	mu               sync.Mutex
 	timer            *time.Timer
-	received, parsed int // objects that have begun
+	received, parsed int // number of objects that have begun
 }
 
 func (a *stallTimer) update(came, read int) {
@@ -337,11 +346,11 @@
 	}
 }
 
-// watchConn tells the alarm what has come.
+// watchConn reports received objects to the stall timer.
 type watchConn struct {
 	net.Conn
 	watcher    *Watcher
-	header     []byte // of the answer, until it is whole
+	header     []byte // of the response, until it is complete
 	headerDone bool
 }
 
@@ -352,7 +361,7 @@
 		c.header = append(c.header, got...)
 		_, rest, whole := bytes.Cut(c.header, []byte("\r\n\r\n"))
 		if !whole {
-			return n, err // net/http bounds a head
+			return n, err // net/http limits the size of a header
 		}
 		c.headerDone, c.header, got = true, nil, rest
 	}
--- a/internal/discovery/frames.go
+++ b/internal/discovery/frames.go
@@ -6,25 +6,27 @@
 	"io"
 )
 
-// errObjectTooLong tells that an object goes over the bound.
-var errObjectTooLong = errors.New("an object of the list is too long")
+// errObjectTooLong: an object exceeds maxListBytes.
+var errObjectTooLong = errors.New("object of the discovery list is too long")
 
-// objectReader takes a watch's stream apart: one JSON object after the other, each on one line or on several, and empty lines between them. It
-// knows no more of JSON than where an object ends; what stands in it is read elsewhere.
+// objectReader splits the stream of a watch into JSON objects, each on one line or on several, with empty
+// lines between them. It finds only the end of each object; the caller parses the content.
 type objectReader struct {
 	reader *bufio.Reader
 	buf    []byte
-	// started counts the objects, inner ones too, that have begun in what was read since it was last set to 0.
+	// started counts the objects, inner ones included, that have begun in the data read since it was last
+	// set to 0.
 	started int
 }
 
 func newObjectReader(r io.Reader) *objectReader { return &objectReader{reader: bufio.NewReader(r)} }
 
-// next is the next object, or nothing for an empty line; valid until the call after. What is no object goes up to its line's end. With an
-// error comes what had been read of an object by then.
+// next returns the next object, or an empty slice for an empty line. The slice is valid until the next
+// call. Data that is not an object is returned up to the end of its line. Along with an error, next
+// returns the part of an object that was read before it.
 func (f *objectReader) next() ([]byte, error) {
 	f.buf = f.buf[:0]
-	depth, inText, escaped, other := 0, false, false, false
+	depth, inString, escaped, notObject := 0, false, false, false
 	for {
 		c, err := f.reader.ReadByte()
 		if err != nil {
@@ -36,7 +38,7 @@
 		if c == '{' {
 			f.started++
 		}
-		if c == '\n' && (len(f.buf) == 0 || other) {
+		if c == '\n' && (len(f.buf) == 0 || notObject) {
 			return f.buf, nil
 		}
 		if len(f.buf) == maxListBytes {
@@ -44,18 +46,18 @@
 		}
 		f.buf = append(f.buf, c)
 		switch {
-		case other:
-		case inText:
+		case notObject:
+		case inString:
 			switch {
 			case escaped:
 				escaped = false
 			case c == '\\':
 				escaped = true
 			case c == '"':
-				inText = false
+				inString = false
 			}
 		case c == '"':
-			inText = true
+			inString = true
 		case c == '{' || c == '[':
 			depth++
 		case c == '}' || c == ']':
@@ -63,8 +65,8 @@
 				return f.buf, nil
 			}
 		}
-		if depth == 0 { // it does not begin as an object does
-			other = true
+		if depth == 0 { // the first byte does not open an object
+			notObject = true
 		}
 	}
 }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -5,87 +5,96 @@
 	"time"
 )
 
-// Backoff decides how long a proxy waits before it asks discovery. It is free of I/O and clock.
+// Backoff decides how long a proxy waits before each call to discovery. It uses no I/O and no clock.
 //
-// Where discovery is asked, it is one service for all proxies. It works through calls in turn, and what it has taken in it works
-// off, though the caller has long been told that it waited too long. What breaks one proxy's watch, or starts one, most often
-// does so to many. If they all ask at once, and soon again when they are turned away, the calls that still count stand behind
-// those that don't, and nobody is answered for as long as that goes on. So each call is put off by a part of a spread, the first
-// too: by the proxy's own place among all, or, after a call in vain, at random. The spread grows with the number of proxies, and
-// never keeps one from asking as often as it must. It could do harm where a proxy is alone in having lost its watch: it is without
-// news for that much longer.
+// If discovery is polled, one service serves all proxies. It processes calls in turn and also completes
+// those whose callers have timed out long ago. A fault that breaks or starts one proxy's watch usually
+// does so for many. If all of them call at once, and retry soon after a rejection, valid calls queue
+// behind abandoned ones, and no proxy gets a response for as long as that goes on. Each call, the first
+// included, is therefore delayed by a part of a spread: by the proxy's own position among all proxies,
+// or, after a failed call, at random. The spread grows with the number of proxies, but never keeps a
+// proxy from calling as often as it must. The cost is for a proxy that alone has lost its watch: it goes
+// without updates for the time of the delay.
 //
-// Where lists are pushed, discovery is an agent of this proxy's own, which no other asks: there the spread is short.
+// If lists are pushed, discovery is an agent that serves this proxy only, and the spread is short.
 type Backoff struct {
 	startSpread, reconnectSpread, retrySpread, maxSpread time.Duration
-	lastSpread                                           time.Duration // of the latest wait
-	lastFailed                                           bool          // the latest call was
-	agent                                                bool          // what is asked is one of this proxy's own
-	position, positionStep                               float64       // this proxy's place among all, and how far they lie apart, of 1
+	lastSpread                                           time.Duration // spread of the latest delay
+	lastFailed                                           bool          // the latest call failed
+	agent                                                bool          // discovery is an agent of this proxy only
+	position, positionStep                               float64       // position of this proxy among all, from 0 to 1, and the distance between two positions
 	rand                                                 *rand.Rand
 }
 
 const (
-	// spreadPerProxy is what each proxy adds to the spread: a call takes discovery so long at the most.
+	// spreadPerProxy is what each proxy adds to the spread: the longest time that discovery takes for a
+	// call.
 	spreadPerProxy = 100 * time.Millisecond
-	// The most that a spread may be of the time in which a proxy must ask. A process that was killed may have been about to ask,
-	// and the one that takes its place doesn't know: what it takes to find out that a watch is silent, the wait after that, the
-	// time until the next process is there and its own wait go into that time together. A call in vain before that can still make
-	// it late, and after a second one only its own calls count (maxShare): where all ask more often than this, a service that
-	// has fallen behind stays so (docs/fleet.md has the tries).
+	// Upper bounds of the spreads, as shares of the interval within which a proxy must call. A process
+	// that was killed may have been about to call, and its successor does not know that. The time to
+	// detect a silent watch, the delay after that, the time until the next process runs and its own start
+	// delay must fit into the interval together. A failed call before that can still make the proxy late.
+	// After a second failure only its own calls count (maxShare): if all proxies call more often than
+	// this, a service that has fallen behind does not recover (docs/fleet.md has the measurements).
 	startShare, reconnectShare, retryShare, maxShare = 0.35, 0.15, 0.33, 0.7
-	// minRetryPart is the part of its spread that surely passes after a call in vain: until what was in front of it is done.
+	// minRetryPart is the part of the spread that always passes after a failed call, so that the calls
+	// queued before it are done.
 	minRetryPart = 0.7
-	// maxReconnectSpread bounds the wait after a watch that broke, whatever the spread: what it takes to see that one is silent, this, and the 2 s
-	// that the call may take in its turn must be over before what was missed counts as told, after 6 s.
+	// maxReconnectSpread bounds the delay after a broken watch, whatever the spread: the time to detect a
+	// silent watch, this delay and the 2 s that the next call may take must be over within 6 s, when
+	// missed changes count as announced.
 	maxReconnectSpread = 1400 * time.Millisecond
 
-	// What an agent has counts as told whether or not a watch is open, so none may be missing for longer than a drain may go unheeded.
+	// Changes that an agent holds count as announced whether or not a watch is open, so a watch must
+	// never be missing for longer than a drain may go unnoticed.
 	agentReconnectSpread = 50 * time.Millisecond
 	agentRetrySpread     = 150 * time.Millisecond
-	minRetrySpread       = time.Second // of a discovery that is asked
+	minRetrySpread       = time.Second // of a discovery service that is polled
 )
 
-// NewBackoff is the pace of the proxy with this number (self) of so many that have to ask at least every mustAsk (0: not said). Asked:
-// discovery is one service for all of them.
-func NewBackoff(asked bool, self, instances int, mustAsk time.Duration, seed uint64) *Backoff {
-	p := &Backoff{agent: !asked, reconnectSpread: agentReconnectSpread, retrySpread: agentRetrySpread, maxSpread: agentRetrySpread, rand: rand.New(rand.NewPCG(seed, 0xd15c))}
+// NewBackoff returns the delays of proxy number self of instances proxies, each of which has to call at
+// least every maxInterval (0: not specified). polled is true if discovery is one service that all of them
+// poll.
+func NewBackoff(polled bool, self, instances int, maxInterval time.Duration, seed uint64) *Backoff {
+	backoff := &Backoff{agent: !polled, reconnectSpread: agentReconnectSpread, retrySpread: agentRetrySpread, maxSpread: agentRetrySpread,
+		rand: rand.New(rand.NewPCG(seed, 0xd15c))}
 	instances = max(1, instances)
-	p.position, p.positionStep = float64((self%instances+instances)%instances)/float64(instances), 1/float64(instances)
-	if asked {
+	backoff.position, backoff.positionStep = float64((self%instances+instances)%instances)/float64(instances), 1/float64(instances)
+	if polled {
 		all := time.Duration(instances) * spreadPerProxy
-		p.startSpread, p.reconnectSpread, p.retrySpread, p.maxSpread = all, all, 2*all, 4*all
-		if mustAsk > 0 {
-			p.startSpread = min(all, fraction(mustAsk, startShare))
-			p.reconnectSpread = min(all, fraction(mustAsk, reconnectShare))
-			p.retrySpread, p.maxSpread = min(2*all, fraction(mustAsk, retryShare)), min(4*all, fraction(mustAsk, maxShare))
+		backoff.startSpread, backoff.reconnectSpread, backoff.retrySpread, backoff.maxSpread = all, all, 2*all, 4*all
+		if maxInterval > 0 {
+			backoff.startSpread = min(all, fraction(maxInterval, startShare))
+			backoff.reconnectSpread = min(all, fraction(maxInterval, reconnectShare))
+			backoff.retrySpread, backoff.maxSpread = min(2*all, fraction(maxInterval, retryShare)), min(4*all, fraction(maxInterval, maxShare))
 		}
-		p.reconnectSpread, p.retrySpread, p.maxSpread = max(agentReconnectSpread, min(maxReconnectSpread, p.reconnectSpread)), max(minRetrySpread, p.retrySpread), max(minRetrySpread, p.maxSpread)
+		backoff.reconnectSpread, backoff.retrySpread, backoff.maxSpread = max(agentReconnectSpread, min(maxReconnectSpread, backoff.reconnectSpread)), max(minRetrySpread, backoff.retrySpread), max(minRetrySpread, backoff.maxSpread)
 	}
-	return p
+	return backoff
 }
 
-// StartDelay tells how long to wait before the first call. Each proxy has a place of its own in the spread, the same after each start: a
-// process that takes another's place asks as long after its start as that one did, so that their calls lie no further apart than
-// their starts. Drawn anew, an early call could be followed by a late one.
-func (p *Backoff) StartDelay() time.Duration {
-	return fraction(p.startSpread, p.position+p.positionStep*p.rand.Float64())
+// StartDelay returns the delay before the first call. Each proxy has its own position in the spread, the
+// same after each start: a successor process calls as long after its start as its predecessor did, so
+// that their calls are no further apart than their starts. With random delays, an early call could be
+// followed by a late one.
+func (b *Backoff) StartDelay() time.Duration {
+	return fraction(b.startSpread, b.position+b.positionStep*b.rand.Float64())
 }
 
-// ReconnectDelay tells how long to wait after a watch that had brought something has broken. Who begins late asks again early: what both
-// waits take together then varies little.
-func (p *Backoff) ReconnectDelay() time.Duration {
-	p.lastSpread, p.lastFailed = p.reconnectSpread, false
-	return fraction(p.lastSpread, 1-p.position-p.positionStep*p.rand.Float64())
+// ReconnectDelay returns the delay after a watch that had delivered data has broken. A proxy with a long
+// start delay has a short reconnect delay, so the sum of both varies little.
+func (b *Backoff) ReconnectDelay() time.Duration {
+	b.lastSpread, b.lastFailed = b.reconnectSpread, false
+	return fraction(b.lastSpread, 1-b.position-b.positionStep*b.rand.Float64())
 }
 
-// RetryDelay tells how long to wait after a call that has brought nothing.
-func (p *Backoff) RetryDelay() time.Duration {
-	if p.lastSpread = min(max(p.reconnectSpread, 2*p.lastSpread), p.retrySpread); p.lastFailed {
-		p.lastSpread = p.maxSpread
+// RetryDelay returns the delay after a call that has delivered nothing.
+func (b *Backoff) RetryDelay() time.Duration {
+	if b.lastSpread = min(max(b.reconnectSpread, 2*b.lastSpread), b.retrySpread); b.lastFailed {
+		b.lastSpread = b.maxSpread
 	}
-	p.lastFailed = true
-	return fraction(p.lastSpread, minRetryPart+(1-minRetryPart)*p.rand.Float64())
+	b.lastFailed = true
+	return fraction(b.lastSpread, minRetryPart+(1-minRetryPart)*b.rand.Float64())
 }
 
 func fraction(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// simulatedService is a discovery that works through calls in turn, and works off what it has taken in though the caller has long been
-// told that it waited too long.
+// simulatedService is a discovery service that processes calls in turn, and completes those that it has
+// accepted even after their callers have timed out.
 type simulatedService struct {
 	callTime, timeout time.Duration
-	overbook          float64 // it turns a call away whose answer would take more than so many time-outs
+	overbook          float64 // it rejects a call whose response would take more than this many timeouts
 	freeAt            time.Duration
 	calls             int
-	downAt, upAt      time.Duration // it is down between these: calls break off, and what it had taken in is lost
+	downAt, upAt      time.Duration // outage: calls break off, and accepted calls are lost
 }
 
-// call tells when a call ends, and whether with a list.
+// call returns when a call ends, and whether it delivered a list.
 func (s *simulatedService) call(now time.Duration) (end time.Duration, listed bool) {
 	s.calls++
 	if now >= s.downAt && now < s.upAt {
@@ -39,7 +39,8 @@
 	return done, true
 }
 
-// reconnectAll has the watches of so many proxies break in the same instant, and tells when each has a list again.
+// reconnectAll breaks the watches of all proxies at the same time. It returns when the last proxy has a
+// list again, and the number of calls in the worst second.
 func reconnectAll(s *simulatedService, proxies int, wait func(proxy int, p *Backoff, failed bool) time.Duration) (last time.Duration, most int) {
 	type asker struct {
 		at   time.Duration
@@ -90,8 +91,8 @@
 	return p.StartDelay()
 }
 
-// Most proxies are killed and start again in the same instant, while discovery still works off the calls of the others. They
-// have the list of their configuration, and can wait.
+// Most proxies are killed and restart at the same time, while discovery still processes the calls of the
+// others. They have the list of their configuration, so they can wait.
 func TestManyStartAtOnce(t *testing.T) {
 	s := &simulatedService{callTime: 70 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, freeAt: 2 * time.Second}
 	last, most := reconnectAll(s, 64, startDelay)
@@ -101,8 +102,9 @@
 	}
 }
 
-// Discovery goes down for five seconds while most proxies start. Calls stay bounded, those in vain during the outage included, and once it
-// is back all have a list within the time that a start in a quiet hour takes.
+// Discovery is down for about five seconds while most proxies start. The number of calls stays bounded,
+// failed calls included, and after the outage all proxies have a list within the time that an ordinary
+// start takes.
 func TestOutageDuringStart(t *testing.T) {
 	for _, proxies := range []int{64, 4} {
 		s := &simulatedService{callTime: 40 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, downAt: time.Duration(proxies) * 25 * time.Millisecond,
@@ -116,14 +118,14 @@
 	}
 }
 
-// A proxy asks as often as it must, whatever becomes of its calls: the time that a silent watch takes to be found out, and a
-// call in vain, included. An agent of its own is asked again soon.
+// A proxy calls as often as it must, whatever happens to its calls, including the time to detect a silent
+// watch and one failed call. An agent is called again soon.
 func TestCallsAreInTime(t *testing.T) {
 	const mustAsk = 10 * time.Second
 	for _, instances := range []int{1, 4, 80, 1000} {
 		self := instances / 3
 		p := NewBackoff(true, self, instances, mustAsk, 1)
-		const restart = 2 * time.Second // from the kill to the next process's start
+		const restart = 2 * time.Second // from the kill to the start of the next process
 		for range 1000 {
 			start := p.StartDelay()
 			if d := silenceTimeout + p.ReconnectDelay() + restart + start; d > mustAsk {
@@ -151,12 +153,12 @@
 	}
 }
 
-// All watches break at once before a discovery that takes in more than it can answer in time. Asked by all in the same instant,
-// and again soon, it answers nobody for as long as that goes on.
+// All watches break at once, and discovery accepts more calls than it can complete in time. If all
+// proxies called at the same time and retried soon, none of them would get a response while that goes on.
 func TestAllReconnectAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		proxies  int
-		all      time.Duration // one call of each proxy takes it this long
+		all      time.Duration // time for one call of each proxy
 		overbook float64
 		within   time.Duration
 		perS     int // calls in the worst second
@@ -182,8 +184,9 @@
 	}
 }
 
-// A process that takes another's place asks as long after its start as that one did, whatever their seeds, and who begins late asks
-// again early: so the asks of a place lie no further apart than its starts, and both waits together stay within the longer one.
+// A successor process calls as long after its start as its predecessor did, whatever their seeds, and a
+// proxy with a long start delay has a short reconnect delay. So the calls of a position are no further
+// apart than its starts, and the sum of both delays is bounded by the longest start delay.
 func TestPositionsInTheSpread(t *testing.T) {
 	const proxies, mustAsk = 80, 10 * time.Second
 	longest := fraction(mustAsk, startShare)
--- a/internal/discovery/salvage.go
+++ b/internal/discovery/salvage.go
@@ -5,46 +5,47 @@
 	"encoding/json"
 )
 
-// salvageDrains are the entries that stand whole in a line that breaks off or can't be read to its end, and say that a member drains or is
-// gone. They have been told, though the rest has not; to go on sending there until the difference has been asked for would break
-// what they say. Nothing else is taken of such a line: not its revision, nor any member that it brings or would leave out. Where the
-// revision stands behind the members, it may not have come: what drained at any time does not come back under its id, so an entry of
-// a line that is not newer would do no harm.
-func salvageDrains(line []byte, known int64) (out []Member) {
-	in := json.NewDecoder(bytes.NewReader(line))
-	if t, err := in.Token(); err != nil || t != json.Delim('{') {
+// salvageDrains returns the complete entries of a truncated or unreadable line that report a member as
+// draining or gone. These entries have been announced, although the rest of the line has not: requests
+// sent to such a member until the difference is fetched would violate them. Nothing else of the line is
+// used: not its revision, and no member that it adds or omits. If the revision follows the members, it
+// may not have arrived; entries of a line that is not newer do no harm, because a member that has drained
+// never returns under its id.
+func salvageDrains(line []byte, knownRevision int64) (drained []Member) {
+	decoder := json.NewDecoder(bytes.NewReader(line))
+	if t, err := decoder.Token(); err != nil || t != json.Delim('{') {
 		return nil
 	}
 	var revision int64
-	dated := false
-	for in.More() {
-		name, err := in.Token()
+	revisionRead := false
+	for decoder.More() {
+		name, err := decoder.Token()
 		if err != nil {
 			return nil
 		}
 		switch name {
 		case "revision":
-			if in.Decode(&revision) != nil {
+			if decoder.Decode(&revision) != nil {
 				return nil
 			}
-			dated = true
+			revisionRead = true
 		case "members":
-			if t, err := in.Token(); err != nil || t != json.Delim('[') || dated && revision <= known {
-				return nil // what is not newer may have been overtaken
+			if t, err := decoder.Token(); err != nil || t != json.Delim('[') || revisionRead && revision <= knownRevision {
+				return nil // newer changes may have replaced those of a line that is not newer
 			}
-			for in.More() {
+			for decoder.More() {
 				var m Member
-				if in.Decode(&m) != nil {
-					return out
+				if decoder.Decode(&m) != nil {
+					return drained
 				}
 				if m.ID != "" && (m.Phase == PhaseTerminating || m.Phase == PhaseTerminated) {
-					out = append(out, m)
+					drained = append(drained, m)
 				}
 			}
-			return out
+			return drained
 		default:
 			var skip json.RawMessage
-			if in.Decode(&skip) != nil {
+			if decoder.Decode(&skip) != nil {
 				return nil
 			}
 		}
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -16,16 +16,18 @@
 	"time"
 )
 
-// scriptedServer is a discovery of one connection at a time, each played by an act of its own: the first connection by the first, and so on, and all
-// later ones by the last. A watcher with short limits on a busy machine may leave a connection before it has heard anything, and opens one more:
-// what the last act has to tell must not be lost with the connection that came to it first.
+// scriptedServer is a discovery server whose connections run scripts: the first connection the first
+// script, and so on, and all later ones the last. A watcher with short timeouts on a busy machine may
+// leave a connection before it has received anything and open another one, so the last script must not
+// depend on being run only once.
 type scriptedServer struct {
 	t       *testing.T
 	addr    string
-	queries chan string // the query of each call, as it comes
+	queries chan string // the query of each call, in order of arrival
 }
 
-// connScript plays one connection, once its call has come. The connection ends when it returns.
+// connScript runs on one connection after its request has been read. The connection is closed when it
+// returns.
 type connScript func(conn net.Conn)
 
 func startScriptedServer(t *testing.T, parts ...connScript) *scriptedServer {
@@ -56,7 +58,7 @@
 	return p
 }
 
-// call waits for the next call.
+// call waits for the next call and returns its query.
 func (p *scriptedServer) call() string {
 	p.t.Helper()
 	select {
@@ -68,7 +70,7 @@
 	}
 }
 
-// writesChunks writes the head of an answer and some chunks, and then nothing, until the connection ends.
+// writesChunks writes a response header and some chunks, and then keeps silent until the connection ends.
 func writesChunks(chunks ...string) connScript {
 	return func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -79,7 +81,7 @@
 	}
 }
 
-// resets breaks the connection off.
+// resets aborts the connection.
 func resets(conn net.Conn) { conn.(*net.TCPConn).SetLinger(0) }
 
 func hangs(conn net.Conn) { io.Copy(io.Discard, conn) }
@@ -94,7 +96,8 @@
 	heartbeat   = "\n"
 )
 
-// What a watch misses once it has fallen silent is asked for, wherever it fell silent, and whatever becomes of the first calls after.
+// A watch that falls silent at any point is replaced, and the change that it missed is fetched, whatever
+// happens to the first calls after it.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	silent := map[string]connScript{
 		"from its first line on":  writesChunks(),
@@ -146,12 +149,13 @@
 	}
 }
 
-// Each time limit on the way from silence to the news, and their sum for the longest way: under the 6 s after which what was missed counts
-// as told. An agent answers at once; a discovery that is asked has 2 s for a call.
+// The sum of all timeouts on the longest path from the silence of a watch to the missed change stays
+// below the 6 s after which the change counts as announced. An agent responds at once; a discovery
+// service that is polled has 2 s for a call.
 func TestLongestDelayFromSilenceToUpdate(t *testing.T) {
 	const counts = 6 * time.Second
 	agent := NewBackoff(false, 3, 4, 0, 1)
-	// Two that were opened in the first one's place: one hangs, or is silent from its first line on, and the next tells it.
+	// Two watches replace the first one: one hangs, or is silent from its first line on, and the next delivers the change.
 	for name, second := range map[string]time.Duration{"hangs": agentCallTimeout + agent.reconnectSpread, "is silent too": agentCallTimeout + silenceTimeout + agent.reconnectSpread,
 		"is refused": agent.retrySpread} {
 		way := silenceTimeout + agent.reconnectSpread + second
@@ -160,7 +164,7 @@
 			t.Errorf("pushed, and the second one %s: at most %v", name, way)
 		}
 	}
-	const call = 2 * time.Second // within this it is told that it has waited too long
+	const call = 2 * time.Second // a call that has waited for this long is rejected
 	for _, instances := range []int{1, 4, 80, 300, 2000} {
 		for _, mustAsk := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute} {
 			for self := 0; self < instances; self += max(1, instances/7) {
@@ -175,7 +179,7 @@
 	}
 }
 
-// indented is a list on several lines.
+// indented writes a list on several lines.
 func indented(line string) string {
 	var b bytes.Buffer
 	if json.Indent(&b, []byte(line), "", "  ") != nil {
@@ -184,7 +188,8 @@
 	return b.String() + "\n"
 }
 
-// Lists may come on several lines each, with empty lines between and texts that look like the end of one.
+// Each list may be on several lines, with empty lines between them and strings that look like the end of
+// an object.
 func TestIndentedLists(t *testing.T) {
 	odd := `{"revision":5,"complete":true,"members":[{"id":"s-{\"}]","phase":"in_service"},{"id":"s-a","phase":"in_service"}]}`
 	p := startScriptedServer(t, writesChunks(indented(odd), heartbeat, indented(drainUpdate)[:30], indented(drainUpdate)[30:], heartbeat))
@@ -210,7 +215,7 @@
 	}
 }
 
-// However a stream of objects is written and cut into pieces, the same objects come out of it.
+// The same objects are read from a stream, however it is formatted and split into pieces.
 func FuzzObjectReader(f *testing.F) {
 	for _, s := range []string{"", "\n", wholeList + heartbeat + drainUpdate, indented(wholeList), "{}{}\n", "x\n{}", `{"a":"}\""}`, "]", "[[", `"{`} {
 		f.Add(s, 3)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,17 +16,17 @@
 	"time"
 )
 
-const testTimeout = 20 * time.Second // a test that waits this long has failed
+const testTimeout = 20 * time.Second // a test that has waited this long fails
 
-// What discovery breaks off, or what can't be read, changes nothing: what is known stays, and the difference to it is asked for,
-// soon, also where the connection stays open behind half a line.
+// A truncated or unreadable line changes nothing: the known list stays, and the difference to it is
+// requested soon, also if the connection stays open after a part of a line.
 func TestBadLines(t *testing.T) {
 	for name, bad := range map[string]struct {
 		text string
 		hang bool
-		why  string // as logged
+		why  string // part of the logged error
 	}{
-		"half a line, then silence": {`{"revision":6,"complete":false,"members":[{"id":"s-a",`, true, "stopped short"},
+		"half a line, then silence": {`{"revision":6,"complete":false,"members":[{"id":"s-a",`, true, "line stalled for"},
 		"half a line, then the end": {`{"revision":6,"complete":false,"members":[{"id":"s-a",`, false, "unexpected end"},
 		"no JSON":                   {"<html>busy</html>\n", true, "invalid character"},
 		"another shape":             {`{"revision":"six","members":{}}` + "\n", true, "cannot unmarshal"},
@@ -56,7 +56,7 @@
 			}))
 			ctx, stop := context.WithCancel(context.Background())
 			taken := make(chan List, 10)
-			var log strings.Builder // the watcher's alone until it has ended
+			var log strings.Builder // used by the watcher only until it has ended
 			w := Watcher{Addr: s.Listener.Addr().String(), Backoff: NewBackoff(false, 7, 80, 0, 1), Log: slog.New(slog.NewTextHandler(&log, nil)),
 				OnList: func(l List) (int64, bool) { taken <- l; return 0, true }, OnBreak: func() {}}
 			done := make(chan struct{})
@@ -85,12 +85,13 @@
 	}
 }
 
-// A whole list that is empty, or older than what is known, leaves what is known in force, also where it comes again and again; a
-// change behind it counts. Once discovery has been behind for long enough it has begun to count anew, and its list holds.
+// A whole list that is empty or older than the known one leaves the known list in force, however often it
+// is sent, and a change after it is applied. A list of a discovery service that has been behind for long
+// enough is valid: its revision numbers have restarted.
 func TestEmptyAndOlderLists(t *testing.T) {
 	for name, c := range map[string]struct {
 		bad   string
-		since time.Duration // discovery has been behind for so long
+		since time.Duration // how long discovery has been behind
 		want  int64
 	}{
 		"an empty whole list":          {`{"revision":9,"complete":true,"members":[]}`, 0, 6},
@@ -100,7 +101,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-				if q.URL.Query().Get("from") == "5" { // asked by one that is up to date
+				if q.URL.Query().Get("from") == "5" { // called by a watcher that is up to date
 					io.WriteString(w, c.bad+"\n"+c.bad+"\n"+`{"revision":6,"complete":false,"members":[]}`+"\n")
 				}
 				w.(http.Flusher).Flush()
@@ -117,7 +118,7 @@
 				w.behindSince = time.Now().Add(-c.since)
 			}
 			_, err := w.watch(ctx, s.Client())
-			if errors.Is(err, errStaleList) { // asked again, it has caught up
+			if errors.Is(err, errStaleList) { // on the next call, discovery has caught up
 				if len(took) > 0 || w.Revision != 5 {
 					t.Fatalf("taken %v, revision %d", took, w.Revision)
 				}
@@ -130,8 +131,9 @@
 	}
 }
 
-// Of a line that breaks off, whatever the place, only drains that stand whole in it count, and only if it is newer, as far as that can be
-// told: the revision may stand in front of the members or behind them.
+// Of a line truncated at any byte, only complete entries of draining members are used, and only if the
+// line is known to be newer or has no revision yet: the revision may stand before the members or after
+// them.
 func TestDrainsInTruncatedLine(t *testing.T) {
 	const members = `"members":[{"id":"s-a","phase":"terminating"},{"id":"s-b","phase":"in_service"},` +
 		`{"id":"s-c","phase":"terminated"},{"id":"s-d","phase":"in_service"}]`
@@ -176,8 +178,8 @@
 	})
 }
 
-// A chunk that stops short, on a connection that stays open, is given up like a line that does, and the drains in it count: what has
-// come of a chunk is not read until it is whole.
+// A chunk that stalls on an open connection is abandoned like a line that does, and the drains in it are
+// applied. net/http returns no data of a chunk until the chunk is whole.
 func TestTruncatedChunk(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -192,7 +194,7 @@
 		http.ReadRequest(bufio.NewReader(conn))
 		const half = `{"revision":6,"complete":false,"members":[{"id":"s-a","phase":"terminating"},{"id":"s-b",`
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n%x\r\n%s", len(half)+50, half)
-		io.Copy(io.Discard, conn) // until it is given up
+		io.Copy(io.Discard, conn) // until the watcher closes the connection
 		conn.Close()
 	}()
 	var took []List
@@ -200,7 +202,7 @@
 	defer stop()
 	w := &Watcher{Addr: l.Addr().String(), Revision: 5, Log: slog.New(slog.DiscardHandler), OnList: func(l List) (int64, bool) { took = append(took, l); return 0, true }}
 	_, err = w.watch(ctx, &http.Client{Transport: &http.Transport{DialContext: w.dial, DisableKeepAlives: true}})
-	if err == nil || !strings.Contains(err.Error(), "stopped short") {
+	if err == nil || !strings.Contains(err.Error(), "line stalled for") {
 		t.Errorf("ended with %v", err)
 	}
 	if len(took) != 1 || took[0].Revision != 5 || len(took[0].Members) != 1 || took[0].Members[0].ID != "s-a" {
