--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -18,8 +18,8 @@
 
 // scriptedServer is a discovery server whose connections run scripts: the first connection the first
 // script, and so on, and all later ones the last. A watcher with short timeouts on a busy machine may
-// leave a connection before it has received anything and open another one, so the last script must not
-// depend on being run only once.
+// leave a connection before it has received anything and open another one. The last script therefore runs
+// on each later connection, so that its data is not lost with the first of them.
 type scriptedServer struct {
 	t       *testing.T
 	addr    string
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,7 +1,9 @@
-// Package handover is what two processes of one proxy share while one takes over from the other: a directory, the
-// process's $TMPDIR, that outlives neither machine nor proxy. In it stand the record of members out of use, two locks
-// that tell who serves and who waits to, a page on which each notes what it holds of the limits that both have to
-// keep together, and what the one that serves has learnt, whose form it does not know. It decides nothing about requests and never speaks to the network.
+// Package handover holds what two processes of one proxy share while one takes over from the other: a
+// directory under the process's $TMPDIR, which outlives neither the machine nor the proxy. The directory
+// holds the record of members out of use, two locks that show which process serves and which one is to
+// follow it, a file in which each process notes its usage of limits that both have to keep together, and
+// the state snapshot of the serving process, whose format this package does not know. The package makes
+// no decisions about requests and uses no network.
 package handover
 
 import (
@@ -22,37 +24,38 @@
 )
 
 const (
-	recordName     = "maintenance" // JSON; replaced whole
-	lockName       = "lock"        // guards changes of the record
-	servesName     = "serves"      // locked by the process that serves
-	followsName    = "follows"     // locked by the one that is to follow it
-	usageName      = "usage"       // two slots of usageSize: the one that serves, the one that follows
+	recordName     = "maintenance" // JSON; replaced atomically
+	lockName       = "lock"        // guards changes of files
+	servesName     = "serves"      // locked by the serving process
+	followsName    = "follows"     // locked by the process that is to follow it
+	usageName      = "usage"       // two slots of usageSize: of the serving process, and of the one that follows
 	usageSize      = 16
-	stateName      = "learnt" // what the process that serves has learnt; replaced whole
+	stateName      = "learnt" // state snapshot of the serving process; replaced atomically
 	maxRecordBytes = 4 << 20
 )
 
-// Usage is what a process holds.
+// Usage is what a process uses of the limits that two processes share.
 type Usage struct {
 	Descriptors int64
 	Memory      int64 // bytes
 }
 
-// Dir is a process's view of the directory. Without a path everything is kept in memory, and there is never another
-// process.
+// Dir is a process's view of the directory. Without a path it keeps everything in memory, and there is
+// never another process.
 type Dir struct {
 	path string
 
 	mu          sync.Mutex
 	record      maintenance.Set
-	recordInfo  fs.FileInfo // of the record as last read
-	servesLock  *os.File    // locked; nil: another process serves
+	recordInfo  fs.FileInfo // of the record that was read last
+	servesLock  *os.File    // locked; nil if another process serves
 	followsLock *os.File
 	usageFile   *os.File
 }
 
-// Open opens the directory of one proxy under path and tells whether another process serves already. The proxies of a
-// machine that share the path are told apart by identity. The record is not read yet: see Look. An error leaves a Dir that works as one without a path.
+// Open opens the directory of one proxy under path and reports whether this process serves alone.
+// identity distinguishes the proxies of a machine that share the path. Open does not read the record: see
+// Reload. On an error it returns a Dir that works like one without a path.
 func Open(path, identity string) (d *Dir, alone bool, err error) {
 	d = &Dir{}
 	if path == "" {
@@ -82,7 +85,7 @@
 		return d, true, err
 	}
 	if alone && d.HasSuccessor() {
-		// The process that served has just ended, and the one that follows it has yet to see that: the place is that one's.
+		// The serving process has just ended, and its successor has not noticed yet: the successor is the one to serve.
 		d.servesLock.Close()
 		d.servesLock, alone = nil, false
 	}
@@ -97,7 +100,8 @@
 	return f, nil
 }
 
-// tryLock locks a file, if nobody else has; the kernel gives it back when the process ends, however it ends.
+// tryLock locks a file if no other process holds the lock. The kernel releases the lock when the process
+// ends, however it ends.
 func tryLock(f *os.File) (bool, error) {
 	switch err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); {
 	case err == nil:
@@ -109,7 +113,8 @@
 	}
 }
 
-// Promote tells whether this process serves alone, which it does from when the one before it has ended.
+// Promote reports whether this process serves alone. It takes over once the predecessor process has
+// ended.
 func (d *Dir) Promote() (bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,7 +128,7 @@
 	if ok, err := tryLock(f); !ok || err != nil {
 		f.Close()
 		if err == nil {
-			// Of two that follow at once the later one shares the slot, until the earlier one serves.
+			// Of two processes that follow at once, the later one shares the usage slot until the earlier one serves.
 			_, err = tryLock(d.followsLock)
 		}
 		return false, err
@@ -133,7 +138,7 @@
 	return true, nil
 }
 
-// HasSuccessor tells whether another process is there to take over from this one.
+// HasSuccessor reports whether another process is waiting to take over from this one.
 func (d *Dir) HasSuccessor() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,30 +152,30 @@
 	return !free && err == nil
 }
 
-// ExchangeUsage notes what this process holds and tells what the other one noted last.
+// ExchangeUsage records the usage of this process and returns the usage that the other one recorded last.
 func (d *Dir) ExchangeUsage(mine Usage) (theirs Usage, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.usageFile == nil {
 		return Usage{}, nil
 	}
-	me, other := int64(0), int64(usageSize)
+	myOffset, otherOffset := int64(0), int64(usageSize)
 	if d.servesLock == nil {
-		me, other = other, me
+		myOffset, otherOffset = otherOffset, myOffset
 	}
 	var b [usageSize]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(mine.Descriptors))
 	binary.LittleEndian.PutUint64(b[8:], uint64(mine.Memory))
-	if _, err := d.usageFile.WriteAt(b[:], me); err != nil {
+	if _, err := d.usageFile.WriteAt(b[:], myOffset); err != nil {
 		return Usage{}, fmt.Errorf("handover: %w", err)
 	}
 	b = [usageSize]byte{}
-	d.usageFile.ReadAt(b[:], other) // short until the other has written: then it holds nothing yet
+	d.usageFile.ReadAt(b[:], otherOffset) // a short read: the other process has recorded nothing yet, so its usage is zero
 	return Usage{int64(binary.LittleEndian.Uint64(b[:])), int64(binary.LittleEndian.Uint64(b[8:]))}, nil
 }
 
-// Update changes the record, and with it every process's: once it returns without an error, one that starts later has
-// the change too. It returns the record as it stands then.
+// Update changes the record for all processes. Once it returns without an error, a process that starts
+// later sees the change. Update returns the record after the change.
 func (d *Dir) Update(f func(maintenance.Set) (maintenance.Set, error)) (maintenance.Set, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -198,7 +203,7 @@
 	return d.record, err
 }
 
-// Reload reads the record, if it is not the one read last, and tells whether it was another.
+// Reload reads the record if its file is not the one that was read last, and reports whether it was read.
 func (d *Dir) Reload() (set maintenance.Set, changed bool, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -210,8 +215,8 @@
 	return d.record, d.recordInfo != was, err
 }
 
-// read takes in the record, if it is not the one seen last. One that can't be read leaves what is known: a member that
-// is out of use must not come back for it.
+// read loads the record if its file is not the one that was read last, and merges it into the known one.
+// If the file can't be read, the known record stays, so that a member out of use does not return to use.
 func (d *Dir) read() error {
 	path := filepath.Join(d.path, recordName)
 	info, err := os.Stat(path)
@@ -239,8 +244,8 @@
 	return nil
 }
 
-// write replaces the record: whoever reads it finds the old one or the new one. The directory lasts no longer than the
-// machine runs, so nothing is forced to a disk.
+// write replaces the record: a reader finds either the old or the new one. The directory need not survive
+// a reboot, so nothing is synced to disk.
 func (d *Dir) write(set maintenance.Set) error {
 	text, err := json.Marshal(set)
 	if err != nil {
@@ -255,7 +260,7 @@
 	return nil
 }
 
-// replace puts a file in another's place, with the lock held.
+// replace replaces a file atomically. The caller holds the lock.
 func (d *Dir) replace(name string, text []byte) error {
 	path := filepath.Join(d.path, name)
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
@@ -280,22 +285,24 @@
 	return f()
 }
 
-// Persistent tells whether there is a directory.
+// Persistent reports whether there is a directory.
 func (d *Dir) Persistent() bool { return d.path != "" }
 
-// WriteState leaves what this process has learnt for the one that takes its place. Only the one that serves may.
-func (d *Dir) WriteState(learnt []byte) error {
+// WriteState stores the state snapshot of this process for its successor. It does nothing unless this
+// process serves.
+func (d *Dir) WriteState(state []byte) error {
 	d.mu.Lock()
 	path, serves := d.path, d.servesLock != nil
 	d.mu.Unlock()
 	if path == "" || !serves {
 		return nil
 	}
-	return d.withLock(func() error { return d.replace(stateName, learnt) })
+	return d.withLock(func() error { return d.replace(stateName, state) })
 }
 
-// ReadState is what the process before has learnt, up to so many bytes; nil, if it has left nothing.
-func (d *Dir) ReadState(most int) ([]byte, error) {
+// ReadState returns the state snapshot of the predecessor process, of at most the given number of bytes;
+// nil if there is none.
+func (d *Dir) ReadState(maxBytes int) ([]byte, error) {
 	if d.path == "" {
 		return nil, nil
 	}
@@ -307,9 +314,9 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, int64(most)+1))
-	if err == nil && len(text) > most {
-		err = fmt.Errorf("%s has more than %d bytes", stateName, most)
+	text, err := io.ReadAll(io.LimitReader(f, int64(maxBytes)+1))
+	if err == nil && len(text) > maxBytes {
+		err = fmt.Errorf("%s has more than %d bytes", stateName, maxBytes)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -317,7 +324,7 @@
 	return text, nil
 }
 
-// Close gives up the locks.
+// Close releases the locks.
 func (d *Dir) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -39,7 +39,7 @@
 	if !old.HasSuccessor() {
 		t.Error("not followed")
 	}
-	// Each hears of the other's calls and of what it holds.
+	// Each process sees the other's changes of the record and its usage.
 	takeOut(t, next, "b", 2)
 	if set, changed, err := old.Reload(); err != nil || !changed || !set.IsOut("b") || !set.IsOut("a") {
 		t.Errorf("changed %t %v", changed, err)
@@ -57,7 +57,7 @@
 	if ok, _ := next.Promote(); ok {
 		t.Error("promoted beside a process that serves")
 	}
-	old.Close() // as the kernel does at its end
+	old.Close() // as the kernel does when the process ends
 	if ok, err := next.Promote(); !ok || err != nil {
 		t.Errorf("not promoted: %v", err)
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-// A record cut at any byte leaves what is known in force, and nothing is written over it.
+// A record truncated at any byte leaves the known record in force and is not overwritten.
 func TestTruncatedRecord(t *testing.T) {
 	path := t.TempDir()
 	d := openDir(t, path, true)
@@ -113,7 +113,7 @@
 	takeOut(t, gone, "b", 1)
 }
 
-// A process that starts over a record that can't be read still knows that it follows another one.
+// A process that starts with an unreadable record still detects that it follows another process.
 func TestSuccessorWithBadRecord(t *testing.T) {
 	path := t.TempDir()
 	old := openDir(t, path, true)
@@ -138,8 +138,8 @@
 	}
 }
 
-// Only the process that serves leaves what it has learnt; whoever follows, two at once too, finds the last that was left whole, whatever
-// a process that was killed in the middle has left beside it.
+// Only the serving process stores its state. Each process that follows, even of two at once, reads the
+// last complete state, whatever a process that was killed while writing has left beside it.
 func TestWriteAndReadState(t *testing.T) {
 	path := t.TempDir()
 	old := openDir(t, path, true)
@@ -153,7 +153,7 @@
 	if err := next.WriteState([]byte("by one that only follows")); err != nil {
 		t.Fatal(err)
 	}
-	half := filepath.Join(old.path, stateName+".new") // killed while it wrote
+	half := filepath.Join(old.path, stateName+".new") // killed while writing
 	if err := os.WriteFile(half, []byte("sec"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,8 @@
 	}
 }
 
-// Who comes after the one that served has ended, and before the one that follows it has seen so, follows that one, and takes its slot then.
+// A process that starts after the serving one has ended, but before its successor has noticed, follows
+// the successor, and takes the successor's slot in turn.
 func TestThirdProcessDuringTakeover(t *testing.T) {
 	path := t.TempDir()
 	first, second := openDir(t, path, true), openDir(t, path, false)
--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -1,6 +1,7 @@
-// Package inherit is what the process that takes a proxy's place is given of what the one before has learnt: a snapshot, its written
-// form, and how much of it still holds after how long. It is free of I/O, clock and goroutines, and never holds a request, an order, a
-// drain or a cold budget: what a successor must not take for its own is not in it.
+// Package inherit defines the state that a process of a proxy passes on to its successor: a snapshot of
+// learned statistics, its stored format, and the rules by which its values decay with age. It uses no
+// I/O, clock or goroutines. A snapshot never contains requests, orders, drains or cold-start budgets,
+// which a successor must not adopt.
 package inherit
 
 import (
@@ -20,25 +21,26 @@
 	"linenloom/logic"
 )
 
-// Version is that of the form. One that says another is turned down whole: a figure that has changed its meaning can't be told from
-// one that has not.
+// Version is the version of the stored format. A snapshot of another version is rejected as a whole,
+// because a value whose meaning has changed can't be distinguished from one that has not.
 const Version = 1
 
 const (
-	// MaxBytes bounds what is written and read: some 4,000 members.
+	// MaxBytes bounds a stored snapshot, when it is written and when it is read. It holds some 4,000
+	// members.
 	MaxBytes = 1 << 20
-	// MaxAge is how old a snapshot may be. Popularity, ejections and load have moved on long before.
+	// MaxAge is the maximum age of a snapshot. By then, key popularity, ejections and load have changed.
 	MaxAge = time.Minute
-	// minKnownShare is the share of a snapshot's members that the present list has to name. Under it, it is of another fleet, or of one
-	// that has been replaced.
+	// minKnownShare is the share of a snapshot's members that the current list has to contain. Below it,
+	// the snapshot is of another fleet, or of one that has been replaced.
 	minKnownShare = 0.5
 
 	magic       = "LLIN"
-	headerBytes = len(magic) + 2 + 4 + 4 // version, length and CRC32C of what follows, in big-endian order
+	headerBytes = len(magic) + 2 + 4 + 4 // version, length and CRC32C of the body, big-endian
 )
 
-// Half of a figure's distance from what a fresh process would assume is gone after so long. Counts follow the window that they are
-// halved in; how quick a member is and what it can take hold longer than who is ejected.
+// Half-lives of the difference between an inherited value and the default of a fresh process. Counts decay like the
+// window in which they are halved. The latency and concurrency limit of a member stay valid for longer than an ejection.
 const (
 	countsHalfLife  = 4 * time.Second
 	loadHalfLife    = 4 * time.Second
@@ -47,34 +49,37 @@
 	idleHalfLife    = 30 * time.Second
 )
 
-// Reasons for turning a snapshot down.
+// Reasons for rejecting a snapshot.
 var (
-	ErrTruncated   = errors.New("it is cut short")
-	ErrNotSnapshot = errors.New("it is none")
-	ErrChecksum    = errors.New("its checksum is wrong")
-	ErrVersion     = errors.New("it is of another version")
-	ErrFleet       = errors.New("it is of another fleet")
-	ErrTooOld      = errors.New("it is too old")
-	ErrFuture      = errors.New("it is from the future")
+	ErrTruncated   = errors.New("snapshot is truncated")
+	ErrNotSnapshot = errors.New("data is not a snapshot")
+	ErrChecksum    = errors.New("snapshot has a wrong checksum")
+	ErrVersion     = errors.New("snapshot has another version")
+	ErrFleet       = errors.New("snapshot is of another fleet")
+	ErrTooOld      = errors.New("snapshot is too old")
+	ErrFuture      = errors.New("snapshot is from the future")
 )
 
-// Snapshot is what one process has learnt.
+// Snapshot is the state that one process passes on to its successor. The JSON keys are part of the stored
+// format.
 type Snapshot struct {
-	Fleet      uint64                  // of Fleet
+	Fleet      uint64                  // result of FleetHash
 	TakenMS    int64                   // Unix time
 	Balancer   logic.Learnt            `json:"Learnt"`
 	Links      map[logic.MemberID]Link `json:"Members"`
 	Idle       pool.IdleLearnt
-	ReuseShare float64 `json:"Reuse"` // the share of clients' connections that are asked on again
+	ReuseShare float64 `json:"Reuse"` // share of client connections that carry further requests
 }
 
-// Link is how a member is reached: its address, by which a reused id is told, and what is known of the connections there.
+// Link is the connection state of a member: its address, by which a reused id is detected, and the
+// statistics of its connections.
 type Link struct {
 	Addr string
 	pool.Learnt
 }
 
-// FleetHash tells fleets and proxies apart by what a configuration says of them.
+// FleetHash returns a hash by which fleets and proxies are distinguished, of the given parts of the
+// configuration.
 func FleetHash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -83,10 +88,11 @@
 	return h.Sum64()
 }
 
-// Made when first used: most processes neither leave nor find anything.
+// castagnoli is built on first use, as most processes neither write nor read a snapshot.
 var castagnoli = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
-// Encode writes a snapshot. Of one that takes too much, the members are left out that are known least.
+// Encode returns the stored format of a snapshot. If it exceeds MaxBytes, the members with the fewest
+// observations are left out.
 func Encode(s Snapshot) ([]byte, error) {
 	for {
 		body, err := json.Marshal(s)
@@ -102,7 +108,7 @@
 		}
 		n := len(s.Balancer.Members) / 2
 		if n == 0 {
-			return nil, fmt.Errorf("inherit: %d bytes without members", len(body))
+			return nil, fmt.Errorf("inherit: snapshot has %d bytes without members, more than fit", len(body))
 		}
 		members := slices.Clone(s.Balancer.Members)
 		slices.SortStableFunc(members, func(a, b logic.LearntMember) int { return b.Seen - a.Seen })
@@ -115,7 +121,7 @@
 	}
 }
 
-// Decode reads what Encode has written, whole or not at all.
+// Decode reads the output of Encode, completely or not at all.
 func Decode(b []byte) (s Snapshot, err error) {
 	switch {
 	case len(b) < headerBytes && magic[:min(len(b), len(magic))] == string(b[:min(len(b), len(magic))]):
@@ -125,14 +131,14 @@
 	}
 	head := b[len(magic):headerBytes]
 	if v := binary.BigEndian.Uint16(head); v != Version {
-		return s, fmt.Errorf("%w: %d, not %d", ErrVersion, v, Version)
+		return s, fmt.Errorf("%w: %d instead of %d", ErrVersion, v, Version)
 	}
 	body := b[headerBytes:]
 	switch n := binary.BigEndian.Uint32(head[2:]); {
 	case int64(len(body)) < int64(n):
 		return s, fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(body), n)
 	case int64(len(body)) > int64(n):
-		return s, fmt.Errorf("%w: %d bytes follow it", ErrNotSnapshot, len(body)-int(n))
+		return s, fmt.Errorf("%w: %d bytes follow the body", ErrNotSnapshot, len(body)-int(n))
 	}
 	if crc32.Checksum(body, castagnoli()) != binary.BigEndian.Uint32(head[6:]) {
 		return s, ErrChecksum
@@ -145,55 +151,56 @@
 	return s, nil
 }
 
-// CurrentMember is what a successor knows of a member.
+// CurrentMember is what the successor's list contains about a member.
 type CurrentMember struct {
 	StartedAt time.Duration
 	Addr      string
 }
 
-// AdjustFor is what of the snapshot holds for a successor of this fleet at a time, before the members that its list names as ready. Members
-// that are gone, have started anew or stand at another address are left out.
-func (s Snapshot) AdjustFor(fleet uint64, nowMS int64, now map[logic.MemberID]CurrentMember) (Snapshot, error) {
+// AdjustFor returns the part of the snapshot that is valid for a successor of this fleet at the given
+// time, with its values decayed by age. current holds the members that the successor's list reports as ready.
+// Members that are gone, have restarted or have another address are left out.
+func (s Snapshot) AdjustFor(fleet uint64, nowMS int64, current map[logic.MemberID]CurrentMember) (Snapshot, error) {
 	age := time.Duration(nowMS-s.TakenMS) * time.Millisecond
 	switch {
 	case s.Fleet != fleet:
 		return Snapshot{}, ErrFleet
 	case age < -time.Second:
-		return Snapshot{}, fmt.Errorf("%w, by %v", ErrFuture, -age)
+		return Snapshot{}, fmt.Errorf("%w by %v", ErrFuture, -age)
 	case age > MaxAge:
 		return Snapshot{}, fmt.Errorf("%w: %v", ErrTooOld, age)
 	}
 	age = max(0, age)
-	l := s.Balancer
-	was := len(l.Members)
-	l.Members = nil
-	known := func(id logic.MemberID) bool { m, ok := now[id]; return ok && m.Addr == s.Links[id].Addr }
+	balancer := s.Balancer
+	total := len(balancer.Members)
+	balancer.Members = nil
+	known := func(id logic.MemberID) bool { m, ok := current[id]; return ok && m.Addr == s.Links[id].Addr }
 	named := 0
 	for _, m := range s.Balancer.Members {
 		if !known(m.ID) {
 			continue
 		}
-		if named++; now[m.ID].StartedAt == m.StartedAt {
-			l.Members = append(l.Members, decayMember(m, age))
+		if named++; current[m.ID].StartedAt == m.StartedAt {
+			balancer.Members = append(balancer.Members, decayMember(m, age))
 		}
 	}
-	if float64(named) < minKnownShare*float64(was) {
-		return Snapshot{}, fmt.Errorf("%w: the list names %d of its %d members", ErrFleet, named, was)
+	if float64(named) < minKnownShare*float64(total) {
+		return Snapshot{}, fmt.Errorf("%w: the list has %d of its %d members", ErrFleet, named, total)
 	}
-	c := remainingShare(age, countsHalfLife)
-	l.Total, l.Kept = l.Total*c, l.Kept*c
-	l.Keys = nil
+	share := remainingShare(age, countsHalfLife)
+	balancer.Total, balancer.Kept = balancer.Total*share, balancer.Kept*share
+	balancer.Keys = nil
 	for _, k := range s.Balancer.Keys {
-		k.Count, k.Err = k.Count*c, k.Err*c
-		l.Keys = append(l.Keys, k)
+		k.Count, k.Err = k.Count*share, k.Err*share
+		balancer.Keys = append(balancer.Keys, k)
 	}
-	c = remainingShare(age, loadHalfLife)
-	l.Arrivals, l.Carried, l.Span = l.Arrivals*c, l.Carried*c, l.Span*c
-	l.Asked, l.Answered = l.Asked*c, l.Answered*c
-	l.Fails *= remainingShare(age, failsHalfLife)
-	s.Balancer = l
+	share = remainingShare(age, loadHalfLife)
+	balancer.Arrivals, balancer.Carried, balancer.Span = balancer.Arrivals*share, balancer.Carried*share, balancer.Span*share
+	balancer.Asked, balancer.Answered = balancer.Asked*share, balancer.Answered*share
+	balancer.Fails *= remainingShare(age, failsHalfLife)
+	s.Balancer = balancer
 	links := make(map[logic.MemberID]Link, len(s.Links))
-	for _, m := range l.Members {
+	for _, m := range balancer.Members {
 		links[m.ID] = s.Links[m.ID]
 	}
 	s.Links = links
@@ -205,26 +212,28 @@
 	return s, nil
 }
 
-// decayMember is what holds of a member after a while. The longer it is, the less answers it counts as known by, so that the next ones
-// say more; a streak of failures and an ejection run on.
+// decayMember returns the state of a member after a time. The number of observations decays as well, so
+// that new responses weigh more. Streaks of failures decay, and the remaining time of an ejection runs
+// on.
 func decayMember(m logic.LearntMember, age time.Duration) logic.LearntMember {
-	k := remainingShare(age, membersHalfLife)
-	m.Limit = logic.StartLimit + (m.Limit-logic.StartLimit)*k
-	m.Seen = int(math.Round(float64(max(0, m.Seen)) * k))
+	share := remainingShare(age, membersHalfLife)
+	m.Limit = logic.StartLimit + (m.Limit-logic.StartLimit)*share
+	m.Seen = int(math.Round(float64(max(0, m.Seen)) * share))
 	m.Fails *= remainingShare(age, failsHalfLife)
 	m.Streak = int(float64(max(0, m.Streak)) * remainingShare(age, failsHalfLife))
 	m.Out = max(0, m.Out-age)
 	return m
 }
 
-func decayIdle(t pool.IdleLearnt, k float64) (n pool.IdleLearnt) {
-	for i := range min(len(t.Used), len(t.Broke)) {
-		n.Used, n.Broke = append(n.Used, t.Used[i]*k), append(n.Broke, t.Broke[i]*k)
+// decayIdle scales the counts of idle connections.
+func decayIdle(stats pool.IdleLearnt, share float64) (decayed pool.IdleLearnt) {
+	for i := range min(len(stats.Used), len(stats.Broke)) {
+		decayed.Used, decayed.Broke = append(decayed.Used, stats.Used[i]*share), append(decayed.Broke, stats.Broke[i]*share)
 	}
-	return n
+	return decayed
 }
 
-// remainingShare is the share that is left of a figure.
-func remainingShare(age, half time.Duration) float64 {
-	return math.Exp2(-age.Seconds() / half.Seconds())
+// remainingShare is the share of a value that remains after age.
+func remainingShare(age, halfLife time.Duration) float64 {
+	return math.Exp2(-age.Seconds() / halfLife.Seconds())
 }
--- a/internal/inherit/inherit_test.go
+++ b/internal/inherit/inherit_test.go
@@ -13,7 +13,8 @@
 
 const sampleTakenMS = 1_800_000_000_000
 
-// sampleSnapshot is a snapshot of so many members, and what its successor's list says of them.
+// sampleSnapshot returns a snapshot with the given number of members, and the entries of the successor's
+// list for them.
 func sampleSnapshot(members int) (Snapshot, map[logic.MemberID]CurrentMember) {
 	s := Snapshot{Fleet: FleetHash("a", "b"), TakenMS: sampleTakenMS, Links: map[logic.MemberID]Link{}, ReuseShare: 0.1,
 		Idle:     pool.IdleLearnt{Used: []float64{8, 4}, Broke: []float64{0, 4}},
@@ -30,7 +31,8 @@
 	return s, now
 }
 
-// What is cut anywhere, has any byte changed, or is something else is turned down with the reason, and nothing of it is taken.
+// A snapshot that is truncated, has a changed byte or is something else is rejected with a reason, and
+// none of it is used.
 func TestDamaged(t *testing.T) {
 	s, _ := sampleSnapshot(3)
 	b, err := Encode(s)
@@ -43,7 +45,7 @@
 	for n := range b {
 		want := ErrTruncated
 		if n == 0 {
-			want = ErrTruncated // an empty file is one that was never written
+			want = ErrTruncated // an empty file is a truncated snapshot
 		}
 		if got, err := Decode(b[:n]); !errors.Is(err, want) || !reflect.DeepEqual(got, Snapshot{}) {
 			t.Fatalf("cut at %d: %v", n, err)
@@ -63,7 +65,8 @@
 	}
 }
 
-// One of another fleet, of another time, or of members that have been replaced is turned down; else what still fits is kept.
+// A snapshot of another fleet, of another time or of replaced members is rejected; otherwise the valid
+// part of it is used.
 func TestAdjustFor(t *testing.T) {
 	for name, c := range map[string]struct {
 		change  func(s *Snapshot, now map[logic.MemberID]CurrentMember)
@@ -107,7 +110,8 @@
 	}
 }
 
-// Each figure moves from what was learnt to what a fresh process assumes, and never past either; an ejection runs on.
+// Each value moves from the inherited one to the default of a fresh process and never past either. The
+// remaining time of an ejection runs on.
 func TestDecay(t *testing.T) {
 	s, now := sampleSnapshot(1)
 	last, err := s.AdjustFor(s.Fleet, sampleTakenMS, now)
@@ -138,7 +142,7 @@
 	}
 }
 
-// A snapshot past the bound is written with the members that are known best.
+// A snapshot beyond the size limit is written with the members that have the most observations.
 func TestEncodeIsBounded(t *testing.T) {
 	s, _ := sampleSnapshot(20_000)
 	b, err := Encode(s)
@@ -175,7 +179,7 @@
 			return
 		}
 		if len(b) > MaxBytes {
-			return // the host reads no more
+			return // the host reads at most MaxBytes
 		}
 		s.AdjustFor(s.Fleet, s.TakenMS, now)
 		again, err := Encode(s)
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,6 +1,7 @@
-// Package maintenance decides which members stand out of use because operators have called them out, whatever the list
-// says of them, and since when one that came back counts as started. It knows no clock, no files and no sockets: every
-// call brings the time, in Unix milliseconds, and a host carries the set from one process to the next.
+// Package maintenance decides which members operators have taken out of use, regardless of the discovery
+// list, and since when a member that has returned to use counts as started. It uses no clock, files or
+// sockets: every call passes the time in Unix milliseconds, and a host carries the set from one process
+// to the next.
 package maintenance
 
 import (
@@ -10,33 +11,34 @@
 	"maps"
 )
 
-// maxEntries bounds a set: many times the members of the largest fleet.
+// maxEntries bounds a set. It is many times the number of members of the largest fleet.
 const maxEntries = 4096
 
-// maxID bounds an id, in bytes.
+// maxID is the length limit of an id, in bytes.
 const maxID = 256
 
-// Errors of Enter.
+// Errors that Enter returns.
 var (
 	ErrFull  = errors.New("too many members are out of use")
 	ErrBadID = errors.New("an id is 1 to 256 printable bytes without spaces")
 )
 
-// entry is what has been asked for a member. It is kept after the member is back: it still tells since when the member
-// counts as started.
+// entry is the last call for a member. It is kept after the member has returned to use, as it determines
+// since when the member counts as started.
 type entry struct {
 	Out     bool  `json:"out"`
 	Entered int64 `json:"entered_ms"`
 	Exited  int64 `json:"exited_ms,omitempty"`
-	// Sequence counts the calls, so that of two sets the one that knows the latest of them is told apart.
+	// Sequence counts the calls for the member. When two sets are merged, the entry with the higher count
+	// is the newer one.
 	Sequence int64 `json:"turn"`
 }
 
-// Set is which members are out. The zero value is empty. A Set that has been handed out is never changed: Enter, Exit
-// and Merge make new ones.
+// Set holds the members that are out of use. The zero value is empty. A Set is never modified: Enter,
+// Exit and Merge return new ones.
 type Set struct{ entries map[string]entry }
 
-// ValidID tells whether a text can be a member's id.
+// ValidID reports whether a text can be the id of a member.
 func ValidID(id string) bool {
 	if len(id) == 0 || len(id) > maxID {
 		return false
@@ -49,7 +51,8 @@
 	return true
 }
 
-// Enter is the set with a member out of use. Called again it changes nothing, so that one call takes the member back.
+// Enter returns the set with a member out of use. A second call changes nothing, so one call of Exit
+// takes the member back.
 func (s Set) Enter(id string, now int64) (Set, error) {
 	if !ValidID(id) {
 		return s, ErrBadID
@@ -66,7 +69,7 @@
 	return n, nil
 }
 
-// Exit is the set with a member in use again, if it was out.
+// Exit returns the set with a member back in use, if it was out.
 func (s Set) Exit(id string, now int64) Set {
 	e := s.entries[id]
 	if !e.Out {
@@ -78,7 +81,8 @@
 	return n
 }
 
-// dropOldest drops the entry of the member that came back first.
+// dropOldest removes the entry of the member that returned to use first. It reports whether there was
+// one.
 func (s Set) dropOldest() bool {
 	oldest := ""
 	for id, e := range s.entries {
@@ -97,13 +101,14 @@
 	return Set{maps.Clone(s.entries)}
 }
 
-// IsOut tells whether a member is out of use.
+// IsOut reports whether a member is out of use.
 func (s Set) IsOut(id string) bool { return s.entries[id].Out }
 
-// UpSince is since when a member counts as started, given what the list says (0: long ago). Operators restart a member
-// while it is out, and the list tells of that late: as long as it names a start from before the member was called out,
-// the member counts as started when it was called back, which is never too early. It costs a member that was not
-// restarted at all the time that a cold one takes to warm.
+// UpSince returns since when a member counts as started, given the start time in the list (0: long ago).
+// Operators restart a member while it is out of use, and the list reports the restart late. As long as
+// the list has a start time from before the member was taken out, the member counts as started when it
+// returned to use, which is never too early. A member that was not restarted pays for this with the
+// warm-up time of a cold member.
 func (s Set) UpSince(id string, listed float64) float64 {
 	e, known := s.entries[id]
 	if !known || listed >= float64(e.Entered) {
@@ -115,7 +120,7 @@
 	return float64(e.Exited)
 }
 
-// CountOut counts the members that are out.
+// CountOut returns the number of members that are out of use.
 func (s Set) CountOut() (n int) {
 	for _, e := range s.entries {
 		if e.Out {
@@ -125,23 +130,24 @@
 	return n
 }
 
-// Merge is both sets: of each member the one that knows the latest call; where they know as many, the member stays out.
-func (s Set) Merge(o Set) Set {
-	n := s.clone()
-	for id, e := range o.entries {
-		if was, known := n.entries[id]; !known || e.Sequence > was.Sequence || e.Sequence == was.Sequence && e.Out && !was.Out {
-			n.entries[id] = e
+// Merge returns the union of both sets, with the entry of the latest call for each member. If both count
+// as many calls, the member stays out.
+func (s Set) Merge(other Set) Set {
+	merged := s.clone()
+	for id, e := range other.entries {
+		if was, known := merged.entries[id]; !known || e.Sequence > was.Sequence || e.Sequence == was.Sequence && e.Out && !was.Out {
+			merged.entries[id] = e
 		}
 	}
-	for len(n.entries) > maxEntries && n.dropOldest() {
+	for len(merged.entries) > maxEntries && merged.dropOldest() {
 	}
-	return n
+	return merged
 }
 
-// MarshalJSON writes the set.
+// MarshalJSON implements json.Marshaler.
 func (s Set) MarshalJSON() ([]byte, error) { return json.Marshal(s.entries) }
 
-// UnmarshalJSON reads a set whole or not at all.
+// UnmarshalJSON implements json.Unmarshaler. It reads a set completely or not at all.
 func (s *Set) UnmarshalJSON(text []byte) error {
 	var entries map[string]entry
 	if err := json.Unmarshal(text, &entries); err != nil {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// The list tells late of a restart that operators made while the member was out.
+// The list reports a restart that operators made during maintenance late.
 func TestUpSince(t *testing.T) {
 	s := mustEnter(t, Set{}, "a", 1000)
 	back := s.Exit("a", 5000)
@@ -42,12 +42,12 @@
 	}{
 		{Set{}, 700, 700},
 		{s, 0, 1000},
-		{back, 0, 5000},      // not restarted, or not told yet
+		{back, 0, 5000},      // not restarted, or not reported yet
 		{back, 700, 5000},    // the same
-		{back, 3000, 3000},   // the list knows of the restart
+		{back, 3000, 3000},   // the list reports the restart
 		{back, 60000, 60000}, // of a later one
-		{back, 1000, 1000},   // at the same moment: told
-		{back, 999.5, 5000},  // just before
+		{back, 1000, 1000},   // at the same time: reported
+		{back, 999.5, 5000},  // just before it was taken out
 		{s, 2000, 2000},      // restarted, still out
 	} {
 		if got := c.s.UpSince("a", c.listed); got != c.want {
@@ -56,7 +56,8 @@
 	}
 }
 
-// However the sets of two processes travel, both come to the same members as one that saw all calls.
+// Whatever the order in which two processes exchange their sets, both end with the same members as a
+// process that received all calls.
 func TestMergeConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -64,7 +65,7 @@
 		sets := [2]Set{}
 		for now := range int64(40) {
 			id, at := string(rune('a'+rng.IntN(4))), rng.IntN(2)
-			// A process looks at the record before it changes it (handover.Change), and now and then besides.
+			// A process reloads the record before each change (handover.Dir.Update), and at intervals.
 			sets[at] = sets[at].Merge(sets[1-at])
 			if rng.IntN(2) == 0 {
 				all, sets[at] = mustEnter(t, all, id, now), mustEnter(t, sets[at], id, now)
