--- a/internal/mgmt/client.go
+++ b/internal/mgmt/client.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// maxResponseBytes bounds what is read of an answer.
+// maxResponseBytes bounds how much of a response is read.
 const maxResponseBytes = 1 << 20
 
-// Call makes an operator's call at an instance, within a time, and tells the status and the answer's text.
-func Call(method, addr, path, body string, within time.Duration) (status int, text []byte, err error) {
+// Call sends an operator's call to an instance, with a timeout, and returns the status and body of the
+// response.
+func Call(method, addr, path, body string, timeout time.Duration) (status int, text []byte, err error) {
 	r, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	c := http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true}} // one call a connection
+	c := http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}} // one call per connection
 	res, err := c.Do(r)
 	if err != nil {
 		return 0, nil, err
@@ -28,9 +29,9 @@
 	return res.StatusCode, text, err
 }
 
-// CallOK is Call for who wants an answer of 200: any other is an error.
-func CallOK(method, addr, path, body string, within time.Duration) ([]byte, error) {
-	status, text, err := Call(method, addr, path, body, within)
+// CallOK is like Call, but returns an error for any status other than 200.
+func CallOK(method, addr, path, body string, timeout time.Duration) ([]byte, error) {
+	status, text, err := Call(method, addr, path, body, timeout)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("%d %s: %s", status, http.StatusText(status), bytes.TrimSpace(text))
 	}
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,6 +1,7 @@
-// Package mgmt answers operators' calls over HTTP/1.1: whether the proxy serves, and which members stand out of use. It
-// decides nothing: internal/maintenance does, internal/handover keeps the record, and the proxy carries it out. It never
-// takes clients' requests, and it is the host's second front only for its descriptors and its end.
+// Package mgmt serves the operators' HTTP/1.1 API: whether the proxy serves, and which members are out of
+// use. It makes no decisions: internal/maintenance makes them, internal/handover keeps the record, and
+// the proxy applies it. It takes no client requests. It is a proxy.Front so that the host counts its
+// descriptors and closes it at the end.
 package mgmt
 
 import (
@@ -23,18 +24,21 @@
 )
 
 const (
-	// readTimeout is how long a call may take to arrive. Callers that send nothing or half a call hold a place for no longer.
+	// readTimeout is how long a call may take to arrive. Callers that send nothing or half a call are
+	// disconnected after that.
 	readTimeout  = 2 * time.Second
 	writeTimeout = time.Second
-	// maxConnections bounds the calls at once; one more takes the place of the oldest, which can only be one that stays silent.
+	// maxConnections bounds the open connections. A further one replaces the oldest, which can only be
+	// one that stays silent.
 	maxConnections = 16
 	maxBodyBytes   = 1 << 10
 	maxHeaderBytes = 8 << 10
-	// recordPollInterval is how often the record is looked at: a call at one process has to bind the other too.
+	// recordPollInterval is how often the record is read: a call to one process has to apply to the other
+	// one too.
 	recordPollInterval = 50 * time.Millisecond
 )
 
-// Front takes operators' calls.
+// Front is the listener for operators' calls.
 type Front struct {
 	proxy    *proxy.Proxy
 	dir      *handover.Dir
@@ -45,11 +49,11 @@
 	quit     chan struct{}
 
 	mu          sync.Mutex
-	connections []*connection // the oldest first
+	connections []*connection // oldest first
 	closed      bool
 }
 
-// connection is a caller's connection.
+// connection is an operator's connection.
 type connection struct {
 	net.Conn
 	front *Front
@@ -58,14 +62,14 @@
 
 var _ proxy.Front = (*Front)(nil)
 
-// New listens at addr. Calls that come before the proxy serves are answered once it does.
+// New listens at addr. Calls that arrive before the proxy serves are answered once it does.
 func New(p *proxy.Proxy, addr string, dir *handover.Dir, log *slog.Logger) (*Front, error) {
 	lc := net.ListenConfig{KeepAlive: -1}
-	l, err := lc.Listen(context.Background(), "tcp", addr)
+	listener, err := lc.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
-	f := &Front{proxy: p, dir: dir, log: log, listener: l, quit: make(chan struct{})}
+	f := &Front{proxy: p, dir: dir, log: log, listener: listener, quit: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", f.status)
 	mux.HandleFunc("PUT /maintenance/enter", f.enter)
@@ -75,14 +79,14 @@
 		Handler: mux, ReadTimeout: readTimeout, WriteTimeout: readTimeout + writeTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	f.server.SetKeepAlivesEnabled(false) // one call a connection
+	f.server.SetKeepAlivesEnabled(false) // one call per connection
 	return f, nil
 }
 
-// Addr is where calls are taken.
+// Addr returns the address of the listener.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// Serve takes calls until Close, and follows the record meanwhile.
+// Serve accepts calls until Close, and follows the record meanwhile.
 func (f *Front) Serve() error {
 	go f.followRecord()
 	if err := f.server.Serve(boundedListener{f.listener, f}); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -91,7 +95,7 @@
 	return nil
 }
 
-// followRecord takes over what another process has changed.
+// followRecord applies changes that another process has made to the record.
 func (f *Front) followRecord() {
 	tick := time.NewTicker(recordPollInterval)
 	defer tick.Stop()
@@ -104,34 +108,35 @@
 		}
 		set, changed, err := f.dir.Reload()
 		if err != nil && !faulty {
-			f.log.Error("the record of members out of use can't be read, what is known stays in force", "err", err)
+			f.log.Error("the record of members out of use can't be read; the known one stays in force", "err", err)
 		}
 		if faulty = err != nil; changed && !faulty {
-			f.log.Info("members out of use, by another process's record", "count", set.CountOut())
+			f.log.Info("members out of use have changed, by the record of another process", "count", set.CountOut())
 			f.proxy.Maintain(set)
 		}
 	}
 }
 
-// Drain changes nothing: operators go on calling until the end.
+// Drain does nothing: operators may call until the end.
 func (f *Front) Drain() {}
 
-// StopTaking changes nothing.
+// StopTaking does nothing.
 func (f *Front) StopTaking() {}
 
-// Owes tells that nothing is owed for which the process should stay.
+// Owes returns false: no call keeps the process from ending.
 func (f *Front) Owes() bool { return false }
 
-// End changes nothing.
+// End does nothing.
 func (f *Front) End() {}
 
-// Sweep has nothing to do: the server's time-outs do it.
+// Sweep does nothing: the timeouts of the HTTP server are enough.
 func (f *Front) Sweep() {}
 
-// MakeRoom gives up no call: there are few.
+// MakeRoom closes no connection, as there are few.
 func (f *Front) MakeRoom() bool { return false }
 
-// Close ends the calls. The host's lock is held, which calls may wait for, so nothing here waits for them.
+// Close ends all calls. It does not wait for them: the caller holds the host's lock, which calls may wait
+// for.
 func (f *Front) Close() {
 	f.mu.Lock()
 	closed := f.closed
@@ -145,7 +150,7 @@
 	f.listener.Close()
 }
 
-// boundedListener makes room for each new call.
+// boundedListener closes the oldest connection when a new one exceeds maxConnections.
 type boundedListener struct {
 	net.Listener
 	front *Front
@@ -171,7 +176,7 @@
 	return c, nil
 }
 
-// Close ends a call's connection.
+// Close closes the connection and removes it from the open ones.
 func (c *connection) Close() error {
 	c.once.Do(func() {
 		c.front.mu.Lock()
@@ -179,7 +184,7 @@
 			c.front.connections = slices.Delete(c.front.connections, i, i+1)
 		}
 		c.front.mu.Unlock()
-		go c.front.proxy.Do(func() { c.front.proxy.Descriptors(-1) }) // the host's lock may be held by who closes
+		go c.front.proxy.Do(func() { c.front.proxy.Descriptors(-1) }) // in a goroutine, as the caller may hold the host's lock
 	})
 	return c.Conn.Close()
 }
@@ -204,7 +209,7 @@
 	})
 }
 
-// readBody is a call's text; where it can't be read the call has been answered.
+// readBody returns the body of a call. If it can't be read, it sends an error response and returns false.
 func readBody(w http.ResponseWriter, r *http.Request, what string) (text string, ok bool) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -213,13 +218,13 @@
 	return strings.TrimSpace(string(b)), err == nil
 }
 
-// writeJSON answers a call in JSON.
+// writeJSON sends a response in JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("content-type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
 
-// change records what a call asks for and carries it out, and only then answers yes.
+// change records a call and applies it, and only then responds with success.
 func (f *Front) change(w http.ResponseWriter, r *http.Request, out bool,
 	to func(maintenance.Set, string) (maintenance.Set, error)) {
 	id, ok := readBody(w, r, "the id of a member")
@@ -236,7 +241,7 @@
 	}
 	set, err := f.dir.Update(func(s maintenance.Set) (maintenance.Set, error) { return to(s, id) })
 	if err != nil {
-		f.log.Error("call to take a member out of use or back failed, nothing is changed", "member", id, "out", out, "err", err)
+		f.log.Error("call to take a member out of use or back in use failed; nothing has changed", "member", id, "out", out, "err", err)
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -52,7 +52,8 @@
 		t.Fatal(err)
 	}
 	cfg.AcceptMore = 0
-	// What is sent is counted as it is: on a busy machine a box begins one that was given up when others are counted already.
+	// Attempts are counted when they are sent: on a busy machine a server may start an abandoned attempt after later ones
+	// have been counted.
 	sentTo := map[logic.MemberID]int{}
 	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) { sentTo[m]++ }
 	dir, _, err := handover.Open(path, "m")
@@ -99,7 +100,7 @@
 	return status
 }
 
-// read asks for a key and waits for the value.
+// read requests a key and waits for the value.
 func (r *harness) read(key string) {
 	r.t.Helper()
 	r.requests++
@@ -119,22 +120,23 @@
 	}
 }
 
-// attemptsForReads is how many requests each box has begun after a number of reads of different keys.
-func (r *harness) attemptsForReads(reads int) (n [2]int) {
+// attemptsForReads returns how many attempts each server was sent for a number of reads of different
+// keys.
+func (r *harness) attemptsForReads(reads int) (sent [2]int) {
 	r.t.Helper()
 	before := r.attempts()
 	for i := range reads {
 		r.read(fmt.Sprintf("%x", 0x1000+i))
 	}
 	after := r.attempts()
-	for i := range n {
+	for i := range sent {
 		id := proxy.MemberID(r.fleet.Boxes[i].ID)
-		n[i] = after[id] - before[id]
+		sent[i] = after[id] - before[id]
 	}
-	return n
+	return sent
 }
 
-// attempts is how many attempts each member has been sent.
+// attempts returns how many attempts each member has been sent.
 func (r *harness) attempts() (sends map[logic.MemberID]int) {
 	r.proxy.Do(func() { sends = maps.Clone(r.attemptsByMember) })
 	return sends
@@ -155,7 +157,7 @@
 		{"POST", "/maintenance/enter", "s-1", 405},
 		{"PUT", "/status", "", 405},
 		{"GET", "/else", "", 404},
-		{"PUT", "/maintenance/exit", "s-1", 200}, // it is in use already
+		{"PUT", "/maintenance/exit", "s-1", 200}, // in use already
 	} {
 		if got := r.call(c.method, c.path, c.body); got != c.want {
 			t.Errorf("%s %s %.10q: %d, want %d", c.method, c.path, c.body, got, c.want)
@@ -164,7 +166,7 @@
 	if n := r.attemptsForReads(60); n[0] == 0 || n[1] == 0 {
 		t.Fatalf("before: %v", n)
 	}
-	for range 2 { // two calls out
+	for range 2 { // two calls to enter maintenance
 		if got := r.call("PUT", "/maintenance/enter", "s-1\n"); got != 200 {
 			t.Fatalf("enter: %d", got)
 		}
@@ -172,7 +174,7 @@
 	if n := r.attemptsForReads(60); n[0] != 0 || n[1] == 0 {
 		t.Errorf("s-1 is out: %v", n)
 	}
-	// Whatever discovery says: it drains, is gone, and comes back at its place.
+	// Regardless of discovery, where the member drains, is gone, and returns to its old position.
 	r.fleet.Drain(r.fleet.Boxes[0])
 	if _, err := r.fleet.Add("s-3", time.Time{}); err != nil {
 		t.Fatal(err)
@@ -187,10 +189,10 @@
 	if n := r.attemptsForReads(60); n[0] != 0 {
 		t.Errorf("discovery has called s-1 back: %v", n)
 	}
-	if got := r.call("PUT", "/maintenance/exit", "s-1"); got != 200 { // and one back
+	if got := r.call("PUT", "/maintenance/exit", "s-1"); got != 200 { // one call to leave it
 		t.Fatalf("exit: %d", got)
 	}
-	// It counts as cold, and is used as its budget, which goes by the time, lets it.
+	// The member counts as cold, and is used as its cold-start budget allows, which grows with time.
 	for end := time.Now().Add(testTimeout); r.attemptsForReads(90)[0] == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("s-1 is back and unused")
@@ -198,7 +200,7 @@
 	}
 }
 
-// A call at another process of this proxy binds this one.
+// A call to another process of this proxy applies to this one too.
 func TestRecordOfAnotherProcess(t *testing.T) {
 	path := t.TempDir()
 	r := startHarness(t, path)
@@ -211,7 +213,7 @@
 	if _, err := other.Update(func(s maintenance.Set) (maintenance.Set, error) { return s.Enter("s-2", 1) }); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(testTimeout); r.proxy.Load().Ready != 2; time.Sleep(time.Millisecond) { // a box and the origin
+	for end := time.Now().Add(testTimeout); r.proxy.Load().Ready != 2; time.Sleep(time.Millisecond) { // a cache and the origin
 		if time.Now().After(end) {
 			t.Fatal("s-2 is still in use")
 		}
@@ -221,7 +223,7 @@
 	}
 }
 
-// Callers that say nothing, or half a call, hold up nobody.
+// Callers that send nothing, or half a call, do not block others.
 func TestSilentCallers(t *testing.T) {
 	r := startHarness(t, "")
 	for i := range 60 {
--- a/internal/mgmt/orders.go
+++ b/internal/mgmt/orders.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	maxSettleBytes = 512 << 10 // of a call that settles an order, with its receipt
+	maxSettleBytes = 512 << 10 // size of a call that settles an order, receipt included
 	maxListed      = 1000
 )
 
-// Orders is the record of orders, as operators may look at it and settle what is unknown while it serves. Its calls may wait for a disk.
+// Orders is the record of orders, as operators may list and settle unknown orders while it serves. Its
+// methods may wait for a disk.
 type Orders interface {
 	Unknown(most int) (some []orders.Entry, all int, err error)
 	Settle(n orders.Name, s orders.State, receipt []byte, by string) error
 }
 
-// HandleOrders has operators' calls reach a record of orders. It comes before Serve.
+// HandleOrders registers the calls for a record of orders. It must be called before Serve.
 func (f *Front) HandleOrders(o Orders) {
 	f.mux.HandleFunc("GET /orders/unknown", func(w http.ResponseWriter, r *http.Request) { f.unknown(o, w, r) })
 	f.mux.HandleFunc("PUT /orders/settle", func(w http.ResponseWriter, r *http.Request) { f.settle(o, w, r) })
 }
 
-// unknownOrder is an unknown order as a call is told of it.
+// unknownOrder is an unknown order as listed in a response.
 type unknownOrder struct {
 	Tenant string    `json:"tenant"`
 	Key    string    `json:"key"`
@@ -38,32 +39,33 @@
 	To     string    `json:"to"`
 }
 
-// unknown lists unknown orders, the oldest first.
+// unknown lists unknown orders, oldest first.
 func (f *Front) unknown(o Orders, w http.ResponseWriter, r *http.Request) {
-	most := 100
+	limit := 100
 	if text := r.URL.Query().Get("most"); text != "" {
 		var err error
-		if most, err = strconv.Atoi(text); err != nil || most < 0 || most > maxListed {
+		if limit, err = strconv.Atoi(text); err != nil || limit < 0 || limit > maxListed {
 			http.Error(w, fmt.Sprintf("most is %q; it can be from 0 to %d", text, maxListed), http.StatusBadRequest)
 			return
 		}
 	}
-	some, all, err := o.Unknown(most)
+	some, all, err := o.Unknown(limit)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	told := struct {
+	response := struct {
 		All    int            `json:"all"`
 		Orders []unknownOrder `json:"orders"`
 	}{all, []unknownOrder{}}
 	for _, e := range some {
-		told.Orders = append(told.Orders, unknownOrder{e.Tenant, e.Key, time.Unix(0, int64(e.At)).UTC(), e.Tries, e.To})
+		response.Orders = append(response.Orders, unknownOrder{e.Tenant, e.Key, time.Unix(0, int64(e.At)).UTC(), e.Tries, e.To})
 	}
-	writeJSON(w, told)
+	writeJSON(w, response)
 }
 
-// settle puts on record what has become of an unknown order. Yes is said only once that is on stable storage.
+// settle records the outcome of an unknown order. It responds with success only once the record is on
+// stable storage.
 func (f *Front) settle(o Orders, w http.ResponseWriter, r *http.Request) {
 	var ask struct{ Tenant, Key, As, By, Receipt string }
 	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSettleBytes))
--- a/internal/mgmt/orders_test.go
+++ b/internal/mgmt/orders_test.go
@@ -17,8 +17,9 @@
 	"linenloom/internal/store/crash"
 )
 
-// A record that is full of unknown orders refuses new ones, while several clients try; operators list and settle them by calls meanwhile, and it
-// takes orders again. What was settled stands after the next opening.
+// A record that is full of unknown orders refuses new ones from several clients. Meanwhile operators list
+// and settle orders by calls, and the record accepts orders again. Settled orders stay settled when the
+// record is opened again.
 func TestSettleWhileServing(t *testing.T) {
 	const most = 8
 	opt := keeper.Options{Options: ledger.Options{Limits: orders.Limits{Keep: time.Nanosecond, Most: most, MostBytes: 1 << 20}, SegmentSize: 64 << 10,
--- a/internal/mgmt/others.go
+++ b/internal/mgmt/others.go
@@ -9,58 +9,59 @@
 	"linenloom/internal/zones"
 )
 
-// Instances are the other instances of the installation, as operators may look at them and call them together.
+// Instances is the view of all instances of the installation, and the calls that apply to all of them.
 type Instances interface {
 	View() View
-	// SetZoneMode carries an operator's call for a zone or region out here, and tells the others.
+	// SetZoneMode applies an operator's call for a zone or region on this instance, and notifies the
+	// others.
 	SetZoneMode(name string, mode zones.Mode, who string) (CallReport, error)
 }
 
-// View is who is there and what holds.
+// View is the list of instances and the state of zones.
 type View struct {
 	Name    string       `json:"name"`
 	Number  int          `json:"number"`
-	Leads   bool         `json:"leads"`  // it decides for all
-	Leader  int          `json:"leader"` // the number of who decided what holds
+	Leads   bool         `json:"leads"`  // it decides for all instances
+	Leader  int          `json:"leader"` // number of the instance whose decisions are in force
 	Epoch   uint64       `json:"epoch"`
 	Members []MemberView `json:"members"`
 	Zones   []ZoneView   `json:"zones"`
 }
 
-// MemberView is an instance as this one knows it.
+// MemberView is an instance as this one sees it.
 type MemberView struct {
 	Name     string        `json:"name"`
 	Number   int           `json:"number"`
 	Zone     string        `json:"zone"`
 	SinceMS  int64         `json:"since_ms"` // Unix milliseconds
-	Program  string        `json:"program"`  // digests: what it runs
-	Settings string        `json:"settings"`
-	State    string        `json:"state"`    // there, suspected, lost
-	HeardMS  int64         `json:"heard_ms"` // ago; -1: never
-	Epoch    uint64        `json:"epoch"`    // that it goes by
-	Suspects []int         `json:"suspects"` // the numbers of those that it does not hear
-	Sights   []zones.Sight `json:"sees"`     // by zone
+	Program  string        `json:"program"`  // digest of the program
+	Settings string        `json:"settings"` // digest of the settings
+	State    string        `json:"state"`    // there, suspected or lost
+	HeardMS  int64         `json:"heard_ms"` // time since the last message; -1: never
+	Epoch    uint64        `json:"epoch"`    // epoch of the decisions that it follows
+	Suspects []int         `json:"suspects"` // numbers of the instances that it receives no messages from
+	Sights   []zones.Sight `json:"sees"`     // observations by zone
 }
 
-// ZoneView is what holds for a zone.
+// ZoneView is the state of a zone.
 type ZoneView struct {
 	Name           string  `json:"name"`
 	State          string  `json:"state"`
-	Share          float64 `json:"share"` // of its work, for the fleet
-	LocalShare     float64 `json:"here"`  // and from this instance now
-	Mode           string  `json:"hand"`  // what an operator asked for: auto, out, hold
+	Share          float64 `json:"share"` // share of its work that the fleet sends there
+	LocalShare     float64 `json:"here"`  // share that this instance sends there now
+	Mode           string  `json:"hand"`  // mode set by an operator: auto, out or hold
 	RequestedBy    string  `json:"who"`
 	AtMS           int64   `json:"at_ms"`
-	CalledInstance int     `json:"called"` // the number of the instance that was called
+	CalledInstance int     `json:"called"` // number of the instance that received the call
 }
 
-// CallReport is who has been told of a call.
+// CallReport lists the instances that were notified of a call, and those that were not.
 type CallReport struct {
 	Notified []string `json:"told"`
-	Missed   []string `json:"missed"` // they learn of it as soon as they are heard again
+	Missed   []string `json:"missed"` // they are notified once they are reachable again
 }
 
-// HandleInstances has operators' calls reach the other instances. It comes before Serve.
+// HandleInstances registers the calls that concern all instances. It must be called before Serve.
 func (f *Front) HandleInstances(o Instances) {
 	f.mux.HandleFunc("GET /members", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, o.View())
@@ -70,7 +71,7 @@
 	}
 }
 
-// zone takes a call for a zone: the body is its name, and then who asks.
+// zone handles a call for a zone. The body is the name of the zone, followed by the name of the operator.
 func (f *Front) zone(o Instances, mode zones.Mode, w http.ResponseWriter, r *http.Request) {
 	text, ok := readBody(w, r, "a zone and who asks")
 	if !ok {
@@ -81,7 +82,7 @@
 		http.Error(w, fmt.Sprintf("the body is a zone or region and who asks, in up to %d bytes", zones.MostWho), http.StatusBadRequest)
 		return
 	}
-	told, err := o.SetZoneMode(name, mode, who)
+	report, err := o.SetZoneMode(name, mode, who)
 	switch {
 	case errors.Is(err, zones.ErrNothingLeft):
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -90,6 +91,6 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	f.log.Info("zone by hand", "zone", name, "mode", mode.String(), "who", who, "told", len(told.Notified), "missed", told.Missed)
-	writeJSON(w, told)
+	f.log.Info("zone mode set by operator", "zone", name, "mode", mode.String(), "who", who, "told", len(report.Notified), "missed", report.Missed)
+	writeJSON(w, report)
 }
