--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -1,6 +1,6 @@
-// Package retune decides what a running proxy takes over from a configuration that replaces its own: whether the text is
-// whole, and what holds while clients may go by either of the two. It reads no files and knows no clock; a host brings
-// the texts and the time.
+// Package retune decides what a running proxy takes over from a configuration that replaces its own:
+// whether the text is complete, and which rules are in force while clients may use either of the two. It
+// reads no files and uses no clock; a host passes the texts and the time.
 package retune
 
 import (
@@ -15,21 +15,22 @@
 	"linenloom/logic"
 )
 
-// Faults are all that is wrong with a configuration.
+// Faults lists everything that is wrong with a configuration.
 type Faults []string
 
 func (f Faults) Error() string { return strings.Join(f, "; ") }
 
-// maxFaults is how many faults are told; a text of another kind altogether has one for every key.
+// maxFaults is the number of faults that are reported. A text of an entirely different kind has one for
+// every key.
 const maxFaults = 10
 
-// Check tells whether a configuration has everything that the one in force has: a single value, with every key of every
-// object, and in each entry of a list the keys that all entries there have now. What it has beyond that is allowed.
-// Whether the values are any good is for those to say who read them.
+// Check reports whether a configuration has everything that the current one has: a single value with
+// every key of every object, and in each entry of a list the keys that all entries of that list have now.
+// Additional content is allowed. Check does not validate the values; the code that uses them does.
 func Check(inForce, next []byte) error {
 	var was, now any
 	if err := json.Unmarshal(inForce, &was); err != nil {
-		return fmt.Errorf("the configuration in force: %w", err)
+		return fmt.Errorf("current configuration: %w", err)
 	}
 	if len(bytes.TrimSpace(next)) == 0 {
 		return Faults{"the file is empty"}
@@ -37,12 +38,12 @@
 	d := json.NewDecoder(bytes.NewReader(next))
 	if err := d.Decode(&now); err != nil {
 		if err == io.ErrUnexpectedEOF {
-			return Faults{fmt.Sprintf("the file is cut short, after %d bytes", len(next))}
+			return Faults{fmt.Sprintf("the file is truncated after %d bytes", len(next))}
 		}
 		return Faults{err.Error()}
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return Faults{fmt.Sprintf("something follows the configuration, at byte %d", d.InputOffset())}
+		return Faults{fmt.Sprintf("unexpected data after the configuration, at byte %d", d.InputOffset())}
 	}
 	var faults Faults
 	findMissing("", was, now, &faults)
@@ -55,17 +56,17 @@
 	return faults
 }
 
-// findMissing notes what is lacking at a place.
-func findMissing(at string, was, now any, faults *Faults) {
+// findMissing appends a fault for each key that is missing at a path or below.
+func findMissing(parent string, was, now any, faults *Faults) {
 	switch was := was.(type) {
 	case map[string]any:
 		has, ok := now.(map[string]any)
 		if !ok {
-			*faults = append(*faults, fmt.Sprintf("%s is no object", displayPath(at)))
+			*faults = append(*faults, fmt.Sprintf("%s is not an object", displayPath(parent)))
 			return
 		}
 		for _, key := range slices.Sorted(maps.Keys(was)) {
-			path := strings.TrimPrefix(at+"."+key, ".")
+			path := strings.TrimPrefix(parent+"."+key, ".")
 			value, there := has[key]
 			switch {
 			case !there:
@@ -79,12 +80,12 @@
 	case []any:
 		has, ok := now.([]any)
 		if !ok {
-			*faults = append(*faults, fmt.Sprintf("%s is no list", displayPath(at)))
+			*faults = append(*faults, fmt.Sprintf("%s is not a list", displayPath(parent)))
 			return
 		}
 		if entry := commonKeys(was); entry != nil {
 			for i, e := range has {
-				findMissing(fmt.Sprintf("%s[%d]", at, i), entry, e, faults)
+				findMissing(fmt.Sprintf("%s[%d]", parent, i), entry, e, faults)
 			}
 		}
 	}
@@ -97,7 +98,8 @@
 	return at
 }
 
-// commonKeys is what all entries of a list have: an object with the keys of each; nil, if they are none.
+// commonKeys returns an object with the keys that all entries of a list have; nil if not all entries are
+// objects.
 func commonKeys(list []any) (all map[string]any) {
 	for _, e := range list {
 		o, ok := e.(map[string]any)
@@ -112,8 +114,8 @@
 	return all
 }
 
-// Transition are the classes and the number of attempts that hold while clients may still go by the old configuration: what
-// either allows is not allowed unless the other does. A class that is dropped stays until then.
+// Transition returns the classes and the number of attempts in force while clients may still use the old
+// configuration: only what both configurations allow. A class that is removed stays until then.
 func Transition(was, now []logic.Class, wasTries, nowTries int) ([]logic.Class, int) {
 	both := slices.Clone(now)
 	for _, c := range was {
@@ -127,7 +129,8 @@
 	return both, min(wasTries, nowTries)
 }
 
-// stricter is a class that keeps the rules of both. Effects and scopes are in the order of what they allow less.
+// stricter returns a class that satisfies the rules of both. Effects and scopes are ordered from the more
+// to the less permissive.
 func stricter(a, b logic.Class) logic.Class {
 	a.Effect, a.Scope = max(a.Effect, b.Effect), max(a.Scope, b.Scope)
 	a.Aim, a.Deadline = min(a.Aim, b.Aim), min(a.Deadline, b.Deadline)
--- a/internal/retune/retune_test.go
+++ b/internal/retune/retune_test.go
@@ -21,7 +21,7 @@
 	return text
 }
 
-// A file cut at any byte is turned down, and so is one that lacks any of its keys.
+// A file truncated at any byte is rejected, and so is one that lacks any of its keys.
 func TestCheckWhole(t *testing.T) {
 	whole := currentConfig(t)
 	if err := Check(whole, whole); err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// withoutEachKey takes each key away in turn, and puts it back.
+// withoutEachKey removes each key in turn, then sets it to null, and restores it.
 func withoutEachKey(v any, try func(key string)) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -80,16 +80,16 @@
 	for next, want := range map[string]string{
 		``:          "empty",
 		"  \n":      "empty",
-		`{"a":`:     "cut short, after 5 bytes",
-		`[]`:        "the configuration is no object",
-		`{"a":1}`:   "a is no object; d is missing",
+		`{"a":`:     "truncated after 5 bytes",
+		`[]`:        "the configuration is not an object",
+		`{"a":1}`:   "a is not an object; d is missing",
 		`{"d":"e"}`: "a is missing",
 		`{"a":{"b":[{"n":1},{"x":2}],"c":[]},"d":"e"}`: "a.b[1].n is missing",
-		`{"a":{"b":{},"c":[]},"d":"e"}`:                "a.b is no list",
+		`{"a":{"b":{},"c":[]},"d":"e"}`:                "a.b is not a list",
 		`{"a":{"b":[],"c":[1]},"d":"e","f":1}`:         "",
 		`{"a":{"b":[{"n":5}],"c":[]},"d":"e"}`:         "",
 		`{"a":{"b":[],"c":[]},"d":null}`:               "d is null",
-		`{"a":{"b":[],"c":[]},"d":1}x`:                 "something follows",
+		`{"a":{"b":[],"c":[]},"d":1}x`:                 "unexpected data after the configuration",
 	} {
 		err := Check(was, []byte(next))
 		switch {
@@ -101,7 +101,7 @@
 	}
 }
 
-// What holds in between never allows more than either of the two.
+// The rules in force during a transition never allow more than either of the two configurations.
 func TestTransition(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	random := func() (cs []logic.Class) {
@@ -132,7 +132,7 @@
 				}
 			}
 		}
-		for i, c := range now { // the places of what stays are those of the new file
+		for i, c := range now { // classes keep the positions of the new file
 			if both[i].Name != c.Name {
 				t.Fatalf("%v after %v", both, now)
 			}
