--- a/internal/shed/shed.go
+++ b/internal/shed/shed.go
@@ -1,9 +1,11 @@
-// Package shed decides which reads a front turns away by itself, before the module works on them, when more comes than the
-// proxy's own core can do. Nothing else can help then: what waits unread in the kernel grows with every second, and served in
-// turn, all of it would come too late.
+// Package shed decides which reads a front end refuses by itself, before the balancer module processes
+// them, when requests arrive faster than the proxy's own core can process them. No other measure helps
+// then: the data unread in the kernel grows with every second, and if it were served in order, every
+// response would be late.
 //
-// It is free of I/O, clock and goroutines, and guarded by the host's lock. It never turns away what must not run twice, or
-// any write, and nothing at all while the core has time to spare: a line that is long for another reason is the module's.
+// The package uses no I/O, clock or goroutines and is guarded by the host's lock. It never refuses a
+// write or a request that must not run twice, and refuses nothing while the core has spare time: a queue
+// that is long for another reason is handled by the module.
 package shed
 
 import (
@@ -13,164 +15,171 @@
 )
 
 const (
-	// aimDivisor is the part of the shortest aim that reads may wait unread before some are turned away; past twice that, all
-	// are. It should leave time for the rest of an exchange, and would do harm were it shorter than a burst that the core is
-	// through with in good time.
+	// aimDivisor divides the shortest latency target of a class. Reads that have waited unread for longer
+	// than the result may be refused, and all are refused past twice that. The limit leaves time for the
+	// rest of the exchange. A limit shorter than a burst that the core completes in time would refuse
+	// requests for no reason.
 	aimDivisor = 4
-	// busyThreshold is the share of the core that counts as all of it. Some is always lost to the kernel and to others.
+	// busyThreshold is the utilization at which the core counts as fully used. A part is always lost to
+	// the kernel and to other processes.
 	busyThreshold = 0.85
-	// halvingInterval is over how long the tenants' shares are told: their counts are halved this often.
+	// halvingInterval is how often the request counts of tenants, from which their shares are computed,
+	// are halved.
 	halvingInterval = time.Second
-	// minPipeline is how many requests a connection may have in hand whatever comes.
+	// minPipeline is how many requests of a connection may be in progress at any load.
 	minPipeline = 4
-	// shareTolerance is what a tenant may ask beyond its share, as a part of that, before it counts as over it.
+	// shareTolerance is by how much a tenant may exceed its share, as a part of it, before it counts as
+	// over it.
 	shareTolerance = 0.1
 )
 
-// Controller decides for all connections of a front.
+// Controller decides for all connections of a front end.
 type Controller struct {
 	waitLimit   time.Duration
-	lowWorth    []bool // by class: its reads are worth less than others'
+	lowWorth    []bool // by class: its reads are worth less than those of other classes
 	shares      []float64
-	recent      []float64 // by tenant, lately
+	recent      []float64 // recent requests, by tenant
 	recentTotal float64
 	halveAt     time.Duration
 	busy        bool
 	usageAt     time.Duration
-	answerRate  float64 // answers a second
+	answerRate  float64 // responses per second
 }
 
-// New makes a Gate for these classes and tenants.
+// New returns a Controller for these classes and tenants.
 func New(classes []logic.Class, tenants []logic.Tenant) *Controller {
-	g := &Controller{recent: make([]float64, len(tenants))}
+	ctl := &Controller{recent: make([]float64, len(tenants))}
 	for _, t := range tenants {
-		g.shares = append(g.shares, t.Share)
+		ctl.shares = append(ctl.shares, t.Share)
 	}
-	g.SetClasses(classes)
-	return g
+	ctl.SetClasses(classes)
+	return ctl
 }
 
-// SetClasses takes over other classes.
-func (g *Controller) SetClasses(classes []logic.Class) {
-	g.waitLimit, g.lowWorth = 0, make([]bool, len(classes))
-	most := 0.0
+// SetClasses replaces the classes.
+func (ctl *Controller) SetClasses(classes []logic.Class) {
+	ctl.waitLimit, ctl.lowWorth = 0, make([]bool, len(classes))
+	maxWorth := 0.0
 	for _, c := range classes {
-		if g.waitLimit == 0 || c.Aim/aimDivisor < g.waitLimit {
-			g.waitLimit = c.Aim / aimDivisor
+		if ctl.waitLimit == 0 || c.Aim/aimDivisor < ctl.waitLimit {
+			ctl.waitLimit = c.Aim / aimDivisor
 		}
 		if c.Effect == logic.Repeatable {
-			most = max(most, c.Worth)
+			maxWorth = max(maxWorth, c.Worth)
 		}
 	}
 	for i, c := range classes {
-		g.lowWorth[i] = c.Effect == logic.Repeatable && c.Worth < most
+		ctl.lowWorth[i] = c.Effect == logic.Repeatable && c.Worth < maxWorth
 	}
 }
 
-// UpdateUsage tells how much of its core the proxy has used lately, from 0 to 1, and how many requests it has answered since it was
-// last told. It is told often.
-func (g *Controller) UpdateUsage(now time.Duration, share float64, answered int) {
-	g.busy = share >= busyThreshold
-	if past := now - g.usageAt; past > 0 && g.usageAt > 0 {
-		g.answerRate += (float64(answered)/past.Seconds() - g.answerRate) / 2
+// UpdateUsage records the recent utilization of the core, from 0 to 1, and the number of requests
+// answered since the last call. It is called at short intervals.
+func (ctl *Controller) UpdateUsage(now time.Duration, utilization float64, answered int) {
+	ctl.busy = utilization >= busyThreshold
+	if elapsed := now - ctl.usageAt; elapsed > 0 && ctl.usageAt > 0 {
+		ctl.answerRate += (float64(answered)/elapsed.Seconds() - ctl.answerRate) / 2
 	}
-	g.usageAt = now
-	if now < g.halveAt {
+	ctl.usageAt = now
+	if now < ctl.halveAt {
 		return
 	}
-	g.halveAt = now + halvingInterval
-	g.recentTotal /= 2
-	for i := range g.recent {
-		g.recent[i] /= 2
+	ctl.halveAt = now + halvingInterval
+	ctl.recentTotal /= 2
+	for i := range ctl.recent {
+		ctl.recent[i] /= 2
 	}
 }
 
-// CountRequest counts a request of a tenant's.
-func (g *Controller) CountRequest(tenant int) {
-	if g.recentTotal++; tenant >= 0 && tenant < len(g.recent) {
-		g.recent[tenant]++
+// CountRequest counts a request of a tenant.
+func (ctl *Controller) CountRequest(tenant int) {
+	if ctl.recentTotal++; tenant >= 0 && tenant < len(ctl.recent) {
+		ctl.recent[tenant]++
 	}
 }
 
-// Admit tells whether a request is passed on that has waited for so long to be read.
-func (g *Controller) Admit(r *logic.Request, c *logic.Class, waited time.Duration) bool {
+// Admit reports whether a request that has waited unread for this long is passed on.
+func (ctl *Controller) Admit(request *logic.Request, class *logic.Class, waited time.Duration) bool {
 	switch {
-	case !g.busy || waited <= g.waitLimit || r.Write || c.Effect != logic.Repeatable:
+	case !ctl.busy || waited <= ctl.waitLimit || request.Write || class.Effect != logic.Repeatable:
 		return true
-	case waited > 2*g.waitLimit || r.Class < len(g.lowWorth) && g.lowWorth[r.Class]:
+	case waited > 2*ctl.waitLimit || request.Class < len(ctl.lowWorth) && ctl.lowWorth[request.Class]:
 		return false
 	}
-	return !g.overShare(r.Tenant)
+	return !ctl.overShare(request.Tenant)
 }
 
-// overShare tells whether a tenant asks for more than its share. Where there are no tenants, all is.
-func (g *Controller) overShare(t int) bool {
-	return t < 0 || t >= len(g.shares) || g.recent[t] > (1+shareTolerance)*g.shares[t]*g.recentTotal
+// overShare reports whether a tenant requests more than its share. Without tenants, it is always true.
+func (ctl *Controller) overShare(tenant int) bool {
+	return tenant < 0 || tenant >= len(ctl.shares) || ctl.recent[tenant] > (1+shareTolerance)*ctl.shares[tenant]*ctl.recentTotal
 }
 
-// MaxPipeline is how many requests of a connection may be in hand, of so many connections and at the most: where the core is used
-// up, all of them together as many as it answers in half of the wait that is allowed. More would stand in a line here instead.
-func (g *Controller) MaxPipeline(conns, most int) int {
-	if !g.busy || g.answerRate == 0 {
-		return most
+// MaxPipeline returns how many requests of a connection may be in progress, given the number of
+// connections and the upper limit. While the core is fully used, all connections together may have as
+// many as it answers in half of the permitted wait. Any more would only queue here.
+func (ctl *Controller) MaxPipeline(conns, limit int) int {
+	if !ctl.busy || ctl.answerRate == 0 {
+		return limit
 	}
-	inHand := g.answerRate * g.waitLimit.Seconds() / 2
-	return min(most, max(minPipeline, int(inHand)/max(1, conns)))
+	inProgress := ctl.answerRate * ctl.waitLimit.Seconds() / 2
+	return min(limit, max(minPipeline, int(inProgress)/max(1, conns)))
 }
 
-// Busy tells whether the core is used up.
-func (g *Controller) Busy() bool { return g.busy }
+// Busy reports whether the core is fully used.
+func (ctl *Controller) Busy() bool { return ctl.busy }
 
-// MinBatchBytes is how many bytes have to be read at once to be more than a request or two.
+// MinBatchBytes is the number of bytes in one read from which on it holds more than a request or two.
 const MinBatchBytes = 512
 
-// ReadQueue is what has come on one connection and was not worked on yet. How long that waits is measured: the bytes that stand
-// unread at a moment have all been read some time later, and the last of them has waited for as long; and what was read
-// together waits in its buffer for what stands in front of it.
+// ReadQueue measures how long the data received on one connection has waited unprocessed. Once the bytes
+// that are unread at some time have all been read, the time since then is the wait of the last of them.
+// Requests that were read together also wait in the buffer for those before them.
 type ReadQueue struct {
-	unread       int // unread bytes that stood there then
+	unread       int // bytes that were unread at unreadSince
 	unreadSince  time.Duration
-	lastWait     time.Duration // what was found last
-	delayedBytes int           // as many bytes have waited for about that before they were read
-	readAt       time.Duration // when what is worked on now was read; 0: it came by itself
+	lastWait     time.Duration // the wait measured last
+	delayedBytes int           // number of bytes that have waited for about lastWait before they are read
+	readAt       time.Duration // when the current batch was read; 0: it was a single request
 }
 
-// RecordRead takes in n bytes that were read; full tells that more is there, as far as is known. It tells whether it wants to be
-// told how many bytes are unread now (Unread). It has to be told if n is at least MinBatchBytes, or Active.
-func (l *ReadQueue) RecordRead(now time.Duration, n int, full bool) (ask bool) {
-	if l.readAt = 0; n >= MinBatchBytes {
-		l.readAt = now
+// RecordRead records that n bytes were read; full is set if more may be unread. It reports whether the
+// caller should determine the number of unread bytes and call SetUnread. It must be called if n is at
+// least MinBatchBytes, or Active.
+func (q *ReadQueue) RecordRead(now time.Duration, n int, full bool) (wantUnread bool) {
+	if q.readAt = 0; n >= MinBatchBytes {
+		q.readAt = now
 	}
-	l.delayedBytes = max(0, l.delayedBytes-n)
-	if l.unread == 0 {
-		l.lastWait = 0
+	q.delayedBytes = max(0, q.delayedBytes-n)
+	if q.unread == 0 {
+		q.lastWait = 0
 		return full
 	}
-	if l.unread -= n; l.unread > 0 {
+	if q.unread -= n; q.unread > 0 {
 		return false
 	}
-	l.unread, l.lastWait = 0, now-l.unreadSince
+	q.unread, q.lastWait = 0, now-q.unreadSince
 	return true
 }
 
-// SetUnread takes in how many bytes stand unread.
-func (l *ReadQueue) SetUnread(now time.Duration, n int) {
-	l.unread, l.unreadSince, l.delayedBytes = n, now, n
+// SetUnread records the number of unread bytes.
+func (q *ReadQueue) SetUnread(now time.Duration, n int) {
+	q.unread, q.unreadSince, q.delayedBytes = n, now, n
 }
 
-// Active tells whether something is known to wait.
-func (l *ReadQueue) Active() bool { return l.unread > 0 || l.delayedBytes > 0 || l.readAt > 0 }
+// Active reports whether data is known to wait.
+func (q *ReadQueue) Active() bool { return q.unread > 0 || q.delayedBytes > 0 || q.readAt > 0 }
 
-// Waited is how long what is worked on now has waited, at the least; 0: it has only just come, as far as is known.
-func (l *ReadQueue) Waited(now time.Duration) (waited time.Duration) {
-	if l.readAt > 0 {
-		waited = now - l.readAt
+// Waited returns the minimum time that the current request has waited; 0: it has only just arrived, as
+// far as is known.
+func (q *ReadQueue) Waited(now time.Duration) (waited time.Duration) {
+	if q.readAt > 0 {
+		waited = now - q.readAt
 	}
-	if l.delayedBytes > 0 {
-		waited += l.lastWait
+	if q.delayedBytes > 0 {
+		waited += q.lastWait
 	}
-	if l.unread > 0 { // it stood there then
-		waited = max(waited, now-l.unreadSince)
+	if q.unread > 0 { // the request was unread at that time
+		waited = max(waited, now-q.unreadSince)
 	}
 	return waited
 }
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -40,7 +40,7 @@
 	} {
 		g := New(classes, tenants)
 		for i := range 100 {
-			g.CountRequest(min(1, i/20)) // a fifth is the first tenant's
+			g.CountRequest(min(1, i/20)) // a fifth of the requests is of the first tenant
 		}
 		g.UpdateUsage(0, c.used, 0)
 		r := logic.Request{Class: c.class, Tenant: c.tenant, Write: c.write}
@@ -59,18 +59,19 @@
 	}
 }
 
-// One connection of a proxy whose core serves a read in serve and turns one away in turn. Whatever comes, little is served
-// too late and little of the core is lost; and nothing is turned away while the core can do all.
+// One connection of a proxy whose core needs serve for a read and turn for a refusal. At any load, few
+// reads are served too late and little of the core's time is lost, and nothing is refused while the core
+// can serve all reads.
 func TestSheddingKeepsReadsInTime(t *testing.T) {
 	const (
 		serve, turn = 400 * time.Microsecond, 20 * time.Microsecond
-		size        = 100 // bytes a read
+		size        = 100 // bytes per read
 		aim         = 800 * ms
 		span        = 20 * time.Second
 	)
 	for _, c := range []struct {
-		load, shed, inTime float64 // shed: at the most
-		burst              int     // reads that come together
+		load, shed, inTime float64 // shed: the maximum
+		burst              int     // reads that arrive together
 	}{
 		{0.5, 0, 1, 1}, {0.9, 0, 1, 8}, {0.7, 0.03, 0.97, 128}, {2, 0.6, 0.85, 1}, {2, 0.6, 0.85, 128}, {10, 0.97, 0.5, 32},
 	} {
@@ -79,7 +80,7 @@
 			g := New(classes[:1], nil)
 			g.UpdateUsage(0, 1, 0)
 			var l ReadQueue
-			var unread []time.Duration // when each came
+			var unread []time.Duration // arrival times
 			var now, next time.Duration
 			var buffered []time.Duration
 			came, shed, inTime := 0, 0, 0
@@ -129,13 +130,13 @@
 	}
 }
 
-// In hand is no more than the core answers in a part of the wait that is allowed, over all connections; while it has time
-// to spare, as much as ever.
+// Under full load, the number of requests in progress on all connections is limited to what the core
+// answers in a part of the permitted wait. With spare time on the core it has its upper limit.
 func TestMaxPipelineShrinksUnderLoad(t *testing.T) {
 	g := New(classes, nil)
 	g.UpdateUsage(time.Second, 0.5, 0)
 	for range 40 {
-		g.UpdateUsage(g.usageAt+50*ms, 0.5, 1500) // 30,000 a second
+		g.UpdateUsage(g.usageAt+50*ms, 0.5, 1500) // 30,000 per second
 	}
 	if got := g.MaxPipeline(300, 32); got != 32 {
 		t.Errorf("%d with time to spare", got)
