--- a/internal/joining/joining.go
+++ b/internal/joining/joining.go
@@ -1,9 +1,10 @@
-// Package joining decides which reads share one attempt: who leads, who follows, to whom the lead passes when the one who has it gets
-// no answer, and who had better go alone.
+// Package joining implements request coalescing. It decides which reads share one attempt: which read
+// leads, which ones follow, which follower takes the lead if the leader gets no answer, and which reads
+// go alone.
 //
-// It is free of I/O, clock and goroutines, and not safe for concurrent use. It never sends, answers or tries anything again: its host
-// does, and the balancer decides on each lead as on any request. A request that is no plain read can't get in: Read can be made of
-// no other.
+// It uses no I/O, clock or goroutines and is not safe for concurrent use. It never sends, answers or
+// retries anything: its host does, and the balancer handles each leading read like any other request.
+// Only plain reads can be joined, as a Read can be made of nothing else.
 package joining
 
 import (
@@ -14,22 +15,23 @@
 	"linenloom/logic"
 )
 
-// ID is a request's number with the host.
+// ID is the number that the host gives to a request.
 type ID = logic.RequestID
 
-// Limits bound a Table.
+// Limits bounds a Table.
 type Limits struct {
-	Followers int // in all
+	Followers int // in total
 	PerTenant int
-	Groups    int // that can be joined at once
-	// AcrossTenants lets one tenant's reads share another's attempt. Whether each may see the key has been asked before.
+	Groups    int // groups that exist at once
+	// AcrossTenants lets one tenant's reads share the attempt of another. The host has checked each
+	// tenant's access to the key before.
 	AcrossTenants bool
 }
 
-// maxUnshared is how many keys are remembered that are not joined.
+// maxUnshared is how many keys are remembered whose reads are not joined.
 const maxUnshared = 256
 
-// Read is a request that may share another's answer.
+// Read is a request that may share the answer of another one.
 type Read struct {
 	id       ID
 	identity readIdentity
@@ -37,53 +39,55 @@
 	deadline time.Duration
 }
 
-// readIdentity makes answers differ.
+// readIdentity holds everything that the answer to a read depends on. Reads with equal identities may
+// share an answer.
 type readIdentity struct {
 	key, names string
 	class      int
-	tenant     int // -1: whoever asks
+	tenant     int // -1: any tenant
 }
 
-// NewRead describes a read. Names are what its list says beside what differs between equal requests. Writes, and classes whose
-// requests may not be repeated as one likes, are none.
+// NewRead describes a read. names are the attributes of its request, except those that differ between
+// equal requests. It returns false for writes and for classes whose requests may not be repeated at will.
 func (l Limits) NewRead(r *logic.Request, effect logic.Effect, key, names string) (Read, bool) {
 	if r.Write || effect != logic.Repeatable || key == "" {
 		return Read{}, false
 	}
-	w := readIdentity{key: key, names: names, class: r.Class, tenant: -1}
+	identity := readIdentity{key: key, names: names, class: r.Class, tenant: -1}
 	if !l.AcrossTenants {
-		w.tenant = r.Tenant
+		identity.tenant = r.Tenant
 	}
-	return Read{id: r.ID, identity: w, tenant: r.Tenant, deadline: r.Deadline}, true
+	return Read{id: r.ID, identity: identity, tenant: r.Tenant, deadline: r.Deadline}, true
 }
 
-// Role is what becomes of a read.
+// Role is what Join decides about a read.
 type Role uint8
 
-// The roles: it makes its own way and nobody shares it; it makes its own way, and others may share what it gets; it waits for another's.
+// Roles of a read.
 const (
-	Alone Role = iota
-	Lead
-	Follow
+	Alone  Role = iota // sends its own attempt, which no other read shares
+	Lead               // sends its own attempt, whose answer others may share
+	Follow             // waits for the answer of the leading read
 )
 
-// group is one read on its way, and those who wait for what it gets.
+// group is a read in progress and the followers that wait for its answer.
 type group struct {
 	identity  readIdentity
 	lead      ID
 	followers followerHeap
-	closed    bool // nobody joins it any more
+	closed    bool // no further read may join
 }
 
+// follower is a read that waits for the answer of its group.
 type follower struct {
 	id        ID
 	tenant    int
 	deadline  time.Duration
-	heapIndex int // in the heap
+	heapIndex int // position in the heap of its group
 	group     *group
 }
 
-// followerHeap is a heap: who has most time is on top.
+// followerHeap implements heap.Interface. The follower with the latest deadline is on top.
 type followerHeap []*follower
 
 func (f followerHeap) Len() int           { return len(f) }
@@ -93,14 +97,14 @@
 	f[i].heapIndex, f[j].heapIndex = i, j
 }
 
-// Push is heap's.
+// Push implements heap.Interface.
 func (f *followerHeap) Push(x any) {
 	p := x.(*follower)
 	p.heapIndex = len(*f)
 	*f = append(*f, p)
 }
 
-// Pop is heap's.
+// Pop implements heap.Interface.
 func (f *followerHeap) Pop() any {
 	old := *f
 	p := old[len(old)-1]
@@ -109,53 +113,53 @@
 	return p
 }
 
-// Table is the reads that are out, by what they ask.
+// Table holds the reads in progress by identity.
 type Table struct {
 	limits            Limits
 	joinable          map[readIdentity]*group
-	byKey             map[string][]*group // all, also those that are closed
+	byKey             map[string][]*group // all groups, closed ones included
 	leads             map[ID]*group
 	followers         map[ID]*follower
-	followersByTenant map[int]int // followers
+	followersByTenant map[int]int // number of followers
 	unshared          map[string]struct{}
 }
 
-// New makes a Table.
+// New returns an empty Table.
 func New(l Limits) *Table {
 	return &Table{limits: l, joinable: map[readIdentity]*group{}, byKey: map[string][]*group{}, leads: map[ID]*group{}, followers: map[ID]*follower{},
 		followersByTenant: map[int]int{}, unshared: map[string]struct{}{}}
 }
 
-// Limits are the table's.
+// Limits returns the limits of the table.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Join tells what becomes of a read. Past its tenant's followers, or all, it is an ordinary request: it gets nothing of another's
-// attempt, and stands in nobody's way.
+// Join decides about a read. A read beyond the follower limit of its tenant or of the table is an
+// ordinary request: it gets nothing of another attempt and delays no other read.
 func (t *Table) Join(r Read) Role {
-	if _, apart := t.unshared[r.identity.key]; apart {
+	if _, unshared := t.unshared[r.identity.key]; unshared {
 		return Alone
 	}
-	f := t.joinable[r.identity]
-	if f == nil {
+	g := t.joinable[r.identity]
+	if g == nil {
 		if len(t.leads) >= t.limits.Groups {
 			return Alone
 		}
-		f = &group{identity: r.identity, lead: r.id}
-		t.joinable[r.identity], t.leads[r.id] = f, f
-		t.byKey[r.identity.key] = append(t.byKey[r.identity.key], f)
+		g = &group{identity: r.identity, lead: r.id}
+		t.joinable[r.identity], t.leads[r.id] = g, g
+		t.byKey[r.identity.key] = append(t.byKey[r.identity.key], g)
 		return Lead
 	}
 	if len(t.followers) >= t.limits.Followers || t.followersByTenant[r.tenant] >= t.limits.PerTenant {
 		return Alone
 	}
-	p := &follower{id: r.id, tenant: r.tenant, deadline: r.deadline, group: f}
-	heap.Push(&f.followers, p)
+	p := &follower{id: r.id, tenant: r.tenant, deadline: r.deadline, group: g}
+	heap.Push(&g.followers, p)
 	t.followers[r.id] = p
 	t.followersByTenant[r.tenant]++
 	return Follow
 }
 
-// uncountFollower takes a follower out of the counts.
+// uncountFollower removes a follower from the counts.
 func (t *Table) uncountFollower(p *follower) {
 	delete(t.followers, p.id)
 	if t.followersByTenant[p.tenant]--; t.followersByTenant[p.tenant] == 0 {
@@ -163,68 +167,71 @@
 	}
 }
 
-// closeGroup keeps further reads from joining a flight.
-func (t *Table) closeGroup(f *group) {
-	f.closed = true
-	if t.joinable[f.identity] == f {
-		delete(t.joinable, f.identity)
+// closeGroup keeps further reads from joining a group.
+func (t *Table) closeGroup(g *group) {
+	g.closed = true
+	if t.joinable[g.identity] == g {
+		delete(t.joinable, g.identity)
 	}
 }
 
-// removeGroup takes a flight out of the table.
-func (t *Table) removeGroup(f *group) {
-	t.closeGroup(f)
-	delete(t.leads, f.lead)
-	all := t.byKey[f.identity.key]
-	if all = slices.DeleteFunc(all, func(g *group) bool { return g == f }); len(all) == 0 {
-		delete(t.byKey, f.identity.key)
+// removeGroup removes a group from the table.
+func (t *Table) removeGroup(g *group) {
+	t.closeGroup(g)
+	delete(t.leads, g.lead)
+	all := t.byKey[g.identity.key]
+	if all = slices.DeleteFunc(all, func(other *group) bool { return other == g }); len(all) == 0 {
+		delete(t.byKey, g.identity.key)
 	} else {
-		t.byKey[f.identity.key] = all
+		t.byKey[g.identity.key] = all
 	}
 }
 
-// Complete tells who shares the answer that a lead has got, those first whose time ends first. The flight is over.
+// Complete removes the group of a leading read that has got its answer, and returns the followers that
+// share the answer, earliest deadline first.
 func (t *Table) Complete(lead ID) []ID {
-	f := t.leads[lead]
-	if f == nil {
+	g := t.leads[lead]
+	if g == nil {
 		return nil
 	}
-	t.removeGroup(f)
-	slices.SortFunc(f.followers, func(a, b *follower) int {
+	t.removeGroup(g)
+	slices.SortFunc(g.followers, func(a, b *follower) int {
 		if a.deadline != b.deadline {
 			return int(max(-1, min(1, a.deadline-b.deadline)))
 		}
 		return int(max(-1, min(1, int64(a.id)-int64(b.id))))
 	})
-	ids := make([]ID, len(f.followers))
-	for i, p := range f.followers {
+	ids := make([]ID, len(g.followers))
+	for i, p := range g.followers {
 		ids[i] = p.id
 		t.uncountFollower(p)
 	}
 	return ids
 }
 
-// PassLead passes the lead on from one that has got no answer and will get none: to who has most time, one at a time, so that what
-// condemned the one neither condemns the others nor is met by all of them at once. false: nobody is left.
+// PassLead passes the lead from a read that has got no answer and will get none to the follower with the
+// latest deadline. Only one follower at a time takes the lead, so that a failure of one request does not
+// fail the others and does not hit all of them at once. It returns false if there are no followers.
 func (t *Table) PassLead(lead ID) (next ID, ok bool) {
-	f := t.leads[lead]
-	if f == nil {
+	g := t.leads[lead]
+	if g == nil {
 		return 0, false
 	}
-	if len(f.followers) == 0 {
-		t.removeGroup(f)
+	if len(g.followers) == 0 {
+		t.removeGroup(g)
 		return 0, false
 	}
-	p := heap.Pop(&f.followers).(*follower)
+	p := heap.Pop(&g.followers).(*follower)
 	t.uncountFollower(p)
-	delete(t.leads, f.lead)
-	f.lead = p.id
-	t.leads[p.id] = f
+	delete(t.leads, g.lead)
+	g.lead = p.id
+	t.leads[p.id] = g
 	return p.id, true
 }
 
-// RemoveFollower takes out a follower that waits no longer. It names the lead where that one has been left alone: nobody else waits for what it
-// gets. The lead does not leave while others do: ask Waited, then Lost.
+// RemoveFollower removes a follower that no longer waits. It returns the leading read, and whether no
+// other read waits for its answer. A leading read must not leave while others wait: call FollowerCount,
+// then PassLead.
 func (t *Table) RemoveFollower(id ID) (lead ID, alone bool) {
 	p := t.followers[id]
 	if p == nil {
@@ -235,35 +242,36 @@
 	return p.group.lead, len(p.group.followers) == 0
 }
 
-// FollowerCount tells how many wait for what a lead gets.
+// FollowerCount returns how many reads wait for the answer of a leading read.
 func (t *Table) FollowerCount(lead ID) int {
-	if f := t.leads[lead]; f != nil {
-		return len(f.followers)
+	if g := t.leads[lead]; g != nil {
+		return len(g.followers)
 	}
 	return 0
 }
 
-// LatestDeadline is the latest time at which one of those who wait for what a lead gets still waits; 0: nobody does.
+// LatestDeadline returns the latest deadline of the reads that wait for the answer of a leading read; 0
+// if there are none.
 func (t *Table) LatestDeadline(lead ID) time.Duration {
-	if f := t.leads[lead]; f != nil && len(f.followers) > 0 {
-		return f.followers[0].deadline
+	if g := t.leads[lead]; g != nil && len(g.followers) > 0 {
+		return g.followers[0].deadline
 	}
 	return 0
 }
 
-// Fence closes what is out for a key to reads that come from now on: a write of it has been answered, or may have run, and what was
-// asked for before may not show it.
+// Fence closes the groups of a key to reads that arrive from now on. A write of the key has been
+// answered, or may have run, and answers to earlier attempts may not reflect it.
 func (t *Table) Fence(key string) {
-	for _, f := range t.byKey[key] {
-		t.closeGroup(f)
+	for _, g := range t.byKey[key] {
+		t.closeGroup(g)
 	}
 }
 
-// MarkUnshareable ends a flight whose answer can't be shared, and tells who followed it: each makes its own way now, and so do reads of the key
-// from now on, for as long as it is remembered.
+// MarkUnshareable removes a group whose answer can't be shared, and returns its followers. Each of them
+// becomes a request of its own, and so do later reads of the key for as long as the key is remembered.
 func (t *Table) MarkUnshareable(lead ID) []ID {
-	f := t.leads[lead]
-	if f == nil {
+	g := t.leads[lead]
+	if g == nil {
 		return nil
 	}
 	for key := range t.unshared {
@@ -272,9 +280,9 @@
 		}
 		delete(t.unshared, key)
 	}
-	t.unshared[f.identity.key] = struct{}{}
+	t.unshared[g.identity.key] = struct{}{}
 	return t.Complete(lead)
 }
 
-// Len counts the flights and those who follow.
+// Len returns the number of groups and of followers.
 func (t *Table) Len() (flights, followers int) { return len(t.leads), len(t.followers) }
--- a/internal/joining/joining_test.go
+++ b/internal/joining/joining_test.go
@@ -20,7 +20,8 @@
 	return r
 }
 
-// What is no plain read can't be made one, and what differs in anything that makes answers differ is not joined.
+// Only a plain read can be joined, and reads that differ in anything that the answer depends on are not
+// joined.
 func TestWhichReadsJoin(t *testing.T) {
 	for name, c := range map[string]struct {
 		r      logic.Request
@@ -67,7 +68,8 @@
 	}
 }
 
-// One tenant's storm takes its own room; past it a read goes alone, and others still join.
+// A tenant with many reads fills only its own follower limit. Beyond it a read goes alone, and reads of
+// other tenants still join.
 func TestTenantLimits(t *testing.T) {
 	l := Limits{Followers: 10, PerTenant: 4, Groups: 2, AcrossTenants: true}
 	tab := New(l)
@@ -102,7 +104,8 @@
 	}
 }
 
-// After a write's answer nobody joins what was out before; what follows it is served by that all the same.
+// After a write has been answered, no read joins the groups from before it. The reads that had joined
+// earlier share their answers all the same.
 func TestFence(t *testing.T) {
 	tab := New(testLimits)
 	tab.Join(newTestRead(t, testLimits, 1, "k", 0, 0))
@@ -128,8 +131,9 @@
 	}
 }
 
-// Whatever happens, in whatever order: each read leads, follows or goes alone; every follower comes out once, by an answer, by the lead or by
-// leaving; the lead goes to who has most time; nobody follows across a fence; bounds are kept, and nothing is left at the end.
+// For any order of calls: each read leads, follows or goes alone; every follower leaves once, by an
+// answer, by taking the lead or by giving up; the lead passes to the follower with the latest deadline;
+// no read follows across a fence; the limits are kept, and the table is empty at the end.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -137,7 +141,7 @@
 		tab := New(l)
 		until, since, what := map[ID]time.Duration{}, map[ID]int{}, map[ID]string{}
 		leads, follows := map[ID]bool{}, map[ID]bool{}
-		fenced := map[string]int{} // by key: the latest fence
+		fenced := map[string]int{} // latest fence by key
 		pick := func(m map[ID]bool) (ID, bool) {
 			for i := range ID(3000) {
 				if id := i + 1; m[id] && rng.IntN(3) == 0 {
@@ -180,7 +184,7 @@
 					}
 					delete(leads, lead)
 					if ok {
-						since[next] = step // what it gets is asked for now
+						since[next] = step // its attempt is sent now
 						delete(follows, next)
 						leads[next] = true
 					}
@@ -215,7 +219,7 @@
 	}
 }
 
-// The lead goes to who has most time.
+// The lead passes to the follower with the latest deadline.
 func TestLeadPassesToLatestDeadline(t *testing.T) {
 	tab := New(testLimits)
 	for i, until := range []time.Duration{5, 3, 9, 1, 7} {
@@ -237,7 +241,7 @@
 	}
 }
 
-// The keys that are not joined are bounded.
+// The number of keys that are remembered as not joined is bounded.
 func TestUnsharedKeysAreBounded(t *testing.T) {
 	tab := New(testLimits)
 	for i := range ID(2 * maxUnshared) {
