--- a/internal/manykeys/manykeys.go
+++ b/internal/manykeys/manykeys.go
@@ -1,8 +1,9 @@
-// Package manykeys decides on requests for many keys: which of them are asked for now, and what becomes of each. A request is split into
-// parts, each the keys that one cache has; at most one part of it is at a cache at a time, and so many keys are out in all.
+// Package manykeys schedules requests for many keys: it decides which keys are requested now, and records
+// the outcome of each. A request is split into parts, each of keys that one cache holds. At most one part
+// of a request is at a cache at a time, and the total number of outstanding keys is bounded.
 //
-// It is free of I/O, clock and goroutines. It never sends, and knows nothing of limits, time or members: each key is an ordinary
-// read of its host's, which is decided on like any other.
+// It uses no I/O, clock or goroutines. It never sends, and has no knowledge of limits, time or members:
+// each key is an ordinary read of its host, which is handled like any other.
 package manykeys
 
 import (
@@ -10,60 +11,60 @@
 	"fmt"
 )
 
-// Limits bound a request.
+// Limits bounds a request.
 type Limits struct {
-	Keys        int // of a request, those that stand twice included
+	Keys        int // of a request, repeated keys included
 	Bytes       int // of the values of its reply
-	Outstanding int // keys that are out at once: so many misses of one request are at the origin at the most
-	PartSize    int // keys at one cache at a time
+	Outstanding int // outstanding keys: the maximum number of misses of one request at the origin at a time
+	PartSize    int // outstanding keys at one cache
 }
 
-// Outcome is what became of a key.
+// Outcome is the outcome of a key.
 type Outcome uint8
 
-// The marks.
+// Outcomes of a key.
 const (
 	Pending Outcome = iota
 	Served
-	Refused // asking again is harmless
-	Late    // it could not be had in time
-	Failed  // nothing is promised
-	Denied  // the caller has no right to it
-	Large   // the reply would have been too long with it
+	Refused // a retry does no harm
+	Late    // there was no answer in time
+	Failed  // the read failed; nothing is known about a retry
+	Denied  // the caller has no access to the key
+	Large   // the reply would have exceeded its size limit
 )
 
 var outcomeNames = [...]string{"waiting", "served", "refused", "late", "failed", "denied", "large"}
 
 func (m Outcome) String() string { return outcomeNames[min(int(m), len(outcomeNames)-1)] }
 
-// ErrNoKeys and ErrTooMany find fault with a request as a whole; nothing of it is asked for.
+// ErrNoKeys and ErrTooMany reject a request as a whole; none of its keys is requested.
 var (
 	ErrNoKeys  = errors.New("no key")
 	ErrTooMany = errors.New("too many keys")
 )
 
-// Gather is one request. Keys that stand twice are asked for once.
+// Gather is the state of one request. Keys that occur more than once are requested once.
 type Gather struct {
 	limits      Limits
-	keys        []string               // each once, in the order in which they came
-	places      []int                  // by place in the request: which of keys
-	caches      []uint64               // of each of keys, when its part was made
-	outcomes    []Outcome              // of each of keys
+	keys        []string               // each once, in order of first occurrence
+	places      []int                  // by position in the request: index into keys
+	caches      []uint64               // cache of each of keys, when the request began
+	outcomes    []Outcome              // outcome of each of keys
 	queues      map[uint64]*cacheQueue // by cache
-	queueOrder  []*cacheQueue          // in the order of their first keys
+	queueOrder  []*cacheQueue          // queues in the order of their first keys
 	nextQueue   int
 	outstanding int
 	pending     int
 	replyBytes  int
 }
 
-// cacheQueue is the keys that one cache has and that were not asked for yet.
+// cacheQueue holds the keys of one cache that have not been requested yet.
 type cacheQueue struct {
 	pending     []int
-	outstanding int // of its part
+	outstanding int // keys of its current part
 }
 
-// New begins a request. Home names the cache that has a key.
+// New begins a request. home returns the cache that holds a key.
 func New(l Limits, keys []string, home func(key string) uint64) (*Gather, error) {
 	switch {
 	case len(keys) == 0:
@@ -74,20 +75,20 @@
 	g := &Gather{limits: l, places: make([]int, len(keys)), queues: map[uint64]*cacheQueue{}}
 	seen := make(map[string]int, len(keys))
 	for i, key := range keys {
-		k, twice := seen[key]
-		if !twice {
+		k, repeated := seen[key]
+		if !repeated {
 			k = len(g.keys)
 			seen[key] = k
 			g.keys = append(g.keys, key)
-			at := home(key)
-			g.caches = append(g.caches, at)
-			ln := g.queues[at]
-			if ln == nil {
-				ln = &cacheQueue{}
-				g.queues[at] = ln
-				g.queueOrder = append(g.queueOrder, ln)
+			cache := home(key)
+			g.caches = append(g.caches, cache)
+			queue := g.queues[cache]
+			if queue == nil {
+				queue = &cacheQueue{}
+				g.queues[cache] = queue
+				g.queueOrder = append(g.queueOrder, queue)
 			}
-			ln.pending = append(ln.pending, k)
+			queue.pending = append(queue.pending, k)
 		}
 		g.places[i] = k
 	}
@@ -96,60 +97,61 @@
 	return g, nil
 }
 
-// Next names the keys to ask for now. Caches have their turns, so that one with a long line does not take all that may be out.
+// Next returns the keys to request now. The caches take turns, so that a cache with a long queue does not
+// use up the limit of outstanding keys.
 func (g *Gather) Next() (now []int) {
 	for range g.queueOrder {
-		ln := g.queueOrder[g.nextQueue]
+		queue := g.queueOrder[g.nextQueue]
 		g.nextQueue = (g.nextQueue + 1) % len(g.queueOrder)
-		if ln.outstanding > 0 { // its part is not through
+		if queue.outstanding > 0 { // its current part has not been completed
 			continue
 		}
-		n := min(len(ln.pending), g.limits.PartSize, g.limits.Outstanding-g.outstanding)
+		n := min(len(queue.pending), g.limits.PartSize, g.limits.Outstanding-g.outstanding)
 		if n <= 0 {
 			continue
 		}
-		now = append(now, ln.pending[:n]...)
-		ln.pending = ln.pending[n:]
-		ln.outstanding += n
+		now = append(now, queue.pending[:n]...)
+		queue.pending = queue.pending[n:]
+		queue.outstanding += n
 		g.outstanding += n
 	}
 	return now
 }
 
-// Complete notes what became of a key that was asked for, with the size of its value. The mark that counts is told: a value that the reply has
-// no room for is marked as large.
-func (g *Gather) Complete(k int, m Outcome, size int) Outcome {
-	if g.outcomes[k] != Pending || m == Pending {
+// Complete records the outcome of a requested key and the size of its value. It returns the recorded
+// outcome: a value that exceeds the size limit of the reply is recorded as Large.
+func (g *Gather) Complete(k int, outcome Outcome, size int) Outcome {
+	if g.outcomes[k] != Pending || outcome == Pending {
 		return g.outcomes[k]
 	}
-	if m == Served {
+	if outcome == Served {
 		if g.replyBytes+size > g.limits.Bytes {
-			m = Large
+			outcome = Large
 		} else {
 			g.replyBytes += size
 		}
 	}
-	g.outcomes[k] = m
+	g.outcomes[k] = outcome
 	g.outstanding--
 	g.pending--
 	g.queues[g.caches[k]].outstanding--
-	return m
+	return outcome
 }
 
-// Finished tells whether every key has its mark.
+// Finished reports whether every key has its outcome.
 func (g *Gather) Finished() bool { return g.pending == 0 }
 
-// Outstanding is how many keys are out.
+// Outstanding returns the number of outstanding keys.
 func (g *Gather) Outstanding() int { return g.outstanding }
 
-// Key is the k-th of the keys, and Mark what became of it.
+// Key returns the k-th key.
 func (g *Gather) Key(k int) string { return g.keys[k] }
 
-// Outcome is what became of the k-th of the keys.
+// Outcome returns the outcome of the k-th key.
 func (g *Gather) Outcome(k int) Outcome { return g.outcomes[k] }
 
-// Len counts the keys, each once.
+// Len returns the number of distinct keys.
 func (g *Gather) Len() int { return len(g.keys) }
 
-// Places are, for each place in the request, which of the keys stands there.
+// Places returns, for each position in the request, the index of its key.
 func (g *Gather) Places() []int { return g.places }
--- a/internal/manykeys/manykeys_test.go
+++ b/internal/manykeys/manykeys_test.go
@@ -19,8 +19,9 @@
 	}
 }
 
-// Whatever the caches do, in whatever order: each key is asked for once, one part at a cache at a time and no more than may be out; every key gets its
-// mark, and places of the same key the same one; the reply stays within its bytes.
+// For any order of answers: each key is requested once, with one part at a cache at a time and at most
+// the permitted number outstanding; every key gets an outcome, and repeated keys the same one; the reply
+// stays within its size limit.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -41,7 +42,7 @@
 		}
 		asked := map[string]bool{}
 		var out []int
-		part := map[uint64]map[int]bool{} // by cache: its part
+		part := map[uint64]map[int]bool{} // current part by cache
 		bytes := 0
 		for steps := 0; !g.Finished(); steps++ {
 			if steps > 10_000 {
@@ -96,7 +97,7 @@
 	}
 }
 
-// A cache with a long line does not keep the others from their turns.
+// A cache with a long queue does not delay the others.
 func TestCachesHaveTurns(t *testing.T) {
 	keys := make([]string, 64)
 	for i := range keys {
@@ -114,7 +115,7 @@
 	if first := g.Next(); len(first) != 8 {
 		t.Fatalf("%d are asked for", len(first))
 	}
-	for k := range 4 { // the short line's part is through, the other's is not
+	for k := range 4 { // the part of the short queue is completed, that of the other is not
 		g.Complete(k, Served, 1)
 	}
 	if next := g.Next(); len(next) != 4 || next[0] != 4 {
