--- a/internal/arrival/arrival_test.go
+++ b/internal/arrival/arrival_test.go
@@ -32,7 +32,7 @@
 	if !c.MayHaveUnread() {
 		t.Error("nothing may stand unread after a wait")
 	}
-	c.NoteDrained() // a look has found nothing
+	c.NoteDrained() // the socket was checked and empty
 	c.NoteRead(2500*ms, false)
 	step("what came after a look", c.EarliestArrival(), 2500*ms)
 
@@ -43,16 +43,17 @@
 	step("what came later on it", c.EarliestArrival(), 600*ms)
 }
 
-// Whatever comes, whenever it is read: nothing is dated later than it came, and what is read as it comes is dated so.
+// Whatever arrives, and whenever it is read: no data is dated later than it arrived, and data that is
+// read on arrival has that time.
 func TestConnectionIsNeverDatedLate(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		now := time.Duration(rng.IntN(100)) * ms
 		c := NewConnection(now, now)
-		var unread []time.Duration // when each byte came
+		var unread []time.Duration // arrival time of each byte
 		for range 100 {
 			switch rng.IntN(3) {
-			case 0: // a burst comes while the reader waits elsewhere
+			case 0: // a burst arrives while the reader is blocked elsewhere
 				for range rng.IntN(6) {
 					now += time.Duration(rng.IntN(50)) * ms
 					unread = append(unread, now)
@@ -63,7 +64,7 @@
 				if len(unread) == 0 && c.MayHaveUnread() {
 					c.NoteDrained()
 				}
-				if len(unread) == 0 { // the reader waits for it
+				if len(unread) == 0 { // the reader waits for data
 					now += time.Duration(rng.IntN(50)) * ms
 					unread = append(unread, now)
 					c.NoteRead(now, false)
