--- a/internal/reasons/reasons.go
+++ b/internal/reasons/reasons.go
@@ -1,6 +1,6 @@
-// Package reasons counts why requests waited, were refused or failed, by class and tenant. The module gives the reasons
-// (logic.Reason); a host adds what it turns away by itself. It never decides anything and starts nothing: who owns a
-// Counts guards it.
+// Package reasons counts by class and tenant why requests waited, were refused or failed. The balancer
+// module provides the reasons (logic.Reason); a host adds those for which it refuses requests itself. The
+// package makes no decisions and starts no goroutines. The owner of a Counts guards it.
 package reasons
 
 import (
@@ -13,10 +13,10 @@
 	"linenloom/logic"
 )
 
-// Outcome became of a request.
+// Outcome is what happened to a request.
 type Outcome uint8
 
-// A request may wait more than once; it is refused or fails once at the most.
+// A request may wait more than once; it is refused or fails at most once.
 const (
 	Waited Outcome = iota
 	Refused
@@ -28,22 +28,22 @@
 	return [...]string{"waited", "refused", "failed", "unknown"}[min(w, outcomeCount)]
 }
 
-// Host's own reasons follow those of the module.
+// Reasons of the host. They follow those of the module.
 const (
-	HostFull     logic.Reason = logic.Reasons + iota // as many requests, or bytes of them, in hand as the memory is for
-	Stopping                                         // the proxy takes nothing any more
-	Overload                                         // it waited too long to be read: more comes than the proxy's core can do
-	RecordFull                                       // the record of orders has no room for another
-	RecordBehind                                     // the record's disk is slow, or the process before still has it
-	RecordFault                                      // the record's disk can't be written
-	OrderInHand                                      // a request in hand has the order's name
-	OtherOrder                                       // the order's name stands for another order
-	OrderHasRun                                      // and its receipt is not told here
-	OrderUnknown                                     // it may have run, and is to be looked up
+	HostFull     logic.Reason = logic.Reasons + iota // the requests in progress, or their bytes, have reached the memory limit
+	Stopping                                         // the proxy accepts no further requests
+	Overload                                         // the request waited unread for too long: the proxy's core is overloaded
+	RecordFull                                       // the record of orders is full
+	RecordBehind                                     // the record's disk is slow, or the predecessor process still holds the record
+	RecordFault                                      // writes to the record's disk fail
+	OrderInHand                                      // a request in progress has the order's name
+	OtherOrder                                       // the order's name is that of another order
+	OrderHasRun                                      // the order has run, and its receipt is not disclosed
+	OrderUnknown                                     // the order may have run, and an operator has to look it up
 	reasonCount
 )
 
-// Name is a reason's name in logs and reports.
+// Name returns the name of a reason in logs and reports.
 func Name(r logic.Reason) string {
 	if r >= HostFull && r < reasonCount {
 		return [reasonCount - HostFull]string{"host_full", "stopping", "overload", "record_full", "record_behind", "record_fault", "order_in_hand", "other_order",
@@ -52,14 +52,14 @@
 	return r.String()
 }
 
-// Counts are counts since the start. Its size is fixed when it is made.
+// Counts holds the counts since the start. Its size is fixed at creation.
 type Counts struct {
 	classes, tenants []string
 	values           []uint64
 }
 
-// New makes counts for these classes and tenants, by their places in the settings. No tenant at all counts as one
-// without a name.
+// New returns counts for these classes and tenants, indexed by their positions in the settings. Without
+// tenants there is one with an empty name.
 func New(classes, tenants []string) *Counts {
 	if len(tenants) == 0 {
 		tenants = []string{""}
@@ -69,47 +69,48 @@
 	return c
 }
 
-// Add counts one. A class or tenant that the settings don't have is counted with none.
-func (c *Counts) Add(w Outcome, class, tenant int, why logic.Reason) {
+// Add counts one request. A tenant that the settings don't have counts as the first one; an unknown
+// class, outcome or reason is not counted.
+func (c *Counts) Add(outcome Outcome, class, tenant int, reason logic.Reason) {
 	if tenant < 0 || tenant >= len(c.tenants) {
 		tenant = 0
 	}
-	if class < 0 || class >= len(c.classes) || w >= outcomeCount || why >= reasonCount {
+	if class < 0 || class >= len(c.classes) || outcome >= outcomeCount || reason >= reasonCount {
 		return
 	}
-	c.values[c.index(class, tenant, w, why)]++
+	c.values[c.index(class, tenant, outcome, reason)]++
 }
 
 func (c *Counts) index(class, tenant int, w Outcome, why logic.Reason) int {
 	return ((class*len(c.tenants)+tenant)*int(outcomeCount)+int(w))*int(reasonCount) + int(why)
 }
 
-// Clone is a copy that changes no more.
+// Clone returns a copy that no longer changes.
 func (c *Counts) Clone() *Counts {
 	return &Counts{classes: c.classes, tenants: c.tenants, values: slices.Clone(c.values)}
 }
 
-// ForClasses is the counts for other classes: a class that is in both keeps its own.
+// ForClasses returns the counts for other classes. A class in both sets keeps its counts.
 func (c *Counts) ForClasses(classes []string) *Counts {
-	n := New(classes, c.tenants)
-	each := len(c.values) / max(1, len(c.classes))
+	converted := New(classes, c.tenants)
+	perClass := len(c.values) / max(1, len(c.classes))
 	for i, name := range classes {
 		if was := slices.Index(c.classes, name); was >= 0 {
-			copy(n.values[i*each:(i+1)*each], c.values[was*each:])
+			copy(converted.values[i*perClass:(i+1)*perClass], c.values[was*perClass:])
 		}
 	}
-	return n
+	return converted
 }
 
-// Since is what has been counted since an earlier copy; nil stands for the start.
+// Since returns the counts since an earlier copy; nil stands for the start.
 func (c *Counts) Since(was *Counts) *Counts {
-	d := c.Clone()
+	difference := c.Clone()
 	if was != nil {
-		for i := range d.values {
-			d.values[i] -= was.values[i]
+		for i := range difference.values {
+			difference.values[i] -= was.values[i]
 		}
 	}
-	return d
+	return difference
 }
 
 // Row is one count.
@@ -120,7 +121,7 @@
 	Count         uint64
 }
 
-// Rows are the counts that are not zero, by class, tenant and what became of the requests, the largest first.
+// Rows returns the nonzero counts by class, tenant and outcome, the largest first.
 func (c *Counts) Rows() (rows []Row) {
 	for i, class := range c.classes {
 		for k, tenant := range c.tenants {
@@ -138,17 +139,18 @@
 	return rows
 }
 
-// Total is how many requests of all classes and tenants became that for that reason.
-func (c *Counts) Total(w Outcome, why logic.Reason) (n uint64) {
+// Total returns the number of requests of all classes and tenants with this outcome and reason.
+func (c *Counts) Total(outcome Outcome, reason logic.Reason) (n uint64) {
 	for i := range c.classes {
 		for k := range c.tenants {
-			n += c.values[c.index(i, k, w, why)]
+			n += c.values[c.index(i, k, outcome, reason)]
 		}
 	}
 	return n
 }
 
-// Attrs are the counts as names and values for a structured log: what became of whose requests, and why.
+// Attrs returns the counts as names and values for a structured log. A name consists of outcome, class
+// and tenant; its value lists the reasons.
 func (c *Counts) Attrs() (attrs []any) {
 	var name string
 	var text strings.Builder
--- a/internal/reasons/reasons_test.go
+++ b/internal/reasons/reasons_test.go
@@ -16,7 +16,7 @@
 		c.Add(Refused, 0, 1, logic.Throttled)
 	}
 	c.Add(Refused, 0, 1, logic.NoRoom)
-	c.Add(Failed, 1, 99, logic.MayHaveRun) // a tenant that nobody knows counts with the first
+	c.Add(Failed, 1, 99, logic.MayHaveRun) // an unknown tenant counts as the first
 	c.Add(Refused, 1, 0, HostFull)
 	for _, bad := range []int{-1, 2} {
 		c.Add(Failed, bad, 0, logic.MayHaveRun)
@@ -35,7 +35,7 @@
 	}
 }
 
-// Each reason has a name of its own, so that none hides behind another.
+// Each reason has a distinct name, so that no two are confused.
 func TestEveryReasonHasAName(t *testing.T) {
 	seen := map[string]bool{}
 	for r := range reasonCount {
