--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -96,7 +96,7 @@
 	stallTimer     atomic.Pointer[stallTimer] // of the open watch
 	silenceTimeout time.Duration              // the constant; tests set a shorter one
 	callTimeout    time.Duration              // callTimeout or agentCallTimeout; tests set a shorter one
-	behindSince    time.Time                  // since when the whole list has been older than the known one; zero: it is not
+	behindSince    time.Time                  // when a whole list was first older than the known one; zero: not older
 	loggedEmpty    bool                       // the empty whole list has been logged
 }
 
@@ -122,7 +122,7 @@
 			return
 		}
 		wait := w.Backoff.RetryDelay
-		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // neither is a sign of load, so the long delay has no use
+		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // no sign of load, so a long delay has no use
 			wait = w.Backoff.ReconnectDelay
 		}
 		if n > 0 {
@@ -236,7 +236,9 @@
 	defer cancel(nil)
 	silenceTimer := time.AfterFunc(w.callTimeout, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
-	stalled := &stallTimer{timer: time.AfterFunc(time.Hour, func() { cancel(fmt.Errorf("a line stalled for %v", lineStallTimeout)) })}
+	stalled := &stallTimer{timer: time.AfterFunc(time.Hour, func() {
+		cancel(fmt.Errorf("a line stalled for %v", lineStallTimeout))
+	})}
 	defer stalled.timer.Stop()
 	w.stallTimer.Store(stalled)
 	defer w.stallTimer.Store(nil)
@@ -290,7 +292,8 @@
 			// Discovery has far more likely lost its records than the whole fleet is gone: members that leave are
 			// reported one by one. An empty list in force would refuse every request.
 			if !w.loggedEmpty {
-				w.Log.Warn("discovery sent a whole list without members; the known list stays in force", "revision", w.Revision, "told", list.Revision)
+				w.Log.Warn("discovery sent a whole list without members; the known list stays in force", "revision", w.Revision,
+					"told", list.Revision)
 			}
 			w.loggedEmpty = true
 			continue
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -22,7 +22,7 @@
 	lastSpread                                           time.Duration // spread of the latest delay
 	lastFailed                                           bool          // the latest call failed
 	agent                                                bool          // discovery is an agent of this proxy only
-	position, positionStep                               float64       // position of this proxy among all, from 0 to 1, and the distance between two positions
+	position, positionStep                               float64       // position among all proxies, from 0 to 1, and its step
 	rand                                                 *rand.Rand
 }
 
@@ -56,19 +56,22 @@
 // least every maxInterval (0: not specified). polled is true if discovery is one service that all of them
 // poll.
 func NewBackoff(polled bool, self, instances int, maxInterval time.Duration, seed uint64) *Backoff {
-	backoff := &Backoff{agent: !polled, reconnectSpread: agentReconnectSpread, retrySpread: agentRetrySpread, maxSpread: agentRetrySpread,
-		rand: rand.New(rand.NewPCG(seed, 0xd15c))}
+	backoff := &Backoff{agent: !polled, reconnectSpread: agentReconnectSpread, retrySpread: agentRetrySpread,
+		maxSpread: agentRetrySpread, rand: rand.New(rand.NewPCG(seed, 0xd15c))}
 	instances = max(1, instances)
-	backoff.position, backoff.positionStep = float64((self%instances+instances)%instances)/float64(instances), 1/float64(instances)
+	backoff.position, backoff.positionStep = float64((self%instances+instances)%instances)/float64(instances),
+		1/float64(instances)
 	if polled {
 		all := time.Duration(instances) * spreadPerProxy
 		backoff.startSpread, backoff.reconnectSpread, backoff.retrySpread, backoff.maxSpread = all, all, 2*all, 4*all
 		if maxInterval > 0 {
 			backoff.startSpread = min(all, fraction(maxInterval, startShare))
 			backoff.reconnectSpread = min(all, fraction(maxInterval, reconnectShare))
-			backoff.retrySpread, backoff.maxSpread = min(2*all, fraction(maxInterval, retryShare)), min(4*all, fraction(maxInterval, maxShare))
+			backoff.retrySpread, backoff.maxSpread = min(2*all, fraction(maxInterval, retryShare)),
+				min(4*all, fraction(maxInterval, maxShare))
 		}
-		backoff.reconnectSpread, backoff.retrySpread, backoff.maxSpread = max(agentReconnectSpread, min(maxReconnectSpread, backoff.reconnectSpread)), max(minRetrySpread, backoff.retrySpread), max(minRetrySpread, backoff.maxSpread)
+		backoff.reconnectSpread, backoff.retrySpread, backoff.maxSpread = max(agentReconnectSpread,
+			min(maxReconnectSpread, backoff.reconnectSpread)), max(minRetrySpread, backoff.retrySpread), max(minRetrySpread, backoff.maxSpread)
 	}
 	return backoff
 }
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -155,7 +155,8 @@
 func TestLongestDelayFromSilenceToUpdate(t *testing.T) {
 	const counts = 6 * time.Second
 	agent := NewBackoff(false, 3, 4, 0, 1)
-	// Two watches replace the first one: one hangs, or is silent from its first line on, and the next delivers the change.
+	// Two watches replace the first one: one hangs, or is silent from its first line on, and the next delivers the
+	// change.
 	for name, second := range map[string]time.Duration{"hangs": agentCallTimeout + agent.reconnectSpread, "is silent too": agentCallTimeout + silenceTimeout + agent.reconnectSpread,
 		"is refused": agent.retrySpread} {
 		way := silenceTimeout + agent.reconnectSpread + second
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -170,7 +170,8 @@
 		return Usage{}, fmt.Errorf("handover: %w", err)
 	}
 	b = [usageSize]byte{}
-	d.usageFile.ReadAt(b[:], otherOffset) // a short read: the other process has recorded nothing yet, so its usage is zero
+	// A short read means that the other process has recorded nothing yet: its usage is zero.
+	d.usageFile.ReadAt(b[:], otherOffset)
 	return Usage{int64(binary.LittleEndian.Uint64(b[:])), int64(binary.LittleEndian.Uint64(b[8:]))}, nil
 }
 
--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -39,8 +39,9 @@
 	headerBytes = len(magic) + 2 + 4 + 4 // version, length and CRC32C of the body, big-endian
 )
 
-// Half-lives of the difference between an inherited value and the default of a fresh process. Counts decay like the
-// window in which they are halved. The latency and concurrency limit of a member stay valid for longer than an ejection.
+// Half-lives of the difference between an inherited value and the default of a fresh process. Counts decay like
+// the window in which they are halved. The latency and concurrency limit of a member stay valid for longer than an
+// ejection.
 const (
 	countsHalfLife  = 4 * time.Second
 	loadHalfLife    = 4 * time.Second
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -184,7 +184,8 @@
 			c.front.connections = slices.Delete(c.front.connections, i, i+1)
 		}
 		c.front.mu.Unlock()
-		go c.front.proxy.Do(func() { c.front.proxy.Descriptors(-1) }) // in a goroutine, as the caller may hold the host's lock
+		// In a goroutine, as the caller may hold the host's lock.
+		go c.front.proxy.Do(func() { c.front.proxy.Descriptors(-1) })
 	})
 	return c.Conn.Close()
 }
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -52,8 +52,8 @@
 		t.Fatal(err)
 	}
 	cfg.AcceptMore = 0
-	// Attempts are counted when they are sent: on a busy machine a server may start an abandoned attempt after later ones
-	// have been counted.
+	// Attempts are counted when they are sent: on a busy machine a server may start an abandoned attempt after later
+	// ones have been counted.
 	sentTo := map[logic.MemberID]int{}
 	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) { sentTo[m]++ }
 	dir, _, err := handover.Open(path, "m")
@@ -213,7 +213,8 @@
 	if _, err := other.Update(func(s maintenance.Set) (maintenance.Set, error) { return s.Enter("s-2", 1) }); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(testTimeout); r.proxy.Load().Ready != 2; time.Sleep(time.Millisecond) { // a cache and the origin
+	for end := time.Now().Add(testTimeout); r.proxy.Load().Ready != 2; time.Sleep(time.Millisecond) {
+		// Ready counts a cache and the origin.
 		if time.Now().After(end) {
 			t.Fatal("s-2 is still in use")
 		}
