--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -22,7 +22,7 @@
 	lastSpread                                           time.Duration // spread of the latest delay
 	lastFailed                                           bool          // the latest call failed
 	agent                                                bool          // discovery is an agent of this proxy only
-	position, positionStep                               float64       // position among all proxies, from 0 to 1, and its step
+	position, positionStep                               float64       // position among all proxies, 0 to 1; step
 	rand                                                 *rand.Rand
 }
 
--- a/internal/reasons/reasons.go
+++ b/internal/reasons/reasons.go
@@ -30,11 +30,11 @@
 
 // Reasons of the host. They follow those of the module.
 const (
-	HostFull     logic.Reason = logic.Reasons + iota // requests in progress have reached their limit of count or bytes
+	HostFull     logic.Reason = logic.Reasons + iota // requests in progress, or their bytes, are at the memory limit
 	Stopping                                         // the proxy accepts no further requests
-	Overload                                         // the request waited unread for too long, as the core is overloaded
+	Overload                                         // the core is overloaded: the request waited unread for long
 	RecordFull                                       // the record of orders is full
-	RecordBehind                                     // the record's disk is slow, or the predecessor still holds it
+	RecordBehind                                     // the disk is slow, or the predecessor still has the record
 	RecordFault                                      // writes to the record's disk fail
 	OrderInHand                                      // a request in progress has the order's name
 	OtherOrder                                       // the order's name is that of another order
