--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -41,40 +41,40 @@
 
 // reconnectAll breaks the watches of all proxies at the same time. It returns when the last proxy has a
 // list again, and the number of calls in the worst second.
-func reconnectAll(s *simulatedService, proxies int, wait func(proxy int, p *Backoff, failed bool) time.Duration) (last time.Duration, most int) {
-	type asker struct {
-		at   time.Duration
-		pace *Backoff
+func reconnectAll(s *simulatedService, proxies int, wait func(proxy int, p *Backoff, failed bool) time.Duration) (last time.Duration, maxPerSecond int) {
+	type caller struct {
+		at      time.Duration
+		backoff *Backoff
 	}
-	var open []*asker
+	var waiting []*caller
 	for i := range proxies {
-		a := &asker{pace: NewBackoff(true, i, proxies, 10*time.Second, uint64(i)*977+5)}
-		a.at = wait(i, a.pace, false)
-		open = append(open, a)
+		a := &caller{backoff: NewBackoff(true, i, proxies, 10*time.Second, uint64(i)*977+5)}
+		a.at = wait(i, a.backoff, false)
+		waiting = append(waiting, a)
 	}
 	perSecond := map[time.Duration]int{}
-	for len(open) > 0 && last < 2*time.Minute {
+	for len(waiting) > 0 && last < 2*time.Minute {
 		next := 0
-		for i, a := range open {
-			if a.at < open[next].at {
+		for i, a := range waiting {
+			if a.at < waiting[next].at {
 				next = i
 			}
 		}
-		a := open[next]
+		a := waiting[next]
 		perSecond[a.at/time.Second]++
 		end, listed := s.call(a.at)
 		last = max(last, end)
 		if listed {
-			open[next] = open[len(open)-1]
-			open = open[:len(open)-1]
+			waiting[next] = waiting[len(waiting)-1]
+			waiting = waiting[:len(waiting)-1]
 			continue
 		}
-		a.at = end + wait(next, a.pace, true)
+		a.at = end + wait(next, a.backoff, true)
 	}
 	for _, n := range perSecond {
-		most = max(most, n)
+		maxPerSecond = max(maxPerSecond, n)
 	}
-	return last, most
+	return last, maxPerSecond
 }
 
 func reconnectDelay(_ int, p *Backoff, failed bool) time.Duration {
@@ -95,10 +95,10 @@
 // others. They have the list of their configuration, so they can wait.
 func TestManyStartAtOnce(t *testing.T) {
 	s := &simulatedService{callTime: 70 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, freeAt: 2 * time.Second}
-	last, most := reconnectAll(s, 64, startDelay)
-	t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, most)
-	if last > 25*time.Second || most > 40 {
-		t.Errorf("the last proxy has a list after %v, with %d calls in the worst second; want 25s and 40", last, most)
+	last, maxPerSecond := reconnectAll(s, 64, startDelay)
+	t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, maxPerSecond)
+	if last > 25*time.Second || maxPerSecond > 40 {
+		t.Errorf("the last proxy has a list after %v, with %d calls in the worst second; want 25s and 40", last, maxPerSecond)
 	}
 }
 
@@ -109,11 +109,11 @@
 	for _, proxies := range []int{64, 4} {
 		s := &simulatedService{callTime: 40 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, downAt: time.Duration(proxies) * 25 * time.Millisecond,
 			upAt: 6500 * time.Millisecond}
-		last, most := reconnectAll(s, proxies, startDelay)
-		t.Logf("%d proxies: all have a list %v after it is back, %d calls, %d in the worst second", proxies, last-s.upAt, s.calls, most)
-		if last-s.upAt > 8*time.Second || most > 40 {
+		last, maxPerSecond := reconnectAll(s, proxies, startDelay)
+		t.Logf("%d proxies: all have a list %v after it is back, %d calls, %d in the worst second", proxies, last-s.upAt, s.calls, maxPerSecond)
+		if last-s.upAt > 8*time.Second || maxPerSecond > 40 {
 			t.Errorf("%d proxies: the last has a list %v after discovery is back, with %d calls in the worst second; want 8s and 40",
-				proxies, last-s.upAt, most)
+				proxies, last-s.upAt, maxPerSecond)
 		}
 	}
 }
@@ -121,19 +121,19 @@
 // A proxy calls as often as it must, whatever happens to its calls, including the time to detect a silent
 // watch and one failed call. An agent is called again soon.
 func TestCallsAreInTime(t *testing.T) {
-	const mustAsk = 10 * time.Second
+	const maxInterval = 10 * time.Second
 	for _, instances := range []int{1, 4, 80, 1000} {
 		self := instances / 3
-		p := NewBackoff(true, self, instances, mustAsk, 1)
+		p := NewBackoff(true, self, instances, maxInterval, 1)
 		const restart = 2 * time.Second // from the kill to the start of the next process
 		for range 1000 {
 			start := p.StartDelay()
-			if d := silenceTimeout + p.ReconnectDelay() + restart + start; d > mustAsk {
+			if d := silenceTimeout + p.ReconnectDelay() + restart + start; d > maxInterval {
 				t.Fatalf("%d proxies: killed after its watch fell silent, the next process asks after %v", instances, d)
 			}
-			const vain = 2 * time.Second
+			const failedCall = 2 * time.Second
 			for range 6 {
-				if d := vain + p.RetryDelay(); d > mustAsk {
+				if d := failedCall + p.RetryDelay(); d > maxInterval {
 					t.Fatalf("%d proxies: asks %v after a call in vain", instances, d)
 				}
 			}
@@ -172,13 +172,13 @@
 	} {
 		t.Run(fmt.Sprintf("%d proxies, %v for all, overbooked %v times", c.proxies, c.all, c.overbook), func(t *testing.T) {
 			s := &simulatedService{callTime: c.all / time.Duration(c.proxies), timeout: 2 * time.Second, overbook: c.overbook}
-			last, most := reconnectAll(s, c.proxies, reconnectDelay)
-			t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, most)
+			last, maxPerSecond := reconnectAll(s, c.proxies, reconnectDelay)
+			t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, maxPerSecond)
 			if last > c.within {
 				t.Errorf("the last proxy has a list after %v, want within %v", last, c.within)
 			}
-			if most > c.perS {
-				t.Errorf("%d calls in a second, want at most %d", most, c.perS)
+			if maxPerSecond > c.perS {
+				t.Errorf("%d calls in a second, want at most %d", maxPerSecond, c.perS)
 			}
 		})
 	}
@@ -188,11 +188,11 @@
 // proxy with a long start delay has a short reconnect delay. So the calls of a position are no further
 // apart than its starts, and the sum of both delays is bounded by the longest start delay.
 func TestPositionsInTheSpread(t *testing.T) {
-	const proxies, mustAsk = 80, 10 * time.Second
-	longest := fraction(mustAsk, startShare)
+	const proxies, maxInterval = 80, 10 * time.Second
+	longest := fraction(maxInterval, startShare)
 	step := longest / proxies
 	for self := range proxies {
-		one, next := NewBackoff(true, self, proxies, mustAsk, uint64(self)), NewBackoff(true, self, proxies, mustAsk, 1e6+uint64(self))
+		one, next := NewBackoff(true, self, proxies, maxInterval, uint64(self)), NewBackoff(true, self, proxies, maxInterval, 1e6+uint64(self))
 		a, b := one.StartDelay(), next.StartDelay()
 		if d := (a - b).Abs(); d > step {
 			t.Errorf("place %d: %v after one start, %v after the next", self, a, b)
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -111,7 +111,7 @@
 		},
 		"before its head": hangs,
 	}
-	again := map[string][]connScript{
+	nextScripts := map[string][]connScript{
 		"opened at once":           nil,
 		"refused":                  {refuses, refuses},
 		"reset":                    {resets, resets},
@@ -122,7 +122,7 @@
 		"is cut in its first line": {writesChunks(drainUpdate[:20])},
 	}
 	for name, first := range silent {
-		for then, parts := range again {
+		for then, parts := range nextScripts {
 			t.Run(name+", then "+then, func(t *testing.T) {
 				t.Parallel()
 				p := startScriptedServer(t, append(append([]connScript{first}, parts...), writesChunks(drainUpdate))...)
@@ -153,26 +153,26 @@
 // below the 6 s after which the change counts as announced. An agent responds at once; a discovery
 // service that is polled has 2 s for a call.
 func TestLongestDelayFromSilenceToUpdate(t *testing.T) {
-	const counts = 6 * time.Second
+	const announcedAfter = 6 * time.Second
 	agent := NewBackoff(false, 3, 4, 0, 1)
 	// Two watches replace the first one: one hangs, or is silent from its first line on, and the next delivers the
 	// change.
 	for name, second := range map[string]time.Duration{"hangs": agentCallTimeout + agent.reconnectSpread, "is silent too": agentCallTimeout + silenceTimeout + agent.reconnectSpread,
 		"is refused": agent.retrySpread} {
-		way := silenceTimeout + agent.reconnectSpread + second
-		t.Logf("pushed, and the second one %s: at most %v", name, way)
-		if way >= counts {
-			t.Errorf("pushed, and the second one %s: at most %v", name, way)
+		delay := silenceTimeout + agent.reconnectSpread + second
+		t.Logf("pushed, and the second one %s: at most %v", name, delay)
+		if delay >= announcedAfter {
+			t.Errorf("pushed, and the second one %s: at most %v", name, delay)
 		}
 	}
 	const call = 2 * time.Second // a call that has waited for this long is rejected
 	for _, instances := range []int{1, 4, 80, 300, 2000} {
-		for _, mustAsk := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute} {
+		for _, maxInterval := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute} {
 			for self := 0; self < instances; self += max(1, instances/7) {
-				p := NewBackoff(true, self, instances, mustAsk, 1)
+				p := NewBackoff(true, self, instances, maxInterval, 1)
 				for range 100 {
-					if way := silenceTimeout + p.ReconnectDelay() + call; way >= counts {
-						t.Fatalf("asked, %d proxies that must ask every %v: at most %v", instances, mustAsk, way)
+					if delay := silenceTimeout + p.ReconnectDelay() + call; delay >= announcedAfter {
+						t.Fatalf("asked, %d proxies that must ask every %v: at most %v", instances, maxInterval, delay)
 					}
 				}
 			}
@@ -192,8 +192,8 @@
 // Each list may be on several lines, with empty lines between them and strings that look like the end of
 // an object.
 func TestIndentedLists(t *testing.T) {
-	odd := `{"revision":5,"complete":true,"members":[{"id":"s-{\"}]","phase":"in_service"},{"id":"s-a","phase":"in_service"}]}`
-	p := startScriptedServer(t, writesChunks(indented(odd), heartbeat, indented(drainUpdate)[:30], indented(drainUpdate)[30:], heartbeat))
+	escaped := `{"revision":5,"complete":true,"members":[{"id":"s-{\"}]","phase":"in_service"},{"id":"s-a","phase":"in_service"}]}`
+	p := startScriptedServer(t, writesChunks(indented(escaped), heartbeat, indented(drainUpdate)[:30], indented(drainUpdate)[30:], heartbeat))
 	taken := make(chan List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	w := Watcher{Addr: p.addr, Backoff: NewBackoff(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), OnBreak: func() {},
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
 			var asked []string
-			again := make(chan struct{})
+			secondCall := make(chan struct{})
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 				mu.Lock()
 				asked = append(asked, q.URL.Query().Get("from"))
@@ -50,7 +50,7 @@
 				case 2:
 					fmt.Fprintln(w, `{"revision":7,"complete":false,"members":[{"id":"s-a","phase":"terminating"}]}`)
 					w.(http.Flusher).Flush()
-					close(again)
+					close(secondCall)
 				}
 				<-q.Context().Done()
 			}))
@@ -63,7 +63,7 @@
 			go func() { w.Run(ctx); close(done) }()
 			t.Cleanup(func() { stop(); <-done; s.Close() })
 			select {
-			case <-again:
+			case <-secondCall:
 			case <-time.After(testTimeout):
 				t.Fatal("not asked again")
 			}
--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -72,7 +72,7 @@
 	var reply struct {
 		Keys []told `json:"keys"`
 	}
-	for _, k := range m.many.Gather.Places() {
+	for _, k := range m.many.Gather.KeyIndexes() {
 		reply.Keys = append(reply.Keys, m.keys[k])
 	}
 	body, err := json.Marshal(reply)
--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -64,17 +64,17 @@
 // Snapshot is the state that one process passes on to its successor. The JSON keys are part of the stored
 // format.
 type Snapshot struct {
-	Fleet      uint64                  // result of FleetHash
-	TakenMS    int64                   // Unix time
-	Balancer   logic.Learnt            `json:"Learnt"`
-	Links      map[logic.MemberID]Link `json:"Members"`
+	Fleet      uint64                       // result of FleetHash
+	TakenMS    int64                        // Unix time
+	Balancer   logic.Learnt                 `json:"Learnt"`
+	Links      map[logic.MemberID]LinkState `json:"Members"`
 	Idle       pool.IdleLearnt
 	ReuseShare float64 `json:"Reuse"` // share of client connections that carry further requests
 }
 
-// Link is the connection state of a member: its address, by which a reused id is detected, and the
+// LinkState is the connection state of a member: its address, by which a reused id is detected, and the
 // statistics of its connections.
-type Link struct {
+type LinkState struct {
 	Addr string
 	pool.Learnt
 }
@@ -114,7 +114,7 @@
 		members := slices.Clone(s.Balancer.Members)
 		slices.SortStableFunc(members, func(a, b logic.LearntMember) int { return b.Seen - a.Seen })
 		s.Balancer.Members = members[:n]
-		links := map[logic.MemberID]Link{}
+		links := map[logic.MemberID]LinkState{}
 		for _, m := range s.Balancer.Members {
 			links[m.ID] = s.Links[m.ID]
 		}
@@ -200,7 +200,7 @@
 	balancer.Asked, balancer.Answered = balancer.Asked*share, balancer.Answered*share
 	balancer.Fails *= remainingShare(age, failsHalfLife)
 	s.Balancer = balancer
-	links := make(map[logic.MemberID]Link, len(s.Links))
+	links := make(map[logic.MemberID]LinkState, len(s.Links))
 	for _, m := range balancer.Members {
 		links[m.ID] = s.Links[m.ID]
 	}
--- a/internal/inherit/inherit_test.go
+++ b/internal/inherit/inherit_test.go
@@ -16,7 +16,7 @@
 // sampleSnapshot returns a snapshot with the given number of members, and the entries of the successor's
 // list for them.
 func sampleSnapshot(members int) (Snapshot, map[logic.MemberID]CurrentMember) {
-	s := Snapshot{Fleet: FleetHash("a", "b"), TakenMS: sampleTakenMS, Links: map[logic.MemberID]Link{}, ReuseShare: 0.1,
+	s := Snapshot{Fleet: FleetHash("a", "b"), TakenMS: sampleTakenMS, Links: map[logic.MemberID]LinkState{}, ReuseShare: 0.1,
 		Idle:     pool.IdleLearnt{Used: []float64{8, 4}, Broke: []float64{0, 4}},
 		Balancer: logic.Learnt{Total: 100, Kept: 40, Latency: 0.02, Fails: 0.1, Arrivals: 60, Carried: 50, Span: 4, Asked: 30, Answered: 28}}
 	now := map[logic.MemberID]CurrentMember{}
@@ -24,7 +24,7 @@
 		id := logic.MemberID(i + 1)
 		s.Balancer.Members = append(s.Balancer.Members, logic.LearntMember{ID: id, Limit: 30, Latency: 0.01, Seen: 1000 + i, Fails: 0.2,
 			Streak: 2, Out: time.Second})
-		s.Links[id] = Link{Addr: "10.1.0.1:6379", Learnt: pool.Learnt{Turn: time.Millisecond, Clean: 9}}
+		s.Links[id] = LinkState{Addr: "10.1.0.1:6379", Learnt: pool.Learnt{Turn: time.Millisecond, Clean: 9}}
 		now[id] = CurrentMember{Addr: "10.1.0.1:6379"}
 	}
 	s.Balancer.Keys = []logic.LearntKey{{Key: 7, Count: 20, Err: 2, At: []logic.MemberID{1}}}
--- a/internal/joining/joining.go
+++ b/internal/joining/joining.go
@@ -42,18 +42,18 @@
 // readIdentity holds everything that the answer to a read depends on. Reads with equal identities may
 // share an answer.
 type readIdentity struct {
-	key, names string
-	class      int
-	tenant     int // -1: any tenant
+	key, attributes string
+	class           int
+	tenant          int // -1: any tenant
 }
 
 // NewRead describes a read. names are the attributes of its request, except those that differ between
 // equal requests. It returns false for writes and for classes whose requests may not be repeated at will.
-func (l Limits) NewRead(r *logic.Request, effect logic.Effect, key, names string) (Read, bool) {
+func (l Limits) NewRead(r *logic.Request, effect logic.Effect, key, attributes string) (Read, bool) {
 	if r.Write || effect != logic.Repeatable || key == "" {
 		return Read{}, false
 	}
-	identity := readIdentity{key: key, names: names, class: r.Class, tenant: -1}
+	identity := readIdentity{key: key, attributes: attributes, class: r.Class, tenant: -1}
 	if !l.AcrossTenants {
 		identity.tenant = r.Tenant
 	}
--- a/internal/joining/joining_test.go
+++ b/internal/joining/joining_test.go
@@ -139,7 +139,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		l := Limits{Followers: 1 + rng.IntN(30), PerTenant: 1 + rng.IntN(20), Groups: 1 + rng.IntN(6), AcrossTenants: seed%2 == 0}
 		tab := New(l)
-		until, since, what := map[ID]time.Duration{}, map[ID]int{}, map[ID]string{}
+		deadlines, startSteps, keys := map[ID]time.Duration{}, map[ID]int{}, map[ID]string{}
 		leads, follows := map[ID]bool{}, map[ID]bool{}
 		fenced := map[string]int{} // latest fence by key
 		pick := func(m map[ID]bool) (ID, bool) {
@@ -155,8 +155,8 @@
 			switch k := rng.IntN(12); {
 			case k < 7:
 				key, tenant := fmt.Sprint("k", rng.IntN(4)), rng.IntN(3)
-				until[id], since[id], what[id] = time.Duration(rng.IntN(50)), step, key
-				switch tab.Join(newTestRead(t, l, id, key, tenant, until[id])) {
+				deadlines[id], startSteps[id], keys[id] = time.Duration(rng.IntN(50)), step, key
+				switch tab.Join(newTestRead(t, l, id, key, tenant, deadlines[id])) {
 				case Lead:
 					leads[id] = true
 				case Follow:
@@ -165,10 +165,10 @@
 			case k == 7:
 				if lead, ok := pick(leads); ok {
 					for _, f := range tab.Complete(lead) {
-						if !follows[f] || what[f] != what[lead] {
+						if !follows[f] || keys[f] != keys[lead] {
 							t.Fatalf("seed %d: %d shares what %d got", seed, f, lead)
 						}
-						if fence, ok := fenced[what[f]]; ok && since[lead] < fence && since[f] > fence {
+						if fence, ok := fenced[keys[f]]; ok && startSteps[lead] < fence && startSteps[f] > fence {
 							t.Fatalf("seed %d: a read after a write's answer gets what was asked for before", seed)
 						}
 						delete(follows, f)
@@ -179,12 +179,12 @@
 				if lead, ok := pick(leads); ok {
 					n := tab.FollowerCount(lead)
 					next, ok := tab.PassLead(lead)
-					if ok != (n > 0) || ok && (!follows[next] || what[next] != what[lead]) {
+					if ok != (n > 0) || ok && (!follows[next] || keys[next] != keys[lead]) {
 						t.Fatalf("seed %d: of %d the lead goes to %d, %v", seed, n, next, ok)
 					}
 					delete(leads, lead)
 					if ok {
-						since[next] = step // its attempt is sent now
+						startSteps[next] = step // its attempt is sent now
 						delete(follows, next)
 						leads[next] = true
 					}
--- a/internal/manykeys/manykeys.go
+++ b/internal/manykeys/manykeys.go
@@ -47,7 +47,7 @@
 type Gather struct {
 	limits      Limits
 	keys        []string               // each once, in order of first occurrence
-	places      []int                  // by position in the request: index into keys
+	keyIndexes  []int                  // by position in the request: index into keys
 	caches      []uint64               // cache of each of keys, when the request began
 	outcomes    []Outcome              // outcome of each of keys
 	queues      map[uint64]*cacheQueue // by cache
@@ -72,7 +72,7 @@
 	case len(keys) > l.Keys:
 		return nil, fmt.Errorf("%w: %d, and %d are allowed", ErrTooMany, len(keys), l.Keys)
 	}
-	g := &Gather{limits: l, places: make([]int, len(keys)), queues: map[uint64]*cacheQueue{}}
+	g := &Gather{limits: l, keyIndexes: make([]int, len(keys)), queues: map[uint64]*cacheQueue{}}
 	seen := make(map[string]int, len(keys))
 	for i, key := range keys {
 		k, repeated := seen[key]
@@ -90,7 +90,7 @@
 			}
 			queue.pending = append(queue.pending, k)
 		}
-		g.places[i] = k
+		g.keyIndexes[i] = k
 	}
 	g.outcomes = make([]Outcome, len(g.keys))
 	g.pending = len(g.keys)
@@ -153,5 +153,5 @@
 // Len returns the number of distinct keys.
 func (g *Gather) Len() int { return len(g.keys) }
 
-// Places returns, for each position in the request, the index of its key.
-func (g *Gather) Places() []int { return g.places }
+// KeyIndexes returns, for each position in the request, the index of its key.
+func (g *Gather) KeyIndexes() []int { return g.keyIndexes }
--- a/internal/manykeys/manykeys_test.go
+++ b/internal/manykeys/manykeys_test.go
@@ -30,50 +30,50 @@
 		for i := range keys {
 			keys[i] = fmt.Sprint("k", rng.IntN(120))
 		}
-		boxes := uint64(1 + rng.IntN(9))
+		caches := uint64(1 + rng.IntN(9))
 		home := func(key string) uint64 {
 			var n uint64
 			fmt.Sscanf(key, "k%d", &n)
-			return n % boxes
+			return n % caches
 		}
 		g, err := New(l, keys, home)
 		if err != nil {
 			t.Fatal(err)
 		}
-		asked := map[string]bool{}
-		var out []int
-		part := map[uint64]map[int]bool{} // current part by cache
+		requested := map[string]bool{}
+		var outstanding []int
+		parts := map[uint64]map[int]bool{} // current part by cache
 		bytes := 0
 		for steps := 0; !g.Finished(); steps++ {
 			if steps > 10_000 {
 				t.Fatalf("seed %d: it never ends", seed)
 			}
-			fresh := map[uint64][]int{}
+			newParts := map[uint64][]int{}
 			for _, k := range g.Next() {
-				if asked[g.Key(k)] {
+				if requested[g.Key(k)] {
 					t.Fatalf("seed %d: %s is asked for twice", seed, g.Key(k))
 				}
-				asked[g.Key(k)] = true
+				requested[g.Key(k)] = true
 				at := home(g.Key(k))
-				fresh[at] = append(fresh[at], k)
-				out = append(out, k)
+				newParts[at] = append(newParts[at], k)
+				outstanding = append(outstanding, k)
 			}
-			for at, ks := range fresh {
-				if len(part[at]) > 0 || len(ks) > l.PartSize {
-					t.Fatalf("seed %d: %d keys go to cache %d, where %d are out", seed, len(ks), at, len(part[at]))
+			for at, ks := range newParts {
+				if len(parts[at]) > 0 || len(ks) > l.PartSize {
+					t.Fatalf("seed %d: %d keys go to cache %d, where %d are out", seed, len(ks), at, len(parts[at]))
 				}
-				part[at] = map[int]bool{}
+				parts[at] = map[int]bool{}
 				for _, k := range ks {
-					part[at][k] = true
+					parts[at][k] = true
 				}
 			}
-			if len(out) > l.Outstanding || len(out) != g.Outstanding() || len(out) == 0 {
-				t.Fatalf("seed %d: %d are out, %d counted, %d allowed", seed, len(out), g.Outstanding(), l.Outstanding)
+			if len(outstanding) > l.Outstanding || len(outstanding) != g.Outstanding() || len(outstanding) == 0 {
+				t.Fatalf("seed %d: %d are out, %d counted, %d allowed", seed, len(outstanding), g.Outstanding(), l.Outstanding)
 			}
-			i := rng.IntN(len(out))
-			k := out[i]
-			out = append(out[:i], out[i+1:]...)
-			delete(part[home(g.Key(k))], k)
+			i := rng.IntN(len(outstanding))
+			k := outstanding[i]
+			outstanding = append(outstanding[:i], outstanding[i+1:]...)
+			delete(parts[home(g.Key(k))], k)
 			m, size := Outcome(1+rng.IntN(5)), rng.IntN(60)
 			switch got := g.Complete(k, m, size); {
 			case got == Served:
@@ -86,11 +86,11 @@
 				t.Fatalf("seed %d: a key is marked twice", seed)
 			}
 		}
-		if bytes > l.Bytes || len(g.Next()) > 0 || len(out) > 0 {
-			t.Fatalf("seed %d: %d bytes of %d, %d out", seed, bytes, l.Bytes, len(out))
+		if bytes > l.Bytes || len(g.Next()) > 0 || len(outstanding) > 0 {
+			t.Fatalf("seed %d: %d bytes of %d, %d out", seed, bytes, l.Bytes, len(outstanding))
 		}
-		for i, k := range g.Places() {
-			if g.Key(k) != keys[i] || g.Outcome(k) == Pending || !asked[keys[i]] {
+		for i, k := range g.KeyIndexes() {
+			if g.Key(k) != keys[i] || g.Outcome(k) == Pending || !requested[keys[i]] {
 				t.Fatalf("seed %d: place %d: %s, %v", seed, i, g.Key(k), g.Outcome(k))
 			}
 		}
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -27,7 +27,7 @@
 	// readTimeout is how long a call may take to arrive. Callers that send nothing or half a call are
 	// disconnected after that.
 	readTimeout  = 2 * time.Second
-	writeTimeout = time.Second
+	responseTime = time.Second
 	// maxConnections bounds the open connections. A further one replaces the oldest, which can only be
 	// one that stays silent.
 	maxConnections = 16
@@ -76,7 +76,7 @@
 	mux.HandleFunc("PUT /maintenance/exit", f.exit)
 	f.mux = mux
 	f.server = &http.Server{
-		Handler: mux, ReadTimeout: readTimeout, WriteTimeout: readTimeout + writeTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: mux, ReadTimeout: readTimeout, WriteTimeout: readTimeout + responseTime, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	f.server.SetKeepAlivesEnabled(false) // one call per connection
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -20,10 +20,10 @@
 func (p *Proxy) Learnt() (s inherit.Snapshot) {
 	p.Do(func() {
 		s = inherit.Snapshot{Fleet: p.cfg.fleet(), TakenMS: time.Now().UnixMilli(), Balancer: p.bal.Learnt(p.now),
-			Links: make(map[logic.MemberID]inherit.Link), Idle: p.ups.IdleLearnt(), ReuseShare: p.redis.reuse}
+			Links: make(map[logic.MemberID]inherit.LinkState), Idle: p.ups.IdleLearnt(), ReuseShare: p.redis.reuse}
 		for _, m := range s.Balancer.Members {
 			if known := p.members[m.ID]; known != nil {
-				s.Links[m.ID] = inherit.Link{Addr: known.Addr, Learnt: known.Member.Learnt()}
+				s.Links[m.ID] = inherit.LinkState{Addr: known.Addr, Learnt: known.Member.Learnt()}
 			}
 		}
 	})
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -49,7 +49,7 @@
 	}
 	o.many = m
 	if m.stream {
-		m.text = resp.AppendArray(nil, len(m.many.Gather.Places()))
+		m.text = resp.AppendArray(nil, len(m.many.Gather.KeyIndexes()))
 		m.hold(len(m.text))
 	} else {
 		m.texts = make([][]byte, m.many.Gather.Len())
@@ -103,7 +103,7 @@
 		return
 	}
 	was := len(m.text)
-	for place, at := range m.many.Gather.Places() {
+	for place, at := range m.many.Gather.KeyIndexes() {
 		if at == k {
 			m.text = append(m.text, "*2\r\n:"...)
 			m.text = append(strconv.AppendInt(m.text, int64(place), 10), "\r\n"...)
@@ -128,8 +128,8 @@
 		c.flush()
 		return
 	}
-	b := resp.AppendArray(m.p.scratch[:0], len(m.many.Gather.Places()))
-	for _, k := range m.many.Gather.Places() {
+	b := resp.AppendArray(m.p.scratch[:0], len(m.many.Gather.KeyIndexes()))
+	for _, k := range m.many.Gather.KeyIndexes() {
 		b = append(b, m.texts[k]...)
 	}
 	m.hold(-m.held)
@@ -144,7 +144,7 @@
 func (m *manyReply) flushed() (b []byte, last bool) {
 	b, m.text = m.text, nil
 	m.hold(-m.held)
-	return b, m.told == len(m.many.Gather.Places())
+	return b, m.told == len(m.many.Gather.KeyIndexes())
 }
 
 // leave ends a request whose client has gone.
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -64,10 +64,10 @@
 // can serve all reads.
 func TestSheddingKeepsReadsInTime(t *testing.T) {
 	const (
-		serve, turn = 400 * time.Microsecond, 20 * time.Microsecond
-		size        = 100 // bytes per read
-		aim         = 800 * ms
-		span        = 20 * time.Second
+		serveTime, refuseTime = 400 * time.Microsecond, 20 * time.Microsecond
+		size                  = 100 // bytes per read
+		aim                   = 800 * ms
+		span                  = 20 * time.Second
 	)
 	for _, c := range []struct {
 		load, shed, inTime float64 // shed: the maximum
@@ -83,14 +83,14 @@
 			var unread []time.Duration // arrival times
 			var now, next time.Duration
 			var buffered []time.Duration
-			came, shed, inTime := 0, 0, 0
+			arrived, shed, inTime := 0, 0, 0
 			arrive := func() {
 				for next <= now {
 					for range c.burst {
 						unread = append(unread, next)
-						came++
+						arrived++
 					}
-					next += time.Duration(rng.ExpFloat64() * float64(serve) / c.load * float64(c.burst))
+					next += time.Duration(rng.ExpFloat64() * float64(serveTime) / c.load * float64(c.burst))
 				}
 			}
 			for now < span {
@@ -111,17 +111,17 @@
 				buffered = buffered[1:]
 				if w := l.Waited(now); w > 0 && !g.Admit(&logic.Request{}, &classes[0], w) {
 					shed++
-					now += turn
+					now += refuseTime
 					continue
 				}
-				now += serve
+				now += serveTime
 				if now-at <= aim {
 					inTime++
 				}
 			}
-			most := float64(span/serve) * min(1, c.load)
-			if got := float64(shed) / float64(came); got > c.shed {
-				t.Errorf("%.3f of %d turned away, want %.3f at the most", got, came, c.shed)
+			most := float64(span/serveTime) * min(1, c.load)
+			if got := float64(shed) / float64(arrived); got > c.shed {
+				t.Errorf("%.3f of %d turned away, want %.3f at the most", got, arrived, c.shed)
 			}
 			if got := float64(inTime) / most; got < 0.95*c.inTime {
 				t.Errorf("%.3f of what could be is served in time, want %.3f", got, c.inTime)
