--- a/internal/joining/joining.go
+++ b/internal/joining/joining.go
@@ -47,8 +47,9 @@
 	tenant          int // -1: any tenant
 }
 
-// NewRead describes a read. names are the attributes of its request, except those that differ between
-// equal requests. It returns false for writes and for classes whose requests may not be repeated at will.
+// NewRead describes a read. attributes are those of its request, except for those that differ between
+// equal requests. It returns false for writes, for requests without a key and for classes whose requests
+// may not be repeated at will.
 func (l Limits) NewRead(r *logic.Request, effect logic.Effect, key, attributes string) (Read, bool) {
 	if r.Write || effect != logic.Repeatable || key == "" {
 		return Read{}, false
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// One connection of a proxy whose core needs serve for a read and turn for a refusal. At any load, few
-// reads are served too late and little of the core's time is lost, and nothing is refused while the core
-// can serve all reads.
+// One connection of a proxy whose core needs serveTime for a read and refuseTime for a refusal. At any
+// load, few reads are served too late and little of the core's time is lost, and nothing is refused while
+// the core can serve all reads.
 func TestSheddingKeepsReadsInTime(t *testing.T) {
 	const (
 		serveTime, refuseTime = 400 * time.Microsecond, 20 * time.Microsecond
