--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package discovery keeps a watch on the list of members.
+// Package discovery watches the list of members that a discovery service keeps.
 //
-// It uses net/http's client: here, unlike on the way to members, nothing rests on when bytes are written,
-// and a resent call is harmless.
+// It uses the client of net/http: unlike on connections to members, the exact time at which bytes are
+// written does not matter here, and a call that is sent again does no harm.
 package discovery
 
 import (
@@ -23,26 +23,28 @@
 )
 
 const (
-	// silence is how long a watch may say nothing before it counts as broken. A heartbeat comes every 2 s, and what discovery had to
-	// tell counts as told 6 s after the watch fell silent: by then one that was opened in its place and is silent too, from its first
-	// line on, must have been replaced as well. A heartbeat that is late by more than 0.4 s ends a watch for nothing, which
-	// costs the call for another.
-	silence = 2400 * time.Millisecond
-	// answerTime is how long discovery may take to begin its answer where it is asked. Whatever its load, it tells a caller within 2 s that
-	// it has waited too long; one that says nothing by then does not hear the call. An agent answers at once: agentAnswer is for a machine
-	// that is short of its core.
-	answerTime  = 2200 * time.Millisecond
-	agentAnswer = 750 * time.Millisecond
-	dialTimeout = time.Second
-	// stall is how long a line may pause once it has begun. What it says may be that a member drains, so half of one must not be
-	// waited for; a line is written in one go, and pauses only if it has stopped short.
-	stall   = 150 * time.Millisecond
-	maxLine = 1 << 20 // of the list: room for some thousands of members
-	// catchUp is how long a discovery that is asked for the first time may lag behind the one before it.
-	catchUp = 1500 * time.Millisecond
+	// silenceTimeout is how long a watch may be silent before it counts as broken. Discovery sends a
+	// heartbeat every 2 s. A change counts as announced 6 s after the watch fell silent; by then even a
+	// second watch that is silent from its first line on must have been replaced. A heartbeat that is
+	// late by more than 0.4 s ends a healthy watch, which costs one more call.
+	silenceTimeout = 2400 * time.Millisecond
+	// callTimeout is how long a discovery service that is polled may take to begin its response. Whatever
+	// its load, it rejects a call that has waited too long within 2 s; a service that sends nothing by
+	// then has not received the call. An agent responds at once: agentCallTimeout leaves time for a
+	// machine that is short of CPU.
+	callTimeout      = 2200 * time.Millisecond
+	agentCallTimeout = 750 * time.Millisecond
+	dialTimeout      = time.Second
+	// lineStallTimeout is how long a line may pause once it has begun. The line may say that a member
+	// drains, so the rest of it is not waited for. Discovery writes a line in one piece; a line that
+	// pauses is truncated.
+	lineStallTimeout = 150 * time.Millisecond
+	maxListBytes     = 1 << 20 // holds some thousands of members
+	// catchUpTimeout is how long the list of another discovery service may be older than the known one.
+	catchUpTimeout = 1500 * time.Millisecond
 )
 
-// The phases of a member.
+// Phases of a member.
 const (
 	PhaseInService   = "in_service"
 	PhaseTerminating = "terminating"
@@ -61,89 +63,92 @@
 	UpSinceMS float64 `json:"up_since_ms"`
 }
 
-// List is the whole list, or the entries that changed.
+// List is the whole list of members, or the entries that have changed.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
-	// Anew tells, of a whole list that is older than what is known, that it holds all the same: discovery has begun to count anew.
-	Anew bool `json:"-"`
+	// RevisionsReset is set on a whole list that is valid although its revision is lower than the known
+	// one: discovery has restarted its revision numbers.
+	RevisionsReset bool `json:"-"`
 }
 
-// Watcher follows the list. Take is called with each list, one at a time, and tells the newest revision known, and whether the list is
-// taken: another watch may have brought a newer one since this one began; Opened, each time discovery has taken up a watch: what it
-// has to tell beyond Revision is then on its way, and where that is nothing the first line is only the next change; Broken, each
-// time a watch ends.
+// Watcher follows the list of members.
+//
+// It calls OnList with each list, one at a time. OnList returns the newest known revision and whether it
+// accepted the list: another watch may have delivered a newer one since this watch began. OnOpen is
+// called each time discovery has accepted a watch: the changes after Revision are then on their way, and
+// if there are none the first line is the next change. OnBreak is called each time a watch ends.
 type Watcher struct {
 	Addr     string
-	Revision int64 // the last one known
-	// Whole asks for the whole list first, for a discovery that need not have counted its revisions like the
-	// one before it.
-	Whole  bool
-	Pace   *Pace         // when to ask again
-	Wait   time.Duration // before the first call
-	Held   bool          // members are known, which an empty list would take away
-	Take   func(List) (newest int64, taken bool)
-	Opened func() // may be nil
-	Broken func()
-	Log    *slog.Logger
+	Revision int64 // the newest known revision
+	// FetchFirst requests the whole list before the watch, for a discovery service whose revision numbers
+	// may differ from those of the previous one.
+	FetchFirst   bool
+	Backoff      *Backoff      // delays between calls
+	InitialDelay time.Duration // delay before the first call
+	HasMembers   bool          // members are known; an empty list would remove them
+	OnList       func(List) (newest int64, taken bool)
+	OnOpen       func() // may be nil
+	OnBreak      func()
+	Log          *slog.Logger
 
-	line      atomic.Pointer[lineAlarm] // of the watch that is open
-	silence   time.Duration             // as the constant; tests have it shorter
-	answer    time.Duration             // likewise, answerTime or agentAnswer
-	behind    time.Time                 // since when its whole list has been older than what is known; zero: it is not
-	toldEmpty bool                      // logged that its whole list is empty
+	stallTimer     atomic.Pointer[stallTimer] // of the open watch
+	silenceTimeout time.Duration              // the constant; tests set a shorter one
+	callTimeout    time.Duration              // callTimeout or agentCallTimeout; tests set a shorter one
+	behindSince    time.Time                  // when a whole list was first older than the known one; zero: not older
+	loggedEmpty    bool                       // the empty whole list has been logged
 }
 
 // Run watches until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{
 		DialContext:       w.dial,
-		DisableKeepAlives: true, // a watch lasts as long as its connection; none is left over to use again
+		DisableKeepAlives: true, // a watch lasts as long as its connection, so no connection is reused
 	}}
-	w.limits()
+	w.setDefaults()
 	down := false
-	rest(ctx, w.Wait)
+	sleep(ctx, w.InitialDelay)
 	for ctx.Err() == nil {
 		var n int
 		var err error
-		if w.Whole {
+		if w.FetchFirst {
 			err = w.fetch(ctx, client)
 		}
-		if !w.Whole {
+		if !w.FetchFirst {
 			n, err = w.watch(ctx, client)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		wait := w.Pace.Failed
-		if errors.Is(err, errSilent) || errors.Is(err, errBehind) { // that tells of no load: to be put off for long would help nobody
-			wait = w.Pace.Broken
+		wait := w.Backoff.RetryDelay
+		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // no sign of load, so a long delay has no use
+			wait = w.Backoff.ReconnectDelay
 		}
 		if n > 0 {
-			wait, down = w.Pace.Broken, false
+			wait, down = w.Backoff.ReconnectDelay, false
 		}
-		if !down { // once for each time it goes down, however often it is tried
-			w.Log.Warn("discovery watch broken, list may be stale", "revision", w.Revision, "err", err)
+		if !down { // logged once per outage, not for each retry
+			w.Log.Warn("discovery watch broken; the list may be stale", "revision", w.Revision, "err", err)
 		}
 		down = true
-		w.Broken()
-		rest(ctx, wait())
+		w.OnBreak()
+		sleep(ctx, wait())
 	}
 }
 
-// limits sets what is not set.
-func (w *Watcher) limits() {
-	w.silence = cmp.Or(w.silence, silence)
-	if w.answer == 0 {
-		if w.answer = answerTime; w.Pace != nil && w.Pace.agent {
-			w.answer = agentAnswer
+// setDefaults sets the time limits that have no value.
+func (w *Watcher) setDefaults() {
+	w.silenceTimeout = cmp.Or(w.silenceTimeout, silenceTimeout)
+	if w.callTimeout == 0 {
+		if w.callTimeout = callTimeout; w.Backoff != nil && w.Backoff.agent {
+			w.callTimeout = agentCallTimeout
 		}
 	}
 }
 
-// rest waits, until the context ends at the most.
-func rest(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -155,28 +160,30 @@
 	}
 }
 
-// errSilent tells that nothing has come for too long.
-var errSilent = errors.New("silent for too long")
+// errSilent: no data has arrived for too long.
+var errSilent = errors.New("no data for too long")
 
-// errEmpty tells that discovery's whole list names no member.
-var errEmpty = errors.New("discovery list names no member")
+// errEmptyList: the whole list has no members.
+var errEmptyList = errors.New("discovery list has no members")
 
-// errBehind tells that discovery does not know yet what it, or another, has told before.
-var errBehind = errors.New("discovery list is older than the one known")
+// errStaleList: the list of this discovery service is older than one that it, or another, has sent
+// before.
+var errStaleList = errors.New("discovery list is older than the known list")
 
-// countsAnew tells whether a whole list that is older than what is known holds all the same. It would call members back that
-// drain by now; discovery catches up soon, or else has begun to count anew.
-func (w *Watcher) countsAnew() bool {
-	if w.behind.IsZero() {
-		w.behind = time.Now()
+// revisionsReset reports whether a whole list that is older than the known one is valid all the same. A
+// stale list would put members back in use that drain by now. A discovery service that is behind catches
+// up within catchUpTimeout; one that stays behind for longer has restarted its revision numbers.
+func (w *Watcher) revisionsReset() bool {
+	if w.behindSince.IsZero() {
+		w.behindSince = time.Now()
 	}
-	return time.Since(w.behind) > catchUp
+	return time.Since(w.behindSince) > catchUpTimeout
 }
 
-// fetch takes the whole list once.
+// fetch requests the whole list once.
 func (w *Watcher) fetch(ctx context.Context, client *http.Client) error {
-	w.limits()
-	ctx, cancel := context.WithTimeoutCause(ctx, w.answer, errSilent)
+	w.setDefaults()
+	ctx, cancel := context.WithTimeoutCause(ctx, w.callTimeout, errSilent)
 	defer cancel()
 	u := url.URL{Scheme: "http", Host: w.Addr, Path: "/registry/instances"}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
@@ -192,46 +199,49 @@
 		return fmt.Errorf("discovery list: status %s", resp.Status)
 	}
 	var list List
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxLine)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&list); err != nil {
 		return fmt.Errorf("discovery list: %w", cmp.Or(context.Cause(ctx), err))
 	}
-	if len(list.Members) == 0 && w.Held {
-		return errEmpty
+	if len(list.Members) == 0 && w.HasMembers {
+		return errEmptyList
 	}
-	if list.Anew = list.Revision < w.Revision; list.Anew && !w.countsAnew() {
-		return errBehind
+	if list.RevisionsReset = list.Revision < w.Revision; list.RevisionsReset && !w.revisionsReset() {
+		return errStaleList
 	}
 	list.Complete = true
-	if !w.take(list) {
-		return errBehind
+	if !w.apply(list) {
+		return errStaleList
 	}
-	w.Whole = false
+	w.FetchFirst = false
 	return nil
 }
 
-// take hands a list on that holds, unless a newer one has come another way meanwhile.
-func (w *Watcher) take(list List) bool {
-	if newest, taken := w.Take(list); !taken {
+// apply passes a valid list to OnList. It returns false if a newer list has arrived by another watch
+// meanwhile.
+func (w *Watcher) apply(list List) bool {
+	if newest, taken := w.OnList(list); !taken {
 		w.Revision = newest
-		w.countsAnew()
+		w.revisionsReset()
 		return false
 	}
-	w.Revision, w.behind, w.toldEmpty = list.Revision, time.Time{}, false
-	w.Held = w.Held || len(list.Members) > 0
+	w.Revision, w.behindSince, w.loggedEmpty = list.Revision, time.Time{}, false
+	w.HasMembers = w.HasMembers || len(list.Members) > 0
 	return true
 }
 
-// watch follows one watch until it breaks and returns how many lines it brought.
+// watch follows one watch until it breaks and returns the number of lines that it delivered.
 func (w *Watcher) watch(ctx context.Context, client *http.Client) (lines int, err error) {
-	w.limits()
+	w.setDefaults()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	alarm := time.AfterFunc(w.answer, func() { cancel(errSilent) })
-	defer alarm.Stop()
-	short := &lineAlarm{timer: time.AfterFunc(time.Hour, func() { cancel(fmt.Errorf("a line stopped short for %v", stall)) })}
-	defer short.timer.Stop()
-	w.line.Store(short)
-	defer w.line.Store(nil)
+	silenceTimer := time.AfterFunc(w.callTimeout, func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
+	stalled := &stallTimer{timer: time.AfterFunc(time.Hour, func() {
+		cancel(fmt.Errorf("a line stalled for %v", lineStallTimeout))
+	})}
+	defer stalled.timer.Stop()
+	w.stallTimer.Store(stalled)
+	defer w.stallTimer.Store(nil)
 	u := url.URL{Scheme: "http", Host: w.Addr, Path: "/registry/instances", RawQuery: url.Values{
 		"watch": {"1"}, "from": {strconv.FormatInt(w.Revision, 10)}}.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
@@ -246,22 +256,22 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("discovery watch: status %s", resp.Status)
 	}
-	alarm.Reset(w.silence)
-	if w.Opened != nil {
-		w.Opened()
+	silenceTimer.Reset(w.silenceTimeout)
+	if w.OnOpen != nil {
+		w.OnOpen()
 	}
-	in := newFrames(resp.Body)
+	objects := newObjectReader(resp.Body)
 	for {
-		object, err := in.next()
-		short.note(0, in.begun)
-		in.begun = 0
+		object, err := objects.next()
+		stalled.update(0, objects.started)
+		objects.started = 0
 		if err == nil {
-			alarm.Reset(w.silence)
+			silenceTimer.Reset(w.silenceTimeout)
 			lines++
 		}
 		if len(object) == 0 {
 			if err != nil {
-				return lines, w.ended(ctx, err)
+				return lines, w.endError(ctx, err)
 			}
 			continue
 		}
@@ -270,35 +280,36 @@
 			err = json.Unmarshal(object, &list)
 		}
 		if err != nil {
-			if gone := drains(object, w.Revision); len(gone) > 0 {
-				w.Take(List{Revision: w.Revision, Members: gone})
+			if drained := salvageDrains(object, w.Revision); len(drained) > 0 {
+				w.OnList(List{Revision: w.Revision, Members: drained})
 			}
 			return lines, fmt.Errorf("discovery line: %w", cmp.Or(context.Cause(ctx), err))
 		}
 		switch {
 		case !list.Complete && list.Revision <= w.Revision:
-			continue // changes that are not newer could call a member back that drains by now
-		case list.Complete && len(list.Members) == 0 && w.Held:
-			// It is far more likely that discovery has lost its records than that the whole fleet is gone; members that go
-			// are told one by one. Taken at its word, it would have every request refused.
-			if !w.toldEmpty {
-				w.Log.Warn("discovery's whole list names no member; the known one stays", "revision", w.Revision, "told", list.Revision)
+			continue // changes that are not newer could put a draining member back in use
+		case list.Complete && len(list.Members) == 0 && w.HasMembers:
+			// Discovery has far more likely lost its records than the whole fleet is gone: members that leave are
+			// reported one by one. An empty list in force would refuse every request.
+			if !w.loggedEmpty {
+				w.Log.Warn("discovery sent a whole list without members; the known list stays in force", "revision", w.Revision,
+					"told", list.Revision)
 			}
-			w.toldEmpty = true
+			w.loggedEmpty = true
 			continue
 		case list.Complete && list.Revision < w.Revision:
-			if list.Anew = w.countsAnew(); !list.Anew {
-				return lines, errBehind
+			if list.RevisionsReset = w.revisionsReset(); !list.RevisionsReset {
+				return lines, errStaleList
 			}
 		}
-		if !w.take(list) {
-			return lines, errBehind
+		if !w.apply(list) {
+			return lines, errStaleList
 		}
 	}
 }
 
-// ended tells why a watch has.
-func (w *Watcher) ended(ctx context.Context, err error) error {
+// endError returns the reason for the end of a watch.
+func (w *Watcher) endError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return fmt.Errorf("discovery watch: %w", cause)
 	}
@@ -314,50 +325,51 @@
 	if err != nil {
 		return nil, err
 	}
-	return &lineConn{Conn: c, w: w}, nil
+	return &watchConn{Conn: c, watcher: w}, nil
 }
 
-// lineAlarm rings when a line, or an object on several, that has begun pauses. It is begun when it, or an object in it, has come and was
-// not read yet: net/http holds back what has come of a chunk until the chunk is whole or the connection ends.
-type lineAlarm struct {
-	mu         sync.Mutex
-	timer      *time.Timer
-	came, read int // objects that have begun
+// stallTimer fires when a line, or an object on several lines, pauses after it has begun. An object,
+// inner ones included, has begun once its first byte is received, and is pending until it is parsed:
+// net/http holds back the received part of a chunk until the chunk is whole or the connection ends.
+type stallTimer struct {
+	mu               sync.Mutex
+	timer            *time.Timer
+	received, parsed int // number of objects that have begun
 }
 
-func (a *lineAlarm) note(came, read int) {
+func (a *stallTimer) update(came, read int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.came, a.read = a.came+came, a.read+read
+	a.received, a.parsed = a.received+came, a.parsed+read
 	switch {
-	case a.came == a.read:
+	case a.received == a.parsed:
 		a.timer.Stop()
 	case came > 0:
-		a.timer.Reset(stall)
+		a.timer.Reset(lineStallTimeout)
 	}
 }
 
-// lineConn tells the alarm what has come.
-type lineConn struct {
+// watchConn reports received objects to the stall timer.
+type watchConn struct {
 	net.Conn
-	w    *Watcher
-	head []byte // of the answer, until it is whole
-	body bool
+	watcher    *Watcher
+	header     []byte // of the response, until it is complete
+	headerDone bool
 }
 
-func (c *lineConn) Read(b []byte) (int, error) {
+func (c *watchConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	got := b[:n]
-	if !c.body {
-		c.head = append(c.head, got...)
-		_, rest, whole := bytes.Cut(c.head, []byte("\r\n\r\n"))
+	if !c.headerDone {
+		c.header = append(c.header, got...)
+		_, rest, whole := bytes.Cut(c.header, []byte("\r\n\r\n"))
 		if !whole {
-			return n, err // net/http bounds a head
+			return n, err // net/http limits the size of a header
 		}
-		c.body, c.head, got = true, nil, rest
+		c.headerDone, c.header, got = true, nil, rest
 	}
-	if a := c.w.line.Load(); a != nil && len(got) > 0 {
-		a.note(bytes.Count(got, []byte{'{'}), 0)
+	if a := c.watcher.stallTimer.Load(); a != nil && len(got) > 0 {
+		a.update(bytes.Count(got, []byte{'{'}), 0)
 	}
 	return n, err
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// service is a discovery that works through calls in turn, and works off what it has taken in though the caller has long been
-// told that it waited too long.
-type service struct {
-	each, timeout time.Duration
-	overbook      float64 // it turns a call away whose answer would take more than so many time-outs
-	free          time.Duration
-	calls         int
-	downAt, upAt  time.Duration // it is down between these: calls break off, and what it had taken in is lost
+// simulatedService is a discovery service that processes calls in turn, and completes those that it has
+// accepted even after their callers have timed out.
+type simulatedService struct {
+	callTime, timeout time.Duration
+	overbook          float64 // it rejects a call whose response would take more than this many timeouts
+	freeAt            time.Duration
+	calls             int
+	downAt, upAt      time.Duration // outage: calls break off, and accepted calls are lost
 }
 
-// call tells when a call ends, and whether with a list.
-func (s *service) call(now time.Duration) (end time.Duration, listed bool) {
+// call returns when a call ends, and whether it delivered a list.
+func (s *simulatedService) call(now time.Duration) (end time.Duration, listed bool) {
 	s.calls++
 	if now >= s.downAt && now < s.upAt {
-		s.free = s.upAt
+		s.freeAt = s.upAt
 		return now + time.Millisecond, false
 	}
-	s.free = max(s.free, now)
-	done := s.free + s.each
+	s.freeAt = max(s.freeAt, now)
+	done := s.freeAt + s.callTime
 	if float64(done-now) > s.overbook*float64(s.timeout) {
 		return now + time.Millisecond, false
 	}
-	s.free = done
+	s.freeAt = done
 	if now < s.downAt && done >= s.downAt {
-		s.free = now
+		s.freeAt = now
 		return s.downAt, false
 	}
 	if done-now > s.timeout {
@@ -39,124 +39,126 @@
 	return done, true
 }
 
-// storm has the watches of so many proxies break in the same instant, and tells when each has a list again.
-func storm(s *service, proxies int, wait func(proxy int, p *Pace, failed bool) time.Duration) (last time.Duration, most int) {
-	type asker struct {
-		at   time.Duration
-		pace *Pace
-	}
-	var open []*asker
+// reconnectAll breaks the watches of all proxies at the same time. It returns when the last proxy has a
+// list again, and the number of calls in the worst second.
+func reconnectAll(s *simulatedService, proxies int, wait func(proxy int, p *Backoff, failed bool) time.Duration) (last time.Duration, maxPerSecond int) {
+	type caller struct {
+		at      time.Duration
+		backoff *Backoff
+	}
+	var waiting []*caller
 	for i := range proxies {
-		a := &asker{pace: NewPace(true, i, proxies, 10*time.Second, uint64(i)*977+5)}
-		a.at = wait(i, a.pace, false)
-		open = append(open, a)
+		a := &caller{backoff: NewBackoff(true, i, proxies, 10*time.Second, uint64(i)*977+5)}
+		a.at = wait(i, a.backoff, false)
+		waiting = append(waiting, a)
 	}
 	perSecond := map[time.Duration]int{}
-	for len(open) > 0 && last < 2*time.Minute {
+	for len(waiting) > 0 && last < 2*time.Minute {
 		next := 0
-		for i, a := range open {
-			if a.at < open[next].at {
+		for i, a := range waiting {
+			if a.at < waiting[next].at {
 				next = i
 			}
 		}
-		a := open[next]
+		a := waiting[next]
 		perSecond[a.at/time.Second]++
 		end, listed := s.call(a.at)
 		last = max(last, end)
 		if listed {
-			open[next] = open[len(open)-1]
-			open = open[:len(open)-1]
+			waiting[next] = waiting[len(waiting)-1]
+			waiting = waiting[:len(waiting)-1]
 			continue
 		}
-		a.at = end + wait(next, a.pace, true)
+		a.at = end + wait(next, a.backoff, true)
 	}
 	for _, n := range perSecond {
-		most = max(most, n)
+		maxPerSecond = max(maxPerSecond, n)
 	}
-	return last, most
+	return last, maxPerSecond
 }
 
-func paced(_ int, p *Pace, failed bool) time.Duration {
+func reconnectDelay(_ int, p *Backoff, failed bool) time.Duration {
 	if failed {
-		return p.Failed()
+		return p.RetryDelay()
 	}
-	return p.Broken()
+	return p.ReconnectDelay()
 }
 
-func started(_ int, p *Pace, failed bool) time.Duration {
+func startDelay(_ int, p *Backoff, failed bool) time.Duration {
 	if failed {
-		return p.Failed()
+		return p.RetryDelay()
 	}
-	return p.Start()
+	return p.StartDelay()
 }
 
-// Most proxies are killed and start again in the same instant, while discovery still works off the calls of the others. They
-// have the list of their configuration, and can wait.
+// Most proxies are killed and restart at the same time, while discovery still processes the calls of the
+// others. They have the list of their configuration, so they can wait.
 func TestManyStartAtOnce(t *testing.T) {
-	s := &service{each: 70 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, free: 2 * time.Second}
-	last, most := storm(s, 64, started)
-	t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, most)
-	if last > 25*time.Second || most > 40 {
-		t.Errorf("the last proxy has a list after %v, with %d calls in the worst second; want 25s and 40", last, most)
+	s := &simulatedService{callTime: 70 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, freeAt: 2 * time.Second}
+	last, maxPerSecond := reconnectAll(s, 64, startDelay)
+	t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, maxPerSecond)
+	if last > 25*time.Second || maxPerSecond > 40 {
+		t.Errorf("the last proxy has a list after %v, with %d calls in the worst second; want 25s and 40", last, maxPerSecond)
 	}
 }
 
-// Discovery goes down for five seconds while most proxies start. Calls stay bounded, those in vain during the outage included, and once it
-// is back all have a list within the time that a start in a quiet hour takes.
-func TestDownInTheMiddleOfAStart(t *testing.T) {
+// Discovery is down for about five seconds while most proxies start. The number of calls stays bounded,
+// failed calls included, and after the outage all proxies have a list within the time that an ordinary
+// start takes.
+func TestOutageDuringStart(t *testing.T) {
 	for _, proxies := range []int{64, 4} {
-		s := &service{each: 40 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, downAt: time.Duration(proxies) * 25 * time.Millisecond,
+		s := &simulatedService{callTime: 40 * time.Millisecond, timeout: 2 * time.Second, overbook: 2.75, downAt: time.Duration(proxies) * 25 * time.Millisecond,
 			upAt: 6500 * time.Millisecond}
-		last, most := storm(s, proxies, started)
-		t.Logf("%d proxies: all have a list %v after it is back, %d calls, %d in the worst second", proxies, last-s.upAt, s.calls, most)
-		if last-s.upAt > 8*time.Second || most > 40 {
+		last, maxPerSecond := reconnectAll(s, proxies, startDelay)
+		t.Logf("%d proxies: all have a list %v after it is back, %d calls, %d in the worst second", proxies, last-s.upAt, s.calls, maxPerSecond)
+		if last-s.upAt > 8*time.Second || maxPerSecond > 40 {
 			t.Errorf("%d proxies: the last has a list %v after discovery is back, with %d calls in the worst second; want 8s and 40",
-				proxies, last-s.upAt, most)
+				proxies, last-s.upAt, maxPerSecond)
 		}
 	}
 }
 
-// A proxy asks as often as it must, whatever becomes of its calls: the time that a silent watch takes to be found out, and a
-// call in vain, included. An agent of its own is asked again soon.
-func TestPaceAsksInTime(t *testing.T) {
-	const mustAsk = 10 * time.Second
+// A proxy calls as often as it must, whatever happens to its calls, including the time to detect a silent
+// watch and one failed call. An agent is called again soon.
+func TestCallsAreInTime(t *testing.T) {
+	const maxInterval = 10 * time.Second
 	for _, instances := range []int{1, 4, 80, 1000} {
 		self := instances / 3
-		p := NewPace(true, self, instances, mustAsk, 1)
-		const restart = 2 * time.Second // from the kill to the next process's start
+		p := NewBackoff(true, self, instances, maxInterval, 1)
+		const restart = 2 * time.Second // from the kill to the start of the next process
 		for range 1000 {
-			start := p.Start()
-			if d := silence + p.Broken() + restart + start; d > mustAsk {
+			start := p.StartDelay()
+			if d := silenceTimeout + p.ReconnectDelay() + restart + start; d > maxInterval {
 				t.Fatalf("%d proxies: killed after its watch fell silent, the next process asks after %v", instances, d)
 			}
-			const vain = 2 * time.Second
+			const failedCall = 2 * time.Second
 			for range 6 {
-				if d := vain + p.Failed(); d > mustAsk {
+				if d := failedCall + p.RetryDelay(); d > maxInterval {
 					t.Fatalf("%d proxies: asks %v after a call in vain", instances, d)
 				}
 			}
 		}
 	}
-	agent := NewPace(false, 7, 80, 0, 1)
-	if d := agent.Start(); d != 0 {
+	agent := NewBackoff(false, 7, 80, 0, 1)
+	if d := agent.StartDelay(); d != 0 {
 		t.Errorf("the agent is first asked after %v", d)
 	}
-	if d := agent.Broken(); d > agentFirst {
+	if d := agent.ReconnectDelay(); d > agentReconnectSpread {
 		t.Errorf("the agent is asked again after %v", d)
 	}
 	for range 10 {
-		if d := agent.Failed(); d > agentMost {
+		if d := agent.RetryDelay(); d > agentRetrySpread {
 			t.Errorf("the agent is asked again after %v", d)
 		}
 	}
 }
 
-// All watches break at once before a discovery that takes in more than it can answer in time. Asked by all in the same instant,
-// and again soon, it answers nobody for as long as that goes on.
-func TestStormOfCalls(t *testing.T) {
+// All watches break at once, and discovery accepts more calls than it can complete in time. If all
+// proxies called at the same time and retried soon, none of them would get a response while that goes on.
+func TestAllReconnectAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		proxies  int
-		all      time.Duration // one call of each proxy takes it this long
+		all      time.Duration // time for one call of each proxy
 		overbook float64
 		within   time.Duration
 		perS     int // calls in the worst second
@@ -169,32 +171,33 @@
 		{proxies: 1, all: 100 * time.Millisecond, overbook: 1, within: 200 * time.Millisecond, perS: 2},
 	} {
 		t.Run(fmt.Sprintf("%d proxies, %v for all, overbooked %v times", c.proxies, c.all, c.overbook), func(t *testing.T) {
-			s := &service{each: c.all / time.Duration(c.proxies), timeout: 2 * time.Second, overbook: c.overbook}
-			last, most := storm(s, c.proxies, paced)
-			t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, most)
+			s := &simulatedService{callTime: c.all / time.Duration(c.proxies), timeout: 2 * time.Second, overbook: c.overbook}
+			last, maxPerSecond := reconnectAll(s, c.proxies, reconnectDelay)
+			t.Logf("all have a list after %v, %d calls, %d in the worst second", last, s.calls, maxPerSecond)
 			if last > c.within {
 				t.Errorf("the last proxy has a list after %v, want within %v", last, c.within)
 			}
-			if most > c.perS {
-				t.Errorf("%d calls in a second, want at most %d", most, c.perS)
+			if maxPerSecond > c.perS {
+				t.Errorf("%d calls in a second, want at most %d", maxPerSecond, c.perS)
 			}
 		})
 	}
 }
 
-// A process that takes another's place asks as long after its start as that one did, whatever their seeds, and who begins late asks
-// again early: so the asks of a place lie no further apart than its starts, and both waits together stay within the longer one.
-func TestPlacesInTheSpread(t *testing.T) {
-	const proxies, mustAsk = 80, 10 * time.Second
-	longest := part(mustAsk, startShare)
+// A successor process calls as long after its start as its predecessor did, whatever their seeds, and a
+// proxy with a long start delay has a short reconnect delay. So the calls of a position are no further
+// apart than its starts, and the sum of both delays is bounded by the longest start delay.
+func TestPositionsInTheSpread(t *testing.T) {
+	const proxies, maxInterval = 80, 10 * time.Second
+	longest := fraction(maxInterval, startShare)
 	step := longest / proxies
 	for self := range proxies {
-		one, next := NewPace(true, self, proxies, mustAsk, uint64(self)), NewPace(true, self, proxies, mustAsk, 1e6+uint64(self))
-		a, b := one.Start(), next.Start()
+		one, next := NewBackoff(true, self, proxies, maxInterval, uint64(self)), NewBackoff(true, self, proxies, maxInterval, 1e6+uint64(self))
+		a, b := one.StartDelay(), next.StartDelay()
 		if d := (a - b).Abs(); d > step {
 			t.Errorf("place %d: %v after one start, %v after the next", self, a, b)
 		}
-		if d := a + one.Broken(); d > longest+2*step {
+		if d := a + one.ReconnectDelay(); d > longest+2*step {
 			t.Errorf("place %d waits %v in all", self, d)
 		}
 	}
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -16,25 +16,27 @@
 	"time"
 )
 
-// player is a discovery of one connection at a time, each played by an act of its own: the first connection by the first, and so on, and all
-// later ones by the last. A watcher with short limits on a busy machine may leave a connection before it has heard anything, and opens one more:
-// what the last act has to tell must not be lost with the connection that came to it first.
-type player struct {
-	t     *testing.T
-	addr  string
-	asked chan string // the query of each call, as it comes
+// scriptedServer is a discovery server whose connections run scripts: the first connection the first
+// script, and so on, and all later ones the last. A watcher with short timeouts on a busy machine may
+// leave a connection before it has received anything and open another one. The last script therefore runs
+// on each later connection, so that its data is not lost with the first of them.
+type scriptedServer struct {
+	t       *testing.T
+	addr    string
+	queries chan string // the query of each call, in order of arrival
 }
 
-// act plays one connection, once its call has come. The connection ends when it returns.
-type act func(conn net.Conn)
+// connScript runs on one connection after its request has been read. The connection is closed when it
+// returns.
+type connScript func(conn net.Conn)
 
-func play(t *testing.T, parts ...act) *player {
+func startScriptedServer(t *testing.T, parts ...connScript) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &player{t: t, addr: l.Addr().String(), asked: make(chan string, 100)}
+	p := &scriptedServer{t: t, addr: l.Addr().String(), queries: make(chan string, 100)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for n := 0; ; n++ {
@@ -48,7 +50,7 @@
 				if err != nil {
 					return
 				}
-				p.asked <- r.URL.RawQuery
+				p.queries <- r.URL.RawQuery
 				parts[min(n, len(parts)-1)](conn)
 			}()
 		}
@@ -56,20 +58,20 @@
 	return p
 }
 
-// call waits for the next call.
-func (p *player) call() string {
+// call waits for the next call and returns its query.
+func (p *scriptedServer) call() string {
 	p.t.Helper()
 	select {
-	case q := <-p.asked:
+	case q := <-p.queries:
 		return q
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Fatal("not asked again")
 		return ""
 	}
 }
 
-// says writes the head of an answer and some chunks, and then nothing, until the connection ends.
-func says(chunks ...string) act {
+// writesChunks writes a response header and some chunks, and then keeps silent until the connection ends.
+func writesChunks(chunks ...string) connScript {
 	return func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, c := range chunks {
@@ -79,7 +81,7 @@
 	}
 }
 
-// resets breaks the connection off.
+// resets aborts the connection.
 func resets(conn net.Conn) { conn.(*net.TCPConn).SetLinger(0) }
 
 func hangs(conn net.Conn) { io.Copy(io.Discard, conn) }
@@ -89,45 +91,46 @@
 }
 
 const (
-	whole  = `{"revision":5,"complete":true,"members":[{"id":"s-a","phase":"in_service"},{"id":"s-b","phase":"in_service"}]}` + "\n"
-	drain  = `{"revision":6,"complete":false,"members":[{"id":"s-a","phase":"terminating"}]}` + "\n"
-	beatIt = "\n"
+	wholeList   = `{"revision":5,"complete":true,"members":[{"id":"s-a","phase":"in_service"},{"id":"s-b","phase":"in_service"}]}` + "\n"
+	drainUpdate = `{"revision":6,"complete":false,"members":[{"id":"s-a","phase":"terminating"}]}` + "\n"
+	heartbeat   = "\n"
 )
 
-// What a watch misses once it has fallen silent is asked for, wherever it fell silent, and whatever becomes of the first calls after.
+// A watch that falls silent at any point is replaced, and the change that it missed is fetched, whatever
+// happens to the first calls after it.
 func TestSilentWatchIsReplaced(t *testing.T) {
-	silent := map[string]act{
-		"from its first line on":  says(),
-		"behind a whole list":     says(whole),
-		"behind heartbeats":       says(beatIt, beatIt),
-		"within a line":           says(whole, drain[:40]),
-		"within an indented list": says(whole, indented(drain)[:40]),
+	silent := map[string]connScript{
+		"from its first line on":  writesChunks(),
+		"behind a whole list":     writesChunks(wholeList),
+		"behind heartbeats":       writesChunks(heartbeat, heartbeat),
+		"within a line":           writesChunks(wholeList, drainUpdate[:40]),
+		"within an indented list": writesChunks(wholeList, indented(drainUpdate)[:40]),
 		"behind half a chunk's head": func(c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2")
 			hangs(c)
 		},
 		"before its head": hangs,
 	}
-	again := map[string][]act{
+	nextScripts := map[string][]connScript{
 		"opened at once":           nil,
 		"refused":                  {refuses, refuses},
 		"reset":                    {resets, resets},
 		"hangs":                    {hangs},
-		"is silent too":            {says()},
-		"is silent behind a beat":  {says(beatIt)},
+		"is silent too":            {writesChunks()},
+		"is silent behind a beat":  {writesChunks(heartbeat)},
 		"ends":                     {func(net.Conn) {}},
-		"is cut in its first line": {says(drain[:20])},
+		"is cut in its first line": {writesChunks(drainUpdate[:20])},
 	}
 	for name, first := range silent {
-		for then, parts := range again {
+		for then, parts := range nextScripts {
 			t.Run(name+", then "+then, func(t *testing.T) {
 				t.Parallel()
-				p := play(t, append(append([]act{first}, parts...), says(drain))...)
+				p := startScriptedServer(t, append(append([]connScript{first}, parts...), writesChunks(drainUpdate))...)
 				taken := make(chan List, 10)
 				ctx, stop := context.WithCancel(context.Background())
-				w := Watcher{Addr: p.addr, Pace: NewPace(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), Broken: func() {},
-					Take:    func(l List) (int64, bool) { taken <- l; return l.Revision, true },
-					silence: 30 * time.Millisecond, answer: 30 * time.Millisecond}
+				w := Watcher{Addr: p.addr, Backoff: NewBackoff(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), OnBreak: func() {},
+					OnList:         func(l List) (int64, bool) { taken <- l; return l.Revision, true },
+					silenceTimeout: 30 * time.Millisecond, callTimeout: 30 * time.Millisecond}
 				done := make(chan struct{})
 				go func() { w.Run(ctx); close(done) }()
 				t.Cleanup(func() { stop(); <-done })
@@ -137,7 +140,7 @@
 						if !l.Complete && l.Members[0].ID == "s-a" && l.Members[0].Phase == PhaseTerminating {
 							return
 						}
-					case <-time.After(patience):
+					case <-time.After(testTimeout):
 						t.Fatal("the drain was never taken in")
 					}
 				}
@@ -146,28 +149,30 @@
 	}
 }
 
-// Each time limit on the way from silence to the news, and their sum for the longest way: under the 6 s after which what was missed counts
-// as told. An agent answers at once; a discovery that is asked has 2 s for a call.
-func TestLongestWayFromSilenceToNews(t *testing.T) {
-	const counts = 6 * time.Second
-	agent := NewPace(false, 3, 4, 0, 1)
-	// Two that were opened in the first one's place: one hangs, or is silent from its first line on, and the next tells it.
-	for name, second := range map[string]time.Duration{"hangs": agentAnswer + agent.first, "is silent too": agentAnswer + silence + agent.first,
-		"is refused": agent.failed} {
-		way := silence + agent.first + second
-		t.Logf("pushed, and the second one %s: at most %v", name, way)
-		if way >= counts {
-			t.Errorf("pushed, and the second one %s: at most %v", name, way)
+// The sum of all timeouts on the longest path from the silence of a watch to the missed change stays
+// below the 6 s after which the change counts as announced. An agent responds at once; a discovery
+// service that is polled has 2 s for a call.
+func TestLongestDelayFromSilenceToUpdate(t *testing.T) {
+	const announcedAfter = 6 * time.Second
+	agent := NewBackoff(false, 3, 4, 0, 1)
+	// Two watches replace the first one: one hangs, or is silent from its first line on, and the next delivers the
+	// change.
+	for name, second := range map[string]time.Duration{"hangs": agentCallTimeout + agent.reconnectSpread, "is silent too": agentCallTimeout + silenceTimeout + agent.reconnectSpread,
+		"is refused": agent.retrySpread} {
+		delay := silenceTimeout + agent.reconnectSpread + second
+		t.Logf("pushed, and the second one %s: at most %v", name, delay)
+		if delay >= announcedAfter {
+			t.Errorf("pushed, and the second one %s: at most %v", name, delay)
 		}
 	}
-	const call = 2 * time.Second // within this it is told that it has waited too long
+	const call = 2 * time.Second // a call that has waited for this long is rejected
 	for _, instances := range []int{1, 4, 80, 300, 2000} {
-		for _, mustAsk := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute} {
+		for _, maxInterval := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute} {
 			for self := 0; self < instances; self += max(1, instances/7) {
-				p := NewPace(true, self, instances, mustAsk, 1)
+				p := NewBackoff(true, self, instances, maxInterval, 1)
 				for range 100 {
-					if way := silence + p.Broken() + call; way >= counts {
-						t.Fatalf("asked, %d proxies that must ask every %v: at most %v", instances, mustAsk, way)
+					if delay := silenceTimeout + p.ReconnectDelay() + call; delay >= announcedAfter {
+						t.Fatalf("asked, %d proxies that must ask every %v: at most %v", instances, maxInterval, delay)
 					}
 				}
 			}
@@ -175,7 +180,7 @@
 	}
 }
 
-// indented is a list on several lines.
+// indented writes a list on several lines.
 func indented(line string) string {
 	var b bytes.Buffer
 	if json.Indent(&b, []byte(line), "", "  ") != nil {
@@ -184,14 +189,15 @@
 	return b.String() + "\n"
 }
 
-// Lists may come on several lines each, with empty lines between and texts that look like the end of one.
+// Each list may be on several lines, with empty lines between them and strings that look like the end of
+// an object.
 func TestIndentedLists(t *testing.T) {
-	odd := `{"revision":5,"complete":true,"members":[{"id":"s-{\"}]","phase":"in_service"},{"id":"s-a","phase":"in_service"}]}`
-	p := play(t, says(indented(odd), beatIt, indented(drain)[:30], indented(drain)[30:], beatIt))
+	escaped := `{"revision":5,"complete":true,"members":[{"id":"s-{\"}]","phase":"in_service"},{"id":"s-a","phase":"in_service"}]}`
+	p := startScriptedServer(t, writesChunks(indented(escaped), heartbeat, indented(drainUpdate)[:30], indented(drainUpdate)[30:], heartbeat))
 	taken := make(chan List, 10)
 	ctx, stop := context.WithCancel(context.Background())
-	w := Watcher{Addr: p.addr, Pace: NewPace(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), Broken: func() {},
-		Take: func(l List) (int64, bool) { taken <- l; return l.Revision, true }}
+	w := Watcher{Addr: p.addr, Backoff: NewBackoff(false, 0, 1, 0, 1), Log: slog.New(slog.DiscardHandler), OnBreak: func() {},
+		OnList: func(l List) (int64, bool) { taken <- l; return l.Revision, true }}
 	done := make(chan struct{})
 	go func() { w.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
@@ -201,22 +207,22 @@
 			if l.Revision != want || want == 5 && l.Members[0].ID != `s-{"}]` {
 				t.Errorf("taken %+v, want revision %d", l, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("revision %d was never taken in", want)
 		}
 	}
-	if len(p.asked) != 1 {
-		t.Errorf("asked %d times, want one watch", len(p.asked))
+	if len(p.queries) != 1 {
+		t.Errorf("asked %d times, want one watch", len(p.queries))
 	}
 }
 
-// However a stream of objects is written and cut into pieces, the same objects come out of it.
-func FuzzFrames(f *testing.F) {
-	for _, s := range []string{"", "\n", whole + beatIt + drain, indented(whole), "{}{}\n", "x\n{}", `{"a":"}\""}`, "]", "[[", `"{`} {
+// The same objects are read from a stream, however it is formatted and split into pieces.
+func FuzzObjectReader(f *testing.F) {
+	for _, s := range []string{"", "\n", wholeList + heartbeat + drainUpdate, indented(wholeList), "{}{}\n", "x\n{}", `{"a":"}\""}`, "]", "[[", `"{`} {
 		f.Add(s, 3)
 	}
 	all := func(r io.Reader) (out []string, err error) {
-		for in := newFrames(r); ; {
+		for in := newObjectReader(r); ; {
 			var b []byte
 			if b, err = in.next(); err != nil {
 				return append(out, "cut:"+string(b)), err
@@ -228,10 +234,10 @@
 	}
 	f.Fuzz(func(t *testing.T, text string, piece int) {
 		want, err := all(strings.NewReader(text))
-		if !errors.Is(err, io.EOF) && !errors.Is(err, errLong) {
+		if !errors.Is(err, io.EOF) && !errors.Is(err, errObjectTooLong) {
 			t.Fatalf("ended with %v", err)
 		}
-		got, _ := all(&pieces{text, max(1, piece%9)})
+		got, _ := all(&pieceReader{text, max(1, piece%9)})
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%q in pieces of %d: %q, want %q", text, piece, got, want)
 		}
@@ -244,16 +250,16 @@
 	})
 }
 
-type pieces struct {
+type pieceReader struct {
 	text string
-	n    int
+	size int
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *pieceReader) Read(b []byte) (int, error) {
 	if p.text == "" {
 		return 0, io.EOF
 	}
-	n := copy(b[:min(len(b), p.n)], p.text)
+	n := copy(b[:min(len(b), p.size)], p.text)
 	p.text = p.text[n:]
 	return n, nil
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,17 +16,17 @@
 	"time"
 )
 
-const patience = 20 * time.Second // a test that waits this long has failed
+const testTimeout = 20 * time.Second // a test that has waited this long fails
 
-// What discovery breaks off, or what can't be read, changes nothing: what is known stays, and the difference to it is asked for,
-// soon, also where the connection stays open behind half a line.
+// A truncated or unreadable line changes nothing: the known list stays, and the difference to it is
+// requested soon, also if the connection stays open after a part of a line.
 func TestBadLines(t *testing.T) {
 	for name, bad := range map[string]struct {
 		text string
 		hang bool
-		why  string // as logged
+		why  string // part of the logged error
 	}{
-		"half a line, then silence": {`{"revision":6,"complete":false,"members":[{"id":"s-a",`, true, "stopped short"},
+		"half a line, then silence": {`{"revision":6,"complete":false,"members":[{"id":"s-a",`, true, "line stalled for"},
 		"half a line, then the end": {`{"revision":6,"complete":false,"members":[{"id":"s-a",`, false, "unexpected end"},
 		"no JSON":                   {"<html>busy</html>\n", true, "invalid character"},
 		"another shape":             {`{"revision":"six","members":{}}` + "\n", true, "cannot unmarshal"},
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
 			var asked []string
-			again := make(chan struct{})
+			secondCall := make(chan struct{})
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 				mu.Lock()
 				asked = append(asked, q.URL.Query().Get("from"))
@@ -50,21 +50,21 @@
 				case 2:
 					fmt.Fprintln(w, `{"revision":7,"complete":false,"members":[{"id":"s-a","phase":"terminating"}]}`)
 					w.(http.Flusher).Flush()
-					close(again)
+					close(secondCall)
 				}
 				<-q.Context().Done()
 			}))
 			ctx, stop := context.WithCancel(context.Background())
 			taken := make(chan List, 10)
-			var log strings.Builder // the watcher's alone until it has ended
-			w := Watcher{Addr: s.Listener.Addr().String(), Pace: NewPace(false, 7, 80, 0, 1), Log: slog.New(slog.NewTextHandler(&log, nil)),
-				Take: func(l List) (int64, bool) { taken <- l; return 0, true }, Broken: func() {}}
+			var log strings.Builder // used by the watcher only until it has ended
+			w := Watcher{Addr: s.Listener.Addr().String(), Backoff: NewBackoff(false, 7, 80, 0, 1), Log: slog.New(slog.NewTextHandler(&log, nil)),
+				OnList: func(l List) (int64, bool) { taken <- l; return 0, true }, OnBreak: func() {}}
 			done := make(chan struct{})
 			go func() { w.Run(ctx); close(done) }()
 			t.Cleanup(func() { stop(); <-done; s.Close() })
 			select {
-			case <-again:
-			case <-time.After(patience):
+			case <-secondCall:
+			case <-time.After(testTimeout):
 				t.Fatal("not asked again")
 			}
 			first, second := <-taken, <-taken
@@ -85,12 +85,13 @@
 	}
 }
 
-// A whole list that is empty, or older than what is known, leaves what is known in force, also where it comes again and again; a
-// change behind it counts. Once discovery has been behind for long enough it has begun to count anew, and its list holds.
-func TestListsThatGoBack(t *testing.T) {
+// A whole list that is empty or older than the known one leaves the known list in force, however often it
+// is sent, and a change after it is applied. A list of a discovery service that has been behind for long
+// enough is valid: its revision numbers have restarted.
+func TestEmptyAndOlderLists(t *testing.T) {
 	for name, c := range map[string]struct {
 		bad   string
-		since time.Duration // discovery has been behind for so long
+		since time.Duration // how long discovery has been behind
 		want  int64
 	}{
 		"an empty whole list":          {`{"revision":9,"complete":true,"members":[]}`, 0, 6},
@@ -100,7 +101,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-				if q.URL.Query().Get("from") == "5" { // asked by one that is up to date
+				if q.URL.Query().Get("from") == "5" { // called by a watcher that is up to date
 					io.WriteString(w, c.bad+"\n"+c.bad+"\n"+`{"revision":6,"complete":false,"members":[]}`+"\n")
 				}
 				w.(http.Flusher).Flush()
@@ -109,15 +110,15 @@
 			defer s.Close()
 			var took []int64
 			var log strings.Builder
-			ctx, stop := context.WithTimeout(context.Background(), patience)
+			ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 			defer stop()
-			w := Watcher{Addr: s.Listener.Addr().String(), Revision: 5, Held: true, Log: slog.New(slog.NewTextHandler(&log, nil)),
-				Take: func(l List) (int64, bool) { took = append(took, l.Revision); stop(); return 0, true }, Broken: func() {}}
+			w := Watcher{Addr: s.Listener.Addr().String(), Revision: 5, HasMembers: true, Log: slog.New(slog.NewTextHandler(&log, nil)),
+				OnList: func(l List) (int64, bool) { took = append(took, l.Revision); stop(); return 0, true }, OnBreak: func() {}}
 			if c.since > 0 {
-				w.behind = time.Now().Add(-c.since)
+				w.behindSince = time.Now().Add(-c.since)
 			}
 			_, err := w.watch(ctx, s.Client())
-			if errors.Is(err, errBehind) { // asked again, it has caught up
+			if errors.Is(err, errStaleList) { // on the next call, discovery has caught up
 				if len(took) > 0 || w.Revision != 5 {
 					t.Fatalf("taken %v, revision %d", took, w.Revision)
 				}
@@ -130,23 +131,24 @@
 	}
 }
 
-// Of a line that breaks off, whatever the place, only drains that stand whole in it count, and only if it is newer, as far as that can be
-// told: the revision may stand in front of the members or behind them.
-func TestDrainsOfHalfALine(t *testing.T) {
+// Of a line truncated at any byte, only complete entries of draining members are used, and only if the
+// line is known to be newer or has no revision yet: the revision may stand before the members or after
+// them.
+func TestDrainsInTruncatedLine(t *testing.T) {
 	const members = `"members":[{"id":"s-a","phase":"terminating"},{"id":"s-b","phase":"in_service"},` +
 		`{"id":"s-c","phase":"terminated"},{"id":"s-d","phase":"in_service"}]`
-	halves(t, `{"revision":6,"complete":false,`+members+`}`)
-	halves(t, `{"complete":false,`+members+`,"revision":6}`)
-	if got := drains([]byte(`{"revision":6,"complete":false,`+members), 6); len(got) > 0 {
+	checkPrefixes(t, `{"revision":6,"complete":false,`+members+`}`)
+	checkPrefixes(t, `{"complete":false,`+members+`,"revision":6}`)
+	if got := salvageDrains([]byte(`{"revision":6,"complete":false,`+members), 6); len(got) > 0 {
 		t.Errorf("of a line that is not newer: %+v", got)
 	}
 }
 
-func halves(t *testing.T, line string) {
+func checkPrefixes(t *testing.T, line string) {
 	t.Helper()
 	for n := range len(line) {
 		got := ""
-		for _, m := range drains([]byte(line[:n]), 5) {
+		for _, m := range salvageDrains([]byte(line[:n]), 5) {
 			got += m.ID + " "
 		}
 		want := ""
@@ -162,13 +164,13 @@
 	}
 }
 
-func FuzzDrains(f *testing.F) {
+func FuzzSalvageDrains(f *testing.F) {
 	for _, s := range []string{"", "{", `{"revision":6,"members":[{"id":"s-a","phase":"terminating"},{`, `{"members":[{"id":"s-a"}]}`,
 		`{"x":{"y":[1,2]},"revision":9,"members":[{"id":"a","phase":"terminated"} false`} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
-		for _, m := range drains(line, 5) {
+		for _, m := range salvageDrains(line, 5) {
 			if m.ID == "" || m.Phase == PhaseInService {
 				t.Errorf("%q: %+v", line, m)
 			}
@@ -176,9 +178,9 @@
 	})
 }
 
-// A chunk that stops short, on a connection that stays open, is given up like a line that does, and the drains in it count: what has
-// come of a chunk is not read until it is whole.
-func TestHalfAChunk(t *testing.T) {
+// A chunk that stalls on an open connection is abandoned like a line that does, and the drains in it are
+// applied. net/http returns no data of a chunk until the chunk is whole.
+func TestTruncatedChunk(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -192,15 +194,15 @@
 		http.ReadRequest(bufio.NewReader(conn))
 		const half = `{"revision":6,"complete":false,"members":[{"id":"s-a","phase":"terminating"},{"id":"s-b",`
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n%x\r\n%s", len(half)+50, half)
-		io.Copy(io.Discard, conn) // until it is given up
+		io.Copy(io.Discard, conn) // until the watcher closes the connection
 		conn.Close()
 	}()
 	var took []List
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	w := &Watcher{Addr: l.Addr().String(), Revision: 5, Log: slog.New(slog.DiscardHandler), Take: func(l List) (int64, bool) { took = append(took, l); return 0, true }}
+	w := &Watcher{Addr: l.Addr().String(), Revision: 5, Log: slog.New(slog.DiscardHandler), OnList: func(l List) (int64, bool) { took = append(took, l); return 0, true }}
 	_, err = w.watch(ctx, &http.Client{Transport: &http.Transport{DialContext: w.dial, DisableKeepAlives: true}})
-	if err == nil || !strings.Contains(err.Error(), "stopped short") {
+	if err == nil || !strings.Contains(err.Error(), "line stalled for") {
 		t.Errorf("ended with %v", err)
 	}
 	if len(took) != 1 || took[0].Revision != 5 || len(took[0].Members) != 1 || took[0].Members[0].ID != "s-a" {
--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -51,7 +51,7 @@
 }
 
 // Told takes what became of a key.
-func (m *manyCall) Told(k int, mark manykeys.Mark, a proxy.Answer, _ error) {
+func (m *manyCall) Told(k int, mark manykeys.Outcome, a proxy.Answer, _ error) {
 	t := told{Key: m.many.Gather.Key(k)}
 	switch mark {
 	case manykeys.Served:
@@ -72,7 +72,7 @@
 	var reply struct {
 		Keys []told `json:"keys"`
 	}
-	for _, k := range m.many.Gather.Places() {
+	for _, k := range m.many.Gather.KeyIndexes() {
 		reply.Keys = append(reply.Keys, m.keys[k])
 	}
 	body, err := json.Marshal(reply)
--- a/internal/joining/joining.go
+++ b/internal/joining/joining.go
@@ -1,9 +1,10 @@
-// Package joining decides which reads share one attempt: who leads, who follows, to whom the lead passes when the one who has it gets
-// no answer, and who had better go alone.
+// Package joining implements request coalescing. It decides which reads share one attempt: which read
+// leads, which ones follow, which follower takes the lead if the leader gets no answer, and which reads
+// go alone.
 //
-// It is free of I/O, clock and goroutines, and not safe for concurrent use. It never sends, answers or tries anything again: its host
-// does, and the balancer decides on each lead as on any request. A request that is no plain read can't get in: Read can be made of
-// no other.
+// It uses no I/O, clock or goroutines and is not safe for concurrent use. It never sends, answers or
+// retries anything: its host does, and the balancer handles each leading read like any other request.
+// Only plain reads can be joined, as a Read can be made of nothing else.
 package joining
 
 import (
@@ -14,94 +15,98 @@
 	"linenloom/logic"
 )
 
-// ID is a request's number with the host.
+// ID is the number that the host gives to a request.
 type ID = logic.RequestID
 
-// Limits bound a Table.
+// Limits bounds a Table.
 type Limits struct {
-	Followers int // in all
+	Followers int // in total
 	PerTenant int
-	Flights   int // that can be joined at once
-	// AcrossTenants lets one tenant's reads share another's attempt. Whether each may see the key has been asked before.
+	Groups    int // groups that exist at once
+	// AcrossTenants lets one tenant's reads share the attempt of another. The host has checked each
+	// tenant's access to the key before.
 	AcrossTenants bool
 }
 
-// mostApart is how many keys are remembered that are not joined.
-const mostApart = 256
+// maxUnshared is how many keys are remembered whose reads are not joined.
+const maxUnshared = 256
 
-// Read is a request that may share another's answer.
+// Read is a request that may share the answer of another one.
 type Read struct {
-	id     ID
-	what   what
-	tenant int
-	until  time.Duration
+	id       ID
+	identity readIdentity
+	tenant   int
+	deadline time.Duration
 }
 
-// what makes answers differ.
-type what struct {
-	key, names string
-	class      int
-	tenant     int // -1: whoever asks
+// readIdentity holds everything that the answer to a read depends on. Reads with equal identities may
+// share an answer.
+type readIdentity struct {
+	key, attributes string
+	class           int
+	tenant          int // -1: any tenant
 }
 
-// NewRead describes a read. Names are what its list says beside what differs between equal requests. Writes, and classes whose
-// requests may not be repeated as one likes, are none.
-func (l Limits) NewRead(r *logic.Request, effect logic.Effect, key, names string) (Read, bool) {
+// NewRead describes a read. attributes are those of its request, except for those that differ between
+// equal requests. It returns false for writes, for requests without a key and for classes whose requests
+// may not be repeated at will.
+func (l Limits) NewRead(r *logic.Request, effect logic.Effect, key, attributes string) (Read, bool) {
 	if r.Write || effect != logic.Repeatable || key == "" {
 		return Read{}, false
 	}
-	w := what{key: key, names: names, class: r.Class, tenant: -1}
+	identity := readIdentity{key: key, attributes: attributes, class: r.Class, tenant: -1}
 	if !l.AcrossTenants {
-		w.tenant = r.Tenant
+		identity.tenant = r.Tenant
 	}
-	return Read{id: r.ID, what: w, tenant: r.Tenant, until: r.Deadline}, true
+	return Read{id: r.ID, identity: identity, tenant: r.Tenant, deadline: r.Deadline}, true
 }
 
-// Role is what becomes of a read.
+// Role is what Join decides about a read.
 type Role uint8
 
-// The roles: it makes its own way and nobody shares it; it makes its own way, and others may share what it gets; it waits for another's.
+// Roles of a read.
 const (
-	Alone Role = iota
-	Lead
-	Follow
+	Alone  Role = iota // sends its own attempt, which no other read shares
+	Lead               // sends its own attempt, whose answer others may share
+	Follow             // waits for the answer of the leading read
 )
 
-// flight is one read on its way, and those who wait for what it gets.
-type flight struct {
-	what      what
+// group is a read in progress and the followers that wait for its answer.
+type group struct {
+	identity  readIdentity
 	lead      ID
-	followers followers
-	closed    bool // nobody joins it any more
+	followers followerHeap
+	closed    bool // no further read may join
 }
 
-type party struct {
-	id     ID
-	tenant int
-	until  time.Duration
-	at     int // in the heap
-	of     *flight
+// follower is a read that waits for the answer of its group.
+type follower struct {
+	id        ID
+	tenant    int
+	deadline  time.Duration
+	heapIndex int // position in the heap of its group
+	group     *group
 }
 
-// followers is a heap: who has most time is on top.
-type followers []*party
+// followerHeap implements heap.Interface. The follower with the latest deadline is on top.
+type followerHeap []*follower
 
-func (f followers) Len() int           { return len(f) }
-func (f followers) Less(i, j int) bool { return f[i].until > f[j].until }
-func (f followers) Swap(i, j int) {
+func (f followerHeap) Len() int           { return len(f) }
+func (f followerHeap) Less(i, j int) bool { return f[i].deadline > f[j].deadline }
+func (f followerHeap) Swap(i, j int) {
 	f[i], f[j] = f[j], f[i]
-	f[i].at, f[j].at = i, j
+	f[i].heapIndex, f[j].heapIndex = i, j
 }
 
-// Push is heap's.
-func (f *followers) Push(x any) {
-	p := x.(*party)
-	p.at = len(*f)
+// Push implements heap.Interface.
+func (f *followerHeap) Push(x any) {
+	p := x.(*follower)
+	p.heapIndex = len(*f)
 	*f = append(*f, p)
 }
 
-// Pop is heap's.
-func (f *followers) Pop() any {
+// Pop implements heap.Interface.
+func (f *followerHeap) Pop() any {
 	old := *f
 	p := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -109,172 +114,176 @@
 	return p
 }
 
-// Table is the reads that are out, by what they ask.
+// Table holds the reads in progress by identity.
 type Table struct {
-	limits  Limits
-	open    map[what]*flight
-	byKey   map[string][]*flight // all, also those that are closed
-	leads   map[ID]*flight
-	follows map[ID]*party
-	tenants map[int]int // followers
-	apart   map[string]struct{}
+	limits            Limits
+	joinable          map[readIdentity]*group
+	byKey             map[string][]*group // all groups, closed ones included
+	leads             map[ID]*group
+	followers         map[ID]*follower
+	followersByTenant map[int]int // number of followers
+	unshared          map[string]struct{}
 }
 
-// New makes a Table.
+// New returns an empty Table.
 func New(l Limits) *Table {
-	return &Table{limits: l, open: map[what]*flight{}, byKey: map[string][]*flight{}, leads: map[ID]*flight{}, follows: map[ID]*party{},
-		tenants: map[int]int{}, apart: map[string]struct{}{}}
+	return &Table{limits: l, joinable: map[readIdentity]*group{}, byKey: map[string][]*group{}, leads: map[ID]*group{}, followers: map[ID]*follower{},
+		followersByTenant: map[int]int{}, unshared: map[string]struct{}{}}
 }
 
-// Limits are the table's.
+// Limits returns the limits of the table.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Join tells what becomes of a read. Past its tenant's followers, or all, it is an ordinary request: it gets nothing of another's
-// attempt, and stands in nobody's way.
+// Join decides about a read. A read beyond the follower limit of its tenant or of the table is an
+// ordinary request: it gets nothing of another attempt and delays no other read.
 func (t *Table) Join(r Read) Role {
-	if _, apart := t.apart[r.what.key]; apart {
+	if _, unshared := t.unshared[r.identity.key]; unshared {
 		return Alone
 	}
-	f := t.open[r.what]
-	if f == nil {
-		if len(t.leads) >= t.limits.Flights {
+	g := t.joinable[r.identity]
+	if g == nil {
+		if len(t.leads) >= t.limits.Groups {
 			return Alone
 		}
-		f = &flight{what: r.what, lead: r.id}
-		t.open[r.what], t.leads[r.id] = f, f
-		t.byKey[r.what.key] = append(t.byKey[r.what.key], f)
+		g = &group{identity: r.identity, lead: r.id}
+		t.joinable[r.identity], t.leads[r.id] = g, g
+		t.byKey[r.identity.key] = append(t.byKey[r.identity.key], g)
 		return Lead
 	}
-	if len(t.follows) >= t.limits.Followers || t.tenants[r.tenant] >= t.limits.PerTenant {
+	if len(t.followers) >= t.limits.Followers || t.followersByTenant[r.tenant] >= t.limits.PerTenant {
 		return Alone
 	}
-	p := &party{id: r.id, tenant: r.tenant, until: r.until, of: f}
-	heap.Push(&f.followers, p)
-	t.follows[r.id] = p
-	t.tenants[r.tenant]++
+	p := &follower{id: r.id, tenant: r.tenant, deadline: r.deadline, group: g}
+	heap.Push(&g.followers, p)
+	t.followers[r.id] = p
+	t.followersByTenant[r.tenant]++
 	return Follow
 }
 
-// forget takes a follower out of the counts.
-func (t *Table) forget(p *party) {
-	delete(t.follows, p.id)
-	if t.tenants[p.tenant]--; t.tenants[p.tenant] == 0 {
-		delete(t.tenants, p.tenant)
+// uncountFollower removes a follower from the counts.
+func (t *Table) uncountFollower(p *follower) {
+	delete(t.followers, p.id)
+	if t.followersByTenant[p.tenant]--; t.followersByTenant[p.tenant] == 0 {
+		delete(t.followersByTenant, p.tenant)
 	}
 }
 
-// close keeps further reads from joining a flight.
-func (t *Table) close(f *flight) {
-	f.closed = true
-	if t.open[f.what] == f {
-		delete(t.open, f.what)
+// closeGroup keeps further reads from joining a group.
+func (t *Table) closeGroup(g *group) {
+	g.closed = true
+	if t.joinable[g.identity] == g {
+		delete(t.joinable, g.identity)
 	}
 }
 
-// end takes a flight out of the table.
-func (t *Table) end(f *flight) {
-	t.close(f)
-	delete(t.leads, f.lead)
-	all := t.byKey[f.what.key]
-	if all = slices.DeleteFunc(all, func(g *flight) bool { return g == f }); len(all) == 0 {
-		delete(t.byKey, f.what.key)
+// removeGroup removes a group from the table.
+func (t *Table) removeGroup(g *group) {
+	t.closeGroup(g)
+	delete(t.leads, g.lead)
+	all := t.byKey[g.identity.key]
+	if all = slices.DeleteFunc(all, func(other *group) bool { return other == g }); len(all) == 0 {
+		delete(t.byKey, g.identity.key)
 	} else {
-		t.byKey[f.what.key] = all
+		t.byKey[g.identity.key] = all
 	}
 }
 
-// Landed tells who shares the answer that a lead has got, those first whose time ends first. The flight is over.
-func (t *Table) Landed(lead ID) []ID {
-	f := t.leads[lead]
-	if f == nil {
+// Complete removes the group of a leading read that has got its answer, and returns the followers that
+// share the answer, earliest deadline first.
+func (t *Table) Complete(lead ID) []ID {
+	g := t.leads[lead]
+	if g == nil {
 		return nil
 	}
-	t.end(f)
-	slices.SortFunc(f.followers, func(a, b *party) int {
-		if a.until != b.until {
-			return int(max(-1, min(1, a.until-b.until)))
+	t.removeGroup(g)
+	slices.SortFunc(g.followers, func(a, b *follower) int {
+		if a.deadline != b.deadline {
+			return int(max(-1, min(1, a.deadline-b.deadline)))
 		}
 		return int(max(-1, min(1, int64(a.id)-int64(b.id))))
 	})
-	ids := make([]ID, len(f.followers))
-	for i, p := range f.followers {
+	ids := make([]ID, len(g.followers))
+	for i, p := range g.followers {
 		ids[i] = p.id
-		t.forget(p)
+		t.uncountFollower(p)
 	}
 	return ids
 }
 
-// Lost passes the lead on from one that has got no answer and will get none: to who has most time, one at a time, so that what
-// condemned the one neither condemns the others nor is met by all of them at once. false: nobody is left.
-func (t *Table) Lost(lead ID) (next ID, ok bool) {
-	f := t.leads[lead]
-	if f == nil {
+// PassLead passes the lead from a read that has got no answer and will get none to the follower with the
+// latest deadline. Only one follower at a time takes the lead, so that a failure of one request does not
+// fail the others and does not hit all of them at once. It returns false if there are no followers.
+func (t *Table) PassLead(lead ID) (next ID, ok bool) {
+	g := t.leads[lead]
+	if g == nil {
 		return 0, false
 	}
-	if len(f.followers) == 0 {
-		t.end(f)
+	if len(g.followers) == 0 {
+		t.removeGroup(g)
 		return 0, false
 	}
-	p := heap.Pop(&f.followers).(*party)
-	t.forget(p)
-	delete(t.leads, f.lead)
-	f.lead = p.id
-	t.leads[p.id] = f
+	p := heap.Pop(&g.followers).(*follower)
+	t.uncountFollower(p)
+	delete(t.leads, g.lead)
+	g.lead = p.id
+	t.leads[p.id] = g
 	return p.id, true
 }
 
-// Left takes out a follower that waits no longer. It names the lead where that one has been left alone: nobody else waits for what it
-// gets. The lead does not leave while others do: ask Waited, then Lost.
-func (t *Table) Left(id ID) (lead ID, alone bool) {
-	p := t.follows[id]
+// RemoveFollower removes a follower that no longer waits. It returns the leading read, and whether no
+// other read waits for its answer. A leading read must not leave while others wait: call FollowerCount,
+// then PassLead.
+func (t *Table) RemoveFollower(id ID) (lead ID, alone bool) {
+	p := t.followers[id]
 	if p == nil {
 		return 0, false
 	}
-	heap.Remove(&p.of.followers, p.at)
-	t.forget(p)
-	return p.of.lead, len(p.of.followers) == 0
+	heap.Remove(&p.group.followers, p.heapIndex)
+	t.uncountFollower(p)
+	return p.group.lead, len(p.group.followers) == 0
 }
 
-// Waited tells how many wait for what a lead gets.
-func (t *Table) Waited(lead ID) int {
-	if f := t.leads[lead]; f != nil {
-		return len(f.followers)
+// FollowerCount returns how many reads wait for the answer of a leading read.
+func (t *Table) FollowerCount(lead ID) int {
+	if g := t.leads[lead]; g != nil {
+		return len(g.followers)
 	}
 	return 0
 }
 
-// Until is the latest time at which one of those who wait for what a lead gets still waits; 0: nobody does.
-func (t *Table) Until(lead ID) time.Duration {
-	if f := t.leads[lead]; f != nil && len(f.followers) > 0 {
-		return f.followers[0].until
+// LatestDeadline returns the latest deadline of the reads that wait for the answer of a leading read; 0
+// if there are none.
+func (t *Table) LatestDeadline(lead ID) time.Duration {
+	if g := t.leads[lead]; g != nil && len(g.followers) > 0 {
+		return g.followers[0].deadline
 	}
 	return 0
 }
 
-// Fence closes what is out for a key to reads that come from now on: a write of it has been answered, or may have run, and what was
-// asked for before may not show it.
+// Fence closes the groups of a key to reads that arrive from now on. A write of the key has been
+// answered, or may have run, and answers to earlier attempts may not reflect it.
 func (t *Table) Fence(key string) {
-	for _, f := range t.byKey[key] {
-		t.close(f)
+	for _, g := range t.byKey[key] {
+		t.closeGroup(g)
 	}
 }
 
-// Apart ends a flight whose answer can't be shared, and tells who followed it: each makes its own way now, and so do reads of the key
-// from now on, for as long as it is remembered.
-func (t *Table) Apart(lead ID) []ID {
-	f := t.leads[lead]
-	if f == nil {
+// MarkUnshareable removes a group whose answer can't be shared, and returns its followers. Each of them
+// becomes a request of its own, and so do later reads of the key for as long as the key is remembered.
+func (t *Table) MarkUnshareable(lead ID) []ID {
+	g := t.leads[lead]
+	if g == nil {
 		return nil
 	}
-	for key := range t.apart {
-		if len(t.apart) < mostApart {
+	for key := range t.unshared {
+		if len(t.unshared) < maxUnshared {
 			break
 		}
-		delete(t.apart, key)
+		delete(t.unshared, key)
 	}
-	t.apart[f.what.key] = struct{}{}
-	return t.Landed(lead)
+	t.unshared[g.identity.key] = struct{}{}
+	return t.Complete(lead)
 }
 
-// Len counts the flights and those who follow.
-func (t *Table) Len() (flights, followers int) { return len(t.leads), len(t.follows) }
+// Len returns the number of groups and of followers.
+func (t *Table) Len() (flights, followers int) { return len(t.leads), len(t.followers) }
--- a/internal/manykeys/manykeys_test.go
+++ b/internal/manykeys/manykeys_test.go
@@ -7,102 +7,103 @@
 	"testing"
 )
 
-var usual = Limits{Keys: 64, Bytes: 1000, Out: 8, Part: 4}
+var testLimits = Limits{Keys: 64, Bytes: 1000, Outstanding: 8, PartSize: 4}
 
 func TestFaultyRequests(t *testing.T) {
 	home := func(string) uint64 { return 1 }
-	if _, err := New(usual, nil, home); !errors.Is(err, ErrNoKeys) {
+	if _, err := New(testLimits, nil, home); !errors.Is(err, ErrNoKeys) {
 		t.Error(err)
 	}
-	if _, err := New(usual, make([]string, 65), home); !errors.Is(err, ErrTooMany) {
+	if _, err := New(testLimits, make([]string, 65), home); !errors.Is(err, ErrTooMany) {
 		t.Error(err)
 	}
 }
 
-// Whatever the caches do, in whatever order: each key is asked for once, one part at a cache at a time and no more than may be out; every key gets its
-// mark, and places of the same key the same one; the reply stays within its bytes.
+// For any order of answers: each key is requested once, with one part at a cache at a time and at most
+// the permitted number outstanding; every key gets an outcome, and repeated keys the same one; the reply
+// stays within its size limit.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		l := Limits{Keys: 200, Bytes: rng.IntN(3000), Out: 1 + rng.IntN(20), Part: 1 + rng.IntN(8)}
+		l := Limits{Keys: 200, Bytes: rng.IntN(3000), Outstanding: 1 + rng.IntN(20), PartSize: 1 + rng.IntN(8)}
 		keys := make([]string, 1+rng.IntN(150))
 		for i := range keys {
 			keys[i] = fmt.Sprint("k", rng.IntN(120))
 		}
-		boxes := uint64(1 + rng.IntN(9))
+		caches := uint64(1 + rng.IntN(9))
 		home := func(key string) uint64 {
 			var n uint64
 			fmt.Sscanf(key, "k%d", &n)
-			return n % boxes
+			return n % caches
 		}
 		g, err := New(l, keys, home)
 		if err != nil {
 			t.Fatal(err)
 		}
-		asked := map[string]bool{}
-		var out []int
-		part := map[uint64]map[int]bool{} // by cache: its part
+		requested := map[string]bool{}
+		var outstanding []int
+		parts := map[uint64]map[int]bool{} // current part by cache
 		bytes := 0
-		for steps := 0; !g.Over(); steps++ {
+		for steps := 0; !g.Finished(); steps++ {
 			if steps > 10_000 {
 				t.Fatalf("seed %d: it never ends", seed)
 			}
-			fresh := map[uint64][]int{}
+			newParts := map[uint64][]int{}
 			for _, k := range g.Next() {
-				if asked[g.Key(k)] {
+				if requested[g.Key(k)] {
 					t.Fatalf("seed %d: %s is asked for twice", seed, g.Key(k))
 				}
-				asked[g.Key(k)] = true
+				requested[g.Key(k)] = true
 				at := home(g.Key(k))
-				fresh[at] = append(fresh[at], k)
-				out = append(out, k)
+				newParts[at] = append(newParts[at], k)
+				outstanding = append(outstanding, k)
 			}
-			for at, ks := range fresh {
-				if len(part[at]) > 0 || len(ks) > l.Part {
-					t.Fatalf("seed %d: %d keys go to cache %d, where %d are out", seed, len(ks), at, len(part[at]))
+			for at, ks := range newParts {
+				if len(parts[at]) > 0 || len(ks) > l.PartSize {
+					t.Fatalf("seed %d: %d keys go to cache %d, where %d are out", seed, len(ks), at, len(parts[at]))
 				}
-				part[at] = map[int]bool{}
+				parts[at] = map[int]bool{}
 				for _, k := range ks {
-					part[at][k] = true
+					parts[at][k] = true
 				}
 			}
-			if len(out) > l.Out || len(out) != g.Out() || len(out) == 0 {
-				t.Fatalf("seed %d: %d are out, %d counted, %d allowed", seed, len(out), g.Out(), l.Out)
+			if len(outstanding) > l.Outstanding || len(outstanding) != g.Outstanding() || len(outstanding) == 0 {
+				t.Fatalf("seed %d: %d are out, %d counted, %d allowed", seed, len(outstanding), g.Outstanding(), l.Outstanding)
 			}
-			i := rng.IntN(len(out))
-			k := out[i]
-			out = append(out[:i], out[i+1:]...)
-			delete(part[home(g.Key(k))], k)
-			m, size := Mark(1+rng.IntN(5)), rng.IntN(60)
-			switch got := g.Done(k, m, size); {
+			i := rng.IntN(len(outstanding))
+			k := outstanding[i]
+			outstanding = append(outstanding[:i], outstanding[i+1:]...)
+			delete(parts[home(g.Key(k))], k)
+			m, size := Outcome(1+rng.IntN(5)), rng.IntN(60)
+			switch got := g.Complete(k, m, size); {
 			case got == Served:
 				bytes += size
 			case got == Large && m == Served && bytes+size > l.Bytes:
 			case got != m:
 				t.Fatalf("seed %d: marked %v, not %v", seed, got, m)
 			}
-			if again := g.Done(k, Failed, 0); again != g.Mark(k) {
+			if again := g.Complete(k, Failed, 0); again != g.Outcome(k) {
 				t.Fatalf("seed %d: a key is marked twice", seed)
 			}
 		}
-		if bytes > l.Bytes || len(g.Next()) > 0 || len(out) > 0 {
-			t.Fatalf("seed %d: %d bytes of %d, %d out", seed, bytes, l.Bytes, len(out))
+		if bytes > l.Bytes || len(g.Next()) > 0 || len(outstanding) > 0 {
+			t.Fatalf("seed %d: %d bytes of %d, %d out", seed, bytes, l.Bytes, len(outstanding))
 		}
-		for i, k := range g.Places() {
-			if g.Key(k) != keys[i] || g.Mark(k) == Waiting || !asked[keys[i]] {
-				t.Fatalf("seed %d: place %d: %s, %v", seed, i, g.Key(k), g.Mark(k))
+		for i, k := range g.KeyIndexes() {
+			if g.Key(k) != keys[i] || g.Outcome(k) == Pending || !requested[keys[i]] {
+				t.Fatalf("seed %d: place %d: %s, %v", seed, i, g.Key(k), g.Outcome(k))
 			}
 		}
 	}
 }
 
-// A cache with a long line does not keep the others from their turns.
+// A cache with a long queue does not delay the others.
 func TestCachesHaveTurns(t *testing.T) {
 	keys := make([]string, 64)
 	for i := range keys {
 		keys[i] = fmt.Sprint(i)
 	}
-	g, err := New(usual, keys, func(key string) uint64 {
+	g, err := New(testLimits, keys, func(key string) uint64 {
 		if len(key) == 1 {
 			return 1 // ten keys
 		}
@@ -114,8 +115,8 @@
 	if first := g.Next(); len(first) != 8 {
 		t.Fatalf("%d are asked for", len(first))
 	}
-	for k := range 4 { // the short line's part is through, the other's is not
-		g.Done(k, Served, 1)
+	for k := range 4 { // the part of the short queue is completed, that of the other is not
+		g.Complete(k, Served, 1)
 	}
 	if next := g.Next(); len(next) != 4 || next[0] != 4 {
 		t.Errorf("next: %v", next)
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,6 +1,7 @@
-// Package mgmt answers operators' calls over HTTP/1.1: whether the proxy serves, and which members stand out of use. It
-// decides nothing: internal/maintenance does, internal/handover keeps the record, and the proxy carries it out. It never
-// takes clients' requests, and it is the host's second front only for its descriptors and its end.
+// Package mgmt serves the operators' HTTP/1.1 API: whether the proxy serves, and which members are out of
+// use. It makes no decisions: internal/maintenance makes them, internal/handover keeps the record, and
+// the proxy applies it. It takes no client requests. It is a proxy.Front so that the host counts its
+// descriptors and closes it at the end.
 package mgmt
 
 import (
@@ -23,77 +24,80 @@
 )
 
 const (
-	// callTime is how long a call may take to arrive. Callers that send nothing or half a call hold a place for no longer.
-	callTime   = 2 * time.Second
-	answerTime = time.Second
-	// maxCalls bounds the calls at once; one more takes the place of the oldest, which can only be one that stays silent.
-	maxCalls = 16
-	maxBody  = 1 << 10
-	maxHead  = 8 << 10
-	// lookEvery is how often the record is looked at: a call at one process has to bind the other too.
-	lookEvery = 50 * time.Millisecond
+	// readTimeout is how long a call may take to arrive. Callers that send nothing or half a call are
+	// disconnected after that.
+	readTimeout  = 2 * time.Second
+	responseTime = time.Second
+	// maxConnections bounds the open connections. A further one replaces the oldest, which can only be
+	// one that stays silent.
+	maxConnections = 16
+	maxBodyBytes   = 1 << 10
+	maxHeaderBytes = 8 << 10
+	// recordPollInterval is how often the record is read: a call to one process has to apply to the other
+	// one too.
+	recordPollInterval = 50 * time.Millisecond
 )
 
-// Front takes operators' calls.
+// Front is the listener for operators' calls.
 type Front struct {
-	p      *proxy.Proxy
-	dir    *handover.Dir
-	log    *slog.Logger
-	listen net.Listener
-	server *http.Server
-	mux    *http.ServeMux
-	quit   chan struct{}
-
-	mu     sync.Mutex
-	open   []*call // the oldest first
-	closed bool
+	proxy    *proxy.Proxy
+	dir      *handover.Dir
+	log      *slog.Logger
+	listener net.Listener
+	server   *http.Server
+	mux      *http.ServeMux
+	quit     chan struct{}
+
+	mu          sync.Mutex
+	connections []*connection // oldest first
+	closed      bool
 }
 
-// call is a caller's connection.
-type call struct {
+// connection is an operator's connection.
+type connection struct {
 	net.Conn
-	f    *Front
-	once sync.Once
+	front *Front
+	once  sync.Once
 }
 
 var _ proxy.Front = (*Front)(nil)
 
-// New listens at addr. Calls that come before the proxy serves are answered once it does.
+// New listens at addr. Calls that arrive before the proxy serves are answered once it does.
 func New(p *proxy.Proxy, addr string, dir *handover.Dir, log *slog.Logger) (*Front, error) {
 	lc := net.ListenConfig{KeepAlive: -1}
-	l, err := lc.Listen(context.Background(), "tcp", addr)
+	listener, err := lc.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
-	f := &Front{p: p, dir: dir, log: log, listen: l, quit: make(chan struct{})}
+	f := &Front{proxy: p, dir: dir, log: log, listener: listener, quit: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", f.status)
 	mux.HandleFunc("PUT /maintenance/enter", f.enter)
 	mux.HandleFunc("PUT /maintenance/exit", f.exit)
 	f.mux = mux
 	f.server = &http.Server{
-		Handler: mux, ReadTimeout: callTime, WriteTimeout: callTime + answerTime, MaxHeaderBytes: maxHead,
+		Handler: mux, ReadTimeout: readTimeout, WriteTimeout: readTimeout + responseTime, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	f.server.SetKeepAlivesEnabled(false) // one call a connection
+	f.server.SetKeepAlivesEnabled(false) // one call per connection
 	return f, nil
 }
 
-// Addr is where calls are taken.
-func (f *Front) Addr() net.Addr { return f.listen.Addr() }
+// Addr returns the address of the listener.
+func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// Serve takes calls until Close, and follows the record meanwhile.
+// Serve accepts calls until Close, and follows the record meanwhile.
 func (f *Front) Serve() error {
-	go f.look()
-	if err := f.server.Serve(listener{f.listen, f}); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+	go f.followRecord()
+	if err := f.server.Serve(boundedListener{f.listener, f}); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("mgmt: %w", err)
 	}
 	return nil
 }
 
-// look takes over what another process has changed.
-func (f *Front) look() {
-	tick := time.NewTicker(lookEvery)
+// followRecord applies changes that another process has made to the record.
+func (f *Front) followRecord() {
+	tick := time.NewTicker(recordPollInterval)
 	defer tick.Stop()
 	faulty := false
 	for {
@@ -102,36 +106,37 @@
 			return
 		case <-tick.C:
 		}
-		set, changed, err := f.dir.Look()
+		set, changed, err := f.dir.Reload()
 		if err != nil && !faulty {
-			f.log.Error("the record of members out of use can't be read, what is known stays in force", "err", err)
+			f.log.Error("the record of members out of use can't be read; the known one stays in force", "err", err)
 		}
 		if faulty = err != nil; changed && !faulty {
-			f.log.Info("members out of use, by another process's record", "count", set.Outs())
-			f.p.Maintain(set)
+			f.log.Info("members out of use have changed, by the record of another process", "count", set.CountOut())
+			f.proxy.Maintain(set)
 		}
 	}
 }
 
-// Drain changes nothing: operators go on calling until the end.
+// Drain does nothing: operators may call until the end.
 func (f *Front) Drain() {}
 
-// StopTaking changes nothing.
+// StopTaking does nothing.
 func (f *Front) StopTaking() {}
 
-// Owes tells that nothing is owed for which the process should stay.
+// Owes returns false: no call keeps the process from ending.
 func (f *Front) Owes() bool { return false }
 
-// End changes nothing.
+// End does nothing.
 func (f *Front) End() {}
 
-// Sweep has nothing to do: the server's time-outs do it.
+// Sweep does nothing: the timeouts of the HTTP server are enough.
 func (f *Front) Sweep() {}
 
-// MakeRoom gives up no call: there are few.
+// MakeRoom closes no connection, as there are few.
 func (f *Front) MakeRoom() bool { return false }
 
-// Close ends the calls. The host's lock is held, which calls may wait for, so nothing here waits for them.
+// Close ends all calls. It does not wait for them: the caller holds the host's lock, which calls may wait
+// for.
 func (f *Front) Close() {
 	f.mu.Lock()
 	closed := f.closed
@@ -142,50 +147,51 @@
 	}
 	close(f.quit)
 	go f.server.Close()
-	f.listen.Close()
+	f.listener.Close()
 }
 
-// listener makes room for each new call.
-type listener struct {
+// boundedListener closes the oldest connection when a new one exceeds maxConnections.
+type boundedListener struct {
 	net.Listener
-	f *Front
+	front *Front
 }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l boundedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &call{Conn: conn, f: l.f}
-	l.f.mu.Lock()
-	var oldest *call
-	if len(l.f.open) >= maxCalls {
-		oldest = l.f.open[0]
+	c := &connection{Conn: conn, front: l.front}
+	l.front.mu.Lock()
+	var oldest *connection
+	if len(l.front.connections) >= maxConnections {
+		oldest = l.front.connections[0]
 	}
-	l.f.open = append(l.f.open, c)
-	l.f.mu.Unlock()
-	l.f.p.Do(func() { l.f.p.Descriptors(1) })
+	l.front.connections = append(l.front.connections, c)
+	l.front.mu.Unlock()
+	l.front.proxy.Do(func() { l.front.proxy.Descriptors(1) })
 	if oldest != nil {
 		oldest.Close()
 	}
 	return c, nil
 }
 
-// Close ends a call's connection.
-func (c *call) Close() error {
+// Close closes the connection and removes it from the open ones.
+func (c *connection) Close() error {
 	c.once.Do(func() {
-		c.f.mu.Lock()
-		if i := slices.Index(c.f.open, c); i >= 0 {
-			c.f.open = slices.Delete(c.f.open, i, i+1)
+		c.front.mu.Lock()
+		if i := slices.Index(c.front.connections, c); i >= 0 {
+			c.front.connections = slices.Delete(c.front.connections, i, i+1)
 		}
-		c.f.mu.Unlock()
-		go c.f.p.Do(func() { c.f.p.Descriptors(-1) }) // the host's lock may be held by who closes
+		c.front.mu.Unlock()
+		// In a goroutine, as the caller may hold the host's lock.
+		go c.front.proxy.Do(func() { c.front.proxy.Descriptors(-1) })
 	})
 	return c.Conn.Close()
 }
 
 func (f *Front) status(w http.ResponseWriter, _ *http.Request) {
-	if !f.p.Serving() {
+	if !f.proxy.Serving() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 		return
 	}
@@ -204,25 +210,25 @@
 	})
 }
 
-// body is a call's text; where it can't be read the call has been answered.
-func body(w http.ResponseWriter, r *http.Request, what string) (text string, ok bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+// readBody returns the body of a call. If it can't be read, it sends an error response and returns false.
+func readBody(w http.ResponseWriter, r *http.Request, what string) (text string, ok bool) {
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "the body, "+what+", can't be read: "+err.Error(), http.StatusBadRequest)
 	}
 	return strings.TrimSpace(string(b)), err == nil
 }
 
-// answer answers a call in JSON.
-func answer(w http.ResponseWriter, v any) {
+// writeJSON sends a response in JSON.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("content-type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
 
-// change records what a call asks for and carries it out, and only then answers yes.
+// change records a call and applies it, and only then responds with success.
 func (f *Front) change(w http.ResponseWriter, r *http.Request, out bool,
 	to func(maintenance.Set, string) (maintenance.Set, error)) {
-	id, ok := body(w, r, "the id of a member")
+	id, ok := readBody(w, r, "the id of a member")
 	if !ok {
 		return
 	}
@@ -230,17 +236,17 @@
 	case !maintenance.ValidID(id):
 		http.Error(w, "the body is the id of a member: "+maintenance.ErrBadID.Error(), http.StatusBadRequest)
 		return
-	case !f.p.Knows(id):
+	case !f.proxy.Knows(id):
 		http.Error(w, fmt.Sprintf("no member has the id %q", id), http.StatusNotFound)
 		return
 	}
-	set, err := f.dir.Change(func(s maintenance.Set) (maintenance.Set, error) { return to(s, id) })
+	set, err := f.dir.Update(func(s maintenance.Set) (maintenance.Set, error) { return to(s, id) })
 	if err != nil {
-		f.log.Error("call to take a member out of use or back failed, nothing is changed", "member", id, "out", out, "err", err)
+		f.log.Error("call to take a member out of use or back in use failed; nothing has changed", "member", id, "out", out, "err", err)
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	f.p.Maintain(set)
-	f.log.Info("maintenance", "member", id, "out", out, "all_out", set.Outs())
+	f.proxy.Maintain(set)
+	f.log.Info("maintenance", "member", id, "out", out, "all_out", set.CountOut())
 	fmt.Fprintf(w, "%s out=%t\n", id, out)
 }
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -22,21 +22,21 @@
 	"linenloom/logic"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-type rig struct {
-	t     *testing.T
-	fleet *standin.Fleet
-	p     *proxy.Proxy
-	calls string
-	in    *bufio.Reader
-	conn  net.Conn
-	n     int
+type harness struct {
+	t        *testing.T
+	fleet    *standin.Fleet
+	proxy    *proxy.Proxy
+	addr     string
+	reader   *bufio.Reader
+	conn     net.Conn
+	requests int
 
-	sentTo map[logic.MemberID]int // attempts so far, under the proxy's lock
+	attemptsByMember map[logic.MemberID]int // attempts so far, under the proxy's lock
 }
 
-func start(t *testing.T, path string, record ...mgmt.Orders) *rig {
+func startHarness(t *testing.T, path string, record ...mgmt.Orders) *harness {
 	t.Helper()
 	fleet, err := standin.NewFleet(2, 100)
 	if err != nil {
@@ -52,7 +52,8 @@
 		t.Fatal(err)
 	}
 	cfg.AcceptMore = 0
-	// What is sent is counted as it is: on a busy machine a box begins one that was given up when others are counted already.
+	// Attempts are counted when they are sent: on a busy machine a server may start an abandoned attempt after later
+	// ones have been counted.
 	sentTo := map[logic.MemberID]int{}
 	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) { sentTo[m]++ }
 	dir, _, err := handover.Open(path, "m")
@@ -68,7 +69,7 @@
 		t.Fatal(err)
 	}
 	for _, o := range record {
-		f.KeepsOrders(o)
+		f.HandleOrders(o)
 	}
 	p.AddFront(f)
 	ctx, stop := context.WithCancel(context.Background())
@@ -85,63 +86,64 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { conn.Close() })
-	return &rig{t: t, fleet: fleet, p: p, sentTo: sentTo, calls: f.Addr().String(), conn: conn, in: bufio.NewReader(conn)}
+	return &harness{t: t, fleet: fleet, proxy: p, attemptsByMember: sentTo, addr: f.Addr().String(), conn: conn, reader: bufio.NewReader(conn)}
 }
 
-func (r *rig) call(method, path, body string) int {
+func (r *harness) call(method, path, body string) int {
 	r.t.Helper()
-	status, _, err := mgmt.Call(method, r.calls, path, body, patience)
+	status, _, err := mgmt.Call(method, r.addr, path, body, testTimeout)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return status
 }
 
-// read asks for a key and waits for the value.
-func (r *rig) read(key string) {
+// read requests a key and waits for the value.
+func (r *harness) read(key string) {
 	r.t.Helper()
-	r.n++
+	r.requests++
 	b := resp.AppendArray(nil, 4)
-	for _, w := range []string{"OBJ.GET", key, fmt.Sprintf("%016x", r.n), "c=tile-read,d=3000"} {
+	for _, w := range []string{"OBJ.GET", key, fmt.Sprintf("%016x", r.requests), "c=tile-read,d=3000"} {
 		b = resp.AppendBulk(b, w)
 	}
 	if _, err := r.conn.Write(b); err != nil {
 		r.t.Fatal(err)
 	}
-	line, err := r.in.ReadString('\n')
+	line, err := r.reader.ReadString('\n')
 	if err != nil || line[0] != '$' {
 		r.t.Fatalf("%q %v", line, err)
 	}
-	if _, err := io.CopyN(io.Discard, r.in, 102); err != nil {
+	if _, err := io.CopyN(io.Discard, r.reader, 102); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// sent is how many requests each box has begun after a number of reads of different keys.
-func (r *rig) sent(reads int) (n [2]int) {
+// attemptsForReads returns how many attempts each server was sent for a number of reads of different
+// keys.
+func (r *harness) attemptsForReads(reads int) (sent [2]int) {
 	r.t.Helper()
-	before := r.sends()
+	before := r.attempts()
 	for i := range reads {
 		r.read(fmt.Sprintf("%x", 0x1000+i))
 	}
-	after := r.sends()
-	for i := range n {
+	after := r.attempts()
+	for i := range sent {
 		id := proxy.MemberID(r.fleet.Boxes[i].ID)
-		n[i] = after[id] - before[id]
+		sent[i] = after[id] - before[id]
 	}
-	return n
+	return sent
 }
 
-// sends is how many attempts each member has been sent.
-func (r *rig) sends() (sends map[logic.MemberID]int) {
-	r.p.Do(func() { sends = maps.Clone(r.sentTo) })
+// attempts returns how many attempts each member has been sent.
+func (r *harness) attempts() (sends map[logic.MemberID]int) {
+	r.proxy.Do(func() { sends = maps.Clone(r.attemptsByMember) })
 	return sends
 }
 
 func TestCalls(t *testing.T) {
-	r := start(t, t.TempDir())
+	r := startHarness(t, t.TempDir())
 	for _, c := range []struct {
 		method, path, body string
 		want               int
@@ -155,24 +157,24 @@
 		{"POST", "/maintenance/enter", "s-1", 405},
 		{"PUT", "/status", "", 405},
 		{"GET", "/else", "", 404},
-		{"PUT", "/maintenance/exit", "s-1", 200}, // it is in use already
+		{"PUT", "/maintenance/exit", "s-1", 200}, // in use already
 	} {
 		if got := r.call(c.method, c.path, c.body); got != c.want {
 			t.Errorf("%s %s %.10q: %d, want %d", c.method, c.path, c.body, got, c.want)
 		}
 	}
-	if n := r.sent(60); n[0] == 0 || n[1] == 0 {
+	if n := r.attemptsForReads(60); n[0] == 0 || n[1] == 0 {
 		t.Fatalf("before: %v", n)
 	}
-	for range 2 { // two calls out
+	for range 2 { // two calls to enter maintenance
 		if got := r.call("PUT", "/maintenance/enter", "s-1\n"); got != 200 {
 			t.Fatalf("enter: %d", got)
 		}
 	}
-	if n := r.sent(60); n[0] != 0 || n[1] == 0 {
+	if n := r.attemptsForReads(60); n[0] != 0 || n[1] == 0 {
 		t.Errorf("s-1 is out: %v", n)
 	}
-	// Whatever discovery says: it drains, is gone, and comes back at its place.
+	// Regardless of discovery, where the member drains, is gone, and returns to its old position.
 	r.fleet.Drain(r.fleet.Boxes[0])
 	if _, err := r.fleet.Add("s-3", time.Time{}); err != nil {
 		t.Fatal(err)
@@ -181,51 +183,52 @@
 	member := r.fleet.Registry.List().Members[1]
 	member.Phase = "in_service"
 	r.fleet.Registry.Tell(member)
-	for !r.p.Knows("s-3") {
+	for !r.proxy.Knows("s-3") {
 		time.Sleep(time.Millisecond)
 	}
-	if n := r.sent(60); n[0] != 0 {
+	if n := r.attemptsForReads(60); n[0] != 0 {
 		t.Errorf("discovery has called s-1 back: %v", n)
 	}
-	if got := r.call("PUT", "/maintenance/exit", "s-1"); got != 200 { // and one back
+	if got := r.call("PUT", "/maintenance/exit", "s-1"); got != 200 { // one call to leave it
 		t.Fatalf("exit: %d", got)
 	}
-	// It counts as cold, and is used as its budget, which goes by the time, lets it.
-	for end := time.Now().Add(patience); r.sent(90)[0] == 0; time.Sleep(time.Millisecond) {
+	// The member counts as cold, and is used as its cold-start budget allows, which grows with time.
+	for end := time.Now().Add(testTimeout); r.attemptsForReads(90)[0] == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("s-1 is back and unused")
 		}
 	}
 }
 
-// A call at another process of this proxy binds this one.
-func TestAnothersRecord(t *testing.T) {
+// A call to another process of this proxy applies to this one too.
+func TestRecordOfAnotherProcess(t *testing.T) {
 	path := t.TempDir()
-	r := start(t, path)
-	r.sent(10)
+	r := startHarness(t, path)
+	r.attemptsForReads(10)
 	other, alone, err := handover.Open(path, "m")
 	if err != nil || alone {
 		t.Fatalf("alone %t %v", alone, err)
 	}
 	defer other.Close()
-	if _, err := other.Change(func(s maintenance.Set) (maintenance.Set, error) { return s.Enter("s-2", 1) }); err != nil {
+	if _, err := other.Update(func(s maintenance.Set) (maintenance.Set, error) { return s.Enter("s-2", 1) }); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); r.p.Load().Ready != 2; time.Sleep(time.Millisecond) { // a box and the origin
+	for end := time.Now().Add(testTimeout); r.proxy.Load().Ready != 2; time.Sleep(time.Millisecond) {
+		// Ready counts a cache and the origin.
 		if time.Now().After(end) {
 			t.Fatal("s-2 is still in use")
 		}
 	}
-	if n := r.sent(60); n[1] != 0 {
+	if n := r.attemptsForReads(60); n[1] != 0 {
 		t.Errorf("s-2 is out: %v", n)
 	}
 }
 
-// Callers that say nothing, or half a call, hold up nobody.
+// Callers that send nothing, or half a call, do not block others.
 func TestSilentCallers(t *testing.T) {
-	r := start(t, "")
+	r := startHarness(t, "")
 	for i := range 60 {
-		conn, err := net.Dial("tcp", r.calls)
+		conn, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/mgmt/orders_test.go
+++ b/internal/mgmt/orders_test.go
@@ -17,8 +17,9 @@
 	"linenloom/internal/store/crash"
 )
 
-// A record that is full of unknown orders refuses new ones, while several clients try; operators list and settle them by calls meanwhile, and it
-// takes orders again. What was settled stands after the next opening.
+// A record that is full of unknown orders refuses new ones from several clients. Meanwhile operators list
+// and settle orders by calls, and the record accepts orders again. Settled orders stay settled when the
+// record is opened again.
 func TestSettleWhileServing(t *testing.T) {
 	const most = 8
 	opt := keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Nanosecond, MaxOrders: most, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10,
@@ -44,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := start(t, t.TempDir(), k)
+	r := startHarness(t, t.TempDir(), k)
 
 	var refused, taken atomic.Int64
 	quit := make(chan struct{})
@@ -72,7 +73,7 @@
 	}
 	eventually := func(what string, ok func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("never came about: %s", what)
 			}
@@ -84,7 +85,7 @@
 	}
 	call := func(method, path, body string, want int) string {
 		t.Helper()
-		status, text, err := mgmt.Call(method, r.calls, path, body, patience)
+		status, text, err := mgmt.Call(method, r.addr, path, body, testTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -517,7 +517,7 @@
 func TestManyKeysShareOneDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.TryLimit = 1
-	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Out: 1, Part: 1}
+	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Outstanding: 1, PartSize: 1}
 	w := watchDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{}, 10)
 	p := start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string {
@@ -542,7 +542,7 @@
 func TestJoinedReadTellsWhatItsFollowersHaveLeft(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.TryLimit = 2 // so that the second attempt may take all that is left
-	cfg.Joining = &joining.Limits{Followers: 10, PerTenant: 10, Flights: 10}
+	cfg.Joining = &joining.Limits{Followers: 10, PerTenant: 10, Groups: 10}
 	w := watchDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{})
 	var asks atomic.Int32
@@ -576,7 +576,7 @@
 // A process that was held up dates what it reads right afterwards by when it may have come: in the midst of an event, and between two.
 func TestStallsDateRequests(t *testing.T) {
 	p := &Proxy{cfg: Config{}, started: time.Now().Add(-time.Minute), ups: upstream.New(pool.Config{}, nil)}
-	p.stalls.Gap = stallGap
+	p.stalls.MaxGap = stallGap
 	p.timers = newTimers(time.Millisecond, p.Clock())
 	p.timer = time.AfterFunc(time.Hour, func() {})
 	p.now = p.Clock()
@@ -592,7 +592,7 @@
 		t.Errorf("read right after an event that took long, dated %v after it began", got-began)
 	}
 	last := p.now - time.Second
-	p.now, p.stalls = last, arrival.Stalls{Gap: stallGap} // nothing has happened for a second
+	p.now, p.stalls = last, arrival.Stalls{MaxGap: stallGap} // nothing has happened for a second
 	p.mu.Unlock()
 	p.enter()
 	if got := p.arrivedAt(p.now); got != last {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -154,7 +154,7 @@
 		p.offset = time.Hour
 	}
 	p.now = p.offset
-	p.stalls.Gap = stallGap
+	p.stalls.MaxGap = stallGap
 	p.timers = newTimers(tickOf(&p.cfg.Settings), p.now)
 	p.reasons = countReasons(&p.cfg.Settings)
 	p.ups = upstream.New(pool.Config{
@@ -219,7 +219,7 @@
 		g.Wait()
 		return err
 	}
-	p.log.Info("ready", "listen", p.Addr().String(), "out_of_use", p.cfg.Out.Outs(), "members", len(p.cfg.Known.Members))
+	p.log.Info("ready", "listen", p.Addr().String(), "out_of_use", p.cfg.Out.CountOut(), "members", len(p.cfg.Known.Members))
 	served := make(chan error, len(p.fronts))
 	p.Do(func() { p.serving = true })
 	for _, f := range p.fronts {
@@ -266,7 +266,7 @@
 	p.now = p.Clock()
 	p.began = p.now
 	if p.cfg.Clock == nil { // a clock that is set moves in leaps
-		p.stalls.Between(last, p.now)
+		p.stalls.NoteGap(last, p.now)
 	}
 	p.ups.Advance(p.now)
 }
@@ -291,7 +291,7 @@
 	p.arm()
 	p.long.grant(p.longMax())
 	if p.cfg.Clock == nil {
-		p.stalls.Event(p.began, p.Clock())
+		p.stalls.NoteEvent(p.began, p.Clock())
 	}
 	p.mu.Unlock()
 }
@@ -345,7 +345,7 @@
 		m.State = logic.Draining
 	}
 	// Nothing new goes to a member out of use, as if the list said that it drains.
-	if m.State == logic.Ready && p.out.Out(e.ID) {
+	if m.State == logic.Ready && p.out.IsOut(e.ID) {
 		m.State = logic.Draining
 	}
 	return m
@@ -372,7 +372,7 @@
 func (p *Proxy) Knows(id string) (known bool) {
 	p.Do(func() {
 		m := p.members[MemberID(id)]
-		known = m != nil && m.listed.ID == id && m.state != logic.Gone || p.out.Out(id)
+		known = m != nil && m.listed.ID == id && m.state != logic.Gone || p.out.IsOut(id)
 	})
 	return known
 }
--- a/internal/reasons/reasons.go
+++ b/internal/reasons/reasons.go
@@ -1,6 +1,6 @@
-// Package reasons counts why requests waited, were refused or failed, by class and tenant. The module gives the reasons
-// (logic.Reason); a host adds what it turns away by itself. It never decides anything and starts nothing: who owns a
-// Counts guards it.
+// Package reasons counts by class and tenant why requests waited, were refused or failed. The balancer
+// module provides the reasons (logic.Reason); a host adds those for which it refuses requests itself. The
+// package makes no decisions and starts no goroutines. The owner of a Counts guards it.
 package reasons
 
 import (
@@ -13,121 +13,122 @@
 	"linenloom/logic"
 )
 
-// What became of a request.
-type What uint8
+// Outcome is what happened to a request.
+type Outcome uint8
 
-// A request may wait more than once; it is refused or fails once at the most.
+// A request may wait more than once; it is refused or fails at most once.
 const (
-	Waited What = iota
+	Waited Outcome = iota
 	Refused
 	Failed
-	whats
+	outcomeCount
 )
 
-func (w What) String() string {
-	return [...]string{"waited", "refused", "failed", "unknown"}[min(w, whats)]
+func (w Outcome) String() string {
+	return [...]string{"waited", "refused", "failed", "unknown"}[min(w, outcomeCount)]
 }
 
-// Host's own reasons follow those of the module.
+// Reasons of the host. They follow those of the module.
 const (
-	HostFull     logic.Reason = logic.Reasons + iota // as many requests, or bytes of them, in hand as the memory is for
-	Stopping                                         // the proxy takes nothing any more
-	Overload                                         // it waited too long to be read: more comes than the proxy's core can do
-	RecordFull                                       // the record of orders has no room for another
-	RecordBehind                                     // the record's disk is slow, or the process before still has it
-	RecordFault                                      // the record's disk can't be written
-	OrderInHand                                      // a request in hand has the order's name
-	OtherOrder                                       // the order's name stands for another order
-	OrderHasRun                                      // and its receipt is not told here
-	OrderUnknown                                     // it may have run, and is to be looked up
-	all
+	HostFull     logic.Reason = logic.Reasons + iota // requests in progress, or their bytes, are at the memory limit
+	Stopping                                         // the proxy accepts no further requests
+	Overload                                         // the core is overloaded: the request waited unread for long
+	RecordFull                                       // the record of orders is full
+	RecordBehind                                     // the disk is slow, or the predecessor still has the record
+	RecordFault                                      // writes to the record's disk fail
+	OrderInHand                                      // a request in progress has the order's name
+	OtherOrder                                       // the order's name is that of another order
+	OrderHasRun                                      // the order has run, and its receipt is not disclosed
+	OrderUnknown                                     // the order may have run, and an operator has to look it up
+	reasonCount
 )
 
-// Name is a reason's name in logs and reports.
+// Name returns the name of a reason in logs and reports.
 func Name(r logic.Reason) string {
-	if r >= HostFull && r < all {
-		return [all - HostFull]string{"host_full", "stopping", "overload", "record_full", "record_behind", "record_fault", "order_in_hand", "other_order",
+	if r >= HostFull && r < reasonCount {
+		return [reasonCount - HostFull]string{"host_full", "stopping", "overload", "record_full", "record_behind", "record_fault", "order_in_hand", "other_order",
 			"order_has_run", "order_unknown"}[r-HostFull]
 	}
 	return r.String()
 }
 
-// Counts are counts since the start. Its size is fixed when it is made.
+// Counts holds the counts since the start. Its size is fixed at creation.
 type Counts struct {
 	classes, tenants []string
-	n                []uint64
+	values           []uint64
 }
 
-// New makes counts for these classes and tenants, by their places in the settings. No tenant at all counts as one
-// without a name.
+// New returns counts for these classes and tenants, indexed by their positions in the settings. Without
+// tenants there is one with an empty name.
 func New(classes, tenants []string) *Counts {
 	if len(tenants) == 0 {
 		tenants = []string{""}
 	}
 	c := &Counts{classes: slices.Clone(classes), tenants: slices.Clone(tenants)}
-	c.n = make([]uint64, len(c.classes)*len(c.tenants)*int(whats)*int(all))
+	c.values = make([]uint64, len(c.classes)*len(c.tenants)*int(outcomeCount)*int(reasonCount))
 	return c
 }
 
-// Add counts one. A class or tenant that the settings don't have is counted with none.
-func (c *Counts) Add(w What, class, tenant int, why logic.Reason) {
+// Add counts one request. A tenant that the settings don't have counts as the first one; an unknown
+// class, outcome or reason is not counted.
+func (c *Counts) Add(outcome Outcome, class, tenant int, reason logic.Reason) {
 	if tenant < 0 || tenant >= len(c.tenants) {
 		tenant = 0
 	}
-	if class < 0 || class >= len(c.classes) || w >= whats || why >= all {
+	if class < 0 || class >= len(c.classes) || outcome >= outcomeCount || reason >= reasonCount {
 		return
 	}
-	c.n[c.at(class, tenant, w, why)]++
+	c.values[c.index(class, tenant, outcome, reason)]++
 }
 
-func (c *Counts) at(class, tenant int, w What, why logic.Reason) int {
-	return ((class*len(c.tenants)+tenant)*int(whats)+int(w))*int(all) + int(why)
+func (c *Counts) index(class, tenant int, w Outcome, why logic.Reason) int {
+	return ((class*len(c.tenants)+tenant)*int(outcomeCount)+int(w))*int(reasonCount) + int(why)
 }
 
-// Clone is a copy that changes no more.
+// Clone returns a copy that no longer changes.
 func (c *Counts) Clone() *Counts {
-	return &Counts{classes: c.classes, tenants: c.tenants, n: slices.Clone(c.n)}
+	return &Counts{classes: c.classes, tenants: c.tenants, values: slices.Clone(c.values)}
 }
 
-// For is the counts for other classes: a class that is in both keeps its own.
-func (c *Counts) For(classes []string) *Counts {
-	n := New(classes, c.tenants)
-	each := len(c.n) / max(1, len(c.classes))
+// ForClasses returns the counts for other classes. A class in both sets keeps its counts.
+func (c *Counts) ForClasses(classes []string) *Counts {
+	converted := New(classes, c.tenants)
+	perClass := len(c.values) / max(1, len(c.classes))
 	for i, name := range classes {
 		if was := slices.Index(c.classes, name); was >= 0 {
-			copy(n.n[i*each:(i+1)*each], c.n[was*each:])
+			copy(converted.values[i*perClass:(i+1)*perClass], c.values[was*perClass:])
 		}
 	}
-	return n
+	return converted
 }
 
-// Since is what has been counted since an earlier copy; nil stands for the start.
+// Since returns the counts since an earlier copy; nil stands for the start.
 func (c *Counts) Since(was *Counts) *Counts {
-	d := c.Clone()
+	difference := c.Clone()
 	if was != nil {
-		for i := range d.n {
-			d.n[i] -= was.n[i]
+		for i := range difference.values {
+			difference.values[i] -= was.values[i]
 		}
 	}
-	return d
+	return difference
 }
 
 // Row is one count.
 type Row struct {
-	What          What
+	Outcome       Outcome
 	Class, Tenant string
-	Why           logic.Reason
+	Reason        logic.Reason
 	Count         uint64
 }
 
-// Rows are the counts that are not zero, by class, tenant and what became of the requests, the largest first.
+// Rows returns the nonzero counts by class, tenant and outcome, the largest first.
 func (c *Counts) Rows() (rows []Row) {
 	for i, class := range c.classes {
 		for k, tenant := range c.tenants {
-			for w := range whats {
+			for w := range outcomeCount {
 				from := len(rows)
-				for why := range all {
-					if n := c.n[c.at(i, k, w, why)]; n > 0 {
+				for why := range reasonCount {
+					if n := c.values[c.index(i, k, w, why)]; n > 0 {
 						rows = append(rows, Row{w, class, tenant, why, n})
 					}
 				}
@@ -138,22 +139,23 @@
 	return rows
 }
 
-// Total is how many requests of all classes and tenants became that for that reason.
-func (c *Counts) Total(w What, why logic.Reason) (n uint64) {
+// Total returns the number of requests of all classes and tenants with this outcome and reason.
+func (c *Counts) Total(outcome Outcome, reason logic.Reason) (n uint64) {
 	for i := range c.classes {
 		for k := range c.tenants {
-			n += c.n[c.at(i, k, w, why)]
+			n += c.values[c.index(i, k, outcome, reason)]
 		}
 	}
 	return n
 }
 
-// Attrs are the counts as names and values for a structured log: what became of whose requests, and why.
+// Attrs returns the counts as names and values for a structured log. A name consists of outcome, class
+// and tenant; its value lists the reasons.
 func (c *Counts) Attrs() (attrs []any) {
 	var name string
 	var text strings.Builder
 	for _, r := range c.Rows() {
-		group := r.What.String() + "_" + r.Class
+		group := r.Outcome.String() + "_" + r.Class
 		if r.Tenant != "" {
 			group += "_" + r.Tenant
 		}
@@ -164,7 +166,7 @@
 		if name = group; text.Len() > 0 {
 			text.WriteByte(' ')
 		}
-		fmt.Fprintf(&text, "%s=%d", Name(r.Why), r.Count)
+		fmt.Fprintf(&text, "%s=%d", Name(r.Reason), r.Count)
 	}
 	if name != "" {
 		attrs = append(attrs, name, text.String())
@@ -182,7 +184,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "class\ttenant\toutcome\treason\tcount")
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\n", r.Class, r.Tenant, r.What, Name(r.Why), r.Count)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\n", r.Class, r.Tenant, r.Outcome, Name(r.Reason), r.Count)
 	}
 	return t.Flush()
 }
--- a/internal/reasons/reasons_test.go
+++ b/internal/reasons/reasons_test.go
@@ -16,12 +16,12 @@
 		c.Add(Refused, 0, 1, logic.Throttled)
 	}
 	c.Add(Refused, 0, 1, logic.NoRoom)
-	c.Add(Failed, 1, 99, logic.MayHaveRun) // a tenant that nobody knows counts with the first
+	c.Add(Failed, 1, 99, logic.MayHaveRun) // an unknown tenant counts as the first
 	c.Add(Refused, 1, 0, HostFull)
 	for _, bad := range []int{-1, 2} {
 		c.Add(Failed, bad, 0, logic.MayHaveRun)
 	}
-	c.Add(Failed, 0, 0, all)
+	c.Add(Failed, 0, 0, reasonCount)
 	want := []any{"refused_read_peak", "throttled=3 no_room=1", "refused_order_acme", "host_full=1",
 		"failed_order_acme", "may_have_run=1"}
 	if got := c.Since(was).Attrs(); !slices.Equal(got, want) {
@@ -35,18 +35,18 @@
 	}
 }
 
-// Each reason has a name of its own, so that none hides behind another.
+// Each reason has a distinct name, so that no two are confused.
 func TestEveryReasonHasAName(t *testing.T) {
 	seen := map[string]bool{}
-	for r := range all {
+	for r := range reasonCount {
 		if n := Name(r); n == "" || n == "unknown" || seen[n] {
 			t.Errorf("reason %d is called %q", r, n)
 		} else {
 			seen[n] = true
 		}
 	}
-	if Name(all) != "unknown" {
-		t.Errorf("a reason that does not exist is called %q", Name(all))
+	if Name(reasonCount) != "unknown" {
+		t.Errorf("a reason that does not exist is called %q", Name(reasonCount))
 	}
 }
 
--- a/internal/retune/retune_test.go
+++ b/internal/retune/retune_test.go
@@ -12,7 +12,7 @@
 	"linenloom/logic"
 )
 
-func inForce(t testing.TB) []byte {
+func currentConfig(t testing.TB) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../../cmd/linenloom/testdata/config.json")
 	if err != nil {
@@ -21,9 +21,9 @@
 	return text
 }
 
-// A file cut at any byte is turned down, and so is one that lacks any of its keys.
+// A file truncated at any byte is rejected, and so is one that lacks any of its keys.
 func TestCheckWhole(t *testing.T) {
-	whole := inForce(t)
+	whole := currentConfig(t)
 	if err := Check(whole, whole); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	n := 0
-	without(c, func(key string) {
+	withoutEachKey(c, func(key string) {
 		cut, err := json.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
@@ -56,8 +56,8 @@
 	}
 }
 
-// without takes each key away in turn, and puts it back.
-func without(v any, try func(key string)) {
+// withoutEachKey removes each key in turn, then sets it to null, and restores it.
+func withoutEachKey(v any, try func(key string)) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, was := range v {
@@ -66,30 +66,30 @@
 			v[k] = nil
 			try(k)
 			v[k] = was
-			without(was, try)
+			withoutEachKey(was, try)
 		}
 	case []any:
 		for _, e := range v {
-			without(e, try)
+			withoutEachKey(e, try)
 		}
 	}
 }
 
-func TestCheckTellsWhatIsWrong(t *testing.T) {
+func TestCheckMessages(t *testing.T) {
 	was := []byte(`{"a":{"b":[{"n":1,"x":2},{"n":3}],"c":[]},"d":"e"}`)
 	for next, want := range map[string]string{
 		``:          "empty",
 		"  \n":      "empty",
-		`{"a":`:     "cut short, after 5 bytes",
-		`[]`:        "the configuration is no object",
-		`{"a":1}`:   "a is no object; d is missing",
+		`{"a":`:     "truncated after 5 bytes",
+		`[]`:        "the configuration is not an object",
+		`{"a":1}`:   "a is not an object; d is missing",
 		`{"d":"e"}`: "a is missing",
 		`{"a":{"b":[{"n":1},{"x":2}],"c":[]},"d":"e"}`: "a.b[1].n is missing",
-		`{"a":{"b":{},"c":[]},"d":"e"}`:                "a.b is no list",
+		`{"a":{"b":{},"c":[]},"d":"e"}`:                "a.b is not a list",
 		`{"a":{"b":[],"c":[1]},"d":"e","f":1}`:         "",
 		`{"a":{"b":[{"n":5}],"c":[]},"d":"e"}`:         "",
 		`{"a":{"b":[],"c":[]},"d":null}`:               "d is null",
-		`{"a":{"b":[],"c":[]},"d":1}x`:                 "something follows",
+		`{"a":{"b":[],"c":[]},"d":1}x`:                 "unexpected data after the configuration",
 	} {
 		err := Check(was, []byte(next))
 		switch {
@@ -101,8 +101,8 @@
 	}
 }
 
-// What holds in between never allows more than either of the two.
-func TestBetween(t *testing.T) {
+// The rules in force during a transition never allow more than either of the two configurations.
+func TestTransition(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	random := func() (cs []logic.Class) {
 		for _, n := range []string{"a", "b", "c"} {
@@ -115,7 +115,7 @@
 	}
 	for range 3000 {
 		was, now := random(), random()
-		both, tries := Between(was, now, 1+rng.IntN(4), 3)
+		both, tries := Transition(was, now, 1+rng.IntN(4), 3)
 		if tries > 3 {
 			t.Fatal("more attempts than either allows")
 		}
@@ -132,7 +132,7 @@
 				}
 			}
 		}
-		for i, c := range now { // the places of what stays are those of the new file
+		for i, c := range now { // classes keep the positions of the new file
 			if both[i].Name != c.Name {
 				t.Fatalf("%v after %v", both, now)
 			}
@@ -141,7 +141,7 @@
 }
 
 func FuzzCheck(f *testing.F) {
-	whole := inForce(f)
+	whole := currentConfig(f)
 	f.Add(whole)
 	f.Add([]byte(`{"a":{}}`))
 	f.Add([]byte(`[1,{"a":null}]`))
