--- a/internal/pool/learnt.go
+++ b/internal/pool/learnt.go
@@ -5,8 +5,9 @@
 // Learnt is what is known of a member's connections, for the process that takes this one's place. Who is out of reach is not in it:
 // one dial tells that anew.
 type Learnt struct {
-	Turn        time.Duration // for which a connection is taken for a request lately
-	Clean, Need int           // clean answers since one was spoilt, and those asked for before requests travel together
+	Turn  time.Duration `json:"Turn"`  // for which a connection is taken for a request lately
+	Clean int           `json:"Clean"` // clean answers since one was spoilt
+	Need  int           `json:"Need"`  // clean answers that are asked for before requests travel together
 }
 
 // Learnt tells what is known of the connections.
@@ -21,7 +22,10 @@
 
 // IdleLearnt is how connections have fared, by spans of the time for which they had stood idle: how many were used again, and how
 // many of these broke.
-type IdleLearnt struct{ Used, Broke []float64 }
+type IdleLearnt struct {
+	Used  []float64 `json:"Used"`
+	Broke []float64 `json:"Broke"`
+}
 
 // IdleLearnt tells how connections have fared.
 func (p *Pool[X]) IdleLearnt() IdleLearnt {
--- /dev/null
+++ b/internal/pool/learnt_test.go
@@ -0,0 +1,27 @@
+package pool
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+)
+
+// The inherited state is stored as JSON and read by the next process, which may be of another version: the written
+// names and their order must not follow the names of the Go fields. A process's record of a member embeds Learnt, whose
+// fields are then written in line.
+func TestStoredFormIsStable(t *testing.T) {
+	type link struct {
+		Addr string
+		Learnt
+	}
+	for want, value := range map[string]any{
+		`{"Turn":1000000,"Clean":2,"Need":3}`:              Learnt{time.Millisecond, 2, 3},
+		`{"Used":[8,4],"Broke":[0,1]}`:                     IdleLearnt{[]float64{8, 4}, []float64{0, 1}},
+		`{"Used":null,"Broke":null}`:                       IdleLearnt{},
+		`{"Addr":"a:1","Turn":1000000,"Clean":2,"Need":3}`: link{"a:1", Learnt{time.Millisecond, 2, 3}},
+	} {
+		if got, err := json.Marshal(value); err != nil || string(got) != want {
+			t.Errorf("%T is written as %s, %v; want %s", value, got, err, want)
+		}
+	}
+}
