--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -64,14 +64,14 @@
 	TakenMS int64  // Unix time
 	Learnt  logic.Learnt
 	Members map[logic.MemberID]Link
-	Idle    pool.IdleLearnt
+	Idle    pool.IdleStats
 	Reuse   float64 // the share of clients' connections that are asked on again
 }
 
 // Link is how a member is reached: its address, by which a reused id is told, and what is known of the connections there.
 type Link struct {
 	Addr string
-	pool.Learnt
+	pool.ConnStats
 }
 
 // Fleet tells fleets and proxies apart by what a configuration says of them.
@@ -217,9 +217,9 @@
 	return m
 }
 
-func fadeIdle(t pool.IdleLearnt, k float64) (n pool.IdleLearnt) {
-	for i := range min(len(t.Used), len(t.Broke)) {
-		n.Used, n.Broke = append(n.Used, t.Used[i]*k), append(n.Broke, t.Broke[i]*k)
+func fadeIdle(t pool.IdleStats, k float64) (n pool.IdleStats) {
+	for i := range min(len(t.Reused), len(t.Broken)) {
+		n.Reused, n.Broken = append(n.Reused, t.Reused[i]*k), append(n.Broken, t.Broken[i]*k)
 	}
 	return n
 }
--- a/internal/inherit/inherit_test.go
+++ b/internal/inherit/inherit_test.go
@@ -16,14 +16,14 @@
 // sample is a snapshot of so many members, and what its successor's list says of them.
 func sample(members int) (Snapshot, map[logic.MemberID]Member) {
 	s := Snapshot{Fleet: Fleet("a", "b"), TakenMS: takenMS, Members: map[logic.MemberID]Link{}, Reuse: 0.1,
-		Idle:   pool.IdleLearnt{Used: []float64{8, 4}, Broke: []float64{0, 4}},
+		Idle:   pool.IdleStats{Reused: []float64{8, 4}, Broken: []float64{0, 4}},
 		Learnt: logic.Learnt{Total: 100, Kept: 40, Latency: 0.02, Fails: 0.1, Arrivals: 60, Carried: 50, Span: 4, Asked: 30, Answered: 28}}
 	now := map[logic.MemberID]Member{}
 	for i := range members {
 		id := logic.MemberID(i + 1)
 		s.Learnt.Members = append(s.Learnt.Members, logic.LearntMember{ID: id, Limit: 30, Latency: 0.01, Seen: 1000 + i, Fails: 0.2,
 			Streak: 2, Out: time.Second})
-		s.Members[id] = Link{Addr: "10.1.0.1:6379", Learnt: pool.Learnt{Turn: time.Millisecond, Clean: 9}}
+		s.Members[id] = Link{Addr: "10.1.0.1:6379", ConnStats: pool.ConnStats{Occupancy: time.Millisecond, CleanAnswers: 9}}
 		now[id] = Member{Addr: "10.1.0.1:6379"}
 	}
 	s.Learnt.Keys = []logic.LearntKey{{Key: 7, Count: 20, Err: 2, At: []logic.MemberID{1}}}
--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -7,97 +7,97 @@
 	"time"
 )
 
-// door is a cache that takes so many connections of all proxies together, and turns further ones away at once.
-type door struct {
-	most, open, tried, refused int
+// cacheServer is a cache that takes so many connections of all proxies together, and turns further ones away at once.
+type cacheServer struct {
+	connLimit, open, dials, refused int
 }
 
-// flock is the pools of many proxies before a few caches, on one clock.
-type flock struct {
-	t      *testing.T
-	doors  []*door
-	now    time.Duration
-	worlds []*world
-	at     [][]*Member[*fake] // a proxy's, by cache
-	of     map[*Member[*fake]]*door
-	silent bool // connections that are too many are refused; else their first request is turned away
-	tries  int  // a request that finds no connection goes on to another cache until it has had so many
-	asked  []int
-	served []int
-	turned []int // connections that were turned away on their first request
-	failed []int // tries that were told that the cache takes no connection
-	dialed int   // connections that came up
-	rng    *rand.Rand
-	n      int
+// fleet is the pools of many proxies before a few caches, on one clock.
+type fleet struct {
+	t           *testing.T
+	caches      []*cacheServer
+	now         time.Duration
+	hosts       []*testHost
+	members     [][]*Member[*testRequest] // a proxy's, by cache
+	cacheOf     map[*Member[*testRequest]]*cacheServer
+	refuseDials bool // connections that are too many are refused; else their first request is turned away
+	maxAttempts int  // a request that finds no connection goes on to another cache until it has had so many
+	requested   []int
+	served      []int
+	refused     []int // connections that were turned away on their first request
+	unconnected []int // tries that were told that the cache takes no connection
+	connected   int   // connections that came up
+	rng         *rand.Rand
+	requests    int
 }
 
-func newFlock(t *testing.T, proxies, caches, most int) *flock {
-	f := &flock{t: t, silent: true, of: map[*Member[*fake]]*door{}, now: time.Hour, tries: 1, asked: make([]int, proxies), served: make([]int, proxies),
-		turned: make([]int, proxies),
-		failed: make([]int, proxies), rng: rand.New(rand.NewPCG(1, 2))}
+func newFleet(t *testing.T, proxies, caches, most int) *fleet {
+	f := &fleet{t: t, refuseDials: true, cacheOf: map[*Member[*testRequest]]*cacheServer{}, now: time.Hour, maxAttempts: 1, requested: make([]int, proxies), served: make([]int, proxies),
+		refused:     make([]int, proxies),
+		unconnected: make([]int, proxies), rng: rand.New(rand.NewPCG(1, 2))}
 	for range caches {
-		f.doors = append(f.doors, &door{most: most})
+		f.caches = append(f.caches, &cacheServer{connLimit: most})
 	}
-	cfg := usual
+	cfg := defaultConfig
 	cfg.Instances = proxies
 	for range proxies {
-		f.worlds = append(f.worlds, newWorld(t, cfg))
-		var all []*Member[*fake]
-		for _, d := range f.doors {
-			m := &Member[*fake]{Ready: true}
-			all, f.of[m] = append(all, m), d
+		f.hosts = append(f.hosts, newTestHost(t, cfg))
+		var all []*Member[*testRequest]
+		for _, d := range f.caches {
+			m := &Member[*testRequest]{Ready: true}
+			all, f.cacheOf[m] = append(all, m), d
 		}
-		f.at = append(f.at, all)
+		f.members = append(f.members, all)
 	}
 	return f
 }
 
 // run plays milliseconds: each proxy asks some cache every gap or so, answers come after two, dials end after one.
-func (f *flock) run(d, gap time.Duration, asks func(proxy int) bool) {
+func (f *fleet) run(d, gap time.Duration, asks func(proxy int) bool) {
 	const tick = time.Millisecond
 	for end := f.now + d; f.now < end; f.now += tick {
-		for i, w := range f.worlds {
+		for i, w := range f.hosts {
 			w.now = f.now
-			w.p.Advance(f.now)
+			w.pool.Advance(f.now)
 			for len(w.dials) > 0 {
 				dl := w.dials[0]
 				w.dials = w.dials[1:]
-				at := f.of[dl.m]
-				at.tried++
-				l := &wire{w: w, epoch: dl.epoch, c: &Conn[*fake]{M: dl.m}}
-				switch l.away = at.open >= at.most; {
-				case l.away && f.silent:
+				at := f.cacheOf[dl.member]
+				at.dials++
+				l := &testLink{host: w, epoch: dl.epoch, conn: &Conn[*testRequest]{Member: dl.member}}
+				switch l.overLimit = at.open >= at.connLimit; {
+				case l.overLimit && f.refuseDials:
 					at.refused++
-					w.p.Dialled(dl.m, nil, dl.epoch, dl.warm, true)
+					w.pool.DialCompleted(dl.member, nil, dl.epoch, dl.warm, true)
 					continue
-				case !l.away:
+				case !l.overLimit:
 					at.open++
-					f.dialed++
+					f.connected++
 				}
-				l.c.Link = l
-				w.wires = append(w.wires, l)
-				w.p.Dialled(dl.m, l.c, dl.epoch, dl.warm, false)
+				l.conn.Link = l
+				w.links = append(w.links, l)
+				w.pool.DialCompleted(dl.member, l.conn, dl.epoch, dl.warm, false)
 			}
-			live := w.wires[:0]
-			for _, l := range w.wires {
-				switch at := f.of[l.c.M]; {
+			live := w.links[:0]
+			for _, l := range w.links {
+				switch at := f.cacheOf[l.conn.Member]; {
 				case l.closed:
-					if !l.away && l.epoch == l.c.M.Epoch {
+					if !l.overLimit && l.epoch == l.conn.Member.Epoch {
 						at.open--
 					}
 					continue
-				case len(l.sent) == 0 || f.now-l.sent[0].Began < 2*tick:
-				case l.away: // its first request is told that there is no room, and it is closed
+				case len(l.sent) == 0 || f.now-l.sent[0].BeganAt < 2*tick:
+				case l.overLimit: // its first request is told that there is no room, and it is closed
 					at.refused++
-					f.turned[i]++
-					l.c.TurnedAway = true
+					f.refused[i]++
+					l.conn.Refused = true
 					w.answer(l)
 					w.broken(l)
 					continue
 				default:
 					f.served[i]++
 					if w.answer(l); l.closed {
-						if l.epoch == l.c.M.Epoch {
+						if l.epoch == l.conn.Member.Epoch {
 							at.open--
 						}
 						continue
@@ -105,65 +105,65 @@
 				}
 				live = append(live, l)
 			}
-			w.wires = live
-			for _, m := range f.at[i] { // in order, so that each run is the same
+			w.links = live
+			for _, m := range f.members[i] { // in order, so that each run is the same
 				if at := w.redials[m]; at > 0 && f.now >= at {
 					delete(w.redials, m)
-					w.p.Redial(m)
+					w.pool.Redial(m)
 				}
 			}
-			for x, at := range w.late {
-				if x.Ended || x.Began > 0 {
-					delete(w.late, x)
+			for x, at := range w.connectTimeouts {
+				if x.Ended || x.BeganAt > 0 {
+					delete(w.connectTimeouts, x)
 				} else if f.now >= at {
-					delete(w.late, x)
-					w.p.Late(x.m, x)
+					delete(w.connectTimeouts, x)
+					w.pool.ConnectTimedOut(x.member, x)
 				}
 			}
-			w.p.Wake()
+			w.pool.Wake()
 			if f.now%(250*tick) == 0 {
-				for _, m := range f.at[i] {
-					w.p.Sweep(m, 60)
+				for _, m := range f.members[i] {
+					w.pool.Sweep(m, 60)
 				}
 			}
 			if asks(i) && f.rng.Float64() < float64(tick)/float64(gap) {
-				f.ask(i)
+				f.request(i)
 			}
 		}
 	}
 }
 
 // restart has another process in a proxy's place: its connections end, and it knows nothing.
-func (f *flock) restart(i int) {
-	for _, l := range f.worlds[i].wires {
-		if !l.away && !l.closed && l.epoch == l.c.M.Epoch {
-			f.of[l.c.M].open--
+func (f *fleet) restart(i int) {
+	for _, l := range f.hosts[i].links {
+		if !l.overLimit && !l.closed && l.epoch == l.conn.Member.Epoch {
+			f.cacheOf[l.conn.Member].open--
 		}
 	}
-	w := newWorld(f.t, f.worlds[i].p.cfg)
-	f.worlds[i] = w
-	for k, d := range f.doors {
-		f.at[i][k] = &Member[*fake]{Ready: true}
-		f.of[f.at[i][k]] = d
+	w := newTestHost(f.t, f.hosts[i].pool.cfg)
+	f.hosts[i] = w
+	for k, d := range f.caches {
+		f.members[i][k] = &Member[*testRequest]{Ready: true}
+		f.cacheOf[f.members[i][k]] = d
 	}
 }
 
-// ask has a proxy ask for something that is at a cache, and at the next ones where that takes no connection.
-func (f *flock) ask(i int) {
-	f.n++
-	f.asked[i]++
-	x := &fake{n: f.n, key: string(rune('a' + f.n%26)), Request: Request{Until: f.now + time.Second}}
-	first := f.rng.IntN(len(f.at[i]))
-	for k := range f.tries {
-		m := f.at[i][(first+k)%len(f.at[i])]
-		if f.tries > 1 && f.worlds[i].p.Wait(m) < 0 {
-			f.failed[i]++
+// request has a proxy ask for something that is at a cache, and at the next ones where that takes no connection.
+func (f *fleet) request(i int) {
+	f.requests++
+	f.requested[i]++
+	x := &testRequest{id: f.requests, key: string(rune('a' + f.requests%26)), Request: Request{ExpiresAt: f.now + time.Second}}
+	first := f.rng.IntN(len(f.members[i]))
+	for k := range f.maxAttempts {
+		m := f.members[i][(first+k)%len(f.members[i])]
+		if f.maxAttempts > 1 && f.hosts[i].pool.ExpectedWait(m) < 0 {
+			f.unconnected[i]++
 			continue
 		}
-		x.m = m
-		f.worlds[i].p.Place(m, x)
-		if len(x.verdict) > 0 {
-			f.failed[i]++
+		x.member = m
+		f.hosts[i].pool.Submit(m, x)
+		if len(x.verdicts) > 0 {
+			f.unconnected[i]++
 		}
 		return
 	}
@@ -172,36 +172,36 @@
 // 80 proxies before a cache that takes 28 connections: each holds one at the most, those without one are told so at once; and when others go, each of them has one again within two seconds of asking.
 func TestMoreProxiesThanConnections(t *testing.T) {
 	for _, most := range []int{28, 14} {
-		f := newFlock(t, 80, 1, most)
+		f := newFleet(t, 80, 1, most)
 		all := func(int) bool { return true }
 		f.run(4*time.Second, 500*time.Millisecond, all)
-		tried := f.doors[0].tried
+		tried := f.caches[0].dials
 		f.run(4*time.Second, 500*time.Millisecond, all)
-		if f.doors[0].open != most {
-			t.Errorf("%d of %d connections are used", f.doors[0].open, most)
+		if f.caches[0].open != most {
+			t.Errorf("%d of %d connections are used", f.caches[0].open, most)
 		}
 		// Without a connection every proxy still asks: twice for a request, as a refusal takes no time.
-		if perS := (f.doors[0].tried - tried) / 4; perS > 2*2*80 {
+		if perS := (f.caches[0].dials - tried) / 4; perS > 2*2*80 {
 			t.Errorf("%d dials a second", perS)
 		}
-		for i, at := range f.at {
+		for i, at := range f.members {
 			m := at[0]
 			if len(m.Conns) > 1 {
 				t.Errorf("proxy %d holds %d connections", i, len(m.Conns))
 			}
-			if len(m.Waiting) > WaitingRoom+1 {
+			if len(m.Waiting) > MaxWaiting+1 {
 				t.Errorf("%d requests wait at proxy %d", len(m.Waiting), i)
 			}
 		}
 		// Those that hold one stop asking: theirs fall idle and are closed, and the others get them.
 		var quiet [80]bool
-		for i, at := range f.at {
+		for i, at := range f.members {
 			m := at[0]
 			quiet[i] = len(m.Conns) > 0
 		}
-		f.run(usual.ConnIdle, 500*time.Millisecond, func(i int) bool { return !quiet[i] })
+		f.run(defaultConfig.ConnIdle, 500*time.Millisecond, func(i int) bool { return !quiet[i] })
 		held := 0
-		for i, at := range f.at {
+		for i, at := range f.members {
 			m := at[0]
 			if !quiet[i] && len(m.Conns) > 0 {
 				held++
@@ -216,24 +216,24 @@
 // A cache that is gone, or turns new connections away on their first request, as one that holds all it will does. From the second in
 // a row on no request waits for a connection; those that are tried, and the requests that find out, are paced by the backoff; and
 // an answer ends all that.
-func TestOutOfReach(t *testing.T) {
+func TestUnreachableCacheIsProbedAtBackoffPace(t *testing.T) {
 	for _, gone := range []bool{true, false} {
-		w := newWorld(t, usual)
-		m := &Member[*fake]{Ready: true}
+		w := newTestHost(t, defaultConfig)
+		m := &Member[*testRequest]{Ready: true}
 		n := 0
-		place := func() *fake {
+		place := func() *testRequest {
 			n++
-			x := &fake{n: n, Request: Request{Until: w.now + time.Minute}}
-			w.p.Place(m, x)
+			x := &testRequest{id: n, Request: Request{ExpiresAt: w.now + time.Minute}}
+			w.pool.Submit(m, x)
 			return x
 		}
 		turn := func() (dials int) {
 			for ; len(w.dials) > 0; dials++ {
 				w.connect(0, !gone)
 			}
-			for _, l := range w.wires {
+			for _, l := range w.links {
 				if len(l.sent) > 0 && !l.closed {
-					l.c.TurnedAway = true
+					l.conn.Refused = true
 					w.answer(l)
 					w.broken(l)
 				}
@@ -241,18 +241,18 @@
 			return dials
 		}
 		for range 2 {
-			if wait := w.p.Wait(m); wait != 0 {
+			if wait := w.pool.ExpectedWait(m); wait != 0 {
 				t.Fatalf("gone %v: passed over (%v) after %d in a row", gone, wait, n)
 			}
 			place()
 			turn()
 			w.now += dialBackoffMax
-			w.p.Advance(w.now)
+			w.pool.Advance(w.now)
 		}
 		dials, placed := 0, 0
 		for end := w.now + 20*time.Second; w.now < end; w.now += time.Millisecond {
-			w.p.Advance(w.now)
-			if w.p.Wait(m) >= 0 {
+			w.pool.Advance(w.now)
+			if w.pool.ExpectedWait(m) >= 0 {
 				if placed++; len(m.Conns) == 0 {
 					t.Fatalf("gone %v: a request would wait for a connection", gone)
 				}
@@ -264,39 +264,39 @@
 			t.Errorf("gone %v: %d connections are tried in 20 s, with %d requests", gone, dials, placed)
 		}
 		w.now += dialBackoffMax
-		w.p.Advance(w.now)
-		if w.p.Wait(m) >= 0 || len(w.dials) != 1 {
+		w.pool.Advance(w.now)
+		if w.pool.ExpectedWait(m) >= 0 || len(w.dials) != 1 {
 			t.Fatalf("gone %v: %d dials are out", gone, len(w.dials))
 		}
 		l := w.connect(0, true)
 		if x := place(); len(l.sent) != 1 || l.sent[0] != x {
 			t.Errorf("gone %v: the connection that was tried is not used", gone)
 		}
-		if w.p.Wait(m) >= 0 {
+		if w.pool.ExpectedWait(m) >= 0 {
 			t.Errorf("gone %v: a second request would wait for what the first finds out", gone)
 		}
 		w.answer(l)
-		if wait := w.p.Wait(m); wait != 0 || m.Backoff() != 0 {
+		if wait := w.pool.ExpectedWait(m); wait != 0 || m.Backoff() != 0 {
 			t.Errorf("gone %v: wait %v, backoff %v after an answer", gone, wait, m.Backoff())
 		}
 	}
 }
 
 // A request that is told that there is no room on a connection that stays open has not found the cache out of reach.
-func TestNoRoomOnAConnectionThatStays(t *testing.T) {
-	w := newWorld(t, usual)
-	m := &Member[*fake]{Ready: true}
+func TestRefusalOnOpenConnectionIsNotUnreachable(t *testing.T) {
+	w := newTestHost(t, defaultConfig)
+	m := &Member[*testRequest]{Ready: true}
 	for i := range 20 {
-		w.p.Place(m, &fake{n: i, Request: Request{Until: w.now + time.Minute}})
+		w.pool.Submit(m, &testRequest{id: i, Request: Request{ExpiresAt: w.now + time.Minute}})
 		for len(w.dials) > 0 {
 			w.connect(0, true)
 		}
-		w.wires[0].c.TurnedAway = true
-		w.answer(w.wires[0])
+		w.links[0].conn.Refused = true
+		w.answer(w.links[0])
 		w.now += 10 * time.Millisecond
-		w.p.Advance(w.now)
-		if w.p.Wait(m) != 0 || m.Backoff() != 0 || len(w.wires) != 1 {
-			t.Fatalf("request %d: wait %v, backoff %v, %d connections", i, w.p.Wait(m), m.Backoff(), len(w.wires))
+		w.pool.Advance(w.now)
+		if w.pool.ExpectedWait(m) != 0 || m.Backoff() != 0 || len(w.links) != 1 {
+			t.Fatalf("request %d: wait %v, backoff %v, %d connections", i, w.pool.ExpectedWait(m), m.Backoff(), len(w.links))
 		}
 	}
 }
@@ -304,34 +304,34 @@
 // Where caches take a half, or a quarter, of the connections that their proxies would hold, proxies give back those that they
 // use least: few tries find no place, though some ask four times as often as others, and the one that fares worst is served too.
 // Held for as long as caches allow, they would keep one another out.
-func TestPlacesAreScarce(t *testing.T) {
+func TestScarceConnectionsAreShared(t *testing.T) {
 	for _, most := range []int{24, 12} { // of 48 that are wanted at a time
 		var failed, dialed [2]float64 // a request
 		for k, fixed := range []bool{false, true} {
-			f := newFlock(t, 60, 8, most)
-			f.tries, f.silent = 3, false
+			f := newFleet(t, 60, 8, most)
+			f.maxAttempts, f.refuseDials = 3, false
 			often := func(i int) bool { return i%10 == 0 || f.rng.IntN(4) == 0 }
 			play := func() {
 				for range 20 {
 					f.run(time.Second, 70*time.Millisecond, often)
-					for _, w := range f.worlds {
+					for _, w := range f.hosts {
 						if fixed {
-							w.p.hold.now = w.p.hold.most
+							w.pool.hold.current = w.pool.hold.limit
 						}
 					}
 				}
 			}
 			play()
-			clear(f.asked)
-			clear(f.turned)
-			opened, tried, asked := f.dialed, 0, 0
+			clear(f.requested)
+			clear(f.refused)
+			opened, tried, asked := f.connected, 0, 0
 			play()
-			for i := range f.worlds {
-				if asked, tried = asked+f.asked[i], tried+f.turned[i]; !fixed && 3*f.turned[i] > f.asked[i] {
-					t.Errorf("limit %d: proxy %d is turned away %d times in %d requests", most, i, f.turned[i], f.asked[i])
+			for i := range f.hosts {
+				if asked, tried = asked+f.requested[i], tried+f.refused[i]; !fixed && 3*f.refused[i] > f.requested[i] {
+					t.Errorf("limit %d: proxy %d is turned away %d times in %d requests", most, i, f.refused[i], f.requested[i])
 				}
 			}
-			failed[k], dialed[k] = float64(tried)/float64(asked), float64(f.dialed-opened)/float64(asked)
+			failed[k], dialed[k] = float64(tried)/float64(asked), float64(f.connected-opened)/float64(asked)
 		}
 		t.Logf("limit %d: for each request, %.3f find no place (%.3f with a fixed time), %.3f connections (%.3f)", most, failed[0], failed[1], dialed[0], dialed[1])
 		if failed[0] > 0.13 || failed[0] > failed[1]/2.5 {
@@ -343,14 +343,14 @@
 // What may become of caches whose places are all held: they take fewer from now on, or more again, half of them are swapped at once, a proxy
 // is restarted among those that hold all places. Within seconds few are turned away again, and where there is room for all,
 // connections are held for long again.
-func TestPlacesComeAndGo(t *testing.T) {
-	f := newFlock(t, 60, 8, 48)
-	f.silent = false
+func TestHoldTimeFollowsCapacity(t *testing.T) {
+	f := newFleet(t, 60, 8, 48)
+	f.refuseDials = false
 	often := func(i int) bool { return i%10 == 0 || f.rng.IntN(4) == 0 }
 	limit := func(n int) func() {
 		return func() {
-			for _, d := range f.doors {
-				d.most = n
+			for _, d := range f.caches {
+				d.connLimit = n
 			}
 		}
 	}
@@ -364,16 +364,16 @@
 		{"a start", func() {}, 15 * time.Second, 0.1, 0.6, nil},
 		{"half as many places", limit(24), 15 * time.Second, 0.1, 1, nil},
 		{"half are swapped", func() {
-			for _, all := range f.at {
+			for _, all := range f.members {
 				for k, m := range all[:4] {
-					f.doors[k].open = 0 // it is another process
+					f.caches[k].open = 0 // it is another process
 					m.Addr = "another"
 				}
 			}
-			for i, w := range f.worlds {
-				for _, m := range f.at[i][:4] {
-					w.p.Advance(f.now)
-					w.p.Change(m, true, true)
+			for i, w := range f.hosts {
+				for _, m := range f.members[i][:4] {
+					w.pool.Advance(f.now)
+					w.pool.UpdateMember(m, true, true)
 				}
 			}
 		}, 5 * time.Second, 0.1, 1, nil},
@@ -382,17 +382,17 @@
 	} {
 		step.do()
 		f.run(step.within, 70*time.Millisecond, often)
-		clear(f.asked)
-		clear(f.turned)
-		opened, tried, asked, all := f.dialed, 0, 0, 0
+		clear(f.requested)
+		clear(f.refused)
+		opened, tried, asked, all := f.connected, 0, 0, 0
 		f.run(5*time.Second, 70*time.Millisecond, often)
-		for i := range f.worlds {
-			all += f.asked[i]
+		for i := range f.hosts {
+			all += f.requested[i]
 			if step.who == nil || step.who(i) {
-				tried, asked = tried+f.turned[i], asked+f.asked[i]
+				tried, asked = tried+f.refused[i], asked+f.requested[i]
 			}
 		}
-		turned, dialed := float64(tried)/float64(asked), float64(f.dialed-opened)/float64(all)
+		turned, dialed := float64(tried)/float64(asked), float64(f.connected-opened)/float64(all)
 		t.Logf("%s: %.3f turned away, %.3f connections for each request", step.what, turned, dialed)
 		if turned > step.turned || dialed > step.most {
 			t.Errorf("%s: want %.3f, %.3f", step.what, step.turned, step.most)
@@ -401,35 +401,35 @@
 }
 
 // A cache that has died refuses each connection, and is not taken for one that is full: others' connections are held as long as before.
-func TestDeathTakesNoHoldTime(t *testing.T) {
-	f := newFlock(t, 4, 8, 100)
-	f.tries = 2
+func TestDeadCacheKeepsHoldTime(t *testing.T) {
+	f := newFleet(t, 4, 8, 100)
+	f.maxAttempts = 2
 	all := func(int) bool { return true }
 	f.run(5*time.Second, 20*time.Millisecond, all)
-	for i, at := range f.at {
+	for i, at := range f.members {
 		for _, c := range slices.Clone(at[0].Conns) {
-			f.worlds[i].broken(c.Link.(*wire))
+			f.hosts[i].broken(c.Link.(*testLink))
 		}
 	}
-	f.doors[0].most = 0
+	f.caches[0].connLimit = 0
 	f.run(10*time.Second, 20*time.Millisecond, all)
-	for i, w := range f.worlds {
-		if w.p.hold.now < w.p.hold.most*3/4 {
-			t.Errorf("proxy %d holds connections for %v after a death, of %v", i, w.p.hold.now, w.p.hold.most)
+	for i, w := range f.hosts {
+		if w.pool.hold.current < w.pool.hold.limit*3/4 {
+			t.Errorf("proxy %d holds connections for %v after a death, of %v", i, w.pool.hold.current, w.pool.hold.limit)
 		}
-		if f.failed[i] == 0 || len(f.at[i][0].Conns) > 0 {
+		if f.unconnected[i] == 0 || len(f.members[i][0].Conns) > 0 {
 			t.Errorf("proxy %d has not found the cache dead", i)
 		}
 	}
 }
 
 // 4 proxies before the same cache: nobody is ever without a connection.
-func TestFewProxiesHaveConnectionsEnough(t *testing.T) {
-	f := newFlock(t, 4, 1, 28)
+func TestFewProxiesAlwaysHaveConnections(t *testing.T) {
+	f := newFleet(t, 4, 1, 28)
 	f.run(5*time.Second, 20*time.Millisecond, func(int) bool { return true })
-	for i := range f.at {
-		if f.failed[i] > 0 || f.served[i] < 200 || f.doors[0].refused > 0 {
-			t.Errorf("proxy %d: %d served, %d without a connection; %d dials refused", i, f.served[i], f.failed[i], f.doors[0].refused)
+	for i := range f.members {
+		if f.unconnected[i] > 0 || f.served[i] < 200 || f.caches[0].refused > 0 {
+			t.Errorf("proxy %d: %d served, %d without a connection; %d dials refused", i, f.served[i], f.unconnected[i], f.caches[0].refused)
 		}
 	}
 }
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// holdCut is what a new connection that was turned away takes of the hold time, and holdGrow what one that came to carry an
+	// holdDecrease is what a new connection that was turned away takes of the hold time, and holdIncrease what one that came to carry an
 	// answer adds, as shares. Where places are scarce they balance at one new connection in eight turned away: fewer would cost
 	// more handshakes than the tries are worth (docs/fleet.md). It could do harm where connections are turned away for other
 	// reasons than too many: they are opened more often there than they need be.
-	holdCut  = 0.2
-	holdGrow = 0.03
-	// holdLeast is a hold time so short that a connection is closed with its answer.
-	holdLeast = 40 * time.Millisecond
+	holdDecrease = 0.2
+	holdIncrease = 0.03
+	// minHoldTime is a hold time so short that a connection is closed with its answer.
+	minHoldTime = 40 * time.Millisecond
 )
 
 // holdTime learns for how long a connection is held with nothing out. A cache takes so many connections from all proxies
@@ -20,17 +20,17 @@
 // are asked often then keep their connections, and those asked seldom give them back, so that what is held is what is used most.
 // Proxies that see the same caches come to much the same time without hearing of one another.
 type holdTime struct {
-	most, now time.Duration
+	limit, current time.Duration
 }
 
 func newHoldTime(most time.Duration) holdTime { return holdTime{most, most} }
 
-// refused takes in that a cache took no further connection.
-func (h *holdTime) refused() {
-	h.now = max(holdLeast/2, h.now-time.Duration(holdCut*float64(h.now)))
+// recordRefusal takes in that a cache took no further connection.
+func (h *holdTime) recordRefusal() {
+	h.current = max(minHoldTime/2, h.current-time.Duration(holdDecrease*float64(h.current)))
 }
 
-// carried takes in that a new connection has carried its first answer.
-func (h *holdTime) carried() {
-	h.now = min(h.most, h.now+time.Duration(holdGrow*float64(h.now)))
+// recordAnswer takes in that a new connection has carried its first answer.
+func (h *holdTime) recordAnswer() {
+	h.current = min(h.limit, h.current+time.Duration(holdIncrease*float64(h.current)))
 }
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestIdleLimitFollowsWhatBreaks(t *testing.T) {
+func TestIdleLimitFollowsBrokenConnections(t *testing.T) {
 	const most = 4 * time.Second
 	for name, c := range map[string]struct {
 		young, old  float64 // share that breaks at connections just used, and at those idle for 200 ms
@@ -21,14 +21,14 @@
 		t.Run(name, func(t *testing.T) {
 			i := newIdleTimes(most)
 			old := i.class(200 * time.Millisecond)
-			i.used[0], i.broke[0] = c.tries, c.young*c.tries
-			i.used[old], i.broke[old] = c.tries, c.old*c.tries
-			i.sweep(most)
+			i.reused[0], i.broken[0] = c.tries, c.young*c.tries
+			i.reused[old], i.broken[old] = c.tries, c.old*c.tries
+			i.updateLimit(most)
 			if i.limit < c.least || i.limit > c.past {
 				t.Errorf("the limit is %v, want %v to %v", i.limit, c.least, c.past)
 			}
 			for range 1000 {
-				i.sweep(most)
+				i.updateLimit(most)
 			}
 			if i.limit != most {
 				t.Errorf("the limit is %v for good", i.limit)
--- a/internal/pool/learnt_test.go
+++ b/internal/pool/learnt_test.go
@@ -12,13 +12,13 @@
 func TestStoredFormIsStable(t *testing.T) {
 	type link struct {
 		Addr string
-		Learnt
+		ConnStats
 	}
 	for want, value := range map[string]any{
-		`{"Turn":1000000,"Clean":2,"Need":3}`:              Learnt{time.Millisecond, 2, 3},
-		`{"Used":[8,4],"Broke":[0,1]}`:                     IdleLearnt{[]float64{8, 4}, []float64{0, 1}},
-		`{"Used":null,"Broke":null}`:                       IdleLearnt{},
-		`{"Addr":"a:1","Turn":1000000,"Clean":2,"Need":3}`: link{"a:1", Learnt{time.Millisecond, 2, 3}},
+		`{"Turn":1000000,"Clean":2,"Need":3}`:              ConnStats{time.Millisecond, 2, 3},
+		`{"Used":[8,4],"Broke":[0,1]}`:                     IdleStats{[]float64{8, 4}, []float64{0, 1}},
+		`{"Used":null,"Broke":null}`:                       IdleStats{},
+		`{"Addr":"a:1","Turn":1000000,"Clean":2,"Need":3}`: link{"a:1", ConnStats{time.Millisecond, 2, 3}},
 	} {
 		if got, err := json.Marshal(value); err != nil || string(got) != want {
 			t.Errorf("%T is written as %s, %v; want %s", value, got, err, want)
--- a/internal/pool/transit_test.go
+++ b/internal/pool/transit_test.go
@@ -23,23 +23,23 @@
 		"two attempts may be out at once": {250 * time.Millisecond, time.Millisecond, time.Millisecond, true, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := usual
-			cfg.ConnectTimeout, cfg.SecondCopies = c.connect, c.copies
-			w := newWorld(t, cfg)
-			m := &Member[*fake]{Ready: true}
+			cfg := defaultConfig
+			cfg.ConnectTimeout, cfg.ConcurrentAttempts = c.connect, c.copies
+			w := newTestHost(t, cfg)
+			m := &Member[*testRequest]{Ready: true}
 			if c.answer > 0 {
-				m.heard(c.answer)
+				m.recordAnswerTime(c.answer)
 				for range 1000 {
-					m.heard(c.later)
+					m.recordAnswerTime(c.later)
 				}
 			}
-			if got := w.p.Transit(m); got != c.want {
+			if got := w.pool.Transit(m); got != c.want {
 				t.Errorf("under way for %v, want %v", got, c.want)
 			}
-			if got := w.p.FirstTransit(); got != c.first {
+			if got := w.pool.FirstTransit(); got != c.first {
 				t.Errorf("the first one for %v, want %v", got, c.first)
 			}
-			w.p.Change(m, true, true)
+			w.pool.UpdateMember(m, true, true)
 			if m.roundTrip != 0 {
 				t.Error("another process at its place takes over what was learnt")
 			}
@@ -50,13 +50,13 @@
 // Where answers take now longer, now less, the slower ones say how long a request may be under way.
 func TestTransitCoversSlowAnswers(t *testing.T) {
 	const quick, slow = 2 * time.Millisecond, 20 * time.Millisecond
-	w := newWorld(t, usual)
-	m := &Member[*fake]{Ready: true}
+	w := newTestHost(t, defaultConfig)
+	m := &Member[*testRequest]{Ready: true}
 	for range 100 {
-		m.heard(quick)
-		m.heard(slow)
+		m.recordAnswerTime(quick)
+		m.recordAnswerTime(slow)
 	}
-	if got := w.p.Transit(m); got < slow {
+	if got := w.pool.Transit(m); got < slow {
 		t.Errorf("under way for %v, and answers took up to %v", got, slow)
 	}
 }
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -22,16 +22,16 @@
 	}
 	p.catchUp()
 	a := &attempt{req: r, n: int32(len(r.attempts)), to: to, sentAt: p.now}
-	a.Until = r.deadlineNow()
+	a.ExpiresAt = r.deadlineNow()
 	if timeout > 0 {
-		a.Until = min(a.Until, p.now+timeout)
+		a.ExpiresAt = min(a.ExpiresAt, p.now+timeout)
 	}
 	r.attempts = append(r.attempts, a)
 	if p.cfg.OnSend != nil {
 		p.cfg.OnSend(id, to)
 	}
 	r.out++
-	if r.done || a.Until-p.now < upstream.LeastDeadline {
+	if r.done || a.ExpiresAt-p.now < upstream.LeastDeadline {
 		p.end(a, logic.StatusMoot, 0)
 		return
 	}
@@ -58,7 +58,7 @@
 	}
 	if c, ok := r.Taker.(Carrier); ok {
 		a.carried = true
-		p.schedule(due{Due: upstream.Due{At: a.Until}, attempt: a})
+		p.schedule(due{Due: upstream.Due{At: a.ExpiresAt}, attempt: a})
 		c.Carry(&Attempt{p: p, a: a, Addr: m.Addr, Origin: m.Origin})
 		return
 	}
@@ -123,7 +123,7 @@
 		}
 	}
 	if m := x.p.members[to]; m != nil {
-		return x.p.ups.Wait(&m.Member)
+		return x.p.ups.ExpectedWait(&m.Member)
 	}
 	return 0
 }
--- a/internal/proxy/attempt_log.go
+++ b/internal/proxy/attempt_log.go
@@ -21,9 +21,9 @@
 	if m := p.members[a.to]; m != nil {
 		line = append(line, "member", m.listed.ID, "zone", m.listed.Locality, "origin", m.Origin)
 	}
-	if a.Began > 0 {
-		line = append(line, "waited_ms", milliseconds(a.Began-a.sentAt), "out_ms", milliseconds(p.now-a.Began),
-			"left_at_write_ms", milliseconds(a.Until-a.Began), "first_on_connection", a.Fresh())
+	if a.BeganAt > 0 {
+		line = append(line, "waited_ms", milliseconds(a.BeganAt-a.sentAt), "out_ms", milliseconds(p.now-a.BeganAt),
+			"left_at_write_ms", milliseconds(a.ExpiresAt-a.BeganAt), "first_on_connection", a.Fresh())
 	}
 	p.log.Debug("attempt", line...)
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -38,7 +38,7 @@
 					t.Errorf("answered %q, want %s", got, c.want)
 				}
 				open()
-				p.eventually("the dial has ended", func() bool { return p.ups.Open() == 0 })
+				p.eventually("the dial has ended", func() bool { return p.ups.OpenConns() == 0 })
 				if got := l.all(); len(got) > 0 {
 					t.Errorf("the member that drains was asked under %v", got)
 				}
--- a/internal/proxy/copies_test.go
+++ b/internal/proxy/copies_test.go
@@ -116,13 +116,13 @@
 			})
 			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 			cfg := testConfig()
-			cfg.Multiplex, cfg.Settings.Instances = 64, pool.NodeSockets // so that there is one connection to each cache
+			cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that there is one connection to each cache
 			s.testProxy = start(t, cfg,
 				s.relayed("far", far, "large", 60*time.Millisecond, 40*time.Millisecond, 0),
 				s.relayed("near", near, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
-			s.eventually("it is set up", func() bool { s.ups.SetSlowHead(patience); return len(s.members) == 3 })
+			s.eventually("it is set up", func() bool { s.ups.SetMaxPipelineAge(patience); return len(s.members) == 3 })
 			s.client = s.dial()
-			keys := s.farKeys(pool.CleanFirst+2, 400)
+			keys := s.farKeys(pool.MinCleanAnswers+2, 400)
 			if behind {
 				s.ask(keys[0], "first", 8000)
 				s.eventually("the first has come", func() bool { return s.copies.Came("first") == 1 })
@@ -191,7 +191,7 @@
 	})
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
-	cfg.Settings.Instances = pool.NodeSockets // so that there is one connection to each cache
+	cfg.Settings.Instances = pool.CacheConnCapacity // so that there is one connection to each cache
 	relay, err := standin.NewRelay("far", far, false, 0, 0, s.copies)
 	if err != nil {
 		t.Fatal(err)
@@ -200,10 +200,10 @@
 	var made atomic.Int32
 	relay.SetDelay(func() (there, back time.Duration) { return time.Duration(made.Add(1)%2) * slow, 0 })
 	s.testProxy = start(t, cfg, entry("far", relay.Addr(), "large"), s.relayed("near", near, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
-	s.eventually("it is set up", func() bool { s.ups.SetSlowHead(patience); return len(s.members) == 3 })
+	s.eventually("it is set up", func() bool { s.ups.SetMaxPipelineAge(patience); return len(s.members) == 3 })
 	s.client = s.dial()
 	for round := range rounds {
-		keys := s.farKeys(pool.CleanFirst+2, 400)
+		keys := s.farKeys(pool.MinCleanAnswers+2, 400)
 		id := fmt.Sprint("round", round)
 		if !s.ask(keys[0], id, 8000) {
 			t.Fatal("the read was not written to the far member")
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -49,7 +49,7 @@
 
 // fewConnections has many requests at once on the few connections to each cache.
 func fewConnections(_ *testing.T, cfg *Config) {
-	cfg.Multiplex, cfg.Settings.Instances = 32, pool.NodeSockets/8
+	cfg.Multiplex, cfg.Settings.Instances = 32, pool.CacheConnCapacity/8
 }
 
 var ways = map[string]way{
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -484,7 +484,7 @@
 	p.eventually("the connections are free", func() bool {
 		free := 0
 		for _, c := range p.at(o).Conns {
-			if c.Rested(p.now) {
+			if c.Reusable(p.now) {
 				free++
 			}
 		}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -128,7 +128,7 @@
 		return false
 	}
 	if !x.a.given {
-		x.a.given, x.a.Began = true, x.p.now
+		x.a.given, x.a.BeganAt = true, x.p.now
 	}
 	return true
 }
@@ -140,7 +140,7 @@
 func (x *Attempt) Ended() bool { return x.a.Ended }
 
 // Left is how long the attempt may still take.
-func (x *Attempt) Left() time.Duration { return x.a.Until - x.p.now }
+func (x *Attempt) Left() time.Duration { return x.a.ExpiresAt - x.p.now }
 
 // End gives the attempt its outcome, with a note as in logic.Outcome; later ones are dropped.
 func (x *Attempt) End(s logic.Status, note int) { x.p.end(x.a, s, note) }
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -38,13 +38,13 @@
 		p.eventually("the connection is free", func() bool {
 			for _, m := range p.members {
 				for _, u := range m.Conns {
-					if !u.Rested(p.now) { // it rests after an answer, as ever
+					if !u.Reusable(p.now) { // it rests after an answer, as ever
 						return false
 					}
 					u.Backdate(200 * time.Millisecond) // as if it stood idle so long
 				}
 			}
-			p.ups.Learn()
+			p.ups.UpdateIdleLimit()
 			return true
 		})
 	}
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -20,10 +20,10 @@
 func (p *Proxy) Learnt() (s inherit.Snapshot) {
 	p.Do(func() {
 		s = inherit.Snapshot{Fleet: p.cfg.fleet(), TakenMS: time.Now().UnixMilli(), Learnt: p.bal.Learnt(p.now),
-			Members: make(map[logic.MemberID]inherit.Link), Idle: p.ups.IdleLearnt(), Reuse: p.redis.reuse}
+			Members: make(map[logic.MemberID]inherit.Link), Idle: p.ups.IdleStats(), Reuse: p.redis.reuse}
 		for _, m := range s.Learnt.Members {
 			if known := p.members[m.ID]; known != nil {
-				s.Members[m.ID] = inherit.Link{Addr: known.Addr, Learnt: known.Member.Learnt()}
+				s.Members[m.ID] = inherit.Link{Addr: known.Addr, ConnStats: known.Member.Stats()}
 			}
 		}
 	})
@@ -55,9 +55,9 @@
 			}
 			members = p.bal.Inherit(p.now, held.Learnt)
 			for id, link := range held.Members {
-				p.members[id].Inherit(link.Learnt)
+				p.members[id].RestoreStats(link.ConnStats)
 			}
-			p.ups.InheritIdle(held.Idle)
+			p.ups.RestoreIdleStats(held.Idle)
 			p.redis.reuse = held.Reuse
 		})
 	}
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -264,7 +264,7 @@
 	client.send(putLong("a1", "left", strings.Repeat("x", 4<<20)))
 	p.eventually("a part of it is out", func() bool {
 		for _, m := range p.members {
-			if len(m.Conns) > 0 && m.Conns[0].Busy() && !m.Conns[0].Link.Clear() {
+			if len(m.Conns) > 0 && m.Conns[0].Busy() && !m.Conns[0].Link.Writable() {
 				return true
 			}
 		}
@@ -307,7 +307,7 @@
 		l, hold := newRoll(), make(chan struct{})
 		node := listen(t, func(conn net.Conn) { noteCache(conn, l, hold) })
 		cfg := leaving(cancel)
-		cfg.Multiplex, cfg.Settings.Instances = 1, pool.NodeSockets
+		cfg.Multiplex, cfg.Settings.Instances = 1, pool.CacheConnCapacity
 		p := start(t, cfg, entry("s-1", node, "large"))
 		front := p.dial()
 		front.send(get("a1", "front"))
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -139,7 +139,7 @@
 // Reads that were written behind the first long value of a cache, before anybody could know of it, don't wait for its client.
 func TestReadsBehindALongValue(t *testing.T) {
 	cfg := testConfig()
-	cfg.Multiplex, cfg.Settings.Instances = 64, pool.NodeSockets // so that it has one connection to the cache
+	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that it has one connection to the cache
 	value := long(3 << 20)
 	asked, behind := make(chan struct{}), make(chan struct{})
 	p := start(t, cfg, entry("c", listen(t, func(conn net.Conn) {
@@ -161,9 +161,9 @@
 			fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n%s%s", len(value), value, hit("first"), hit("second"))
 		}
 	}), "large"))
-	p.Do(func() { p.ups.SetSlowHead(patience) })
+	p.Do(func() { p.ups.SetMaxPipelineAge(patience) })
 	c := p.dial()
-	for i := range 2 * pool.CleanFirst {
+	for i := range 2 * pool.MinCleanAnswers {
 		c.send(get(fmt.Sprint("k", i), fmt.Sprint("w", i)))
 		if got := c.answer(); got != "v" {
 			t.Fatal(got)
@@ -190,7 +190,7 @@
 	p.eventually("one is written behind the long one", func() bool {
 		for _, m := range p.members {
 			for _, u := range m.Conns {
-				return len(u.Behind) > 0
+				return len(u.Pipelined) > 0
 			}
 		}
 		return false
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -82,7 +82,7 @@
 	defer p.leave()
 	r := &Request{done: true}
 	waited := &attempt{req: r, sentAt: p.now - time.Second}
-	waited.Began = p.now - 10*time.Millisecond
+	waited.BeganAt = p.now - 10*time.Millisecond
 	never := &attempt{req: r, sentAt: p.now - time.Second}
 	r.out = 2
 	p.end(waited, logic.StatusOK, 0)
@@ -169,7 +169,7 @@
 		}
 		p.eventually("the connection is free", func() bool {
 			for _, m := range p.members {
-				return len(m.Conns) == 1 && m.Conns[0].Rested(p.now)
+				return len(m.Conns) == 1 && m.Conns[0].Reusable(p.now)
 			}
 			return false
 		})
@@ -229,7 +229,7 @@
 		}
 		p.eventually("the connection is free", func() bool {
 			for _, m := range p.members {
-				return len(m.Conns) == 1 && m.Conns[0].Rested(p.now)
+				return len(m.Conns) == 1 && m.Conns[0].Reusable(p.now)
 			}
 			return false
 		})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -159,8 +159,8 @@
 	p.reasons = countReasons(&p.cfg.Settings)
 	p.ups = upstream.New(pool.Config{
 		ConnIdle: cfg.ConnIdle, ConnectTimeout: cfg.Settings.ConnectTimeout, Multiplex: cfg.Multiplex,
-		Instances: cfg.Settings.Instances, Sockets: cfg.Sockets, CanProbe: cfg.Settings.CanProbe,
-		SecondCopies: cfg.Settings.SecondCopies,
+		Instances: cfg.Settings.Instances, Descriptors: cfg.Sockets, CanProbe: cfg.Settings.CanProbe,
+		ConcurrentAttempts: cfg.Settings.SecondCopies,
 	}, host{p})
 	p.ups.Advance(p.now)
 	bal, err := logic.New(cfg.Settings, cfg.Seed, actions{p})
@@ -324,7 +324,7 @@
 		for id, m := range p.members {
 			if !listed[id] && m.state != logic.Gone {
 				m.state = logic.Gone
-				p.ups.Change(&m.Member, false, false)
+				p.ups.UpdateMember(&m.Member, false, false)
 			}
 		}
 	}
@@ -387,7 +387,7 @@
 func (p *Proxy) Limit(descriptors, memoryMB int) {
 	p.Do(func() {
 		p.cfg.Sockets, p.cfg.MemoryMB, p.heldMax = descriptors, memoryMB, heldMax(memoryMB)
-		p.ups.SetSockets(descriptors)
+		p.ups.SetDescriptors(descriptors)
 	})
 }
 
@@ -431,7 +431,7 @@
 		if n%int(reasonsEvery/crowdEvery) == 0 {
 			why = p.newReasons()
 		}
-		p.ups.Learn()
+		p.ups.UpdateIdleLimit()
 		for id, m := range p.members {
 			p.ups.Sweep(&m.Member, len(p.members))
 			if m.state == logic.Gone && m.Idle() {
@@ -482,7 +482,7 @@
 }
 
 // sockets counts the descriptors in use on both sides.
-func (p *Proxy) sockets() int { return p.frontFDs + p.ups.Open() }
+func (p *Proxy) sockets() int { return p.frontFDs + p.ups.OpenConns() }
 
 // member is what this package knows of a member: what the list has, and the connections to it.
 type member struct {
@@ -540,7 +540,7 @@
 	m.listed = listed
 	moved := m.Addr != addr || m.started != e.StartedAt
 	m.Addr, m.started, m.state, m.upSince = addr, e.StartedAt, e.State, p.upSince(listed)
-	p.ups.Change(&m.Member, e.State == logic.Ready, moved)
+	p.ups.UpdateMember(&m.Member, e.State == logic.Ready, moved)
 }
 
 // host is what package upstream sees of a Proxy.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -121,8 +121,8 @@
 	}
 	// The wait for a connection is this proxy's own: as the member's latency it would cut the member's limit.
 	since := a.sentAt
-	if a.Began > 0 {
-		since = a.Began
+	if a.BeganAt > 0 {
+		since = a.BeganAt
 	}
 	until := p.now
 	if at := a.Passing(); at > 0 { // the rest goes at the pace of the client
@@ -149,7 +149,7 @@
 	if !a.given || m == nil || s != logic.StatusTimeout && s != logic.StatusCancelled {
 		return 0
 	}
-	return a.Began + p.ups.FirstTransit()
+	return a.BeganAt + p.ups.FirstTransit()
 }
 
 // recall takes back the attempts of a request that is over which surely have not run yet: those that wait for a connection, for the
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -260,11 +260,11 @@
 	node := listen(t, func(conn net.Conn) { serve(conn, resp.NewReader(conn, 4096), conns.Add(1)) })
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
-	cfg.Multiplex, cfg.Settings.Instances = 64, pool.NodeSockets // so that each proxy has one connection to a cache
+	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that each proxy has one connection to a cache
 	p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
-	p.eventually("it is set up", func() bool { p.ups.SetSlowHead(patience); return len(p.members) == 2 })
+	p.eventually("it is set up", func() bool { p.ups.SetMaxPipelineAge(patience); return len(p.members) == 2 })
 	c := p.dial()
-	for i := range pool.CleanFirst + 4 {
+	for i := range pool.MinCleanAnswers + 4 {
 		c.send(get(fmt.Sprint("w", i), fmt.Sprint("w", i)))
 		if got := c.answer(); got != fmt.Sprint("value of w", i) {
 			t.Fatalf("warming up: answered %q", got)
@@ -352,7 +352,7 @@
 				p.eventually("the cache is asked one at a time", func() bool {
 					for _, m := range p.members {
 						if !m.Origin {
-							return spoil == nil || m.Wary() > 0 || name == "half an answer"
+							return spoil == nil || m.RequiredCleanAnswers() > 0 || name == "half an answer"
 						}
 					}
 					return false
@@ -387,7 +387,7 @@
 		p.readTogether(outstanding)
 		p.Do(func() {
 			for _, m := range p.members {
-				if m.Wary() > 0 {
+				if m.RequiredCleanAnswers() > 0 {
 					t.Errorf("%d out: an answer in pieces counts as spoilt", outstanding)
 				}
 			}
@@ -471,7 +471,7 @@
 					u = m.Conns[0]
 				}
 			}
-			return u != nil && u.Current != nil && len(u.Behind) == n
+			return u != nil && u.Current != nil && len(u.Pipelined) == n
 		}
 	}
 	ask(0)
@@ -482,7 +482,7 @@
 	p.eventually("three are behind", out(3))
 	var ended []logic.Outcome
 	p.enter()
-	p.ups.GiveUp(u.Behind[0], logic.StatusTimeout) // as if its time were up
+	p.ups.GiveUp(u.Pipelined[0], logic.StatusTimeout) // as if its time were up
 	ended = append(ended, p.outcomes...)
 	p.leave()
 	if len(ended) != 4 {
@@ -518,7 +518,7 @@
 		}
 	})
 	cfg := testConfig()
-	cfg.Settings.Instances = pool.NodeSockets // one connection to the cache, and one request at a time on it
+	cfg.Settings.Instances = pool.CacheConnCapacity // one connection to the cache, and one request at a time on it
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 	p = start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 	first := p.dial()
@@ -536,7 +536,7 @@
 		c.send(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
 		crowd = append(crowd, c)
 	}
-	p.eventually("there is a line", func() bool { return p.inLine() >= pool.WaitingRoom })
+	p.eventually("there is a line", func() bool { return p.inLine() >= pool.MaxWaiting })
 	return p, append(crowd, first), asked, release
 }
 
@@ -564,13 +564,13 @@
 
 // Clients that leave the line take their requests with them: the cache is never asked for them.
 func TestClientsLeaveTheLine(t *testing.T) {
-	p, crowd, asked, release := gated(t, pool.WaitingRoom)
-	for _, c := range crowd[:pool.WaitingRoom] {
+	p, crowd, asked, release := gated(t, pool.MaxWaiting)
+	for _, c := range crowd[:pool.MaxWaiting] {
 		c.conn.Close()
 	}
 	p.eventually("the line is empty", func() bool { return p.inLine() == 0 })
 	close(release)
-	if got := crowd[pool.WaitingRoom].answer(); got != "value of gate" {
+	if got := crowd[pool.MaxWaiting].answer(); got != "value of gate" {
 		t.Errorf("the one that stayed was answered %q", got)
 	}
 	p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 })
@@ -599,19 +599,19 @@
 	})
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
-	cfg.Multiplex, cfg.Settings.Instances = together, pool.NodeSockets
+	cfg.Multiplex, cfg.Settings.Instances = together, pool.CacheConnCapacity
 	members := []discovery.Member{entry("s-1", node, "large"), entry("o-1", o, "origin")}
 	r := newRegistry(t, discovery.List{Revision: 1, Complete: true, Members: members})
 	p := startAt(t, cfg, r)
 	<-r.watched
 	c := p.dial()
-	for i := range pool.CleanFirst + 4 {
+	for i := range pool.MinCleanAnswers + 4 {
 		c.send(get(fmt.Sprint("w", i), fmt.Sprint("w", i)))
 		c.answer()
 	}
-	p.eventually("the window for more is long", func() bool { p.ups.SetSlowHead(patience); return true })
+	p.eventually("the window for more is long", func() bool { p.ups.SetMaxPipelineAge(patience); return true })
 	var crowd []*testClient
-	for i := range together + pool.WaitingRoom {
+	for i := range together + pool.MaxWaiting {
 		c := p.dial()
 		c.send(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
 		crowd = append(crowd, c)
@@ -623,7 +623,7 @@
 				u = m.Conns[0]
 			}
 		}
-		return u != nil && len(u.Behind) == together-1 && p.inLine() > 0
+		return u != nil && len(u.Pipelined) == together-1 && p.inLine() > 0
 	})
 	gone := members[0]
 	gone.Phase = discovery.PhaseTerminating
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -101,7 +101,7 @@
 	first := p.dial()
 	first.send(get("a0", "first"))
 	first.answer()
-	p.eventually("a connection is free", func() bool { return len(p.at(node).Conns) == 1 && p.at(node).Conns[0].Rested(p.now) })
+	p.eventually("a connection is free", func() bool { return len(p.at(node).Conns) == 1 && p.at(node).Conns[0].Reusable(p.now) })
 	p.enter() // so that nobody is taken in
 	conn, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -157,7 +157,7 @@
 		}
 		<-closed
 	}
-	p.eventually("no connection is left", func() bool { return p.ups.Open() == 0 })
+	p.eventually("no connection is left", func() bool { return p.ups.OpenConns() == 0 })
 }
 
 // Members that come and go leave nothing behind, be it under new ids at an old address.
@@ -179,7 +179,7 @@
 		}
 	}
 	p.eventually("one member and its connection are left", func() bool {
-		return len(p.members) == 1 && p.ups.Open() == 1
+		return len(p.members) == 1 && p.ups.OpenConns() == 1
 	})
 }
 
@@ -212,7 +212,7 @@
 	}
 	free := func() *pool.Conn[*upstream.Exchange] {
 		for _, m := range p.members {
-			if len(m.Conns) == 1 && m.Conns[0].Rested(p.now) {
+			if len(m.Conns) == 1 && m.Conns[0].Reusable(p.now) {
 				return m.Conns[0]
 			}
 		}
@@ -221,7 +221,7 @@
 	p.eventually("the connection is free", func() bool {
 		u := free()
 		if u != nil {
-			u.Backdate(cfg.ConnIdle * pool.WarmShare / 100) // as if it stood idle so long
+			u.Backdate(cfg.ConnIdle * pool.KeepalivePercent / 100) // as if it stood idle so long
 		}
 		return u != nil
 	})
@@ -254,10 +254,10 @@
 	}
 	var over *attempt
 	var all []*Request // one each: nothing is sent for a request that is over
-	for range pool.CacheSockets + pool.WaitingRoom + 1 {
+	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
 		r := &Request{p: p.Proxy, Taker: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
 		over = &attempt{req: r, to: m.id}
-		over.Until = p.now + patience
+		over.ExpiresAt = p.now + patience
 		r.attempts, r.out = append(r.attempts, over), r.out+1
 		p.exchange(m, over)
 		all = append(all, r)
@@ -268,11 +268,11 @@
 		t.Errorf("the pool's own shortage is told as status %d of the cache", s)
 	}
 	p.leave()
-	for range pool.CacheSockets {
+	for range pool.MaxCacheConns {
 		<-asks
 	}
 	close(release)
-	for range pool.WaitingRoom {
+	for range pool.MaxWaiting {
 		<-asks
 	}
 	p.eventually("those that waited have their answers", func() bool {
@@ -305,7 +305,7 @@
 	close(release)
 	p.eventually("its request is over, and its connection free", func() bool {
 		for _, m := range p.members {
-			return len(p.requests) == 0 && len(m.Conns) == 1 && m.Conns[0].Rested(p.now)
+			return len(p.requests) == 0 && len(m.Conns) == 1 && m.Conns[0].Reusable(p.now)
 		}
 		return false
 	})
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -160,7 +160,7 @@
 	switch {
 	case err != nil:
 		return err
-	case u.Pinged: // by this goroutine's own order of events: await saw it under the lock
+	case u.PingPending: // by this goroutine's own order of events: await saw it under the lock
 		if h.Kind != '+' && h.Kind != '-' {
 			return resp.ErrProtocol
 		}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -65,10 +65,10 @@
 	if m.Origin {
 		u.codec = http1{}
 	}
-	u.M, u.Link = m, u
+	u.Member, u.Link = m, u
 	w.Idle = func() {
 		u.wroteAt = s.host.Clock()
-		s.Freed(&u.Conn)
+		s.WriteDrained(&u.Conn)
 	}
 	u.peek = func(fd uintptr) bool {
 		u.saw = sender.Peek(fd)
@@ -77,14 +77,14 @@
 	return u, nil
 }
 
-// Clear tells whether nothing waits to be written, and writing hasn't failed.
-func (u *Conn) Clear() bool { return !u.w.Busy() && !u.w.Failed() }
+// Writable tells whether nothing waits to be written, and writing hasn't failed.
+func (u *Conn) Writable() bool { return !u.w.Busy() && !u.w.Failed() }
 
 // Silent tells whether nothing has come on the connection, neither bytes nor its end.
 func (u *Conn) Silent() bool { return u.w.Look() == sender.Nothing }
 
-// Shut ends a connection that is out of the pool; its reader finds out.
-func (u *Conn) Shut() {
+// Close ends a connection that is out of the pool; its reader finds out.
+func (u *Conn) Close() {
 	u.w.Drop()
 	u.conn.Close()
 }
@@ -98,11 +98,11 @@
 	x.conn = u
 	now := s.host.Clock()
 	u.allowTransit(x, now)
-	corked := s.corking && !x.Write && !u.M.Origin
+	corked := s.corking && !x.Write && !u.Member.Origin
 	if corked {
 		s.cork(u, now)
 	}
-	b := u.codec.Append(s.scratch[:0], x, u.M.Addr, u.deadlineFor(x)-now)
+	b := u.codec.Append(s.scratch[:0], x, u.Member.Addr, u.deadlineFor(x)-now)
 	s.scratch = b[:0]
 	u.w.Send(b, false)
 	if x.Write {
@@ -110,18 +110,18 @@
 	}
 	x.end = u.w.Taken() + x.held
 	if !corked && !u.w.Busy() && x.held == 0 {
-		x.Written = s.host.Clock()
+		x.WrittenAt = s.host.Clock()
 	}
 }
 
 // allowTransit has an exchange waited for until it has surely come at its member, however little of its time is left. Given up sooner, it could
 // come after the next attempt of its request, and be a second copy. After AnswerBy there is none.
 func (u *Conn) allowTransit(x *Exchange, now time.Duration) {
-	transit := u.s.Transit(u.M)
+	transit := u.s.Transit(u.Member)
 	if u.Current == x && u.Fresh() {
 		transit = u.s.FirstTransit()
 	}
-	x.Until = max(x.Until, min(now+transit, x.By.AnswerBy()))
+	x.ExpiresAt = max(x.ExpiresAt, min(now+transit, x.By.AnswerBy()))
 }
 
 // sendValue writes the value of an exchange, but for a last byte that is held back.
@@ -140,10 +140,10 @@
 // deadlineFor is until when a member is told that it has for an exchange. A cache is told how long it is waited for. What an origin finds is
 // stored whether anybody still waits for the attempt or not: it is told how long the client can be answered.
 func (u *Conn) deadlineFor(x *Exchange) time.Duration {
-	if u.M.Origin {
+	if u.Member.Origin {
 		return x.By.AnswerBy()
 	}
-	return min(x.Until, x.By.AnswerBy())
+	return min(x.ExpiresAt, x.By.AnswerBy())
 }
 
 // release writes the byte that Send has held back, if the connection still stands; else its reader tells that
@@ -164,14 +164,14 @@
 	u := x.conn
 	if u != nil && u.Current != x && u.Current != nil && u.Current.firstAt > 0 && st == logic.StatusTimeout && s.host.Now() < x.By.Deadline() {
 		// Its answer stands behind a long one, which must not be cut off. Until the connection ends it is out, so it waits.
-		x.Until = min(x.By.Deadline(), s.host.Now()+passLook)
-		s.host.At(Due{At: x.Until, what: dueEnd, x: x})
+		x.ExpiresAt = min(x.By.Deadline(), s.host.Now()+passLook)
+		s.host.At(Due{At: x.ExpiresAt, what: dueEnd, x: x})
 		return
 	}
 	if u == nil {
-		x.m.Leave(x)
+		x.m.RemoveWaiting(x)
 		if st == logic.StatusTimeout { // it was never sent
-			st = statusFor(pool.Unconnected(x.m))
+			st = statusFor(pool.NoConnVerdict(x.m))
 		}
 		x.ended(st, 0)
 		return
@@ -195,7 +195,7 @@
 		u.overturn(u.Current)
 	}
 	u.overturnBehind()
-	s.Broken(&u.Conn)
+	s.HandleBroken(&u.Conn)
 }
 
 // overturn ends an exchange whose connection ends for something that it has no part in, and that tells nothing of its
@@ -209,22 +209,22 @@
 }
 
 func (u *Conn) overturnBehind() {
-	for _, x := range u.Behind {
+	for _, x := range u.Pipelined {
 		u.overturn(x)
 	}
-	u.Behind = nil
+	u.Pipelined = nil
 }
 
 // again tells whether a value is the one that the connection has just answered another key with, while requests were
 // behind that one (requests for the same key never follow one another on a connection). Then it may be a second copy of that answer, which would be taken for the answer to the next request;
 // nothing else tells them apart.
 func (u *Conn) again(value []byte) bool {
-	if u.last == 0 && len(u.Behind) == 0 {
+	if u.last == 0 && len(u.Pipelined) == 0 {
 		return false
 	}
 	h := maphash.Bytes(u.s.seed, value) | 1
 	same := h == u.last
-	if u.last = h; len(u.Behind) == 0 {
+	if u.last = h; len(u.Pipelined) == 0 {
 		u.last = 0
 	}
 	return same
@@ -239,7 +239,7 @@
 	if x == nil || x.Ended { // given up; the connection is closed
 		return nil
 	}
-	u.TurnedAway = st == logic.StatusFull
+	u.Refused = st == logic.StatusFull
 	if st == logic.StatusOK {
 		if u.again(value) {
 			return errStray
@@ -256,7 +256,7 @@
 	defer u.s.host.Leave()
 	spoilt := errors.Is(err, resp.ErrProtocol) || errors.Is(err, errCut) || errors.Is(err, errStray)
 	if x := u.Current; x != nil && !x.Ended {
-		u.s.Broke(&u.Conn)
+		u.s.RecordBreak(&u.Conn)
 		st := logic.StatusReset
 		switch {
 		case u.unsent(x):
@@ -268,10 +268,10 @@
 		x.ended(st, 0)
 	}
 	if spoilt {
-		u.M.Spoilt()
+		u.Member.RecordBadAnswer()
 	}
 	u.overturnBehind()
-	u.s.Broken(&u.Conn)
+	u.s.HandleBroken(&u.Conn)
 }
 
 // serve reads answers until the connection ends.
@@ -361,6 +361,6 @@
 	case u.Retired:
 		return io.EOF
 	}
-	u.s.Rest(&u.Conn)
+	u.s.Release(&u.Conn)
 	return nil
 }
--- a/internal/upstream/cork_test.go
+++ b/internal/upstream/cork_test.go
@@ -71,7 +71,7 @@
 				t.Fatal(err)
 			}
 			send := func(id string) {
-				x := &Exchange{Request: pool.Request{Until: 3 * time.Second}, By: h,
+				x := &Exchange{Request: pool.Request{ExpiresAt: 3 * time.Second}, By: h,
 					Msg: &Message{Key: []byte("k"), ReqID: []byte(id), Attrs: []byte("c=read,d=8000")}}
 				conn.Send(x)
 			}
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -40,11 +40,11 @@
 		var slow net.Error
 		switch {
 		case err == nil:
-			s.Dialled(m, &u.Conn, epoch, warm, false)
+			s.DialCompleted(m, &u.Conn, epoch, warm, false)
 		case local(err):
-			s.NotDialled(m, warm)
+			s.DialFailedLocally(m, warm)
 		default:
-			s.Dialled(m, nil, epoch, warm, !(errors.As(err, &slow) && slow.Timeout()))
+			s.DialCompleted(m, nil, epoch, warm, !(errors.As(err, &slow) && slow.Timeout()))
 		}
 	})
 	if err != nil {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -47,7 +47,7 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			host := &lockedHost{}
-			s := New(pool.Config{ConnIdle: time.Minute, ConnectTimeout: time.Second, Multiplex: 1, Instances: 1, Sockets: 100}, host)
+			s := New(pool.Config{ConnIdle: time.Minute, ConnectTimeout: time.Second, Multiplex: 1, Instances: 1, Descriptors: 100}, host)
 			s.dialer = func(string, time.Duration) (net.Conn, error) {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 			}
@@ -55,7 +55,7 @@
 			for range 3 { // more than one in a row, as a shortage lasts
 				e := &ending{seen: make(chan logic.Status, 2)}
 				e.x = &Exchange{Msg: &Message{Key: []byte("k")}, By: e}
-				e.x.Until = time.Minute
+				e.x.ExpiresAt = time.Minute
 				host.Do(func() { s.Exchange(m, e.x) })
 				want := logic.StatusNoConn
 				if blamed {
@@ -69,8 +69,8 @@
 				if held := m.Backoff() > 0; held != blamed {
 					t.Errorf("the member is held back: %v, want %v", held, blamed)
 				}
-				if s.Open() != 0 {
-					t.Errorf("%d connections are counted, none is there", s.Open())
+				if s.OpenConns() != 0 {
+					t.Errorf("%d connections are counted, none is there", s.OpenConns())
 				}
 			})
 		})
--- a/internal/upstream/long.go
+++ b/internal/upstream/long.go
@@ -23,7 +23,7 @@
 	h := u.s.host
 	h.Enter()
 	defer h.Leave()
-	u.s.Apart(aloneFor)
+	u.s.SuspendPipelining(aloneFor)
 	x := u.Current
 	if x == nil || x.Ended {
 		return nil, nil, net.ErrClosed
@@ -79,7 +79,7 @@
 // once a long value has been seen lately, but those that were written before the first must not wait for its client.
 func (u *Conn) apart(n int) (place Place) {
 	u.s.host.Do(func() {
-		if len(u.Behind) > 0 {
+		if len(u.Pipelined) > 0 {
 			place = u.s.host.LongRoom(n, u.s.host.Now())
 		}
 	})
@@ -178,7 +178,7 @@
 	var place Place
 	h.Do(func() {
 		if x := u.Current; x != nil && !x.Ended {
-			place = h.LongRoom(resp.MaxLong, x.Until)
+			place = h.LongRoom(resp.MaxLong, x.ExpiresAt)
 		}
 	})
 	if place == nil || !place.Wait() {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -149,8 +149,8 @@
 // Exchange sends a message to a member that is ready. Its outcome comes by its Client, for its time's end too.
 func (s *Set) Exchange(m *Member, x *Exchange) {
 	x.m, x.end = m, -1
-	s.host.At(Due{At: x.Until, what: dueEnd, x: x})
-	s.Place(m, x)
+	s.host.At(Due{At: x.ExpiresAt, what: dueEnd, x: x})
+	s.Submit(m, x)
 }
 
 // Key is the key that is asked for.
@@ -174,7 +174,7 @@
 	switch u := x.conn; {
 	case x.Ended:
 	case u == nil:
-		x.m.Leave(x)
+		x.m.RemoveWaiting(x)
 		x.ended(logic.StatusNoConn, 0)
 	case u.unsent(x) && (u.Current == x || u.Current.firstAt == 0): // another's long value is not cut off for it
 		x.ended(logic.StatusNoConn, 0)
@@ -193,20 +193,20 @@
 func (s *Set) Ring(d Due) {
 	switch d.what {
 	case duePing:
-		s.PingLate(&d.conn.Conn, d.sent)
+		s.PingTimedOut(&d.conn.Conn, d.sent)
 	case dueDial:
 		s.Redial(d.m)
 	case dueHeld:
 		s.release(d.x)
 	case dueConnect:
 		if d.x.conn == nil && !d.x.Ended {
-			s.Late(d.x.m, d.x)
+			s.ConnectTimedOut(d.x.m, d.x)
 		}
 	case dueEnd:
 		switch {
 		case d.x.Ended || d.x.firstAt != 0:
-		case s.host.Now() < d.x.Until: // it was given longer
-			s.host.At(Due{At: d.x.Until, what: dueEnd, x: d.x})
+		case s.host.Now() < d.x.ExpiresAt: // it was given longer
+			s.host.At(Due{At: d.x.ExpiresAt, what: dueEnd, x: d.x})
 		default:
 			s.GiveUp(d.x, logic.StatusTimeout)
 		}
@@ -249,7 +249,7 @@
 
 // statusFor names why a request got no connection.
 func statusFor(v pool.Verdict) logic.Status {
-	if v == pool.Short {
+	if v == pool.LocalShortage {
 		return logic.StatusNoConn
 	}
 	return logic.StatusConnectFailed
@@ -262,25 +262,25 @@
 
 func (a actions) Dial(m *Member, warm bool) { go a.s.dial(m, m.Addr, m.Epoch, warm) }
 
-func (a actions) End(x *Exchange, v pool.Verdict) { x.ended(statusFor(v), 0) }
+func (a actions) Reject(x *Exchange, v pool.Verdict) { x.ended(statusFor(v), 0) }
 
-func (a actions) Expired(x *Exchange) bool { return x.Until-a.s.host.Clock() < LeastDeadline }
+func (a actions) Expired(x *Exchange) bool { return x.ExpiresAt-a.s.host.Clock() < LeastDeadline }
 
-func (a actions) Room(make bool) bool { return a.s.host.Spare(make) }
+func (a actions) HasDescriptor(make bool) bool { return a.s.host.Spare(make) }
 
-func (a actions) ConnectBy(x *Exchange, at time.Duration) {
+func (a actions) ScheduleConnectTimeout(x *Exchange, at time.Duration) {
 	a.s.host.At(Due{At: at, what: dueConnect, x: x})
 }
 
-func (a actions) DialAt(m *Member, at time.Duration) {
+func (a actions) ScheduleRedial(m *Member, at time.Duration) {
 	a.s.host.At(Due{At: at, what: dueDial, m: m})
 }
 
-func (a actions) PingBy(c *pool.Conn[*Exchange], at, sent time.Duration) {
+func (a actions) SchedulePingTimeout(c *pool.Conn[*Exchange], at, sent time.Duration) {
 	a.s.host.At(Due{At: at, what: duePing, conn: c.Link.(*Conn), sent: sent})
 }
 
-func (a actions) WakeAt(at time.Duration) { a.s.host.WakeAt(at) }
+func (a actions) ScheduleWake(at time.Duration) { a.s.host.WakeAt(at) }
 
 // ended gives an exchange its outcome; later ones are dropped.
 func (x *Exchange) ended(st logic.Status, note int) {
@@ -300,7 +300,7 @@
 // leaveTransit works out until when an exchange that is given up may be under way. The end of its connection doesn't call back what has gone out.
 func (x *Exchange) leaveTransit() {
 	u := x.conn
-	written := x.Written
+	written := x.WrittenAt
 	switch {
 	case written > 0:
 	case u.w.Busy(): // it may be going out right now
@@ -308,5 +308,5 @@
 	default: // it went out with others, or in parts
 		written = u.wroteAt
 	}
-	x.transit = written + u.s.Transit(u.M)
+	x.transit = written + u.s.Transit(u.Member)
 }
