--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -16,7 +16,7 @@
 // whole is a call whose exchange is made here.
 type whole struct{ *call }
 
-var _ upstream.Passer = whole{}
+var _ upstream.ValueStream = whole{}
 
 var (
 	errNoRoom   = errors.New("no room for a long value in time")
@@ -38,7 +38,7 @@
 	}
 	w.f.p.Do(func() {
 		if w.settled {
-			place.Drop()
+			place.ReleaseLocked()
 			err = errUnwanted
 			return
 		}
@@ -47,8 +47,8 @@
 	return err
 }
 
-// Pass takes a piece.
-func (w whole) Pass(piece []byte) (err error) {
+// WritePiece takes a piece.
+func (w whole) WritePiece(piece []byte) (err error) {
 	w.f.p.Do(func() {
 		if w.settled || w.value == nil {
 			w.release()
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Cut fails the call: its caller has been told nothing yet.
-func (w whole) Cut() {
+// Abort fails the call: its caller has been told nothing yet.
+func (w whole) Abort() {
 	w.f.p.Do(w.release)
 	w.conclude(proxy.Answer{Kind: proxy.Failed})
 }
@@ -93,7 +93,7 @@
 func (w whole) release() {
 	if w.value != nil {
 		w.value = nil
-		w.place.Drop()
+		w.place.ReleaseLocked()
 		w.place = nil
 	}
 }
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -394,7 +394,7 @@
 		if s.place == nil {
 			f.p.Hold(-cap(s.body))
 		} else {
-			s.place.Drop()
+			s.place.ReleaseLocked()
 			s.place = nil
 		}
 		f.p.Hold(-streamCost - s.window)
@@ -415,13 +415,13 @@
 	entry   *extproc.Entry
 	many    *manyCall // it is for many keys
 	stream  *stream
-	attempt *proxy.Attempt // the latest that the host has named; mode route
-	named   string         // the addresses that the caller was given for it
-	final   *proxy.Answer  // the final answer, its value copied
-	place   upstream.Place // of a long value, which is not counted as held
-	value   []byte         // that is not whole yet
-	settled bool           // the caller has the answer, or nobody waits for one
-	ended   chan struct{}  // of one token: something has been decided
+	attempt *proxy.Attempt       // the latest that the host has named; mode route
+	named   string               // the addresses that the caller was given for it
+	final   *proxy.Answer        // the final answer, its value copied
+	place   upstream.Reservation // of a long value, which is not counted as held
+	value   []byte               // that is not whole yet
+	settled bool                 // the caller has the answer, or nobody waits for one
+	ended   chan struct{}        // of one token: something has been decided
 }
 
 // routed is a call whose attempts the caller makes.
@@ -493,7 +493,7 @@
 		c.final.Body.Release()
 		c.final.Body, c.final.Value = nil, nil
 	case c.place != nil:
-		c.place.Drop()
+		c.place.ReleaseLocked()
 		c.final.Value, c.place = nil, nil
 	default:
 		c.f.p.Hold(-len(c.final.Value))
@@ -520,7 +520,7 @@
 	// maxBody is the longest body of a request that comes in one message, and maxLong of one that comes in pieces, which are not read
 	// before there is room for them.
 	maxBody = resp.MaxValue
-	maxLong = resp.MaxLong
+	maxLong = resp.MaxLongValue
 	// maxText bounds what a request tells beside it, as on the RESP2 front.
 	maxText = 2 << 10
 )
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -59,10 +59,10 @@
 	// Under the host's lock.
 	call   *call
 	body   []byte
-	place  upstream.Place // in the room for long values, of a body over maxBody; nil: it is counted as held
-	window int            // held for what the caller may have sent ahead
-	due    time.Duration  // when it has stood for too long
-	idle   bool           // all has been said; more may come, and needs nothing
+	place  upstream.Reservation // in the room for long values, of a body over maxBody; nil: it is counted as held
+	window int                  // held for what the caller may have sent ahead
+	due    time.Duration        // when it has stood for too long
+	idle   bool                 // all has been said; more may come, and needs nothing
 	kicks  bool
 	kicked chan struct{}
 }
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -267,7 +267,7 @@
 func (c *redisClient) ended() (yes bool) {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { yes = sender.Peek(fd) == sender.End })
+		err = raw.Control(func(fd uintptr) { yes = sender.Peek(fd) == sender.EndOfStream })
 	}
 	return yes || err != nil
 }
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -13,7 +13,7 @@
 	minHoldTime = 40 * time.Millisecond
 )
 
-// holdTime learns for how long a connection is held with nothing out. A cache takes so many connections from all proxies
+// lastByteDelay learns for how long a connection is held with nothing out. A cache takes so many connections from all proxies
 // together, and how many is told nowhere. Where proxies are more than that, each that holds one idle keeps others from it:
 // 300 proxies that each ask a cache every ten seconds, and hold on for four, want 120 connections at a time to carry
 // requests that need five. It is the one time for all of a proxy's caches, as a proxy sees too little of each: those that
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -31,7 +31,7 @@
 		p.cfg.OnSend(id, to)
 	}
 	r.out++
-	if r.done || a.ExpiresAt-p.now < upstream.LeastDeadline {
+	if r.done || a.ExpiresAt-p.now < upstream.MinDeadline {
 		p.end(a, logic.StatusMoot, 0)
 		return
 	}
@@ -58,7 +58,7 @@
 	}
 	if c, ok := r.Taker.(Carrier); ok {
 		a.carried = true
-		p.schedule(due{Due: upstream.Due{At: a.ExpiresAt}, attempt: a})
+		p.schedule(due{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 		c.Carry(&Attempt{p: p, a: a, Addr: m.Addr, Origin: m.Origin})
 		return
 	}
--- a/internal/proxy/callers.go
+++ b/internal/proxy/callers.go
@@ -52,7 +52,7 @@
 	name := by.Name()
 	var err error
 	attrs := make([]byte, 0, len(cmd.Attrs)+32)
-	for n, value := range upstream.Names(cmd.Attrs) {
+	for n, value := range upstream.Attributes(cmd.Attrs) {
 		switch n {
 		case name:
 			// Of more than one the last counts; each has to hold.
--- a/internal/proxy/command.go
+++ b/internal/proxy/command.go
@@ -176,7 +176,7 @@
 			return err
 		}
 	}
-	if err := c.in.End(); err != nil { // the length was wrong
+	if err := c.in.LineEnd(); err != nil { // the length was wrong
 		p.mu.Lock()
 		p.held -= cap(cmd.Value)
 		p.mu.Unlock()
--- a/internal/proxy/intake_test.go
+++ b/internal/proxy/intake_test.go
@@ -45,7 +45,7 @@
 			client, side := p.restingClient()
 			p.Do(func() {
 				client.send(get("a1", "second")) // its reader can't go on while the lock is held
-				for deadline := time.Now().Add(patience); side.w.Look() != sender.Nothing; time.Sleep(time.Millisecond) {
+				for deadline := time.Now().Add(patience); side.w.Peek() != sender.NoData; time.Sleep(time.Millisecond) {
 					if time.Now().After(deadline) {
 						t.Fatal("the command is never read from the kernel")
 					}
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -97,7 +97,7 @@
 // is thought to cost, whether it is asked again.
 func namesOf(attrs []byte) string {
 	var rest []string
-	for name, value := range upstream.Names(attrs) {
+	for name, value := range upstream.Attributes(attrs) {
 		switch name {
 		case "c", "d", "t", "h", "r", "size":
 		default:
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -224,13 +224,13 @@
 			noteOrigin(in, conn, l)
 		})
 		p := start(t, leaving(cancel), entry("o-1", o, "origin"))
-		p.Do(func() { p.ups.SetHold(time.Hour) })
+		p.Do(func() { p.ups.SetLastByteDelay(time.Hour) })
 		client := p.dial()
 		client.send(putLong("a1", "left", "order"))
 		<-begun
 		client.conn.Close()
 		p.gone()
-		p.Do(func() { p.ups.SetHold(time.Millisecond) })
+		p.Do(func() { p.ups.SetLastByteDelay(time.Millisecond) })
 		next := p.dial()
 		next.send(put("a2", "next", "order"))
 		if got := next.answer(); got != "value of a2" {
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -72,13 +72,13 @@
 	}
 }
 
-// LongRoom asks for room for a value that a member sends, which is held until it is whole.
-func (h host) LongRoom(n int, until time.Duration) upstream.Place {
+// ReserveLongValue asks for room for a value that a member sends, which is held until it is whole.
+func (h host) ReserveLongValue(n int, until time.Duration) upstream.Reservation {
 	return &heldPlace{place: h.long.enter(n, h.longMax()), p: h.Proxy, left: until - h.now}
 }
 
-// LongRoom asks, outside the lock, for room for a long value that a front holds, for so long at the most.
-func (p *Proxy) LongRoom(n int, within time.Duration) (place upstream.Place) {
+// ReserveLongValue asks, outside the lock, for room for a long value that a front holds, for so long at the most.
+func (p *Proxy) LongRoom(n int, within time.Duration) (place upstream.Reservation) {
 	return p.longRoom(n, within, nil)
 }
 
@@ -110,7 +110,7 @@
 	}
 	w.p.Do(func() {
 		if let = w.done; !let {
-			w.Drop()
+			w.ReleaseLocked()
 		}
 	})
 	return let
@@ -121,11 +121,11 @@
 	w.p.Do(func() { w.p.long.used -= w.n - n; w.n = n })
 }
 
-// Leave gives the room back.
-func (w *heldPlace) Leave() { w.p.Do(w.Drop) }
+// Release gives the room back.
+func (w *heldPlace) Release() { w.p.Do(w.ReleaseLocked) }
 
-// Drop is Leave under the lock.
-func (w *heldPlace) Drop() { w.p.long.leave(w.place) }
+// ReleaseLocked is Leave under the lock.
+func (w *heldPlace) ReleaseLocked() { w.p.long.leave(w.place) }
 
 func (p *Proxy) longMax() int { return int(float64(p.cfg.MemoryMB) * (1 << 20) * longShare) }
 
@@ -156,10 +156,10 @@
 	value := make([]byte, n)
 	err := c.pieces(value)
 	if err == nil {
-		err = c.in.End()
+		err = c.in.LineEnd()
 	}
 	if err != nil {
-		w.Leave()
+		w.Release()
 		return err
 	}
 	cmd.Value, cmd.long = value, n
@@ -183,19 +183,19 @@
 // errGone tells that a client takes nothing any more.
 var errGone = errors.New("the client has gone")
 
-var _ upstream.Passer = (*owed)(nil)
+var _ upstream.ValueStream = (*owed)(nil)
 
 // Begin begins the answer.
 func (o *owed) Begin(n int) error { return o.write(resp.AppendBulkHead(nil, n), false) }
 
-// Pass writes a piece.
-func (o *owed) Pass(piece []byte) error { return o.write(piece, false) }
+// WritePiece writes a piece.
+func (o *owed) WritePiece(piece []byte) error { return o.write(piece, false) }
 
 // Finish ends the answer.
 func (o *owed) Finish() error { return o.write([]byte("\r\n"), true) }
 
-// Cut closes the connection.
-func (o *owed) Cut() { o.client.p.Do(o.client.close) }
+// Abort closes the connection.
+func (o *owed) Abort() { o.client.p.Do(o.client.close) }
 
 // write sends bytes of an answer once its turn has come and the client has taken what was sent before.
 func (o *owed) write(b []byte, last bool) error {
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -90,7 +90,7 @@
 		}
 		return b.String() + "0\r\n\r\n"
 	}
-	short, longer, most := long(1000), long(300<<10), long(resp.MaxLong+1)
+	short, longer, most := long(1000), long(300<<10), long(resp.MaxLongValue+1)
 	toEnd := "HTTP/1.1 200 OK\r\n\r\n"
 	for name, c := range map[string]struct {
 		answer, want string // want: none, as it is not whole, or too long
@@ -252,16 +252,16 @@
 	cfg.Settings.Classes[1].Deadline = patience
 	o := origin(t, func(r *http.Request) string { return page("receipt " + r.Header.Get("X-Request-ID")) })
 	p := start(t, cfg, entry("o", o, "origin"), entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
-	value := long(resp.MaxLong)
+	value := long(resp.MaxLongValue)
 	const writers = 6
 	var clients [writers]*testClient
 	for i := range clients { // all begin, none ends
 		clients[i] = p.dial()
 		text := put(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
-		clients[i].send(text[:len(text)-resp.MaxLong/2])
+		clients[i].send(text[:len(text)-resp.MaxLongValue/2])
 	}
 	p.eventually("some are let in, the others wait", func() bool {
-		return p.long.used == 2*resp.MaxLong && len(p.long.waiting) == writers-2
+		return p.long.used == 2*resp.MaxLongValue && len(p.long.waiting) == writers-2
 	})
 	reader := p.dial()
 	reader.send(get("k", "r1"))
@@ -270,7 +270,7 @@
 	}
 	for i, c := range clients {
 		text := put(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
-		go c.send(text[len(text)-resp.MaxLong/2:])
+		go c.send(text[len(text)-resp.MaxLongValue/2:])
 	}
 	for i, c := range clients {
 		if got := c.answer(); got != fmt.Sprint("receipt w", i) {
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -299,7 +299,7 @@
 		p := &Proxy{cfg: Config{ManyKeys: &limits, MemoryMB: 1}, heldMax: 1 << 20}
 		c := &client{p: p, conn: &net.TCPConn{}, stream: &net.TCPConn{}}
 		c.in = resp.NewReader(bytes.NewReader(text), 256)
-		c.in.AllowElements(manyElements)
+		c.in.SetMaxElements(manyElements)
 		held := 0
 		for range 20 {
 			cmd, err := c.command()
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -62,7 +62,7 @@
 	}
 	m := &manyReply{p: c.p, o: o}
 	attrs := make([]byte, 0, len(cmd.Attrs))
-	for name, value := range upstream.Names(cmd.Attrs) {
+	for name, value := range upstream.Attributes(cmd.Attrs) {
 		if name == streamName {
 			m.stream = string(value) == "1"
 			continue
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -155,7 +155,7 @@
 	})
 	p := start(t, testConfig(), entry("o-1", o, "origin"))
 	p.enter()
-	p.ups.SetHold(500 * time.Millisecond) // the reset is seen by then, however slow the machine
+	p.ups.SetLastByteDelay(500 * time.Millisecond) // the reset is seen by then, however slow the machine
 	p.leave()
 	c := p.dial()
 	for i := range 3 {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -252,7 +252,7 @@
 		f.Close()
 	}
 	for _, m := range p.members {
-		p.ups.Shut(&m.Member)
+		p.ups.CloseMember(&m.Member)
 	}
 }
 
@@ -558,10 +558,10 @@
 	return h.now
 }
 
-func (h host) At(d upstream.Due)       { h.schedule(due{Due: d}) }
-func (h host) WakeAt(at time.Duration) { h.restTimer.Reset(at - h.now) }
+func (h host) ScheduleTimer(d upstream.Timer) { h.schedule(due{Timer: d}) }
+func (h host) ScheduleWake(at time.Duration)  { h.restTimer.Reset(at - h.now) }
 
-func (h host) Spare(make bool) bool {
+func (h host) HasDescriptor(make bool) bool {
 	if !make {
 		return h.sockets() < h.cfg.Sockets-spareSockets
 	}
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -83,7 +83,7 @@
 // record has an order put on record before the Balancer sees it.
 func (p *Proxy) record(r *Request, lr logic.Request) {
 	o := orders.Order{Name: orders.Name{Key: string(r.ReqID)}, Digest: r.digest()}
-	for name, value := range upstream.Names(r.Attrs) {
+	for name, value := range upstream.Attributes(r.Attrs) {
 		switch name {
 		case "t":
 			o.Tenant = string(value)
@@ -192,7 +192,7 @@
 	c := r.rec
 	a.recording = true
 	_, a.carried = r.Taker.(Carrier)
-	p.schedule(due{Due: upstream.Due{At: a.ExpiresAt}, attempt: a})
+	p.schedule(due{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 	to := m.Addr
 	c.change(func() {
 		if a.Ended { // it waited for the change before, and is over
@@ -220,7 +220,7 @@
 			p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
 			p.bal.Expired(p.now, r.id)
 		}
-	case r.done || a.ExpiresAt-p.now < upstream.LeastDeadline:
+	case r.done || a.ExpiresAt-p.now < upstream.MinDeadline:
 		p.end(a, logic.StatusMoot, 0)
 	case m == nil || m.state != logic.Ready:
 		p.end(a, logic.StatusConnectFailed, 0)
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -79,7 +79,7 @@
 	// What has stood unread for long, with the kernel until the connection was accepted or because the core is short, may be of a client
 	// that has left since. Elsewhere it is read as it comes, and so is the end.
 	if stale := c.stale || c.line.Active(); stale && n > 0 {
-		if c.stale = false; c.w.Left() {
+		if c.stale = false; c.w.PeerClosed() {
 			return 0, io.EOF
 		}
 	}
@@ -180,7 +180,7 @@
 
 // unread tells whether something has come that was not read yet.
 func (c *client) unread() bool {
-	return c.w.Look() == sender.Bytes || c.tls != nil && c.tls.undecoded.Load()
+	return c.w.Peek() == sender.HasData || c.tls != nil && c.tls.undecoded.Load()
 }
 
 // read reads commands and submits them.
--- a/internal/proxy/redis_front.go
+++ b/internal/proxy/redis_front.go
@@ -229,9 +229,9 @@
 	}
 	c.in = resp.NewReader(c, size)
 	if p.cfg.ManyKeys != nil {
-		c.in.AllowElements(manyElements)
+		c.in.SetMaxElements(manyElements)
 	}
-	w.Idle, w.Lost = c.flush, c.lost
+	w.OnDrained, w.OnLost = c.flush, c.lost
 	conn.SetReadDeadline(time.Now().Add(commandTime)) // for the first command, whether it begins or not
 	f.clients[c] = struct{}{}
 	f.count++
@@ -296,7 +296,7 @@
 // and the end stands behind what it has not read. What was asked on them is withdrawn then, and the rest is not looked at.
 func (f *redisFront) closeLeft() {
 	for c := range f.clients {
-		if (c.waits != nil || len(c.pending) > 0 && c.resume != nil) && c.w.Left() {
+		if (c.waits != nil || len(c.pending) > 0 && c.resume != nil) && c.w.PeerClosed() {
 			c.close()
 		}
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -33,7 +33,7 @@
 func (p *Proxy) exchange(m *member, a *attempt) {
 	r, x := a.req, &a.Exchange
 	x.Write, x.Once, x.Group = r.Write, r.effect == logic.Once, r.group
-	x.Msg, x.By = &r.Message, a
+	x.Message, x.Client = &r.Message, a
 	p.ups.Exchange(&m.Member, x)
 }
 
@@ -51,15 +51,15 @@
 	}
 }
 
-// Pass binds the request to an attempt that has begun to answer with a long value.
-func (a *attempt) Pass(n int) upstream.Passer {
+// StreamValue binds the request to an attempt that has begun to answer with a long value.
+func (a *attempt) StreamValue(n int) upstream.ValueStream {
 	r := a.req
 	p := r.p
 	if r.done { // nobody waits for it
 		p.end(a, logic.StatusOK, 0)
 		return nil
 	}
-	to, ok := r.Taker.(upstream.Passer)
+	to, ok := r.Taker.(upstream.ValueStream)
 	if !ok {
 		// This client's front takes no long values. The member has done its part, and another would end alike.
 		p.log.Debug("a value is too long for its client", "bytes", n)
@@ -98,7 +98,7 @@
 		return
 	}
 	if !a.carried {
-		p.ups.GiveUp(&a.Exchange, s)
+		p.ups.Abandon(&a.Exchange, s)
 		return
 	}
 	if s == logic.StatusTimeout && !a.given {
@@ -125,7 +125,7 @@
 		since = a.BeganAt
 	}
 	until := p.now
-	if at := a.Passing(); at > 0 { // the rest goes at the pace of the client
+	if at := a.StreamingSince(); at > 0 { // the rest goes at the pace of the client
 		until = at
 	}
 	if a.metered != 0 {
@@ -143,7 +143,7 @@
 // Carrier's client was told to make, it is not known when that was written, nor whether as the first on a connection.
 func (p *Proxy) inTransit(a *attempt, s logic.Status) time.Duration {
 	if !a.carried {
-		return a.InTransit()
+		return a.InTransitUntil()
 	}
 	m := p.members[a.to]
 	if !a.given || m == nil || s != logic.StatusTimeout && s != logic.StatusCancelled {
@@ -179,7 +179,7 @@
 		delete(p.requests, r.id)
 		p.letGo(r)
 		for _, a := range r.attempts { // timers still name them
-			a.req, a.Msg = nil, nil
+			a.req, a.Message = nil, nil
 		}
 	}
 }
@@ -200,7 +200,7 @@
 	}
 	var wait float64
 	var hasClass, hasWait bool
-	for name, value := range upstream.Names(c.Attrs) {
+	for name, value := range upstream.Attributes(c.Attrs) {
 		switch name {
 		case "c":
 			if hasClass {
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -209,7 +209,7 @@
 				if next%3 > 0 {
 					w.pushToken(now, at, next)
 				} else {
-					w.push(now, due{Due: upstream.Due{At: at}, token: next})
+					w.push(now, due{Timer: upstream.Timer{At: at}, token: next})
 				}
 			}
 			soonest := time.Duration(1<<62 - 1)
@@ -246,7 +246,7 @@
 		now += 30 * time.Microsecond
 		w.pushToken(now, now+800*time.Millisecond, uint64(i))
 		w.pushToken(now, now+3*time.Second, uint64(i))
-		w.push(now, due{Due: upstream.Due{At: now + 480*time.Millisecond}, token: uint64(i)})
+		w.push(now, due{Timer: upstream.Timer{At: now + 480*time.Millisecond}, token: uint64(i)})
 		if i%64 == 0 {
 			w.run(now, func(uint64) {}, func(due) {})
 		}
@@ -482,7 +482,7 @@
 	p.eventually("three are behind", out(3))
 	var ended []logic.Outcome
 	p.enter()
-	p.ups.GiveUp(u.Pipelined[0], logic.StatusTimeout) // as if its time were up
+	p.ups.Abandon(u.Pipelined[0], logic.StatusTimeout) // as if its time were up
 	ended = append(ended, p.outcomes...)
 	p.leave()
 	if len(ended) != 4 {
--- a/internal/proxy/secure.go
+++ b/internal/proxy/secure.go
@@ -50,7 +50,7 @@
 	c.active = c.p.now
 	c.stream, c.tls, c.cert = s, s, p
 	c.proof = p
-	c.w.Through(s)
+	c.w.WriteThrough(s)
 	return nil
 }
 
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -11,9 +11,9 @@
 
 // due is something to do at a time. None is withdrawn; one that is no longer wanted does nothing.
 type due struct {
-	upstream.Due          // what it is of the exchanges with members
-	attempt      *attempt // else: its time ends
-	token        uint64
+	upstream.Timer          // what it is of the exchanges with members
+	attempt        *attempt // else: its time ends
+	token          uint64
 }
 
 const (
@@ -77,7 +77,7 @@
 
 // pushToken sets a timer of the module's.
 func (t *timers) pushToken(now, at time.Duration, token uint64) {
-	t.put(now, due{Due: upstream.Due{At: at}, token: token}, true)
+	t.put(now, due{Timer: upstream.Timer{At: at}, token: token}, true)
 }
 
 func (t *timers) put(now time.Duration, d due, module bool) {
@@ -263,7 +263,7 @@
 func (p *Proxy) ringDue(d due) {
 	switch {
 	case d.attempt == nil:
-		p.ups.Ring(d.Due)
+		p.ups.HandleTimer(d.Timer)
 	case !d.attempt.Ended:
 		p.abandon(d.attempt, logic.StatusTimeout)
 	}
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -72,7 +72,7 @@
 	})
 	p := start(t, cfg, entry("o", o, "origin"))
 	p.Do(func() { p.long.longest = time.Hour })
-	value := long(resp.MaxLong)
+	value := long(resp.MaxLongValue)
 	for i := range 2 { // both have the room, until the origin answers
 		p.dial().send(putLong(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
 		<-came
@@ -81,14 +81,14 @@
 	for i := range 2 {
 		c := p.dial()
 		text := putLong(fmt.Sprint("l", i), fmt.Sprint("left", i), value)
-		c.send(text[:len(text)-resp.MaxLong])
+		c.send(text[:len(text)-resp.MaxLongValue])
 		writers = append(writers, c)
 		p.eventually("it waits for room", func() bool { return len(p.long.waiting) == i+1 })
 	}
 	for _, c := range writers {
 		c.conn.Close()
 	}
-	p.eventually("their places are free", func() bool { return len(p.long.waiting) == 0 && p.long.used == 2*resp.MaxLong })
+	p.eventually("their places are free", func() bool { return len(p.long.waiting) == 0 && p.long.used == 2*resp.MaxLongValue })
 	close(release)
 	p.eventually("nothing is held", func() bool { return p.long.used == 0 && p.held == 0 })
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -13,44 +13,44 @@
 	"strconv"
 )
 
-// MaxValue is the longest value that is held as a matter of course. MaxLong is the longest that either side may send:
+// MaxValue is the longest value that is held as a matter of course. MaxLongValue is the longest that either side may send:
 // what announces more is broken or hostile, and is turned away at its first line, before room is made for it.
 const (
-	MaxValue = 64 << 10
-	MaxLong  = 4 << 20
+	MaxValue     = 64 << 10
+	MaxLongValue = 4 << 20
 )
 
-// maxElements is the most elements of an array, unless others are allowed; most commands and answers here have at most five.
-const maxElements = 64
+// defaultMaxElements is the most elements of an array, unless others are allowed; most commands and answers here have at most five.
+const defaultMaxElements = 64
 
 // ErrProtocol is wrapped by every error about bytes that are not RESP2, or go over a bound.
 var ErrProtocol = errors.New("not RESP2")
 
 // Reader reads RESP2 elements.
 type Reader struct {
-	br       *bufio.Reader
-	elements int
+	input       *bufio.Reader
+	maxElements int
 }
 
 // NewReader makes a Reader with a buffer of the given size, which also bounds the length of a line.
 func NewReader(r io.Reader, size int) *Reader {
-	return &Reader{br: bufio.NewReaderSize(r, size), elements: maxElements}
+	return &Reader{input: bufio.NewReaderSize(r, size), maxElements: defaultMaxElements}
 }
 
 // Reset has it read from elsewhere, with what it had read and not given out forgotten.
-func (r *Reader) Reset(from io.Reader) { r.br.Reset(from) }
+func (r *Reader) Reset(from io.Reader) { r.input.Reset(from) }
 
-// AllowElements changes the most elements of an array. Nothing is made room for by what an array says of itself.
-func (r *Reader) AllowElements(n int) { r.elements = n }
+// SetMaxElements changes the most elements of an array. Nothing is made room for by what an array says of itself.
+func (r *Reader) SetMaxElements(n int) { r.maxElements = n }
 
 // Wait blocks until there is something to read.
 func (r *Reader) Wait() error {
-	_, err := r.br.Peek(1)
+	_, err := r.input.Peek(1)
 	return err
 }
 
 // Read reads raw bytes, for the inside of a value.
-func (r *Reader) Read(p []byte) (int, error) { return r.br.Read(p) }
+func (r *Reader) Read(p []byte) (int, error) { return r.input.Read(p) }
 
 // Head is the first line of an element.
 type Head struct {
@@ -61,12 +61,12 @@
 
 // Head reads the first line of the next element.
 func (r *Reader) Head() (Head, error) {
-	line, err := r.br.ReadSlice('\n')
+	line, err := r.input.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) {
 			return Head{}, fmt.Errorf("line too long: %w", ErrProtocol)
 		}
-		return Head{}, unexpected(err, len(line))
+		return Head{}, unexpectedEOF(err, len(line))
 	}
 	if len(line) < 3 || line[len(line)-2] != '\r' {
 		return Head{}, fmt.Errorf("bad line end: %w", ErrProtocol)
@@ -76,25 +76,25 @@
 	case '+', '-', ':':
 		return h, nil
 	case '$':
-		h.N, err = length(h.Text, MaxLong)
+		h.N, err = parseLength(h.Text, MaxLongValue)
 	case '*':
-		h.N, err = length(h.Text, r.elements)
+		h.N, err = parseLength(h.Text, r.maxElements)
 	default:
 		err = fmt.Errorf("unknown type %q: %w", h.Kind, ErrProtocol)
 	}
 	return h, err
 }
 
-// unexpected makes an end of input inside an element distinct from one between elements.
-func unexpected(err error, read int) error {
+// unexpectedEOF makes an end of input inside an element distinct from one between elements.
+func unexpectedEOF(err error, read int) error {
 	if errors.Is(err, io.EOF) && read > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// length reads the digits of a length. -1 stands for null.
-func length(text []byte, most int) (int, error) {
+// parseLength reads the digits of a length. -1 stands for null.
+func parseLength(text []byte, most int) (int, error) {
 	if string(text) == "-1" {
 		return -1, nil
 	}
@@ -120,24 +120,24 @@
 		if len(dst) == cap(dst) {
 			dst = append(dst, 0)[:len(dst)]
 		}
-		m, err := r.br.Read(dst[len(dst):min(cap(dst), at+n)])
+		m, err := r.input.Read(dst[len(dst):min(cap(dst), at+n)])
 		dst = dst[:len(dst)+m]
 		if err != nil {
-			return dst, unexpected(err, 1)
+			return dst, unexpectedEOF(err, 1)
 		}
 	}
-	return dst, r.End()
+	return dst, r.LineEnd()
 }
 
-// End reads the line end after the bytes of a bulk string.
-func (r *Reader) End() error {
-	a, err := r.br.ReadByte()
+// LineEnd reads the line end after the bytes of a bulk string.
+func (r *Reader) LineEnd() error {
+	a, err := r.input.ReadByte()
 	if err != nil {
-		return unexpected(err, 1)
+		return unexpectedEOF(err, 1)
 	}
-	b, err := r.br.ReadByte()
+	b, err := r.input.ReadByte()
 	if err != nil {
-		return unexpected(err, 1)
+		return unexpectedEOF(err, 1)
 	}
 	if a != '\r' || b != '\n' {
 		return fmt.Errorf("bulk string without line end: %w", ErrProtocol)
@@ -146,14 +146,14 @@
 }
 
 // Buffered is the number of bytes that have come and were not read yet.
-func (r *Reader) Buffered() int { return r.br.Buffered() }
+func (r *Reader) Buffered() int { return r.input.Buffered() }
 
 // Skip reads over the n bytes of a bulk string and its line end.
 func (r *Reader) Skip(n int) error {
-	if _, err := r.br.Discard(n); err != nil {
-		return unexpected(err, 1)
+	if _, err := r.input.Discard(n); err != nil {
+		return unexpectedEOF(err, 1)
 	}
-	return r.End()
+	return r.LineEnd()
 }
 
 // AppendArray appends the head of an array of n elements.
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -21,7 +21,7 @@
 		{"*4\r\n", '*', 4, nil},
 		{"+PONG\r\n", '+', 0, nil},
 		{"-BUSY 30\r\n", '-', 0, nil},
-		{"$4194304\r\n", '$', MaxLong, nil},
+		{"$4194304\r\n", '$', MaxLongValue, nil},
 		{"$4194305\r\n", 0, 0, ErrProtocol},
 		{"$3000000000\r\n", 0, 0, ErrProtocol},
 		{"$99999999999999999999999999\r\n", 0, 0, ErrProtocol},
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestBufferedTellsWhatCameBehind(t *testing.T) {
+func TestBufferedCountsUnreadBytes(t *testing.T) {
 	r := NewReader(strings.NewReader("+OK\r\nnoise"), 64)
 	if _, err := r.Head(); err != nil || r.Buffered() != len("noise") {
 		t.Errorf("%d bytes behind, %v", r.Buffered(), err)
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -11,11 +11,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// StallLimit is how long the other side may take nothing of what is written to it, before it counts as gone.
-const StallLimit = 3 * time.Second
+// StallTimeout is how long the other side may take nothing of what is written to it, before it counts as gone.
+const StallTimeout = 3 * time.Second
 
-// writePiece is how much is written at once of what did not go out at first.
-const writePiece = 64 << 10
+// maxWriteSize is how much is written at once of what did not go out at first.
+const maxWriteSize = 64 << 10
 
 // Host is whose lock guards a Sender.
 type Host interface {
@@ -28,31 +28,31 @@
 // takes without waiting, and leaves the rest to a goroutine: most messages are small and need no hand-off,
 // and a peer that reads slowly holds up nobody else.
 type Sender struct {
-	host   Host
-	conn   *net.TCPConn
-	over   net.Conn // what is written goes through it, if set: it may wait, and is left to the goroutine
-	raw    syscall.RawConn
-	Idle   func() // if set, called under the lock when a backlog is gone
-	Lost   func() // if set, called under the lock when the other side takes nothing any more
-	busy   bool   // a goroutine has the sending side
-	failed bool
-	queue  net.Buffers
-	corked bool // what is sent waits in cork
-	cork   []byte
+	host       Host
+	conn       *net.TCPConn
+	wrapped    net.Conn // what is written goes through it, if set: it may wait, and is left to the goroutine
+	raw        syscall.RawConn
+	OnDrained  func() // if set, called under the lock when a backlog is gone
+	OnLost     func() // if set, called under the lock when the other side takes nothing any more
+	draining   bool   // a goroutine has the sending side
+	failed     bool
+	queue      net.Buffers
+	corked     bool // what is sent waits in cork
+	corkBuffer []byte
 	// Places in the stream of bytes: what was given to send, and what the kernel has or may have by now. What
 	// the goroutine is writing may be out at any moment, so it counts as begun from when it is handed over.
-	taken, begun int64
-	backlog      int // bytes that wait or are being written by the goroutine
-	elsewhere    int // of them, those that are counted with the value that they are of
+	accepted, handedOff int64
+	backlog             int // bytes that wait or are being written by the goroutine
+	countedByCaller     int // of them, those that are counted with the value that they are of
 
 	// The arguments and results of step; a closure for each write would be garbage.
-	buf  []byte
-	n    int
-	err  error
-	step func(fd uintptr) bool
+	writeBuffer []byte
+	written     int
+	writeErr    error
+	tryWrite    func(fd uintptr) bool
 	// The result of look, which is a closure for the same reason.
-	saw  int
-	look func(fd uintptr)
+	peekResult int
+	peek       func(fd uintptr)
 }
 
 // New makes the sending side of a connection.
@@ -62,11 +62,11 @@
 		return nil, err
 	}
 	w := &Sender{host: host, conn: conn, raw: raw}
-	w.look = func(fd uintptr) { w.saw = Peek(fd) }
-	w.step = func(fd uintptr) bool {
+	w.peek = func(fd uintptr) { w.peekResult = Peek(fd) }
+	w.tryWrite = func(fd uintptr) bool {
 		for {
-			w.n, w.err = syscall.Write(int(fd), w.buf)
-			if w.err != syscall.EINTR {
+			w.written, w.writeErr = syscall.Write(int(fd), w.writeBuffer)
+			if w.writeErr != syscall.EINTR {
 				return true
 			}
 		}
@@ -74,13 +74,13 @@
 	return w, nil
 }
 
-// Through has everything written through conn, which encrypts it onto the connection. Before anything is sent.
-func (w *Sender) Through(conn net.Conn) { w.over = conn }
+// WriteThrough has everything written through conn, which encrypts it onto the connection. Before anything is sent.
+func (w *Sender) WriteThrough(conn net.Conn) { w.wrapped = conn }
 
-// out is what the goroutine writes to.
-func (w *Sender) out() net.Conn {
-	if w.over != nil {
-		return w.over
+// writer is what the goroutine writes to.
+func (w *Sender) writer() net.Conn {
+	if w.wrapped != nil {
+		return w.wrapped
 	}
 	return w.conn
 }
@@ -88,15 +88,15 @@
 // Send writes b, or queues what does not go out at once. The caller holds the lock and may use b again,
 // unless keep says that it never changes, which saves the queue a copy.
 func (w *Sender) Send(b []byte, keep bool) {
-	w.taken += int64(len(b))
+	w.accepted += int64(len(b))
 	if w.failed {
 		return
 	}
-	if w.corked && !w.busy {
-		w.cork = append(w.cork, b...)
+	if w.corked && !w.draining {
+		w.corkBuffer = append(w.corkBuffer, b...)
 		return
 	}
-	w.put(b, keep)
+	w.writeOrQueue(b, keep)
 }
 
 // Cork holds back what is sent from now on, until Uncork: several messages then go out by one system call. Both are to be called in one
@@ -106,32 +106,32 @@
 // Uncork sends what was held back.
 func (w *Sender) Uncork() {
 	w.corked = false
-	if len(w.cork) > 0 && !w.failed {
-		w.put(w.cork, false)
+	if len(w.corkBuffer) > 0 && !w.failed {
+		w.writeOrQueue(w.corkBuffer, false)
 	}
-	w.cork = w.cork[:0]
+	w.corkBuffer = w.corkBuffer[:0]
 }
 
-func (w *Sender) put(b []byte, keep bool) {
-	if !w.busy {
-		if w.over == nil {
-			w.buf, w.n, w.err = b, 0, nil
-			err := w.raw.Write(w.step)
-			w.buf = nil
-			if err == nil && w.err != syscall.EAGAIN {
-				err = w.err
+func (w *Sender) writeOrQueue(b []byte, keep bool) {
+	if !w.draining {
+		if w.wrapped == nil {
+			w.writeBuffer, w.written, w.writeErr = b, 0, nil
+			err := w.raw.Write(w.tryWrite)
+			w.writeBuffer = nil
+			if err == nil && w.writeErr != syscall.EAGAIN {
+				err = w.writeErr
 			}
 			if err != nil {
 				w.Fail()
 				return
 			}
-			n := max(0, w.n)
-			w.begun += int64(n)
+			n := max(0, w.written)
+			w.handedOff += int64(n)
 			if b = b[n:]; len(b) == 0 {
 				return
 			}
 		}
-		w.busy = true
+		w.draining = true
 		defer func() { go w.drain() }()
 	}
 	if !keep {
@@ -146,7 +146,7 @@
 func (w *Sender) SendCounted(b []byte) {
 	was := w.backlog
 	w.Send(b, true)
-	w.elsewhere += w.backlog - was
+	w.countedByCaller += w.backlog - was
 	w.host.Hold(was - w.backlog)
 }
 
@@ -156,8 +156,8 @@
 	w.conn.Close()
 }
 
-// Drop lets go of what has not been handed over and keeps it from going out.
-func (w *Sender) Drop() {
+// Discard lets go of what has not been handed over and keeps it from going out.
+func (w *Sender) Discard() {
 	w.failed = true
 	for _, b := range w.queue {
 		w.release(len(b))
@@ -166,18 +166,18 @@
 }
 
 func (w *Sender) release(n int) {
-	other := min(n, w.elsewhere)
-	w.elsewhere -= other
+	other := min(n, w.countedByCaller)
+	w.countedByCaller -= other
 	w.backlog -= n
 	w.host.Hold(other - n)
 }
 
-// piece takes what is written next off the queue. A side that takes a long value slowly is there as long as it takes
-// something, so no more than writePiece goes out under one time limit.
-func (w *Sender) piece() (piece net.Buffers, size int) {
-	for len(w.queue) > 0 && size < writePiece {
+// nextPiece takes what is written next off the queue. A side that takes a long value slowly is there as long as it takes
+// something, so no more than maxWriteSize goes out under one time limit.
+func (w *Sender) nextPiece() (piece net.Buffers, size int) {
+	for len(w.queue) > 0 && size < maxWriteSize {
 		b := w.queue[0]
-		if rest := writePiece - size; len(b) > rest {
+		if rest := maxWriteSize - size; len(b) > rest {
 			w.queue[0], b = b[rest:], b[:rest]
 		} else {
 			w.queue[0] = nil
@@ -194,26 +194,26 @@
 	for {
 		w.host.Enter()
 		if len(w.queue) == 0 {
-			w.busy = false
-			w.out().SetWriteDeadline(time.Time{})
-			if w.Idle != nil {
-				w.Idle()
+			w.draining = false
+			w.writer().SetWriteDeadline(time.Time{})
+			if w.OnDrained != nil {
+				w.OnDrained()
 			}
 			w.host.Leave()
 			return
 		}
-		piece, size := w.piece()
-		w.begun += int64(size)
+		piece, size := w.nextPiece()
+		w.handedOff += int64(size)
 		w.host.Leave()
-		w.out().SetWriteDeadline(time.Now().Add(StallLimit))
-		_, err := piece.WriteTo(w.out())
+		w.writer().SetWriteDeadline(time.Now().Add(StallTimeout))
+		_, err := piece.WriteTo(w.writer())
 		w.host.Enter()
 		w.release(size)
 		if err != nil {
 			w.Fail()
-			w.Drop()
-			if w.Lost != nil {
-				w.Lost()
+			w.Discard()
+			if w.OnLost != nil {
+				w.OnLost()
 			}
 		}
 		w.host.Leave()
@@ -224,7 +224,7 @@
 func (w *Sender) Raw() syscall.RawConn { return w.raw }
 
 // Busy tells whether something waits to be written.
-func (w *Sender) Busy() bool { return w.busy }
+func (w *Sender) Busy() bool { return w.draining }
 
 // Backlog is how many bytes wait or are being written.
 func (w *Sender) Backlog() int { return w.backlog }
@@ -232,24 +232,24 @@
 // Failed tells whether the sending side has ended.
 func (w *Sender) Failed() bool { return w.failed }
 
-// Taken is the place, in the stream of bytes, behind what was given to send.
-func (w *Sender) Taken() int64 { return w.taken }
+// Accepted is the place, in the stream of bytes, behind what was given to send.
+func (w *Sender) Accepted() int64 { return w.accepted }
 
 // Unsent tells whether the bytes up to a place are surely not all out, and won't go out once the sender has failed.
-func (w *Sender) Unsent(end int64) bool { return end > w.begun }
+func (w *Sender) Unsent(end int64) bool { return end > w.handedOff }
 
-// Look tells what has come on the connection and was not read yet, under the lock; End, if the connection is closed.
-func (w *Sender) Look() int {
-	if err := w.raw.Control(w.look); err != nil {
-		return End
+// Peek tells what has come on the connection and was not read yet, under the lock; End, if the connection is closed.
+func (w *Sender) Peek() int {
+	if err := w.raw.Control(w.peek); err != nil {
+		return EndOfStream
 	}
-	return w.saw
+	return w.peekResult
 }
 
-// Left tells whether the other side has ended its sending, or the connection is reset, also where bytes that came before
+// PeerClosed tells whether the other side has ended its sending, or the connection is reset, also where bytes that came before
 // were not read yet. It costs a system call more than Look, and is for where nobody reads. An end behind more than the kernel takes in is
 // not seen: it has not come.
-func (w *Sender) Left() (left bool) {
+func (w *Sender) PeerClosed() (left bool) {
 	err := w.raw.Control(func(fd uintptr) { left = PeerClosed(fd) })
 	return left || err != nil
 }
@@ -263,9 +263,9 @@
 
 // What Peek can see.
 const (
-	Nothing = iota
-	Bytes
-	End
+	NoData = iota
+	HasData
+	EndOfStream
 )
 
 // Peek looks at what has come on a socket and leaves it there.
@@ -276,11 +276,11 @@
 		switch {
 		case err == syscall.EINTR:
 		case err == syscall.EAGAIN:
-			return Nothing
+			return NoData
 		case err != nil || n == 0:
-			return End
+			return EndOfStream
 		default:
-			return Bytes
+			return HasData
 		}
 	}
 }
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -8,8 +8,8 @@
 )
 
 // What the sender has handed to its goroutine may be out at any moment.
-func TestUnsentKnowsWhatMayBeOut(t *testing.T) {
-	w := &Sender{taken: 100, begun: 60}
+func TestUnsent(t *testing.T) {
+	w := &Sender{accepted: 100, handedOff: 60}
 	for _, c := range []struct {
 		end  int64
 		want bool
@@ -20,11 +20,11 @@
 	}
 }
 
-type lock struct{ sync.Mutex }
+type lockHost struct{ sync.Mutex }
 
-func (l *lock) Enter()        { l.Lock() }
-func (l *lock) Leave()        { l.Unlock() }
-func (l *lock) Hold(int) bool { return false }
+func (l *lockHost) Enter()        { l.Lock() }
+func (l *lockHost) Leave()        { l.Unlock() }
+func (l *lockHost) Hold(int) bool { return false }
 
 // Corked, messages wait and count as unsent; uncorked, they go out in their order, before what comes after. On a connection that has failed
 // meanwhile they never go out.
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	h := &lock{}
+	h := &lockHost{}
 	w, err := New(h, near.(*net.TCPConn))
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	w.Cork()
 	w.Send([]byte("a"), false)
 	w.Send([]byte("b"), false)
-	if !w.Unsent(1) || !w.Unsent(2) || w.Taken() != 2 {
+	if !w.Unsent(1) || !w.Unsent(2) || w.Accepted() != 2 {
 		t.Error("what is corked counts as out")
 	}
 	w.Uncork()
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -23,13 +23,13 @@
 	// Append appends an exchange to b: all of it for a read, and for a write what comes before its value. deadline is how long from now
 	// on the receiver is told that it has.
 	Append(b []byte, x *Exchange, addr string, deadline time.Duration) []byte
-	// End is what follows the value of a write.
-	End() []byte
+	// Trailer is what follows the value of a write.
+	Trailer() []byte
 	// Ping is what a member answers at once; nil, where there is no such thing.
 	Ping() []byte
-	// Holds tells whether a member carries a write out only once its last byte has come, so that it pays to hold that back
+	// RunsOnLastByte tells whether a member carries a write out only once its last byte has come, so that it pays to hold that back
 	// until the connection is seen to stand.
-	Holds() bool
+	RunsOnLastByte() bool
 	// Reader gives the function that reads one answer, tells it to the connection (result, pass) and says how many bytes
 	// beyond it have come.
 	Reader(u *Conn) func() (beyond int, err error)
@@ -47,49 +47,49 @@
 )
 
 var (
-	lineEnd = []byte("\r\n")
-	ping    = []byte("*1\r\n$4\r\nPING\r\n")
+	lineEnd     = []byte("\r\n")
+	pingCommand = []byte("*1\r\n$4\r\nPING\r\n")
 )
 
-func (resp2) End() []byte  { return lineEnd }
-func (resp2) Ping() []byte { return ping }
-func (resp2) Holds() bool  { return false }
+func (resp2) Trailer() []byte      { return lineEnd }
+func (resp2) Ping() []byte         { return pingCommand }
+func (resp2) RunsOnLastByte() bool { return false }
 
 func (resp2) Reader(u *Conn) func() (int, error) {
-	in := u.s.readers.Get().(*resp.Reader)
+	in := u.set.readers.Get().(*resp.Reader)
 	in.Reset(u)
-	u.in = in
+	u.respReader = in
 	return func() (int, error) {
 		err := u.readRESP(in)
 		return in.Buffered(), err
 	}
 }
 
-func (http1) End() []byte  { return nil }
-func (http1) Ping() []byte { return nil }
-func (http1) Holds() bool  { return true }
+func (http1) Trailer() []byte      { return nil }
+func (http1) Ping() []byte         { return nil }
+func (http1) RunsOnLastByte() bool { return true }
 
 func (http1) Reader(u *Conn) func() (int, error) {
-	limit := &capped{r: u}
+	limit := &limitedReader{reader: u}
 	in := bufio.NewReaderSize(limit, readBuffer)
 	return func() (int, error) {
-		limit.left = originHead + resp.MaxValue
+		limit.remaining = maxOriginOverhead + resp.MaxValue
 		err := u.readHTTP(in, limit)
 		return in.Buffered(), err
 	}
 }
 
-// maxInterim is how many 1xx answers may come ahead of one that counts.
-const maxInterim = 16
+// maxInterimAnswers is how many 1xx answers may come ahead of one that counts.
+const maxInterimAnswers = 16
 
-// originHead is how many bytes an origin may send beside its value.
-const originHead = 64 << 10
+// maxOriginOverhead is how many bytes an origin may send beside its value.
+const maxOriginOverhead = 64 << 10
 
-// maxWord is the longest word beside a value.
-const maxWord = 2 << 10
+// maxWordLength is the longest word beside a value.
+const maxWordLength = 2 << 10
 
-// Names ranges over a list of names and values.
-func Names(attrs []byte) iter.Seq2[string, []byte] {
+// Attributes ranges over a list of names and values.
+func Attributes(attrs []byte) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		for rest := attrs; len(rest) > 0; {
 			var item []byte
@@ -118,31 +118,31 @@
 		}
 		b = append(b, deadlineName...)
 		b = append(b, '=')
-		b = strconv.AppendInt(b, max(LeastDeadline, deadline).Milliseconds(), 10)
+		b = strconv.AppendInt(b, max(MinDeadline, deadline).Milliseconds(), 10)
 	}
 	return b
 }
 
 // Append appends the command for a cache.
 func (resp2) Append(b []byte, x *Exchange, _ string, deadline time.Duration) []byte {
-	attrs := appendAttrs(make([]byte, 0, len(x.Msg.Attrs)+16), x.Msg.Attrs, deadline)
+	attrs := appendAttrs(make([]byte, 0, len(x.Message.Attrs)+16), x.Message.Attrs, deadline)
 	name, n := "OBJ.GET", 4
 	if x.Write {
 		name, n = "OBJ.SET", 5
 	}
 	b = resp.AppendArray(b, n)
 	b = resp.AppendBulk(b, name)
-	b = resp.AppendBulk(b, x.Msg.Key)
-	b = resp.AppendBulk(b, x.Msg.ReqID)
+	b = resp.AppendBulk(b, x.Message.Key)
+	b = resp.AppendBulk(b, x.Message.ReqID)
 	b = resp.AppendBulk(b, attrs)
 	if x.Write {
-		b = resp.AppendBulkHead(b, len(x.Msg.Value))
+		b = resp.AppendBulkHead(b, len(x.Message.Value))
 	}
 	return b
 }
 
 // notes are the words in which caches tell how a read went.
-func noteOf(word []byte) int {
+func parseNote(word []byte) int {
 	switch string(word) {
 	case "hit":
 		return logic.NoteHit
@@ -166,19 +166,19 @@
 		}
 		return nil
 	case h.Kind == '-':
-		return u.result(refusal(h.Text), 0, nil)
-	case h.Kind == '*' && h.N == answerParts:
+		return u.deliverResult(errorStatus(h.Text), 0, nil)
+	case h.Kind == '*' && h.N == answerElements:
 		return u.readArray(in)
 	}
 	return resp.ErrProtocol
 }
 
-// answerParts are the elements of an answer: the value, how the read went, and the load report.
-const answerParts = 3
+// answerElements are the elements of an answer: the value, how the read went, and the load report.
+const answerElements = 3
 
-// refusal names what an error line says. A cache that finds fault with the request itself says nothing about
+// errorStatus names what an error line says. A cache that finds fault with the request itself says nothing about
 // its own health.
-func refusal(text []byte) logic.Status {
+func errorStatus(text []byte) logic.Status {
 	switch word, rest, _ := bytes.Cut(text, []byte{' '}); {
 	case string(word) == "BUSY":
 		return logic.StatusFull
@@ -198,12 +198,12 @@
 	if h.Kind != '$' {
 		return resp.ErrProtocol
 	}
-	buf := u.s.buffers.Get().(*[]byte)
-	defer u.s.buffers.Put(buf)
+	buf := u.set.buffers.Get().(*[]byte)
+	defer u.set.buffers.Put(buf)
 	status := logic.StatusMiss
 	value := (*buf)[:0]
 	if h.N > resp.MaxValue {
-		return u.passRESP(in, h.N)
+		return u.streamRESP(in, h.N)
 	}
 	if h.N >= 0 {
 		status = logic.StatusOK
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	if err := u.result(status, noteOf(word), value); err != nil {
+	if err := u.deliverResult(status, parseNote(word), value); err != nil {
 		return err
 	}
 	_, err = readWord(in)
@@ -233,7 +233,7 @@
 		return bytes.Clone(h.Text), nil
 	case h.Kind == '$' && h.N < 0:
 		return nil, nil
-	case h.Kind == '$' && h.N <= maxWord:
+	case h.Kind == '$' && h.N <= maxWordLength:
 		return in.Bulk(nil, h.N)
 	}
 	return nil, resp.ErrProtocol
@@ -246,12 +246,12 @@
 	if x.Write {
 		method = http.MethodPut
 	}
-	path := url.URL{Path: "/" + string(x.Msg.Key)}
+	path := url.URL{Path: "/" + string(x.Message.Key)}
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path.EscapedPath(), addr)
-	b = appendHeader(b, "X-Request-ID", x.Msg.ReqID)
-	b = appendHeader(b, "X-Attrs", appendAttrs(make([]byte, 0, len(x.Msg.Attrs)+16), x.Msg.Attrs, deadline))
+	b = appendHeader(b, "X-Request-ID", x.Message.ReqID)
+	b = appendHeader(b, "X-Attrs", appendAttrs(make([]byte, 0, len(x.Message.Attrs)+16), x.Message.Attrs, deadline))
 	if x.Write {
-		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(x.Msg.Value))
+		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(x.Message.Value))
 	}
 	return append(b, "\r\n"...)
 }
@@ -263,27 +263,27 @@
 	return append(b, "\r\n"...)
 }
 
-// capped bounds what an origin may send before its value.
-type capped struct {
-	r    io.Reader
-	left int
+// limitedReader bounds what an origin may send before its value.
+type limitedReader struct {
+	reader    io.Reader
+	remaining int
 }
 
-func (c *capped) Read(b []byte) (int, error) {
-	if c.left <= 0 {
+func (c *limitedReader) Read(b []byte) (int, error) {
+	if c.remaining <= 0 {
 		return 0, resp.ErrProtocol
 	}
-	n, err := c.r.Read(b[:min(len(b), c.left)])
-	c.left -= n
+	n, err := c.reader.Read(b[:min(len(b), c.remaining)])
+	c.remaining -= n
 	return n, err
 }
 
 // readHTTP reads one answer of an origin.
-func (u *Conn) readHTTP(in *bufio.Reader, limit *capped) error {
-	for range maxInterim {
+func (u *Conn) readHTTP(in *bufio.Reader, limit *limitedReader) error {
+	for range maxInterimAnswers {
 		answer, err := http.ReadResponse(in, nil)
 		switch {
-		case err != nil && (errors.Is(err, errCut) || errors.Is(err, resp.ErrProtocol)):
+		case err != nil && (errors.Is(err, errTruncated) || errors.Is(err, resp.ErrProtocol)):
 			return err
 		case err != nil:
 			return fmt.Errorf("%w: %w", resp.ErrProtocol, err)
@@ -296,41 +296,41 @@
 
 // readAnswer reads an answer's value. An origin need not tell its length: it comes in chunks, or ends with the connection, and then is
 // whole unless the connection broke (RFC 9112, sections 7.1 and 8).
-func (u *Conn) readAnswer(answer *http.Response, limit *capped) error {
-	st, n := statusOf(answer), answer.ContentLength
+func (u *Conn) readAnswer(answer *http.Response, limit *limitedReader) error {
+	st, n := httpStatus(answer), answer.ContentLength
 	switch {
-	case n > resp.MaxValue && n <= resp.MaxLong && st == logic.StatusOK:
-		return u.passHTTP(answer, limit, int(n))
+	case n > resp.MaxValue && n <= resp.MaxLongValue && st == logic.StatusOK:
+		return u.streamHTTP(answer, limit, int(n))
 	case n > resp.MaxValue:
 		return resp.ErrProtocol
 	}
-	u.toEnd = n < 0 && len(answer.TransferEncoding) == 0
-	defer func() { u.toEnd = false }()
+	u.untilClose = n < 0 && len(answer.TransferEncoding) == 0
+	defer func() { u.untilClose = false }()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, resp.MaxValue+1))
 	switch {
 	case err != nil:
-		return fmt.Errorf("%w: %w", errCut, err)
+		return fmt.Errorf("%w: %w", errTruncated, err)
 	case len(body) > resp.MaxValue && st != logic.StatusOK:
 		return resp.ErrProtocol
 	case len(body) > resp.MaxValue:
-		return u.passUntold(answer, body, limit)
+		return u.streamUnknownLength(answer, body, limit)
 	}
-	if err := u.result(st, 0, body); err != nil {
+	if err := u.deliverResult(st, 0, body); err != nil {
 		return err
 	}
-	return endOf(answer)
+	return closeAfter(answer)
 }
 
-// endOf ends a connection behind an answer that says so.
-func endOf(answer *http.Response) error {
+// closeAfter ends a connection behind an answer that says so.
+func closeAfter(answer *http.Response) error {
 	if answer.Close {
 		return io.EOF
 	}
 	return nil
 }
 
-// statusOf names what an origin's answer says.
-func statusOf(answer *http.Response) logic.Status {
+// httpStatus names what an origin's answer says.
+func httpStatus(answer *http.Response) logic.Status {
 	switch answer.StatusCode {
 	case http.StatusOK:
 		return logic.StatusOK
--- a/internal/upstream/cork_test.go
+++ b/internal/upstream/cork_test.go
@@ -14,23 +14,23 @@
 // testHost is a host whose clock the test sets. Nothing in it runs by itself.
 type testHost struct{ now time.Duration }
 
-func (h *testHost) Enter()                            {}
-func (h *testHost) Leave()                            {}
-func (h *testHost) Lock()                             {}
-func (h *testHost) Unlock()                           {}
-func (h *testHost) Hold(int) bool                     { return false }
-func (h *testHost) Now() time.Duration                { return 0 } // of the event
-func (h *testHost) Clock() time.Duration              { return h.now }
-func (h *testHost) Do(f func())                       { f() }
-func (h *testHost) At(Due)                            {}
-func (h *testHost) WakeAt(time.Duration)              {}
-func (h *testHost) Spare(bool) bool                   { return true }
-func (h *testHost) LongRoom(int, time.Duration) Place { return nil }
-func (h *testHost) Served([]byte)                     {}
-func (h *testHost) Pass(int) Passer                   { return nil }
-func (h *testHost) Deadline() time.Duration           { return time.Minute }
-func (h *testHost) AnswerBy() time.Duration           { return time.Minute }
-func (h *testHost) Done(logic.Status, int)            {}
+func (h *testHost) Enter()                                          {}
+func (h *testHost) Leave()                                          {}
+func (h *testHost) Lock()                                           {}
+func (h *testHost) Unlock()                                         {}
+func (h *testHost) Hold(int) bool                                   { return false }
+func (h *testHost) Now() time.Duration                              { return 0 } // of the event
+func (h *testHost) Clock() time.Duration                            { return h.now }
+func (h *testHost) Do(f func())                                     { f() }
+func (h *testHost) ScheduleTimer(Timer)                             {}
+func (h *testHost) ScheduleWake(time.Duration)                      {}
+func (h *testHost) HasDescriptor(bool) bool                         { return true }
+func (h *testHost) ReserveLongValue(int, time.Duration) Reservation { return nil }
+func (h *testHost) Served([]byte)                                   {}
+func (h *testHost) StreamValue(int) ValueStream                     { return nil }
+func (h *testHost) Deadline() time.Duration                         { return time.Minute }
+func (h *testHost) AnswerBy() time.Duration                         { return time.Minute }
+func (h *testHost) Done(logic.Status, int)                          {}
 
 // tcpPair is both ends of a connection.
 func tcpPair(t *testing.T) (near *net.TCPConn, far net.Conn) {
@@ -58,8 +58,8 @@
 		later time.Duration
 		want  bool // the first read is out before Uncork
 	}{
-		"at once":    {corkTime, false},
-		"held up":    {corkTime + time.Millisecond, true},
+		"at once":    {maxCorkTime, false},
+		"held up":    {maxCorkTime + time.Millisecond, true},
 		"for longer": {time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -71,15 +71,15 @@
 				t.Fatal(err)
 			}
 			send := func(id string) {
-				x := &Exchange{Request: pool.Request{ExpiresAt: 3 * time.Second}, By: h,
-					Msg: &Message{Key: []byte("k"), ReqID: []byte(id), Attrs: []byte("c=read,d=8000")}}
+				x := &Exchange{Request: pool.Request{ExpiresAt: 3 * time.Second}, Client: h,
+					Message: &Message{Key: []byte("k"), ReqID: []byte(id), Attrs: []byte("c=read,d=8000")}}
 				conn.Send(x)
 			}
 			s.Cork()
 			send("first")
 			h.now = c.later
 			send("second")
-			if out := conn.w.Taken() > 0 && !conn.unsent(&Exchange{end: 1}); out != c.want {
+			if out := conn.sender.Accepted() > 0 && !conn.unsent(&Exchange{endOffset: 1}); out != c.want {
 				t.Errorf("the first read is out: %v, want %v", out, c.want)
 			}
 			s.Uncork()
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -14,14 +14,14 @@
 	return d.DialContext(context.Background(), "tcp", addr)
 }
 
-// shortages are the errors of a dial that tell of this machine, not of the member: it is short of descriptors, ports, buffers or memory, or a rule
+// localErrors are the errors of a dial that tell of this machine, not of the member: it is short of descriptors, ports, buffers or memory, or a rule
 // of its own forbids the connection.
-var shortages = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
+var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
 	syscall.EPERM, syscall.EACCES, syscall.EINTR}
 
-// local tells whether a dial failed for want of something that this machine is short of.
-func local(err error) bool {
-	for _, shortage := range shortages {
+// isLocalError tells whether a dial failed for want of something that this machine is short of.
+func isLocalError(err error) bool {
+	for _, shortage := range localErrors {
 		if errors.Is(err, shortage) {
 			return true
 		}
@@ -31,7 +31,7 @@
 
 // dial opens a connection and reads its answers until it ends.
 func (s *Set) dial(m *Member, addr string, epoch int, warm bool) {
-	conn, err := s.dialer(addr, s.connect)
+	conn, err := s.dialer(addr, s.connectTimeout)
 	var u *Conn
 	s.host.Do(func() {
 		if err == nil {
@@ -41,7 +41,7 @@
 		switch {
 		case err == nil:
 			s.DialCompleted(m, &u.Conn, epoch, warm, false)
-		case local(err):
+		case isLocalError(err):
 			s.DialFailedLocally(m, warm)
 		default:
 			s.DialCompleted(m, nil, epoch, warm, !(errors.As(err, &slow) && slow.Timeout()))
@@ -53,5 +53,5 @@
 		}
 		return
 	}
-	u.fail(u.serve())
+	u.fail(u.readAnswers())
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -25,21 +25,21 @@
 	f()
 }
 
-// ending passes on the outcome of an exchange.
-type ending struct {
+// outcomeClient passes on the outcome of an exchange.
+type outcomeClient struct {
 	testHost
-	x    *Exchange
-	seen chan logic.Status
+	exchange *Exchange
+	outcomes chan logic.Status
 }
 
-func (e *ending) Done(s logic.Status, _ int) {
-	e.x.Ended = true
-	e.seen <- s
+func (e *outcomeClient) Done(s logic.Status, _ int) {
+	e.exchange.Ended = true
+	e.outcomes <- s
 }
 
 // A dial that fails for want of this machine's own resources was counted as one that the member had refused: two in a row held it back, and took it
 // out of use for all requests, though it was well. Such a request is now one that found no connection here, and the member is as it was.
-func TestLocalShortageIsNoFaultOfTheMember(t *testing.T) {
+func TestLocalShortageIsNotBlamedOnMember(t *testing.T) {
 	for errno, blamed := range map[syscall.Errno]bool{
 		syscall.EMFILE: false, syscall.ENFILE: false, syscall.ENOBUFS: false, syscall.ENOMEM: false, syscall.EADDRNOTAVAIL: false,
 		syscall.EADDRINUSE: false, syscall.EAGAIN: false, syscall.EPERM: false, syscall.EINTR: false,
@@ -53,15 +53,15 @@
 			}
 			m := &Member{Addr: "127.0.0.1:1", Ready: true}
 			for range 3 { // more than one in a row, as a shortage lasts
-				e := &ending{seen: make(chan logic.Status, 2)}
-				e.x = &Exchange{Msg: &Message{Key: []byte("k")}, By: e}
-				e.x.ExpiresAt = time.Minute
-				host.Do(func() { s.Exchange(m, e.x) })
+				e := &outcomeClient{outcomes: make(chan logic.Status, 2)}
+				e.exchange = &Exchange{Message: &Message{Key: []byte("k")}, Client: e}
+				e.exchange.ExpiresAt = time.Minute
+				host.Do(func() { s.Exchange(m, e.exchange) })
 				want := logic.StatusNoConn
 				if blamed {
 					want = logic.StatusConnectFailed
 				}
-				if got := <-e.seen; got != want {
+				if got := <-e.outcomes; got != want {
 					t.Fatalf("the request ended with %v, want %v", got, want)
 				}
 			}
@@ -75,7 +75,7 @@
 			})
 		})
 	}
-	if local(errors.New("something else")) {
+	if isLocalError(errors.New("something else")) {
 		t.Error("an unknown error counts as a shortage of this machine")
 	}
 }
--- a/internal/upstream/long.go
+++ b/internal/upstream/long.go
@@ -12,75 +12,75 @@
 	"linenloom/logic"
 )
 
-// aloneFor is for how long no read is written behind others after a long value was seen: it would wait for all of one.
-const aloneFor = 10 * time.Second
+// pipeliningPause is for how long no read is written behind others after a long value was seen: it would wait for all of one.
+const pipeliningPause = 10 * time.Second
 
-// longPiece is how much is held of a long value on its way through.
-const longPiece = 32 << 10
+// longPieceSize is how much is held of a long value on its way through.
+const longPieceSize = 32 << 10
 
-// passes begins to pass on a long value: the request is served, and bound to this exchange.
-func (u *Conn) passes(n int) (Passer, *Exchange, error) {
-	h := u.s.host
+// beginStreaming begins to pass on a long value: the request is served, and bound to this exchange.
+func (u *Conn) beginStreaming(n int) (ValueStream, *Exchange, error) {
+	h := u.set.host
 	h.Enter()
 	defer h.Leave()
-	u.s.SuspendPipelining(aloneFor)
+	u.set.SuspendPipelining(pipeliningPause)
 	x := u.Current
 	if x == nil || x.Ended {
 		return nil, nil, net.ErrClosed
 	}
-	to := x.By.Pass(n)
+	to := x.Client.StreamValue(n)
 	if to == nil {
 		return nil, nil, net.ErrClosed
 	}
-	x.firstAt = h.Now()
+	x.streamingSince = h.Now()
 	return to, x, nil
 }
 
-// pass passes on n bytes of in as the value of the exchange in front; end, if not nil, reads what follows them before they count as whole.
-func (u *Conn) pass(in io.Reader, n int, end func() error) (*Exchange, error) {
-	to, x, err := u.passes(n)
+// streamValue passes on n bytes of in as the value of the exchange in front; end, if not nil, reads what follows them before they count as whole.
+func (u *Conn) streamValue(in io.Reader, n int, end func() error) (*Exchange, error) {
+	to, x, err := u.beginStreaming(n)
 	if err != nil {
 		return nil, err
 	}
-	if place := u.apart(n); place != nil {
-		return x, u.passApart(place, to, in, n, end)
+	if place := u.reserveForPipelined(n); place != nil {
+		return x, u.streamBuffered(place, to, in, n, end)
 	}
-	u.slow = true
-	defer func() { u.slow = false }()
+	u.readingLongValue = true
+	defer func() { u.readingLongValue = false }()
 	if err := to.Begin(n); err != nil {
-		return nil, u.unwanted(x)
+		return nil, u.clientGone(x)
 	}
-	buf := u.s.buffers.Get().(*[]byte)
-	defer u.s.buffers.Put(buf)
-	*buf = slices.Grow((*buf)[:0], longPiece)
-	for piece := (*buf)[:longPiece]; n > 0; {
+	buf := u.set.buffers.Get().(*[]byte)
+	defer u.set.buffers.Put(buf)
+	*buf = slices.Grow((*buf)[:0], longPieceSize)
+	for piece := (*buf)[:longPieceSize]; n > 0; {
 		m, err := in.Read(piece[:min(n, len(piece))])
-		if m > 0 && to.Pass(piece[:m]) != nil {
-			return nil, u.unwanted(x)
+		if m > 0 && to.WritePiece(piece[:m]) != nil {
+			return nil, u.clientGone(x)
 		}
 		if n -= m; err != nil && n > 0 {
-			to.Cut()
-			return nil, fmt.Errorf("%w: %w", errCut, err)
+			to.Abort()
+			return nil, fmt.Errorf("%w: %w", errTruncated, err)
 		}
 	}
 	if end != nil {
 		if err := end(); err != nil {
-			to.Cut()
+			to.Abort()
 			return nil, err
 		}
 	}
 	if to.Finish() != nil {
-		return nil, u.unwanted(x)
+		return nil, u.clientGone(x)
 	}
 	return x, nil
 }
 
-// apart has room for all of a value that others stand behind on the connection, if there is any at once. Nothing is written behind others
+// reserveForPipelined has room for all of a value that others stand behind on the connection, if there is any at once. Nothing is written behind others
 // once a long value has been seen lately, but those that were written before the first must not wait for its client.
-func (u *Conn) apart(n int) (place Place) {
-	u.s.host.Do(func() {
+func (u *Conn) reserveForPipelined(n int) (place Reservation) {
+	u.set.host.Do(func() {
 		if len(u.Pipelined) > 0 {
-			place = u.s.host.LongRoom(n, u.s.host.Now())
+			place = u.set.host.ReserveLongValue(n, u.set.host.Now())
 		}
 	})
 	if place != nil && !place.Wait() {
@@ -89,34 +89,34 @@
 	return place
 }
 
-// passApart reads a value at the member's pace and passes it on at the client's, in a goroutine that ends when the client has it, or takes
+// streamBuffered reads a value at the member's pace and passes it on at the client's, in a goroutine that ends when the client has it, or takes
 // nothing any more.
-func (u *Conn) passApart(place Place, to Passer, in io.Reader, n int, end func() error) error {
-	u.slow = true
-	defer func() { u.slow = false }()
-	pieces := make(chan []byte, n/longPiece+1) // room for all of them: what is read never waits here
-	cut := false                               // set before pieces is closed
+func (u *Conn) streamBuffered(place Reservation, to ValueStream, in io.Reader, n int, end func() error) error {
+	u.readingLongValue = true
+	defer func() { u.readingLongValue = false }()
+	pieces := make(chan []byte, n/longPieceSize+1) // room for all of them: what is read never waits here
+	cut := false                                   // set before pieces is closed
 	go func() {
-		defer place.Leave()
+		defer place.Release()
 		err := to.Begin(n)
 		for piece := range pieces {
 			if err == nil {
-				err = to.Pass(piece)
+				err = to.WritePiece(piece)
 			}
 		}
 		switch {
 		case err != nil:
 		case cut:
-			to.Cut()
+			to.Abort()
 		default:
 			to.Finish()
 		}
 	}()
 	var err error
-	for left := n; left > 0 && err == nil; left -= longPiece {
-		piece := make([]byte, min(left, longPiece))
+	for left := n; left > 0 && err == nil; left -= longPieceSize {
+		piece := make([]byte, min(left, longPieceSize))
 		if _, err = io.ReadFull(in, piece); err != nil {
-			err = fmt.Errorf("%w: %w", errCut, err)
+			err = fmt.Errorf("%w: %w", errTruncated, err)
 		} else {
 			pieces <- piece
 		}
@@ -129,93 +129,93 @@
 	return err
 }
 
-// passed ends an exchange whose member has done its part.
-func (u *Conn) passed(x *Exchange, note int) {
-	u.s.host.Do(func() { x.ended(logic.StatusOK, note) })
+// completeStreamed ends an exchange whose member has done its part.
+func (u *Conn) completeStreamed(x *Exchange, note int) {
+	u.set.host.Do(func() { x.complete(logic.StatusOK, note) })
 }
 
-// unwanted ends an exchange whose client has gone in the middle of the value.
-func (u *Conn) unwanted(x *Exchange) error {
-	u.passed(x, 0)
+// clientGone ends an exchange whose client has gone in the middle of the value.
+func (u *Conn) clientGone(x *Exchange) error {
+	u.completeStreamed(x, 0)
 	return net.ErrClosed
 }
 
-// passRESP passes on a long value of a cache.
-func (u *Conn) passRESP(in *resp.Reader, n int) error {
-	x, err := u.pass(in, n, in.End)
+// streamRESP passes on a long value of a cache.
+func (u *Conn) streamRESP(in *resp.Reader, n int) error {
+	x, err := u.streamValue(in, n, in.LineEnd)
 	if err != nil {
 		return err
 	}
 	word, err := readWord(in)
 	note := 0
 	if err == nil {
-		note = noteOf(word)
+		note = parseNote(word)
 		_, err = readWord(in)
 	}
 	// The value is whole; what is wrong behind it ends the connection only.
-	u.passed(x, note)
+	u.completeStreamed(x, note)
 	return err
 }
 
-// passHTTP passes on a long value of an origin.
-func (u *Conn) passHTTP(answer *http.Response, limit *capped, n int) error {
-	limit.left += n
-	x, err := u.pass(answer.Body, n, nil)
+// streamHTTP passes on a long value of an origin.
+func (u *Conn) streamHTTP(answer *http.Response, limit *limitedReader, n int) error {
+	limit.remaining += n
+	x, err := u.streamValue(answer.Body, n, nil)
 	if err != nil {
 		return err
 	}
-	u.passed(x, 0)
-	return endOf(answer)
+	u.completeStreamed(x, 0)
+	return closeAfter(answer)
 }
 
-// untoldHead is how many bytes the framing of a long value in chunks may take beside it.
-const untoldHead = 256 << 10
+// maxChunkOverhead is how many bytes the framing of a long value in chunks may take beside it.
+const maxChunkOverhead = 256 << 10
 
-// passUntold passes on a long value of an origin that does not tell its length, of which body has come. RESP2 wants the length first, so it
+// streamUnknownLength passes on a long value of an origin that does not tell its length, of which body has come. RESP2 wants the length first, so it
 // is held until it is whole, in the room for long values.
-func (u *Conn) passUntold(answer *http.Response, body []byte, limit *capped) (err error) {
-	h := u.s.host
-	var place Place
+func (u *Conn) streamUnknownLength(answer *http.Response, body []byte, limit *limitedReader) (err error) {
+	h := u.set.host
+	var place Reservation
 	h.Do(func() {
 		if x := u.Current; x != nil && !x.Ended {
-			place = h.LongRoom(resp.MaxLong, x.ExpiresAt)
+			place = h.ReserveLongValue(resp.MaxLongValue, x.ExpiresAt)
 		}
 	})
 	if place == nil || !place.Wait() {
 		return net.ErrClosed // its time is over, and so is the exchange
 	}
-	defer place.Leave()
-	limit.left += resp.MaxLong + untoldHead
+	defer place.Release()
+	limit.remaining += resp.MaxLongValue + maxChunkOverhead
 	pieces, n := [][]byte{body}, len(body)
 	for err == nil {
-		piece, filled := make([]byte, longPiece), 0
+		piece, filled := make([]byte, longPieceSize), 0
 		for filled < len(piece) && err == nil {
 			var m int
 			m, err = answer.Body.Read(piece[filled:])
 			filled += m
 		}
-		if n += filled; n > resp.MaxLong {
+		if n += filled; n > resp.MaxLongValue {
 			return resp.ErrProtocol
 		}
 		pieces = append(pieces, piece[:filled])
 	}
 	if err != io.EOF {
-		return fmt.Errorf("%w: %w", errCut, err)
+		return fmt.Errorf("%w: %w", errTruncated, err)
 	}
 	place.Shrink(n)
-	to, x, err := u.passes(n)
+	to, x, err := u.beginStreaming(n)
 	if err != nil {
 		return err
 	}
 	err = to.Begin(n)
 	for _, piece := range pieces {
 		if err == nil {
-			err = to.Pass(piece)
+			err = to.WritePiece(piece)
 		}
 	}
 	if err != nil || to.Finish() != nil {
-		return u.unwanted(x)
+		return u.clientGone(x)
 	}
-	u.passed(x, 0)
-	return endOf(answer)
+	u.completeStreamed(x, 0)
+	return closeAfter(answer)
 }
