--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -7,10 +7,10 @@
 
 func TestIdleLimitFollowsBrokenConnections(t *testing.T) {
 	const most = 4 * time.Second
-	for name, c := range map[string]struct {
-		young, old  float64 // share that breaks at connections just used, and at those idle for 200 ms
-		tries       float64 // of each
-		least, past time.Duration
+	for name, tc := range map[string]struct {
+		brokenFresh, brokenIdle float64 // share that breaks at connections just used, and at those idle for 200 ms
+		samples                 float64 // of each
+		minLimit, maxLimit      time.Duration
 	}{
 		"all hold":              {0, 0, 50, most, most},
 		"all break alike":       {0.5, 0.5, 50, most, most},
@@ -19,19 +19,19 @@
 		"most of the old break": {0.05, 0.5, 50, 100 * time.Millisecond, 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := newIdleTimes(most)
-			old := i.class(200 * time.Millisecond)
-			i.reused[0], i.broken[0] = c.tries, c.young*c.tries
-			i.reused[old], i.broken[old] = c.tries, c.old*c.tries
-			i.updateLimit(most)
-			if i.limit < c.least || i.limit > c.past {
-				t.Errorf("the limit is %v, want %v to %v", i.limit, c.least, c.past)
+			times := newIdleTimes(most)
+			old := times.class(200 * time.Millisecond)
+			times.reused[0], times.broken[0] = tc.samples, tc.brokenFresh*tc.samples
+			times.reused[old], times.broken[old] = tc.samples, tc.brokenIdle*tc.samples
+			times.updateLimit(most)
+			if times.limit < tc.minLimit || times.limit > tc.maxLimit {
+				t.Errorf("the limit is %v, want %v to %v", times.limit, tc.minLimit, tc.maxLimit)
 			}
 			for range 1000 {
-				i.updateLimit(most)
+				times.updateLimit(most)
 			}
-			if i.limit != most {
-				t.Errorf("the limit is %v for good", i.limit)
+			if times.limit != most {
+				t.Errorf("the limit is %v for good", times.limit)
 			}
 		})
 	}
--- a/internal/pool/learnt.go
+++ b/internal/pool/learnt.go
@@ -14,9 +14,9 @@
 func (m *Member[X]) Stats() ConnStats { return ConnStats{m.occupancy, m.cleanAnswers, m.cleanRequired} }
 
 // RestoreStats takes over what another process knew, if nothing is known yet.
-func (m *Member[X]) RestoreStats(l ConnStats) {
-	if m.occupancy == 0 && m.cleanAnswers == 0 && l.Occupancy > 0 {
-		m.occupancy, m.cleanAnswers, m.cleanRequired = l.Occupancy, min(max(0, l.CleanAnswers), maxCleanAnswers), min(max(0, l.CleanRequired), maxCleanAnswers)
+func (m *Member[X]) RestoreStats(stats ConnStats) {
+	if m.occupancy == 0 && m.cleanAnswers == 0 && stats.Occupancy > 0 {
+		m.occupancy, m.cleanAnswers, m.cleanRequired = stats.Occupancy, min(max(0, stats.CleanAnswers), maxCleanAnswers), min(max(0, stats.CleanRequired), maxCleanAnswers)
 	}
 }
 
@@ -34,15 +34,15 @@
 }
 
 // RestoreIdleStats takes over how another process's connections have fared. What has other spans, or is no count, is left.
-func (p *Pool[X]) RestoreIdleStats(l IdleStats) {
-	if len(l.Reused) != idleClasses || len(l.Broken) != idleClasses {
+func (p *Pool[X]) RestoreIdleStats(stats IdleStats) {
+	if len(stats.Reused) != idleClasses || len(stats.Broken) != idleClasses {
 		return
 	}
 	for i := range idleClasses {
-		if u, b := l.Reused[i], l.Broken[i]; !(u >= b && b >= 0 && u < 1e12) {
+		if u, b := stats.Reused[i], stats.Broken[i]; !(u >= b && b >= 0 && u < 1e12) {
 			return
 		}
 	}
-	copy(p.idle.reused[:], l.Reused)
-	copy(p.idle.broken[:], l.Broken)
+	copy(p.idle.reused[:], stats.Reused)
+	copy(p.idle.broken[:], stats.Broken)
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -317,7 +317,7 @@
 		p.start(c, x)
 		return
 	}
-	told := p.expectedWait(m)
+	expected := p.expectedWait(m)
 	if c := p.pickFreeConn(m, x); c != nil {
 		p.start(c, x)
 		return
@@ -329,7 +329,7 @@
 	}
 	// A long line here would be load that the host takes for the member's own. It is told at once that
 	// there is no more room, and can send elsewhere.
-	if told < 0 {
+	if expected < 0 {
 		p.actions.Reject(x, LocalShortage)
 		return
 	}
@@ -460,8 +460,8 @@
 // queueDelay is how long a request would stand in line for a connection to a cache; below 0: nothing tells, the cache is stuck, or
 // its wait would be as long as that for a connection may be.
 func (p *Pool[X]) queueDelay(m *Member[X]) time.Duration {
-	soon := len(m.Conns) + m.pendingDials
-	if m.occupancy == 0 || soon == 0 {
+	conns := len(m.Conns) + m.pendingDials
+	if m.occupancy == 0 || conns == 0 {
 		return -1
 	}
 	if m.pendingDials == 0 {
@@ -473,7 +473,7 @@
 			return -1
 		}
 	}
-	wait := m.occupancy * time.Duration(len(m.Waiting)+1) / time.Duration(soon)
+	wait := m.occupancy * time.Duration(len(m.Waiting)+1) / time.Duration(conns)
 	if wait > p.cfg.ConnectTimeout/2 {
 		return -1
 	}
@@ -773,10 +773,10 @@
 
 // Wake serves those that have waited for a connection to rest.
 func (p *Pool[X]) Wake() {
-	rested := p.cooldownQueue
+	members := p.cooldownQueue
 	p.cooldownQueue = p.spareCooldownQueue[:0]
-	for i, m := range rested {
-		rested[i], m.inCooldownQueue = nil, false
+	for i, m := range members {
+		members[i], m.inCooldownQueue = nil, false
 		p.serveWaiting(m)
 		for _, c := range m.Conns {
 			if p.now < c.reusableAt {
@@ -785,7 +785,7 @@
 			}
 		}
 	}
-	p.spareCooldownQueue = rested[:0]
+	p.spareCooldownQueue = members[:0]
 }
 
 // Sweep closes what has stood idle for too long, and keeps a connection to each cache open and used. The first request on a
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -80,141 +80,141 @@
 }
 
 func newTestHost(t *testing.T, cfg Config) *testHost {
-	w := &testHost{t: t, now: time.Hour, connectTimeouts: map[*testRequest]time.Duration{}, redials: map[*Member[*testRequest]]time.Duration{}}
-	w.pool = New(cfg, Actions[*testRequest](w))
-	w.pool.Advance(w.now)
-	return w
+	h := &testHost{t: t, now: time.Hour, connectTimeouts: map[*testRequest]time.Duration{}, redials: map[*Member[*testRequest]]time.Duration{}}
+	h.pool = New(cfg, Actions[*testRequest](h))
+	h.pool.Advance(h.now)
+	return h
 }
 
 var defaultConfig = Config{ConnIdle: 5 * time.Second, ConnectTimeout: 250 * time.Millisecond, Multiplex: 4, Instances: 1, Descriptors: 512,
 	CanProbe: true}
 
-func (w *testHost) Dial(m *Member[*testRequest], warm bool) {
-	w.dials = append(w.dials, pendingDial{m, m.Epoch, warm})
+func (h *testHost) Dial(m *Member[*testRequest], warm bool) {
+	h.dials = append(h.dials, pendingDial{m, m.Epoch, warm})
 }
 
-func (w *testHost) Reject(x *testRequest, v Verdict) {
+func (h *testHost) Reject(x *testRequest, v Verdict) {
 	if x.Ended {
-		w.t.Errorf("request %d ends twice", x.id)
+		h.t.Errorf("request %d ends twice", x.id)
 	}
 	x.Ended = true
 	x.verdicts = append(x.verdicts, v)
 }
 
-func (w *testHost) Expired(x *testRequest) bool { return x.ExpiresAt > 0 && w.now >= x.ExpiresAt }
-func (w *testHost) HasDescriptor(bool) bool     { return !w.noDescriptors }
-func (w *testHost) ScheduleConnectTimeout(x *testRequest, at time.Duration) {
-	w.connectTimeouts[x] = at
+func (h *testHost) Expired(x *testRequest) bool { return x.ExpiresAt > 0 && h.now >= x.ExpiresAt }
+func (h *testHost) HasDescriptor(bool) bool     { return !h.noDescriptors }
+func (h *testHost) ScheduleConnectTimeout(x *testRequest, at time.Duration) {
+	h.connectTimeouts[x] = at
 }
-func (w *testHost) ScheduleRedial(m *Member[*testRequest], at time.Duration) { w.redials[m] = at }
+func (h *testHost) ScheduleRedial(m *Member[*testRequest], at time.Duration) { h.redials[m] = at }
 func (w *testHost) SchedulePingTimeout(*Conn[*testRequest], time.Duration, time.Duration) {
 }
-func (w *testHost) ScheduleWake(at time.Duration) { w.wake = at }
+func (h *testHost) ScheduleWake(at time.Duration) { h.wake = at }
 
 // connect ends the i-th dial that is out, well or not.
-func (w *testHost) connect(i int, well bool) *testLink {
-	d := w.dials[i]
-	w.dials = slices.Delete(w.dials, i, i+1)
+func (h *testHost) connect(i int, well bool) *testLink {
+	dial := h.dials[i]
+	h.dials = slices.Delete(h.dials, i, i+1)
 	if !well {
-		w.pool.DialCompleted(d.member, nil, d.epoch, d.warm, w.now%2 == 0)
+		h.pool.DialCompleted(dial.member, nil, dial.epoch, dial.warm, h.now%2 == 0)
 		return nil
 	}
-	l := &testLink{host: w, epoch: d.epoch, conn: &Conn[*testRequest]{Member: d.member}}
-	l.conn.Link = l
-	w.links = append(w.links, l)
-	w.pool.DialCompleted(d.member, l.conn, d.epoch, d.warm, false)
-	return l
+	link := &testLink{host: h, epoch: dial.epoch, conn: &Conn[*testRequest]{Member: dial.member}}
+	link.conn.Link = link
+	h.links = append(h.links, link)
+	h.pool.DialCompleted(dial.member, link.conn, dial.epoch, dial.warm, false)
+	return link
 }
 
 // answer answers what is in front on a connection, as a host does.
-func (w *testHost) answer(l *testLink) {
-	if l.pings > 0 {
-		l.pings = 0
-	} else if len(l.sent) > 0 {
-		l.sent[0].Ended = true
-		l.sent = l.sent[1:]
+func (h *testHost) answer(link *testLink) {
+	if link.pings > 0 {
+		link.pings = 0
+	} else if len(link.sent) > 0 {
+		link.sent[0].Ended = true
+		link.sent = link.sent[1:]
 	} else {
 		return
 	}
-	if l.conn.Closed || w.pool.Answered(l.conn, true) {
+	if link.conn.Closed || h.pool.Answered(link.conn, true) {
 		return
 	}
-	if l.conn.Retired {
-		w.pool.HandleBroken(l.conn)
+	if link.conn.Retired {
+		h.pool.HandleBroken(link.conn)
 		return
 	}
-	w.pool.Release(l.conn)
+	h.pool.Release(link.conn)
 }
 
 // broken ends a connection and all that is on it.
-func (w *testHost) broken(l *testLink) {
-	for _, x := range l.sent {
+func (h *testHost) broken(link *testLink) {
+	for _, x := range link.sent {
 		x.Ended = true
 	}
-	l.sent, l.conn.Pipelined = nil, nil
-	w.pool.HandleBroken(l.conn)
+	link.sent, link.conn.Pipelined = nil, nil
+	h.pool.HandleBroken(link.conn)
 }
 
 // The backoff grows while dials fail, counts dials that fail together once, and ends with one that comes up.
 func TestDialBackoffDoublesAndEnds(t *testing.T) {
-	w := newTestHost(t, defaultConfig)
-	m := &Member[*testRequest]{Ready: true}
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
 	for i, want := 0, dialBackoff; i < 9; i, want = i+1, min(2*want, dialBackoffMax) {
-		m.pendingDials, w.pool.pendingDials, w.pool.openConns = 2, 2, 2
-		w.pool.DialCompleted(m, nil, 0, false, true)
-		w.pool.DialCompleted(m, nil, 0, false, true)
-		if m.backoff != want {
-			t.Errorf("backoff %d is %v, not %v", i, m.backoff, want)
+		member.pendingDials, host.pool.pendingDials, host.pool.openConns = 2, 2, 2
+		host.pool.DialCompleted(member, nil, 0, false, true)
+		host.pool.DialCompleted(member, nil, 0, false, true)
+		if member.backoff != want {
+			t.Errorf("backoff %d is %v, not %v", i, member.backoff, want)
 		}
-		w.now = m.noDialUntil
-		w.pool.Advance(w.now)
-	}
-	m.pendingDials, w.pool.pendingDials, w.pool.openConns = 1, 1, 1
-	w.dials = []pendingDial{{m, 0, false}}
-	m.Waiting = []*testRequest{{Request: Request{ExpiresAt: w.now + time.Second}}}
-	l := w.connect(0, true)
-	if m.Backoff() == 0 {
+		host.now = member.noDialUntil
+		host.pool.Advance(host.now)
+	}
+	member.pendingDials, host.pool.pendingDials, host.pool.openConns = 1, 1, 1
+	host.dials = []pendingDial{{member, 0, false}}
+	member.Waiting = []*testRequest{{Request: Request{ExpiresAt: host.now + time.Second}}}
+	link := host.connect(0, true)
+	if member.Backoff() == 0 {
 		t.Error("a connection ends the backoff before it has carried anything")
 	}
-	w.answer(l)
-	if m.Backoff() != 0 {
-		t.Errorf("the backoff outlives an answer: %v", m.backoff)
+	host.answer(link)
+	if member.Backoff() != 0 {
+		t.Errorf("the backoff outlives an answer: %v", member.backoff)
 	}
 }
 
 // The line is told as long as it is, and as hopeless at a cache that is stuck, or that nothing is known of.
 func TestQueueDelay(t *testing.T) {
-	w := newTestHost(t, defaultConfig)
-	at := func(used time.Duration) []*Conn[*testRequest] {
-		return []*Conn[*testRequest]{{lastUsed: w.now - used}, {lastUsed: w.now - time.Second}}
-	}
-	line := func(n int) []*testRequest { return make([]*testRequest, n) }
-	for name, c := range map[string]struct {
-		m    Member[*testRequest]
-		want time.Duration
+	host := newTestHost(t, defaultConfig)
+	connsUsed := func(used time.Duration) []*Conn[*testRequest] {
+		return []*Conn[*testRequest]{{lastUsed: host.now - used}, {lastUsed: host.now - time.Second}}
+	}
+	queue := func(n int) []*testRequest { return make([]*testRequest, n) }
+	for name, tc := range map[string]struct {
+		member Member[*testRequest]
+		want   time.Duration
 	}{
-		"a short line":          {Member[*testRequest]{occupancy: time.Millisecond, Conns: at(0), Waiting: line(9)}, 5 * time.Millisecond},
-		"a long line":           {Member[*testRequest]{occupancy: time.Millisecond, Conns: at(0), Waiting: line(99)}, 50 * time.Millisecond},
-		"slow answers":          {Member[*testRequest]{occupancy: 80 * time.Millisecond, Conns: at(0), Waiting: line(2)}, 120 * time.Millisecond},
-		"stuck":                 {Member[*testRequest]{occupancy: time.Millisecond, Conns: at(60 * time.Millisecond), Waiting: line(2)}, -1},
-		"no connection":         {Member[*testRequest]{occupancy: time.Millisecond, Waiting: line(2)}, -1},
-		"nothing known":         {Member[*testRequest]{Conns: at(0), Waiting: line(2)}, -1},
-		"as long as a dial may": {Member[*testRequest]{occupancy: 2 * time.Millisecond, Conns: at(0), Waiting: line(130)}, -1},
+		"a short line":          {Member[*testRequest]{occupancy: time.Millisecond, Conns: connsUsed(0), Waiting: queue(9)}, 5 * time.Millisecond},
+		"a long line":           {Member[*testRequest]{occupancy: time.Millisecond, Conns: connsUsed(0), Waiting: queue(99)}, 50 * time.Millisecond},
+		"slow answers":          {Member[*testRequest]{occupancy: 80 * time.Millisecond, Conns: connsUsed(0), Waiting: queue(2)}, 120 * time.Millisecond},
+		"stuck":                 {Member[*testRequest]{occupancy: time.Millisecond, Conns: connsUsed(60 * time.Millisecond), Waiting: queue(2)}, -1},
+		"no connection":         {Member[*testRequest]{occupancy: time.Millisecond, Waiting: queue(2)}, -1},
+		"nothing known":         {Member[*testRequest]{Conns: connsUsed(0), Waiting: queue(2)}, -1},
+		"as long as a dial may": {Member[*testRequest]{occupancy: 2 * time.Millisecond, Conns: connsUsed(0), Waiting: queue(130)}, -1},
 	} {
-		if got := w.pool.queueDelay(&c.m); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+		if got := host.pool.queueDelay(&tc.member); got != tc.want {
+			t.Errorf("%s: %v, want %v", name, got, tc.want)
 		}
 	}
 }
 
 // In line are first those whose time ends first; of the same time, those that came first.
 func TestQueueIsOrderedByExpiry(t *testing.T) {
-	m := &Member[*testRequest]{}
-	for i, until := range []time.Duration{5, 3, 9, 3, 1, 5} {
-		m.enqueue(&testRequest{Request: Request{ExpiresAt: until}, id: i})
+	member := &Member[*testRequest]{}
+	for i, expiresAt := range []time.Duration{5, 3, 9, 3, 1, 5} {
+		member.enqueue(&testRequest{Request: Request{ExpiresAt: expiresAt}, id: i})
 	}
 	var got []int
-	for _, x := range m.Waiting {
+	for _, x := range member.Waiting {
 		got = append(got, x.id)
 	}
 	if !slices.Equal(got, []int{4, 1, 3, 0, 5, 2}) {
@@ -225,49 +225,49 @@
 // A request whose time is over by the time a connection is there for it is not sent, however late the event that brings the connection began:
 // the next one has it.
 func TestExpiredInQueueIsNotSent(t *testing.T) {
-	w := newTestHost(t, defaultConfig)
-	m := &Member[*testRequest]{Ready: true}
-	late := &testRequest{Request: Request{ExpiresAt: w.now + time.Millisecond}, id: 1}
-	next := &testRequest{Request: Request{ExpiresAt: w.now + time.Hour}, id: 2}
-	w.pool.Submit(m, late)
-	w.pool.Submit(m, next)
-	w.now += time.Second // the pool has not been told
-	l := w.connect(0, true)
-	if len(late.verdicts) != 1 || len(l.sent) != 1 || l.sent[0] != next || len(m.Waiting) != 0 {
-		t.Errorf("verdict %v, sent %v, %d in line", late.verdicts, l.sent, len(m.Waiting))
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
+	expired := &testRequest{Request: Request{ExpiresAt: host.now + time.Millisecond}, id: 1}
+	next := &testRequest{Request: Request{ExpiresAt: host.now + time.Hour}, id: 2}
+	host.pool.Submit(member, expired)
+	host.pool.Submit(member, next)
+	host.now += time.Second // the pool has not been told
+	link := host.connect(0, true)
+	if len(expired.verdicts) != 1 || len(link.sent) != 1 || link.sent[0] != next || len(member.Waiting) != 0 {
+		t.Errorf("verdict %v, sent %v, %d in line", expired.verdicts, link.sent, len(member.Waiting))
 	}
 }
 
 // A request that gets its connection a few milliseconds before its own time is up is not sent: it would be given up at once and sent elsewhere,
 // and the members may hear of the second attempt first, which is two at a time.
 func TestShortTimeLeftInQueueIsNotSent(t *testing.T) {
-	w := newTestHost(t, defaultConfig)
-	m := &Member[*testRequest]{Ready: true}
-	x := &testRequest{Request: Request{ExpiresAt: w.now + 120*time.Millisecond}, id: 1}
-	w.pool.Submit(m, x)
-	w.now += 115 * time.Millisecond
-	w.pool.Advance(w.now)
-	if l := w.connect(0, true); len(l.sent) != 0 || len(x.verdicts) != 1 {
-		t.Errorf("sent %v with 5 ms left, verdict %v", l.sent, x.verdicts)
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
+	request := &testRequest{Request: Request{ExpiresAt: host.now + 120*time.Millisecond}, id: 1}
+	host.pool.Submit(member, request)
+	host.now += 115 * time.Millisecond
+	host.pool.Advance(host.now)
+	if l := host.connect(0, true); len(l.sent) != 0 || len(request.verdicts) != 1 {
+		t.Errorf("sent %v with 5 ms left, verdict %v", l.sent, request.verdicts)
 	}
 }
 
 // A member that drains with a line before it gets nothing of the line.
 func TestDrainRejectsTheQueue(t *testing.T) {
-	w := newTestHost(t, defaultConfig)
-	m := &Member[*testRequest]{Ready: true}
-	var line []*testRequest
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
+	var queue []*testRequest
 	for i := range 5 {
-		line = append(line, &testRequest{id: i})
-		m.enqueue(line[i])
+		queue = append(queue, &testRequest{id: i})
+		member.enqueue(queue[i])
 	}
-	w.pool.UpdateMember(m, false, false)
-	for _, x := range line {
-		if len(m.Waiting) != 0 || !slices.Equal(x.verdicts, []Verdict{Unreachable}) {
-			t.Errorf("%d wait; request %d: %v", len(m.Waiting), x.id, x.verdicts)
+	host.pool.UpdateMember(member, false, false)
+	for _, request := range queue {
+		if len(member.Waiting) != 0 || !slices.Equal(request.verdicts, []Verdict{Unreachable}) {
+			t.Errorf("%d wait; request %d: %v", len(member.Waiting), request.id, request.verdicts)
 		}
 	}
-	if len(w.dials) != 0 {
+	if len(host.dials) != 0 {
 		t.Error("a member that drains is dialled")
 	}
 }
@@ -276,7 +276,7 @@
 // second's. Nor does anything travel behind a write, or to a cache that has yet to show that its answers are clean.
 func TestWhatIsNotPipelined(t *testing.T) {
 	type edit = func(m *Member[*testRequest], c *Conn[*testRequest], x *testRequest)
-	for name, k := range map[string]struct {
+	for name, tc := range map[string]struct {
 		edit edit
 		want bool
 	}{
@@ -305,42 +305,42 @@
 			c.Link.(*testLink).host.pool.SuspendPipelining(time.Second)
 		}, false},
 	} {
-		w := newTestHost(t, defaultConfig)
-		w.pool.SetMaxPipelineAge(time.Second)
-		m := &Member[*testRequest]{cleanAnswers: MinCleanAnswers}
-		c := &Conn[*testRequest]{Member: m, HasAnswered: true, Current: &testRequest{}, currentSince: w.now, lastKey: []byte("k1")}
-		c.Link = &testLink{host: w, conn: c}
-		m.Conns = []*Conn[*testRequest]{c}
-		x := &testRequest{key: "k2"}
-		k.edit(m, c, x)
-		if got := w.pool.pickPipelineConn(m, x) != nil; got != k.want {
+		host := newTestHost(t, defaultConfig)
+		host.pool.SetMaxPipelineAge(time.Second)
+		member := &Member[*testRequest]{cleanAnswers: MinCleanAnswers}
+		conn := &Conn[*testRequest]{Member: member, HasAnswered: true, Current: &testRequest{}, currentSince: host.now, lastKey: []byte("k1")}
+		conn.Link = &testLink{host: host, conn: conn}
+		member.Conns = []*Conn[*testRequest]{conn}
+		request := &testRequest{key: "k2"}
+		tc.edit(member, conn, request)
+		if got := host.pool.pickPipelineConn(member, request) != nil; got != tc.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
-	m := &Member[*testRequest]{}
+	member := &Member[*testRequest]{}
 	for range 20 {
-		m.RecordBadAnswer()
+		member.RecordBadAnswer()
 	}
-	if m.cleanRequired != maxCleanAnswers {
-		t.Errorf("after many spoilt answers %d clean ones are asked for", m.cleanRequired)
+	if member.cleanRequired != maxCleanAnswers {
+		t.Errorf("after many spoilt answers %d clean ones are asked for", member.cleanRequired)
 	}
 }
 
 // Where as many dials are out as may be, the next member dials once one has ended.
 func TestDialsTakeTurns(t *testing.T) {
-	w := newTestHost(t, defaultConfig)
+	host := newTestHost(t, defaultConfig)
 	var last *Member[*testRequest]
 	for i := range maxConcurrentDials + 1 {
 		last = &Member[*testRequest]{Ready: true}
-		w.pool.Submit(last, &testRequest{id: i, Request: Request{ExpiresAt: w.now + time.Second}})
+		host.pool.Submit(last, &testRequest{id: i, Request: Request{ExpiresAt: host.now + time.Second}})
 	}
-	if len(w.dials) != maxConcurrentDials {
-		t.Fatalf("%d dials are out", len(w.dials))
+	if len(host.dials) != maxConcurrentDials {
+		t.Fatalf("%d dials are out", len(host.dials))
 	}
-	w.now++ // at an odd time a dial fails slowly, and is not made again at once
-	w.connect(0, false)
-	if at := w.dials[len(w.dials)-1]; len(w.dials) != maxConcurrentDials || at.member != last {
-		t.Errorf("%d dials are out, the latest to another member: %v", len(w.dials), at.member != last)
+	host.now++ // at an odd time a dial fails slowly, and is not made again at once
+	host.connect(0, false)
+	if latest := host.dials[len(host.dials)-1]; len(host.dials) != maxConcurrentDials || latest.member != last {
+		t.Errorf("%d dials are out, the latest to another member: %v", len(host.dials), latest.member != last)
 	}
 }
 
@@ -354,133 +354,133 @@
 			cfg := defaultConfig
 			cfg.Instances = 1 + int(seed%4)*8
 			cfg.Multiplex = 1 + int(seed%3)*3
-			w := newTestHost(t, cfg)
+			host := newTestHost(t, cfg)
 			members := []*Member[*testRequest]{{Ready: true}, {Ready: true}, {Ready: true, Origin: true}}
-			for _, m := range members[:2] {
-				m.cleanAnswers = int(seed%2) * MinCleanAnswers
+			for _, member := range members[:2] {
+				member.cleanAnswers = int(seed%2) * MinCleanAnswers
 			}
-			var all []*testRequest
-			lates := func() {
-				for x, at := range w.connectTimeouts {
-					if w.now < at {
+			var requests []*testRequest
+			fireConnectTimeouts := func() {
+				for request, at := range host.connectTimeouts {
+					if host.now < at {
 						continue
 					}
-					delete(w.connectTimeouts, x)
-					if x.BeganAt > 0 || x.Ended {
+					delete(host.connectTimeouts, request)
+					if request.BeganAt > 0 || request.Ended {
 						continue
 					}
-					i := slices.IndexFunc(members, func(m *Member[*testRequest]) bool { return slices.Contains(m.Waiting, x) })
+					i := slices.IndexFunc(members, func(m *Member[*testRequest]) bool { return slices.Contains(m.Waiting, request) })
 					if i < 0 {
-						t.Fatalf("request %d has no verdict and is not in line", x.id)
+						t.Fatalf("request %d has no verdict and is not in line", request.id)
 					}
-					w.pool.ConnectTimedOut(members[i], x)
+					host.pool.ConnectTimedOut(members[i], request)
 				}
 			}
-			settle := func() {
-				for len(w.dials) > 0 {
-					w.connect(0, true)
+			answerAll := func() {
+				for len(host.dials) > 0 {
+					host.connect(0, true)
 				}
-				for _, l := range w.links {
-					for l.blocked = false; (len(l.sent) > 0 || l.pings > 0) && !l.closed; {
-						w.answer(l)
+				for _, link := range host.links {
+					for link.blocked = false; (len(link.sent) > 0 || link.pings > 0) && !link.closed; {
+						host.answer(link)
 					}
 				}
 			}
 			step := func() {
-				w.now += time.Duration(rng.IntN(3000)) * time.Microsecond
-				w.pool.Advance(w.now)
-				m := members[rng.IntN(len(members))]
-				var l *testLink
-				if len(w.links) > 0 {
-					l = w.links[rng.IntN(len(w.links))]
+				host.now += time.Duration(rng.IntN(3000)) * time.Microsecond
+				host.pool.Advance(host.now)
+				member := members[rng.IntN(len(members))]
+				var link *testLink
+				if len(host.links) > 0 {
+					link = host.links[rng.IntN(len(host.links))]
 				}
-				switch k := rng.IntN(16); {
-				case k < 6 && m.Ready:
-					x := &testRequest{id: len(all)}
-					x.key, x.ExpiresAt = fmt.Sprint("k", rng.IntN(3)), w.now+time.Duration(rng.IntN(900))*time.Millisecond
-					if x.Write = rng.IntN(5) == 0; x.Write {
-						x.Once = rng.IntN(2) == 0
+				switch event := rng.IntN(16); {
+				case event < 6 && member.Ready:
+					request := &testRequest{id: len(requests)}
+					request.key, request.ExpiresAt = fmt.Sprint("k", rng.IntN(3)), host.now+time.Duration(rng.IntN(900))*time.Millisecond
+					if request.Write = rng.IntN(5) == 0; request.Write {
+						request.Once = rng.IntN(2) == 0
 					}
-					all = append(all, x)
-					wait := w.pool.ExpectedWait(m)
-					w.pool.Submit(m, x)
-					if taken := len(x.verdicts) == 0; wait >= 0 && !taken {
+					requests = append(requests, request)
+					wait := host.pool.ExpectedWait(member)
+					host.pool.Submit(member, request)
+					if accepted := len(request.verdicts) == 0; wait >= 0 && !accepted {
 						t.Fatalf("a wait of %v was told, and the request turned away", wait)
 					}
-				case k < 9 && l != nil && !l.closed:
-					w.answer(l)
-				case k == 9 && l != nil && !l.closed:
-					w.broken(l)
-				case k == 10 && l != nil:
-					if l.blocked = !l.blocked; !l.blocked {
-						w.pool.WriteDrained(l.conn)
+				case event < 9 && link != nil && !link.closed:
+					host.answer(link)
+				case event == 9 && link != nil && !link.closed:
+					host.broken(link)
+				case event == 10 && link != nil:
+					if link.blocked = !link.blocked; !link.blocked {
+						host.pool.WriteDrained(link.conn)
 					}
-				case k < 13 && len(w.dials) > 0:
-					w.connect(rng.IntN(len(w.dials)), rng.IntN(3) > 0)
-				case k == 13:
+				case event < 13 && len(host.dials) > 0:
+					host.connect(rng.IntN(len(host.dials)), rng.IntN(3) > 0)
+				case event == 13:
 					if rng.IntN(4) == 0 {
-						w.pool.UpdateMember(m, !m.Ready, rng.IntN(2) == 0)
+						host.pool.UpdateMember(member, !member.Ready, rng.IntN(2) == 0)
 					}
-					w.noDescriptors = rng.IntN(3) == 0
-				case k == 14:
-					w.pool.UpdateIdleLimit()
-					w.pool.Sweep(m, len(members))
-				case k == 15 && l != nil && !l.conn.Busy():
-					l.noisy = true
+					host.noDescriptors = rng.IntN(3) == 0
+				case event == 14:
+					host.pool.UpdateIdleLimit()
+					host.pool.Sweep(member, len(members))
+				case event == 15 && link != nil && !link.conn.Busy():
+					link.noisy = true
 				}
-				if w.wake > 0 && w.now >= w.wake {
-					w.wake = 0
-					w.pool.Wake()
+				if host.wake > 0 && host.now >= host.wake {
+					host.wake = 0
+					host.pool.Wake()
 				}
-				lates()
+				fireConnectTimeouts()
 			}
-			check := func() {
-				open := len(w.dials)
-				for i, m := range members {
-					for _, c := range m.Conns {
-						if len(m.Waiting) > 0 && !m.inCooldownQueue && c.Reusable(w.now) && !c.Retired && c.Link.Writable() &&
-							w.now-c.lastUsed < cfg.ConnIdle*onceIdlePercent/100 && w.now-c.lastUsed < w.pool.idle.limit && c.Link.Silent() {
+			checkInvariants := func() {
+				open := len(host.dials)
+				for i, member := range members {
+					for _, conn := range member.Conns {
+						if len(member.Waiting) > 0 && !member.inCooldownQueue && conn.Reusable(host.now) && !conn.Retired && conn.Link.Writable() &&
+							host.now-conn.lastUsed < cfg.ConnIdle*onceIdlePercent/100 && host.now-conn.lastUsed < host.pool.idle.limit && conn.Link.Silent() {
 							t.Fatal("requests wait though a connection is free, and nothing will wake them")
 						}
 					}
-					if n := len(m.Conns) + m.pendingDials; n > w.pool.MaxConns(m) && m.Epoch == 0 {
-						t.Fatalf("%d connections to member %d, %d at most", n, i, w.pool.MaxConns(m))
+					if n := len(member.Conns) + member.pendingDials; n > host.pool.MaxConns(member) && member.Epoch == 0 {
+						t.Fatalf("%d connections to member %d, %d at most", n, i, host.pool.MaxConns(member))
 					}
 				}
-				for _, l := range w.links {
-					if !l.closed {
+				for _, link := range host.links {
+					if !link.closed {
 						open++
 					}
-					if l.closed != l.conn.Closed {
+					if link.closed != link.conn.Closed {
 						t.Fatal("a connection is closed on one side only")
 					}
 				}
-				if open != w.pool.OpenConns() {
-					t.Fatalf("%d connections count, %d stand", w.pool.OpenConns(), open)
+				if open != host.pool.OpenConns() {
+					t.Fatalf("%d connections count, %d stand", host.pool.OpenConns(), open)
 				}
 			}
 			for range 2000 {
 				step()
-				check()
+				checkInvariants()
 			}
-			w.noDescriptors = false
-			for _, m := range members {
-				w.pool.UpdateMember(m, true, false)
+			host.noDescriptors = false
+			for _, member := range members {
+				host.pool.UpdateMember(member, true, false)
 			}
 			for range 200 {
-				w.now += time.Second
-				w.pool.Advance(w.now)
-				for _, m := range members {
-					w.pool.Redial(m)
+				host.now += time.Second
+				host.pool.Advance(host.now)
+				for _, member := range members {
+					host.pool.Redial(member)
 				}
-				settle()
-				w.pool.Wake()
-				lates()
+				answerAll()
+				host.pool.Wake()
+				fireConnectTimeouts()
 			}
-			check()
-			for _, x := range all {
-				if written := x.BeganAt > 0; !x.Ended || written == (len(x.verdicts) > 0) {
-					t.Errorf("request %d: ended %v, written %v, verdicts %v", x.id, x.Ended, written, x.verdicts)
+			checkInvariants()
+			for _, request := range requests {
+				if written := request.BeganAt > 0; !request.Ended || written == (len(request.verdicts) > 0) {
+					t.Errorf("request %d: ended %v, written %v, verdicts %v", request.id, request.Ended, written, request.verdicts)
 				}
 			}
 		})
@@ -490,7 +490,7 @@
 // Reads of one group that come in the same moment share a connection from the start, as far as reads may be written behind others; what
 // comes later, is of another group, a write, or at a cache that has yet to show that its answers are clean, goes as ever.
 func TestReadsOfAGroupArePipelined(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name   string
 		clean  int
 		second Request
@@ -504,32 +504,32 @@
 		{"later", MinCleanAnswers, Request{Group: 7}, time.Microsecond, false},
 		{"an unknown cache", 0, Request{Group: 7}, 0, false},
 	} {
-		w := newTestHost(t, defaultConfig)
-		m := &Member[*testRequest]{Ready: true}
+		host := newTestHost(t, defaultConfig)
+		member := &Member[*testRequest]{Ready: true}
 		for i := range 2 { // two connections that have answered
-			w.pool.Submit(m, &testRequest{id: i, key: fmt.Sprint(i), Request: Request{ExpiresAt: w.now + time.Minute}})
+			host.pool.Submit(member, &testRequest{id: i, key: fmt.Sprint(i), Request: Request{ExpiresAt: host.now + time.Minute}})
 		}
-		for len(w.dials) > 0 {
-			w.connect(0, true)
+		for len(host.dials) > 0 {
+			host.connect(0, true)
 		}
-		for _, l := range w.links {
-			w.answer(l)
+		for _, link := range host.links {
+			host.answer(link)
 		}
-		m.cleanAnswers = c.clean
-		w.now += time.Second
-		w.pool.Advance(w.now)
-		first, second := &testRequest{id: 8, key: "x", Request: Request{ExpiresAt: w.now + time.Minute, Group: 7}}, &testRequest{id: 9, key: "y", Request: c.second}
-		second.ExpiresAt = w.now + time.Minute
-		w.pool.Submit(m, first)
-		w.now += c.wait
-		w.pool.Advance(w.now)
-		w.pool.Submit(m, second)
+		member.cleanAnswers = tc.clean
+		host.now += time.Second
+		host.pool.Advance(host.now)
+		first, second := &testRequest{id: 8, key: "x", Request: Request{ExpiresAt: host.now + time.Minute, Group: 7}}, &testRequest{id: 9, key: "y", Request: tc.second}
+		second.ExpiresAt = host.now + time.Minute
+		host.pool.Submit(member, first)
+		host.now += tc.wait
+		host.pool.Advance(host.now)
+		host.pool.Submit(member, second)
 		shared := false
-		for _, l := range w.links {
-			shared = shared || slices.Equal(l.sent, []*testRequest{first, second})
+		for _, link := range host.links {
+			shared = shared || slices.Equal(link.sent, []*testRequest{first, second})
 		}
-		if shared != c.shared {
-			t.Errorf("%s: shared %v", c.name, shared)
+		if shared != tc.shared {
+			t.Errorf("%s: shared %v", tc.name, shared)
 		}
 	}
 }
--- a/internal/pool/transit_test.go
+++ b/internal/pool/transit_test.go
@@ -9,10 +9,10 @@
 // a way on earth takes, and counts for nothing where two attempts may be out at once.
 func TestTransit(t *testing.T) {
 	const never = 0
-	for name, c := range map[string]struct {
-		connect, answer, later time.Duration // the first answer, and those after it
-		copies                 bool
-		want, first            time.Duration
+	for name, tc := range map[string]struct {
+		connect, firstAnswer, laterAnswers time.Duration // the first answer, and those after it
+		copies                             bool
+		transit, firstTransit              time.Duration
 	}{
 		"nothing is known":                {250 * time.Millisecond, never, never, false, 62500 * time.Microsecond, 250 * time.Millisecond},
 		"a near member":                   {250 * time.Millisecond, time.Millisecond, time.Millisecond, false, time.Millisecond, 250 * time.Millisecond},
@@ -24,23 +24,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := defaultConfig
-			cfg.ConnectTimeout, cfg.ConcurrentAttempts = c.connect, c.copies
-			w := newTestHost(t, cfg)
-			m := &Member[*testRequest]{Ready: true}
-			if c.answer > 0 {
-				m.recordAnswerTime(c.answer)
+			cfg.ConnectTimeout, cfg.ConcurrentAttempts = tc.connect, tc.copies
+			host := newTestHost(t, cfg)
+			member := &Member[*testRequest]{Ready: true}
+			if tc.firstAnswer > 0 {
+				member.recordAnswerTime(tc.firstAnswer)
 				for range 1000 {
-					m.recordAnswerTime(c.later)
+					member.recordAnswerTime(tc.laterAnswers)
 				}
 			}
-			if got := w.pool.Transit(m); got != c.want {
-				t.Errorf("under way for %v, want %v", got, c.want)
+			if got := host.pool.Transit(member); got != tc.transit {
+				t.Errorf("under way for %v, want %v", got, tc.transit)
 			}
-			if got := w.pool.FirstTransit(); got != c.first {
-				t.Errorf("the first one for %v, want %v", got, c.first)
+			if got := host.pool.FirstTransit(); got != tc.firstTransit {
+				t.Errorf("the first one for %v, want %v", got, tc.firstTransit)
 			}
-			w.pool.UpdateMember(m, true, true)
-			if m.roundTrip != 0 {
+			host.pool.UpdateMember(member, true, true)
+			if member.roundTrip != 0 {
 				t.Error("another process at its place takes over what was learnt")
 			}
 		})
@@ -50,13 +50,13 @@
 // Where answers take now longer, now less, the slower ones say how long a request may be under way.
 func TestTransitCoversSlowAnswers(t *testing.T) {
 	const quick, slow = 2 * time.Millisecond, 20 * time.Millisecond
-	w := newTestHost(t, defaultConfig)
-	m := &Member[*testRequest]{Ready: true}
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
 	for range 100 {
-		m.recordAnswerTime(quick)
-		m.recordAnswerTime(slow)
+		member.recordAnswerTime(quick)
+		member.recordAnswerTime(slow)
 	}
-	if got := w.pool.Transit(m); got < slow {
+	if got := host.pool.Transit(member); got < slow {
 		t.Errorf("under way for %v, and answers took up to %v", got, slow)
 	}
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -94,7 +94,7 @@
 }
 
 // parseLength reads the digits of a length. -1 stands for null.
-func parseLength(text []byte, most int) (int, error) {
+func parseLength(text []byte, limit int) (int, error) {
 	if string(text) == "-1" {
 		return -1, nil
 	}
@@ -103,8 +103,8 @@
 		if c < '0' || c > '9' {
 			return 0, fmt.Errorf("bad length: %w", ErrProtocol)
 		}
-		if n = n*10 + int(c-'0'); n > most {
-			return 0, fmt.Errorf("length over %d: %w", most, ErrProtocol)
+		if n = n*10 + int(c-'0'); n > limit {
+			return 0, fmt.Errorf("length over %d: %w", limit, ErrProtocol)
 		}
 	}
 	if len(text) == 0 {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -166,10 +166,10 @@
 }
 
 func (w *Sender) release(n int) {
-	other := min(n, w.countedByCaller)
-	w.countedByCaller -= other
+	byCaller := min(n, w.countedByCaller)
+	w.countedByCaller -= byCaller
 	w.backlog -= n
-	w.host.Hold(other - n)
+	w.host.Hold(byCaller - n)
 }
 
 // nextPiece takes what is written next off the queue. A side that takes a long value slowly is there as long as it takes
@@ -249,16 +249,16 @@
 // PeerClosed tells whether the other side has ended its sending, or the connection is reset, also where bytes that came before
 // were not read yet. It costs a system call more than Look, and is for where nobody reads. An end behind more than the kernel takes in is
 // not seen: it has not come.
-func (w *Sender) PeerClosed() (left bool) {
-	err := w.raw.Control(func(fd uintptr) { left = PeerClosed(fd) })
-	return left || err != nil
+func (w *Sender) PeerClosed() (closed bool) {
+	err := w.raw.Control(func(fd uintptr) { closed = PeerClosed(fd) })
+	return closed || err != nil
 }
 
 // PeerClosed tells whether the other side of a socket has ended its sending, or the connection is reset, also behind bytes that nobody has read.
 func PeerClosed(fd uintptr) bool {
-	look := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(look[:], 0)
-	return err == nil && n > 0 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	pollFDs := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(pollFDs[:], 0)
+	return err == nil && n > 0 && pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
 // What Peek can see.
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -43,31 +43,31 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	h := &lockHost{}
-	w, err := New(h, near.(*net.TCPConn))
+	host := &lockHost{}
+	sender, err := New(host, near.(*net.TCPConn))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Enter()
-	w.Cork()
-	w.Send([]byte("a"), false)
-	w.Send([]byte("b"), false)
-	if !w.Unsent(1) || !w.Unsent(2) || w.Accepted() != 2 {
+	host.Enter()
+	sender.Cork()
+	sender.Send([]byte("a"), false)
+	sender.Send([]byte("b"), false)
+	if !sender.Unsent(1) || !sender.Unsent(2) || sender.Accepted() != 2 {
 		t.Error("what is corked counts as out")
 	}
-	w.Uncork()
-	if w.Unsent(2) {
+	sender.Uncork()
+	if sender.Unsent(2) {
 		t.Error("what is uncorked counts as unsent")
 	}
-	w.Send([]byte("c"), false)
-	w.Cork()
-	w.Send([]byte("d"), false)
-	w.Fail()
-	w.Uncork()
-	if !w.Unsent(4) {
+	sender.Send([]byte("c"), false)
+	sender.Cork()
+	sender.Send([]byte("d"), false)
+	sender.Fail()
+	sender.Uncork()
+	if !sender.Unsent(4) {
 		t.Error("what was corked on a connection that has failed counts as out")
 	}
-	h.Leave()
+	host.Leave()
 	if got, _ := io.ReadAll(far); string(got) != "abc" {
 		t.Errorf("%q came", got)
 	}
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -297,9 +297,9 @@
 // readAnswer reads an answer's value. An origin need not tell its length: it comes in chunks, or ends with the connection, and then is
 // whole unless the connection broke (RFC 9112, sections 7.1 and 8).
 func (u *Conn) readAnswer(answer *http.Response, limit *limitedReader) error {
-	st, n := httpStatus(answer), answer.ContentLength
+	status, n := httpStatus(answer), answer.ContentLength
 	switch {
-	case n > resp.MaxValue && n <= resp.MaxLongValue && st == logic.StatusOK:
+	case n > resp.MaxValue && n <= resp.MaxLongValue && status == logic.StatusOK:
 		return u.streamHTTP(answer, limit, int(n))
 	case n > resp.MaxValue:
 		return resp.ErrProtocol
@@ -310,12 +310,12 @@
 	switch {
 	case err != nil:
 		return fmt.Errorf("%w: %w", errTruncated, err)
-	case len(body) > resp.MaxValue && st != logic.StatusOK:
+	case len(body) > resp.MaxValue && status != logic.StatusOK:
 		return resp.ErrProtocol
 	case len(body) > resp.MaxValue:
 		return u.streamUnknownLength(answer, body, limit)
 	}
-	if err := u.deliverResult(st, 0, body); err != nil {
+	if err := u.deliverResult(status, 0, body); err != nil {
 		return err
 	}
 	return closeAfter(answer)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -57,16 +57,16 @@
 var _ pool.Link[*Exchange] = (*Conn)(nil)
 
 func (s *Set) newConn(m *Member, conn *net.TCPConn) (*Conn, error) {
-	w, err := sender.New(s.host, conn)
+	connSender, err := sender.New(s.host, conn)
 	if err != nil {
 		return nil, err
 	}
-	u := &Conn{set: s, conn: conn, sender: w, codec: resp2{}}
+	u := &Conn{set: s, conn: conn, sender: connSender, codec: resp2{}}
 	if m.Origin {
 		u.codec = http1{}
 	}
 	u.Member, u.Link = m, u
-	w.OnDrained = func() {
+	connSender.OnDrained = func() {
 		u.lastWriteAt = s.host.Clock()
 		s.WriteDrained(&u.Conn)
 	}
@@ -160,9 +160,9 @@
 
 // Abandon stops waiting for an exchange, by closing its connection: until then it is out, and a
 // further one would be a second copy.
-func (s *Set) Abandon(x *Exchange, st logic.Status) {
+func (s *Set) Abandon(x *Exchange, status logic.Status) {
 	u := x.conn
-	if u != nil && u.Current != x && u.Current != nil && u.Current.streamingSince > 0 && st == logic.StatusTimeout && s.host.Now() < x.Client.Deadline() {
+	if u != nil && u.Current != x && u.Current != nil && u.Current.streamingSince > 0 && status == logic.StatusTimeout && s.host.Now() < x.Client.Deadline() {
 		// Its answer stands behind a long one, which must not be cut off. Until the connection ends it is out, so it waits.
 		x.ExpiresAt = min(x.Client.Deadline(), s.host.Now()+longValueRecheck)
 		s.host.ScheduleTimer(Timer{At: x.ExpiresAt, kind: timerExpiry, exchange: x})
@@ -170,19 +170,19 @@
 	}
 	if u == nil {
 		x.member.RemoveWaiting(x)
-		if st == logic.StatusTimeout { // it was never sent
-			st = verdictStatus(pool.NoConnVerdict(x.member))
+		if status == logic.StatusTimeout { // it was never sent
+			status = verdictStatus(pool.NoConnVerdict(x.member))
 		}
-		x.complete(st, 0)
+		x.complete(status, 0)
 		return
 	}
 	switch {
 	case u.unsent(x):
-		st = logic.StatusConnectFailed
+		status = logic.StatusConnectFailed
 	case x != u.Current: // its turn had not come: that tells of those in front
-		st = logic.StatusCancelled
+		status = logic.StatusCancelled
 	}
-	x.abandon(st)
+	x.abandon(status)
 	if u.Current != x && u.Current != nil && u.Current.streamingSince > 0 {
 		return // it is skipped when its answer comes
 	}
@@ -232,21 +232,21 @@
 
 // deliverResult gives the exchange in front its outcome, with the value that the client gets if it was served. The connection
 // is not free yet: see rest.
-func (u *Conn) deliverResult(st logic.Status, note int, value []byte) error {
+func (u *Conn) deliverResult(status logic.Status, note int, value []byte) error {
 	u.set.host.Enter()
 	defer u.set.host.Leave()
 	x := u.Current
 	if x == nil || x.Ended { // given up; the connection is closed
 		return nil
 	}
-	u.Refused = st == logic.StatusFull
-	if st == logic.StatusOK {
+	u.Refused = status == logic.StatusFull
+	if status == logic.StatusOK {
 		if u.repeatsLastValue(value) {
 			return errUnsolicited
 		}
 		x.Client.Served(value)
 	}
-	x.complete(st, note)
+	x.complete(status, note)
 	return nil
 }
 
@@ -254,20 +254,20 @@
 func (u *Conn) fail(err error) {
 	u.set.host.Enter()
 	defer u.set.host.Leave()
-	spoilt := errors.Is(err, resp.ErrProtocol) || errors.Is(err, errTruncated) || errors.Is(err, errUnsolicited)
+	badAnswer := errors.Is(err, resp.ErrProtocol) || errors.Is(err, errTruncated) || errors.Is(err, errUnsolicited)
 	if x := u.Current; x != nil && !x.Ended {
 		u.set.RecordBreak(&u.Conn)
-		st := logic.StatusReset
+		status := logic.StatusReset
 		switch {
 		case u.unsent(x):
-			st = logic.StatusConnectFailed
-		case spoilt: // what has come may have been meant for another
-			st = logic.StatusError
+			status = logic.StatusConnectFailed
+		case badAnswer: // what has come may have been meant for another
+			status = logic.StatusError
 			x.recordTransit()
 		}
-		x.complete(st, 0)
+		x.complete(status, 0)
 	}
-	if spoilt {
+	if badAnswer {
 		u.Member.RecordBadAnswer()
 	}
 	u.cancelPipelined()
--- a/internal/upstream/cork_test.go
+++ b/internal/upstream/cork_test.go
@@ -54,7 +54,7 @@
 
 // What is corked was told its deadline as it was written: when the next read comes some time later in the same event, it goes out first.
 func TestCorkedReadsAreNotHeldForLong(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		later time.Duration
 		want  bool // the first read is out before Uncork
 	}{
@@ -63,33 +63,33 @@
 		"for longer": {time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := &testHost{}
-			s := New(pool.Config{}, h)
+			host := &testHost{}
+			set := New(pool.Config{}, host)
 			near, far := tcpPair(t)
-			conn, err := s.newConn(&Member{}, near)
+			conn, err := set.newConn(&Member{}, near)
 			if err != nil {
 				t.Fatal(err)
 			}
 			send := func(id string) {
-				x := &Exchange{Request: pool.Request{ExpiresAt: 3 * time.Second}, Client: h,
+				x := &Exchange{Request: pool.Request{ExpiresAt: 3 * time.Second}, Client: host,
 					Message: &Message{Key: []byte("k"), ReqID: []byte(id), Attrs: []byte("c=read,d=8000")}}
 				conn.Send(x)
 			}
-			s.Cork()
+			set.Cork()
 			send("first")
-			h.now = c.later
+			host.now = tc.later
 			send("second")
-			if out := conn.sender.Accepted() > 0 && !conn.unsent(&Exchange{endOffset: 1}); out != c.want {
-				t.Errorf("the first read is out: %v, want %v", out, c.want)
+			if out := conn.sender.Accepted() > 0 && !conn.unsent(&Exchange{endOffset: 1}); out != tc.want {
+				t.Errorf("the first read is out: %v, want %v", out, tc.want)
 			}
-			s.Uncork()
+			set.Uncork()
 			near.CloseWrite()
 			text, err := io.ReadAll(far)
 			if err != nil {
 				t.Fatal(err)
 			}
 			first, second, _ := strings.Cut(string(text), "second")
-			if !strings.Contains(first, "d=3000") || !strings.Contains(second, "d="+strings.TrimSuffix((3*time.Second - c.later).String(), "s")[:1]) {
+			if !strings.Contains(first, "d=3000") || !strings.Contains(second, "d="+strings.TrimSuffix((3*time.Second - tc.later).String(), "s")[:1]) {
 				t.Errorf("sent %q", text)
 			}
 		})
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -32,19 +32,19 @@
 // dial opens a connection and reads its answers until it ends.
 func (s *Set) dial(m *Member, addr string, epoch int, warm bool) {
 	conn, err := s.dialer(addr, s.connectTimeout)
-	var u *Conn
+	var connection *Conn
 	s.host.Do(func() {
 		if err == nil {
-			u, err = s.newConn(m, conn.(*net.TCPConn))
+			connection, err = s.newConn(m, conn.(*net.TCPConn))
 		}
-		var slow net.Error
+		var netErr net.Error
 		switch {
 		case err == nil:
-			s.DialCompleted(m, &u.Conn, epoch, warm, false)
+			s.DialCompleted(m, &connection.Conn, epoch, warm, false)
 		case isLocalError(err):
 			s.DialFailedLocally(m, warm)
 		default:
-			s.DialCompleted(m, nil, epoch, warm, !(errors.As(err, &slow) && slow.Timeout()))
+			s.DialCompleted(m, nil, epoch, warm, !(errors.As(err, &netErr) && netErr.Timeout()))
 		}
 	})
 	if err != nil {
@@ -53,5 +53,5 @@
 		}
 		return
 	}
-	u.fail(u.readAnswers())
+	connection.fail(connection.readAnswers())
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -47,21 +47,21 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			host := &lockedHost{}
-			s := New(pool.Config{ConnIdle: time.Minute, ConnectTimeout: time.Second, Multiplex: 1, Instances: 1, Descriptors: 100}, host)
-			s.dialer = func(string, time.Duration) (net.Conn, error) {
+			set := New(pool.Config{ConnIdle: time.Minute, ConnectTimeout: time.Second, Multiplex: 1, Instances: 1, Descriptors: 100}, host)
+			set.dialer = func(string, time.Duration) (net.Conn, error) {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 			}
 			m := &Member{Addr: "127.0.0.1:1", Ready: true}
 			for range 3 { // more than one in a row, as a shortage lasts
-				e := &outcomeClient{outcomes: make(chan logic.Status, 2)}
-				e.exchange = &Exchange{Message: &Message{Key: []byte("k")}, Client: e}
-				e.exchange.ExpiresAt = time.Minute
-				host.Do(func() { s.Exchange(m, e.exchange) })
+				client := &outcomeClient{outcomes: make(chan logic.Status, 2)}
+				client.exchange = &Exchange{Message: &Message{Key: []byte("k")}, Client: client}
+				client.exchange.ExpiresAt = time.Minute
+				host.Do(func() { set.Exchange(m, client.exchange) })
 				want := logic.StatusNoConn
 				if blamed {
 					want = logic.StatusConnectFailed
 				}
-				if got := <-e.outcomes; got != want {
+				if got := <-client.outcomes; got != want {
 					t.Fatalf("the request ended with %v, want %v", got, want)
 				}
 			}
@@ -69,8 +69,8 @@
 				if held := m.Backoff() > 0; held != blamed {
 					t.Errorf("the member is held back: %v, want %v", held, blamed)
 				}
-				if s.OpenConns() != 0 {
-					t.Errorf("%d connections are counted, none is there", s.OpenConns())
+				if set.OpenConns() != 0 {
+					t.Errorf("%d connections are counted, none is there", set.OpenConns())
 				}
 			})
 		})
--- a/internal/upstream/long.go
+++ b/internal/upstream/long.go
@@ -20,96 +20,96 @@
 
 // beginStreaming begins to pass on a long value: the request is served, and bound to this exchange.
 func (u *Conn) beginStreaming(n int) (ValueStream, *Exchange, error) {
-	h := u.set.host
-	h.Enter()
-	defer h.Leave()
+	host := u.set.host
+	host.Enter()
+	defer host.Leave()
 	u.set.SuspendPipelining(pipeliningPause)
 	x := u.Current
 	if x == nil || x.Ended {
 		return nil, nil, net.ErrClosed
 	}
-	to := x.Client.StreamValue(n)
-	if to == nil {
+	stream := x.Client.StreamValue(n)
+	if stream == nil {
 		return nil, nil, net.ErrClosed
 	}
-	x.streamingSince = h.Now()
-	return to, x, nil
+	x.streamingSince = host.Now()
+	return stream, x, nil
 }
 
 // streamValue passes on n bytes of in as the value of the exchange in front; end, if not nil, reads what follows them before they count as whole.
 func (u *Conn) streamValue(in io.Reader, n int, end func() error) (*Exchange, error) {
-	to, x, err := u.beginStreaming(n)
+	stream, exchange, err := u.beginStreaming(n)
 	if err != nil {
 		return nil, err
 	}
-	if place := u.reserveForPipelined(n); place != nil {
-		return x, u.streamBuffered(place, to, in, n, end)
+	if reservation := u.reserveForPipelined(n); reservation != nil {
+		return exchange, u.streamBuffered(reservation, stream, in, n, end)
 	}
 	u.readingLongValue = true
 	defer func() { u.readingLongValue = false }()
-	if err := to.Begin(n); err != nil {
-		return nil, u.clientGone(x)
+	if err := stream.Begin(n); err != nil {
+		return nil, u.clientGone(exchange)
 	}
 	buf := u.set.buffers.Get().(*[]byte)
 	defer u.set.buffers.Put(buf)
 	*buf = slices.Grow((*buf)[:0], longPieceSize)
 	for piece := (*buf)[:longPieceSize]; n > 0; {
-		m, err := in.Read(piece[:min(n, len(piece))])
-		if m > 0 && to.WritePiece(piece[:m]) != nil {
-			return nil, u.clientGone(x)
+		read, err := in.Read(piece[:min(n, len(piece))])
+		if read > 0 && stream.WritePiece(piece[:read]) != nil {
+			return nil, u.clientGone(exchange)
 		}
-		if n -= m; err != nil && n > 0 {
-			to.Abort()
+		if n -= read; err != nil && n > 0 {
+			stream.Abort()
 			return nil, fmt.Errorf("%w: %w", errTruncated, err)
 		}
 	}
 	if end != nil {
 		if err := end(); err != nil {
-			to.Abort()
+			stream.Abort()
 			return nil, err
 		}
 	}
-	if to.Finish() != nil {
-		return nil, u.clientGone(x)
+	if stream.Finish() != nil {
+		return nil, u.clientGone(exchange)
 	}
-	return x, nil
+	return exchange, nil
 }
 
 // reserveForPipelined has room for all of a value that others stand behind on the connection, if there is any at once. Nothing is written behind others
 // once a long value has been seen lately, but those that were written before the first must not wait for its client.
-func (u *Conn) reserveForPipelined(n int) (place Reservation) {
+func (u *Conn) reserveForPipelined(n int) (reservation Reservation) {
 	u.set.host.Do(func() {
 		if len(u.Pipelined) > 0 {
-			place = u.set.host.ReserveLongValue(n, u.set.host.Now())
+			reservation = u.set.host.ReserveLongValue(n, u.set.host.Now())
 		}
 	})
-	if place != nil && !place.Wait() {
+	if reservation != nil && !reservation.Wait() {
 		return nil
 	}
-	return place
+	return reservation
 }
 
 // streamBuffered reads a value at the member's pace and passes it on at the client's, in a goroutine that ends when the client has it, or takes
 // nothing any more.
-func (u *Conn) streamBuffered(place Reservation, to ValueStream, in io.Reader, n int, end func() error) error {
+func (u *Conn) streamBuffered(reservation Reservation, stream ValueStream, in io.Reader, n int, end func() error) error {
 	u.readingLongValue = true
 	defer func() { u.readingLongValue = false }()
 	pieces := make(chan []byte, n/longPieceSize+1) // room for all of them: what is read never waits here
-	cut := false                                   // set before pieces is closed
+	truncated := false                             // set before pieces is closed
 	go func() {
-		defer place.Release()
-		err := to.Begin(n)
+		defer reservation.Release()
+		err := stream.Begin(n)
 		for piece := range pieces {
 			if err == nil {
-				err = to.WritePiece(piece)
+				err = stream.WritePiece(piece)
 			}
 		}
 		switch {
 		case err != nil:
-		case cut:
-			to.Abort()
+		case truncated:
+			stream.Abort()
 		default:
-			to.Finish()
+			stream.Finish()
 		}
 	}()
 	var err error
@@ -124,7 +124,7 @@
 	if err == nil && end != nil {
 		err = end()
 	}
-	cut = err != nil
+	truncated = err != nil
 	close(pieces)
 	return err
 }
@@ -174,25 +174,25 @@
 // streamUnknownLength passes on a long value of an origin that does not tell its length, of which body has come. RESP2 wants the length first, so it
 // is held until it is whole, in the room for long values.
 func (u *Conn) streamUnknownLength(answer *http.Response, body []byte, limit *limitedReader) (err error) {
-	h := u.set.host
-	var place Reservation
-	h.Do(func() {
+	host := u.set.host
+	var reservation Reservation
+	host.Do(func() {
 		if x := u.Current; x != nil && !x.Ended {
-			place = h.ReserveLongValue(resp.MaxLongValue, x.ExpiresAt)
+			reservation = host.ReserveLongValue(resp.MaxLongValue, x.ExpiresAt)
 		}
 	})
-	if place == nil || !place.Wait() {
+	if reservation == nil || !reservation.Wait() {
 		return net.ErrClosed // its time is over, and so is the exchange
 	}
-	defer place.Release()
+	defer reservation.Release()
 	limit.remaining += resp.MaxLongValue + maxChunkOverhead
 	pieces, n := [][]byte{body}, len(body)
 	for err == nil {
 		piece, filled := make([]byte, longPieceSize), 0
 		for filled < len(piece) && err == nil {
-			var m int
-			m, err = answer.Body.Read(piece[filled:])
-			filled += m
+			var read int
+			read, err = answer.Body.Read(piece[filled:])
+			filled += read
 		}
 		if n += filled; n > resp.MaxLongValue {
 			return resp.ErrProtocol
@@ -202,18 +202,18 @@
 	if err != io.EOF {
 		return fmt.Errorf("%w: %w", errTruncated, err)
 	}
-	place.Shrink(n)
-	to, x, err := u.beginStreaming(n)
+	reservation.Shrink(n)
+	stream, x, err := u.beginStreaming(n)
 	if err != nil {
 		return err
 	}
-	err = to.Begin(n)
+	err = stream.Begin(n)
 	for _, piece := range pieces {
 		if err == nil {
-			err = to.WritePiece(piece)
+			err = stream.WritePiece(piece)
 		}
 	}
-	if err != nil || to.Finish() != nil {
+	if err != nil || stream.Finish() != nil {
 		return u.clientGone(x)
 	}
 	u.completeStreamed(x, 0)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -190,25 +190,25 @@
 }
 
 // HandleTimer does what has fallen due.
-func (s *Set) HandleTimer(d Timer) {
-	switch d.kind {
+func (s *Set) HandleTimer(timer Timer) {
+	switch timer.kind {
 	case timerPing:
-		s.PingTimedOut(&d.conn.Conn, d.pingSentAt)
+		s.PingTimedOut(&timer.conn.Conn, timer.pingSentAt)
 	case timerRedial:
-		s.Redial(d.member)
+		s.Redial(timer.member)
 	case timerHeldByte:
-		s.sendHeldByte(d.exchange)
+		s.sendHeldByte(timer.exchange)
 	case timerConnect:
-		if d.exchange.conn == nil && !d.exchange.Ended {
-			s.ConnectTimedOut(d.exchange.member, d.exchange)
+		if timer.exchange.conn == nil && !timer.exchange.Ended {
+			s.ConnectTimedOut(timer.exchange.member, timer.exchange)
 		}
 	case timerExpiry:
 		switch {
-		case d.exchange.Ended || d.exchange.streamingSince != 0:
-		case s.host.Now() < d.exchange.ExpiresAt: // it was given longer
-			s.host.ScheduleTimer(Timer{At: d.exchange.ExpiresAt, kind: timerExpiry, exchange: d.exchange})
+		case timer.exchange.Ended || timer.exchange.streamingSince != 0:
+		case s.host.Now() < timer.exchange.ExpiresAt: // it was given longer
+			s.host.ScheduleTimer(Timer{At: timer.exchange.ExpiresAt, kind: timerExpiry, exchange: timer.exchange})
 		default:
-			s.Abandon(d.exchange, logic.StatusTimeout)
+			s.Abandon(timer.exchange, logic.StatusTimeout)
 		}
 	}
 }
@@ -283,18 +283,18 @@
 func (a actions) ScheduleWake(at time.Duration) { a.set.host.ScheduleWake(at) }
 
 // complete gives an exchange its outcome; later ones are dropped.
-func (x *Exchange) complete(st logic.Status, note int) {
+func (x *Exchange) complete(status logic.Status, note int) {
 	if !x.Ended {
-		x.Client.Done(st, note)
+		x.Client.Done(status, note)
 	}
 }
 
 // abandon ends an exchange whose connection is given up.
-func (x *Exchange) abandon(st logic.Status) {
+func (x *Exchange) abandon(status logic.Status) {
 	if !x.Ended && !x.conn.unsent(x) {
 		x.recordTransit()
 	}
-	x.complete(st, 0)
+	x.complete(status, 0)
 }
 
 // recordTransit works out until when an exchange that is given up may be under way. The end of its connection doesn't call back what has gone out.
