--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// idleClasses are the spans of idle time that idleTimes tells apart: each is half as long again as the one
-	// before, and the first, under firstIdleClass, holds the connections that count as just used.
+	// idleClasses is the number of idle time classes: each is half as long again as the one before, and
+	// the first, below firstIdleClass, holds the connections that count as just used.
 	idleClasses    = 16
 	firstIdleClass = 20 * time.Millisecond
-	// idleDecay is what is left of the counts after a sweep: what holds now is told from the last ten seconds or
-	// so, and a span that was found stale is tried again now and then.
+	// idleDecay is the factor applied to the counts at each update: they then cover about the last ten
+	// seconds, and a class that was found stale is tried again now and then.
 	idleDecay = 0.98
-	// minIdleSamples is how many requests tell enough of a span; minBrokenShare the share of them that may break, and
-	// minBrokenRatio how many times the share at connections just used.
+	// minIdleSamples is how many requests a class needs to be judged; minBrokenShare is the share of them
+	// that must break, and minBrokenRatio the factor by which that share must exceed the one of
+	// connections just used.
 	minIdleSamples = 4
 	minBrokenShare = 0.25
 	minBrokenRatio = 2.5
 )
 
-// idleTimes learns how long a connection may stand idle and still carry a request. The settings tell when
-// members close connections, but whatever stands between (an address translation that forgets, a member that
-// was restarted or set up otherwise) may drop them long before and say so only when the next request comes.
-// That request has then been spoilt for nothing, for good if it must not run twice. The counts are of all
-// members together, as each alone sees too few. It could do harm where a single member breaks connections of
-// one age only: the others then see more handshakes than they need.
+// idleTimes learns how long a connection may be idle and still carry a request. The settings say when
+// members close connections, but anything on the path (a NAT that drops its state, a member that was
+// restarted or configured differently) may drop them much earlier, which shows only when the next request
+// arrives. That request then fails needlessly, and finally if it must not run twice. The counts cover all
+// members together, as each member alone gives too few. It can do harm where a single member breaks
+// connections of one age only: the other members then see more handshakes than necessary.
 type idleTimes struct {
 	reused, broken [idleClasses]float64
 	limit          time.Duration
@@ -30,7 +31,7 @@
 
 func newIdleTimes(most time.Duration) idleTimes { return idleTimes{limit: most} }
 
-// class is the span that an idle time falls in.
+// class returns the class of an idle time.
 func (t *idleTimes) class(idle time.Duration) int {
 	c := 0
 	for end := firstIdleClass; idle >= end && c < idleClasses-1; end += end / 2 {
@@ -39,8 +40,8 @@
 	return c
 }
 
-// updateLimit forgets some of the past and works out the limit: where the first span begins in which connections
-// break far more often than those just used, and most at the longest.
+// updateLimit recomputes the limit and decays the counts. The limit is where the first class begins whose
+// connections break far more often than those just used, and at most the given one.
 func (t *idleTimes) updateLimit(most time.Duration) {
 	t.limit = most
 	from := time.Duration(0)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,9 +1,11 @@
-// Package pool decides on the connections to members: which of them carries a request, when another is opened, who waits
-// for one and for how long, what travels together, and when one is closed.
+// Package pool manages the connections to members: which connection carries a request, when another one
+// is opened, which requests wait for a connection and for how long, which reads are pipelined, and when a
+// connection is closed.
 //
-// It is free of I/O, clock and goroutines. A host tells it what has happened, under its lock and with the time set by
-// Advance, and carries out what it asks for (Actions, Link). It never reads or writes a connection, knows no protocol,
-// and never chooses a member: that is decided before a request comes here.
+// The package does no I/O, reads no clock and starts no goroutines. The host reports events under its
+// lock, with the time set by Advance, and carries out the decisions (Actions, Link). The pool never reads
+// or writes a connection, knows no protocol and never chooses a member: a request arrives here with its
+// member already chosen.
 package pool
 
 import (
@@ -13,207 +15,233 @@
 )
 
 const (
-	// CacheConnCapacity is how many connections a cache surely takes from all proxies together; each has its
-	// part of them. A fuller table also takes of what the cache can do, so few are opened.
+	// CacheConnCapacity is the number of connections that a cache is certain to accept from all proxies
+	// together; each proxy uses its share. A larger connection table also costs the cache some of its
+	// throughput, so few connections are opened.
 	CacheConnCapacity = 28
 	MaxCacheConns     = 6
-	// MaxWaiting is how many requests may wait at a cache for one of its connections, beside the dials, whatever the
-	// wait. Of more it is told how long that is (Wait), from how long a connection is taken for a request lately.
+	// MaxWaiting is how many requests may wait at a cache for a connection, beside one for each pending
+	// dial, whatever the expected wait. Beyond that, requests are admitted by the wait that ExpectedWait
+	// estimates from the recent occupancy of connections.
 	MaxWaiting = 2
-	// stuckFactor is after how many times that long without a request on any connection begun a cache counts as stuck,
-	// and nothing more waits for it. It should exceed what answers vary by.
-	occupancyDivisor   = 16 // the latest request counts for one in so many
+	// stuckFactor is the number of occupancy times without a request begun on any connection after which
+	// a cache counts as stuck and no further request waits for it. It should exceed the variation of
+	// response times.
+	occupancyDivisor   = 16 // weight of the latest request in the average: 1/16
 	stuckFactor        = 4
 	minStuckTime       = 50 * time.Millisecond
 	maxOriginConns     = 48
-	originConnPercent  = 12 // percent of the descriptors for the origin, at most
-	maxConcurrentDials = 64 // at once: a zone that vanished takes its time to fail, and must not take the descriptors
-	// IdlePercent is the percentage of the idle time after which a connection is closed.
-	IdlePercent     = 80
-	onceIdlePercent = 20 // the same for a request that must not be repeated: a close that crosses it can't be mended
-	// dialBackoff is how long no further connection is tried after a dial failed while others stand; it doubles
-	// with each failure in a row, up to dialBackoffMax. One dial may fail by chance, and the pool must not stay
-	// short for it; a member that holds all the connections it will, or is gone, is soon asked only seldom. It
-	// could do harm at a member to which each try is dear.
+	originConnPercent  = 12 // maximum percentage of the descriptors that connections to an origin may use
+	maxConcurrentDials = 64 // dials to a zone that vanished fail slowly and must not use up the descriptors
+	// IdlePercent is the percentage of the members' idle timeout after which a connection is closed.
+	IdlePercent = 80
+	// the same for a request that must not be repeated, which can't recover from a crossing close
+	onceIdlePercent = 20
+	// dialBackoff is how long further dials wait after a dial failed while other connections are open; it
+	// doubles with each consecutive failure, up to dialBackoffMax. A single dial may fail by chance, and
+	// the pool must not stay short because of it; a member that is at its connection limit, or is gone,
+	// is soon dialed only rarely. It can do harm at a member for which each connection attempt is
+	// expensive.
 	dialBackoff    = 10 * time.Millisecond
 	dialBackoffMax = time.Second
-	// CooldownTime is how long a connection rests after an answer. What comes in that time belongs to no request
-	// (a second copy of the answer, noise behind it) and ends the connection before it could be taken for the
-	// next one's answer. It should catch whatever a member sends unasked, and costs a connection its use for
-	// so long; unasked bytes that come later than this, with the next request already sent, get through.
+	// CooldownTime is how long a connection stays unused after an answer. Bytes that arrive in that time
+	// belong to no request (a second copy of the answer, or noise after it) and end the connection before
+	// they could be taken for the next answer. It should be long enough for whatever a member sends
+	// unsolicited, and costs that much of the connection's time; unsolicited bytes that arrive after it,
+	// when the next request has been sent, are not detected.
 	CooldownTime = time.Millisecond
-	// SuspectCooldownTime is the same for a member that has lately sent what nobody asked for, or what can't be read: second copies of its answers may
-	// come some milliseconds late. It costs such a member's connections their use for so long, until it has been clean for a while.
+	// SuspectCooldownTime replaces CooldownTime for a member that has recently sent unsolicited or
+	// unreadable bytes: second copies of its answers may arrive some milliseconds late. Its connections
+	// stay unused for that long after each answer until it has given enough clean answers.
 	SuspectCooldownTime = 20 * time.Millisecond
-	// KeepalivePercent is the part of a connection's idle time after which the last one to a cache is used for a
-	// ping, so that the cache does not close it; pingTimeout is how long one may take to answer it.
+	// KeepalivePercent is the percentage of the idle timeout after which the last connection to a cache
+	// is pinged, so that the cache does not close it; pingTimeout is the time limit for the answer.
 	KeepalivePercent = 60
 	pingTimeout      = time.Second
-	// MinCleanAnswers is how many clean answers a cache gives before anything is written behind a request to it; each answer
-	// that it spoils doubles that, up to maxCleanAnswers.
+	// MinCleanAnswers is the number of clean answers that a cache must give before requests are pipelined
+	// to it; each bad answer doubles the number, up to maxCleanAnswers.
 	MinCleanAnswers = 32
 	maxCleanAnswers = 8192
-	// maxPipelineAge is how long the request in front may be out at the most before nothing more is written behind it. It
-	// should exceed a quick answer, and harms where all answers take longer: there, one request travels at a time.
+	// maxPipelineAge is the maximum age of the current request for which another may be pipelined behind
+	// it. It should exceed a fast response time. Where all answers are slower than this, nothing is
+	// pipelined.
 	maxPipelineAge = 5 * time.Millisecond
 )
 
-// Config is what the choices depend on.
+// Config holds the parameters of a Pool.
 type Config struct {
-	ConnIdle           time.Duration // members close a connection that stood idle for this long
+	ConnIdle           time.Duration // idle timeout after which members close a connection
 	ConnectTimeout     time.Duration
-	Multiplex          int // requests that a connection to a cache carries at once
-	Instances          int // proxies that share the members
-	Descriptors        int // descriptors of this proxy
+	Multiplex          int // maximum requests in flight on a connection to a cache
+	Instances          int // number of proxies that share the members
+	Descriptors        int // file descriptors of this proxy
 	CanProbe           bool
-	ConcurrentAttempts bool // two attempts of a request may be out at once
+	ConcurrentAttempts bool // two attempts of a request may be in flight at once
 }
 
-// Request is what the choices need to know of a request. Timers keep many that are long over: it is small on purpose.
+// Request is the part of a request that the pool needs. Timers keep many completed requests alive, so it
+// is kept small.
 type Request struct {
-	ExpiresAt time.Duration // it is given up then
-	BeganAt   time.Duration // when it was written, or its turn came on its connection; 0: not yet
-	// WrittenAt is when its last byte went out, as the host sets it; 0: not yet, or it went out together with others.
+	ExpiresAt time.Duration // the request is given up at this time
+	BeganAt   time.Duration // when it was written, or became the current request of its connection; 0: not yet
+	// WrittenAt is when its last byte was written, set by the host; 0: not yet, or written together with
+	// others.
 	WrittenAt time.Duration
 	Write     bool
-	Once      bool   // it must never run twice
-	Ended     bool   // set by the host: it needs no connection any more
-	Group     uint32 // it is one of several that come at once, and may share a connection from the start; 0: of none
-	redialed  bool   // a dial for it was refused at once, and one more is made
+	Once      bool // it must never run twice
+	Ended     bool // set by the host: it no longer needs a connection
+	// requests that arrive together have the same group and may share a connection from the start; 0: no
+	// group
+	Group    uint32
+	redialed bool // a dial for it was refused immediately, and one more is made
 }
 
 // Exchange is the host's own record of a request; it embeds a Request.
 type Exchange interface {
 	comparable
 	PoolRequest() *Request
-	Key() []byte // stays as it is until the request has ended
+	Key() []byte // must not change until the request has ended
 }
 
-// PoolRequest is r: what embeds it is an Exchange.
+// PoolRequest returns r. A type that embeds Request thereby implements this method of Exchange.
 func (r *Request) PoolRequest() *Request { return r }
 
-// Verdict is why a request gets no connection.
+// Verdict is the reason for which a request gets no connection.
 type Verdict uint8
 
 // The verdicts.
 const (
-	LocalShortage Verdict = iota // the proxy's own shortage: the member is neither full nor out of reach
-	Unreachable                  // the member takes no connection, or nothing new
+	// the proxy itself is short of connections: the member is neither full nor unreachable
+	LocalShortage Verdict = iota
+	Unreachable           // the member accepts no connection, or no new requests
 )
 
-// Link is the host's side of a connection. None of it may wait.
+// Link is the host's side of a connection. None of its methods may block.
 type Link[X Exchange] interface {
-	Send(x X)       // write it
-	Ping()          // write what the member answers at once
-	Writable() bool // nothing waits to be written, and writing hasn't failed
-	Silent() bool   // nothing has come on it, neither bytes nor its end
-	Close()         // close it: it is out of the pool
+	Send(x X)       // writes the request
+	Ping()          // writes a command that the member answers immediately
+	Writable() bool // reports whether no write is pending and none has failed
+	Silent() bool   // reports whether nothing has been received, neither bytes nor the end of the stream
+	Close()         // closes the connection, which has left the pool
 }
 
-// Actions is what a Pool has its host do. None of it may wait or call back.
+// Actions carries out a Pool's decisions. None of its methods may block or call back into the pool.
 type Actions[X Exchange] interface {
-	Dial(m *Member[X], warm bool)                           // connect, then tell Dialled
-	Reject(x X, v Verdict)                                  // x gets no connection
-	Expired(x X) bool                                       // x's time is over by now: the event may have begun a while ago
-	HasDescriptor(make bool) bool                           // there is a descriptor to spare; make: one may be made free for it
-	ScheduleConnectTimeout(x X, at time.Duration)           // call Late then, unless it has been sent
-	ScheduleRedial(m *Member[X], at time.Duration)          // call Redial then
-	SchedulePingTimeout(c *Conn[X], at, sent time.Duration) // call PingTimedOut with sent then
-	ScheduleWake(at time.Duration)                          // call Wake then; the latest call counts
-}
-
-// Member is a member's connections and those who wait for one.
+	Dial(m *Member[X], warm bool) // connects, then calls DialCompleted
+	Reject(x X, v Verdict)        // x gets no connection
+	// reports whether x has expired by now: the event may have begun some time ago
+	Expired(x X) bool
+	// reports whether a descriptor is available; make: one may be freed for it
+	HasDescriptor(make bool) bool
+	// calls ConnectTimedOut at that time unless x has been sent
+	ScheduleConnectTimeout(x X, at time.Duration)
+	ScheduleRedial(m *Member[X], at time.Duration)          // calls Redial at that time
+	SchedulePingTimeout(c *Conn[X], at, sent time.Duration) // calls PingTimedOut with sent at that time
+	// calls Wake at that time; the latest call replaces earlier ones
+	ScheduleWake(at time.Duration)
+}
+
+// Member holds the connections to a member and the requests that wait for one.
 type Member[X Exchange] struct {
 	Addr   string
-	Origin bool // it is spoken to as an origin: one request at a time
-	Ready  bool // new requests may go there
-	Epoch  int  // counts its addresses and starts: a connection is of one of them
+	Origin bool // it is used as an origin: one request at a time on a connection
+	Ready  bool // it accepts new requests
+	Epoch  int  // incremented when its address or process changes; a connection belongs to one epoch
 
-	Conns        []*Conn[X] // used last stands last
-	Waiting      []X        // those whose time ends first in front
+	Conns        []*Conn[X] // in order of last use, most recent last
+	Waiting      []X        // in order of expiry, earliest first
 	pendingDials int
-	prewarming   bool          // a dial is out that nobody asked for
-	occupancy    time.Duration // how long a connection is taken for a request lately; 0: not known
-	// roundTrip is about the least time that an answer has taken lately; 0: there was none.
+	prewarming   bool          // a dial that no request asked for is pending
+	occupancy    time.Duration // recent average time for which a request occupies a connection; 0: unknown
+	// roundTrip estimates the shortest recent response time; 0: no answer yet.
 	roundTrip time.Duration
-	// smoothed and deviation are how long answers take as a rule, and by how much that varies.
+	// smoothed and deviation are the smoothed response time and its mean deviation.
 	smoothed, deviation time.Duration
-	inDialQueue         bool // in dialQueue
-	inCooldownQueue     bool // it is in rested
-	// cleanAnswers answers since the last that was spoilt, and how many are asked for before requests travel together
+	inDialQueue         bool // it is in Pool.dialQueue
+	inCooldownQueue     bool // it is in Pool.cooldownQueue
+	// cleanAnswers counts the clean answers since the last bad one; cleanRequired is the number required
+	// before requests are pipelined.
 	cleanAnswers, cleanRequired int
-	backoff                     time.Duration // the last one, doubled with each dial in a row that failed
-	noDialUntil                 time.Duration // no dials until then, while there are connections
+	// the latest backoff; it doubles with each consecutive failed dial
+	backoff     time.Duration
+	noDialUntil time.Duration // no dials before this time while connections are open
 }
 
-// Backoff is how long the latest dial that failed keeps others back; 0: none has, since one came up.
+// Backoff returns the backoff after the latest failed dial; 0: none has failed since a connection carried
+// an answer.
 func (m *Member[X]) Backoff() time.Duration { return m.backoff }
 
-// RequiredCleanAnswers is how many clean answers are asked for before requests travel together again; 0: none was spoilt.
+// RequiredCleanAnswers returns the number of clean answers required before requests are pipelined again;
+// 0: there was no bad answer.
 func (m *Member[X]) RequiredCleanAnswers() int { return m.cleanRequired }
 
-// Idle tells whether nothing is left of a member here.
+// Idle reports whether the member has no connections, pending dials or waiting requests.
 func (m *Member[X]) Idle() bool {
 	return len(m.Conns) == 0 && m.pendingDials == 0 && len(m.Waiting) == 0
 }
 
-// Conn is a connection. It carries one request at a time as long as there are connections enough: a cache that answers in
-// order lets a quick answer wait for a slow one, closes on what it can't read whatever else waits, and bytes that nobody
-// asked for can't be told from the answer to a request that crossed them. Where there are not, reads are written behind
-// others at a cache that is quick and has kept its answers clean (join, docs/connections.md).
+// Conn is a connection. It carries one request at a time as long as there are enough connections: a cache
+// answers in order, so that a fast answer waits for a slow one; it closes the connection on input that it
+// can't read, whatever else is pending; and unsolicited bytes can't be told from the answer to a request
+// that crossed them. When there are too few connections, reads are pipelined to a cache that is fast and
+// has given clean answers (pickPipelineConn, docs/connections.md).
 type Conn[X Exchange] struct {
 	Member      *Member[X]
 	Link        Link[X]
 	Current     X    // sent and not yet answered
-	Pipelined   []X  // sent after it, and answered after it
-	PingPending bool // a ping is out, and nothing else may be sent
-	Retired     bool // nothing new is sent
-	Closed      bool // it is out of the pool
+	Pipelined   []X  // sent after Current, and answered after it
+	PingPending bool // a ping is pending, and nothing else may be sent
+	Retired     bool // no further request is sent
+	Closed      bool // it has left the pool
 	HasAnswered bool // it has carried an answer
-	// Refused: all that has come on it is that there is no room. That may be said of requests, or of the connection itself.
+	// Refused: every answer so far was that the member has no capacity, which may concern the requests or
+	// the connection itself.
 	Refused      bool
-	currentSince time.Duration // when Current's turn came
-	carriesWrite bool          // it carries a write
-	group        uint32        // of the request that it was taken for
-	lastKey      []byte        // the key asked for last: the next must be another, or a second copy could not be told from its answer
-	lastUsed     time.Duration
-	idleClass    int           // the span of idle time that the request on it found it in; below 0: the connection was new
-	reusableAt   time.Duration // when it may carry the next request
-}
-
-// Busy tells whether something is out on it.
+	currentSince time.Duration // when Current became the current request
+	carriesWrite bool          // its current request is a write
+	group        uint32        // group of the request for which it was picked
+	// the latest key sent: the next key must differ, or a second copy of its answer could pass for the
+	// next answer
+	lastKey  []byte
+	lastUsed time.Duration
+	// class of the idle time that preceded its current request; below 0: the connection was new
+	idleClass  int
+	reusableAt time.Duration // when it may carry the next request
+}
+
+// Busy reports whether a request or a ping is in flight.
 func (c *Conn[X]) Busy() bool {
 	var none X
 	return c.Current != none || c.PingPending
 }
 
-// Fresh tells whether the request on it is its first.
+// Fresh reports whether the current request is the first on the connection.
 func (c *Conn[X]) Fresh() bool { return c.idleClass < 0 }
 
-// Backdate makes a connection look idle for so much longer, for tests.
+// Backdate makes the connection appear idle for longer by d, for tests.
 func (c *Conn[X]) Backdate(d time.Duration) { c.lastUsed -= d }
 
-// Reusable tells whether it is free, and has been silent for long enough after its last answer.
+// Reusable reports whether the connection is free and its cooldown after the last answer is over.
 func (c *Conn[X]) Reusable(now time.Duration) bool { return !c.Busy() && now >= c.reusableAt }
 
-// Pool is the connections of a proxy to all of its members.
+// Pool manages the connections of a proxy to all of its members.
 type Pool[X Exchange] struct {
 	cfg                Config
 	actions            Actions[X]
 	now                time.Duration
-	openConns          int // connections, those being dialled included
+	openConns          int // open connections and pending dials
 	pendingDials       int
-	dialQueue          []*Member[X] // they wait for others' dials to end
-	cooldownQueue      []*Member[X] // where requests wait for connections to rest
+	dialQueue          []*Member[X] // members whose dials wait for a dial slot or a descriptor
+	cooldownQueue      []*Member[X] // members at which requests wait for a connection's cooldown to end
 	spareCooldownQueue []*Member[X]
 	wakeAt             time.Duration
 	idle               idleTimes
 	hold               holdTime
 	maxPipelineAge     time.Duration // see the constant
-	noPipeliningUntil  time.Duration // until then nothing is written behind another
+	noPipeliningUntil  time.Duration // nothing is pipelined before this time
 }
 
-// New makes a Pool.
+// New returns a Pool without connections.
 func New[X Exchange](cfg Config, do Actions[X]) *Pool[X] {
 	return &Pool[X]{cfg: cfg, actions: do, idle: newIdleTimes(cfg.ConnIdle * IdlePercent / 100),
 		hold: newHoldTime(cfg.ConnIdle * IdlePercent / 100), maxPipelineAge: maxPipelineAge}
@@ -222,19 +250,19 @@
 // Advance sets the time.
 func (p *Pool[X]) Advance(now time.Duration) { p.now = now }
 
-// SetDescriptors changes how many descriptors this proxy has.
+// SetDescriptors changes the number of file descriptors of this proxy.
 func (p *Pool[X]) SetDescriptors(n int) { p.cfg.Descriptors = n }
 
-// SetMaxPipelineAge changes how long a request may be out before nothing more is written behind it, for tests.
+// SetMaxPipelineAge changes the maximum age of a current request for pipelining, for tests.
 func (p *Pool[X]) SetMaxPipelineAge(d time.Duration) { p.maxPipelineAge = d }
 
-// OpenConns counts the connections, those that are being dialled included.
+// OpenConns returns the number of connections, pending dials included.
 func (p *Pool[X]) OpenConns() int { return p.openConns }
 
-// SuspendPipelining has nothing written behind anything for a while.
+// SuspendPipelining stops pipelining for a duration.
 func (p *Pool[X]) SuspendPipelining(d time.Duration) { p.noPipeliningUntil = p.now + d }
 
-// UpdateMember takes over what the list says of a member.
+// UpdateMember applies a change of a member in discovery's list.
 func (p *Pool[X]) UpdateMember(m *Member[X], ready, moved bool) {
 	m.Ready = ready
 	if moved {
@@ -246,8 +274,8 @@
 	}
 }
 
-// retireAll lets the connections to a member end with what is out on them. Requests that still wait for one
-// have not been sent, and must not be once the member drains.
+// retireAll lets the requests in flight on a member's connections finish. Requests that still wait for a
+// connection have not been sent, and must not be sent once the member drains.
 func (p *Pool[X]) retireAll(m *Member[X]) {
 	for _, c := range slices.Clone(m.Conns) {
 		p.Retire(c)
@@ -258,10 +286,10 @@
 		}
 		m.Waiting = nil
 	}
-	p.Redial(m) // for those that wait for a dial to the old address
+	p.Redial(m) // for requests that wait for a dial to the old address
 }
 
-// Retire takes a connection out of use and closes it once nothing is awaited on it.
+// Retire takes a connection out of use and closes it once no answer is pending.
 func (p *Pool[X]) Retire(c *Conn[X]) {
 	c.Retired = true
 	var none X
@@ -270,7 +298,7 @@
 	}
 }
 
-// Close takes a connection out of the pool and has it closed.
+// Close removes a connection from the pool and closes it.
 func (p *Pool[X]) Close(c *Conn[X]) {
 	if c.Closed {
 		return
@@ -283,7 +311,7 @@
 	c.Link.Close()
 }
 
-// HandleBroken takes in that a connection has ended.
+// HandleBroken handles the end of a connection.
 func (p *Pool[X]) HandleBroken(c *Conn[X]) {
 	if !c.Closed && !c.HasAnswered && (c.Refused || c.PingPending) {
 		if c.Refused && !c.Member.Origin {
@@ -296,14 +324,14 @@
 	p.dialNext()
 }
 
-// RecordBreak notes that a connection ended with a request out on it.
+// RecordBreak records that a connection ended with a request in flight.
 func (p *Pool[X]) RecordBreak(c *Conn[X]) {
 	if c.idleClass >= 0 {
 		p.idle.broken[c.idleClass]++
 	}
 }
 
-// MaxConns is the most connections to a member.
+// MaxConns returns the maximum number of connections to a member.
 func (p *Pool[X]) MaxConns(m *Member[X]) int {
 	if m.Origin {
 		return min(maxOriginConns, max(4, p.cfg.Descriptors*originConnPercent/100))
@@ -311,7 +339,7 @@
 	return min(MaxCacheConns, max(1, CacheConnCapacity/max(1, p.cfg.Instances)))
 }
 
-// Submit sends a request on a connection that is free, or has it wait for one.
+// Submit sends a request on a connection, or queues it until one is available.
 func (p *Pool[X]) Submit(m *Member[X], x X) {
 	if c := p.pickGroupConn(m, x); c != nil {
 		p.start(c, x)
@@ -327,8 +355,8 @@
 		p.start(c, x)
 		return
 	}
-	// A long line here would be load that the host takes for the member's own. It is told at once that
-	// there is no more room, and can send elsewhere.
+	// A long queue here would look to the host like load at the member. The request is rejected
+	// immediately, so that the host can send it to another member.
 	if expected < 0 {
 		p.actions.Reject(x, LocalShortage)
 		return
@@ -339,14 +367,16 @@
 	p.Redial(m)
 }
 
-// mayDial tells whether another connection may be opened.
+// mayDial reports whether another connection to a member may be opened.
 func (p *Pool[X]) mayDial(m *Member[X]) bool {
 	return len(m.Conns)+m.pendingDials < p.MaxConns(m) && (len(m.Conns) == 0 || p.now >= m.noDialUntil)
 }
 
-// ExpectedWait tells how long a request would wait for a connection to a member, beside a handshake; below 0: it had better go
-// elsewhere, as its wait would be in vain. A member that is out of reach is such a one until a connection stands that can carry
-// a request; being asked for is what has one opened, and no request waits for it. What comes all the same is dialled for.
+// ExpectedWait estimates how long a request would wait for a connection to a member, handshake excluded.
+// A negative result means that the request should go to another member, as waiting would be futile. An
+// unreachable member gives a negative result until a connection is open that can carry a request. Calling
+// ExpectedWait starts the dial for it, and no request waits for that dial; a request submitted anyway is
+// dialed for.
 func (p *Pool[X]) ExpectedWait(m *Member[X]) time.Duration {
 	if p.unreachable(m) {
 		p.dialTrial(m)
@@ -355,21 +385,25 @@
 	return p.expectedWait(m)
 }
 
-// unreachable tells whether connections to a cache have failed, or were turned away, more than once in a row, and none stands that
-// has carried an answer, or could be the first to. One in a row may be chance. Where proxies are more than the connections that a
-// cache takes, or a zone has vanished, each request else spends a try or a connect time-out on it, at each proxy. It could do harm
-// where all caches are out of reach: requests are told so at once that would have waited for a dial.
+// unreachable reports whether connections to a cache have failed, or were refused, more than once in a
+// row, and no open connection has carried an answer or could carry a first one. A single failure may be
+// chance. Where there are more proxies than the cache accepts connections, or a zone has vanished, each
+// request would otherwise spend an attempt or a connect timeout on the cache, at each proxy. It can do
+// harm when all caches are unreachable: requests that would have waited for a dial are rejected
+// immediately.
 func (p *Pool[X]) unreachable(m *Member[X]) bool {
 	return !m.Origin && m.backoff > dialBackoff &&
 		!slices.ContainsFunc(m.Conns, func(c *Conn[X]) bool { return c.HasAnswered || !c.Refused && !c.Busy() })
 }
 
-// dialTrial opens a connection that no request waits for. That it stands is not all: a cache that holds all the connections it will
-// takes one more only to turn its first request away. A ping would find that out, and is priced as a probe.
+// dialTrial opens a connection that no request waits for. An open connection alone proves nothing: a
+// cache at its connection limit accepts one more only to refuse its first request. A ping would find that
+// out, but counts as a probe, which has a price.
 func (p *Pool[X]) dialTrial(m *Member[X]) {
 	switch {
 	case !m.Ready || p.now < m.noDialUntil || m.pendingDials > 0:
-	case len(m.Conns) > 0: // its request was turned away, and it was not closed for that: another may do better
+	// its request was refused, but the connection was left open: another request may succeed
+	case len(m.Conns) > 0:
 		if c := m.Conns[0]; !c.Busy() {
 			p.extendBackoff(m)
 			c.Refused = false
@@ -379,8 +413,8 @@
 	}
 }
 
-// expectedWait is Wait for what goes there whatever has become of the latest dial; Place turns away what it is below 0 for, and
-// nothing else.
+// expectedWait is ExpectedWait without the check for an unreachable member. Submit rejects exactly the
+// requests for which the result is negative.
 func (p *Pool[X]) expectedWait(m *Member[X]) time.Duration {
 	if m.Origin || len(m.Waiting) < m.pendingDials+MaxWaiting || p.mayDial(m) {
 		return 0
@@ -398,20 +432,22 @@
 	return p.queueDelay(m)
 }
 
-// mayPipeline tells whether reads may be written behind others at a member.
+// mayPipeline reports whether the request may be pipelined behind others at a member.
 func (p *Pool[X]) mayPipeline(m *Member[X], r *Request) bool {
-	return !m.Origin && !r.Write && p.now >= p.noPipeliningUntil && !r.Once && p.cfg.Multiplex >= 2 && m.cleanAnswers >= max(MinCleanAnswers, m.cleanRequired)
+	return !m.Origin && !r.Write && p.now >= p.noPipeliningUntil && !r.Once &&
+		p.cfg.Multiplex >= 2 && m.cleanAnswers >= max(MinCleanAnswers, m.cleanRequired)
 }
 
-// acceptsPipelined tells whether a read may be written behind those on a connection.
+// acceptsPipelined reports whether a read may be pipelined on a connection.
 func (p *Pool[X]) acceptsPipelined(c *Conn[X], x X) bool {
 	var none X
 	return !c.Retired && c.Link.Writable() && !c.PingPending && c.HasAnswered && c.Current != none && !c.carriesWrite &&
 		1+len(c.Pipelined) < p.cfg.Multiplex && p.now-c.currentSince <= p.maxPipelineAge && !bytes.Equal(c.lastKey, x.Key())
 }
 
-// pickGroupConn finds the connection that others of a request's group were put on in the same moment: they go out, and most often come back,
-// together, and their member works on them as on as many connections. nil, if there is none that may be joined.
+// pickGroupConn returns the connection that took other requests of the same group at the same moment, or
+// nil if it may not be pipelined on. The requests are sent together, their answers mostly arrive
+// together, and the member works on them as if they came on as many connections.
 func (p *Pool[X]) pickGroupConn(m *Member[X], x X) *Conn[X] {
 	r := x.PoolRequest()
 	if r.Group == 0 || !p.mayPipeline(m, r) {
@@ -425,8 +461,9 @@
 	return nil
 }
 
-// pickPipelineConn finds the connection to a cache behind whose requests a read waits least; nil, if it should not. What is written
-// behind others shares their fate, so it has to be a read, which may be sent again, and the cache quick and clean.
+// pickPipelineConn returns the connection to a cache with the fewest pipelined requests for a read, or
+// nil if the read should not be pipelined. A pipelined request fails with the requests before it, so it
+// has to be a read, which may be repeated, and the cache has to be fast and clean.
 func (p *Pool[X]) pickPipelineConn(m *Member[X], x X) *Conn[X] {
 	r := x.PoolRequest()
 	if !p.mayPipeline(m, r) {
@@ -444,7 +481,7 @@
 	return best
 }
 
-// cooldown is how long a connection rests after an answer.
+// cooldown returns how long a connection stays unused after an answer.
 func (m *Member[X]) cooldown() time.Duration {
 	if m.cleanAnswers < m.cleanRequired {
 		return SuspectCooldownTime
@@ -452,13 +489,14 @@
 	return CooldownTime
 }
 
-// RecordBadAnswer notes that a member's answer could not be read, or more came than was asked for.
+// RecordBadAnswer records that an answer of the member could not be read, or that unsolicited bytes
+// arrived.
 func (m *Member[X]) RecordBadAnswer() {
 	m.cleanAnswers, m.cleanRequired = 0, min(max(MinCleanAnswers, 2*m.cleanRequired), maxCleanAnswers)
 }
 
-// queueDelay is how long a request would stand in line for a connection to a cache; below 0: nothing tells, the cache is stuck, or
-// its wait would be as long as that for a connection may be.
+// queueDelay estimates how long a request would wait in the queue for a connection to a cache. It is
+// negative if there is no data, the cache is stuck, or the wait would exceed half the connect timeout.
 func (p *Pool[X]) queueDelay(m *Member[X]) time.Duration {
 	conns := len(m.Conns) + m.pendingDials
 	if m.occupancy == 0 || conns == 0 {
@@ -480,7 +518,7 @@
 	return wait
 }
 
-// enqueue puts a request in line, those whose time ends first in front.
+// enqueue adds a request to the queue, which is ordered by expiry.
 func (m *Member[X]) enqueue(x X) {
 	i := len(m.Waiting)
 	for i > 0 && m.Waiting[i-1].PoolRequest().ExpiresAt > x.PoolRequest().ExpiresAt {
@@ -489,8 +527,9 @@
 	m.Waiting = slices.Insert(m.Waiting, i, x)
 }
 
-// pickFreeConn chooses the free connection used last, so that the others fall idle and close; nil, if there is none.
-// One that has stood so long that the member may be closing it, or that is not silent, is not used again.
+// pickFreeConn returns the most recently used free connection, so that the others become idle and are
+// closed; nil if there is none. A connection that has been idle for so long that the member may be
+// closing it, or that has received something, is not used again.
 func (p *Pool[X]) pickFreeConn(m *Member[X], x X) *Conn[X] {
 	share := time.Duration(IdlePercent)
 	if x.PoolRequest().Once {
@@ -505,13 +544,13 @@
 		case p.now-c.lastUsed < p.cfg.ConnIdle*share/100:
 			return c
 		case len(m.Conns)+m.pendingDials >= p.MaxConns(m):
-			p.Close(c) // a fresh one takes its place
+			p.Close(c) // a new one replaces it
 		}
 	}
 	return nil
 }
 
-// Redial opens connections for those that wait, within the bounds.
+// Redial opens connections for the waiting requests, within the limits.
 func (p *Pool[X]) Redial(m *Member[X]) {
 	most := p.MaxConns(m)
 	if len(m.Conns) > 0 && p.now < m.noDialUntil {
@@ -536,8 +575,8 @@
 	p.actions.Dial(m, warm)
 }
 
-// DialCompleted takes in how a dial has ended: with a connection that is new, of the epoch that it was begun in, or nil; atOnce
-// tells that it was turned away without a wait.
+// DialCompleted handles the end of a dial. c is the new connection, of the epoch in which the dial began,
+// or nil; atOnce reports that the dial was refused without a wait.
 func (p *Pool[X]) DialCompleted(m *Member[X], c *Conn[X], epoch int, warm, atOnce bool) {
 	p.releaseDialSlot(m, warm)
 	switch {
@@ -545,7 +584,7 @@
 		p.openConns--
 		p.dialFailed(m, atOnce)
 	case !m.Ready || epoch != m.Epoch:
-		p.Retire(c) // the list has changed meanwhile
+		p.Retire(c) // the member has changed meanwhile
 	default:
 		c.lastUsed, m.noDialUntil = p.now, 0
 		m.Conns = append(m.Conns, c)
@@ -557,7 +596,7 @@
 	p.dialNext()
 }
 
-// releaseDialSlot gives back the place of a dial.
+// releaseDialSlot removes a dial from the pending ones.
 func (p *Pool[X]) releaseDialSlot(m *Member[X], warm bool) {
 	m.pendingDials--
 	p.pendingDials--
@@ -566,8 +605,10 @@
 	}
 }
 
-// DialFailedLocally takes in that a dial has failed for want of something that this machine is short of. That tells nothing of the member, which is neither
-// held back nor out of reach; whoever has waited longest goes elsewhere, where connections may stand, unless those that stand here will take it.
+// DialFailedLocally handles a dial that failed for lack of a resource of this machine. That says nothing
+// about the member, which is neither backed off from nor unreachable. If no connection is open to take
+// the waiting requests, the first of them is rejected, to be sent to another member that may have open
+// connections.
 func (p *Pool[X]) DialFailedLocally(m *Member[X], warm bool) {
 	p.releaseDialSlot(m, warm)
 	p.openConns--
@@ -584,11 +625,12 @@
 	p.dialNext()
 }
 
-// dialFailed ends the request that has waited longest, unless the connections that stand will take it: a cache
-// that is up but holds all the connections it will goes on answering on the open ones. Refused at once, it is
-// tried once more, since that has taken no time.
+// dialFailed rejects the first waiting request, unless open connections will take it: a cache that is up
+// but at its connection limit still answers on the open ones. A request whose dial was refused
+// immediately gets one more dial, since the refusal has cost no time.
 func (p *Pool[X]) dialFailed(m *Member[X], atOnce bool) {
-	if atOnce && !m.Origin && m.backoff == 0 { // one that has died, and could as well be full, says so each time
+	// a dead cache refuses each dial like a full one, so only the first refusal counts
+	if atOnce && !m.Origin && m.backoff == 0 {
 		p.hold.recordRefusal()
 	}
 	p.extendBackoff(m)
@@ -604,16 +646,16 @@
 	}
 }
 
-// extendBackoff keeps dials to a member back for a while, twice as long as the last time.
+// extendBackoff starts the backoff of dials to a member, twice as long as the previous one.
 func (p *Pool[X]) extendBackoff(m *Member[X]) {
-	if p.now >= m.noDialUntil { // those that fail together count once
+	if p.now >= m.noDialUntil { // dials that fail together count once
 		m.backoff = min(max(dialBackoff, 2*m.backoff), dialBackoffMax)
 		m.noDialUntil = p.now + m.backoff
 		p.actions.ScheduleRedial(m, m.noDialUntil)
 	}
 }
 
-// dialNext lets the next member dial that had to wait for others' dials.
+// dialNext lets the next members in the queue dial.
 func (p *Pool[X]) dialNext() {
 	for len(p.dialQueue) > 0 && p.pendingDials < maxConcurrentDials {
 		m := p.dialQueue[0]
@@ -626,7 +668,7 @@
 	}
 }
 
-// serveWaiting sends those that wait, as far as there are connections.
+// serveWaiting sends waiting requests as far as connections are available.
 func (p *Pool[X]) serveWaiting(m *Member[X]) {
 	for len(m.Waiting) > 0 && m.Ready {
 		x := m.Waiting[0]
@@ -649,14 +691,14 @@
 	}
 }
 
-// WriteDrained takes in that what waited to be written on a connection has gone out.
+// WriteDrained handles the end of a connection's pending writes.
 func (p *Pool[X]) WriteDrained(c *Conn[X]) {
 	if !c.Closed {
 		p.serveWaiting(c.Member)
 	}
 }
 
-// ConnectTimedOut ends a request that has found no connection in time.
+// ConnectTimedOut rejects a request that has not got a connection in time.
 func (p *Pool[X]) ConnectTimedOut(m *Member[X], x X) {
 	if m != nil {
 		m.RemoveWaiting(x)
@@ -664,8 +706,9 @@
 	p.actions.Reject(x, NoConnVerdict(m))
 }
 
-// NoConnVerdict is the verdict on a request that has waited for a connection in vain. Where connections stand, they are all
-// busy: it is the pool that is short, and the member is neither full nor out of reach.
+// NoConnVerdict returns the verdict for a request that has waited for a connection in vain. If
+// connections are open, all of them are busy: the pool is short of them, and the member is neither full
+// nor unreachable.
 func NoConnVerdict[X Exchange](m *Member[X]) Verdict {
 	if m != nil && len(m.Conns) > 0 {
 		return LocalShortage
@@ -673,14 +716,14 @@
 	return Unreachable
 }
 
-// RemoveWaiting takes a request out of the line.
+// RemoveWaiting removes a request from the queue.
 func (m *Member[X]) RemoveWaiting(x X) {
 	if i := slices.Index(m.Waiting, x); i >= 0 {
 		m.Waiting = slices.Delete(m.Waiting, i, i+1)
 	}
 }
 
-// start puts a request on a connection.
+// start sends a request on a connection.
 func (p *Pool[X]) start(c *Conn[X], x X) {
 	r := x.PoolRequest()
 	r.BeganAt = p.now
@@ -699,7 +742,7 @@
 	c.Link.Send(x)
 }
 
-// touch makes the connection the one used last.
+// touch marks the connection as the most recently used one.
 func (p *Pool[X]) touch(c *Conn[X]) {
 	c.lastUsed = p.now
 	if s := c.Member.Conns; len(s) > 0 && s[len(s)-1] != c {
@@ -710,8 +753,9 @@
 	}
 }
 
-// Answered takes in that the answer to the request in front has come whole; timed tells whether how long it took says
-// something of the member. Where requests are behind it, the next one's turn has come, and what comes is its answer.
+// Answered handles a complete answer to the current request; timed reports whether its duration says
+// anything about the member. If requests are pipelined, the next one becomes current, more is true, and
+// the next answer belongs to it.
 func (p *Pool[X]) Answered(c *Conn[X], timed bool) (more bool) {
 	var none X
 	if timed {
@@ -731,8 +775,8 @@
 	return true
 }
 
-// Release lets a connection with nothing out be used again, once it has been silent for a while: what comes from now on finds
-// no request on it.
+// Release makes a connection without requests in flight available again after its cooldown, so that bytes
+// that arrive meanwhile are found to belong to no request.
 func (p *Pool[X]) Release(c *Conn[X]) {
 	var none X
 	c.Current, c.PingPending, c.lastUsed = none, false, p.now
@@ -741,7 +785,8 @@
 	}
 	if c.HasAnswered = c.HasAnswered || !c.Refused; c.HasAnswered {
 		c.Member.backoff, c.Member.noDialUntil = 0, 0
-		// One that was turned away is left: its end is coming, and tells that there is no room.
+		// A refused connection is left open: its end will follow, and shows that the member has no
+		// capacity.
 		if !c.Member.Origin && p.hold.current < minHoldTime && len(c.Member.Waiting) == 0 {
 			p.Close(c)
 			return
@@ -751,8 +796,8 @@
 	p.scheduleCooldownWake(c.Member)
 }
 
-// scheduleCooldownWake has those that wait at a member served once a connection has rested. Rests that end close together share a
-// wake-up.
+// scheduleCooldownWake schedules a wake-up that serves the requests waiting at a member when a
+// connection's cooldown ends. Cooldowns that end close together share a wake-up.
 func (p *Pool[X]) scheduleCooldownWake(m *Member[X]) {
 	if len(m.Waiting) == 0 || m.inCooldownQueue {
 		return
@@ -771,7 +816,7 @@
 	}
 }
 
-// Wake serves those that have waited for a connection to rest.
+// Wake serves the requests that have waited for a cooldown to end.
 func (p *Pool[X]) Wake() {
 	members := p.cooldownQueue
 	p.cooldownQueue = p.spareCooldownQueue[:0]
@@ -788,18 +833,19 @@
 	p.spareCooldownQueue = members[:0]
 }
 
-// Sweep closes what has stood idle for too long, and keeps a connection to each cache open and used. The first request on a
-// connection waits for what a handshake takes, several round trips; sent to another zone it can time out by that alone,
-// which closes the connection and makes the next one wait as long, so that a healthy cache looks slow for good. A ping
-// takes that wait in a request's place. It costs each cache a little work every few seconds, so where proxies are many, or
-// members more than there are descriptors for, it is left out.
+// Sweep closes connections that have been idle for too long, and keeps one connection to each cache open
+// and in use. The first request on a connection also waits for the handshake, several round trips. To
+// another zone that alone can exceed its timeout, which closes the connection and makes the next request
+// wait as long, so that a healthy cache looks slow permanently. A ping takes that wait instead of a
+// request. It costs each cache a little work every few seconds, so it is omitted where there are many
+// proxies, or more members than descriptors allow.
 func (p *Pool[X]) Sweep(m *Member[X], members int) {
 	age := p.idle.limit
 	if !m.Origin {
 		age = min(age, p.hold.current)
 	}
 	p.CloseIdle(m, age)
-	if age < p.cfg.ConnIdle*KeepalivePercent/100 { // it would not last
+	if age < p.cfg.ConnIdle*KeepalivePercent/100 { // the connection would be closed before its ping
 		return
 	}
 	if !p.cfg.CanProbe || m.Origin || !m.Ready || m.prewarming ||
@@ -817,7 +863,7 @@
 	}
 }
 
-// UpdateIdleLimit works out anew how long connections may stand idle, from what has become of them lately.
+// UpdateIdleLimit recomputes the idle limit from the recent record of reused and broken connections.
 func (p *Pool[X]) UpdateIdleLimit() { p.idle.updateLimit(p.cfg.ConnIdle * IdlePercent / 100) }
 
 func (p *Pool[X]) ping(c *Conn[X]) {
@@ -827,15 +873,15 @@
 	p.actions.SchedulePingTimeout(c, p.now+pingTimeout, c.lastUsed)
 }
 
-// PingTimedOut gives up a connection whose ping, sent then, has not been answered.
+// PingTimedOut drops a connection whose ping, sent at the given time, has not been answered.
 func (p *Pool[X]) PingTimedOut(c *Conn[X], sent time.Duration) {
 	if c.PingPending && c.lastUsed == sent {
 		p.HandleBroken(c)
 	}
 }
 
-// CloseIdle closes the connections to a member that have been idle for long enough, before the member does:
-// a command that crosses its close would count as one that may have run.
+// CloseIdle closes the connections to a member that have been idle for at least age, before the member
+// closes them: a command that crosses the member's close would count as one that may have run.
 func (p *Pool[X]) CloseIdle(m *Member[X], age time.Duration) (closed int) {
 	for _, c := range slices.Clone(m.Conns) {
 		if !c.Busy() && p.now-c.lastUsed >= age {
--- a/internal/pool/transit.go
+++ b/internal/pool/transit.go
@@ -3,22 +3,25 @@
 import "time"
 
 const (
-	// transitDivisor: where no answer has told, a message is expected to be under way for no longer than this part of the connect time-out. One that
-	// is of any use leaves room for two round trips, so that a lost message does not fail the connection.
+	// transitDivisor: before any answer is known, a message is expected to be in transit for at most this
+	// fraction of the connect timeout. A useful connect timeout allows two round trips, so that a lost
+	// message does not fail the connection.
 	transitDivisor = 4
-	// maxTransit bounds that: the longest way on earth takes light in a cable 0.1 s, and queues on it as long again at most times.
+	// maxTransit is an upper bound: along the longest path on earth light in a cable takes 0.1 s, and
+	// queues seldom add as much again.
 	maxTransit = 150 * time.Millisecond
-	// roundTripRiseDivisor is the part by which the estimate of a round trip grows with each answer that is slower. A member that has moved farther away
-	// is known as such some hundred answers later.
+	// roundTripRiseDivisor is the fraction by which the estimate of a round trip rises with each slower
+	// answer. A member that has moved farther away is recognized about a hundred answers later.
 	roundTripRiseDivisor = 64
 
-	// The weights of RFC 6298: an answer counts for an eighth of the smoothed time and a quarter of its deviation, and one that takes four deviations
-	// longer than the smoothed time is late.
+	// The weights of RFC 6298: an answer counts for an eighth of the smoothed time and a quarter of its
+	// deviation, and an answer is late if it exceeds the smoothed time by four deviations.
 	smoothedDivisor, deviationDivisor, deviationFactor = 8, 4, 4
 )
 
-// recordAnswerTime takes in how long an answer took since its request was written. That is at least a round trip. The smoothed time and its deviation are those
-// of RFC 6298, which tells by them when a segment counts as lost.
+// recordAnswerTime records the time from writing a request to its answer, which is at least a round trip.
+// The smoothed time and its deviation are those of RFC 6298, which uses them to decide when a segment
+// counts as lost.
 func (m *Member[X]) recordAnswerTime(took time.Duration) {
 	if m.roundTrip == 0 {
 		m.roundTrip, m.smoothed, m.deviation = took, took, took/2
@@ -29,15 +32,17 @@
 	m.smoothed += (took - m.smoothed) / smoothedDivisor
 }
 
-// Transit is how long after it was written a request has surely come at a member, on a connection that has carried one before: by when its answer
-// would have come, were it one of the slower ones, as far as answers have told. What is given up sooner may come after what is written to another
-// member later, and both then have it in hand. Where two attempts may be out at once, nothing waits for that.
+// Transit returns how long after being written a request has certainly arrived at a member, on a
+// connection that has carried an earlier request. By then its answer would have come, were it one of the
+// slower ones, as far as known from earlier answers. A request that is abandoned sooner may arrive after
+// a later one written to another member, and both members would then process it at once. Where concurrent
+// attempts are allowed, nothing waits for that.
 func (p *Pool[X]) Transit(m *Member[X]) time.Duration {
 	expected := m.smoothed + deviationFactor*m.deviation
-	return p.boundTransit(expected.Truncate(time.Microsecond)) // whole numbers leave some nanoseconds
+	return p.boundTransit(expected.Truncate(time.Microsecond)) // whole microseconds avoid odd nanoseconds
 }
 
-// boundTransit bounds a time that is expected by answers; 0: none has told.
+// boundTransit limits an expected transit time; 0: no answer is known.
 func (p *Pool[X]) boundTransit(expected time.Duration) time.Duration {
 	if p.cfg.ConcurrentAttempts {
 		return 0
@@ -49,8 +54,9 @@
 	return min(expected, longest)
 }
 
-// FirstTransit is the same for the first request on a connection. It comes once the handshake is through, for which the member may have to find
-// the time; a connection that takes longer than the connect time-out never comes up.
+// FirstTransit is Transit for the first request on a connection. It arrives once the handshake is
+// complete, for which the member may be slow to find time; a connection that takes longer than the
+// connect timeout never opens.
 func (p *Pool[X]) FirstTransit() time.Duration {
 	if p.cfg.ConcurrentAttempts {
 		return 0
@@ -58,9 +64,9 @@
 	return min(p.cfg.ConnectTimeout, transitDivisor*maxTransit)
 }
 
-// tooLateToAnswer tells whether a request that has waited for a connection has so little of its time left that no answer could come within it; a member
-// may drop such a request without a word. What finds a connection at once is not held to it: it is how a member that has not answered yet is got
-// to know.
+// tooLateToAnswer reports whether a request that has waited for a connection has so little time left that
+// no answer could arrive in time; a member may drop such a request silently. A request that gets a
+// connection immediately is not checked: such requests are how a member without answers becomes known.
 func (p *Pool[X]) tooLateToAnswer(m *Member[X], x X) bool {
 	until := x.PoolRequest().ExpiresAt
 	return until > 0 && until-p.now < p.boundTransit(m.roundTrip)
