--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -7,36 +7,38 @@
 	"time"
 )
 
-// cacheServer is a cache that takes so many connections of all proxies together, and turns further ones away at once.
+// cacheServer simulates a cache that accepts a limited number of connections from all proxies together
+// and refuses further ones immediately.
 type cacheServer struct {
 	connLimit, open, dials, refused int
 }
 
-// fleet is the pools of many proxies before a few caches, on one clock.
+// fleet simulates the pools of many proxies in front of a few caches, on one clock.
 type fleet struct {
 	t           *testing.T
 	caches      []*cacheServer
 	now         time.Duration
 	hosts       []*testHost
-	members     [][]*Member[*testRequest] // a proxy's, by cache
+	members     [][]*Member[*testRequest] // by proxy and cache
 	cacheOf     map[*Member[*testRequest]]*cacheServer
-	refuseDials bool // connections that are too many are refused; else their first request is turned away
-	maxAttempts int  // a request that finds no connection goes on to another cache until it has had so many
+	refuseDials bool // connections over the limit are refused when dialed; else their first request is refused
+	maxAttempts int  // a request that finds no connection tries other caches, up to this number of attempts
 	requested   []int
 	served      []int
-	refused     []int // connections that were turned away on their first request
-	unconnected []int // tries that were told that the cache takes no connection
-	connected   int   // connections that came up
+	refused     []int // by proxy: connections refused on their first request
+	unconnected []int // by proxy: attempts that found no connection
+	connected   int   // connections that were established
 	rng         *rand.Rand
 	requests    int
 }
 
-func newFleet(t *testing.T, proxies, caches, most int) *fleet {
-	f := &fleet{t: t, refuseDials: true, cacheOf: map[*Member[*testRequest]]*cacheServer{}, now: time.Hour, maxAttempts: 1, requested: make([]int, proxies), served: make([]int, proxies),
+func newFleet(t *testing.T, proxies, caches, connLimit int) *fleet {
+	f := &fleet{t: t, refuseDials: true, cacheOf: map[*Member[*testRequest]]*cacheServer{}, now: time.Hour,
+		maxAttempts: 1, requested: make([]int, proxies), served: make([]int, proxies),
 		refused:     make([]int, proxies),
 		unconnected: make([]int, proxies), rng: rand.New(rand.NewPCG(1, 2))}
 	for range caches {
-		f.caches = append(f.caches, &cacheServer{connLimit: most})
+		f.caches = append(f.caches, &cacheServer{connLimit: connLimit})
 	}
 	cfg := defaultConfig
 	cfg.Instances = proxies
@@ -52,8 +54,9 @@
 	return f
 }
 
-// run plays milliseconds: each proxy asks some cache every gap or so, answers come after two, dials end after one.
-func (f *fleet) run(duration, gap time.Duration, asks func(proxy int) bool) {
+// run advances the simulation in steps of a millisecond: each proxy sends a request about once per gap,
+// answers take two milliseconds, dials one.
+func (f *fleet) run(duration, gap time.Duration, sends func(proxy int) bool) {
 	const tick = time.Millisecond
 	for end := f.now + duration; f.now < end; f.now += tick {
 		for i, host := range f.hosts {
@@ -87,7 +90,7 @@
 					}
 					continue
 				case len(link.sent) == 0 || f.now-link.sent[0].BeganAt < 2*tick:
-				case link.overLimit: // its first request is told that there is no room, and it is closed
+				case link.overLimit: // its first request is refused, and it is closed
 					cache.refused++
 					f.refused[i]++
 					link.conn.Refused = true
@@ -106,7 +109,7 @@
 				live = append(live, link)
 			}
 			host.links = live
-			for _, m := range f.members[i] { // in order, so that each run is the same
+			for _, m := range f.members[i] { // in a fixed order, so that runs are reproducible
 				if at := host.redials[m]; at > 0 && f.now >= at {
 					delete(host.redials, m)
 					host.pool.Redial(m)
@@ -126,14 +129,14 @@
 					host.pool.Sweep(m, 60)
 				}
 			}
-			if asks(i) && f.rng.Float64() < float64(tick)/float64(gap) {
+			if sends(i) && f.rng.Float64() < float64(tick)/float64(gap) {
 				f.request(i)
 			}
 		}
 	}
 }
 
-// restart has another process in a proxy's place: its connections end, and it knows nothing.
+// restart replaces a proxy by a new process: its connections end, and it has no state.
 func (f *fleet) restart(i int) {
 	for _, link := range f.hosts[i].links {
 		if !link.overLimit && !link.closed && link.epoch == link.conn.Member.Epoch {
@@ -148,7 +151,8 @@
 	}
 }
 
-// request has a proxy ask for something that is at a cache, and at the next ones where that takes no connection.
+// request sends a request of a proxy to a random cache, and to the next ones while no connection is
+// available.
 func (f *fleet) request(i int) {
 	f.requests++
 	f.requested[i]++
@@ -169,7 +173,9 @@
 	}
 }
 
-// 80 proxies before a cache that takes 28 connections: each holds one at the most, those without one are told so at once; and when others go, each of them has one again within two seconds of asking.
+// 80 proxies in front of a cache that accepts 28 (or 14) connections: each proxy holds at most one,
+// requests at the others are rejected immediately, and once the first ones stop sending, the others get
+// the connections.
 func TestMoreProxiesThanConnections(t *testing.T) {
 	for _, connLimit := range []int{28, 14} {
 		proxies := newFleet(t, 80, 1, connLimit)
@@ -180,7 +186,7 @@
 		if proxies.caches[0].open != connLimit {
 			t.Errorf("%d of %d connections are used", proxies.caches[0].open, connLimit)
 		}
-		// Without a connection every proxy still asks: twice for a request, as a refusal takes no time.
+		// Proxies without a connection keep dialing: twice for a request, as a refusal takes no time.
 		if perS := (proxies.caches[0].dials - tried) / 4; perS > 2*2*80 {
 			t.Errorf("%d dials a second", perS)
 		}
@@ -193,7 +199,8 @@
 				t.Errorf("%d requests wait at proxy %d", len(m.Waiting), i)
 			}
 		}
-		// Those that hold one stop asking: theirs fall idle and are closed, and the others get them.
+		// The proxies that hold a connection stop sending: theirs become idle and are closed, and the
+		// others get them.
 		var quiet [80]bool
 		for i, at := range proxies.members {
 			m := at[0]
@@ -213,9 +220,9 @@
 	}
 }
 
-// A cache that is gone, or turns new connections away on their first request, as one that holds all it will does. From the second in
-// a row on no request waits for a connection; those that are tried, and the requests that find out, are paced by the backoff; and
-// an answer ends all that.
+// A cache that is gone, or that refuses new connections on their first request, as one at its connection
+// limit does. From the second consecutive failure on no request waits for a connection; trial dials, and
+// the requests sent on them, are paced by the backoff; and an answer ends this state.
 func TestUnreachableCacheIsProbedAtBackoffPace(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		host := newTestHost(t, defaultConfig)
@@ -282,7 +289,7 @@
 	}
 }
 
-// A request that is told that there is no room on a connection that stays open has not found the cache out of reach.
+// A request that is refused on a connection that stays open does not make the cache unreachable.
 func TestRefusalOnOpenConnectionIsNotUnreachable(t *testing.T) {
 	host := newTestHost(t, defaultConfig)
 	member := &Member[*testRequest]{Ready: true}
@@ -301,12 +308,13 @@
 	}
 }
 
-// Where caches take a half, or a quarter, of the connections that their proxies would hold, proxies give back those that they
-// use least: few tries find no place, though some ask four times as often as others, and the one that fares worst is served too.
-// Held for as long as caches allow, they would keep one another out.
+// Where caches accept half, or a quarter, of the connections that their proxies would hold, proxies close
+// the ones they use least: few attempts find no connection, though some proxies send four times as often
+// as others, and the worst served proxy is served too. With hold times at the maximum they would keep one
+// another out.
 func TestScarceConnectionsAreShared(t *testing.T) {
 	for _, connLimit := range []int{24, 12} { // of 48 that are wanted at a time
-		var failed, dialed [2]float64 // a request
+		var failed, dialed [2]float64 // per request
 		for k, fixed := range []bool{false, true} {
 			proxies := newFleet(t, 60, 8, connLimit)
 			proxies.maxAttempts, proxies.refuseDials = 3, false
@@ -340,9 +348,9 @@
 	}
 }
 
-// What may become of caches whose places are all held: they take fewer from now on, or more again, half of them are swapped at once, a proxy
-// is restarted among those that hold all places. Within seconds few are turned away again, and where there is room for all,
-// connections are held for long again.
+// Caches without spare connections: they accept fewer from now on, or more again, half of them are
+// replaced at once, or a proxy restarts while the others hold all connections. Within seconds few
+// connections are refused again, and where there is capacity for all, hold times grow again.
 func TestHoldTimeFollowsCapacity(t *testing.T) {
 	proxies := newFleet(t, 60, 8, 48)
 	proxies.refuseDials = false
@@ -355,10 +363,11 @@
 		}
 	}
 	for _, step := range []struct {
-		name                     string
-		change                   func()
-		settleTime               time.Duration
-		maxRefused, maxConnected float64 // for each request in the five seconds after that: turned away, and connections opened
+		name       string
+		change     func()
+		settleTime time.Duration
+		// per request in the five seconds after settleTime: refused and opened connections
+		maxRefused, maxConnected float64
 		includes                 func(i int) bool
 	}{
 		{"a start", func() {}, 15 * time.Second, 0.1, 0.6, nil},
@@ -400,7 +409,8 @@
 	}
 }
 
-// A cache that has died refuses each connection, and is not taken for one that is full: others' connections are held as long as before.
+// A dead cache refuses each connection, which must not be taken for a lack of capacity: connections to
+// other caches are held as long as before.
 func TestDeadCacheKeepsHoldTime(t *testing.T) {
 	proxies := newFleet(t, 4, 8, 100)
 	proxies.maxAttempts = 2
@@ -423,7 +433,7 @@
 	}
 }
 
-// 4 proxies before the same cache: nobody is ever without a connection.
+// With 4 proxies in front of the same cache, no proxy is ever without a connection.
 func TestFewProxiesAlwaysHaveConnections(t *testing.T) {
 	proxies := newFleet(t, 4, 1, 28)
 	proxies.run(5*time.Second, 20*time.Millisecond, func(int) bool { return true })
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -47,7 +47,8 @@
 	from := time.Duration(0)
 	for c, end := 0, firstIdleClass; c < idleClasses; c, end = c+1, end+end/2 {
 		share := t.broken[c] / max(1, t.reused[c])
-		if c > 0 && t.reused[c] >= minIdleSamples && share > minBrokenShare && share > minBrokenRatio*t.broken[0]/max(1, t.reused[0]) {
+		if c > 0 && t.reused[c] >= minIdleSamples && share > minBrokenShare &&
+			share > minBrokenRatio*t.broken[0]/max(1, t.reused[0]) {
 			t.limit = min(t.limit, from)
 			break
 		}
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -8,8 +8,9 @@
 func TestIdleLimitFollowsBrokenConnections(t *testing.T) {
 	const most = 4 * time.Second
 	for name, tc := range map[string]struct {
-		brokenFresh, brokenIdle float64 // share that breaks at connections just used, and at those idle for 200 ms
-		samples                 float64 // of each
+		// share of broken connections among those just used, and among those idle for 200 ms
+		brokenFresh, brokenIdle float64
+		samples                 float64 // of each kind
 		minLimit, maxLimit      time.Duration
 	}{
 		"all hold":              {0, 0, 50, most, most},
--- a/internal/pool/learnt.go
+++ b/internal/pool/learnt.go
@@ -16,7 +16,9 @@
 // RestoreStats adopts the statistics of another process, unless the pool already has its own.
 func (m *Member[X]) RestoreStats(stats ConnStats) {
 	if m.occupancy == 0 && m.cleanAnswers == 0 && stats.Occupancy > 0 {
-		m.occupancy, m.cleanAnswers, m.cleanRequired = stats.Occupancy, min(max(0, stats.CleanAnswers), maxCleanAnswers), min(max(0, stats.CleanRequired), maxCleanAnswers)
+		m.occupancy = stats.Occupancy
+		m.cleanAnswers = min(max(0, stats.CleanAnswers), maxCleanAnswers)
+		m.cleanRequired = min(max(0, stats.CleanRequired), maxCleanAnswers)
 	}
 }
 
@@ -29,8 +31,8 @@
 
 // IdleStats returns the record of reused and broken connections.
 func (p *Pool[X]) IdleStats() IdleStats {
-	used, broke := p.idle.reused, p.idle.broken // copies
-	return IdleStats{used[:], broke[:]}
+	reused, broken := p.idle.reused, p.idle.broken // copies
+	return IdleStats{reused[:], broken[:]}
 }
 
 // RestoreIdleStats adopts the record of another process. A record with other classes, or with invalid
--- a/internal/pool/learnt_test.go
+++ b/internal/pool/learnt_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The inherited state is stored as JSON and read by the next process, which may be of another version: the written
-// names and their order must not follow the names of the Go fields. A process's record of a member embeds Learnt, whose
-// fields are then written in line.
+// The inherited state is stored as JSON and read by the successor process, which may be of another
+// version: the stored names and their order must not follow the names of the Go fields. inherit.Link
+// embeds ConnStats, whose fields are then written inline.
 func TestStoredFormIsStable(t *testing.T) {
 	type link struct {
 		Addr string
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -420,12 +420,14 @@
 		return 0
 	}
 	var none X
-	together := p.now >= p.noPipeliningUntil && p.cfg.Multiplex > 1 && m.cleanAnswers >= max(MinCleanAnswers, m.cleanRequired)
+	pipelining := p.now >= p.noPipeliningUntil && p.cfg.Multiplex > 1 &&
+		m.cleanAnswers >= max(MinCleanAnswers, m.cleanRequired)
 	for _, c := range m.Conns {
 		switch {
 		case c.Retired || c.PingPending || !c.Link.Writable():
 		case c.Current == none && p.now >= c.reusableAt,
-			together && c.HasAnswered && c.Current != none && !c.carriesWrite && 1+len(c.Pipelined) < p.cfg.Multiplex && p.now-c.currentSince <= p.maxPipelineAge:
+			pipelining && c.HasAnswered && c.Current != none && !c.carriesWrite &&
+				1+len(c.Pipelined) < p.cfg.Multiplex && p.now-c.currentSince <= p.maxPipelineAge:
 			return 0
 		}
 	}
@@ -442,7 +444,8 @@
 func (p *Pool[X]) acceptsPipelined(c *Conn[X], x X) bool {
 	var none X
 	return !c.Retired && c.Link.Writable() && !c.PingPending && c.HasAnswered && c.Current != none && !c.carriesWrite &&
-		1+len(c.Pipelined) < p.cfg.Multiplex && p.now-c.currentSince <= p.maxPipelineAge && !bytes.Equal(c.lastKey, x.Key())
+		1+len(c.Pipelined) < p.cfg.Multiplex && p.now-c.currentSince <= p.maxPipelineAge &&
+		!bytes.Equal(c.lastKey, x.Key())
 }
 
 // pickGroupConn returns the connection that took other requests of the same group at the same moment, or
@@ -539,7 +542,8 @@
 		c := m.Conns[i]
 		switch {
 		case c.Retired || !c.Link.Writable() || c.Busy() || p.now < c.reusableAt:
-		case p.now-c.lastUsed >= p.idle.limit && c.HasAnswered || p.now-c.lastUsed >= p.cfg.ConnIdle*IdlePercent/100 || !c.Link.Silent():
+		case p.now-c.lastUsed >= p.idle.limit && c.HasAnswered ||
+			p.now-c.lastUsed >= p.cfg.ConnIdle*IdlePercent/100 || !c.Link.Silent():
 			p.Retire(c)
 		case p.now-c.lastUsed < p.cfg.ConnIdle*share/100:
 			return c
@@ -853,11 +857,13 @@
 		return
 	}
 	if len(m.Conns) == 1 {
-		if c := m.Conns[0]; !c.Busy() && !c.Retired && c.Link.Writable() && p.now-c.lastUsed >= p.cfg.ConnIdle*KeepalivePercent/100 {
+		if c := m.Conns[0]; !c.Busy() && !c.Retired && c.Link.Writable() &&
+			p.now-c.lastUsed >= p.cfg.ConnIdle*KeepalivePercent/100 {
 			p.ping(c)
 		}
 	}
-	if len(m.Conns)+m.pendingDials == 0 && p.now >= m.noDialUntil && p.pendingDials < maxConcurrentDials/2 && p.actions.HasDescriptor(false) {
+	if len(m.Conns)+m.pendingDials == 0 && p.now >= m.noDialUntil &&
+		p.pendingDials < maxConcurrentDials/2 && p.actions.HasDescriptor(false) {
 		m.prewarming = true
 		p.startDial(m, true)
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// testRequest is a request of the tests.
+// testRequest is the tests' Exchange.
 type testRequest struct {
 	Request
 	key      string
 	id       int
-	member   *Member[*testRequest] // where it was placed, if that is asked for
+	member   *Member[*testRequest] // the member it was submitted to, where a test needs it
 	verdicts []Verdict
 }
 
 func (x *testRequest) Key() []byte { return []byte(x.key) }
 
-// testLink is the host's side of a connection in the tests.
+// testLink is the tests' Link.
 type testLink struct {
 	conn                   *Conn[*testRequest]
 	host                   *testHost
-	epoch                  int            // of the member, when it was dialled
-	sent                   []*testRequest // in order, those answered left out
+	epoch                  int            // the member's epoch when it was dialed
+	sent                   []*testRequest // in order, without those answered
 	pings                  int
 	blocked, noisy, closed bool
-	overLimit              bool // one too many: its first request is turned away
+	overLimit              bool // over the cache's connection limit: its first request is refused
 }
 
 func (l *testLink) Send(x *testRequest) {
@@ -59,14 +59,14 @@
 func (l *testLink) Silent() bool   { return !l.noisy }
 func (l *testLink) Close()         { l.closed = true }
 
-// pendingDial is one that is out.
+// pendingDial is a dial that has not ended.
 type pendingDial struct {
 	member *Member[*testRequest]
 	epoch  int
 	warm   bool
 }
 
-// testHost is a host with a clock of its own.
+// testHost is a host with a simulated clock.
 type testHost struct {
 	t               *testing.T
 	pool            *Pool[*testRequest]
@@ -111,11 +111,11 @@
 }
 func (h *testHost) ScheduleWake(at time.Duration) { h.wake = at }
 
-// connect ends the i-th dial that is out, well or not.
-func (h *testHost) connect(i int, well bool) *testLink {
+// connect completes the i-th pending dial, with or without success.
+func (h *testHost) connect(i int, succeeds bool) *testLink {
 	dial := h.dials[i]
 	h.dials = slices.Delete(h.dials, i, i+1)
-	if !well {
+	if !succeeds {
 		h.pool.DialCompleted(dial.member, nil, dial.epoch, dial.warm, h.now%2 == 0)
 		return nil
 	}
@@ -126,7 +126,7 @@
 	return link
 }
 
-// answer answers what is in front on a connection, as a host does.
+// answer delivers the answer to the current request or ping of a connection, as a host does.
 func (h *testHost) answer(link *testLink) {
 	if link.pings > 0 {
 		link.pings = 0
@@ -146,7 +146,7 @@
 	h.pool.Release(link.conn)
 }
 
-// broken ends a connection and all that is on it.
+// broken ends a connection and all requests on it.
 func (h *testHost) broken(link *testLink) {
 	for _, x := range link.sent {
 		x.Ended = true
@@ -155,7 +155,8 @@
 	h.pool.HandleBroken(link.conn)
 }
 
-// The backoff grows while dials fail, counts dials that fail together once, and ends with one that comes up.
+// The backoff grows with failing dials, counts dials that fail together once, and ends with the first
+// answer on a new connection.
 func TestDialBackoffDoublesAndEnds(t *testing.T) {
 	host := newTestHost(t, defaultConfig)
 	member := &Member[*testRequest]{Ready: true}
@@ -182,7 +183,7 @@
 	}
 }
 
-// The line is told as long as it is, and as hopeless at a cache that is stuck, or that nothing is known of.
+// The queue delay is proportional to the queue, and negative at a cache that is stuck or unknown.
 func TestQueueDelay(t *testing.T) {
 	host := newTestHost(t, defaultConfig)
 	connsUsed := func(used time.Duration) []*Conn[*testRequest] {
@@ -207,7 +208,7 @@
 	}
 }
 
-// In line are first those whose time ends first; of the same time, those that came first.
+// The queue is ordered by expiry, and requests with equal expiry by arrival.
 func TestQueueIsOrderedByExpiry(t *testing.T) {
 	member := &Member[*testRequest]{}
 	for i, expiresAt := range []time.Duration{5, 3, 9, 3, 1, 5} {
@@ -222,8 +223,8 @@
 	}
 }
 
-// A request whose time is over by the time a connection is there for it is not sent, however late the event that brings the connection began:
-// the next one has it.
+// A request that has expired when a connection becomes available is not sent, even if the event that
+// brings the connection began before its expiry: the next request gets the connection.
 func TestExpiredInQueueIsNotSent(t *testing.T) {
 	host := newTestHost(t, defaultConfig)
 	member := &Member[*testRequest]{Ready: true}
@@ -231,15 +232,16 @@
 	next := &testRequest{Request: Request{ExpiresAt: host.now + time.Hour}, id: 2}
 	host.pool.Submit(member, expired)
 	host.pool.Submit(member, next)
-	host.now += time.Second // the pool has not been told
+	host.now += time.Second // the pool has not been advanced
 	link := host.connect(0, true)
 	if len(expired.verdicts) != 1 || len(link.sent) != 1 || link.sent[0] != next || len(member.Waiting) != 0 {
 		t.Errorf("verdict %v, sent %v, %d in line", expired.verdicts, link.sent, len(member.Waiting))
 	}
 }
 
-// A request that gets its connection a few milliseconds before its own time is up is not sent: it would be given up at once and sent elsewhere,
-// and the members may hear of the second attempt first, which is two at a time.
+// A request that gets its connection a few milliseconds before it expires is not sent: it would be
+// abandoned and sent to another member, and that second attempt may arrive before the first, so that two
+// are being processed at once.
 func TestShortTimeLeftInQueueIsNotSent(t *testing.T) {
 	host := newTestHost(t, defaultConfig)
 	member := &Member[*testRequest]{Ready: true}
@@ -252,7 +254,7 @@
 	}
 }
 
-// A member that drains with a line before it gets nothing of the line.
+// A member that starts to drain receives none of its queued requests.
 func TestDrainRejectsTheQueue(t *testing.T) {
 	host := newTestHost(t, defaultConfig)
 	member := &Member[*testRequest]{Ready: true}
@@ -272,8 +274,9 @@
 	}
 }
 
-// The same key twice in a row does not travel together: a second copy of the first answer could not be told from the
-// second's. Nor does anything travel behind a write, or to a cache that has yet to show that its answers are clean.
+// Two consecutive requests for the same key are not pipelined: a second copy of the first answer could
+// not be told from the second answer. Nor is anything pipelined behind a write, or to a cache that has
+// not yet given enough clean answers.
 func TestWhatIsNotPipelined(t *testing.T) {
 	type edit = func(m *Member[*testRequest], c *Conn[*testRequest], x *testRequest)
 	for name, tc := range map[string]struct {
@@ -326,7 +329,7 @@
 	}
 }
 
-// Where as many dials are out as may be, the next member dials once one has ended.
+// At the limit of concurrent dials, the next member dials once another dial has ended.
 func TestDialsTakeTurns(t *testing.T) {
 	host := newTestHost(t, defaultConfig)
 	var last *Member[*testRequest]
@@ -337,16 +340,16 @@
 	if len(host.dials) != maxConcurrentDials {
 		t.Fatalf("%d dials are out", len(host.dials))
 	}
-	host.now++ // at an odd time a dial fails slowly, and is not made again at once
+	host.now++ // at an odd time a dial fails slowly, and is not repeated immediately
 	host.connect(0, false)
 	if latest := host.dials[len(host.dials)-1]; len(host.dials) != maxConcurrentDials || latest.member != last {
 		t.Errorf("%d dials are out, the latest to another member: %v", len(host.dials), latest.member != last)
 	}
 }
 
-// Whatever happens, in whatever order: each request is written once at the most or has one verdict, nothing is written to a
-// member that drains or a connection out of use (see wire.Send), counts and bounds are kept, and once members answer
-// again nobody is left waiting.
+// After random events in random order each request is written at most once or has one verdict, nothing is
+// written to a member that drains or on a connection out of use (see testLink.Send), counts and limits
+// hold, and once members answer again no request is left waiting.
 func TestAnyOrderOfEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -487,8 +490,9 @@
 	}
 }
 
-// Reads of one group that come in the same moment share a connection from the start, as far as reads may be written behind others; what
-// comes later, is of another group, a write, or at a cache that has yet to show that its answers are clean, goes as ever.
+// Reads of one group that arrive at the same moment share a connection from the start, where pipelining
+// is allowed. A request that arrives later, belongs to another group, is a write, or goes to a cache
+// without enough clean answers is sent as usual.
 func TestReadsOfAGroupArePipelined(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/pool/transit_test.go
+++ b/internal/pool/transit_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// How long a request may be under way is learnt from answers, follows a member that has moved away, is bounded by the connect time-out and by what
-// a way on earth takes, and counts for nothing where two attempts may be out at once.
+// The transit time is learned from answers, follows a member that has moved, is bounded by the connect
+// timeout and by the longest path on earth, and is 0 where concurrent attempts are allowed.
 func TestTransit(t *testing.T) {
 	const never = 0
 	for name, tc := range map[string]struct {
-		connect, firstAnswer, laterAnswers time.Duration // the first answer, and those after it
+		connect, firstAnswer, laterAnswers time.Duration // duration of the first answer, and of those after it
 		copies                             bool
 		transit, firstTransit              time.Duration
 	}{
@@ -47,7 +47,7 @@
 	}
 }
 
-// Where answers take now longer, now less, the slower ones say how long a request may be under way.
+// Where response times vary, the slower ones determine the transit time.
 func TestTransitCoversSlowAnswers(t *testing.T) {
 	const quick, slow = 2 * time.Millisecond, 20 * time.Millisecond
 	host := newTestHost(t, defaultConfig)
