--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -77,7 +77,7 @@
 	return &heldPlace{place: h.long.enter(n, h.longMax()), p: h.Proxy, left: until - h.now}
 }
 
-// ReserveLongValue asks, outside the lock, for room for a long value that a front holds, for so long at the most.
+// LongRoom asks, outside the lock, for room for a long value that a front holds, for so long at the most.
 func (p *Proxy) LongRoom(n int, within time.Duration) (place upstream.Reservation) {
 	return p.longRoom(n, within, nil)
 }
@@ -124,7 +124,7 @@
 // Release gives the room back.
 func (w *heldPlace) Release() { w.p.Do(w.ReleaseLocked) }
 
-// ReleaseLocked is Leave under the lock.
+// ReleaseLocked is Release under the lock.
 func (w *heldPlace) ReleaseLocked() { w.p.long.leave(w.place) }
 
 func (p *Proxy) longMax() int { return int(float64(p.cfg.MemoryMB) * (1 << 20) * longShare) }
--- a/logic/api.go
+++ b/logic/api.go
@@ -277,7 +277,7 @@
 	Final   bool      // the request is over
 	Fresh   bool      // it was the first on its connection, and Elapsed holds the wait for a handshake
 	Load    []float32 // in the order of Settings.ReportColumns; may be empty
-	// InTransitUntil is for how long the attempt may still come at its member though it was given up. Another one that came there, or elsewhere, before
+	// InTransit is for how long the attempt may still come at its member though it was given up. Another one that came there, or elsewhere, before
 	// it would be a second copy.
 	InTransit time.Duration
 }
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -321,7 +321,7 @@
 	f.mostCold = max(f.mostCold, float64(len(c.sent))/(can*f.s.FallMultiple))
 }
 
-// dialTrial tells whether a proxy has a connection to a cache, or gets one; else it tries again later, by internal/pool's backoff.
+// tryOut tells whether a proxy has a connection to a cache, or gets one; else it tries again later, by internal/pool's backoff.
 func (p *fleetProxy) tryOut(at MemberID) bool {
 	if c := p.f.caches[at]; c != nil && c.connect(p) {
 		delete(p.away, at)
