--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,8 +1,8 @@
-// Package resp reads and writes the part of RESP2 that clients and cache nodes speak, within fixed bounds.
+// Package resp reads and writes the part of RESP2 that clients and cache nodes use, within fixed limits.
 //
 // It is a layer over bufio, not a Redis client: the proxy must know when the last byte of a command was
-// written and must decide by itself whether a value is held or streamed, which pooled clients hide. Every
-// length is checked before anything is allocated for it, since lengths come from the other side.
+// written and must decide by itself whether a value is buffered or streamed, which pooled clients hide.
+// Every length is checked before anything is allocated for it, since lengths come from the peer.
 package resp
 
 import (
@@ -13,17 +13,19 @@
 	"strconv"
 )
 
-// MaxValue is the longest value that is held as a matter of course. MaxLongValue is the longest that either side may send:
-// what announces more is broken or hostile, and is turned away at its first line, before room is made for it.
+// MaxValue is the maximum length of a value that is buffered as a rule. MaxLongValue is the maximum
+// length that either side may send: a peer that announces more is broken or hostile, and is rejected at
+// the first line of the element, before memory is allocated for it.
 const (
 	MaxValue     = 64 << 10
 	MaxLongValue = 4 << 20
 )
 
-// defaultMaxElements is the most elements of an array, unless others are allowed; most commands and answers here have at most five.
+// defaultMaxElements is the maximum number of elements of an array unless SetMaxElements changes it; most
+// commands and answers here have at most five.
 const defaultMaxElements = 64
 
-// ErrProtocol is wrapped by every error about bytes that are not RESP2, or go over a bound.
+// ErrProtocol is wrapped by every error about bytes that are not RESP2, or exceed a limit.
 var ErrProtocol = errors.New("not RESP2")
 
 // Reader reads RESP2 elements.
@@ -32,15 +34,16 @@
 	maxElements int
 }
 
-// NewReader makes a Reader with a buffer of the given size, which also bounds the length of a line.
+// NewReader returns a Reader with a buffer of the given size, which also limits the length of a line.
 func NewReader(r io.Reader, size int) *Reader {
 	return &Reader{input: bufio.NewReaderSize(r, size), maxElements: defaultMaxElements}
 }
 
-// Reset has it read from elsewhere, with what it had read and not given out forgotten.
+// Reset makes the reader read from another source and discards what it has buffered.
 func (r *Reader) Reset(from io.Reader) { r.input.Reset(from) }
 
-// SetMaxElements changes the most elements of an array. Nothing is made room for by what an array says of itself.
+// SetMaxElements changes the maximum number of elements of an array. Nothing is allocated based on an
+// array's announced length.
 func (r *Reader) SetMaxElements(n int) { r.maxElements = n }
 
 // Wait blocks until there is something to read.
@@ -49,14 +52,14 @@
 	return err
 }
 
-// Read reads raw bytes, for the inside of a value.
+// Read reads raw bytes, for the content of a value.
 func (r *Reader) Read(p []byte) (int, error) { return r.input.Read(p) }
 
 // Head is the first line of an element.
 type Head struct {
-	Kind byte   // one of + - : $ *
-	N    int    // the length of a $ or *; -1 is null
-	Text []byte // the line after the kind, valid until the next read
+	Kind byte   // type: one of + - : $ *
+	N    int    // length of a $ or *; -1 is null
+	Text []byte // the line after the type, valid until the next read
 }
 
 // Head reads the first line of the next element.
@@ -85,7 +88,7 @@
 	return h, err
 }
 
-// unexpectedEOF makes an end of input inside an element distinct from one between elements.
+// unexpectedEOF distinguishes an end of input within an element from one between elements.
 func unexpectedEOF(err error, read int) error {
 	if errors.Is(err, io.EOF) && read > 0 {
 		return io.ErrUnexpectedEOF
@@ -93,7 +96,7 @@
 	return err
 }
 
-// parseLength reads the digits of a length. -1 stands for null.
+// parseLength parses the digits of a length. -1 stands for null.
 func parseLength(text []byte, limit int) (int, error) {
 	if string(text) == "-1" {
 		return -1, nil
@@ -145,10 +148,10 @@
 	return nil
 }
 
-// Buffered is the number of bytes that have come and were not read yet.
+// Buffered returns the number of bytes that have been received and not yet read.
 func (r *Reader) Buffered() int { return r.input.Buffered() }
 
-// Skip reads over the n bytes of a bulk string and its line end.
+// Skip discards the n bytes of a bulk string and its line end.
 func (r *Reader) Skip(n int) error {
 	if _, err := r.input.Discard(n); err != nil {
 		return unexpectedEOF(err, 1)
@@ -182,7 +185,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendLine appends text without what could end a line.
+// AppendLine appends text, with the characters that could end a line replaced by spaces.
 func AppendLine[T []byte | string](b []byte, text T) []byte {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c == 0x7f {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Every bound holds before anything is read or made room for beyond it.
+// Every limit is enforced before anything beyond it is read or allocated.
 func TestHeadWithinBounds(t *testing.T) {
 	for _, c := range []struct {
 		in   string
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -1,5 +1,6 @@
-// Package sender is the sending side of a connection under a host's one lock: what the kernel takes without waiting is
-// written at once, and the rest by a goroutine. It never reads, and never waits under the lock.
+// Package sender implements the sending side of a connection under a host's lock: what the kernel accepts
+// without blocking is written immediately, and the rest by a goroutine. It never reads, and never blocks
+// under the lock.
 package sender
 
 import (
@@ -11,51 +12,53 @@
 	"golang.org/x/sys/unix"
 )
 
-// StallTimeout is how long the other side may take nothing of what is written to it, before it counts as gone.
+// StallTimeout is how long the peer may accept nothing that is written to it before it counts as gone.
 const StallTimeout = 3 * time.Second
 
-// maxWriteSize is how much is written at once of what did not go out at first.
+// maxWriteSize is the maximum number of bytes per write of what could not be written immediately.
 const maxWriteSize = 64 << 10
 
-// Host is whose lock guards a Sender.
+// Host owns the lock that guards a Sender.
 type Host interface {
 	Enter()
 	Leave()
-	Hold(n int) (over bool) // counts n bytes more, or -n less, as held
+	Hold(n int) (over bool) // adds n bytes, or subtracts -n, to the bytes that count as buffered
 }
 
-// Sender is the sending side of a connection. It writes at once, under the host's lock, what the kernel
-// takes without waiting, and leaves the rest to a goroutine: most messages are small and need no hand-off,
-// and a peer that reads slowly holds up nobody else.
+// Sender is the sending side of a connection. It writes immediately, under the host's lock, what the
+// kernel accepts without blocking, and leaves the rest to a goroutine: most messages are small and need
+// no hand-off, and a peer that reads slowly delays no other.
 type Sender struct {
 	host       Host
 	conn       *net.TCPConn
-	wrapped    net.Conn // what is written goes through it, if set: it may wait, and is left to the goroutine
+	wrapped    net.Conn // if set, writes go through it; they may block, and are left to the goroutine
 	raw        syscall.RawConn
-	OnDrained  func() // if set, called under the lock when a backlog is gone
-	OnLost     func() // if set, called under the lock when the other side takes nothing any more
-	draining   bool   // a goroutine has the sending side
+	OnDrained  func() // if set, called under the lock when the backlog has been written
+	OnLost     func() // if set, called under the lock when the peer accepts nothing any more
+	draining   bool   // a goroutine writes the backlog
 	failed     bool
 	queue      net.Buffers
-	corked     bool // what is sent waits in cork
+	corked     bool // what is sent is collected in corkBuffer
 	corkBuffer []byte
-	// Places in the stream of bytes: what was given to send, and what the kernel has or may have by now. What
-	// the goroutine is writing may be out at any moment, so it counts as begun from when it is handed over.
+	// Offsets in the byte stream: what was given to Send, and what the kernel has or may have by now. The
+	// goroutine's current write may reach the kernel at any moment, so it counts as handed off from its
+	// start.
 	accepted, handedOff int64
-	backlog             int // bytes that wait or are being written by the goroutine
-	countedByCaller     int // of them, those that are counted with the value that they are of
+	backlog             int // bytes that are queued or being written by the goroutine
+	countedByCaller     int // part of the backlog that the caller has counted as buffered
 
-	// The arguments and results of step; a closure for each write would be garbage.
+	// The arguments and results of tryWrite, which is kept because a closure for each write would
+	// allocate.
 	writeBuffer []byte
 	written     int
 	writeErr    error
 	tryWrite    func(fd uintptr) bool
-	// The result of look, which is a closure for the same reason.
+	// The result of peek, which is kept for the same reason.
 	peekResult int
 	peek       func(fd uintptr)
 }
 
-// New makes the sending side of a connection.
+// New returns the sending side of a connection.
 func New(host Host, conn *net.TCPConn) (*Sender, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -74,10 +77,11 @@
 	return w, nil
 }
 
-// WriteThrough has everything written through conn, which encrypts it onto the connection. Before anything is sent.
+// WriteThrough makes all writes go through conn, which encrypts them onto the connection. It must be
+// called before anything is sent.
 func (w *Sender) WriteThrough(conn net.Conn) { w.wrapped = conn }
 
-// writer is what the goroutine writes to.
+// writer returns the connection that the goroutine writes to.
 func (w *Sender) writer() net.Conn {
 	if w.wrapped != nil {
 		return w.wrapped
@@ -85,7 +89,7 @@
 	return w.conn
 }
 
-// Send writes b, or queues what does not go out at once. The caller holds the lock and may use b again,
+// Send writes b, or queues what can't be written immediately. The caller holds the lock and may reuse b,
 // unless keep says that it never changes, which saves the queue a copy.
 func (w *Sender) Send(b []byte, keep bool) {
 	w.accepted += int64(len(b))
@@ -99,11 +103,12 @@
 	w.writeOrQueue(b, keep)
 }
 
-// Cork holds back what is sent from now on, until Uncork: several messages then go out by one system call. Both are to be called in one
-// go, under the lock: what waits here may not wait for long, and counts as neither begun nor held.
+// Cork holds back what is sent from now on until Uncork: several messages are then written by one system
+// call. Both have to be called without releasing the lock in between: what is held back must not wait for
+// long, and counts as neither handed off nor buffered.
 func (w *Sender) Cork() { w.corked = true }
 
-// Uncork sends what was held back.
+// Uncork writes what was held back.
 func (w *Sender) Uncork() {
 	w.corked = false
 	if len(w.corkBuffer) > 0 && !w.failed {
@@ -142,7 +147,7 @@
 	w.host.Hold(len(b))
 }
 
-// SendCounted sends bytes that never change and whose room is counted already.
+// SendCounted sends bytes that never change and that the caller has already counted as buffered.
 func (w *Sender) SendCounted(b []byte) {
 	was := w.backlog
 	w.Send(b, true)
@@ -150,13 +155,13 @@
 	w.host.Hold(was - w.backlog)
 }
 
-// Fail ends the connection; its reader finds out and cleans up.
+// Fail closes the connection; its reader notices and cleans up.
 func (w *Sender) Fail() {
 	w.failed = true
 	w.conn.Close()
 }
 
-// Discard lets go of what has not been handed over and keeps it from going out.
+// Discard drops what has not been handed off and prevents further writes.
 func (w *Sender) Discard() {
 	w.failed = true
 	for _, b := range w.queue {
@@ -172,8 +177,9 @@
 	w.host.Hold(byCaller - n)
 }
 
-// nextPiece takes what is written next off the queue. A side that takes a long value slowly is there as long as it takes
-// something, so no more than maxWriteSize goes out under one time limit.
+// nextPiece removes the next bytes to write from the queue. A peer that receives a long value slowly
+// counts as present as long as it accepts something, so no more than maxWriteSize is written under one
+// time limit.
 func (w *Sender) nextPiece() (piece net.Buffers, size int) {
 	for len(w.queue) > 0 && size < maxWriteSize {
 		b := w.queue[0]
@@ -223,22 +229,24 @@
 // Raw gives access to the connection's descriptor.
 func (w *Sender) Raw() syscall.RawConn { return w.raw }
 
-// Busy tells whether something waits to be written.
+// Busy reports whether a write is pending.
 func (w *Sender) Busy() bool { return w.draining }
 
-// Backlog is how many bytes wait or are being written.
+// Backlog returns the number of bytes that are queued or being written.
 func (w *Sender) Backlog() int { return w.backlog }
 
-// Failed tells whether the sending side has ended.
+// Failed reports whether sending has ended.
 func (w *Sender) Failed() bool { return w.failed }
 
-// Accepted is the place, in the stream of bytes, behind what was given to send.
+// Accepted returns the offset in the byte stream of the end of what was given to Send.
 func (w *Sender) Accepted() int64 { return w.accepted }
 
-// Unsent tells whether the bytes up to a place are surely not all out, and won't go out once the sender has failed.
+// Unsent reports whether the bytes up to an offset have certainly not all been handed off; once the
+// sender has failed, they never will be.
 func (w *Sender) Unsent(end int64) bool { return end > w.handedOff }
 
-// Peek tells what has come on the connection and was not read yet, under the lock; End, if the connection is closed.
+// Peek reports, under the lock, what has been received on the connection and not yet read; EndOfStream if
+// the connection is closed.
 func (w *Sender) Peek() int {
 	if err := w.raw.Control(w.peek); err != nil {
 		return EndOfStream
@@ -246,29 +254,30 @@
 	return w.peekResult
 }
 
-// PeerClosed tells whether the other side has ended its sending, or the connection is reset, also where bytes that came before
-// were not read yet. It costs a system call more than Look, and is for where nobody reads. An end behind more than the kernel takes in is
-// not seen: it has not come.
+// PeerClosed reports whether the peer has ended its sending or the connection was reset, even behind
+// unread bytes. It costs one system call more than Peek, and is meant for connections that are not being
+// read. An end behind more bytes than the kernel buffers is not detected: it has not arrived.
 func (w *Sender) PeerClosed() (closed bool) {
 	err := w.raw.Control(func(fd uintptr) { closed = PeerClosed(fd) })
 	return closed || err != nil
 }
 
-// PeerClosed tells whether the other side of a socket has ended its sending, or the connection is reset, also behind bytes that nobody has read.
+// PeerClosed reports whether the peer of a socket has ended its sending or the connection was reset, even
+// behind unread bytes.
 func PeerClosed(fd uintptr) bool {
 	pollFDs := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(pollFDs[:], 0)
 	return err == nil && n > 0 && pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// What Peek can see.
+// The results of Peek.
 const (
 	NoData = iota
 	HasData
 	EndOfStream
 )
 
-// Peek looks at what has come on a socket and leaves it there.
+// Peek checks what has been received on a socket without reading it.
 func Peek(fd uintptr) int {
 	var b [1]byte
 	for {
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What the sender has handed to its goroutine may be out at any moment.
+// The write that the sender's goroutine has begun may reach the kernel at any moment.
 func TestUnsent(t *testing.T) {
 	w := &Sender{accepted: 100, handedOff: 60}
 	for _, c := range []struct {
@@ -26,8 +26,8 @@
 func (l *lockHost) Leave()        { l.Unlock() }
 func (l *lockHost) Hold(int) bool { return false }
 
-// Corked, messages wait and count as unsent; uncorked, they go out in their order, before what comes after. On a connection that has failed
-// meanwhile they never go out.
+// Corked messages wait and count as unsent; uncorked, they are written in order, before later ones. On a
+// connection that has failed meanwhile they are never written.
 func TestCork(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -17,28 +17,28 @@
 	"linenloom/logic"
 )
 
-// Codec is a protocol that members speak. It has no state: what it must remember between answers stands in the Conn and
-// in the function that Reader gives.
+// Codec is a protocol that members speak. It is stateless: state that spans answers is kept in the Conn
+// and in the function that Reader returns.
 type Codec interface {
-	// Append appends an exchange to b: all of it for a read, and for a write what comes before its value. deadline is how long from now
-	// on the receiver is told that it has.
+	// Append appends the encoded exchange to b: a whole read, or the part of a write before its value.
+	// deadline is the time from now that the member is told it has.
 	Append(b []byte, x *Exchange, addr string, deadline time.Duration) []byte
-	// Trailer is what follows the value of a write.
+	// Trailer returns the bytes that follow the value of a write.
 	Trailer() []byte
-	// Ping is what a member answers at once; nil, where there is no such thing.
+	// Ping returns a command that the member answers immediately; nil if the protocol has none.
 	Ping() []byte
-	// RunsOnLastByte tells whether a member carries a write out only once its last byte has come, so that it pays to hold that back
-	// until the connection is seen to stand.
+	// RunsOnLastByte reports whether a member executes a write only once its last byte has arrived, which
+	// makes it worthwhile to hold that byte back until the connection is seen to be alive.
 	RunsOnLastByte() bool
-	// Reader gives the function that reads one answer, tells it to the connection (result, pass) and says how many bytes
-	// beyond it have come.
+	// Reader returns a function that reads one answer, passes it to the connection (deliverResult,
+	// streamValue) and returns the number of bytes received beyond it.
 	Reader(u *Conn) func() (beyond int, err error)
 }
 
-// resp2 is what caches speak: the platform's commands in RESP2.
+// resp2 is the caches' protocol: the platform's commands in RESP2.
 type resp2 struct{}
 
-// http1 is what origins speak: HTTP/1.1, one request at a time.
+// http1 is the origins' protocol: HTTP/1.1, one request at a time.
 type http1 struct{}
 
 var (
@@ -79,16 +79,16 @@
 	}
 }
 
-// maxInterimAnswers is how many 1xx answers may come ahead of one that counts.
+// maxInterimAnswers is the maximum number of 1xx responses before the final one.
 const maxInterimAnswers = 16
 
-// maxOriginOverhead is how many bytes an origin may send beside its value.
+// maxOriginOverhead is the maximum number of bytes that an origin may send in addition to its value.
 const maxOriginOverhead = 64 << 10
 
-// maxWordLength is the longest word beside a value.
+// maxWordLength is the maximum length of the strings that accompany a value.
 const maxWordLength = 2 << 10
 
-// Attributes ranges over a list of names and values.
+// Attributes iterates over a list of attributes, which are names and values.
 func Attributes(attrs []byte) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		for rest := attrs; len(rest) > 0; {
@@ -101,10 +101,11 @@
 	}
 }
 
-// deadlineName is the name of the deadline in a list of names and values, in milliseconds from when the list is sent.
+// deadlineName is the name of the deadline attribute, in milliseconds from when the list is sent.
 const deadlineName = "d"
 
-// appendAttrs appends a list of names and values as it came, but for its deadline: time has passed since the client gave it.
+// appendAttrs appends a list of attributes unchanged except for the deadline: time has passed since the
+// client set it.
 func appendAttrs(b, attrs []byte, deadline time.Duration) []byte {
 	for first := true; len(attrs) > 0; first = false {
 		var item []byte
@@ -141,7 +142,7 @@
 	return b
 }
 
-// notes are the words in which caches tell how a read went.
+// parseNote returns the note for the word with which a cache says how a read was served.
 func parseNote(word []byte) int {
 	switch string(word) {
 	case "hit":
@@ -160,7 +161,7 @@
 	switch {
 	case err != nil:
 		return err
-	case u.PingPending: // by this goroutine's own order of events: await saw it under the lock
+	case u.PingPending: // read without the lock: this goroutine's awaitData has seen it under the lock
 		if h.Kind != '+' && h.Kind != '-' {
 			return resp.ErrProtocol
 		}
@@ -173,11 +174,12 @@
 	return resp.ErrProtocol
 }
 
-// answerElements are the elements of an answer: the value, how the read went, and the load report.
+// answerElements is the number of elements of an answer: the value, how the read was served, and the load
+// report.
 const answerElements = 3
 
-// errorStatus names what an error line says. A cache that finds fault with the request itself says nothing about
-// its own health.
+// errorStatus returns the status for an error line. A cache that rejects the request itself says nothing
+// about its own health.
 func errorStatus(text []byte) logic.Status {
 	switch word, rest, _ := bytes.Cut(text, []byte{' '}); {
 	case string(word) == "BUSY":
@@ -188,8 +190,8 @@
 	return logic.StatusError
 }
 
-// readArray reads an answer's elements. It counts once the value and how the read went are there; what comes
-// after, a report that is not used, can't spoil it, only the connection.
+// readArray reads the elements of an answer. The answer is complete once the value and how it was served
+// have been read; an error in the load report after them, which is not used, affects only the connection.
 func (u *Conn) readArray(in *resp.Reader) error {
 	h, err := in.Head()
 	if err != nil {
@@ -239,8 +241,8 @@
 	return nil, resp.ErrProtocol
 }
 
-// Append appends the request for an origin, without a write's value; http.Request.Write would copy that
-// too. The texts are a client's: none may end its line and begin another.
+// Append appends the request for an origin, without a write's value, which http.Request.Write would copy
+// as well. The texts come from a client, and must not be able to end a line and begin another.
 func (http1) Append(b []byte, x *Exchange, addr string, deadline time.Duration) []byte {
 	method := http.MethodGet
 	if x.Write {
@@ -263,7 +265,7 @@
 	return append(b, "\r\n"...)
 }
 
-// limitedReader bounds what an origin may send before its value.
+// limitedReader limits the number of bytes that an origin may send for an answer.
 type limitedReader struct {
 	reader    io.Reader
 	remaining int
@@ -294,8 +296,9 @@
 	return resp.ErrProtocol
 }
 
-// readAnswer reads an answer's value. An origin need not tell its length: it comes in chunks, or ends with the connection, and then is
-// whole unless the connection broke (RFC 9112, sections 7.1 and 8).
+// readAnswer reads the value of an answer. An origin need not announce its length: the value may be
+// chunked, or end with the connection, and then is complete unless the connection broke (RFC 9112,
+// sections 7.1 and 8).
 func (u *Conn) readAnswer(answer *http.Response, limit *limitedReader) error {
 	status, n := httpStatus(answer), answer.ContentLength
 	switch {
@@ -321,7 +324,7 @@
 	return closeAfter(answer)
 }
 
-// closeAfter ends a connection behind an answer that says so.
+// closeAfter returns io.EOF, which ends the connection, if the answer announces that.
 func closeAfter(answer *http.Response) error {
 	if answer.Close {
 		return io.EOF
@@ -329,7 +332,7 @@
 	return nil
 }
 
-// httpStatus names what an origin's answer says.
+// httpStatus returns the status for an origin's answer.
 func httpStatus(answer *http.Response) logic.Status {
 	switch answer.StatusCode {
 	case http.StatusOK:
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,22 +16,25 @@
 
 const (
 	readBuffer = 4 << 10
-	// answerStallTimeout is how long an answer may pause once it has begun. It ends answers that stop in the middle
-	// long before the attempt's own time is up, and would harm a member that pauses so long inside one.
+	// answerStallTimeout is how long an answer may pause once it has begun. It ends answers that stop in
+	// the middle long before the attempt's own timeout, and would do harm with a member that pauses for
+	// so long within an answer.
 	answerStallTimeout = 250 * time.Millisecond
-	// lastByteDelay is how long the last byte of a write to an origin is held back if it must not run twice. A
-	// connection that the member, or anything in between, has dropped or drops over what is sent says so once
-	// something is written to it; until its last byte is out a request has surely not run, and can be sent again.
-	// It should exceed a round trip; beyond that it only makes such writes late, and would do harm at a member
-	// that has few places and gives one away with the head.
+	// lastByteDelay is how long the last byte of a write to an origin is held back if the write must not
+	// run twice. If the member, or anything on the path, has dropped the connection or drops it because
+	// of what is sent, that shows once something is written to it; until its last byte has been sent a
+	// request has certainly not run, and can be sent again. It should exceed a round trip; a longer delay
+	// only makes such writes late, and would do harm with a member that has few slots and assigns one on
+	// receipt of the header.
 	lastByteDelay = 2 * time.Millisecond
-	// longValueRecheck is how often a read that stands behind a long value is looked at, past its time-out.
+	// longValueRecheck is the interval at which a timed-out read that is pipelined behind a long value is
+	// checked again.
 	longValueRecheck = 100 * time.Millisecond
 )
 
 var (
-	errUnsolicited = errors.New("bytes that no request asked for")
-	errTruncated   = errors.New("answer cut short")
+	errUnsolicited = errors.New("unsolicited bytes on the connection")
+	errTruncated   = errors.New("answer is truncated")
 )
 
 // Conn is a connection to a member.
@@ -41,15 +44,17 @@
 	conn             *net.TCPConn
 	sender           *sender.Sender
 	codec            Codec
-	lastWriteAt      time.Duration // when what was sent went out last
-	lastValueHash    uint64        // a hash of the value answered last, while others were behind; 0: none
-	readDeadlineSet  bool          // a deadline is set for the rest of an answer; the reader's own
-	readingLongValue bool          // a long value is read, at its client's pace; the reader's own
-	firstRead        bool          // the first read of an answer, which finds something at once; the reader's own
-	untilClose       bool          // the answer goes on to the end of the connection; the reader's own
-	respReader       *resp.Reader  // the reader's own, from the Set's; nil: none is
+	lastWriteAt      time.Duration // when the latest bytes were written
+	lastValueHash    uint64        // hash of the latest value, while others were pipelined behind it; 0: none
+	readDeadlineSet  bool          // a read deadline is set for the rest of an answer; only the reader uses it
+	readingLongValue bool          // a long value is being read, at its client's pace; only the reader uses it
+	// the first read of an answer, which finds data immediately; only the reader uses it
+	firstRead  bool
+	untilClose bool         // the answer extends to the end of the connection; only the reader uses it
+	respReader *resp.Reader // from the Set's readers; nil: none in use; only the reader uses it
 
-	// peek is the reader's, and saw what it found. A closure made anew for each look would be garbage.
+	// peek checks for received data for the reader and stores the outcome in peekResult. It is stored
+	// because a new closure for each check would allocate.
 	peek       func(fd uintptr) bool
 	peekResult int
 }
@@ -77,22 +82,23 @@
 	return u, nil
 }
 
-// Writable tells whether nothing waits to be written, and writing hasn't failed.
+// Writable reports whether no write is pending and none has failed.
 func (u *Conn) Writable() bool { return !u.sender.Busy() && !u.sender.Failed() }
 
-// Silent tells whether nothing has come on the connection, neither bytes nor its end.
+// Silent reports whether nothing has been received on the connection, neither bytes nor the end of the
+// stream.
 func (u *Conn) Silent() bool { return u.sender.Peek() == sender.NoData }
 
-// Close ends a connection that is out of the pool; its reader finds out.
+// Close closes a connection that has left the pool; its reader notices.
 func (u *Conn) Close() {
 	u.sender.Discard()
 	u.conn.Close()
 }
 
-// Ping writes what the member answers at once.
+// Ping sends a command that the member answers immediately.
 func (u *Conn) Ping() { u.sender.Send(u.codec.Ping(), false) }
 
-// Send writes an exchange. The pool has made sure, under the same lock, that the member is ready.
+// Send writes an exchange. The pool has checked, under the same lock, that the member is ready.
 func (u *Conn) Send(x *Exchange) {
 	s := u.set
 	x.conn = u
@@ -114,8 +120,9 @@
 	}
 }
 
-// allowTransit has an exchange waited for until it has surely come at its member, however little of its time is left. Given up sooner, it could
-// come after the next attempt of its request, and be a second copy. After AnswerBy there is none.
+// allowTransit extends an exchange's time until it has certainly arrived at its member, however little
+// time is left. If it were abandoned sooner, it could arrive after the next attempt of its request and be
+// a second copy. After AnswerBy there is no next attempt.
 func (u *Conn) allowTransit(x *Exchange, now time.Duration) {
 	transit := u.set.Transit(u.Member)
 	if u.Current == x && u.Fresh() {
@@ -124,7 +131,7 @@
 	x.ExpiresAt = max(x.ExpiresAt, min(now+transit, x.Client.AnswerBy()))
 }
 
-// sendValue writes the value of an exchange, but for a last byte that is held back.
+// sendValue writes the value of an exchange, except for a last byte that is held back.
 func (u *Conn) sendValue(x *Exchange) {
 	s := u.set
 	if u.codec.RunsOnLastByte() && x.Once && len(x.Message.Value) > 0 {
@@ -137,8 +144,9 @@
 	}
 }
 
-// announcedDeadline is until when a member is told that it has for an exchange. A cache is told how long it is waited for. What an origin finds is
-// stored whether anybody still waits for the attempt or not: it is told how long the client can be answered.
+// announcedDeadline returns the deadline that a member is told for an exchange. A cache is told when the
+// attempt is abandoned. What an origin returns is stored even if the attempt is no longer waited for: it
+// is told until when the client can be answered.
 func (u *Conn) announcedDeadline(x *Exchange) time.Duration {
 	if u.Member.Origin {
 		return x.Client.AnswerBy()
@@ -146,8 +154,8 @@
 	return min(x.ExpiresAt, x.Client.AnswerBy())
 }
 
-// sendHeldByte writes the byte that Send has held back, if the connection still stands; else its reader tells that
-// the attempt never ran.
+// sendHeldByte writes the byte that Send has held back, if the connection is still alive; otherwise its
+// reader reports that the attempt never ran.
 func (s *Set) sendHeldByte(x *Exchange) {
 	if u := x.conn; !x.Ended && !u.Closed && !u.sender.Failed() && u.Silent() {
 		u.sender.Send(x.Message.Value[len(x.Message.Value)-1:], true)
@@ -155,15 +163,18 @@
 	}
 }
 
-// unsent tells whether an exchange's last byte is still here and surely won't go out.
+// unsent reports whether an exchange's last byte has not been handed to the kernel and won't be once the
+// connection has failed.
 func (u *Conn) unsent(x *Exchange) bool { return u.sender.Unsent(x.endOffset) }
 
-// Abandon stops waiting for an exchange, by closing its connection: until then it is out, and a
-// further one would be a second copy.
+// Abandon stops waiting for an exchange by closing its connection: until then it is in flight, and a
+// further attempt would be a second copy.
 func (s *Set) Abandon(x *Exchange, status logic.Status) {
 	u := x.conn
-	if u != nil && u.Current != x && u.Current != nil && u.Current.streamingSince > 0 && status == logic.StatusTimeout && s.host.Now() < x.Client.Deadline() {
-		// Its answer stands behind a long one, which must not be cut off. Until the connection ends it is out, so it waits.
+	if u != nil && u.Current != x && u.Current != nil && u.Current.streamingSince > 0 &&
+		status == logic.StatusTimeout && s.host.Now() < x.Client.Deadline() {
+		// Its answer follows a long value, which must not be cut off. The exchange is in flight until the
+		// connection ends, so it is kept waiting.
 		x.ExpiresAt = min(x.Client.Deadline(), s.host.Now()+longValueRecheck)
 		s.host.ScheduleTimer(Timer{At: x.ExpiresAt, kind: timerExpiry, exchange: x})
 		return
@@ -179,17 +190,17 @@
 	switch {
 	case u.unsent(x):
 		status = logic.StatusConnectFailed
-	case x != u.Current: // its turn had not come: that tells of those in front
+	case x != u.Current: // its answer was not due yet: the timeout concerns the requests before it
 		status = logic.StatusCancelled
 	}
 	x.abandon(status)
 	if u.Current != x && u.Current != nil && u.Current.streamingSince > 0 {
-		return // it is skipped when its answer comes
+		return // its answer is skipped when it arrives
 	}
 	s.closeAndCancel(u)
 }
 
-// closeAndCancel ends a connection for what is on it or waits to be written to it, and with it the exchanges beside that.
+// closeAndCancel closes a connection because of one of its exchanges, and cancels the others on it.
 func (s *Set) closeAndCancel(u *Conn) {
 	if u.Current != nil {
 		u.cancel(u.Current)
@@ -198,8 +209,8 @@
 	s.HandleBroken(&u.Conn)
 }
 
-// cancel ends an exchange whose connection ends for something that it has no part in, and that tells nothing of its
-// member. It is a read, unless it stands alone, and may be sent again.
+// cancel ends an exchange whose connection is closed for a reason that is neither the exchange's nor the
+// member's. Unless it is alone on the connection it is a read, and may be sent again.
 func (u *Conn) cancel(x *Exchange) {
 	if u.unsent(x) {
 		x.complete(logic.StatusNoConn, 0)
@@ -215,9 +226,10 @@
 	u.Pipelined = nil
 }
 
-// repeatsLastValue tells whether a value is the one that the connection has just answered another key with, while requests were
-// behind that one (requests for the same key never follow one another on a connection). Then it may be a second copy of that answer, which would be taken for the answer to the next request;
-// nothing else tells them apart.
+// repeatsLastValue reports whether a value equals the one with which the connection answered another key,
+// while requests were pipelined behind it (consecutive requests on a connection never have the same key).
+// It may then be a second copy of that answer, which would be taken for the answer to the next request;
+// nothing else distinguishes them.
 func (u *Conn) repeatsLastValue(value []byte) bool {
 	if u.lastValueHash == 0 && len(u.Pipelined) == 0 {
 		return false
@@ -230,13 +242,13 @@
 	return same
 }
 
-// deliverResult gives the exchange in front its outcome, with the value that the client gets if it was served. The connection
-// is not free yet: see rest.
+// deliverResult completes the current exchange, with the value for its client if it was served. The
+// connection is not free yet: see finishAnswer.
 func (u *Conn) deliverResult(status logic.Status, note int, value []byte) error {
 	u.set.host.Enter()
 	defer u.set.host.Leave()
 	x := u.Current
-	if x == nil || x.Ended { // given up; the connection is closed
+	if x == nil || x.Ended { // abandoned; the connection is closed
 		return nil
 	}
 	u.Refused = status == logic.StatusFull
@@ -250,7 +262,8 @@
 	return nil
 }
 
-// fail ends a connection and the exchange on it. One whose last byte was not written never ran; else it may have.
+// fail closes a connection and ends the exchanges on it. If its last byte was not written, an exchange
+// never ran; otherwise it may have.
 func (u *Conn) fail(err error) {
 	u.set.host.Enter()
 	defer u.set.host.Leave()
@@ -261,7 +274,7 @@
 		switch {
 		case u.unsent(x):
 			status = logic.StatusConnectFailed
-		case badAnswer: // what has come may have been meant for another
+		case badAnswer: // what was received may have been meant for another exchange
 			status = logic.StatusError
 			x.recordTransit()
 		}
@@ -295,8 +308,9 @@
 	}
 }
 
-// returnReader lets another connection have the buffer that this one was read through. Where caches are many and connections short, buffers
-// made anew were most of what a connection leaves behind, and the heap grew by them between collections.
+// returnReader makes the reader's buffer available to other connections. With many caches and short-lived
+// connections, newly allocated buffers were most of the garbage that a connection leaves behind, and the
+// heap grew by them between collections.
 func (u *Conn) returnReader() {
 	if u.respReader != nil {
 		u.respReader.Reset(nil)
@@ -324,8 +338,8 @@
 	return n, err
 }
 
-// awaitData waits until something can be read, without reading it: as long as it is in the kernel, the pool sees it.
-// What comes while no request is out is not an answer.
+// awaitData waits for received data without reading it: as long as it is in the kernel, the pool can see
+// it. Data that arrives while no request is in flight is not an answer.
 func (u *Conn) awaitData() error {
 	if u.readDeadlineSet {
 		u.readDeadlineSet = false
@@ -346,8 +360,9 @@
 	return nil
 }
 
-// finishAnswer lets a connection be used again after an answer, once it has been silent for a while: what comes from now on
-// finds no request on it, and ends it. Where others are behind the one answered, the next one's turn has come.
+// finishAnswer makes a connection available again after an answer, following a cooldown: data that
+// arrives from now on belongs to no request, and ends the connection. If requests are pipelined, the next
+// one becomes current instead.
 func (u *Conn) finishAnswer(buffered int) error {
 	u.set.host.Enter()
 	defer u.set.host.Leave()
--- a/internal/upstream/cork_test.go
+++ b/internal/upstream/cork_test.go
@@ -11,7 +11,7 @@
 	"linenloom/logic"
 )
 
-// testHost is a host whose clock the test sets. Nothing in it runs by itself.
+// testHost is a Host with a simulated clock. Nothing in it runs by itself.
 type testHost struct{ now time.Duration }
 
 func (h *testHost) Enter()                                          {}
@@ -19,7 +19,7 @@
 func (h *testHost) Lock()                                           {}
 func (h *testHost) Unlock()                                         {}
 func (h *testHost) Hold(int) bool                                   { return false }
-func (h *testHost) Now() time.Duration                              { return 0 } // of the event
+func (h *testHost) Now() time.Duration                              { return 0 } // time of the event
 func (h *testHost) Clock() time.Duration                            { return h.now }
 func (h *testHost) Do(f func())                                     { f() }
 func (h *testHost) ScheduleTimer(Timer)                             {}
@@ -32,7 +32,7 @@
 func (h *testHost) AnswerBy() time.Duration                         { return time.Minute }
 func (h *testHost) Done(logic.Status, int)                          {}
 
-// tcpPair is both ends of a connection.
+// tcpPair returns both ends of a connection.
 func tcpPair(t *testing.T) (near *net.TCPConn, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,11 +52,12 @@
 	return conn.(*net.TCPConn), far
 }
 
-// What is corked was told its deadline as it was written: when the next read comes some time later in the same event, it goes out first.
+// The deadline of a corked read is fixed when it is encoded: if the next read comes some time later in
+// the same event, the first one is sent before it.
 func TestCorkedReadsAreNotHeldForLong(t *testing.T) {
 	for name, tc := range map[string]struct {
 		later time.Duration
-		want  bool // the first read is out before Uncork
+		want  bool // the first read is sent before Uncork
 	}{
 		"at once":    {maxCorkTime, false},
 		"held up":    {maxCorkTime + time.Millisecond, true},
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -8,18 +8,20 @@
 	"time"
 )
 
-// dialTCP opens a connection within a time.
+// dialTCP opens a connection within a time limit.
 func dialTCP(addr string, within time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: within, KeepAlive: -1}
 	return d.DialContext(context.Background(), "tcp", addr)
 }
 
-// localErrors are the errors of a dial that tell of this machine, not of the member: it is short of descriptors, ports, buffers or memory, or a rule
-// of its own forbids the connection.
-var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
-	syscall.EPERM, syscall.EACCES, syscall.EINTR}
+// localErrors are the dial errors that concern this machine, not the member: it is out of descriptors,
+// ports, buffers or memory, or one of its own rules forbids the connection.
+var localErrors = []error{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
+	syscall.EAGAIN, syscall.EPERM, syscall.EACCES, syscall.EINTR,
+}
 
-// isLocalError tells whether a dial failed for want of something that this machine is short of.
+// isLocalError reports whether a dial failed for lack of a resource of this machine.
 func isLocalError(err error) bool {
 	for _, shortage := range localErrors {
 		if errors.Is(err, shortage) {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -13,7 +13,7 @@
 	"linenloom/logic"
 )
 
-// lockedHost is a host with a lock, under which dials of their own report.
+// lockedHost is a host with a lock, under which dials report from their own goroutines.
 type lockedHost struct {
 	testHost
 	mu sync.Mutex
@@ -25,7 +25,7 @@
 	f()
 }
 
-// outcomeClient passes on the outcome of an exchange.
+// outcomeClient forwards the outcome of an exchange.
 type outcomeClient struct {
 	testHost
 	exchange *Exchange
@@ -37,8 +37,9 @@
 	e.outcomes <- s
 }
 
-// A dial that fails for want of this machine's own resources was counted as one that the member had refused: two in a row held it back, and took it
-// out of use for all requests, though it was well. Such a request is now one that found no connection here, and the member is as it was.
+// A dial that failed for lack of this machine's own resources was counted as refused by the member: two
+// in a row started the member's backoff, and took it out of use for all requests although it was healthy.
+// The request must end as one that found no connection here, and the member must be unaffected.
 func TestLocalShortageIsNotBlamedOnMember(t *testing.T) {
 	for errno, blamed := range map[syscall.Errno]bool{
 		syscall.EMFILE: false, syscall.ENFILE: false, syscall.ENOBUFS: false, syscall.ENOMEM: false, syscall.EADDRNOTAVAIL: false,
--- a/internal/upstream/long.go
+++ b/internal/upstream/long.go
@@ -12,13 +12,14 @@
 	"linenloom/logic"
 )
 
-// pipeliningPause is for how long no read is written behind others after a long value was seen: it would wait for all of one.
+// pipeliningPause is how long no read is pipelined after a long value: the read would wait for the whole
+// of such a value.
 const pipeliningPause = 10 * time.Second
 
-// longPieceSize is how much is held of a long value on its way through.
+// longPieceSize is how many bytes of a long value are buffered while it is streamed.
 const longPieceSize = 32 << 10
 
-// beginStreaming begins to pass on a long value: the request is served, and bound to this exchange.
+// beginStreaming begins to stream a long value: the request is served, by this exchange.
 func (u *Conn) beginStreaming(n int) (ValueStream, *Exchange, error) {
 	host := u.set.host
 	host.Enter()
@@ -36,7 +37,8 @@
 	return stream, x, nil
 }
 
-// streamValue passes on n bytes of in as the value of the exchange in front; end, if not nil, reads what follows them before they count as whole.
+// streamValue streams n bytes of in as the value of the current exchange; end, if not nil, reads what
+// follows them before they count as complete.
 func (u *Conn) streamValue(in io.Reader, n int, end func() error) (*Exchange, error) {
 	stream, exchange, err := u.beginStreaming(n)
 	if err != nil {
@@ -75,8 +77,9 @@
 	return exchange, nil
 }
 
-// reserveForPipelined has room for all of a value that others stand behind on the connection, if there is any at once. Nothing is written behind others
-// once a long value has been seen lately, but those that were written before the first must not wait for its client.
+// reserveForPipelined reserves memory for a whole value behind which other requests are pipelined, if it
+// is available immediately. Nothing is pipelined for a while after a long value, but the requests that
+// were pipelined before the first one must not wait for its client.
 func (u *Conn) reserveForPipelined(n int) (reservation Reservation) {
 	u.set.host.Do(func() {
 		if len(u.Pipelined) > 0 {
@@ -89,12 +92,12 @@
 	return reservation
 }
 
-// streamBuffered reads a value at the member's pace and passes it on at the client's, in a goroutine that ends when the client has it, or takes
-// nothing any more.
+// streamBuffered reads a value at the member's pace and streams it at the client's, in a goroutine that
+// ends when the client has received the value, or stops receiving.
 func (u *Conn) streamBuffered(reservation Reservation, stream ValueStream, in io.Reader, n int, end func() error) error {
 	u.readingLongValue = true
 	defer func() { u.readingLongValue = false }()
-	pieces := make(chan []byte, n/longPieceSize+1) // room for all of them: what is read never waits here
+	pieces := make(chan []byte, n/longPieceSize+1) // capacity for all of them: reading never blocks here
 	truncated := false                             // set before pieces is closed
 	go func() {
 		defer reservation.Release()
@@ -129,18 +132,18 @@
 	return err
 }
 
-// completeStreamed ends an exchange whose member has done its part.
+// completeStreamed completes an exchange whose member has sent the whole value.
 func (u *Conn) completeStreamed(x *Exchange, note int) {
 	u.set.host.Do(func() { x.complete(logic.StatusOK, note) })
 }
 
-// clientGone ends an exchange whose client has gone in the middle of the value.
+// clientGone completes an exchange whose client has gone during the value.
 func (u *Conn) clientGone(x *Exchange) error {
 	u.completeStreamed(x, 0)
 	return net.ErrClosed
 }
 
-// streamRESP passes on a long value of a cache.
+// streamRESP streams a long value of a cache.
 func (u *Conn) streamRESP(in *resp.Reader, n int) error {
 	x, err := u.streamValue(in, n, in.LineEnd)
 	if err != nil {
@@ -152,12 +155,12 @@
 		note = parseNote(word)
 		_, err = readWord(in)
 	}
-	// The value is whole; what is wrong behind it ends the connection only.
+	// The value is complete; an error after it only ends the connection.
 	u.completeStreamed(x, note)
 	return err
 }
 
-// streamHTTP passes on a long value of an origin.
+// streamHTTP streams a long value of an origin.
 func (u *Conn) streamHTTP(answer *http.Response, limit *limitedReader, n int) error {
 	limit.remaining += n
 	x, err := u.streamValue(answer.Body, n, nil)
@@ -168,11 +171,12 @@
 	return closeAfter(answer)
 }
 
-// maxChunkOverhead is how many bytes the framing of a long value in chunks may take beside it.
+// maxChunkOverhead is the maximum number of framing bytes of a chunked long value.
 const maxChunkOverhead = 256 << 10
 
-// streamUnknownLength passes on a long value of an origin that does not tell its length, of which body has come. RESP2 wants the length first, so it
-// is held until it is whole, in the room for long values.
+// streamUnknownLength forwards a long value of unknown length from an origin, of which body has been
+// received. RESP2 requires the length first, so the value is buffered until it is complete, in the memory
+// reserved for long values.
 func (u *Conn) streamUnknownLength(answer *http.Response, body []byte, limit *limitedReader) (err error) {
 	host := u.set.host
 	var reservation Reservation
@@ -182,7 +186,7 @@
 		}
 	})
 	if reservation == nil || !reservation.Wait() {
-		return net.ErrClosed // its time is over, and so is the exchange
+		return net.ErrClosed // its time is over, and the exchange has ended
 	}
 	defer reservation.Release()
 	limit.remaining += resp.MaxLongValue + maxChunkOverhead
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,13 +1,13 @@
-// Package upstream makes exchanges with members: a host hands it a request for a member under a time, and hears its one
-// outcome. Connections, their protocols (Codec) and what can go wrong on them are its own; which connection carries what
-// is package pool's to decide.
+// Package upstream exchanges messages with members: the host gives it a request for a member with a time
+// limit, and receives exactly one outcome. It handles the connections, their protocols (Codec) and their
+// faults; package pool decides which connection carries which request.
 //
-// It never chooses a member, never sends anything again by itself, and tells of each exchange whether it can have run.
-// Its state is guarded by the host's one lock, under which it never waits.
+// It never chooses a member and never repeats a request by itself, and it reports for each exchange
+// whether it can have run. Its state is guarded by the host's lock, under which it never blocks.
 //
-// Connections are made here rather than through a pooled Redis client or http.Transport. Those send a request again by
-// themselves, probe with commands of their own, and don't tell whether a request's last byte was written, which is what
-// separates an attempt that never ran from one that may have.
+// It manages connections itself instead of using a pooled Redis client or http.Transport. Those repeat
+// requests by themselves, probe with commands of their own, and don't report whether a request's last
+// byte was written, which separates an attempt that never ran from one that may have.
 package upstream
 
 import (
@@ -22,79 +22,85 @@
 	"linenloom/logic"
 )
 
-// Exchange is one sending of a message to a member. The host makes it with what is exported, and keeps it until its end.
+// Exchange is one sending of a message to a member. The host fills in the exported fields, and keeps it
+// until it has ended.
 type Exchange struct {
 	pool.Request
-	Message *Message // nil once the host is through with it
+	Message *Message // nil once the host no longer needs it
 	Client  Client
 
 	member         *Member
-	conn           *Conn         // nil while it waits for one
-	endOffset      int64         // place of its last byte in what the connection sends
-	heldBytes      int64         // bytes of it that are held back at first
-	transitUntil   time.Duration // until then it may be under way though it was given up; 0: it is not
-	streamingSince time.Duration // when its value began to be passed on; 0: it is not
+	conn           *Conn         // nil while it waits for a connection
+	endOffset      int64         // offset of its end in the bytes that the connection sends
+	heldBytes      int64         // number of its bytes that are held back at first
+	transitUntil   time.Duration // it may be in transit until then although it was abandoned; 0: it is not
+	streamingSince time.Duration // when streaming of its value began; 0: it has not
 }
 
-// Message is what a member is asked. It stays as it is as long as an exchange has it.
+// Message is a request to a member. It must not change while an exchange uses it.
 type Message struct {
 	Write bool
-	// Key, the request's id and the list of names and values, as members are told them.
+	// Key, the request id and the list of attributes, as members receive them.
 	Key, ReqID, Attrs []byte
-	Value             []byte // of a write
+	Value             []byte // value of a write
 }
 
-// Client is who hears of an exchange, under the host's lock.
+// Client receives the outcome of an exchange, under the host's lock.
 type Client interface {
-	// Served brings the value of a good answer, which is valid during the call only; Done follows.
+	// Served delivers the value of a successful answer, which is valid during the call only; Done
+	// follows.
 	Served(value []byte)
-	// StreamValue says that a long value of n bytes has begun, and asks who takes it; nil: nobody, and the exchange has ended.
+	// StreamValue announces a long value of n bytes and returns the stream that receives it; nil: there
+	// is no receiver, and the exchange has ended.
 	StreamValue(n int) ValueStream
-	// Deadline is its client's, which a value that is passed on may take until.
+	// Deadline is the client's deadline, until which streaming a value may take.
 	Deadline() time.Duration
-	// AnswerBy is when its client is answered at the latest: what a member has to say later is of no use to it.
+	// AnswerBy is the latest time at which the client is answered: what a member sends later is of no use
+	// to it.
 	AnswerBy() time.Duration
-	// Done is the exchange's one outcome. It has to set Ended.
+	// Done reports the single outcome of the exchange. It has to set Ended.
 	Done(s logic.Status, note int)
 }
 
-// ValueStream takes a long value piece by piece, as it comes from a member. The calls come in this order, from
-// a goroutine of their own and not under the host's lock, and may block until the client has taken what came before. Once
-// one has returned an error, nobody takes anything any more and no further call is made.
+// ValueStream receives a long value piece by piece, as it arrives from a member. The calls come in this
+// order, from a goroutine of their own without the host's lock, and may block until the client has
+// received the previous pieces. After a call has returned an error no further call is made.
 type ValueStream interface {
 	// Begin begins a value of n bytes.
 	Begin(n int) error
-	// WritePiece passes on the next piece, which may be used again once it returns.
+	// WritePiece sends the next piece, which may be reused once the call returns.
 	WritePiece(piece []byte) error
 	// Finish ends the value, which then is the request's answer.
 	Finish() error
-	// Abort ends a value that can't be finished, so that the client can tell that it is not whole.
+	// Abort ends a value that can't be completed, in such a way that the client can tell.
 	Abort()
 }
 
-// Host is what exchanges need of their host. Enter begins an event; Lock only looks.
+// Host is the environment of the exchanges. Enter begins an event; Lock only gives access to the state.
 type Host interface {
 	sender.Host
 	sync.Locker
-	Now() time.Duration            // of the event
-	Clock() time.Duration          // right now: the event may have begun a while ago
-	Do(f func())                   // under the lock, as one event
-	ScheduleTimer(d Timer)         // call Ring with it then
-	ScheduleWake(at time.Duration) // call Wake then; the latest call counts
-	HasDescriptor(make bool) bool  // there is a descriptor to spare; make: one may be made free for it
-	// ReserveLongValue asks for so many bytes of the room for long values, until a time at the most.
+	Now() time.Duration            // time of the event
+	Clock() time.Duration          // current time: the event may have begun some time ago
+	Do(f func())                   // calls f under the lock, as one event
+	ScheduleTimer(d Timer)         // calls HandleTimer with the timer when it is due
+	ScheduleWake(at time.Duration) // calls Wake at that time; the latest call replaces earlier ones
+	HasDescriptor(make bool) bool  // reports whether a descriptor is available; make: one may be freed for it
+	// ReserveLongValue requests n bytes of the memory for long values, waiting until a time at most.
 	ReserveLongValue(n int, until time.Duration) Reservation
 }
 
-// Reservation is a place in the room for long values. None of its methods but Drop may be called under the lock.
+// Reservation is a reservation of memory for a long value. Only ReleaseLocked may be called under the
+// lock.
 type Reservation interface {
-	Wait() bool     // until there is room, or the time has passed: then the place is gone
-	Shrink(n int)   // what is held is only so much
-	Release()       // give it back
-	ReleaseLocked() // the same, under the lock
+	Wait() bool     // waits for the memory; false: the time has passed, and the reservation is void
+	Shrink(n int)   // reduces the reservation to n bytes
+	Release()       // returns the memory
+	ReleaseLocked() // Release, under the lock
 }
 
-// Timer is something to do at a time. None is withdrawn; one that is no longer wanted does nothing.
+// Timer is an action at a given time. Timers are not cancelled; one that is no longer needed does
+// nothing.
 type Timer struct {
 	At         time.Duration
 	kind       uint8
@@ -105,35 +111,36 @@
 }
 
 const (
-	timerExpiry   = iota // of the exchange's time
-	timerConnect         // of its wait for a connection
-	timerHeldByte        // the rest of it is written
-	timerPing            // the answer to a ping
-	timerRedial          // the end of the backoff after a dial that failed
+	timerExpiry   = iota // the exchange's time is over
+	timerConnect         // its wait for a connection is over
+	timerHeldByte        // its held byte is due
+	timerPing            // the answer to a ping is overdue
+	timerRedial          // the backoff after a failed dial is over
 )
 
-// Member is a member's connections; the host embeds it in what it knows of the member.
+// Member holds the connections to a member; the host embeds it in its own record of the member.
 type Member = pool.Member[*Exchange]
 
-// Set is the exchanges and connections of a proxy.
+// Set holds the exchanges and connections of a proxy.
 type Set struct {
 	*pool.Pool[*Exchange]
 	host           Host
-	connectTimeout time.Duration // time-out
-	lastByteDelay  time.Duration // see lastByteDelay
+	connectTimeout time.Duration
+	lastByteDelay  time.Duration // see the constant
 	scratch        []byte
 	buffers        sync.Pool
-	readers        sync.Pool // of connections to caches
+	readers        sync.Pool // readers of connections to caches
 	seed           maphash.Seed
 	dialer         func(addr string, within time.Duration) (net.Conn, error)
-	corking        bool          // reads that are sent wait for Uncork
-	corkedConns    []*Conn       // on these
-	corkedSince    time.Duration // when the first of them was
+	corking        bool          // reads wait for Uncork
+	corkedConns    []*Conn       // connections with reads that wait
+	corkedSince    time.Duration // when the first of them was corked
 }
 
-// New makes a Set.
+// New returns a Set without connections.
 func New(cfg pool.Config, host Host) *Set {
-	s := &Set{host: host, connectTimeout: cfg.ConnectTimeout, lastByteDelay: lastByteDelay, seed: maphash.MakeSeed(), dialer: dialTCP}
+	s := &Set{host: host, connectTimeout: cfg.ConnectTimeout, lastByteDelay: lastByteDelay,
+		seed: maphash.MakeSeed(), dialer: dialTCP}
 	s.buffers.New = func() any { return new([]byte) }
 	s.readers.New = func() any { return resp.NewReader(nil, readBuffer) }
 	s.Pool = pool.New(cfg, actions{s})
@@ -143,53 +150,58 @@
 // SetLastByteDelay changes how long the last byte of a write is held back, for tests.
 func (s *Set) SetLastByteDelay(d time.Duration) { s.lastByteDelay = d }
 
-// MinDeadline is the least that a member is told to have. What has less left is not sent.
+// MinDeadline is the shortest deadline that a member is told. An exchange with less time left is not
+// sent.
 const MinDeadline = time.Millisecond
 
-// Exchange sends a message to a member that is ready. Its outcome comes by its Client, for its time's end too.
+// Exchange sends a message to a member that is ready. The outcome, including a timeout, is reported to
+// its Client.
 func (s *Set) Exchange(m *Member, x *Exchange) {
 	x.member, x.endOffset = m, -1
 	s.host.ScheduleTimer(Timer{At: x.ExpiresAt, kind: timerExpiry, exchange: x})
 	s.Submit(m, x)
 }
 
-// Key is the key that is asked for.
+// Key returns the requested key.
 func (x *Exchange) Key() []byte { return x.Message.Key }
 
-// Fresh tells whether it was the first on its connection, and waited for a handshake.
+// Fresh reports whether the exchange was the first on its connection, and so waited for a handshake.
 func (x *Exchange) Fresh() bool { return x.conn != nil && x.conn.Fresh() }
 
-// Sent tells whether it is on a connection, or was.
+// Sent reports whether the exchange has been given a connection.
 func (x *Exchange) Sent() bool { return x.conn != nil }
 
-// StreamingSince tells since when its value has been passed on; 0: it is not.
+// StreamingSince returns when streaming of its value began; 0: it has not.
 func (x *Exchange) StreamingSince() (since time.Duration) { return x.streamingSince }
 
-// InTransitUntil is until when an exchange that has ended may still be under way to its member, and come there as one that is new; 0: it is not.
+// InTransitUntil returns until when an exchange that has ended may still be in transit to its member, and
+// arrive there as a new request; 0: it is not in transit.
 func (x *Exchange) InTransitUntil() time.Duration { return x.transitUntil }
 
-// Recall takes back an exchange that nobody waits for any more, if its last byte is still here: it never runs then, and ends as one that
-// nobody was asked for. What may be out is left to end by itself.
+// Recall withdraws an exchange whose result is no longer needed, if its last byte has not been sent: it
+// then never runs, and ends as if it had not found a connection. An exchange that may have been sent
+// completes by itself.
 func (s *Set) Recall(x *Exchange) {
 	switch u := x.conn; {
 	case x.Ended:
 	case u == nil:
 		x.member.RemoveWaiting(x)
 		x.complete(logic.StatusNoConn, 0)
-	case u.unsent(x) && (u.Current == x || u.Current.streamingSince == 0): // another's long value is not cut off for it
+	// A long value of another exchange on the connection is not cut off.
+	case u.unsent(x) && (u.Current == x || u.Current.streamingSince == 0):
 		x.complete(logic.StatusNoConn, 0)
 		s.closeAndCancel(u)
 	}
 }
 
-// CloseMember closes the connections to a member, whatever is on them.
+// CloseMember closes all connections to a member, in whatever state.
 func (s *Set) CloseMember(m *Member) {
 	for len(m.Conns) > 0 {
 		s.Close(m.Conns[len(m.Conns)-1])
 	}
 }
 
-// HandleTimer does what has fallen due.
+// HandleTimer performs the action of a timer that is due.
 func (s *Set) HandleTimer(timer Timer) {
 	switch timer.kind {
 	case timerPing:
@@ -205,7 +217,7 @@
 	case timerExpiry:
 		switch {
 		case timer.exchange.Ended || timer.exchange.streamingSince != 0:
-		case s.host.Now() < timer.exchange.ExpiresAt: // it was given longer
+		case s.host.Now() < timer.exchange.ExpiresAt: // its time was extended
 			s.host.ScheduleTimer(Timer{At: timer.exchange.ExpiresAt, kind: timerExpiry, exchange: timer.exchange})
 		default:
 			s.Abandon(timer.exchange, logic.StatusTimeout)
@@ -213,20 +225,21 @@
 	}
 }
 
-// maxCorkTime is how long what is corked may be held back. Its deadline was told when it was written.
+// maxCorkTime is how long corked reads may be held back. Their deadline was fixed when they were encoded.
 const maxCorkTime = 5 * time.Millisecond
 
-// Cork holds back reads that are sent to caches until Uncork, in the same event under the lock, so that those on one connection go out
-// together.
+// Cork holds back reads that are sent to caches until Uncork, within one event under the lock, so that
+// those on the same connection are written together.
 func (s *Set) Cork() { s.corking = true }
 
-// Uncork sends what was held back.
+// Uncork writes the reads that were held back.
 func (s *Set) Uncork() {
 	s.corking = false
 	s.flushCorked()
 }
 
-// cork has a read on a connection held back, and sends what was held back too long before it.
+// cork holds back the writes of a connection, and first flushes those that have been held back for too
+// long.
 func (s *Set) cork(u *Conn, now time.Duration) {
 	if len(s.corkedConns) > 0 && now-s.corkedSince > maxCorkTime {
 		s.flushCorked()
@@ -247,7 +260,7 @@
 	s.corkedConns = s.corkedConns[:0]
 }
 
-// verdictStatus names why a request got no connection.
+// verdictStatus returns the status of a request that got no connection.
 func verdictStatus(v pool.Verdict) logic.Status {
 	if v == pool.LocalShortage {
 		return logic.StatusNoConn
@@ -255,7 +268,7 @@
 	return logic.StatusConnectFailed
 }
 
-// actions carries out what the pool decides.
+// actions carries out the pool's decisions.
 type actions struct{ set *Set }
 
 var _ pool.Actions[*Exchange] = actions{}
@@ -282,14 +295,14 @@
 
 func (a actions) ScheduleWake(at time.Duration) { a.set.host.ScheduleWake(at) }
 
-// complete gives an exchange its outcome; later ones are dropped.
+// complete reports an exchange's outcome; later outcomes are ignored.
 func (x *Exchange) complete(status logic.Status, note int) {
 	if !x.Ended {
 		x.Client.Done(status, note)
 	}
 }
 
-// abandon ends an exchange whose connection is given up.
+// abandon completes an exchange whose connection is closed because of it.
 func (x *Exchange) abandon(status logic.Status) {
 	if !x.Ended && !x.conn.unsent(x) {
 		x.recordTransit()
@@ -297,15 +310,16 @@
 	x.complete(status, 0)
 }
 
-// recordTransit works out until when an exchange that is given up may be under way. The end of its connection doesn't call back what has gone out.
+// recordTransit determines until when an abandoned exchange may be in transit. Closing its connection
+// doesn't recall what has been sent.
 func (x *Exchange) recordTransit() {
 	u := x.conn
 	written := x.WrittenAt
 	switch {
 	case written > 0:
-	case u.sender.Busy(): // it may be going out right now
+	case u.sender.Busy(): // it may be being sent right now
 		written = u.set.host.Clock()
-	default: // it went out with others, or in parts
+	default: // it was sent together with others, or in parts
 		written = u.lastWriteAt
 	}
 	x.transitUntil = written + u.set.Transit(u.Member)
