--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -366,7 +366,8 @@
 		name       string
 		change     func()
 		settleTime time.Duration
-		// per request in the five seconds after settleTime: refused and opened connections
+		// maxRefused and maxConnected limit the refused and opened connections per request in the five
+		// seconds after settleTime.
 		maxRefused, maxConnected float64
 		includes                 func(i int) bool
 	}{
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -8,7 +8,8 @@
 func TestIdleLimitFollowsBrokenConnections(t *testing.T) {
 	const most = 4 * time.Second
 	for name, tc := range map[string]struct {
-		// share of broken connections among those just used, and among those idle for 200 ms
+		// brokenFresh and brokenIdle are the shares of broken connections among those just used, and
+		// among those idle for 200 ms.
 		brokenFresh, brokenIdle float64
 		samples                 float64 // of each kind
 		minLimit, maxLimit      time.Duration
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -35,7 +35,8 @@
 	maxConcurrentDials = 64 // dials to a zone that vanished fail slowly and must not use up the descriptors
 	// IdlePercent is the percentage of the members' idle timeout after which a connection is closed.
 	IdlePercent = 80
-	// the same for a request that must not be repeated, which can't recover from a crossing close
+	// onceIdlePercent replaces IdlePercent for a request that must not be repeated, which can't recover
+	// if it crosses the member's close.
 	onceIdlePercent = 20
 	// dialBackoff is how long further dials wait after a dial failed while other connections are open; it
 	// doubles with each consecutive failure, up to dialBackoffMax. A single dial may fail by chance, and
@@ -90,8 +91,8 @@
 	Write     bool
 	Once      bool // it must never run twice
 	Ended     bool // set by the host: it no longer needs a connection
-	// requests that arrive together have the same group and may share a connection from the start; 0: no
-	// group
+	// Group is shared by requests that arrive together, which may use one connection from the start; 0: no
+	// group.
 	Group    uint32
 	redialed bool // a dial for it was refused immediately, and one more is made
 }
@@ -111,7 +112,7 @@
 
 // The verdicts.
 const (
-	// the proxy itself is short of connections: the member is neither full nor unreachable
+	// LocalShortage: the proxy itself is short of connections, the member is neither full nor unreachable.
 	LocalShortage Verdict = iota
 	Unreachable           // the member accepts no connection, or no new requests
 )
@@ -129,15 +130,15 @@
 type Actions[X Exchange] interface {
 	Dial(m *Member[X], warm bool) // connects, then calls DialCompleted
 	Reject(x X, v Verdict)        // x gets no connection
-	// reports whether x has expired by now: the event may have begun some time ago
+	// Expired reports whether x has expired by now: the event may have begun some time ago.
 	Expired(x X) bool
-	// reports whether a descriptor is available; make: one may be freed for it
+	// HasDescriptor reports whether a descriptor is available; make: one may be freed for it.
 	HasDescriptor(make bool) bool
-	// calls ConnectTimedOut at that time unless x has been sent
+	// ScheduleConnectTimeout calls ConnectTimedOut at that time unless x has been sent.
 	ScheduleConnectTimeout(x X, at time.Duration)
 	ScheduleRedial(m *Member[X], at time.Duration)          // calls Redial at that time
 	SchedulePingTimeout(c *Conn[X], at, sent time.Duration) // calls PingTimedOut with sent at that time
-	// calls Wake at that time; the latest call replaces earlier ones
+	// ScheduleWake calls Wake at that time; the latest call replaces earlier ones.
 	ScheduleWake(at time.Duration)
 }
 
@@ -162,7 +163,7 @@
 	// cleanAnswers counts the clean answers since the last bad one; cleanRequired is the number required
 	// before requests are pipelined.
 	cleanAnswers, cleanRequired int
-	// the latest backoff; it doubles with each consecutive failed dial
+	// backoff is the latest backoff; it doubles with each consecutive failed dial.
 	backoff     time.Duration
 	noDialUntil time.Duration // no dials before this time while connections are open
 }
@@ -200,11 +201,11 @@
 	currentSince time.Duration // when Current became the current request
 	carriesWrite bool          // its current request is a write
 	group        uint32        // group of the request for which it was picked
-	// the latest key sent: the next key must differ, or a second copy of its answer could pass for the
-	// next answer
+	// lastKey is the latest key sent: the next key must differ, or a second copy of its answer could pass
+	// for the next answer.
 	lastKey  []byte
 	lastUsed time.Duration
-	// class of the idle time that preceded its current request; below 0: the connection was new
+	// idleClass is the class of the idle time before its current request; below 0: the connection was new.
 	idleClass  int
 	reusableAt time.Duration // when it may carry the next request
 }
@@ -402,7 +403,7 @@
 func (p *Pool[X]) dialTrial(m *Member[X]) {
 	switch {
 	case !m.Ready || p.now < m.noDialUntil || m.pendingDials > 0:
-	// its request was refused, but the connection was left open: another request may succeed
+	// Its request was refused, but the connection was left open: another request may succeed.
 	case len(m.Conns) > 0:
 		if c := m.Conns[0]; !c.Busy() {
 			p.extendBackoff(m)
@@ -633,7 +634,7 @@
 // but at its connection limit still answers on the open ones. A request whose dial was refused
 // immediately gets one more dial, since the refusal has cost no time.
 func (p *Pool[X]) dialFailed(m *Member[X], atOnce bool) {
-	// a dead cache refuses each dial like a full one, so only the first refusal counts
+	// A dead cache refuses each dial like a full one, so only the first refusal counts.
 	if atOnce && !m.Origin && m.backoff == 0 {
 		p.hold.recordRefusal()
 	}
--- a/internal/pool/transit.go
+++ b/internal/pool/transit.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// transitDivisor: before any answer is known, a message is expected to be in transit for at most this
-	// fraction of the connect timeout. A useful connect timeout allows two round trips, so that a lost
-	// message does not fail the connection.
+	// transitDivisor limits the transit time while no answer is known: a message is expected to be in
+	// transit for at most this fraction of the connect timeout. A useful connect timeout allows two round
+	// trips, so that a lost message does not fail the connection.
 	transitDivisor = 4
 	// maxTransit is an upper bound: along the longest path on earth light in a cable takes 0.1 s, and
-	// queues seldom add as much again.
+	// queues on it mostly take up to as long again.
 	maxTransit = 150 * time.Millisecond
 	// roundTripRiseDivisor is the fraction by which the estimate of a round trip rises with each slower
 	// answer. A member that has moved farther away is recognized about a hundred answers later.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -48,7 +48,7 @@
 	lastValueHash    uint64        // hash of the latest value, while others were pipelined behind it; 0: none
 	readDeadlineSet  bool          // a read deadline is set for the rest of an answer; only the reader uses it
 	readingLongValue bool          // a long value is being read, at its client's pace; only the reader uses it
-	// the first read of an answer, which finds data immediately; only the reader uses it
+	// firstRead marks the first read of an answer, which finds data immediately; only the reader uses it.
 	firstRead  bool
 	untilClose bool         // the answer extends to the end of the connection; only the reader uses it
 	respReader *resp.Reader // from the Set's readers; nil: none in use; only the reader uses it
