--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -68,7 +68,7 @@
 	TakenMS    int64                        // Unix time
 	Balancer   logic.Learnt                 `json:"Learnt"`
 	Links      map[logic.MemberID]LinkState `json:"Members"`
-	Idle       pool.IdleLearnt
+	Idle       pool.IdleStats
 	ReuseShare float64 `json:"Reuse"` // share of client connections that carry further requests
 }
 
@@ -76,7 +76,7 @@
 // statistics of its connections.
 type LinkState struct {
 	Addr string
-	pool.Learnt
+	pool.ConnStats
 }
 
 // FleetHash returns a hash by which fleets and proxies are distinguished, of the given parts of the
@@ -227,9 +227,9 @@
 }
 
 // decayIdle scales the counts of idle connections.
-func decayIdle(stats pool.IdleLearnt, share float64) (decayed pool.IdleLearnt) {
-	for i := range min(len(stats.Used), len(stats.Broke)) {
-		decayed.Used, decayed.Broke = append(decayed.Used, stats.Used[i]*share), append(decayed.Broke, stats.Broke[i]*share)
+func decayIdle(stats pool.IdleStats, share float64) (decayed pool.IdleStats) {
+	for i := range min(len(stats.Reused), len(stats.Broken)) {
+		decayed.Reused, decayed.Broken = append(decayed.Reused, stats.Reused[i]*share), append(decayed.Broken, stats.Broken[i]*share)
 	}
 	return decayed
 }
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
-func TestIdleLimitFollowsWhatBreaks(t *testing.T) {
+func TestIdleLimitFollowsBrokenConnections(t *testing.T) {
 	const most = 4 * time.Second
-	for name, c := range map[string]struct {
-		young, old  float64 // share that breaks at connections just used, and at those idle for 200 ms
-		tries       float64 // of each
-		least, past time.Duration
+	for name, tc := range map[string]struct {
+		// brokenFresh and brokenIdle are the shares of broken connections among those just used, and
+		// among those idle for 200 ms.
+		brokenFresh, brokenIdle float64
+		samples                 float64 // of each kind
+		minLimit, maxLimit      time.Duration
 	}{
 		"all hold":              {0, 0, 50, most, most},
 		"all break alike":       {0.5, 0.5, 50, most, most},
@@ -19,19 +21,19 @@
 		"most of the old break": {0.05, 0.5, 50, 100 * time.Millisecond, 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := newIdleTimes(most)
-			old := i.class(200 * time.Millisecond)
-			i.used[0], i.broke[0] = c.tries, c.young*c.tries
-			i.used[old], i.broke[old] = c.tries, c.old*c.tries
-			i.sweep(most)
-			if i.limit < c.least || i.limit > c.past {
-				t.Errorf("the limit is %v, want %v to %v", i.limit, c.least, c.past)
+			times := newIdleTimes(most)
+			old := times.class(200 * time.Millisecond)
+			times.reused[0], times.broken[0] = tc.samples, tc.brokenFresh*tc.samples
+			times.reused[old], times.broken[old] = tc.samples, tc.brokenIdle*tc.samples
+			times.updateLimit(most)
+			if times.limit < tc.minLimit || times.limit > tc.maxLimit {
+				t.Errorf("the limit is %v, want %v to %v", times.limit, tc.minLimit, tc.maxLimit)
 			}
 			for range 1000 {
-				i.sweep(most)
+				times.updateLimit(most)
 			}
-			if i.limit != most {
-				t.Errorf("the limit is %v for good", i.limit)
+			if times.limit != most {
+				t.Errorf("the limit is %v for good", times.limit)
 			}
 		})
 	}
--- a/internal/pool/learnt.go
+++ b/internal/pool/learnt.go
@@ -2,43 +2,50 @@
 
 import "time"
 
-// Learnt is what is known of a member's connections, for the process that takes this one's place. Who is out of reach is not in it:
-// one dial tells that anew.
-type Learnt struct {
-	Turn        time.Duration // for which a connection is taken for a request lately
-	Clean, Need int           // clean answers since one was spoilt, and those asked for before requests travel together
+// ConnStats is what the pool knows of a member's connections, for the successor process. Whether a member
+// is unreachable is not part of it: a single dial finds that out.
+type ConnStats struct {
+	Occupancy     time.Duration `json:"Turn"`  // recent average time for which a request occupies a connection
+	CleanAnswers  int           `json:"Clean"` // clean answers since the last bad one
+	CleanRequired int           `json:"Need"`  // clean answers required before requests are pipelined
 }
 
-// Learnt tells what is known of the connections.
-func (m *Member[X]) Learnt() Learnt { return Learnt{m.turn, m.clean, m.cleanNeed} }
+// Stats returns what the pool knows of the member's connections.
+func (m *Member[X]) Stats() ConnStats { return ConnStats{m.occupancy, m.cleanAnswers, m.cleanRequired} }
 
-// Inherit takes over what another process knew, if nothing is known yet.
-func (m *Member[X]) Inherit(l Learnt) {
-	if m.turn == 0 && m.clean == 0 && l.Turn > 0 {
-		m.turn, m.clean, m.cleanNeed = l.Turn, min(max(0, l.Clean), cleanMost), min(max(0, l.Need), cleanMost)
+// RestoreStats adopts the statistics of another process, unless the pool already has its own.
+func (m *Member[X]) RestoreStats(stats ConnStats) {
+	if m.occupancy == 0 && m.cleanAnswers == 0 && stats.Occupancy > 0 {
+		m.occupancy = stats.Occupancy
+		m.cleanAnswers = min(max(0, stats.CleanAnswers), maxCleanAnswers)
+		m.cleanRequired = min(max(0, stats.CleanRequired), maxCleanAnswers)
 	}
 }
 
-// IdleLearnt is how connections have fared, by spans of the time for which they had stood idle: how many were used again, and how
-// many of these broke.
-type IdleLearnt struct{ Used, Broke []float64 }
+// IdleStats counts, by class of the preceding idle time, how many connections were used again and how
+// many of those broke.
+type IdleStats struct {
+	Reused []float64 `json:"Used"`
+	Broken []float64 `json:"Broke"`
+}
 
-// IdleLearnt tells how connections have fared.
-func (p *Pool[X]) IdleLearnt() IdleLearnt {
-	used, broke := p.idle.used, p.idle.broke // copies
-	return IdleLearnt{used[:], broke[:]}
+// IdleStats returns the record of reused and broken connections.
+func (p *Pool[X]) IdleStats() IdleStats {
+	reused, broken := p.idle.reused, p.idle.broken // copies
+	return IdleStats{reused[:], broken[:]}
 }
 
-// InheritIdle takes over how another process's connections have fared. What has other spans, or is no count, is left.
-func (p *Pool[X]) InheritIdle(l IdleLearnt) {
-	if len(l.Used) != idleClasses || len(l.Broke) != idleClasses {
+// RestoreIdleStats adopts the record of another process. A record with other classes, or with invalid
+// counts, is ignored.
+func (p *Pool[X]) RestoreIdleStats(stats IdleStats) {
+	if len(stats.Reused) != idleClasses || len(stats.Broken) != idleClasses {
 		return
 	}
 	for i := range idleClasses {
-		if u, b := l.Used[i], l.Broke[i]; !(u >= b && b >= 0 && u < 1e12) {
+		if u, b := stats.Reused[i], stats.Broken[i]; !(u >= b && b >= 0 && u < 1e12) {
 			return
 		}
 	}
-	copy(p.idle.used[:], l.Used)
-	copy(p.idle.broke[:], l.Broke)
+	copy(p.idle.reused[:], stats.Reused)
+	copy(p.idle.broken[:], stats.Broken)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -8,516 +8,532 @@
 	"time"
 )
 
-// fake is a request of the tests.
-type fake struct {
+// testRequest is the tests' Exchange.
+type testRequest struct {
 	Request
-	key     string
-	n       int
-	m       *Member[*fake] // where it was placed, if that is asked for
-	verdict []Verdict
+	key      string
+	id       int
+	member   *Member[*testRequest] // the member it was submitted to, where a test needs it
+	verdicts []Verdict
 }
 
-func (x *fake) Key() []byte { return []byte(x.key) }
+func (x *testRequest) Key() []byte { return []byte(x.key) }
 
-// wire is the host's side of a connection in the tests.
-type wire struct {
-	c                      *Conn[*fake]
-	w                      *world
-	epoch                  int     // of the member, when it was dialled
-	sent                   []*fake // in order, those answered left out
+// testLink is the tests' Link.
+type testLink struct {
+	conn                   *Conn[*testRequest]
+	host                   *testHost
+	epoch                  int            // the member's epoch when it was dialed
+	sent                   []*testRequest // in order, without those answered
 	pings                  int
 	blocked, noisy, closed bool
-	away                   bool // one too many: its first request is turned away
+	overLimit              bool // over the cache's connection limit: its first request is refused
 }
 
-func (l *wire) Send(x *fake) {
+func (l *testLink) Send(x *testRequest) {
 	if l.closed || l.blocked {
-		l.w.t.Errorf("request %d is written to a connection that is closed or blocked", x.n)
+		l.host.t.Errorf("request %d is written to a connection that is closed or blocked", x.id)
 	}
-	if l.c.Retired || !l.c.M.Ready {
-		l.w.t.Errorf("request %d is written to a connection out of use, or to a member that drains", x.n)
+	if l.conn.Retired || !l.conn.Member.Ready {
+		l.host.t.Errorf("request %d is written to a connection out of use, or to a member that drains", x.id)
 	}
-	if l.epoch != l.c.M.Epoch {
-		l.w.t.Errorf("request %d is written to where the member was before", x.n)
+	if l.epoch != l.conn.Member.Epoch {
+		l.host.t.Errorf("request %d is written to where the member was before", x.id)
 	}
 	if x.Ended {
-		l.w.t.Errorf("request %d, which is over, is written", x.n)
+		l.host.t.Errorf("request %d, which is over, is written", x.id)
 	}
 	if l.pings > 0 {
-		l.w.t.Error("something is written behind a ping")
+		l.host.t.Error("something is written behind a ping")
 	}
 	for _, y := range l.sent {
-		if x.Write || y.Write || x.Once || l.c.M.Origin || x.key == y.key && y == l.sent[len(l.sent)-1] {
-			l.w.t.Errorf("%+v is written behind %+v", x.Request, y.Request)
+		if x.Write || y.Write || x.Once || l.conn.Member.Origin || x.key == y.key && y == l.sent[len(l.sent)-1] {
+			l.host.t.Errorf("%+v is written behind %+v", x.Request, y.Request)
 		}
 	}
 	l.sent = append(l.sent, x)
 }
 
-func (l *wire) Ping()        { l.pings++ }
-func (l *wire) Clear() bool  { return !l.blocked }
-func (l *wire) Silent() bool { return !l.noisy }
-func (l *wire) Shut()        { l.closed = true }
+func (l *testLink) Ping()          { l.pings++ }
+func (l *testLink) Writable() bool { return !l.blocked }
+func (l *testLink) Silent() bool   { return !l.noisy }
+func (l *testLink) Close()         { l.closed = true }
 
-// dial is one that is out.
-type dial struct {
-	m     *Member[*fake]
-	epoch int
-	warm  bool
+// pendingDial is a dial that has not ended.
+type pendingDial struct {
+	member *Member[*testRequest]
+	epoch  int
+	warm   bool
 }
 
-// world is a host with a clock of its own.
-type world struct {
-	t       *testing.T
-	p       *Pool[*fake]
-	now     time.Duration
-	dials   []dial
-	late    map[*fake]time.Duration
-	redials map[*Member[*fake]]time.Duration
-	wake    time.Duration
-	full    bool
-	wires   []*wire
+// testHost is a host with a simulated clock.
+type testHost struct {
+	t               *testing.T
+	pool            *Pool[*testRequest]
+	now             time.Duration
+	dials           []pendingDial
+	connectTimeouts map[*testRequest]time.Duration
+	redials         map[*Member[*testRequest]]time.Duration
+	wake            time.Duration
+	noDescriptors   bool
+	links           []*testLink
 }
 
-func newWorld(t *testing.T, cfg Config) *world {
-	w := &world{t: t, now: time.Hour, late: map[*fake]time.Duration{}, redials: map[*Member[*fake]]time.Duration{}}
-	w.p = New(cfg, Actions[*fake](w))
-	w.p.Advance(w.now)
-	return w
+func newTestHost(t *testing.T, cfg Config) *testHost {
+	h := &testHost{t: t, now: time.Hour, connectTimeouts: map[*testRequest]time.Duration{}, redials: map[*Member[*testRequest]]time.Duration{}}
+	h.pool = New(cfg, Actions[*testRequest](h))
+	h.pool.Advance(h.now)
+	return h
 }
 
-var usual = Config{ConnIdle: 5 * time.Second, ConnectTimeout: 250 * time.Millisecond, Multiplex: 4, Instances: 1, Sockets: 512,
+var defaultConfig = Config{ConnIdle: 5 * time.Second, ConnectTimeout: 250 * time.Millisecond, Multiplex: 4, Instances: 1, Descriptors: 512,
 	CanProbe: true}
 
-func (w *world) Dial(m *Member[*fake], warm bool) { w.dials = append(w.dials, dial{m, m.Epoch, warm}) }
+func (h *testHost) Dial(m *Member[*testRequest], warm bool) {
+	h.dials = append(h.dials, pendingDial{m, m.Epoch, warm})
+}
 
-func (w *world) End(x *fake, v Verdict) {
+func (h *testHost) Reject(x *testRequest, v Verdict) {
 	if x.Ended {
-		w.t.Errorf("request %d ends twice", x.n)
+		h.t.Errorf("request %d ends twice", x.id)
 	}
 	x.Ended = true
-	x.verdict = append(x.verdict, v)
+	x.verdicts = append(x.verdicts, v)
 }
 
-func (w *world) Expired(x *fake) bool                      { return x.Until > 0 && w.now >= x.Until }
-func (w *world) Room(bool) bool                            { return !w.full }
-func (w *world) ConnectBy(x *fake, at time.Duration)       { w.late[x] = at }
-func (w *world) DialAt(m *Member[*fake], at time.Duration) { w.redials[m] = at }
-func (w *world) PingBy(*Conn[*fake], time.Duration, time.Duration) {
+func (h *testHost) Expired(x *testRequest) bool { return x.ExpiresAt > 0 && h.now >= x.ExpiresAt }
+func (h *testHost) HasDescriptor(bool) bool     { return !h.noDescriptors }
+func (h *testHost) ScheduleConnectTimeout(x *testRequest, at time.Duration) {
+	h.connectTimeouts[x] = at
+}
+func (h *testHost) ScheduleRedial(m *Member[*testRequest], at time.Duration) { h.redials[m] = at }
+func (w *testHost) SchedulePingTimeout(*Conn[*testRequest], time.Duration, time.Duration) {
 }
-func (w *world) WakeAt(at time.Duration) { w.wake = at }
+func (h *testHost) ScheduleWake(at time.Duration) { h.wake = at }
 
-// connect ends the i-th dial that is out, well or not.
-func (w *world) connect(i int, well bool) *wire {
-	d := w.dials[i]
-	w.dials = slices.Delete(w.dials, i, i+1)
-	if !well {
-		w.p.Dialled(d.m, nil, d.epoch, d.warm, w.now%2 == 0)
+// connect completes the i-th pending dial, with or without success.
+func (h *testHost) connect(i int, succeeds bool) *testLink {
+	dial := h.dials[i]
+	h.dials = slices.Delete(h.dials, i, i+1)
+	if !succeeds {
+		h.pool.DialCompleted(dial.member, nil, dial.epoch, dial.warm, h.now%2 == 0)
 		return nil
 	}
-	l := &wire{w: w, epoch: d.epoch, c: &Conn[*fake]{M: d.m}}
-	l.c.Link = l
-	w.wires = append(w.wires, l)
-	w.p.Dialled(d.m, l.c, d.epoch, d.warm, false)
-	return l
+	link := &testLink{host: h, epoch: dial.epoch, conn: &Conn[*testRequest]{Member: dial.member}}
+	link.conn.Link = link
+	h.links = append(h.links, link)
+	h.pool.DialCompleted(dial.member, link.conn, dial.epoch, dial.warm, false)
+	return link
 }
 
-// answer answers what is in front on a connection, as a host does.
-func (w *world) answer(l *wire) {
-	if l.pings > 0 {
-		l.pings = 0
-	} else if len(l.sent) > 0 {
-		l.sent[0].Ended = true
-		l.sent = l.sent[1:]
+// answer delivers the answer to the current request or ping of a connection, as a host does.
+func (h *testHost) answer(link *testLink) {
+	if link.pings > 0 {
+		link.pings = 0
+	} else if len(link.sent) > 0 {
+		link.sent[0].Ended = true
+		link.sent = link.sent[1:]
 	} else {
 		return
 	}
-	if l.c.Closed || w.p.Answered(l.c, true) {
+	if link.conn.Closed || h.pool.Answered(link.conn, true) {
 		return
 	}
-	if l.c.Retired {
-		w.p.Broken(l.c)
+	if link.conn.Retired {
+		h.pool.HandleBroken(link.conn)
 		return
 	}
-	w.p.Rest(l.c)
+	h.pool.Release(link.conn)
 }
 
-// broken ends a connection and all that is on it.
-func (w *world) broken(l *wire) {
-	for _, x := range l.sent {
+// broken ends a connection and all requests on it.
+func (h *testHost) broken(link *testLink) {
+	for _, x := range link.sent {
 		x.Ended = true
 	}
-	l.sent, l.c.Behind = nil, nil
-	w.p.Broken(l.c)
+	link.sent, link.conn.Pipelined = nil, nil
+	h.pool.HandleBroken(link.conn)
 }
 
-// The backoff grows while dials fail, counts dials that fail together once, and ends with one that comes up.
+// The backoff grows with failing dials, counts dials that fail together once, and ends with the first
+// answer on a new connection.
 func TestDialBackoffDoublesAndEnds(t *testing.T) {
-	w := newWorld(t, usual)
-	m := &Member[*fake]{Ready: true}
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
 	for i, want := 0, dialBackoff; i < 9; i, want = i+1, min(2*want, dialBackoffMax) {
-		m.dials, w.p.dialling, w.p.open = 2, 2, 2
-		w.p.Dialled(m, nil, 0, false, true)
-		w.p.Dialled(m, nil, 0, false, true)
-		if m.backoff != want {
-			t.Errorf("backoff %d is %v, not %v", i, m.backoff, want)
+		member.pendingDials, host.pool.pendingDials, host.pool.openConns = 2, 2, 2
+		host.pool.DialCompleted(member, nil, 0, false, true)
+		host.pool.DialCompleted(member, nil, 0, false, true)
+		if member.backoff != want {
+			t.Errorf("backoff %d is %v, not %v", i, member.backoff, want)
 		}
-		w.now = m.full
-		w.p.Advance(w.now)
-	}
-	m.dials, w.p.dialling, w.p.open = 1, 1, 1
-	w.dials = []dial{{m, 0, false}}
-	m.Waiting = []*fake{{Request: Request{Until: w.now + time.Second}}}
-	l := w.connect(0, true)
-	if m.Backoff() == 0 {
+		host.now = member.noDialUntil
+		host.pool.Advance(host.now)
+	}
+	member.pendingDials, host.pool.pendingDials, host.pool.openConns = 1, 1, 1
+	host.dials = []pendingDial{{member, 0, false}}
+	member.Waiting = []*testRequest{{Request: Request{ExpiresAt: host.now + time.Second}}}
+	link := host.connect(0, true)
+	if member.Backoff() == 0 {
 		t.Error("a connection ends the backoff before it has carried anything")
 	}
-	w.answer(l)
-	if m.Backoff() != 0 {
-		t.Errorf("the backoff outlives an answer: %v", m.backoff)
+	host.answer(link)
+	if member.Backoff() != 0 {
+		t.Errorf("the backoff outlives an answer: %v", member.backoff)
 	}
 }
 
-// The line is told as long as it is, and as hopeless at a cache that is stuck, or that nothing is known of.
-func TestHowLongTheLineIs(t *testing.T) {
-	w := newWorld(t, usual)
-	at := func(used time.Duration) []*Conn[*fake] {
-		return []*Conn[*fake]{{used: w.now - used}, {used: w.now - time.Second}}
-	}
-	line := func(n int) []*fake { return make([]*fake, n) }
-	for name, c := range map[string]struct {
-		m    Member[*fake]
-		want time.Duration
+// The queue delay is proportional to the queue, and negative at a cache that is stuck or unknown.
+func TestQueueDelay(t *testing.T) {
+	host := newTestHost(t, defaultConfig)
+	connsUsed := func(used time.Duration) []*Conn[*testRequest] {
+		return []*Conn[*testRequest]{{lastUsed: host.now - used}, {lastUsed: host.now - time.Second}}
+	}
+	queue := func(n int) []*testRequest { return make([]*testRequest, n) }
+	for name, tc := range map[string]struct {
+		member Member[*testRequest]
+		want   time.Duration
 	}{
-		"a short line":          {Member[*fake]{turn: time.Millisecond, Conns: at(0), Waiting: line(9)}, 5 * time.Millisecond},
-		"a long line":           {Member[*fake]{turn: time.Millisecond, Conns: at(0), Waiting: line(99)}, 50 * time.Millisecond},
-		"slow answers":          {Member[*fake]{turn: 80 * time.Millisecond, Conns: at(0), Waiting: line(2)}, 120 * time.Millisecond},
-		"stuck":                 {Member[*fake]{turn: time.Millisecond, Conns: at(60 * time.Millisecond), Waiting: line(2)}, -1},
-		"no connection":         {Member[*fake]{turn: time.Millisecond, Waiting: line(2)}, -1},
-		"nothing known":         {Member[*fake]{Conns: at(0), Waiting: line(2)}, -1},
-		"as long as a dial may": {Member[*fake]{turn: 2 * time.Millisecond, Conns: at(0), Waiting: line(130)}, -1},
+		"a short line":          {Member[*testRequest]{occupancy: time.Millisecond, Conns: connsUsed(0), Waiting: queue(9)}, 5 * time.Millisecond},
+		"a long line":           {Member[*testRequest]{occupancy: time.Millisecond, Conns: connsUsed(0), Waiting: queue(99)}, 50 * time.Millisecond},
+		"slow answers":          {Member[*testRequest]{occupancy: 80 * time.Millisecond, Conns: connsUsed(0), Waiting: queue(2)}, 120 * time.Millisecond},
+		"stuck":                 {Member[*testRequest]{occupancy: time.Millisecond, Conns: connsUsed(60 * time.Millisecond), Waiting: queue(2)}, -1},
+		"no connection":         {Member[*testRequest]{occupancy: time.Millisecond, Waiting: queue(2)}, -1},
+		"nothing known":         {Member[*testRequest]{Conns: connsUsed(0), Waiting: queue(2)}, -1},
+		"as long as a dial may": {Member[*testRequest]{occupancy: 2 * time.Millisecond, Conns: connsUsed(0), Waiting: queue(130)}, -1},
 	} {
-		if got := w.p.line(&c.m); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+		if got := host.pool.queueDelay(&tc.member); got != tc.want {
+			t.Errorf("%s: %v, want %v", name, got, tc.want)
 		}
 	}
 }
 
-// In line are first those whose time ends first; of the same time, those that came first.
-func TestLineIsOrderedByTime(t *testing.T) {
-	m := &Member[*fake]{}
-	for i, until := range []time.Duration{5, 3, 9, 3, 1, 5} {
-		m.wait(&fake{Request: Request{Until: until}, n: i})
+// The queue is ordered by expiry, and requests with equal expiry by arrival.
+func TestQueueIsOrderedByExpiry(t *testing.T) {
+	member := &Member[*testRequest]{}
+	for i, expiresAt := range []time.Duration{5, 3, 9, 3, 1, 5} {
+		member.enqueue(&testRequest{Request: Request{ExpiresAt: expiresAt}, id: i})
 	}
 	var got []int
-	for _, x := range m.Waiting {
-		got = append(got, x.n)
+	for _, x := range member.Waiting {
+		got = append(got, x.id)
 	}
 	if !slices.Equal(got, []int{4, 1, 3, 0, 5, 2}) {
 		t.Errorf("%v", got)
 	}
 }
 
-// A request whose time is over by the time a connection is there for it is not sent, however late the event that brings the connection began:
-// the next one has it.
-func TestExpiredInLineIsNotSent(t *testing.T) {
-	w := newWorld(t, usual)
-	m := &Member[*fake]{Ready: true}
-	late := &fake{Request: Request{Until: w.now + time.Millisecond}, n: 1}
-	next := &fake{Request: Request{Until: w.now + time.Hour}, n: 2}
-	w.p.Place(m, late)
-	w.p.Place(m, next)
-	w.now += time.Second // the pool has not been told
-	l := w.connect(0, true)
-	if len(late.verdict) != 1 || len(l.sent) != 1 || l.sent[0] != next || len(m.Waiting) != 0 {
-		t.Errorf("verdict %v, sent %v, %d in line", late.verdict, l.sent, len(m.Waiting))
+// A request that has expired when a connection becomes available is not sent, even if the event that
+// brings the connection began before its expiry: the next request gets the connection.
+func TestExpiredInQueueIsNotSent(t *testing.T) {
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
+	expired := &testRequest{Request: Request{ExpiresAt: host.now + time.Millisecond}, id: 1}
+	next := &testRequest{Request: Request{ExpiresAt: host.now + time.Hour}, id: 2}
+	host.pool.Submit(member, expired)
+	host.pool.Submit(member, next)
+	host.now += time.Second // the pool has not been advanced
+	link := host.connect(0, true)
+	if len(expired.verdicts) != 1 || len(link.sent) != 1 || link.sent[0] != next || len(member.Waiting) != 0 {
+		t.Errorf("verdict %v, sent %v, %d in line", expired.verdicts, link.sent, len(member.Waiting))
 	}
 }
 
-// A request that gets its connection a few milliseconds before its own time is up is not sent: it would be given up at once and sent elsewhere,
-// and the members may hear of the second attempt first, which is two at a time.
-func TestLittleTimeInLineIsNotSent(t *testing.T) {
-	w := newWorld(t, usual)
-	m := &Member[*fake]{Ready: true}
-	x := &fake{Request: Request{Until: w.now + 120*time.Millisecond}, n: 1}
-	w.p.Place(m, x)
-	w.now += 115 * time.Millisecond
-	w.p.Advance(w.now)
-	if l := w.connect(0, true); len(l.sent) != 0 || len(x.verdict) != 1 {
-		t.Errorf("sent %v with 5 ms left, verdict %v", l.sent, x.verdict)
+// A request that gets its connection a few milliseconds before it expires is not sent: it would be
+// abandoned and sent to another member, and that second attempt may arrive before the first, so that two
+// are being processed at once.
+func TestShortTimeLeftInQueueIsNotSent(t *testing.T) {
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
+	request := &testRequest{Request: Request{ExpiresAt: host.now + 120*time.Millisecond}, id: 1}
+	host.pool.Submit(member, request)
+	host.now += 115 * time.Millisecond
+	host.pool.Advance(host.now)
+	if l := host.connect(0, true); len(l.sent) != 0 || len(request.verdicts) != 1 {
+		t.Errorf("sent %v with 5 ms left, verdict %v", l.sent, request.verdicts)
 	}
 }
 
-// A member that drains with a line before it gets nothing of the line.
-func TestDrainEndsTheLine(t *testing.T) {
-	w := newWorld(t, usual)
-	m := &Member[*fake]{Ready: true}
-	var line []*fake
+// A member that starts to drain receives none of its queued requests.
+func TestDrainRejectsTheQueue(t *testing.T) {
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
+	var queue []*testRequest
 	for i := range 5 {
-		line = append(line, &fake{n: i})
-		m.wait(line[i])
+		queue = append(queue, &testRequest{id: i})
+		member.enqueue(queue[i])
 	}
-	w.p.Change(m, false, false)
-	for _, x := range line {
-		if len(m.Waiting) != 0 || !slices.Equal(x.verdict, []Verdict{Unreachable}) {
-			t.Errorf("%d wait; request %d: %v", len(m.Waiting), x.n, x.verdict)
+	host.pool.UpdateMember(member, false, false)
+	for _, request := range queue {
+		if len(member.Waiting) != 0 || !slices.Equal(request.verdicts, []Verdict{Unreachable}) {
+			t.Errorf("%d wait; request %d: %v", len(member.Waiting), request.id, request.verdicts)
 		}
 	}
-	if len(w.dials) != 0 {
+	if len(host.dials) != 0 {
 		t.Error("a member that drains is dialled")
 	}
 }
 
-// The same key twice in a row does not travel together: a second copy of the first answer could not be told from the
-// second's. Nor does anything travel behind a write, or to a cache that has yet to show that its answers are clean.
-func TestWhatTravelsAlone(t *testing.T) {
-	type edit = func(m *Member[*fake], c *Conn[*fake], x *fake)
-	for name, k := range map[string]struct {
+// Two consecutive requests for the same key are not pipelined: a second copy of the first answer could
+// not be told from the second answer. Nor is anything pipelined behind a write, or to a cache that has
+// not yet given enough clean answers.
+func TestWhatIsNotPipelined(t *testing.T) {
+	type edit = func(m *Member[*testRequest], c *Conn[*testRequest], x *testRequest)
+	for name, tc := range map[string]struct {
 		edit edit
 		want bool
 	}{
-		"another key":       {func(*Member[*fake], *Conn[*fake], *fake) {}, true},
-		"the same key":      {func(_ *Member[*fake], c *Conn[*fake], _ *fake) { c.tail = []byte("k2") }, false},
-		"a write":           {func(_ *Member[*fake], _ *Conn[*fake], x *fake) { x.Write = true }, false},
-		"behind a write":    {func(_ *Member[*fake], c *Conn[*fake], _ *fake) { c.alone = true }, false},
-		"an order":          {func(_ *Member[*fake], _ *Conn[*fake], x *fake) { x.Once = true }, false},
-		"an origin":         {func(m *Member[*fake], _ *Conn[*fake], _ *fake) { m.Origin = true }, false},
-		"an unknown cache":  {func(m *Member[*fake], _ *Conn[*fake], _ *fake) { m.clean = CleanFirst - 1 }, false},
-		"a spoilt one":      {func(m *Member[*fake], _ *Conn[*fake], _ *fake) { m.Spoilt() }, false},
-		"a full connection": {func(_ *Member[*fake], c *Conn[*fake], _ *fake) { c.Behind = make([]*fake, 3) }, false},
-		"a slow head":       {func(_ *Member[*fake], c *Conn[*fake], _ *fake) { c.headAt -= 2 * time.Second }, false},
-		"a new connection":  {func(_ *Member[*fake], c *Conn[*fake], _ *fake) { c.Kept = false }, false},
-		"one that is busy":  {func(_ *Member[*fake], c *Conn[*fake], _ *fake) { c.Link.(*wire).blocked = true }, false},
-		"one that is free":  {func(_ *Member[*fake], c *Conn[*fake], _ *fake) { c.Current = nil }, false},
-		"after a long value": {func(m *Member[*fake], c *Conn[*fake], _ *fake) {
-			c.Link.(*wire).w.p.Apart(time.Second)
+		"another key":    {func(*Member[*testRequest], *Conn[*testRequest], *testRequest) {}, true},
+		"the same key":   {func(_ *Member[*testRequest], c *Conn[*testRequest], _ *testRequest) { c.lastKey = []byte("k2") }, false},
+		"a write":        {func(_ *Member[*testRequest], _ *Conn[*testRequest], x *testRequest) { x.Write = true }, false},
+		"behind a write": {func(_ *Member[*testRequest], c *Conn[*testRequest], _ *testRequest) { c.carriesWrite = true }, false},
+		"an order":       {func(_ *Member[*testRequest], _ *Conn[*testRequest], x *testRequest) { x.Once = true }, false},
+		"an origin":      {func(m *Member[*testRequest], _ *Conn[*testRequest], _ *testRequest) { m.Origin = true }, false},
+		"an unknown cache": {func(m *Member[*testRequest], _ *Conn[*testRequest], _ *testRequest) {
+			m.cleanAnswers = MinCleanAnswers - 1
+		}, false},
+		"a spoilt one": {func(m *Member[*testRequest], _ *Conn[*testRequest], _ *testRequest) { m.RecordBadAnswer() }, false},
+		"a full connection": {func(_ *Member[*testRequest], c *Conn[*testRequest], _ *testRequest) {
+			c.Pipelined = make([]*testRequest, 3)
+		}, false},
+		"a slow head": {func(_ *Member[*testRequest], c *Conn[*testRequest], _ *testRequest) {
+			c.currentSince -= 2 * time.Second
+		}, false},
+		"a new connection": {func(_ *Member[*testRequest], c *Conn[*testRequest], _ *testRequest) { c.HasAnswered = false }, false},
+		"one that is busy": {func(_ *Member[*testRequest], c *Conn[*testRequest], _ *testRequest) {
+			c.Link.(*testLink).blocked = true
+		}, false},
+		"one that is free": {func(_ *Member[*testRequest], c *Conn[*testRequest], _ *testRequest) { c.Current = nil }, false},
+		"after a long value": {func(m *Member[*testRequest], c *Conn[*testRequest], _ *testRequest) {
+			c.Link.(*testLink).host.pool.SuspendPipelining(time.Second)
 		}, false},
 	} {
-		w := newWorld(t, usual)
-		w.p.SetSlowHead(time.Second)
-		m := &Member[*fake]{clean: CleanFirst}
-		c := &Conn[*fake]{M: m, Kept: true, Current: &fake{}, headAt: w.now, tail: []byte("k1")}
-		c.Link = &wire{w: w, c: c}
-		m.Conns = []*Conn[*fake]{c}
-		x := &fake{key: "k2"}
-		k.edit(m, c, x)
-		if got := w.p.join(m, x) != nil; got != k.want {
+		host := newTestHost(t, defaultConfig)
+		host.pool.SetMaxPipelineAge(time.Second)
+		member := &Member[*testRequest]{cleanAnswers: MinCleanAnswers}
+		conn := &Conn[*testRequest]{Member: member, HasAnswered: true, Current: &testRequest{}, currentSince: host.now, lastKey: []byte("k1")}
+		conn.Link = &testLink{host: host, conn: conn}
+		member.Conns = []*Conn[*testRequest]{conn}
+		request := &testRequest{key: "k2"}
+		tc.edit(member, conn, request)
+		if got := host.pool.pickPipelineConn(member, request) != nil; got != tc.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
-	m := &Member[*fake]{}
+	member := &Member[*testRequest]{}
 	for range 20 {
-		m.Spoilt()
+		member.RecordBadAnswer()
 	}
-	if m.cleanNeed != cleanMost {
-		t.Errorf("after many spoilt answers %d clean ones are asked for", m.cleanNeed)
+	if member.cleanRequired != maxCleanAnswers {
+		t.Errorf("after many spoilt answers %d clean ones are asked for", member.cleanRequired)
 	}
 }
 
-// Where as many dials are out as may be, the next member dials once one has ended.
+// At the limit of concurrent dials, the next member dials once another dial has ended.
 func TestDialsTakeTurns(t *testing.T) {
-	w := newWorld(t, usual)
-	var last *Member[*fake]
-	for i := range maxDials + 1 {
-		last = &Member[*fake]{Ready: true}
-		w.p.Place(last, &fake{n: i, Request: Request{Until: w.now + time.Second}})
+	host := newTestHost(t, defaultConfig)
+	var last *Member[*testRequest]
+	for i := range maxConcurrentDials + 1 {
+		last = &Member[*testRequest]{Ready: true}
+		host.pool.Submit(last, &testRequest{id: i, Request: Request{ExpiresAt: host.now + time.Second}})
 	}
-	if len(w.dials) != maxDials {
-		t.Fatalf("%d dials are out", len(w.dials))
+	if len(host.dials) != maxConcurrentDials {
+		t.Fatalf("%d dials are out", len(host.dials))
 	}
-	w.now++ // at an odd time a dial fails slowly, and is not made again at once
-	w.connect(0, false)
-	if at := w.dials[len(w.dials)-1]; len(w.dials) != maxDials || at.m != last {
-		t.Errorf("%d dials are out, the latest to another member: %v", len(w.dials), at.m != last)
+	host.now++ // at an odd time a dial fails slowly, and is not repeated immediately
+	host.connect(0, false)
+	if latest := host.dials[len(host.dials)-1]; len(host.dials) != maxConcurrentDials || latest.member != last {
+		t.Errorf("%d dials are out, the latest to another member: %v", len(host.dials), latest.member != last)
 	}
 }
 
-// Whatever happens, in whatever order: each request is written once at the most or has one verdict, nothing is written to a
-// member that drains or a connection out of use (see wire.Send), counts and bounds are kept, and once members answer
-// again nobody is left waiting.
+// After random events in random order each request is written at most once or has one verdict, nothing is
+// written to a member that drains or on a connection out of use (see testLink.Send), counts and limits
+// hold, and once members answer again no request is left waiting.
 func TestAnyOrderOfEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			cfg := usual
+			cfg := defaultConfig
 			cfg.Instances = 1 + int(seed%4)*8
 			cfg.Multiplex = 1 + int(seed%3)*3
-			w := newWorld(t, cfg)
-			members := []*Member[*fake]{{Ready: true}, {Ready: true}, {Ready: true, Origin: true}}
-			for _, m := range members[:2] {
-				m.clean = int(seed%2) * CleanFirst
+			host := newTestHost(t, cfg)
+			members := []*Member[*testRequest]{{Ready: true}, {Ready: true}, {Ready: true, Origin: true}}
+			for _, member := range members[:2] {
+				member.cleanAnswers = int(seed%2) * MinCleanAnswers
 			}
-			var all []*fake
-			lates := func() {
-				for x, at := range w.late {
-					if w.now < at {
+			var requests []*testRequest
+			fireConnectTimeouts := func() {
+				for request, at := range host.connectTimeouts {
+					if host.now < at {
 						continue
 					}
-					delete(w.late, x)
-					if x.Began > 0 || x.Ended {
+					delete(host.connectTimeouts, request)
+					if request.BeganAt > 0 || request.Ended {
 						continue
 					}
-					i := slices.IndexFunc(members, func(m *Member[*fake]) bool { return slices.Contains(m.Waiting, x) })
+					i := slices.IndexFunc(members, func(m *Member[*testRequest]) bool { return slices.Contains(m.Waiting, request) })
 					if i < 0 {
-						t.Fatalf("request %d has no verdict and is not in line", x.n)
+						t.Fatalf("request %d has no verdict and is not in line", request.id)
 					}
-					w.p.Late(members[i], x)
+					host.pool.ConnectTimedOut(members[i], request)
 				}
 			}
-			settle := func() {
-				for len(w.dials) > 0 {
-					w.connect(0, true)
+			answerAll := func() {
+				for len(host.dials) > 0 {
+					host.connect(0, true)
 				}
-				for _, l := range w.wires {
-					for l.blocked = false; (len(l.sent) > 0 || l.pings > 0) && !l.closed; {
-						w.answer(l)
+				for _, link := range host.links {
+					for link.blocked = false; (len(link.sent) > 0 || link.pings > 0) && !link.closed; {
+						host.answer(link)
 					}
 				}
 			}
 			step := func() {
-				w.now += time.Duration(rng.IntN(3000)) * time.Microsecond
-				w.p.Advance(w.now)
-				m := members[rng.IntN(len(members))]
-				var l *wire
-				if len(w.wires) > 0 {
-					l = w.wires[rng.IntN(len(w.wires))]
+				host.now += time.Duration(rng.IntN(3000)) * time.Microsecond
+				host.pool.Advance(host.now)
+				member := members[rng.IntN(len(members))]
+				var link *testLink
+				if len(host.links) > 0 {
+					link = host.links[rng.IntN(len(host.links))]
 				}
-				switch k := rng.IntN(16); {
-				case k < 6 && m.Ready:
-					x := &fake{n: len(all)}
-					x.key, x.Until = fmt.Sprint("k", rng.IntN(3)), w.now+time.Duration(rng.IntN(900))*time.Millisecond
-					if x.Write = rng.IntN(5) == 0; x.Write {
-						x.Once = rng.IntN(2) == 0
+				switch event := rng.IntN(16); {
+				case event < 6 && member.Ready:
+					request := &testRequest{id: len(requests)}
+					request.key, request.ExpiresAt = fmt.Sprint("k", rng.IntN(3)), host.now+time.Duration(rng.IntN(900))*time.Millisecond
+					if request.Write = rng.IntN(5) == 0; request.Write {
+						request.Once = rng.IntN(2) == 0
 					}
-					all = append(all, x)
-					wait := w.p.Wait(m)
-					w.p.Place(m, x)
-					if taken := len(x.verdict) == 0; wait >= 0 && !taken {
+					requests = append(requests, request)
+					wait := host.pool.ExpectedWait(member)
+					host.pool.Submit(member, request)
+					if accepted := len(request.verdicts) == 0; wait >= 0 && !accepted {
 						t.Fatalf("a wait of %v was told, and the request turned away", wait)
 					}
-				case k < 9 && l != nil && !l.closed:
-					w.answer(l)
-				case k == 9 && l != nil && !l.closed:
-					w.broken(l)
-				case k == 10 && l != nil:
-					if l.blocked = !l.blocked; !l.blocked {
-						w.p.Freed(l.c)
+				case event < 9 && link != nil && !link.closed:
+					host.answer(link)
+				case event == 9 && link != nil && !link.closed:
+					host.broken(link)
+				case event == 10 && link != nil:
+					if link.blocked = !link.blocked; !link.blocked {
+						host.pool.WriteDrained(link.conn)
 					}
-				case k < 13 && len(w.dials) > 0:
-					w.connect(rng.IntN(len(w.dials)), rng.IntN(3) > 0)
-				case k == 13:
+				case event < 13 && len(host.dials) > 0:
+					host.connect(rng.IntN(len(host.dials)), rng.IntN(3) > 0)
+				case event == 13:
 					if rng.IntN(4) == 0 {
-						w.p.Change(m, !m.Ready, rng.IntN(2) == 0)
+						host.pool.UpdateMember(member, !member.Ready, rng.IntN(2) == 0)
 					}
-					w.full = rng.IntN(3) == 0
-				case k == 14:
-					w.p.Learn()
-					w.p.Sweep(m, len(members))
-				case k == 15 && l != nil && !l.c.Busy():
-					l.noisy = true
+					host.noDescriptors = rng.IntN(3) == 0
+				case event == 14:
+					host.pool.UpdateIdleLimit()
+					host.pool.Sweep(member, len(members))
+				case event == 15 && link != nil && !link.conn.Busy():
+					link.noisy = true
 				}
-				if w.wake > 0 && w.now >= w.wake {
-					w.wake = 0
-					w.p.Wake()
+				if host.wake > 0 && host.now >= host.wake {
+					host.wake = 0
+					host.pool.Wake()
 				}
-				lates()
+				fireConnectTimeouts()
 			}
-			check := func() {
-				open := len(w.dials)
-				for i, m := range members {
-					for _, c := range m.Conns {
-						if len(m.Waiting) > 0 && !m.rests && c.Rested(w.now) && !c.Retired && c.Link.Clear() &&
-							w.now-c.used < cfg.ConnIdle*freshShare/100 && w.now-c.used < w.p.idle.limit && c.Link.Silent() {
+			checkInvariants := func() {
+				open := len(host.dials)
+				for i, member := range members {
+					for _, conn := range member.Conns {
+						if len(member.Waiting) > 0 && !member.inCooldownQueue && conn.Reusable(host.now) && !conn.Retired && conn.Link.Writable() &&
+							host.now-conn.lastUsed < cfg.ConnIdle*onceIdlePercent/100 && host.now-conn.lastUsed < host.pool.idle.limit && conn.Link.Silent() {
 							t.Fatal("requests wait though a connection is free, and nothing will wake them")
 						}
 					}
-					if n := len(m.Conns) + m.dials; n > w.p.Most(m) && m.Epoch == 0 {
-						t.Fatalf("%d connections to member %d, %d at most", n, i, w.p.Most(m))
+					if n := len(member.Conns) + member.pendingDials; n > host.pool.MaxConns(member) && member.Epoch == 0 {
+						t.Fatalf("%d connections to member %d, %d at most", n, i, host.pool.MaxConns(member))
 					}
 				}
-				for _, l := range w.wires {
-					if !l.closed {
+				for _, link := range host.links {
+					if !link.closed {
 						open++
 					}
-					if l.closed != l.c.Closed {
+					if link.closed != link.conn.Closed {
 						t.Fatal("a connection is closed on one side only")
 					}
 				}
-				if open != w.p.Open() {
-					t.Fatalf("%d connections count, %d stand", w.p.Open(), open)
+				if open != host.pool.OpenConns() {
+					t.Fatalf("%d connections count, %d stand", host.pool.OpenConns(), open)
 				}
 			}
 			for range 2000 {
 				step()
-				check()
+				checkInvariants()
 			}
-			w.full = false
-			for _, m := range members {
-				w.p.Change(m, true, false)
+			host.noDescriptors = false
+			for _, member := range members {
+				host.pool.UpdateMember(member, true, false)
 			}
 			for range 200 {
-				w.now += time.Second
-				w.p.Advance(w.now)
-				for _, m := range members {
-					w.p.Redial(m)
+				host.now += time.Second
+				host.pool.Advance(host.now)
+				for _, member := range members {
+					host.pool.Redial(member)
 				}
-				settle()
-				w.p.Wake()
-				lates()
+				answerAll()
+				host.pool.Wake()
+				fireConnectTimeouts()
 			}
-			check()
-			for _, x := range all {
-				if written := x.Began > 0; !x.Ended || written == (len(x.verdict) > 0) {
-					t.Errorf("request %d: ended %v, written %v, verdicts %v", x.n, x.Ended, written, x.verdict)
+			checkInvariants()
+			for _, request := range requests {
+				if written := request.BeganAt > 0; !request.Ended || written == (len(request.verdicts) > 0) {
+					t.Errorf("request %d: ended %v, written %v, verdicts %v", request.id, request.Ended, written, request.verdicts)
 				}
 			}
 		})
 	}
 }
 
-// Reads of one group that come in the same moment share a connection from the start, as far as reads may be written behind others; what
-// comes later, is of another group, a write, or at a cache that has yet to show that its answers are clean, goes as ever.
-func TestReadsOfAGroupTravelTogether(t *testing.T) {
-	for _, c := range []struct {
+// Reads of one group that arrive at the same moment share a connection from the start, where pipelining
+// is allowed. A request that arrives later, belongs to another group, is a write, or goes to a cache
+// without enough clean answers is sent as usual.
+func TestReadsOfAGroupArePipelined(t *testing.T) {
+	for _, tc := range []struct {
 		name   string
 		clean  int
 		second Request
 		wait   time.Duration
 		shared bool
 	}{
-		{"the same group", CleanFirst, Request{Group: 7}, 0, true},
-		{"another group", CleanFirst, Request{Group: 8}, 0, false},
-		{"no group", CleanFirst, Request{}, 0, false},
-		{"a write", CleanFirst, Request{Group: 7, Write: true}, 0, false},
-		{"later", CleanFirst, Request{Group: 7}, time.Microsecond, false},
+		{"the same group", MinCleanAnswers, Request{Group: 7}, 0, true},
+		{"another group", MinCleanAnswers, Request{Group: 8}, 0, false},
+		{"no group", MinCleanAnswers, Request{}, 0, false},
+		{"a write", MinCleanAnswers, Request{Group: 7, Write: true}, 0, false},
+		{"later", MinCleanAnswers, Request{Group: 7}, time.Microsecond, false},
 		{"an unknown cache", 0, Request{Group: 7}, 0, false},
 	} {
-		w := newWorld(t, usual)
-		m := &Member[*fake]{Ready: true}
+		host := newTestHost(t, defaultConfig)
+		member := &Member[*testRequest]{Ready: true}
 		for i := range 2 { // two connections that have answered
-			w.p.Place(m, &fake{n: i, key: fmt.Sprint(i), Request: Request{Until: w.now + time.Minute}})
+			host.pool.Submit(member, &testRequest{id: i, key: fmt.Sprint(i), Request: Request{ExpiresAt: host.now + time.Minute}})
 		}
-		for len(w.dials) > 0 {
-			w.connect(0, true)
+		for len(host.dials) > 0 {
+			host.connect(0, true)
 		}
-		for _, l := range w.wires {
-			w.answer(l)
+		for _, link := range host.links {
+			host.answer(link)
 		}
-		m.clean = c.clean
-		w.now += time.Second
-		w.p.Advance(w.now)
-		first, second := &fake{n: 8, key: "x", Request: Request{Until: w.now + time.Minute, Group: 7}}, &fake{n: 9, key: "y", Request: c.second}
-		second.Until = w.now + time.Minute
-		w.p.Place(m, first)
-		w.now += c.wait
-		w.p.Advance(w.now)
-		w.p.Place(m, second)
+		member.cleanAnswers = tc.clean
+		host.now += time.Second
+		host.pool.Advance(host.now)
+		first, second := &testRequest{id: 8, key: "x", Request: Request{ExpiresAt: host.now + time.Minute, Group: 7}}, &testRequest{id: 9, key: "y", Request: tc.second}
+		second.ExpiresAt = host.now + time.Minute
+		host.pool.Submit(member, first)
+		host.now += tc.wait
+		host.pool.Advance(host.now)
+		host.pool.Submit(member, second)
 		shared := false
-		for _, l := range w.wires {
-			shared = shared || slices.Equal(l.sent, []*fake{first, second})
+		for _, link := range host.links {
+			shared = shared || slices.Equal(link.sent, []*testRequest{first, second})
 		}
-		if shared != c.shared {
-			t.Errorf("%s: shared %v", c.name, shared)
+		if shared != tc.shared {
+			t.Errorf("%s: shared %v", tc.name, shared)
 		}
 	}
 }
--- a/internal/pool/transit_test.go
+++ b/internal/pool/transit_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// How long a request may be under way is learnt from answers, follows a member that has moved away, is bounded by the connect time-out and by what
-// a way on earth takes, and counts for nothing where two attempts may be out at once.
+// The transit time is learned from answers, follows a member that has moved, is bounded by the connect
+// timeout and by the longest path on earth, and is 0 where concurrent attempts are allowed.
 func TestTransit(t *testing.T) {
 	const never = 0
-	for name, c := range map[string]struct {
-		connect, answer, later time.Duration // the first answer, and those after it
-		copies                 bool
-		want, first            time.Duration
+	for name, tc := range map[string]struct {
+		connect, firstAnswer, laterAnswers time.Duration // duration of the first answer, and of those after it
+		copies                             bool
+		transit, firstTransit              time.Duration
 	}{
 		"nothing is known":                {250 * time.Millisecond, never, never, false, 62500 * time.Microsecond, 250 * time.Millisecond},
 		"a near member":                   {250 * time.Millisecond, time.Millisecond, time.Millisecond, false, time.Millisecond, 250 * time.Millisecond},
@@ -23,40 +23,40 @@
 		"two attempts may be out at once": {250 * time.Millisecond, time.Millisecond, time.Millisecond, true, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := usual
-			cfg.ConnectTimeout, cfg.SecondCopies = c.connect, c.copies
-			w := newWorld(t, cfg)
-			m := &Member[*fake]{Ready: true}
-			if c.answer > 0 {
-				m.heard(c.answer)
+			cfg := defaultConfig
+			cfg.ConnectTimeout, cfg.ConcurrentAttempts = tc.connect, tc.copies
+			host := newTestHost(t, cfg)
+			member := &Member[*testRequest]{Ready: true}
+			if tc.firstAnswer > 0 {
+				member.recordAnswerTime(tc.firstAnswer)
 				for range 1000 {
-					m.heard(c.later)
+					member.recordAnswerTime(tc.laterAnswers)
 				}
 			}
-			if got := w.p.Transit(m); got != c.want {
-				t.Errorf("under way for %v, want %v", got, c.want)
+			if got := host.pool.Transit(member); got != tc.transit {
+				t.Errorf("under way for %v, want %v", got, tc.transit)
 			}
-			if got := w.p.FirstTransit(); got != c.first {
-				t.Errorf("the first one for %v, want %v", got, c.first)
+			if got := host.pool.FirstTransit(); got != tc.firstTransit {
+				t.Errorf("the first one for %v, want %v", got, tc.firstTransit)
 			}
-			w.p.Change(m, true, true)
-			if m.roundTrip != 0 {
+			host.pool.UpdateMember(member, true, true)
+			if member.roundTrip != 0 {
 				t.Error("another process at its place takes over what was learnt")
 			}
 		})
 	}
 }
 
-// Where answers take now longer, now less, the slower ones say how long a request may be under way.
+// Where response times vary, the slower ones determine the transit time.
 func TestTransitCoversSlowAnswers(t *testing.T) {
 	const quick, slow = 2 * time.Millisecond, 20 * time.Millisecond
-	w := newWorld(t, usual)
-	m := &Member[*fake]{Ready: true}
+	host := newTestHost(t, defaultConfig)
+	member := &Member[*testRequest]{Ready: true}
 	for range 100 {
-		m.heard(quick)
-		m.heard(slow)
+		member.recordAnswerTime(quick)
+		member.recordAnswerTime(slow)
 	}
-	if got := w.p.Transit(m); got < slow {
+	if got := host.pool.Transit(member); got < slow {
 		t.Errorf("under way for %v, and answers took up to %v", got, slow)
 	}
 }
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -90,7 +90,7 @@
 		}
 		return b.String() + "0\r\n\r\n"
 	}
-	short, longer, most := long(1000), long(300<<10), long(resp.MaxLong+1)
+	short, longer, most := long(1000), long(300<<10), long(resp.MaxLongValue+1)
 	toEnd := "HTTP/1.1 200 OK\r\n\r\n"
 	for name, c := range map[string]struct {
 		answer, want string // want: none, as it is not whole, or too long
@@ -139,7 +139,7 @@
 // Reads that were written behind the first long value of a cache, before anybody could know of it, don't wait for its client.
 func TestReadsBehindALongValue(t *testing.T) {
 	cfg := testConfig()
-	cfg.Multiplex, cfg.Settings.Instances = 64, pool.NodeSockets // so that it has one connection to the cache
+	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that it has one connection to the cache
 	value := long(3 << 20)
 	asked, behind := make(chan struct{}), make(chan struct{})
 	p := start(t, cfg, entry("c", listen(t, func(conn net.Conn) {
@@ -161,9 +161,9 @@
 			fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n%s%s", len(value), value, hit("first"), hit("second"))
 		}
 	}), "large"))
-	p.Do(func() { p.ups.SetSlowHead(patience) })
+	p.Do(func() { p.ups.SetMaxPipelineAge(patience) })
 	c := p.dial()
-	for i := range 2 * pool.CleanFirst {
+	for i := range 2 * pool.MinCleanAnswers {
 		c.send(get(fmt.Sprint("k", i), fmt.Sprint("w", i)))
 		if got := c.answer(); got != "v" {
 			t.Fatal(got)
@@ -190,7 +190,7 @@
 	p.eventually("one is written behind the long one", func() bool {
 		for _, m := range p.members {
 			for _, u := range m.Conns {
-				return len(u.Behind) > 0
+				return len(u.Pipelined) > 0
 			}
 		}
 		return false
@@ -252,16 +252,16 @@
 	cfg.Settings.Classes[1].Deadline = patience
 	o := origin(t, func(r *http.Request) string { return page("receipt " + r.Header.Get("X-Request-ID")) })
 	p := start(t, cfg, entry("o", o, "origin"), entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
-	value := long(resp.MaxLong)
+	value := long(resp.MaxLongValue)
 	const writers = 6
 	var clients [writers]*testClient
 	for i := range clients { // all begin, none ends
 		clients[i] = p.dial()
 		text := put(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
-		clients[i].send(text[:len(text)-resp.MaxLong/2])
+		clients[i].send(text[:len(text)-resp.MaxLongValue/2])
 	}
 	p.eventually("some are let in, the others wait", func() bool {
-		return p.long.used == 2*resp.MaxLong && len(p.long.waiting) == writers-2
+		return p.long.used == 2*resp.MaxLongValue && len(p.long.waiting) == writers-2
 	})
 	reader := p.dial()
 	reader.send(get("k", "r1"))
@@ -270,7 +270,7 @@
 	}
 	for i, c := range clients {
 		text := put(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
-		go c.send(text[len(text)-resp.MaxLong/2:])
+		go c.send(text[len(text)-resp.MaxLongValue/2:])
 	}
 	for i, c := range clients {
 		if got := c.answer(); got != fmt.Sprint("receipt w", i) {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Every bound holds before anything is read or made room for beyond it.
+// Every limit is enforced before anything beyond it is read or allocated.
 func TestHeadWithinBounds(t *testing.T) {
 	for _, c := range []struct {
 		in   string
@@ -21,7 +21,7 @@
 		{"*4\r\n", '*', 4, nil},
 		{"+PONG\r\n", '+', 0, nil},
 		{"-BUSY 30\r\n", '-', 0, nil},
-		{"$4194304\r\n", '$', MaxLong, nil},
+		{"$4194304\r\n", '$', MaxLongValue, nil},
 		{"$4194305\r\n", 0, 0, ErrProtocol},
 		{"$3000000000\r\n", 0, 0, ErrProtocol},
 		{"$99999999999999999999999999\r\n", 0, 0, ErrProtocol},
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestBufferedTellsWhatCameBehind(t *testing.T) {
+func TestBufferedCountsUnreadBytes(t *testing.T) {
 	r := NewReader(strings.NewReader("+OK\r\nnoise"), 64)
 	if _, err := r.Head(); err != nil || r.Buffered() != len("noise") {
 		t.Errorf("%d bytes behind, %v", r.Buffered(), err)
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -1,5 +1,6 @@
-// Package sender is the sending side of a connection under a host's one lock: what the kernel takes without waiting is
-// written at once, and the rest by a goroutine. It never reads, and never waits under the lock.
+// Package sender implements the sending side of a connection under a host's lock: what the kernel accepts
+// without blocking is written immediately, and the rest by a goroutine. It never reads, and never blocks
+// under the lock.
 package sender
 
 import (
@@ -11,62 +12,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// StallLimit is how long the other side may take nothing of what is written to it, before it counts as gone.
-const StallLimit = 3 * time.Second
+// StallTimeout is how long the peer may accept nothing that is written to it before it counts as gone.
+const StallTimeout = 3 * time.Second
 
-// writePiece is how much is written at once of what did not go out at first.
-const writePiece = 64 << 10
+// maxWriteSize is the maximum number of bytes per write of what could not be written immediately.
+const maxWriteSize = 64 << 10
 
-// Host is whose lock guards a Sender.
+// Host owns the lock that guards a Sender.
 type Host interface {
 	Enter()
 	Leave()
-	Hold(n int) (over bool) // counts n bytes more, or -n less, as held
+	Hold(n int) (over bool) // adds n bytes, or subtracts -n, to the bytes that count as buffered
 }
 
-// Sender is the sending side of a connection. It writes at once, under the host's lock, what the kernel
-// takes without waiting, and leaves the rest to a goroutine: most messages are small and need no hand-off,
-// and a peer that reads slowly holds up nobody else.
+// Sender is the sending side of a connection. It writes immediately, under the host's lock, what the
+// kernel accepts without blocking, and leaves the rest to a goroutine: most messages are small and need
+// no hand-off, and a peer that reads slowly delays no other.
 type Sender struct {
-	host   Host
-	conn   *net.TCPConn
-	over   net.Conn // what is written goes through it, if set: it may wait, and is left to the goroutine
-	raw    syscall.RawConn
-	Idle   func() // if set, called under the lock when a backlog is gone
-	Lost   func() // if set, called under the lock when the other side takes nothing any more
-	busy   bool   // a goroutine has the sending side
-	failed bool
-	queue  net.Buffers
-	corked bool // what is sent waits in cork
-	cork   []byte
-	// Places in the stream of bytes: what was given to send, and what the kernel has or may have by now. What
-	// the goroutine is writing may be out at any moment, so it counts as begun from when it is handed over.
-	taken, begun int64
-	backlog      int // bytes that wait or are being written by the goroutine
-	elsewhere    int // of them, those that are counted with the value that they are of
+	host       Host
+	conn       *net.TCPConn
+	wrapped    net.Conn // if set, writes go through it; they may block, and are left to the goroutine
+	raw        syscall.RawConn
+	OnDrained  func() // if set, called under the lock when the backlog has been written
+	OnLost     func() // if set, called under the lock when the peer accepts nothing any more
+	draining   bool   // a goroutine writes the backlog
+	failed     bool
+	queue      net.Buffers
+	corked     bool // what is sent is collected in corkBuffer
+	corkBuffer []byte
+	// Offsets in the byte stream: what was given to Send, and what the kernel has or may have by now. The
+	// goroutine's current write may reach the kernel at any moment, so it counts as handed off from its
+	// start.
+	accepted, handedOff int64
+	backlog             int // bytes that are queued or being written by the goroutine
+	countedByCaller     int // part of the backlog that the caller has counted as buffered
 
-	// The arguments and results of step; a closure for each write would be garbage.
-	buf  []byte
-	n    int
-	err  error
-	step func(fd uintptr) bool
-	// The result of look, which is a closure for the same reason.
-	saw  int
-	look func(fd uintptr)
+	// The arguments and results of tryWrite, which is kept because a closure for each write would
+	// allocate.
+	writeBuffer []byte
+	written     int
+	writeErr    error
+	tryWrite    func(fd uintptr) bool
+	// The result of peek, which is kept for the same reason.
+	peekResult int
+	peek       func(fd uintptr)
 }
 
-// New makes the sending side of a connection.
+// New returns the sending side of a connection.
 func New(host Host, conn *net.TCPConn) (*Sender, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	w := &Sender{host: host, conn: conn, raw: raw}
-	w.look = func(fd uintptr) { w.saw = Peek(fd) }
-	w.step = func(fd uintptr) bool {
+	w.peek = func(fd uintptr) { w.peekResult = Peek(fd) }
+	w.tryWrite = func(fd uintptr) bool {
 		for {
-			w.n, w.err = syscall.Write(int(fd), w.buf)
-			if w.err != syscall.EINTR {
+			w.written, w.writeErr = syscall.Write(int(fd), w.writeBuffer)
+			if w.writeErr != syscall.EINTR {
 				return true
 			}
 		}
@@ -74,64 +77,66 @@
 	return w, nil
 }
 
-// Through has everything written through conn, which encrypts it onto the connection. Before anything is sent.
-func (w *Sender) Through(conn net.Conn) { w.over = conn }
+// WriteThrough makes all writes go through conn, which encrypts them onto the connection. It must be
+// called before anything is sent.
+func (w *Sender) WriteThrough(conn net.Conn) { w.wrapped = conn }
 
-// out is what the goroutine writes to.
-func (w *Sender) out() net.Conn {
-	if w.over != nil {
-		return w.over
+// writer returns the connection that the goroutine writes to.
+func (w *Sender) writer() net.Conn {
+	if w.wrapped != nil {
+		return w.wrapped
 	}
 	return w.conn
 }
 
-// Send writes b, or queues what does not go out at once. The caller holds the lock and may use b again,
+// Send writes b, or queues what can't be written immediately. The caller holds the lock and may reuse b,
 // unless keep says that it never changes, which saves the queue a copy.
 func (w *Sender) Send(b []byte, keep bool) {
-	w.taken += int64(len(b))
+	w.accepted += int64(len(b))
 	if w.failed {
 		return
 	}
-	if w.corked && !w.busy {
-		w.cork = append(w.cork, b...)
+	if w.corked && !w.draining {
+		w.corkBuffer = append(w.corkBuffer, b...)
 		return
 	}
-	w.put(b, keep)
+	w.writeOrQueue(b, keep)
 }
 
-// Cork holds back what is sent from now on, until Uncork: several messages then go out by one system call. Both are to be called in one
-// go, under the lock: what waits here may not wait for long, and counts as neither begun nor held.
+// Cork holds back what is sent from now on until Uncork: several messages are then written by one system
+// call. Both have to be called without releasing the lock in between: what is held back must not wait for
+// long, and counts as neither handed off nor buffered.
 func (w *Sender) Cork() { w.corked = true }
 
-// Uncork sends what was held back.
+// Uncork writes what was held back.
 func (w *Sender) Uncork() {
 	w.corked = false
-	if len(w.cork) > 0 && !w.failed {
-		w.put(w.cork, false)
+	if len(w.corkBuffer) > 0 && !w.failed {
+		w.writeOrQueue(w.corkBuffer, false)
 	}
-	w.cork = w.cork[:0]
+	w.corkBuffer = w.corkBuffer[:0]
 }
 
-func (w *Sender) put(b []byte, keep bool) {
-	if !w.busy {
-		if w.over == nil {
-			w.buf, w.n, w.err = b, 0, nil
-			err := w.raw.Write(w.step)
-			w.buf = nil
-			if err == nil && w.err != syscall.EAGAIN {
-				err = w.err
+func (w *Sender) writeOrQueue(b []byte, keep bool) {
+	if !w.draining {
+		if w.wrapped == nil {
+			w.writeBuffer, w.written, w.writeErr = b, 0, nil
+			err := w.raw.Write(w.tryWrite)
+			w.writeBuffer = nil
+			if err == nil && w.writeErr != syscall.EAGAIN {
+				err = w.writeErr
 			}
 			if err != nil {
 				w.Fail()
 				return
 			}
-			n := max(0, w.n)
-			w.begun += int64(n)
+			n := max(0, w.written)
+			w.handedOff += int64(n)
 			if b = b[n:]; len(b) == 0 {
 				return
 			}
 		}
-		w.busy = true
+		w.draining = true
 		defer func() { go w.drain() }()
 	}
 	if !keep {
@@ -142,22 +147,22 @@
 	w.host.Hold(len(b))
 }
 
-// SendCounted sends bytes that never change and whose room is counted already.
+// SendCounted sends bytes that never change and that the caller has already counted as buffered.
 func (w *Sender) SendCounted(b []byte) {
 	was := w.backlog
 	w.Send(b, true)
-	w.elsewhere += w.backlog - was
+	w.countedByCaller += w.backlog - was
 	w.host.Hold(was - w.backlog)
 }
 
-// Fail ends the connection; its reader finds out and cleans up.
+// Fail closes the connection; its reader notices and cleans up.
 func (w *Sender) Fail() {
 	w.failed = true
 	w.conn.Close()
 }
 
-// Drop lets go of what has not been handed over and keeps it from going out.
-func (w *Sender) Drop() {
+// Discard drops what has not been handed off and prevents further writes.
+func (w *Sender) Discard() {
 	w.failed = true
 	for _, b := range w.queue {
 		w.release(len(b))
@@ -166,18 +171,19 @@
 }
 
 func (w *Sender) release(n int) {
-	other := min(n, w.elsewhere)
-	w.elsewhere -= other
+	byCaller := min(n, w.countedByCaller)
+	w.countedByCaller -= byCaller
 	w.backlog -= n
-	w.host.Hold(other - n)
+	w.host.Hold(byCaller - n)
 }
 
-// piece takes what is written next off the queue. A side that takes a long value slowly is there as long as it takes
-// something, so no more than writePiece goes out under one time limit.
-func (w *Sender) piece() (piece net.Buffers, size int) {
-	for len(w.queue) > 0 && size < writePiece {
+// nextPiece removes the next bytes to write from the queue. A peer that receives a long value slowly
+// counts as present as long as it accepts something, so no more than maxWriteSize is written under one
+// time limit.
+func (w *Sender) nextPiece() (piece net.Buffers, size int) {
+	for len(w.queue) > 0 && size < maxWriteSize {
 		b := w.queue[0]
-		if rest := writePiece - size; len(b) > rest {
+		if rest := maxWriteSize - size; len(b) > rest {
 			w.queue[0], b = b[rest:], b[:rest]
 		} else {
 			w.queue[0] = nil
@@ -194,26 +200,26 @@
 	for {
 		w.host.Enter()
 		if len(w.queue) == 0 {
-			w.busy = false
-			w.out().SetWriteDeadline(time.Time{})
-			if w.Idle != nil {
-				w.Idle()
+			w.draining = false
+			w.writer().SetWriteDeadline(time.Time{})
+			if w.OnDrained != nil {
+				w.OnDrained()
 			}
 			w.host.Leave()
 			return
 		}
-		piece, size := w.piece()
-		w.begun += int64(size)
+		piece, size := w.nextPiece()
+		w.handedOff += int64(size)
 		w.host.Leave()
-		w.out().SetWriteDeadline(time.Now().Add(StallLimit))
-		_, err := piece.WriteTo(w.out())
+		w.writer().SetWriteDeadline(time.Now().Add(StallTimeout))
+		_, err := piece.WriteTo(w.writer())
 		w.host.Enter()
 		w.release(size)
 		if err != nil {
 			w.Fail()
-			w.Drop()
-			if w.Lost != nil {
-				w.Lost()
+			w.Discard()
+			if w.OnLost != nil {
+				w.OnLost()
 			}
 		}
 		w.host.Leave()
@@ -223,52 +229,55 @@
 // Raw gives access to the connection's descriptor.
 func (w *Sender) Raw() syscall.RawConn { return w.raw }
 
-// Busy tells whether something waits to be written.
-func (w *Sender) Busy() bool { return w.busy }
+// Busy reports whether a write is pending.
+func (w *Sender) Busy() bool { return w.draining }
 
-// Backlog is how many bytes wait or are being written.
+// Backlog returns the number of bytes that are queued or being written.
 func (w *Sender) Backlog() int { return w.backlog }
 
-// Failed tells whether the sending side has ended.
+// Failed reports whether sending has ended.
 func (w *Sender) Failed() bool { return w.failed }
 
-// Taken is the place, in the stream of bytes, behind what was given to send.
-func (w *Sender) Taken() int64 { return w.taken }
+// Accepted returns the offset in the byte stream of the end of what was given to Send.
+func (w *Sender) Accepted() int64 { return w.accepted }
 
-// Unsent tells whether the bytes up to a place are surely not all out, and won't go out once the sender has failed.
-func (w *Sender) Unsent(end int64) bool { return end > w.begun }
+// Unsent reports whether the bytes up to an offset have certainly not all been handed off; once the
+// sender has failed, they never will be.
+func (w *Sender) Unsent(end int64) bool { return end > w.handedOff }
 
-// Look tells what has come on the connection and was not read yet, under the lock; End, if the connection is closed.
-func (w *Sender) Look() int {
-	if err := w.raw.Control(w.look); err != nil {
-		return End
+// Peek reports, under the lock, what has been received on the connection and not yet read; EndOfStream if
+// the connection is closed.
+func (w *Sender) Peek() int {
+	if err := w.raw.Control(w.peek); err != nil {
+		return EndOfStream
 	}
-	return w.saw
+	return w.peekResult
 }
 
-// Left tells whether the other side has ended its sending, or the connection is reset, also where bytes that came before
-// were not read yet. It costs a system call more than Look, and is for where nobody reads. An end behind more than the kernel takes in is
-// not seen: it has not come.
-func (w *Sender) Left() (left bool) {
-	err := w.raw.Control(func(fd uintptr) { left = PeerClosed(fd) })
-	return left || err != nil
+// PeerClosed reports whether the peer has ended its sending or the connection was reset, even behind
+// unread bytes. It costs one system call more than Peek, and is meant for connections that are not being
+// read. An end behind more bytes than the kernel buffers is not detected: it has not arrived.
+func (w *Sender) PeerClosed() (closed bool) {
+	err := w.raw.Control(func(fd uintptr) { closed = PeerClosed(fd) })
+	return closed || err != nil
 }
 
-// PeerClosed tells whether the other side of a socket has ended its sending, or the connection is reset, also behind bytes that nobody has read.
+// PeerClosed reports whether the peer of a socket has ended its sending or the connection was reset, even
+// behind unread bytes.
 func PeerClosed(fd uintptr) bool {
-	look := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(look[:], 0)
-	return err == nil && n > 0 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	pollFDs := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(pollFDs[:], 0)
+	return err == nil && n > 0 && pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// What Peek can see.
+// The results of Peek.
 const (
-	Nothing = iota
-	Bytes
-	End
+	NoData = iota
+	HasData
+	EndOfStream
 )
 
-// Peek looks at what has come on a socket and leaves it there.
+// Peek checks what has been received on a socket without reading it.
 func Peek(fd uintptr) int {
 	var b [1]byte
 	for {
@@ -276,11 +285,11 @@
 		switch {
 		case err == syscall.EINTR:
 		case err == syscall.EAGAIN:
-			return Nothing
+			return NoData
 		case err != nil || n == 0:
-			return End
+			return EndOfStream
 		default:
-			return Bytes
+			return HasData
 		}
 	}
 }
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// What the sender has handed to its goroutine may be out at any moment.
-func TestUnsentKnowsWhatMayBeOut(t *testing.T) {
-	w := &Sender{taken: 100, begun: 60}
+// The write that the sender's goroutine has begun may reach the kernel at any moment.
+func TestUnsent(t *testing.T) {
+	w := &Sender{accepted: 100, handedOff: 60}
 	for _, c := range []struct {
 		end  int64
 		want bool
@@ -20,14 +20,14 @@
 	}
 }
 
-type lock struct{ sync.Mutex }
+type lockHost struct{ sync.Mutex }
 
-func (l *lock) Enter()        { l.Lock() }
-func (l *lock) Leave()        { l.Unlock() }
-func (l *lock) Hold(int) bool { return false }
+func (l *lockHost) Enter()        { l.Lock() }
+func (l *lockHost) Leave()        { l.Unlock() }
+func (l *lockHost) Hold(int) bool { return false }
 
-// Corked, messages wait and count as unsent; uncorked, they go out in their order, before what comes after. On a connection that has failed
-// meanwhile they never go out.
+// Corked messages wait and count as unsent; uncorked, they are written in order, before later ones. On a
+// connection that has failed meanwhile they are never written.
 func TestCork(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,31 +43,31 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	h := &lock{}
-	w, err := New(h, near.(*net.TCPConn))
+	host := &lockHost{}
+	sender, err := New(host, near.(*net.TCPConn))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Enter()
-	w.Cork()
-	w.Send([]byte("a"), false)
-	w.Send([]byte("b"), false)
-	if !w.Unsent(1) || !w.Unsent(2) || w.Taken() != 2 {
+	host.Enter()
+	sender.Cork()
+	sender.Send([]byte("a"), false)
+	sender.Send([]byte("b"), false)
+	if !sender.Unsent(1) || !sender.Unsent(2) || sender.Accepted() != 2 {
 		t.Error("what is corked counts as out")
 	}
-	w.Uncork()
-	if w.Unsent(2) {
+	sender.Uncork()
+	if sender.Unsent(2) {
 		t.Error("what is uncorked counts as unsent")
 	}
-	w.Send([]byte("c"), false)
-	w.Cork()
-	w.Send([]byte("d"), false)
-	w.Fail()
-	w.Uncork()
-	if !w.Unsent(4) {
+	sender.Send([]byte("c"), false)
+	sender.Cork()
+	sender.Send([]byte("d"), false)
+	sender.Fail()
+	sender.Uncork()
+	if !sender.Unsent(4) {
 		t.Error("what was corked on a connection that has failed counts as out")
 	}
-	h.Leave()
+	host.Leave()
 	if got, _ := io.ReadAll(far); string(got) != "abc" {
 		t.Errorf("%q came", got)
 	}
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -17,28 +17,28 @@
 	"linenloom/logic"
 )
 
-// Codec is a protocol that members speak. It has no state: what it must remember between answers stands in the Conn and
-// in the function that Reader gives.
+// Codec is a protocol that members speak. It is stateless: state that spans answers is kept in the Conn
+// and in the function that Reader returns.
 type Codec interface {
-	// Append appends an exchange to b: all of it for a read, and for a write what comes before its value. deadline is how long from now
-	// on the receiver is told that it has.
+	// Append appends the encoded exchange to b: a whole read, or the part of a write before its value.
+	// deadline is the time from now that the member is told it has.
 	Append(b []byte, x *Exchange, addr string, deadline time.Duration) []byte
-	// End is what follows the value of a write.
-	End() []byte
-	// Ping is what a member answers at once; nil, where there is no such thing.
+	// Trailer returns the bytes that follow the value of a write.
+	Trailer() []byte
+	// Ping returns a command that the member answers immediately; nil if the protocol has none.
 	Ping() []byte
-	// Holds tells whether a member carries a write out only once its last byte has come, so that it pays to hold that back
-	// until the connection is seen to stand.
-	Holds() bool
-	// Reader gives the function that reads one answer, tells it to the connection (result, pass) and says how many bytes
-	// beyond it have come.
+	// RunsOnLastByte reports whether a member executes a write only once its last byte has arrived, which
+	// makes it worthwhile to hold that byte back until the connection is seen to be alive.
+	RunsOnLastByte() bool
+	// Reader returns a function that reads one answer, passes it to the connection (deliverResult,
+	// streamValue) and returns the number of bytes received beyond it.
 	Reader(u *Conn) func() (beyond int, err error)
 }
 
-// resp2 is what caches speak: the platform's commands in RESP2.
+// resp2 is the caches' protocol: the platform's commands in RESP2.
 type resp2 struct{}
 
-// http1 is what origins speak: HTTP/1.1, one request at a time.
+// http1 is the origins' protocol: HTTP/1.1, one request at a time.
 type http1 struct{}
 
 var (
@@ -47,49 +47,49 @@
 )
 
 var (
-	lineEnd = []byte("\r\n")
-	ping    = []byte("*1\r\n$4\r\nPING\r\n")
+	lineEnd     = []byte("\r\n")
+	pingCommand = []byte("*1\r\n$4\r\nPING\r\n")
 )
 
-func (resp2) End() []byte  { return lineEnd }
-func (resp2) Ping() []byte { return ping }
-func (resp2) Holds() bool  { return false }
+func (resp2) Trailer() []byte      { return lineEnd }
+func (resp2) Ping() []byte         { return pingCommand }
+func (resp2) RunsOnLastByte() bool { return false }
 
 func (resp2) Reader(u *Conn) func() (int, error) {
-	in := u.s.readers.Get().(*resp.Reader)
+	in := u.set.readers.Get().(*resp.Reader)
 	in.Reset(u)
-	u.in = in
+	u.respReader = in
 	return func() (int, error) {
 		err := u.readRESP(in)
 		return in.Buffered(), err
 	}
 }
 
-func (http1) End() []byte  { return nil }
-func (http1) Ping() []byte { return nil }
-func (http1) Holds() bool  { return true }
+func (http1) Trailer() []byte      { return nil }
+func (http1) Ping() []byte         { return nil }
+func (http1) RunsOnLastByte() bool { return true }
 
 func (http1) Reader(u *Conn) func() (int, error) {
-	limit := &capped{r: u}
+	limit := &limitedReader{reader: u}
 	in := bufio.NewReaderSize(limit, readBuffer)
 	return func() (int, error) {
-		limit.left = originHead + resp.MaxValue
+		limit.remaining = maxOriginOverhead + resp.MaxValue
 		err := u.readHTTP(in, limit)
 		return in.Buffered(), err
 	}
 }
 
-// maxInterim is how many 1xx answers may come ahead of one that counts.
-const maxInterim = 16
+// maxInterimAnswers is the maximum number of 1xx responses before the final one.
+const maxInterimAnswers = 16
 
-// originHead is how many bytes an origin may send beside its value.
-const originHead = 64 << 10
+// maxOriginOverhead is the maximum number of bytes that an origin may send in addition to its value.
+const maxOriginOverhead = 64 << 10
 
-// maxWord is the longest word beside a value.
-const maxWord = 2 << 10
+// maxWordLength is the maximum length of the strings that accompany a value.
+const maxWordLength = 2 << 10
 
-// Names ranges over a list of names and values.
-func Names(attrs []byte) iter.Seq2[string, []byte] {
+// Attributes iterates over a list of attributes, which are names and values.
+func Attributes(attrs []byte) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		for rest := attrs; len(rest) > 0; {
 			var item []byte
@@ -101,10 +101,11 @@
 	}
 }
 
-// deadlineName is the name of the deadline in a list of names and values, in milliseconds from when the list is sent.
+// deadlineName is the name of the deadline attribute, in milliseconds from when the list is sent.
 const deadlineName = "d"
 
-// appendAttrs appends a list of names and values as it came, but for its deadline: time has passed since the client gave it.
+// appendAttrs appends a list of attributes unchanged except for the deadline: time has passed since the
+// client set it.
 func appendAttrs(b, attrs []byte, deadline time.Duration) []byte {
 	for first := true; len(attrs) > 0; first = false {
 		var item []byte
@@ -118,31 +119,31 @@
 		}
 		b = append(b, deadlineName...)
 		b = append(b, '=')
-		b = strconv.AppendInt(b, max(LeastDeadline, deadline).Milliseconds(), 10)
+		b = strconv.AppendInt(b, max(MinDeadline, deadline).Milliseconds(), 10)
 	}
 	return b
 }
 
 // Append appends the command for a cache.
 func (resp2) Append(b []byte, x *Exchange, _ string, deadline time.Duration) []byte {
-	attrs := appendAttrs(make([]byte, 0, len(x.Msg.Attrs)+16), x.Msg.Attrs, deadline)
+	attrs := appendAttrs(make([]byte, 0, len(x.Message.Attrs)+16), x.Message.Attrs, deadline)
 	name, n := "OBJ.GET", 4
 	if x.Write {
 		name, n = "OBJ.SET", 5
 	}
 	b = resp.AppendArray(b, n)
 	b = resp.AppendBulk(b, name)
-	b = resp.AppendBulk(b, x.Msg.Key)
-	b = resp.AppendBulk(b, x.Msg.ReqID)
+	b = resp.AppendBulk(b, x.Message.Key)
+	b = resp.AppendBulk(b, x.Message.ReqID)
 	b = resp.AppendBulk(b, attrs)
 	if x.Write {
-		b = resp.AppendBulkHead(b, len(x.Msg.Value))
+		b = resp.AppendBulkHead(b, len(x.Message.Value))
 	}
 	return b
 }
 
-// notes are the words in which caches tell how a read went.
-func noteOf(word []byte) int {
+// parseNote returns the note for the word with which a cache says how a read was served.
+func parseNote(word []byte) int {
 	switch string(word) {
 	case "hit":
 		return logic.NoteHit
@@ -160,25 +161,26 @@
 	switch {
 	case err != nil:
 		return err
-	case u.Pinged: // by this goroutine's own order of events: await saw it under the lock
+	case u.PingPending: // read without the lock: this goroutine's awaitData has seen it under the lock
 		if h.Kind != '+' && h.Kind != '-' {
 			return resp.ErrProtocol
 		}
 		return nil
 	case h.Kind == '-':
-		return u.result(refusal(h.Text), 0, nil)
-	case h.Kind == '*' && h.N == answerParts:
+		return u.deliverResult(errorStatus(h.Text), 0, nil)
+	case h.Kind == '*' && h.N == answerElements:
 		return u.readArray(in)
 	}
 	return resp.ErrProtocol
 }
 
-// answerParts are the elements of an answer: the value, how the read went, and the load report.
-const answerParts = 3
+// answerElements is the number of elements of an answer: the value, how the read was served, and the load
+// report.
+const answerElements = 3
 
-// refusal names what an error line says. A cache that finds fault with the request itself says nothing about
-// its own health.
-func refusal(text []byte) logic.Status {
+// errorStatus returns the status for an error line. A cache that rejects the request itself says nothing
+// about its own health.
+func errorStatus(text []byte) logic.Status {
 	switch word, rest, _ := bytes.Cut(text, []byte{' '}); {
 	case string(word) == "BUSY":
 		return logic.StatusFull
@@ -188,8 +190,8 @@
 	return logic.StatusError
 }
 
-// readArray reads an answer's elements. It counts once the value and how the read went are there; what comes
-// after, a report that is not used, can't spoil it, only the connection.
+// readArray reads the elements of an answer. The answer is complete once the value and how it was served
+// have been read; an error in the load report after them, which is not used, affects only the connection.
 func (u *Conn) readArray(in *resp.Reader) error {
 	h, err := in.Head()
 	if err != nil {
@@ -198,12 +200,12 @@
 	if h.Kind != '$' {
 		return resp.ErrProtocol
 	}
-	buf := u.s.buffers.Get().(*[]byte)
-	defer u.s.buffers.Put(buf)
+	buf := u.set.buffers.Get().(*[]byte)
+	defer u.set.buffers.Put(buf)
 	status := logic.StatusMiss
 	value := (*buf)[:0]
 	if h.N > resp.MaxValue {
-		return u.passRESP(in, h.N)
+		return u.streamRESP(in, h.N)
 	}
 	if h.N >= 0 {
 		status = logic.StatusOK
@@ -216,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	if err := u.result(status, noteOf(word), value); err != nil {
+	if err := u.deliverResult(status, parseNote(word), value); err != nil {
 		return err
 	}
 	_, err = readWord(in)
@@ -233,25 +235,25 @@
 		return bytes.Clone(h.Text), nil
 	case h.Kind == '$' && h.N < 0:
 		return nil, nil
-	case h.Kind == '$' && h.N <= maxWord:
+	case h.Kind == '$' && h.N <= maxWordLength:
 		return in.Bulk(nil, h.N)
 	}
 	return nil, resp.ErrProtocol
 }
 
-// Append appends the request for an origin, without a write's value; http.Request.Write would copy that
-// too. The texts are a client's: none may end its line and begin another.
+// Append appends the request for an origin, without a write's value, which http.Request.Write would copy
+// as well. The texts come from a client, and must not be able to end a line and begin another.
 func (http1) Append(b []byte, x *Exchange, addr string, deadline time.Duration) []byte {
 	method := http.MethodGet
 	if x.Write {
 		method = http.MethodPut
 	}
-	path := url.URL{Path: "/" + string(x.Msg.Key)}
+	path := url.URL{Path: "/" + string(x.Message.Key)}
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path.EscapedPath(), addr)
-	b = appendHeader(b, "X-Request-ID", x.Msg.ReqID)
-	b = appendHeader(b, "X-Attrs", appendAttrs(make([]byte, 0, len(x.Msg.Attrs)+16), x.Msg.Attrs, deadline))
+	b = appendHeader(b, "X-Request-ID", x.Message.ReqID)
+	b = appendHeader(b, "X-Attrs", appendAttrs(make([]byte, 0, len(x.Message.Attrs)+16), x.Message.Attrs, deadline))
 	if x.Write {
-		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(x.Msg.Value))
+		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(x.Message.Value))
 	}
 	return append(b, "\r\n"...)
 }
@@ -263,27 +265,27 @@
 	return append(b, "\r\n"...)
 }
 
-// capped bounds what an origin may send before its value.
-type capped struct {
-	r    io.Reader
-	left int
+// limitedReader limits the number of bytes that an origin may send for an answer.
+type limitedReader struct {
+	reader    io.Reader
+	remaining int
 }
 
-func (c *capped) Read(b []byte) (int, error) {
-	if c.left <= 0 {
+func (c *limitedReader) Read(b []byte) (int, error) {
+	if c.remaining <= 0 {
 		return 0, resp.ErrProtocol
 	}
-	n, err := c.r.Read(b[:min(len(b), c.left)])
-	c.left -= n
+	n, err := c.reader.Read(b[:min(len(b), c.remaining)])
+	c.remaining -= n
 	return n, err
 }
 
 // readHTTP reads one answer of an origin.
-func (u *Conn) readHTTP(in *bufio.Reader, limit *capped) error {
-	for range maxInterim {
+func (u *Conn) readHTTP(in *bufio.Reader, limit *limitedReader) error {
+	for range maxInterimAnswers {
 		answer, err := http.ReadResponse(in, nil)
 		switch {
-		case err != nil && (errors.Is(err, errCut) || errors.Is(err, resp.ErrProtocol)):
+		case err != nil && (errors.Is(err, errTruncated) || errors.Is(err, resp.ErrProtocol)):
 			return err
 		case err != nil:
 			return fmt.Errorf("%w: %w", resp.ErrProtocol, err)
@@ -294,43 +296,44 @@
 	return resp.ErrProtocol
 }
 
-// readAnswer reads an answer's value. An origin need not tell its length: it comes in chunks, or ends with the connection, and then is
-// whole unless the connection broke (RFC 9112, sections 7.1 and 8).
-func (u *Conn) readAnswer(answer *http.Response, limit *capped) error {
-	st, n := statusOf(answer), answer.ContentLength
+// readAnswer reads the value of an answer. An origin need not announce its length: the value may be
+// chunked, or end with the connection, and then is complete unless the connection broke (RFC 9112,
+// sections 7.1 and 8).
+func (u *Conn) readAnswer(answer *http.Response, limit *limitedReader) error {
+	status, n := httpStatus(answer), answer.ContentLength
 	switch {
-	case n > resp.MaxValue && n <= resp.MaxLong && st == logic.StatusOK:
-		return u.passHTTP(answer, limit, int(n))
+	case n > resp.MaxValue && n <= resp.MaxLongValue && status == logic.StatusOK:
+		return u.streamHTTP(answer, limit, int(n))
 	case n > resp.MaxValue:
 		return resp.ErrProtocol
 	}
-	u.toEnd = n < 0 && len(answer.TransferEncoding) == 0
-	defer func() { u.toEnd = false }()
+	u.untilClose = n < 0 && len(answer.TransferEncoding) == 0
+	defer func() { u.untilClose = false }()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, resp.MaxValue+1))
 	switch {
 	case err != nil:
-		return fmt.Errorf("%w: %w", errCut, err)
-	case len(body) > resp.MaxValue && st != logic.StatusOK:
+		return fmt.Errorf("%w: %w", errTruncated, err)
+	case len(body) > resp.MaxValue && status != logic.StatusOK:
 		return resp.ErrProtocol
 	case len(body) > resp.MaxValue:
-		return u.passUntold(answer, body, limit)
+		return u.streamUnknownLength(answer, body, limit)
 	}
-	if err := u.result(st, 0, body); err != nil {
+	if err := u.deliverResult(status, 0, body); err != nil {
 		return err
 	}
-	return endOf(answer)
+	return closeAfter(answer)
 }
 
-// endOf ends a connection behind an answer that says so.
-func endOf(answer *http.Response) error {
+// closeAfter returns io.EOF, which ends the connection, if the answer announces that.
+func closeAfter(answer *http.Response) error {
 	if answer.Close {
 		return io.EOF
 	}
 	return nil
 }
 
-// statusOf names what an origin's answer says.
-func statusOf(answer *http.Response) logic.Status {
+// httpStatus returns the status for an origin's answer.
+func httpStatus(answer *http.Response) logic.Status {
 	switch answer.StatusCode {
 	case http.StatusOK:
 		return logic.StatusOK
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,272 +16,285 @@
 
 const (
 	readBuffer = 4 << 10
-	// stallTime is how long an answer may pause once it has begun. It ends answers that stop in the middle
-	// long before the attempt's own time is up, and would harm a member that pauses so long inside one.
-	stallTime = 250 * time.Millisecond
-	// holdTime is how long the last byte of a write to an origin is held back if it must not run twice. A
-	// connection that the member, or anything in between, has dropped or drops over what is sent says so once
-	// something is written to it; until its last byte is out a request has surely not run, and can be sent again.
-	// It should exceed a round trip; beyond that it only makes such writes late, and would do harm at a member
-	// that has few places and gives one away with the head.
-	holdTime = 2 * time.Millisecond
-	// passLook is how often a read that stands behind a long value is looked at, past its time-out.
-	passLook = 100 * time.Millisecond
+	// answerStallTimeout is how long an answer may pause once it has begun. It ends answers that stop in
+	// the middle long before the attempt's own timeout, and would do harm with a member that pauses for
+	// so long within an answer.
+	answerStallTimeout = 250 * time.Millisecond
+	// lastByteDelay is how long the last byte of a write to an origin is held back if the write must not
+	// run twice. If the member, or anything on the path, has dropped the connection or drops it because
+	// of what is sent, that shows once something is written to it; until its last byte has been sent a
+	// request has certainly not run, and can be sent again. It should exceed a round trip; a longer delay
+	// only makes such writes late, and would do harm with a member that has few slots and assigns one on
+	// receipt of the header.
+	lastByteDelay = 2 * time.Millisecond
+	// longValueRecheck is the interval at which a timed-out read that is pipelined behind a long value is
+	// checked again.
+	longValueRecheck = 100 * time.Millisecond
 )
 
 var (
-	errStray = errors.New("bytes that no request asked for")
-	errCut   = errors.New("answer cut short")
+	errUnsolicited = errors.New("unsolicited bytes on the connection")
+	errTruncated   = errors.New("answer is truncated")
 )
 
 // Conn is a connection to a member.
 type Conn struct {
 	pool.Conn[*Exchange]
-	s       *Set
-	conn    *net.TCPConn
-	w       *sender.Sender
-	codec   Codec
-	wroteAt time.Duration // when what was sent went out last
-	last    uint64        // a hash of the value answered last, while others were behind; 0: none
-	limited bool          // a deadline is set for the rest of an answer; the reader's own
-	slow    bool          // a long value is read, at its client's pace; the reader's own
-	first   bool          // the first read of an answer, which finds something at once; the reader's own
-	toEnd   bool          // the answer goes on to the end of the connection; the reader's own
-	in      *resp.Reader  // the reader's own, from the Set's; nil: none is
+	set              *Set
+	conn             *net.TCPConn
+	sender           *sender.Sender
+	codec            Codec
+	lastWriteAt      time.Duration // when the latest bytes were written
+	lastValueHash    uint64        // hash of the latest value, while others were pipelined behind it; 0: none
+	readDeadlineSet  bool          // a read deadline is set for the rest of an answer; only the reader uses it
+	readingLongValue bool          // a long value is being read, at its client's pace; only the reader uses it
+	// firstRead marks the first read of an answer, which finds data immediately; only the reader uses it.
+	firstRead  bool
+	untilClose bool         // the answer extends to the end of the connection; only the reader uses it
+	respReader *resp.Reader // from the Set's readers; nil: none in use; only the reader uses it
 
-	// peek is the reader's, and saw what it found. A closure made anew for each look would be garbage.
-	peek func(fd uintptr) bool
-	saw  int
+	// peek checks for received data for the reader and stores the outcome in peekResult. It is stored
+	// because a new closure for each check would allocate.
+	peek       func(fd uintptr) bool
+	peekResult int
 }
 
 var _ pool.Link[*Exchange] = (*Conn)(nil)
 
 func (s *Set) newConn(m *Member, conn *net.TCPConn) (*Conn, error) {
-	w, err := sender.New(s.host, conn)
+	connSender, err := sender.New(s.host, conn)
 	if err != nil {
 		return nil, err
 	}
-	u := &Conn{s: s, conn: conn, w: w, codec: resp2{}}
+	u := &Conn{set: s, conn: conn, sender: connSender, codec: resp2{}}
 	if m.Origin {
 		u.codec = http1{}
 	}
-	u.M, u.Link = m, u
-	w.Idle = func() {
-		u.wroteAt = s.host.Clock()
-		s.Freed(&u.Conn)
+	u.Member, u.Link = m, u
+	connSender.OnDrained = func() {
+		u.lastWriteAt = s.host.Clock()
+		s.WriteDrained(&u.Conn)
 	}
 	u.peek = func(fd uintptr) bool {
-		u.saw = sender.Peek(fd)
-		return u.saw != sender.Nothing
+		u.peekResult = sender.Peek(fd)
+		return u.peekResult != sender.NoData
 	}
 	return u, nil
 }
 
-// Clear tells whether nothing waits to be written, and writing hasn't failed.
-func (u *Conn) Clear() bool { return !u.w.Busy() && !u.w.Failed() }
+// Writable reports whether no write is pending and none has failed.
+func (u *Conn) Writable() bool { return !u.sender.Busy() && !u.sender.Failed() }
 
-// Silent tells whether nothing has come on the connection, neither bytes nor its end.
-func (u *Conn) Silent() bool { return u.w.Look() == sender.Nothing }
+// Silent reports whether nothing has been received on the connection, neither bytes nor the end of the
+// stream.
+func (u *Conn) Silent() bool { return u.sender.Peek() == sender.NoData }
 
-// Shut ends a connection that is out of the pool; its reader finds out.
-func (u *Conn) Shut() {
-	u.w.Drop()
+// Close closes a connection that has left the pool; its reader notices.
+func (u *Conn) Close() {
+	u.sender.Discard()
 	u.conn.Close()
 }
 
-// Ping writes what the member answers at once.
-func (u *Conn) Ping() { u.w.Send(u.codec.Ping(), false) }
+// Ping sends a command that the member answers immediately.
+func (u *Conn) Ping() { u.sender.Send(u.codec.Ping(), false) }
 
-// Send writes an exchange. The pool has made sure, under the same lock, that the member is ready.
+// Send writes an exchange. The pool has checked, under the same lock, that the member is ready.
 func (u *Conn) Send(x *Exchange) {
-	s := u.s
+	s := u.set
 	x.conn = u
 	now := s.host.Clock()
 	u.allowTransit(x, now)
-	corked := s.corking && !x.Write && !u.M.Origin
+	corked := s.corking && !x.Write && !u.Member.Origin
 	if corked {
 		s.cork(u, now)
 	}
-	b := u.codec.Append(s.scratch[:0], x, u.M.Addr, u.deadlineFor(x)-now)
+	b := u.codec.Append(s.scratch[:0], x, u.Member.Addr, u.announcedDeadline(x)-now)
 	s.scratch = b[:0]
-	u.w.Send(b, false)
+	u.sender.Send(b, false)
 	if x.Write {
 		u.sendValue(x)
 	}
-	x.end = u.w.Taken() + x.held
-	if !corked && !u.w.Busy() && x.held == 0 {
-		x.Written = s.host.Clock()
+	x.endOffset = u.sender.Accepted() + x.heldBytes
+	if !corked && !u.sender.Busy() && x.heldBytes == 0 {
+		x.WrittenAt = s.host.Clock()
 	}
 }
 
-// allowTransit has an exchange waited for until it has surely come at its member, however little of its time is left. Given up sooner, it could
-// come after the next attempt of its request, and be a second copy. After AnswerBy there is none.
+// allowTransit extends an exchange's time until it has certainly arrived at its member, however little
+// time is left. If it were abandoned sooner, it could arrive after the next attempt of its request and be
+// a second copy. After AnswerBy there is no next attempt.
 func (u *Conn) allowTransit(x *Exchange, now time.Duration) {
-	transit := u.s.Transit(u.M)
+	transit := u.set.Transit(u.Member)
 	if u.Current == x && u.Fresh() {
-		transit = u.s.FirstTransit()
+		transit = u.set.FirstTransit()
 	}
-	x.Until = max(x.Until, min(now+transit, x.By.AnswerBy()))
+	x.ExpiresAt = max(x.ExpiresAt, min(now+transit, x.Client.AnswerBy()))
 }
 
-// sendValue writes the value of an exchange, but for a last byte that is held back.
+// sendValue writes the value of an exchange, except for a last byte that is held back.
 func (u *Conn) sendValue(x *Exchange) {
-	s := u.s
-	if u.codec.Holds() && x.Once && len(x.Msg.Value) > 0 {
-		x.held = 1
-		s.host.At(Due{At: s.host.Now() + s.once, what: dueHeld, x: x})
+	s := u.set
+	if u.codec.RunsOnLastByte() && x.Once && len(x.Message.Value) > 0 {
+		x.heldBytes = 1
+		s.host.ScheduleTimer(Timer{At: s.host.Now() + s.lastByteDelay, kind: timerHeldByte, exchange: x})
 	}
-	u.w.SendCounted(x.Msg.Value[:len(x.Msg.Value)-int(x.held)])
-	if end := u.codec.End(); len(end) > 0 {
-		u.w.Send(end, true)
+	u.sender.SendCounted(x.Message.Value[:len(x.Message.Value)-int(x.heldBytes)])
+	if end := u.codec.Trailer(); len(end) > 0 {
+		u.sender.Send(end, true)
 	}
 }
 
-// deadlineFor is until when a member is told that it has for an exchange. A cache is told how long it is waited for. What an origin finds is
-// stored whether anybody still waits for the attempt or not: it is told how long the client can be answered.
-func (u *Conn) deadlineFor(x *Exchange) time.Duration {
-	if u.M.Origin {
-		return x.By.AnswerBy()
-	}
-	return min(x.Until, x.By.AnswerBy())
+// announcedDeadline returns the deadline that a member is told for an exchange. A cache is told when the
+// attempt is abandoned. What an origin returns is stored even if the attempt is no longer waited for: it
+// is told until when the client can be answered.
+func (u *Conn) announcedDeadline(x *Exchange) time.Duration {
+	if u.Member.Origin {
+		return x.Client.AnswerBy()
+	}
+	return min(x.ExpiresAt, x.Client.AnswerBy())
 }
 
-// release writes the byte that Send has held back, if the connection still stands; else its reader tells that
-// the attempt never ran.
-func (s *Set) release(x *Exchange) {
-	if u := x.conn; !x.Ended && !u.Closed && !u.w.Failed() && u.Silent() {
-		u.w.Send(x.Msg.Value[len(x.Msg.Value)-1:], true)
-		u.wroteAt = s.host.Clock()
+// sendHeldByte writes the byte that Send has held back, if the connection is still alive; otherwise its
+// reader reports that the attempt never ran.
+func (s *Set) sendHeldByte(x *Exchange) {
+	if u := x.conn; !x.Ended && !u.Closed && !u.sender.Failed() && u.Silent() {
+		u.sender.Send(x.Message.Value[len(x.Message.Value)-1:], true)
+		u.lastWriteAt = s.host.Clock()
 	}
 }
 
-// unsent tells whether an exchange's last byte is still here and surely won't go out.
-func (u *Conn) unsent(x *Exchange) bool { return u.w.Unsent(x.end) }
+// unsent reports whether an exchange's last byte has not been handed to the kernel and won't be once the
+// connection has failed.
+func (u *Conn) unsent(x *Exchange) bool { return u.sender.Unsent(x.endOffset) }
 
-// GiveUp stops waiting for an exchange, by closing its connection: until then it is out, and a
-// further one would be a second copy.
-func (s *Set) GiveUp(x *Exchange, st logic.Status) {
+// Abandon stops waiting for an exchange by closing its connection: until then it is in flight, and a
+// further attempt would be a second copy.
+func (s *Set) Abandon(x *Exchange, status logic.Status) {
 	u := x.conn
-	if u != nil && u.Current != x && u.Current != nil && u.Current.firstAt > 0 && st == logic.StatusTimeout && s.host.Now() < x.By.Deadline() {
-		// Its answer stands behind a long one, which must not be cut off. Until the connection ends it is out, so it waits.
-		x.Until = min(x.By.Deadline(), s.host.Now()+passLook)
-		s.host.At(Due{At: x.Until, what: dueEnd, x: x})
+	if u != nil && u.Current != x && u.Current != nil && u.Current.streamingSince > 0 &&
+		status == logic.StatusTimeout && s.host.Now() < x.Client.Deadline() {
+		// Its answer follows a long value, which must not be cut off. The exchange is in flight until the
+		// connection ends, so it is kept waiting.
+		x.ExpiresAt = min(x.Client.Deadline(), s.host.Now()+longValueRecheck)
+		s.host.ScheduleTimer(Timer{At: x.ExpiresAt, kind: timerExpiry, exchange: x})
 		return
 	}
 	if u == nil {
-		x.m.Leave(x)
-		if st == logic.StatusTimeout { // it was never sent
-			st = statusFor(pool.Unconnected(x.m))
+		x.member.RemoveWaiting(x)
+		if status == logic.StatusTimeout { // it was never sent
+			status = verdictStatus(pool.NoConnVerdict(x.member))
 		}
-		x.ended(st, 0)
+		x.complete(status, 0)
 		return
 	}
 	switch {
 	case u.unsent(x):
-		st = logic.StatusConnectFailed
-	case x != u.Current: // its turn had not come: that tells of those in front
-		st = logic.StatusCancelled
+		status = logic.StatusConnectFailed
+	case x != u.Current: // its answer was not due yet: the timeout concerns the requests before it
+		status = logic.StatusCancelled
 	}
-	x.cutShort(st)
-	if u.Current != x && u.Current != nil && u.Current.firstAt > 0 {
-		return // it is skipped when its answer comes
+	x.abandon(status)
+	if u.Current != x && u.Current != nil && u.Current.streamingSince > 0 {
+		return // its answer is skipped when it arrives
 	}
-	s.cutOff(u)
+	s.closeAndCancel(u)
 }
 
-// cutOff ends a connection for what is on it or waits to be written to it, and with it the exchanges beside that.
-func (s *Set) cutOff(u *Conn) {
+// closeAndCancel closes a connection because of one of its exchanges, and cancels the others on it.
+func (s *Set) closeAndCancel(u *Conn) {
 	if u.Current != nil {
-		u.overturn(u.Current)
+		u.cancel(u.Current)
 	}
-	u.overturnBehind()
-	s.Broken(&u.Conn)
+	u.cancelPipelined()
+	s.HandleBroken(&u.Conn)
 }
 
-// overturn ends an exchange whose connection ends for something that it has no part in, and that tells nothing of its
-// member. It is a read, unless it stands alone, and may be sent again.
-func (u *Conn) overturn(x *Exchange) {
+// cancel ends an exchange whose connection is closed for a reason that is neither the exchange's nor the
+// member's. Unless it is alone on the connection it is a read, and may be sent again.
+func (u *Conn) cancel(x *Exchange) {
 	if u.unsent(x) {
-		x.ended(logic.StatusNoConn, 0)
+		x.complete(logic.StatusNoConn, 0)
 	} else {
-		x.cutShort(logic.StatusCancelled)
+		x.abandon(logic.StatusCancelled)
 	}
 }
 
-func (u *Conn) overturnBehind() {
-	for _, x := range u.Behind {
-		u.overturn(x)
+func (u *Conn) cancelPipelined() {
+	for _, x := range u.Pipelined {
+		u.cancel(x)
 	}
-	u.Behind = nil
+	u.Pipelined = nil
 }
 
-// again tells whether a value is the one that the connection has just answered another key with, while requests were
-// behind that one (requests for the same key never follow one another on a connection). Then it may be a second copy of that answer, which would be taken for the answer to the next request;
-// nothing else tells them apart.
-func (u *Conn) again(value []byte) bool {
-	if u.last == 0 && len(u.Behind) == 0 {
+// repeatsLastValue reports whether a value equals the one with which the connection answered another key,
+// while requests were pipelined behind it (consecutive requests on a connection never have the same key).
+// It may then be a second copy of that answer, which would be taken for the answer to the next request;
+// nothing else distinguishes them.
+func (u *Conn) repeatsLastValue(value []byte) bool {
+	if u.lastValueHash == 0 && len(u.Pipelined) == 0 {
 		return false
 	}
-	h := maphash.Bytes(u.s.seed, value) | 1
-	same := h == u.last
-	if u.last = h; len(u.Behind) == 0 {
-		u.last = 0
+	h := maphash.Bytes(u.set.seed, value) | 1
+	same := h == u.lastValueHash
+	if u.lastValueHash = h; len(u.Pipelined) == 0 {
+		u.lastValueHash = 0
 	}
 	return same
 }
 
-// result gives the exchange in front its outcome, with the value that the client gets if it was served. The connection
-// is not free yet: see rest.
-func (u *Conn) result(st logic.Status, note int, value []byte) error {
-	u.s.host.Enter()
-	defer u.s.host.Leave()
+// deliverResult completes the current exchange, with the value for its client if it was served. The
+// connection is not free yet: see finishAnswer.
+func (u *Conn) deliverResult(status logic.Status, note int, value []byte) error {
+	u.set.host.Enter()
+	defer u.set.host.Leave()
 	x := u.Current
-	if x == nil || x.Ended { // given up; the connection is closed
+	if x == nil || x.Ended { // abandoned; the connection is closed
 		return nil
 	}
-	u.TurnedAway = st == logic.StatusFull
-	if st == logic.StatusOK {
-		if u.again(value) {
-			return errStray
+	u.Refused = status == logic.StatusFull
+	if status == logic.StatusOK {
+		if u.repeatsLastValue(value) {
+			return errUnsolicited
 		}
-		x.By.Served(value)
+		x.Client.Served(value)
 	}
-	x.ended(st, note)
+	x.complete(status, note)
 	return nil
 }
 
-// fail ends a connection and the exchange on it. One whose last byte was not written never ran; else it may have.
+// fail closes a connection and ends the exchanges on it. If its last byte was not written, an exchange
+// never ran; otherwise it may have.
 func (u *Conn) fail(err error) {
-	u.s.host.Enter()
-	defer u.s.host.Leave()
-	spoilt := errors.Is(err, resp.ErrProtocol) || errors.Is(err, errCut) || errors.Is(err, errStray)
+	u.set.host.Enter()
+	defer u.set.host.Leave()
+	badAnswer := errors.Is(err, resp.ErrProtocol) || errors.Is(err, errTruncated) || errors.Is(err, errUnsolicited)
 	if x := u.Current; x != nil && !x.Ended {
-		u.s.Broke(&u.Conn)
-		st := logic.StatusReset
+		u.set.RecordBreak(&u.Conn)
+		status := logic.StatusReset
 		switch {
 		case u.unsent(x):
-			st = logic.StatusConnectFailed
-		case spoilt: // what has come may have been meant for another
-			st = logic.StatusError
-			x.leaveTransit()
+			status = logic.StatusConnectFailed
+		case badAnswer: // what was received may have been meant for another exchange
+			status = logic.StatusError
+			x.recordTransit()
 		}
-		x.ended(st, 0)
+		x.complete(status, 0)
 	}
-	if spoilt {
-		u.M.Spoilt()
+	if badAnswer {
+		u.Member.RecordBadAnswer()
 	}
-	u.overturnBehind()
-	u.s.Broken(&u.Conn)
+	u.cancelPipelined()
+	u.set.HandleBroken(&u.Conn)
 }
 
-// serve reads answers until the connection ends.
-func (u *Conn) serve() error {
+// readAnswers reads answers until the connection ends.
+func (u *Conn) readAnswers() error {
 	next := u.codec.Reader(u)
-	defer u.giveBack()
+	defer u.returnReader()
 	buffered := 0
 	for {
 		if buffered == 0 {
-			if err := u.await(); err != nil {
+			if err := u.awaitData(); err != nil {
 				return err
 			}
 		}
@@ -289,78 +302,80 @@
 		if buffered, err = next(); err != nil {
 			return err
 		}
-		if err := u.rest(buffered); err != nil {
+		if err := u.finishAnswer(buffered); err != nil {
 			return err
 		}
 	}
 }
 
-// giveBack lets another connection have the buffer that this one was read through. Where caches are many and connections short, buffers
-// made anew were most of what a connection leaves behind, and the heap grew by them between collections.
-func (u *Conn) giveBack() {
-	if u.in != nil {
-		u.in.Reset(nil)
-		u.s.readers.Put(u.in)
-		u.in = nil
+// returnReader makes the reader's buffer available to other connections. With many caches and short-lived
+// connections, newly allocated buffers were most of the garbage that a connection leaves behind, and the
+// heap grew by them between collections.
+func (u *Conn) returnReader() {
+	if u.respReader != nil {
+		u.respReader.Reset(nil)
+		u.set.readers.Put(u.respReader)
+		u.respReader = nil
 	}
 }
 
 // Read reads within an answer, which must not pause for long.
 func (u *Conn) Read(b []byte) (int, error) {
-	if u.first {
-		u.first = false
+	if u.firstRead {
+		u.firstRead = false
 	} else {
-		u.limited = true
-		limit := stallTime
-		if u.slow {
-			limit = sender.StallLimit
+		u.readDeadlineSet = true
+		limit := answerStallTimeout
+		if u.readingLongValue {
+			limit = sender.StallTimeout
 		}
 		u.conn.SetReadDeadline(time.Now().Add(limit))
 	}
 	n, err := u.conn.Read(b)
-	if n == 0 && err != nil && !(u.toEnd && err == io.EOF) {
-		err = fmt.Errorf("%w: %w", errCut, err)
+	if n == 0 && err != nil && !(u.untilClose && err == io.EOF) {
+		err = fmt.Errorf("%w: %w", errTruncated, err)
 	}
 	return n, err
 }
 
-// await waits until something can be read, without reading it: as long as it is in the kernel, the pool sees it.
-// What comes while no request is out is not an answer.
-func (u *Conn) await() error {
-	if u.limited {
-		u.limited = false
+// awaitData waits for received data without reading it: as long as it is in the kernel, the pool can see
+// it. Data that arrives while no request is in flight is not an answer.
+func (u *Conn) awaitData() error {
+	if u.readDeadlineSet {
+		u.readDeadlineSet = false
 		u.conn.SetReadDeadline(time.Time{})
 	}
-	if err := u.w.Raw().Read(u.peek); err != nil {
+	if err := u.sender.Raw().Read(u.peek); err != nil {
 		return err
 	}
-	u.first = true
-	u.s.host.Lock()
-	defer u.s.host.Unlock()
+	u.firstRead = true
+	u.set.host.Lock()
+	defer u.set.host.Unlock()
 	switch {
-	case u.saw == sender.End:
+	case u.peekResult == sender.EndOfStream:
 		return io.EOF
 	case !u.Busy():
-		return errStray
+		return errUnsolicited
 	}
 	return nil
 }
 
-// rest lets a connection be used again after an answer, once it has been silent for a while: what comes from now on
-// finds no request on it, and ends it. Where others are behind the one answered, the next one's turn has come.
-func (u *Conn) rest(buffered int) error {
-	u.s.host.Enter()
-	defer u.s.host.Leave()
+// finishAnswer makes a connection available again after an answer, following a cooldown: data that
+// arrives from now on belongs to no request, and ends the connection. If requests are pipelined, the next
+// one becomes current instead.
+func (u *Conn) finishAnswer(buffered int) error {
+	u.set.host.Enter()
+	defer u.set.host.Leave()
 	switch {
 	case u.Closed:
 		return net.ErrClosed
-	case u.s.Answered(&u.Conn, u.Current != nil && u.Current.firstAt == 0):
+	case u.set.Answered(&u.Conn, u.Current != nil && u.Current.streamingSince == 0):
 		return nil
 	case buffered > 0:
-		return errStray
+		return errUnsolicited
 	case u.Retired:
 		return io.EOF
 	}
-	u.s.Rest(&u.Conn)
+	u.set.Release(&u.Conn)
 	return nil
 }
--- a/internal/upstream/cork_test.go
+++ b/internal/upstream/cork_test.go
@@ -11,28 +11,28 @@
 	"linenloom/logic"
 )
 
-// testHost is a host whose clock the test sets. Nothing in it runs by itself.
+// testHost is a Host with a simulated clock. Nothing in it runs by itself.
 type testHost struct{ now time.Duration }
 
-func (h *testHost) Enter()                            {}
-func (h *testHost) Leave()                            {}
-func (h *testHost) Lock()                             {}
-func (h *testHost) Unlock()                           {}
-func (h *testHost) Hold(int) bool                     { return false }
-func (h *testHost) Now() time.Duration                { return 0 } // of the event
-func (h *testHost) Clock() time.Duration              { return h.now }
-func (h *testHost) Do(f func())                       { f() }
-func (h *testHost) At(Due)                            {}
-func (h *testHost) WakeAt(time.Duration)              {}
-func (h *testHost) Spare(bool) bool                   { return true }
-func (h *testHost) LongRoom(int, time.Duration) Place { return nil }
-func (h *testHost) Served([]byte)                     {}
-func (h *testHost) Pass(int) Passer                   { return nil }
-func (h *testHost) Deadline() time.Duration           { return time.Minute }
-func (h *testHost) AnswerBy() time.Duration           { return time.Minute }
-func (h *testHost) Done(logic.Status, int)            {}
+func (h *testHost) Enter()                                          {}
+func (h *testHost) Leave()                                          {}
+func (h *testHost) Lock()                                           {}
+func (h *testHost) Unlock()                                         {}
+func (h *testHost) Hold(int) bool                                   { return false }
+func (h *testHost) Now() time.Duration                              { return 0 } // time of the event
+func (h *testHost) Clock() time.Duration                            { return h.now }
+func (h *testHost) Do(f func())                                     { f() }
+func (h *testHost) ScheduleTimer(Timer)                             {}
+func (h *testHost) ScheduleWake(time.Duration)                      {}
+func (h *testHost) HasDescriptor(bool) bool                         { return true }
+func (h *testHost) ReserveLongValue(int, time.Duration) Reservation { return nil }
+func (h *testHost) Served([]byte)                                   {}
+func (h *testHost) StreamValue(int) ValueStream                     { return nil }
+func (h *testHost) Deadline() time.Duration                         { return time.Minute }
+func (h *testHost) AnswerBy() time.Duration                         { return time.Minute }
+func (h *testHost) Done(logic.Status, int)                          {}
 
-// tcpPair is both ends of a connection.
+// tcpPair returns both ends of a connection.
 func tcpPair(t *testing.T) (near *net.TCPConn, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,44 +52,45 @@
 	return conn.(*net.TCPConn), far
 }
 
-// What is corked was told its deadline as it was written: when the next read comes some time later in the same event, it goes out first.
+// The deadline of a corked read is fixed when it is encoded: if the next read comes some time later in
+// the same event, the first one is sent before it.
 func TestCorkedReadsAreNotHeldForLong(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		later time.Duration
-		want  bool // the first read is out before Uncork
+		want  bool // the first read is sent before Uncork
 	}{
-		"at once":    {corkTime, false},
-		"held up":    {corkTime + time.Millisecond, true},
+		"at once":    {maxCorkTime, false},
+		"held up":    {maxCorkTime + time.Millisecond, true},
 		"for longer": {time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := &testHost{}
-			s := New(pool.Config{}, h)
+			host := &testHost{}
+			set := New(pool.Config{}, host)
 			near, far := tcpPair(t)
-			conn, err := s.newConn(&Member{}, near)
+			conn, err := set.newConn(&Member{}, near)
 			if err != nil {
 				t.Fatal(err)
 			}
 			send := func(id string) {
-				x := &Exchange{Request: pool.Request{Until: 3 * time.Second}, By: h,
-					Msg: &Message{Key: []byte("k"), ReqID: []byte(id), Attrs: []byte("c=read,d=8000")}}
+				x := &Exchange{Request: pool.Request{ExpiresAt: 3 * time.Second}, Client: host,
+					Message: &Message{Key: []byte("k"), ReqID: []byte(id), Attrs: []byte("c=read,d=8000")}}
 				conn.Send(x)
 			}
-			s.Cork()
+			set.Cork()
 			send("first")
-			h.now = c.later
+			host.now = tc.later
 			send("second")
-			if out := conn.w.Taken() > 0 && !conn.unsent(&Exchange{end: 1}); out != c.want {
-				t.Errorf("the first read is out: %v, want %v", out, c.want)
+			if out := conn.sender.Accepted() > 0 && !conn.unsent(&Exchange{endOffset: 1}); out != tc.want {
+				t.Errorf("the first read is out: %v, want %v", out, tc.want)
 			}
-			s.Uncork()
+			set.Uncork()
 			near.CloseWrite()
 			text, err := io.ReadAll(far)
 			if err != nil {
 				t.Fatal(err)
 			}
 			first, second, _ := strings.Cut(string(text), "second")
-			if !strings.Contains(first, "d=3000") || !strings.Contains(second, "d="+strings.TrimSuffix((3*time.Second - c.later).String(), "s")[:1]) {
+			if !strings.Contains(first, "d=3000") || !strings.Contains(second, "d="+strings.TrimSuffix((3*time.Second - tc.later).String(), "s")[:1]) {
 				t.Errorf("sent %q", text)
 			}
 		})
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -8,20 +8,22 @@
 	"time"
 )
 
-// dialTCP opens a connection within a time.
+// dialTCP opens a connection within a time limit.
 func dialTCP(addr string, within time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: within, KeepAlive: -1}
 	return d.DialContext(context.Background(), "tcp", addr)
 }
 
-// shortages are the errors of a dial that tell of this machine, not of the member: it is short of descriptors, ports, buffers or memory, or a rule
-// of its own forbids the connection.
-var shortages = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
-	syscall.EPERM, syscall.EACCES, syscall.EINTR}
+// localErrors are the dial errors that concern this machine, not the member: it is out of descriptors,
+// ports, buffers or memory, or one of its own rules forbids the connection.
+var localErrors = []error{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
+	syscall.EAGAIN, syscall.EPERM, syscall.EACCES, syscall.EINTR,
+}
 
-// local tells whether a dial failed for want of something that this machine is short of.
-func local(err error) bool {
-	for _, shortage := range shortages {
+// isLocalError reports whether a dial failed for lack of a resource of this machine.
+func isLocalError(err error) bool {
+	for _, shortage := range localErrors {
 		if errors.Is(err, shortage) {
 			return true
 		}
@@ -31,20 +33,20 @@
 
 // dial opens a connection and reads its answers until it ends.
 func (s *Set) dial(m *Member, addr string, epoch int, warm bool) {
-	conn, err := s.dialer(addr, s.connect)
-	var u *Conn
+	conn, err := s.dialer(addr, s.connectTimeout)
+	var connection *Conn
 	s.host.Do(func() {
 		if err == nil {
-			u, err = s.newConn(m, conn.(*net.TCPConn))
+			connection, err = s.newConn(m, conn.(*net.TCPConn))
 		}
-		var slow net.Error
+		var netErr net.Error
 		switch {
 		case err == nil:
-			s.Dialled(m, &u.Conn, epoch, warm, false)
-		case local(err):
-			s.NotDialled(m, warm)
+			s.DialCompleted(m, &connection.Conn, epoch, warm, false)
+		case isLocalError(err):
+			s.DialFailedLocally(m, warm)
 		default:
-			s.Dialled(m, nil, epoch, warm, !(errors.As(err, &slow) && slow.Timeout()))
+			s.DialCompleted(m, nil, epoch, warm, !(errors.As(err, &netErr) && netErr.Timeout()))
 		}
 	})
 	if err != nil {
@@ -53,5 +55,5 @@
 		}
 		return
 	}
-	u.fail(u.serve())
+	connection.fail(connection.readAnswers())
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -13,7 +13,7 @@
 	"linenloom/logic"
 )
 
-// lockedHost is a host with a lock, under which dials of their own report.
+// lockedHost is a host with a lock, under which dials report from their own goroutines.
 type lockedHost struct {
 	testHost
 	mu sync.Mutex
@@ -25,21 +25,22 @@
 	f()
 }
 
-// ending passes on the outcome of an exchange.
-type ending struct {
+// outcomeClient forwards the outcome of an exchange.
+type outcomeClient struct {
 	testHost
-	x    *Exchange
-	seen chan logic.Status
+	exchange *Exchange
+	outcomes chan logic.Status
 }
 
-func (e *ending) Done(s logic.Status, _ int) {
-	e.x.Ended = true
-	e.seen <- s
+func (e *outcomeClient) Done(s logic.Status, _ int) {
+	e.exchange.Ended = true
+	e.outcomes <- s
 }
 
-// A dial that fails for want of this machine's own resources was counted as one that the member had refused: two in a row held it back, and took it
-// out of use for all requests, though it was well. Such a request is now one that found no connection here, and the member is as it was.
-func TestLocalShortageIsNoFaultOfTheMember(t *testing.T) {
+// A dial that failed for lack of this machine's own resources was counted as refused by the member: two
+// in a row started the member's backoff, and took it out of use for all requests although it was healthy.
+// The request must end as one that found no connection here, and the member must be unaffected.
+func TestLocalShortageIsNotBlamedOnMember(t *testing.T) {
 	for errno, blamed := range map[syscall.Errno]bool{
 		syscall.EMFILE: false, syscall.ENFILE: false, syscall.ENOBUFS: false, syscall.ENOMEM: false, syscall.EADDRNOTAVAIL: false,
 		syscall.EADDRINUSE: false, syscall.EAGAIN: false, syscall.EPERM: false, syscall.EINTR: false,
@@ -47,21 +48,21 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			host := &lockedHost{}
-			s := New(pool.Config{ConnIdle: time.Minute, ConnectTimeout: time.Second, Multiplex: 1, Instances: 1, Sockets: 100}, host)
-			s.dialer = func(string, time.Duration) (net.Conn, error) {
+			set := New(pool.Config{ConnIdle: time.Minute, ConnectTimeout: time.Second, Multiplex: 1, Instances: 1, Descriptors: 100}, host)
+			set.dialer = func(string, time.Duration) (net.Conn, error) {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 			}
 			m := &Member{Addr: "127.0.0.1:1", Ready: true}
 			for range 3 { // more than one in a row, as a shortage lasts
-				e := &ending{seen: make(chan logic.Status, 2)}
-				e.x = &Exchange{Msg: &Message{Key: []byte("k")}, By: e}
-				e.x.Until = time.Minute
-				host.Do(func() { s.Exchange(m, e.x) })
+				client := &outcomeClient{outcomes: make(chan logic.Status, 2)}
+				client.exchange = &Exchange{Message: &Message{Key: []byte("k")}, Client: client}
+				client.exchange.ExpiresAt = time.Minute
+				host.Do(func() { set.Exchange(m, client.exchange) })
 				want := logic.StatusNoConn
 				if blamed {
 					want = logic.StatusConnectFailed
 				}
-				if got := <-e.seen; got != want {
+				if got := <-client.outcomes; got != want {
 					t.Fatalf("the request ended with %v, want %v", got, want)
 				}
 			}
@@ -69,13 +70,13 @@
 				if held := m.Backoff() > 0; held != blamed {
 					t.Errorf("the member is held back: %v, want %v", held, blamed)
 				}
-				if s.Open() != 0 {
-					t.Errorf("%d connections are counted, none is there", s.Open())
+				if set.OpenConns() != 0 {
+					t.Errorf("%d connections are counted, none is there", set.OpenConns())
 				}
 			})
 		})
 	}
-	if local(errors.New("something else")) {
+	if isLocalError(errors.New("something else")) {
 		t.Error("an unknown error counts as a shortage of this machine")
 	}
 }
