--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -107,13 +107,13 @@
 
 // Sight is what an instance has seen of a zone lately: counts of attempts that have been judged.
 type Sight struct {
-	Judged  int // attempts with a judgement
-	Bad     int // of them those that were silent, slow, failed or turned away
-	Silent  int // of the bad ones those without any answer so far
-	Trimmed int // of Judged, without the third of the boxes that were worst
-	Trim    int // of Bad, likewise
-	Missed  int // answers that had no value: the zone is cold
-	Quiet   int // attempts judged of late, where hardly any was answered; 0 otherwise: silence shows before it is most of what was seen
+	Judged  int `json:"Judged"`  // attempts with a judgement
+	Bad     int `json:"Bad"`     // of them those that were silent, slow, failed or turned away
+	Silent  int `json:"Silent"`  // of the bad ones those without any answer so far
+	Trimmed int `json:"Trimmed"` // of Judged, without the third of the boxes that were worst
+	Trim    int `json:"Trim"`    // of Bad, likewise
+	Missed  int `json:"Missed"`  // answers that had no value: the zone is cold
+	Quiet   int `json:"Quiet"`   // attempts judged of late, where hardly any was answered; 0 otherwise: silence shows before it is most of what was seen
 }
 
 // Report is what an instance tells the others.
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -1,6 +1,7 @@
 package zones
 
 import (
+	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -488,6 +489,17 @@
 	}
 }
 
+// The operators' /members call writes a Sight as JSON, and its keys are part of that call's answer.
+func TestSightJSONKeys(t *testing.T) {
+	got, err := json.Marshal(Sight{1, 2, 3, 4, 5, 6, 7})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"Judged":1,"Bad":2,"Silent":3,"Trimmed":4,"Trim":5,"Missed":6,"Quiet":7}`; string(got) != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+}
+
 func FuzzDecode(f *testing.F) {
 	f.Add((&Message{From: 1, Report: &Report{Sights: make([]Sight, 2)}, Verdict: &Verdict{Zones: make([]Zone, 2)}, Hands: make([]Hand, 2)}).Append(nil))
 	f.Add([]byte{version, 7, 0})
