--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -60,7 +60,7 @@
 	if file.Instances == nil {
 		return
 	}
-	if file.Zones != nil && len(settings.Zones) > 1 && len(settings.Zones) <= zones.MostZones {
+	if file.Zones != nil && len(settings.Zones) > 1 && len(settings.Zones) <= zones.MaxZones {
 		f.meter = zones.NewMeter(len(settings.Zones), shortestAim(settings.Settings.Classes))
 		settings.Meter = f.meter
 	}
@@ -104,7 +104,7 @@
 	log.Info("version", "program", j.Version.Program, "settings", j.Version.Settings)
 	f.version = j.Version
 	if f.meter != nil {
-		c := zones.Config{Number: j.Number, Zones: j.Zones, Least: file.Zones.Least, WarmFor: settings.Settings.ColdFor, Since: j.Since.UnixMilli()}
+		c := zones.Config{Number: j.Number, Zones: j.Zones, MinCapacityShare: file.Zones.Least, WarmupTime: settings.Settings.ColdFor, StartedAtMS: j.Since.UnixMilli()}
 		for _, r := range regions {
 			c.Regions = append(c.Regions, r)
 		}
--- a/internal/cluster/liar_test.go
+++ b/internal/cluster/liar_test.go
@@ -85,18 +85,18 @@
 // leaving a zone that fails by telling that all is well.
 func TestLiar(t *testing.T) {
 	t.Parallel()
-	bad := zones.Sight{Judged: 1000, Bad: 1000, Silent: 1000, Trimmed: 600, Trim: 600}
-	good := zones.Sight{Judged: 1000, Trimmed: 600}
+	bad := zones.ZoneStats{Judged: 1000, Bad: 1000, Silent: 1000, TrimmedJudged: 600, TrimmedBad: 600}
+	good := zones.ZoneStats{Judged: 1000, TrimmedJudged: 600}
 	say := good
-	lies := make(chan zones.Sight, 1)
+	lies := make(chan zones.ZoneStats, 1)
 	s := stage(t, Options{})
 	s.lie(func(n int) zones.Message {
 		select {
 		case say = <-lies:
 		default:
 		}
-		return zones.Message{From: liarNumber, Report: &zones.Report{Number: liarNumber, Since: 1, Seq: uint64(n), Sights: []zones.Sight{say, say, say}},
-			Verdict: &zones.Verdict{Epoch: 1, By: liarNumber, Zones: []zones.Zone{{Share: zones.Whole}, {Share: zones.Whole}, {State: zones.Out}}}}
+		return zones.Message{From: liarNumber, Report: &zones.Report{Number: liarNumber, StartedAtMS: 1, Seq: uint64(n), Zones: []zones.ZoneStats{say, say, say}},
+			Verdict: &zones.Verdict{Epoch: 1, DecidedBy: liarNumber, Zones: []zones.Zone{{Share: zones.FullShare}, {Share: zones.FullShare}, {State: zones.StateOut}}}}
 	})
 	lies <- bad
 	// The first verdict of all is taken from anyone who is a member: what it closes is tried, found well and returned to.
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -58,8 +58,8 @@
 }
 
 func (f *Fleet) start(i int) {
-	f.all[i] = zones.New(zones.Config{Number: i, Zones: []string{"a", "b"}, Least: zones.DefaultLeast, WarmFor: fleetWarm,
-		Since: int64(f.now / ms)}, i%fleetZones)
+	f.all[i] = zones.New(zones.Config{Number: i, Zones: []string{"a", "b"}, MinCapacityShare: zones.DefaultMinCapacityShare, WarmupTime: fleetWarm,
+		StartedAtMS: int64(f.now / ms)}, i%fleetZones)
 	for z := range fleetZones {
 		delete(f.zeroAt, [2]int{i, z})
 	}
@@ -102,7 +102,7 @@
 		f.start(n)
 		for j, m := range f.all {
 			if m != nil && j != n {
-				f.all[n].Inherit(f.now, m.Verdict(), m.Hands())
+				f.all[n].Inherit(f.now, m.Verdict(), m.Overrides())
 				break
 			}
 		}
@@ -113,11 +113,11 @@
 	case "crash":
 		f.all[n] = nil
 	case "out by hand", "auto by hand":
-		h := zones.Hand{Mode: zones.Away, Stamp: int64(f.now / ms)}
+		h := zones.Override{Mode: zones.ModeOut, TimestampMS: int64(f.now / ms)}
 		if what[0] == 'a' {
-			h.Mode = zones.Auto
+			h.Mode = zones.ModeAuto
 		}
-		f.all[0].Call(f.now, h, 0)
+		f.all[0].SetOverride(f.now, h, 0)
 	case "fails", "well":
 		f.bad[n] = what == "fails"
 	}
@@ -135,7 +135,7 @@
 		f.deliver(m)
 	}
 	for range roundTicks {
-		f.now += zones.Every
+		f.now += zones.TickInterval
 		var sent []fleetMessage
 		for i, m := range f.all {
 			if m == nil {
@@ -149,8 +149,8 @@
 			}
 			m.SetPeers(peers)
 			leads, _ := m.Tick(f.now, f.sights(m), 0)
-			own, v := m.Own(), m.Verdict()
-			msg := zones.Message{From: i, Report: &own, Verdict: &v, Leads: leads, Hands: m.Hands()}
+			own, v := m.OwnReport(), m.Verdict()
+			msg := zones.Message{From: i, Report: &own, Verdict: &v, FromLeader: leads, Overrides: m.Overrides()}
 			for j := range f.all {
 				if j != i && (lost == nil || !lost(i, j)) {
 					sent = append(sent, fleetMessage{i, j, msg.Append(nil)})
@@ -181,17 +181,17 @@
 		return
 	}
 	if msg.Report != nil {
-		to.Hear(f.now, *msg.Report)
+		to.ReceiveReport(f.now, *msg.Report)
 	}
 	if msg.Verdict != nil {
-		to.Take(f.now, msg.From, *msg.Verdict, msg.Leads)
+		to.ReceiveVerdict(f.now, msg.From, *msg.Verdict, msg.FromLeader)
 	}
-	to.TakeHands(f.now, msg.Hands)
+	to.MergeOverrides(f.now, msg.Overrides)
 }
 
 // sights are what an instance sees of zones that fail or don't: as much as it sends there.
-func (f *Fleet) sights(m *zones.Machine) []zones.Sight {
-	all := make([]zones.Sight, fleetZones)
+func (f *Fleet) sights(m *zones.Machine) []zones.ZoneStats {
+	all := make([]zones.ZoneStats, fleetZones)
 	for z := range all {
 		n := 0
 		if share, trial := m.Share(z); share > 0 {
@@ -199,9 +199,9 @@
 		} else if trial {
 			n = 3
 		}
-		all[z] = zones.Sight{Judged: n, Trimmed: n * 2 / 3}
+		all[z] = zones.ZoneStats{Judged: n, TrimmedJudged: n * 2 / 3}
 		if f.bad[z] {
-			all[z] = zones.Sight{Judged: n, Bad: n, Silent: n, Trimmed: n * 2 / 3, Trim: n * 2 / 3}
+			all[z] = zones.ZoneStats{Judged: n, Bad: n, Silent: n, TrimmedJudged: n * 2 / 3, TrimmedBad: n * 2 / 3}
 		}
 	}
 	return all
@@ -219,7 +219,7 @@
 			if share > 0 {
 				open++
 			}
-			if m.Hands()[z].Mode == zones.Away {
+			if m.Overrides()[z].Mode == zones.ModeOut {
 				away++
 				if share > 0 {
 					f.broken = append(f.broken, fmt.Sprintf("instance %d uses zone %d, which is out by hand", i, z))
@@ -249,7 +249,7 @@
 			first = m
 		default:
 			a, b := first.Verdict(), m.Verdict()
-			if a.Epoch != b.Epoch || !reflect.DeepEqual(a.Zones, b.Zones) || !slices.Equal(first.Hands(), m.Hands()) {
+			if a.Epoch != b.Epoch || !reflect.DeepEqual(a.Zones, b.Zones) || !slices.Equal(first.Overrides(), m.Overrides()) {
 				f.broken = append(f.broken, fmt.Sprintf("after %d rounds in which all was delivered instances disagree: epoch %d and, at %d, epoch %d",
 					f.flowing, a.Epoch, i, b.Epoch))
 			}
@@ -275,7 +275,7 @@
 	}
 	for i, m := range f.all {
 		for z := range fleetZones {
-			if share, _ := m.Share(z); share < 1 && m.Hands()[z].Mode != zones.Away {
+			if share, _ := m.Share(z); share < 1 && m.Overrides()[z].Mode != zones.ModeOut {
 				f.broken = append(f.broken, fmt.Sprintf("in the end instance %d gives zone %d %.2f: %+v", i, z, share, m.Verdict().Zones[z]))
 			}
 		}
@@ -291,9 +291,9 @@
 			fmt.Fprint(h, "gone ")
 			continue
 		}
-		fmt.Fprint(h, m.Verdict(), m.Hands(), m.Own(), m.Reported())
+		fmt.Fprint(h, m.Verdict(), m.Overrides(), m.OwnReport(), m.PeerReports())
 		for z := range fleetZones {
-			fmt.Fprint(h, m.Since(z))
+			fmt.Fprint(h, m.DebugState(z))
 		}
 	}
 	return [16]byte(h.Sum(nil))
--- a/internal/explore/fleet_test.go
+++ b/internal/explore/fleet_test.go
@@ -37,7 +37,7 @@
 			}
 			return true
 		}, "disagree"},
-		"calls not passed on": {func(_ int, m *zones.Message) bool { m.Hands = nil; return true }, "disagree"},
+		"calls not passed on": {func(_ int, m *zones.Message) bool { m.Overrides = nil; return true }, "disagree"},
 	} {
 		r := Explore(func() Model { return NewFleet(FleetScene{Mishear: c.mishear}) }, Options{Depth: 6, MostSteps: 2500})
 		if len(r.Faults) == 0 {
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -192,7 +192,7 @@
 
 // Run tells the others what this instance sees, and takes what they tell, until the context ends; then it leaves with a word.
 func (i *Instances) Run(ctx context.Context) {
-	tick := time.NewTicker(zones.Every)
+	tick := time.NewTicker(zones.TickInterval)
 	defer tick.Stop()
 	var g sync.WaitGroup
 	g.Go(func() { i.rejoin(ctx) })
@@ -231,7 +231,7 @@
 	i.mu.Lock()
 	all := i.others()
 	i.mu.Unlock()
-	i.reliably(all, (&zones.Message{From: i.self.Number, Leaves: true}).Append(nil))
+	i.reliably(all, (&zones.Message{From: i.self.Number, ShuttingDown: true}).Append(nil))
 }
 
 // reliably sends to those that live over connections, for a moment at the most, and tells whom it has reached, by name.
@@ -310,12 +310,12 @@
 	all := i.others()
 	peers := i.peers(all)
 	i.p.Zones(func(now time.Duration) []logic.ZoneShare {
-		sights, short := i.o.Meter.Sights(now)
+		sights, short := i.o.Meter.ZoneStats(now)
 		i.o.Machine.SetPeers(peers)
 		i.o.Machine.SetCapacity(capacity)
 		var paused bool
 		if i.leads, paused = i.o.Machine.Tick(now, sights, short); paused {
-			i.o.Meter.Pause()
+			i.o.Meter.Reset()
 		}
 		return i.newShares()
 	})
@@ -326,23 +326,23 @@
 	if i.leads {
 		every = calmLeader
 	}
-	if len(changes) > 0 || !i.o.Machine.Calm() {
+	if len(changes) > 0 || !i.o.Machine.Healthy() {
 		every = 1
 	}
 	if i.ticks%every != 0 {
 		i.mu.Unlock()
 		return
 	}
-	own := i.o.Machine.Own()
+	own := i.o.Machine.OwnReport()
 	for _, m := range all {
 		if m.state() != "there" {
 			own.Suspects = append(own.Suspects, m.Number)
 		}
 	}
-	msg := zones.Message{From: i.self.Number, Report: &own, Hands: i.o.Machine.Hands()}
+	msg := zones.Message{From: i.self.Number, Report: &own, Overrides: i.o.Machine.Overrides()}
 	if i.leads {
 		v := i.o.Machine.Verdict()
-		msg.Verdict, msg.Leads = &v, true
+		msg.Verdict, msg.FromLeader = &v, true
 	}
 	leaders := i.o.Machine.Leaders()
 	leaders = leaders[:min(len(leaders), mostLeaders)]
@@ -372,7 +372,7 @@
 	shares := make([]logic.ZoneShare, len(i.o.Zones))
 	for z := range shares {
 		share, trial := i.o.Machine.Share(z)
-		shares[z] = logic.ZoneShare{Share: float64(int(share*zones.Whole+0.5)) / zones.Whole, Trial: trial}
+		shares[z] = logic.ZoneShare{Share: float64(int(share*zones.FullShare+0.5)) / zones.FullShare, Trial: trial}
 	}
 	if slices.Equal(shares, i.shares) || i.shares == nil && !slices.ContainsFunc(shares, func(s logic.ZoneShare) bool { return s.Share < 1 || s.Trial }) {
 		return nil
@@ -385,7 +385,7 @@
 func (i *Instances) tell(changes []zones.Change) {
 	for _, c := range changes {
 		i.log.Info("zone", "zone", i.o.Zones[c.Zone], "state", c.To.State.String(), "share", c.To.Share, "was", c.From.State.String(),
-			"epoch", c.Epoch, "by", c.By)
+			"epoch", c.Epoch, "by", c.DecidedBy)
 	}
 }
 
@@ -399,7 +399,7 @@
 	i.mu.Lock()
 	if m := i.byNumber(msg.From); m != nil {
 		m.moment = time.Now()
-		m.left = msg.Leaves
+		m.left = msg.ShuttingDown
 	}
 	news := i.hear(&msg)
 	var changes []zones.Change
@@ -416,7 +416,7 @@
 		return
 	}
 	// What is news here may be so to others whose link to the leader is cut.
-	pass := zones.Message{From: i.self.Number, Verdict: msg.Verdict, Hands: msg.Hands}
+	pass := zones.Message{From: i.self.Number, Verdict: msg.Verdict, Overrides: msg.Overrides}
 	text := pass.Append(nil)
 	rand.Shuffle(len(all), func(x, y int) { all[x], all[y] = all[y], all[x] })
 	sent := 0
@@ -435,12 +435,12 @@
 	}
 	i.p.Zones(func(now time.Duration) []logic.ZoneShare {
 		if msg.Report != nil && msg.Report.Number == msg.From {
-			i.o.Machine.Hear(now, *msg.Report)
+			i.o.Machine.ReceiveReport(now, *msg.Report)
 		}
 		if msg.Verdict != nil {
-			news = i.o.Machine.Take(now, msg.From, *msg.Verdict, msg.Leads)
+			news = i.o.Machine.ReceiveVerdict(now, msg.From, *msg.Verdict, msg.FromLeader)
 		}
-		news = i.o.Machine.TakeHands(now, msg.Hands) || news
+		news = i.o.Machine.MergeOverrides(now, msg.Overrides) || news
 		return i.newShares()
 	})
 	return news
@@ -463,7 +463,7 @@
 		return nil
 	}
 	v := i.o.Machine.Verdict()
-	msg := zones.Message{From: i.self.Number, Verdict: &v, Hands: i.o.Machine.Hands()}
+	msg := zones.Message{From: i.self.Number, Verdict: &v, Overrides: i.o.Machine.Overrides()}
 	return msg.Append(nil)
 }
 
@@ -481,7 +481,7 @@
 	}
 	i.p.Zones(func(now time.Duration) []logic.ZoneShare {
 		if msg.Verdict != nil {
-			i.o.Machine.Inherit(now, *msg.Verdict, msg.Hands)
+			i.o.Machine.Inherit(now, *msg.Verdict, msg.Overrides)
 		}
 		return i.newShares()
 	})
--- a/internal/instances/view.go
+++ b/internal/instances/view.go
@@ -21,14 +21,14 @@
 	v := mgmt.View{Name: i.self.Name, Number: i.self.Number, Leads: i.leads, Members: []mgmt.MemberView{}, Zones: []mgmt.ZoneView{}}
 	reports := map[int]zones.Report{}
 	if m := i.o.Machine; m != nil {
-		verdict, hands := m.Verdict(), m.Hands()
-		v.Leader, v.Epoch = verdict.By, verdict.Epoch
+		verdict, hands := m.Verdict(), m.Overrides()
+		v.Leader, v.Epoch = verdict.DecidedBy, verdict.Epoch
 		for z, name := range i.o.Zones {
 			here, _ := m.Share(z)
-			v.Zones = append(v.Zones, mgmt.ZoneView{Name: name, State: verdict.Zones[z].State.String(), Share: float64(verdict.Zones[z].Share) / zones.Whole,
-				Here: here, Hand: hands[z].Mode.String(), Who: hands[z].Who, At: hands[z].Stamp, By: hands[z].At})
+			v.Zones = append(v.Zones, mgmt.ZoneView{Name: name, State: verdict.Zones[z].State.String(), Share: float64(verdict.Zones[z].Share) / zones.FullShare,
+				Here: here, Hand: hands[z].Mode.String(), Who: hands[z].Requester, At: hands[z].TimestampMS, By: hands[z].ReceivedBy})
 		}
-		for _, r := range append(m.Reported(), m.Own()) {
+		for _, r := range append(m.PeerReports(), m.OwnReport()) {
 			reports[r.Number] = r
 		}
 	}
@@ -36,7 +36,7 @@
 		r := reports[m.Number]
 		v.Members = append(v.Members, mgmt.MemberView{Name: m.Name, Number: m.Number, Zone: m.Zone, Since: m.Since,
 			Program: m.Version.Program, Settings: m.Version.Settings, State: state, HeardMS: heard, Epoch: r.Epoch,
-			Suspects: append([]int{}, r.Suspects...), Sees: append([]zones.Sight{}, r.Sights...)})
+			Suspects: append([]int{}, r.Suspects...), Sees: append([]zones.ZoneStats{}, r.Zones...)})
 	}
 	add(i.self, "there", 0)
 	for _, m := range i.others() {
@@ -61,14 +61,14 @@
 	}
 	i.mu.Lock()
 	i.p.Zones(func(now time.Duration) []logic.ZoneShare {
-		err = i.o.Machine.Call(now, zones.Hand{Mode: mode, Stamp: time.Now().UnixMilli(), Who: who}, at...)
+		err = i.o.Machine.SetOverride(now, zones.Override{Mode: mode, TimestampMS: time.Now().UnixMilli(), Requester: who}, at...)
 		return i.newShares()
 	})
 	if err != nil {
 		i.mu.Unlock()
 		return told, err
 	}
-	msg := zones.Message{From: i.self.Number, Hands: i.o.Machine.Hands()}
+	msg := zones.Message{From: i.self.Number, Overrides: i.o.Machine.Overrides()}
 	all := i.others()
 	i.mu.Unlock()
 	reached := i.reliably(all, msg.Append(nil))
--- a/internal/mgmt/others.go
+++ b/internal/mgmt/others.go
@@ -29,17 +29,17 @@
 
 // MemberView is an instance as this one knows it.
 type MemberView struct {
-	Name     string        `json:"name"`
-	Number   int           `json:"number"`
-	Zone     string        `json:"zone"`
-	Since    int64         `json:"since_ms"` // Unix milliseconds
-	Program  string        `json:"program"`  // digests: what it runs
-	Settings string        `json:"settings"`
-	State    string        `json:"state"`    // there, suspected, lost
-	HeardMS  int64         `json:"heard_ms"` // ago; -1: never
-	Epoch    uint64        `json:"epoch"`    // that it goes by
-	Suspects []int         `json:"suspects"` // the numbers of those that it does not hear
-	Sees     []zones.Sight `json:"sees"`     // by zone
+	Name     string            `json:"name"`
+	Number   int               `json:"number"`
+	Zone     string            `json:"zone"`
+	Since    int64             `json:"since_ms"` // Unix milliseconds
+	Program  string            `json:"program"`  // digests: what it runs
+	Settings string            `json:"settings"`
+	State    string            `json:"state"`    // there, suspected, lost
+	HeardMS  int64             `json:"heard_ms"` // ago; -1: never
+	Epoch    uint64            `json:"epoch"`    // that it goes by
+	Suspects []int             `json:"suspects"` // the numbers of those that it does not hear
+	Sees     []zones.ZoneStats `json:"sees"`     // by zone
 }
 
 // ZoneView is what holds for a zone.
@@ -65,7 +65,7 @@
 	f.mux.HandleFunc("GET /members", func(w http.ResponseWriter, r *http.Request) {
 		answer(w, o.View())
 	})
-	for path, mode := range map[string]zones.Mode{"out": zones.Away, "hold": zones.Hold, "auto": zones.Auto} {
+	for path, mode := range map[string]zones.Mode{"out": zones.ModeOut, "hold": zones.ModeHold, "auto": zones.ModeAuto} {
 		f.mux.HandleFunc("PUT /zones/"+path, func(w http.ResponseWriter, r *http.Request) { f.zone(o, mode, w, r) })
 	}
 }
@@ -77,13 +77,13 @@
 		return
 	}
 	name, who, _ := strings.Cut(text, " ")
-	if who = strings.TrimSpace(who); name == "" || who == "" || len(who) > zones.MostWho {
-		http.Error(w, fmt.Sprintf("the body is a zone or region and who asks, in up to %d bytes", zones.MostWho), http.StatusBadRequest)
+	if who = strings.TrimSpace(who); name == "" || who == "" || len(who) > zones.MaxRequesterLen {
+		http.Error(w, fmt.Sprintf("the body is a zone or region and who asks, in up to %d bytes", zones.MaxRequesterLen), http.StatusBadRequest)
 		return
 	}
 	told, err := o.Zone(name, mode, who)
 	switch {
-	case errors.Is(err, zones.ErrNothingLeft):
+	case errors.Is(err, zones.ErrNoZoneLeft):
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	case err != nil:
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -39,7 +39,7 @@
 
 var (
 	instancesDefaults = Instances{Cluster: "linenloom", Forget: Duration(time.Minute)}
-	zonesDefaults     = Zones{Least: zones.DefaultLeast}
+	zonesDefaults     = Zones{Least: zones.DefaultMinCapacityShare}
 )
 
 const mostJoin = 256
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -54,7 +54,7 @@
 // launch starts the exchange of an attempt, here or at a Carrier's client.
 func (p *Proxy) launch(r *Request, a *attempt, m *member) {
 	if p.cfg.Meter != nil && !m.Origin {
-		a.metered = p.cfg.Meter.Sent(p.now, p.zone(m.listed.Locality), uint64(m.id))
+		a.metered = p.cfg.Meter.AttemptStarted(p.now, p.zone(m.listed.Locality), uint64(m.id))
 	}
 	if c, ok := r.Taker.(Carrier); ok {
 		a.carried = true
@@ -93,7 +93,7 @@
 		}
 		p.reasons.Add(what, r.class, r.tenant, a.Why)
 		if p.cfg.Meter != nil && a.Why == logic.OriginLine {
-			p.cfg.Meter.Short(p.now)
+			p.cfg.Meter.OriginRefused(p.now)
 		}
 		r.Taker.Answer(a)
 		p.fence(r)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -129,7 +129,7 @@
 		until = at
 	}
 	if a.metered != 0 {
-		p.cfg.Meter.Ended(p.now, a.metered, metered(s), until-since)
+		p.cfg.Meter.AttemptEnded(p.now, a.metered, metered(s), until-since)
 	}
 	p.logAttempt(a, s)
 	p.outcomes = append(p.outcomes, logic.Outcome{
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -12,15 +12,15 @@
 func metered(s logic.Status) zones.Outcome {
 	switch s {
 	case logic.StatusOK:
-		return zones.Answered
+		return zones.OutcomeAnswered
 	case logic.StatusMiss:
-		return zones.Missed
+		return zones.OutcomeMiss
 	case logic.StatusFull:
-		return zones.Turned
+		return zones.OutcomeRejected
 	case logic.StatusError, logic.StatusTimeout, logic.StatusConnectFailed, logic.StatusReset, logic.StatusUnknown:
-		return zones.Failed
+		return zones.OutcomeFailed
 	}
-	return zones.Nothing
+	return zones.OutcomeNone
 }
 
 // zone is the place of a zone in the settings, below 0: they do not have it.
--- a/internal/zonecmd/zonecmd.go
+++ b/internal/zonecmd/zonecmd.go
@@ -143,8 +143,8 @@
 
 // call asks for a zone, and says who has not been told yet.
 func call(addr, name, which, who string, out io.Writer) error {
-	if len(who) > zones.MostWho {
-		return fmt.Errorf("-who is longer than %d bytes", zones.MostWho)
+	if len(who) > zones.MaxRequesterLen {
+		return fmt.Errorf("-who is longer than %d bytes", zones.MaxRequesterLen)
 	}
 	text, err := mgmt.Ask(http.MethodPut, addr, "/zones/"+name, which+" "+who, callTime)
 	if err != nil {
--- a/internal/zonecmd/zonecmd_test.go
+++ b/internal/zonecmd/zonecmd_test.go
@@ -18,7 +18,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(mgmt.View{Name: "n0", Leads: true, Epoch: 7, Members: []mgmt.MemberView{
-			{Name: "n0", Zone: "a", State: "there", Sees: []zones.Sight{{Judged: 9, Bad: 4}}}, {Name: "n1", Number: 1, Zone: "b", Program: "beef", Settings: "cafe", State: "lost", Suspects: []int{0, 5}}},
+			{Name: "n0", Zone: "a", State: "there", Sees: []zones.ZoneStats{{Judged: 9, Bad: 4}}}, {Name: "n1", Number: 1, Zone: "b", Program: "beef", Settings: "cafe", State: "lost", Suspects: []int{0, 5}}},
 			Zones: []mgmt.ZoneView{{Name: "a", State: "returning", Share: 0.3, Here: 0.25, Hand: "auto", Who: "ann", At: 1000}}})
 	})
 	mux.HandleFunc("PUT /zones/{mode}", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// Every is how often an instance tells what it sees, and a leader what holds.
-	Every = 50 * time.Millisecond
+	// TickInterval is how often an instance tells what it sees, and a leader what holds.
+	TickInterval = 50 * time.Millisecond
 	// lease is how long the first in the order of leaders may be silent before the next acts in its place.
 	lease = 500 * time.Millisecond
 	// fresh is how old a report may be to count.
@@ -59,7 +59,7 @@
 	reports  map[int]*held
 	heard    map[int]time.Duration // by the numbers of those that may lead: when they last said anything
 	v        Verdict
-	hands    []Hand
+	hands    []Override
 	zones    []watched
 	began    bool
 	now      time.Duration
@@ -94,21 +94,21 @@
 
 // Change is one for the log.
 type Change struct {
-	Zone  int
-	From  Zone
-	To    Zone
-	Epoch uint64
-	By    int
+	Zone      int
+	From      Zone
+	To        Zone
+	Epoch     uint64
+	DecidedBy int
 }
 
 // New makes a Machine. Its configuration has been checked.
 func New(c Config, own int) *Machine {
 	n := len(c.Zones)
-	m := &Machine{c: c, own: own, reports: map[int]*held{}, heard: map[int]time.Duration{}, hands: make([]Hand, n),
+	m := &Machine{c: c, own: own, reports: map[int]*held{}, heard: map[int]time.Duration{}, hands: make([]Override, n),
 		zones: make([]watched, n), governed: make([]governor, n), capacity: make([]float64, n)}
 	m.v.Zones = make([]Zone, n)
 	for i := range m.v.Zones {
-		m.v.Zones[i].Share, m.governed[i].share, m.capacity[i] = Whole, 1, 1
+		m.v.Zones[i].Share, m.governed[i].share, m.capacity[i] = FullShare, 1, 1
 	}
 	return m
 }
@@ -122,8 +122,8 @@
 // Verdict is what holds as far as this instance knows.
 func (m *Machine) Verdict() Verdict { return m.v.clone() }
 
-// Hands are the operators' latest calls.
-func (m *Machine) Hands() []Hand { return slices.Clone(m.hands) }
+// Overrides are the operators' latest calls.
+func (m *Machine) Overrides() []Override { return slices.Clone(m.hands) }
 
 // Changes are those since it was last asked.
 func (m *Machine) Changes() (c []Change) {
@@ -131,11 +131,11 @@
 	return c
 }
 
-// Own is this instance's latest report.
-func (m *Machine) Own() Report { return m.told }
+// OwnReport is this instance's latest report.
+func (m *Machine) OwnReport() Report { return m.told }
 
-// Reported is what the others last told, by number, as far as it is fresh.
-func (m *Machine) Reported() (all []Report) {
+// PeerReports is what the others last told, by number, as far as it is fresh.
+func (m *Machine) PeerReports() (all []Report) {
 	for _, n := range m.sortedReports() {
 		all = append(all, m.reports[n].Report)
 	}
@@ -175,9 +175,9 @@
 	return numbers
 }
 
-// Hear takes a report.
-func (m *Machine) Hear(now time.Duration, r Report) {
-	if r.Number == m.c.Number || len(r.Sights) != len(m.zones) {
+// ReceiveReport takes a report.
+func (m *Machine) ReceiveReport(now time.Duration, r Report) {
+	if r.Number == m.c.Number || len(r.Zones) != len(m.zones) {
 		return
 	}
 	old := m.reports[r.Number]
@@ -188,9 +188,9 @@
 	m.heard[r.Number] = now
 }
 
-// Take takes a verdict that another instance has told, which was decided by it, if it leads, or by another one. It tells
+// ReceiveVerdict takes a verdict that another instance has told, which was decided by it, if it leads, or by another one. It tells
 // whether that is news.
-func (m *Machine) Take(now time.Duration, from int, v Verdict, leads bool) (news bool) {
+func (m *Machine) ReceiveVerdict(now time.Duration, from int, v Verdict, leads bool) (news bool) {
 	if !m.knows(from) {
 		return false
 	}
@@ -222,17 +222,17 @@
 	var open, all float64
 	closes := false
 	for i, z := range v.Zones {
-		if z.State >= states || z.Share > Whole || (z.State == In || z.State == Suspected) != (z.Share == Whole) {
+		if z.State >= states || z.Share > FullShare || (z.State == StateIn || z.State == StateSuspected) != (z.Share == FullShare) {
 			return false
 		}
 		all += m.capacity[i]
-		if z.Share > 0 || m.hands[i].Mode == Away {
+		if z.Share > 0 || m.hands[i].Mode == ModeOut {
 			open += m.capacity[i]
 		} else if m.v.Zones[i].Share > 0 {
 			closes = true
 		}
 	}
-	return !closes || open >= slack*m.c.Least*all
+	return !closes || open >= slack*m.c.MinCapacityShare*all
 }
 
 func (m *Machine) adopt(now time.Duration, v Verdict) {
@@ -242,30 +242,30 @@
 			continue
 		}
 		w := &m.zones[i]
-		if v.Zones[i].State == In && was.State == Returning {
+		if v.Zones[i].State == StateIn && was.State == StateReturning {
 			w.returned = now
 		}
 		w.since, w.good, w.mixed = now, 0, 0
-		if v.Zones[i].State != Suspected && v.Zones[i].State != Leaving {
+		if v.Zones[i].State != StateSuspected && v.Zones[i].State != StateLeaving {
 			w.bad = 0
 		}
-		m.changes = append(m.changes[max(0, len(m.changes)-256):], Change{i, was, v.Zones[i], v.Epoch, v.By})
+		m.changes = append(m.changes[max(0, len(m.changes)-256):], Change{i, was, v.Zones[i], v.Epoch, v.DecidedBy})
 	}
 	m.v = v
 }
 
-// ErrNothingLeft tells that a call would have left nothing in use.
-var ErrNothingLeft = errors.New("zones: no other zone is in use; bring one back first")
+// ErrNoZoneLeft tells that a call would have left nothing in use.
+var ErrNoZoneLeft = errors.New("zones: no other zone is in use; bring one back first")
 
-// Call takes an operator's call at this instance, for a zone or all of a region.
-func (m *Machine) Call(now time.Duration, h Hand, zones ...int) error {
-	if h.Mode == Away && !m.anyUsed(zones) {
-		return ErrNothingLeft
+// SetOverride takes an operator's call at this instance, for a zone or all of a region.
+func (m *Machine) SetOverride(now time.Duration, h Override, zones ...int) error {
+	if h.Mode == ModeOut && !m.anyUsed(zones) {
+		return ErrNoZoneLeft
 	}
-	h.At = m.c.Number
+	h.ReceivedBy = m.c.Number
 	for _, z := range zones {
 		stamped := h
-		stamped.Stamp = max(h.Stamp, m.hands[z].Stamp+1) // a clock that was put back must not lose a call
+		stamped.TimestampMS = max(h.TimestampMS, m.hands[z].TimestampMS+1) // a clock that was put back must not lose a call
 		m.hands[z] = stamped
 	}
 	m.govern(now)
@@ -275,20 +275,20 @@
 // anyUsed tells whether a zone is in use, beside some: as the verdict and the operators have it.
 func (m *Machine) anyUsed(beside []int) bool {
 	for i, z := range m.v.Zones {
-		if z.Share > 0 && m.hands[i].Mode != Away && !slices.Contains(beside, i) {
+		if z.Share > 0 && m.hands[i].Mode != ModeOut && !slices.Contains(beside, i) {
 			return true
 		}
 	}
 	return false
 }
 
-// TakeHands takes operators' calls that another instance has told. It tells whether any is news.
-func (m *Machine) TakeHands(now time.Duration, hands []Hand) (news bool) {
+// MergeOverrides takes operators' calls that another instance has told. It tells whether any is news.
+func (m *Machine) MergeOverrides(now time.Duration, hands []Override) (news bool) {
 	if len(hands) != len(m.hands) {
 		return false
 	}
 	for i, h := range hands {
-		if h.Mode < modes && len(h.Who) <= MostWho && h.after(m.hands[i]) {
+		if h.Mode < modes && len(h.Requester) <= MaxRequesterLen && h.after(m.hands[i]) {
 			m.hands[i], news = h, true
 		}
 	}
@@ -300,7 +300,7 @@
 
 // Tick does what is due. sights and short are this instance's own, by its Meter. It tells whether this instance leads with a quorum, and whether it has
 // stood still, and so has to forget what it saw.
-func (m *Machine) Tick(now time.Duration, sights []Sight, short int) (leads, paused bool) {
+func (m *Machine) Tick(now time.Duration, sights []ZoneStats, short int) (leads, paused bool) {
 	if !m.began {
 		m.began, m.startAt, m.now, m.ledAt = true, now, now, max(m.ledAt, now)
 	}
@@ -311,10 +311,10 @@
 		for i := range m.zones {
 			m.zones[i].bad, m.zones[i].good, m.zones[i].mixed = 0, 0, 0
 		}
-		sights, short = make([]Sight, len(m.zones)), 0
+		sights, short = make([]ZoneStats, len(m.zones)), 0
 	}
 	m.now = now
-	m.told = Report{Number: m.c.Number, Since: m.c.Since, Seq: m.told.Seq + 1, Epoch: m.v.Epoch, Short: short, Sights: slices.Clone(sights)}
+	m.told = Report{Number: m.c.Number, StartedAtMS: m.c.StartedAtMS, Seq: m.told.Seq + 1, Epoch: m.v.Epoch, OriginRefusals: short, Zones: slices.Clone(sights)}
 	maps.DeleteFunc(m.reports, func(n int, _ *held) bool { return !m.knows(n) })
 	maps.DeleteFunc(m.heard, func(n int, _ time.Duration) bool { return !m.knows(n) })
 	if leads = m.leads() && m.quorum(); leads {
@@ -376,28 +376,28 @@
 // isGood tells whether most of those that have an opinion find nothing wrong.
 func (o opinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
 
-func (s Sight) call() (bad, good, some bool) {
-	if s.Judged < leastJudged || s.Bad > s.Judged || s.Trim > s.Trimmed || s.Trimmed > s.Judged {
+func (s ZoneStats) call() (bad, good, some bool) {
+	if s.Judged < leastJudged || s.Bad > s.Judged || s.TrimmedBad > s.TrimmedJudged || s.TrimmedJudged > s.Judged {
 		return false, false, false // nothing, or counts that can't be
 	}
 	part := float64(s.Bad) / float64(s.Judged)
-	if s.Quiet >= leastJudged && s.Quiet <= s.Judged {
-		return s.Trimmed == 0 || s.Trim > 0, false, true // more than the worst third of the boxes are
+	if s.RecentUnanswered >= leastJudged && s.RecentUnanswered <= s.Judged {
+		return s.TrimmedJudged == 0 || s.TrimmedBad > 0, false, true // more than the worst third of the boxes are
 	}
 	if part <= goodAt {
 		return false, true, true
 	}
-	return part >= badAt && (s.Trimmed == 0 || float64(s.Trim) >= badTrim*float64(s.Trimmed)), false, true
+	return part >= badAt && (s.TrimmedJudged == 0 || float64(s.TrimmedBad) >= badTrim*float64(s.TrimmedJudged)), false, true
 }
 
 func (m *Machine) opinions() (all []opinion, short int) {
 	all = make([]opinion, len(m.zones))
 	silents := make([]int, len(m.zones)) // of the bad ones
 	take := func(r *Report) {
-		if r.Short > 0 {
+		if r.OriginRefusals > 0 {
 			short++
 		}
-		for i, s := range r.Sights {
+		for i, s := range r.Zones {
 			bad, good, some := s.call()
 			o := &all[i]
 			switch {
@@ -423,7 +423,7 @@
 		o := &all[i]
 		o.silent = o.bad > 0 && silents[i] == o.bad
 		// A zone that was left gets few attempts, and has been found bad before: all of them together tell.
-		if s := m.v.Zones[i].State; (s == Trying || s == Returning) && o.voters() < leastVoters && o.judged >= leastJudged {
+		if s := m.v.Zones[i].State; (s == StateTrying || s == StateReturning) && o.voters() < leastVoters && o.judged >= leastJudged {
 			switch part := float64(o.failed) / float64(o.judged); {
 			case part <= goodAt:
 				o.good += leastVoters
@@ -453,7 +453,7 @@
 	}
 	m.leave(&next, all)
 	if !same(&next, &m.v) {
-		next.Epoch, next.By = m.v.Epoch+1, m.c.Number
+		next.Epoch, next.DecidedBy = m.v.Epoch+1, m.c.Number
 		m.adopt(m.now, next)
 		m.told.Epoch = next.Epoch
 	}
@@ -468,7 +468,7 @@
 
 func same(a, b *Verdict) bool {
 	return slices.EqualFunc(a.Zones, b.Zones, func(x, y Zone) bool {
-		return x.State == y.State && x.Share == y.Share && x.Flaps == y.Flaps && x.Tied == y.Tied && slices.Equal(x.Triers, y.Triers)
+		return x.State == y.State && x.Share == y.Share && x.Flaps == y.Flaps && x.WithRegion == y.WithRegion && slices.Equal(x.Probers, y.Probers)
 	})
 }
 
@@ -477,44 +477,44 @@
 	z, w, was := &next.Zones[i], &m.zones[i], m.v.Zones[i]
 	age := m.now - w.since
 	switch h := m.hands[i]; {
-	case h.Mode == Hold:
+	case h.Mode == ModeHold:
 		return
-	case h.Mode == Away:
-		if z.State != Out {
-			*z = Zone{State: Out}
+	case h.Mode == ModeOut:
+		if z.State != StateOut {
+			*z = Zone{State: StateOut}
 		}
 		return
 	}
 	switch was.State {
-	case In:
+	case StateIn:
 		if z.Flaps > 0 && m.now-w.returned > flapFor {
 			z.Flaps = 0
 		}
 		if all[i].isBad() {
-			z.State = Suspected
+			z.State = StateSuspected
 		}
-	case Suspected:
+	case StateSuspected:
 		if m.now-w.badAt > clearFor {
-			z.State = In
+			z.State = StateIn
 		}
-	case Leaving:
+	case StateLeaving:
 		if age >= ackWait || m.acknowledged() {
-			z.State = Out
+			z.State = StateOut
 		}
-	case Out:
+	case StateOut:
 		if age >= min(mostOut, firstOut<<min(z.Flaps, 10)) {
-			z.State, z.Triers = Trying, m.triers(i, all[i], 0)
+			z.State, z.Probers = StateTrying, m.triers(i, all[i], 0)
 		}
-	case Trying:
+	case StateTrying:
 		switch {
 		case m.ready(i):
-			z.State, z.Share, z.Triers = Returning, stepUp, nil
-		case z.Tied && w.good >= tryTicks && age > tieFor: // the others of its region stay away
-			z.Tied = false
+			z.State, z.Share, z.Probers = StateReturning, stepUp, nil
+		case z.WithRegion && w.good >= tryTicks && age > tieFor: // the others of its region stay away
+			z.WithRegion = false
 		default:
-			z.Triers = m.triers(i, all[i], age)
+			z.Probers = m.triers(i, all[i], age)
 		}
-	case Returning:
+	case StateReturning:
 		m.stepReturn(i, z, all[i], short, age)
 	}
 }
@@ -522,7 +522,7 @@
 // ready tells whether a zone on trial answers, and all that are tied to it.
 func (m *Machine) ready(i int) bool {
 	for _, j := range append(m.tied(i), i) {
-		if m.v.Zones[j].State != Trying || m.zones[j].good < tryTicks {
+		if m.v.Zones[j].State != StateTrying || m.zones[j].good < tryTicks {
 			return false
 		}
 	}
@@ -531,11 +531,11 @@
 
 // tied are the other zones that were left together with this one.
 func (m *Machine) tied(i int) (others []int) {
-	if !m.v.Zones[i].Tied {
+	if !m.v.Zones[i].WithRegion {
 		return nil
 	}
 	for _, j := range m.region(i) {
-		if j != i && m.v.Zones[j].Tied && m.hands[j].Mode == Auto {
+		if j != i && m.v.Zones[j].WithRegion && m.hands[j].Mode == ModeAuto {
 			others = append(others, j)
 		}
 	}
@@ -555,9 +555,9 @@
 // stepReturn raises a zone's share by one step where the last one has gone well, and lowers it where it has not.
 func (m *Machine) stepReturn(i int, z *Zone, o opinion, short int, age time.Duration) {
 	w := &m.zones[i]
-	every := m.c.WarmFor * stepUp / Whole
+	every := m.c.WarmupTime * stepUp / FullShare
 	switch {
-	case time.Duration(w.mixed)*Every >= mixedFor && age >= mixedFor:
+	case time.Duration(w.mixed)*TickInterval >= mixedFor && age >= mixedFor:
 		z.Share = max(stepUp, z.Share-stepUp)
 		w.mixed = 0
 	case age < every:
@@ -565,8 +565,8 @@
 	case o.voters() == 0 && age < 2*every: // nobody has asked enough to tell: slower, but not for good
 	case short > 0 && age < shortFor*every:
 	default:
-		if z.Share = min(Whole, z.Share+stepUp); z.Share == Whole {
-			z.State, z.Tied = In, false
+		if z.Share = min(FullShare, z.Share+stepUp); z.Share == FullShare {
+			z.State, z.WithRegion = StateIn, false
 		}
 	}
 }
@@ -609,7 +609,7 @@
 	failing := func(i int) bool {
 		s := m.v.Zones[i].State
 		sure := m.zones[i].bad >= confirm || m.zones[i].bad > 0 && all[i].silent && all[i].bad >= sureVoters
-		return m.hands[i].Mode == Auto && sure && (s == Suspected || s == Returning || s == In && next.Zones[i].State == Suspected)
+		return m.hands[i].Mode == ModeAuto && sure && (s == StateSuspected || s == StateReturning || s == StateIn && next.Zones[i].State == StateSuspected)
 	}
 	var open, total float64
 	well := false // some zone that stays in use
@@ -619,11 +619,11 @@
 		if next.Zones[i].Share > 0 {
 			open += m.capacity[i]
 		}
-		if s := m.v.Zones[i].State; s != In && s != Suspected && m.hands[i].Mode == Auto {
+		if s := m.v.Zones[i].State; s != StateIn && s != StateSuspected && m.hands[i].Mode == ModeAuto {
 			left = append(left, i)
 		}
 		switch o := all[i]; {
-		case next.Zones[i].Share < Whole || failing(i):
+		case next.Zones[i].Share < FullShare || failing(i):
 		case o.isGood():
 			well = true
 		case o.bad+o.mixed > 0 && m.zones[i].bad+m.zones[i].mixed < settle:
@@ -648,14 +648,14 @@
 		var cost float64
 		done := false
 		for _, j := range unit {
-			done = done || next.Zones[j].State == Leaving
+			done = done || next.Zones[j].State == StateLeaving
 			if next.Zones[j].Share > 0 {
 				cost += m.capacity[j]
 			}
 		}
 		// No more than one zone or region at a time, unless it is silent to all.
 		others := slices.ContainsFunc(left, func(j int) bool { return !slices.Contains(m.region(i), j) })
-		if done || others && !all[i].silent || open-cost < m.c.Least*total {
+		if done || others && !all[i].silent || open-cost < m.c.MinCapacityShare*total {
 			continue
 		}
 		open -= cost
@@ -663,14 +663,14 @@
 		for _, j := range unit {
 			z := &next.Zones[j]
 			flaps := z.Flaps
-			if m.v.Zones[j].State == Returning || m.zones[j].returned > 0 && m.now-m.zones[j].returned < flapFor {
+			if m.v.Zones[j].State == StateReturning || m.zones[j].returned > 0 && m.now-m.zones[j].returned < flapFor {
 				flaps = min(flaps+1, 10)
 			}
-			*z = Zone{State: Leaving, Flaps: flaps}
+			*z = Zone{State: StateLeaving, Flaps: flaps}
 		}
 		if r := m.region(i); len(r) > 1 && !slices.ContainsFunc(r, func(j int) bool { return next.Zones[j].Share > 0 }) {
 			for _, j := range r {
-				next.Zones[j].Tied = m.hands[j].Mode == Auto
+				next.Zones[j].WithRegion = m.hands[j].Mode == ModeAuto
 			}
 		}
 	}
@@ -703,11 +703,11 @@
 	// A verdict and a call that crossed it may have left nothing: then all that is not out by hand is used, at the pace.
 	none := !m.anyUsed(nil)
 	for i := range m.governed {
-		g, want := &m.governed[i], float64(m.v.Zones[i].Share)/Whole
-		if none || m.began && now-m.ledAt > aloneFor && m.hands[i].Mode != Hold {
+		g, want := &m.governed[i], float64(m.v.Zones[i].Share)/FullShare
+		if none || m.began && now-m.ledAt > aloneFor && m.hands[i].Mode != ModeHold {
 			want = 1
 		}
-		if m.hands[i].Mode == Away {
+		if m.hands[i].Mode == ModeOut {
 			want = 0
 		}
 		if want == 0 {
@@ -715,8 +715,8 @@
 			continue
 		}
 		most := 1.0
-		if g.rising && m.c.WarmFor > 0 {
-			most = 2.0*stepUp/Whole + (now-g.zeroAt).Seconds()/m.c.WarmFor.Seconds()
+		if g.rising && m.c.WarmupTime > 0 {
+			most = 2.0*stepUp/FullShare + (now-g.zeroAt).Seconds()/m.c.WarmupTime.Seconds()
 			g.rising = most < 1
 		}
 		g.share = min(want, most)
@@ -727,34 +727,34 @@
 // that is nothing.
 func (m *Machine) Share(zone int) (share float64, trial bool) {
 	z := &m.v.Zones[zone]
-	trial = z.State == Trying && m.hands[zone].Mode == Auto && slices.Contains(z.Triers, m.c.Number)
+	trial = z.State == StateTrying && m.hands[zone].Mode == ModeAuto && slices.Contains(z.Probers, m.c.Number)
 	return m.governed[zone].share, trial
 }
 
 // Inherit begins with what holds for the others: an instance that starts in the middle of a return takes no larger part than they do.
-func (m *Machine) Inherit(now time.Duration, v Verdict, hands []Hand) {
+func (m *Machine) Inherit(now time.Duration, v Verdict, hands []Override) {
 	m.ledAt = now
 	m.take(now, v)
-	m.TakeHands(now, hands)
+	m.MergeOverrides(now, hands)
 	for i := range m.governed {
-		if share := float64(m.v.Zones[i].Share) / Whole; share < 1 && share > 0 {
-			m.governed[i] = governor{share: share, rising: true, zeroAt: now - time.Duration((share-2.0*stepUp/Whole)*float64(m.c.WarmFor))}
+		if share := float64(m.v.Zones[i].Share) / FullShare; share < 1 && share > 0 {
+			m.governed[i] = governor{share: share, rising: true, zeroAt: now - time.Duration((share-2.0*stepUp/FullShare)*float64(m.c.WarmupTime))}
 		}
 	}
 	m.govern(now)
 }
 
-// Calm tells whether all zones are used as usual and this instance sees nothing amiss in any.
-func (m *Machine) Calm() bool {
+// Healthy tells whether all zones are used as usual and this instance sees nothing amiss in any.
+func (m *Machine) Healthy() bool {
 	for i, z := range m.v.Zones {
-		if z.State != In || m.governed[i].share < 1 || i < len(m.told.Sights) && 10*m.told.Sights[i].Bad > m.told.Sights[i].Judged {
+		if z.State != StateIn || m.governed[i].share < 1 || i < len(m.told.Zones) && 10*m.told.Zones[i].Bad > m.told.Zones[i].Judged {
 			return false
 		}
 	}
 	return true
 }
 
-// Since is all that is kept of a zone beside the verdict, for checkers that tell states apart.
-func (m *Machine) Since(zone int) string {
+// DebugState is all that is kept of a zone beside the verdict, for checkers that tell states apart.
+func (m *Machine) DebugState(zone int) string {
 	return fmt.Sprint(m.zones[zone], m.governed[zone], m.ledAt, m.startAt, m.heard)
 }
--- a/internal/zones/meter.go
+++ b/internal/zones/meter.go
@@ -22,11 +22,11 @@
 
 // The outcomes.
 const (
-	Nothing  Outcome = iota // it tells nothing: called off, or never sent
-	Answered                // with a value or a miss
-	Missed
-	Failed // an error, a broken connection, none at all, or no answer in time
-	Turned // turned away unseen
+	OutcomeNone     Outcome = iota // it tells nothing: called off, or never sent
+	OutcomeAnswered                // with a value or a miss
+	OutcomeMiss
+	OutcomeFailed   // an error, a broken connection, none at all, or no answer in time
+	OutcomeRejected // turned away unseen
 )
 
 // Meter counts what one instance sees of each zone.
@@ -75,8 +75,8 @@
 	return min(m.most, max(leastSlow, time.Duration(slowBy*z.usual*float64(time.Second))))
 }
 
-// Sent notes an attempt at a box of a zone and returns its number, 0 if it is not followed.
-func (m *Meter) Sent(now time.Duration, zone int, id uint64) uint64 {
+// AttemptStarted notes an attempt at a box of a zone and returns its number, 0 if it is not followed.
+func (m *Meter) AttemptStarted(now time.Duration, zone int, id uint64) uint64 {
 	m.advance(now)
 	if zone < 0 || zone >= len(m.zones) || len(m.out) >= followed {
 		return 0
@@ -85,8 +85,8 @@
 	return m.first + uint64(len(m.out))
 }
 
-// Ended notes how an attempt ended.
-func (m *Meter) Ended(now time.Duration, number uint64, how Outcome, elapsed time.Duration) {
+// AttemptEnded notes how an attempt ended.
+func (m *Meter) AttemptEnded(now time.Duration, number uint64, how Outcome, elapsed time.Duration) {
 	m.advance(now)
 	i := int(number - m.first - 1)
 	if number <= m.first || i >= len(m.out) {
@@ -94,15 +94,15 @@
 	}
 	a := &m.out[i]
 	slow := elapsed > m.slowAt(a.zone)
-	answered := how == Answered || how == Missed
+	answered := how == OutcomeAnswered || how == OutcomeMiss
 	switch {
 	case a.judged && answered && m.slot-a.slot < slotCount && a.slot > 0: // late, but not silent
 		m.count(a, a.slot, tally{silent: -1})
 	case a.judged:
-	case how == Nothing:
+	case how == OutcomeNone:
 	case answered && !slow:
 		t := tally{judged: 1}
-		if how == Missed {
+		if how == OutcomeMiss {
 			t.missed = 1
 		}
 		m.count(a, m.slot, t)
@@ -111,7 +111,7 @@
 		z.usual += (elapsed.Seconds() - z.usual) * max(0.005, 1/float64(z.seen))
 	default:
 		t := tally{judged: 1, bad: 1}
-		if how == Failed {
+		if how == OutcomeFailed {
 			t.silent = 1
 		}
 		m.count(a, m.slot, t)
@@ -119,8 +119,8 @@
 	a.judged, a.slot = true, 0
 }
 
-// Short notes a request refused for want of the origin.
-func (m *Meter) Short(now time.Duration) {
+// OriginRefused notes a request refused for want of the origin.
+func (m *Meter) OriginRefused(now time.Duration) {
 	m.advance(now)
 	m.shorts[m.slot%slotCount] = min(maxCount, m.shorts[m.slot%slotCount]+1)
 }
@@ -175,8 +175,8 @@
 	}
 }
 
-// Sights tells what was seen within the window, and how many requests were refused for want of the origin.
-func (m *Meter) Sights(now time.Duration) (sights []Sight, short int) {
+// ZoneStats tells what was seen within the window, and how many requests were refused for want of the origin.
+func (m *Meter) ZoneStats(now time.Duration) (sights []ZoneStats, short int) {
 	m.advance(now)
 	sum := func(slots *[slotCount]tally) (t tally) {
 		for _, s := range slots {
@@ -192,18 +192,18 @@
 	}
 	for i := range m.zones {
 		t := sum(&m.zones[i].slots)
-		s := Sight{Judged: t.judged, Bad: t.bad, Silent: t.silent, Missed: t.missed}
+		s := ZoneStats{Judged: t.judged, Bad: t.bad, Silent: t.silent, Misses: t.missed}
 		var late tally
 		for at := max(0, m.slot-quickSlots+1); at <= m.slot; at++ {
 			late.add(m.zones[i].slots[at%slotCount])
 		}
 		if late.judged > 0 && float64(late.silent) >= quietAt*float64(late.judged) {
-			s.Quiet = late.judged
+			s.RecentUnanswered = late.judged
 		}
 		boxes := byZone[i]
 		slices.SortFunc(boxes, func(a, b tally) int { return b.bad - a.bad })
 		for _, b := range boxes[min(len(boxes), (len(boxes)+2)/3):] {
-			s.Trimmed, s.Trim = s.Trimmed+b.judged, s.Trim+b.bad
+			s.TrimmedJudged, s.TrimmedBad = s.TrimmedJudged+b.judged, s.TrimmedBad+b.bad
 		}
 		sights = append(sights, s)
 	}
@@ -213,8 +213,8 @@
 	return sights, short
 }
 
-// Pause forgets what is counted and followed: the instance has stood still, and what it would tell is of another time.
-func (m *Meter) Pause() {
+// Reset forgets what is counted and followed: the instance has stood still, and what it would tell is of another time.
+func (m *Meter) Reset() {
 	m.first += uint64(len(m.out))
 	m.out = m.out[:0]
 	for i := range m.zones {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -18,12 +18,12 @@
 
 // The states, in the order in which a zone that fails goes through them.
 const (
-	In        State = iota // used like any other
-	Suspected              // it looks as if it failed: used still, and looked at again
-	Leaving                // nothing new goes there; not all instances have said so yet
-	Out                    // nothing goes there
-	Trying                 // a few instances send it a read now and then
-	Returning              // it gets a part of its work, in steps
+	StateIn        State = iota // used like any other
+	StateSuspected              // it looks as if it failed: used still, and looked at again
+	StateLeaving                // nothing new goes there; not all instances have said so yet
+	StateOut                    // nothing goes there
+	StateTrying                 // a few instances send it a read now and then
+	StateReturning              // it gets a part of its work, in steps
 	states
 )
 
@@ -36,36 +36,36 @@
 	return stateNames[s]
 }
 
-// Whole is a share of all of a zone's work, in hundredths.
-const Whole = 100
+// FullShare is a share of all of a zone's work, in hundredths.
+const FullShare = 100
 
 // Zone is the verdict on one zone.
 type Zone struct {
-	State State
-	Share uint8 // of its work, in hundredths
-	Flaps uint8 // how often it failed again soon after its return: it waits longer each time
-	Tied  bool  // left together with its region, and returned to together
-	// Triers are the numbers of the instances that send it a read now and then while it is Trying, at the most maxTriers.
-	Triers []int
+	State      State
+	Share      uint8 // of its work, in hundredths
+	Flaps      uint8 // how often it failed again soon after its return: it waits longer each time
+	WithRegion bool  // left together with its region, and returned to together
+	// Probers are the numbers of the instances that send it a read now and then while it is Trying, at the most maxTriers.
+	Probers []int
 }
 
 // Verdict is what holds for all instances. One with a higher epoch takes the place of one with a lower.
 type Verdict struct {
-	Epoch uint64
-	By    int // the number of the instance that decided it
-	Zones []Zone
+	Epoch     uint64
+	DecidedBy int // the number of the instance that decided it
+	Zones     []Zone
 }
 
 // newer tells whether v takes the place of old. Of two that were decided at once, both sides of a moment without a leader take the same.
 func (v *Verdict) newer(old *Verdict) bool {
-	return v.Epoch > old.Epoch || v.Epoch == old.Epoch && v.Epoch > 0 && v.By < old.By
+	return v.Epoch > old.Epoch || v.Epoch == old.Epoch && v.Epoch > 0 && v.DecidedBy < old.DecidedBy
 }
 
 func (v *Verdict) clone() Verdict {
 	c := *v
 	c.Zones = slices.Clone(v.Zones)
 	for i := range c.Zones {
-		c.Zones[i].Triers = slices.Clone(c.Zones[i].Triers)
+		c.Zones[i].Probers = slices.Clone(c.Zones[i].Probers)
 	}
 	return c
 }
@@ -75,9 +75,9 @@
 
 // The modes.
 const (
-	Auto Mode = iota // the fleet decides; a zone that was out by hand is returned to at the pace
-	Away             // nothing goes there, until another call
-	Hold             // it stays as it is
+	ModeAuto Mode = iota // the fleet decides; a zone that was out by hand is returned to at the pace
+	ModeOut              // nothing goes there, until another call
+	ModeHold             // it stays as it is
 	modes
 )
 
@@ -90,52 +90,52 @@
 	return modeNames[m]
 }
 
-// Hand is an operator's latest call for a zone. Every instance holds all of them, so they survive the one that was called.
-type Hand struct {
-	Mode  Mode
-	Stamp int64  // Unix milliseconds; the later call wins
-	At    int    // the number of the instance that was called
-	Who   string // who asked, as told
+// Override is an operator's latest call for a zone. Every instance holds all of them, so they survive the one that was called.
+type Override struct {
+	Mode        Mode
+	TimestampMS int64  // Unix milliseconds; the later call wins
+	ReceivedBy  int    // the number of the instance that was called
+	Requester   string // who asked, as told
 }
 
-// MostWho bounds what is kept of who asked.
-const MostWho = 32
+// MaxRequesterLen bounds what is kept of who asked.
+const MaxRequesterLen = 32
 
-func (h Hand) after(o Hand) bool {
-	return cmp.Or(cmp.Compare(h.Stamp, o.Stamp), cmp.Compare(o.At, h.At), cmp.Compare(h.Mode, o.Mode)) > 0
+func (h Override) after(o Override) bool {
+	return cmp.Or(cmp.Compare(h.TimestampMS, o.TimestampMS), cmp.Compare(o.ReceivedBy, h.ReceivedBy), cmp.Compare(h.Mode, o.Mode)) > 0
 }
 
-// Sight is what an instance has seen of a zone lately: counts of attempts that have been judged.
-type Sight struct {
-	Judged  int `json:"Judged"`  // attempts with a judgement
-	Bad     int `json:"Bad"`     // of them those that were silent, slow, failed or turned away
-	Silent  int `json:"Silent"`  // of the bad ones those without any answer so far
-	Trimmed int `json:"Trimmed"` // of Judged, without the third of the boxes that were worst
-	Trim    int `json:"Trim"`    // of Bad, likewise
-	Missed  int `json:"Missed"`  // answers that had no value: the zone is cold
-	Quiet   int `json:"Quiet"`   // attempts judged of late, where hardly any was answered; 0 otherwise: silence shows before it is most of what was seen
+// ZoneStats is what an instance has seen of a zone lately: counts of attempts that have been judged.
+type ZoneStats struct {
+	Judged           int `json:"Judged"`  // attempts with a judgement
+	Bad              int `json:"Bad"`     // of them those that were silent, slow, failed or turned away
+	Silent           int `json:"Silent"`  // of the bad ones those without any answer so far
+	TrimmedJudged    int `json:"Trimmed"` // of Judged, without the third of the boxes that were worst
+	TrimmedBad       int `json:"Trim"`    // of Bad, likewise
+	Misses           int `json:"Missed"`  // answers that had no value: the zone is cold
+	RecentUnanswered int `json:"Quiet"`   // attempts judged of late, where hardly any was answered; 0 otherwise: silence shows before it is most of what was seen
 }
 
 // Report is what an instance tells the others.
 type Report struct {
-	Number int
-	Since  int64  // when the instance started, Unix milliseconds: its incarnation
-	Seq    uint64 // later reports of an incarnation have higher ones
-	Epoch  uint64 // of the verdict that it goes by
-	Short  int    // requests lately refused for want of the origin
-	Sights []Sight
+	Number         int
+	StartedAtMS    int64  // when the instance started, Unix milliseconds: its incarnation
+	Seq            uint64 // later reports of an incarnation have higher ones
+	Epoch          uint64 // of the verdict that it goes by
+	OriginRefusals int    // requests lately refused for want of the origin
+	Zones          []ZoneStats
 	// Suspects are the numbers of those that it does not hear, at the most mostSuspects. They decide nothing; operators see them.
 	Suspects []int
 }
 
 // stale tells whether r is no later than old.
 func (r *Report) stale(old *Report) bool {
-	return r.Since < old.Since || r.Since == old.Since && r.Seq <= old.Seq
+	return r.StartedAtMS < old.StartedAtMS || r.StartedAtMS == old.StartedAtMS && r.Seq <= old.Seq
 }
 
 // Bounds of what is held and sent.
 const (
-	MostZones = 16
+	MaxZones  = 16
 	maxTriers = 4
 
 	mostSuspects = 16
@@ -148,26 +148,26 @@
 	Zones  []string
 	// Regions groups zones, by their places; a zone in none is one by itself.
 	Regions [][]int
-	// Least is the share of the capacity that stays in use whatever the reports say.
-	Least float64
-	// WarmFor is how long a cache node takes to be warm, and so how long a return takes.
-	WarmFor time.Duration
-	// Since is when this instance started, Unix milliseconds.
-	Since int64
+	// MinCapacityShare is the share of the capacity that stays in use whatever the reports say.
+	MinCapacityShare float64
+	// WarmupTime is how long a cache node takes to be warm, and so how long a return takes.
+	WarmupTime time.Duration
+	// StartedAtMS is when this instance started, Unix milliseconds.
+	StartedAtMS int64
 }
 
-// DefaultLeast is Config.Least where the operator's file does not set it.
-const DefaultLeast = 0.3
+// DefaultMinCapacityShare is Config.Least where the operator's file does not set it.
+const DefaultMinCapacityShare = 0.3
 
 // Check tells what makes a configuration unusable.
 func (c *Config) Check() error {
-	if len(c.Zones) < 2 || len(c.Zones) > MostZones {
-		return fmt.Errorf("zones: %d zones; there can be from 2 to %d", len(c.Zones), MostZones)
+	if len(c.Zones) < 2 || len(c.Zones) > MaxZones {
+		return fmt.Errorf("zones: %d zones; there can be from 2 to %d", len(c.Zones), MaxZones)
 	}
-	if !(c.Least > 0 && c.Least < 1) {
-		return fmt.Errorf("zones: a least share of %v is not between 0 and 1", c.Least)
+	if !(c.MinCapacityShare > 0 && c.MinCapacityShare < 1) {
+		return fmt.Errorf("zones: a least share of %v is not between 0 and 1", c.MinCapacityShare)
 	}
-	if c.WarmFor < 0 {
+	if c.WarmupTime < 0 {
 		return errors.New("zones: the time to warm is negative")
 	}
 	seen := map[int]bool{}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -53,7 +53,7 @@
 func newWorld(n, zoneCount int, seed uint64, regions [][]int) *world {
 	w := &world{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), perTick: 4, zones: make([]truth, zoneCount),
 		cut: func(int, int) bool { return false }}
-	w.c = Config{Regions: regions, Least: DefaultLeast, WarmFor: 9 * time.Second, Since: 1}
+	w.c = Config{Regions: regions, MinCapacityShare: DefaultMinCapacityShare, WarmupTime: 9 * time.Second, StartedAtMS: 1}
 	for i := range zoneCount {
 		w.c.Zones = append(w.c.Zones, fmt.Sprint("z", i))
 	}
@@ -66,13 +66,13 @@
 
 func (w *world) start(i int) {
 	c := w.c
-	c.Number, c.Since = i, int64(w.now/time.Millisecond)
+	c.Number, c.StartedAtMS = i, int64(w.now/time.Millisecond)
 	w.all[i].Machine, w.all[i].meter, w.all[i].down = New(c, w.all[i].zone), NewMeter(len(w.zones), 800*time.Millisecond), false
 }
 
 // tick is a tenth of a second.
 func (w *world) tick() {
-	w.now += Every
+	w.now += TickInterval
 	for z := range w.zones {
 		w.zones[z].sent = 0
 	}
@@ -89,12 +89,12 @@
 				panic(err)
 			}
 			if msg.Report != nil {
-				to.Hear(w.now, *msg.Report)
+				to.ReceiveReport(w.now, *msg.Report)
 			}
 			if msg.Verdict != nil {
-				to.Take(w.now, msg.From, *msg.Verdict, msg.Leads)
+				to.ReceiveVerdict(w.now, msg.From, *msg.Verdict, msg.FromLeader)
 			}
-			to.TakeHands(w.now, msg.Hands)
+			to.MergeOverrides(w.now, msg.Overrides)
 		}
 	}
 	for i, m := range w.all {
@@ -109,21 +109,21 @@
 		}
 		m.SetPeers(peers)
 		w.attempts(i, m)
-		sights, short := m.meter.Sights(w.now)
+		sights, short := m.meter.ZoneStats(w.now)
 		leads, paused := m.Tick(w.now, sights, short)
 		if paused {
-			m.meter.Pause()
+			m.meter.Reset()
 		}
 		if w.seed != nil {
 			w.seed(m)
 		}
-		own, v := m.Own(), m.Verdict()
-		msg := Message{From: i, Report: &own, Verdict: &v, Leads: leads, Hands: m.Hands()}
+		own, v := m.OwnReport(), m.Verdict()
+		msg := Message{From: i, Report: &own, Verdict: &v, FromLeader: leads, Overrides: m.Overrides()}
 		text := msg.Append(nil)
 		for j := range w.all {
 			if j != i && !w.cut(i, j) && w.rng.Float64() >= w.lose {
 				for range 1 + w.rng.IntN(2) { // doubled now and then
-					w.mail = append(w.mail, letter{w.now + time.Duration(w.rng.IntN(w.delay+1))*Every, i, j, text})
+					w.mail = append(w.mail, letter{w.now + time.Duration(w.rng.IntN(w.delay+1))*TickInterval, i, j, text})
 				}
 			}
 		}
@@ -145,15 +145,15 @@
 		truth.sent += n
 		for range n {
 			box := w.rng.IntN(5)
-			id := m.meter.Sent(w.now-12*time.Millisecond, z, uint64(10*z+box))
+			id := m.meter.AttemptStarted(w.now-12*time.Millisecond, z, uint64(10*z+box))
 			switch {
 			case truth.silent, truth.cutFrom[i], truth.badBox && box == 0:
 			case truth.slow:
-				m.meter.Ended(w.now, id, Answered, 480*time.Millisecond)
+				m.meter.AttemptEnded(w.now, id, OutcomeAnswered, 480*time.Millisecond)
 			case w.rng.Float64() < truth.bad:
-				m.meter.Ended(w.now, id, Failed, 5*time.Millisecond)
+				m.meter.AttemptEnded(w.now, id, OutcomeFailed, 5*time.Millisecond)
 			default:
-				m.meter.Ended(w.now, id, Answered, 12*time.Millisecond)
+				m.meter.AttemptEnded(w.now, id, OutcomeAnswered, 12*time.Millisecond)
 			}
 		}
 	}
@@ -209,7 +209,7 @@
 		"all are slow":   {6, func(w *world) { w.zones[0].slow, w.zones[1].slow, w.zones[2].slow = true, true, true }, false},
 		"all are silent": {6, func(w *world) { w.zones[0].silent, w.zones[1].silent, w.zones[2].silent = true, true, true }, false},
 		"held by hand": {6, func(w *world) {
-			w.all[3].Call(w.now, Hand{Mode: Hold, Stamp: 1}, 2)
+			w.all[3].SetOverride(w.now, Override{Mode: ModeHold, TimestampMS: 1}, 2)
 			w.run(time.Second, nil)
 			w.zones[2].silent = true
 		}, false},
@@ -224,7 +224,7 @@
 				w.run(20*time.Second, func() {
 					for _, m := range w.all {
 						for z, v := range m.Verdict().Zones {
-							if v.Share < Whole {
+							if v.Share < FullShare {
 								t.Fatalf("zone %d is %v", z, v.State)
 							}
 						}
@@ -239,11 +239,11 @@
 				}
 			}
 			t.Logf("left by all after %v", w.now-began)
-			w.takes(t, 2, Trying, 3*time.Second)
+			w.takes(t, 2, StateTrying, 3*time.Second)
 			w.zones[2] = truth{}
-			at := w.takes(t, 2, In, 20*time.Second)
-			if least := w.c.WarmFor * 8 / 10; at < least || at > w.c.WarmFor*3/2 {
-				t.Errorf("it is whole again after %v, and boxes take %v to be warm", at, w.c.WarmFor)
+			at := w.takes(t, 2, StateIn, 20*time.Second)
+			if least := w.c.WarmupTime * 8 / 10; at < least || at > w.c.WarmupTime*3/2 {
+				t.Errorf("it is whole again after %v, and boxes take %v to be warm", at, w.c.WarmupTime)
 			}
 		})
 	}
@@ -273,11 +273,11 @@
 					if share == 0 {
 						zeroAt[k] = w.now
 					}
-					if at, ok := zeroAt[k]; ok && !m.down && share > 0.2+(w.now-at).Seconds()/w.c.WarmFor.Seconds()+0.02 {
+					if at, ok := zeroAt[k]; ok && !m.down && share > 0.2+(w.now-at).Seconds()/w.c.WarmupTime.Seconds()+0.02 {
 						t.Fatalf("instance %d gives zone %d a share of %.2f, %v after it gave none", i, z, share, w.now-at)
 					}
 				}
-				if float64(open) < slack*DefaultLeast*zones && !hands {
+				if float64(open) < slack*DefaultMinCapacityShare*zones && !hands {
 					t.Fatalf("instance %d uses %d of %d zones", i, open, zones)
 				}
 			}
@@ -305,7 +305,7 @@
 					from := slices.IndexFunc(w.all, func(m *instance) bool { return !m.down })
 					w.start(i)
 					if from >= 0 && !w.cut(from, i) {
-						w.all[i].Inherit(w.now, w.all[from].Verdict(), w.all[from].Hands())
+						w.all[i].Inherit(w.now, w.all[from].Verdict(), w.all[from].Overrides())
 					}
 					for j := range zones {
 						delete(zeroAt, [2]int{i, j})
@@ -315,19 +315,19 @@
 				w.lose, w.delay = 0.3, 20
 			case "out":
 				hands = true
-				w.all[i].Call(w.now, Hand{Mode: Away, Stamp: int64(w.now / time.Millisecond), Who: "x"}, z)
+				w.all[i].SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: int64(w.now / time.Millisecond), Requester: "x"}, z)
 			case "auto":
-				w.all[i].Call(w.now, Hand{Mode: Auto, Stamp: int64(w.now / time.Millisecond), Who: "x"}, z)
+				w.all[i].SetOverride(w.now, Override{Mode: ModeAuto, TimestampMS: int64(w.now / time.Millisecond), Requester: "x"}, z)
 			case "lie":
 				w.seed = func(m *instance) {
 					if m.c.Number == i {
-						for z := range m.told.Sights {
-							m.told.Sights[z] = Sight{Judged: maxCount, Bad: maxCount, Silent: maxCount, Trimmed: maxCount, Trim: maxCount}
+						for z := range m.told.Zones {
+							m.told.Zones[z] = ZoneStats{Judged: maxCount, Bad: maxCount, Silent: maxCount, TrimmedJudged: maxCount, TrimmedBad: maxCount}
 						}
 					}
 				}
 			}
-			w.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "ticks"))*Every, check)
+			w.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "ticks"))*TickInterval, check)
 		}
 		apart, w.lose, w.delay, w.seed = false, 0, 0, nil
 		for i, m := range w.all {
@@ -345,7 +345,7 @@
 			for _, m := range w.all {
 				for z := range zones {
 					share, _ := m.Share(z)
-					whole = whole && (share == 1) == (m.Hands()[z].Mode != Away) && slices.Equal(m.Hands(), w.all[0].Hands())
+					whole = whole && (share == 1) == (m.Overrides()[z].Mode != ModeOut) && slices.Equal(m.Overrides(), w.all[0].Overrides())
 				}
 			}
 			if whole {
@@ -353,7 +353,7 @@
 			}
 		}
 		for i, m := range w.all {
-			t.Errorf("instance %d holds %+v, %+v", i, m.Verdict(), m.Hands())
+			t.Errorf("instance %d holds %+v, %+v", i, m.Verdict(), m.Overrides())
 		}
 	})
 }
@@ -363,18 +363,18 @@
 	w := newWorld(3, 3, 1, nil)
 	w.run(2*time.Second, nil)
 	w.zones[2].silent = true
-	w.takes(t, 2, Trying, 3*time.Second)
+	w.takes(t, 2, StateTrying, 3*time.Second)
 	m := w.all[1]
 	held := m.Verdict()
-	out := Zone{State: Out}
+	out := Zone{State: StateOut}
 	for name, v := range map[string]Verdict{
-		"old":            {Epoch: held.Epoch - 1, Zones: []Zone{{Share: Whole}, {Share: Whole}, {Share: Whole}}},
+		"old":            {Epoch: held.Epoch - 1, Zones: []Zone{{Share: FullShare}, {Share: FullShare}, {Share: FullShare}}},
 		"all out":        {Epoch: held.Epoch + 1, Zones: []Zone{out, out, out}},
-		"too few zones":  {Epoch: held.Epoch + 1, Zones: []Zone{{Share: Whole}}},
-		"from far ahead": {Epoch: held.Epoch + 1<<40, Zones: []Zone{{Share: Whole}, {Share: Whole}, out}},
-		"in with a part": {Epoch: held.Epoch + 1, Zones: []Zone{{Share: 50}, {Share: Whole}, out}},
+		"too few zones":  {Epoch: held.Epoch + 1, Zones: []Zone{{Share: FullShare}}},
+		"from far ahead": {Epoch: held.Epoch + 1<<40, Zones: []Zone{{Share: FullShare}, {Share: FullShare}, out}},
+		"in with a part": {Epoch: held.Epoch + 1, Zones: []Zone{{Share: 50}, {Share: FullShare}, out}},
 	} {
-		if m.Take(w.now, 0, v, true) {
+		if m.ReceiveVerdict(w.now, 0, v, true) {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -388,14 +388,14 @@
 	w := newWorld(3, 3, 1, nil)
 	w.run(time.Second, nil)
 	m := w.all[0]
-	if err := m.Call(w.now, Hand{Mode: Away, Stamp: 1}, 1); err != nil {
+	if err := m.SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
-	held := m.Hands()
-	if err := m.Call(w.now, Hand{Mode: Away, Stamp: 2}, 0, 2); !errors.Is(err, ErrNothingLeft) || !slices.Equal(m.Hands(), held) {
-		t.Errorf("%v, %+v", err, m.Hands())
+	held := m.Overrides()
+	if err := m.SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: 2}, 0, 2); !errors.Is(err, ErrNoZoneLeft) || !slices.Equal(m.Overrides(), held) {
+		t.Errorf("%v, %+v", err, m.Overrides())
 	}
-	if err := m.Call(w.now, Hand{Mode: Auto, Stamp: 2}, 0, 1, 2); err != nil {
+	if err := m.SetOverride(w.now, Override{Mode: ModeAuto, TimestampMS: 2}, 0, 1, 2); err != nil {
 		t.Error(err)
 	}
 }
@@ -417,14 +417,14 @@
 	}
 	w.zones[2].silent = true
 	w.all[0].down = true
-	w.takes(t, 2, Trying, 4*time.Second)
-	if by := w.all[1].Verdict().By; by != 1 { // the first of its zone now
+	w.takes(t, 2, StateTrying, 4*time.Second)
+	if by := w.all[1].Verdict().DecidedBy; by != 1 { // the first of its zone now
 		t.Errorf("decided by %d", by)
 	}
 	w.run(time.Second, nil)
 	before := w.all[3].Verdict().Epoch
 	w.all[0].down = false // continued: its clock has jumped
-	if leads, paused := w.all[0].Tick(w.now, make([]Sight, 3), 0); leads || !paused {
+	if leads, paused := w.all[0].Tick(w.now, make([]ZoneStats, 3), 0); leads || !paused {
 		t.Errorf("continued, it leads %v and noticed %v", leads, paused)
 	}
 	w.run(2*time.Second, nil)
@@ -441,22 +441,22 @@
 	for i := range 9 {
 		w.zones[2].silent = true
 		began := w.now
-		for w.all[0].Verdict().Zones[2].State != Out {
+		for w.all[0].Verdict().Zones[2].State != StateOut {
 			if w.tick(); w.now-began > 5*time.Second {
 				t.Fatal("it is not left")
 			}
 		}
 		began = w.now
 		w.zones[2] = truth{}
-		w.takes(t, 2, Trying, mostOut+time.Second)
-		if wait := w.now - began; wait < last-Every || wait > mostOut+5*Every {
+		w.takes(t, 2, StateTrying, mostOut+time.Second)
+		if wait := w.now - began; wait < last-TickInterval || wait > mostOut+5*TickInterval {
 			t.Errorf("time %d: out for %v after %v", i, wait, last)
 		} else {
 			last = wait
 		}
-		w.takes(t, 2, Returning, 5*time.Second)
+		w.takes(t, 2, StateReturning, 5*time.Second)
 	}
-	if last < mostOut-Every {
+	if last < mostOut-TickInterval {
 		t.Errorf("at last it is out for %v", last)
 	}
 }
@@ -466,32 +466,32 @@
 		n := rapid.IntRange(0, 1<<20)
 		msg := Message{From: n.Draw(t, "from")}
 		if rapid.Bool().Draw(t, "report") {
-			msg.Report = &Report{Number: 3, Since: rapid.Int64Range(0, mostStamp).Draw(t, "since"), Seq: 9, Epoch: rapid.Uint64Range(0, 1<<62).Draw(t, "epoch"),
-				Sights: []Sight{{n.Draw(t, "judged"), 1, 2, 3, 4, 5, 6}, {}}, Suspects: []int{4}}
+			msg.Report = &Report{Number: 3, StartedAtMS: rapid.Int64Range(0, mostStamp).Draw(t, "since"), Seq: 9, Epoch: rapid.Uint64Range(0, 1<<62).Draw(t, "epoch"),
+				Zones: []ZoneStats{{n.Draw(t, "judged"), 1, 2, 3, 4, 5, 6}, {}}, Suspects: []int{4}}
 		}
 		if rapid.Bool().Draw(t, "verdict") {
-			msg.Verdict, msg.Leads = &Verdict{Epoch: 7, By: 2, Zones: []Zone{{State: Trying, Flaps: 3, Tied: true, Triers: []int{1, 2}}, {Share: Whole}}}, true
+			msg.Verdict, msg.FromLeader = &Verdict{Epoch: 7, DecidedBy: 2, Zones: []Zone{{State: StateTrying, Flaps: 3, WithRegion: true, Probers: []int{1, 2}}, {Share: FullShare}}}, true
 		}
 		if rapid.Bool().Draw(t, "hands") {
-			msg.Hands = []Hand{{Mode: Away, Stamp: 5, At: 1, Who: "on call"}, {}}
+			msg.Overrides = []Override{{Mode: ModeOut, TimestampMS: 5, ReceivedBy: 1, Requester: "on call"}, {}}
 		}
-		msg.Leaves = rapid.Bool().Draw(t, "leaves")
+		msg.ShuttingDown = rapid.Bool().Draw(t, "leaves")
 		got, err := Decode(msg.Append(nil))
 		if err != nil || !reflect.DeepEqual(got, msg) {
 			t.Fatalf("%+v came back as %+v, %v", msg, got, err)
 		}
 	})
-	full := Message{Report: &Report{Since: mostStamp, Seq: mostStamp, Epoch: 1 << 40, Sights: slices.Repeat([]Sight{{999, 999, 999, 999, 999, 999, 999}}, MostZones)},
-		Verdict: &Verdict{Epoch: 1 << 40, Zones: slices.Repeat([]Zone{{Share: Whole, Triers: []int{250, 251, 252, 253}}}, MostZones)},
-		Hands:   slices.Repeat([]Hand{{Stamp: 1 << 42, At: 250, Who: fmt.Sprintf("%032d", 0)}}, MostZones)}
-	if n := len(full.Append(nil)); n > MostMessage {
-		t.Errorf("the largest message has %d bytes, of %d", n, MostMessage)
+	full := Message{Report: &Report{StartedAtMS: mostStamp, Seq: mostStamp, Epoch: 1 << 40, Zones: slices.Repeat([]ZoneStats{{999, 999, 999, 999, 999, 999, 999}}, MaxZones)},
+		Verdict:   &Verdict{Epoch: 1 << 40, Zones: slices.Repeat([]Zone{{Share: FullShare, Probers: []int{250, 251, 252, 253}}}, MaxZones)},
+		Overrides: slices.Repeat([]Override{{TimestampMS: 1 << 42, ReceivedBy: 250, Requester: fmt.Sprintf("%032d", 0)}}, MaxZones)}
+	if n := len(full.Append(nil)); n > MaxMessageSize {
+		t.Errorf("the largest message has %d bytes, of %d", n, MaxMessageSize)
 	}
 }
 
 // The operators' /members call writes a Sight as JSON, and its keys are part of that call's answer.
 func TestSightJSONKeys(t *testing.T) {
-	got, err := json.Marshal(Sight{1, 2, 3, 4, 5, 6, 7})
+	got, err := json.Marshal(ZoneStats{1, 2, 3, 4, 5, 6, 7})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -501,26 +501,26 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add((&Message{From: 1, Report: &Report{Sights: make([]Sight, 2)}, Verdict: &Verdict{Zones: make([]Zone, 2)}, Hands: make([]Hand, 2)}).Append(nil))
+	f.Add((&Message{From: 1, Report: &Report{Zones: make([]ZoneStats, 2)}, Verdict: &Verdict{Zones: make([]Zone, 2)}, Overrides: make([]Override, 2)}).Append(nil))
 	f.Add([]byte{version, 7, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		msg, err := Decode(b)
 		if err != nil {
-			if !errors.Is(err, ErrMessage) {
+			if !errors.Is(err, ErrMalformedMessage) {
 				t.Fatal(err)
 			}
 			return
 		}
-		m := New(Config{Number: 1, Zones: []string{"a", "b"}, Least: 0.3}, 0)
+		m := New(Config{Number: 1, Zones: []string{"a", "b"}, MinCapacityShare: 0.3}, 0)
 		m.SetPeers([]Peer{{Number: msg.From, Alive: true}})
-		m.TakeHands(time.Second, msg.Hands)
+		m.MergeOverrides(time.Second, msg.Overrides)
 		if msg.Report != nil {
-			m.Hear(time.Second, *msg.Report)
+			m.ReceiveReport(time.Second, *msg.Report)
 		}
 		if msg.Verdict != nil {
-			m.Take(time.Second, msg.From, *msg.Verdict, msg.Leads)
+			m.ReceiveVerdict(time.Second, msg.From, *msg.Verdict, msg.FromLeader)
 		}
-		m.Tick(2*time.Second, make([]Sight, 2), 0)
+		m.Tick(2*time.Second, make([]ZoneStats, 2), 0)
 		if again, err := Decode(msg.Append(nil)); err != nil || !reflect.DeepEqual(again, msg) {
 			t.Fatalf("%+v, %v", again, err)
 		}
