--- a/internal/zones/codec.go
+++ b/internal/zones/codec.go
@@ -20,12 +20,12 @@
 const MaxMessageSize = 1200
 
 const (
-	version    = 1
-	hasReport  = 1
-	hasVerdict = 2
-	hasHands   = 4
-	doesLead   = 8
-	doesLeave  = 16
+	codecVersion     = 1
+	flagReport       = 1
+	flagVerdict      = 2
+	flagOverrides    = 4
+	flagFromLeader   = 8
+	flagShuttingDown = 16
 )
 
 // ErrMalformedMessage tells of a message that can't be read.
@@ -35,21 +35,21 @@
 func (msg *Message) Append(b []byte) []byte {
 	flags := byte(0)
 	start := len(b)
-	b = append(b, version, 0)
+	b = append(b, codecVersion, 0)
 	b = binary.AppendUvarint(b, uint64(msg.From))
 	if r := msg.Report; r != nil {
-		flags |= hasReport
+		flags |= flagReport
 		b = appendInts(b, r.Number, int(r.StartedAtMS), int(r.Seq), int(r.Epoch), r.OriginRefusals, len(r.Zones))
 		for _, s := range r.Zones {
 			b = appendInts(b, s.Judged, s.Bad, s.Silent, s.TrimmedJudged, s.TrimmedBad, s.Misses, s.RecentUnanswered)
 		}
-		suspects := r.Suspects[:min(len(r.Suspects), mostSuspects)]
+		suspects := r.Suspects[:min(len(r.Suspects), maxSuspects)]
 		b = appendInts(appendInts(b, len(suspects)), suspects...)
 	}
 	if v := msg.Verdict; v != nil {
-		flags |= hasVerdict
+		flags |= flagVerdict
 		if msg.FromLeader {
-			flags |= doesLead
+			flags |= flagFromLeader
 		}
 		b = appendInts(b, int(v.Epoch), v.DecidedBy, len(v.Zones))
 		for _, z := range v.Zones {
@@ -62,7 +62,7 @@
 		}
 	}
 	if len(msg.Overrides) > 0 {
-		flags |= hasHands
+		flags |= flagOverrides
 		b = appendInts(b, len(msg.Overrides))
 		for _, h := range msg.Overrides {
 			b = appendInts(b, int(h.Mode), int(h.TimestampMS), h.ReceivedBy, len(h.Requester))
@@ -70,7 +70,7 @@
 		}
 	}
 	if msg.ShuttingDown {
-		flags |= doesLeave
+		flags |= flagShuttingDown
 	}
 	b[start+1] = flags
 	return b
@@ -85,39 +85,39 @@
 
 // reader reads what Append wrote; the first fault stays.
 type reader struct {
-	b   []byte
-	err error
+	rest []byte
+	err  error
 }
 
-func (r *reader) number(what string, most uint64) uint64 {
-	n, size := binary.Uvarint(r.b)
+func (r *reader) uvarint(what string, most uint64) uint64 {
+	n, size := binary.Uvarint(r.rest)
 	if r.err == nil && (size <= 0 || n > most) {
 		r.err = fmt.Errorf("%w: %s", ErrMalformedMessage, what)
 	}
 	if r.err != nil {
 		return 0
 	}
-	r.b = r.b[size:]
+	r.rest = r.rest[size:]
 	return n
 }
 
-func (r *reader) int(what string, most int) int { return int(r.number(what, uint64(most))) }
+func (r *reader) int(what string, most int) int { return int(r.uvarint(what, uint64(most))) }
 
 const (
-	mostNumber = 1 << 20
-	mostStamp  = 1 << 52
+	maxInstanceNumber = 1 << 20
+	maxTimestampMS    = 1 << 52
 )
 
 // Decode reads a message. It keeps nothing of b.
 func Decode(b []byte) (msg Message, err error) {
-	if len(b) < 2 || b[0] != version {
+	if len(b) < 2 || b[0] != codecVersion {
 		return msg, fmt.Errorf("%w: not of this version", ErrMalformedMessage)
 	}
-	flags, r := b[1], &reader{b: b[2:]}
-	msg.From, msg.ShuttingDown = r.int("sender", mostNumber), flags&doesLeave != 0
-	if flags&hasReport != 0 {
-		p := &Report{Number: r.int("number", mostNumber), StartedAtMS: int64(r.number("start", mostStamp)), Seq: r.number("sequence", mostStamp),
-			Epoch: r.number("epoch", 1<<62), OriginRefusals: r.int("shortage", maxCount)}
+	flags, r := b[1], &reader{rest: b[2:]}
+	msg.From, msg.ShuttingDown = r.int("sender", maxInstanceNumber), flags&flagShuttingDown != 0
+	if flags&flagReport != 0 {
+		p := &Report{Number: r.int("number", maxInstanceNumber), StartedAtMS: int64(r.uvarint("start", maxTimestampMS)), Seq: r.uvarint("sequence", maxTimestampMS),
+			Epoch: r.uvarint("epoch", 1<<62), OriginRefusals: r.int("shortage", maxCount)}
 		p.Zones = make([]ZoneStats, r.int("zones", MaxZones))
 		for i := range p.Zones {
 			s := &p.Zones[i]
@@ -125,40 +125,40 @@
 				*n = r.int("count", maxCount)
 			}
 		}
-		for range r.int("suspects", mostSuspects) {
-			p.Suspects = append(p.Suspects, r.int("suspect", mostNumber))
+		for range r.int("suspects", maxSuspects) {
+			p.Suspects = append(p.Suspects, r.int("suspect", maxInstanceNumber))
 		}
 		msg.Report = p
 	}
-	if flags&hasVerdict != 0 {
-		v := &Verdict{Epoch: r.number("epoch", 1<<62), DecidedBy: r.int("decided by", mostNumber)}
+	if flags&flagVerdict != 0 {
+		v := &Verdict{Epoch: r.uvarint("epoch", 1<<62), DecidedBy: r.int("decided by", maxInstanceNumber)}
 		v.Zones = make([]Zone, r.int("zones", MaxZones))
 		for i := range v.Zones {
 			z := &v.Zones[i]
 			z.State, z.Share, z.Flaps = State(r.int("state", int(states)-1)), uint8(r.int("share", FullShare)), uint8(r.int("flaps", 255))
 			z.WithRegion = r.int("tied", 1) == 1
-			for range r.int("triers", maxTriers) {
-				z.Probers = append(z.Probers, r.int("trier", mostNumber))
+			for range r.int("triers", maxProbers) {
+				z.Probers = append(z.Probers, r.int("trier", maxInstanceNumber))
 			}
 		}
-		msg.Verdict, msg.FromLeader = v, flags&doesLead != 0
+		msg.Verdict, msg.FromLeader = v, flags&flagFromLeader != 0
 	}
-	if flags&hasHands != 0 {
+	if flags&flagOverrides != 0 {
 		msg.Overrides = make([]Override, r.int("calls", MaxZones))
 		for i := range msg.Overrides {
 			h := &msg.Overrides[i]
-			h.Mode, h.TimestampMS, h.ReceivedBy = Mode(r.int("mode", int(modes)-1)), int64(r.number("stamp", mostStamp)), r.int("called", mostNumber)
+			h.Mode, h.TimestampMS, h.ReceivedBy = Mode(r.int("mode", int(modes)-1)), int64(r.uvarint("stamp", maxTimestampMS)), r.int("called", maxInstanceNumber)
 			n := r.int("who", MaxRequesterLen)
-			if r.err == nil && n > len(r.b) {
+			if r.err == nil && n > len(r.rest) {
 				r.err = fmt.Errorf("%w: who", ErrMalformedMessage)
 			}
 			if r.err == nil {
-				h.Requester, r.b = string(r.b[:n]), r.b[n:]
+				h.Requester, r.rest = string(r.rest[:n]), r.rest[n:]
 			}
 		}
 	}
-	if r.err == nil && len(r.b) > 0 {
-		r.err = fmt.Errorf("%w: %d bytes too many", ErrMalformedMessage, len(r.b))
+	if r.err == nil && len(r.rest) > 0 {
+		r.err = fmt.Errorf("%w: %d bytes too many", ErrMalformedMessage, len(r.rest))
 	}
 	return msg, r.err
 }
--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -12,35 +12,35 @@
 const (
 	// TickInterval is how often an instance tells what it sees, and a leader what holds.
 	TickInterval = 50 * time.Millisecond
-	// lease is how long the first in the order of leaders may be silent before the next acts in its place.
-	lease = 500 * time.Millisecond
-	// fresh is how old a report may be to count.
-	fresh = 700 * time.Millisecond
-	// gap between two ticks tells that this instance has stood still: it acts on nothing that it held before.
-	gap = time.Second
-
-	leastJudged = 5    // fewer attempts of an instance tell nothing
-	badAt       = 0.4  // of an instance's attempts: it calls the zone bad
-	badTrim     = 0.25 // of those at all but the worst third of the boxes: it is the zone, not some boxes
-	goodAt      = 0.2
-	silentAt    = 0.9 // of the bad ones had no answer at all
-	leastVoters = 2   // who stands alone leaves for nobody else
-
-	confirm    = 2                // ticks in a row that a zone is bad before it is left
-	sureVoters = 3                // that find it silent, with nobody against a third of them: one tick
-	settle     = 10               // ticks that a zone in between holds up the decision on another
-	clearFor   = time.Second      // without a bad sight ends a suspicion
-	ackWait    = time.Second      // for all to say that they have left
-	firstOut   = time.Second / 2  // before the first try
-	mostOut    = 30 * time.Second // and at the most, for a zone that flaps
-	flapFor    = time.Minute      // a zone that fails again within this of its return waits longer
-	tryTicks   = 10               // good ones in a row end the trial
-	tieFor     = 15 * time.Second // a region's zone that answers waits for the others no longer
-	stepUp     = 10               // hundredths of a zone's work
-	shortFor   = 3                // steps' time that a shortage of the origin may hold a step up
-	mixedFor   = time.Second      // neither good nor bad for this long is worse
-	aloneFor   = 5 * time.Second  // without a leader that has a quorum: each decides for itself, as without the fleet
-	slack      = 0.8              // of Config.Least, where a verdict is checked: lists differ for a moment
+	// leaderLease is how long the first in the order of leaders may be silent before the next acts in its place.
+	leaderLease = 500 * time.Millisecond
+	// reportMaxAge is how old a report may be to count.
+	reportMaxAge = 700 * time.Millisecond
+	// pauseThreshold between two ticks tells that this instance has stood still: it acts on nothing that it held before.
+	pauseThreshold = time.Second
+
+	minJudged       = 5    // fewer attempts of an instance tell nothing
+	badRatio        = 0.4  // of an instance's attempts: it calls the zone bad
+	trimmedBadRatio = 0.25 // of those at all but the worst third of the boxes: it is the zone, not some boxes
+	goodRatio       = 0.2
+	silentRatio     = 0.9 // of the bad ones had no answer at all
+	minVoters       = 2   // who stands alone leaves for nobody else
+
+	confirmTicks      = 2                // ticks in a row that a zone is bad before it is left
+	minSilentVoters   = 3                // that find it silent, with nobody against a third of them: one tick
+	maxUnsettledTicks = 10               // ticks that a zone in between holds up the decision on another
+	suspicionTimeout  = time.Second      // without a bad sight ends a suspicion
+	ackTimeout        = time.Second      // for all to say that they have left
+	minOutTime        = time.Second / 2  // before the first try
+	maxOutTime        = 30 * time.Second // and at the most, for a zone that flaps
+	flapWindow        = time.Minute      // a zone that fails again within this of its return waits longer
+	goodProbeTicks    = 10               // good ones in a row end the trial
+	regionWaitTimeout = 15 * time.Second // a region's zone that answers waits for the others no longer
+	shareStep         = 10               // hundredths of a zone's work
+	maxRefusalSteps   = 3                // steps' time that a shortage of the origin may hold a step up
+	mixedTimeout      = time.Second      // neither good nor bad for this long is worse
+	noLeaderTimeout   = 5 * time.Second  // without a leader that has a quorum: each decides for itself, as without the fleet
+	capacityTolerance = 0.8              // of Config.Least, where a verdict is checked: lists differ for a moment
 )
 
 // Peer is another instance, as membership knows it.
@@ -52,44 +52,44 @@
 
 // Machine is one instance's part in the fleet's decision. It is not safe for concurrent use.
 type Machine struct {
-	c        Config
-	own      int // this instance's zone
-	peers    []Peer
-	capacity []float64
-	reports  map[int]*held
-	heard    map[int]time.Duration // by the numbers of those that may lead: when they last said anything
-	v        Verdict
-	hands    []Override
-	zones    []watched
-	began    bool
-	now      time.Duration
-	startAt  time.Duration
-	ledAt    time.Duration // when a leader with a quorum was last heard
-	told     Report        // this instance's own
-	// governed is the share that each zone gets here, which never rises faster than boxes that may be cold bear, whatever is told.
-	governed []governor
+	config         Config
+	ownZone        int // this instance's zone
+	peers          []Peer
+	capacity       []float64
+	reports        map[int]*receivedReport
+	lastHeard      map[int]time.Duration // by the numbers of those that may lead: when they last said anything
+	verdict        Verdict
+	overrides      []Override
+	trackers       []zoneTracker
+	ticked         bool
+	now            time.Duration
+	observingSince time.Duration
+	leaderHeardAt  time.Duration // when a leader with a quorum was last heard
+	ownReport      Report        // this instance's own
+	// limiters is the share that each zone gets here, which never rises faster than boxes that may be cold bear, whatever is told.
+	limiters []shareLimiter
 	changes  []Change
 }
 
-type held struct {
+type receivedReport struct {
 	Report
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// watched is what a leader keeps of a zone beside the verdict. One that takes over begins anew with it, which can only delay a step.
-type watched struct {
-	since    time.Duration // of the state or step, as known here
-	bad      int           // ticks in a row
-	good     int
-	mixed    int
-	badAt    time.Duration // last
-	returned time.Duration // when it was last whole again
+// zoneTracker is what a leader keeps of a zone beside the verdict. One that takes over begins anew with it, which can only delay a step.
+type zoneTracker struct {
+	since      time.Duration // of the state or step, as known here
+	badTicks   int           // ticks in a row
+	goodTicks  int
+	mixedTicks int
+	lastBadAt  time.Duration // last
+	returnedAt time.Duration // when it was last whole again
 }
 
-type governor struct {
-	share  float64 // now
-	zeroAt time.Duration
-	rising bool
+type shareLimiter struct {
+	share     float64 // now
+	zeroAt    time.Duration
+	rampingUp bool
 }
 
 // Change is one for the log.
@@ -104,11 +104,11 @@
 // New makes a Machine. Its configuration has been checked.
 func New(c Config, own int) *Machine {
 	n := len(c.Zones)
-	m := &Machine{c: c, own: own, reports: map[int]*held{}, heard: map[int]time.Duration{}, hands: make([]Override, n),
-		zones: make([]watched, n), governed: make([]governor, n), capacity: make([]float64, n)}
-	m.v.Zones = make([]Zone, n)
-	for i := range m.v.Zones {
-		m.v.Zones[i].Share, m.governed[i].share, m.capacity[i] = FullShare, 1, 1
+	m := &Machine{config: c, ownZone: own, reports: map[int]*receivedReport{}, lastHeard: map[int]time.Duration{}, overrides: make([]Override, n),
+		trackers: make([]zoneTracker, n), limiters: make([]shareLimiter, n), capacity: make([]float64, n)}
+	m.verdict.Zones = make([]Zone, n)
+	for i := range m.verdict.Zones {
+		m.verdict.Zones[i].Share, m.limiters[i].share, m.capacity[i] = FullShare, 1, 1
 	}
 	return m
 }
@@ -120,10 +120,10 @@
 func (m *Machine) SetCapacity(c []float64) { copy(m.capacity, c) }
 
 // Verdict is what holds as far as this instance knows.
-func (m *Machine) Verdict() Verdict { return m.v.clone() }
+func (m *Machine) Verdict() Verdict { return m.verdict.clone() }
 
 // Overrides are the operators' latest calls.
-func (m *Machine) Overrides() []Override { return slices.Clone(m.hands) }
+func (m *Machine) Overrides() []Override { return slices.Clone(m.overrides) }
 
 // Changes are those since it was last asked.
 func (m *Machine) Changes() (c []Change) {
@@ -132,25 +132,25 @@
 }
 
 // OwnReport is this instance's latest report.
-func (m *Machine) OwnReport() Report { return m.told }
+func (m *Machine) OwnReport() Report { return m.ownReport }
 
 // PeerReports is what the others last told, by number, as far as it is fresh.
 func (m *Machine) PeerReports() (all []Report) {
-	for _, n := range m.sortedReports() {
+	for _, n := range m.freshReporters() {
 		all = append(all, m.reports[n].Report)
 	}
 	return all
 }
 
-// reporting tells whether another instance is heard: its latest report still counts.
-func (m *Machine) reporting(number int) bool {
+// hasFreshReport tells whether another instance is heard: its latest report still counts.
+func (m *Machine) hasFreshReport(number int) bool {
 	r := m.reports[number]
-	return r != nil && m.now-r.at <= fresh
+	return r != nil && m.now-r.receivedAt <= reportMaxAge
 }
 
-func (m *Machine) sortedReports() (numbers []int) {
+func (m *Machine) freshReporters() (numbers []int) {
 	for n := range m.reports {
-		if m.reporting(n) {
+		if m.hasFreshReport(n) {
 			numbers = append(numbers, n)
 		}
 	}
@@ -160,7 +160,7 @@
 
 // Leaders is the order in which instances lead: the first of each zone, then the second of each, so that no zone takes all of them with it.
 func (m *Machine) Leaders() (numbers []int) {
-	all := append(slices.Clone(m.peers), Peer{Number: m.c.Number, Zone: m.own, Alive: true})
+	all := append(slices.Clone(m.peers), Peer{Number: m.config.Number, Zone: m.ownZone, Alive: true})
 	all = slices.DeleteFunc(all, func(p Peer) bool { return !p.Alive })
 	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(a.Number, b.Number) })
 	place, seen := map[int]int{}, map[int]int{}
@@ -177,46 +177,46 @@
 
 // ReceiveReport takes a report.
 func (m *Machine) ReceiveReport(now time.Duration, r Report) {
-	if r.Number == m.c.Number || len(r.Zones) != len(m.zones) {
+	if r.Number == m.config.Number || len(r.Zones) != len(m.trackers) {
 		return
 	}
 	old := m.reports[r.Number]
-	if old != nil && r.stale(&old.Report) || !m.knows(r.Number) {
+	if old != nil && r.stale(&old.Report) || !m.isLivePeer(r.Number) {
 		return
 	}
-	m.reports[r.Number] = &held{r, now}
-	m.heard[r.Number] = now
+	m.reports[r.Number] = &receivedReport{r, now}
+	m.lastHeard[r.Number] = now
 }
 
 // ReceiveVerdict takes a verdict that another instance has told, which was decided by it, if it leads, or by another one. It tells
 // whether that is news.
 func (m *Machine) ReceiveVerdict(now time.Duration, from int, v Verdict, leads bool) (news bool) {
-	if !m.knows(from) {
+	if !m.isLivePeer(from) {
 		return false
 	}
-	m.heard[from] = now
+	m.lastHeard[from] = now
 	if leads {
-		m.ledAt = now
+		m.leaderHeardAt = now
 	}
-	return m.take(now, v)
+	return m.acceptVerdict(now, v)
 }
 
-// knows tells whether a number is another instance's that lives.
-func (m *Machine) knows(number int) bool {
+// isLivePeer tells whether a number is another instance's that lives.
+func (m *Machine) isLivePeer(number int) bool {
 	return slices.ContainsFunc(m.peers, func(p Peer) bool { return p.Number == number && p.Alive })
 }
 
-func (m *Machine) take(now time.Duration, v Verdict) (news bool) {
-	if !v.newer(&m.v) || !m.sound(&v) {
+func (m *Machine) acceptVerdict(now time.Duration, v Verdict) (news bool) {
+	if !v.newer(&m.verdict) || !m.withinBounds(&v) {
 		return false
 	}
 	m.adopt(now, v.clone())
 	return true
 }
 
-// sound tells whether a verdict keeps the bounds, which hold whoever decided it: it closes no zone where too little would stay open.
-func (m *Machine) sound(v *Verdict) bool {
-	if len(v.Zones) != len(m.zones) || v.Epoch > m.v.Epoch+1<<32 {
+// withinBounds tells whether a verdict keeps the bounds, which hold whoever decided it: it closes no zone where too little would stay open.
+func (m *Machine) withinBounds(v *Verdict) bool {
+	if len(v.Zones) != len(m.trackers) || v.Epoch > m.verdict.Epoch+1<<32 {
 		return false
 	}
 	var open, all float64
@@ -226,32 +226,32 @@
 			return false
 		}
 		all += m.capacity[i]
-		if z.Share > 0 || m.hands[i].Mode == ModeOut {
+		if z.Share > 0 || m.overrides[i].Mode == ModeOut {
 			open += m.capacity[i]
-		} else if m.v.Zones[i].Share > 0 {
+		} else if m.verdict.Zones[i].Share > 0 {
 			closes = true
 		}
 	}
-	return !closes || open >= slack*m.c.MinCapacityShare*all
+	return !closes || open >= capacityTolerance*m.config.MinCapacityShare*all
 }
 
 func (m *Machine) adopt(now time.Duration, v Verdict) {
 	for i := range v.Zones {
-		was := m.v.Zones[i]
+		was := m.verdict.Zones[i]
 		if was.State == v.Zones[i].State && was.Share == v.Zones[i].Share {
 			continue
 		}
-		w := &m.zones[i]
+		w := &m.trackers[i]
 		if v.Zones[i].State == StateIn && was.State == StateReturning {
-			w.returned = now
+			w.returnedAt = now
 		}
-		w.since, w.good, w.mixed = now, 0, 0
+		w.since, w.goodTicks, w.mixedTicks = now, 0, 0
 		if v.Zones[i].State != StateSuspected && v.Zones[i].State != StateLeaving {
-			w.bad = 0
+			w.badTicks = 0
 		}
 		m.changes = append(m.changes[max(0, len(m.changes)-256):], Change{i, was, v.Zones[i], v.Epoch, v.DecidedBy})
 	}
-	m.v = v
+	m.verdict = v
 }
 
 // ErrNoZoneLeft tells that a call would have left nothing in use.
@@ -259,23 +259,23 @@
 
 // SetOverride takes an operator's call at this instance, for a zone or all of a region.
 func (m *Machine) SetOverride(now time.Duration, h Override, zones ...int) error {
-	if h.Mode == ModeOut && !m.anyUsed(zones) {
+	if h.Mode == ModeOut && !m.anyInUse(zones) {
 		return ErrNoZoneLeft
 	}
-	h.ReceivedBy = m.c.Number
+	h.ReceivedBy = m.config.Number
 	for _, z := range zones {
 		stamped := h
-		stamped.TimestampMS = max(h.TimestampMS, m.hands[z].TimestampMS+1) // a clock that was put back must not lose a call
-		m.hands[z] = stamped
+		stamped.TimestampMS = max(h.TimestampMS, m.overrides[z].TimestampMS+1) // a clock that was put back must not lose a call
+		m.overrides[z] = stamped
 	}
-	m.govern(now)
+	m.updateShares(now)
 	return nil
 }
 
-// anyUsed tells whether a zone is in use, beside some: as the verdict and the operators have it.
-func (m *Machine) anyUsed(beside []int) bool {
-	for i, z := range m.v.Zones {
-		if z.Share > 0 && m.hands[i].Mode != ModeOut && !slices.Contains(beside, i) {
+// anyInUse tells whether a zone is in use, beside some: as the verdict and the operators have it.
+func (m *Machine) anyInUse(beside []int) bool {
+	for i, z := range m.verdict.Zones {
+		if z.Share > 0 && m.overrides[i].Mode != ModeOut && !slices.Contains(beside, i) {
 			return true
 		}
 	}
@@ -284,16 +284,16 @@
 
 // MergeOverrides takes operators' calls that another instance has told. It tells whether any is news.
 func (m *Machine) MergeOverrides(now time.Duration, hands []Override) (news bool) {
-	if len(hands) != len(m.hands) {
+	if len(hands) != len(m.overrides) {
 		return false
 	}
 	for i, h := range hands {
-		if h.Mode < modes && len(h.Requester) <= MaxRequesterLen && h.after(m.hands[i]) {
-			m.hands[i], news = h, true
+		if h.Mode < modes && len(h.Requester) <= MaxRequesterLen && h.supersedes(m.overrides[i]) {
+			m.overrides[i], news = h, true
 		}
 	}
 	if news {
-		m.govern(now)
+		m.updateShares(now)
 	}
 	return news
 }
@@ -301,53 +301,53 @@
 // Tick does what is due. sights and short are this instance's own, by its Meter. It tells whether this instance leads with a quorum, and whether it has
 // stood still, and so has to forget what it saw.
 func (m *Machine) Tick(now time.Duration, sights []ZoneStats, short int) (leads, paused bool) {
-	if !m.began {
-		m.began, m.startAt, m.now, m.ledAt = true, now, now, max(m.ledAt, now)
+	if !m.ticked {
+		m.ticked, m.observingSince, m.now, m.leaderHeardAt = true, now, now, max(m.leaderHeardAt, now)
 	}
-	if now-m.now > gap {
+	if now-m.now > pauseThreshold {
 		paused = true
-		m.startAt = now // it leads nobody until it has had time to hear of others
+		m.observingSince = now // it leads nobody until it has had time to hear of others
 		clear(m.reports)
-		for i := range m.zones {
-			m.zones[i].bad, m.zones[i].good, m.zones[i].mixed = 0, 0, 0
+		for i := range m.trackers {
+			m.trackers[i].badTicks, m.trackers[i].goodTicks, m.trackers[i].mixedTicks = 0, 0, 0
 		}
-		sights, short = make([]ZoneStats, len(m.zones)), 0
+		sights, short = make([]ZoneStats, len(m.trackers)), 0
 	}
 	m.now = now
-	m.told = Report{Number: m.c.Number, StartedAtMS: m.c.StartedAtMS, Seq: m.told.Seq + 1, Epoch: m.v.Epoch, OriginRefusals: short, Zones: slices.Clone(sights)}
-	maps.DeleteFunc(m.reports, func(n int, _ *held) bool { return !m.knows(n) })
-	maps.DeleteFunc(m.heard, func(n int, _ time.Duration) bool { return !m.knows(n) })
-	if leads = m.leads() && m.quorum(); leads {
-		m.ledAt = now
+	m.ownReport = Report{Number: m.config.Number, StartedAtMS: m.config.StartedAtMS, Seq: m.ownReport.Seq + 1, Epoch: m.verdict.Epoch, OriginRefusals: short, Zones: slices.Clone(sights)}
+	maps.DeleteFunc(m.reports, func(n int, _ *receivedReport) bool { return !m.isLivePeer(n) })
+	maps.DeleteFunc(m.lastHeard, func(n int, _ time.Duration) bool { return !m.isLivePeer(n) })
+	if leads = m.isLeader() && m.hasQuorum(); leads {
+		m.leaderHeardAt = now
 		m.decide()
 	}
-	m.govern(now)
+	m.updateShares(now)
 	return leads, paused
 }
 
-// leads tells whether this instance acts for all: each before it in the order has been silent for a lease, and it has had time to hear them.
-func (m *Machine) leads() bool {
-	if len(m.peers) == 0 || m.now-m.startAt < lease {
+// isLeader tells whether this instance acts for all: each before it in the order has been silent for a lease, and it has had time to hear them.
+func (m *Machine) isLeader() bool {
+	if len(m.peers) == 0 || m.now-m.observingSince < leaderLease {
 		return false
 	}
 	for _, n := range m.Leaders() {
-		if n == m.c.Number {
+		if n == m.config.Number {
 			return true
 		}
-		if at, ok := m.heard[n]; ok && m.now-at <= lease {
+		if at, ok := m.lastHeard[n]; ok && m.now-at <= leaderLease {
 			return false
 		}
 	}
 	return false
 }
 
-// quorum tells whether more than half of those that were there lately are heard: a side of a partition that has not leaves nobody and
+// hasQuorum tells whether more than half of those that were there lately are heard: a side of a partition that has not leaves nobody and
 // raises nobody. Of two equal halves, the one with the lowest number has it.
-func (m *Machine) quorum() bool {
-	here, lowest := 1, m.c.Number
+func (m *Machine) hasQuorum() bool {
+	here, lowest := 1, m.config.Number
 	lowestHere := true
 	for _, p := range m.peers {
-		ok := m.reporting(p.Number)
+		ok := m.hasFreshReport(p.Number)
 		if ok {
 			here++
 		}
@@ -359,51 +359,51 @@
 	return 2*here > all || 2*here == all && lowestHere
 }
 
-// opinion is what is thought of a zone.
-type opinion struct {
-	bad, good, mixed int // instances
-	silent           bool
-	judged, failed   int // of those that have too few attempts for an opinion of their own
+// zoneOpinion is what is thought of a zone.
+type zoneOpinion struct {
+	bad, good, mixed        int // instances
+	silent                  bool
+	pooledJudged, pooledBad int // of those that have too few attempts for an opinion of their own
 }
 
-func (o opinion) voters() int { return o.bad + o.good + o.mixed }
+func (o zoneOpinion) voters() int { return o.bad + o.good + o.mixed }
 
 // isBad tells whether those that have an opinion agree that the zone fails; one alone convinces nobody, and so does a third.
-func (o opinion) isBad() bool {
-	return o.voters() >= leastVoters && o.bad >= leastVoters && 3*o.bad >= 2*o.voters()
+func (o zoneOpinion) isBad() bool {
+	return o.voters() >= minVoters && o.bad >= minVoters && 3*o.bad >= 2*o.voters()
 }
 
 // isGood tells whether most of those that have an opinion find nothing wrong.
-func (o opinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
+func (o zoneOpinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
 
-func (s ZoneStats) call() (bad, good, some bool) {
-	if s.Judged < leastJudged || s.Bad > s.Judged || s.TrimmedBad > s.TrimmedJudged || s.TrimmedJudged > s.Judged {
+func (s ZoneStats) classify() (bad, good, some bool) {
+	if s.Judged < minJudged || s.Bad > s.Judged || s.TrimmedBad > s.TrimmedJudged || s.TrimmedJudged > s.Judged {
 		return false, false, false // nothing, or counts that can't be
 	}
 	part := float64(s.Bad) / float64(s.Judged)
-	if s.RecentUnanswered >= leastJudged && s.RecentUnanswered <= s.Judged {
+	if s.RecentUnanswered >= minJudged && s.RecentUnanswered <= s.Judged {
 		return s.TrimmedJudged == 0 || s.TrimmedBad > 0, false, true // more than the worst third of the boxes are
 	}
-	if part <= goodAt {
+	if part <= goodRatio {
 		return false, true, true
 	}
-	return part >= badAt && (s.TrimmedJudged == 0 || float64(s.TrimmedBad) >= badTrim*float64(s.TrimmedJudged)), false, true
+	return part >= badRatio && (s.TrimmedJudged == 0 || float64(s.TrimmedBad) >= trimmedBadRatio*float64(s.TrimmedJudged)), false, true
 }
 
-func (m *Machine) opinions() (all []opinion, short int) {
-	all = make([]opinion, len(m.zones))
-	silents := make([]int, len(m.zones)) // of the bad ones
+func (m *Machine) opinions() (all []zoneOpinion, short int) {
+	all = make([]zoneOpinion, len(m.trackers))
+	silents := make([]int, len(m.trackers)) // of the bad ones
 	take := func(r *Report) {
 		if r.OriginRefusals > 0 {
 			short++
 		}
 		for i, s := range r.Zones {
-			bad, good, some := s.call()
+			bad, good, some := s.classify()
 			o := &all[i]
 			switch {
 			case bad:
 				o.bad++
-				if float64(s.Silent) >= silentAt*float64(s.Bad) {
+				if float64(s.Silent) >= silentRatio*float64(s.Bad) {
 					silents[i]++
 				}
 			case good:
@@ -411,26 +411,26 @@
 			case some:
 				o.mixed++
 			case s.Bad <= s.Judged:
-				o.judged, o.failed = o.judged+min(s.Judged, leastJudged), o.failed+min(s.Bad, leastJudged)
+				o.pooledJudged, o.pooledBad = o.pooledJudged+min(s.Judged, minJudged), o.pooledBad+min(s.Bad, minJudged)
 			}
 		}
 	}
-	take(&m.told)
-	for _, n := range m.sortedReports() {
+	take(&m.ownReport)
+	for _, n := range m.freshReporters() {
 		take(&m.reports[n].Report)
 	}
 	for i := range all {
 		o := &all[i]
 		o.silent = o.bad > 0 && silents[i] == o.bad
 		// A zone that was left gets few attempts, and has been found bad before: all of them together tell.
-		if s := m.v.Zones[i].State; (s == StateTrying || s == StateReturning) && o.voters() < leastVoters && o.judged >= leastJudged {
-			switch part := float64(o.failed) / float64(o.judged); {
-			case part <= goodAt:
-				o.good += leastVoters
-			case part >= badAt:
-				o.bad += leastVoters
+		if s := m.verdict.Zones[i].State; (s == StateTrying || s == StateReturning) && o.voters() < minVoters && o.pooledJudged >= minJudged {
+			switch part := float64(o.pooledBad) / float64(o.pooledJudged); {
+			case part <= goodRatio:
+				o.good += minVoters
+			case part >= badRatio:
+				o.bad += minVoters
 			default:
-				o.mixed += leastVoters
+				o.mixed += minVoters
 			}
 		}
 	}
@@ -440,43 +440,43 @@
 // decide is the leader's: one look at all zones, and a new epoch if anything changes.
 func (m *Machine) decide() {
 	all, short := m.opinions()
-	next := m.v.clone()
+	next := m.verdict.clone()
 	for i := range next.Zones {
-		w, o := &m.zones[i], all[i]
-		w.bad, w.good, w.mixed = count(w.bad, o.isBad()), count(w.good, o.isGood()), count(w.mixed, !o.isBad() && !o.isGood() && o.voters() > 0)
+		w, o := &m.trackers[i], all[i]
+		w.badTicks, w.goodTicks, w.mixedTicks = nextStreak(w.badTicks, o.isBad()), nextStreak(w.goodTicks, o.isGood()), nextStreak(w.mixedTicks, !o.isBad() && !o.isGood() && o.voters() > 0)
 		if o.isBad() {
-			w.badAt = m.now
+			w.lastBadAt = m.now
 		}
 	}
 	for i := range next.Zones {
-		m.step(i, &next, all, short)
+		m.stepZone(i, &next, all, short)
 	}
-	m.leave(&next, all)
-	if !same(&next, &m.v) {
-		next.Epoch, next.DecidedBy = m.v.Epoch+1, m.c.Number
+	m.markLeaving(&next, all)
+	if !sameZones(&next, &m.verdict) {
+		next.Epoch, next.DecidedBy = m.verdict.Epoch+1, m.config.Number
 		m.adopt(m.now, next)
-		m.told.Epoch = next.Epoch
+		m.ownReport.Epoch = next.Epoch
 	}
 }
 
-func count(n int, more bool) int {
+func nextStreak(n int, more bool) int {
 	if !more {
 		return 0
 	}
 	return min(n+1, 1<<20)
 }
 
-func same(a, b *Verdict) bool {
+func sameZones(a, b *Verdict) bool {
 	return slices.EqualFunc(a.Zones, b.Zones, func(x, y Zone) bool {
 		return x.State == y.State && x.Share == y.Share && x.Flaps == y.Flaps && x.WithRegion == y.WithRegion && slices.Equal(x.Probers, y.Probers)
 	})
 }
 
-// step moves one zone on, but for the decision to leave it.
-func (m *Machine) step(i int, next *Verdict, all []opinion, short int) {
-	z, w, was := &next.Zones[i], &m.zones[i], m.v.Zones[i]
+// stepZone moves one zone on, but for the decision to leave it.
+func (m *Machine) stepZone(i int, next *Verdict, all []zoneOpinion, short int) {
+	z, w, was := &next.Zones[i], &m.trackers[i], m.verdict.Zones[i]
 	age := m.now - w.since
-	switch h := m.hands[i]; {
+	switch h := m.overrides[i]; {
 	case h.Mode == ModeHold:
 		return
 	case h.Mode == ModeOut:
@@ -487,55 +487,55 @@
 	}
 	switch was.State {
 	case StateIn:
-		if z.Flaps > 0 && m.now-w.returned > flapFor {
+		if z.Flaps > 0 && m.now-w.returnedAt > flapWindow {
 			z.Flaps = 0
 		}
 		if all[i].isBad() {
 			z.State = StateSuspected
 		}
 	case StateSuspected:
-		if m.now-w.badAt > clearFor {
+		if m.now-w.lastBadAt > suspicionTimeout {
 			z.State = StateIn
 		}
 	case StateLeaving:
-		if age >= ackWait || m.acknowledged() {
+		if age >= ackTimeout || m.acknowledged() {
 			z.State = StateOut
 		}
 	case StateOut:
-		if age >= min(mostOut, firstOut<<min(z.Flaps, 10)) {
-			z.State, z.Probers = StateTrying, m.triers(i, all[i], 0)
+		if age >= min(maxOutTime, minOutTime<<min(z.Flaps, 10)) {
+			z.State, z.Probers = StateTrying, m.selectProbers(i, all[i], 0)
 		}
 	case StateTrying:
 		switch {
-		case m.ready(i):
-			z.State, z.Share, z.Probers = StateReturning, stepUp, nil
-		case z.WithRegion && w.good >= tryTicks && age > tieFor: // the others of its region stay away
+		case m.readyToReturn(i):
+			z.State, z.Share, z.Probers = StateReturning, shareStep, nil
+		case z.WithRegion && w.goodTicks >= goodProbeTicks && age > regionWaitTimeout: // the others of its region stay away
 			z.WithRegion = false
 		default:
-			z.Probers = m.triers(i, all[i], age)
+			z.Probers = m.selectProbers(i, all[i], age)
 		}
 	case StateReturning:
 		m.stepReturn(i, z, all[i], short, age)
 	}
 }
 
-// ready tells whether a zone on trial answers, and all that are tied to it.
-func (m *Machine) ready(i int) bool {
-	for _, j := range append(m.tied(i), i) {
-		if m.v.Zones[j].State != StateTrying || m.zones[j].good < tryTicks {
+// readyToReturn tells whether a zone on trial answers, and all that are tied to it.
+func (m *Machine) readyToReturn(i int) bool {
+	for _, j := range append(m.linkedZones(i), i) {
+		if m.verdict.Zones[j].State != StateTrying || m.trackers[j].goodTicks < goodProbeTicks {
 			return false
 		}
 	}
 	return true
 }
 
-// tied are the other zones that were left together with this one.
-func (m *Machine) tied(i int) (others []int) {
-	if !m.v.Zones[i].WithRegion {
+// linkedZones are the other zones that were left together with this one.
+func (m *Machine) linkedZones(i int) (others []int) {
+	if !m.verdict.Zones[i].WithRegion {
 		return nil
 	}
 	for _, j := range m.region(i) {
-		if j != i && m.v.Zones[j].WithRegion && m.hands[j].Mode == ModeAuto {
+		if j != i && m.verdict.Zones[j].WithRegion && m.overrides[j].Mode == ModeAuto {
 			others = append(others, j)
 		}
 	}
@@ -544,7 +544,7 @@
 
 // region is the zones of a zone's region, itself included.
 func (m *Machine) region(i int) []int {
-	for _, r := range m.c.Regions {
+	for _, r := range m.config.Regions {
 		if slices.Contains(r, i) {
 			return r
 		}
@@ -553,42 +553,42 @@
 }
 
 // stepReturn raises a zone's share by one step where the last one has gone well, and lowers it where it has not.
-func (m *Machine) stepReturn(i int, z *Zone, o opinion, short int, age time.Duration) {
-	w := &m.zones[i]
-	every := m.c.WarmupTime * stepUp / FullShare
+func (m *Machine) stepReturn(i int, z *Zone, o zoneOpinion, short int, age time.Duration) {
+	w := &m.trackers[i]
+	every := m.config.WarmupTime * shareStep / FullShare
 	switch {
-	case time.Duration(w.mixed)*TickInterval >= mixedFor && age >= mixedFor:
-		z.Share = max(stepUp, z.Share-stepUp)
-		w.mixed = 0
+	case time.Duration(w.mixedTicks)*TickInterval >= mixedTimeout && age >= mixedTimeout:
+		z.Share = max(shareStep, z.Share-shareStep)
+		w.mixedTicks = 0
 	case age < every:
 	case !o.isGood() && o.voters() > 0: // a step waits for evidence of the last one
 	case o.voters() == 0 && age < 2*every: // nobody has asked enough to tell: slower, but not for good
-	case short > 0 && age < shortFor*every:
+	case short > 0 && age < maxRefusalSteps*every:
 	default:
-		if z.Share = min(FullShare, z.Share+stepUp); z.Share == FullShare {
+		if z.Share = min(FullShare, z.Share+shareStep); z.Share == FullShare {
 			z.State, z.WithRegion = StateIn, false
 		}
 	}
 }
 
-// triers are the instances that send a zone on trial a read now and then: those in it, then others, in the order of leaders. As long as none
+// selectProbers are the instances that send a zone on trial a read now and then: those in it, then others, in the order of leaders. As long as none
 // is answered it is one alone, another one each second, since it may be the one that is cut off.
-func (m *Machine) triers(i int, o opinion, age time.Duration) (numbers []int) {
-	zone := map[int]int{m.c.Number: m.own}
+func (m *Machine) selectProbers(i int, o zoneOpinion, age time.Duration) (numbers []int) {
+	zone := map[int]int{m.config.Number: m.ownZone}
 	for _, p := range m.peers {
 		zone[p.Number] = p.Zone
 	}
 	for _, own := range []bool{true, false} {
 		for _, n := range m.Leaders() {
-			if (zone[n] == i) == own && len(numbers) < maxTriers && (n == m.c.Number || m.reporting(n)) {
+			if (zone[n] == i) == own && len(numbers) < maxProbers && (n == m.config.Number || m.hasFreshReport(n)) {
 				numbers = append(numbers, n)
 			}
-			if own && len(numbers) >= maxTriers/2 {
+			if own && len(numbers) >= maxProbers/2 {
 				break
 			}
 		}
 	}
-	if len(numbers) > 1 && o.good == 0 && o.judged == o.failed {
+	if len(numbers) > 1 && o.good == 0 && o.pooledJudged == o.pooledBad {
 		numbers = []int{numbers[int(age/time.Second)%len(numbers)]}
 	}
 	return numbers
@@ -596,20 +596,20 @@
 
 // acknowledged tells whether all that are heard go by the verdict that holds.
 func (m *Machine) acknowledged() bool {
-	for _, n := range m.sortedReports() {
-		if m.reports[n].Epoch < m.v.Epoch {
+	for _, n := range m.freshReporters() {
+		if m.reports[n].Epoch < m.verdict.Epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// leave decides which zones are left now.
-func (m *Machine) leave(next *Verdict, all []opinion) {
+// markLeaving decides which zones are left now.
+func (m *Machine) markLeaving(next *Verdict, all []zoneOpinion) {
 	failing := func(i int) bool {
-		s := m.v.Zones[i].State
-		sure := m.zones[i].bad >= confirm || m.zones[i].bad > 0 && all[i].silent && all[i].bad >= sureVoters
-		return m.hands[i].Mode == ModeAuto && sure && (s == StateSuspected || s == StateReturning || s == StateIn && next.Zones[i].State == StateSuspected)
+		s := m.verdict.Zones[i].State
+		sure := m.trackers[i].badTicks >= confirmTicks || m.trackers[i].badTicks > 0 && all[i].silent && all[i].bad >= minSilentVoters
+		return m.overrides[i].Mode == ModeAuto && sure && (s == StateSuspected || s == StateReturning || s == StateIn && next.Zones[i].State == StateSuspected)
 	}
 	var open, total float64
 	well := false // some zone that stays in use
@@ -619,14 +619,14 @@
 		if next.Zones[i].Share > 0 {
 			open += m.capacity[i]
 		}
-		if s := m.v.Zones[i].State; s != StateIn && s != StateSuspected && m.hands[i].Mode == ModeAuto {
+		if s := m.verdict.Zones[i].State; s != StateIn && s != StateSuspected && m.overrides[i].Mode == ModeAuto {
 			left = append(left, i)
 		}
 		switch o := all[i]; {
 		case next.Zones[i].Share < FullShare || failing(i):
 		case o.isGood():
 			well = true
-		case o.bad+o.mixed > 0 && m.zones[i].bad+m.zones[i].mixed < settle:
+		case o.bad+o.mixed > 0 && m.trackers[i].badTicks+m.trackers[i].mixedTicks < maxUnsettledTicks:
 			return // it may be about to fail too: a cause common to all leaves nobody
 		}
 	}
@@ -641,10 +641,10 @@
 	}
 	// The most certain first: silent before slow, then by how long it has been seen.
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Or(-cmp.Compare(b2i(all[a].silent), b2i(all[b].silent)), -cmp.Compare(m.zones[a].bad, m.zones[b].bad))
+		return cmp.Or(-cmp.Compare(boolToInt(all[a].silent), boolToInt(all[b].silent)), -cmp.Compare(m.trackers[a].badTicks, m.trackers[b].badTicks))
 	})
 	for _, i := range order {
-		unit := m.unit(i, failing)
+		unit := m.failingGroup(i, failing)
 		var cost float64
 		done := false
 		for _, j := range unit {
@@ -655,7 +655,7 @@
 		}
 		// No more than one zone or region at a time, unless it is silent to all.
 		others := slices.ContainsFunc(left, func(j int) bool { return !slices.Contains(m.region(i), j) })
-		if done || others && !all[i].silent || open-cost < m.c.MinCapacityShare*total {
+		if done || others && !all[i].silent || open-cost < m.config.MinCapacityShare*total {
 			continue
 		}
 		open -= cost
@@ -663,61 +663,61 @@
 		for _, j := range unit {
 			z := &next.Zones[j]
 			flaps := z.Flaps
-			if m.v.Zones[j].State == StateReturning || m.zones[j].returned > 0 && m.now-m.zones[j].returned < flapFor {
+			if m.verdict.Zones[j].State == StateReturning || m.trackers[j].returnedAt > 0 && m.now-m.trackers[j].returnedAt < flapWindow {
 				flaps = min(flaps+1, 10)
 			}
 			*z = Zone{State: StateLeaving, Flaps: flaps}
 		}
 		if r := m.region(i); len(r) > 1 && !slices.ContainsFunc(r, func(j int) bool { return next.Zones[j].Share > 0 }) {
 			for _, j := range r {
-				next.Zones[j].WithRegion = m.hands[j].Mode == ModeAuto
+				next.Zones[j].WithRegion = m.overrides[j].Mode == ModeAuto
 			}
 		}
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// unit is what is left together with a zone: its region if all of it that is in use fails, else the zone alone.
-func (m *Machine) unit(i int, failing func(int) bool) []int {
+// failingGroup is what is left together with a zone: its region if all of it that is in use fails, else the zone alone.
+func (m *Machine) failingGroup(i int, failing func(int) bool) []int {
 	unit := []int{}
 	for _, j := range m.region(i) {
 		switch {
 		case failing(j):
 			unit = append(unit, j)
-		case m.v.Zones[j].Share > 0:
+		case m.verdict.Zones[j].Share > 0:
 			return []int{i}
 		}
 	}
 	return unit
 }
 
-// govern lets the share of each zone here follow the verdict and the operators' calls: down at once, up no faster than boxes that may be
+// updateShares lets the share of each zone here follow the verdict and the operators' calls: down at once, up no faster than boxes that may be
 // cold bear. As every instance does so for its own part of the traffic, the sum of all does, however many there are.
-func (m *Machine) govern(now time.Duration) {
+func (m *Machine) updateShares(now time.Duration) {
 	// A verdict and a call that crossed it may have left nothing: then all that is not out by hand is used, at the pace.
-	none := !m.anyUsed(nil)
-	for i := range m.governed {
-		g, want := &m.governed[i], float64(m.v.Zones[i].Share)/FullShare
-		if none || m.began && now-m.ledAt > aloneFor && m.hands[i].Mode != ModeHold {
+	none := !m.anyInUse(nil)
+	for i := range m.limiters {
+		g, want := &m.limiters[i], float64(m.verdict.Zones[i].Share)/FullShare
+		if none || m.ticked && now-m.leaderHeardAt > noLeaderTimeout && m.overrides[i].Mode != ModeHold {
 			want = 1
 		}
-		if m.hands[i].Mode == ModeOut {
+		if m.overrides[i].Mode == ModeOut {
 			want = 0
 		}
 		if want == 0 {
-			*g = governor{zeroAt: now, rising: true}
+			*g = shareLimiter{zeroAt: now, rampingUp: true}
 			continue
 		}
 		most := 1.0
-		if g.rising && m.c.WarmupTime > 0 {
-			most = 2.0*stepUp/FullShare + (now-g.zeroAt).Seconds()/m.c.WarmupTime.Seconds()
-			g.rising = most < 1
+		if g.rampingUp && m.config.WarmupTime > 0 {
+			most = 2.0*shareStep/FullShare + (now-g.zeroAt).Seconds()/m.config.WarmupTime.Seconds()
+			g.rampingUp = most < 1
 		}
 		g.share = min(want, most)
 	}
@@ -726,28 +726,28 @@
 // Share is what part of its usual work a zone is to get from this instance now, and whether it is to send it a read now and then while
 // that is nothing.
 func (m *Machine) Share(zone int) (share float64, trial bool) {
-	z := &m.v.Zones[zone]
-	trial = z.State == StateTrying && m.hands[zone].Mode == ModeAuto && slices.Contains(z.Probers, m.c.Number)
-	return m.governed[zone].share, trial
+	z := &m.verdict.Zones[zone]
+	trial = z.State == StateTrying && m.overrides[zone].Mode == ModeAuto && slices.Contains(z.Probers, m.config.Number)
+	return m.limiters[zone].share, trial
 }
 
 // Inherit begins with what holds for the others: an instance that starts in the middle of a return takes no larger part than they do.
 func (m *Machine) Inherit(now time.Duration, v Verdict, hands []Override) {
-	m.ledAt = now
-	m.take(now, v)
+	m.leaderHeardAt = now
+	m.acceptVerdict(now, v)
 	m.MergeOverrides(now, hands)
-	for i := range m.governed {
-		if share := float64(m.v.Zones[i].Share) / FullShare; share < 1 && share > 0 {
-			m.governed[i] = governor{share: share, rising: true, zeroAt: now - time.Duration((share-2.0*stepUp/FullShare)*float64(m.c.WarmupTime))}
+	for i := range m.limiters {
+		if share := float64(m.verdict.Zones[i].Share) / FullShare; share < 1 && share > 0 {
+			m.limiters[i] = shareLimiter{share: share, rampingUp: true, zeroAt: now - time.Duration((share-2.0*shareStep/FullShare)*float64(m.config.WarmupTime))}
 		}
 	}
-	m.govern(now)
+	m.updateShares(now)
 }
 
 // Healthy tells whether all zones are used as usual and this instance sees nothing amiss in any.
 func (m *Machine) Healthy() bool {
-	for i, z := range m.v.Zones {
-		if z.State != StateIn || m.governed[i].share < 1 || i < len(m.told.Zones) && 10*m.told.Zones[i].Bad > m.told.Zones[i].Judged {
+	for i, z := range m.verdict.Zones {
+		if z.State != StateIn || m.limiters[i].share < 1 || i < len(m.ownReport.Zones) && 10*m.ownReport.Zones[i].Bad > m.ownReport.Zones[i].Judged {
 			return false
 		}
 	}
@@ -756,5 +756,5 @@
 
 // DebugState is all that is kept of a zone beside the verdict, for checkers that tell states apart.
 func (m *Machine) DebugState(zone int) string {
-	return fmt.Sprint(m.zones[zone], m.governed[zone], m.ledAt, m.startAt, m.heard)
+	return fmt.Sprint(m.trackers[zone], m.limiters[zone], m.leaderHeardAt, m.observingSince, m.lastHeard)
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -45,7 +45,7 @@
 	Share      uint8 // of its work, in hundredths
 	Flaps      uint8 // how often it failed again soon after its return: it waits longer each time
 	WithRegion bool  // left together with its region, and returned to together
-	// Probers are the numbers of the instances that send it a read now and then while it is Trying, at the most maxTriers.
+	// Probers are the numbers of the instances that send it a read now and then while it is Trying, at the most maxProbers.
 	Probers []int
 }
 
@@ -101,7 +101,7 @@
 // MaxRequesterLen bounds what is kept of who asked.
 const MaxRequesterLen = 32
 
-func (h Override) after(o Override) bool {
+func (h Override) supersedes(o Override) bool {
 	return cmp.Or(cmp.Compare(h.TimestampMS, o.TimestampMS), cmp.Compare(o.ReceivedBy, h.ReceivedBy), cmp.Compare(h.Mode, o.Mode)) > 0
 }
 
@@ -124,7 +124,7 @@
 	Epoch          uint64 // of the verdict that it goes by
 	OriginRefusals int    // requests lately refused for want of the origin
 	Zones          []ZoneStats
-	// Suspects are the numbers of those that it does not hear, at the most mostSuspects. They decide nothing; operators see them.
+	// Suspects are the numbers of those that it does not hear, at the most maxSuspects. They decide nothing; operators see them.
 	Suspects []int
 }
 
@@ -135,11 +135,11 @@
 
 // Bounds of what is held and sent.
 const (
-	MaxZones  = 16
-	maxTriers = 4
+	MaxZones   = 16
+	maxProbers = 4
 
-	mostSuspects = 16
-	maxCount     = 1 << 20
+	maxSuspects = 16
+	maxCount    = 1 << 20
 )
 
 // Config is fixed for the life of a Machine.
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -13,28 +13,28 @@
 	"pgregory.net/rapid"
 )
 
-// world is instances with a Meter and a Machine each, zones that are well or not, and messages that are lost, doubled and late; on one clock.
-type world struct {
-	now     time.Duration
-	rng     *rand.Rand
-	all     []*instance
-	c       Config
-	zones   []truth
-	perTick int // attempts of an instance at each zone that it uses
-	lose    float64
-	delay   int // ticks at the most
-	cut     func(from, to int) bool
-	mail    []letter
-	seed    func(*instance) // a fault put in, after each of its ticks
+// simulation is instances with a Meter and a Machine each, zones that are well or not, and messages that are lost, doubled and late; on one clock.
+type simulation struct {
+	now             time.Duration
+	rng             *rand.Rand
+	instances       []*instance
+	config          Config
+	zones           []zoneCondition
+	attemptsPerTick int // attempts of an instance at each zone that it uses
+	lossRate        float64
+	maxDelayTicks   int // ticks at the most
+	blocked         func(from, to int) bool
+	inTransit       []delivery
+	afterTick       func(*instance) // a fault put in, after each of its ticks
 }
 
-type truth struct {
-	bad     float64 // share of the attempts that fail
-	silent  bool    // nothing comes back
-	slow    bool
-	badBox  bool // one box of five has no answer
-	sent    int  // within this tick
-	cutFrom map[int]bool
+type zoneCondition struct {
+	failRate        float64 // share of the attempts that fail
+	silent          bool    // nothing comes back
+	slow            bool
+	oneNodeSilent   bool // one box of five has no answer
+	sent            int  // within this tick
+	unreachableFrom map[int]bool
 }
 
 type instance struct {
@@ -44,46 +44,46 @@
 	zone  int
 }
 
-type letter struct {
+type delivery struct {
 	at       time.Duration
 	from, to int
 	msg      []byte
 }
 
-func newWorld(n, zoneCount int, seed uint64, regions [][]int) *world {
-	w := &world{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), perTick: 4, zones: make([]truth, zoneCount),
-		cut: func(int, int) bool { return false }}
-	w.c = Config{Regions: regions, MinCapacityShare: DefaultMinCapacityShare, WarmupTime: 9 * time.Second, StartedAtMS: 1}
+func newSimulation(n, zoneCount int, seed uint64, regions [][]int) *simulation {
+	w := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), attemptsPerTick: 4, zones: make([]zoneCondition, zoneCount),
+		blocked: func(int, int) bool { return false }}
+	w.config = Config{Regions: regions, MinCapacityShare: DefaultMinCapacityShare, WarmupTime: 9 * time.Second, StartedAtMS: 1}
 	for i := range zoneCount {
-		w.c.Zones = append(w.c.Zones, fmt.Sprint("z", i))
+		w.config.Zones = append(w.config.Zones, fmt.Sprint("z", i))
 	}
 	for i := range n {
-		w.all = append(w.all, &instance{zone: i % zoneCount})
+		w.instances = append(w.instances, &instance{zone: i % zoneCount})
 		w.start(i)
 	}
 	return w
 }
 
-func (w *world) start(i int) {
-	c := w.c
+func (w *simulation) start(i int) {
+	c := w.config
 	c.Number, c.StartedAtMS = i, int64(w.now/time.Millisecond)
-	w.all[i].Machine, w.all[i].meter, w.all[i].down = New(c, w.all[i].zone), NewMeter(len(w.zones), 800*time.Millisecond), false
+	w.instances[i].Machine, w.instances[i].meter, w.instances[i].down = New(c, w.instances[i].zone), NewMeter(len(w.zones), 800*time.Millisecond), false
 }
 
 // tick is a tenth of a second.
-func (w *world) tick() {
+func (w *simulation) tick() {
 	w.now += TickInterval
 	for z := range w.zones {
 		w.zones[z].sent = 0
 	}
-	due := slices.Clone(w.mail)
-	w.mail = w.mail[:0]
+	due := slices.Clone(w.inTransit)
+	w.inTransit = w.inTransit[:0]
 	for _, l := range due {
 		if l.at > w.now {
-			w.mail = append(w.mail, l)
+			w.inTransit = append(w.inTransit, l)
 			continue
 		}
-		if to := w.all[l.to]; !to.down {
+		if to := w.instances[l.to]; !to.down {
 			msg, err := Decode(l.msg)
 			if err != nil {
 				panic(err)
@@ -97,12 +97,12 @@
 			to.MergeOverrides(w.now, msg.Overrides)
 		}
 	}
-	for i, m := range w.all {
+	for i, m := range w.instances {
 		if m.down {
 			continue
 		}
 		var peers []Peer
-		for j, o := range w.all {
+		for j, o := range w.instances {
 			if j != i {
 				peers = append(peers, Peer{Number: j, Zone: o.zone, Alive: !o.down})
 			}
@@ -114,16 +114,16 @@
 		if paused {
 			m.meter.Reset()
 		}
-		if w.seed != nil {
-			w.seed(m)
+		if w.afterTick != nil {
+			w.afterTick(m)
 		}
 		own, v := m.OwnReport(), m.Verdict()
 		msg := Message{From: i, Report: &own, Verdict: &v, FromLeader: leads, Overrides: m.Overrides()}
 		text := msg.Append(nil)
-		for j := range w.all {
-			if j != i && !w.cut(i, j) && w.rng.Float64() >= w.lose {
+		for j := range w.instances {
+			if j != i && !w.blocked(i, j) && w.rng.Float64() >= w.lossRate {
 				for range 1 + w.rng.IntN(2) { // doubled now and then
-					w.mail = append(w.mail, letter{w.now + time.Duration(w.rng.IntN(w.delay+1))*TickInterval, i, j, text})
+					w.inTransit = append(w.inTransit, delivery{w.now + time.Duration(w.rng.IntN(w.maxDelayTicks+1))*TickInterval, i, j, text})
 				}
 			}
 		}
@@ -131,11 +131,11 @@
 }
 
 // attempts has an instance send to the zones what it may.
-func (w *world) attempts(i int, m *instance) {
+func (w *simulation) attempts(i int, m *instance) {
 	for z := range w.zones {
 		truth := &w.zones[z]
 		share, trial := m.Share(z)
-		n := int(float64(w.perTick)*share + w.rng.Float64())
+		n := int(float64(w.attemptsPerTick)*share + w.rng.Float64())
 		if share == 0 {
 			n = 0
 			if trial && w.rng.IntN(3) == 0 {
@@ -147,10 +147,10 @@
 			box := w.rng.IntN(5)
 			id := m.meter.AttemptStarted(w.now-12*time.Millisecond, z, uint64(10*z+box))
 			switch {
-			case truth.silent, truth.cutFrom[i], truth.badBox && box == 0:
+			case truth.silent, truth.unreachableFrom[i], truth.oneNodeSilent && box == 0:
 			case truth.slow:
 				m.meter.AttemptEnded(w.now, id, OutcomeAnswered, 480*time.Millisecond)
-			case w.rng.Float64() < truth.bad:
+			case w.rng.Float64() < truth.failRate:
 				m.meter.AttemptEnded(w.now, id, OutcomeFailed, 5*time.Millisecond)
 			default:
 				m.meter.AttemptEnded(w.now, id, OutcomeAnswered, 12*time.Millisecond)
@@ -159,7 +159,7 @@
 	}
 }
 
-func (w *world) run(d time.Duration, each func()) {
+func (w *simulation) run(d time.Duration, each func()) {
 	for end := w.now + d; w.now < end; {
 		w.tick()
 		if each != nil {
@@ -169,8 +169,8 @@
 }
 
 // states are a zone's at all that live.
-func (w *world) states(z int) (all []State) {
-	for _, m := range w.all {
+func (w *simulation) states(z int) (all []State) {
+	for _, m := range w.instances {
 		if !m.down {
 			all = append(all, m.Verdict().Zones[z].State)
 		}
@@ -178,8 +178,8 @@
 	return all
 }
 
-// takes runs until a zone is in a state at all that live.
-func (w *world) takes(t *testing.T, z int, s State, most time.Duration) time.Duration {
+// runUntilState runs until a zone is in a state at all that live.
+func (w *simulation) runUntilState(t *testing.T, z int, s State, most time.Duration) time.Duration {
 	t.Helper()
 	began := w.now
 	for w.now-began < most {
@@ -192,37 +192,37 @@
 }
 
 // What is seen of a zone decides: each entry is what goes wrong, and whether the zone is left.
-func TestWhatIsLeft(t *testing.T) {
+func TestFailingZonesAreLeft(t *testing.T) {
 	for name, c := range map[string]struct {
 		instances int
-		spoil     func(w *world)
+		spoil     func(w *simulation)
 		left      bool
 	}{
-		"silent":         {6, func(w *world) { w.zones[2].silent = true }, true},
-		"slow":           {6, func(w *world) { w.zones[2].slow = true }, true},
-		"half fails":     {6, func(w *world) { w.zones[2].bad = 0.6 }, true},
-		"silent to 24":   {24, func(w *world) { w.zones[2].silent = true }, true},
-		"one box":        {6, func(w *world) { w.zones[2].badBox = true }, false},
-		"a tenth fails":  {6, func(w *world) { w.zones[2].bad = 0.1 }, false},
-		"one is cut off": {6, func(w *world) { w.zones[2].cutFrom = map[int]bool{4: true} }, false},
-		"two of six are": {6, func(w *world) { w.zones[2].cutFrom = map[int]bool{4: true, 1: true} }, false},
-		"all are slow":   {6, func(w *world) { w.zones[0].slow, w.zones[1].slow, w.zones[2].slow = true, true, true }, false},
-		"all are silent": {6, func(w *world) { w.zones[0].silent, w.zones[1].silent, w.zones[2].silent = true, true, true }, false},
-		"held by hand": {6, func(w *world) {
-			w.all[3].SetOverride(w.now, Override{Mode: ModeHold, TimestampMS: 1}, 2)
+		"silent":         {6, func(w *simulation) { w.zones[2].silent = true }, true},
+		"slow":           {6, func(w *simulation) { w.zones[2].slow = true }, true},
+		"half fails":     {6, func(w *simulation) { w.zones[2].failRate = 0.6 }, true},
+		"silent to 24":   {24, func(w *simulation) { w.zones[2].silent = true }, true},
+		"one box":        {6, func(w *simulation) { w.zones[2].oneNodeSilent = true }, false},
+		"a tenth fails":  {6, func(w *simulation) { w.zones[2].failRate = 0.1 }, false},
+		"one is cut off": {6, func(w *simulation) { w.zones[2].unreachableFrom = map[int]bool{4: true} }, false},
+		"two of six are": {6, func(w *simulation) { w.zones[2].unreachableFrom = map[int]bool{4: true, 1: true} }, false},
+		"all are slow":   {6, func(w *simulation) { w.zones[0].slow, w.zones[1].slow, w.zones[2].slow = true, true, true }, false},
+		"all are silent": {6, func(w *simulation) { w.zones[0].silent, w.zones[1].silent, w.zones[2].silent = true, true, true }, false},
+		"held by hand": {6, func(w *simulation) {
+			w.instances[3].SetOverride(w.now, Override{Mode: ModeHold, TimestampMS: 1}, 2)
 			w.run(time.Second, nil)
 			w.zones[2].silent = true
 		}, false},
-		"an instance alone":   {1, func(w *world) { w.zones[2].silent = true }, false},
-		"messages lost, late": {6, func(w *world) { w.zones[2].silent, w.lose, w.delay = true, 0.3, 2 }, true},
+		"an instance alone":   {1, func(w *simulation) { w.zones[2].silent = true }, false},
+		"messages lost, late": {6, func(w *simulation) { w.zones[2].silent, w.lossRate, w.maxDelayTicks = true, 0.3, 2 }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(c.instances, 3, 5, nil)
+			w := newSimulation(c.instances, 3, 5, nil)
 			w.run(4*time.Second, nil)
 			c.spoil(w)
 			if !c.left {
 				w.run(20*time.Second, func() {
-					for _, m := range w.all {
+					for _, m := range w.instances {
 						for z, v := range m.Verdict().Zones {
 							if v.Share < FullShare {
 								t.Fatalf("zone %d is %v", z, v.State)
@@ -233,17 +233,17 @@
 				return
 			}
 			began := w.now
-			for !slices.Equal(w.states(2), slices.Repeat([]State{w.all[0].Verdict().Zones[2].State}, len(w.all))) || w.all[0].Verdict().Zones[2].Share > 0 {
+			for !slices.Equal(w.states(2), slices.Repeat([]State{w.instances[0].Verdict().Zones[2].State}, len(w.instances))) || w.instances[0].Verdict().Zones[2].Share > 0 {
 				if w.tick(); w.now-began > 1500*time.Millisecond {
 					t.Fatalf("after %v it is %v", w.now-began, w.states(2))
 				}
 			}
 			t.Logf("left by all after %v", w.now-began)
-			w.takes(t, 2, StateTrying, 3*time.Second)
-			w.zones[2] = truth{}
-			at := w.takes(t, 2, StateIn, 20*time.Second)
-			if least := w.c.WarmupTime * 8 / 10; at < least || at > w.c.WarmupTime*3/2 {
-				t.Errorf("it is whole again after %v, and boxes take %v to be warm", at, w.c.WarmupTime)
+			w.runUntilState(t, 2, StateTrying, 3*time.Second)
+			w.zones[2] = zoneCondition{}
+			at := w.runUntilState(t, 2, StateIn, 20*time.Second)
+			if least := w.config.WarmupTime * 8 / 10; at < least || at > w.config.WarmupTime*3/2 {
+				t.Errorf("it is whole again after %v, and boxes take %v to be warm", at, w.config.WarmupTime)
 			}
 		})
 	}
@@ -251,18 +251,18 @@
 
 // Whatever fails, is cut, lost, killed, paused or called, and in whatever order: capacity stays in use at each instance, what goes to a
 // zone that comes back never rises faster than cold boxes bear, whoever decides; and once messages flow all go by one verdict.
-func TestBoundsHold(t *testing.T) {
+func TestBoundsHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const zones = 4
-		w := newWorld(6, zones, rapid.Uint64().Draw(t, "seed"), [][]int{{2, 3}})
+		w := newSimulation(6, zones, rapid.Uint64().Draw(t, "seed"), [][]int{{2, 3}})
 		w.run(2*time.Second, nil)
-		side := make([]bool, len(w.all))
+		side := make([]bool, len(w.instances))
 		apart := false
-		w.cut = func(a, b int) bool { return apart && side[a] != side[b] }
+		w.blocked = func(a, b int) bool { return apart && side[a] != side[b] }
 		zeroAt := map[[2]int]time.Duration{}
 		hands := false
 		check := func() {
-			for i, m := range w.all {
+			for i, m := range w.instances {
 				open := 0
 				for z := range zones {
 					share, _ := m.Share(z)
@@ -273,98 +273,98 @@
 					if share == 0 {
 						zeroAt[k] = w.now
 					}
-					if at, ok := zeroAt[k]; ok && !m.down && share > 0.2+(w.now-at).Seconds()/w.c.WarmupTime.Seconds()+0.02 {
+					if at, ok := zeroAt[k]; ok && !m.down && share > 0.2+(w.now-at).Seconds()/w.config.WarmupTime.Seconds()+0.02 {
 						t.Fatalf("instance %d gives zone %d a share of %.2f, %v after it gave none", i, z, share, w.now-at)
 					}
 				}
-				if float64(open) < slack*DefaultMinCapacityShare*zones && !hands {
+				if float64(open) < capacityTolerance*DefaultMinCapacityShare*zones && !hands {
 					t.Fatalf("instance %d uses %d of %d zones", i, open, zones)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "events") {
-			z, i := rapid.IntRange(0, zones-1).Draw(t, "zone"), rapid.IntRange(0, len(w.all)-1).Draw(t, "instance")
+			z, i := rapid.IntRange(0, zones-1).Draw(t, "zone"), rapid.IntRange(0, len(w.instances)-1).Draw(t, "instance")
 			switch rapid.SampledFrom([]string{"silent", "slow", "well", "cut", "heal", "kill", "start", "lose", "out", "auto", "lie"}).Draw(t, "event") {
 			case "silent":
 				w.zones[z].silent = true
 			case "slow":
 				w.zones[z].slow = true
 			case "well":
-				w.zones[z] = truth{}
+				w.zones[z] = zoneCondition{}
 			case "cut":
 				apart = true
 				for j := range side {
 					side[j] = rapid.Bool().Draw(t, "side")
 				}
 			case "heal":
-				apart, w.lose, w.delay = false, 0, 0
+				apart, w.lossRate, w.maxDelayTicks = false, 0, 0
 			case "kill":
-				w.all[i].down = true
+				w.instances[i].down = true
 			case "start":
-				if w.all[i].down {
-					from := slices.IndexFunc(w.all, func(m *instance) bool { return !m.down })
+				if w.instances[i].down {
+					from := slices.IndexFunc(w.instances, func(m *instance) bool { return !m.down })
 					w.start(i)
-					if from >= 0 && !w.cut(from, i) {
-						w.all[i].Inherit(w.now, w.all[from].Verdict(), w.all[from].Overrides())
+					if from >= 0 && !w.blocked(from, i) {
+						w.instances[i].Inherit(w.now, w.instances[from].Verdict(), w.instances[from].Overrides())
 					}
 					for j := range zones {
 						delete(zeroAt, [2]int{i, j})
 					}
 				}
 			case "lose":
-				w.lose, w.delay = 0.3, 20
+				w.lossRate, w.maxDelayTicks = 0.3, 20
 			case "out":
 				hands = true
-				w.all[i].SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: int64(w.now / time.Millisecond), Requester: "x"}, z)
+				w.instances[i].SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: int64(w.now / time.Millisecond), Requester: "x"}, z)
 			case "auto":
-				w.all[i].SetOverride(w.now, Override{Mode: ModeAuto, TimestampMS: int64(w.now / time.Millisecond), Requester: "x"}, z)
+				w.instances[i].SetOverride(w.now, Override{Mode: ModeAuto, TimestampMS: int64(w.now / time.Millisecond), Requester: "x"}, z)
 			case "lie":
-				w.seed = func(m *instance) {
-					if m.c.Number == i {
-						for z := range m.told.Zones {
-							m.told.Zones[z] = ZoneStats{Judged: maxCount, Bad: maxCount, Silent: maxCount, TrimmedJudged: maxCount, TrimmedBad: maxCount}
+				w.afterTick = func(m *instance) {
+					if m.config.Number == i {
+						for z := range m.ownReport.Zones {
+							m.ownReport.Zones[z] = ZoneStats{Judged: maxCount, Bad: maxCount, Silent: maxCount, TrimmedJudged: maxCount, TrimmedBad: maxCount}
 						}
 					}
 				}
 			}
 			w.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "ticks"))*TickInterval, check)
 		}
-		apart, w.lose, w.delay, w.seed = false, 0, 0, nil
-		for i, m := range w.all {
+		apart, w.lossRate, w.maxDelayTicks, w.afterTick = false, 0, 0, nil
+		for i, m := range w.instances {
 			if m.down {
 				w.start(i)
 			}
 		}
 		for z := range w.zones {
-			w.zones[z] = truth{}
+			w.zones[z] = zoneCondition{}
 		}
 		w.run(3*time.Second, nil)
 		for end := w.now + 90*time.Second; w.now < end; { // a zone that flapped waits; then all are whole, unless they are out by hand
 			w.tick()
 			whole := true
-			for _, m := range w.all {
+			for _, m := range w.instances {
 				for z := range zones {
 					share, _ := m.Share(z)
-					whole = whole && (share == 1) == (m.Overrides()[z].Mode != ModeOut) && slices.Equal(m.Overrides(), w.all[0].Overrides())
+					whole = whole && (share == 1) == (m.Overrides()[z].Mode != ModeOut) && slices.Equal(m.Overrides(), w.instances[0].Overrides())
 				}
 			}
 			if whole {
 				return
 			}
 		}
-		for i, m := range w.all {
+		for i, m := range w.instances {
 			t.Errorf("instance %d holds %+v, %+v", i, m.Verdict(), m.Overrides())
 		}
 	})
 }
 
 // A verdict that breaks the bounds is not taken, whoever tells it, and an old one neither.
-func TestVerdictsThatAreNotTaken(t *testing.T) {
-	w := newWorld(3, 3, 1, nil)
+func TestInvalidVerdictsAreRejected(t *testing.T) {
+	w := newSimulation(3, 3, 1, nil)
 	w.run(2*time.Second, nil)
 	w.zones[2].silent = true
-	w.takes(t, 2, StateTrying, 3*time.Second)
-	m := w.all[1]
+	w.runUntilState(t, 2, StateTrying, 3*time.Second)
+	m := w.instances[1]
 	held := m.Verdict()
 	out := Zone{State: StateOut}
 	for name, v := range map[string]Verdict{
@@ -384,10 +384,10 @@
 }
 
 // A call that would leave nothing in use changes nothing, of no zone that it names.
-func TestCallThatLeavesNothing(t *testing.T) {
-	w := newWorld(3, 3, 1, nil)
+func TestOverrideThatClosesAllZonesIsRejected(t *testing.T) {
+	w := newSimulation(3, 3, 1, nil)
 	w.run(time.Second, nil)
-	m := w.all[0]
+	m := w.instances[0]
 	if err := m.SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
@@ -401,72 +401,72 @@
 }
 
 // Leaders come from all zones in turn, and the next acts when the first falls silent; one that stood still leads nobody at first.
-func TestLeaders(t *testing.T) {
-	w := newWorld(6, 3, 1, nil)
+func TestLeaderOrderAndFailover(t *testing.T) {
+	w := newSimulation(6, 3, 1, nil)
 	w.run(2*time.Second, nil)
-	if got := w.all[5].Leaders(); !slices.Equal(got, []int{0, 1, 2, 3, 4, 5}) {
+	if got := w.instances[5].Leaders(); !slices.Equal(got, []int{0, 1, 2, 3, 4, 5}) {
 		t.Errorf("leaders %v", got)
 	}
-	for _, m := range w.all { // all of zone 0's first
-		m.zone = m.c.Number / 2
-		m.own = m.zone
+	for _, m := range w.instances { // all of zone 0's first
+		m.zone = m.config.Number / 2
+		m.ownZone = m.zone
 	}
 	w.run(time.Second, nil)
-	if got := w.all[5].Leaders(); !slices.Equal(got, []int{0, 2, 4, 1, 3, 5}) {
+	if got := w.instances[5].Leaders(); !slices.Equal(got, []int{0, 2, 4, 1, 3, 5}) {
 		t.Errorf("leaders %v", got)
 	}
 	w.zones[2].silent = true
-	w.all[0].down = true
-	w.takes(t, 2, StateTrying, 4*time.Second)
-	if by := w.all[1].Verdict().DecidedBy; by != 1 { // the first of its zone now
+	w.instances[0].down = true
+	w.runUntilState(t, 2, StateTrying, 4*time.Second)
+	if by := w.instances[1].Verdict().DecidedBy; by != 1 { // the first of its zone now
 		t.Errorf("decided by %d", by)
 	}
 	w.run(time.Second, nil)
-	before := w.all[3].Verdict().Epoch
-	w.all[0].down = false // continued: its clock has jumped
-	if leads, paused := w.all[0].Tick(w.now, make([]ZoneStats, 3), 0); leads || !paused {
+	before := w.instances[3].Verdict().Epoch
+	w.instances[0].down = false // continued: its clock has jumped
+	if leads, paused := w.instances[0].Tick(w.now, make([]ZoneStats, 3), 0); leads || !paused {
 		t.Errorf("continued, it leads %v and noticed %v", leads, paused)
 	}
 	w.run(2*time.Second, nil)
-	if w.all[0].Verdict().Epoch < before {
+	if w.instances[0].Verdict().Epoch < before {
 		t.Error("the one that stood still holds what is old")
 	}
 }
 
 // A zone that fails again and again waits longer each time, up to the bound.
-func TestFlapping(t *testing.T) {
-	w := newWorld(4, 3, 1, nil)
+func TestFlappingZoneStaysOutLonger(t *testing.T) {
+	w := newSimulation(4, 3, 1, nil)
 	w.run(2*time.Second, nil)
 	last := time.Duration(0)
 	for i := range 9 {
 		w.zones[2].silent = true
 		began := w.now
-		for w.all[0].Verdict().Zones[2].State != StateOut {
+		for w.instances[0].Verdict().Zones[2].State != StateOut {
 			if w.tick(); w.now-began > 5*time.Second {
 				t.Fatal("it is not left")
 			}
 		}
 		began = w.now
-		w.zones[2] = truth{}
-		w.takes(t, 2, StateTrying, mostOut+time.Second)
-		if wait := w.now - began; wait < last-TickInterval || wait > mostOut+5*TickInterval {
+		w.zones[2] = zoneCondition{}
+		w.runUntilState(t, 2, StateTrying, maxOutTime+time.Second)
+		if wait := w.now - began; wait < last-TickInterval || wait > maxOutTime+5*TickInterval {
 			t.Errorf("time %d: out for %v after %v", i, wait, last)
 		} else {
 			last = wait
 		}
-		w.takes(t, 2, StateReturning, 5*time.Second)
+		w.runUntilState(t, 2, StateReturning, 5*time.Second)
 	}
-	if last < mostOut-TickInterval {
+	if last < maxOutTime-TickInterval {
 		t.Errorf("at last it is out for %v", last)
 	}
 }
 
-func TestMessagesComeBackAsSent(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 1<<20)
 		msg := Message{From: n.Draw(t, "from")}
 		if rapid.Bool().Draw(t, "report") {
-			msg.Report = &Report{Number: 3, StartedAtMS: rapid.Int64Range(0, mostStamp).Draw(t, "since"), Seq: 9, Epoch: rapid.Uint64Range(0, 1<<62).Draw(t, "epoch"),
+			msg.Report = &Report{Number: 3, StartedAtMS: rapid.Int64Range(0, maxTimestampMS).Draw(t, "since"), Seq: 9, Epoch: rapid.Uint64Range(0, 1<<62).Draw(t, "epoch"),
 				Zones: []ZoneStats{{n.Draw(t, "judged"), 1, 2, 3, 4, 5, 6}, {}}, Suspects: []int{4}}
 		}
 		if rapid.Bool().Draw(t, "verdict") {
@@ -481,7 +481,7 @@
 			t.Fatalf("%+v came back as %+v, %v", msg, got, err)
 		}
 	})
-	full := Message{Report: &Report{StartedAtMS: mostStamp, Seq: mostStamp, Epoch: 1 << 40, Zones: slices.Repeat([]ZoneStats{{999, 999, 999, 999, 999, 999, 999}}, MaxZones)},
+	full := Message{Report: &Report{StartedAtMS: maxTimestampMS, Seq: maxTimestampMS, Epoch: 1 << 40, Zones: slices.Repeat([]ZoneStats{{999, 999, 999, 999, 999, 999, 999}}, MaxZones)},
 		Verdict:   &Verdict{Epoch: 1 << 40, Zones: slices.Repeat([]Zone{{Share: FullShare, Probers: []int{250, 251, 252, 253}}}, MaxZones)},
 		Overrides: slices.Repeat([]Override{{TimestampMS: 1 << 42, ReceivedBy: 250, Requester: fmt.Sprintf("%032d", 0)}}, MaxZones)}
 	if n := len(full.Append(nil)); n > MaxMessageSize {
@@ -490,7 +490,7 @@
 }
 
 // The operators' /members call writes a Sight as JSON, and its keys are part of that call's answer.
-func TestSightJSONKeys(t *testing.T) {
+func TestZoneStatsJSONKeys(t *testing.T) {
 	got, err := json.Marshal(ZoneStats{1, 2, 3, 4, 5, 6, 7})
 	if err != nil {
 		t.Fatal(err)
@@ -502,7 +502,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add((&Message{From: 1, Report: &Report{Zones: make([]ZoneStats, 2)}, Verdict: &Verdict{Zones: make([]Zone, 2)}, Overrides: make([]Override, 2)}).Append(nil))
-	f.Add([]byte{version, 7, 0})
+	f.Add([]byte{codecVersion, 7, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		msg, err := Decode(b)
 		if err != nil {
