--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -36,7 +36,7 @@
 	for {
 		var err error
 		buf, err = wire.ReadBatch(r, buf)
-		if errors.Is(err, io.EOF) && !errors.Is(err, wire.ErrFrame) {
+		if errors.Is(err, io.EOF) && !errors.Is(err, wire.ErrMalformedFrame) {
 			return nil
 		}
 		if err != nil {
@@ -94,19 +94,19 @@
 	switch e.Code {
 	case wire.EvDiscovery:
 		b.SetMembers(now, e.List, e.Members)
-	case wire.EvAsk:
+	case wire.EvRequest:
 		b.Request(now, e.Request)
-	case wire.EvUnderWay:
+	case wire.EvStreamStarted:
 		b.StreamStarted(now, e.Outcome.Request, e.Outcome.Attempt)
-	case wire.EvMessage:
+	case wire.EvPeerMessage:
 		b.PeerMessage(now, e.Peer, e.Data)
 	case wire.EvExpired:
 		b.Expired(now, e.Request.ID)
-	case wire.EvRing:
+	case wire.EvTimer:
 		b.Timer(now, e.Token)
 	case wire.EvProbeDone:
 		b.Probed(now, e.Outcome.Member, e.Outcome.Status, e.Outcome.Elapsed, e.Outcome.Load)
-	case wire.EvClosedAttempt:
+	case wire.EvAttemptEnded:
 		b.Outcome(now, e.Outcome)
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -43,15 +43,15 @@
 }
 
 func TestMalformedInputIsAnError(t *testing.T) {
-	cut := frame(record(wire.EvRing, 1, 0, 0, 0))
+	cut := frame(record(wire.EvTimer, 1, 0, 0, 0))
 	for name, in := range map[string][]byte{"cut": cut[:len(cut)-2], "fields": cut} {
-		if err := serve(bytes.NewReader(in), &bytes.Buffer{}); !errors.Is(err, wire.ErrFrame) {
+		if err := serve(bytes.NewReader(in), &bytes.Buffer{}); !errors.Is(err, wire.ErrMalformedFrame) {
 			t.Errorf("%s: %v, want ErrFrame", name, err)
 		}
 	}
 }
 
-func TestUnusableSettingsAreABug(t *testing.T) {
+func TestInvalidSettingsReplyWithBug(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(frame(initRecord(`{}`))), &out); err != nil {
 		t.Fatal(err)
--- a/internal/instances/delegate.go
+++ b/internal/instances/delegate.go
@@ -34,7 +34,7 @@
 // NotifyMsg takes a message. The bytes are memberlist's.
 func (d *delegate) NotifyMsg(b []byte) {
 	select {
-	case d.in <- slices.Clone(b):
+	case d.received <- slices.Clone(b):
 	default:
 	}
 }
@@ -43,23 +43,23 @@
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
 // LocalState is for an instance that joins.
-func (d *delegate) LocalState(bool) []byte { return (*Instances)(d).state() }
+func (d *delegate) LocalState(bool) []byte { return (*Instances)(d).localState() }
 
 // MergeRemoteState takes such a state.
-func (d *delegate) MergeRemoteState(b []byte, join bool) { (*Instances)(d).merge(b, join) }
+func (d *delegate) MergeRemoteState(b []byte, join bool) { (*Instances)(d).mergeState(b, join) }
 
-var errStranger = errors.New("instances: turned away")
+var errMemberRejected = errors.New("instances: turned away")
 
 // NotifyAlive turns away who says nothing of itself, and whom there is no room for.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	m, err := parseMeta(n.Meta)
 	if err != nil {
-		return errors.Join(errStranger, err)
+		return errors.Join(errMemberRejected, err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.seen[m.Name] == nil && len(d.seen) >= mostMembers {
-		return errStranger
+	if d.known[m.Name] == nil && len(d.known) >= maxMembers {
+		return errMemberRejected
 	}
 	return nil
 }
@@ -74,19 +74,19 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m.Name == d.self.Name { // this process, the one before it, or the one after it
-		d.followed = d.followed || m.Since > d.self.Since
+		d.superseded = d.superseded || m.StartedAtMS > d.self.StartedAtMS
 		return
 	}
 	node := *n
-	if old := d.seen[m.Name]; old == nil || old.Since <= m.Since {
-		d.seen[m.Name] = &member{meta: m, node: &node, moment: time.Now()}
+	if old := d.known[m.Name]; old == nil || old.StartedAtMS <= m.StartedAtMS {
+		d.known[m.Name] = &member{meta: m, node: &node, lastHeard: time.Now()}
 	}
-	d.say(m, "there")
+	d.logStatus(m, "there")
 }
 
-// say logs how an instance stands.
-func (d *delegate) say(m meta, is string) {
-	d.log.Info("instance", "name", m.Name, "number", m.Number, "zone", m.Zone, "since", m.Since, "is", is)
+// logStatus logs how an instance stands.
+func (d *delegate) logStatus(m meta, is string) {
+	d.log.Info("instance", "name", m.Name, "number", m.Number, "zone", m.Zone, "since", m.StartedAtMS, "is", is)
 }
 
 // NotifyUpdate notes what an instance says anew of itself.
@@ -100,22 +100,22 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	is := d.seen[m.Name]
-	if is == nil || is.Since != m.Since {
+	is := d.known[m.Name]
+	if is == nil || is.StartedAtMS != m.StartedAtMS {
 		return
 	}
 	what := "lost"
-	if is.left {
+	if is.announcedLeave {
 		what = "gone"
 	}
-	is.gone = time.Now()
-	d.say(m, what)
+	is.lostAt = time.Now()
+	d.logStatus(m, what)
 }
 
-// quieter logs what memberlist says for its own developers at the level of those.
-type quieter struct{ slog.Handler }
+// debugHandler logs what memberlist says for its own developers at the level of those.
+type debugHandler struct{ slog.Handler }
 
-func (q quieter) Handle(ctx context.Context, r slog.Record) error {
+func (q debugHandler) Handle(ctx context.Context, r slog.Record) error {
 	r.Level = slog.LevelDebug
 	if !q.Enabled(ctx, r.Level) {
 		return nil
--- a/internal/instances/transport.go
+++ b/internal/instances/transport.go
@@ -12,7 +12,7 @@
 // and what stands between them can tell who calls.
 type transport struct {
 	*memberlist.NetTransport
-	from net.IP
+	localIP net.IP
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
@@ -26,6 +26,6 @@
 	if err != nil {
 		return nil, err
 	}
-	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.from}}
+	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.localIP}}
 	return d.Dial("tcp", to.String())
 }
--- a/internal/instances/view.go
+++ b/internal/instances/view.go
@@ -18,12 +18,12 @@
 func (i *Instances) View() mgmt.View {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	v := mgmt.View{Name: i.self.Name, Number: i.self.Number, Leads: i.leads, Members: []mgmt.MemberView{}, Zones: []mgmt.ZoneView{}}
+	v := mgmt.View{Name: i.self.Name, Number: i.self.Number, Leads: i.leading, Members: []mgmt.MemberView{}, Zones: []mgmt.ZoneView{}}
 	reports := map[int]zones.Report{}
-	if m := i.o.Machine; m != nil {
+	if m := i.options.Machine; m != nil {
 		verdict, hands := m.Verdict(), m.Overrides()
 		v.Leader, v.Epoch = verdict.DecidedBy, verdict.Epoch
-		for z, name := range i.o.Zones {
+		for z, name := range i.options.Zones {
 			here, _ := m.Share(z)
 			v.Zones = append(v.Zones, mgmt.ZoneView{Name: name, State: verdict.Zones[z].State.String(), Share: float64(verdict.Zones[z].Share) / zones.FullShare,
 				Here: here, Hand: hands[z].Mode.String(), Who: hands[z].Requester, At: hands[z].TimestampMS, By: hands[z].ReceivedBy})
@@ -34,13 +34,13 @@
 	}
 	add := func(m meta, state string, heard int64) {
 		r := reports[m.Number]
-		v.Members = append(v.Members, mgmt.MemberView{Name: m.Name, Number: m.Number, Zone: m.Zone, Since: m.Since,
+		v.Members = append(v.Members, mgmt.MemberView{Name: m.Name, Number: m.Number, Zone: m.Zone, Since: m.StartedAtMS,
 			Program: m.Version.Program, Settings: m.Version.Settings, State: state, HeardMS: heard, Epoch: r.Epoch,
 			Suspects: append([]int{}, r.Suspects...), Sees: append([]zones.ZoneStats{}, r.Zones...)})
 	}
 	add(i.self, "there", 0)
-	for _, m := range i.others() {
-		add(m.meta, m.state(), time.Since(m.moment).Milliseconds())
+	for _, m := range i.otherMembers() {
+		add(m.meta, m.state(), time.Since(m.lastHeard).Milliseconds())
 	}
 	slices.SortFunc(v.Members, func(a, b mgmt.MemberView) int { return a.Number - b.Number })
 	return v
@@ -49,29 +49,29 @@
 // Zone carries out an operator's call for a zone or region, here and at once, and tells the others: those that can't be told now are
 // told as soon as they are heard.
 func (i *Instances) Zone(name string, mode zones.Mode, who string) (told mgmt.Told, err error) {
-	if i.o.Machine == nil {
+	if i.options.Machine == nil {
 		return told, fmt.Errorf("[zones] is not in the operator's file")
 	}
-	at := i.o.Regions[name]
-	if z := slices.Index(i.o.Zones, name); z >= 0 {
+	at := i.options.Regions[name]
+	if z := slices.Index(i.options.Zones, name); z >= 0 {
 		at = []int{z}
 	}
 	if len(at) == 0 {
-		return told, fmt.Errorf("no zone or region has the name %q; there are %s", name, strings.Join(i.o.Zones, ", "))
+		return told, fmt.Errorf("no zone or region has the name %q; there are %s", name, strings.Join(i.options.Zones, ", "))
 	}
 	i.mu.Lock()
-	i.p.Zones(func(now time.Duration) []logic.ZoneShare {
-		err = i.o.Machine.SetOverride(now, zones.Override{Mode: mode, TimestampMS: time.Now().UnixMilli(), Requester: who}, at...)
-		return i.newShares()
+	i.proxy.Zones(func(now time.Duration) []logic.ZoneShare {
+		err = i.options.Machine.SetOverride(now, zones.Override{Mode: mode, TimestampMS: time.Now().UnixMilli(), Requester: who}, at...)
+		return i.changedShares()
 	})
 	if err != nil {
 		i.mu.Unlock()
 		return told, err
 	}
-	msg := zones.Message{From: i.self.Number, Overrides: i.o.Machine.Overrides()}
-	all := i.others()
+	msg := zones.Message{From: i.self.Number, Overrides: i.options.Machine.Overrides()}
+	all := i.otherMembers()
 	i.mu.Unlock()
-	reached := i.reliably(all, msg.Append(nil))
+	reached := i.sendReliably(all, msg.Append(nil))
 	told = mgmt.Told{Told: []string{i.self.Name}, Missed: []string{}}
 	for _, m := range all {
 		if reached[m.Name] {
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -14,8 +14,8 @@
 
 // Stage is how far a change has come once it is done.
 type Stage struct {
-	Share float64 // of the members; the last stage is all of them
-	Ask   bool    // a yes by hand is waited for before the next
+	Share         float64 // of the members; the last stage is all of them
+	NeedsApproval bool    // a yes by hand is waited for before the next
 }
 
 // Phase is where a change stands.
@@ -23,12 +23,12 @@
 
 // The phases.
 const (
-	Going  Phase = iota // a stage's members take over, and are compared
-	Asking              // the stage is done, and a yes is waited for
-	Paused              // by hand: it stays as it is
-	Back                // all return to the version before
-	Ended               // all run the new version
-	Undone              // all run the version before again
+	PhaseRunning          Phase = iota // a stage's members take over, and are compared
+	PhaseAwaitingApproval              // the stage is done, and a yes is waited for
+	PhasePaused                        // by hand: it stays as it is
+	PhaseRollingBack                   // all return to the version before
+	PhaseCompleted                     // all run the new version
+	PhaseRolledBack                    // all run the version before again
 	phases
 )
 
@@ -43,50 +43,50 @@
 
 // State is all of a change that lasts. It is on stable storage before anything of it is told to anybody.
 type State struct {
-	Epoch    uint64 // rises with each driver that takes a change over, and with each change of the state
-	From, To string // the versions' digests
-	Stage    int
-	Phase    Phase
-	New      []int // the members that are to run the new version
-	Why      string
+	Epoch      uint64 // rises with each driver that takes a change over, and with each change of the state
+	From, To   string // the versions' digests
+	Stage      int
+	Phase      Phase
+	NewMembers []int // the members that are to run the new version
+	Reason     string
 }
 
-// Order is what a member is told: the version to run, under the epoch of the state that says so.
-type Order struct {
+// Instruction is what a member is told: the version to run, under the epoch of the state that says so.
+type Instruction struct {
 	Epoch   uint64
 	Version string
 }
 
-// Heard is what a member says of itself.
-type Heard struct {
+// MemberStatus is what a member says of itself.
+type MemberStatus struct {
 	Epoch   uint64 // of the latest order that it has taken
 	Version string // that it runs and serves with
-	Failed  string // why it turned the order down or could not take over; empty: it did not
+	Failure string // why it turned the order down or could not take over; empty: it did not
 }
 
-// Timing bounds how long a driver waits for members.
-type Timing struct {
-	TakeOver time.Duration // until a member that was told runs the new version
-	Lost     time.Duration // a member that says nothing for so long is unknown
+// Timeouts bounds how long a driver waits for members.
+type Timeouts struct {
+	Switch  time.Duration // until a member that was told runs the new version
+	Silence time.Duration // a member that says nothing for so long is unknown
 }
 
 // Driver decides a change over its stages. Of two at once one is fenced off: members take no order of an epoch under the latest that they took,
 // and a driver that hears of a higher epoch than its own never says anything again. With nobody driving members stay as they are.
 type Driver struct {
-	plan    Plan
-	stages  []Stage
-	timing  Timing
-	order   []int // in which members change
-	s       State
-	judge   *Judge
-	heard   map[int]Heard
-	heardAt map[int]time.Duration
-	since   time.Duration // of the stage
-	fenced  bool
+	plan        Plan
+	stages      []Stage
+	timeouts    Timeouts
+	memberOrder []int // in which members change
+	state       State
+	evaluator   *Evaluator
+	status      map[int]MemberStatus
+	statusAt    map[int]time.Duration
+	phaseSince  time.Duration // of the stage
+	fenced      bool
 }
 
-// Spread is the order in which members change: one of each zone in turn, so that no zone is all new before the others are nearly so.
-func Spread(members []Member) (order []int) {
+// SpreadOverZones is the order in which members change: one of each zone in turn, so that no zone is all new before the others are nearly so.
+func SpreadOverZones(members []Member) (order []int) {
 	byZone := map[string][]int{}
 	var names []string
 	for _, m := range members {
@@ -126,20 +126,20 @@
 
 // NewDriver makes a driver for a change, of a plan and stages that have been checked; last is the state that was stored, or one that begins:
 // with the versions, at an epoch above that of any change before. Evidence is not stored: one that takes over begins its stage anew.
-func NewDriver(now time.Duration, p Plan, stages []Stage, t Timing, members []Member, last State) *Driver {
-	d := &Driver{plan: p, stages: stages, timing: t, order: Spread(members), s: last, judge: NewJudge(p), heard: map[int]Heard{},
-		heardAt: map[int]time.Duration{}, since: now}
-	d.s.New = slices.Clone(last.New)
-	d.s.Epoch++
-	if last.Phase == Going {
-		d.s.New = slices.Clone(d.order[:d.upTo(last.Stage)])
+func NewDriver(now time.Duration, p Plan, stages []Stage, t Timeouts, members []Member, last State) *Driver {
+	d := &Driver{plan: p, stages: stages, timeouts: t, memberOrder: SpreadOverZones(members), state: last, evaluator: NewEvaluator(p), status: map[int]MemberStatus{},
+		statusAt: map[int]time.Duration{}, phaseSince: now}
+	d.state.NewMembers = slices.Clone(last.NewMembers)
+	d.state.Epoch++
+	if last.Phase == PhaseRunning {
+		d.state.NewMembers = slices.Clone(d.memberOrder[:d.newCount(last.Stage)])
 	}
 	return d
 }
 
-// upTo is how many members run the new version once a stage is done: one at the least, and never all but in the last.
-func (d *Driver) upTo(stage int) int {
-	n := len(d.order)
+// newCount is how many members run the new version once a stage is done: one at the least, and never all but in the last.
+func (d *Driver) newCount(stage int) int {
+	n := len(d.memberOrder)
 	if stage >= len(d.stages)-1 {
 		return n
 	}
@@ -148,72 +148,72 @@
 
 // State is what has to be stored before Orders are told.
 func (d *Driver) State() State {
-	s := d.s
-	s.New = slices.Clone(d.s.New)
+	s := d.state
+	s.NewMembers = slices.Clone(d.state.NewMembers)
 	return s
 }
 
 // Fenced tells that another driver has taken the change over.
 func (d *Driver) Fenced() bool { return d.fenced }
 
-// Orders are what each member is to be told; none if this driver is fenced off.
-func (d *Driver) Orders() map[int]Order {
+// Instructions are what each member is to be told; none if this driver is fenced off.
+func (d *Driver) Instructions() map[int]Instruction {
 	if d.fenced {
 		return nil
 	}
-	all := map[int]Order{}
-	for _, n := range d.order {
-		all[n] = Order{d.s.Epoch, d.s.From}
-		if slices.Contains(d.s.New, n) {
-			all[n] = Order{d.s.Epoch, d.s.To}
+	all := map[int]Instruction{}
+	for _, n := range d.memberOrder {
+		all[n] = Instruction{d.state.Epoch, d.state.From}
+		if slices.Contains(d.state.NewMembers, n) {
+			all[n] = Instruction{d.state.Epoch, d.state.To}
 		}
 	}
 	return all
 }
 
-// Hear takes what a member says of itself.
-func (d *Driver) Hear(now time.Duration, number int, h Heard) {
-	if !slices.Contains(d.order, number) {
+// ReceiveStatus takes what a member says of itself.
+func (d *Driver) ReceiveStatus(now time.Duration, number int, h MemberStatus) {
+	if !slices.Contains(d.memberOrder, number) {
 		return
 	}
-	d.fenced = d.fenced || h.Epoch > d.s.Epoch
-	d.heard[number], d.heardAt[number] = h, now
+	d.fenced = d.fenced || h.Epoch > d.state.Epoch
+	d.status[number], d.statusAt[number] = h, now
 }
 
-// See takes what was observed of both sides.
-func (d *Driver) See(o Observed) error {
-	if d.s.Phase != Going || !d.takenOver() {
-		o.Paused = true // the old and the new are not yet, or no more, what the stage compares
+// Observe takes what was observed of both sides.
+func (d *Driver) Observe(o Observation) error {
+	if d.state.Phase != PhaseRunning || !d.allSwitched() {
+		o.Excluded = true // the old and the new are not yet, or no more, what the stage compares
 	}
-	return d.judge.See(o)
+	return d.evaluator.Observe(o)
 }
 
-// takenOver tells whether all that are to run the new version do.
-func (d *Driver) takenOver() bool {
-	return !slices.ContainsFunc(d.s.New, func(n int) bool { return d.heard[n].Version != d.s.To })
+// allSwitched tells whether all that are to run the new version do.
+func (d *Driver) allSwitched() bool {
+	return !slices.ContainsFunc(d.state.NewMembers, func(n int) bool { return d.status[n].Version != d.state.To })
 }
 
-// move changes the state: a new epoch, to be stored.
-func (d *Driver) move(now time.Duration, p Phase, why string) {
-	d.s.Epoch, d.s.Phase, d.s.Why, d.since = d.s.Epoch+1, p, why, now
-	if p == Back {
-		d.s.New = nil
+// transition changes the state: a new epoch, to be stored.
+func (d *Driver) transition(now time.Duration, p Phase, why string) {
+	d.state.Epoch, d.state.Phase, d.state.Reason, d.phaseSince = d.state.Epoch+1, p, why, now
+	if p == PhaseRollingBack {
+		d.state.NewMembers = nil
 	}
 }
 
-// Call is an operator's: "pause", "go" (on, after a pause or a question), "back".
-func (d *Driver) Call(now time.Duration, what string) error {
-	switch p := d.s.Phase; {
+// Command is an operator's: "pause", "go" (on, after a pause or a question), "back".
+func (d *Driver) Command(now time.Duration, what string) error {
+	switch p := d.state.Phase; {
 	case d.fenced:
 		return fmt.Errorf("rollout: another driver has taken this change over")
-	case what == "pause" && (p == Going || p == Asking):
-		d.move(now, Paused, "by hand")
-	case what == "go" && p == Asking:
+	case what == "pause" && (p == PhaseRunning || p == PhaseAwaitingApproval):
+		d.transition(now, PhasePaused, "by hand")
+	case what == "go" && p == PhaseAwaitingApproval:
 		d.advance(now)
-	case what == "go" && p == Paused:
-		d.move(now, Going, "by hand")
-	case what == "back" && (p == Going || p == Asking || p == Paused || p == Ended):
-		d.move(now, Back, "by hand")
+	case what == "go" && p == PhasePaused:
+		d.transition(now, PhaseRunning, "by hand")
+	case what == "back" && (p == PhaseRunning || p == PhaseAwaitingApproval || p == PhasePaused || p == PhaseCompleted):
+		d.transition(now, PhaseRollingBack, "by hand")
 	default:
 		return fmt.Errorf("rollout: %s can't be done while a change is %v", what, p)
 	}
@@ -222,61 +222,61 @@
 
 // advance begins the next stage, or ends the change after the last.
 func (d *Driver) advance(now time.Duration) {
-	if d.s.Stage == len(d.stages)-1 {
-		d.move(now, Ended, "all stages are done")
+	if d.state.Stage == len(d.stages)-1 {
+		d.transition(now, PhaseCompleted, "all stages are done")
 		return
 	}
-	d.s.Stage++
-	d.s.New = slices.Clone(d.order[:d.upTo(d.s.Stage)])
-	d.judge.NextStage()
-	d.move(now, Going, fmt.Sprintf("stage %d", d.s.Stage+1))
+	d.state.Stage++
+	d.state.NewMembers = slices.Clone(d.memberOrder[:d.newCount(d.state.Stage)])
+	d.evaluator.NextStage()
+	d.transition(now, PhaseRunning, fmt.Sprintf("stage %d", d.state.Stage+1))
 }
 
 // Tick does what is due. It tells whether the state has changed, and has to be stored before Orders are told.
 func (d *Driver) Tick(now time.Duration) (changed bool) {
-	epoch := d.s.Epoch
+	epoch := d.state.Epoch
 	switch {
 	case d.fenced:
-	case d.s.Phase == Going:
-		d.going(now)
-	case d.s.Phase == Back && !slices.ContainsFunc(d.order, func(n int) bool { return d.heard[n].Version != d.s.From }):
-		d.move(now, Undone, d.s.Why)
+	case d.state.Phase == PhaseRunning:
+		d.checkStage(now)
+	case d.state.Phase == PhaseRollingBack && !slices.ContainsFunc(d.memberOrder, func(n int) bool { return d.status[n].Version != d.state.From }):
+		d.transition(now, PhaseRolledBack, d.state.Reason)
 	}
-	return d.s.Epoch != epoch
+	return d.state.Epoch != epoch
 }
 
-// going looks at a stage under way. A new member that turned its order down, never took over or fell silent is the change's fault, until
+// checkStage looks at a stage under way. A new member that turned its order down, never took over or fell silent is the change's fault, until
 // the opposite is known: all go back. An old one that falls silent tells nothing, and is waited for.
-func (d *Driver) going(now time.Duration) {
-	for _, n := range d.s.New {
-		h, known := d.heard[n]
+func (d *Driver) checkStage(now time.Duration) {
+	for _, n := range d.state.NewMembers {
+		h, known := d.status[n]
 		switch {
-		case h.Failed != "" && h.Epoch == d.s.Epoch:
-			d.move(now, Back, fmt.Sprintf("member %d: %s", n, h.Failed))
+		case h.Failure != "" && h.Epoch == d.state.Epoch:
+			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d: %s", n, h.Failure))
 			return
-		case h.Version != d.s.To && now-d.since > d.timing.TakeOver:
-			d.move(now, Back, fmt.Sprintf("member %d does not run the new version after %v", n, d.timing.TakeOver))
+		case h.Version != d.state.To && now-d.phaseSince > d.timeouts.Switch:
+			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d does not run the new version after %v", n, d.timeouts.Switch))
 			return
-		case known && h.Version == d.s.To && now-d.heardAt[n] > d.timing.Lost:
-			d.move(now, Back, fmt.Sprintf("member %d, which runs the new version, is not heard any more", n))
+		case known && h.Version == d.state.To && now-d.statusAt[n] > d.timeouts.Silence:
+			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d, which runs the new version, is not heard any more", n))
 			return
 		}
 	}
-	ruling, why := d.judge.Rule()
-	last := d.s.Stage == len(d.stages)-1
+	ruling, why := d.evaluator.Decide()
+	last := d.state.Stage == len(d.stages)-1
 	switch {
-	case ruling == Stopped:
-		d.move(now, Back, why)
-	case !d.takenOver():
-		d.s.Why = "members take over"
+	case ruling == DecisionStopped:
+		d.transition(now, PhaseRollingBack, why)
+	case !d.allSwitched():
+		d.state.Reason = "members take over"
 	case last: // nobody is left to compare with: it is enough that all serve
 		d.advance(now)
-	case ruling == Done && d.stages[d.s.Stage].Ask:
-		d.move(now, Asking, why)
-	case ruling == Done:
+	case ruling == DecisionDone && d.stages[d.state.Stage].NeedsApproval:
+		d.transition(now, PhaseAwaitingApproval, why)
+	case ruling == DecisionDone:
 		d.advance(now)
 	default:
-		d.s.Why = why
+		d.state.Reason = why
 	}
 }
 
@@ -286,8 +286,8 @@
 	Version string // that it is to run
 }
 
-// Take takes an order, unless it is of an old epoch, and tells whether there is something new to do.
-func (f *Follower) Take(o Order) (changed bool) {
+// Apply takes an order, unless it is of an old epoch, and tells whether there is something new to do.
+func (f *Follower) Apply(o Instruction) (changed bool) {
 	if o.Epoch < f.Epoch || o.Epoch == f.Epoch && o.Version != f.Version {
 		return false
 	}
--- a/internal/rollout/driver_test.go
+++ b/internal/rollout/driver_test.go
@@ -10,71 +10,71 @@
 )
 
 var (
-	stages  = []Stage{{Share: 0.1}, {Share: 0.5}, {Share: 1}}
-	timing  = Timing{TakeOver: 10 * time.Second, Lost: 5 * time.Second}
-	members = []Member{{0, "a"}, {1, "b"}, {2, "c"}, {3, "a"}, {4, "b"}, {5, "c"}}
+	stages   = []Stage{{Share: 0.1}, {Share: 0.5}, {Share: 1}}
+	timeouts = Timeouts{Switch: 10 * time.Second, Silence: 5 * time.Second}
+	members  = []Member{{0, "a"}, {1, "b"}, {2, "c"}, {3, "a"}, {4, "b"}, {5, "c"}}
 )
 
-// change is a driver before members that do as they are told, as far as they hear it.
-type change struct {
+// testRollout is a driver before members that do as they are told, as far as they hear it.
+type testRollout struct {
 	*Driver
-	now     time.Duration
-	members map[int]*Follower
-	runs    map[int]string
-	fails   map[int]string // who turns orders down, and why
-	latest  map[int]Order  // that each has heard, by epoch
-	stored  []State        // what was on disk, the latest last
-	lost    func() bool
+	now          time.Duration
+	members      map[int]*Follower
+	running      map[int]string
+	failures     map[int]string      // who turns orders down, and why
+	latest       map[int]Instruction // that each has heard, by epoch
+	storedStates []State             // what was on disk, the latest last
+	lost         func() bool
 }
 
-func newChange(begin State, lost func() bool) *change {
-	c := &change{members: map[int]*Follower{}, runs: map[int]string{}, fails: map[int]string{}, latest: map[int]Order{}, lost: lost}
+func newTestRollout(begin State, lost func() bool) *testRollout {
+	c := &testRollout{members: map[int]*Follower{}, running: map[int]string{}, failures: map[int]string{}, latest: map[int]Instruction{}, lost: lost}
 	for _, m := range members {
-		c.members[m.Number], c.runs[m.Number] = &Follower{Version: "old"}, "old"
+		c.members[m.Number], c.running[m.Number] = &Follower{Version: "old"}, "old"
 	}
-	c.drive(begin)
+	c.startDriver(begin)
 	return c
 }
 
-func (c *change) drive(last State) {
-	c.Driver = NewDriver(c.now, plan, stages, timing, members, last)
-	c.stored = append(c.stored, c.State())
+func (c *testRollout) startDriver(last State) {
+	c.Driver = NewDriver(c.now, plan, stages, timeouts, members, last)
+	c.storedStates = append(c.storedStates, c.State())
 }
 
-// tell has members hear a driver, as far as nothing is lost.
-func (c *change) tell(d *Driver) {
-	for n, o := range d.Orders() {
+// deliver has members hear a driver, as far as nothing is lost.
+func (c *testRollout) deliver(d *Driver) {
+	for n, o := range d.Instructions() {
 		if c.lost() {
 			continue
 		}
 		if o.Epoch > c.latest[n].Epoch {
 			c.latest[n] = o
 		}
-		if c.members[n].Take(o) && c.fails[n] == "" {
-			c.runs[n] = c.members[n].Version
+		if c.members[n].Apply(o) && c.failures[n] == "" {
+			c.running[n] = c.members[n].Version
 		}
 	}
 }
 
-// second is one in which all is told once, and both sides serve.
-func (c *change) second(t interface{ Fatal(...any) }, o Observed) {
+// runSecond is one in which all is told once, and both sides serve.
+func (c *testRollout) runSecond(t interface{ Fatal(...any) }, o Observation) {
 	c.now += time.Second
-	c.tell(c.Driver)
+	c.deliver(c.Driver)
 	for n, f := range c.members {
 		if !c.lost() {
-			c.Hear(c.now, n, Heard{Epoch: f.Epoch, Version: c.runs[n], Failed: c.fails[n]})
+			c.ReceiveStatus(c.now, n, MemberStatus{Epoch: f.Epoch, Version: c.running[n], Failure: c.failures[n]})
 		}
 	}
-	if err := c.See(o); err != nil {
+	if err := c.Observe(o); err != nil {
 		t.Fatal(err)
 	}
 	if c.Tick(c.now) {
-		c.stored = append(c.stored, c.State())
+		c.storedStates = append(c.storedStates, c.State())
 	}
 }
 
-func (c *change) news() (n int) {
-	for _, v := range c.runs {
+func (c *testRollout) newCount() (n int) {
+	for _, v := range c.running {
 		if v == "new" {
 			n++
 		}
@@ -83,72 +83,74 @@
 }
 
 var (
-	begin = State{From: "old", To: "new"}
-	fine  = Observed{For: time.Second, Claims: []Block{{Counts{100, 99}, Counts{100, 99}}, {Counts{100, 99}, Counts{100, 99}}}}
-	bad   = Observed{For: time.Second, Claims: []Block{{Counts{100, 99}, Counts{100, 60}}, {Counts{100, 99}, Counts{100, 99}}}}
+	initialState    = State{From: "old", To: "new"}
+	goodObservation = Observation{Duration: time.Second, Metrics: []Block{{Counts{100, 99}, Counts{100, 99}}, {Counts{100, 99}, Counts{100, 99}}}}
+	badObservation  = Observation{Duration: time.Second, Metrics: []Block{{Counts{100, 99}, Counts{100, 60}}, {Counts{100, 99}, Counts{100, 99}}}}
 )
 
 // Each entry is what becomes of a change, and what was the most of members that ran the new version.
-func TestChanges(t *testing.T) {
+func TestRolloutOutcomes(t *testing.T) {
 	always := func() bool { return false }
 	for name, c := range map[string]struct {
-		play  func(c *change, second int) Observed
+		play  func(c *testRollout, second int) Observation
 		phase Phase
 		most  int
 		why   string
 	}{
-		"good":             {func(*change, int) Observed { return fine }, Ended, 6, "all stages"},
-		"bad in stage one": {func(*change, int) Observed { return bad }, Undone, 1, "served in time"},
-		"bad in stage two": {func(c *change, _ int) Observed {
+		"good":             {func(*testRollout, int) Observation { return goodObservation }, PhaseCompleted, 6, "all stages"},
+		"bad in stage one": {func(*testRollout, int) Observation { return badObservation }, PhaseRolledBack, 1, "served in time"},
+		"bad in stage two": {func(c *testRollout, _ int) Observation {
 			if c.State().Stage == 1 {
-				return bad
+				return badObservation
 			}
-			return fine
-		}, Undone, 3, "served in time"},
-		"too little traffic": {func(*change, int) Observed { return Observed{For: time.Second, Claims: make([]Block, 2)} }, Going, 1, "side by side"},
-		"a zone is out":      {func(*change, int) Observed { return Observed{For: time.Second, Paused: true} }, Going, 1, "side by side"},
-		"one crashes":        {func(*change, int) Observed { return Observed{Paused: true, Broken: "n0 crashed"} }, Undone, 1, "n0 crashed"},
-		"turned down": {func(c *change, s int) Observed {
-			c.fails[0] = "areas: no zone c"
-			return fine
-		}, Undone, 0, "areas: no zone c"},
-		"back by hand at the end": {func(c *change, s int) Observed {
-			if c.State().Phase == Ended {
-				c.Call(c.now, "back")
+			return goodObservation
+		}, PhaseRolledBack, 3, "served in time"},
+		"too little traffic": {func(*testRollout, int) Observation {
+			return Observation{Duration: time.Second, Metrics: make([]Block, 2)}
+		}, PhaseRunning, 1, "side by side"},
+		"a zone is out": {func(*testRollout, int) Observation { return Observation{Duration: time.Second, Excluded: true} }, PhaseRunning, 1, "side by side"},
+		"one crashes":   {func(*testRollout, int) Observation { return Observation{Excluded: true, Violation: "n0 crashed"} }, PhaseRolledBack, 1, "n0 crashed"},
+		"turned down": {func(c *testRollout, s int) Observation {
+			c.failures[0] = "areas: no zone c"
+			return goodObservation
+		}, PhaseRolledBack, 0, "areas: no zone c"},
+		"back by hand at the end": {func(c *testRollout, s int) Observation {
+			if c.State().Phase == PhaseCompleted {
+				c.Command(c.now, "back")
 			}
-			return fine
-		}, Undone, 6, "by hand"},
-		"paused": {func(c *change, s int) Observed {
+			return goodObservation
+		}, PhaseRolledBack, 6, "by hand"},
+		"paused": {func(c *testRollout, s int) Observation {
 			if s == 3 {
-				c.Call(c.now, "pause")
+				c.Command(c.now, "pause")
 			}
-			return fine
-		}, Paused, 1, "by hand"},
+			return goodObservation
+		}, PhasePaused, 1, "by hand"},
 	} {
-		ch := newChange(begin, always)
+		ch := newTestRollout(initialState, always)
 		most := 0
 		for s := range 120 {
-			ch.second(t, c.play(ch, s))
-			most = max(most, ch.news())
+			ch.runSecond(t, c.play(ch, s))
+			most = max(most, ch.newCount())
 		}
-		if s := ch.State(); s.Phase != c.phase || most != c.most || !strings.Contains(s.Why, c.why) {
-			t.Errorf("%s: %v, most %d, %s", name, s.Phase, most, s.Why)
+		if s := ch.State(); s.Phase != c.phase || most != c.most || !strings.Contains(s.Reason, c.why) {
+			t.Errorf("%s: %v, most %d, %s", name, s.Phase, most, s.Reason)
 		}
-		if ch.State().Phase == Undone && ch.news() > 0 {
-			t.Errorf("%s: %d still run the new version", name, ch.news())
+		if ch.State().Phase == PhaseRolledBack && ch.newCount() > 0 {
+			t.Errorf("%s: %d still run the new version", name, ch.newCount())
 		}
 	}
-	if err := newChange(begin, always).Call(0, "go"); err == nil || !strings.Contains(err.Error(), "while a change is going") {
+	if err := newTestRollout(initialState, always).Command(0, "go"); err == nil || !strings.Contains(err.Error(), "while a change is going") {
 		t.Error(err)
 	}
 }
 
 // Whatever is lost, however often drivers are killed, doubled or begun from an old state: no more members run the new version than the furthest
 // stage that any state on disk has allows, none changes to it once all who drive have stopped, and a driver that is behind is fenced off.
-func TestDriversThatFail(t *testing.T) {
+func TestDriverFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lose := 0
-		c := newChange(begin, func() bool { return lose > 0 && rapid.IntRange(0, 9).Draw(t, "lost") < lose })
+		c := newTestRollout(initialState, func() bool { return lose > 0 && rapid.IntRange(0, 9).Draw(t, "lost") < lose })
 		var other *Driver
 		stopped := false
 		for range rapid.IntRange(5, 60).Draw(t, "seconds") {
@@ -158,24 +160,24 @@
 			case "heal":
 				lose = 0
 			case "killed":
-				c.drive(c.stored[len(c.stored)-1])
+				c.startDriver(c.storedStates[len(c.storedStates)-1])
 			case "killed, old disk":
-				c.drive(c.stored[rapid.IntRange(0, len(c.stored)-1).Draw(t, "state")])
+				c.startDriver(c.storedStates[rapid.IntRange(0, len(c.storedStates)-1).Draw(t, "state")])
 			case "second driver":
-				other, c.Driver = c.Driver, NewDriver(c.now, plan, stages, timing, members, c.stored[len(c.stored)-1])
-				c.stored = append(c.stored, c.State())
+				other, c.Driver = c.Driver, NewDriver(c.now, plan, stages, timeouts, members, c.storedStates[len(c.storedStates)-1])
+				c.storedStates = append(c.storedStates, c.State())
 			case "bad":
-				c.See(Observed{Broken: "made up"})
+				c.Observe(Observation{Violation: "made up"})
 			case "back":
-				stopped = c.Call(c.now, "back") == nil || stopped
+				stopped = c.Command(c.now, "back") == nil || stopped
 			}
-			c.second(t, fine)
+			c.runSecond(t, goodObservation)
 			if other != nil { // the one that was replaced and does not know goes on telling
 				other.Tick(c.now)
-				c.tell(other)
+				c.deliver(other)
 				for n, f := range c.members {
 					behind := f.Epoch > other.State().Epoch
-					if other.Hear(c.now, n, Heard{Epoch: f.Epoch, Version: c.runs[n]}); behind && len(other.Orders()) > 0 {
+					if other.ReceiveStatus(c.now, n, MemberStatus{Epoch: f.Epoch, Version: c.running[n]}); behind && len(other.Instructions()) > 0 {
 						t.Fatalf("a driver that hears of epoch %d goes on telling at %d", f.Epoch, other.State().Epoch)
 					}
 				}
@@ -186,32 +188,32 @@
 				}
 			}
 			allowed := 0
-			for _, s := range c.stored {
-				allowed = max(allowed, len(s.New))
+			for _, s := range c.storedStates {
+				allowed = max(allowed, len(s.NewMembers))
 			}
-			if c.news() > allowed {
-				t.Fatalf("%d run the new version, and no state allows more than %d", c.news(), allowed)
+			if c.newCount() > allowed {
+				t.Fatalf("%d run the new version, and no state allows more than %d", c.newCount(), allowed)
 			}
 		}
 		// In the end one driver goes back, from what is latest on disk, and all hear it.
 		lose, other = 0, nil
-		last := slices.MaxFunc(c.stored, func(a, b State) int { return int(a.Epoch) - int(b.Epoch) })
+		last := slices.MaxFunc(c.storedStates, func(a, b State) int { return int(a.Epoch) - int(b.Epoch) })
 		for _, f := range c.members {
 			last.Epoch = max(last.Epoch, f.Epoch)
 		}
-		last.Phase, last.New = Back, nil
-		c.drive(last)
+		last.Phase, last.NewMembers = PhaseRollingBack, nil
+		c.startDriver(last)
 		for range 5 {
-			c.second(t, fine)
+			c.runSecond(t, goodObservation)
 		}
-		if c.news() > 0 || c.State().Phase != Undone {
-			t.Fatalf("%d run the new version in the end, %+v, fenced %v", c.news(), c.State(), c.Fenced())
+		if c.newCount() > 0 || c.State().Phase != PhaseRolledBack {
+			t.Fatalf("%d run the new version in the end, %+v, fenced %v", c.newCount(), c.State(), c.Fenced())
 		}
 	})
 }
 
-func TestSpreadAndStages(t *testing.T) {
-	if got := Spread([]Member{{5, "b"}, {0, "a"}, {1, "a"}, {2, "a"}, {7, "c"}}); !slices.Equal(got, []int{0, 5, 7, 1, 2}) {
+func TestSpreadOverZonesAndCheckStages(t *testing.T) {
+	if got := SpreadOverZones([]Member{{5, "b"}, {0, "a"}, {1, "a"}, {2, "a"}, {7, "c"}}); !slices.Equal(got, []int{0, 5, 7, 1, 2}) {
 		t.Errorf("%v", got)
 	}
 	for want, s := range map[string][]Stage{
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -20,17 +20,17 @@
 }
 
 // Where the new side is as good or better, a block's factor is at most one on average: worked out over all that can be seen, not drawn.
-func TestFactorIsAtMostOneOnAverage(t *testing.T) {
+func TestExpectedLikelihoodRatioIsAtMostOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.02, 0.98)
 		guess, old := share.Draw(t, "guess"), share.Draw(t, "old")
 		new := old + (0.999-old)*rapid.Float64Range(0, 1).Draw(t, "better by")
 		na, nb := rapid.IntRange(1, 7).Draw(t, "old asked"), rapid.IntRange(1, 7).Draw(t, "new asked")
-		f := rapid.SampledFrom(odds[:]).Draw(t, "harm")
+		f := rapid.SampledFrom(oddsFactors[:]).Draw(t, "harm")
 		sum := 0.0
 		for ka := range na + 1 {
 			for kb := range nb + 1 {
-				e := math.Exp(evidence(Block{Counts{na, ka}, Counts{nb, kb}}, guess, worse(guess, f)))
+				e := math.Exp(logLikelihoodRatio(Block{Counts{na, ka}, Counts{nb, kb}}, guess, scaleOdds(guess, f)))
 				sum += e * binomial(na, ka, old) * binomial(nb, kb, new)
 			}
 		}
@@ -40,9 +40,9 @@
 	})
 }
 
-// draw is a block of so many requests a side at these shares.
-func draw(rng *rand.Rand, n int, old, new float64) (b Block) {
-	b.Old.Asked, b.New.Asked = n, n
+// randomBlock is a block of so many requests a side at these shares.
+func randomBlock(rng *rand.Rand, n int, old, new float64) (b Block) {
+	b.Old.Requests, b.New.Requests = n, n
 	for range n {
 		if rng.Float64() < old {
 			b.Old.Good++
@@ -61,10 +61,10 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	stops := 0
 	for range runs {
-		test, share := NewTest(), 0.5+0.49*rng.Float64()
+		test, share := NewSequentialTest(), 0.5+0.49*rng.Float64()
 		for range 150 {
 			share = min(0.999, max(0.3, share+0.05*(rng.Float64()-0.5)))
-			if err := test.Add(draw(rng, 8, share, share)); err != nil {
+			if err := test.Add(randomBlock(rng, 8, share, share)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -78,9 +78,9 @@
 	for _, c := range []struct{ share, harm float64 }{{0.99, 0.03}, {0.95, 0.05}, {0.9, 0.2}} {
 		found, most := 0, 0
 		for range 200 {
-			test, blocks := NewTest(), 0
-			for ; !test.Enough(c.harm, alpha); blocks++ {
-				if err := test.Add(draw(rng, 20, c.share, c.share-c.harm)); err != nil {
+			test, blocks := NewSequentialTest(), 0
+			for ; !test.HasPower(c.harm, alpha); blocks++ {
+				if err := test.Add(randomBlock(rng, 20, c.share, c.share-c.harm)); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -96,61 +96,61 @@
 	}
 }
 
-var plan = Plan{Claims: []Claim{{"served in time", 0.05}, {"not slow", 0.05}}, Alpha: 0.05, LeastFor: 10 * time.Second, Least: 100}
+var plan = Plan{Metrics: []Metric{{"served in time", 0.05}, {"not slow", 0.05}}, Alpha: 0.05, MinDuration: 10 * time.Second, MinRequests: 100}
 
 // Each entry is what is seen, over and over, and what is ruled in the end.
-func TestRulings(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	block := func(old, new int) Block { return Block{Counts{100, old}, Counts{100, new}} }
 	for name, c := range map[string]struct {
-		o     Observed
+		o     Observation
 		times int
-		want  Ruling
+		want  Decision
 		why   string
 	}{
-		"nothing changes":     {Observed{For: time.Second, Claims: []Block{block(99, 99), block(98, 98)}}, 30, Done, "nothing worse"},
-		"a tenth is lost":     {Observed{For: time.Second, Claims: []Block{block(99, 89), block(98, 98)}}, 30, Stopped, "served in time"},
-		"a tenth is slow":     {Observed{For: time.Second, Claims: []Block{block(99, 99), block(98, 88)}}, 30, Stopped, "not slow"},
-		"better":              {Observed{For: time.Second, Claims: []Block{block(90, 99), block(90, 98)}}, 30, Done, "nothing worse"},
-		"too short":           {Observed{For: time.Second, Claims: []Block{block(99, 99), block(98, 98)}}, 9, Undecided, "9s of 10s"},
-		"too few":             {Observed{For: time.Second, Claims: []Block{{Counts{3, 3}, Counts{3, 3}}, {Counts{3, 3}, Counts{3, 3}}}}, 30, Undecided, "90 of 100"},
-		"nobody asks the new": {Observed{For: time.Second, Claims: []Block{{Counts{100, 99}, Counts{}}, {Counts{100, 99}, Counts{}}}}, 60, Undecided, "0s of 10s"},
-		"enough to ask, too few to tell": {Observed{For: time.Second, Claims: []Block{{Counts{5, 4}, Counts{5, 4}}, {Counts{5, 4}, Counts{5, 4}}}}, 24,
-			Undecided, "too few requests to have found"},
-		"a zone is out":                     {Observed{For: time.Second, Paused: true, Claims: []Block{block(99, 10), block(98, 10)}}, 60, Undecided, "0s of 10s"},
-		"a rule broken while a zone is out": {Observed{Paused: true, Broken: "n3 sent to a draining member"}, 1, Stopped, "n3 sent"},
+		"nothing changes":     {Observation{Duration: time.Second, Metrics: []Block{block(99, 99), block(98, 98)}}, 30, DecisionDone, "nothing worse"},
+		"a tenth is lost":     {Observation{Duration: time.Second, Metrics: []Block{block(99, 89), block(98, 98)}}, 30, DecisionStopped, "served in time"},
+		"a tenth is slow":     {Observation{Duration: time.Second, Metrics: []Block{block(99, 99), block(98, 88)}}, 30, DecisionStopped, "not slow"},
+		"better":              {Observation{Duration: time.Second, Metrics: []Block{block(90, 99), block(90, 98)}}, 30, DecisionDone, "nothing worse"},
+		"too short":           {Observation{Duration: time.Second, Metrics: []Block{block(99, 99), block(98, 98)}}, 9, DecisionUndecided, "9s of 10s"},
+		"too few":             {Observation{Duration: time.Second, Metrics: []Block{{Counts{3, 3}, Counts{3, 3}}, {Counts{3, 3}, Counts{3, 3}}}}, 30, DecisionUndecided, "90 of 100"},
+		"nobody asks the new": {Observation{Duration: time.Second, Metrics: []Block{{Counts{100, 99}, Counts{}}, {Counts{100, 99}, Counts{}}}}, 60, DecisionUndecided, "0s of 10s"},
+		"enough to ask, too few to tell": {Observation{Duration: time.Second, Metrics: []Block{{Counts{5, 4}, Counts{5, 4}}, {Counts{5, 4}, Counts{5, 4}}}}, 24,
+			DecisionUndecided, "too few requests to have found"},
+		"a zone is out":                     {Observation{Duration: time.Second, Excluded: true, Metrics: []Block{block(99, 10), block(98, 10)}}, 60, DecisionUndecided, "0s of 10s"},
+		"a rule broken while a zone is out": {Observation{Excluded: true, Violation: "n3 sent to a draining member"}, 1, DecisionStopped, "n3 sent"},
 	} {
-		j := NewJudge(plan)
+		j := NewEvaluator(plan)
 		for range c.times {
-			if err := j.See(c.o); err != nil {
+			if err := j.Observe(c.o); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if got, why := j.Rule(); got != c.want || !strings.Contains(why, c.why) {
+		if got, why := j.Decide(); got != c.want || !strings.Contains(why, c.why) {
 			t.Errorf("%s: %v, %s", name, got, why)
 		}
-		if c.want == Done {
+		if c.want == DecisionDone {
 			j.NextStage()
-			if got, _ := j.Rule(); got != Undecided {
+			if got, _ := j.Decide(); got != DecisionUndecided {
 				t.Errorf("%s: the next stage begins %v", name, got)
 			}
 		}
 	}
-	j := NewJudge(plan)
-	if err := j.See(Observed{Claims: []Block{{New: Counts{1, 2}}, {}}}); !errors.Is(err, ErrCounts) || !strings.Contains(err.Error(), "served in time") {
+	j := NewEvaluator(plan)
+	if err := j.Observe(Observation{Metrics: []Block{{New: Counts{1, 2}}, {}}}); !errors.Is(err, ErrInvalidCounts) || !strings.Contains(err.Error(), "served in time") {
 		t.Error(err)
 	}
-	if err := j.See(Observed{Claims: []Block{{}}}); err == nil {
+	if err := j.Observe(Observation{Metrics: []Block{{}}}); err == nil {
 		t.Error("a claim that nobody counted is taken")
 	}
 }
 
-func TestPlansThatCantBeUsed(t *testing.T) {
+func TestPlanCheckRejectsInvalidPlans(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
-		"without a claim":      func(p *Plan) { p.Claims = nil },
+		"without a claim":      func(p *Plan) { p.Metrics = nil },
 		"a false stop of 0.9":  func(p *Plan) { p.Alpha = 0.9 },
-		"each has a name":      func(p *Plan) { p.Claims = []Claim{{"a", 0.1}, {"a", 0.1}} },
-		"a harm of 0 is not":   func(p *Plan) { p.Claims = []Claim{{"a", 0}} },
-		"least time, requests": func(p *Plan) { p.Least = 0 },
+		"each has a name":      func(p *Plan) { p.Metrics = []Metric{{"a", 0.1}, {"a", 0.1}} },
+		"a harm of 0 is not":   func(p *Plan) { p.Metrics = []Metric{{"a", 0}} },
+		"least time, requests": func(p *Plan) { p.MinRequests = 0 },
 	} {
 		p := plan
 		change(&p)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,12 +7,12 @@
 	"linenloom/logic"
 )
 
-// params mirrors the settings object; keys it does not name are skipped.
-type params struct {
+// settingsJSON mirrors the settings object; keys it does not name are skipped.
+type settingsJSON struct {
 	Areas     []string `json:"areas"`
 	Zone      int      `json:"az"`
 	Instances int      `json:"instances"`
-	Self      int      `json:"self_index"`
+	SelfIndex int      `json:"self_index"`
 	Discovery string   `json:"discovery"`
 	TickMS    float64  `json:"granularity_ms"`
 	OverShare float64  `json:"over_share_worth"`
@@ -37,7 +37,7 @@
 	Deductions struct {
 		CrossZone float64 `json:"cross_zone"`
 	} `json:"deductions"`
-	Info struct {
+	Family struct {
 		Mode         string  `json:"mode"`
 		OriginKind   *int    `json:"origin_kind"`
 		FallMultiple float64 `json:"origin_fall_multiple"`
@@ -68,12 +68,12 @@
 
 // ParseSettings reads the settings of an Init event.
 func ParseSettings(text []byte) (logic.Settings, error) {
-	var p params
+	var p settingsJSON
 	if err := json.Unmarshal(text, &p); err != nil {
 		return logic.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := logic.Settings{
-		Self: p.Self, Instances: p.Instances, Zone: p.Zone, Zones: len(p.Areas),
+		Self: p.SelfIndex, Instances: p.Instances, Zone: p.Zone, Zones: len(p.Areas),
 		Mode: logic.Through, OriginKind: -1, Subscribe: p.Discovery == "subscribe",
 		Tick: millis(p.TickMS), TryLimit: p.Limits.TryLimit, SecondCopies: p.Limits.SecondCopies,
 		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, CanTell: p.Limits.Peers,
@@ -81,14 +81,14 @@
 		ConnectTimeout: millis(p.Limits.ConnectMS), AnswerGrace: millis(p.Rules.GraceMS),
 		MustAskIn: millis(p.Rules.MustAskMS), ColdFrom: p.Rules.ColdFrom, ColdFor: millis(p.Rules.ColdMS),
 		FallMultiple: p.Rules.FallMultiple, FallAfter: millis(p.Rules.TipMS),
-		OriginFallMultiple: p.Info.FallMultiple, OriginFallAfter: millis(p.Info.FallMS),
+		OriginFallMultiple: p.Family.FallMultiple, OriginFallAfter: millis(p.Family.FallMS),
 		CrossZonePrice: p.Deductions.CrossZone, OverShareWorth: p.OverShare,
 	}
-	if p.Info.Mode == "aside" {
+	if p.Family.Mode == "aside" {
 		s.Mode = logic.Aside
 	}
-	if p.Info.OriginKind != nil {
-		s.OriginKind = *p.Info.OriginKind
+	if p.Family.OriginKind != nil {
+		s.OriginKind = *p.Family.OriginKind
 	}
 	s.Weights = map[string]logic.Weights{
 		"nominal": logic.WeightsNominal, "rough": logic.WeightsRough, "live": logic.WeightsLive,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -18,44 +18,44 @@
 	EvDetach        = 256
 	EvInit          = 257
 	EvDiscovery     = 258
-	EvAsk           = 259
-	EvUnderWay      = 260
-	EvMessage       = 261
+	EvRequest       = 259
+	EvStreamStarted = 260
+	EvPeerMessage   = 261
 	EvExpired       = 262
-	EvRing          = 263
+	EvTimer         = 263
 	EvProbeDone     = 264
-	EvClosedAttempt = 265
+	EvAttemptEnded  = 265
 )
 
 // The codes of actions.
 const (
-	acAbort        = 256
-	acTrace        = 257
-	acAskLoad      = 258
-	acBroadcastTo  = 259
-	acKeepInformed = 260
-	acRemind       = 261
-	acShed         = 262
-	acLetGo        = 263
-	acBug          = 264
-	acRefresh      = 265
-	acHandOff      = 266
-	acDropAttempt  = 267
+	acFail        = 256
+	acLog         = 257
+	acProbe       = 258
+	acPeerMessage = 259
+	acWatch       = 260
+	acSetTimer    = 261
+	acRefuse      = 262
+	acCloseIdle   = 263
+	acBug         = 264
+	acFetch       = 265
+	acSend        = 266
+	acCancel      = 267
 )
 
 const (
-	batchHeader = 16
-	replyHeader = 8
-	recHeader   = 6
-	entrySize   = 24
-	maxFrame    = 1 << 30
-	maxText     = math.MaxUint16
-	maxPeerData = 256
-	allPeers    = math.MaxUint32
+	batchHeader  = 16
+	replyHeader  = 8
+	recordHeader = 6
+	entrySize    = 24
+	maxFrame     = 1 << 30
+	maxText      = math.MaxUint16
+	maxPeerData  = 256
+	allPeers     = math.MaxUint32
 )
 
-// ErrFrame is wrapped by every error about a malformed frame.
-var ErrFrame = errors.New("malformed frame")
+// ErrMalformedFrame is wrapped by every error about a malformed frame.
+var ErrMalformedFrame = errors.New("malformed frame")
 
 // Event is one decoded event; Code says which fields hold.
 type Event struct {
@@ -74,18 +74,18 @@
 }
 
 // ReadBatch reads one frame. At a clean end of input it returns io.EOF; a frame cut short or of an
-// impossible length is an error that wraps ErrFrame. The buffer is reused if it is large enough.
+// impossible length is an error that wraps ErrMalformedFrame. The buffer is reused if it is large enough.
 func ReadBatch(r *bufio.Reader, buf []byte) ([]byte, error) {
 	var head [batchHeader]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
 			return buf, io.EOF
 		}
-		return buf, fmt.Errorf("%w: header cut short after %d bytes: %v", ErrFrame, n, err)
+		return buf, fmt.Errorf("%w: header cut short after %d bytes: %v", ErrMalformedFrame, n, err)
 	}
 	size := binary.LittleEndian.Uint32(head[8:])
 	if size < batchHeader || size > maxFrame {
-		return buf, fmt.Errorf("%w: impossible length %d", ErrFrame, size)
+		return buf, fmt.Errorf("%w: impossible length %d", ErrMalformedFrame, size)
 	}
 	buf = append(buf[:0], head[:]...)
 	// Grown as bytes arrive, so a false length costs no memory.
@@ -94,7 +94,7 @@
 		at := len(buf)
 		buf = append(buf, make([]byte, n)...)
 		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return buf, fmt.Errorf("%w: body cut short: %v", ErrFrame, err)
+			return buf, fmt.Errorf("%w: body cut short: %v", ErrMalformedFrame, err)
 		}
 	}
 	return buf, nil
@@ -104,40 +104,40 @@
 // unknown codes are skipped. The Event is reused between calls; slices of bytes point into the frame.
 func Decode(frame []byte, handle func(now time.Duration, e *Event)) error {
 	if len(frame) < batchHeader || int64(binary.LittleEndian.Uint32(frame[8:])) != int64(len(frame)) {
-		return fmt.Errorf("%w: length field does not match", ErrFrame)
+		return fmt.Errorf("%w: length field does not match", ErrMalformedFrame)
 	}
 	now := millis(math.Float64frombits(binary.LittleEndian.Uint64(frame)))
 	count := binary.LittleEndian.Uint32(frame[12:])
 	rest := frame[batchHeader:]
 	var e Event
 	for i := uint32(0); i < count; i++ {
-		if len(rest) < recHeader {
-			return fmt.Errorf("%w: record %d of %d cut short", ErrFrame, i, count)
+		if len(rest) < recordHeader {
+			return fmt.Errorf("%w: record %d of %d cut short", ErrMalformedFrame, i, count)
 		}
 		code := binary.LittleEndian.Uint16(rest)
 		size := binary.LittleEndian.Uint32(rest[2:])
-		if uint64(size) > uint64(len(rest)-recHeader) {
-			return fmt.Errorf("%w: record %d is longer than the frame", ErrFrame, i)
+		if uint64(size) > uint64(len(rest)-recordHeader) {
+			return fmt.Errorf("%w: record %d is longer than the frame", ErrMalformedFrame, i)
 		}
-		c := cursor{b: rest[recHeader : recHeader+int(size)]}
-		rest = rest[recHeader+int(size):]
+		c := cursor{b: rest[recordHeader : recordHeader+int(size)]}
+		rest = rest[recordHeader+int(size):]
 		known := decodeEvent(&e, code, &c)
 		if !known {
 			continue
 		}
 		if c.short {
-			return fmt.Errorf("%w: fields of event %d cut short", ErrFrame, code)
+			return fmt.Errorf("%w: fields of event %d cut short", ErrMalformedFrame, code)
 		}
 		handle(now, &e)
 	}
 	if len(rest) != 0 {
-		return fmt.Errorf("%w: %d bytes after the last record", ErrFrame, len(rest))
+		return fmt.Errorf("%w: %d bytes after the last record", ErrMalformedFrame, len(rest))
 	}
 	return nil
 }
 
 func decodeEvent(e *Event, code uint16, c *cursor) bool {
-	if code < EvDetach || code > EvClosedAttempt {
+	if code < EvDetach || code > EvAttemptEnded {
 		return false
 	}
 	*e = Event{Code: code, Instance: c.u32(), Members: e.Members[:0]}
@@ -147,9 +147,9 @@
 		e.Params = c.bytes(int64(c.u32()))
 	case EvDiscovery:
 		e.decodeMembers(c)
-	case EvAsk:
-		e.decodeAsk(c)
-	case EvRing:
+	case EvRequest:
+		e.decodeRequest(c)
+	case EvTimer:
 		e.Token = c.u64()
 	case EvExpired:
 		e.Request.ID = logic.RequestID(c.u32())
@@ -158,7 +158,7 @@
 		e.Outcome.Status = status(c.u16())
 		e.Outcome.Elapsed = millis(c.f64())
 		e.Outcome.Load = c.load()
-	case EvClosedAttempt:
+	case EvAttemptEnded:
 		o := &e.Outcome
 		o.Request = logic.RequestID(c.u32())
 		o.Elapsed = millis(c.f64())
@@ -168,10 +168,10 @@
 		o.Member = c.node()
 		o.Status = status(c.u16())
 		o.Load = c.load()
-	case EvMessage:
+	case EvPeerMessage:
 		e.Peer = int(c.u16())
 		e.Data = c.bytes(int64(c.u16()))
-	case EvUnderWay:
+	case EvStreamStarted:
 		o := &e.Outcome
 		o.Request = logic.RequestID(c.u32())
 		o.Attempt = int(c.u8())
@@ -200,7 +200,7 @@
 	}
 }
 
-func (e *Event) decodeAsk(c *cursor) {
+func (e *Event) decodeRequest(c *cursor) {
 	q := &e.Request
 	q.ID = logic.RequestID(c.u32())
 	q.Cost = millis(c.f64())
@@ -374,7 +374,7 @@
 
 // Send implements logic.Actions.
 func (a Actions) Send(id logic.RequestID, to logic.MemberID, timeout time.Duration) {
-	a.Reply.record(acHandOff, a.Instance, 18)
+	a.Reply.record(acSend, a.Instance, 18)
 	a.Reply.u32(uint32(id))
 	a.Reply.node(to)
 	a.Reply.ms(timeout)
@@ -382,14 +382,14 @@
 
 // Refuse implements logic.Actions.
 func (a Actions) Refuse(id logic.RequestID, retryAfter time.Duration, _ logic.Reason) {
-	a.Reply.record(acShed, a.Instance, 12)
+	a.Reply.record(acRefuse, a.Instance, 12)
 	a.Reply.u32(uint32(id))
 	a.Reply.ms(retryAfter)
 }
 
 // Fail implements logic.Actions.
 func (a Actions) Fail(id logic.RequestID, _ logic.Reason) {
-	a.Reply.record(acAbort, a.Instance, 4)
+	a.Reply.record(acFail, a.Instance, 4)
 	a.Reply.u32(uint32(id))
 }
 
@@ -398,19 +398,19 @@
 
 // Cancel implements logic.Actions.
 func (a Actions) Cancel(id logic.RequestID, attempt int) {
-	a.Reply.record(acDropAttempt, a.Instance, 5)
+	a.Reply.record(acCancel, a.Instance, 5)
 	a.Reply.u32(uint32(id))
 	a.Reply.buf = append(a.Reply.buf, byte(attempt))
 }
 
 // Probe implements logic.Actions.
-func (a Actions) Probe(m logic.MemberID) { a.member(acAskLoad, m) }
+func (a Actions) Probe(m logic.MemberID) { a.member(acProbe, m) }
 
 // Wait implements logic.Actions; the simulator's instances lack no connection.
 func (a Actions) Wait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
 
 // CloseIdle implements logic.Actions.
-func (a Actions) CloseIdle(m logic.MemberID) { a.member(acLetGo, m) }
+func (a Actions) CloseIdle(m logic.MemberID) { a.member(acCloseIdle, m) }
 
 func (a Actions) member(code uint16, m logic.MemberID) {
 	a.Reply.record(code, a.Instance, 6)
@@ -419,14 +419,14 @@
 
 // SetTimer implements logic.Actions.
 func (a Actions) SetTimer(at time.Duration, token uint64) {
-	a.Reply.record(acRemind, a.Instance, 16)
+	a.Reply.record(acSetTimer, a.Instance, 16)
 	a.Reply.ms(at)
 	a.Reply.u64(token)
 }
 
 // Watch implements logic.Actions.
 func (a Actions) Watch(on bool) {
-	a.Reply.record(acKeepInformed, a.Instance, 1)
+	a.Reply.record(acWatch, a.Instance, 1)
 	b := byte(0)
 	if on {
 		b = 1
@@ -435,12 +435,12 @@
 }
 
 // Fetch implements logic.Actions.
-func (a Actions) Fetch() { a.Reply.record(acRefresh, a.Instance, 0) }
+func (a Actions) Fetch() { a.Reply.record(acFetch, a.Instance, 0) }
 
 // Tell implements logic.Actions.
 func (a Actions) Tell(peer int, data []byte) {
 	data = data[:min(len(data), maxPeerData)]
-	a.Reply.record(acBroadcastTo, a.Instance, 6+len(data))
+	a.Reply.record(acPeerMessage, a.Instance, 6+len(data))
 	if peer == logic.AllPeers {
 		a.Reply.u32(allPeers)
 	} else {
@@ -450,4 +450,4 @@
 }
 
 // Log implements logic.Actions.
-func (a Actions) Log(text string) { a.Reply.text(acTrace, a.Instance, text) }
+func (a Actions) Log(text string) { a.Reply.text(acLog, a.Instance, text) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,16 +24,16 @@
 }
 
 const (
-	ask       = "0301 2b000000 03000000 c4913a5d 0000000000002840 01 0000 00000000 0000000020e6c040 00000000 640ad2557c3bf091"
-	ring      = "0701 0c000000 03000000 4d00000000000000"
-	expired   = "0601 08000000 05000000 192b6f0e"
-	closed    = "0901 1c000000 03000000 c4913a5d 0000000000803240 00 00 01 0a124a07 5b1b c800 00"
-	discovery = "0201 3d000000 03000000 02 29000000 02000000" +
+	requestRecord      = "0301 2b000000 03000000 c4913a5d 0000000000002840 01 0000 00000000 0000000020e6c040 00000000 640ad2557c3bf091"
+	timerRecord        = "0701 0c000000 03000000 4d00000000000000"
+	expiredRecord      = "0601 08000000 05000000 192b6f0e"
+	attemptEndedRecord = "0901 1c000000 03000000 c4913a5d 0000000000803240 00 00 01 0a124a07 5b1b c800 00"
+	discoveryRecord    = "0201 3d000000 03000000 02 29000000 02000000" +
 		"00 00 0000000000000000 0000 0000803f 0000 0a124a07 5b1b" +
 		"01 00 0000000000d4b740 0000 0000c03f 0000 0a9011f2 841b"
-	unknown = "ff7f 03000000 010203"
-	node1   = logic.MemberID(0x0a124a07<<16 | 0x1b5b)
-	node2   = logic.MemberID(0x0a9011f2<<16 | 0x1b84)
+	unknownRecord = "ff7f 03000000 010203"
+	node1         = logic.MemberID(0x0a124a07<<16 | 0x1b5b)
+	node2         = logic.MemberID(0x0a9011f2<<16 | 0x1b84)
 )
 
 func batch(t testing.TB, records ...string) []byte {
@@ -57,8 +57,8 @@
 	return events, clock
 }
 
-func TestDecodeWorkedExamples(t *testing.T) {
-	events, now := decode(t, batch(t, ask, ring, unknown, expired, closed, discovery))
+func TestDecodeExamples(t *testing.T) {
+	events, now := decode(t, batch(t, requestRecord, timerRecord, unknownRecord, expiredRecord, attemptEndedRecord, discoveryRecord))
 	if len(events) != 5 || now != 8412250*time.Microsecond {
 		t.Fatalf("%d events at %v, want 5 at 8412.25 ms", len(events), now)
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestEncodeWorkedExamples(t *testing.T) {
+func TestEncodeExamples(t *testing.T) {
 	var r Reply
 	r.Reset()
 	if got, want := r.Bytes(), unhex(t, "08000000 00000000"); !bytes.Equal(got, want) {
@@ -141,7 +141,7 @@
 }
 
 func TestReadBatch(t *testing.T) {
-	whole := batch(t, ask)
+	whole := batch(t, requestRecord)
 	r := bufio.NewReader(bytes.NewReader(append(bytes.Clone(whole), whole...)))
 	for range 2 {
 		if got, err := ReadBatch(r, nil); err != nil || !bytes.Equal(got, whole) {
@@ -155,23 +155,23 @@
 	short[8], short[9] = 3, 0
 	huge[11] = 0xff
 	for name, in := range map[string][]byte{"header": whole[:7], "body": whole[:20], "short": short, "huge": huge} {
-		if _, err := ReadBatch(bufio.NewReader(bytes.NewReader(in)), nil); !errors.Is(err, ErrFrame) {
+		if _, err := ReadBatch(bufio.NewReader(bytes.NewReader(in)), nil); !errors.Is(err, ErrMalformedFrame) {
 			t.Errorf("%s: %v, want ErrFrame", name, err)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(batch(f, ask, ring, expired, closed, discovery))
-	f.Add(batch(f, unknown, discovery))
-	f.Add(batch(f, closed)[:30])
+	f.Add(batch(f, requestRecord, timerRecord, expiredRecord, attemptEndedRecord, discoveryRecord))
+	f.Add(batch(f, unknownRecord, discoveryRecord))
+	f.Add(batch(f, attemptEndedRecord)[:30])
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		err := Decode(frame, func(_ time.Duration, e *Event) {
-			if e.Code < EvDetach || e.Code > EvClosedAttempt {
+			if e.Code < EvDetach || e.Code > EvAttemptEnded {
 				t.Errorf("event of unknown code %d", e.Code)
 			}
 		})
-		if err != nil && !errors.Is(err, ErrFrame) {
+		if err != nil && !errors.Is(err, ErrMalformedFrame) {
 			t.Errorf("%v does not wrap ErrFrame", err)
 		}
 	})
--- a/internal/zonecmd/zonecmd.go
+++ b/internal/zonecmd/zonecmd.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	usageStatus = 2
-	callTime    = 5 * time.Second
+	exitUsage      = 2
+	requestTimeout = 5 * time.Second
 )
 
 const membersUsage = `usage: linenloom members -mgmt ADDR    who is there, since when, who does not hear whom, and what each sees of each zone
@@ -35,19 +35,19 @@
 `
 
 // Members runs the command for the instances.
-func Members(args []string) int { return members(args, os.Stdout, os.Stderr) }
+func Members(args []string) int { return runMembers(args, os.Stdout, os.Stderr) }
 
 // Zone runs the command for the zones.
-func Zone(args []string) int { return zone(args, os.Stdout, os.Stderr) }
+func Zone(args []string) int { return runZone(args, os.Stdout, os.Stderr) }
 
-func members(args []string, out, errs io.Writer) int {
+func runMembers(args []string, out, errs io.Writer) int {
 	f := flag.NewFlagSet("members", flag.ContinueOnError)
 	addr := f.String("mgmt", "", "the `ADDR` where the instance takes operators' calls")
-	if status := parse(f, errs, args, membersUsage, "mgmt"); status != 0 {
+	if status := parseFlags(f, errs, args, membersUsage, "mgmt"); status != 0 {
 		return status
 	}
-	return done("members", errs, func() error {
-		v, err := view(*addr)
+	return exitStatus("members", errs, func() error {
+		v, err := fetchView(*addr)
 		if err != nil {
 			return err
 		}
@@ -62,7 +62,7 @@
 			if m.Number == v.Number && v.Leads {
 				is = "leads"
 			}
-			fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s", m.Number, m.Name, m.Zone, m.Program, m.Settings, at(m.Since), is, time.Duration(m.HeardMS)*time.Millisecond,
+			fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s", m.Number, m.Name, m.Zone, m.Program, m.Settings, formatTime(m.Since), is, time.Duration(m.HeardMS)*time.Millisecond,
 				m.Epoch, strings.Trim(fmt.Sprint(m.Suspects), "[]"))
 			for _, s := range m.Sees {
 				fmt.Fprintf(t, "\t%d of %d bad", s.Bad, s.Judged)
@@ -73,7 +73,7 @@
 	})
 }
 
-func zone(args []string, out, errs io.Writer) int {
+func runZone(args []string, out, errs io.Writer) int {
 	name := ""
 	if len(args) > 0 {
 		name = args[0]
@@ -88,16 +88,16 @@
 		must = append(must, "zone", "who")
 	default:
 		fmt.Fprint(errs, zoneUsage)
-		return usageStatus
+		return exitUsage
 	}
-	if status := parse(f, errs, args[1:], zoneUsage, must...); status != 0 {
+	if status := parseFlags(f, errs, args[1:], zoneUsage, must...); status != 0 {
 		return status
 	}
-	return done("zone "+name, errs, func() error {
+	return exitStatus("zone "+name, errs, func() error {
 		if name != "show" {
-			return call(*addr, name, *which, *who, out)
+			return sendOverride(*addr, name, *which, *who, out)
 		}
-		v, err := view(*addr)
+		v, err := fetchView(*addr)
 		if err != nil {
 			return err
 		}
@@ -106,7 +106,7 @@
 		for _, z := range v.Zones {
 			asked := ""
 			if z.At > 0 {
-				asked = at(z.At)
+				asked = formatTime(z.At)
 			}
 			fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%s\t%s\t%s\t\n", z.Name, z.State, z.Share, z.Here, z.Hand, z.Who, asked)
 		}
@@ -114,18 +114,18 @@
 	})
 }
 
-func parse(f *flag.FlagSet, errs io.Writer, args []string, usage string, must ...string) int {
+func parseFlags(f *flag.FlagSet, errs io.Writer, args []string, usage string, must ...string) int {
 	f.Usage = func() { fmt.Fprint(errs, usage) }
 	if err := flags.Parse(f, errs, args, must...); err != nil {
 		if !errors.Is(err, flags.ErrUsage) {
 			fmt.Fprintf(errs, "linenloom %s: %v\n", f.Name(), err)
 		}
-		return usageStatus
+		return exitUsage
 	}
 	return 0
 }
 
-func done(name string, errs io.Writer, do func() error) int {
+func exitStatus(name string, errs io.Writer, do func() error) int {
 	if err := do(); err != nil {
 		fmt.Fprintf(errs, "linenloom %s: %v\n", name, err)
 		return 1
@@ -133,20 +133,20 @@
 	return 0
 }
 
-func view(addr string) (v mgmt.View, err error) {
-	text, err := mgmt.Ask(http.MethodGet, addr, "/members", "", callTime)
+func fetchView(addr string) (v mgmt.View, err error) {
+	text, err := mgmt.Ask(http.MethodGet, addr, "/members", "", requestTimeout)
 	if err != nil {
 		return v, err
 	}
 	return v, json.Unmarshal(text, &v)
 }
 
-// call asks for a zone, and says who has not been told yet.
-func call(addr, name, which, who string, out io.Writer) error {
+// sendOverride asks for a zone, and says who has not been told yet.
+func sendOverride(addr, name, which, who string, out io.Writer) error {
 	if len(who) > zones.MaxRequesterLen {
 		return fmt.Errorf("-who is longer than %d bytes", zones.MaxRequesterLen)
 	}
-	text, err := mgmt.Ask(http.MethodPut, addr, "/zones/"+name, which+" "+who, callTime)
+	text, err := mgmt.Ask(http.MethodPut, addr, "/zones/"+name, which+" "+who, requestTimeout)
 	if err != nil {
 		return err
 	}
@@ -162,4 +162,4 @@
 	return nil
 }
 
-func at(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
--- a/internal/zonecmd/zonecmd_test.go
+++ b/internal/zonecmd/zonecmd_test.go
@@ -54,9 +54,9 @@
 	} {
 		var out, errs strings.Builder
 		words := strings.Fields(line)
-		run := zone
+		run := runZone
 		if words[0] == "members" {
-			run = members
+			run = runMembers
 		}
 		asked = ""
 		status := run(words[1:], &out, &errs)
