--- a/internal/zones/codec.go
+++ b/internal/zones/codec.go
@@ -6,17 +6,19 @@
 	"fmt"
 )
 
-// Message is what one instance sends another: its report, the verdict that it holds, the operators' calls, or some of these.
+// Message is a datagram that one instance sends to another. It carries any of the sender's report, the
+// current verdict and the operators' overrides.
 type Message struct {
 	From         int
 	Report       *Report
 	Verdict      *Verdict
-	FromLeader   bool // the sender decided the verdict and has a quorum; else it passes it on
+	FromLeader   bool // the sender decided the verdict and has a quorum; false: it forwards the verdict
 	Overrides    []Override
-	ShuttingDown bool // the sender ends, by its own will
+	ShuttingDown bool // the sender is shutting down on purpose
 }
 
-// MaxMessageSize bounds a message, so that it fits into one datagram beside what membership adds.
+// MaxMessageSize bounds an encoded message, so that it fits into one datagram together with memberlist's
+// overhead.
 const MaxMessageSize = 1200
 
 const (
@@ -28,10 +30,10 @@
 	flagShuttingDown = 16
 )
 
-// ErrMalformedMessage tells of a message that can't be read.
-var ErrMalformedMessage = errors.New("zones: message can't be read")
+// ErrMalformedMessage is wrapped by every error about a message that cannot be decoded.
+var ErrMalformedMessage = errors.New("zones: malformed message")
 
-// Append writes a message. Calls are left out where they would not fit.
+// Append appends the encoded message to b. It encodes at most maxSuspects suspects of a report.
 func (msg *Message) Append(b []byte) []byte {
 	flags := byte(0)
 	start := len(b)
@@ -83,7 +85,7 @@
 	return b
 }
 
-// reader reads what Append wrote; the first fault stays.
+// reader decodes the fields that Append wrote. It keeps the first error.
 type reader struct {
 	rest []byte
 	err  error
@@ -92,7 +94,7 @@
 func (r *reader) uvarint(what string, most uint64) uint64 {
 	n, size := binary.Uvarint(r.rest)
 	if r.err == nil && (size <= 0 || n > most) {
-		r.err = fmt.Errorf("%w: %s", ErrMalformedMessage, what)
+		r.err = fmt.Errorf("%w: invalid %s", ErrMalformedMessage, what)
 	}
 	if r.err != nil {
 		return 0
@@ -108,10 +110,10 @@
 	maxTimestampMS    = 1 << 52
 )
 
-// Decode reads a message. It keeps nothing of b.
+// Decode decodes a message. The message holds no reference to b.
 func Decode(b []byte) (msg Message, err error) {
 	if len(b) < 2 || b[0] != codecVersion {
-		return msg, fmt.Errorf("%w: not of this version", ErrMalformedMessage)
+		return msg, fmt.Errorf("%w: unsupported version", ErrMalformedMessage)
 	}
 	flags, r := b[1], &reader{rest: b[2:]}
 	msg.From, msg.ShuttingDown = r.int("sender", maxInstanceNumber), flags&flagShuttingDown != 0
@@ -150,7 +152,7 @@
 			h.Mode, h.TimestampMS, h.ReceivedBy = Mode(r.int("mode", int(modes)-1)), int64(r.uvarint("stamp", maxTimestampMS)), r.int("called", maxInstanceNumber)
 			n := r.int("who", MaxRequesterLen)
 			if r.err == nil && n > len(r.rest) {
-				r.err = fmt.Errorf("%w: who", ErrMalformedMessage)
+				r.err = fmt.Errorf("%w: invalid who", ErrMalformedMessage)
 			}
 			if r.err == nil {
 				h.Requester, r.rest = string(r.rest[:n]), r.rest[n:]
@@ -158,7 +160,7 @@
 		}
 	}
 	if r.err == nil && len(r.rest) > 0 {
-		r.err = fmt.Errorf("%w: %d bytes too many", ErrMalformedMessage, len(r.rest))
+		r.err = fmt.Errorf("%w: %d trailing bytes", ErrMalformedMessage, len(r.rest))
 	}
 	return msg, r.err
 }
--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -10,54 +10,57 @@
 )
 
 const (
-	// TickInterval is how often an instance tells what it sees, and a leader what holds.
+	// TickInterval is how often an instance reports what it observes, and a leader sends the verdict.
 	TickInterval = 50 * time.Millisecond
-	// leaderLease is how long the first in the order of leaders may be silent before the next acts in its place.
+	// leaderLease is how long the first instance in the leader order may be silent before the next one
+	// leads.
 	leaderLease = 500 * time.Millisecond
-	// reportMaxAge is how old a report may be to count.
+	// reportMaxAge is the age up to which a report counts.
 	reportMaxAge = 700 * time.Millisecond
-	// pauseThreshold between two ticks tells that this instance has stood still: it acts on nothing that it held before.
+	// pauseThreshold is the time between two ticks above which this process is taken to have been
+	// suspended. It then discards all earlier observations.
 	pauseThreshold = time.Second
 
-	minJudged       = 5    // fewer attempts of an instance tell nothing
-	badRatio        = 0.4  // of an instance's attempts: it calls the zone bad
-	trimmedBadRatio = 0.25 // of those at all but the worst third of the boxes: it is the zone, not some boxes
+	minJudged       = 5    // fewer judged attempts at an instance give it no vote
+	badRatio        = 0.4  // share of bad attempts from which an instance votes a zone bad
+	trimmedBadRatio = 0.25 // the same without the worst third of the nodes: the zone is at fault, not a few nodes
 	goodRatio       = 0.2
-	silentRatio     = 0.9 // of the bad ones had no answer at all
-	minVoters       = 2   // who stands alone leaves for nobody else
-
-	confirmTicks      = 2                // ticks in a row that a zone is bad before it is left
-	minSilentVoters   = 3                // that find it silent, with nobody against a third of them: one tick
-	maxUnsettledTicks = 10               // ticks that a zone in between holds up the decision on another
-	suspicionTimeout  = time.Second      // without a bad sight ends a suspicion
-	ackTimeout        = time.Second      // for all to say that they have left
-	minOutTime        = time.Second / 2  // before the first try
-	maxOutTime        = 30 * time.Second // and at the most, for a zone that flaps
-	flapWindow        = time.Minute      // a zone that fails again within this of its return waits longer
-	goodProbeTicks    = 10               // good ones in a row end the trial
-	regionWaitTimeout = 15 * time.Second // a region's zone that answers waits for the others no longer
-	shareStep         = 10               // hundredths of a zone's work
-	maxRefusalSteps   = 3                // steps' time that a shortage of the origin may hold a step up
-	mixedTimeout      = time.Second      // neither good nor bad for this long is worse
-	noLeaderTimeout   = 5 * time.Second  // without a leader that has a quorum: each decides for itself, as without the fleet
-	capacityTolerance = 0.8              // of Config.Least, where a verdict is checked: lists differ for a moment
+	silentRatio     = 0.9 // share of the bad attempts that had no answer at all
+	minVoters       = 2   // a single instance never gets a zone taken out of use for the others
+
+	confirmTicks      = 2                // consecutive bad ticks before a zone is left
+	minSilentVoters   = 3                // instances that all see silence, at most a third against: one tick is enough
+	maxUnsettledTicks = 10               // ticks for which a zone neither good nor bad delays the decision on another
+	suspicionTimeout  = time.Second      // without a bad tick ends a suspicion
+	ackTimeout        = time.Second      // for all instances to confirm that they have left a zone
+	minOutTime        = time.Second / 2  // before the first probes
+	maxOutTime        = 30 * time.Second // upper bound for a flapping zone
+	flapWindow        = time.Minute      // a zone that fails again within this time of its return stays out longer
+	goodProbeTicks    = 10               // consecutive good ticks that end probing
+	regionWaitTimeout = 15 * time.Second // a zone that answers waits no longer for its region
+	shareStep         = 10               // in hundredths of a zone's usual load
+	maxRefusalSteps   = 3                // step durations for which refusals at the origin may delay the next step
+	mixedTimeout      = time.Second      // mixed results for this long lower the share
+	noLeaderTimeout   = 5 * time.Second  // without a leader with a quorum: use all zones, as without [zones]
+	capacityTolerance = 0.8              // factor on MinCapacityShare when checking a verdict: member lists may differ
 )
 
-// Peer is another instance, as membership knows it.
+// Peer is another instance in the membership list.
 type Peer struct {
 	Number int
 	Zone   int
-	Alive  bool // else it was there lately, and has not said that it leaves
+	Alive  bool // false: seen recently, and has not announced its shutdown
 }
 
-// Machine is one instance's part in the fleet's decision. It is not safe for concurrent use.
+// Machine is one instance's part in the decision that all instances share. It is not safe for concurrent
+// use.
 type Machine struct {
 	config         Config
-	ownZone        int // this instance's zone
+	ownZone        int
 	peers          []Peer
 	capacity       []float64
 	reports        map[int]*receivedReport
-	lastHeard      map[int]time.Duration // by the numbers of those that may lead: when they last said anything
+	lastHeard      map[int]time.Duration // by instance number: when its last message arrived
 	verdict        Verdict
 	overrides      []Override
 	trackers       []zoneTracker
@@ -65,8 +68,9 @@
 	now            time.Duration
 	observingSince time.Duration
 	leaderHeardAt  time.Duration // when a leader with a quorum was last heard
-	ownReport      Report        // this instance's own
-	// limiters is the share that each zone gets here, which never rises faster than boxes that may be cold bear, whatever is told.
+	ownReport      Report
+	// limiters limit the share of each zone at this instance. A share never rises faster than cold cache
+	// nodes can take load, whatever verdicts arrive.
 	limiters []shareLimiter
 	changes  []Change
 }
@@ -76,23 +80,24 @@
 	receivedAt time.Duration
 }
 
-// zoneTracker is what a leader keeps of a zone beside the verdict. One that takes over begins anew with it, which can only delay a step.
+// zoneTracker is the leader's state of a zone in addition to the verdict. A new leader starts with an
+// empty one, which can only delay a step.
 type zoneTracker struct {
-	since      time.Duration // of the state or step, as known here
-	badTicks   int           // ticks in a row
+	since      time.Duration // start of the state or step, as seen here
+	badTicks   int           // consecutive ticks, as are the next two
 	goodTicks  int
 	mixedTicks int
-	lastBadAt  time.Duration // last
-	returnedAt time.Duration // when it was last whole again
+	lastBadAt  time.Duration
+	returnedAt time.Duration // when the zone last got back its full share
 }
 
 type shareLimiter struct {
-	share     float64 // now
+	share     float64 // current share
 	zeroAt    time.Duration
 	rampingUp bool
 }
 
-// Change is one for the log.
+// Change is a change of a zone's state or share, for the log.
 type Change struct {
 	Zone      int
 	From      Zone
@@ -101,10 +106,10 @@
 	DecidedBy int
 }
 
-// New makes a Machine. Its configuration has been checked.
-func New(c Config, own int) *Machine {
+// New returns a Machine for a configuration that has passed Check.
+func New(c Config, ownZone int) *Machine {
 	n := len(c.Zones)
-	m := &Machine{config: c, ownZone: own, reports: map[int]*receivedReport{}, lastHeard: map[int]time.Duration{}, overrides: make([]Override, n),
+	m := &Machine{config: c, ownZone: ownZone, reports: map[int]*receivedReport{}, lastHeard: map[int]time.Duration{}, overrides: make([]Override, n),
 		trackers: make([]zoneTracker, n), limiters: make([]shareLimiter, n), capacity: make([]float64, n)}
 	m.verdict.Zones = make([]Zone, n)
 	for i := range m.verdict.Zones {
@@ -113,28 +118,28 @@
 	return m
 }
 
-// SetPeers takes over who else there is.
+// SetPeers replaces the list of other instances.
 func (m *Machine) SetPeers(peers []Peer) { m.peers = slices.Clone(peers) }
 
-// SetCapacity takes over what each zone can do, relative to the others.
+// SetCapacity sets the capacity of each zone, relative to the others.
 func (m *Machine) SetCapacity(c []float64) { copy(m.capacity, c) }
 
-// Verdict is what holds as far as this instance knows.
+// Verdict returns the verdict in force at this instance.
 func (m *Machine) Verdict() Verdict { return m.verdict.clone() }
 
-// Overrides are the operators' latest calls.
+// Overrides returns the operators' latest overrides, by zone.
 func (m *Machine) Overrides() []Override { return slices.Clone(m.overrides) }
 
-// Changes are those since it was last asked.
+// Changes returns the changes since the previous call.
 func (m *Machine) Changes() (c []Change) {
 	c, m.changes = m.changes, nil
 	return c
 }
 
-// OwnReport is this instance's latest report.
+// OwnReport returns this instance's latest report.
 func (m *Machine) OwnReport() Report { return m.ownReport }
 
-// PeerReports is what the others last told, by number, as far as it is fresh.
+// PeerReports returns the fresh reports of the other instances, ordered by instance number.
 func (m *Machine) PeerReports() (all []Report) {
 	for _, n := range m.freshReporters() {
 		all = append(all, m.reports[n].Report)
@@ -142,7 +147,7 @@
 	return all
 }
 
-// hasFreshReport tells whether another instance is heard: its latest report still counts.
+// hasFreshReport tells whether another instance's latest report still counts.
 func (m *Machine) hasFreshReport(number int) bool {
 	r := m.reports[number]
 	return r != nil && m.now-r.receivedAt <= reportMaxAge
@@ -158,7 +163,8 @@
 	return numbers
 }
 
-// Leaders is the order in which instances lead: the first of each zone, then the second of each, so that no zone takes all of them with it.
+// Leaders returns the instance numbers in leader order: the first instance of each zone, then the second
+// of each, so that the loss of one zone does not take out all of the next leaders.
 func (m *Machine) Leaders() (numbers []int) {
 	all := append(slices.Clone(m.peers), Peer{Number: m.config.Number, Zone: m.ownZone, Alive: true})
 	all = slices.DeleteFunc(all, func(p Peer) bool { return !p.Alive })
@@ -175,7 +181,7 @@
 	return numbers
 }
 
-// ReceiveReport takes a report.
+// ReceiveReport stores a report of another instance.
 func (m *Machine) ReceiveReport(now time.Duration, r Report) {
 	if r.Number == m.config.Number || len(r.Zones) != len(m.trackers) {
 		return
@@ -188,9 +194,9 @@
 	m.lastHeard[r.Number] = now
 }
 
-// ReceiveVerdict takes a verdict that another instance has told, which was decided by it, if it leads, or by another one. It tells
-// whether that is news.
-func (m *Machine) ReceiveVerdict(now time.Duration, from int, v Verdict, leads bool) (news bool) {
+// ReceiveVerdict takes a verdict from another instance, which decided it if leads is set, and forwards
+// it otherwise. It tells whether the verdict was new.
+func (m *Machine) ReceiveVerdict(now time.Duration, from int, v Verdict, leads bool) (isNew bool) {
 	if !m.isLivePeer(from) {
 		return false
 	}
@@ -201,12 +207,12 @@
 	return m.acceptVerdict(now, v)
 }
 
-// isLivePeer tells whether a number is another instance's that lives.
+// isLivePeer tells whether the number belongs to another instance that is alive.
 func (m *Machine) isLivePeer(number int) bool {
 	return slices.ContainsFunc(m.peers, func(p Peer) bool { return p.Number == number && p.Alive })
 }
 
-func (m *Machine) acceptVerdict(now time.Duration, v Verdict) (news bool) {
+func (m *Machine) acceptVerdict(now time.Duration, v Verdict) (isNew bool) {
 	if !v.newer(&m.verdict) || !m.withinBounds(&v) {
 		return false
 	}
@@ -214,7 +220,8 @@
 	return true
 }
 
-// withinBounds tells whether a verdict keeps the bounds, which hold whoever decided it: it closes no zone where too little would stay open.
+// withinBounds tells whether a verdict keeps the bounds that hold whoever decided it. In particular it
+// may not close a zone where too little capacity would stay in use.
 func (m *Machine) withinBounds(v *Verdict) bool {
 	if len(v.Zones) != len(m.trackers) || v.Epoch > m.verdict.Epoch+1<<32 {
 		return false
@@ -254,10 +261,10 @@
 	m.verdict = v
 }
 
-// ErrNoZoneLeft tells that a call would have left nothing in use.
+// ErrNoZoneLeft is returned for an override that would leave no zone in use.
 var ErrNoZoneLeft = errors.New("zones: no other zone is in use; bring one back first")
 
-// SetOverride takes an operator's call at this instance, for a zone or all of a region.
+// SetOverride applies an operator's override at this instance, to one zone or all zones of a region.
 func (m *Machine) SetOverride(now time.Duration, h Override, zones ...int) error {
 	if h.Mode == ModeOut && !m.anyInUse(zones) {
 		return ErrNoZoneLeft
@@ -265,56 +272,59 @@
 	h.ReceivedBy = m.config.Number
 	for _, z := range zones {
 		stamped := h
-		stamped.TimestampMS = max(h.TimestampMS, m.overrides[z].TimestampMS+1) // a clock that was put back must not lose a call
+		// A clock that was set back must not lose an override.
+		stamped.TimestampMS = max(h.TimestampMS, m.overrides[z].TimestampMS+1)
 		m.overrides[z] = stamped
 	}
 	m.updateShares(now)
 	return nil
 }
 
-// anyInUse tells whether a zone is in use, beside some: as the verdict and the operators have it.
-func (m *Machine) anyInUse(beside []int) bool {
+// anyInUse tells whether any zone except those listed is in use, according to the verdict and the
+// overrides.
+func (m *Machine) anyInUse(except []int) bool {
 	for i, z := range m.verdict.Zones {
-		if z.Share > 0 && m.overrides[i].Mode != ModeOut && !slices.Contains(beside, i) {
+		if z.Share > 0 && m.overrides[i].Mode != ModeOut && !slices.Contains(except, i) {
 			return true
 		}
 	}
 	return false
 }
 
-// MergeOverrides takes operators' calls that another instance has told. It tells whether any is news.
-func (m *Machine) MergeOverrides(now time.Duration, hands []Override) (news bool) {
-	if len(hands) != len(m.overrides) {
+// MergeOverrides merges overrides from another instance. It tells whether any of them was new.
+func (m *Machine) MergeOverrides(now time.Duration, overrides []Override) (isNew bool) {
+	if len(overrides) != len(m.overrides) {
 		return false
 	}
-	for i, h := range hands {
+	for i, h := range overrides {
 		if h.Mode < modes && len(h.Requester) <= MaxRequesterLen && h.supersedes(m.overrides[i]) {
-			m.overrides[i], news = h, true
+			m.overrides[i], isNew = h, true
 		}
 	}
-	if news {
+	if isNew {
 		m.updateShares(now)
 	}
-	return news
+	return isNew
 }
 
-// Tick does what is due. sights and short are this instance's own, by its Meter. It tells whether this instance leads with a quorum, and whether it has
-// stood still, and so has to forget what it saw.
-func (m *Machine) Tick(now time.Duration, sights []ZoneStats, short int) (leads, paused bool) {
+// Tick performs the periodic work. The statistics and the number of requests refused at the origin are
+// this instance's own, from its Meter. It tells whether this instance leads with a quorum, and whether
+// the process was suspended, so that the caller has to reset its Meter.
+func (m *Machine) Tick(now time.Duration, stats []ZoneStats, originRefusals int) (leads, paused bool) {
 	if !m.ticked {
 		m.ticked, m.observingSince, m.now, m.leaderHeardAt = true, now, now, max(m.leaderHeardAt, now)
 	}
 	if now-m.now > pauseThreshold {
 		paused = true
-		m.observingSince = now // it leads nobody until it has had time to hear of others
+		m.observingSince = now // it does not lead until it has had time to hear from the others
 		clear(m.reports)
 		for i := range m.trackers {
 			m.trackers[i].badTicks, m.trackers[i].goodTicks, m.trackers[i].mixedTicks = 0, 0, 0
 		}
-		sights, short = make([]ZoneStats, len(m.trackers)), 0
+		stats, originRefusals = make([]ZoneStats, len(m.trackers)), 0
 	}
 	m.now = now
-	m.ownReport = Report{Number: m.config.Number, StartedAtMS: m.config.StartedAtMS, Seq: m.ownReport.Seq + 1, Epoch: m.verdict.Epoch, OriginRefusals: short, Zones: slices.Clone(sights)}
+	m.ownReport = Report{Number: m.config.Number, StartedAtMS: m.config.StartedAtMS, Seq: m.ownReport.Seq + 1, Epoch: m.verdict.Epoch, OriginRefusals: originRefusals, Zones: slices.Clone(stats)}
 	maps.DeleteFunc(m.reports, func(n int, _ *receivedReport) bool { return !m.isLivePeer(n) })
 	maps.DeleteFunc(m.lastHeard, func(n int, _ time.Duration) bool { return !m.isLivePeer(n) })
 	if leads = m.isLeader() && m.hasQuorum(); leads {
@@ -325,7 +335,8 @@
 	return leads, paused
 }
 
-// isLeader tells whether this instance acts for all: each before it in the order has been silent for a lease, and it has had time to hear them.
+// isLeader tells whether this instance leads: every instance before it in the leader order has been
+// silent for leaderLease, and this one has had time to hear from them.
 func (m *Machine) isLeader() bool {
 	if len(m.peers) == 0 || m.now-m.observingSince < leaderLease {
 		return false
@@ -341,8 +352,9 @@
 	return false
 }
 
-// hasQuorum tells whether more than half of those that were there lately are heard: a side of a partition that has not leaves nobody and
-// raises nobody. Of two equal halves, the one with the lowest number has it.
+// hasQuorum tells whether fresh reports came from more than half of the instances that were recently
+// present. A side of a partition without a quorum takes no zone out of use and raises no share. Of two
+// equal halves, the one with the lowest instance number has the quorum.
 func (m *Machine) hasQuorum() bool {
 	here, lowest := 1, m.config.Number
 	lowestHere := true
@@ -359,46 +371,46 @@
 	return 2*here > all || 2*here == all && lowestHere
 }
 
-// zoneOpinion is what is thought of a zone.
+// zoneOpinion sums up what the instances observe of a zone.
 type zoneOpinion struct {
-	bad, good, mixed        int // instances
+	bad, good, mixed        int // number of instances
 	silent                  bool
-	pooledJudged, pooledBad int // of those that have too few attempts for an opinion of their own
+	pooledJudged, pooledBad int // attempts of the instances that have too few for a vote of their own
 }
 
 func (o zoneOpinion) voters() int { return o.bad + o.good + o.mixed }
 
-// isBad tells whether those that have an opinion agree that the zone fails; one alone convinces nobody, and so does a third.
+// isBad tells whether at least two thirds of the voters find the zone bad. One voter is never enough.
 func (o zoneOpinion) isBad() bool {
 	return o.voters() >= minVoters && o.bad >= minVoters && 3*o.bad >= 2*o.voters()
 }
 
-// isGood tells whether most of those that have an opinion find nothing wrong.
+// isGood tells whether at least two thirds of the voters find the zone good.
 func (o zoneOpinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
 
-func (s ZoneStats) classify() (bad, good, some bool) {
+func (s ZoneStats) classify() (bad, good, votes bool) {
 	if s.Judged < minJudged || s.Bad > s.Judged || s.TrimmedBad > s.TrimmedJudged || s.TrimmedJudged > s.Judged {
-		return false, false, false // nothing, or counts that can't be
+		return false, false, false // too few attempts, or inconsistent counts
 	}
-	part := float64(s.Bad) / float64(s.Judged)
+	badShare := float64(s.Bad) / float64(s.Judged)
 	if s.RecentUnanswered >= minJudged && s.RecentUnanswered <= s.Judged {
-		return s.TrimmedJudged == 0 || s.TrimmedBad > 0, false, true // more than the worst third of the boxes are
+		return s.TrimmedJudged == 0 || s.TrimmedBad > 0, false, true // failures beyond the worst third of the nodes
 	}
-	if part <= goodRatio {
+	if badShare <= goodRatio {
 		return false, true, true
 	}
-	return part >= badRatio && (s.TrimmedJudged == 0 || float64(s.TrimmedBad) >= trimmedBadRatio*float64(s.TrimmedJudged)), false, true
+	return badShare >= badRatio && (s.TrimmedJudged == 0 || float64(s.TrimmedBad) >= trimmedBadRatio*float64(s.TrimmedJudged)), false, true
 }
 
-func (m *Machine) opinions() (all []zoneOpinion, short int) {
+func (m *Machine) opinions() (all []zoneOpinion, refusing int) {
 	all = make([]zoneOpinion, len(m.trackers))
-	silents := make([]int, len(m.trackers)) // of the bad ones
-	take := func(r *Report) {
+	silents := make([]int, len(m.trackers)) // number of bad votes that report silence
+	addReport := func(r *Report) {
 		if r.OriginRefusals > 0 {
-			short++
+			refusing++
 		}
 		for i, s := range r.Zones {
-			bad, good, some := s.classify()
+			bad, good, votes := s.classify()
 			o := &all[i]
 			switch {
 			case bad:
@@ -408,38 +420,39 @@
 				}
 			case good:
 				o.good++
-			case some:
+			case votes:
 				o.mixed++
 			case s.Bad <= s.Judged:
 				o.pooledJudged, o.pooledBad = o.pooledJudged+min(s.Judged, minJudged), o.pooledBad+min(s.Bad, minJudged)
 			}
 		}
 	}
-	take(&m.ownReport)
+	addReport(&m.ownReport)
 	for _, n := range m.freshReporters() {
-		take(&m.reports[n].Report)
+		addReport(&m.reports[n].Report)
 	}
 	for i := range all {
 		o := &all[i]
 		o.silent = o.bad > 0 && silents[i] == o.bad
-		// A zone that was left gets few attempts, and has been found bad before: all of them together tell.
+		// A zone that was left gets few attempts, and has already been found bad: the attempts of all
+		// instances count together.
 		if s := m.verdict.Zones[i].State; (s == StateTrying || s == StateReturning) && o.voters() < minVoters && o.pooledJudged >= minJudged {
-			switch part := float64(o.pooledBad) / float64(o.pooledJudged); {
-			case part <= goodRatio:
+			switch badShare := float64(o.pooledBad) / float64(o.pooledJudged); {
+			case badShare <= goodRatio:
 				o.good += minVoters
-			case part >= badRatio:
+			case badShare >= badRatio:
 				o.bad += minVoters
 			default:
 				o.mixed += minVoters
 			}
 		}
 	}
-	return all, short
+	return all, refusing
 }
 
-// decide is the leader's: one look at all zones, and a new epoch if anything changes.
+// decide evaluates all zones once, as the leader, and starts a new epoch if anything changes.
 func (m *Machine) decide() {
-	all, short := m.opinions()
+	all, refusing := m.opinions()
 	next := m.verdict.clone()
 	for i := range next.Zones {
 		w, o := &m.trackers[i], all[i]
@@ -449,7 +462,7 @@
 		}
 	}
 	for i := range next.Zones {
-		m.stepZone(i, &next, all, short)
+		m.stepZone(i, &next, all, refusing)
 	}
 	m.markLeaving(&next, all)
 	if !sameZones(&next, &m.verdict) {
@@ -472,8 +485,8 @@
 	})
 }
 
-// stepZone moves one zone on, but for the decision to leave it.
-func (m *Machine) stepZone(i int, next *Verdict, all []zoneOpinion, short int) {
+// stepZone advances the state of one zone. Leaving a zone is decided by markLeaving.
+func (m *Machine) stepZone(i int, next *Verdict, all []zoneOpinion, refusing int) {
 	z, w, was := &next.Zones[i], &m.trackers[i], m.verdict.Zones[i]
 	age := m.now - w.since
 	switch h := m.overrides[i]; {
@@ -509,17 +522,18 @@
 		switch {
 		case m.readyToReturn(i):
 			z.State, z.Share, z.Probers = StateReturning, shareStep, nil
-		case z.WithRegion && w.goodTicks >= goodProbeTicks && age > regionWaitTimeout: // the others of its region stay away
+		// The rest of its region stays out.
+		case z.WithRegion && w.goodTicks >= goodProbeTicks && age > regionWaitTimeout:
 			z.WithRegion = false
 		default:
 			z.Probers = m.selectProbers(i, all[i], age)
 		}
 	case StateReturning:
-		m.stepReturn(i, z, all[i], short, age)
+		m.stepReturn(i, z, all[i], refusing, age)
 	}
 }
 
-// readyToReturn tells whether a zone on trial answers, and all that are tied to it.
+// readyToReturn tells whether a zone that is being probed answers, together with all zones linked to it.
 func (m *Machine) readyToReturn(i int) bool {
 	for _, j := range append(m.linkedZones(i), i) {
 		if m.verdict.Zones[j].State != StateTrying || m.trackers[j].goodTicks < goodProbeTicks {
@@ -529,7 +543,7 @@
 	return true
 }
 
-// linkedZones are the other zones that were left together with this one.
+// linkedZones returns the other zones that were left together with this one.
 func (m *Machine) linkedZones(i int) (others []int) {
 	if !m.verdict.Zones[i].WithRegion {
 		return nil
@@ -542,7 +556,7 @@
 	return others
 }
 
-// region is the zones of a zone's region, itself included.
+// region returns the zones of a zone's region, including the zone itself.
 func (m *Machine) region(i int) []int {
 	for _, r := range m.config.Regions {
 		if slices.Contains(r, i) {
@@ -552,8 +566,9 @@
 	return []int{i}
 }
 
-// stepReturn raises a zone's share by one step where the last one has gone well, and lowers it where it has not.
-func (m *Machine) stepReturn(i int, z *Zone, o zoneOpinion, short int, age time.Duration) {
+// stepReturn raises a zone's share by one step if the last step went well, and lowers it if results are
+// mixed.
+func (m *Machine) stepReturn(i int, z *Zone, o zoneOpinion, refusing int, age time.Duration) {
 	w := &m.trackers[i]
 	every := m.config.WarmupTime * shareStep / FullShare
 	switch {
@@ -561,9 +576,9 @@
 		z.Share = max(shareStep, z.Share-shareStep)
 		w.mixedTicks = 0
 	case age < every:
-	case !o.isGood() && o.voters() > 0: // a step waits for evidence of the last one
-	case o.voters() == 0 && age < 2*every: // nobody has asked enough to tell: slower, but not for good
-	case short > 0 && age < maxRefusalSteps*every:
+	case !o.isGood() && o.voters() > 0: // the next step waits until the last one is seen to go well
+	case o.voters() == 0 && age < 2*every: // too few attempts to tell: continue, but more slowly
+	case refusing > 0 && age < maxRefusalSteps*every:
 	default:
 		if z.Share = min(FullShare, z.Share+shareStep); z.Share == FullShare {
 			z.State, z.WithRegion = StateIn, false
@@ -571,19 +586,20 @@
 	}
 }
 
-// selectProbers are the instances that send a zone on trial a read now and then: those in it, then others, in the order of leaders. As long as none
-// is answered it is one alone, another one each second, since it may be the one that is cut off.
+// selectProbers returns the instances that send probe reads to a zone in StateTrying: those in the zone
+// first, then others, in leader order. Until a probe succeeds there is a single prober, replaced every
+// second, since that one may be cut off from the zone.
 func (m *Machine) selectProbers(i int, o zoneOpinion, age time.Duration) (numbers []int) {
 	zone := map[int]int{m.config.Number: m.ownZone}
 	for _, p := range m.peers {
 		zone[p.Number] = p.Zone
 	}
-	for _, own := range []bool{true, false} {
+	for _, inZone := range []bool{true, false} {
 		for _, n := range m.Leaders() {
-			if (zone[n] == i) == own && len(numbers) < maxProbers && (n == m.config.Number || m.hasFreshReport(n)) {
+			if (zone[n] == i) == inZone && len(numbers) < maxProbers && (n == m.config.Number || m.hasFreshReport(n)) {
 				numbers = append(numbers, n)
 			}
-			if own && len(numbers) >= maxProbers/2 {
+			if inZone && len(numbers) >= maxProbers/2 {
 				break
 			}
 		}
@@ -594,7 +610,7 @@
 	return numbers
 }
 
-// acknowledged tells whether all that are heard go by the verdict that holds.
+// acknowledged tells whether all instances with fresh reports apply the current verdict.
 func (m *Machine) acknowledged() bool {
 	for _, n := range m.freshReporters() {
 		if m.reports[n].Epoch < m.verdict.Epoch {
@@ -604,7 +620,7 @@
 	return true
 }
 
-// markLeaving decides which zones are left now.
+// markLeaving decides which zones to leave now.
 func (m *Machine) markLeaving(next *Verdict, all []zoneOpinion) {
 	failing := func(i int) bool {
 		s := m.verdict.Zones[i].State
@@ -612,7 +628,7 @@
 		return m.overrides[i].Mode == ModeAuto && sure && (s == StateSuspected || s == StateReturning || s == StateIn && next.Zones[i].State == StateSuspected)
 	}
 	var open, total float64
-	well := false // some zone that stays in use
+	well := false // some zone that stays in use is good
 	var left []int
 	for i := range next.Zones {
 		total += m.capacity[i]
@@ -627,11 +643,11 @@
 		case o.isGood():
 			well = true
 		case o.bad+o.mixed > 0 && m.trackers[i].badTicks+m.trackers[i].mixedTicks < maxUnsettledTicks:
-			return // it may be about to fail too: a cause common to all leaves nobody
+			return // it may be about to fail too: no zone is left for a cause common to all
 		}
 	}
 	if !well {
-		return // nothing that is well is left to go to
+		return // no good zone would take over the load
 	}
 	var order []int
 	for i := range next.Zones {
@@ -639,7 +655,7 @@
 			order = append(order, i)
 		}
 	}
-	// The most certain first: silent before slow, then by how long it has been seen.
+	// The most certain failures come first: silent before slow, then by the number of bad ticks.
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Or(-cmp.Compare(boolToInt(all[a].silent), boolToInt(all[b].silent)), -cmp.Compare(m.trackers[a].badTicks, m.trackers[b].badTicks))
 	})
@@ -653,7 +669,7 @@
 				cost += m.capacity[j]
 			}
 		}
-		// No more than one zone or region at a time, unless it is silent to all.
+		// No more than one zone or region is out at a time, unless the zone is silent to all voters.
 		others := slices.ContainsFunc(left, func(j int) bool { return !slices.Contains(m.region(i), j) })
 		if done || others && !all[i].silent || open-cost < m.config.MinCapacityShare*total {
 			continue
@@ -683,7 +699,8 @@
 	return 0
 }
 
-// failingGroup is what is left together with a zone: its region if all of it that is in use fails, else the zone alone.
+// failingGroup returns the zones that are left together with a zone: its region if every zone of it that
+// is in use fails, else the zone alone.
 func (m *Machine) failingGroup(i int, failing func(int) bool) []int {
 	unit := []int{}
 	for _, j := range m.region(i) {
@@ -697,45 +714,48 @@
 	return unit
 }
 
-// updateShares lets the share of each zone here follow the verdict and the operators' calls: down at once, up no faster than boxes that may be
-// cold bear. As every instance does so for its own part of the traffic, the sum of all does, however many there are.
+// updateShares makes the share of each zone at this instance follow the verdict and the overrides: down
+// at once, up no faster than cold cache nodes can take load. As every instance does this for its own
+// part of the traffic, the total is limited too, however many instances there are.
 func (m *Machine) updateShares(now time.Duration) {
-	// A verdict and a call that crossed it may have left nothing: then all that is not out by hand is used, at the pace.
+	// A verdict and an override decided at the same time may have closed all zones. Then every zone that
+	// no operator has taken out is used, with the limited rise.
 	none := !m.anyInUse(nil)
 	for i := range m.limiters {
-		g, want := &m.limiters[i], float64(m.verdict.Zones[i].Share)/FullShare
+		g, target := &m.limiters[i], float64(m.verdict.Zones[i].Share)/FullShare
 		if none || m.ticked && now-m.leaderHeardAt > noLeaderTimeout && m.overrides[i].Mode != ModeHold {
-			want = 1
+			target = 1
 		}
 		if m.overrides[i].Mode == ModeOut {
-			want = 0
+			target = 0
 		}
-		if want == 0 {
+		if target == 0 {
 			*g = shareLimiter{zeroAt: now, rampingUp: true}
 			continue
 		}
-		most := 1.0
+		limit := 1.0
 		if g.rampingUp && m.config.WarmupTime > 0 {
-			most = 2.0*shareStep/FullShare + (now-g.zeroAt).Seconds()/m.config.WarmupTime.Seconds()
-			g.rampingUp = most < 1
+			limit = 2.0*shareStep/FullShare + (now-g.zeroAt).Seconds()/m.config.WarmupTime.Seconds()
+			g.rampingUp = limit < 1
 		}
-		g.share = min(want, most)
+		g.share = min(target, limit)
 	}
 }
 
-// Share is what part of its usual work a zone is to get from this instance now, and whether it is to send it a read now and then while
-// that is nothing.
-func (m *Machine) Share(zone int) (share float64, trial bool) {
+// Share returns the share of its usual load that a zone gets from this instance now, and whether this
+// instance sends it occasional probe reads while the share is zero.
+func (m *Machine) Share(zone int) (share float64, probe bool) {
 	z := &m.verdict.Zones[zone]
-	trial = z.State == StateTrying && m.overrides[zone].Mode == ModeAuto && slices.Contains(z.Probers, m.config.Number)
-	return m.limiters[zone].share, trial
+	probe = z.State == StateTrying && m.overrides[zone].Mode == ModeAuto && slices.Contains(z.Probers, m.config.Number)
+	return m.limiters[zone].share, probe
 }
 
-// Inherit begins with what holds for the others: an instance that starts in the middle of a return takes no larger part than they do.
-func (m *Machine) Inherit(now time.Duration, v Verdict, hands []Override) {
+// Inherit starts from the verdict and overrides of the other instances: an instance that starts while a
+// zone returns gives it no larger share than they do.
+func (m *Machine) Inherit(now time.Duration, v Verdict, overrides []Override) {
 	m.leaderHeardAt = now
 	m.acceptVerdict(now, v)
-	m.MergeOverrides(now, hands)
+	m.MergeOverrides(now, overrides)
 	for i := range m.limiters {
 		if share := float64(m.verdict.Zones[i].Share) / FullShare; share < 1 && share > 0 {
 			m.limiters[i] = shareLimiter{share: share, rampingUp: true, zeroAt: now - time.Duration((share-2.0*shareStep/FullShare)*float64(m.config.WarmupTime))}
@@ -744,7 +764,8 @@
 	m.updateShares(now)
 }
 
-// Healthy tells whether all zones are used as usual and this instance sees nothing amiss in any.
+// Healthy tells whether all zones get their full share and this instance observes no more than a tenth
+// of bad attempts in any.
 func (m *Machine) Healthy() bool {
 	for i, z := range m.verdict.Zones {
 		if z.State != StateIn || m.limiters[i].share < 1 || i < len(m.ownReport.Zones) && 10*m.ownReport.Zones[i].Bad > m.ownReport.Zones[i].Judged {
@@ -754,7 +775,8 @@
 	return true
 }
 
-// DebugState is all that is kept of a zone beside the verdict, for checkers that tell states apart.
+// DebugState returns all state of a zone in addition to the verdict, for model checkers that compare
+// states.
 func (m *Machine) DebugState(zone int) string {
 	return fmt.Sprint(m.trackers[zone], m.limiters[zone], m.leaderHeardAt, m.observingSince, m.lastHeard)
 }
--- a/internal/zones/meter.go
+++ b/internal/zones/meter.go
@@ -7,41 +7,41 @@
 
 const (
 	slotDuration    = 50 * time.Millisecond
-	slotCount       = 12   // a window of 600 ms: long enough for some attempts, short enough to leave within a second
-	recentSlots     = 4    // of late
-	unansweredRatio = 0.75 // without any answer
-	slowFactor      = 4    // an answer that takes this multiple of the zone's usual time is slow
+	slotCount       = 12   // a window of 600 ms: enough attempts, and a zone is left within a second
+	recentSlots     = 4    // the latest slots, for ZoneStats.RecentUnanswered
+	unansweredRatio = 0.75 // share of the recent attempts without any answer
+	slowFactor      = 4    // an answer that takes this multiple of the zone's mean time is slow
 	minSlowTime     = 50 * time.Millisecond
-	minAnswers      = 20   // answers make a usual time
-	maxTracked      = 4096 // attempts out that are followed; more are not counted
-	maxNodes        = 1024 // boxes that are told apart
+	minAnswers      = 20   // number of answers before the mean time is used
+	maxTracked      = 4096 // attempts that are tracked at once; further ones are not counted
+	maxNodes        = 1024 // cache nodes that are counted separately
 )
 
-// Outcome is how an attempt ended, as far as it tells of its zone.
+// Outcome is the result of an attempt, as far as it says anything about its zone.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutcomeNone     Outcome = iota // it tells nothing: called off, or never sent
-	OutcomeAnswered                // with a value or a miss
+	OutcomeNone     Outcome = iota // says nothing about the zone: cancelled, or never sent
+	OutcomeAnswered                // with a value
 	OutcomeMiss
-	OutcomeFailed   // an error, a broken connection, none at all, or no answer in time
-	OutcomeRejected // turned away unseen
+	OutcomeFailed   // an error, a broken connection or no answer in time
+	OutcomeRejected // refused before it was processed
 )
 
-// Meter counts what one instance sees of each zone.
+// Meter counts what one instance observes of each zone.
 type Meter struct {
 	zones       []zoneCounts
 	nodes       map[uint64]*nodeCounts
-	tracked     []trackedAttempt // those sent, the oldest first
-	dropped     uint64           // number of out[0]
-	currentSlot int64            // the latest
-	maxSlowTime time.Duration    // a wait that is slow whatever is usual
+	tracked     []trackedAttempt // oldest first
+	dropped     uint64           // number of attempts removed from the front of tracked
+	currentSlot int64            // the latest slot
+	maxSlowTime time.Duration    // an attempt this slow is bad whatever the zone's mean
 	refusals    [slotCount]int
 }
 
 type zoneCounts struct {
-	meanSeconds float64 // seconds a good answer takes
+	meanSeconds float64 // mean time of a good answer
 	answers     int
 	slots       [slotCount]tally
 }
@@ -58,15 +58,15 @@
 	node      uint64
 	zone      int32
 	judged    bool
-	slot      int64 // in which it was judged
+	slot      int64 // in which it was judged; 0 if it needs no correction
 }
 
-// NewMeter makes a Meter. An answer later than half of the aim is slow in any zone.
+// NewMeter returns a Meter. In any zone, an answer that takes longer than half of aim is slow.
 func NewMeter(zones int, aim time.Duration) *Meter {
 	return &Meter{zones: make([]zoneCounts, zones), nodes: map[uint64]*nodeCounts{}, maxSlowTime: max(minSlowTime, aim/2)}
 }
 
-// slowThreshold is how long an attempt in a zone may be out before it is bad.
+// slowThreshold returns how long an attempt in a zone may take before it counts as bad.
 func (m *Meter) slowThreshold(zone int32) time.Duration {
 	z := &m.zones[zone]
 	if z.answers < minAnswers {
@@ -75,7 +75,8 @@
 	return min(m.maxSlowTime, max(minSlowTime, time.Duration(slowFactor*z.meanSeconds*float64(time.Second))))
 }
 
-// AttemptStarted notes an attempt at a box of a zone and returns its number, 0 if it is not followed.
+// AttemptStarted records an attempt at a cache node of a zone. It returns the attempt's number, or 0 if
+// the attempt is not tracked.
 func (m *Meter) AttemptStarted(now time.Duration, zone int, id uint64) uint64 {
 	m.advance(now)
 	if zone < 0 || zone >= len(m.zones) || len(m.tracked) >= maxTracked {
@@ -85,18 +86,18 @@
 	return m.dropped + uint64(len(m.tracked))
 }
 
-// AttemptEnded notes how an attempt ended.
+// AttemptEnded records the outcome of an attempt.
 func (m *Meter) AttemptEnded(now time.Duration, number uint64, how Outcome, elapsed time.Duration) {
 	m.advance(now)
 	i := int(number - m.dropped - 1)
 	if number <= m.dropped || i >= len(m.tracked) {
-		return // it was judged long ago
+		return // judged long ago and no longer tracked
 	}
 	a := &m.tracked[i]
 	slow := elapsed > m.slowThreshold(a.zone)
 	answered := how == OutcomeAnswered || how == OutcomeMiss
 	switch {
-	case a.judged && answered && m.currentSlot-a.slot < slotCount && a.slot > 0: // late, but not silent
+	case a.judged && answered && m.currentSlot-a.slot < slotCount && a.slot > 0: // answered late, so not silent
 		m.count(a, a.slot, tally{silent: -1})
 	case a.judged:
 	case how == OutcomeNone:
@@ -119,7 +120,7 @@
 	a.judged, a.slot = true, 0
 }
 
-// OriginRefused notes a request refused for want of the origin.
+// OriginRefused records a request that was refused because the origin lacks capacity.
 func (m *Meter) OriginRefused(now time.Duration) {
 	m.advance(now)
 	m.refusals[m.currentSlot%slotCount] = min(maxCount, m.refusals[m.currentSlot%slotCount]+1)
@@ -142,7 +143,8 @@
 	t.judged, t.bad, t.silent, t.misses = t.judged+o.judged, t.bad+o.bad, max(0, t.silent+o.silent), t.misses+o.misses
 }
 
-// advance empties the slots that have come round, judges what has been out for too long, and forgets what needs no following.
+// advance clears the slots that are reused, judges attempts that have taken too long, and drops attempts
+// that need no tracking.
 func (m *Meter) advance(now time.Duration) {
 	slot := int64(now / slotDuration)
 	if slot <= m.currentSlot {
@@ -171,12 +173,13 @@
 	}
 	m.tracked, m.dropped = slices.Delete(m.tracked, 0, n), m.dropped+uint64(n)
 	if len(m.nodes) >= maxNodes {
-		clear(m.nodes) // boxes that have gone are not told: the others come again at once
+		clear(m.nodes) // nodes that were removed are not announced here; the others are added again at once
 	}
 }
 
-// ZoneStats tells what was seen within the window, and how many requests were refused for want of the origin.
-func (m *Meter) ZoneStats(now time.Duration) (sights []ZoneStats, short int) {
+// ZoneStats returns the counts of each zone within the window, and the number of requests refused
+// because the origin lacks capacity.
+func (m *Meter) ZoneStats(now time.Duration) (stats []ZoneStats, originRefusals int) {
 	m.advance(now)
 	sum := func(slots *[slotCount]tally) (t tally) {
 		for _, s := range slots {
@@ -193,27 +196,28 @@
 	for i := range m.zones {
 		t := sum(&m.zones[i].slots)
 		s := ZoneStats{Judged: t.judged, Bad: t.bad, Silent: t.silent, Misses: t.misses}
-		var late tally
+		var recent tally
 		for at := max(0, m.currentSlot-recentSlots+1); at <= m.currentSlot; at++ {
-			late.add(m.zones[i].slots[at%slotCount])
+			recent.add(m.zones[i].slots[at%slotCount])
 		}
-		if late.judged > 0 && float64(late.silent) >= unansweredRatio*float64(late.judged) {
-			s.RecentUnanswered = late.judged
+		if recent.judged > 0 && float64(recent.silent) >= unansweredRatio*float64(recent.judged) {
+			s.RecentUnanswered = recent.judged
 		}
-		boxes := byZone[i]
-		slices.SortFunc(boxes, func(a, b tally) int { return b.bad - a.bad })
-		for _, b := range boxes[min(len(boxes), (len(boxes)+2)/3):] {
+		counts := byZone[i]
+		slices.SortFunc(counts, func(a, b tally) int { return b.bad - a.bad })
+		for _, b := range counts[min(len(counts), (len(counts)+2)/3):] {
 			s.TrimmedJudged, s.TrimmedBad = s.TrimmedJudged+b.judged, s.TrimmedBad+b.bad
 		}
-		sights = append(sights, s)
+		stats = append(stats, s)
 	}
 	for _, n := range m.refusals {
-		short += n
+		originRefusals += n
 	}
-	return sights, short
+	return stats, originRefusals
 }
 
-// Reset forgets what is counted and followed: the instance has stood still, and what it would tell is of another time.
+// Reset discards all counts and tracked attempts. It is for a process that was suspended, as its
+// observations are outdated.
 func (m *Meter) Reset() {
 	m.dropped += uint64(len(m.tracked))
 	m.tracked = m.tracked[:0]
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -13,27 +13,28 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is instances with a Meter and a Machine each, zones that are well or not, and messages that are lost, doubled and late; on one clock.
+// simulation is a set of instances, each with a Meter and a Machine, on one clock. Zones can fail, and
+// messages can be lost, duplicated and delayed.
 type simulation struct {
 	now             time.Duration
 	rng             *rand.Rand
 	instances       []*instance
 	config          Config
 	zones           []zoneCondition
-	attemptsPerTick int // attempts of an instance at each zone that it uses
+	attemptsPerTick int // of an instance at each zone in use
 	lossRate        float64
-	maxDelayTicks   int // ticks at the most
+	maxDelayTicks   int
 	blocked         func(from, to int) bool
 	inTransit       []delivery
-	afterTick       func(*instance) // a fault put in, after each of its ticks
+	afterTick       func(*instance) // injects a fault after each of an instance's ticks
 }
 
 type zoneCondition struct {
 	failRate        float64 // share of the attempts that fail
-	silent          bool    // nothing comes back
+	silent          bool    // no attempt is answered
 	slow            bool
-	oneNodeSilent   bool // one box of five has no answer
-	sent            int  // within this tick
+	oneNodeSilent   bool // one node of five does not answer
+	sent            int  // attempts within this tick
 	unreachableFrom map[int]bool
 }
 
@@ -51,126 +52,126 @@
 }
 
 func newSimulation(n, zoneCount int, seed uint64, regions [][]int) *simulation {
-	w := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), attemptsPerTick: 4, zones: make([]zoneCondition, zoneCount),
+	sim := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), attemptsPerTick: 4, zones: make([]zoneCondition, zoneCount),
 		blocked: func(int, int) bool { return false }}
-	w.config = Config{Regions: regions, MinCapacityShare: DefaultMinCapacityShare, WarmupTime: 9 * time.Second, StartedAtMS: 1}
+	sim.config = Config{Regions: regions, MinCapacityShare: DefaultMinCapacityShare, WarmupTime: 9 * time.Second, StartedAtMS: 1}
 	for i := range zoneCount {
-		w.config.Zones = append(w.config.Zones, fmt.Sprint("z", i))
+		sim.config.Zones = append(sim.config.Zones, fmt.Sprint("z", i))
 	}
 	for i := range n {
-		w.instances = append(w.instances, &instance{zone: i % zoneCount})
-		w.start(i)
+		sim.instances = append(sim.instances, &instance{zone: i % zoneCount})
+		sim.start(i)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) start(i int) {
-	c := w.config
-	c.Number, c.StartedAtMS = i, int64(w.now/time.Millisecond)
-	w.instances[i].Machine, w.instances[i].meter, w.instances[i].down = New(c, w.instances[i].zone), NewMeter(len(w.zones), 800*time.Millisecond), false
+func (sim *simulation) start(i int) {
+	c := sim.config
+	c.Number, c.StartedAtMS = i, int64(sim.now/time.Millisecond)
+	sim.instances[i].Machine, sim.instances[i].meter, sim.instances[i].down = New(c, sim.instances[i].zone), NewMeter(len(sim.zones), 800*time.Millisecond), false
 }
 
-// tick is a tenth of a second.
-func (w *simulation) tick() {
-	w.now += TickInterval
-	for z := range w.zones {
-		w.zones[z].sent = 0
+// tick advances the clock by TickInterval, delivers messages and ticks every instance that is up.
+func (sim *simulation) tick() {
+	sim.now += TickInterval
+	for z := range sim.zones {
+		sim.zones[z].sent = 0
 	}
-	due := slices.Clone(w.inTransit)
-	w.inTransit = w.inTransit[:0]
+	due := slices.Clone(sim.inTransit)
+	sim.inTransit = sim.inTransit[:0]
 	for _, l := range due {
-		if l.at > w.now {
-			w.inTransit = append(w.inTransit, l)
+		if l.at > sim.now {
+			sim.inTransit = append(sim.inTransit, l)
 			continue
 		}
-		if to := w.instances[l.to]; !to.down {
+		if to := sim.instances[l.to]; !to.down {
 			msg, err := Decode(l.msg)
 			if err != nil {
 				panic(err)
 			}
 			if msg.Report != nil {
-				to.ReceiveReport(w.now, *msg.Report)
+				to.ReceiveReport(sim.now, *msg.Report)
 			}
 			if msg.Verdict != nil {
-				to.ReceiveVerdict(w.now, msg.From, *msg.Verdict, msg.FromLeader)
+				to.ReceiveVerdict(sim.now, msg.From, *msg.Verdict, msg.FromLeader)
 			}
-			to.MergeOverrides(w.now, msg.Overrides)
+			to.MergeOverrides(sim.now, msg.Overrides)
 		}
 	}
-	for i, m := range w.instances {
+	for i, m := range sim.instances {
 		if m.down {
 			continue
 		}
 		var peers []Peer
-		for j, o := range w.instances {
+		for j, o := range sim.instances {
 			if j != i {
 				peers = append(peers, Peer{Number: j, Zone: o.zone, Alive: !o.down})
 			}
 		}
 		m.SetPeers(peers)
-		w.attempts(i, m)
-		sights, short := m.meter.ZoneStats(w.now)
-		leads, paused := m.Tick(w.now, sights, short)
+		sim.attempts(i, m)
+		stats, originRefusals := m.meter.ZoneStats(sim.now)
+		leads, paused := m.Tick(sim.now, stats, originRefusals)
 		if paused {
 			m.meter.Reset()
 		}
-		if w.afterTick != nil {
-			w.afterTick(m)
+		if sim.afterTick != nil {
+			sim.afterTick(m)
 		}
 		own, v := m.OwnReport(), m.Verdict()
 		msg := Message{From: i, Report: &own, Verdict: &v, FromLeader: leads, Overrides: m.Overrides()}
 		text := msg.Append(nil)
-		for j := range w.instances {
-			if j != i && !w.blocked(i, j) && w.rng.Float64() >= w.lossRate {
-				for range 1 + w.rng.IntN(2) { // doubled now and then
-					w.inTransit = append(w.inTransit, delivery{w.now + time.Duration(w.rng.IntN(w.maxDelayTicks+1))*TickInterval, i, j, text})
+		for j := range sim.instances {
+			if j != i && !sim.blocked(i, j) && sim.rng.Float64() >= sim.lossRate {
+				for range 1 + sim.rng.IntN(2) { // some messages are duplicated
+					sim.inTransit = append(sim.inTransit, delivery{sim.now + time.Duration(sim.rng.IntN(sim.maxDelayTicks+1))*TickInterval, i, j, text})
 				}
 			}
 		}
 	}
 }
 
-// attempts has an instance send to the zones what it may.
-func (w *simulation) attempts(i int, m *instance) {
-	for z := range w.zones {
-		truth := &w.zones[z]
+// attempts makes an instance send attempts to the zones according to their shares.
+func (sim *simulation) attempts(i int, m *instance) {
+	for z := range sim.zones {
+		condition := &sim.zones[z]
 		share, trial := m.Share(z)
-		n := int(float64(w.attemptsPerTick)*share + w.rng.Float64())
+		n := int(float64(sim.attemptsPerTick)*share + sim.rng.Float64())
 		if share == 0 {
 			n = 0
-			if trial && w.rng.IntN(3) == 0 {
+			if trial && sim.rng.IntN(3) == 0 {
 				n = 1
 			}
 		}
-		truth.sent += n
+		condition.sent += n
 		for range n {
-			box := w.rng.IntN(5)
-			id := m.meter.AttemptStarted(w.now-12*time.Millisecond, z, uint64(10*z+box))
+			node := sim.rng.IntN(5)
+			id := m.meter.AttemptStarted(sim.now-12*time.Millisecond, z, uint64(10*z+node))
 			switch {
-			case truth.silent, truth.unreachableFrom[i], truth.oneNodeSilent && box == 0:
-			case truth.slow:
-				m.meter.AttemptEnded(w.now, id, OutcomeAnswered, 480*time.Millisecond)
-			case w.rng.Float64() < truth.failRate:
-				m.meter.AttemptEnded(w.now, id, OutcomeFailed, 5*time.Millisecond)
+			case condition.silent, condition.unreachableFrom[i], condition.oneNodeSilent && node == 0:
+			case condition.slow:
+				m.meter.AttemptEnded(sim.now, id, OutcomeAnswered, 480*time.Millisecond)
+			case sim.rng.Float64() < condition.failRate:
+				m.meter.AttemptEnded(sim.now, id, OutcomeFailed, 5*time.Millisecond)
 			default:
-				m.meter.AttemptEnded(w.now, id, OutcomeAnswered, 12*time.Millisecond)
+				m.meter.AttemptEnded(sim.now, id, OutcomeAnswered, 12*time.Millisecond)
 			}
 		}
 	}
 }
 
-func (w *simulation) run(d time.Duration, each func()) {
-	for end := w.now + d; w.now < end; {
-		w.tick()
+func (sim *simulation) run(d time.Duration, each func()) {
+	for end := sim.now + d; sim.now < end; {
+		sim.tick()
 		if each != nil {
 			each()
 		}
 	}
 }
 
-// states are a zone's at all that live.
-func (w *simulation) states(z int) (all []State) {
-	for _, m := range w.instances {
+// states returns a zone's state at each instance that is up.
+func (sim *simulation) states(z int) (all []State) {
+	for _, m := range sim.instances {
 		if !m.down {
 			all = append(all, m.Verdict().Zones[z].State)
 		}
@@ -178,51 +179,54 @@
 	return all
 }
 
-// runUntilState runs until a zone is in a state at all that live.
-func (w *simulation) runUntilState(t *testing.T, z int, s State, most time.Duration) time.Duration {
+// runUntilState runs until a zone is in the given state at all instances that are up.
+func (sim *simulation) runUntilState(t *testing.T, z int, s State, most time.Duration) time.Duration {
 	t.Helper()
-	began := w.now
-	for w.now-began < most {
-		if w.tick(); !slices.ContainsFunc(w.states(z), func(is State) bool { return is != s }) {
-			return w.now - began
+	began := sim.now
+	for sim.now-began < most {
+		if sim.tick(); !slices.ContainsFunc(sim.states(z), func(is State) bool { return is != s }) {
+			return sim.now - began
 		}
 	}
-	t.Fatalf("after %v zone %d is %v, not %v", most, z, w.states(z), s)
+	t.Fatalf("after %v zone %d is %v, not %v", most, z, sim.states(z), s)
 	return 0
 }
 
-// What is seen of a zone decides: each entry is what goes wrong, and whether the zone is left.
+// Each case is a failure of a zone, and whether the zone must be left. A zone that was left must return
+// in steps that take about the warm-up time.
 func TestFailingZonesAreLeft(t *testing.T) {
 	for name, c := range map[string]struct {
 		instances int
-		spoil     func(w *simulation)
+		spoil     func(sim *simulation)
 		left      bool
 	}{
-		"silent":         {6, func(w *simulation) { w.zones[2].silent = true }, true},
-		"slow":           {6, func(w *simulation) { w.zones[2].slow = true }, true},
-		"half fails":     {6, func(w *simulation) { w.zones[2].failRate = 0.6 }, true},
-		"silent to 24":   {24, func(w *simulation) { w.zones[2].silent = true }, true},
-		"one box":        {6, func(w *simulation) { w.zones[2].oneNodeSilent = true }, false},
-		"a tenth fails":  {6, func(w *simulation) { w.zones[2].failRate = 0.1 }, false},
-		"one is cut off": {6, func(w *simulation) { w.zones[2].unreachableFrom = map[int]bool{4: true} }, false},
-		"two of six are": {6, func(w *simulation) { w.zones[2].unreachableFrom = map[int]bool{4: true, 1: true} }, false},
-		"all are slow":   {6, func(w *simulation) { w.zones[0].slow, w.zones[1].slow, w.zones[2].slow = true, true, true }, false},
-		"all are silent": {6, func(w *simulation) { w.zones[0].silent, w.zones[1].silent, w.zones[2].silent = true, true, true }, false},
-		"held by hand": {6, func(w *simulation) {
-			w.instances[3].SetOverride(w.now, Override{Mode: ModeHold, TimestampMS: 1}, 2)
-			w.run(time.Second, nil)
-			w.zones[2].silent = true
+		"silent":         {6, func(sim *simulation) { sim.zones[2].silent = true }, true},
+		"slow":           {6, func(sim *simulation) { sim.zones[2].slow = true }, true},
+		"half fails":     {6, func(sim *simulation) { sim.zones[2].failRate = 0.6 }, true},
+		"silent to 24":   {24, func(sim *simulation) { sim.zones[2].silent = true }, true},
+		"one node":       {6, func(sim *simulation) { sim.zones[2].oneNodeSilent = true }, false},
+		"a tenth fails":  {6, func(sim *simulation) { sim.zones[2].failRate = 0.1 }, false},
+		"one is cut off": {6, func(sim *simulation) { sim.zones[2].unreachableFrom = map[int]bool{4: true} }, false},
+		"two of six are": {6, func(sim *simulation) { sim.zones[2].unreachableFrom = map[int]bool{4: true, 1: true} }, false},
+		"all are slow":   {6, func(sim *simulation) { sim.zones[0].slow, sim.zones[1].slow, sim.zones[2].slow = true, true, true }, false},
+		"all are silent": {6, func(sim *simulation) {
+			sim.zones[0].silent, sim.zones[1].silent, sim.zones[2].silent = true, true, true
 		}, false},
-		"an instance alone":   {1, func(w *simulation) { w.zones[2].silent = true }, false},
-		"messages lost, late": {6, func(w *simulation) { w.zones[2].silent, w.lossRate, w.maxDelayTicks = true, 0.3, 2 }, true},
+		"held by hand": {6, func(sim *simulation) {
+			sim.instances[3].SetOverride(sim.now, Override{Mode: ModeHold, TimestampMS: 1}, 2)
+			sim.run(time.Second, nil)
+			sim.zones[2].silent = true
+		}, false},
+		"an instance alone":   {1, func(sim *simulation) { sim.zones[2].silent = true }, false},
+		"messages lost, late": {6, func(sim *simulation) { sim.zones[2].silent, sim.lossRate, sim.maxDelayTicks = true, 0.3, 2 }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(c.instances, 3, 5, nil)
-			w.run(4*time.Second, nil)
-			c.spoil(w)
+			sim := newSimulation(c.instances, 3, 5, nil)
+			sim.run(4*time.Second, nil)
+			c.spoil(sim)
 			if !c.left {
-				w.run(20*time.Second, func() {
-					for _, m := range w.instances {
+				sim.run(20*time.Second, func() {
+					for _, m := range sim.instances {
 						for z, v := range m.Verdict().Zones {
 							if v.Share < FullShare {
 								t.Fatalf("zone %d is %v", z, v.State)
@@ -232,37 +236,38 @@
 				})
 				return
 			}
-			began := w.now
-			for !slices.Equal(w.states(2), slices.Repeat([]State{w.instances[0].Verdict().Zones[2].State}, len(w.instances))) || w.instances[0].Verdict().Zones[2].Share > 0 {
-				if w.tick(); w.now-began > 1500*time.Millisecond {
-					t.Fatalf("after %v it is %v", w.now-began, w.states(2))
+			began := sim.now
+			for !slices.Equal(sim.states(2), slices.Repeat([]State{sim.instances[0].Verdict().Zones[2].State}, len(sim.instances))) || sim.instances[0].Verdict().Zones[2].Share > 0 {
+				if sim.tick(); sim.now-began > 1500*time.Millisecond {
+					t.Fatalf("after %v it is %v", sim.now-began, sim.states(2))
 				}
 			}
-			t.Logf("left by all after %v", w.now-began)
-			w.runUntilState(t, 2, StateTrying, 3*time.Second)
-			w.zones[2] = zoneCondition{}
-			at := w.runUntilState(t, 2, StateIn, 20*time.Second)
-			if least := w.config.WarmupTime * 8 / 10; at < least || at > w.config.WarmupTime*3/2 {
-				t.Errorf("it is whole again after %v, and boxes take %v to be warm", at, w.config.WarmupTime)
+			t.Logf("left by all after %v", sim.now-began)
+			sim.runUntilState(t, 2, StateTrying, 3*time.Second)
+			sim.zones[2] = zoneCondition{}
+			at := sim.runUntilState(t, 2, StateIn, 20*time.Second)
+			if least := sim.config.WarmupTime * 8 / 10; at < least || at > sim.config.WarmupTime*3/2 {
+				t.Errorf("it is whole again after %v, and nodes take %v to warm up", at, sim.config.WarmupTime)
 			}
 		})
 	}
 }
 
-// Whatever fails, is cut, lost, killed, paused or called, and in whatever order: capacity stays in use at each instance, what goes to a
-// zone that comes back never rises faster than cold boxes bear, whoever decides; and once messages flow all go by one verdict.
+// Under any sequence of zone failures, partitions, lost messages, crashes, restarts and overrides, each
+// instance keeps enough capacity in use, and the share of a returning zone never rises faster than cold
+// nodes can take load. Once messages get through again, all instances agree.
 func TestBoundsHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const zones = 4
-		w := newSimulation(6, zones, rapid.Uint64().Draw(t, "seed"), [][]int{{2, 3}})
-		w.run(2*time.Second, nil)
-		side := make([]bool, len(w.instances))
-		apart := false
-		w.blocked = func(a, b int) bool { return apart && side[a] != side[b] }
+		sim := newSimulation(6, zones, rapid.Uint64().Draw(t, "seed"), [][]int{{2, 3}})
+		sim.run(2*time.Second, nil)
+		side := make([]bool, len(sim.instances))
+		partitioned := false
+		sim.blocked = func(a, b int) bool { return partitioned && side[a] != side[b] }
 		zeroAt := map[[2]int]time.Duration{}
-		hands := false
+		overridden := false
 		check := func() {
-			for i, m := range w.instances {
+			for i, m := range sim.instances {
 				open := 0
 				for z := range zones {
 					share, _ := m.Share(z)
@@ -271,55 +276,55 @@
 					}
 					k := [2]int{i, z}
 					if share == 0 {
-						zeroAt[k] = w.now
+						zeroAt[k] = sim.now
 					}
-					if at, ok := zeroAt[k]; ok && !m.down && share > 0.2+(w.now-at).Seconds()/w.config.WarmupTime.Seconds()+0.02 {
-						t.Fatalf("instance %d gives zone %d a share of %.2f, %v after it gave none", i, z, share, w.now-at)
+					if at, ok := zeroAt[k]; ok && !m.down && share > 0.2+(sim.now-at).Seconds()/sim.config.WarmupTime.Seconds()+0.02 {
+						t.Fatalf("instance %d gives zone %d a share of %.2f, %v after it gave none", i, z, share, sim.now-at)
 					}
 				}
-				if float64(open) < capacityTolerance*DefaultMinCapacityShare*zones && !hands {
+				if float64(open) < capacityTolerance*DefaultMinCapacityShare*zones && !overridden {
 					t.Fatalf("instance %d uses %d of %d zones", i, open, zones)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "events") {
-			z, i := rapid.IntRange(0, zones-1).Draw(t, "zone"), rapid.IntRange(0, len(w.instances)-1).Draw(t, "instance")
+			z, i := rapid.IntRange(0, zones-1).Draw(t, "zone"), rapid.IntRange(0, len(sim.instances)-1).Draw(t, "instance")
 			switch rapid.SampledFrom([]string{"silent", "slow", "well", "cut", "heal", "kill", "start", "lose", "out", "auto", "lie"}).Draw(t, "event") {
 			case "silent":
-				w.zones[z].silent = true
+				sim.zones[z].silent = true
 			case "slow":
-				w.zones[z].slow = true
+				sim.zones[z].slow = true
 			case "well":
-				w.zones[z] = zoneCondition{}
+				sim.zones[z] = zoneCondition{}
 			case "cut":
-				apart = true
+				partitioned = true
 				for j := range side {
 					side[j] = rapid.Bool().Draw(t, "side")
 				}
 			case "heal":
-				apart, w.lossRate, w.maxDelayTicks = false, 0, 0
+				partitioned, sim.lossRate, sim.maxDelayTicks = false, 0, 0
 			case "kill":
-				w.instances[i].down = true
+				sim.instances[i].down = true
 			case "start":
-				if w.instances[i].down {
-					from := slices.IndexFunc(w.instances, func(m *instance) bool { return !m.down })
-					w.start(i)
-					if from >= 0 && !w.blocked(from, i) {
-						w.instances[i].Inherit(w.now, w.instances[from].Verdict(), w.instances[from].Overrides())
+				if sim.instances[i].down {
+					from := slices.IndexFunc(sim.instances, func(m *instance) bool { return !m.down })
+					sim.start(i)
+					if from >= 0 && !sim.blocked(from, i) {
+						sim.instances[i].Inherit(sim.now, sim.instances[from].Verdict(), sim.instances[from].Overrides())
 					}
 					for j := range zones {
 						delete(zeroAt, [2]int{i, j})
 					}
 				}
 			case "lose":
-				w.lossRate, w.maxDelayTicks = 0.3, 20
+				sim.lossRate, sim.maxDelayTicks = 0.3, 20
 			case "out":
-				hands = true
-				w.instances[i].SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: int64(w.now / time.Millisecond), Requester: "x"}, z)
+				overridden = true
+				sim.instances[i].SetOverride(sim.now, Override{Mode: ModeOut, TimestampMS: int64(sim.now / time.Millisecond), Requester: "x"}, z)
 			case "auto":
-				w.instances[i].SetOverride(w.now, Override{Mode: ModeAuto, TimestampMS: int64(w.now / time.Millisecond), Requester: "x"}, z)
+				sim.instances[i].SetOverride(sim.now, Override{Mode: ModeAuto, TimestampMS: int64(sim.now / time.Millisecond), Requester: "x"}, z)
 			case "lie":
-				w.afterTick = func(m *instance) {
+				sim.afterTick = func(m *instance) {
 					if m.config.Number == i {
 						for z := range m.ownReport.Zones {
 							m.ownReport.Zones[z] = ZoneStats{Judged: maxCount, Bad: maxCount, Silent: maxCount, TrimmedJudged: maxCount, TrimmedBad: maxCount}
@@ -327,44 +332,46 @@
 					}
 				}
 			}
-			w.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "ticks"))*TickInterval, check)
+			sim.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "ticks"))*TickInterval, check)
 		}
-		apart, w.lossRate, w.maxDelayTicks, w.afterTick = false, 0, 0, nil
-		for i, m := range w.instances {
+		partitioned, sim.lossRate, sim.maxDelayTicks, sim.afterTick = false, 0, 0, nil
+		for i, m := range sim.instances {
 			if m.down {
-				w.start(i)
+				sim.start(i)
 			}
 		}
-		for z := range w.zones {
-			w.zones[z] = zoneCondition{}
+		for z := range sim.zones {
+			sim.zones[z] = zoneCondition{}
 		}
-		w.run(3*time.Second, nil)
-		for end := w.now + 90*time.Second; w.now < end; { // a zone that flapped waits; then all are whole, unless they are out by hand
-			w.tick()
+		sim.run(3*time.Second, nil)
+		// A flapping zone waits; after that every zone must have its full share, unless an operator took
+		// it out.
+		for end := sim.now + 90*time.Second; sim.now < end; {
+			sim.tick()
 			whole := true
-			for _, m := range w.instances {
+			for _, m := range sim.instances {
 				for z := range zones {
 					share, _ := m.Share(z)
-					whole = whole && (share == 1) == (m.Overrides()[z].Mode != ModeOut) && slices.Equal(m.Overrides(), w.instances[0].Overrides())
+					whole = whole && (share == 1) == (m.Overrides()[z].Mode != ModeOut) && slices.Equal(m.Overrides(), sim.instances[0].Overrides())
 				}
 			}
 			if whole {
 				return
 			}
 		}
-		for i, m := range w.instances {
+		for i, m := range sim.instances {
 			t.Errorf("instance %d holds %+v, %+v", i, m.Verdict(), m.Overrides())
 		}
 	})
 }
 
-// A verdict that breaks the bounds is not taken, whoever tells it, and an old one neither.
+// A verdict that breaks the bounds, or is older than the current one, is rejected whoever sends it.
 func TestInvalidVerdictsAreRejected(t *testing.T) {
-	w := newSimulation(3, 3, 1, nil)
-	w.run(2*time.Second, nil)
-	w.zones[2].silent = true
-	w.runUntilState(t, 2, StateTrying, 3*time.Second)
-	m := w.instances[1]
+	sim := newSimulation(3, 3, 1, nil)
+	sim.run(2*time.Second, nil)
+	sim.zones[2].silent = true
+	sim.runUntilState(t, 2, StateTrying, 3*time.Second)
+	m := sim.instances[1]
 	held := m.Verdict()
 	out := Zone{State: StateOut}
 	for name, v := range map[string]Verdict{
@@ -374,7 +381,7 @@
 		"from far ahead": {Epoch: held.Epoch + 1<<40, Zones: []Zone{{Share: FullShare}, {Share: FullShare}, out}},
 		"in with a part": {Epoch: held.Epoch + 1, Zones: []Zone{{Share: 50}, {Share: FullShare}, out}},
 	} {
-		if m.ReceiveVerdict(w.now, 0, v, true) {
+		if m.ReceiveVerdict(sim.now, 0, v, true) {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -383,78 +390,79 @@
 	}
 }
 
-// A call that would leave nothing in use changes nothing, of no zone that it names.
+// An override that would leave no zone in use is rejected as a whole, for all zones that it names.
 func TestOverrideThatClosesAllZonesIsRejected(t *testing.T) {
-	w := newSimulation(3, 3, 1, nil)
-	w.run(time.Second, nil)
-	m := w.instances[0]
-	if err := m.SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: 1}, 1); err != nil {
+	sim := newSimulation(3, 3, 1, nil)
+	sim.run(time.Second, nil)
+	m := sim.instances[0]
+	if err := m.SetOverride(sim.now, Override{Mode: ModeOut, TimestampMS: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
 	held := m.Overrides()
-	if err := m.SetOverride(w.now, Override{Mode: ModeOut, TimestampMS: 2}, 0, 2); !errors.Is(err, ErrNoZoneLeft) || !slices.Equal(m.Overrides(), held) {
+	if err := m.SetOverride(sim.now, Override{Mode: ModeOut, TimestampMS: 2}, 0, 2); !errors.Is(err, ErrNoZoneLeft) || !slices.Equal(m.Overrides(), held) {
 		t.Errorf("%v, %+v", err, m.Overrides())
 	}
-	if err := m.SetOverride(w.now, Override{Mode: ModeAuto, TimestampMS: 2}, 0, 1, 2); err != nil {
+	if err := m.SetOverride(sim.now, Override{Mode: ModeAuto, TimestampMS: 2}, 0, 1, 2); err != nil {
 		t.Error(err)
 	}
 }
 
-// Leaders come from all zones in turn, and the next acts when the first falls silent; one that stood still leads nobody at first.
+// The leader order alternates between zones, and the next instance leads when the first falls silent. An
+// instance that was suspended does not lead at first.
 func TestLeaderOrderAndFailover(t *testing.T) {
-	w := newSimulation(6, 3, 1, nil)
-	w.run(2*time.Second, nil)
-	if got := w.instances[5].Leaders(); !slices.Equal(got, []int{0, 1, 2, 3, 4, 5}) {
+	sim := newSimulation(6, 3, 1, nil)
+	sim.run(2*time.Second, nil)
+	if got := sim.instances[5].Leaders(); !slices.Equal(got, []int{0, 1, 2, 3, 4, 5}) {
 		t.Errorf("leaders %v", got)
 	}
-	for _, m := range w.instances { // all of zone 0's first
+	for _, m := range sim.instances { // the first two instances in zone 0, the next two in zone 1, and so on
 		m.zone = m.config.Number / 2
 		m.ownZone = m.zone
 	}
-	w.run(time.Second, nil)
-	if got := w.instances[5].Leaders(); !slices.Equal(got, []int{0, 2, 4, 1, 3, 5}) {
+	sim.run(time.Second, nil)
+	if got := sim.instances[5].Leaders(); !slices.Equal(got, []int{0, 2, 4, 1, 3, 5}) {
 		t.Errorf("leaders %v", got)
 	}
-	w.zones[2].silent = true
-	w.instances[0].down = true
-	w.runUntilState(t, 2, StateTrying, 4*time.Second)
-	if by := w.instances[1].Verdict().DecidedBy; by != 1 { // the first of its zone now
+	sim.zones[2].silent = true
+	sim.instances[0].down = true
+	sim.runUntilState(t, 2, StateTrying, 4*time.Second)
+	if by := sim.instances[1].Verdict().DecidedBy; by != 1 { // now the first instance of its zone
 		t.Errorf("decided by %d", by)
 	}
-	w.run(time.Second, nil)
-	before := w.instances[3].Verdict().Epoch
-	w.instances[0].down = false // continued: its clock has jumped
-	if leads, paused := w.instances[0].Tick(w.now, make([]ZoneStats, 3), 0); leads || !paused {
+	sim.run(time.Second, nil)
+	before := sim.instances[3].Verdict().Epoch
+	sim.instances[0].down = false // resumed after a suspension: its clock has jumped
+	if leads, paused := sim.instances[0].Tick(sim.now, make([]ZoneStats, 3), 0); leads || !paused {
 		t.Errorf("continued, it leads %v and noticed %v", leads, paused)
 	}
-	w.run(2*time.Second, nil)
-	if w.instances[0].Verdict().Epoch < before {
+	sim.run(2*time.Second, nil)
+	if sim.instances[0].Verdict().Epoch < before {
 		t.Error("the one that stood still holds what is old")
 	}
 }
 
-// A zone that fails again and again waits longer each time, up to the bound.
+// A zone that fails repeatedly stays out longer each time, up to a bound.
 func TestFlappingZoneStaysOutLonger(t *testing.T) {
-	w := newSimulation(4, 3, 1, nil)
-	w.run(2*time.Second, nil)
+	sim := newSimulation(4, 3, 1, nil)
+	sim.run(2*time.Second, nil)
 	last := time.Duration(0)
 	for i := range 9 {
-		w.zones[2].silent = true
-		began := w.now
-		for w.instances[0].Verdict().Zones[2].State != StateOut {
-			if w.tick(); w.now-began > 5*time.Second {
+		sim.zones[2].silent = true
+		began := sim.now
+		for sim.instances[0].Verdict().Zones[2].State != StateOut {
+			if sim.tick(); sim.now-began > 5*time.Second {
 				t.Fatal("it is not left")
 			}
 		}
-		began = w.now
-		w.zones[2] = zoneCondition{}
-		w.runUntilState(t, 2, StateTrying, maxOutTime+time.Second)
-		if wait := w.now - began; wait < last-TickInterval || wait > maxOutTime+5*TickInterval {
+		began = sim.now
+		sim.zones[2] = zoneCondition{}
+		sim.runUntilState(t, 2, StateTrying, maxOutTime+time.Second)
+		if wait := sim.now - began; wait < last-TickInterval || wait > maxOutTime+5*TickInterval {
 			t.Errorf("time %d: out for %v after %v", i, wait, last)
 		} else {
 			last = wait
 		}
-		w.runUntilState(t, 2, StateReturning, 5*time.Second)
+		sim.runUntilState(t, 2, StateReturning, 5*time.Second)
 	}
 	if last < maxOutTime-TickInterval {
 		t.Errorf("at last it is out for %v", last)
@@ -489,7 +497,7 @@
 	}
 }
 
-// The operators' /members call writes a Sight as JSON, and its keys are part of that call's answer.
+// The operators' /members call writes ZoneStats as JSON, and its keys are part of that call's answer.
 func TestZoneStatsJSONKeys(t *testing.T) {
 	got, err := json.Marshal(ZoneStats{1, 2, 3, 4, 5, 6, 7})
 	if err != nil {
