--- a/internal/instances/delegate.go
+++ b/internal/instances/delegate.go
@@ -11,7 +11,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate is what memberlist sees of Instances. Its methods are called from memberlist's goroutines and wait for nothing but the lock.
+// delegate implements memberlist's callbacks for Instances. Its methods run on memberlist's goroutines
+// and block on nothing but the lock.
 type delegate Instances
 
 var (
@@ -20,18 +21,18 @@
 	_ memberlist.AliveDelegate = (*delegate)(nil)
 )
 
-// NodeMeta is what this instance says of itself.
+// NodeMeta returns this instance's metadata.
 func (d *delegate) NodeMeta(limit int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b, err := json.Marshal(d.self)
 	if err != nil || len(b) > limit {
-		return nil // the others turn it away, and say so
+		return nil // the other instances refuse a member without metadata, and log it
 	}
 	return b
 }
 
-// NotifyMsg takes a message. The bytes are memberlist's.
+// NotifyMsg queues a received message. The byte slice belongs to memberlist, so it is copied.
 func (d *delegate) NotifyMsg(b []byte) {
 	select {
 	case d.received <- slices.Clone(b):
@@ -39,18 +40,18 @@
 	}
 }
 
-// GetBroadcasts has nothing to add: what instances tell goes straight to whom it concerns.
+// GetBroadcasts returns nothing: instances send their messages directly to the recipients.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState is for an instance that joins.
+// LocalState returns the state for an instance that joins.
 func (d *delegate) LocalState(bool) []byte { return (*Instances)(d).localState() }
 
-// MergeRemoteState takes such a state.
+// MergeRemoteState applies the state of another instance.
 func (d *delegate) MergeRemoteState(b []byte, join bool) { (*Instances)(d).mergeState(b, join) }
 
-var errMemberRejected = errors.New("instances: turned away")
+var errMemberRejected = errors.New("instances: member refused")
 
-// NotifyAlive turns away who says nothing of itself, and whom there is no room for.
+// NotifyAlive refuses a member without valid metadata, and a new one above maxMembers.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	m, err := parseMeta(n.Meta)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// NotifyJoin notes an instance that lives. One that takes the place of an earlier process of the same name does so at once: there is
-// neither a moment without it nor one with both.
+// NotifyJoin records an instance that is alive. A successor process replaces its predecessor of the same
+// name in one step: the instance is never missing and never listed twice.
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	m, err := parseMeta(n.Meta)
 	if err != nil {
@@ -73,7 +74,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if m.Name == d.self.Name { // this process, the one before it, or the one after it
+	if m.Name == d.self.Name { // this process, its predecessor or its successor
 		d.superseded = d.superseded || m.StartedAtMS > d.self.StartedAtMS
 		return
 	}
@@ -84,15 +85,16 @@
 	d.logStatus(m, "there")
 }
 
-// logStatus logs how an instance stands.
+// logStatus logs the status of an instance.
 func (d *delegate) logStatus(m meta, is string) {
 	d.log.Info("instance", "name", m.Name, "number", m.Number, "zone", m.Zone, "since", m.StartedAtMS, "is", is)
 }
 
-// NotifyUpdate notes what an instance says anew of itself.
+// NotifyUpdate records changed metadata of an instance.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
-// NotifyLeave notes an instance that has left, or that nobody hears any more. The end of a process that has a successor changes nothing.
+// NotifyLeave records an instance that left or is no longer heard. The end of a predecessor process
+// changes nothing.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	m, err := parseMeta(n.Meta)
 	if err != nil {
@@ -112,7 +114,7 @@
 	d.logStatus(m, what)
 }
 
-// debugHandler logs what memberlist says for its own developers at the level of those.
+// debugHandler logs memberlist's own messages, which are meant for its developers, at debug level.
 type debugHandler struct{ slog.Handler }
 
 func (q debugHandler) Handle(ctx context.Context, r slog.Record) error {
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -1,6 +1,8 @@
-// Package instances lets the instances of an installation know of one another: membership on memberlist, and on top of it what they tell
-// each other of the zones. It decides nothing: package zones does, and the module takes the part of each zone. It never carries clients'
-// requests, never names a member, and looks no name up; without [instances] in the operator's file none of it runs.
+// Package instances connects the instances of an installation: memberlist provides the membership, and
+// on top of it the instances exchange reports and verdicts about zones. It decides nothing itself:
+// package zones does, and package logic applies the share of each zone. It never carries clients'
+// requests, never names a cache node, and resolves no host names. Without [instances] in the operator's
+// file none of it runs.
 package instances
 
 import (
@@ -26,37 +28,40 @@
 )
 
 const (
-	// maxMembers bounds the instances that are known at once; further ones are turned away.
+	// maxMembers limits the instances that are known at once; further ones are refused.
 	maxMembers = 256
-	// inboxSize bounds the messages that wait to be read. One that finds no room is lost, like any datagram.
+	// inboxSize limits the received messages that wait to be processed. Further ones are dropped, like
+	// any lost datagram.
 	inboxSize = 1024
-	// rejoinInterval is how often the addresses to join by are tried while one of them is not among those that live: a partition that lasts
-	// longer than membership remembers its dead would else last for good.
+	// rejoinInterval is the mean time between attempts to join the configured addresses while one of
+	// them is not an alive member. Without them, a partition that outlasts memberlist's memory of dead
+	// members would be permanent.
 	rejoinInterval = 5 * time.Second
-	// joinTimeout is how long the start waits to hear what holds.
+	// joinTimeout is how long the start waits for the state of the other instances.
 	joinTimeout  = 2 * time.Second
 	leaveTimeout = time.Second
-	// broadcastTicks is how many reports go to the leaders only before one goes to all, for operators to see.
+	// broadcastTicks is the number of ticks between two reports that go to all instances instead of only
+	// the leaders, so that operators can see them.
 	broadcastTicks                   = 24
-	idleLeaderTicks, idleReportTicks = 4, 6 // ticks between two messages
-	// forwardFanout is to how many others a verdict that is news is passed on.
+	idleLeaderTicks, idleReportTicks = 4, 6 // ticks between two messages while all zones are healthy
+	// forwardFanout is the number of instances to which a new verdict or override is forwarded.
 	forwardFanout = 3
 	sendTimeout   = time.Second
-	// suspectTimeout is how long an instance may be silent before this one says that it does not hear it.
+	// suspectTimeout is how long an instance may be silent before this one lists it as suspected.
 	suspectTimeout = 3 * time.Second
 )
 
-// meta is what an instance says of itself to membership.
+// meta is the metadata that an instance publishes through memberlist.
 type meta struct {
 	Name         string      `json:"n"`
 	Number       int         `json:"i"`
 	Zone         string      `json:"z"`
-	StartedAtMS  int64       `json:"s"` // Unix milliseconds: its incarnation
+	StartedAtMS  int64       `json:"s"` // Unix time; identifies the incarnation
 	Version      app.Version `json:"v"`
-	DecidesZones bool        `json:"d"` // it decides on zones with the others, and tells what it sees
+	DecidesZones bool        `json:"d"` // takes part in decisions on zones and sends reports
 }
 
-// Instances is this instance's part.
+// Instances is this instance's membership in the installation. It implements app.Fleet.
 type Instances struct {
 	options     app.Joined
 	proxy       *proxy.Proxy
@@ -64,27 +69,28 @@
 	memberlist  *memberlist.Memberlist
 	self        meta
 	received    chan []byte
-	aloneLogged atomic.Bool // nobody is there, and that has been said
+	aloneLogged atomic.Bool // no other instance is alive, and this has been logged
 
 	mu      sync.Mutex
 	known   map[string]*member
-	shares  []logic.ZoneShare // as last handed to the module
+	shares  []logic.ZoneShare // as last passed to the balancer
 	leading bool
-	// superseded: a later process of this proxy is there, and stands in this one's place among the others.
+	// superseded is set once a later process of this proxy is a member and takes this one's place.
 	superseded bool
 	ticks      int
 }
 
-// member is another instance, by name.
+// member is another instance, identified by its name.
 type member struct {
 	meta
 	node           *memberlist.Node
-	lostAt         time.Time // when it was last lost without a word; zero: it lives
+	lostAt         time.Time // when it was last lost or left; zero while it is alive
 	announcedLeave bool
-	lastHeard      time.Time // when it was last heard by its messages
+	lastHeard      time.Time // when its last message arrived
 }
 
-// state is how an instance stands with this one: there, suspected (it should tell something, and has not for suspectTimeout), or lost.
+// state returns "there", "lost", or "suspected" if the instance should send reports and has sent none
+// for suspectTimeout.
 func (m *member) state() string {
 	switch {
 	case !m.lostAt.IsZero():
@@ -95,7 +101,7 @@
 	return "there"
 }
 
-// New listens for the others.
+// New starts the membership on the first address that can be bound.
 func New(o app.Joined) (*Instances, error) {
 	i := &Instances{options: o, proxy: o.Proxy, log: o.Log, received: make(chan []byte, inboxSize), known: map[string]*member{},
 		self: meta{Name: o.Name, Number: o.Number, StartedAtMS: o.Since.UnixMilli(), DecidesZones: o.Machine != nil, Version: o.Version}}
@@ -114,10 +120,11 @@
 	return i, nil
 }
 
-// Join calls the others. What holds among them is in force when it returns, if any of them answers in time.
+// Join contacts the other instances. Once it returns, their state is in force here, if any of them
+// answered in time.
 func (i *Instances) Join() { i.join(joinTimeout) }
 
-// listen starts membership at one of the addresses.
+// listen starts memberlist on one of the configured addresses.
 func (i *Instances) listen(at int) error {
 	addr := i.options.Listen[at]
 	c := memberlist.DefaultLANConfig()
@@ -158,27 +165,28 @@
 	return nil
 }
 
-// join calls those that are to be joined by and are not there yet, and waits for them for so long at the most.
+// join contacts the configured addresses that are not alive members, and waits at most the given time.
 func (i *Instances) join(wait time.Duration) {
-	there := map[string]bool{}
+	alive := map[string]bool{}
 	for _, n := range i.memberlist.Members() {
-		there[fmt.Sprintf("%s:%d", n.Addr, n.Port)] = true
+		alive[fmt.Sprintf("%s:%d", n.Addr, n.Port)] = true
 	}
-	var call []string
+	var missing []string
 	for _, a := range i.options.Call {
-		if !there[a.String()] {
-			call = append(call, a.String())
+		if !alive[a.String()] {
+			missing = append(missing, a.String())
 		}
 	}
-	if len(call) == 0 {
+	if len(missing) == 0 {
 		return
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n, err := i.memberlist.Join(call)
-		// Said once, and again after one was there: with another key or cluster nobody answers, and the reason stands in the error.
-		if alone := n == 0 && len(there) <= 1; alone && !i.aloneLogged.Swap(true) {
+		n, err := i.memberlist.Join(missing)
+		// Logged once, and again after another instance was a member: with a different key or cluster no
+		// instance answers, and the error has the reason.
+		if alone := n == 0 && len(alive) <= 1; alone && !i.aloneLogged.Swap(true) {
 			i.log.Warn("instances: nobody that is to be joined answers", "err", err)
 		} else if !alone {
 			i.aloneLogged.Store(false)
@@ -190,7 +198,8 @@
 	}
 }
 
-// Run tells the others what this instance sees, and takes what they tell, until the context ends; then it leaves with a word.
+// Run sends this instance's reports and processes received messages until the context ends. Then it
+// announces its shutdown and leaves.
 func (i *Instances) Run(ctx context.Context) {
 	tick := time.NewTicker(zones.TickInterval)
 	defer tick.Stop()
@@ -202,10 +211,10 @@
 			g.Wait()
 			i.announceLeave()
 			if err := i.memberlist.Leave(leaveTimeout); err != nil {
-				i.log.Warn("instances: the others were not told of the end", "err", err)
+				i.log.Warn("instances: leaving the cluster was not announced", "err", err)
 			}
 			if err := i.memberlist.Shutdown(); err != nil {
-				i.log.Warn("instances", "err", err)
+				i.log.Warn("instances: memberlist shutdown", "err", err)
 			}
 			return
 		case b := <-i.received:
@@ -216,17 +225,18 @@
 	}
 }
 
-// Runs tells the others of another version.
+// Runs publishes a changed version.
 func (i *Instances) Runs(v app.Version) {
 	i.mu.Lock()
 	i.self.Version = v
 	i.mu.Unlock()
 	if err := i.memberlist.UpdateNode(sendTimeout); err != nil {
-		i.log.Warn("instances: not all were told of another version", "err", err)
+		i.log.Warn("instances: the new version did not reach all instances", "err", err)
 	}
 }
 
-// announceLeave tells the others that this process ends by its own will: membership tells them that it has gone, and not why.
+// announceLeave tells the other instances that this process shuts down on purpose. Memberlist reports
+// only that a member left, and not why.
 func (i *Instances) announceLeave() {
 	i.mu.Lock()
 	all := i.otherMembers()
@@ -234,7 +244,8 @@
 	i.sendReliably(all, (&zones.Message{From: i.self.Number, ShuttingDown: true}).Append(nil))
 }
 
-// sendReliably sends to those that live over connections, for a moment at the most, and tells whom it has reached, by name.
+// sendReliably sends a message over connections to the instances that are alive, and waits for at most
+// sendTimeout. It returns the names of those that were reached.
 func (i *Instances) sendReliably(all []member, text []byte) map[string]bool {
 	var mu sync.Mutex
 	reached := map[string]bool{}
@@ -273,7 +284,8 @@
 	}
 }
 
-// otherMembers are those known, the latest incarnation of each name, by number, as they are now. Called with the lock held.
+// otherMembers returns a copy of the known instances, the latest incarnation of each name, ordered by
+// number. It drops those that left and those lost for longer than Forget. The lock must be held.
 func (i *Instances) otherMembers() []member {
 	all := make([]member, 0, len(i.known))
 	for name, m := range i.known {
@@ -289,7 +301,7 @@
 	return all
 }
 
-// zonePeers are the others as the machine knows them.
+// zonePeers converts the members to the form that the zones machine takes.
 func (i *Instances) zonePeers(all []member) []zones.Peer {
 	peers := make([]zones.Peer, 0, len(all))
 	for _, m := range all {
@@ -300,7 +312,7 @@
 	return peers
 }
 
-// tick looks at what was seen here, lets the machine decide, and tells the others.
+// tick collects this instance's statistics, runs the machine, and sends the resulting message.
 func (i *Instances) tick() {
 	if i.options.Machine == nil {
 		return
@@ -321,7 +333,8 @@
 	})
 	i.ticks++
 	changes := i.options.Machine.Changes()
-	// While nothing is amiss less is told, and all of it as soon as something is.
+	// While all zones are healthy, messages are sent less often. Any change or fault restores the full
+	// rate at once.
 	every := idleReportTicks
 	if i.leading {
 		every = idleLeaderTicks
@@ -357,17 +370,19 @@
 	}
 }
 
-// maxReportTargets is how many of those that may lead hear every report: one of each zone, as a rule.
+// maxReportTargets is the number of instances, first in the leader order, that receive every report:
+// usually one of each zone.
 const maxReportTargets = 4
 
-// send sends a datagram; what is lost is told again soon.
+// send sends a datagram. A lost one is superseded by a later message.
 func (i *Instances) send(to *memberlist.Node, b []byte) {
 	if err := i.memberlist.SendBestEffort(to, b); err != nil {
-		i.log.Debug("instances: send", "to", to.Name, "err", err)
+		i.log.Debug("instances: sending a message failed", "to", to.Name, "err", err)
 	}
 }
 
-// changedShares are the parts for the module, nil if they are as before. Called with the lock and the host's lock held.
+// changedShares returns the zone shares for the balancer, or nil if they have not changed. The lock and
+// the proxy's lock must be held.
 func (i *Instances) changedShares() []logic.ZoneShare {
 	shares := make([]logic.ZoneShare, len(i.options.Zones))
 	for z := range shares {
@@ -381,7 +396,7 @@
 	return shares
 }
 
-// logChanges logs what has changed.
+// logChanges logs changes of zones.
 func (i *Instances) logChanges(changes []zones.Change) {
 	for _, c := range changes {
 		i.log.Info("zone", "zone", i.options.Zones[c.Zone], "state", c.To.State.String(), "share", c.To.Share, "was", c.From.State.String(),
@@ -389,11 +404,12 @@
 	}
 }
 
-// handleMessage takes a message.
+// handleMessage processes a received message. A verdict or override that is new is forwarded to a few
+// other instances.
 func (i *Instances) handleMessage(b []byte) {
 	msg, err := zones.Decode(b)
 	if err != nil {
-		i.log.Debug("instances: a message can't be read", "err", err)
+		i.log.Debug("instances: malformed message", "err", err)
 		return
 	}
 	i.mu.Lock()
@@ -401,21 +417,21 @@
 		m.lastHeard = time.Now()
 		m.announcedLeave = msg.ShuttingDown
 	}
-	news := i.applyMessage(&msg)
+	isNew := i.applyMessage(&msg)
 	var changes []zones.Change
 	if i.options.Machine != nil {
 		changes = i.options.Machine.Changes()
 	}
 	var all []member
-	if news {
+	if isNew {
 		all = i.otherMembers()
 	}
 	i.mu.Unlock()
 	i.logChanges(changes)
-	if !news {
+	if !isNew {
 		return
 	}
-	// What is news here may be so to others whose link to the leader is cut.
+	// Other instances may not have it either, if their link to the leader is cut.
 	pass := zones.Message{From: i.self.Number, Verdict: msg.Verdict, Overrides: msg.Overrides}
 	text := pass.Append(nil)
 	rand.Shuffle(len(all), func(x, y int) { all[x], all[y] = all[y], all[x] })
@@ -428,8 +444,9 @@
 	}
 }
 
-// applyMessage hands a message to the machine, and what follows from it to the module. Called with the lock held.
-func (i *Instances) applyMessage(msg *zones.Message) (news bool) {
+// applyMessage passes a message to the machine, and the resulting shares to the balancer. It tells
+// whether the message had a new verdict or override. The lock must be held.
+func (i *Instances) applyMessage(msg *zones.Message) (isNew bool) {
 	if i.options.Machine == nil || msg.From == i.self.Number {
 		return false
 	}
@@ -438,12 +455,12 @@
 			i.options.Machine.ReceiveReport(now, *msg.Report)
 		}
 		if msg.Verdict != nil {
-			news = i.options.Machine.ReceiveVerdict(now, msg.From, *msg.Verdict, msg.FromLeader)
+			isNew = i.options.Machine.ReceiveVerdict(now, msg.From, *msg.Verdict, msg.FromLeader)
 		}
-		news = i.options.Machine.MergeOverrides(now, msg.Overrides) || news
+		isNew = i.options.Machine.MergeOverrides(now, msg.Overrides) || isNew
 		return i.changedShares()
 	})
-	return news
+	return isNew
 }
 
 func (i *Instances) memberByNumber(n int) *member {
@@ -455,7 +472,7 @@
 	return nil
 }
 
-// localState is all that an instance that joins has to know at once.
+// localState encodes what a joining instance has to know at once.
 func (i *Instances) localState() []byte {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -467,7 +484,7 @@
 	return msg.Append(nil)
 }
 
-// mergeState takes over what an instance that was joined, or that joins, knows.
+// mergeState applies the encoded state of an instance that joins, or that this one joined.
 func (i *Instances) mergeState(b []byte, join bool) {
 	msg, err := zones.Decode(b)
 	if err != nil || i.options.Machine == nil {
@@ -490,7 +507,7 @@
 func parseMeta(b []byte) (m meta, err error) {
 	err = json.Unmarshal(b, &m)
 	if err == nil && (m.Name == "" || m.Number < 0 || m.StartedAtMS <= 0) {
-		err = errors.New("instances: a member says nothing of itself")
+		err = errors.New("instances: invalid member metadata")
 	}
 	return m, err
 }
--- a/internal/instances/transport.go
+++ b/internal/instances/transport.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's own, but for where its connections come from: the address that this instance listens at, so that the others
-// and what stands between them can tell who calls.
+// transport is memberlist's NetTransport, except that its connections come from the address on which
+// this instance listens, so that the other instances and the network in between can identify the caller.
 type transport struct {
 	*memberlist.NetTransport
 	localIP net.IP
@@ -22,7 +22,7 @@
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	to, err := netip.ParseAddrPort(a.Addr) // no name is ever looked up
+	to, err := netip.ParseAddrPort(a.Addr) // host names are never resolved
 	if err != nil {
 		return nil, err
 	}
--- a/internal/instances/view.go
+++ b/internal/instances/view.go
@@ -14,19 +14,19 @@
 
 var _ app.Fleet = (*Instances)(nil)
 
-// View is who is there and what holds, as this instance knows it.
+// View returns the members and the state of the zones, as known to this instance.
 func (i *Instances) View() mgmt.View {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	v := mgmt.View{Name: i.self.Name, Number: i.self.Number, Leads: i.leading, Members: []mgmt.MemberView{}, Zones: []mgmt.ZoneView{}}
 	reports := map[int]zones.Report{}
 	if m := i.options.Machine; m != nil {
-		verdict, hands := m.Verdict(), m.Overrides()
+		verdict, overrides := m.Verdict(), m.Overrides()
 		v.Leader, v.Epoch = verdict.DecidedBy, verdict.Epoch
 		for z, name := range i.options.Zones {
 			here, _ := m.Share(z)
 			v.Zones = append(v.Zones, mgmt.ZoneView{Name: name, State: verdict.Zones[z].State.String(), Share: float64(verdict.Zones[z].Share) / zones.FullShare,
-				Here: here, Hand: hands[z].Mode.String(), Who: hands[z].Requester, At: hands[z].TimestampMS, By: hands[z].ReceivedBy})
+				Here: here, Hand: overrides[z].Mode.String(), Who: overrides[z].Requester, At: overrides[z].TimestampMS, By: overrides[z].ReceivedBy})
 		}
 		for _, r := range append(m.PeerReports(), m.OwnReport()) {
 			reports[r.Number] = r
@@ -46,8 +46,8 @@
 	return v
 }
 
-// Zone carries out an operator's call for a zone or region, here and at once, and tells the others: those that can't be told now are
-// told as soon as they are heard.
+// Zone applies an operator's override for a zone or region at this instance and sends it to the others.
+// Those that cannot be reached now receive it with a later message.
 func (i *Instances) Zone(name string, mode zones.Mode, who string) (told mgmt.Told, err error) {
 	if i.options.Machine == nil {
 		return told, fmt.Errorf("[zones] is not in the operator's file")
