--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Member is an instance that a change is to reach.
+// Member is an instance that a change is rolled out to.
 type Member struct {
 	Number int
 	Zone   string
 }
 
-// Stage is how far a change has come once it is done.
+// Stage is a step of a rollout.
 type Stage struct {
-	Share         float64 // of the members; the last stage is all of them
-	NeedsApproval bool    // a yes by hand is waited for before the next
+	Share         float64 // share of the members that run the new version; 1 in the last stage
+	NeedsApproval bool    // wait for an operator's approval before the next stage
 }
 
-// Phase is where a change stands.
+// Phase is the phase of a rollout.
 type Phase uint8
 
 // The phases.
 const (
-	PhaseRunning          Phase = iota // a stage's members take over, and are compared
-	PhaseAwaitingApproval              // the stage is done, and a yes is waited for
-	PhasePaused                        // by hand: it stays as it is
-	PhaseRollingBack                   // all return to the version before
-	PhaseCompleted                     // all run the new version
-	PhaseRolledBack                    // all run the version before again
+	PhaseRunning          Phase = iota // the stage's members switch over and are compared
+	PhaseAwaitingApproval              // the stage is done and needs an operator's approval
+	PhasePaused                        // paused by an operator
+	PhaseRollingBack                   // all members return to the old version
+	PhaseCompleted                     // all members run the new version
+	PhaseRolledBack                    // all members run the old version again
 	phases
 )
 
@@ -41,51 +41,54 @@
 	return phaseNames[p]
 }
 
-// State is all of a change that lasts. It is on stable storage before anything of it is told to anybody.
+// State is the persistent state of a rollout. It has to be on stable storage before any instruction of
+// it is sent.
 type State struct {
-	Epoch      uint64 // rises with each driver that takes a change over, and with each change of the state
-	From, To   string // the versions' digests
+	Epoch      uint64 // rises with each new driver and each change of the state
+	From, To   string // digests of the versions
 	Stage      int
 	Phase      Phase
-	NewMembers []int // the members that are to run the new version
+	NewMembers []int // members that are to run the new version
 	Reason     string
 }
 
-// Instruction is what a member is told: the version to run, under the epoch of the state that says so.
+// Instruction tells a member which version to run, with the epoch of the state that it comes from.
 type Instruction struct {
 	Epoch   uint64
 	Version string
 }
 
-// MemberStatus is what a member says of itself.
+// MemberStatus is what a member reports about itself.
 type MemberStatus struct {
-	Epoch   uint64 // of the latest order that it has taken
-	Version string // that it runs and serves with
-	Failure string // why it turned the order down or could not take over; empty: it did not
+	Epoch   uint64 // of the latest instruction that it accepted
+	Version string // version that it runs and serves with
+	Failure string // why it rejected the instruction or failed to switch; empty if it did not
 }
 
-// Timeouts bounds how long a driver waits for members.
+// Timeouts limit how long a driver waits for members.
 type Timeouts struct {
-	Switch  time.Duration // until a member that was told runs the new version
-	Silence time.Duration // a member that says nothing for so long is unknown
+	Switch  time.Duration // from the start of the stage until a new member runs the new version
+	Silence time.Duration // a new member that is silent for longer is lost
 }
 
-// Driver decides a change over its stages. Of two at once one is fenced off: members take no order of an epoch under the latest that they took,
-// and a driver that hears of a higher epoch than its own never says anything again. With nobody driving members stay as they are.
+// Driver runs a rollout through its stages. Of two drivers at once, one is fenced: members reject
+// instructions with an epoch below the latest that they accepted, and a driver that sees an epoch above
+// its own sends nothing more. Without a driver, members stay as they are.
 type Driver struct {
 	plan        Plan
 	stages      []Stage
 	timeouts    Timeouts
-	memberOrder []int // in which members change
+	memberOrder []int // order in which members switch
 	state       State
 	evaluator   *Evaluator
 	status      map[int]MemberStatus
 	statusAt    map[int]time.Duration
-	phaseSince  time.Duration // of the stage
+	phaseSince  time.Duration // start of the current phase or stage
 	fenced      bool
 }
 
-// SpreadOverZones is the order in which members change: one of each zone in turn, so that no zone is all new before the others are nearly so.
+// SpreadOverZones returns the order in which members switch: one of each zone in turn, so that no zone
+// is all new long before the others are.
 func SpreadOverZones(members []Member) (order []int) {
 	byZone := map[string][]int{}
 	var names []string
@@ -109,23 +112,24 @@
 	return order
 }
 
-// CheckStages tells what makes stages unusable.
+// CheckStages returns an error if the stages are invalid.
 func CheckStages(stages []Stage) error {
 	last := 0.0
 	for i, s := range stages {
 		if !(s.Share > last && s.Share <= 1) {
-			return fmt.Errorf("rollout: stage %d has a share of %v; it has to be over %v, and 1 at the most", i+1, s.Share, last)
+			return fmt.Errorf("rollout: stage %d has a share of %v, must be above %v and at most 1", i+1, s.Share, last)
 		}
 		last = s.Share
 	}
 	if last != 1 {
-		return fmt.Errorf("rollout: the last stage has a share of %v, and not 1", last)
+		return fmt.Errorf("rollout: the last stage has a share of %v, must be 1", last)
 	}
 	return nil
 }
 
-// NewDriver makes a driver for a change, of a plan and stages that have been checked; last is the state that was stored, or one that begins:
-// with the versions, at an epoch above that of any change before. Evidence is not stored: one that takes over begins its stage anew.
+// NewDriver returns a driver for a rollout whose plan and stages have passed their checks. last is the
+// stored state, or for a new rollout a state with both versions and an epoch above that of any earlier
+// rollout. Evidence is not stored: a new driver restarts its stage.
 func NewDriver(now time.Duration, p Plan, stages []Stage, t Timeouts, members []Member, last State) *Driver {
 	d := &Driver{plan: p, stages: stages, timeouts: t, memberOrder: SpreadOverZones(members), state: last, evaluator: NewEvaluator(p), status: map[int]MemberStatus{},
 		statusAt: map[int]time.Duration{}, phaseSince: now}
@@ -137,7 +141,8 @@
 	return d
 }
 
-// newCount is how many members run the new version once a stage is done: one at the least, and never all but in the last.
+// newCount returns how many members run the new version once a stage is done: at least one, and all of
+// them only in the last stage.
 func (d *Driver) newCount(stage int) int {
 	n := len(d.memberOrder)
 	if stage >= len(d.stages)-1 {
@@ -146,17 +151,17 @@
 	return max(1, min(n-1, int(d.stages[stage].Share*float64(n))))
 }
 
-// State is what has to be stored before Orders are told.
+// State returns the state, which has to be stored before Instructions are sent.
 func (d *Driver) State() State {
 	s := d.state
 	s.NewMembers = slices.Clone(d.state.NewMembers)
 	return s
 }
 
-// Fenced tells that another driver has taken the change over.
+// Fenced tells whether another driver has taken over the rollout.
 func (d *Driver) Fenced() bool { return d.fenced }
 
-// Instructions are what each member is to be told; none if this driver is fenced off.
+// Instructions returns the instruction for each member, or nil if this driver is fenced.
 func (d *Driver) Instructions() map[int]Instruction {
 	if d.fenced {
 		return nil
@@ -171,7 +176,7 @@
 	return all
 }
 
-// ReceiveStatus takes what a member says of itself.
+// ReceiveStatus records the status of a member.
 func (d *Driver) ReceiveStatus(now time.Duration, number int, h MemberStatus) {
 	if !slices.Contains(d.memberOrder, number) {
 		return
@@ -180,20 +185,20 @@
 	d.status[number], d.statusAt[number] = h, now
 }
 
-// Observe takes what was observed of both sides.
+// Observe passes an observation to the evaluator.
 func (d *Driver) Observe(o Observation) error {
 	if d.state.Phase != PhaseRunning || !d.allSwitched() {
-		o.Excluded = true // the old and the new are not yet, or no more, what the stage compares
+		o.Excluded = true // the members do not run the versions that the stage compares
 	}
 	return d.evaluator.Observe(o)
 }
 
-// allSwitched tells whether all that are to run the new version do.
+// allSwitched tells whether all members that are to run the new version do so.
 func (d *Driver) allSwitched() bool {
 	return !slices.ContainsFunc(d.state.NewMembers, func(n int) bool { return d.status[n].Version != d.state.To })
 }
 
-// transition changes the state: a new epoch, to be stored.
+// transition enters a phase. The state gets a new epoch and has to be stored.
 func (d *Driver) transition(now time.Duration, p Phase, why string) {
 	d.state.Epoch, d.state.Phase, d.state.Reason, d.phaseSince = d.state.Epoch+1, p, why, now
 	if p == PhaseRollingBack {
@@ -201,26 +206,27 @@
 	}
 }
 
-// Command is an operator's: "pause", "go" (on, after a pause or a question), "back".
-func (d *Driver) Command(now time.Duration, what string) error {
+// Command executes an operator's command: "pause", "go" (continue after a pause, or approve a stage) or
+// "back".
+func (d *Driver) Command(now time.Duration, command string) error {
 	switch p := d.state.Phase; {
 	case d.fenced:
-		return fmt.Errorf("rollout: another driver has taken this change over")
-	case what == "pause" && (p == PhaseRunning || p == PhaseAwaitingApproval):
+		return fmt.Errorf("rollout: another driver has taken over this change")
+	case command == "pause" && (p == PhaseRunning || p == PhaseAwaitingApproval):
 		d.transition(now, PhasePaused, "by hand")
-	case what == "go" && p == PhaseAwaitingApproval:
+	case command == "go" && p == PhaseAwaitingApproval:
 		d.advance(now)
-	case what == "go" && p == PhasePaused:
+	case command == "go" && p == PhasePaused:
 		d.transition(now, PhaseRunning, "by hand")
-	case what == "back" && (p == PhaseRunning || p == PhaseAwaitingApproval || p == PhasePaused || p == PhaseCompleted):
+	case command == "back" && (p == PhaseRunning || p == PhaseAwaitingApproval || p == PhasePaused || p == PhaseCompleted):
 		d.transition(now, PhaseRollingBack, "by hand")
 	default:
-		return fmt.Errorf("rollout: %s can't be done while a change is %v", what, p)
+		return fmt.Errorf("rollout: %s is not possible while a change is %v", command, p)
 	}
 	return nil
 }
 
-// advance begins the next stage, or ends the change after the last.
+// advance begins the next stage, or completes the rollout after the last one.
 func (d *Driver) advance(now time.Duration) {
 	if d.state.Stage == len(d.stages)-1 {
 		d.transition(now, PhaseCompleted, "all stages are done")
@@ -232,7 +238,8 @@
 	d.transition(now, PhaseRunning, fmt.Sprintf("stage %d", d.state.Stage+1))
 }
 
-// Tick does what is due. It tells whether the state has changed, and has to be stored before Orders are told.
+// Tick performs the periodic work. It tells whether the state has changed and has to be stored before
+// Instructions are sent.
 func (d *Driver) Tick(now time.Duration) (changed bool) {
 	epoch := d.state.Epoch
 	switch {
@@ -245,8 +252,9 @@
 	return d.state.Epoch != epoch
 }
 
-// checkStage looks at a stage under way. A new member that turned its order down, never took over or fell silent is the change's fault, until
-// the opposite is known: all go back. An old one that falls silent tells nothing, and is waited for.
+// checkStage evaluates the running stage. A new member that rejected its instruction, did not switch or
+// fell silent is attributed to the change until shown otherwise, and the change is rolled back. An old
+// member that falls silent says nothing about the change; the rollout waits for it.
 func (d *Driver) checkStage(now time.Duration) {
 	for _, n := range d.state.NewMembers {
 		h, known := d.status[n]
@@ -258,7 +266,7 @@
 			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d does not run the new version after %v", n, d.timeouts.Switch))
 			return
 		case known && h.Version == d.state.To && now-d.statusAt[n] > d.timeouts.Silence:
-			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d, which runs the new version, is not heard any more", n))
+			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d, which runs the new version, is no longer heard", n))
 			return
 		}
 	}
@@ -268,8 +276,8 @@
 	case ruling == DecisionStopped:
 		d.transition(now, PhaseRollingBack, why)
 	case !d.allSwitched():
-		d.state.Reason = "members take over"
-	case last: // nobody is left to compare with: it is enough that all serve
+		d.state.Reason = "members are switching to the new version"
+	case last: // no old member is left to compare with; it is enough that all have switched
 		d.advance(now)
 	case ruling == DecisionDone && d.stages[d.state.Stage].NeedsApproval:
 		d.transition(now, PhaseAwaitingApproval, why)
@@ -280,13 +288,15 @@
 	}
 }
 
-// Follower is a member's side: what it has taken. It is stored before it is acted upon.
+// Follower is a member's side of the protocol: the latest instruction that it accepted. It has to be
+// stored before the member acts on it.
 type Follower struct {
 	Epoch   uint64
-	Version string // that it is to run
+	Version string // version to run
 }
 
-// Apply takes an order, unless it is of an old epoch, and tells whether there is something new to do.
+// Apply accepts an instruction unless it is outdated, and tells whether the member has to switch to
+// another version.
 func (f *Follower) Apply(o Instruction) (changed bool) {
 	if o.Epoch < f.Epoch || o.Epoch == f.Epoch && o.Version != f.Version {
 		return false
--- a/internal/rollout/driver_test.go
+++ b/internal/rollout/driver_test.go
@@ -15,15 +15,15 @@
 	members  = []Member{{0, "a"}, {1, "b"}, {2, "c"}, {3, "a"}, {4, "b"}, {5, "c"}}
 )
 
-// testRollout is a driver before members that do as they are told, as far as they hear it.
+// testRollout is a driver with members that follow the instructions that reach them.
 type testRollout struct {
 	*Driver
 	now          time.Duration
 	members      map[int]*Follower
 	running      map[int]string
-	failures     map[int]string      // who turns orders down, and why
-	latest       map[int]Instruction // that each has heard, by epoch
-	storedStates []State             // what was on disk, the latest last
+	failures     map[int]string      // members that reject instructions, and why
+	latest       map[int]Instruction // with the highest epoch that each member received
+	storedStates []State             // states on stable storage, the latest last
 	lost         func() bool
 }
 
@@ -41,7 +41,7 @@
 	c.storedStates = append(c.storedStates, c.State())
 }
 
-// deliver has members hear a driver, as far as nothing is lost.
+// deliver sends a driver's instructions to the members, except for lost ones.
 func (c *testRollout) deliver(d *Driver) {
 	for n, o := range d.Instructions() {
 		if c.lost() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// runSecond is one in which all is told once, and both sides serve.
+// runSecond delivers all instructions and statuses once, adds an observation and ticks the driver.
 func (c *testRollout) runSecond(t interface{ Fatal(...any) }, o Observation) {
 	c.now += time.Second
 	c.deliver(c.Driver)
@@ -73,7 +73,7 @@
 	}
 }
 
-func (c *testRollout) newCount() (n int) {
+func (c *testRollout) runningNew() (n int) {
 	for _, v := range c.running {
 		if v == "new" {
 			n++
@@ -88,14 +88,15 @@
 	badObservation  = Observation{Duration: time.Second, Metrics: []Block{{Counts{100, 99}, Counts{100, 60}}, {Counts{100, 99}, Counts{100, 99}}}}
 )
 
-// Each entry is what becomes of a change, and what was the most of members that ran the new version.
+// Each case is what the observations say, the final phase, and the most members that ran the new version
+// at any time.
 func TestRolloutOutcomes(t *testing.T) {
-	always := func() bool { return false }
+	noLoss := func() bool { return false }
 	for name, c := range map[string]struct {
-		play  func(c *testRollout, second int) Observation
-		phase Phase
-		most  int
-		why   string
+		observe func(c *testRollout, second int) Observation
+		phase   Phase
+		most    int
+		why     string
 	}{
 		"good":             {func(*testRollout, int) Observation { return goodObservation }, PhaseCompleted, 6, "all stages"},
 		"bad in stage one": {func(*testRollout, int) Observation { return badObservation }, PhaseRolledBack, 1, "served in time"},
@@ -127,38 +128,39 @@
 			return goodObservation
 		}, PhasePaused, 1, "by hand"},
 	} {
-		ch := newTestRollout(initialState, always)
+		ch := newTestRollout(initialState, noLoss)
 		most := 0
 		for s := range 120 {
-			ch.runSecond(t, c.play(ch, s))
-			most = max(most, ch.newCount())
+			ch.runSecond(t, c.observe(ch, s))
+			most = max(most, ch.runningNew())
 		}
 		if s := ch.State(); s.Phase != c.phase || most != c.most || !strings.Contains(s.Reason, c.why) {
 			t.Errorf("%s: %v, most %d, %s", name, s.Phase, most, s.Reason)
 		}
-		if ch.State().Phase == PhaseRolledBack && ch.newCount() > 0 {
-			t.Errorf("%s: %d still run the new version", name, ch.newCount())
+		if ch.State().Phase == PhaseRolledBack && ch.runningNew() > 0 {
+			t.Errorf("%s: %d still run the new version", name, ch.runningNew())
 		}
 	}
-	if err := newTestRollout(initialState, always).Command(0, "go"); err == nil || !strings.Contains(err.Error(), "while a change is going") {
+	if err := newTestRollout(initialState, noLoss).Command(0, "go"); err == nil || !strings.Contains(err.Error(), "while a change is going") {
 		t.Error(err)
 	}
 }
 
-// Whatever is lost, however often drivers are killed, doubled or begun from an old state: no more members run the new version than the furthest
-// stage that any state on disk has allows, none changes to it once all who drive have stopped, and a driver that is behind is fenced off.
+// Messages are lost; drivers are killed, run twice, or start from an outdated state. Even so, no more
+// members run the new version than any stored state allowed, members follow the latest instruction that
+// they received, and an outdated driver is fenced.
 func TestDriverFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lose := 0
-		c := newTestRollout(initialState, func() bool { return lose > 0 && rapid.IntRange(0, 9).Draw(t, "lost") < lose })
+		lossTenths := 0
+		c := newTestRollout(initialState, func() bool { return lossTenths > 0 && rapid.IntRange(0, 9).Draw(t, "lost") < lossTenths })
 		var other *Driver
 		stopped := false
 		for range rapid.IntRange(5, 60).Draw(t, "seconds") {
 			switch rapid.SampledFrom([]string{"-", "-", "-", "lose", "heal", "killed", "killed, old disk", "second driver", "bad", "back"}).Draw(t, "event") {
 			case "lose":
-				lose = 4
+				lossTenths = 4
 			case "heal":
-				lose = 0
+				lossTenths = 0
 			case "killed":
 				c.startDriver(c.storedStates[len(c.storedStates)-1])
 			case "killed, old disk":
@@ -172,31 +174,31 @@
 				stopped = c.Command(c.now, "back") == nil || stopped
 			}
 			c.runSecond(t, goodObservation)
-			if other != nil { // the one that was replaced and does not know goes on telling
+			if other != nil { // the replaced driver continues, unaware of its replacement
 				other.Tick(c.now)
 				c.deliver(other)
 				for n, f := range c.members {
 					behind := f.Epoch > other.State().Epoch
 					if other.ReceiveStatus(c.now, n, MemberStatus{Epoch: f.Epoch, Version: c.running[n]}); behind && len(other.Instructions()) > 0 {
-						t.Fatalf("a driver that hears of epoch %d goes on telling at %d", f.Epoch, other.State().Epoch)
+						t.Fatalf("a driver that saw epoch %d still sends instructions of epoch %d", f.Epoch, other.State().Epoch)
 					}
 				}
 			}
 			for n, f := range c.members {
 				if o := c.latest[n]; o.Epoch > 0 && f.Version != o.Version {
-					t.Fatalf("member %d is to run %s, and the latest that it heard was %+v", n, f.Version, o)
+					t.Fatalf("member %d is to run %s, and its latest instruction was %+v", n, f.Version, o)
 				}
 			}
 			allowed := 0
 			for _, s := range c.storedStates {
 				allowed = max(allowed, len(s.NewMembers))
 			}
-			if c.newCount() > allowed {
-				t.Fatalf("%d run the new version, and no state allows more than %d", c.newCount(), allowed)
+			if c.runningNew() > allowed {
+				t.Fatalf("%d run the new version, and no state allows more than %d", c.runningNew(), allowed)
 			}
 		}
-		// In the end one driver goes back, from what is latest on disk, and all hear it.
-		lose, other = 0, nil
+		// Finally one driver rolls back from the latest stored state, without message loss.
+		lossTenths, other = 0, nil
 		last := slices.MaxFunc(c.storedStates, func(a, b State) int { return int(a.Epoch) - int(b.Epoch) })
 		for _, f := range c.members {
 			last.Epoch = max(last.Epoch, f.Epoch)
@@ -206,8 +208,8 @@
 		for range 5 {
 			c.runSecond(t, goodObservation)
 		}
-		if c.newCount() > 0 || c.State().Phase != PhaseRolledBack {
-			t.Fatalf("%d run the new version in the end, %+v, fenced %v", c.newCount(), c.State(), c.Fenced())
+		if c.runningNew() > 0 || c.State().Phase != PhaseRolledBack {
+			t.Fatalf("%d run the new version in the end, %+v, fenced %v", c.runningNew(), c.State(), c.Fenced())
 		}
 	})
 }
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -1,6 +1,7 @@
-// Package rollout decides whether the new version of a program or of its settings does worse than the old one beside it, while a change goes
-// out in stages. It does no I/O, keeps no clock and starts no goroutine. It carries nothing out, and what it can't tell it calls undecided:
-// it never takes little traffic for a good sign.
+// Package rollout decides whether a new version of a program or of its settings does worse than the old
+// one running beside it, while a change is rolled out in stages. It does no I/O, reads no clock, starts
+// no goroutine and carries nothing out. Without enough evidence its decision is undecided: little
+// traffic never counts as a good result.
 package rollout
 
 import (
@@ -9,40 +10,46 @@
 	"math"
 )
 
-// Counts are what one side did within a block: requests of one zone in one stretch of time, in which both sides served.
+// Counts are one side's requests within a block, and how many of them had a good result.
 type Counts struct{ Requests, Good int }
 
-// Block is both sides of it. Within a block both meet the same: the same hour, the same cache nodes, the same troubles. From block to block
-// the share of good ones may change as it likes.
+// Block holds the counts of both sides for one zone and one period in which both served. Within a block
+// both sides meet the same conditions: time of day, cache nodes, faults. From block to block the share
+// of good results may change in any way.
 type Block struct{ Old, New Counts }
 
-// oddsFactors are the harms that a Test looks for, as factors on the odds of a good answer: from a third of them lost down to a few in a hundred.
+// oddsFactors are the regressions that a SequentialTest looks for, as factors on the odds of a good
+// result: from a third of the good results lost down to a few in a hundred.
 var oddsFactors = [...]float64{0.97, 0.9, 0.75, 0.5, 0.25, 0.1, 0.03}
 
-// SequentialTest tells by and by whether the new side is worse. It is an e-process: however often and whenever it is looked at, and whatever the traffic,
-// it reaches 1/alpha with a chance of at most alpha where the new side is as good as the old or better.
+// SequentialTest tests, as data arrives, whether the new side is worse. It is an e-process: however
+// often and whenever it is evaluated, and whatever the traffic, it reaches 1/alpha with a probability of
+// at most alpha if the new side is as good as the old one or better.
 //
-// In each block the likelihood of what was seen, at a share a of good ones on the old side and b < a on the new, stands over its likelihood
-// at their mean weighted by the requests of each side (Turner, Ly and Gruenwald, "Generic E-variables for exact sequential k-sample tests
-// that allow for optional stopping", 2024, theorem 1). Its expectation is at most one where both are equal; where the new side is better it
-// is no higher, since the factor of an old answer rises with the old side's share and that of a new answer falls with the new one's. a comes from
-// blocks before this one alone, so the product over blocks is a nonnegative supermartingale, and Ville's inequality gives the bound. It is
-// exact at any number of requests, and asks for no variance. The mean over several harms is one too.
+// The factor of a block is a likelihood ratio. The numerator takes a share a of good results on the old
+// side and b < a on the new one. The denominator takes the same share for both sides, the mean of a and
+// b weighted by the requests of each side (Turner, Ly and Gruenwald, "Generic E-variables for exact
+// sequential k-sample tests that allow for optional stopping", 2024, theorem 1). Its expectation is at
+// most one if both sides are equal. It is no higher if the new side is better, since the factor of an
+// old result rises with the old side's share and that of a new result falls with the new side's share.
+// The value of a depends on earlier blocks only, so the product over blocks is a nonnegative
+// supermartingale, and Ville's inequality gives the bound. The test is exact for any number of requests
+// and needs no variance. The mean over several regressions is an e-process too.
 type SequentialTest struct {
-	logEvidence  [len(oddsFactors)]float64 // of the product, by harm
-	peakEvidence float64                   // the most that the mean has been
-	oldGood      float64                   // of the old side in blocks before, with half a request of each kind to begin with
+	logEvidence  [len(oddsFactors)]float64 // of the product, by regression
+	peakEvidence float64                   // highest mean so far
+	oldGood      float64                   // old side, earlier blocks; starts with half a request of each result
 	oldRequests  float64
 	Total        Block
 }
 
-// NewSequentialTest makes a Test that has seen nothing.
+// NewSequentialTest returns a SequentialTest without data.
 func NewSequentialTest() *SequentialTest { return &SequentialTest{oldGood: 0.5, oldRequests: 1} }
 
-// ErrInvalidCounts tells of counts that can't be.
-var ErrInvalidCounts = errors.New("rollout: more good answers than requests, or fewer than none")
+// ErrInvalidCounts is returned for counts that are impossible.
+var ErrInvalidCounts = errors.New("rollout: good results must be between 0 and the number of requests")
 
-// Add takes a block. One in which a side has nothing tells nothing.
+// Add adds a block. A block in which one side has no requests adds no evidence.
 func (t *SequentialTest) Add(b Block) error {
 	for _, c := range []Counts{b.Old, b.New} {
 		if c.Good < 0 || c.Good > c.Requests {
@@ -62,10 +69,10 @@
 	return nil
 }
 
-// scaleOdds is the share of good ones whose odds are so many times those of a.
+// scaleOdds returns the share whose odds are those of share a times the factor.
 func scaleOdds(a, factor float64) float64 { return a * factor / (a*factor + 1 - a) }
 
-// logLikelihoodRatio is the logarithm of a block's factor.
+// logLikelihoodRatio returns the logarithm of a block's factor.
 func logLikelihoodRatio(b Block, old, new float64) float64 {
 	na, nb := float64(b.Old.Requests), float64(b.New.Requests)
 	mean := (na*old + nb*new) / (na + nb)
@@ -75,7 +82,8 @@
 	return side(b.Old, old) + side(b.New, new)
 }
 
-// Evidence is how much speaks for the new side being worse: bets against its being as good, at fair odds, would have grown by so much.
+// Evidence returns the evidence that the new side is worse: the growth of a bet at fair odds against the
+// new side being as good.
 func (t *SequentialTest) Evidence() float64 {
 	sum := 0.0
 	for _, l := range t.logEvidence {
@@ -84,15 +92,16 @@
 	return sum
 }
 
-// Worse tells whether the new side has been found worse, with a chance of at most alpha that it is not.
+// Worse tells whether the new side is worse, with a probability of at most alpha that this is wrong.
 func (t *SequentialTest) Worse(alpha float64) bool { return t.peakEvidence >= 1/alpha }
 
 // normalQuantile90 is the quantile of the standard normal distribution at 0.9.
 const normalQuantile90 = 1.2815515655446004
 
-// HasPower tells whether there was so much traffic that a harm of this size (a share of the answers, such as 0.03) would have been found by now
-// with nine chances in ten. The growth of the evidence under that harm is a sum over requests; its mean and spread are worked out for the
-// share that the old side had and the harm that is looked for and fits best.
+// HasPower tells whether there was enough traffic to detect a regression of this size (a share of the
+// results, such as 0.03) by now with a probability of nine in ten. The growth of the evidence under the
+// regression is a sum over requests. Its mean and spread are computed for the old side's observed share
+// and the factor that fits the regression best.
 func (t *SequentialTest) HasPower(harm, alpha float64) bool {
 	na, nb := float64(t.Total.Old.Requests), float64(t.Total.New.Requests)
 	if na == 0 || nb == 0 || !(harm > 0) {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -19,7 +19,8 @@
 	return c * math.Pow(p, float64(k)) * math.Pow(1-p, float64(n-k))
 }
 
-// Where the new side is as good or better, a block's factor is at most one on average: worked out over all that can be seen, not drawn.
+// If the new side is as good as the old one or better, the expected factor of a block is at most one.
+// The expectation is computed exactly over all possible results, not sampled.
 func TestExpectedLikelihoodRatioIsAtMostOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.02, 0.98)
@@ -40,7 +41,7 @@
 	})
 }
 
-// randomBlock is a block of so many requests a side at these shares.
+// randomBlock returns a block with n requests on each side and the given shares of good results.
 func randomBlock(rng *rand.Rand, n int, old, new float64) (b Block) {
 	b.Old.Requests, b.New.Requests = n, n
 	for range n {
@@ -54,8 +55,9 @@
 	return b
 }
 
-// A against A, with a share that wanders from block to block, looked at after every block: false stops are no more often than stated. And a
-// harm is found nine times in ten once Enough says that it would be.
+// Both sides have the same share, which drifts from block to block, and the test is evaluated after
+// every block: false stops are no more frequent than alpha. A regression is detected nine times in ten
+// once HasPower says so.
 func TestFalseStopsAndPower(t *testing.T) {
 	const alpha, runs = 0.05, 1500
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -73,7 +75,7 @@
 		}
 	}
 	if stops > runs*alpha {
-		t.Errorf("%d of %d stopped for nothing, stated are %.0f", stops, runs, runs*alpha)
+		t.Errorf("%d of %d stopped falsely, want at most %.0f", stops, runs, runs*alpha)
 	}
 	for _, c := range []struct{ share, harm float64 }{{0.99, 0.03}, {0.95, 0.05}, {0.9, 0.2}} {
 		found, most := 0, 0
@@ -98,7 +100,7 @@
 
 var plan = Plan{Metrics: []Metric{{"served in time", 0.05}, {"not slow", 0.05}}, Alpha: 0.05, MinDuration: 10 * time.Second, MinRequests: 100}
 
-// Each entry is what is seen, over and over, and what is ruled in the end.
+// Each case is a repeated observation and the decision that it leads to.
 func TestDecisions(t *testing.T) {
 	block := func(old, new int) Block { return Block{Counts{100, old}, Counts{100, new}} }
 	for name, c := range map[string]struct {
@@ -107,15 +109,15 @@
 		want  Decision
 		why   string
 	}{
-		"nothing changes":     {Observation{Duration: time.Second, Metrics: []Block{block(99, 99), block(98, 98)}}, 30, DecisionDone, "nothing worse"},
+		"nothing changes":     {Observation{Duration: time.Second, Metrics: []Block{block(99, 99), block(98, 98)}}, 30, DecisionDone, "no regression found"},
 		"a tenth is lost":     {Observation{Duration: time.Second, Metrics: []Block{block(99, 89), block(98, 98)}}, 30, DecisionStopped, "served in time"},
 		"a tenth is slow":     {Observation{Duration: time.Second, Metrics: []Block{block(99, 99), block(98, 88)}}, 30, DecisionStopped, "not slow"},
-		"better":              {Observation{Duration: time.Second, Metrics: []Block{block(90, 99), block(90, 98)}}, 30, DecisionDone, "nothing worse"},
+		"better":              {Observation{Duration: time.Second, Metrics: []Block{block(90, 99), block(90, 98)}}, 30, DecisionDone, "no regression found"},
 		"too short":           {Observation{Duration: time.Second, Metrics: []Block{block(99, 99), block(98, 98)}}, 9, DecisionUndecided, "9s of 10s"},
 		"too few":             {Observation{Duration: time.Second, Metrics: []Block{{Counts{3, 3}, Counts{3, 3}}, {Counts{3, 3}, Counts{3, 3}}}}, 30, DecisionUndecided, "90 of 100"},
 		"nobody asks the new": {Observation{Duration: time.Second, Metrics: []Block{{Counts{100, 99}, Counts{}}, {Counts{100, 99}, Counts{}}}}, 60, DecisionUndecided, "0s of 10s"},
 		"enough to ask, too few to tell": {Observation{Duration: time.Second, Metrics: []Block{{Counts{5, 4}, Counts{5, 4}}, {Counts{5, 4}, Counts{5, 4}}}}, 24,
-			DecisionUndecided, "too few requests to have found"},
+			DecisionUndecided, "too few requests to detect"},
 		"a zone is out":                     {Observation{Duration: time.Second, Excluded: true, Metrics: []Block{block(99, 10), block(98, 10)}}, 60, DecisionUndecided, "0s of 10s"},
 		"a rule broken while a zone is out": {Observation{Excluded: true, Violation: "n3 sent to a draining member"}, 1, DecisionStopped, "n3 sent"},
 	} {
@@ -140,17 +142,17 @@
 		t.Error(err)
 	}
 	if err := j.Observe(Observation{Metrics: []Block{{}}}); err == nil {
-		t.Error("a claim that nobody counted is taken")
+		t.Error("an observation that lacks a metric was accepted")
 	}
 }
 
 func TestPlanCheckRejectsInvalidPlans(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
-		"without a claim":      func(p *Plan) { p.Metrics = nil },
-		"a false stop of 0.9":  func(p *Plan) { p.Alpha = 0.9 },
-		"each has a name":      func(p *Plan) { p.Metrics = []Metric{{"a", 0.1}, {"a", 0.1}} },
-		"a harm of 0 is not":   func(p *Plan) { p.Metrics = []Metric{{"a", 0}} },
-		"least time, requests": func(p *Plan) { p.MinRequests = 0 },
+		"without a metric":            func(p *Plan) { p.Metrics = nil },
+		"a false stop of 0.9":         func(p *Plan) { p.Alpha = 0.9 },
+		"names must be unique":        func(p *Plan) { p.Metrics = []Metric{{"a", 0.1}, {"a", 0.1}} },
+		"maximum regression 0 is not": func(p *Plan) { p.Metrics = []Metric{{"a", 0}} },
+		"minimum duration, requests":  func(p *Plan) { p.MinRequests = 0 },
 	} {
 		p := plan
 		change(&p)
