--- a/internal/zonecmd/zonecmd.go
+++ b/internal/zonecmd/zonecmd.go
@@ -1,5 +1,5 @@
-// Package zonecmd is the commands for the instances of an installation and its zones, for an operator by hand. It calls one instance at its
-// mgmt address, and is no part of serving.
+// Package zonecmd implements the operators' commands for the instances of an installation and for its
+// zones. They call one instance at its mgmt address and take no part in serving.
 package zonecmd
 
 import (
@@ -25,19 +25,19 @@
 	requestTimeout = 5 * time.Second
 )
 
-const membersUsage = `usage: linenloom members -mgmt ADDR    who is there, since when, who does not hear whom, and what each sees of each zone
+const membersUsage = `usage: linenloom members -mgmt ADDR    list the instances, whom each does not hear, and its view of each zone
 `
 
-const zoneUsage = `usage: linenloom zone show -mgmt ADDR                       what holds for each zone
-       linenloom zone out  -mgmt ADDR -zone ZONE -who NAME    nothing new goes to a zone or region, at any instance
-       linenloom zone hold -mgmt ADDR -zone ZONE -who NAME    it stays as it is
-       linenloom zone auto -mgmt ADDR -zone ZONE -who NAME    the fleet decides again; what was out is returned to at the pace
+const zoneUsage = `usage: linenloom zone show -mgmt ADDR                       show the state of each zone
+       linenloom zone out  -mgmt ADDR -zone ZONE -who NAME    stop sending to a zone or region, at all instances
+       linenloom zone hold -mgmt ADDR -zone ZONE -who NAME    keep the zone or region in its state
+       linenloom zone auto -mgmt ADDR -zone ZONE -who NAME    let the instances decide again; a zone that was out returns in steps
 `
 
-// Members runs the command for the instances.
+// Members runs the "members" command, which lists the instances.
 func Members(args []string) int { return runMembers(args, os.Stdout, os.Stderr) }
 
-// Zone runs the command for the zones.
+// Zone runs the "zone" command, which shows the zones and sets overrides.
 func Zone(args []string) int { return runZone(args, os.Stdout, os.Stderr) }
 
 func runMembers(args []string, out, errs io.Writer) int {
@@ -141,7 +141,7 @@
 	return v, json.Unmarshal(text, &v)
 }
 
-// sendOverride asks for a zone, and says who has not been told yet.
+// sendOverride sets an override for a zone or region, and lists the instances that received it.
 func sendOverride(addr, name, which, who string, out io.Writer) error {
 	if len(who) > zones.MaxRequesterLen {
 		return fmt.Errorf("-who is longer than %d bytes", zones.MaxRequesterLen)
@@ -157,7 +157,7 @@
 	slices.Sort(told.Told)
 	fmt.Fprintf(out, "%s %s; told: %s\n", which, name, strings.Join(told.Told, ", "))
 	if len(told.Missed) > 0 {
-		return fmt.Errorf("not told yet, and will be once they are heard: %s", strings.Join(told.Missed, ", "))
+		return fmt.Errorf("could not be reached, and will get the change once they are heard again: %s", strings.Join(told.Missed, ", "))
 	}
 	return nil
 }
--- a/internal/zonecmd/zonecmd_test.go
+++ b/internal/zonecmd/zonecmd_test.go
@@ -12,7 +12,7 @@
 	"linenloom/internal/zones"
 )
 
-// Each entry is a command line, how it ends, and what it says to whom.
+// Each case is a command line, its exit status, texts in its output and errors, and the override that it requests.
 func TestCommands(t *testing.T) {
 	asked := ""
 	mux := http.NewServeMux()
@@ -44,7 +44,7 @@
 		"zone off -mgmt " + addr:              {2, "", "usage: linenloom zone", ""},
 		"zone out -mgmt " + addr + " -zone a": {2, "", "-who is missing", ""},
 		"zone out -mgmt " + addr + " -zone a -who ann":                        {0, "a out; told: n0, n1", "", "out a ann"},
-		"zone auto -mgmt " + addr + " -zone b -who ann":                       {1, "told: n0", "not told yet, and will be once they are heard: n1", "auto b ann"},
+		"zone auto -mgmt " + addr + " -zone b -who ann":                       {1, "told: n0", "could not be reached, and will get the change once they are heard again: n1", "auto b ann"},
 		"zone hold -mgmt " + addr + " -zone z -who ann":                       {1, "", `404 Not Found: no zone or region has the name "z"`, "hold z ann"},
 		"zone out -mgmt " + addr + " -zone a -who " + strings.Repeat("x", 40): {1, "", "-who is longer than 32 bytes", ""},
 		"zone show -mgmt " + addr:                                             {0, "a     returning  0.30   0.25  auto     ann  1970-01-01T00:00:01Z", "", ""},
