--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost hosts Balancers on the bench's wire: one for each instance, sharing nothing.
+// Command simhost runs Balancers for the simulator, on standard input and output. Each simulated
+// instance has its own, and they share no state.
 package main
 
 import (
@@ -21,13 +22,13 @@
 	}
 }
 
-// host keeps the instances of this process.
+// host holds the balancers of this process, by instance.
 type host struct {
 	reply     wire.Reply
 	instances map[uint32]*logic.Balancer
 }
 
-// serve answers each batch with one flushed reply until the input ends.
+// serve answers each batch with one reply, and flushes it, until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint32]*logic.Balancer{}}
 	r := bufio.NewReaderSize(in, 1<<20)
@@ -55,7 +56,8 @@
 	}
 }
 
-// handle gives one event to its instance. A panic of the module becomes a Bug with its trace.
+// handle passes an event to its instance. A panic in the balancer is reported as a Bug with its stack
+// trace.
 func (h *host) handle(now time.Duration, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"linenloom/logic"
 )
 
-// settingsJSON mirrors the settings object; keys it does not name are skipped.
+// settingsJSON is the part of the simulator's settings object that is used. Other keys are ignored.
 type settingsJSON struct {
 	Areas     []string `json:"areas"`
 	Zone      int      `json:"az"`
@@ -66,7 +66,7 @@
 	} `json:"rules"`
 }
 
-// ParseSettings reads the settings of an Init event.
+// ParseSettings parses the settings of an Init event.
 func ParseSettings(text []byte) (logic.Settings, error) {
 	var p settingsJSON
 	if err := json.Unmarshal(text, &p); err != nil {
@@ -109,7 +109,7 @@
 	return s, nil
 }
 
-// effect treats a word it does not know as the strictest.
+// effect maps a word to an Effect. An unknown word gives the strictest one.
 func effect(word string) logic.Effect {
 	switch word {
 	case "repeatable":
@@ -120,7 +120,7 @@
 	return logic.Once
 }
 
-// scope treats a word it does not know as the narrowest.
+// scope maps a word to a Scope. An unknown word gives the narrowest one.
 func scope(word string) logic.Scope {
 	switch word {
 	case "all", "":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire reads and writes the bench's binary frames and its settings. It decides nothing.
+// Package wire encodes and decodes the simulator's binary frames and its settings.
 package wire
 
 import (
@@ -13,34 +13,34 @@
 	"linenloom/logic"
 )
 
-// The codes of events.
+// The codes of events, with the simulator's name where it differs.
 const (
 	EvDetach        = 256
 	EvInit          = 257
 	EvDiscovery     = 258
-	EvRequest       = 259
-	EvStreamStarted = 260
-	EvPeerMessage   = 261
+	EvRequest       = 259 // Ask
+	EvStreamStarted = 260 // UnderWay
+	EvPeerMessage   = 261 // Message
 	EvExpired       = 262
-	EvTimer         = 263
+	EvTimer         = 263 // Ring
 	EvProbeDone     = 264
-	EvAttemptEnded  = 265
+	EvAttemptEnded  = 265 // ClosedAttempt
 )
 
-// The codes of actions.
+// The codes of actions, with the simulator's name where it differs.
 const (
-	acFail        = 256
-	acLog         = 257
-	acProbe       = 258
-	acPeerMessage = 259
-	acWatch       = 260
-	acSetTimer    = 261
-	acRefuse      = 262
-	acCloseIdle   = 263
+	acFail        = 256 // Abort
+	acLog         = 257 // Trace
+	acProbe       = 258 // AskLoad
+	acPeerMessage = 259 // BroadcastTo
+	acWatch       = 260 // KeepInformed
+	acSetTimer    = 261 // Remind
+	acRefuse      = 262 // Shed
+	acCloseIdle   = 263 // LetGo
 	acBug         = 264
-	acFetch       = 265
-	acSend        = 266
-	acCancel      = 267
+	acFetch       = 265 // Refresh
+	acSend        = 266 // HandOff
+	acCancel      = 267 // DropAttempt
 )
 
 const (
@@ -57,7 +57,7 @@
 // ErrMalformedFrame is wrapped by every error about a malformed frame.
 var ErrMalformedFrame = errors.New("malformed frame")
 
-// Event is one decoded event; Code says which fields hold.
+// Event is a decoded event. Code determines which fields are set.
 type Event struct {
 	Code     uint16
 	Instance uint32
@@ -66,42 +66,43 @@
 	List     logic.ListKind
 	Version  uint32
 	Members  []logic.Member
-	Request  logic.Request // also its ID where an event names only that
-	Outcome  logic.Outcome // also the member, status, elapsed time and load of a probe or stream
+	Request  logic.Request // only the ID for an event that refers to a request
+	Outcome  logic.Outcome // also holds the member, status, elapsed time and load of a probe or stream
 	Token    uint64
 	Peer     int
 	Data     []byte
 }
 
-// ReadBatch reads one frame. At a clean end of input it returns io.EOF; a frame cut short or of an
-// impossible length is an error that wraps ErrMalformedFrame. The buffer is reused if it is large enough.
+// ReadBatch reads one frame. At a clean end of input it returns io.EOF. A truncated frame or one with an
+// invalid length is an error that wraps ErrMalformedFrame. The buffer is reused if it is large enough.
 func ReadBatch(r *bufio.Reader, buf []byte) ([]byte, error) {
 	var head [batchHeader]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
 			return buf, io.EOF
 		}
-		return buf, fmt.Errorf("%w: header cut short after %d bytes: %v", ErrMalformedFrame, n, err)
+		return buf, fmt.Errorf("%w: truncated header after %d bytes: %v", ErrMalformedFrame, n, err)
 	}
 	size := binary.LittleEndian.Uint32(head[8:])
 	if size < batchHeader || size > maxFrame {
-		return buf, fmt.Errorf("%w: impossible length %d", ErrMalformedFrame, size)
+		return buf, fmt.Errorf("%w: invalid length %d", ErrMalformedFrame, size)
 	}
 	buf = append(buf[:0], head[:]...)
-	// Grown as bytes arrive, so a false length costs no memory.
+	// The buffer grows as bytes arrive, so a false length costs no memory.
 	for len(buf) < int(size) {
 		n := min(int(size)-len(buf), 1<<20)
 		at := len(buf)
 		buf = append(buf, make([]byte, n)...)
 		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return buf, fmt.Errorf("%w: body cut short: %v", ErrMalformedFrame, err)
+			return buf, fmt.Errorf("%w: truncated body: %v", ErrMalformedFrame, err)
 		}
 	}
 	return buf, nil
 }
 
-// Decode calls handle for each known event of a frame, in order, with the frame's clock. Events of
-// unknown codes are skipped. The Event is reused between calls; slices of bytes point into the frame.
+// Decode calls handle for each known event of a frame, in order, with the frame's clock. Events with
+// unknown codes are skipped. The Event is reused between calls, and its byte slices point into the
+// frame.
 func Decode(frame []byte, handle func(now time.Duration, e *Event)) error {
 	if len(frame) < batchHeader || int64(binary.LittleEndian.Uint32(frame[8:])) != int64(len(frame)) {
 		return fmt.Errorf("%w: length field does not match", ErrMalformedFrame)
@@ -112,7 +113,7 @@
 	var e Event
 	for i := uint32(0); i < count; i++ {
 		if len(rest) < recordHeader {
-			return fmt.Errorf("%w: record %d of %d cut short", ErrMalformedFrame, i, count)
+			return fmt.Errorf("%w: truncated record %d of %d", ErrMalformedFrame, i, count)
 		}
 		code := binary.LittleEndian.Uint16(rest)
 		size := binary.LittleEndian.Uint32(rest[2:])
@@ -126,12 +127,12 @@
 			continue
 		}
 		if c.short {
-			return fmt.Errorf("%w: fields of event %d cut short", ErrMalformedFrame, code)
+			return fmt.Errorf("%w: truncated fields of event %d", ErrMalformedFrame, code)
 		}
 		handle(now, &e)
 	}
 	if len(rest) != 0 {
-		return fmt.Errorf("%w: %d bytes after the last record", ErrMalformedFrame, len(rest))
+		return fmt.Errorf("%w: %d trailing bytes after the last record", ErrMalformedFrame, len(rest))
 	}
 	return nil
 }
@@ -259,7 +260,7 @@
 	return logic.StatusUnknown
 }
 
-// cursor reads fields; past the end it returns zeros and remembers it.
+// cursor reads fields. Past the end it returns zeros and sets short.
 type cursor struct {
 	b     []byte
 	short bool
@@ -301,21 +302,21 @@
 	return v
 }
 
-// node packs the four address bytes, first byte first, and the port into one id.
+// node packs the four address bytes, in network order, and the port into a member ID.
 func (c *cursor) node() logic.MemberID {
 	b := c.fixed(6)
 	return logic.MemberID(uint64(binary.BigEndian.Uint32(b))<<16 | uint64(binary.LittleEndian.Uint16(b[4:])))
 }
 
 func millis(v float64) time.Duration {
-	const limit = 1e12 // some 30 years: past it no time is meant
+	const limit = 1e12 // about 30 years: no real time is longer
 	if math.IsNaN(v) {
 		return 0
 	}
 	return time.Duration(math.Round(max(-limit, min(limit, v)) * float64(time.Millisecond)))
 }
 
-// Reply builds one reply frame. Its zero value is not ready: call Reset first.
+// Reply builds one reply frame. Reset has to be called before its first use.
 type Reply struct {
 	buf   []byte
 	count uint32
@@ -327,7 +328,7 @@
 	r.count = 0
 }
 
-// Bytes completes the frame.
+// Bytes completes the frame and returns it.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.buf, uint32(len(r.buf)))
 	binary.LittleEndian.PutUint32(r.buf[4:], r.count)
@@ -354,7 +355,7 @@
 	r.buf = append(r.buf, b...)
 }
 
-// Bug tells the bench that the module of an instance can't go on.
+// Bug reports to the simulator that the balancer of an instance cannot continue.
 func (r *Reply) Bug(instance uint32, text string) { r.text(acBug, instance, text) }
 
 func (r *Reply) text(code uint16, instance uint32, text string) {
@@ -364,7 +365,7 @@
 	r.data(b)
 }
 
-// Actions is the logic.Actions of one instance, written to a shared Reply.
+// Actions implements logic.Actions for one instance. It writes to a Reply that instances share.
 type Actions struct {
 	Reply    *Reply
 	Instance uint32
@@ -393,7 +394,7 @@
 	a.Reply.u32(uint32(id))
 }
 
-// Hold implements logic.Actions; the wire has no word for it.
+// Hold implements logic.Actions. The protocol has no action for it.
 func (a Actions) Hold(logic.RequestID, logic.Reason) {}
 
 // Cancel implements logic.Actions.
@@ -406,7 +407,7 @@
 // Probe implements logic.Actions.
 func (a Actions) Probe(m logic.MemberID) { a.member(acProbe, m) }
 
-// Wait implements logic.Actions; the simulator's instances lack no connection.
+// Wait implements logic.Actions. The simulator's instances never run out of connections.
 func (a Actions) Wait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
 
 // CloseIdle implements logic.Actions.
