--- a/internal/rollout/driver_test.go
+++ b/internal/rollout/driver_test.go
@@ -180,13 +180,13 @@
 				for n, f := range c.members {
 					behind := f.Epoch > other.State().Epoch
 					if other.ReceiveStatus(c.now, n, MemberStatus{Epoch: f.Epoch, Version: c.running[n]}); behind && len(other.Instructions()) > 0 {
-						t.Fatalf("a driver that saw epoch %d still sends instructions of epoch %d", f.Epoch, other.State().Epoch)
+						t.Fatalf("a driver that hears of epoch %d goes on telling at %d", f.Epoch, other.State().Epoch)
 					}
 				}
 			}
 			for n, f := range c.members {
 				if o := c.latest[n]; o.Epoch > 0 && f.Version != o.Version {
-					t.Fatalf("member %d is to run %s, and its latest instruction was %+v", n, f.Version, o)
+					t.Fatalf("member %d is to run %s, and the latest that it heard was %+v", n, f.Version, o)
 				}
 			}
 			allowed := 0
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	if stops > runs*alpha {
-		t.Errorf("%d of %d stopped falsely, want at most %.0f", stops, runs, runs*alpha)
+		t.Errorf("%d of %d stopped for nothing, stated are %.0f", stops, runs, runs*alpha)
 	}
 	for _, c := range []struct{ share, harm float64 }{{0.99, 0.03}, {0.95, 0.05}, {0.9, 0.2}} {
 		found, most := 0, 0
@@ -142,7 +142,7 @@
 		t.Error(err)
 	}
 	if err := j.Observe(Observation{Metrics: []Block{{}}}); err == nil {
-		t.Error("an observation that lacks a metric was accepted")
+		t.Error("a claim that nobody counted is taken")
 	}
 }
 
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -247,7 +247,7 @@
 			sim.zones[2] = zoneCondition{}
 			at := sim.runUntilState(t, 2, StateIn, 20*time.Second)
 			if least := sim.config.WarmupTime * 8 / 10; at < least || at > sim.config.WarmupTime*3/2 {
-				t.Errorf("it is whole again after %v, and nodes take %v to warm up", at, sim.config.WarmupTime)
+				t.Errorf("it is whole again after %v, and boxes take %v to be warm", at, sim.config.WarmupTime)
 			}
 		})
 	}
