--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -37,7 +37,7 @@
 	for {
 		var err error
 		buf, err = wire.ReadBatch(r, buf)
-		if errors.Is(err, io.EOF) && !errors.Is(err, wire.ErrMalformedFrame) {
+		if errors.Is(err, io.EOF) && !errors.Is(err, wire.ErrFrame) {
 			return nil
 		}
 		if err != nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -45,7 +45,7 @@
 func TestMalformedInputIsAnError(t *testing.T) {
 	cut := frame(record(wire.EvTimer, 1, 0, 0, 0))
 	for name, in := range map[string][]byte{"cut": cut[:len(cut)-2], "fields": cut} {
-		if err := serve(bytes.NewReader(in), &bytes.Buffer{}); !errors.Is(err, wire.ErrMalformedFrame) {
+		if err := serve(bytes.NewReader(in), &bytes.Buffer{}); !errors.Is(err, wire.ErrFrame) {
 			t.Errorf("%s: %v, want ErrFrame", name, err)
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -54,8 +54,8 @@
 	allPeers     = math.MaxUint32
 )
 
-// ErrMalformedFrame is wrapped by every error about a malformed frame.
-var ErrMalformedFrame = errors.New("malformed frame")
+// ErrFrame is wrapped by every error about a malformed frame.
+var ErrFrame = errors.New("malformed frame")
 
 // Event is a decoded event. Code determines which fields are set.
 type Event struct {
@@ -74,18 +74,18 @@
 }
 
 // ReadBatch reads one frame. At a clean end of input it returns io.EOF. A truncated frame or one with an
-// invalid length is an error that wraps ErrMalformedFrame. The buffer is reused if it is large enough.
+// invalid length is an error that wraps ErrFrame. The buffer is reused if it is large enough.
 func ReadBatch(r *bufio.Reader, buf []byte) ([]byte, error) {
 	var head [batchHeader]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
 			return buf, io.EOF
 		}
-		return buf, fmt.Errorf("%w: truncated header after %d bytes: %v", ErrMalformedFrame, n, err)
+		return buf, fmt.Errorf("%w: truncated header after %d bytes: %v", ErrFrame, n, err)
 	}
 	size := binary.LittleEndian.Uint32(head[8:])
 	if size < batchHeader || size > maxFrame {
-		return buf, fmt.Errorf("%w: invalid length %d", ErrMalformedFrame, size)
+		return buf, fmt.Errorf("%w: invalid length %d", ErrFrame, size)
 	}
 	buf = append(buf[:0], head[:]...)
 	// The buffer grows as bytes arrive, so a false length costs no memory.
@@ -94,7 +94,7 @@
 		at := len(buf)
 		buf = append(buf, make([]byte, n)...)
 		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return buf, fmt.Errorf("%w: truncated body: %v", ErrMalformedFrame, err)
+			return buf, fmt.Errorf("%w: truncated body: %v", ErrFrame, err)
 		}
 	}
 	return buf, nil
@@ -105,7 +105,7 @@
 // frame.
 func Decode(frame []byte, handle func(now time.Duration, e *Event)) error {
 	if len(frame) < batchHeader || int64(binary.LittleEndian.Uint32(frame[8:])) != int64(len(frame)) {
-		return fmt.Errorf("%w: length field does not match", ErrMalformedFrame)
+		return fmt.Errorf("%w: length field does not match", ErrFrame)
 	}
 	now := millis(math.Float64frombits(binary.LittleEndian.Uint64(frame)))
 	count := binary.LittleEndian.Uint32(frame[12:])
@@ -113,12 +113,12 @@
 	var e Event
 	for i := uint32(0); i < count; i++ {
 		if len(rest) < recordHeader {
-			return fmt.Errorf("%w: truncated record %d of %d", ErrMalformedFrame, i, count)
+			return fmt.Errorf("%w: truncated record %d of %d", ErrFrame, i, count)
 		}
 		code := binary.LittleEndian.Uint16(rest)
 		size := binary.LittleEndian.Uint32(rest[2:])
 		if uint64(size) > uint64(len(rest)-recordHeader) {
-			return fmt.Errorf("%w: record %d is longer than the frame", ErrMalformedFrame, i)
+			return fmt.Errorf("%w: record %d is longer than the frame", ErrFrame, i)
 		}
 		c := cursor{b: rest[recordHeader : recordHeader+int(size)]}
 		rest = rest[recordHeader+int(size):]
@@ -127,12 +127,12 @@
 			continue
 		}
 		if c.short {
-			return fmt.Errorf("%w: truncated fields of event %d", ErrMalformedFrame, code)
+			return fmt.Errorf("%w: truncated fields of event %d", ErrFrame, code)
 		}
 		handle(now, &e)
 	}
 	if len(rest) != 0 {
-		return fmt.Errorf("%w: %d trailing bytes after the last record", ErrMalformedFrame, len(rest))
+		return fmt.Errorf("%w: %d trailing bytes after the last record", ErrFrame, len(rest))
 	}
 	return nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -155,7 +155,7 @@
 	short[8], short[9] = 3, 0
 	huge[11] = 0xff
 	for name, in := range map[string][]byte{"header": whole[:7], "body": whole[:20], "short": short, "huge": huge} {
-		if _, err := ReadBatch(bufio.NewReader(bytes.NewReader(in)), nil); !errors.Is(err, ErrMalformedFrame) {
+		if _, err := ReadBatch(bufio.NewReader(bytes.NewReader(in)), nil); !errors.Is(err, ErrFrame) {
 			t.Errorf("%s: %v, want ErrFrame", name, err)
 		}
 	}
@@ -171,7 +171,7 @@
 				t.Errorf("event of unknown code %d", e.Code)
 			}
 		})
-		if err != nil && !errors.Is(err, ErrMalformedFrame) {
+		if err != nil && !errors.Is(err, ErrFrame) {
 			t.Errorf("%v does not wrap ErrFrame", err)
 		}
 	})
