--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -23,7 +23,7 @@
 	leastMemoryMB = 14
 	// outsideHeap is what a process takes beside the memory that its runtime counts.
 	outsideHeap = 4 << 20
-	// leaveTimeout is how long a process that follows another waits for what that one has learnt, from its own start on. It is left
+	// leaveWait is how long a process that follows another waits for what that one has learnt, from its own start on. It is left
 	// within shareEvery of the moment in which it is seen to be followed.
 	leaveWait = 250 * time.Millisecond
 	leaveLook = 5 * time.Millisecond
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// requestTimeout is how long a call may take to arrive. Callers that send nothing or half a call hold a place for no longer.
+	// callTime is how long a call may take to arrive. Callers that send nothing or half a call hold a place for no longer.
 	callTime   = 2 * time.Second
 	answerTime = time.Second
 	// maxCalls bounds the calls at once; one more takes the place of the oldest, which can only be one that stays silent.
--- a/internal/upstream/long.go
+++ b/internal/upstream/long.go
@@ -12,7 +12,7 @@
 	"linenloom/logic"
 )
 
-// noLeaderTimeout is for how long no read is written behind others after a long value was seen: it would wait for all of one.
+// aloneFor is for how long no read is written behind others after a long value was seen: it would wait for all of one.
 const aloneFor = 10 * time.Second
 
 // longPiece is how much is held of a long value on its way through.
