--- a/internal/instances/delegate.go
+++ b/internal/instances/delegate.go
@@ -86,8 +86,8 @@
 }
 
 // logStatus logs the status of an instance.
-func (d *delegate) logStatus(m meta, is string) {
-	d.log.Info("instance", "name", m.Name, "number", m.Number, "zone", m.Zone, "since", m.StartedAtMS, "is", is)
+func (d *delegate) logStatus(m meta, status string) {
+	d.log.Info("instance", "name", m.Name, "number", m.Number, "zone", m.Zone, "since", m.StartedAtMS, "is", status)
 }
 
 // NotifyUpdate records changed metadata of an instance.
@@ -102,16 +102,16 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	is := d.known[m.Name]
-	if is == nil || is.StartedAtMS != m.StartedAtMS {
+	leaver := d.known[m.Name]
+	if leaver == nil || leaver.StartedAtMS != m.StartedAtMS {
 		return
 	}
-	what := "lost"
-	if is.announcedLeave {
-		what = "gone"
+	status := "lost"
+	if leaver.announcedLeave {
+		status = "gone"
 	}
-	is.lostAt = time.Now()
-	d.logStatus(m, what)
+	leaver.lostAt = time.Now()
+	d.logStatus(m, status)
 }
 
 // debugHandler logs memberlist's own messages, which are meant for its developers, at debug level.
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -127,37 +127,37 @@
 // listen starts memberlist on one of the configured addresses.
 func (i *Instances) listen(at int) error {
 	addr := i.options.Listen[at]
-	c := memberlist.DefaultLANConfig()
-	c.Name = fmt.Sprintf("%s@%d", i.options.Name, i.self.StartedAtMS)
-	c.Label = i.options.Cluster
-	c.BindAddr, c.BindPort = addr.Addr().String(), int(addr.Port())
-	c.AdvertisePort = c.BindPort
+	config := memberlist.DefaultLANConfig()
+	config.Name = fmt.Sprintf("%s@%d", i.options.Name, i.self.StartedAtMS)
+	config.Label = i.options.Cluster
+	config.BindAddr, config.BindPort = addr.Addr().String(), int(addr.Port())
+	config.AdvertisePort = config.BindPort
 	if len(i.options.Tell) > at {
-		c.AdvertiseAddr, c.AdvertisePort = i.options.Tell[at].Addr().String(), int(i.options.Tell[at].Port())
+		config.AdvertiseAddr, config.AdvertisePort = i.options.Tell[at].Addr().String(), int(i.options.Tell[at].Port())
 	}
 	if len(i.options.Keys) > 0 {
 		ring, err := memberlist.NewKeyring(i.options.Keys, i.options.Keys[0])
 		if err != nil {
 			return err
 		}
-		c.Keyring = ring
-	}
-	c.DNSConfigPath = "/dev/null"
-	c.GossipInterval = 500 * time.Millisecond
-	c.ProbeInterval, c.ProbeTimeout, c.PushPullInterval = 500*time.Millisecond, 250*time.Millisecond, 5*time.Second
-	c.DeadNodeReclaimTime = time.Second
-	c.Delegate, c.Events, c.Alive = (*delegate)(i), (*delegate)(i), (*delegate)(i)
-	c.Logger = slog.NewLogLogger(debugHandler{i.log.With("of", "membership").Handler()}, slog.LevelDebug)
-	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{c.BindAddr}, BindPort: c.BindPort, Logger: c.Logger})
+		config.Keyring = ring
+	}
+	config.DNSConfigPath = "/dev/null"
+	config.GossipInterval = 500 * time.Millisecond
+	config.ProbeInterval, config.ProbeTimeout, config.PushPullInterval = 500*time.Millisecond, 250*time.Millisecond, 5*time.Second
+	config.DeadNodeReclaimTime = time.Second
+	config.Delegate, config.Events, config.Alive = (*delegate)(i), (*delegate)(i), (*delegate)(i)
+	config.Logger = slog.NewLogLogger(debugHandler{i.log.With("of", "membership").Handler()}, slog.LevelDebug)
+	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{config.BindAddr}, BindPort: config.BindPort, Logger: config.Logger})
 	if err != nil {
 		return err
 	}
-	if c.BindPort == 0 {
-		c.BindPort = t.GetAutoBindPort()
-		c.AdvertisePort = cmp.Or(c.AdvertisePort, c.BindPort)
+	if config.BindPort == 0 {
+		config.BindPort = t.GetAutoBindPort()
+		config.AdvertisePort = cmp.Or(config.AdvertisePort, config.BindPort)
 	}
-	c.Transport = &transport{t, addr.Addr().AsSlice()}
-	if i.memberlist, err = memberlist.Create(c); err != nil {
+	config.Transport = &transport{t, addr.Addr().AsSlice()}
+	if i.memberlist, err = memberlist.Create(config); err != nil {
 		return errors.Join(err, t.Shutdown())
 	}
 	i.log.Info("instances", "listen", addr.String(), "advertise", fmt.Sprintf("%s:%d", i.memberlist.LocalNode().Addr, i.memberlist.LocalNode().Port),
@@ -322,11 +322,11 @@
 	all := i.otherMembers()
 	peers := i.zonePeers(all)
 	i.proxy.Zones(func(now time.Duration) []logic.ZoneShare {
-		sights, short := i.options.Meter.ZoneStats(now)
+		stats, originRefusals := i.options.Meter.ZoneStats(now)
 		i.options.Machine.SetPeers(peers)
 		i.options.Machine.SetCapacity(capacity)
 		var paused bool
-		if i.leading, paused = i.options.Machine.Tick(now, sights, short); paused {
+		if i.leading, paused = i.options.Machine.Tick(now, stats, originRefusals); paused {
 			i.options.Meter.Reset()
 		}
 		return i.changedShares()
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -199,8 +199,8 @@
 }
 
 // transition enters a phase. The state gets a new epoch and has to be stored.
-func (d *Driver) transition(now time.Duration, p Phase, why string) {
-	d.state.Epoch, d.state.Phase, d.state.Reason, d.phaseSince = d.state.Epoch+1, p, why, now
+func (d *Driver) transition(now time.Duration, p Phase, reason string) {
+	d.state.Epoch, d.state.Phase, d.state.Reason, d.phaseSince = d.state.Epoch+1, p, reason, now
 	if p == PhaseRollingBack {
 		d.state.NewMembers = nil
 	}
@@ -270,21 +270,21 @@
 			return
 		}
 	}
-	ruling, why := d.evaluator.Decide()
+	decision, reason := d.evaluator.Decide()
 	last := d.state.Stage == len(d.stages)-1
 	switch {
-	case ruling == DecisionStopped:
-		d.transition(now, PhaseRollingBack, why)
+	case decision == DecisionStopped:
+		d.transition(now, PhaseRollingBack, reason)
 	case !d.allSwitched():
 		d.state.Reason = "members are switching to the new version"
 	case last: // no old member is left to compare with; it is enough that all have switched
 		d.advance(now)
-	case ruling == DecisionDone && d.stages[d.state.Stage].NeedsApproval:
-		d.transition(now, PhaseAwaitingApproval, why)
-	case ruling == DecisionDone:
+	case decision == DecisionDone && d.stages[d.state.Stage].NeedsApproval:
+		d.transition(now, PhaseAwaitingApproval, reason)
+	case decision == DecisionDone:
 		d.advance(now)
 	default:
-		d.state.Reason = why
+		d.state.Reason = reason
 	}
 }
 
--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -194,14 +194,14 @@
 	m.lastHeard[r.Number] = now
 }
 
-// ReceiveVerdict takes a verdict from another instance, which decided it if leads is set, and forwards
-// it otherwise. It tells whether the verdict was new.
-func (m *Machine) ReceiveVerdict(now time.Duration, from int, v Verdict, leads bool) (isNew bool) {
+// ReceiveVerdict takes a verdict from another instance, which decided it if fromLeader is set, and
+// forwards it otherwise. It tells whether the verdict was new.
+func (m *Machine) ReceiveVerdict(now time.Duration, from int, v Verdict, fromLeader bool) (isNew bool) {
 	if !m.isLivePeer(from) {
 		return false
 	}
 	m.lastHeard[from] = now
-	if leads {
+	if fromLeader {
 		m.leaderHeardAt = now
 	}
 	return m.acceptVerdict(now, v)
@@ -226,20 +226,20 @@
 	if len(v.Zones) != len(m.trackers) || v.Epoch > m.verdict.Epoch+1<<32 {
 		return false
 	}
-	var open, all float64
+	var open, total float64
 	closes := false
 	for i, z := range v.Zones {
 		if z.State >= states || z.Share > FullShare || (z.State == StateIn || z.State == StateSuspected) != (z.Share == FullShare) {
 			return false
 		}
-		all += m.capacity[i]
+		total += m.capacity[i]
 		if z.Share > 0 || m.overrides[i].Mode == ModeOut {
 			open += m.capacity[i]
 		} else if m.verdict.Zones[i].Share > 0 {
 			closes = true
 		}
 	}
-	return !closes || open >= capacityTolerance*m.config.MinCapacityShare*all
+	return !closes || open >= capacityTolerance*m.config.MinCapacityShare*total
 }
 
 func (m *Machine) adopt(now time.Duration, v Verdict) {
@@ -352,8 +352,8 @@
 	return false
 }
 
-// hasQuorum tells whether fresh reports came from more than half of the instances that were recently
-// present. A side of a partition without a quorum takes no zone out of use and raises no share. Of two
+// hasQuorum tells whether this instance and those with fresh reports are more than half of the instances
+// that were recently present. A side of a partition without a quorum takes no zone out of use and raises no share. Of two
 // equal halves, the one with the lowest instance number has the quorum.
 func (m *Machine) hasQuorum() bool {
 	here, lowest := 1, m.config.Number
@@ -388,6 +388,7 @@
 // isGood tells whether at least two thirds of the voters find the zone good.
 func (o zoneOpinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
 
+// classify returns the instance's vote on the zone: bad, good, mixed (votes alone), or none.
 func (s ZoneStats) classify() (bad, good, votes bool) {
 	if s.Judged < minJudged || s.Bad > s.Judged || s.TrimmedBad > s.TrimmedJudged || s.TrimmedJudged > s.Judged {
 		return false, false, false // too few attempts, or inconsistent counts
@@ -402,6 +403,8 @@
 	return badShare >= badRatio && (s.TrimmedJudged == 0 || float64(s.TrimmedBad) >= trimmedBadRatio*float64(s.TrimmedJudged)), false, true
 }
 
+// opinions combines the fresh reports by zone, and counts the instances that report refusals at the
+// origin.
 func (m *Machine) opinions() (all []zoneOpinion, refusing int) {
 	all = make([]zoneOpinion, len(m.trackers))
 	silents := make([]int, len(m.trackers)) // number of bad votes that report silence
