--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -353,8 +353,8 @@
 }
 
 // hasQuorum tells whether this instance and those with fresh reports are more than half of the instances
-// that were recently present. A side of a partition without a quorum takes no zone out of use and raises no share. Of two
-// equal halves, the one with the lowest instance number has the quorum.
+// that were recently present. A side of a partition without a quorum takes no zone out of use and raises
+// no share. Of two equal halves, the one with the lowest instance number has the quorum.
 func (m *Machine) hasQuorum() bool {
 	here, lowest := 1, m.config.Number
 	lowestHere := true
