--- a/internal/instances/delegate.go
+++ b/internal/instances/delegate.go
@@ -11,7 +11,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate is what memberlist sees of Instances. Its methods are called from memberlist's goroutines and wait for nothing but the lock.
+// delegate implements memberlist's callbacks for Instances. Its methods run on memberlist's goroutines
+// and block on nothing but the lock.
 type delegate Instances
 
 var (
@@ -20,52 +21,52 @@
 	_ memberlist.AliveDelegate = (*delegate)(nil)
 )
 
-// NodeMeta is what this instance says of itself.
+// NodeMeta returns this instance's metadata.
 func (d *delegate) NodeMeta(limit int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b, err := json.Marshal(d.self)
 	if err != nil || len(b) > limit {
-		return nil // the others turn it away, and say so
+		return nil // the other instances refuse a member without metadata, and log it
 	}
 	return b
 }
 
-// NotifyMsg takes a message. The bytes are memberlist's.
+// NotifyMsg queues a received message. The byte slice belongs to memberlist, so it is copied.
 func (d *delegate) NotifyMsg(b []byte) {
 	select {
-	case d.in <- slices.Clone(b):
+	case d.received <- slices.Clone(b):
 	default:
 	}
 }
 
-// GetBroadcasts has nothing to add: what instances tell goes straight to whom it concerns.
+// GetBroadcasts returns nothing: instances send their messages directly to the recipients.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState is for an instance that joins.
-func (d *delegate) LocalState(bool) []byte { return (*Instances)(d).state() }
+// LocalState returns the state for an instance that joins.
+func (d *delegate) LocalState(bool) []byte { return (*Instances)(d).localState() }
 
-// MergeRemoteState takes such a state.
-func (d *delegate) MergeRemoteState(b []byte, join bool) { (*Instances)(d).merge(b, join) }
+// MergeRemoteState applies the state of another instance.
+func (d *delegate) MergeRemoteState(b []byte, join bool) { (*Instances)(d).mergeState(b, join) }
 
-var errStranger = errors.New("instances: turned away")
+var errMemberRejected = errors.New("instances: member refused")
 
-// NotifyAlive turns away who says nothing of itself, and whom there is no room for.
+// NotifyAlive refuses a member without valid metadata, and a new one above maxMembers.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	m, err := parseMeta(n.Meta)
 	if err != nil {
-		return errors.Join(errStranger, err)
+		return errors.Join(errMemberRejected, err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.seen[m.Name] == nil && len(d.seen) >= mostMembers {
-		return errStranger
+	if d.known[m.Name] == nil && len(d.known) >= maxMembers {
+		return errMemberRejected
 	}
 	return nil
 }
 
-// NotifyJoin notes an instance that lives. One that takes the place of an earlier process of the same name does so at once: there is
-// neither a moment without it nor one with both.
+// NotifyJoin records an instance that is alive. A successor process replaces its predecessor of the same
+// name in one step: the instance is never missing and never listed twice.
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	m, err := parseMeta(n.Meta)
 	if err != nil {
@@ -73,26 +74,27 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if m.Name == d.self.Name { // this process, the one before it, or the one after it
-		d.followed = d.followed || m.Since > d.self.Since
+	if m.Name == d.self.Name { // this process, its predecessor or its successor
+		d.superseded = d.superseded || m.StartedAtMS > d.self.StartedAtMS
 		return
 	}
 	node := *n
-	if old := d.seen[m.Name]; old == nil || old.Since <= m.Since {
-		d.seen[m.Name] = &member{meta: m, node: &node, moment: time.Now()}
+	if old := d.known[m.Name]; old == nil || old.StartedAtMS <= m.StartedAtMS {
+		d.known[m.Name] = &member{meta: m, node: &node, lastHeard: time.Now()}
 	}
-	d.say(m, "there")
+	d.logStatus(m, "there")
 }
 
-// say logs how an instance stands.
-func (d *delegate) say(m meta, is string) {
-	d.log.Info("instance", "name", m.Name, "number", m.Number, "zone", m.Zone, "since", m.Since, "is", is)
+// logStatus logs the status of an instance.
+func (d *delegate) logStatus(m meta, status string) {
+	d.log.Info("instance", "name", m.Name, "number", m.Number, "zone", m.Zone, "since", m.StartedAtMS, "is", status)
 }
 
-// NotifyUpdate notes what an instance says anew of itself.
+// NotifyUpdate records changed metadata of an instance.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
-// NotifyLeave notes an instance that has left, or that nobody hears any more. The end of a process that has a successor changes nothing.
+// NotifyLeave records an instance that left or is no longer heard. The end of a predecessor process
+// changes nothing.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	m, err := parseMeta(n.Meta)
 	if err != nil {
@@ -100,22 +102,22 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	is := d.seen[m.Name]
-	if is == nil || is.Since != m.Since {
+	leaver := d.known[m.Name]
+	if leaver == nil || leaver.StartedAtMS != m.StartedAtMS {
 		return
 	}
-	what := "lost"
-	if is.left {
-		what = "gone"
+	status := "lost"
+	if leaver.announcedLeave {
+		status = "gone"
 	}
-	is.gone = time.Now()
-	d.say(m, what)
+	leaver.lostAt = time.Now()
+	d.logStatus(m, status)
 }
 
-// quieter logs what memberlist says for its own developers at the level of those.
-type quieter struct{ slog.Handler }
+// debugHandler logs memberlist's own messages, which are meant for its developers, at debug level.
+type debugHandler struct{ slog.Handler }
 
-func (q quieter) Handle(ctx context.Context, r slog.Record) error {
+func (q debugHandler) Handle(ctx context.Context, r slog.Record) error {
 	r.Level = slog.LevelDebug
 	if !q.Enabled(ctx, r.Level) {
 		return nil
--- a/internal/instances/view.go
+++ b/internal/instances/view.go
@@ -14,64 +14,64 @@
 
 var _ app.Fleet = (*Instances)(nil)
 
-// View is who is there and what holds, as this instance knows it.
+// View returns the members and the state of the zones, as known to this instance.
 func (i *Instances) View() mgmt.View {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	v := mgmt.View{Name: i.self.Name, Number: i.self.Number, Leads: i.leads, Members: []mgmt.MemberView{}, Zones: []mgmt.ZoneView{}}
+	v := mgmt.View{Name: i.self.Name, Number: i.self.Number, Leads: i.leading, Members: []mgmt.MemberView{}, Zones: []mgmt.ZoneView{}}
 	reports := map[int]zones.Report{}
-	if m := i.o.Machine; m != nil {
-		verdict, hands := m.Verdict(), m.Hands()
-		v.Leader, v.Epoch = verdict.By, verdict.Epoch
-		for z, name := range i.o.Zones {
+	if m := i.options.Machine; m != nil {
+		verdict, overrides := m.Verdict(), m.Overrides()
+		v.Leader, v.Epoch = verdict.DecidedBy, verdict.Epoch
+		for z, name := range i.options.Zones {
 			here, _ := m.Share(z)
-			v.Zones = append(v.Zones, mgmt.ZoneView{Name: name, State: verdict.Zones[z].State.String(), Share: float64(verdict.Zones[z].Share) / zones.Whole,
-				LocalShare: here, Mode: hands[z].Mode.String(), RequestedBy: hands[z].Who, AtMS: hands[z].Stamp, CalledInstance: hands[z].At})
+			v.Zones = append(v.Zones, mgmt.ZoneView{Name: name, State: verdict.Zones[z].State.String(), Share: float64(verdict.Zones[z].Share) / zones.FullShare,
+				LocalShare: here, Mode: overrides[z].Mode.String(), RequestedBy: overrides[z].Requester, AtMS: overrides[z].TimestampMS, CalledInstance: overrides[z].ReceivedBy})
 		}
-		for _, r := range append(m.Reported(), m.Own()) {
+		for _, r := range append(m.PeerReports(), m.OwnReport()) {
 			reports[r.Number] = r
 		}
 	}
 	add := func(m meta, state string, heard int64) {
 		r := reports[m.Number]
-		v.Members = append(v.Members, mgmt.MemberView{Name: m.Name, Number: m.Number, Zone: m.Zone, SinceMS: m.Since,
+		v.Members = append(v.Members, mgmt.MemberView{Name: m.Name, Number: m.Number, Zone: m.Zone, SinceMS: m.StartedAtMS,
 			Program: m.Version.Program, Settings: m.Version.Settings, State: state, HeardMS: heard, Epoch: r.Epoch,
-			Suspects: append([]int{}, r.Suspects...), Sights: append([]zones.Sight{}, r.Sights...)})
+			Suspects: append([]int{}, r.Suspects...), Sights: append([]zones.ZoneStats{}, r.Zones...)})
 	}
 	add(i.self, "there", 0)
-	for _, m := range i.others() {
-		add(m.meta, m.state(), time.Since(m.moment).Milliseconds())
+	for _, m := range i.otherMembers() {
+		add(m.meta, m.state(), time.Since(m.lastHeard).Milliseconds())
 	}
 	slices.SortFunc(v.Members, func(a, b mgmt.MemberView) int { return a.Number - b.Number })
 	return v
 }
 
-// SetZoneMode carries out an operator's call for a zone or region, here and at once, and tells the others: those that can't be told now are
-// told as soon as they are heard.
+// SetZoneMode applies an operator's override for a zone or region at this instance and sends it to the others.
+// Those that cannot be reached now receive it with a later message.
 func (i *Instances) SetZoneMode(name string, mode zones.Mode, who string) (told mgmt.CallReport, err error) {
-	if i.o.Machine == nil {
+	if i.options.Machine == nil {
 		return told, fmt.Errorf("[zones] is not in the operator's file")
 	}
-	at := i.o.Regions[name]
-	if z := slices.Index(i.o.Zones, name); z >= 0 {
+	at := i.options.Regions[name]
+	if z := slices.Index(i.options.Zones, name); z >= 0 {
 		at = []int{z}
 	}
 	if len(at) == 0 {
-		return told, fmt.Errorf("no zone or region has the name %q; there are %s", name, strings.Join(i.o.Zones, ", "))
+		return told, fmt.Errorf("no zone or region has the name %q; there are %s", name, strings.Join(i.options.Zones, ", "))
 	}
 	i.mu.Lock()
-	i.p.Zones(func(now time.Duration) []logic.ZoneShare {
-		err = i.o.Machine.Call(now, zones.Hand{Mode: mode, Stamp: time.Now().UnixMilli(), Who: who}, at...)
-		return i.newShares()
+	i.proxy.Zones(func(now time.Duration) []logic.ZoneShare {
+		err = i.options.Machine.SetOverride(now, zones.Override{Mode: mode, TimestampMS: time.Now().UnixMilli(), Requester: who}, at...)
+		return i.changedShares()
 	})
 	if err != nil {
 		i.mu.Unlock()
 		return told, err
 	}
-	msg := zones.Message{From: i.self.Number, Hands: i.o.Machine.Hands()}
-	all := i.others()
+	msg := zones.Message{From: i.self.Number, Overrides: i.options.Machine.Overrides()}
+	all := i.otherMembers()
 	i.mu.Unlock()
-	reached := i.reliably(all, msg.Append(nil))
+	reached := i.sendReliably(all, msg.Append(nil))
 	told = mgmt.CallReport{Notified: []string{i.self.Name}, Missed: []string{}}
 	for _, m := range all {
 		if reached[m.Name] {
--- a/internal/mgmt/others.go
+++ b/internal/mgmt/others.go
@@ -30,17 +30,17 @@
 
 // MemberView is an instance as this one sees it.
 type MemberView struct {
-	Name     string        `json:"name"`
-	Number   int           `json:"number"`
-	Zone     string        `json:"zone"`
-	SinceMS  int64         `json:"since_ms"` // Unix milliseconds
-	Program  string        `json:"program"`  // digest of the program
-	Settings string        `json:"settings"` // digest of the settings
-	State    string        `json:"state"`    // there, suspected or lost
-	HeardMS  int64         `json:"heard_ms"` // time since the last message; -1: never
-	Epoch    uint64        `json:"epoch"`    // epoch of the decisions that it follows
-	Suspects []int         `json:"suspects"` // numbers of the instances that it receives no messages from
-	Sights   []zones.Sight `json:"sees"`     // observations by zone
+	Name     string            `json:"name"`
+	Number   int               `json:"number"`
+	Zone     string            `json:"zone"`
+	SinceMS  int64             `json:"since_ms"` // Unix milliseconds
+	Program  string            `json:"program"`  // digest of the program
+	Settings string            `json:"settings"` // digest of the settings
+	State    string            `json:"state"`    // there, suspected or lost
+	HeardMS  int64             `json:"heard_ms"` // time since the last message; -1: never
+	Epoch    uint64            `json:"epoch"`    // epoch of the decisions that it follows
+	Suspects []int             `json:"suspects"` // numbers of the instances that it receives no messages from
+	Sights   []zones.ZoneStats `json:"sees"`     // observations by zone
 }
 
 // ZoneView is the state of a zone.
@@ -66,7 +66,7 @@
 	f.mux.HandleFunc("GET /members", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, o.View())
 	})
-	for path, mode := range map[string]zones.Mode{"out": zones.Away, "hold": zones.Hold, "auto": zones.Auto} {
+	for path, mode := range map[string]zones.Mode{"out": zones.ModeOut, "hold": zones.ModeHold, "auto": zones.ModeAuto} {
 		f.mux.HandleFunc("PUT /zones/"+path, func(w http.ResponseWriter, r *http.Request) { f.zone(o, mode, w, r) })
 	}
 }
@@ -78,13 +78,13 @@
 		return
 	}
 	name, who, _ := strings.Cut(text, " ")
-	if who = strings.TrimSpace(who); name == "" || who == "" || len(who) > zones.MostWho {
-		http.Error(w, fmt.Sprintf("the body is a zone or region and who asks, in up to %d bytes", zones.MostWho), http.StatusBadRequest)
+	if who = strings.TrimSpace(who); name == "" || who == "" || len(who) > zones.MaxRequesterLen {
+		http.Error(w, fmt.Sprintf("the body is a zone or region and who asks, in up to %d bytes", zones.MaxRequesterLen), http.StatusBadRequest)
 		return
 	}
 	report, err := o.SetZoneMode(name, mode, who)
 	switch {
-	case errors.Is(err, zones.ErrNothingLeft):
+	case errors.Is(err, zones.ErrNoZoneLeft):
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	case err != nil:
--- a/internal/zonecmd/zonecmd_test.go
+++ b/internal/zonecmd/zonecmd_test.go
@@ -12,13 +12,13 @@
 	"linenloom/internal/zones"
 )
 
-// Each entry is a command line, how it ends, and what it says to whom.
+// Each case is a command line, its exit status, texts in its output and errors, and the override that it requests.
 func TestCommands(t *testing.T) {
 	asked := ""
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(mgmt.View{Name: "n0", Leads: true, Epoch: 7, Members: []mgmt.MemberView{
-			{Name: "n0", Zone: "a", State: "there", Sights: []zones.Sight{{Judged: 9, Bad: 4}}}, {Name: "n1", Number: 1, Zone: "b", Program: "beef", Settings: "cafe", State: "lost", Suspects: []int{0, 5}}},
+			{Name: "n0", Zone: "a", State: "there", Sights: []zones.ZoneStats{{Judged: 9, Bad: 4}}}, {Name: "n1", Number: 1, Zone: "b", Program: "beef", Settings: "cafe", State: "lost", Suspects: []int{0, 5}}},
 			Zones: []mgmt.ZoneView{{Name: "a", State: "returning", Share: 0.3, LocalShare: 0.25, Mode: "auto", RequestedBy: "ann", AtMS: 1000}}})
 	})
 	mux.HandleFunc("PUT /zones/{mode}", func(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 		"zone off -mgmt " + addr:              {2, "", "usage: linenloom zone", ""},
 		"zone out -mgmt " + addr + " -zone a": {2, "", "-who is missing", ""},
 		"zone out -mgmt " + addr + " -zone a -who ann":                        {0, "a out; told: n0, n1", "", "out a ann"},
-		"zone auto -mgmt " + addr + " -zone b -who ann":                       {1, "told: n0", "not told yet, and will be once they are heard: n1", "auto b ann"},
+		"zone auto -mgmt " + addr + " -zone b -who ann":                       {1, "told: n0", "could not be reached, and will get the change once they are heard again: n1", "auto b ann"},
 		"zone hold -mgmt " + addr + " -zone z -who ann":                       {1, "", `404 Not Found: no zone or region has the name "z"`, "hold z ann"},
 		"zone out -mgmt " + addr + " -zone a -who " + strings.Repeat("x", 40): {1, "", "-who is longer than 32 bytes", ""},
 		"zone show -mgmt " + addr:                                             {0, "a     returning  0.30   0.25  auto     ann  1970-01-01T00:00:01Z", "", ""},
@@ -54,9 +54,9 @@
 	} {
 		var out, errs strings.Builder
 		words := strings.Fields(line)
-		run := zone
+		run := runZone
 		if words[0] == "members" {
-			run = members
+			run = runMembers
 		}
 		asked = ""
 		status := run(words[1:], &out, &errs)
--- a/internal/zones/codec.go
+++ b/internal/zones/codec.go
@@ -6,71 +6,73 @@
 	"fmt"
 )
 
-// Message is what one instance sends another: its report, the verdict that it holds, the operators' calls, or some of these.
+// Message is a datagram that one instance sends to another. It carries any of the sender's report, the
+// current verdict and the operators' overrides.
 type Message struct {
-	From    int
-	Report  *Report
-	Verdict *Verdict
-	Leads   bool // the sender decided the verdict and has a quorum; else it passes it on
-	Hands   []Hand
-	Leaves  bool // the sender ends, by its own will
+	From         int
+	Report       *Report
+	Verdict      *Verdict
+	FromLeader   bool // the sender decided the verdict and has a quorum; false: it forwards the verdict
+	Overrides    []Override
+	ShuttingDown bool // the sender is shutting down on purpose
 }
 
-// MostMessage bounds a message, so that it fits into one datagram beside what membership adds.
-const MostMessage = 1200
+// MaxMessageSize bounds an encoded message, so that it fits into one datagram together with memberlist's
+// overhead.
+const MaxMessageSize = 1200
 
 const (
-	version    = 1
-	hasReport  = 1
-	hasVerdict = 2
-	hasHands   = 4
-	doesLead   = 8
-	doesLeave  = 16
+	codecVersion     = 1
+	flagReport       = 1
+	flagVerdict      = 2
+	flagOverrides    = 4
+	flagFromLeader   = 8
+	flagShuttingDown = 16
 )
 
-// ErrMessage tells of a message that can't be read.
-var ErrMessage = errors.New("zones: message can't be read")
+// ErrMalformedMessage is wrapped by every error about a message that cannot be decoded.
+var ErrMalformedMessage = errors.New("zones: malformed message")
 
-// Append writes a message. Calls are left out where they would not fit.
+// Append appends the encoded message to b. It encodes at most maxSuspects suspects of a report.
 func (msg *Message) Append(b []byte) []byte {
 	flags := byte(0)
 	start := len(b)
-	b = append(b, version, 0)
+	b = append(b, codecVersion, 0)
 	b = binary.AppendUvarint(b, uint64(msg.From))
 	if r := msg.Report; r != nil {
-		flags |= hasReport
-		b = appendInts(b, r.Number, int(r.Since), int(r.Seq), int(r.Epoch), r.Short, len(r.Sights))
-		for _, s := range r.Sights {
-			b = appendInts(b, s.Judged, s.Bad, s.Silent, s.Trimmed, s.Trim, s.Missed, s.Quiet)
+		flags |= flagReport
+		b = appendInts(b, r.Number, int(r.StartedAtMS), int(r.Seq), int(r.Epoch), r.OriginRefusals, len(r.Zones))
+		for _, s := range r.Zones {
+			b = appendInts(b, s.Judged, s.Bad, s.Silent, s.TrimmedJudged, s.TrimmedBad, s.Misses, s.RecentUnanswered)
 		}
-		suspects := r.Suspects[:min(len(r.Suspects), mostSuspects)]
+		suspects := r.Suspects[:min(len(r.Suspects), maxSuspects)]
 		b = appendInts(appendInts(b, len(suspects)), suspects...)
 	}
 	if v := msg.Verdict; v != nil {
-		flags |= hasVerdict
-		if msg.Leads {
-			flags |= doesLead
+		flags |= flagVerdict
+		if msg.FromLeader {
+			flags |= flagFromLeader
 		}
-		b = appendInts(b, int(v.Epoch), v.By, len(v.Zones))
+		b = appendInts(b, int(v.Epoch), v.DecidedBy, len(v.Zones))
 		for _, z := range v.Zones {
 			tied := 0
-			if z.Tied {
+			if z.WithRegion {
 				tied = 1
 			}
-			b = appendInts(b, int(z.State), int(z.Share), int(z.Flaps), tied, len(z.Triers))
-			b = appendInts(b, z.Triers...)
+			b = appendInts(b, int(z.State), int(z.Share), int(z.Flaps), tied, len(z.Probers))
+			b = appendInts(b, z.Probers...)
 		}
 	}
-	if len(msg.Hands) > 0 {
-		flags |= hasHands
-		b = appendInts(b, len(msg.Hands))
-		for _, h := range msg.Hands {
-			b = appendInts(b, int(h.Mode), int(h.Stamp), h.At, len(h.Who))
-			b = append(b, h.Who...)
+	if len(msg.Overrides) > 0 {
+		flags |= flagOverrides
+		b = appendInts(b, len(msg.Overrides))
+		for _, h := range msg.Overrides {
+			b = appendInts(b, int(h.Mode), int(h.TimestampMS), h.ReceivedBy, len(h.Requester))
+			b = append(b, h.Requester...)
 		}
 	}
-	if msg.Leaves {
-		flags |= doesLeave
+	if msg.ShuttingDown {
+		flags |= flagShuttingDown
 	}
 	b[start+1] = flags
 	return b
@@ -83,82 +85,82 @@
 	return b
 }
 
-// reader reads what Append wrote; the first fault stays.
+// reader decodes the fields that Append wrote. It keeps the first error.
 type reader struct {
-	b   []byte
-	err error
+	rest []byte
+	err  error
 }
 
-func (r *reader) number(what string, most uint64) uint64 {
-	n, size := binary.Uvarint(r.b)
+func (r *reader) uvarint(what string, most uint64) uint64 {
+	n, size := binary.Uvarint(r.rest)
 	if r.err == nil && (size <= 0 || n > most) {
-		r.err = fmt.Errorf("%w: %s", ErrMessage, what)
+		r.err = fmt.Errorf("%w: invalid %s", ErrMalformedMessage, what)
 	}
 	if r.err != nil {
 		return 0
 	}
-	r.b = r.b[size:]
+	r.rest = r.rest[size:]
 	return n
 }
 
-func (r *reader) int(what string, most int) int { return int(r.number(what, uint64(most))) }
+func (r *reader) int(what string, most int) int { return int(r.uvarint(what, uint64(most))) }
 
 const (
-	mostNumber = 1 << 20
-	mostStamp  = 1 << 52
+	maxInstanceNumber = 1 << 20
+	maxTimestampMS    = 1 << 52
 )
 
-// Decode reads a message. It keeps nothing of b.
+// Decode decodes a message. The message holds no reference to b.
 func Decode(b []byte) (msg Message, err error) {
-	if len(b) < 2 || b[0] != version {
-		return msg, fmt.Errorf("%w: not of this version", ErrMessage)
+	if len(b) < 2 || b[0] != codecVersion {
+		return msg, fmt.Errorf("%w: unsupported version", ErrMalformedMessage)
 	}
-	flags, r := b[1], &reader{b: b[2:]}
-	msg.From, msg.Leaves = r.int("sender", mostNumber), flags&doesLeave != 0
-	if flags&hasReport != 0 {
-		p := &Report{Number: r.int("number", mostNumber), Since: int64(r.number("start", mostStamp)), Seq: r.number("sequence", mostStamp),
-			Epoch: r.number("epoch", 1<<62), Short: r.int("shortage", maxCount)}
-		p.Sights = make([]Sight, r.int("zones", MostZones))
-		for i := range p.Sights {
-			s := &p.Sights[i]
-			for _, n := range []*int{&s.Judged, &s.Bad, &s.Silent, &s.Trimmed, &s.Trim, &s.Missed, &s.Quiet} {
+	flags, r := b[1], &reader{rest: b[2:]}
+	msg.From, msg.ShuttingDown = r.int("sender", maxInstanceNumber), flags&flagShuttingDown != 0
+	if flags&flagReport != 0 {
+		p := &Report{Number: r.int("number", maxInstanceNumber), StartedAtMS: int64(r.uvarint("start", maxTimestampMS)), Seq: r.uvarint("sequence", maxTimestampMS),
+			Epoch: r.uvarint("epoch", 1<<62), OriginRefusals: r.int("shortage", maxCount)}
+		p.Zones = make([]ZoneStats, r.int("zones", MaxZones))
+		for i := range p.Zones {
+			s := &p.Zones[i]
+			for _, n := range []*int{&s.Judged, &s.Bad, &s.Silent, &s.TrimmedJudged, &s.TrimmedBad, &s.Misses, &s.RecentUnanswered} {
 				*n = r.int("count", maxCount)
 			}
 		}
-		for range r.int("suspects", mostSuspects) {
-			p.Suspects = append(p.Suspects, r.int("suspect", mostNumber))
+		for range r.int("suspects", maxSuspects) {
+			p.Suspects = append(p.Suspects, r.int("suspect", maxInstanceNumber))
 		}
 		msg.Report = p
 	}
-	if flags&hasVerdict != 0 {
-		v := &Verdict{Epoch: r.number("epoch", 1<<62), By: r.int("decided by", mostNumber)}
-		v.Zones = make([]Zone, r.int("zones", MostZones))
+	if flags&flagVerdict != 0 {
+		v := &Verdict{Epoch: r.uvarint("epoch", 1<<62), DecidedBy: r.int("decided by", maxInstanceNumber)}
+		v.Zones = make([]Zone, r.int("zones", MaxZones))
 		for i := range v.Zones {
 			z := &v.Zones[i]
-			z.State, z.Share, z.Flaps = State(r.int("state", int(states)-1)), uint8(r.int("share", Whole)), uint8(r.int("flaps", 255))
-			z.Tied = r.int("tied", 1) == 1
-			for range r.int("triers", maxTriers) {
-				z.Triers = append(z.Triers, r.int("trier", mostNumber))
+			z.State, z.Share, z.Flaps = State(r.int("state", int(states)-1)), uint8(r.int("share", FullShare)), uint8(r.int("flaps", 255))
+			z.WithRegion = r.int("tied", 1) == 1
+			for range r.int("triers", maxProbers) {
+				z.Probers = append(z.Probers, r.int("trier", maxInstanceNumber))
 			}
 		}
-		msg.Verdict, msg.Leads = v, flags&doesLead != 0
+		msg.Verdict, msg.FromLeader = v, flags&flagFromLeader != 0
 	}
-	if flags&hasHands != 0 {
-		msg.Hands = make([]Hand, r.int("calls", MostZones))
-		for i := range msg.Hands {
-			h := &msg.Hands[i]
-			h.Mode, h.Stamp, h.At = Mode(r.int("mode", int(modes)-1)), int64(r.number("stamp", mostStamp)), r.int("called", mostNumber)
-			n := r.int("who", MostWho)
-			if r.err == nil && n > len(r.b) {
-				r.err = fmt.Errorf("%w: who", ErrMessage)
+	if flags&flagOverrides != 0 {
+		msg.Overrides = make([]Override, r.int("calls", MaxZones))
+		for i := range msg.Overrides {
+			h := &msg.Overrides[i]
+			h.Mode, h.TimestampMS, h.ReceivedBy = Mode(r.int("mode", int(modes)-1)), int64(r.uvarint("stamp", maxTimestampMS)), r.int("called", maxInstanceNumber)
+			n := r.int("who", MaxRequesterLen)
+			if r.err == nil && n > len(r.rest) {
+				r.err = fmt.Errorf("%w: invalid who", ErrMalformedMessage)
 			}
 			if r.err == nil {
-				h.Who, r.b = string(r.b[:n]), r.b[n:]
+				h.Requester, r.rest = string(r.rest[:n]), r.rest[n:]
 			}
 		}
 	}
-	if r.err == nil && len(r.b) > 0 {
-		r.err = fmt.Errorf("%w: %d bytes too many", ErrMessage, len(r.b))
+	if r.err == nil && len(r.rest) > 0 {
+		r.err = fmt.Errorf("%w: %d trailing bytes", ErrMalformedMessage, len(r.rest))
 	}
 	return msg, r.err
 }
--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -10,147 +10,152 @@
 )
 
 const (
-	// Every is how often an instance tells what it sees, and a leader what holds.
-	Every = 50 * time.Millisecond
-	// lease is how long the first in the order of leaders may be silent before the next acts in its place.
-	lease = 500 * time.Millisecond
-	// fresh is how old a report may be to count.
-	fresh = 700 * time.Millisecond
-	// gap between two ticks tells that this instance has stood still: it acts on nothing that it held before.
-	gap = time.Second
-
-	leastJudged = 5    // fewer attempts of an instance tell nothing
-	badAt       = 0.4  // of an instance's attempts: it calls the zone bad
-	badTrim     = 0.25 // of those at all but the worst third of the boxes: it is the zone, not some boxes
-	goodAt      = 0.2
-	silentAt    = 0.9 // of the bad ones had no answer at all
-	leastVoters = 2   // who stands alone leaves for nobody else
-
-	confirm    = 2                // ticks in a row that a zone is bad before it is left
-	sureVoters = 3                // that find it silent, with nobody against a third of them: one tick
-	settle     = 10               // ticks that a zone in between holds up the decision on another
-	clearFor   = time.Second      // without a bad sight ends a suspicion
-	ackWait    = time.Second      // for all to say that they have left
-	firstOut   = time.Second / 2  // before the first try
-	mostOut    = 30 * time.Second // and at the most, for a zone that flaps
-	flapFor    = time.Minute      // a zone that fails again within this of its return waits longer
-	tryTicks   = 10               // good ones in a row end the trial
-	tieFor     = 15 * time.Second // a region's zone that answers waits for the others no longer
-	stepUp     = 10               // hundredths of a zone's work
-	shortFor   = 3                // steps' time that a shortage of the origin may hold a step up
-	mixedFor   = time.Second      // neither good nor bad for this long is worse
-	aloneFor   = 5 * time.Second  // without a leader that has a quorum: each decides for itself, as without the fleet
-	slack      = 0.8              // of Config.Least, where a verdict is checked: lists differ for a moment
+	// TickInterval is how often an instance reports what it observes, and a leader sends the verdict.
+	TickInterval = 50 * time.Millisecond
+	// leaderLease is how long the first instance in the leader order may be silent before the next one
+	// leads.
+	leaderLease = 500 * time.Millisecond
+	// reportMaxAge is the age up to which a report counts.
+	reportMaxAge = 700 * time.Millisecond
+	// pauseThreshold is the time between two ticks above which this process is taken to have been
+	// suspended. It then discards all earlier observations.
+	pauseThreshold = time.Second
+
+	minJudged       = 5    // fewer judged attempts at an instance give it no vote
+	badRatio        = 0.4  // share of bad attempts from which an instance votes a zone bad
+	trimmedBadRatio = 0.25 // the same without the worst third of the nodes: the zone is at fault, not a few nodes
+	goodRatio       = 0.2
+	silentRatio     = 0.9 // share of the bad attempts that had no answer at all
+	minVoters       = 2   // a single instance never gets a zone taken out of use for the others
+
+	confirmTicks      = 2                // consecutive bad ticks before a zone is left
+	minSilentVoters   = 3                // instances that all see silence, at most a third against: one tick is enough
+	maxUnsettledTicks = 10               // ticks for which a zone neither good nor bad delays the decision on another
+	suspicionTimeout  = time.Second      // without a bad tick ends a suspicion
+	ackTimeout        = time.Second      // for all instances to confirm that they have left a zone
+	minOutTime        = time.Second / 2  // before the first probes
+	maxOutTime        = 30 * time.Second // upper bound for a flapping zone
+	flapWindow        = time.Minute      // a zone that fails again within this time of its return stays out longer
+	goodProbeTicks    = 10               // consecutive good ticks that end probing
+	regionWaitTimeout = 15 * time.Second // a zone that answers waits no longer for its region
+	shareStep         = 10               // in hundredths of a zone's usual load
+	maxRefusalSteps   = 3                // step durations for which refusals at the origin may delay the next step
+	mixedTimeout      = time.Second      // mixed results for this long lower the share
+	noLeaderTimeout   = 5 * time.Second  // without a leader with a quorum: use all zones, as without [zones]
+	capacityTolerance = 0.8              // factor on MinCapacityShare when checking a verdict: member lists may differ
 )
 
-// Peer is another instance, as membership knows it.
+// Peer is another instance in the membership list.
 type Peer struct {
 	Number int
 	Zone   int
-	Alive  bool // else it was there lately, and has not said that it leaves
+	Alive  bool // false: seen recently, and has not announced its shutdown
 }
 
-// Machine is one instance's part in the fleet's decision. It is not safe for concurrent use.
+// Machine is one instance's part in the decision that all instances share. It is not safe for concurrent
+// use.
 type Machine struct {
-	c        Config
-	own      int // this instance's zone
-	peers    []Peer
-	capacity []float64
-	reports  map[int]*held
-	heard    map[int]time.Duration // by the numbers of those that may lead: when they last said anything
-	v        Verdict
-	hands    []Hand
-	zones    []watched
-	began    bool
-	now      time.Duration
-	startAt  time.Duration
-	ledAt    time.Duration // when a leader with a quorum was last heard
-	told     Report        // this instance's own
-	// governed is the share that each zone gets here, which never rises faster than boxes that may be cold bear, whatever is told.
-	governed []governor
+	config         Config
+	ownZone        int
+	peers          []Peer
+	capacity       []float64
+	reports        map[int]*receivedReport
+	lastHeard      map[int]time.Duration // by instance number: when its last message arrived
+	verdict        Verdict
+	overrides      []Override
+	trackers       []zoneTracker
+	ticked         bool
+	now            time.Duration
+	observingSince time.Duration
+	leaderHeardAt  time.Duration // when a leader with a quorum was last heard
+	ownReport      Report
+	// limiters limit the share of each zone at this instance. A share never rises faster than cold cache
+	// nodes can take load, whatever verdicts arrive.
+	limiters []shareLimiter
 	changes  []Change
 }
 
-type held struct {
+type receivedReport struct {
 	Report
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// watched is what a leader keeps of a zone beside the verdict. One that takes over begins anew with it, which can only delay a step.
-type watched struct {
-	since    time.Duration // of the state or step, as known here
-	bad      int           // ticks in a row
-	good     int
-	mixed    int
-	badAt    time.Duration // last
-	returned time.Duration // when it was last whole again
+// zoneTracker is the leader's state of a zone in addition to the verdict. A new leader starts with an
+// empty one, which can only delay a step.
+type zoneTracker struct {
+	since      time.Duration // start of the state or step, as seen here
+	badTicks   int           // consecutive ticks, as are the next two
+	goodTicks  int
+	mixedTicks int
+	lastBadAt  time.Duration
+	returnedAt time.Duration // when the zone last got back its full share
 }
 
-type governor struct {
-	share  float64 // now
-	zeroAt time.Duration
-	rising bool
+type shareLimiter struct {
+	share     float64 // current share
+	zeroAt    time.Duration
+	rampingUp bool
 }
 
-// Change is one for the log.
+// Change is a change of a zone's state or share, for the log.
 type Change struct {
-	Zone  int
-	From  Zone
-	To    Zone
-	Epoch uint64
-	By    int
+	Zone      int
+	From      Zone
+	To        Zone
+	Epoch     uint64
+	DecidedBy int
 }
 
-// New makes a Machine. Its configuration has been checked.
-func New(c Config, own int) *Machine {
+// New returns a Machine for a configuration that has passed Check.
+func New(c Config, ownZone int) *Machine {
 	n := len(c.Zones)
-	m := &Machine{c: c, own: own, reports: map[int]*held{}, heard: map[int]time.Duration{}, hands: make([]Hand, n),
-		zones: make([]watched, n), governed: make([]governor, n), capacity: make([]float64, n)}
-	m.v.Zones = make([]Zone, n)
-	for i := range m.v.Zones {
-		m.v.Zones[i].Share, m.governed[i].share, m.capacity[i] = Whole, 1, 1
+	m := &Machine{config: c, ownZone: ownZone, reports: map[int]*receivedReport{}, lastHeard: map[int]time.Duration{}, overrides: make([]Override, n),
+		trackers: make([]zoneTracker, n), limiters: make([]shareLimiter, n), capacity: make([]float64, n)}
+	m.verdict.Zones = make([]Zone, n)
+	for i := range m.verdict.Zones {
+		m.verdict.Zones[i].Share, m.limiters[i].share, m.capacity[i] = FullShare, 1, 1
 	}
 	return m
 }
 
-// SetPeers takes over who else there is.
+// SetPeers replaces the list of other instances.
 func (m *Machine) SetPeers(peers []Peer) { m.peers = slices.Clone(peers) }
 
-// SetCapacity takes over what each zone can do, relative to the others.
+// SetCapacity sets the capacity of each zone, relative to the others.
 func (m *Machine) SetCapacity(c []float64) { copy(m.capacity, c) }
 
-// Verdict is what holds as far as this instance knows.
-func (m *Machine) Verdict() Verdict { return m.v.clone() }
+// Verdict returns the verdict in force at this instance.
+func (m *Machine) Verdict() Verdict { return m.verdict.clone() }
 
-// Hands are the operators' latest calls.
-func (m *Machine) Hands() []Hand { return slices.Clone(m.hands) }
+// Overrides returns the operators' latest overrides, by zone.
+func (m *Machine) Overrides() []Override { return slices.Clone(m.overrides) }
 
-// Changes are those since it was last asked.
+// Changes returns the changes since the previous call.
 func (m *Machine) Changes() (c []Change) {
 	c, m.changes = m.changes, nil
 	return c
 }
 
-// Own is this instance's latest report.
-func (m *Machine) Own() Report { return m.told }
+// OwnReport returns this instance's latest report.
+func (m *Machine) OwnReport() Report { return m.ownReport }
 
-// Reported is what the others last told, by number, as far as it is fresh.
-func (m *Machine) Reported() (all []Report) {
-	for _, n := range m.sortedReports() {
+// PeerReports returns the fresh reports of the other instances, ordered by instance number.
+func (m *Machine) PeerReports() (all []Report) {
+	for _, n := range m.freshReporters() {
 		all = append(all, m.reports[n].Report)
 	}
 	return all
 }
 
-// reporting tells whether another instance is heard: its latest report still counts.
-func (m *Machine) reporting(number int) bool {
+// hasFreshReport tells whether another instance's latest report still counts.
+func (m *Machine) hasFreshReport(number int) bool {
 	r := m.reports[number]
-	return r != nil && m.now-r.at <= fresh
+	return r != nil && m.now-r.receivedAt <= reportMaxAge
 }
 
-func (m *Machine) sortedReports() (numbers []int) {
+func (m *Machine) freshReporters() (numbers []int) {
 	for n := range m.reports {
-		if m.reporting(n) {
+		if m.hasFreshReport(n) {
 			numbers = append(numbers, n)
 		}
 	}
@@ -158,9 +163,10 @@
 	return numbers
 }
 
-// Leaders is the order in which instances lead: the first of each zone, then the second of each, so that no zone takes all of them with it.
+// Leaders returns the instance numbers in leader order: the first instance of each zone, then the second
+// of each, so that the loss of one zone does not take out all of the next leaders.
 func (m *Machine) Leaders() (numbers []int) {
-	all := append(slices.Clone(m.peers), Peer{Number: m.c.Number, Zone: m.own, Alive: true})
+	all := append(slices.Clone(m.peers), Peer{Number: m.config.Number, Zone: m.ownZone, Alive: true})
 	all = slices.DeleteFunc(all, func(p Peer) bool { return !p.Alive })
 	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(a.Number, b.Number) })
 	place, seen := map[int]int{}, map[int]int{}
@@ -175,179 +181,185 @@
 	return numbers
 }
 
-// Hear takes a report.
-func (m *Machine) Hear(now time.Duration, r Report) {
-	if r.Number == m.c.Number || len(r.Sights) != len(m.zones) {
+// ReceiveReport stores a report of another instance.
+func (m *Machine) ReceiveReport(now time.Duration, r Report) {
+	if r.Number == m.config.Number || len(r.Zones) != len(m.trackers) {
 		return
 	}
 	old := m.reports[r.Number]
-	if old != nil && r.stale(&old.Report) || !m.knows(r.Number) {
+	if old != nil && r.stale(&old.Report) || !m.isLivePeer(r.Number) {
 		return
 	}
-	m.reports[r.Number] = &held{r, now}
-	m.heard[r.Number] = now
+	m.reports[r.Number] = &receivedReport{r, now}
+	m.lastHeard[r.Number] = now
 }
 
-// Take takes a verdict that another instance has told, which was decided by it, if it leads, or by another one. It tells
-// whether that is news.
-func (m *Machine) Take(now time.Duration, from int, v Verdict, leads bool) (news bool) {
-	if !m.knows(from) {
+// ReceiveVerdict takes a verdict from another instance, which decided it if fromLeader is set, and
+// forwards it otherwise. It tells whether the verdict was new.
+func (m *Machine) ReceiveVerdict(now time.Duration, from int, v Verdict, fromLeader bool) (isNew bool) {
+	if !m.isLivePeer(from) {
 		return false
 	}
-	m.heard[from] = now
-	if leads {
-		m.ledAt = now
+	m.lastHeard[from] = now
+	if fromLeader {
+		m.leaderHeardAt = now
 	}
-	return m.take(now, v)
+	return m.acceptVerdict(now, v)
 }
 
-// knows tells whether a number is another instance's that lives.
-func (m *Machine) knows(number int) bool {
+// isLivePeer tells whether the number belongs to another instance that is alive.
+func (m *Machine) isLivePeer(number int) bool {
 	return slices.ContainsFunc(m.peers, func(p Peer) bool { return p.Number == number && p.Alive })
 }
 
-func (m *Machine) take(now time.Duration, v Verdict) (news bool) {
-	if !v.newer(&m.v) || !m.sound(&v) {
+func (m *Machine) acceptVerdict(now time.Duration, v Verdict) (isNew bool) {
+	if !v.newer(&m.verdict) || !m.withinBounds(&v) {
 		return false
 	}
 	m.adopt(now, v.clone())
 	return true
 }
 
-// sound tells whether a verdict keeps the bounds, which hold whoever decided it: it closes no zone where too little would stay open.
-func (m *Machine) sound(v *Verdict) bool {
-	if len(v.Zones) != len(m.zones) || v.Epoch > m.v.Epoch+1<<32 {
+// withinBounds tells whether a verdict keeps the bounds that hold whoever decided it. In particular it
+// may not close a zone where too little capacity would stay in use.
+func (m *Machine) withinBounds(v *Verdict) bool {
+	if len(v.Zones) != len(m.trackers) || v.Epoch > m.verdict.Epoch+1<<32 {
 		return false
 	}
-	var open, all float64
+	var open, total float64
 	closes := false
 	for i, z := range v.Zones {
-		if z.State >= states || z.Share > Whole || (z.State == In || z.State == Suspected) != (z.Share == Whole) {
+		if z.State >= states || z.Share > FullShare || (z.State == StateIn || z.State == StateSuspected) != (z.Share == FullShare) {
 			return false
 		}
-		all += m.capacity[i]
-		if z.Share > 0 || m.hands[i].Mode == Away {
+		total += m.capacity[i]
+		if z.Share > 0 || m.overrides[i].Mode == ModeOut {
 			open += m.capacity[i]
-		} else if m.v.Zones[i].Share > 0 {
+		} else if m.verdict.Zones[i].Share > 0 {
 			closes = true
 		}
 	}
-	return !closes || open >= slack*m.c.Least*all
+	return !closes || open >= capacityTolerance*m.config.MinCapacityShare*total
 }
 
 func (m *Machine) adopt(now time.Duration, v Verdict) {
 	for i := range v.Zones {
-		was := m.v.Zones[i]
+		was := m.verdict.Zones[i]
 		if was.State == v.Zones[i].State && was.Share == v.Zones[i].Share {
 			continue
 		}
-		w := &m.zones[i]
-		if v.Zones[i].State == In && was.State == Returning {
-			w.returned = now
+		w := &m.trackers[i]
+		if v.Zones[i].State == StateIn && was.State == StateReturning {
+			w.returnedAt = now
 		}
-		w.since, w.good, w.mixed = now, 0, 0
-		if v.Zones[i].State != Suspected && v.Zones[i].State != Leaving {
-			w.bad = 0
+		w.since, w.goodTicks, w.mixedTicks = now, 0, 0
+		if v.Zones[i].State != StateSuspected && v.Zones[i].State != StateLeaving {
+			w.badTicks = 0
 		}
-		m.changes = append(m.changes[max(0, len(m.changes)-256):], Change{i, was, v.Zones[i], v.Epoch, v.By})
+		m.changes = append(m.changes[max(0, len(m.changes)-256):], Change{i, was, v.Zones[i], v.Epoch, v.DecidedBy})
 	}
-	m.v = v
+	m.verdict = v
 }
 
-// ErrNothingLeft tells that a call would have left nothing in use.
-var ErrNothingLeft = errors.New("zones: no other zone is in use; bring one back first")
+// ErrNoZoneLeft is returned for an override that would leave no zone in use.
+var ErrNoZoneLeft = errors.New("zones: no other zone is in use; bring one back first")
 
-// Call takes an operator's call at this instance, for a zone or all of a region.
-func (m *Machine) Call(now time.Duration, h Hand, zones ...int) error {
-	if h.Mode == Away && !m.anyUsed(zones) {
-		return ErrNothingLeft
+// SetOverride applies an operator's override at this instance, to one zone or all zones of a region.
+func (m *Machine) SetOverride(now time.Duration, h Override, zones ...int) error {
+	if h.Mode == ModeOut && !m.anyInUse(zones) {
+		return ErrNoZoneLeft
 	}
-	h.At = m.c.Number
+	h.ReceivedBy = m.config.Number
 	for _, z := range zones {
 		stamped := h
-		stamped.Stamp = max(h.Stamp, m.hands[z].Stamp+1) // a clock that was put back must not lose a call
-		m.hands[z] = stamped
+		// A clock that was set back must not lose an override.
+		stamped.TimestampMS = max(h.TimestampMS, m.overrides[z].TimestampMS+1)
+		m.overrides[z] = stamped
 	}
-	m.govern(now)
+	m.updateShares(now)
 	return nil
 }
 
-// anyUsed tells whether a zone is in use, beside some: as the verdict and the operators have it.
-func (m *Machine) anyUsed(beside []int) bool {
-	for i, z := range m.v.Zones {
-		if z.Share > 0 && m.hands[i].Mode != Away && !slices.Contains(beside, i) {
+// anyInUse tells whether any zone except those listed is in use, according to the verdict and the
+// overrides.
+func (m *Machine) anyInUse(except []int) bool {
+	for i, z := range m.verdict.Zones {
+		if z.Share > 0 && m.overrides[i].Mode != ModeOut && !slices.Contains(except, i) {
 			return true
 		}
 	}
 	return false
 }
 
-// TakeHands takes operators' calls that another instance has told. It tells whether any is news.
-func (m *Machine) TakeHands(now time.Duration, hands []Hand) (news bool) {
-	if len(hands) != len(m.hands) {
+// MergeOverrides merges overrides from another instance. It tells whether any of them was new.
+func (m *Machine) MergeOverrides(now time.Duration, overrides []Override) (isNew bool) {
+	if len(overrides) != len(m.overrides) {
 		return false
 	}
-	for i, h := range hands {
-		if h.Mode < modes && len(h.Who) <= MostWho && h.after(m.hands[i]) {
-			m.hands[i], news = h, true
+	for i, h := range overrides {
+		if h.Mode < modes && len(h.Requester) <= MaxRequesterLen && h.supersedes(m.overrides[i]) {
+			m.overrides[i], isNew = h, true
 		}
 	}
-	if news {
-		m.govern(now)
+	if isNew {
+		m.updateShares(now)
 	}
-	return news
+	return isNew
 }
 
-// Tick does what is due. sights and short are this instance's own, by its Meter. It tells whether this instance leads with a quorum, and whether it has
-// stood still, and so has to forget what it saw.
-func (m *Machine) Tick(now time.Duration, sights []Sight, short int) (leads, paused bool) {
-	if !m.began {
-		m.began, m.startAt, m.now, m.ledAt = true, now, now, max(m.ledAt, now)
+// Tick performs the periodic work. The statistics and the number of requests refused at the origin are
+// this instance's own, from its Meter. It tells whether this instance leads with a quorum, and whether
+// the process was suspended, so that the caller has to reset its Meter.
+func (m *Machine) Tick(now time.Duration, stats []ZoneStats, originRefusals int) (leads, paused bool) {
+	if !m.ticked {
+		m.ticked, m.observingSince, m.now, m.leaderHeardAt = true, now, now, max(m.leaderHeardAt, now)
 	}
-	if now-m.now > gap {
+	if now-m.now > pauseThreshold {
 		paused = true
-		m.startAt = now // it leads nobody until it has had time to hear of others
+		m.observingSince = now // it does not lead until it has had time to hear from the others
 		clear(m.reports)
-		for i := range m.zones {
-			m.zones[i].bad, m.zones[i].good, m.zones[i].mixed = 0, 0, 0
+		for i := range m.trackers {
+			m.trackers[i].badTicks, m.trackers[i].goodTicks, m.trackers[i].mixedTicks = 0, 0, 0
 		}
-		sights, short = make([]Sight, len(m.zones)), 0
+		stats, originRefusals = make([]ZoneStats, len(m.trackers)), 0
 	}
 	m.now = now
-	m.told = Report{Number: m.c.Number, Since: m.c.Since, Seq: m.told.Seq + 1, Epoch: m.v.Epoch, Short: short, Sights: slices.Clone(sights)}
-	maps.DeleteFunc(m.reports, func(n int, _ *held) bool { return !m.knows(n) })
-	maps.DeleteFunc(m.heard, func(n int, _ time.Duration) bool { return !m.knows(n) })
-	if leads = m.leads() && m.quorum(); leads {
-		m.ledAt = now
+	m.ownReport = Report{Number: m.config.Number, StartedAtMS: m.config.StartedAtMS, Seq: m.ownReport.Seq + 1, Epoch: m.verdict.Epoch, OriginRefusals: originRefusals, Zones: slices.Clone(stats)}
+	maps.DeleteFunc(m.reports, func(n int, _ *receivedReport) bool { return !m.isLivePeer(n) })
+	maps.DeleteFunc(m.lastHeard, func(n int, _ time.Duration) bool { return !m.isLivePeer(n) })
+	if leads = m.isLeader() && m.hasQuorum(); leads {
+		m.leaderHeardAt = now
 		m.decide()
 	}
-	m.govern(now)
+	m.updateShares(now)
 	return leads, paused
 }
 
-// leads tells whether this instance acts for all: each before it in the order has been silent for a lease, and it has had time to hear them.
-func (m *Machine) leads() bool {
-	if len(m.peers) == 0 || m.now-m.startAt < lease {
+// isLeader tells whether this instance leads: every instance before it in the leader order has been
+// silent for leaderLease, and this one has had time to hear from them.
+func (m *Machine) isLeader() bool {
+	if len(m.peers) == 0 || m.now-m.observingSince < leaderLease {
 		return false
 	}
 	for _, n := range m.Leaders() {
-		if n == m.c.Number {
+		if n == m.config.Number {
 			return true
 		}
-		if at, ok := m.heard[n]; ok && m.now-at <= lease {
+		if at, ok := m.lastHeard[n]; ok && m.now-at <= leaderLease {
 			return false
 		}
 	}
 	return false
 }
 
-// quorum tells whether more than half of those that were there lately are heard: a side of a partition that has not leaves nobody and
-// raises nobody. Of two equal halves, the one with the lowest number has it.
-func (m *Machine) quorum() bool {
-	here, lowest := 1, m.c.Number
+// hasQuorum tells whether this instance and those with fresh reports are more than half of the instances
+// that were recently present. A side of a partition without a quorum takes no zone out of use and raises
+// no share. Of two equal halves, the one with the lowest instance number has the quorum.
+func (m *Machine) hasQuorum() bool {
+	here, lowest := 1, m.config.Number
 	lowestHere := true
 	for _, p := range m.peers {
-		ok := m.reporting(p.Number)
+		ok := m.hasFreshReport(p.Number)
 		if ok {
 			here++
 		}
@@ -359,192 +371,197 @@
 	return 2*here > all || 2*here == all && lowestHere
 }
 
-// opinion is what is thought of a zone.
-type opinion struct {
-	bad, good, mixed int // instances
-	silent           bool
-	judged, failed   int // of those that have too few attempts for an opinion of their own
+// zoneOpinion sums up what the instances observe of a zone.
+type zoneOpinion struct {
+	bad, good, mixed        int // number of instances
+	silent                  bool
+	pooledJudged, pooledBad int // attempts of the instances that have too few for a vote of their own
 }
 
-func (o opinion) voters() int { return o.bad + o.good + o.mixed }
+func (o zoneOpinion) voters() int { return o.bad + o.good + o.mixed }
 
-// isBad tells whether those that have an opinion agree that the zone fails; one alone convinces nobody, and so does a third.
-func (o opinion) isBad() bool {
-	return o.voters() >= leastVoters && o.bad >= leastVoters && 3*o.bad >= 2*o.voters()
+// isBad tells whether at least two thirds of the voters find the zone bad. One voter is never enough.
+func (o zoneOpinion) isBad() bool {
+	return o.voters() >= minVoters && o.bad >= minVoters && 3*o.bad >= 2*o.voters()
 }
 
-// isGood tells whether most of those that have an opinion find nothing wrong.
-func (o opinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
+// isGood tells whether at least two thirds of the voters find the zone good.
+func (o zoneOpinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
 
-func (s Sight) call() (bad, good, some bool) {
-	if s.Judged < leastJudged || s.Bad > s.Judged || s.Trim > s.Trimmed || s.Trimmed > s.Judged {
-		return false, false, false // nothing, or counts that can't be
+// classify returns the instance's vote on the zone: bad, good, mixed (votes alone), or none.
+func (s ZoneStats) classify() (bad, good, votes bool) {
+	if s.Judged < minJudged || s.Bad > s.Judged || s.TrimmedBad > s.TrimmedJudged || s.TrimmedJudged > s.Judged {
+		return false, false, false // too few attempts, or inconsistent counts
 	}
-	part := float64(s.Bad) / float64(s.Judged)
-	if s.Quiet >= leastJudged && s.Quiet <= s.Judged {
-		return s.Trimmed == 0 || s.Trim > 0, false, true // more than the worst third of the boxes are
+	badShare := float64(s.Bad) / float64(s.Judged)
+	if s.RecentUnanswered >= minJudged && s.RecentUnanswered <= s.Judged {
+		return s.TrimmedJudged == 0 || s.TrimmedBad > 0, false, true // failures beyond the worst third of the nodes
 	}
-	if part <= goodAt {
+	if badShare <= goodRatio {
 		return false, true, true
 	}
-	return part >= badAt && (s.Trimmed == 0 || float64(s.Trim) >= badTrim*float64(s.Trimmed)), false, true
+	return badShare >= badRatio && (s.TrimmedJudged == 0 || float64(s.TrimmedBad) >= trimmedBadRatio*float64(s.TrimmedJudged)), false, true
 }
 
-func (m *Machine) opinions() (all []opinion, short int) {
-	all = make([]opinion, len(m.zones))
-	silents := make([]int, len(m.zones)) // of the bad ones
-	take := func(r *Report) {
-		if r.Short > 0 {
-			short++
+// opinions combines the fresh reports by zone, and counts the instances that report refusals at the
+// origin.
+func (m *Machine) opinions() (all []zoneOpinion, refusing int) {
+	all = make([]zoneOpinion, len(m.trackers))
+	silents := make([]int, len(m.trackers)) // number of bad votes that report silence
+	addReport := func(r *Report) {
+		if r.OriginRefusals > 0 {
+			refusing++
 		}
-		for i, s := range r.Sights {
-			bad, good, some := s.call()
+		for i, s := range r.Zones {
+			bad, good, votes := s.classify()
 			o := &all[i]
 			switch {
 			case bad:
 				o.bad++
-				if float64(s.Silent) >= silentAt*float64(s.Bad) {
+				if float64(s.Silent) >= silentRatio*float64(s.Bad) {
 					silents[i]++
 				}
 			case good:
 				o.good++
-			case some:
+			case votes:
 				o.mixed++
 			case s.Bad <= s.Judged:
-				o.judged, o.failed = o.judged+min(s.Judged, leastJudged), o.failed+min(s.Bad, leastJudged)
+				o.pooledJudged, o.pooledBad = o.pooledJudged+min(s.Judged, minJudged), o.pooledBad+min(s.Bad, minJudged)
 			}
 		}
 	}
-	take(&m.told)
-	for _, n := range m.sortedReports() {
-		take(&m.reports[n].Report)
+	addReport(&m.ownReport)
+	for _, n := range m.freshReporters() {
+		addReport(&m.reports[n].Report)
 	}
 	for i := range all {
 		o := &all[i]
 		o.silent = o.bad > 0 && silents[i] == o.bad
-		// A zone that was left gets few attempts, and has been found bad before: all of them together tell.
-		if s := m.v.Zones[i].State; (s == Trying || s == Returning) && o.voters() < leastVoters && o.judged >= leastJudged {
-			switch part := float64(o.failed) / float64(o.judged); {
-			case part <= goodAt:
-				o.good += leastVoters
-			case part >= badAt:
-				o.bad += leastVoters
+		// A zone that was left gets few attempts, and has already been found bad: the attempts of all
+		// instances count together.
+		if s := m.verdict.Zones[i].State; (s == StateTrying || s == StateReturning) && o.voters() < minVoters && o.pooledJudged >= minJudged {
+			switch badShare := float64(o.pooledBad) / float64(o.pooledJudged); {
+			case badShare <= goodRatio:
+				o.good += minVoters
+			case badShare >= badRatio:
+				o.bad += minVoters
 			default:
-				o.mixed += leastVoters
+				o.mixed += minVoters
 			}
 		}
 	}
-	return all, short
+	return all, refusing
 }
 
-// decide is the leader's: one look at all zones, and a new epoch if anything changes.
+// decide evaluates all zones once, as the leader, and starts a new epoch if anything changes.
 func (m *Machine) decide() {
-	all, short := m.opinions()
-	next := m.v.clone()
+	all, refusing := m.opinions()
+	next := m.verdict.clone()
 	for i := range next.Zones {
-		w, o := &m.zones[i], all[i]
-		w.bad, w.good, w.mixed = count(w.bad, o.isBad()), count(w.good, o.isGood()), count(w.mixed, !o.isBad() && !o.isGood() && o.voters() > 0)
+		w, o := &m.trackers[i], all[i]
+		w.badTicks, w.goodTicks, w.mixedTicks = nextStreak(w.badTicks, o.isBad()), nextStreak(w.goodTicks, o.isGood()), nextStreak(w.mixedTicks, !o.isBad() && !o.isGood() && o.voters() > 0)
 		if o.isBad() {
-			w.badAt = m.now
+			w.lastBadAt = m.now
 		}
 	}
 	for i := range next.Zones {
-		m.step(i, &next, all, short)
+		m.stepZone(i, &next, all, refusing)
 	}
-	m.leave(&next, all)
-	if !same(&next, &m.v) {
-		next.Epoch, next.By = m.v.Epoch+1, m.c.Number
+	m.markLeaving(&next, all)
+	if !sameZones(&next, &m.verdict) {
+		next.Epoch, next.DecidedBy = m.verdict.Epoch+1, m.config.Number
 		m.adopt(m.now, next)
-		m.told.Epoch = next.Epoch
+		m.ownReport.Epoch = next.Epoch
 	}
 }
 
-func count(n int, more bool) int {
+func nextStreak(n int, more bool) int {
 	if !more {
 		return 0
 	}
 	return min(n+1, 1<<20)
 }
 
-func same(a, b *Verdict) bool {
+func sameZones(a, b *Verdict) bool {
 	return slices.EqualFunc(a.Zones, b.Zones, func(x, y Zone) bool {
-		return x.State == y.State && x.Share == y.Share && x.Flaps == y.Flaps && x.Tied == y.Tied && slices.Equal(x.Triers, y.Triers)
+		return x.State == y.State && x.Share == y.Share && x.Flaps == y.Flaps && x.WithRegion == y.WithRegion && slices.Equal(x.Probers, y.Probers)
 	})
 }
 
-// step moves one zone on, but for the decision to leave it.
-func (m *Machine) step(i int, next *Verdict, all []opinion, short int) {
-	z, w, was := &next.Zones[i], &m.zones[i], m.v.Zones[i]
+// stepZone advances the state of one zone. Leaving a zone is decided by markLeaving.
+func (m *Machine) stepZone(i int, next *Verdict, all []zoneOpinion, refusing int) {
+	z, w, was := &next.Zones[i], &m.trackers[i], m.verdict.Zones[i]
 	age := m.now - w.since
-	switch h := m.hands[i]; {
-	case h.Mode == Hold:
+	switch h := m.overrides[i]; {
+	case h.Mode == ModeHold:
 		return
-	case h.Mode == Away:
-		if z.State != Out {
-			*z = Zone{State: Out}
+	case h.Mode == ModeOut:
+		if z.State != StateOut {
+			*z = Zone{State: StateOut}
 		}
 		return
 	}
 	switch was.State {
-	case In:
-		if z.Flaps > 0 && m.now-w.returned > flapFor {
+	case StateIn:
+		if z.Flaps > 0 && m.now-w.returnedAt > flapWindow {
 			z.Flaps = 0
 		}
 		if all[i].isBad() {
-			z.State = Suspected
+			z.State = StateSuspected
 		}
-	case Suspected:
-		if m.now-w.badAt > clearFor {
-			z.State = In
+	case StateSuspected:
+		if m.now-w.lastBadAt > suspicionTimeout {
+			z.State = StateIn
 		}
-	case Leaving:
-		if age >= ackWait || m.acknowledged() {
-			z.State = Out
+	case StateLeaving:
+		if age >= ackTimeout || m.acknowledged() {
+			z.State = StateOut
 		}
-	case Out:
-		if age >= min(mostOut, firstOut<<min(z.Flaps, 10)) {
-			z.State, z.Triers = Trying, m.triers(i, all[i], 0)
+	case StateOut:
+		if age >= min(maxOutTime, minOutTime<<min(z.Flaps, 10)) {
+			z.State, z.Probers = StateTrying, m.selectProbers(i, all[i], 0)
 		}
-	case Trying:
+	case StateTrying:
 		switch {
-		case m.ready(i):
-			z.State, z.Share, z.Triers = Returning, stepUp, nil
-		case z.Tied && w.good >= tryTicks && age > tieFor: // the others of its region stay away
-			z.Tied = false
+		case m.readyToReturn(i):
+			z.State, z.Share, z.Probers = StateReturning, shareStep, nil
+		// The rest of its region stays out.
+		case z.WithRegion && w.goodTicks >= goodProbeTicks && age > regionWaitTimeout:
+			z.WithRegion = false
 		default:
-			z.Triers = m.triers(i, all[i], age)
+			z.Probers = m.selectProbers(i, all[i], age)
 		}
-	case Returning:
-		m.stepReturn(i, z, all[i], short, age)
+	case StateReturning:
+		m.stepReturn(i, z, all[i], refusing, age)
 	}
 }
 
-// ready tells whether a zone on trial answers, and all that are tied to it.
-func (m *Machine) ready(i int) bool {
-	for _, j := range append(m.tied(i), i) {
-		if m.v.Zones[j].State != Trying || m.zones[j].good < tryTicks {
+// readyToReturn tells whether a zone that is being probed answers, together with all zones linked to it.
+func (m *Machine) readyToReturn(i int) bool {
+	for _, j := range append(m.linkedZones(i), i) {
+		if m.verdict.Zones[j].State != StateTrying || m.trackers[j].goodTicks < goodProbeTicks {
 			return false
 		}
 	}
 	return true
 }
 
-// tied are the other zones that were left together with this one.
-func (m *Machine) tied(i int) (others []int) {
-	if !m.v.Zones[i].Tied {
+// linkedZones returns the other zones that were left together with this one.
+func (m *Machine) linkedZones(i int) (others []int) {
+	if !m.verdict.Zones[i].WithRegion {
 		return nil
 	}
 	for _, j := range m.region(i) {
-		if j != i && m.v.Zones[j].Tied && m.hands[j].Mode == Auto {
+		if j != i && m.verdict.Zones[j].WithRegion && m.overrides[j].Mode == ModeAuto {
 			others = append(others, j)
 		}
 	}
 	return others
 }
 
-// region is the zones of a zone's region, itself included.
+// region returns the zones of a zone's region, including the zone itself.
 func (m *Machine) region(i int) []int {
-	for _, r := range m.c.Regions {
+	for _, r := range m.config.Regions {
 		if slices.Contains(r, i) {
 			return r
 		}
@@ -552,86 +569,88 @@
 	return []int{i}
 }
 
-// stepReturn raises a zone's share by one step where the last one has gone well, and lowers it where it has not.
-func (m *Machine) stepReturn(i int, z *Zone, o opinion, short int, age time.Duration) {
-	w := &m.zones[i]
-	every := m.c.WarmFor * stepUp / Whole
+// stepReturn raises a zone's share by one step if the last step went well, and lowers it if results are
+// mixed.
+func (m *Machine) stepReturn(i int, z *Zone, o zoneOpinion, refusing int, age time.Duration) {
+	w := &m.trackers[i]
+	every := m.config.WarmupTime * shareStep / FullShare
 	switch {
-	case time.Duration(w.mixed)*Every >= mixedFor && age >= mixedFor:
-		z.Share = max(stepUp, z.Share-stepUp)
-		w.mixed = 0
+	case time.Duration(w.mixedTicks)*TickInterval >= mixedTimeout && age >= mixedTimeout:
+		z.Share = max(shareStep, z.Share-shareStep)
+		w.mixedTicks = 0
 	case age < every:
-	case !o.isGood() && o.voters() > 0: // a step waits for evidence of the last one
-	case o.voters() == 0 && age < 2*every: // nobody has asked enough to tell: slower, but not for good
-	case short > 0 && age < shortFor*every:
+	case !o.isGood() && o.voters() > 0: // the next step waits until the last one is seen to go well
+	case o.voters() == 0 && age < 2*every: // too few attempts to tell: continue, but more slowly
+	case refusing > 0 && age < maxRefusalSteps*every:
 	default:
-		if z.Share = min(Whole, z.Share+stepUp); z.Share == Whole {
-			z.State, z.Tied = In, false
+		if z.Share = min(FullShare, z.Share+shareStep); z.Share == FullShare {
+			z.State, z.WithRegion = StateIn, false
 		}
 	}
 }
 
-// triers are the instances that send a zone on trial a read now and then: those in it, then others, in the order of leaders. As long as none
-// is answered it is one alone, another one each second, since it may be the one that is cut off.
-func (m *Machine) triers(i int, o opinion, age time.Duration) (numbers []int) {
-	zone := map[int]int{m.c.Number: m.own}
+// selectProbers returns the instances that send probe reads to a zone in StateTrying: those in the zone
+// first, then others, in leader order. Until a probe succeeds there is a single prober, replaced every
+// second, since that one may be cut off from the zone.
+func (m *Machine) selectProbers(i int, o zoneOpinion, age time.Duration) (numbers []int) {
+	zone := map[int]int{m.config.Number: m.ownZone}
 	for _, p := range m.peers {
 		zone[p.Number] = p.Zone
 	}
-	for _, own := range []bool{true, false} {
+	for _, inZone := range []bool{true, false} {
 		for _, n := range m.Leaders() {
-			if (zone[n] == i) == own && len(numbers) < maxTriers && (n == m.c.Number || m.reporting(n)) {
+			if (zone[n] == i) == inZone && len(numbers) < maxProbers && (n == m.config.Number || m.hasFreshReport(n)) {
 				numbers = append(numbers, n)
 			}
-			if own && len(numbers) >= maxTriers/2 {
+			if inZone && len(numbers) >= maxProbers/2 {
 				break
 			}
 		}
 	}
-	if len(numbers) > 1 && o.good == 0 && o.judged == o.failed {
+	if len(numbers) > 1 && o.good == 0 && o.pooledJudged == o.pooledBad {
 		numbers = []int{numbers[int(age/time.Second)%len(numbers)]}
 	}
 	return numbers
 }
 
-// acknowledged tells whether all that are heard go by the verdict that holds.
+// acknowledged tells whether all instances with fresh reports apply the current verdict.
 func (m *Machine) acknowledged() bool {
-	for _, n := range m.sortedReports() {
-		if m.reports[n].Epoch < m.v.Epoch {
+	for _, n := range m.freshReporters() {
+		if m.reports[n].Epoch < m.verdict.Epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// leave decides which zones are left now.
-func (m *Machine) leave(next *Verdict, all []opinion) {
+// markLeaving decides which zones to leave now.
+func (m *Machine) markLeaving(next *Verdict, all []zoneOpinion) {
 	failing := func(i int) bool {
-		s := m.v.Zones[i].State
-		sure := m.zones[i].bad >= confirm || m.zones[i].bad > 0 && all[i].silent && all[i].bad >= sureVoters
-		return m.hands[i].Mode == Auto && sure && (s == Suspected || s == Returning || s == In && next.Zones[i].State == Suspected)
+		s := m.verdict.Zones[i].State
+		sure := m.trackers[i].badTicks >= confirmTicks || m.trackers[i].badTicks > 0 && all[i].silent && all[i].bad >= minSilentVoters
+		return m.overrides[i].Mode == ModeAuto && sure && (s == StateSuspected || s == StateReturning || s == StateIn && next.Zones[i].State == StateSuspected)
 	}
 	var open, total float64
-	well := false // some zone that stays in use
+	well := false // some zone that stays in use is good
 	var left []int
 	for i := range next.Zones {
 		total += m.capacity[i]
 		if next.Zones[i].Share > 0 {
 			open += m.capacity[i]
 		}
-		if s := m.v.Zones[i].State; s != In && s != Suspected && m.hands[i].Mode == Auto {
+		if s := m.verdict.Zones[i].State; s != StateIn && s != StateSuspected && m.overrides[i].Mode == ModeAuto {
 			left = append(left, i)
 		}
 		switch o := all[i]; {
-		case next.Zones[i].Share < Whole || failing(i):
+		case next.Zones[i].Share < FullShare || failing(i):
 		case o.isGood():
 			well = true
-		case o.bad+o.mixed > 0 && m.zones[i].bad+m.zones[i].mixed < settle:
-			return // it may be about to fail too: a cause common to all leaves nobody
+		case o.bad+o.mixed > 0 && m.trackers[i].badTicks+m.trackers[i].mixedTicks < maxUnsettledTicks:
+			return // it may be about to fail too: no zone is left for a cause common to all
 		}
 	}
 	if !well {
-		return // nothing that is well is left to go to
+		return // no good zone would take over the load
 	}
 	var order []int
 	for i := range next.Zones {
@@ -639,23 +658,23 @@
 			order = append(order, i)
 		}
 	}
-	// The most certain first: silent before slow, then by how long it has been seen.
+	// The most certain failures come first: silent before slow, then by the number of bad ticks.
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Or(-cmp.Compare(b2i(all[a].silent), b2i(all[b].silent)), -cmp.Compare(m.zones[a].bad, m.zones[b].bad))
+		return cmp.Or(-cmp.Compare(boolToInt(all[a].silent), boolToInt(all[b].silent)), -cmp.Compare(m.trackers[a].badTicks, m.trackers[b].badTicks))
 	})
 	for _, i := range order {
-		unit := m.unit(i, failing)
+		unit := m.failingGroup(i, failing)
 		var cost float64
 		done := false
 		for _, j := range unit {
-			done = done || next.Zones[j].State == Leaving
+			done = done || next.Zones[j].State == StateLeaving
 			if next.Zones[j].Share > 0 {
 				cost += m.capacity[j]
 			}
 		}
-		// No more than one zone or region at a time, unless it is silent to all.
+		// No more than one zone or region is out at a time, unless the zone is silent to all voters.
 		others := slices.ContainsFunc(left, func(j int) bool { return !slices.Contains(m.region(i), j) })
-		if done || others && !all[i].silent || open-cost < m.c.Least*total {
+		if done || others && !all[i].silent || open-cost < m.config.MinCapacityShare*total {
 			continue
 		}
 		open -= cost
@@ -663,98 +682,104 @@
 		for _, j := range unit {
 			z := &next.Zones[j]
 			flaps := z.Flaps
-			if m.v.Zones[j].State == Returning || m.zones[j].returned > 0 && m.now-m.zones[j].returned < flapFor {
+			if m.verdict.Zones[j].State == StateReturning || m.trackers[j].returnedAt > 0 && m.now-m.trackers[j].returnedAt < flapWindow {
 				flaps = min(flaps+1, 10)
 			}
-			*z = Zone{State: Leaving, Flaps: flaps}
+			*z = Zone{State: StateLeaving, Flaps: flaps}
 		}
 		if r := m.region(i); len(r) > 1 && !slices.ContainsFunc(r, func(j int) bool { return next.Zones[j].Share > 0 }) {
 			for _, j := range r {
-				next.Zones[j].Tied = m.hands[j].Mode == Auto
+				next.Zones[j].WithRegion = m.overrides[j].Mode == ModeAuto
 			}
 		}
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// unit is what is left together with a zone: its region if all of it that is in use fails, else the zone alone.
-func (m *Machine) unit(i int, failing func(int) bool) []int {
+// failingGroup returns the zones that are left together with a zone: its region if every zone of it that
+// is in use fails, else the zone alone.
+func (m *Machine) failingGroup(i int, failing func(int) bool) []int {
 	unit := []int{}
 	for _, j := range m.region(i) {
 		switch {
 		case failing(j):
 			unit = append(unit, j)
-		case m.v.Zones[j].Share > 0:
+		case m.verdict.Zones[j].Share > 0:
 			return []int{i}
 		}
 	}
 	return unit
 }
 
-// govern lets the share of each zone here follow the verdict and the operators' calls: down at once, up no faster than boxes that may be
-// cold bear. As every instance does so for its own part of the traffic, the sum of all does, however many there are.
-func (m *Machine) govern(now time.Duration) {
-	// A verdict and a call that crossed it may have left nothing: then all that is not out by hand is used, at the pace.
-	none := !m.anyUsed(nil)
-	for i := range m.governed {
-		g, want := &m.governed[i], float64(m.v.Zones[i].Share)/Whole
-		if none || m.began && now-m.ledAt > aloneFor && m.hands[i].Mode != Hold {
-			want = 1
+// updateShares makes the share of each zone at this instance follow the verdict and the overrides: down
+// at once, up no faster than cold cache nodes can take load. As every instance does this for its own
+// part of the traffic, the total is limited too, however many instances there are.
+func (m *Machine) updateShares(now time.Duration) {
+	// A verdict and an override decided at the same time may have closed all zones. Then every zone that
+	// no operator has taken out is used, with the limited rise.
+	none := !m.anyInUse(nil)
+	for i := range m.limiters {
+		g, target := &m.limiters[i], float64(m.verdict.Zones[i].Share)/FullShare
+		if none || m.ticked && now-m.leaderHeardAt > noLeaderTimeout && m.overrides[i].Mode != ModeHold {
+			target = 1
 		}
-		if m.hands[i].Mode == Away {
-			want = 0
+		if m.overrides[i].Mode == ModeOut {
+			target = 0
 		}
-		if want == 0 {
-			*g = governor{zeroAt: now, rising: true}
+		if target == 0 {
+			*g = shareLimiter{zeroAt: now, rampingUp: true}
 			continue
 		}
-		most := 1.0
-		if g.rising && m.c.WarmFor > 0 {
-			most = 2.0*stepUp/Whole + (now-g.zeroAt).Seconds()/m.c.WarmFor.Seconds()
-			g.rising = most < 1
+		limit := 1.0
+		if g.rampingUp && m.config.WarmupTime > 0 {
+			limit = 2.0*shareStep/FullShare + (now-g.zeroAt).Seconds()/m.config.WarmupTime.Seconds()
+			g.rampingUp = limit < 1
 		}
-		g.share = min(want, most)
+		g.share = min(target, limit)
 	}
 }
 
-// Share is what part of its usual work a zone is to get from this instance now, and whether it is to send it a read now and then while
-// that is nothing.
-func (m *Machine) Share(zone int) (share float64, trial bool) {
-	z := &m.v.Zones[zone]
-	trial = z.State == Trying && m.hands[zone].Mode == Auto && slices.Contains(z.Triers, m.c.Number)
-	return m.governed[zone].share, trial
+// Share returns the share of its usual load that a zone gets from this instance now, and whether this
+// instance sends it occasional probe reads while the share is zero.
+func (m *Machine) Share(zone int) (share float64, probe bool) {
+	z := &m.verdict.Zones[zone]
+	probe = z.State == StateTrying && m.overrides[zone].Mode == ModeAuto && slices.Contains(z.Probers, m.config.Number)
+	return m.limiters[zone].share, probe
 }
 
-// Inherit begins with what holds for the others: an instance that starts in the middle of a return takes no larger part than they do.
-func (m *Machine) Inherit(now time.Duration, v Verdict, hands []Hand) {
-	m.ledAt = now
-	m.take(now, v)
-	m.TakeHands(now, hands)
-	for i := range m.governed {
-		if share := float64(m.v.Zones[i].Share) / Whole; share < 1 && share > 0 {
-			m.governed[i] = governor{share: share, rising: true, zeroAt: now - time.Duration((share-2.0*stepUp/Whole)*float64(m.c.WarmFor))}
+// Inherit starts from the verdict and overrides of the other instances: an instance that starts while a
+// zone returns gives it no larger share than they do.
+func (m *Machine) Inherit(now time.Duration, v Verdict, overrides []Override) {
+	m.leaderHeardAt = now
+	m.acceptVerdict(now, v)
+	m.MergeOverrides(now, overrides)
+	for i := range m.limiters {
+		if share := float64(m.verdict.Zones[i].Share) / FullShare; share < 1 && share > 0 {
+			m.limiters[i] = shareLimiter{share: share, rampingUp: true, zeroAt: now - time.Duration((share-2.0*shareStep/FullShare)*float64(m.config.WarmupTime))}
 		}
 	}
-	m.govern(now)
+	m.updateShares(now)
 }
 
-// Calm tells whether all zones are used as usual and this instance sees nothing amiss in any.
-func (m *Machine) Calm() bool {
-	for i, z := range m.v.Zones {
-		if z.State != In || m.governed[i].share < 1 || i < len(m.told.Sights) && 10*m.told.Sights[i].Bad > m.told.Sights[i].Judged {
+// Healthy tells whether all zones get their full share and this instance observes no more than a tenth
+// of bad attempts in any.
+func (m *Machine) Healthy() bool {
+	for i, z := range m.verdict.Zones {
+		if z.State != StateIn || m.limiters[i].share < 1 || i < len(m.ownReport.Zones) && 10*m.ownReport.Zones[i].Bad > m.ownReport.Zones[i].Judged {
 			return false
 		}
 	}
 	return true
 }
 
-// Since is all that is kept of a zone beside the verdict, for checkers that tell states apart.
-func (m *Machine) Since(zone int) string {
-	return fmt.Sprint(m.zones[zone], m.governed[zone], m.ledAt, m.startAt, m.heard)
+// DebugState returns all state of a zone in addition to the verdict, for model checkers that compare
+// states.
+func (m *Machine) DebugState(zone int) string {
+	return fmt.Sprint(m.trackers[zone], m.limiters[zone], m.leaderHeardAt, m.observingSince, m.lastHeard)
 }
--- a/internal/zones/meter.go
+++ b/internal/zones/meter.go
@@ -6,177 +6,180 @@
 )
 
 const (
-	slotTime   = 50 * time.Millisecond
-	slotCount  = 12   // a window of 600 ms: long enough for some attempts, short enough to leave within a second
-	quickSlots = 4    // of late
-	quietAt    = 0.75 // without any answer
-	slowBy     = 4    // an answer that takes this multiple of the zone's usual time is slow
-	leastSlow  = 50 * time.Millisecond
-	knownBy    = 20   // answers make a usual time
-	followed   = 4096 // attempts out that are followed; more are not counted
-	mostBoxes  = 1024 // boxes that are told apart
+	slotDuration    = 50 * time.Millisecond
+	slotCount       = 12   // a window of 600 ms: enough attempts, and a zone is left within a second
+	recentSlots     = 4    // the latest slots, for ZoneStats.RecentUnanswered
+	unansweredRatio = 0.75 // share of the recent attempts without any answer
+	slowFactor      = 4    // an answer that takes this multiple of the zone's mean time is slow
+	minSlowTime     = 50 * time.Millisecond
+	minAnswers      = 20   // number of answers before the mean time is used
+	maxTracked      = 4096 // attempts that are tracked at once; further ones are not counted
+	maxNodes        = 1024 // cache nodes that are counted separately
 )
 
-// Outcome is how an attempt ended, as far as it tells of its zone.
+// Outcome is the result of an attempt, as far as it says anything about its zone.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Nothing  Outcome = iota // it tells nothing: called off, or never sent
-	Answered                // with a value or a miss
-	Missed
-	Failed // an error, a broken connection, none at all, or no answer in time
-	Turned // turned away unseen
+	OutcomeNone     Outcome = iota // says nothing about the zone: cancelled, or never sent
+	OutcomeAnswered                // with a value
+	OutcomeMiss
+	OutcomeFailed   // an error, a broken connection or no answer in time
+	OutcomeRejected // refused before it was processed
 )
 
-// Meter counts what one instance sees of each zone.
+// Meter counts what one instance observes of each zone.
 type Meter struct {
-	zones  []metered
-	boxes  map[uint64]*box
-	out    []followedAttempt // those sent, the oldest first
-	first  uint64            // number of out[0]
-	slot   int64             // the latest
-	most   time.Duration     // a wait that is slow whatever is usual
-	shorts [slotCount]int
+	zones       []zoneCounts
+	nodes       map[uint64]*nodeCounts
+	tracked     []trackedAttempt // oldest first
+	dropped     uint64           // number of attempts removed from the front of tracked
+	currentSlot int64            // the latest slot
+	maxSlowTime time.Duration    // an attempt this slow is bad whatever the zone's mean
+	refusals    [slotCount]int
 }
 
-type metered struct {
-	usual float64 // seconds a good answer takes
-	seen  int
-	slots [slotCount]tally
+type zoneCounts struct {
+	meanSeconds float64 // mean time of a good answer
+	answers     int
+	slots       [slotCount]tally
 }
 
-type tally struct{ judged, bad, silent, missed int }
+type tally struct{ judged, bad, silent, misses int }
 
-type box struct {
+type nodeCounts struct {
 	zone  int
 	slots [slotCount]tally
 }
 
-type followedAttempt struct {
-	at     time.Duration
-	box    uint64
-	zone   int32
-	judged bool
-	slot   int64 // in which it was judged
+type trackedAttempt struct {
+	startedAt time.Duration
+	node      uint64
+	zone      int32
+	judged    bool
+	slot      int64 // in which it was judged; 0 if it needs no correction
 }
 
-// NewMeter makes a Meter. An answer later than half of the aim is slow in any zone.
+// NewMeter returns a Meter. In any zone, an answer that takes longer than half of aim is slow.
 func NewMeter(zones int, aim time.Duration) *Meter {
-	return &Meter{zones: make([]metered, zones), boxes: map[uint64]*box{}, most: max(leastSlow, aim/2)}
+	return &Meter{zones: make([]zoneCounts, zones), nodes: map[uint64]*nodeCounts{}, maxSlowTime: max(minSlowTime, aim/2)}
 }
 
-// slowAt is how long an attempt in a zone may be out before it is bad.
-func (m *Meter) slowAt(zone int32) time.Duration {
+// slowThreshold returns how long an attempt in a zone may take before it counts as bad.
+func (m *Meter) slowThreshold(zone int32) time.Duration {
 	z := &m.zones[zone]
-	if z.seen < knownBy {
-		return m.most
+	if z.answers < minAnswers {
+		return m.maxSlowTime
 	}
-	return min(m.most, max(leastSlow, time.Duration(slowBy*z.usual*float64(time.Second))))
+	return min(m.maxSlowTime, max(minSlowTime, time.Duration(slowFactor*z.meanSeconds*float64(time.Second))))
 }
 
-// Sent notes an attempt at a box of a zone and returns its number, 0 if it is not followed.
-func (m *Meter) Sent(now time.Duration, zone int, id uint64) uint64 {
+// AttemptStarted records an attempt at a cache node of a zone. It returns the attempt's number, or 0 if
+// the attempt is not tracked.
+func (m *Meter) AttemptStarted(now time.Duration, zone int, id uint64) uint64 {
 	m.advance(now)
-	if zone < 0 || zone >= len(m.zones) || len(m.out) >= followed {
+	if zone < 0 || zone >= len(m.zones) || len(m.tracked) >= maxTracked {
 		return 0
 	}
-	m.out = append(m.out, followedAttempt{at: now, box: id, zone: int32(zone)})
-	return m.first + uint64(len(m.out))
+	m.tracked = append(m.tracked, trackedAttempt{startedAt: now, node: id, zone: int32(zone)})
+	return m.dropped + uint64(len(m.tracked))
 }
 
-// Ended notes how an attempt ended.
-func (m *Meter) Ended(now time.Duration, number uint64, how Outcome, elapsed time.Duration) {
+// AttemptEnded records the outcome of an attempt.
+func (m *Meter) AttemptEnded(now time.Duration, number uint64, how Outcome, elapsed time.Duration) {
 	m.advance(now)
-	i := int(number - m.first - 1)
-	if number <= m.first || i >= len(m.out) {
-		return // it was judged long ago
+	i := int(number - m.dropped - 1)
+	if number <= m.dropped || i >= len(m.tracked) {
+		return // judged long ago and no longer tracked
 	}
-	a := &m.out[i]
-	slow := elapsed > m.slowAt(a.zone)
-	answered := how == Answered || how == Missed
+	a := &m.tracked[i]
+	slow := elapsed > m.slowThreshold(a.zone)
+	answered := how == OutcomeAnswered || how == OutcomeMiss
 	switch {
-	case a.judged && answered && m.slot-a.slot < slotCount && a.slot > 0: // late, but not silent
+	case a.judged && answered && m.currentSlot-a.slot < slotCount && a.slot > 0: // answered late, so not silent
 		m.count(a, a.slot, tally{silent: -1})
 	case a.judged:
-	case how == Nothing:
+	case how == OutcomeNone:
 	case answered && !slow:
 		t := tally{judged: 1}
-		if how == Missed {
-			t.missed = 1
+		if how == OutcomeMiss {
+			t.misses = 1
 		}
-		m.count(a, m.slot, t)
+		m.count(a, m.currentSlot, t)
 		z := &m.zones[a.zone]
-		z.seen++
-		z.usual += (elapsed.Seconds() - z.usual) * max(0.005, 1/float64(z.seen))
+		z.answers++
+		z.meanSeconds += (elapsed.Seconds() - z.meanSeconds) * max(0.005, 1/float64(z.answers))
 	default:
 		t := tally{judged: 1, bad: 1}
-		if how == Failed {
+		if how == OutcomeFailed {
 			t.silent = 1
 		}
-		m.count(a, m.slot, t)
+		m.count(a, m.currentSlot, t)
 	}
 	a.judged, a.slot = true, 0
 }
 
-// Short notes a request refused for want of the origin.
-func (m *Meter) Short(now time.Duration) {
+// OriginRefused records a request that was refused because the origin lacks capacity.
+func (m *Meter) OriginRefused(now time.Duration) {
 	m.advance(now)
-	m.shorts[m.slot%slotCount] = min(maxCount, m.shorts[m.slot%slotCount]+1)
+	m.refusals[m.currentSlot%slotCount] = min(maxCount, m.refusals[m.currentSlot%slotCount]+1)
 }
 
-func (m *Meter) count(a *followedAttempt, slot int64, t tally) {
+func (m *Meter) count(a *trackedAttempt, slot int64, t tally) {
 	m.zones[a.zone].slots[slot%slotCount].add(t)
-	b := m.boxes[a.box]
+	b := m.nodes[a.node]
 	if b == nil {
-		if len(m.boxes) >= mostBoxes {
+		if len(m.nodes) >= maxNodes {
 			return
 		}
-		b = &box{zone: int(a.zone)}
-		m.boxes[a.box] = b
+		b = &nodeCounts{zone: int(a.zone)}
+		m.nodes[a.node] = b
 	}
 	b.slots[slot%slotCount].add(t)
 }
 
 func (t *tally) add(o tally) {
-	t.judged, t.bad, t.silent, t.missed = t.judged+o.judged, t.bad+o.bad, max(0, t.silent+o.silent), t.missed+o.missed
+	t.judged, t.bad, t.silent, t.misses = t.judged+o.judged, t.bad+o.bad, max(0, t.silent+o.silent), t.misses+o.misses
 }
 
-// advance empties the slots that have come round, judges what has been out for too long, and forgets what needs no following.
+// advance clears the slots that are reused, judges attempts that have taken too long, and drops attempts
+// that need no tracking.
 func (m *Meter) advance(now time.Duration) {
-	slot := int64(now / slotTime)
-	if slot <= m.slot {
+	slot := int64(now / slotDuration)
+	if slot <= m.currentSlot {
 		return
 	}
-	for s := max(m.slot+1, slot-slotCount+1); s <= slot; s++ {
+	for s := max(m.currentSlot+1, slot-slotCount+1); s <= slot; s++ {
 		at := s % slotCount
 		for i := range m.zones {
 			m.zones[i].slots[at] = tally{}
 		}
-		for _, b := range m.boxes {
+		for _, b := range m.nodes {
 			b.slots[at] = tally{}
 		}
-		m.shorts[at] = 0
+		m.refusals[at] = 0
 	}
-	m.slot = slot
-	for i := range m.out {
-		if a := &m.out[i]; !a.judged && now-a.at > m.slowAt(a.zone) {
+	m.currentSlot = slot
+	for i := range m.tracked {
+		if a := &m.tracked[i]; !a.judged && now-a.startedAt > m.slowThreshold(a.zone) {
 			a.judged, a.slot = true, slot
 			m.count(a, slot, tally{judged: 1, bad: 1, silent: 1})
 		}
 	}
 	n := 0
-	for n < len(m.out) && m.out[n].judged && (m.out[n].slot == 0 || slot-m.out[n].slot >= slotCount) {
+	for n < len(m.tracked) && m.tracked[n].judged && (m.tracked[n].slot == 0 || slot-m.tracked[n].slot >= slotCount) {
 		n++
 	}
-	m.out, m.first = slices.Delete(m.out, 0, n), m.first+uint64(n)
-	if len(m.boxes) >= mostBoxes {
-		clear(m.boxes) // boxes that have gone are not told: the others come again at once
+	m.tracked, m.dropped = slices.Delete(m.tracked, 0, n), m.dropped+uint64(n)
+	if len(m.nodes) >= maxNodes {
+		clear(m.nodes) // nodes that were removed are not announced here; the others are added again at once
 	}
 }
 
-// Sights tells what was seen within the window, and how many requests were refused for want of the origin.
-func (m *Meter) Sights(now time.Duration) (sights []Sight, short int) {
+// ZoneStats returns the counts of each zone within the window, and the number of requests refused
+// because the origin lacks capacity.
+func (m *Meter) ZoneStats(now time.Duration) (stats []ZoneStats, originRefusals int) {
 	m.advance(now)
 	sum := func(slots *[slotCount]tally) (t tally) {
 		for _, s := range slots {
@@ -185,41 +188,42 @@
 		return t
 	}
 	byZone := make([][]tally, len(m.zones))
-	for _, b := range m.boxes {
+	for _, b := range m.nodes {
 		if t := sum(&b.slots); t.judged > 0 {
 			byZone[b.zone] = append(byZone[b.zone], t)
 		}
 	}
 	for i := range m.zones {
 		t := sum(&m.zones[i].slots)
-		s := Sight{Judged: t.judged, Bad: t.bad, Silent: t.silent, Missed: t.missed}
-		var late tally
-		for at := max(0, m.slot-quickSlots+1); at <= m.slot; at++ {
-			late.add(m.zones[i].slots[at%slotCount])
+		s := ZoneStats{Judged: t.judged, Bad: t.bad, Silent: t.silent, Misses: t.misses}
+		var recent tally
+		for at := max(0, m.currentSlot-recentSlots+1); at <= m.currentSlot; at++ {
+			recent.add(m.zones[i].slots[at%slotCount])
 		}
-		if late.judged > 0 && float64(late.silent) >= quietAt*float64(late.judged) {
-			s.Quiet = late.judged
+		if recent.judged > 0 && float64(recent.silent) >= unansweredRatio*float64(recent.judged) {
+			s.RecentUnanswered = recent.judged
 		}
-		boxes := byZone[i]
-		slices.SortFunc(boxes, func(a, b tally) int { return b.bad - a.bad })
-		for _, b := range boxes[min(len(boxes), (len(boxes)+2)/3):] {
-			s.Trimmed, s.Trim = s.Trimmed+b.judged, s.Trim+b.bad
+		counts := byZone[i]
+		slices.SortFunc(counts, func(a, b tally) int { return b.bad - a.bad })
+		for _, b := range counts[min(len(counts), (len(counts)+2)/3):] {
+			s.TrimmedJudged, s.TrimmedBad = s.TrimmedJudged+b.judged, s.TrimmedBad+b.bad
 		}
-		sights = append(sights, s)
+		stats = append(stats, s)
 	}
-	for _, n := range m.shorts {
-		short += n
+	for _, n := range m.refusals {
+		originRefusals += n
 	}
-	return sights, short
+	return stats, originRefusals
 }
 
-// Pause forgets what is counted and followed: the instance has stood still, and what it would tell is of another time.
-func (m *Meter) Pause() {
-	m.first += uint64(len(m.out))
-	m.out = m.out[:0]
+// Reset discards all counts and tracked attempts. It is for a process that was suspended, as its
+// observations are outdated.
+func (m *Meter) Reset() {
+	m.dropped += uint64(len(m.tracked))
+	m.tracked = m.tracked[:0]
 	for i := range m.zones {
 		m.zones[i].slots = [slotCount]tally{}
 	}
-	clear(m.boxes)
-	m.shorts = [slotCount]int{}
+	clear(m.nodes)
+	m.refusals = [slotCount]int{}
 }
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -1,6 +1,7 @@
 package zones
 
 import (
+	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -12,28 +13,29 @@
 	"pgregory.net/rapid"
 )
 
-// world is instances with a Meter and a Machine each, zones that are well or not, and messages that are lost, doubled and late; on one clock.
-type world struct {
-	now     time.Duration
-	rng     *rand.Rand
-	all     []*instance
-	c       Config
-	zones   []truth
-	perTick int // attempts of an instance at each zone that it uses
-	lose    float64
-	delay   int // ticks at the most
-	cut     func(from, to int) bool
-	mail    []letter
-	seed    func(*instance) // a fault put in, after each of its ticks
+// simulation is a set of instances, each with a Meter and a Machine, on one clock. Zones can fail, and
+// messages can be lost, duplicated and delayed.
+type simulation struct {
+	now             time.Duration
+	rng             *rand.Rand
+	instances       []*instance
+	config          Config
+	zones           []zoneCondition
+	attemptsPerTick int // of an instance at each zone in use
+	lossRate        float64
+	maxDelayTicks   int
+	blocked         func(from, to int) bool
+	inTransit       []delivery
+	afterTick       func(*instance) // injects a fault after each of an instance's ticks
 }
 
-type truth struct {
-	bad     float64 // share of the attempts that fail
-	silent  bool    // nothing comes back
-	slow    bool
-	badBox  bool // one box of five has no answer
-	sent    int  // within this tick
-	cutFrom map[int]bool
+type zoneCondition struct {
+	failRate        float64 // share of the attempts that fail
+	silent          bool    // no attempt is answered
+	slow            bool
+	oneNodeSilent   bool // one node of five does not answer
+	sent            int  // attempts within this tick
+	unreachableFrom map[int]bool
 }
 
 type instance struct {
@@ -43,133 +45,133 @@
 	zone  int
 }
 
-type letter struct {
+type delivery struct {
 	at       time.Duration
 	from, to int
 	msg      []byte
 }
 
-func newWorld(n, zoneCount int, seed uint64, regions [][]int) *world {
-	w := &world{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), perTick: 4, zones: make([]truth, zoneCount),
-		cut: func(int, int) bool { return false }}
-	w.c = Config{Regions: regions, Least: DefaultLeast, WarmFor: 9 * time.Second, Since: 1}
+func newSimulation(n, zoneCount int, seed uint64, regions [][]int) *simulation {
+	sim := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), attemptsPerTick: 4, zones: make([]zoneCondition, zoneCount),
+		blocked: func(int, int) bool { return false }}
+	sim.config = Config{Regions: regions, MinCapacityShare: DefaultMinCapacityShare, WarmupTime: 9 * time.Second, StartedAtMS: 1}
 	for i := range zoneCount {
-		w.c.Zones = append(w.c.Zones, fmt.Sprint("z", i))
+		sim.config.Zones = append(sim.config.Zones, fmt.Sprint("z", i))
 	}
 	for i := range n {
-		w.all = append(w.all, &instance{zone: i % zoneCount})
-		w.start(i)
+		sim.instances = append(sim.instances, &instance{zone: i % zoneCount})
+		sim.start(i)
 	}
-	return w
+	return sim
 }
 
-func (w *world) start(i int) {
-	c := w.c
-	c.Number, c.Since = i, int64(w.now/time.Millisecond)
-	w.all[i].Machine, w.all[i].meter, w.all[i].down = New(c, w.all[i].zone), NewMeter(len(w.zones), 800*time.Millisecond), false
+func (sim *simulation) start(i int) {
+	c := sim.config
+	c.Number, c.StartedAtMS = i, int64(sim.now/time.Millisecond)
+	sim.instances[i].Machine, sim.instances[i].meter, sim.instances[i].down = New(c, sim.instances[i].zone), NewMeter(len(sim.zones), 800*time.Millisecond), false
 }
 
-// tick is a tenth of a second.
-func (w *world) tick() {
-	w.now += Every
-	for z := range w.zones {
-		w.zones[z].sent = 0
+// tick advances the clock by TickInterval, delivers messages and ticks every instance that is up.
+func (sim *simulation) tick() {
+	sim.now += TickInterval
+	for z := range sim.zones {
+		sim.zones[z].sent = 0
 	}
-	due := slices.Clone(w.mail)
-	w.mail = w.mail[:0]
+	due := slices.Clone(sim.inTransit)
+	sim.inTransit = sim.inTransit[:0]
 	for _, l := range due {
-		if l.at > w.now {
-			w.mail = append(w.mail, l)
+		if l.at > sim.now {
+			sim.inTransit = append(sim.inTransit, l)
 			continue
 		}
-		if to := w.all[l.to]; !to.down {
+		if to := sim.instances[l.to]; !to.down {
 			msg, err := Decode(l.msg)
 			if err != nil {
 				panic(err)
 			}
 			if msg.Report != nil {
-				to.Hear(w.now, *msg.Report)
+				to.ReceiveReport(sim.now, *msg.Report)
 			}
 			if msg.Verdict != nil {
-				to.Take(w.now, msg.From, *msg.Verdict, msg.Leads)
+				to.ReceiveVerdict(sim.now, msg.From, *msg.Verdict, msg.FromLeader)
 			}
-			to.TakeHands(w.now, msg.Hands)
+			to.MergeOverrides(sim.now, msg.Overrides)
 		}
 	}
-	for i, m := range w.all {
+	for i, m := range sim.instances {
 		if m.down {
 			continue
 		}
 		var peers []Peer
-		for j, o := range w.all {
+		for j, o := range sim.instances {
 			if j != i {
 				peers = append(peers, Peer{Number: j, Zone: o.zone, Alive: !o.down})
 			}
 		}
 		m.SetPeers(peers)
-		w.attempts(i, m)
-		sights, short := m.meter.Sights(w.now)
-		leads, paused := m.Tick(w.now, sights, short)
+		sim.attempts(i, m)
+		stats, originRefusals := m.meter.ZoneStats(sim.now)
+		leads, paused := m.Tick(sim.now, stats, originRefusals)
 		if paused {
-			m.meter.Pause()
+			m.meter.Reset()
 		}
-		if w.seed != nil {
-			w.seed(m)
+		if sim.afterTick != nil {
+			sim.afterTick(m)
 		}
-		own, v := m.Own(), m.Verdict()
-		msg := Message{From: i, Report: &own, Verdict: &v, Leads: leads, Hands: m.Hands()}
+		own, v := m.OwnReport(), m.Verdict()
+		msg := Message{From: i, Report: &own, Verdict: &v, FromLeader: leads, Overrides: m.Overrides()}
 		text := msg.Append(nil)
-		for j := range w.all {
-			if j != i && !w.cut(i, j) && w.rng.Float64() >= w.lose {
-				for range 1 + w.rng.IntN(2) { // doubled now and then
-					w.mail = append(w.mail, letter{w.now + time.Duration(w.rng.IntN(w.delay+1))*Every, i, j, text})
+		for j := range sim.instances {
+			if j != i && !sim.blocked(i, j) && sim.rng.Float64() >= sim.lossRate {
+				for range 1 + sim.rng.IntN(2) { // some messages are duplicated
+					sim.inTransit = append(sim.inTransit, delivery{sim.now + time.Duration(sim.rng.IntN(sim.maxDelayTicks+1))*TickInterval, i, j, text})
 				}
 			}
 		}
 	}
 }
 
-// attempts has an instance send to the zones what it may.
-func (w *world) attempts(i int, m *instance) {
-	for z := range w.zones {
-		truth := &w.zones[z]
+// attempts makes an instance send attempts to the zones according to their shares.
+func (sim *simulation) attempts(i int, m *instance) {
+	for z := range sim.zones {
+		condition := &sim.zones[z]
 		share, trial := m.Share(z)
-		n := int(float64(w.perTick)*share + w.rng.Float64())
+		n := int(float64(sim.attemptsPerTick)*share + sim.rng.Float64())
 		if share == 0 {
 			n = 0
-			if trial && w.rng.IntN(3) == 0 {
+			if trial && sim.rng.IntN(3) == 0 {
 				n = 1
 			}
 		}
-		truth.sent += n
+		condition.sent += n
 		for range n {
-			box := w.rng.IntN(5)
-			id := m.meter.Sent(w.now-12*time.Millisecond, z, uint64(10*z+box))
+			node := sim.rng.IntN(5)
+			id := m.meter.AttemptStarted(sim.now-12*time.Millisecond, z, uint64(10*z+node))
 			switch {
-			case truth.silent, truth.cutFrom[i], truth.badBox && box == 0:
-			case truth.slow:
-				m.meter.Ended(w.now, id, Answered, 480*time.Millisecond)
-			case w.rng.Float64() < truth.bad:
-				m.meter.Ended(w.now, id, Failed, 5*time.Millisecond)
+			case condition.silent, condition.unreachableFrom[i], condition.oneNodeSilent && node == 0:
+			case condition.slow:
+				m.meter.AttemptEnded(sim.now, id, OutcomeAnswered, 480*time.Millisecond)
+			case sim.rng.Float64() < condition.failRate:
+				m.meter.AttemptEnded(sim.now, id, OutcomeFailed, 5*time.Millisecond)
 			default:
-				m.meter.Ended(w.now, id, Answered, 12*time.Millisecond)
+				m.meter.AttemptEnded(sim.now, id, OutcomeAnswered, 12*time.Millisecond)
 			}
 		}
 	}
 }
 
-func (w *world) run(d time.Duration, each func()) {
-	for end := w.now + d; w.now < end; {
-		w.tick()
+func (sim *simulation) run(d time.Duration, each func()) {
+	for end := sim.now + d; sim.now < end; {
+		sim.tick()
 		if each != nil {
 			each()
 		}
 	}
 }
 
-// states are a zone's at all that live.
-func (w *world) states(z int) (all []State) {
-	for _, m := range w.all {
+// states returns a zone's state at each instance that is up.
+func (sim *simulation) states(z int) (all []State) {
+	for _, m := range sim.instances {
 		if !m.down {
 			all = append(all, m.Verdict().Zones[z].State)
 		}
@@ -177,53 +179,56 @@
 	return all
 }
 
-// takes runs until a zone is in a state at all that live.
-func (w *world) takes(t *testing.T, z int, s State, most time.Duration) time.Duration {
+// runUntilState runs until a zone is in the given state at all instances that are up.
+func (sim *simulation) runUntilState(t *testing.T, z int, s State, most time.Duration) time.Duration {
 	t.Helper()
-	began := w.now
-	for w.now-began < most {
-		if w.tick(); !slices.ContainsFunc(w.states(z), func(is State) bool { return is != s }) {
-			return w.now - began
+	began := sim.now
+	for sim.now-began < most {
+		if sim.tick(); !slices.ContainsFunc(sim.states(z), func(is State) bool { return is != s }) {
+			return sim.now - began
 		}
 	}
-	t.Fatalf("after %v zone %d is %v, not %v", most, z, w.states(z), s)
+	t.Fatalf("after %v zone %d is %v, not %v", most, z, sim.states(z), s)
 	return 0
 }
 
-// What is seen of a zone decides: each entry is what goes wrong, and whether the zone is left.
-func TestWhatIsLeft(t *testing.T) {
+// Each case is a failure of a zone, and whether the zone must be left. A zone that was left must return
+// in steps that take about the warm-up time.
+func TestFailingZonesAreLeft(t *testing.T) {
 	for name, c := range map[string]struct {
 		instances int
-		spoil     func(w *world)
+		spoil     func(sim *simulation)
 		left      bool
 	}{
-		"silent":         {6, func(w *world) { w.zones[2].silent = true }, true},
-		"slow":           {6, func(w *world) { w.zones[2].slow = true }, true},
-		"half fails":     {6, func(w *world) { w.zones[2].bad = 0.6 }, true},
-		"silent to 24":   {24, func(w *world) { w.zones[2].silent = true }, true},
-		"one box":        {6, func(w *world) { w.zones[2].badBox = true }, false},
-		"a tenth fails":  {6, func(w *world) { w.zones[2].bad = 0.1 }, false},
-		"one is cut off": {6, func(w *world) { w.zones[2].cutFrom = map[int]bool{4: true} }, false},
-		"two of six are": {6, func(w *world) { w.zones[2].cutFrom = map[int]bool{4: true, 1: true} }, false},
-		"all are slow":   {6, func(w *world) { w.zones[0].slow, w.zones[1].slow, w.zones[2].slow = true, true, true }, false},
-		"all are silent": {6, func(w *world) { w.zones[0].silent, w.zones[1].silent, w.zones[2].silent = true, true, true }, false},
-		"held by hand": {6, func(w *world) {
-			w.all[3].Call(w.now, Hand{Mode: Hold, Stamp: 1}, 2)
-			w.run(time.Second, nil)
-			w.zones[2].silent = true
+		"silent":         {6, func(sim *simulation) { sim.zones[2].silent = true }, true},
+		"slow":           {6, func(sim *simulation) { sim.zones[2].slow = true }, true},
+		"half fails":     {6, func(sim *simulation) { sim.zones[2].failRate = 0.6 }, true},
+		"silent to 24":   {24, func(sim *simulation) { sim.zones[2].silent = true }, true},
+		"one node":       {6, func(sim *simulation) { sim.zones[2].oneNodeSilent = true }, false},
+		"a tenth fails":  {6, func(sim *simulation) { sim.zones[2].failRate = 0.1 }, false},
+		"one is cut off": {6, func(sim *simulation) { sim.zones[2].unreachableFrom = map[int]bool{4: true} }, false},
+		"two of six are": {6, func(sim *simulation) { sim.zones[2].unreachableFrom = map[int]bool{4: true, 1: true} }, false},
+		"all are slow":   {6, func(sim *simulation) { sim.zones[0].slow, sim.zones[1].slow, sim.zones[2].slow = true, true, true }, false},
+		"all are silent": {6, func(sim *simulation) {
+			sim.zones[0].silent, sim.zones[1].silent, sim.zones[2].silent = true, true, true
 		}, false},
-		"an instance alone":   {1, func(w *world) { w.zones[2].silent = true }, false},
-		"messages lost, late": {6, func(w *world) { w.zones[2].silent, w.lose, w.delay = true, 0.3, 2 }, true},
+		"held by hand": {6, func(sim *simulation) {
+			sim.instances[3].SetOverride(sim.now, Override{Mode: ModeHold, TimestampMS: 1}, 2)
+			sim.run(time.Second, nil)
+			sim.zones[2].silent = true
+		}, false},
+		"an instance alone":   {1, func(sim *simulation) { sim.zones[2].silent = true }, false},
+		"messages lost, late": {6, func(sim *simulation) { sim.zones[2].silent, sim.lossRate, sim.maxDelayTicks = true, 0.3, 2 }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(c.instances, 3, 5, nil)
-			w.run(4*time.Second, nil)
-			c.spoil(w)
+			sim := newSimulation(c.instances, 3, 5, nil)
+			sim.run(4*time.Second, nil)
+			c.spoil(sim)
 			if !c.left {
-				w.run(20*time.Second, func() {
-					for _, m := range w.all {
+				sim.run(20*time.Second, func() {
+					for _, m := range sim.instances {
 						for z, v := range m.Verdict().Zones {
-							if v.Share < Whole {
+							if v.Share < FullShare {
 								t.Fatalf("zone %d is %v", z, v.State)
 							}
 						}
@@ -231,37 +236,38 @@
 				})
 				return
 			}
-			began := w.now
-			for !slices.Equal(w.states(2), slices.Repeat([]State{w.all[0].Verdict().Zones[2].State}, len(w.all))) || w.all[0].Verdict().Zones[2].Share > 0 {
-				if w.tick(); w.now-began > 1500*time.Millisecond {
-					t.Fatalf("after %v it is %v", w.now-began, w.states(2))
+			began := sim.now
+			for !slices.Equal(sim.states(2), slices.Repeat([]State{sim.instances[0].Verdict().Zones[2].State}, len(sim.instances))) || sim.instances[0].Verdict().Zones[2].Share > 0 {
+				if sim.tick(); sim.now-began > 1500*time.Millisecond {
+					t.Fatalf("after %v it is %v", sim.now-began, sim.states(2))
 				}
 			}
-			t.Logf("left by all after %v", w.now-began)
-			w.takes(t, 2, Trying, 3*time.Second)
-			w.zones[2] = truth{}
-			at := w.takes(t, 2, In, 20*time.Second)
-			if least := w.c.WarmFor * 8 / 10; at < least || at > w.c.WarmFor*3/2 {
-				t.Errorf("it is whole again after %v, and boxes take %v to be warm", at, w.c.WarmFor)
+			t.Logf("left by all after %v", sim.now-began)
+			sim.runUntilState(t, 2, StateTrying, 3*time.Second)
+			sim.zones[2] = zoneCondition{}
+			at := sim.runUntilState(t, 2, StateIn, 20*time.Second)
+			if least := sim.config.WarmupTime * 8 / 10; at < least || at > sim.config.WarmupTime*3/2 {
+				t.Errorf("it is whole again after %v, and boxes take %v to be warm", at, sim.config.WarmupTime)
 			}
 		})
 	}
 }
 
-// Whatever fails, is cut, lost, killed, paused or called, and in whatever order: capacity stays in use at each instance, what goes to a
-// zone that comes back never rises faster than cold boxes bear, whoever decides; and once messages flow all go by one verdict.
-func TestBoundsHold(t *testing.T) {
+// Under any sequence of zone failures, partitions, lost messages, crashes, restarts and overrides, each
+// instance keeps enough capacity in use, and the share of a returning zone never rises faster than cold
+// nodes can take load. Once messages get through again, all instances agree.
+func TestBoundsHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const zones = 4
-		w := newWorld(6, zones, rapid.Uint64().Draw(t, "seed"), [][]int{{2, 3}})
-		w.run(2*time.Second, nil)
-		side := make([]bool, len(w.all))
-		apart := false
-		w.cut = func(a, b int) bool { return apart && side[a] != side[b] }
+		sim := newSimulation(6, zones, rapid.Uint64().Draw(t, "seed"), [][]int{{2, 3}})
+		sim.run(2*time.Second, nil)
+		side := make([]bool, len(sim.instances))
+		partitioned := false
+		sim.blocked = func(a, b int) bool { return partitioned && side[a] != side[b] }
 		zeroAt := map[[2]int]time.Duration{}
-		hands := false
+		overridden := false
 		check := func() {
-			for i, m := range w.all {
+			for i, m := range sim.instances {
 				open := 0
 				for z := range zones {
 					share, _ := m.Share(z)
@@ -270,110 +276,112 @@
 					}
 					k := [2]int{i, z}
 					if share == 0 {
-						zeroAt[k] = w.now
+						zeroAt[k] = sim.now
 					}
-					if at, ok := zeroAt[k]; ok && !m.down && share > 0.2+(w.now-at).Seconds()/w.c.WarmFor.Seconds()+0.02 {
-						t.Fatalf("instance %d gives zone %d a share of %.2f, %v after it gave none", i, z, share, w.now-at)
+					if at, ok := zeroAt[k]; ok && !m.down && share > 0.2+(sim.now-at).Seconds()/sim.config.WarmupTime.Seconds()+0.02 {
+						t.Fatalf("instance %d gives zone %d a share of %.2f, %v after it gave none", i, z, share, sim.now-at)
 					}
 				}
-				if float64(open) < slack*DefaultLeast*zones && !hands {
+				if float64(open) < capacityTolerance*DefaultMinCapacityShare*zones && !overridden {
 					t.Fatalf("instance %d uses %d of %d zones", i, open, zones)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "events") {
-			z, i := rapid.IntRange(0, zones-1).Draw(t, "zone"), rapid.IntRange(0, len(w.all)-1).Draw(t, "instance")
+			z, i := rapid.IntRange(0, zones-1).Draw(t, "zone"), rapid.IntRange(0, len(sim.instances)-1).Draw(t, "instance")
 			switch rapid.SampledFrom([]string{"silent", "slow", "well", "cut", "heal", "kill", "start", "lose", "out", "auto", "lie"}).Draw(t, "event") {
 			case "silent":
-				w.zones[z].silent = true
+				sim.zones[z].silent = true
 			case "slow":
-				w.zones[z].slow = true
+				sim.zones[z].slow = true
 			case "well":
-				w.zones[z] = truth{}
+				sim.zones[z] = zoneCondition{}
 			case "cut":
-				apart = true
+				partitioned = true
 				for j := range side {
 					side[j] = rapid.Bool().Draw(t, "side")
 				}
 			case "heal":
-				apart, w.lose, w.delay = false, 0, 0
+				partitioned, sim.lossRate, sim.maxDelayTicks = false, 0, 0
 			case "kill":
-				w.all[i].down = true
+				sim.instances[i].down = true
 			case "start":
-				if w.all[i].down {
-					from := slices.IndexFunc(w.all, func(m *instance) bool { return !m.down })
-					w.start(i)
-					if from >= 0 && !w.cut(from, i) {
-						w.all[i].Inherit(w.now, w.all[from].Verdict(), w.all[from].Hands())
+				if sim.instances[i].down {
+					from := slices.IndexFunc(sim.instances, func(m *instance) bool { return !m.down })
+					sim.start(i)
+					if from >= 0 && !sim.blocked(from, i) {
+						sim.instances[i].Inherit(sim.now, sim.instances[from].Verdict(), sim.instances[from].Overrides())
 					}
 					for j := range zones {
 						delete(zeroAt, [2]int{i, j})
 					}
 				}
 			case "lose":
-				w.lose, w.delay = 0.3, 20
+				sim.lossRate, sim.maxDelayTicks = 0.3, 20
 			case "out":
-				hands = true
-				w.all[i].Call(w.now, Hand{Mode: Away, Stamp: int64(w.now / time.Millisecond), Who: "x"}, z)
+				overridden = true
+				sim.instances[i].SetOverride(sim.now, Override{Mode: ModeOut, TimestampMS: int64(sim.now / time.Millisecond), Requester: "x"}, z)
 			case "auto":
-				w.all[i].Call(w.now, Hand{Mode: Auto, Stamp: int64(w.now / time.Millisecond), Who: "x"}, z)
+				sim.instances[i].SetOverride(sim.now, Override{Mode: ModeAuto, TimestampMS: int64(sim.now / time.Millisecond), Requester: "x"}, z)
 			case "lie":
-				w.seed = func(m *instance) {
-					if m.c.Number == i {
-						for z := range m.told.Sights {
-							m.told.Sights[z] = Sight{Judged: maxCount, Bad: maxCount, Silent: maxCount, Trimmed: maxCount, Trim: maxCount}
+				sim.afterTick = func(m *instance) {
+					if m.config.Number == i {
+						for z := range m.ownReport.Zones {
+							m.ownReport.Zones[z] = ZoneStats{Judged: maxCount, Bad: maxCount, Silent: maxCount, TrimmedJudged: maxCount, TrimmedBad: maxCount}
 						}
 					}
 				}
 			}
-			w.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "ticks"))*Every, check)
+			sim.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "ticks"))*TickInterval, check)
 		}
-		apart, w.lose, w.delay, w.seed = false, 0, 0, nil
-		for i, m := range w.all {
+		partitioned, sim.lossRate, sim.maxDelayTicks, sim.afterTick = false, 0, 0, nil
+		for i, m := range sim.instances {
 			if m.down {
-				w.start(i)
+				sim.start(i)
 			}
 		}
-		for z := range w.zones {
-			w.zones[z] = truth{}
+		for z := range sim.zones {
+			sim.zones[z] = zoneCondition{}
 		}
-		w.run(3*time.Second, nil)
-		for end := w.now + 90*time.Second; w.now < end; { // a zone that flapped waits; then all are whole, unless they are out by hand
-			w.tick()
+		sim.run(3*time.Second, nil)
+		// A flapping zone waits; after that every zone must have its full share, unless an operator took
+		// it out.
+		for end := sim.now + 90*time.Second; sim.now < end; {
+			sim.tick()
 			whole := true
-			for _, m := range w.all {
+			for _, m := range sim.instances {
 				for z := range zones {
 					share, _ := m.Share(z)
-					whole = whole && (share == 1) == (m.Hands()[z].Mode != Away) && slices.Equal(m.Hands(), w.all[0].Hands())
+					whole = whole && (share == 1) == (m.Overrides()[z].Mode != ModeOut) && slices.Equal(m.Overrides(), sim.instances[0].Overrides())
 				}
 			}
 			if whole {
 				return
 			}
 		}
-		for i, m := range w.all {
-			t.Errorf("instance %d holds %+v, %+v", i, m.Verdict(), m.Hands())
+		for i, m := range sim.instances {
+			t.Errorf("instance %d holds %+v, %+v", i, m.Verdict(), m.Overrides())
 		}
 	})
 }
 
-// A verdict that breaks the bounds is not taken, whoever tells it, and an old one neither.
-func TestVerdictsThatAreNotTaken(t *testing.T) {
-	w := newWorld(3, 3, 1, nil)
-	w.run(2*time.Second, nil)
-	w.zones[2].silent = true
-	w.takes(t, 2, Trying, 3*time.Second)
-	m := w.all[1]
+// A verdict that breaks the bounds, or is older than the current one, is rejected whoever sends it.
+func TestInvalidVerdictsAreRejected(t *testing.T) {
+	sim := newSimulation(3, 3, 1, nil)
+	sim.run(2*time.Second, nil)
+	sim.zones[2].silent = true
+	sim.runUntilState(t, 2, StateTrying, 3*time.Second)
+	m := sim.instances[1]
 	held := m.Verdict()
-	out := Zone{State: Out}
+	out := Zone{State: StateOut}
 	for name, v := range map[string]Verdict{
-		"old":            {Epoch: held.Epoch - 1, Zones: []Zone{{Share: Whole}, {Share: Whole}, {Share: Whole}}},
+		"old":            {Epoch: held.Epoch - 1, Zones: []Zone{{Share: FullShare}, {Share: FullShare}, {Share: FullShare}}},
 		"all out":        {Epoch: held.Epoch + 1, Zones: []Zone{out, out, out}},
-		"too few zones":  {Epoch: held.Epoch + 1, Zones: []Zone{{Share: Whole}}},
-		"from far ahead": {Epoch: held.Epoch + 1<<40, Zones: []Zone{{Share: Whole}, {Share: Whole}, out}},
-		"in with a part": {Epoch: held.Epoch + 1, Zones: []Zone{{Share: 50}, {Share: Whole}, out}},
+		"too few zones":  {Epoch: held.Epoch + 1, Zones: []Zone{{Share: FullShare}}},
+		"from far ahead": {Epoch: held.Epoch + 1<<40, Zones: []Zone{{Share: FullShare}, {Share: FullShare}, out}},
+		"in with a part": {Epoch: held.Epoch + 1, Zones: []Zone{{Share: 50}, {Share: FullShare}, out}},
 	} {
-		if m.Take(w.now, 0, v, true) {
+		if m.ReceiveVerdict(sim.now, 0, v, true) {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -382,133 +390,145 @@
 	}
 }
 
-// A call that would leave nothing in use changes nothing, of no zone that it names.
-func TestCallThatLeavesNothing(t *testing.T) {
-	w := newWorld(3, 3, 1, nil)
-	w.run(time.Second, nil)
-	m := w.all[0]
-	if err := m.Call(w.now, Hand{Mode: Away, Stamp: 1}, 1); err != nil {
+// An override that would leave no zone in use is rejected as a whole, for all zones that it names.
+func TestOverrideThatClosesAllZonesIsRejected(t *testing.T) {
+	sim := newSimulation(3, 3, 1, nil)
+	sim.run(time.Second, nil)
+	m := sim.instances[0]
+	if err := m.SetOverride(sim.now, Override{Mode: ModeOut, TimestampMS: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
-	held := m.Hands()
-	if err := m.Call(w.now, Hand{Mode: Away, Stamp: 2}, 0, 2); !errors.Is(err, ErrNothingLeft) || !slices.Equal(m.Hands(), held) {
-		t.Errorf("%v, %+v", err, m.Hands())
+	held := m.Overrides()
+	if err := m.SetOverride(sim.now, Override{Mode: ModeOut, TimestampMS: 2}, 0, 2); !errors.Is(err, ErrNoZoneLeft) || !slices.Equal(m.Overrides(), held) {
+		t.Errorf("%v, %+v", err, m.Overrides())
 	}
-	if err := m.Call(w.now, Hand{Mode: Auto, Stamp: 2}, 0, 1, 2); err != nil {
+	if err := m.SetOverride(sim.now, Override{Mode: ModeAuto, TimestampMS: 2}, 0, 1, 2); err != nil {
 		t.Error(err)
 	}
 }
 
-// Leaders come from all zones in turn, and the next acts when the first falls silent; one that stood still leads nobody at first.
-func TestLeaders(t *testing.T) {
-	w := newWorld(6, 3, 1, nil)
-	w.run(2*time.Second, nil)
-	if got := w.all[5].Leaders(); !slices.Equal(got, []int{0, 1, 2, 3, 4, 5}) {
+// The leader order alternates between zones, and the next instance leads when the first falls silent. An
+// instance that was suspended does not lead at first.
+func TestLeaderOrderAndFailover(t *testing.T) {
+	sim := newSimulation(6, 3, 1, nil)
+	sim.run(2*time.Second, nil)
+	if got := sim.instances[5].Leaders(); !slices.Equal(got, []int{0, 1, 2, 3, 4, 5}) {
 		t.Errorf("leaders %v", got)
 	}
-	for _, m := range w.all { // all of zone 0's first
-		m.zone = m.c.Number / 2
-		m.own = m.zone
+	for _, m := range sim.instances { // the first two instances in zone 0, the next two in zone 1, and so on
+		m.zone = m.config.Number / 2
+		m.ownZone = m.zone
 	}
-	w.run(time.Second, nil)
-	if got := w.all[5].Leaders(); !slices.Equal(got, []int{0, 2, 4, 1, 3, 5}) {
+	sim.run(time.Second, nil)
+	if got := sim.instances[5].Leaders(); !slices.Equal(got, []int{0, 2, 4, 1, 3, 5}) {
 		t.Errorf("leaders %v", got)
 	}
-	w.zones[2].silent = true
-	w.all[0].down = true
-	w.takes(t, 2, Trying, 4*time.Second)
-	if by := w.all[1].Verdict().By; by != 1 { // the first of its zone now
+	sim.zones[2].silent = true
+	sim.instances[0].down = true
+	sim.runUntilState(t, 2, StateTrying, 4*time.Second)
+	if by := sim.instances[1].Verdict().DecidedBy; by != 1 { // now the first instance of its zone
 		t.Errorf("decided by %d", by)
 	}
-	w.run(time.Second, nil)
-	before := w.all[3].Verdict().Epoch
-	w.all[0].down = false // continued: its clock has jumped
-	if leads, paused := w.all[0].Tick(w.now, make([]Sight, 3), 0); leads || !paused {
+	sim.run(time.Second, nil)
+	before := sim.instances[3].Verdict().Epoch
+	sim.instances[0].down = false // resumed after a suspension: its clock has jumped
+	if leads, paused := sim.instances[0].Tick(sim.now, make([]ZoneStats, 3), 0); leads || !paused {
 		t.Errorf("continued, it leads %v and noticed %v", leads, paused)
 	}
-	w.run(2*time.Second, nil)
-	if w.all[0].Verdict().Epoch < before {
+	sim.run(2*time.Second, nil)
+	if sim.instances[0].Verdict().Epoch < before {
 		t.Error("the one that stood still holds what is old")
 	}
 }
 
-// A zone that fails again and again waits longer each time, up to the bound.
-func TestFlapping(t *testing.T) {
-	w := newWorld(4, 3, 1, nil)
-	w.run(2*time.Second, nil)
+// A zone that fails repeatedly stays out longer each time, up to a bound.
+func TestFlappingZoneStaysOutLonger(t *testing.T) {
+	sim := newSimulation(4, 3, 1, nil)
+	sim.run(2*time.Second, nil)
 	last := time.Duration(0)
 	for i := range 9 {
-		w.zones[2].silent = true
-		began := w.now
-		for w.all[0].Verdict().Zones[2].State != Out {
-			if w.tick(); w.now-began > 5*time.Second {
+		sim.zones[2].silent = true
+		began := sim.now
+		for sim.instances[0].Verdict().Zones[2].State != StateOut {
+			if sim.tick(); sim.now-began > 5*time.Second {
 				t.Fatal("it is not left")
 			}
 		}
-		began = w.now
-		w.zones[2] = truth{}
-		w.takes(t, 2, Trying, mostOut+time.Second)
-		if wait := w.now - began; wait < last-Every || wait > mostOut+5*Every {
+		began = sim.now
+		sim.zones[2] = zoneCondition{}
+		sim.runUntilState(t, 2, StateTrying, maxOutTime+time.Second)
+		if wait := sim.now - began; wait < last-TickInterval || wait > maxOutTime+5*TickInterval {
 			t.Errorf("time %d: out for %v after %v", i, wait, last)
 		} else {
 			last = wait
 		}
-		w.takes(t, 2, Returning, 5*time.Second)
+		sim.runUntilState(t, 2, StateReturning, 5*time.Second)
 	}
-	if last < mostOut-Every {
+	if last < maxOutTime-TickInterval {
 		t.Errorf("at last it is out for %v", last)
 	}
 }
 
-func TestMessagesComeBackAsSent(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 1<<20)
 		msg := Message{From: n.Draw(t, "from")}
 		if rapid.Bool().Draw(t, "report") {
-			msg.Report = &Report{Number: 3, Since: rapid.Int64Range(0, mostStamp).Draw(t, "since"), Seq: 9, Epoch: rapid.Uint64Range(0, 1<<62).Draw(t, "epoch"),
-				Sights: []Sight{{n.Draw(t, "judged"), 1, 2, 3, 4, 5, 6}, {}}, Suspects: []int{4}}
+			msg.Report = &Report{Number: 3, StartedAtMS: rapid.Int64Range(0, maxTimestampMS).Draw(t, "since"), Seq: 9, Epoch: rapid.Uint64Range(0, 1<<62).Draw(t, "epoch"),
+				Zones: []ZoneStats{{n.Draw(t, "judged"), 1, 2, 3, 4, 5, 6}, {}}, Suspects: []int{4}}
 		}
 		if rapid.Bool().Draw(t, "verdict") {
-			msg.Verdict, msg.Leads = &Verdict{Epoch: 7, By: 2, Zones: []Zone{{State: Trying, Flaps: 3, Tied: true, Triers: []int{1, 2}}, {Share: Whole}}}, true
+			msg.Verdict, msg.FromLeader = &Verdict{Epoch: 7, DecidedBy: 2, Zones: []Zone{{State: StateTrying, Flaps: 3, WithRegion: true, Probers: []int{1, 2}}, {Share: FullShare}}}, true
 		}
 		if rapid.Bool().Draw(t, "hands") {
-			msg.Hands = []Hand{{Mode: Away, Stamp: 5, At: 1, Who: "on call"}, {}}
+			msg.Overrides = []Override{{Mode: ModeOut, TimestampMS: 5, ReceivedBy: 1, Requester: "on call"}, {}}
 		}
-		msg.Leaves = rapid.Bool().Draw(t, "leaves")
+		msg.ShuttingDown = rapid.Bool().Draw(t, "leaves")
 		got, err := Decode(msg.Append(nil))
 		if err != nil || !reflect.DeepEqual(got, msg) {
 			t.Fatalf("%+v came back as %+v, %v", msg, got, err)
 		}
 	})
-	full := Message{Report: &Report{Since: mostStamp, Seq: mostStamp, Epoch: 1 << 40, Sights: slices.Repeat([]Sight{{999, 999, 999, 999, 999, 999, 999}}, MostZones)},
-		Verdict: &Verdict{Epoch: 1 << 40, Zones: slices.Repeat([]Zone{{Share: Whole, Triers: []int{250, 251, 252, 253}}}, MostZones)},
-		Hands:   slices.Repeat([]Hand{{Stamp: 1 << 42, At: 250, Who: fmt.Sprintf("%032d", 0)}}, MostZones)}
-	if n := len(full.Append(nil)); n > MostMessage {
-		t.Errorf("the largest message has %d bytes, of %d", n, MostMessage)
+	full := Message{Report: &Report{StartedAtMS: maxTimestampMS, Seq: maxTimestampMS, Epoch: 1 << 40, Zones: slices.Repeat([]ZoneStats{{999, 999, 999, 999, 999, 999, 999}}, MaxZones)},
+		Verdict:   &Verdict{Epoch: 1 << 40, Zones: slices.Repeat([]Zone{{Share: FullShare, Probers: []int{250, 251, 252, 253}}}, MaxZones)},
+		Overrides: slices.Repeat([]Override{{TimestampMS: 1 << 42, ReceivedBy: 250, Requester: fmt.Sprintf("%032d", 0)}}, MaxZones)}
+	if n := len(full.Append(nil)); n > MaxMessageSize {
+		t.Errorf("the largest message has %d bytes, of %d", n, MaxMessageSize)
+	}
+}
+
+// The operators' /members call writes ZoneStats as JSON, and its keys are part of that call's answer.
+func TestZoneStatsJSONKeys(t *testing.T) {
+	got, err := json.Marshal(ZoneStats{1, 2, 3, 4, 5, 6, 7})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"Judged":1,"Bad":2,"Silent":3,"Trimmed":4,"Trim":5,"Missed":6,"Quiet":7}`; string(got) != want {
+		t.Errorf("%s, want %s", got, want)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add((&Message{From: 1, Report: &Report{Sights: make([]Sight, 2)}, Verdict: &Verdict{Zones: make([]Zone, 2)}, Hands: make([]Hand, 2)}).Append(nil))
-	f.Add([]byte{version, 7, 0})
+	f.Add((&Message{From: 1, Report: &Report{Zones: make([]ZoneStats, 2)}, Verdict: &Verdict{Zones: make([]Zone, 2)}, Overrides: make([]Override, 2)}).Append(nil))
+	f.Add([]byte{codecVersion, 7, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		msg, err := Decode(b)
 		if err != nil {
-			if !errors.Is(err, ErrMessage) {
+			if !errors.Is(err, ErrMalformedMessage) {
 				t.Fatal(err)
 			}
 			return
 		}
-		m := New(Config{Number: 1, Zones: []string{"a", "b"}, Least: 0.3}, 0)
+		m := New(Config{Number: 1, Zones: []string{"a", "b"}, MinCapacityShare: 0.3}, 0)
 		m.SetPeers([]Peer{{Number: msg.From, Alive: true}})
-		m.TakeHands(time.Second, msg.Hands)
+		m.MergeOverrides(time.Second, msg.Overrides)
 		if msg.Report != nil {
-			m.Hear(time.Second, *msg.Report)
+			m.ReceiveReport(time.Second, *msg.Report)
 		}
 		if msg.Verdict != nil {
-			m.Take(time.Second, msg.From, *msg.Verdict, msg.Leads)
+			m.ReceiveVerdict(time.Second, msg.From, *msg.Verdict, msg.FromLeader)
 		}
-		m.Tick(2*time.Second, make([]Sight, 2), 0)
+		m.Tick(2*time.Second, make([]ZoneStats, 2), 0)
 		if again, err := Decode(msg.Append(nil)); err != nil || !reflect.DeepEqual(again, msg) {
 			t.Fatalf("%+v, %v", again, err)
 		}
