--- a/logic/learnt.go
+++ b/logic/learnt.go
@@ -10,33 +10,44 @@
 // a request, a drain or a cold budget: those hold for the process that has them, and the list tells drains anew. What of it is still
 // true after how long is not decided here; Inherit takes what it is given, as far as it fits the members that there are now.
 type Learnt struct {
-	Keys            []LearntKey
-	Total, Kept     float64 // counts of all keys, and what of them is of earlier windows
-	Members         []LearntMember
-	Latency, Fails  float64 // the caches' mean: seconds, and a share
-	Arrivals        float64
-	Carried, Span   float64 // what the caches did, in answers, over so many seconds
-	Asked, Answered float64 // attempts at caches, lately, and their answers
+	Keys []LearntKey `json:"Keys"`
+	// counts of all keys, and what of them is of earlier windows
+	Total   float64        `json:"Total"`
+	Kept    float64        `json:"Kept"`
+	Members []LearntMember `json:"Members"`
+	// the caches' mean: seconds, and a share
+	Latency  float64 `json:"Latency"`
+	Fails    float64 `json:"Fails"`
+	Arrivals float64 `json:"Arrivals"`
+	// what the caches did, in answers, over so many seconds
+	Carried float64 `json:"Carried"`
+	Span    float64 `json:"Span"`
+	// attempts at caches, lately, and their answers
+	Asked    float64 `json:"Asked"`
+	Answered float64 `json:"Answered"`
 }
 
 // LearntKey is a key that is asked for often.
 type LearntKey struct {
-	Key        uint64
-	Count, Err float64
-	At         []MemberID // where it is placed, if it is hot
+	Key   uint64     `json:"Key"`
+	Count float64    `json:"Count"`
+	Err   float64    `json:"Err"`
+	At    []MemberID `json:"At"` // where it is placed, if it is hot
 }
 
 // LearntMember is what is known of a member since it started.
 type LearntMember struct {
-	ID             MemberID
-	StartedAt      time.Duration
-	Limit, Latency float64
-	Gap, Pace      float64
-	Seen           int
-	Cut            bool          // its limit has been cut, and is no guess
-	Fails          float64       // share of attempts that failed
-	Streak         int           // of failures
-	Out            time.Duration // ejected for so long yet
+	ID        MemberID      `json:"ID"`
+	StartedAt time.Duration `json:"StartedAt"`
+	Limit     float64       `json:"Limit"`
+	Latency   float64       `json:"Latency"`
+	Gap       float64       `json:"Gap"`
+	Pace      float64       `json:"Pace"`
+	Seen      int           `json:"Seen"`
+	Cut       bool          `json:"Cut"`    // its limit has been cut, and is no guess
+	Fails     float64       `json:"Fails"`  // share of attempts that failed
+	Streak    int           `json:"Streak"` // of failures
+	Out       time.Duration `json:"Out"`    // ejected for so long yet
 }
 
 // learntKeys bounds the keys that are handed on: the hot set, and as many that may enter it.
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -1,6 +1,7 @@
 package logic
 
 import (
+	"encoding/json"
 	"math"
 	"math/rand/v2"
 	"testing"
@@ -111,3 +112,24 @@
 		t.Error("taken over twice")
 	}
 }
+
+// internal/inherit stores the exported state as JSON, which processes of other versions read: the names in it must not change.
+func TestExportedStateKeepsItsJSONNames(t *testing.T) {
+	l := Learnt{
+		Keys:  []LearntKey{{Key: 1, Count: 2, Err: 3, At: []MemberID{4}}},
+		Total: 5, Kept: 6,
+		Members: []LearntMember{{ID: 7, StartedAt: 8, Limit: 9, Latency: 10, Gap: 11, Pace: 12, Seen: 13, Cut: true, Fails: 14, Streak: 15,
+			Out: 16}},
+		Latency: 17, Fails: 18, Arrivals: 19, Carried: 20, Span: 21, Asked: 22, Answered: 23,
+	}
+	const want = `{"Keys":[{"Key":1,"Count":2,"Err":3,"At":[4]}],"Total":5,"Kept":6,` +
+		`"Members":[{"ID":7,"StartedAt":8,"Limit":9,"Latency":10,"Gap":11,"Pace":12,"Seen":13,"Cut":true,"Fails":14,"Streak":15,"Out":16}],` +
+		`"Latency":17,"Fails":18,"Arrivals":19,"Carried":20,"Span":21,"Asked":22,"Answered":23}`
+	got, err := json.Marshal(l)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(got) != want {
+		t.Errorf("exported state is written as\n%s, want\n%s", got, want)
+	}
+}
