--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -101,11 +101,11 @@
 	case wire.EvMessage:
 		b.PeerMessage(now, e.Peer, e.Data)
 	case wire.EvExpired:
-		b.Expired(now, e.Request.ID)
+		b.RequestCancelled(now, e.Request.ID)
 	case wire.EvRing:
 		b.Timer(now, e.Token)
 	case wire.EvProbeDone:
-		b.Probed(now, e.Outcome.Member, e.Outcome.Status, e.Outcome.Elapsed, e.Outcome.Load)
+		b.ProbeResult(now, e.Outcome.Member, e.Outcome.Status, e.Outcome.Elapsed, e.Outcome.Load)
 	case wire.EvClosedAttempt:
 		b.Outcome(now, e.Outcome)
 	}
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -261,7 +261,7 @@
 	ended := make(chan struct{})
 	defer close(ended)
 	go shared.run(p, ctx.Done(), ended)
-	r := reloader{p: p, cfg: cfg, classes: settings.Settings.Classes, tries: settings.Settings.TryLimit, file: file, gate: gate, log: log, others: &others}
+	r := reloader{p: p, cfg: cfg, classes: settings.Settings.Classes, tries: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, others: &others}
 	if file.ExtProc != nil {
 		if r.extproc, err = g.ExtProc(p, file, log); err != nil {
 			return err
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -76,7 +76,7 @@
 }
 
 func shortestAim(classes []logic.Class) time.Duration {
-	return slices.MinFunc(classes, func(a, b logic.Class) int { return int(a.Aim - b.Aim) }).Aim
+	return slices.MinFunc(classes, func(a, b logic.Class) int { return int(a.SoftDeadline - b.SoftDeadline) }).SoftDeadline
 }
 
 // open makes this process one of the installation's.
@@ -90,7 +90,7 @@
 	}
 	in := file.Instances
 	j := Joined{Proxy: p, Log: log, Listen: operator.Addresses(in.Listen), Tell: operator.Addresses(in.Advertise),
-		Call: operator.Addresses(in.Join), Cluster: in.Cluster, Forget: in.Forget.D(), Name: cfg.Name, Number: settings.Settings.Self,
+		Call: operator.Addresses(in.Join), Cluster: in.Cluster, Forget: in.Forget.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
 		Zone: settings.Settings.Zone, Zones: settings.Zones, Regions: regions, Since: time.Now(), Meter: f.meter}
 	if j.Keys, err = in.Keys(); err != nil {
 		return err
@@ -104,7 +104,7 @@
 	log.Info("version", "program", j.Version.Program, "settings", j.Version.Settings)
 	f.version = j.Version
 	if f.meter != nil {
-		c := zones.Config{Number: j.Number, Zones: j.Zones, Least: file.Zones.Least, WarmFor: settings.Settings.ColdFor, Since: j.Since.UnixMilli()}
+		c := zones.Config{Number: j.Number, Zones: j.Zones, Least: file.Zones.Least, WarmFor: settings.Settings.SlowStartDuration, Since: j.Since.UnixMilli()}
 		for _, r := range regions {
 			c.Regions = append(c.Regions, r)
 		}
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -68,16 +68,16 @@
 	if err != nil {
 		return err
 	}
-	if err := r.retune(now.Settings.Classes, now.Settings.TryLimit); err != nil {
+	if err := r.retune(now.Settings.Classes, now.Settings.MaxAttempts); err != nil {
 		return err
 	}
 	fixed := was.Settings
-	fixed.Classes, fixed.TryLimit = now.Settings.Classes, now.Settings.TryLimit
+	fixed.Classes, fixed.MaxAttempts = now.Settings.Classes, now.Settings.MaxAttempts
 	if cfg.Listen != r.cfg.Listen || cfg.Mgmt != r.cfg.Mgmt || cfg.Limits != r.cfg.Limits || !reflect.DeepEqual(fixed, now.Settings) {
 		r.log.Warn("reload: changes of listen, mgmt, limits and settings other than classes and attempts need a restart")
 	}
 	r.cfg = cfg
-	r.log.Info("reload", "discovery", cfg.Discovery, "classes", logic.ClassNames(now.Settings.Classes), "attempts", now.Settings.TryLimit)
+	r.log.Info("reload", "discovery", cfg.Discovery, "classes", logic.ClassNames(now.Settings.Classes), "attempts", now.Settings.MaxAttempts)
 	r.p.Follow(cfg.Discovery)
 	return nil
 }
--- a/internal/app/reload_test.go
+++ b/internal/app/reload_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &reloader{p: p, cfg: cfg, classes: settings.Settings.Classes, tries: settings.Settings.TryLimit, file: &operator.File{},
+	return &reloader{p: p, cfg: cfg, classes: settings.Settings.Classes, tries: settings.Settings.MaxAttempts, file: &operator.File{},
 		log: slog.New(slog.DiscardHandler)}
 }
 
@@ -122,10 +122,10 @@
 	if r.cfg.Discovery != "127.0.0.1:77" || class("overlay") == nil || front.n != 1 {
 		t.Error("the new file is not in force")
 	}
-	if c := class("pass-order"); c.Effect != logic.Once {
+	if c := class("pass-order"); c.Effect != logic.AtMostOnce {
 		t.Error("an order may run again while clients still go by the old file")
 	}
-	for end := time.Now().Add(20 * time.Second); class("pass-order").Effect == logic.Once; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); class("pass-order").Effect == logic.AtMostOnce; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the new class never holds by itself")
 		}
@@ -145,7 +145,7 @@
 	if ends == nil || ends.Stop() {
 		t.Error("the file that was taken back still has its time to come")
 	}
-	if r.p.Classes()[1].Effect != logic.Once {
+	if r.p.Classes()[1].Effect != logic.AtMostOnce {
 		t.Error("an order may run again")
 	}
 }
--- a/internal/explore/scenes.go
+++ b/internal/explore/scenes.go
@@ -11,14 +11,14 @@
 func settings() logic.Settings {
 	return logic.Settings{
 		Classes: []logic.Class{
-			{Name: "read", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "order", Aim: time.Second, Deadline: 4 * time.Second, Worth: 3, Effect: logic.Once},
-			{Name: "note", Aim: 600 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: logic.ByKey, Window: 200 * ms},
-			{Name: "zoned", Aim: 600 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: logic.ByKey,
-				Scope: logic.ScopeZone, Window: 900 * ms},
+			{Name: "read", SoftDeadline: 500 * ms, Deadline: 2 * time.Second, Value: 1},
+			{Name: "order", SoftDeadline: time.Second, Deadline: 4 * time.Second, Value: 3, Effect: logic.AtMostOnce},
+			{Name: "note", SoftDeadline: 600 * ms, Deadline: 2 * time.Second, Value: 2, Effect: logic.DeduplicatedByKey, DedupWindow: 200 * ms},
+			{Name: "zoned", SoftDeadline: 600 * ms, Deadline: 2 * time.Second, Value: 2, Effect: logic.DeduplicatedByKey,
+				Scope: logic.ScopeZone, DedupWindow: 900 * ms},
 		},
-		Instances: 1, Mode: logic.Aside, OriginKind: 9, TryLimit: 2, Tick: 5 * ms, CanCancel: true, Zones: 1,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallAfter: 1500 * ms, Weights: logic.WeightsNominal,
+		Instances: 1, Mode: logic.CacheAside, OriginKind: 9, MaxAttempts: 2, MaxEventDelay: 5 * ms, CanCancel: true, Zones: 1,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: 1500 * ms, Weights: logic.WeightsNominal,
 	}
 }
 
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -26,7 +26,7 @@
 	Changes []logic.Member
 	// Leaving: clients may leave.
 	Leaving bool
-	// MostCold bounds what a cold member may be sent within Settings.FallAfter.
+	// MostCold bounds what a cold member may be sent within Settings.OverloadDuration.
 	MostCold int
 	// Tests break the module by what stands between it and the host: Wrap between its actions and the host, Mishear
 	// between an outcome and what it is told of it; Unheard keeps changes of the list from it.
@@ -179,7 +179,7 @@
 		w.ask(w.open[i])
 	case scan(step, "leave %d", &i):
 		w.open[i].left = true
-		w.Balancer.Expired(w.Now, w.open[i].ID)
+		w.Balancer.RequestCancelled(w.Now, w.open[i].ID)
 	case scan(step, "list %d", &i):
 		w.changed[i] = true
 		m := w.scene.Changes[i]
@@ -205,8 +205,8 @@
 	r.asked, r.at = true, w.Now
 	r.Deadline += w.Now
 	c := w.class(r)
-	r.aim = min(w.Now+c.Aim, r.Deadline)
-	if c.LateWorth > 0 {
+	r.aim = min(w.Now+c.SoftDeadline, r.Deadline)
+	if c.LateValue > 0 {
 		r.aim = r.Deadline
 	}
 	w.Balancer.Request(w.Now, r.Request)
@@ -260,7 +260,7 @@
 			w.breach("request %d has %d final answers", r.ID, r.answered)
 		}
 	}
-	if n := w.Balancer.InHand(); n != 0 {
+	if n := w.Balancer.Outstanding(); n != 0 {
 		w.breach("%d requests are left behind", n)
 	}
 }
@@ -271,7 +271,7 @@
 // Key is made of the module's whole state and of what the host remembers.
 func (w *World) Key() [16]byte {
 	var s strings.Builder
-	d := w.Balancer.Digest()
+	d := w.Balancer.StateDigest()
 	s.Write(d[:])
 	slices.SortStableFunc(w.timers, byTime)
 	fmt.Fprint(&s, w.timers, w.changed, w.Now)
@@ -326,16 +326,16 @@
 			sent++
 		}
 	}
-	if w.Now >= r.aim || sent >= w.scene.Settings.TryLimit {
+	if w.Now >= r.aim || sent >= w.scene.Settings.MaxAttempts {
 		return false
 	}
 	for _, m := range w.list {
 		if m.State != logic.Ready {
 			continue
 		}
-		if w.scene.Settings.Mode == logic.Aside {
+		if w.scene.Settings.Mode == logic.CacheAside {
 			// A read that has failed goes to an origin with its last try, as other caches would lack its key.
-			last := sent > 0 && sent+1 == w.scene.Settings.TryLimit
+			last := sent > 0 && sent+1 == w.scene.Settings.MaxAttempts
 			if o := w.isOrigin(m); r.Write && !o || !r.Write && o && !r.missed && !last {
 				continue
 			}
@@ -353,7 +353,7 @@
 	if first == nil || c.Effect == logic.Repeatable {
 		return true
 	}
-	if c.Effect == logic.Once || w.Now >= first.at+c.Window {
+	if c.Effect == logic.AtMostOnce || w.Now >= first.at+c.DedupWindow {
 		return false
 	}
 	return c.Scope == logic.ScopeAll || c.Scope == logic.ScopeZone && m.Zone == first.to.Zone ||
@@ -362,14 +362,14 @@
 
 func (w *World) isOrigin(m logic.Member) bool {
 	s := &w.scene.Settings
-	return s.Mode == logic.Aside && s.OriginKind >= 0 && m.Kind == s.OriginKind
+	return s.Mode == logic.CacheAside && s.OriginKind >= 0 && m.Kind == s.OriginKind
 }
 
 // class is the request's; one that nobody knows is taken for the strictest kind.
 func (w *World) class(r *request) logic.Class {
 	if s := &w.scene.Settings; r.Class < 0 || r.Class >= len(s.Classes) {
 		c := s.Classes[0]
-		c.Effect = logic.Once
+		c.Effect = logic.AtMostOnce
 		return c
 	}
 	return w.scene.Settings.Classes[r.Class]
@@ -409,17 +409,17 @@
 		w.breach("request %d is sent after its end", id)
 	case !known || m.State != logic.Ready:
 		w.breach("request %d is sent to member %d, which is not ready", id, to)
-	case r.out() && !w.scene.Settings.SecondCopies:
+	case r.out() && !w.scene.Settings.ConcurrentAttempts:
 		w.breach("request %d has two attempts out", id)
 	case !w.mayRepeat(r, m):
 		w.breach("request %d could run twice", id)
 	}
 	s := &w.scene.Settings
-	if m.StartedAt > 0 && w.Now-m.StartedAt < s.ColdFor && !w.isOrigin(m) {
+	if m.StartedAt > 0 && w.Now-m.StartedAt < s.SlowStartDuration && !w.isOrigin(m) {
 		sends := append(w.cold[to], w.Now)
-		sends = slices.DeleteFunc(sends, func(at time.Duration) bool { return w.Now-at >= s.FallAfter })
+		sends = slices.DeleteFunc(sends, func(at time.Duration) bool { return w.Now-at >= s.OverloadDuration })
 		if w.cold[to] = sends; len(sends) > w.scene.MostCold {
-			w.breach("cold member %d is sent %d requests in %v", to, len(sends), s.FallAfter)
+			w.breach("cold member %d is sent %d requests in %v", to, len(sends), s.OverloadDuration)
 		}
 	}
 	r.sent = append(r.sent, attempt{to: m, at: w.Now, ran: true})
@@ -429,8 +429,8 @@
 			sent++
 		}
 	}
-	if sent > s.TryLimit {
-		w.breach("request %d has attempt %d of %d", id, sent, s.TryLimit)
+	if sent > s.MaxAttempts {
+		w.breach("request %d has attempt %d of %d", id, sent, s.MaxAttempts)
 	}
 }
 
@@ -444,26 +444,26 @@
 	if r.answered++; r.answered > 1 || r.left {
 		w.breach("request %d is answered after its end", id)
 	}
-	if why == logic.NoReason || why >= logic.Reasons {
+	if why == logic.NoReason || why >= logic.ReasonCount {
 		w.breach("request %d is answered without a reason", id)
 	}
 	c := w.class(r)
-	if refusal && r.firstRan() != nil && (c.Effect == logic.Once || c.Effect == logic.ByKey && c.Scope != logic.ScopeAll) {
+	if refusal && r.firstRan() != nil && (c.Effect == logic.AtMostOnce || c.Effect == logic.DeduplicatedByKey && c.Scope != logic.ScopeAll) {
 		w.breach("request %d is refused though it may have run", id)
 	}
 }
 
 func (h host) Refuse(id logic.RequestID, _ time.Duration, why logic.Reason) { h.answer(id, true, why) }
 func (h host) Fail(id logic.RequestID, why logic.Reason)                    { h.answer(id, false, why) }
-func (h host) Hold(_ logic.RequestID, why logic.Reason)                     { h.w.Holds[why]++ }
+func (h host) NotifyWaiting(_ logic.RequestID, why logic.Reason)            { h.w.Holds[why]++ }
 func (h host) SetTimer(at time.Duration, token uint64) {
 	h.w.timers = append(h.w.timers, timer{max(at, h.w.Now), token})
 }
-func (h host) Cancel(logic.RequestID, int)                        {}
-func (h host) Probe(logic.MemberID)                               {}
-func (h host) Wait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
-func (h host) CloseIdle(logic.MemberID)                           {}
-func (h host) Watch(bool)                                         {}
-func (h host) Fetch()                                             {}
-func (h host) Tell(int, []byte)                                   {}
-func (h host) Log(string)                                         {}
+func (h host) Cancel(logic.RequestID, int)                                  {}
+func (h host) Probe(logic.MemberID)                                         {}
+func (h host) ConnectionWait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
+func (h host) CloseIdle(logic.MemberID)                                     {}
+func (h host) Watch(bool)                                                   {}
+func (h host) FetchList()                                                   {}
+func (h host) SendToPeer(int, []byte)                                       {}
+func (h host) Log(string)                                                   {}
--- a/internal/explore/world_test.go
+++ b/internal/explore/world_test.go
@@ -74,7 +74,7 @@
 		}, "though it may have run"},
 		"drains not heard of": {"the list changes", func(s *Scene) { s.Unheard = true }, "not ready"},
 		"a cold member taken for a warm one": {"a cold member", func(s *Scene) {
-			s.Settings.ColdFrom, s.MostCold = 1, 0 // the module sends it all; the host allows nothing
+			s.Settings.SlowStartCapacity, s.MostCold = 1, 0 // the module sends it all; the host allows nothing
 		}, "cold member"},
 		"outcomes not heard of": {"reads of one key", func(s *Scene) {
 			s.Mishear = func(o logic.Outcome) logic.Outcome { o.Attempt = 63; return o }
@@ -100,9 +100,9 @@
 	for seed := range uint64(40) {
 		s := Scene{Settings: settings(), Seed: seed, Leaving: seed%2 == 0, MostCold: 1000,
 			Outcomes: append(outcomes, logic.StatusConnectFailed, logic.StatusCancelled, logic.StatusMoot, logic.StatusUnknown)}
-		s.Settings.TryLimit = 1 + int(seed%4)
+		s.Settings.MaxAttempts = 1 + int(seed%4)
 		if seed%5 == 4 {
-			s.Settings.Mode = logic.Through
+			s.Settings.Mode = logic.ReadThrough
 		}
 		for i := range 8 {
 			s.Members = append(s.Members, logic.Member{ID: logic.MemberID(i + 1), Zone: i % 3, Cell: i % 2, Weight: 1})
--- a/internal/extproc/server/cold_test.go
+++ b/internal/extproc/server/cold_test.go
@@ -30,7 +30,7 @@
 			at := func() time.Time { return time.Unix(0, int64(time.Hour)+now.Load()) }
 			r := newRig(t, fleet, file("answer", ""), func(cfg *proxy.Config) {
 				cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
-				cfg.Settings.FallMultiple = c.multiple
+				cfg.Settings.OverloadMultiple = c.multiple
 			})
 			r.eventually("the list is known", func() bool { return r.p.Load().Ready == 5 })
 			conn, err := net.Dial("tcp", r.p.Addr().String())
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -445,7 +445,7 @@
 			fleet.Fill("k")
 			r := newRig(t, fleet, strings.Replace(file("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) { // as long as the machine may take for all of them
 				for i := range cfg.Settings.Classes {
-					cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = patience, patience
+					cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = patience, patience
 				}
 			})
 			var clients sync.WaitGroup
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -394,7 +394,7 @@
 
 // unsafe tells whether the request must not run twice.
 func (s *stream) unsafe(class *logic.Class) bool {
-	return class.Effect == logic.Once || class.Effect == logic.ByKey && s.head.key == ""
+	return class.Effect == logic.AtMostOnce || class.Effect == logic.DeduplicatedByKey && s.head.key == ""
 }
 
 // pass lets a request go on that is none of ours, and spares its further phases. In mode route the header that names
@@ -543,7 +543,7 @@
 			id = f.newID()
 		}
 		now := f.p.Now()
-		entry, replaced, decision := f.calls.Begin(id, h.attempt, s.unsafe(class), class.Effect == logic.Once && f.p.Records(), now)
+		entry, replaced, decision := f.calls.Begin(id, h.attempt, s.unsafe(class), class.Effect == logic.AtMostOnce && f.p.Records(), now)
 		if d = decision; replaced != nil {
 			replaced.Owner.(*call).abandon()
 		}
--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -62,7 +62,7 @@
 type Snapshot struct {
 	Fleet   uint64 // of Fleet
 	TakenMS int64  // Unix time
-	Learnt  logic.Learnt
+	Learnt  logic.LearnedState
 	Members map[logic.MemberID]Link
 	Idle    pool.IdleLearnt
 	Reuse   float64 // the share of clients' connections that are asked on again
@@ -105,7 +105,7 @@
 			return nil, fmt.Errorf("inherit: %d bytes without members", len(body))
 		}
 		members := slices.Clone(s.Learnt.Members)
-		slices.SortStableFunc(members, func(a, b logic.LearntMember) int { return b.Seen - a.Seen })
+		slices.SortStableFunc(members, func(a, b logic.LearnedMember) int { return b.Samples - a.Samples })
 		s.Learnt.Members = members[:n]
 		links := map[logic.MemberID]Link{}
 		for _, m := range s.Learnt.Members {
@@ -181,16 +181,16 @@
 		return Snapshot{}, fmt.Errorf("%w: the list names %d of its %d members", ErrFleet, named, was)
 	}
 	c := keep(age, countsHalf)
-	l.Total, l.Kept = l.Total*c, l.Kept*c
+	l.Total, l.EarlierTotal = l.Total*c, l.EarlierTotal*c
 	l.Keys = nil
 	for _, k := range s.Learnt.Keys {
 		k.Count, k.Err = k.Count*c, k.Err*c
 		l.Keys = append(l.Keys, k)
 	}
 	c = keep(age, loadHalf)
-	l.Arrivals, l.Carried, l.Span = l.Arrivals*c, l.Carried*c, l.Span*c
-	l.Asked, l.Answered = l.Asked*c, l.Answered*c
-	l.Fails *= keep(age, failsHalf)
+	l.Arrivals, l.ServedWork, l.SpanSeconds = l.Arrivals*c, l.ServedWork*c, l.SpanSeconds*c
+	l.RecentAttempts, l.RecentAnswers = l.RecentAttempts*c, l.RecentAnswers*c
+	l.FailureRate *= keep(age, failsHalf)
 	s.Learnt = l
 	links := make(map[logic.MemberID]Link, len(s.Members))
 	for _, m := range l.Members {
@@ -207,13 +207,13 @@
 
 // fadeMember is what holds of a member after a while. The longer it is, the less answers it counts as known by, so that the next ones
 // say more; a streak of failures and an ejection run on.
-func fadeMember(m logic.LearntMember, age time.Duration) logic.LearntMember {
+func fadeMember(m logic.LearnedMember, age time.Duration) logic.LearnedMember {
 	k := keep(age, membersHalf)
-	m.Limit = logic.StartLimit + (m.Limit-logic.StartLimit)*k
-	m.Seen = int(math.Round(float64(max(0, m.Seen)) * k))
-	m.Fails *= keep(age, failsHalf)
-	m.Streak = int(float64(max(0, m.Streak)) * keep(age, failsHalf))
-	m.Out = max(0, m.Out-age)
+	m.Limit = logic.InitialLimit + (m.Limit-logic.InitialLimit)*k
+	m.Samples = int(math.Round(float64(max(0, m.Samples)) * k))
+	m.FailureRate *= keep(age, failsHalf)
+	m.FailureStreak = int(float64(max(0, m.FailureStreak)) * keep(age, failsHalf))
+	m.EjectedFor = max(0, m.EjectedFor-age)
 	return m
 }
 
--- a/internal/inherit/inherit_test.go
+++ b/internal/inherit/inherit_test.go
@@ -17,16 +17,16 @@
 func sample(members int) (Snapshot, map[logic.MemberID]Member) {
 	s := Snapshot{Fleet: Fleet("a", "b"), TakenMS: takenMS, Members: map[logic.MemberID]Link{}, Reuse: 0.1,
 		Idle:   pool.IdleLearnt{Used: []float64{8, 4}, Broke: []float64{0, 4}},
-		Learnt: logic.Learnt{Total: 100, Kept: 40, Latency: 0.02, Fails: 0.1, Arrivals: 60, Carried: 50, Span: 4, Asked: 30, Answered: 28}}
+		Learnt: logic.LearnedState{Total: 100, EarlierTotal: 40, Latency: 0.02, FailureRate: 0.1, Arrivals: 60, ServedWork: 50, SpanSeconds: 4, RecentAttempts: 30, RecentAnswers: 28}}
 	now := map[logic.MemberID]Member{}
 	for i := range members {
 		id := logic.MemberID(i + 1)
-		s.Learnt.Members = append(s.Learnt.Members, logic.LearntMember{ID: id, Limit: 30, Latency: 0.01, Seen: 1000 + i, Fails: 0.2,
-			Streak: 2, Out: time.Second})
+		s.Learnt.Members = append(s.Learnt.Members, logic.LearnedMember{ID: id, Limit: 30, Latency: 0.01, Samples: 1000 + i, FailureRate: 0.2,
+			FailureStreak: 2, EjectedFor: time.Second})
 		s.Members[id] = Link{Addr: "10.1.0.1:6379", Learnt: pool.Learnt{Turn: time.Millisecond, Clean: 9}}
 		now[id] = Member{Addr: "10.1.0.1:6379"}
 	}
-	s.Learnt.Keys = []logic.LearntKey{{Key: 7, Count: 20, Err: 2, At: []logic.MemberID{1}}}
+	s.Learnt.Keys = []logic.LearnedKey{{Key: 7, Count: 20, Err: 2, Members: []logic.MemberID{1}}}
 	return s, now
 }
 
@@ -117,19 +117,19 @@
 		}
 		was, is := last.Learnt, next.Learnt
 		m, n := was.Members[0], is.Members[0]
-		if n.Limit >= m.Limit || n.Limit <= logic.StartLimit || n.Seen > m.Seen || n.Fails >= m.Fails || n.Out > max(0, time.Second-age) {
+		if n.Limit >= m.Limit || n.Limit <= logic.InitialLimit || n.Samples > m.Samples || n.FailureRate >= m.FailureRate || n.EjectedFor > max(0, time.Second-age) {
 			t.Fatalf("%v: %+v after %+v", age, n, m)
 		}
-		if is.Total >= was.Total || is.Keys[0].Count >= was.Keys[0].Count || is.Carried >= was.Carried || is.Fails >= was.Fails ||
+		if is.Total >= was.Total || is.Keys[0].Count >= was.Keys[0].Count || is.ServedWork >= was.ServedWork || is.FailureRate >= was.FailureRate ||
 			next.Reuse <= last.Reuse || next.Reuse > 1 {
 			t.Fatalf("%v: %+v after %+v", age, is, was)
 		}
-		if rate := is.Carried / is.Span; math.Abs(rate-12.5) > 1e-9 {
+		if rate := is.ServedWork / is.SpanSeconds; math.Abs(rate-12.5) > 1e-9 {
 			t.Fatalf("%v: the rate is %v, and was 12.5", age, rate)
 		}
 		last = next
 	}
-	if m := last.Learnt.Members[0]; m.Limit > 12 || m.Fails > 0.001 || m.Out != 0 {
+	if m := last.Learnt.Members[0]; m.Limit > 12 || m.FailureRate > 0.001 || m.EjectedFor != 0 {
 		t.Errorf("after %v: %+v", MaxAge, m)
 	}
 }
@@ -145,7 +145,7 @@
 	if err != nil || len(got.Learnt.Members) < 1000 || len(got.Members) != len(got.Learnt.Members) {
 		t.Fatalf("%d members, %v", len(got.Learnt.Members), err)
 	}
-	if least := got.Learnt.Members[len(got.Learnt.Members)-1].Seen; least < 1000+20_000-len(got.Learnt.Members) {
+	if least := got.Learnt.Members[len(got.Learnt.Members)-1].Samples; least < 1000+20_000-len(got.Learnt.Members) {
 		t.Errorf("the least known has %d answers", least)
 	}
 	for _, n := range []int{60, 2000} {
--- a/internal/joining/joining_test.go
+++ b/internal/joining/joining_test.go
@@ -28,8 +28,8 @@
 		key    string
 	}{
 		"a write":          {logic.Request{Write: true}, logic.Repeatable, "k"},
-		"an order":         {logic.Request{}, logic.Once, "k"},
-		"a keyed request":  {logic.Request{}, logic.ByKey, "k"},
+		"an order":         {logic.Request{}, logic.AtMostOnce, "k"},
+		"a keyed request":  {logic.Request{}, logic.DeduplicatedByKey, "k"},
 		"one without keys": {logic.Request{}, logic.Repeatable, ""},
 	} {
 		if _, ok := some.NewRead(&c.r, c.effect, c.key, ""); ok {
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -75,8 +75,8 @@
 	x.p.conclude(id, Answer{Kind: Failed, Why: why})
 }
 
-// Hold counts a wait.
-func (x actions) Hold(id logic.RequestID, why logic.Reason) {
+// NotifyWaiting counts a wait.
+func (x actions) NotifyWaiting(id logic.RequestID, why logic.Reason) {
 	if r := x.p.requests[id]; r != nil {
 		x.p.reasons.Add(reasons.Waited, r.class, r.tenant, why)
 	}
@@ -115,8 +115,8 @@
 	}
 }
 
-// Wait tells how long a connection to a member would be waited for.
-func (x actions) Wait(id logic.RequestID, to logic.MemberID) time.Duration {
+// ConnectionWait tells how long a connection to a member would be waited for.
+func (x actions) ConnectionWait(id logic.RequestID, to logic.MemberID) time.Duration {
 	if r := x.p.requests[id]; r != nil {
 		if _, own := r.Taker.(Carrier); own {
 			return 0
@@ -143,14 +143,16 @@
 // Watch and Fetch ask for the list. Discovery pushes it here, and the watch is always kept up.
 func (x actions) Watch(bool) {}
 
-// Fetch is answered by the watch too.
-func (x actions) Fetch() {}
+// FetchList is answered by the watch too.
+func (x actions) FetchList() {}
 
 // Probe and Tell are not used by the Balancer, and this proxy has no means for them.
 func (x actions) Probe(m logic.MemberID) { x.p.log.Error("probes are not supported", "member", m) }
 
-// Tell is likewise not supported.
-func (x actions) Tell(peer int, _ []byte) { x.p.log.Error("messages are not supported", "peer", peer) }
+// SendToPeer is likewise not supported.
+func (x actions) SendToPeer(peer int, _ []byte) {
+	x.p.log.Error("messages are not supported", "peer", peer)
+}
 
 // Log records a line of the Balancer's.
 func (x actions) Log(text string) { x.p.log.Info("balancer", "text", text) }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -69,7 +69,7 @@
 					return page("value of " + r.URL.Path[1:])
 				})
 				cfg := testConfig()
-				cfg.Settings.TryLimit = 1
+				cfg.Settings.MaxAttempts = 1
 				on := handClock(&cfg)
 				p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 				client := p.dial()
--- a/internal/proxy/callers.go
+++ b/internal/proxy/callers.go
@@ -96,7 +96,7 @@
 		return nil
 	}
 	// Where orders are on record, the record knows which order has used a token, also over a restart, and a repeat of that one may come by it.
-	once := class.Effect == logic.Once && p.cfg.Record == nil
+	once := class.Effect == logic.AtMostOnce && p.cfg.Record == nil
 	err := p.cfg.Callers.May(r.By, identity.Ask{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, Once: once,
 		Size: max(len(r.Value), r.long)})
 	r.spent = err == nil && once
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -89,7 +89,7 @@
 	r := newRegistry(t, discoveryList(1, true, list...))
 	cfg := testConfig()
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 400*time.Millisecond
+		cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 400*time.Millisecond
 	}
 	cfg.Settings.ConnectTimeout = 100 * time.Millisecond
 	p := startAt(t, cfg, r)
--- a/internal/proxy/copies_test.go
+++ b/internal/proxy/copies_test.go
@@ -235,7 +235,7 @@
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
 	cfg.Settings.ConnectTimeout = 250 * time.Millisecond
-	cfg.Settings.Classes[0].Aim, cfg.Settings.Classes[0].Deadline = aim, 5*aim
+	cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = aim, 5*aim
 	s.testProxy = start(t, cfg,
 		s.relayed("far", quick, "large", 10*time.Millisecond, 10*time.Millisecond, 130*time.Millisecond),
 		s.relayed("near", hangs, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -175,10 +175,10 @@
 			cfg := testConfig()
 			cfg.MostHeld, cfg.Sockets = 1000, 1024
 			cfg.Settings.ConnectTimeout = 250 * time.Millisecond
-			cfg.Settings.Classes = append(cfg.Settings.Classes, logic.Class{Name: "keyed", Worth: 15, Effect: logic.ByKey, Window: 4 * time.Second})
+			cfg.Settings.Classes = append(cfg.Settings.Classes, logic.Class{Name: "keyed", Value: 15, Effect: logic.DeduplicatedByKey, DedupWindow: 4 * time.Second})
 			for i := range cfg.Settings.Classes {
 				c := &cfg.Settings.Classes[i]
-				c.Aim, c.Deadline = 200*time.Millisecond, 600*time.Millisecond
+				c.SoftDeadline, c.Deadline = 200*time.Millisecond, 600*time.Millisecond
 			}
 			if w.set != nil {
 				w.set(t, &cfg)
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -228,7 +228,7 @@
 			for i := range classes {
 				classes[i].Deadline = deadline
 			}
-			if err := p.Retune(classes, cfg.Settings.TryLimit); err != nil {
+			if err := p.Retune(classes, cfg.Settings.MaxAttempts); err != nil {
 				t.Fatal(err)
 			}
 			close(release)
@@ -257,7 +257,7 @@
 func TestUnreadCommandsKeepTheirTime(t *testing.T) {
 	const commands = 3 * maxPipeline
 	cfg := leaving(false)
-	cfg.Settings.TryLimit = 1 // so that an attempt may take all that its client has left
+	cfg.Settings.MaxAttempts = 1 // so that an attempt may take all that its client has left
 	w := watchDeadlines(t, &cfg)
 	d, err := standin.NewDoor()
 	if err != nil {
@@ -298,7 +298,7 @@
 // Commands that came while their connection's reader waited are dated by the wait, and those that came after it by themselves.
 func TestCommandsSentDuringAWaitKeepTheirTime(t *testing.T) {
 	cfg := leaving(false)
-	cfg.Settings.TryLimit = 1
+	cfg.Settings.MaxAttempts = 1
 	w := watchDeadlines(t, &cfg)
 	d, err := standin.NewDoor()
 	if err != nil {
@@ -362,7 +362,7 @@
 // A connection may have stood in the listener's line, with a command on it, before the proxy took its first client.
 func TestConnectionsInLineAtTheStartKeepTheirTime(t *testing.T) {
 	cfg := leaving(false)
-	cfg.Settings.TryLimit = 1
+	cfg.Settings.MaxAttempts = 1
 	w := watchDeadlines(t, &cfg)
 	var p *testProxy
 	ready, begin := make(chan struct{}), make(chan struct{})
@@ -385,7 +385,7 @@
 // What stood in line while the proxy had no descriptor for it is dated by that, and what comes later by itself.
 func TestConnectionsInLineForADescriptorKeepTheirTime(t *testing.T) {
 	cfg := leaving(false)
-	cfg.Settings.TryLimit = 1
+	cfg.Settings.MaxAttempts = 1
 	w := watchDeadlines(t, &cfg)
 	told := make(chan string, 10)
 	p := start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string {
@@ -434,7 +434,7 @@
 func heldUpAttempts(t *testing.T, wait time.Duration) {
 	const reads, pause = 6, 140 * time.Millisecond
 	cfg := testConfig()
-	cfg.Settings.TryLimit = 2 // so that the second attempt goes to the origin
+	cfg.Settings.MaxAttempts = 2 // so that the second attempt goes to the origin
 	var holding atomic.Bool
 	var sent atomic.Int32
 	arrived := make(chan struct{}, 100)
@@ -516,7 +516,7 @@
 // Reads of one request for many keys have its time, also those that are asked for once others have been answered.
 func TestManyKeysShareOneDeadline(t *testing.T) {
 	cfg := testConfig()
-	cfg.Settings.TryLimit = 1
+	cfg.Settings.MaxAttempts = 1
 	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Out: 1, Part: 1}
 	w := watchDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{}, 10)
@@ -541,7 +541,7 @@
 // A read that goes on for those who share its answer, after its own client has left, tells what the last of them has left.
 func TestJoinedReadTellsWhatItsFollowersHaveLeft(t *testing.T) {
 	cfg := testConfig()
-	cfg.Settings.TryLimit = 2 // so that the second attempt may take all that is left
+	cfg.Settings.MaxAttempts = 2 // so that the second attempt may take all that is left
 	cfg.Joining = &joining.Limits{Followers: 10, PerTenant: 10, Flights: 10}
 	w := watchDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{})
@@ -693,7 +693,7 @@
 			t.Run(c.name+" "+text[:min(len(text), 20)], func(t *testing.T) {
 				t.Parallel()
 				cfg := testConfig()
-				cfg.Settings.TryLimit = 1
+				cfg.Settings.MaxAttempts = 1
 				w := watchDeadlines(t, &cfg)
 				told := make(chan string, 10)
 				node := w.cache("s-1", func(a asked) string { told <- a.attrs; return hit("value") })
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -83,7 +83,7 @@
 				a.Kind = Refused
 			}
 			p.conclude(id, a)
-			p.bal.Expired(p.now, id)
+			p.bal.RequestCancelled(p.now, id)
 		}
 	}
 	for _, f := range p.fronts {
--- a/internal/proxy/effect_test.go
+++ b/internal/proxy/effect_test.go
@@ -21,13 +21,13 @@
 		tries  int
 	}{
 		"repeatable":               {logic.Repeatable, logic.ScopeAll, "", "value", 2},
-		"once":                     {logic.Once, logic.ScopeAll, "", "-ERR", 1},
-		"once, with a key":         {logic.Once, logic.ScopeAll, ",k=1", "-ERR", 1},
-		"keyed":                    {logic.ByKey, logic.ScopeAll, ",k=1", "value", 2},
-		"keyed, without its key":   {logic.ByKey, logic.ScopeAll, "", "-ERR", 1},
-		"keyed, with an empty key": {logic.ByKey, logic.ScopeAll, ",k=", "-ERR", 1},
-		"keyed, in a cell":         {logic.ByKey, logic.ScopeCell, ",k=1", "value", 2},
-		"keyed, in a zone":         {logic.ByKey, logic.ScopeZone, ",k=1", "value", 2},
+		"once":                     {logic.AtMostOnce, logic.ScopeAll, "", "-ERR", 1},
+		"once, with a key":         {logic.AtMostOnce, logic.ScopeAll, ",k=1", "-ERR", 1},
+		"keyed":                    {logic.DeduplicatedByKey, logic.ScopeAll, ",k=1", "value", 2},
+		"keyed, without its key":   {logic.DeduplicatedByKey, logic.ScopeAll, "", "-ERR", 1},
+		"keyed, with an empty key": {logic.DeduplicatedByKey, logic.ScopeAll, ",k=", "-ERR", 1},
+		"keyed, in a cell":         {logic.DeduplicatedByKey, logic.ScopeCell, ",k=1", "value", 2},
+		"keyed, in a zone":         {logic.DeduplicatedByKey, logic.ScopeZone, ",k=1", "value", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -46,8 +46,8 @@
 				}
 			})
 			cfg := testConfig()
-			cfg.Settings.Classes[0] = logic.Class{Name: "odd", Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1, Effect: c.effect,
-				Scope: c.scope, Window: time.Hour}
+			cfg.Settings.Classes[0] = logic.Class{Name: "odd", SoftDeadline: 5 * time.Second, Deadline: 8 * time.Second, Value: 1, Effect: c.effect,
+				Scope: c.scope, DedupWindow: time.Hour}
 			p := start(t, cfg, entry("s-1", node, "large"))
 			client := p.dial()
 			client.send(words("OBJ.GET", "a1", "id", "c=odd,d=8000"+c.key))
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -150,7 +150,7 @@
 	if x.a.Ended {
 		return nil
 	}
-	for _, id := range x.p.bal.Spares(x.a.req.id, most) {
+	for _, id := range x.p.bal.Fallbacks(x.a.req.id, most) {
 		if m := x.p.members[id]; m != nil && m.state == logic.Ready {
 			addrs = append(addrs, m.Addr)
 		}
@@ -165,7 +165,7 @@
 	}
 	for id, m := range x.p.members {
 		if m.Addr == addr {
-			x.p.bal.Moved(x.p.now, x.a.req.id, x.a.to, id)
+			x.p.bal.FallbackUsed(x.p.now, x.a.req.id, x.a.to, id)
 			x.a.to, x.Addr = id, addr
 			return true
 		}
@@ -253,15 +253,15 @@
 	r.id, r.p = p.nextID, p
 	lr.ID = r.id
 	if r.Only != nil {
-		lr.Only = p.named(r.Only)
+		lr.AllowedMembers = p.named(r.Only)
 	}
 	class := &p.cfg.Settings.Classes[lr.Class]
-	r.class, r.tenant, r.effect = lr.Class, lr.Tenant, class.EffectOf(lr.Unkeyed)
-	r.again = class.RepeatIsHarmless(r.effect)
+	r.class, r.tenant, r.effect = lr.Class, lr.Tenant, class.EffectOf(lr.NoDedupKey)
+	r.again = class.SafeToRetry(r.effect)
 	lr.Deadline += p.arrivedAt(r.Arrived)
 	r.deadline = lr.Deadline
 	p.requests[r.id] = r
-	if p.cfg.Record != nil && r.effect == logic.Once {
+	if p.cfg.Record != nil && r.effect == logic.AtMostOnce {
 		p.record(r, lr)
 		return nil
 	}
@@ -306,9 +306,9 @@
 		only = p.named(addrs)
 	}
 	if r.join != nil {
-		r.join.lr.Only = only
+		r.join.lr.AllowedMembers = only
 	}
-	p.bal.Narrow(p.now, r.id, only)
+	p.bal.RestrictMembers(p.now, r.id, only)
 	for _, a := range r.attempts {
 		if only != nil && a.carried && !a.given && !a.Ended && !slices.Contains(only, a.to) {
 			p.end(a, logic.StatusNoConn, 0)
@@ -328,7 +328,7 @@
 	if !r.done {
 		r.done = true
 		p.recall(r) // before the module calls off what is out: what was never sent is not told as cancelled, which may have run
-		p.bal.Expired(p.now, r.id)
+		p.bal.RequestCancelled(p.now, r.id)
 	}
 	p.settle(r)
 }
@@ -362,11 +362,11 @@
 func (p *Proxy) Retune(classes []logic.Class, tryLimit int) error {
 	p.enter()
 	defer p.leave()
-	if err := p.bal.Retune(p.now, classes, tryLimit); err != nil {
+	if err := p.bal.UpdateClasses(p.now, classes, tryLimit); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	was := p.cfg.Settings.Classes
-	p.cfg.Settings.Classes, p.cfg.Settings.TryLimit = slices.Clone(classes), tryLimit
+	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = slices.Clone(classes), tryLimit
 	p.redis.gate.Retune(classes)
 	names := logic.ClassNames(classes)
 	p.reasons = p.reasons.For(names)
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -12,14 +12,14 @@
 // fleet is what tells this proxy's snapshots from those of others.
 func (c *Config) fleet() uint64 {
 	s := &c.Settings
-	place := fmt.Sprint(s.Self, s.Instances, s.Zone, s.Mode, s.OriginKind)
+	place := fmt.Sprint(s.SelfIndex, s.Instances, s.Zone, s.Mode, s.OriginKind)
 	return inherit.Fleet(slices.Concat([]string{place}, c.Zones, []string{"kinds"}, c.Kinds)...)
 }
 
 // Learnt is what this proxy has learnt, for the process that takes its place. Only the copy is made under the lock.
 func (p *Proxy) Learnt() (s inherit.Snapshot) {
 	p.Do(func() {
-		s = inherit.Snapshot{Fleet: p.cfg.fleet(), TakenMS: time.Now().UnixMilli(), Learnt: p.bal.Learnt(p.now),
+		s = inherit.Snapshot{Fleet: p.cfg.fleet(), TakenMS: time.Now().UnixMilli(), Learnt: p.bal.ExportState(p.now),
 			Members: make(map[logic.MemberID]inherit.Link), Idle: p.ups.IdleLearnt(), Reuse: p.redis.reuse}
 		for _, m := range s.Learnt.Members {
 			if known := p.members[m.ID]; known != nil {
@@ -53,7 +53,7 @@
 			if held, err = s.For(p.cfg.fleet(), time.Now().UnixMilli(), now); err != nil {
 				return
 			}
-			members = p.bal.Inherit(p.now, held.Learnt)
+			members = p.bal.ImportState(p.now, held.Learnt)
 			for id, link := range held.Members {
 				p.members[id].Inherit(link.Learnt)
 			}
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -91,7 +91,7 @@
 }
 
 // answerSlack is how early a request is answered whose time runs out, so that it is in time though events are late. The module takes as long.
-func (p *Proxy) answerSlack() time.Duration { return 2*p.cfg.Settings.Tick + time.Millisecond }
+func (p *Proxy) answerSlack() time.Duration { return 2*p.cfg.Settings.MaxEventDelay + time.Millisecond }
 
 // namesOf is what a list says beside what may differ between reads that get the same answer: how long they wait, who asks, what it
 // is thought to cost, whether it is asked again.
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -371,7 +371,7 @@
 	r.tell(discoveryList(2, false, first, entry("s-b", other, "large")))
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
 	classes := append([]logic.Class(nil), cfg.Settings.Classes...)
-	classes[0].Aim = 4 * time.Second
+	classes[0].SoftDeadline = 4 * time.Second
 	if err := p.Retune(classes, 3); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -119,7 +119,7 @@
 	cfg.Settings.CanCancel, cfg.Settings.ConnectTimeout = cancel, patience
 	for i := range cfg.Settings.Classes {
 		c := &cfg.Settings.Classes[i]
-		c.Aim, c.Deadline = time.Hour, time.Hour
+		c.SoftDeadline, c.Deadline = time.Hour, time.Hour
 	}
 	return cfg
 }
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -76,7 +76,7 @@
 	}
 	limits := *l
 	limits.Bytes = min(limits.Bytes, most)
-	g, err := manykeys.New(limits, keys, func(key string) uint64 { return uint64(p.bal.Home(keyOf([]byte(key)))) })
+	g, err := manykeys.New(limits, keys, func(key string) uint64 { return uint64(p.bal.PrimaryCache(keyOf([]byte(key)))) })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -221,7 +221,7 @@
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.ManyKeys = &manyUsual
-			cfg.Settings.ColdFor, cfg.Settings.Instances = time.Hour, 1
+			cfg.Settings.SlowStartDuration, cfg.Settings.Instances = time.Hour, 1
 			var asks atomic.Int32
 			only := entry("s-a", cache(t, func(a asked) string { asks.Add(1); return hit("value of " + a.key) }), "large")
 			origin := entry("s-o", origin(t, func(r *http.Request) string { return page("origin's " + r.URL.Path[1:]) }), "origin")
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -48,7 +48,7 @@
 	}
 	go accept(l)
 	cfg := testConfig()
-	cfg.Settings.ConnectTimeout, cfg.Settings.TryLimit = patience, 1 // the read must wait, and get its connection
+	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = patience, 1 // the read must wait, and get its connection
 	p := start(t, cfg, entry("s-1", l.Addr().String(), "large"))
 	busy, waiting := p.dial(), p.dial()
 	busy.send(get("a1", "id1"))
@@ -199,7 +199,7 @@
 		}
 	})
 	cfg := testConfig()
-	cfg.Settings.Classes[0].Aim, cfg.Settings.Classes[0].Deadline = 2*time.Second, time.Hour
+	cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = 2*time.Second, time.Hour
 	cfg.Settings.MaxRetryAfter = time.Second
 	p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 	c := p.dial()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -160,7 +160,7 @@
 	p.ups = upstream.New(pool.Config{
 		ConnIdle: cfg.ConnIdle, ConnectTimeout: cfg.Settings.ConnectTimeout, Multiplex: cfg.Multiplex,
 		Instances: cfg.Settings.Instances, Sockets: cfg.Sockets, CanProbe: cfg.Settings.CanProbe,
-		SecondCopies: cfg.Settings.SecondCopies,
+		SecondCopies: cfg.Settings.ConcurrentAttempts,
 	}, host{p})
 	p.ups.Advance(p.now)
 	bal, err := logic.New(cfg.Settings, cfg.Seed, actions{p})
@@ -536,7 +536,7 @@
 		m.Addr = addr
 		p.members[e.ID] = m
 	}
-	m.Origin = e.Kind == p.cfg.Settings.OriginKind && p.cfg.Settings.Mode == logic.Aside
+	m.Origin = e.Kind == p.cfg.Settings.OriginKind && p.cfg.Settings.Mode == logic.CacheAside
 	m.listed = listed
 	moved := m.Addr != addr || m.started != e.StartedAt
 	m.Addr, m.started, m.state, m.upSince = addr, e.StartedAt, e.State, p.upSince(listed)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -179,12 +179,12 @@
 		ConnIdle: 5 * time.Second, MostHeld: 1000, MemoryMB: 64, Sockets: 256,
 		Settings: logic.Settings{
 			Classes: []logic.Class{
-				{Name: "tile-read", Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 5},
-				{Name: "pass-order", Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 15, Effect: logic.Once},
+				{Name: "tile-read", SoftDeadline: 5 * time.Second, Deadline: 8 * time.Second, Value: 5},
+				{Name: "pass-order", SoftDeadline: 5 * time.Second, Deadline: 8 * time.Second, Value: 15, Effect: logic.AtMostOnce},
 			},
-			Instances: 2, Zones: 1, Mode: logic.Aside, OriginKind: 1, Weights: logic.WeightsNominal,
-			Tick: time.Millisecond, TryLimit: 4, CanCancel: true, ConnectTimeout: 2 * time.Second,
-			ColdFrom: 0.3, ColdFor: time.Second, FallMultiple: 4, FallAfter: time.Second,
+			Instances: 2, Zones: 1, Mode: logic.CacheAside, OriginKind: 1, Weights: logic.WeightsNominal,
+			MaxEventDelay: time.Millisecond, MaxAttempts: 4, CanCancel: true, ConnectTimeout: 2 * time.Second,
+			SlowStartCapacity: 0.3, SlowStartDuration: time.Second, OverloadMultiple: 4, OverloadDuration: time.Second,
 		},
 	}
 }
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -218,7 +218,7 @@
 		p.end(a, logic.StatusMoot, 0)
 		if !r.done {
 			p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
-			p.bal.Expired(p.now, r.id)
+			p.bal.RequestCancelled(p.now, r.id)
 		}
 	case r.done || a.Until-p.now < upstream.LeastDeadline:
 		p.end(a, logic.StatusMoot, 0)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -32,7 +32,7 @@
 // exchange hands an attempt over to the connections of its member.
 func (p *Proxy) exchange(m *member, a *attempt) {
 	r, x := a.req, &a.Exchange
-	x.Write, x.Once, x.Group = r.Write, r.effect == logic.Once, r.group
+	x.Write, x.Once, x.Group = r.Write, r.effect == logic.AtMostOnce, r.group
 	x.Msg, x.By = &r.Message, a
 	p.ups.Exchange(&m.Member, x)
 }
@@ -134,7 +134,7 @@
 	p.logAttempt(a, s)
 	p.outcomes = append(p.outcomes, logic.Outcome{
 		Request: r.id, Attempt: int(a.n), Member: a.to, Status: s, Elapsed: until - since, Note: note,
-		Final: r.done, Fresh: a.Fresh(), InTransit: max(0, p.inTransit(a, s)-p.now),
+		Final: r.done, FirstOnConnection: a.Fresh(), InTransit: max(0, p.inTransit(a, s)-p.now),
 	})
 	p.settle(r)
 }
@@ -194,7 +194,7 @@
 // not passed on, so that it can neither be served nor count against the member that turns it away. It would
 // harm clients that leave out a name of the protocol.
 func (c *Command) describe(s *logic.Settings) (logic.Request, error) {
-	r := logic.Request{Key: keyOf(c.Key), Class: -1, Write: c.Write, Unkeyed: true}
+	r := logic.Request{Key: keyOf(c.Key), Class: -1, Write: c.Write, NoDedupKey: true}
 	if !plain(c.Key) || !plain(c.ReqID) || len(c.Attrs) > 0 && !plain(c.Attrs) {
 		return r, errors.New("key, id and list must be given, without spaces")
 	}
@@ -221,11 +221,11 @@
 			hasWait = true
 		case "h":
 			r.Cost = time.Duration(number(value) * float64(time.Microsecond))
-			r.Known = r.Cost > 0
+			r.CostKnown = r.Cost > 0
 		case "r":
 			r.Retry = string(value) == "1"
 		case "k":
-			r.Unkeyed = len(value) == 0
+			r.NoDedupKey = len(value) == 0
 		case "size":
 			r.Size = number(value)
 		}
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -29,7 +29,7 @@
 
 	classes := slices.Clone(p.Classes())
 	classes[1].Effect = logic.Repeatable
-	classes = append([]logic.Class{{Name: "overlay", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, classes[1])
+	classes = append([]logic.Class{{Name: "overlay", SoftDeadline: time.Second, Deadline: 3 * time.Second, Value: 1}}, classes[1])
 	d.send(words("OBJ.SET", "b2", "r2", "c=overlay,d=8000", "x"))
 	if got := d.answer(); got != "-ERR unknown class" {
 		t.Errorf("before: %q", got)
@@ -57,7 +57,7 @@
 	if n := p.Reasons().Total(reasons.Failed, logic.MayHaveRun); n != 1 {
 		t.Errorf("%d failures counted for what may have run, want 1", n)
 	}
-	for name, bad := range map[string][]logic.Class{"none": nil, "no deadline": {{Name: "x", Aim: 1}}} {
+	for name, bad := range map[string][]logic.Class{"none": nil, "no deadline": {{Name: "x", SoftDeadline: 1}}} {
 		if err := p.Retune(bad, 2); err == nil {
 			t.Errorf("%s: taken", name)
 		}
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -76,7 +76,7 @@
 			cfg := testConfig()
 			cfg.Sockets = 1024
 			cfg.Multiplex = 32
-			cfg.Settings.Classes[0].Aim = 2 * time.Second
+			cfg.Settings.Classes[0].SoftDeadline = 2 * time.Second
 			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 			members := []discovery.Member{entry("s-odd", odd(t), "large"), entry("o-1", o, "origin")}
 			for i := range caches - 1 {
@@ -113,7 +113,7 @@
 	release := make(chan struct{})
 	cfg := testConfig()
 	cfg.Sockets = 1024
-	cfg.Settings.Classes[0].Aim, cfg.Settings.Classes[0].Deadline = time.Hour, time.Hour
+	cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = time.Hour, time.Hour
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 	members := []discovery.Member{entry("o-1", o, "origin")}
 	for i := range 3 {
--- a/internal/proxy/shed_test.go
+++ b/internal/proxy/shed_test.go
@@ -24,11 +24,11 @@
 			o := origin(t, func(r *http.Request) string { return page("receipt") })
 			cfg := testConfig()
 			cfg.Clock = func() time.Duration { return time.Since(begun) + time.Duration(ahead.Load()) }
-			cfg.Settings.Classes[0].Aim, cfg.Settings.Classes[0].Deadline = time.Hour, time.Hour
+			cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = time.Hour, time.Hour
 			cfg.Settings.CanRetryAfter, cfg.Settings.MaxRetryAfter = true, 2*time.Second
 			cfg.Settings.Instances = 28
 			p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
-			short := cfg.Settings.Classes[1].Aim / 4
+			short := cfg.Settings.Classes[1].SoftDeadline / 4
 			p.Do(func() { p.redis.used = func(time.Duration) float64 { return used } })
 			p.eventually("the core is looked at", func() bool { return p.redis.gate.Busy() == (used == 1) })
 			c := p.dial()
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -39,8 +39,8 @@
 	})
 	cfg := leaving(false)
 	cfg.Settings.Classes = append(cfg.Settings.Classes,
-		logic.Class{Name: "keyed-all", Aim: time.Hour, Deadline: time.Hour, Worth: 1, Effect: logic.ByKey, Window: time.Hour},
-		logic.Class{Name: "keyed-zone", Aim: time.Hour, Deadline: time.Hour, Worth: 1, Effect: logic.ByKey, Scope: logic.ScopeZone, Window: time.Hour})
+		logic.Class{Name: "keyed-all", SoftDeadline: time.Hour, Deadline: time.Hour, Value: 1, Effect: logic.DeduplicatedByKey, DedupWindow: time.Hour},
+		logic.Class{Name: "keyed-zone", SoftDeadline: time.Hour, Deadline: time.Hour, Value: 1, Effect: logic.DeduplicatedByKey, Scope: logic.ScopeZone, DedupWindow: time.Hour})
 	ask := func(class, id string) string {
 		return words("OBJ.SET", "a-"+id, id, "c="+class+",d=3600000,k=1", "order")
 	}
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -222,7 +222,7 @@
 )
 
 // tickOf is the module's tick, which it allows for: timers that fall due within one then share a wake-up.
-func tickOf(s *logic.Settings) time.Duration { return max(leastTick, min(s.Tick, maxTick)) }
+func tickOf(s *logic.Settings) time.Duration { return max(leastTick, min(s.MaxEventDelay, maxTick)) }
 
 // schedule adds a timer.
 func (p *Proxy) schedule(d due) { p.timers.push(p.now, d) }
--- a/internal/proxy/wall_test.go
+++ b/internal/proxy/wall_test.go
@@ -33,7 +33,7 @@
 				e := entry("s-1", "127.0.0.1:1", "large")
 				e.UpSinceMS = float64((now - age).Milliseconds())
 				started := p.startedAt(MemberID(e.ID), p.upSince(e))
-				cold := p.now-started < cfg.Settings.ColdFor
+				cold := p.now-started < cfg.Settings.SlowStartDuration
 				if cold != want {
 					t.Errorf("a member that started %v ago counts as started %v ago", age, p.now-started)
 				}
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -43,7 +43,7 @@
 	}
 	s := &p.cfg.Settings
 	w := &watch{addr: addr, told: make(chan struct{}), opened: make(chan struct{}), cancel: func() {},
-		pace: discovery.NewPace(s.Subscribe, s.Self, s.Instances, s.MustAskIn, p.cfg.Seed)}
+		pace: discovery.NewPace(s.Subscribe, s.SelfIndex, s.Instances, s.MaxPollInterval, p.cfg.Seed)}
 	if !whole && len(p.cfg.Known.Members) > 0 { // there is a list to begin with
 		w.wait = w.pace.Start()
 	}
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -77,8 +77,8 @@
 func TestServesFromTheKnownListBeforeItAsks(t *testing.T) {
 	r := newRegistry(t, discoveryList(5, true, entry("s-a", cache(t, func(asked) string { return hit("a") }), "large")))
 	cfg := testConfig()
-	cfg.Settings.Subscribe, cfg.Settings.Instances, cfg.Settings.MustAskIn = true, 80, time.Minute
-	cfg.Settings.Self = 60 // late in the spread
+	cfg.Settings.Subscribe, cfg.Settings.Instances, cfg.Settings.MaxPollInterval = true, 80, time.Minute
+	cfg.Settings.SelfIndex = 60 // late in the spread
 	p := startAt(t, cfg, r)
 	c := p.dial()
 	c.send(get("k", "id1"))
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -44,7 +44,7 @@
 func (p *Proxy) Zones(decide func(now time.Duration) []logic.ZoneShare) {
 	p.Do(func() {
 		if shares := decide(p.now); shares != nil {
-			p.bal.SetShares(p.now, shares)
+			p.bal.SetZoneShares(p.now, shares)
 		}
 	})
 }
--- a/internal/reasons/reasons.go
+++ b/internal/reasons/reasons.go
@@ -30,16 +30,16 @@
 
 // Host's own reasons follow those of the module.
 const (
-	HostFull     logic.Reason = logic.Reasons + iota // as many requests, or bytes of them, in hand as the memory is for
-	Stopping                                         // the proxy takes nothing any more
-	Overload                                         // it waited too long to be read: more comes than the proxy's core can do
-	RecordFull                                       // the record of orders has no room for another
-	RecordBehind                                     // the record's disk is slow, or the process before still has it
-	RecordFault                                      // the record's disk can't be written
-	OrderInHand                                      // a request in hand has the order's name
-	OtherOrder                                       // the order's name stands for another order
-	OrderHasRun                                      // and its receipt is not told here
-	OrderUnknown                                     // it may have run, and is to be looked up
+	HostFull     logic.Reason = logic.ReasonCount + iota // as many requests, or bytes of them, in hand as the memory is for
+	Stopping                                             // the proxy takes nothing any more
+	Overload                                             // it waited too long to be read: more comes than the proxy's core can do
+	RecordFull                                           // the record of orders has no room for another
+	RecordBehind                                         // the record's disk is slow, or the process before still has it
+	RecordFault                                          // the record's disk can't be written
+	OrderInHand                                          // a request in hand has the order's name
+	OtherOrder                                           // the order's name stands for another order
+	OrderHasRun                                          // and its receipt is not told here
+	OrderUnknown                                         // it may have run, and is to be looked up
 	all
 )
 
--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -130,9 +130,9 @@
 // stricter is a class that keeps the rules of both. Effects and scopes are in the order of what they allow less.
 func stricter(a, b logic.Class) logic.Class {
 	a.Effect, a.Scope = max(a.Effect, b.Effect), max(a.Scope, b.Scope)
-	a.Aim, a.Deadline = min(a.Aim, b.Aim), min(a.Deadline, b.Deadline)
-	if b.Effect == logic.ByKey {
-		a.Window = min(a.Window, b.Window)
+	a.SoftDeadline, a.Deadline = min(a.SoftDeadline, b.SoftDeadline), min(a.Deadline, b.Deadline)
+	if b.Effect == logic.DeduplicatedByKey {
+		a.DedupWindow = min(a.DedupWindow, b.DedupWindow)
 	}
 	return a
 }
--- a/internal/retune/retune_test.go
+++ b/internal/retune/retune_test.go
@@ -108,7 +108,7 @@
 		for _, n := range []string{"a", "b", "c"} {
 			if rng.IntN(3) > 0 {
 				cs = append(cs, logic.Class{Name: n, Effect: logic.Effect(rng.IntN(3)), Scope: logic.Scope(rng.IntN(3)),
-					Aim: time.Duration(1 + rng.IntN(9)), Deadline: time.Duration(1 + rng.IntN(9)), Window: time.Duration(1 + rng.IntN(9))})
+					SoftDeadline: time.Duration(1 + rng.IntN(9)), Deadline: time.Duration(1 + rng.IntN(9)), DedupWindow: time.Duration(1 + rng.IntN(9))})
 			}
 		}
 		return cs
@@ -126,8 +126,8 @@
 					t.Fatalf("%s is lost", c.Name)
 				}
 				b := both[i]
-				if b.Effect < c.Effect || b.Scope < c.Scope || b.Aim > c.Aim || b.Deadline > c.Deadline ||
-					b.Effect == logic.ByKey && c.Effect == logic.ByKey && b.Window > c.Window {
+				if b.Effect < c.Effect || b.Scope < c.Scope || b.SoftDeadline > c.SoftDeadline || b.Deadline > c.Deadline ||
+					b.Effect == logic.DeduplicatedByKey && c.Effect == logic.DeduplicatedByKey && b.DedupWindow > c.DedupWindow {
 					t.Fatalf("%+v allows more than %+v", b, c)
 				}
 			}
--- a/internal/shed/shed.go
+++ b/internal/shed/shed.go
@@ -55,15 +55,15 @@
 	g.after, g.least = 0, make([]bool, len(classes))
 	most := 0.0
 	for _, c := range classes {
-		if g.after == 0 || c.Aim/afterShare < g.after {
-			g.after = c.Aim / afterShare
+		if g.after == 0 || c.SoftDeadline/afterShare < g.after {
+			g.after = c.SoftDeadline / afterShare
 		}
 		if c.Effect == logic.Repeatable {
-			most = max(most, c.Worth)
+			most = max(most, c.Value)
 		}
 	}
 	for i, c := range classes {
-		g.least[i] = c.Effect == logic.Repeatable && c.Worth < most
+		g.least[i] = c.Effect == logic.Repeatable && c.Value < most
 	}
 }
 
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -12,10 +12,10 @@
 const ms = time.Millisecond
 
 var classes = []logic.Class{
-	{Name: "tile-read", Aim: 800 * ms, Worth: 5, Effect: logic.Repeatable},
-	{Name: "preview", Aim: 800 * ms, Worth: 1, Effect: logic.Repeatable},
-	{Name: "pass-order", Aim: 1500 * ms, Worth: 15, Effect: logic.Once},
-	{Name: "edit", Aim: 1500 * ms, Worth: 3, Effect: logic.ByKey},
+	{Name: "tile-read", SoftDeadline: 800 * ms, Value: 5, Effect: logic.Repeatable},
+	{Name: "preview", SoftDeadline: 800 * ms, Value: 1, Effect: logic.Repeatable},
+	{Name: "pass-order", SoftDeadline: 1500 * ms, Value: 15, Effect: logic.AtMostOnce},
+	{Name: "edit", SoftDeadline: 1500 * ms, Value: 3, Effect: logic.DeduplicatedByKey},
 }
 
 func TestWhoIsTurnedAway(t *testing.T) {
@@ -53,7 +53,7 @@
 	if g.Admit(&logic.Request{}, &classes[0], 201*ms) {
 		t.Error("without tenants, a read that has waited is not turned away")
 	}
-	g.Retune([]logic.Class{{Aim: 8 * time.Second, Effect: logic.Repeatable}})
+	g.Retune([]logic.Class{{SoftDeadline: 8 * time.Second, Effect: logic.Repeatable}})
 	if !g.Admit(&logic.Request{}, &classes[0], 201*ms) {
 		t.Error("a longer aim leaves no longer wait")
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -73,19 +73,19 @@
 		return logic.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := logic.Settings{
-		Self: p.Self, Instances: p.Instances, Zone: p.Zone, Zones: len(p.Areas),
-		Mode: logic.Through, OriginKind: -1, Subscribe: p.Discovery == "subscribe",
-		Tick: millis(p.TickMS), TryLimit: p.Limits.TryLimit, SecondCopies: p.Limits.SecondCopies,
-		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, CanTell: p.Limits.Peers,
+		SelfIndex: p.Self, Instances: p.Instances, Zone: p.Zone, Zones: len(p.Areas),
+		Mode: logic.ReadThrough, OriginKind: -1, Subscribe: p.Discovery == "subscribe",
+		MaxEventDelay: millis(p.TickMS), MaxAttempts: p.Limits.TryLimit, ConcurrentAttempts: p.Limits.SecondCopies,
+		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, CanMessagePeers: p.Limits.Peers,
 		CanRetryAfter: p.Limits.RetryAfter, MaxRetryAfter: millis(p.Limits.MaxRetryAfter),
 		ConnectTimeout: millis(p.Limits.ConnectMS), AnswerGrace: millis(p.Rules.GraceMS),
-		MustAskIn: millis(p.Rules.MustAskMS), ColdFrom: p.Rules.ColdFrom, ColdFor: millis(p.Rules.ColdMS),
-		FallMultiple: p.Rules.FallMultiple, FallAfter: millis(p.Rules.TipMS),
-		OriginFallMultiple: p.Info.FallMultiple, OriginFallAfter: millis(p.Info.FallMS),
-		CrossZonePrice: p.Deductions.CrossZone, OverShareWorth: p.OverShare,
+		MaxPollInterval: millis(p.Rules.MustAskMS), SlowStartCapacity: p.Rules.ColdFrom, SlowStartDuration: millis(p.Rules.ColdMS),
+		OverloadMultiple: p.Rules.FallMultiple, OverloadDuration: millis(p.Rules.TipMS),
+		OriginOverloadMultiple: p.Info.FallMultiple, OriginOverloadDuration: millis(p.Info.FallMS),
+		CrossZoneCost: p.Deductions.CrossZone, OverShareValue: p.OverShare,
 	}
 	if p.Info.Mode == "aside" {
-		s.Mode = logic.Aside
+		s.Mode = logic.CacheAside
 	}
 	if p.Info.OriginKind != nil {
 		s.OriginKind = *p.Info.OriginKind
@@ -95,8 +95,8 @@
 	}[p.Weights]
 	for _, c := range p.Classes {
 		s.Classes = append(s.Classes, logic.Class{
-			Name: c.Name, Aim: millis(c.AimMS), AimStretch: c.AimStretch, Deadline: millis(c.DeadlineMS),
-			Worth: c.Worth, LateWorth: c.LateWorth, Stream: c.Streamed, Window: millis(c.WindowMS),
+			Name: c.Name, SoftDeadline: millis(c.AimMS), SoftDeadlineCostFactor: c.AimStretch, Deadline: millis(c.DeadlineMS),
+			Value: c.Worth, LateValue: c.LateWorth, Stream: c.Streamed, DedupWindow: millis(c.WindowMS),
 			Effect: effect(c.Repeat), Scope: scope(c.Scope),
 		})
 	}
@@ -115,9 +115,9 @@
 	case "repeatable":
 		return logic.Repeatable
 	case "by_key":
-		return logic.ByKey
+		return logic.DeduplicatedByKey
 	}
-	return logic.Once
+	return logic.AtMostOnce
 }
 
 // scope treats a word it does not know as the narrowest.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -205,7 +205,7 @@
 	q.ID = logic.RequestID(c.u32())
 	q.Cost = millis(c.f64())
 	bits := c.u8()
-	q.Known, q.Retry, q.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
+	q.CostKnown, q.Retry, q.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
 	q.Class = int(c.u16())
 	q.Size = float64(c.f32())
 	q.Deadline = millis(c.f64())
@@ -393,8 +393,8 @@
 	a.Reply.u32(uint32(id))
 }
 
-// Hold implements logic.Actions; the wire has no word for it.
-func (a Actions) Hold(logic.RequestID, logic.Reason) {}
+// NotifyWaiting implements logic.Actions; the wire has no word for it.
+func (a Actions) NotifyWaiting(logic.RequestID, logic.Reason) {}
 
 // Cancel implements logic.Actions.
 func (a Actions) Cancel(id logic.RequestID, attempt int) {
@@ -406,8 +406,8 @@
 // Probe implements logic.Actions.
 func (a Actions) Probe(m logic.MemberID) { a.member(acAskLoad, m) }
 
-// Wait implements logic.Actions; the simulator's instances lack no connection.
-func (a Actions) Wait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
+// ConnectionWait implements logic.Actions; the simulator's instances lack no connection.
+func (a Actions) ConnectionWait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
 
 // CloseIdle implements logic.Actions.
 func (a Actions) CloseIdle(m logic.MemberID) { a.member(acLetGo, m) }
@@ -434,11 +434,11 @@
 	a.Reply.buf = append(a.Reply.buf, b)
 }
 
-// Fetch implements logic.Actions.
-func (a Actions) Fetch() { a.Reply.record(acRefresh, a.Instance, 0) }
+// FetchList implements logic.Actions.
+func (a Actions) FetchList() { a.Reply.record(acRefresh, a.Instance, 0) }
 
-// Tell implements logic.Actions.
-func (a Actions) Tell(peer int, data []byte) {
+// SendToPeer implements logic.Actions.
+func (a Actions) SendToPeer(peer int, data []byte) {
 	data = data[:min(len(data), maxPeerData)]
 	a.Reply.record(acBroadcastTo, a.Instance, 6+len(data))
 	if peer == logic.AllPeers {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,7 +62,7 @@
 	if len(events) != 5 || now != 8412250*time.Microsecond {
 		t.Fatalf("%d events at %v, want 5 at 8412.25 ms", len(events), now)
 	}
-	want := logic.Request{ID: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Cost: 12 * time.Millisecond, Known: true,
+	want := logic.Request{ID: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Cost: 12 * time.Millisecond, CostKnown: true,
 		Deadline: 8652250 * time.Microsecond}
 	if !reflect.DeepEqual(events[0].Request, want) || events[0].Instance != 3 {
 		t.Errorf("Ask: %+v", events[0].Request)
@@ -120,16 +120,16 @@
 		"Remind": {func() { a.SetTimer(8770*time.Millisecond+250*time.Microsecond, 77) },
 			"0501 14000000 03000000 000000002021c140 4d00000000000000"},
 		"Trace":         {func() { a.Log("two servers known") }, "0101 17000000 03000000 1100 74776f2073657276657273206b6e6f776e"},
-		"BroadcastTo":   {func() { a.Tell(logic.AllPeers, []byte("h i7")) }, "0301 0e000000 03000000 ffffffff 0400 68206937"},
+		"BroadcastTo":   {func() { a.SendToPeer(logic.AllPeers, []byte("h i7")) }, "0301 0e000000 03000000 ffffffff 0400 68206937"},
 		"Shed":          {func() { a.Refuse(1, time.Millisecond, logic.NoRoom) }, "0601 10000000 03000000 01000000 000000000000f03f"},
 		"Abort":         {func() { a.Fail(1, logic.MayHaveRun) }, "0001 08000000 03000000 01000000"},
 		"DropAttempt":   {func() { a.Cancel(1, 2) }, "0b01 09000000 03000000 01000000 02"},
 		"AskLoad":       {func() { a.Probe(node1) }, "0201 0a000000 03000000 0a124a07 5b1b"},
 		"LetGo":         {func() { a.CloseIdle(node1) }, "0701 0a000000 03000000 0a124a07 5b1b"},
 		"KeepInformed":  {func() { a.Watch(true) }, "0401 05000000 03000000 01"},
-		"Refresh":       {func() { a.Fetch() }, "0901 04000000 03000000"},
+		"Refresh":       {func() { a.FetchList() }, "0901 04000000 03000000"},
 		"Bug":           {func() { r.Bug(3, "x") }, "0801 07000000 03000000 0100 78"},
-		"peer by index": {func() { a.Tell(5, nil) }, "0301 0a000000 03000000 05000000 0000"},
+		"peer by index": {func() { a.SendToPeer(5, nil) }, "0301 0a000000 03000000 05000000 0000"},
 	} {
 		r.Reset()
 		c.do()
@@ -191,15 +191,15 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if c.Aim != 80500*time.Microsecond || c.Effect != logic.ByKey || c.Scope != logic.ScopeCell || !c.Stream {
+	if c.SoftDeadline != 80500*time.Microsecond || c.Effect != logic.DeduplicatedByKey || c.Scope != logic.ScopeCell || !c.Stream {
 		t.Errorf("class %+v", c)
 	}
-	if x := s.Classes[1]; x.Effect != logic.Once || x.Scope != logic.ScopeCell {
+	if x := s.Classes[1]; x.Effect != logic.AtMostOnce || x.Scope != logic.ScopeCell {
 		t.Errorf("unknown words must be read strictly: %+v", x)
 	}
-	if s.Mode != logic.Aside || s.OriginKind != 0 || s.Zones != 2 || s.Zone != 1 || s.Self != 4 || !s.Subscribe ||
-		s.Weights != logic.WeightsLive || s.TryLimit != 6 || s.CrossZonePrice != 0.5 || s.Tenants[0].Quota != 9 ||
-		s.ReportColumns[0] != logic.ColumnLatency || s.FallAfter != 20*time.Millisecond || s.ColdFrom != 0.5 {
+	if s.Mode != logic.CacheAside || s.OriginKind != 0 || s.Zones != 2 || s.Zone != 1 || s.SelfIndex != 4 || !s.Subscribe ||
+		s.Weights != logic.WeightsLive || s.MaxAttempts != 6 || s.CrossZoneCost != 0.5 || s.Tenants[0].Quota != 9 ||
+		s.ReportColumns[0] != logic.ColumnLatency || s.OverloadDuration != 20*time.Millisecond || s.SlowStartCapacity != 0.5 {
 		t.Errorf("settings %+v", s)
 	}
 	if s, err := ParseSettings([]byte(`{"family_info": {"mode": "through"}}`)); err != nil || s.OriginKind != -1 {
--- a/logic/api.go
+++ b/logic/api.go
@@ -1,7 +1,7 @@
 // Package logic makes the routing decisions of a proxy in front of a fleet of cache servers.
 //
 // A host (a proxy) owns one Balancer. It reports what happens by calling the Balancer's event
-// methods: SetMembers, SetShares, Request, Outcome, StreamStarted, Expired, Timer, Probed and PeerMessage. The
+// methods: SetMembers, SetZoneShares, Request, Outcome, StreamStarted, Expired, Timer, Probed and PeerMessage. The
 // Balancer answers by calling the host's Actions from inside those calls. It keeps no clock, starts no
 // goroutine and reads nothing else: every event carries the host's time, as a time.Duration on any clock
 // that only advances, and all randomness derives from the seed given to New. A Balancer is not safe for
@@ -68,15 +68,15 @@
 
 // The effects of a class.
 const (
-	Repeatable Effect = iota // safe to repeat
-	ByKey                    // repeats are dropped inside a group for a time
-	Once                     // must never run twice
+	Repeatable        Effect = iota // safe to repeat
+	DeduplicatedByKey               // repeats are dropped inside a group for a time
+	AtMostOnce                      // must never run twice
 )
 
-// Scope is the group of members that drop the repeats of a ByKey request.
+// Scope is the group of members that drop the repeats of a DeduplicatedByKey request.
 type Scope uint8
 
-// The scopes of a ByKey class.
+// The scopes of a DeduplicatedByKey class.
 const (
 	ScopeAll Scope = iota
 	ScopeZone
@@ -85,30 +85,30 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name       string
-	Aim        time.Duration // an answer within this is worth all
-	AimStretch float64       // the aim grows by this multiple of the request's own work
-	Deadline   time.Duration
-	Worth      float64
-	LateWorth  float64 // share of the worth of an answer between aim and deadline
-	Effect     Effect
-	Scope      Scope
-	Window     time.Duration // how long a ByKey repeat is dropped
-	Stream     bool
+	Name                   string
+	SoftDeadline           time.Duration // an answer within this is worth all
+	SoftDeadlineCostFactor float64       // the aim grows by this multiple of the request's own work
+	Deadline               time.Duration
+	Value                  float64
+	LateValue              float64 // share of the worth of an answer between aim and deadline
+	Effect                 Effect
+	Scope                  Scope
+	DedupWindow            time.Duration // how long a DeduplicatedByKey repeat is dropped
+	Stream                 bool
 }
 
 // EffectOf is the effect of a request of the class. A keyed one that lacks its key must not run twice: whoever gets a repeat could not tell that
 // it is one.
 func (c *Class) EffectOf(unkeyed bool) Effect {
-	if c.Effect == ByKey && unkeyed {
-		return Once
+	if c.Effect == DeduplicatedByKey && unkeyed {
+		return AtMostOnce
 	}
 	return c.Effect
 }
 
-// RepeatIsHarmless tells whether a request of the class with this effect may be asked for again by its client, whatever has become of it.
-func (c *Class) RepeatIsHarmless(effect Effect) bool {
-	return effect == Repeatable || effect == ByKey && c.Scope == ScopeAll
+// SafeToRetry tells whether a request of the class with this effect may be asked for again by its client, whatever has become of it.
+func (c *Class) SafeToRetry(effect Effect) bool {
+	return effect == Repeatable || effect == DeduplicatedByKey && c.Scope == ScopeAll
 }
 
 // ClassNames are the names of classes, in their order.
@@ -143,43 +143,43 @@
 
 // The modes of a fleet.
 const (
-	Through Mode = iota // the cache fetches it and forwards writes
-	Aside               // the cache answers StatusMiss; the Balancer asks the origin
+	ReadThrough Mode = iota // the cache fetches it and forwards writes
+	CacheAside              // the cache answers StatusMiss; the Balancer asks the origin
 )
 
 // Settings are fixed for the life of a Balancer.
 type Settings struct {
 	Classes   []Class
 	Tenants   []Tenant
-	Self      int // number of this instance
+	SelfIndex int // number of this instance
 	Instances int
 	Zone      int
 	Zones     int
 	Mode      Mode
 	// OriginKind is the Member.Kind of origins in Aside mode; negative: none.
-	OriginKind         int
-	Weights            Weights
-	Subscribe          bool          // lists come only after Watch or Fetch
-	MustAskIn          time.Duration // without a watch, ask at least this often
-	Tick               time.Duration // events are late by up to this
-	TryLimit           int           // attempts a request may have
-	SecondCopies       bool          // two attempts of a request may be out at once
-	CanCancel          bool
-	CanProbe           bool
-	CanTell            bool
-	CanRetryAfter      bool
-	MaxRetryAfter      time.Duration
-	ConnectTimeout     time.Duration
-	AnswerGrace        time.Duration // an answer this long after the deadline still counts
-	ColdFrom           float64       // a member starts at this share of its capacity
-	ColdFor            time.Duration // and is warm after this
-	FallMultiple       float64       // sent more than this multiple of its capacity
-	FallAfter          time.Duration // for this long, a cold member falls over
-	OriginFallMultiple float64       // the same for the origin; 0: no such limit
-	OriginFallAfter    time.Duration
-	CrossZonePrice     float64  // what a request that crosses zones costs, in worth
-	OverShareWorth     float64  // worth of a request over its tenant's share
-	ReportColumns      []string // the names of Outcome.Load's values, see Column constants
+	OriginKind             int
+	Weights                Weights
+	Subscribe              bool          // lists come only after Watch or Fetch
+	MaxPollInterval        time.Duration // without a watch, ask at least this often
+	MaxEventDelay          time.Duration // events are late by up to this
+	MaxAttempts            int           // attempts a request may have
+	ConcurrentAttempts     bool          // two attempts of a request may be out at once
+	CanCancel              bool
+	CanProbe               bool
+	CanMessagePeers        bool
+	CanRetryAfter          bool
+	MaxRetryAfter          time.Duration
+	ConnectTimeout         time.Duration
+	AnswerGrace            time.Duration // an answer this long after the deadline still counts
+	SlowStartCapacity      float64       // a member starts at this share of its capacity
+	SlowStartDuration      time.Duration // and is warm after this
+	OverloadMultiple       float64       // sent more than this multiple of its capacity
+	OverloadDuration       time.Duration // for this long, a cold member falls over
+	OriginOverloadMultiple float64       // the same for the origin; 0: no such limit
+	OriginOverloadDuration time.Duration
+	CrossZoneCost          float64  // what a request that crosses zones costs, in worth
+	OverShareValue         float64  // worth of a request over its tenant's share
+	ReportColumns          []string // the names of Outcome.Load's values, see Column constants
 }
 
 // check tells what makes settings unusable.
@@ -187,14 +187,14 @@
 	if len(s.Classes) == 0 {
 		return errors.New("logic: settings name no class")
 	}
-	if s.TryLimit < 1 {
-		return fmt.Errorf("logic: try limit %d leaves no attempt", s.TryLimit)
+	if s.MaxAttempts < 1 {
+		return fmt.Errorf("logic: try limit %d leaves no attempt", s.MaxAttempts)
 	}
-	if !(s.ColdFrom >= 0 && s.ColdFrom <= 1) || !(s.FallMultiple >= 0) || s.ColdFor < 0 || s.FallAfter < 0 {
+	if !(s.SlowStartCapacity >= 0 && s.SlowStartCapacity <= 1) || !(s.OverloadMultiple >= 0) || s.SlowStartDuration < 0 || s.OverloadDuration < 0 {
 		return errors.New("logic: cold-start settings out of range")
 	}
 	for _, c := range s.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 {
+		if c.SoftDeadline <= 0 || c.Deadline <= 0 {
 			return fmt.Errorf("logic: class %q has no aim or deadline", c.Name)
 		}
 	}
@@ -209,19 +209,19 @@
 
 // Request is what a client asks.
 type Request struct {
-	ID       RequestID
-	Key      uint64 // 0: none
-	Class    int
-	Tenant   int
-	Cost     time.Duration // expected work, if CostKnown
-	Known    bool          // Cost is known
-	Retry    bool          // the client marked it as a repeat
-	Write    bool
-	Unkeyed  bool // it has no key by which repeats of it could be dropped
-	Size     float64
-	Deadline time.Duration // when the client gives up
-	// Only, if not nil, names the members that the request may go to; Narrow changes it.
-	Only []MemberID
+	ID         RequestID
+	Key        uint64 // 0: none
+	Class      int
+	Tenant     int
+	Cost       time.Duration // expected work, if CostKnown
+	CostKnown  bool          // Cost is known
+	Retry      bool          // the client marked it as a repeat
+	Write      bool
+	NoDedupKey bool // it has no key by which repeats of it could be dropped
+	Size       float64
+	Deadline   time.Duration // when the client gives up
+	// AllowedMembers, if not nil, names the members that the request may go to; Narrow changes it.
+	AllowedMembers []MemberID
 }
 
 // Status tells how an attempt or probe ended.
@@ -268,15 +268,15 @@
 
 // Outcome tells how one attempt ended.
 type Outcome struct {
-	Request RequestID
-	Attempt int
-	Member  MemberID
-	Status  Status
-	Elapsed time.Duration
-	Note    int
-	Final   bool      // the request is over
-	Fresh   bool      // it was the first on its connection, and Elapsed holds the wait for a handshake
-	Load    []float32 // in the order of Settings.ReportColumns; may be empty
+	Request           RequestID
+	Attempt           int
+	Member            MemberID
+	Status            Status
+	Elapsed           time.Duration
+	Note              int
+	Final             bool      // the request is over
+	FirstOnConnection bool      // it was the first on its connection, and Elapsed holds the wait for a handshake
+	Load              []float32 // in the order of Settings.ReportColumns; may be empty
 	// InTransit is for how long the attempt may still come at its member though it was given up. Another one that came there, or elsewhere, before
 	// it would be a second copy.
 	InTransit time.Duration
@@ -294,12 +294,12 @@
 	Refuse(id RequestID, retryAfter time.Duration, why Reason)
 	// Fail is the final answer that promises nothing.
 	Fail(id RequestID, why Reason)
-	// Hold notes that the request waits, with nothing out; nothing is to be done.
-	Hold(id RequestID, why Reason)
-	// Wait asks how long an attempt of the request would wait for a connection to a member if it were sent now, beside
+	// NotifyWaiting notes that the request waits, with nothing out; nothing is to be done.
+	NotifyWaiting(id RequestID, why Reason)
+	// ConnectionWait asks how long an attempt of the request would wait for a connection to a member if it were sent now, beside
 	// the time that a handshake takes; below 0: nothing is known of that, or the wait would be in vain. It is the host's own
 	// shortage and tells nothing of the member. A host whose clients make their attempts themselves tells 0.
-	Wait(id RequestID, m MemberID) time.Duration
+	ConnectionWait(id RequestID, m MemberID) time.Duration
 	// Cancel stops waiting for one attempt; its Outcome follows.
 	Cancel(id RequestID, attempt int)
 	// Probe checks a member; a Probed event follows.
@@ -310,16 +310,16 @@
 	SetTimer(at time.Duration, token uint64)
 	// Watch subscribes to changes of the list; SetMembers answers, with ListFailed if it failed.
 	Watch(on bool)
-	// Fetch asks for the whole list once.
-	Fetch()
-	// Tell sends up to 256 bytes to a peer, or to AllPeers.
-	Tell(peer int, data []byte)
+	// FetchList asks for the whole list once.
+	FetchList()
+	// SendToPeer sends up to 256 bytes to a peer, or to AllPeers.
+	SendToPeer(peer int, data []byte)
 	// Log records a line for the operators.
 	Log(text string)
 }
 
-// Probed takes the result of a probe. No decision rests on probes yet.
-func (b *Balancer) Probed(now time.Duration, id MemberID, s Status, elapsed time.Duration, load []float32) {
+// ProbeResult takes the result of a probe. No decision rests on probes yet.
+func (b *Balancer) ProbeResult(now time.Duration, id MemberID, s Status, elapsed time.Duration, load []float32) {
 	b.advance(now)
 }
 
--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -12,15 +12,15 @@
 
 func (q *quiet) Send(_ RequestID, to MemberID, _ time.Duration) { q.to = to }
 func (*quiet) Refuse(RequestID, time.Duration, Reason)          {}
-func (*quiet) Hold(RequestID, Reason)                           {}
+func (*quiet) NotifyWaiting(RequestID, Reason)                  {}
 func (*quiet) Fail(RequestID, Reason)                           {}
 func (*quiet) Cancel(RequestID, int)                            {}
 func (*quiet) Probe(MemberID)                                   {}
-func (*quiet) Wait(RequestID, MemberID) time.Duration           { return 0 }
+func (*quiet) ConnectionWait(RequestID, MemberID) time.Duration { return 0 }
 func (*quiet) CloseIdle(MemberID)                               {}
 func (*quiet) Watch(bool)                                       {}
-func (*quiet) Fetch()                                           {}
-func (*quiet) Tell(int, []byte)                                 {}
+func (*quiet) FetchList()                                       {}
+func (*quiet) SendToPeer(int, []byte)                           {}
 func (*quiet) Log(string)                                       {}
 func (*quiet) SetTimer(time.Duration, uint64)                   {}
 
--- a/logic/digest.go
+++ b/logic/digest.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Digest is a number of all that the Balancer's further decisions rest on: two with the same digest and settings act
+// StateDigest is a number of all that the Balancer's further decisions rest on: two with the same digest and settings act
 // alike from here on. It is for checkers that explore its states (internal/explore), and costs far more than an event.
-func (b *Balancer) Digest() [16]byte {
+func (b *Balancer) StateDigest() [16]byte {
 	h := fnv.New128a()
 	id := func(n *node) MemberID {
 		if n == nil {
@@ -55,5 +55,5 @@
 	return [16]byte(h.Sum(nil))
 }
 
-// InHand is how many requests the Balancer knows, those that are answered and have attempts out included.
-func (b *Balancer) InHand() int { return len(b.flights) }
+// Outstanding is how many requests the Balancer knows, those that are answered and have attempts out included.
+func (b *Balancer) Outstanding() int { return len(b.flights) }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -13,26 +13,26 @@
 func (printer) Send(id logic.RequestID, to logic.MemberID, _ time.Duration) {
 	fmt.Printf("send request %d to member %d\n", id, to)
 }
-func (printer) Hold(logic.RequestID, logic.Reason) {}
+func (printer) NotifyWaiting(logic.RequestID, logic.Reason) {}
 func (printer) Refuse(id logic.RequestID, _ time.Duration, _ logic.Reason) {
 	fmt.Printf("refuse request %d\n", id)
 }
-func (printer) Fail(id logic.RequestID, _ logic.Reason)            { fmt.Printf("fail request %d\n", id) }
-func (printer) Cancel(logic.RequestID, int)                        {}
-func (printer) Probe(logic.MemberID)                               {}
-func (printer) Wait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
-func (printer) CloseIdle(logic.MemberID)                           {}
-func (printer) SetTimer(time.Duration, uint64)                     {}
-func (printer) Watch(bool)                                         {}
-func (printer) Fetch()                                             {}
-func (printer) Tell(int, []byte)                                   {}
-func (printer) Log(string)                                         {}
+func (printer) Fail(id logic.RequestID, _ logic.Reason)                      { fmt.Printf("fail request %d\n", id) }
+func (printer) Cancel(logic.RequestID, int)                                  {}
+func (printer) Probe(logic.MemberID)                                         {}
+func (printer) ConnectionWait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
+func (printer) CloseIdle(logic.MemberID)                                     {}
+func (printer) SetTimer(time.Duration, uint64)                               {}
+func (printer) Watch(bool)                                                   {}
+func (printer) FetchList()                                                   {}
+func (printer) SendToPeer(int, []byte)                                       {}
+func (printer) Log(string)                                                   {}
 
 // A hit, a miss fetched from the origin, and a refusal.
 func Example() {
 	settings := logic.Settings{
-		Classes:  []logic.Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}},
-		TryLimit: 4, Mode: logic.Aside, OriginKind: 1,
+		Classes:     []logic.Class{{SoftDeadline: time.Second, Deadline: 3 * time.Second, Value: 1}},
+		MaxAttempts: 4, Mode: logic.CacheAside, OriginKind: 1,
 	}
 	b, err := logic.New(settings, 1, printer{})
 	if err != nil {
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -109,9 +109,9 @@
 		list: map[MemberID]Member{}, refused: map[Reason]int{}, late: map[Reason]time.Duration{}}
 	f.s = testSettings()
 	f.s.Classes = f.s.Classes[:2]
-	f.s.Classes[0].Aim, f.s.Classes[0].Deadline = 440*ms, 1600*ms
-	f.s.Instances, f.s.Zones, f.s.CrossZonePrice = proxies, 3, 0.06
-	f.s.ColdFrom, f.s.ColdFor, f.s.FallMultiple, f.s.Tick = 0.3, 9*time.Second, 4, ms
+	f.s.Classes[0].SoftDeadline, f.s.Classes[0].Deadline = 440*ms, 1600*ms
+	f.s.Instances, f.s.Zones, f.s.CrossZoneCost = proxies, 3, 0.06
+	f.s.SlowStartCapacity, f.s.SlowStartDuration, f.s.OverloadMultiple, f.s.MaxEventDelay = 0.3, 9*time.Second, 4, ms
 	for i := range caches {
 		f.add(MemberID(i+1), 0)
 	}
@@ -183,7 +183,7 @@
 // startWith starts it with the list of its configuration, which may be an old one.
 func (p *fleetProxy) startWith(self int, known map[MemberID]Member) {
 	s := p.f.s
-	s.Self, s.Zone = self, self%3
+	s.SelfIndex, s.Zone = self, self%3
 	p.open, p.dead, p.list, p.away = map[RequestID]*fleetRequest{}, false, map[MemberID]Member{}, map[MemberID]fleetAway{}
 	p.epoch++
 	for _, c := range p.f.caches {
@@ -232,7 +232,7 @@
 			r.heardAt = f.now
 			if s == StatusOK && !r.done {
 				r.done = true
-				if f.now <= r.Deadline-f.s.Classes[0].Deadline+f.s.Classes[0].Aim {
+				if f.now <= r.Deadline-f.s.Classes[0].Deadline+f.s.Classes[0].SoftDeadline {
 					f.served++
 					p.served++
 				}
@@ -301,10 +301,10 @@
 
 func (f *fleet) warmth(c *fleetCache) float64 {
 	age := f.now - c.m.StartedAt
-	if c.m.StartedAt == 0 || age >= f.s.ColdFor {
+	if c.m.StartedAt == 0 || age >= f.s.SlowStartDuration {
 		return 1
 	}
-	return f.s.ColdFrom + (1-f.s.ColdFrom)*age.Seconds()/f.s.ColdFor.Seconds()
+	return f.s.SlowStartCapacity + (1-f.s.SlowStartCapacity)*age.Seconds()/f.s.SlowStartDuration.Seconds()
 }
 
 // countCold adds up what all proxies send to a cold cache, against what rule 4 allows.
@@ -314,11 +314,11 @@
 		return
 	}
 	c.sent = append(c.sent, f.now)
-	for f.now-c.sent[0] > f.s.FallAfter {
+	for f.now-c.sent[0] > f.s.OverloadDuration {
 		c.sent = c.sent[1:]
 	}
-	can := w * float64(c.slots) * f.s.FallAfter.Seconds() / fleetWork.Seconds() // requests in that time
-	f.mostCold = max(f.mostCold, float64(len(c.sent))/(can*f.s.FallMultiple))
+	can := w * float64(c.slots) * f.s.OverloadDuration.Seconds() / fleetWork.Seconds() // requests in that time
+	f.mostCold = max(f.mostCold, float64(len(c.sent))/(can*f.s.OverloadMultiple))
 }
 
 // tryOut tells whether a proxy has a connection to a cache, or gets one; else it tries again later, by internal/pool's backoff.
@@ -388,8 +388,8 @@
 
 func (p *fleetProxy) Refuse(id RequestID, _ time.Duration, why Reason) { p.answered(id, why) }
 func (p *fleetProxy) Fail(id RequestID, why Reason)                    { p.answered(id, why) }
-func (p *fleetProxy) Hold(RequestID, Reason)                           {}
-func (p *fleetProxy) Wait(_ RequestID, at MemberID) time.Duration {
+func (p *fleetProxy) NotifyWaiting(RequestID, Reason)                  {}
+func (p *fleetProxy) ConnectionWait(_ RequestID, at MemberID) time.Duration {
 	// As internal/pool tells it: from the second connection in a row that is turned away, with tries beside the reads. Where a
 	// connection is taken and its first request turned away, the next read finds that out.
 	a := p.away[at]
@@ -404,13 +404,13 @@
 	}
 	return -1
 }
-func (p *fleetProxy) Cancel(RequestID, int) {}
-func (p *fleetProxy) Probe(MemberID)        {}
-func (p *fleetProxy) CloseIdle(MemberID)    {}
-func (p *fleetProxy) Watch(bool)            {}
-func (p *fleetProxy) Fetch()                {}
-func (p *fleetProxy) Tell(int, []byte)      {}
-func (p *fleetProxy) Log(string)            {}
+func (p *fleetProxy) Cancel(RequestID, int)  {}
+func (p *fleetProxy) Probe(MemberID)         {}
+func (p *fleetProxy) CloseIdle(MemberID)     {}
+func (p *fleetProxy) Watch(bool)             {}
+func (p *fleetProxy) FetchList()             {}
+func (p *fleetProxy) SendToPeer(int, []byte) {}
+func (p *fleetProxy) Log(string)             {}
 func (p *fleetProxy) SetTimer(at time.Duration, token uint64) {
 	epoch := p.epoch
 	p.f.at(at, func() {
@@ -875,7 +875,7 @@
 // A zone falls silent and comes back with other processes, of which the list tells nothing: what is sent to it is what cold caches bear.
 func TestFleetZoneBackUntold(t *testing.T) {
 	eachFleet(t, func(t *testing.T, f *fleet, load float64) {
-		f.s.ColdFrom, f.s.FallMultiple = 0.1, 1.5 // the usual load would be too much for them
+		f.s.SlowStartCapacity, f.s.OverloadMultiple = 0.1, 1.5 // the usual load would be too much for them
 		for i, p := range f.proxies {
 			p.start(i)
 		}
@@ -904,7 +904,7 @@
 	eachFleet(t, func(t *testing.T, f *fleet, load float64) {
 		attempts := func(shares ...ZoneShare) (n float64) {
 			for _, p := range f.proxies {
-				p.b.SetShares(f.now, shares)
+				p.b.SetZoneShares(f.now, shares)
 			}
 			f.run(time.Second, load) // what was out ends, and limits find their place
 			for _, c := range f.caches {
--- a/logic/home.go
+++ b/logic/home.go
@@ -1,8 +1,8 @@
 package logic
 
-// Home names the cache that a key's reads go to first, as the tables stand now; 0: there is none. It decides nothing: what
+// PrimaryCache names the cache that a key's reads go to first, as the tables stand now; 0: there is none. It decides nothing: what
 // a read that comes now meets there (limits, ejection, the cold budget) is decided when it comes.
-func (b *Balancer) Home(key uint64) MemberID {
+func (b *Balancer) PrimaryCache(key uint64) MemberID {
 	if p := b.hot[key]; p != nil && key != 0 {
 		return p.nodes[(p.next+1)%len(p.nodes)].m.ID
 	}
--- a/logic/host_test.go
+++ b/logic/host_test.go
@@ -25,7 +25,7 @@
 	broken []string
 	why    []Reason                     // of the final answers
 	wait   func(MemberID) time.Duration // for a connection; nil: none
-	heirOf *Learnt                      // what it takes over with its first list; nil: nothing
+	heirOf *LearnedState                // what it takes over with its first list; nil: nothing
 }
 
 type timerAt struct {
@@ -82,25 +82,25 @@
 	if !known || m.State != Ready {
 		h.breach("send to member %d, which is not ready", to)
 	}
-	if len(r.sent) >= h.s.TryLimit {
-		h.breach("request %d: attempt %d of %d", id, len(r.sent)+1, h.s.TryLimit)
+	if len(r.sent) >= h.s.MaxAttempts {
+		h.breach("request %d: attempt %d of %d", id, len(r.sent)+1, h.s.MaxAttempts)
 	}
 	c := h.class(r.Class)
 	for _, a := range r.sent {
-		if !a.ended && !h.s.SecondCopies {
+		if !a.ended && !h.s.ConcurrentAttempts {
 			h.breach("request %d: two attempts at once", id)
 		}
-		if a.ran && c.Effect == Once {
+		if a.ran && c.Effect == AtMostOnce {
 			h.breach("request %d: sent again though it may have run", id)
 		}
-		if a.ran && c.Effect == ByKey && h.now >= a.at+c.Window {
+		if a.ran && c.Effect == DeduplicatedByKey && h.now >= a.at+c.DedupWindow {
 			h.breach("request %d: sent again outside its window", id)
 		}
-		if a.ran && c.Effect == ByKey && c.Scope == ScopeZone && m.Zone != h.list[a.to].Zone {
+		if a.ran && c.Effect == DeduplicatedByKey && c.Scope == ScopeZone && m.Zone != h.list[a.to].Zone {
 			h.breach("request %d: sent again outside its zone", id)
 		}
 	}
-	if m.StartedAt > 0 && h.now-m.StartedAt < h.s.ColdFor && !(h.s.Mode == Aside && m.Kind == h.s.OriginKind) {
+	if m.StartedAt > 0 && h.now-m.StartedAt < h.s.SlowStartDuration && !(h.s.Mode == CacheAside && m.Kind == h.s.OriginKind) {
 		h.cold[to] = append(h.cold[to], h.now)
 	}
 	r.sent = append(r.sent, sentTo{to: to, at: h.now, timeout: timeout, ran: true})
@@ -111,7 +111,7 @@
 		return h.s.Classes[i]
 	}
 	c := h.s.Classes[0]
-	c.Effect = Once
+	c.Effect = AtMostOnce
 	return c
 }
 
@@ -126,7 +126,7 @@
 	}
 	c := h.class(r.Class)
 	for _, a := range r.sent {
-		if refusal && a.ran && (c.Effect == Once || c.Effect == ByKey && c.Scope != ScopeAll) {
+		if refusal && a.ran && (c.Effect == AtMostOnce || c.Effect == DeduplicatedByKey && c.Scope != ScopeAll) {
 			h.breach("request %d refused though it may have run", id)
 		}
 	}
@@ -138,9 +138,9 @@
 	h.answer(id, true)
 }
 
-func (h *fakeHost) Hold(id RequestID, why Reason) {}
+func (h *fakeHost) NotifyWaiting(id RequestID, why Reason) {}
 
-func (h *fakeHost) Wait(_ RequestID, m MemberID) time.Duration {
+func (h *fakeHost) ConnectionWait(_ RequestID, m MemberID) time.Duration {
 	if h.wait == nil {
 		return 0
 	}
@@ -160,12 +160,12 @@
 	}
 }
 
-func (h *fakeHost) Probe(m MemberID)     { h.note("probe %d", m) }
-func (h *fakeHost) CloseIdle(m MemberID) { h.note("close %d", m) }
-func (h *fakeHost) Watch(on bool)        { h.note("watch"); h.watch++ }
-func (h *fakeHost) Fetch()               { h.note("fetch") }
-func (h *fakeHost) Tell(int, []byte)     { h.note("tell") }
-func (h *fakeHost) Log(string)           {}
+func (h *fakeHost) Probe(m MemberID)       { h.note("probe %d", m) }
+func (h *fakeHost) CloseIdle(m MemberID)   { h.note("close %d", m) }
+func (h *fakeHost) Watch(on bool)          { h.note("watch"); h.watch++ }
+func (h *fakeHost) FetchList()             { h.note("fetch") }
+func (h *fakeHost) SendToPeer(int, []byte) { h.note("tell") }
+func (h *fakeHost) Log(string)             {}
 func (h *fakeHost) SetTimer(at time.Duration, token uint64) {
 	h.timers = append(h.timers, timerAt{at, token})
 }
@@ -231,15 +231,15 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "read", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "order", Aim: time.Second, Deadline: 4 * time.Second, Worth: 3, Effect: Once},
-			{Name: "note", Aim: 600 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: ByKey,
-				Window: 700 * ms},
-			{Name: "zoned", Aim: 600 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: ByKey,
-				Scope: ScopeZone, Window: 900 * ms},
+			{Name: "read", SoftDeadline: 500 * ms, Deadline: 2 * time.Second, Value: 1},
+			{Name: "order", SoftDeadline: time.Second, Deadline: 4 * time.Second, Value: 3, Effect: AtMostOnce},
+			{Name: "note", SoftDeadline: 600 * ms, Deadline: 2 * time.Second, Value: 2, Effect: DeduplicatedByKey,
+				DedupWindow: 700 * ms},
+			{Name: "zoned", SoftDeadline: 600 * ms, Deadline: 2 * time.Second, Value: 2, Effect: DeduplicatedByKey,
+				Scope: ScopeZone, DedupWindow: 900 * ms},
 		},
-		Instances: 3, Mode: Aside, OriginKind: 9, TryLimit: 4, Tick: 5 * ms, CanCancel: true, Zones: 1,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallAfter: 1500 * ms,
+		Instances: 3, Mode: CacheAside, OriginKind: 9, MaxAttempts: 4, MaxEventDelay: 5 * ms, CanCancel: true, Zones: 1,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: 1500 * ms,
 		Weights: WeightsNominal,
 	}
 }
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -12,9 +12,9 @@
 func TestHeirKeepsTheRules(t *testing.T) {
 	for seed := range uint64(6) {
 		s := testSettings()
-		s.Zones, s.CrossZonePrice = 2, 0.1
+		s.Zones, s.CrossZoneCost = 2, 0.1
 		old := driveRandom(t, s, seed)
-		l := old.b.Learnt(old.now)
+		l := old.b.ExportState(old.now)
 		if len(l.Members) == 0 || len(l.Keys) == 0 {
 			t.Fatalf("seed %d: nothing was learnt: %d members, %d keys", seed, len(l.Members), len(l.Keys))
 		}
@@ -29,10 +29,10 @@
 		}
 		for i := range l.Members {
 			m := &l.Members[i]
-			for _, f := range []*float64{&m.Limit, &m.Latency, &m.Gap, &m.Pace, &m.Fails} {
+			for _, f := range []*float64{&m.Limit, &m.Latency, &m.SendInterval, &m.AnswerInterval, &m.FailureRate} {
 				odd(f)
 			}
-			m.Seen, m.Streak, m.Out = rng.IntN(3e9)-1, rng.IntN(100)-50, time.Duration(rng.Int64())
+			m.Samples, m.FailureStreak, m.EjectedFor = rng.IntN(3e9)-1, rng.IntN(100)-50, time.Duration(rng.Int64())
 			if rng.IntN(4) == 0 {
 				m.ID = MemberID(rng.IntN(20))
 			}
@@ -41,9 +41,9 @@
 			k := &l.Keys[i]
 			odd(&k.Count)
 			odd(&k.Err)
-			k.At = append(k.At, MemberID(rng.IntN(2000)), originID)
+			k.Members = append(k.Members, MemberID(rng.IntN(2000)), originID)
 		}
-		for _, f := range []*float64{&l.Total, &l.Kept, &l.Latency, &l.Fails, &l.Arrivals, &l.Carried, &l.Span, &l.Asked, &l.Answered} {
+		for _, f := range []*float64{&l.Total, &l.EarlierTotal, &l.Latency, &l.FailureRate, &l.Arrivals, &l.ServedWork, &l.SpanSeconds, &l.RecentAttempts, &l.RecentAnswers} {
 			odd(f)
 		}
 		driveRandom(t, s, seed+50, heir).check()
@@ -69,7 +69,7 @@
 		n.seen, n.limit, n.latency, n.tokens = 50, 20+float64(n.m.ID%7), 0.01, 3
 	}
 	old.ask(Request{ID: 9999, Key: 5, Class: 1, Write: true}) // an order in hand
-	l := old.b.Learnt(old.now)
+	l := old.b.ExportState(old.now)
 
 	list[0].State = Gone
 	list[1].StartedAt = time.Hour // started anew
@@ -80,7 +80,7 @@
 		return h
 	}
 	h, plain := fresh(), fresh()
-	if got := h.b.Inherit(h.now, l); got != 4 { // two caches, the cold one and the origin
+	if got := h.b.ImportState(h.now, l); got != 4 { // two caches, the cold one and the origin
 		t.Errorf("something is taken over of %d members", got)
 	}
 	for id, n := range h.b.nodes {
@@ -108,19 +108,19 @@
 			}
 		}
 	}
-	if h.b.Inherit(h.now, l) != 0 {
+	if h.b.ImportState(h.now, l) != 0 {
 		t.Error("taken over twice")
 	}
 }
 
 // internal/inherit stores the exported state as JSON, which processes of other versions read: the names in it must not change.
 func TestExportedStateKeepsItsJSONNames(t *testing.T) {
-	l := Learnt{
-		Keys:  []LearntKey{{Key: 1, Count: 2, Err: 3, At: []MemberID{4}}},
-		Total: 5, Kept: 6,
-		Members: []LearntMember{{ID: 7, StartedAt: 8, Limit: 9, Latency: 10, Gap: 11, Pace: 12, Seen: 13, Cut: true, Fails: 14, Streak: 15,
-			Out: 16}},
-		Latency: 17, Fails: 18, Arrivals: 19, Carried: 20, Span: 21, Asked: 22, Answered: 23,
+	l := LearnedState{
+		Keys:  []LearnedKey{{Key: 1, Count: 2, Err: 3, Members: []MemberID{4}}},
+		Total: 5, EarlierTotal: 6,
+		Members: []LearnedMember{{ID: 7, StartedAt: 8, Limit: 9, Latency: 10, SendInterval: 11, AnswerInterval: 12, Samples: 13, LimitCut: true, FailureRate: 14, FailureStreak: 15,
+			EjectedFor: 16}},
+		Latency: 17, FailureRate: 18, Arrivals: 19, ServedWork: 20, SpanSeconds: 21, RecentAttempts: 22, RecentAnswers: 23,
 	}
 	const want = `{"Keys":[{"Key":1,"Count":2,"Err":3,"At":[4]}],"Total":5,"Kept":6,` +
 		`"Members":[{"ID":7,"StartedAt":8,"Limit":9,"Latency":10,"Gap":11,"Pace":12,"Seen":13,"Cut":true,"Fails":14,"Streak":15,"Out":16}],` +
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -75,8 +75,8 @@
 		return nil, err
 	}
 	s.Instances = max(1, s.Instances)
-	s.TryLimit = min(s.TryLimit, mostTries)
-	pcg := rand.NewPCG(seed, uint64(s.Self))
+	s.MaxAttempts = min(s.MaxAttempts, mostTries)
+	pcg := rand.NewPCG(seed, uint64(s.SelfIndex))
 	b := &Balancer{
 		s: s, do: do, pcg: pcg, rng: rand.New(pcg),
 		nodes: map[MemberID]*node{}, slots: make([][]ranked, slotCount), kindSize: map[int]float64{},
@@ -86,7 +86,7 @@
 	}
 	b.aimAt()
 	// Where crossing zones costs more than the copies it saves, each zone has a table of its own.
-	b.local = s.Zones > 1 && s.CrossZonePrice*(1-1/float64(s.Zones)) > 0.03
+	b.local = s.Zones > 1 && s.CrossZoneCost*(1-1/float64(s.Zones)) > 0.03
 	return b, nil
 }
 
@@ -94,14 +94,14 @@
 func (b *Balancer) aimAt() {
 	b.target = math.Inf(1)
 	for _, c := range b.s.Classes {
-		b.target = min(b.target, c.Aim.Seconds()/2)
+		b.target = min(b.target, c.SoftDeadline.Seconds()/2)
 	}
 }
 
-// Retune takes over other classes and another number of attempts, for requests that come from now on.
-func (b *Balancer) Retune(now time.Duration, classes []Class, tryLimit int) error {
+// UpdateClasses takes over other classes and another number of attempts, for requests that come from now on.
+func (b *Balancer) UpdateClasses(now time.Duration, classes []Class, tryLimit int) error {
 	s := b.s
-	s.Classes, s.TryLimit = slices.Clone(classes), min(tryLimit, mostTries) // requests in hand hold on to the old ones
+	s.Classes, s.MaxAttempts = slices.Clone(classes), min(tryLimit, mostTries) // requests in hand hold on to the old ones
 	if err := s.check(); err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 // Start begins at the host's time; windows are phased by instance so that rebuilds don't coincide.
 func (b *Balancer) Start(now time.Duration) {
 	b.now, b.closeAt, b.period = now, now, window/8
-	phase := time.Duration(b.s.Self%b.s.Instances) * window / time.Duration(b.s.Instances)
+	phase := time.Duration(b.s.SelfIndex%b.s.Instances) * window / time.Duration(b.s.Instances)
 	b.do.SetTimer(now+b.period+phase/4, tickClose)
 	if b.s.Subscribe {
 		b.do.SetTimer(now+b.jitter(time.Second), tickWatch)
@@ -226,8 +226,8 @@
 		limiter: limiter{limit: startLimit, sentAt: b.now}}
 }
 
-// SetShares takes the part of its usual work that the caches of each zone are to get from now on; a zone beyond the list as before.
-func (b *Balancer) SetShares(now time.Duration, shares []ZoneShare) {
+// SetZoneShares takes the part of its usual work that the caches of each zone are to get from now on; a zone beyond the list as before.
+func (b *Balancer) SetZoneShares(now time.Duration, shares []ZoneShare) {
 	b.advance(now)
 	b.trials = false
 	for i, s := range shares[:min(len(shares), len(b.zones))] {
@@ -246,7 +246,7 @@
 }
 
 func (b *Balancer) isOrigin(m Member) bool {
-	return b.s.Mode == Aside && b.s.OriginKind >= 0 && m.Kind == b.s.OriginKind
+	return b.s.Mode == CacheAside && b.s.OriginKind >= 0 && m.Kind == b.s.OriginKind
 }
 
 // slotWeight must come out alike at every proxy and must not follow load. Live weights fall with load, so
@@ -341,10 +341,10 @@
 func (b *Balancer) ramp(n *node) float64 {
 	since := max(n.m.StartedAt, n.zone.since, n.since)
 	age := b.now - since
-	if since == 0 || age >= b.s.ColdFor {
+	if since == 0 || age >= b.s.SlowStartDuration {
 		return 1
 	}
-	return b.s.ColdFrom + (1-b.s.ColdFrom)*max(0, age.Seconds())/b.s.ColdFor.Seconds()
+	return b.s.SlowStartCapacity + (1-b.s.SlowStartCapacity)*max(0, age.Seconds())/b.s.SlowStartDuration.Seconds()
 }
 
 // owns tells whether a cold member already has this slot: its slots come to it as it warms, in an order alike at every proxy.
@@ -415,7 +415,7 @@
 	least := math.Inf(1)
 	turn := 0
 	if len(order) > 2 { // several caches share the key: proxies begin at different ones
-		turn = int(mix(it.key^uint64(b.s.Self)*0x9e3779b97f4a7c15) % uint64(len(order)))
+		turn = int(mix(it.key^uint64(b.s.SelfIndex)*0x9e3779b97f4a7c15) % uint64(len(order)))
 	}
 	for i := range order {
 		n := order[(i+turn)%len(order)].n
@@ -464,21 +464,21 @@
 	if b.flights[r.ID] != nil {
 		return
 	}
-	f := &flight{Request: r, class: b.classOf(&r), tries: b.s.TryLimit}
-	aim := f.class.Aim
-	if r.Known && r.Cost > 0 {
-		aim = min(f.class.Deadline, aim+time.Duration(f.class.AimStretch*float64(r.Cost)))
+	f := &flight{Request: r, class: b.classOf(&r), tries: b.s.MaxAttempts}
+	aim := f.class.SoftDeadline
+	if r.CostKnown && r.Cost > 0 {
+		aim = min(f.class.Deadline, aim+time.Duration(f.class.SoftDeadlineCostFactor*float64(r.Cost)))
 	}
 	f.askedAt, f.aim = b.now, min(b.now+aim, r.Deadline)
-	if f.class.LateWorth > 0 {
+	if f.class.LateValue > 0 {
 		f.aim = r.Deadline
 	}
-	f.value = f.class.Worth / max(1e-9, f.class.Aim.Seconds())
+	f.value = f.class.Value / max(1e-9, f.class.SoftDeadline.Seconds())
 	b.flights[r.ID] = f
 	b.arrivals++
 	b.retries = min(retryBurst, b.retries+retryRatio)
 	if b.overShare(r.Tenant) {
-		f.value *= b.s.OverShareWorth
+		f.value *= b.s.OverShareValue
 	}
 	if r.Key != 0 {
 		// A fetch also serves those who will ask for the key again; keys wanted once must not crowd them out.
@@ -496,7 +496,7 @@
 }
 
 // slack is how early a request is ended, so that the answer is in time though events are late.
-func (b *Balancer) slack() time.Duration { return 2*b.s.Tick + time.Millisecond }
+func (b *Balancer) slack() time.Duration { return 2*b.s.MaxEventDelay + time.Millisecond }
 
 func (b *Balancer) timer(f *flight, at time.Duration, purpose uint64) {
 	b.do.SetTimer(at, uint64(f.ID)<<3|purpose)
@@ -505,11 +505,11 @@
 // classOf takes an unknown class, and a keyed request that lacks its key, for the strictest kind, so that it is never lost or run twice.
 func (b *Balancer) classOf(r *Request) *Class {
 	i := max(0, min(r.Class, len(b.s.Classes)-1))
-	if c := &b.s.Classes[i]; i == r.Class && c.EffectOf(r.Unkeyed) == c.Effect {
+	if c := &b.s.Classes[i]; i == r.Class && c.EffectOf(r.NoDedupKey) == c.Effect {
 		return c
 	}
 	c := b.s.Classes[i]
-	c.Effect = Once
+	c.Effect = AtMostOnce
 	return &c
 }
 
@@ -525,7 +525,7 @@
 
 // route takes the ordinary path: writes beside the caches go to the origin, everything else to the cache that the tables name.
 func (b *Balancer) route(f *flight) {
-	if b.s.Mode == Aside && f.Write {
+	if b.s.Mode == CacheAside && f.Write {
 		b.enqueue(f)
 		return
 	}
@@ -576,15 +576,17 @@
 	if b.endHopeless(f) {
 		return false
 	}
-	if f.ran != 0 && f.class.Effect == ByKey {
+	if f.ran != 0 && f.class.Effect == DeduplicatedByKey {
 		b.timer(f, max(b.now, b.windowEnd(f)), tickWindow)
 	}
-	b.do.Hold(f.ID, why)
+	b.do.NotifyWaiting(f.ID, why)
 	return true
 }
 
 // windowEnd is when repeats of a keyed request that may have run are no longer surely dropped.
-func (b *Balancer) windowEnd(f *flight) time.Duration { return f.ranAt + f.class.Window - 2*b.s.Tick }
+func (b *Balancer) windowEnd(f *flight) time.Duration {
+	return f.ranAt + f.class.DedupWindow - 2*b.s.MaxEventDelay
+}
 
 // over tells why no further attempt may be made, whatever the members do.
 func (b *Balancer) over(f *flight) Reason {
@@ -593,7 +595,7 @@
 		return OutOfTries
 	case b.now+b.slack() >= f.aim:
 		return OutOfTime
-	case f.ran != 0 && (f.class.Effect == Once || f.class.Effect == ByKey && b.now >= b.windowEnd(f)):
+	case f.ran != 0 && (f.class.Effect == AtMostOnce || f.class.Effect == DeduplicatedByKey && b.now >= b.windowEnd(f)):
 		return MayHaveRun
 	}
 	return NoReason
@@ -622,12 +624,12 @@
 func (b *Balancer) patience(f *flight, n *node) time.Duration {
 	// Where caches fetch by themselves a slow answer is most often a miss: giving it up wastes the fetch, and
 	// the next candidate would only fetch once more.
-	if f.sent()+1 >= f.tries || f.class.Effect == Once || b.s.Mode == Through {
+	if f.sent()+1 >= f.tries || f.class.Effect == AtMostOnce || b.s.Mode == ReadThrough {
 		return 0
 	}
 	left := f.aim - b.now
 	d := max(left*6/10, min(left, seconds(2*n.latency))) // one that is known to take longer is not asked in vain
-	if f.Known {
+	if f.CostKnown {
 		d = max(d, min(left, 3*f.Cost))
 	}
 	return max(d, time.Millisecond)
@@ -699,7 +701,7 @@
 
 // linked tells whether there is a connection to a member in good time, as the host tells.
 func (b *Balancer) linked(f *flight, n *node) bool {
-	w := b.do.Wait(f.ID, n.m.ID)
+	w := b.do.ConnectionWait(f.ID, n.m.ID)
 	return w >= 0 && w <= (f.aim-b.now)/waitShare
 }
 
@@ -733,14 +735,14 @@
 	if f.done || f.stream || n.m.State != Ready || f.sent() >= f.tries || b.now+b.slack() >= f.Deadline {
 		return false
 	}
-	if f.out != 0 && !b.s.SecondCopies || f.Only != nil && !slices.Contains(f.Only, n.m.ID) ||
+	if f.out != 0 && !b.s.ConcurrentAttempts || f.AllowedMembers != nil && !slices.Contains(f.AllowedMembers, n.m.ID) ||
 		!n.given(f.slot) && (!n.zone.trial || b.now < n.zone.nextAt) {
 		return false
 	}
 	if f.ran == 0 || f.class.Effect == Repeatable {
 		return true
 	}
-	if f.class.Effect == Once || b.now+2*b.s.Tick >= f.ranAt+f.class.Window {
+	if f.class.Effect == AtMostOnce || b.now+2*b.s.MaxEventDelay >= f.ranAt+f.class.DedupWindow {
 		return false
 	}
 	return f.class.Scope == ScopeAll || f.class.Scope == ScopeZone && n.m.Zone == f.ranOn.m.Zone ||
@@ -749,18 +751,18 @@
 
 // mayRefuse tells whether the client may be told that a retry is harmless.
 func (b *Balancer) mayRefuse(f *flight) bool {
-	return f.ran == 0 || f.class.RepeatIsHarmless(f.class.Effect)
+	return f.ran == 0 || f.class.SafeToRetry(f.class.Effect)
 }
 
 // coldRoom keeps this proxy's part of the cold budget: its share of the fleet's requests for the member's size and warmth, times a part of
 // the fall multiple. The first token is random, so that the many proxies whose share is under one don't all spend one at once.
 func (b *Balancer) coldRoom(n *node) bool {
 	r := b.ramp(n)
-	if r >= 1 || b.s.FallMultiple == 0 {
+	if r >= 1 || b.s.OverloadMultiple == 0 {
 		return true
 	}
-	rate := b.rate() * n.weight / max(b.warmWeight(), n.weight) * r * b.s.FallMultiple * coldShare
-	n.tokens, n.tokensAt = min(n.tokens+rate*(b.now-n.tokensAt).Seconds(), max(1, rate*b.s.FallAfter.Seconds()/2)), b.now
+	rate := b.rate() * n.weight / max(b.warmWeight(), n.weight) * r * b.s.OverloadMultiple * coldShare
+	n.tokens, n.tokensAt = min(n.tokens+rate*(b.now-n.tokensAt).Seconds(), max(1, rate*b.s.OverloadDuration.Seconds()/2)), b.now
 	// While the whole fleet is cold a proxy asks one request at a time, some way apart: the budget goes by what caches answer, and sinks
 	// with it. All proxies together ask no faster than a member answers one by one; quick answers may be misses, which tell little.
 	gap := seconds(float64(b.s.Instances) * max(n.latency, b.target/4))
@@ -854,8 +856,8 @@
 	}
 }
 
-// Expired ends a request whose client left.
-func (b *Balancer) Expired(now time.Duration, id RequestID) {
+// RequestCancelled ends a request whose client left.
+func (b *Balancer) RequestCancelled(now time.Duration, id RequestID) {
 	b.advance(now)
 	if f := b.flights[id]; f != nil && !f.done {
 		b.retire(f)
@@ -944,7 +946,7 @@
 		b.do.Fail(f.ID, Rejected)
 		b.retire(f)
 	case f.out != 0 || f.waiting:
-	case o.Status == StatusMiss && b.s.Mode == Aside && !fetched:
+	case o.Status == StatusMiss && b.s.Mode == CacheAside && !fetched:
 		b.missed(f, n, o.Note)
 	default:
 		b.again(f, o.Status, fetched)
@@ -952,19 +954,19 @@
 	b.pump()
 }
 
-// Narrow changes the members that a request may go to from now on; nil: all.
-func (b *Balancer) Narrow(now time.Duration, id RequestID, only []MemberID) {
+// RestrictMembers changes the members that a request may go to from now on; nil: all.
+func (b *Balancer) RestrictMembers(now time.Duration, id RequestID, only []MemberID) {
 	b.advance(now)
 	if f := b.flights[id]; f != nil && !f.done {
-		f.Only = only
+		f.AllowedMembers = only
 		b.endHopeless(f)
 	}
 }
 
-// Spares names up to most further caches for a request that is out, for clients that go on to the next by themselves
+// Fallbacks names up to most further caches for a request that is out, for clients that go on to the next by themselves
 // where one can't be reached. Only for what is safe to repeat, within the attempts allowed, and never a cold member, whose
 // budget is spent by sending. What the client does with them is told by Moved.
-func (b *Balancer) Spares(id RequestID, most int) (spares []MemberID) {
+func (b *Balancer) Fallbacks(id RequestID, most int) (spares []MemberID) {
 	f := b.flights[id]
 	if f == nil || f.done || f.class.Effect != Repeatable || f.Write {
 		return nil
@@ -981,9 +983,9 @@
 	return spares
 }
 
-// Moved tells that the client has gone on by itself with an attempt that is out, from a member that failed it to one of
+// FallbackUsed tells that the client has gone on by itself with an attempt that is out, from a member that failed it to one of
 // Spares. It counts as one more attempt.
-func (b *Balancer) Moved(now time.Duration, id RequestID, from, to MemberID) {
+func (b *Balancer) FallbackUsed(now time.Duration, id RequestID, from, to MemberID) {
 	b.advance(now)
 	f := b.flights[id]
 	if f == nil || f.out == 0 {
@@ -1054,7 +1056,7 @@
 		return
 	}
 	b.retries -= cost
-	f.toOrigin = fetched || b.s.Mode == Aside && f.sent()+1 >= f.tries && !b.hot[f.Key].split() // one try left: other caches lack the key
+	f.toOrigin = fetched || b.s.Mode == CacheAside && f.sent()+1 >= f.tries && !b.hot[f.Key].split() // one try left: other caches lack the key
 	if !f.toOrigin && (s == StatusReset || s == StatusCancelled) && len(f.tried) == 1 && !f.broke && b.now < f.askedAt+(f.aim-f.askedAt)/4 {
 		// The connection broke early; the member, which has the key, may well be up. Once: one that holds few connections breaks
 		// all that are new, and would use up the read's tries. Late, the read has waited behind what its member doesn't answer.
@@ -1106,7 +1108,7 @@
 		}
 		n.heardAt = b.now
 		n.timed(o)
-		b.adapt(n, o.Elapsed.Seconds(), o.Fresh)
+		b.adapt(n, o.Elapsed.Seconds(), o.FirstOnConnection)
 		if n.misses++; o.Status == StatusOK {
 			n.hits, n.misses = min(n.hits+1, emptyAfter), 0
 		} else if !fetched && n.misses >= emptyAfter && n.hits >= emptyAfter && b.ramp(n) >= 1 {
@@ -1130,7 +1132,7 @@
 		if n.answered > b.now-o.Elapsed/2 {
 			return
 		}
-		b.adapt(n, max(o.Elapsed.Seconds(), 2*b.target), o.Fresh)
+		b.adapt(n, max(o.Elapsed.Seconds(), 2*b.target), o.FirstOnConnection)
 		if n.streak++; n.zone.silent == 0 {
 			n.zone.silentAt = b.now
 		}
@@ -1158,7 +1160,7 @@
 
 // timed takes in how long an answer took.
 func (n *node) timed(o Outcome) {
-	if took := o.Elapsed.Seconds(); !o.Fresh {
+	if took := o.Elapsed.Seconds(); !o.FirstOnConnection {
 		n.quickest = min(took, cmp.Or(n.quickest*floorRise, took))
 	}
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -47,7 +47,7 @@
 	h.end(1, 0, StatusMiss) // queued: no room
 	b := h.ask(Request{ID: 2, Key: 5})
 	h.open[1].answered = 1
-	h.b.Expired(h.now, 1)
+	h.b.RequestCancelled(h.now, 1)
 	if len(b.sent) == 0 {
 		t.Fatal("the waiting read was not sent on when the fetch's owner left")
 	}
@@ -213,10 +213,10 @@
 func TestUnusableSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no class":     func(s *Settings) { s.Classes = nil },
-		"no attempt":   func(s *Settings) { s.TryLimit = 0 },
-		"no aim":       func(s *Settings) { s.Classes[0].Aim = 0 },
-		"cold share":   func(s *Settings) { s.ColdFrom = 2 },
-		"not a number": func(s *Settings) { s.FallMultiple = math.NaN() },
+		"no attempt":   func(s *Settings) { s.MaxAttempts = 0 },
+		"no aim":       func(s *Settings) { s.Classes[0].SoftDeadline = 0 },
+		"cold share":   func(s *Settings) { s.SlowStartCapacity = 2 },
+		"not a number": func(s *Settings) { s.OverloadMultiple = math.NaN() },
 	} {
 		s := testSettings()
 		change(&s)
@@ -233,7 +233,7 @@
 	h := newHost(t, testSettings(), 1)
 	odd := []Request{
 		{ID: 1}, {ID: 2, Class: 99, Tenant: 99, Key: 3}, {ID: 3, Class: -1, Tenant: -5},
-		{ID: 4, Key: 1, Known: true, Cost: -time.Second}, {ID: 5, Class: 99, Write: true},
+		{ID: 4, Key: 1, CostKnown: true, Cost: -time.Second}, {ID: 5, Class: 99, Write: true},
 	}
 	for _, r := range odd { // with no member at all
 		h.ask(r)
@@ -247,10 +247,10 @@
 	h.b.Outcome(h.now, Outcome{Request: 999})
 	h.b.Outcome(h.now, Outcome{Request: 11, Attempt: 900})
 	h.b.Outcome(h.now, Outcome{Request: 11, Attempt: -1})
-	h.b.Expired(h.now, 999)
+	h.b.RequestCancelled(h.now, 999)
 	h.b.StreamStarted(h.now, 999, 0)
 	h.b.Timer(h.now, math.MaxUint64)
-	h.b.Probed(h.now, 7, StatusOK, 0, nil)
+	h.b.ProbeResult(h.now, 7, StatusOK, 0, nil)
 	h.b.PeerMessage(h.now, -1, nil)
 	h.run(10 * time.Second)
 	for id, r := range h.open {
@@ -342,7 +342,7 @@
 // Where caches fetch by themselves, giving up slow answers and asking the next cache doubled the fetches.
 func TestThroughModeWaitsForAFetch(t *testing.T) {
 	s := testSettings()
-	s.Mode, s.OriginKind = Through, -1
+	s.Mode, s.OriginKind = ReadThrough, -1
 	h := newHost(t, s, 1)
 	h.members(ListCached, caches(4)...)
 	r := h.ask(Request{ID: 1, Key: 7})
@@ -716,7 +716,7 @@
 // key is kept too, and is not refused because the origin has no room for a miss.
 func TestBusyZoneSpillsToTheSlotsCacheAbroad(t *testing.T) {
 	s := testSettings()
-	s.Zones, s.CrossZonePrice = 3, 0.06
+	s.Zones, s.CrossZoneCost = 3, 0.06
 	h := newHost(t, s, 1)
 	list := withOrigin(9)
 	for i := range list {
@@ -1027,7 +1027,7 @@
 			h.members(ListCached, withOrigin(8)...)
 			n := h.b.caches[0]
 			for range 5 {
-				h.b.learn(n, Outcome{Status: StatusOK, Elapsed: 2 * seconds(h.b.target), Fresh: fresh}, false)
+				h.b.learn(n, Outcome{Status: StatusOK, Elapsed: 2 * seconds(h.b.target), FirstOnConnection: fresh}, false)
 				h.b.now += time.Second
 			}
 			if cut := n.limit < startLimit; cut == fresh {
@@ -1042,7 +1042,7 @@
 	h := newHost(t, testSettings(), 1)
 	h.members(ListCached, withOrigin(6)...)
 	for id := RequestID(1); id <= 20; id++ {
-		a := h.ask(Request{ID: id, Key: uint64(id), Only: []MemberID{3}})
+		a := h.ask(Request{ID: id, Key: uint64(id), AllowedMembers: []MemberID{3}})
 		if len(a.sent) != 1 || a.sent[0].to != 3 {
 			t.Fatalf("sent %+v, want member 3", a.sent)
 		}
@@ -1051,13 +1051,13 @@
 			t.Fatalf("after a miss: %+v, answered %d, %v", a.sent, a.answered, h.why)
 		}
 	}
-	if a := h.ask(Request{ID: 21, Key: 5, Only: []MemberID{}}); a.answered != 1 {
+	if a := h.ask(Request{ID: 21, Key: 5, AllowedMembers: []MemberID{}}); a.answered != 1 {
 		t.Error("a request that may go to nobody is not answered")
 	}
 	h.b.origins[0].limit, h.b.origins[0].latency, h.b.origins[0].sentAt = 0.25, 0.2, h.now
 	h.ask(Request{ID: 22, Key: 77})
 	h.end(22, 0, StatusMiss) // in line
-	h.b.Narrow(h.now, 22, []MemberID{3})
+	h.b.RestrictMembers(h.now, 22, []MemberID{3})
 	if h.open[22].answered != 1 {
 		t.Error("a request in line for a member that it allows no more is not answered")
 	}
@@ -1071,7 +1071,7 @@
 	list[2].StartedAt = h.now - 100*ms
 	h.members(ListCached, list...)
 	a := h.ask(Request{ID: 1, Key: 77})
-	spares := h.b.Spares(1, 10)
+	spares := h.b.Fallbacks(1, 10)
 	if len(spares) != 3 { // of four attempts
 		t.Fatalf("spares %v", spares)
 	}
@@ -1080,8 +1080,8 @@
 			t.Errorf("spares %v: %d is the one sent to, a cold one or the origin", spares, m)
 		}
 	}
-	h.b.Moved(h.now, 1, a.sent[0].to, spares[0])
-	h.b.Moved(h.now, 1, spares[0], spares[1])
+	h.b.FallbackUsed(h.now, 1, a.sent[0].to, spares[0])
+	h.b.FallbackUsed(h.now, 1, spares[0], spares[1])
 	if f := h.b.flights[1]; f.sent() != 3 || h.b.nodes[spares[1]].out != 1 || h.b.nodes[spares[0]].out != 0 ||
 		h.b.nodes[a.sent[0].to].out != 0 || h.b.nodes[spares[0]].streak != 1 {
 		t.Errorf("%d attempts", f.sent())
@@ -1095,11 +1095,11 @@
 		t.Errorf("sent %+v, answered %d times, after four attempts", a.sent, a.answered)
 	}
 	o := h.ask(Request{ID: 2, Key: 8, Class: 1, Write: true})
-	if got := h.b.Spares(2, 3); len(o.sent) != 1 || got != nil {
+	if got := h.b.Fallbacks(2, 3); len(o.sent) != 1 || got != nil {
 		t.Errorf("spares of an order: %v", got)
 	}
 	h.ask(Request{ID: 3, Key: 9, Write: true}) // safe to repeat, but no cache takes it
-	if got := h.b.Spares(3, 3); got != nil {
+	if got := h.b.Fallbacks(3, 3); got != nil {
 		t.Errorf("spares of a write: %v", got)
 	}
 }
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -11,9 +11,9 @@
 func TestRandomEvents(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"aside":   func(s *Settings) {},
-		"through": func(s *Settings) { s.Mode = Through },
-		"zones":   func(s *Settings) { s.Zones, s.CrossZonePrice = 2, 0.1 },
-		"copies":  func(s *Settings) { s.SecondCopies, s.TryLimit = true, 3 },
+		"through": func(s *Settings) { s.Mode = ReadThrough },
+		"zones":   func(s *Settings) { s.Zones, s.CrossZoneCost = 2, 0.1 },
+		"copies":  func(s *Settings) { s.ConcurrentAttempts, s.MaxAttempts = true, 3 },
 		"live":    func(s *Settings) { s.Weights, s.Subscribe = WeightsLive, true },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 	list := withOrigin(12)
 	h.members(ListCached, list...)
 	if h.heirOf != nil {
-		h.b.Inherit(h.now, *h.heirOf)
+		h.b.ImportState(h.now, *h.heirOf)
 	}
 	next := RequestID(0)
 	for range 6000 {
@@ -64,7 +64,7 @@
 			next++
 			class := rng.IntN(len(s.Classes) + 1)
 			h.ask(Request{ID: next, Key: uint64(rng.IntN(60) * rng.IntN(2)), Class: class, Tenant: rng.IntN(3),
-				Write: class != 0, Known: p < 20, Cost: time.Duration(rng.IntN(80)) * ms,
+				Write: class != 0, CostKnown: p < 20, Cost: time.Duration(rng.IntN(80)) * ms,
 				Deadline: h.now + time.Duration(rng.IntN(1500))*ms})
 		case p < 80:
 			h.endSome(rng)
@@ -135,7 +135,7 @@
 	for id, n := RequestID(1), RequestID(len(h.open)); id <= n; id++ {
 		if r := h.open[id]; r.answered == 0 && rng.IntN(5) == 0 {
 			r.answered = 1
-			h.b.Expired(h.now, id)
+			h.b.RequestCancelled(h.now, id)
 			return
 		}
 	}
@@ -158,15 +158,15 @@
 		for i := range at {
 			in := 0
 			for _, x := range at[i:] {
-				if x-at[i] < h.s.FallAfter {
+				if x-at[i] < h.s.OverloadDuration {
 					in++
 				}
 			}
-			age := min(1, (at[i]+h.s.FallAfter-h.list[id].StartedAt).Seconds()/h.s.ColdFor.Seconds())
-			ramp := h.s.ColdFrom + (1-h.s.ColdFrom)*age
-			most := 2 + h.s.FallMultiple*ramp*2*rate/12*h.s.FallAfter.Seconds()
+			age := min(1, (at[i]+h.s.OverloadDuration-h.list[id].StartedAt).Seconds()/h.s.SlowStartDuration.Seconds())
+			ramp := h.s.SlowStartCapacity + (1-h.s.SlowStartCapacity)*age
+			most := 2 + h.s.OverloadMultiple*ramp*2*rate/12*h.s.OverloadDuration.Seconds()
 			if float64(in) > most {
-				h.breach("cold member %d got %d sends in %v, at most %.1f", id, in, h.s.FallAfter, most)
+				h.breach("cold member %d got %d sends in %v, at most %.1f", id, in, h.s.OverloadDuration, most)
 				return
 			}
 		}
--- a/logic/reason.go
+++ b/logic/reason.go
@@ -20,14 +20,14 @@
 	Rejected            // a member finds fault with the request itself
 	SharedFetch         // as a wait: another request's fetch of the key is out
 	InTransit           // as a wait: an earlier attempt was given up, and may still come at its member
-	Reasons             // how many there are
+	ReasonCount         // how many there are
 )
 
-var reasonNames = [Reasons]string{"none", "no_member", "no_room", "no_connection", "cold_budget", "throttled", "retry_budget", "origin_line",
+var reasonNames = [ReasonCount]string{"none", "no_member", "no_room", "no_connection", "cold_budget", "throttled", "retry_budget", "origin_line",
 	"out_of_time", "out_of_tries", "may_have_run", "rejected", "shared_fetch", "in_transit"}
 
 func (r Reason) String() string {
-	if r >= Reasons {
+	if r >= ReasonCount {
 		return "unknown"
 	}
 	return reasonNames[r]
--- a/logic/untold_test.go
+++ b/logic/untold_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			s.Mode, s.OriginKind, s.ColdFrom, s.ColdFor = Aside, 9, 0.3, 10*time.Second
+			s.Mode, s.OriginKind, s.SlowStartCapacity, s.SlowStartDuration = CacheAside, 9, 0.3, 10*time.Second
 			h := newHost(t, s, 1)
 			h.members(ListFull, caches(1)...)
 			n := h.b.caches[0]
@@ -33,7 +33,7 @@
 			if got := h.b.ramp(n); (got < 1) != c.cold {
 				t.Errorf("it counts as %.2f warm", got)
 			}
-			h.b.advance(h.b.now + s.ColdFor)
+			h.b.advance(h.b.now + s.SlowStartDuration)
 			if got := h.b.ramp(n); got != 1 {
 				t.Errorf("when it is warm, it counts as %.2f", got)
 			}
