--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// quiet is a host that keeps nothing but the last send.
-type quiet struct{ to MemberID }
+// discardHost is a host that keeps nothing but the last send.
+type discardHost struct{ lastTarget MemberID }
 
-func (q *quiet) Send(_ RequestID, to MemberID, _ time.Duration) { q.to = to }
-func (*quiet) Refuse(RequestID, time.Duration, Reason)          {}
-func (*quiet) NotifyWaiting(RequestID, Reason)                  {}
-func (*quiet) Fail(RequestID, Reason)                           {}
-func (*quiet) Cancel(RequestID, int)                            {}
-func (*quiet) Probe(MemberID)                                   {}
-func (*quiet) ConnectionWait(RequestID, MemberID) time.Duration { return 0 }
-func (*quiet) CloseIdle(MemberID)                               {}
-func (*quiet) Watch(bool)                                       {}
-func (*quiet) FetchList()                                       {}
-func (*quiet) SendToPeer(int, []byte)                           {}
-func (*quiet) Log(string)                                       {}
-func (*quiet) SetTimer(time.Duration, uint64)                   {}
+func (q *discardHost) Send(_ RequestID, to MemberID, _ time.Duration) { q.lastTarget = to }
+func (*discardHost) Refuse(RequestID, time.Duration, Reason)          {}
+func (*discardHost) NotifyWaiting(RequestID, Reason)                  {}
+func (*discardHost) Fail(RequestID, Reason)                           {}
+func (*discardHost) Cancel(RequestID, int)                            {}
+func (*discardHost) Probe(MemberID)                                   {}
+func (*discardHost) ConnectionWait(RequestID, MemberID) time.Duration { return 0 }
+func (*discardHost) CloseIdle(MemberID)                               {}
+func (*discardHost) Watch(bool)                                       {}
+func (*discardHost) FetchList()                                       {}
+func (*discardHost) SendToPeer(int, []byte)                           {}
+func (*discardHost) Log(string)                                       {}
+func (*discardHost) SetTimer(time.Duration, uint64)                   {}
 
-// warm makes a balancer over a fleet that has served some thousand requests of a Zipf popularity.
-func warm(b *testing.B, members int) (*Balancer, *quiet, func()) {
+// newWarmBalancer makes a balancer over a fleet that has served some thousand requests of a Zipf popularity.
+func newWarmBalancer(b *testing.B, members int) (*Balancer, *discardHost, func()) {
 	b.Helper()
-	q := &quiet{}
+	q := &discardHost{}
 	bal, err := New(testSettings(), 1, q)
 	if err != nil {
 		b.Fatal(err)
@@ -40,10 +40,10 @@
 	serve := func() {
 		id++
 		now += 2 * ms
-		q.to = 0
+		q.lastTarget = 0
 		bal.Request(now, Request{ID: id, Key: keys.Uint64() + 1, Deadline: now + time.Second})
-		if q.to != 0 {
-			bal.Outcome(now, Outcome{Request: id, Member: q.to, Status: StatusOK, Elapsed: 20 * ms, Final: true})
+		if q.lastTarget != 0 {
+			bal.Outcome(now, Outcome{Request: id, Member: q.lastTarget, Status: StatusOK, Elapsed: 20 * ms, Final: true})
 		}
 	}
 	for range 20000 { // every slot that will be asked for has been worked out
@@ -58,7 +58,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, members := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			_, _, serve := warm(b, members)
+			_, _, serve := newWarmBalancer(b, members)
 			for b.Loop() {
 				serve()
 			}
@@ -70,9 +70,9 @@
 func BenchmarkRebuild(b *testing.B) {
 	for _, members := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			bal, _, _ := warm(b, members)
+			bal, _, _ := newWarmBalancer(b, members)
 			for b.Loop() {
-				bal.place()
+				bal.placeHotKeys()
 			}
 		})
 	}
--- a/logic/digest.go
+++ b/logic/digest.go
@@ -12,48 +12,48 @@
 // alike from here on. It is for checkers that explore its states (internal/explore), and costs far more than an event.
 func (b *Balancer) StateDigest() [16]byte {
 	h := fnv.New128a()
-	id := func(n *node) MemberID {
+	id := func(n *memberState) MemberID {
 		if n == nil {
 			return 0
 		}
-		return n.m.ID
+		return n.entry.ID
 	}
-	random, _ := b.pcg.MarshalBinary() // it knows no error
-	fmt.Fprintln(h, b.now, b.closeAt, b.period, b.warm, b.warmAt, b.allCold, b.peak, b.kept, b.arrivals, b.span, b.carried, b.tenants,
-		b.pumpAt, b.target, b.latency, b.fails, b.retries, b.asked, b.answered, b.askedAt, b.heardAt, b.out, b.watches, b.refusing,
-		b.refusedAt, random, b.counts.total, b.kindSize, b.zones, b.trials)
-	for _, k := range slices.Sorted(maps.Keys(b.nodes)) {
-		n := b.nodes[k]
-		fmt.Fprintln(h, n.limiter, n.m, n.weight, n.streak, n.fails, n.outUntil, n.tokens, n.tokensAt, n.hotLoad, n.hotKeys, n.hits, n.misses, n.since)
+	random, _ := b.randomSource.MarshalBinary() // it knows no error
+	fmt.Fprintln(h, b.now, b.windowStart, b.windowLength, b.cachedWarmWeight, b.cachedWarmWeightAt, b.mostlyCold, b.peakWeight, b.earlierTotal, b.arrivals, b.spanSeconds, b.servedWork, b.tenantRequests,
+		b.originQueueTimerAt, b.fetchTarget, b.meanLatency, b.failureRate, b.retryTokens, b.recentAttempts, b.recentAnswers, b.recentCountsAt, b.lastAnswerAt, b.outstandingAtCaches, b.listFailures, b.refusingSince,
+		b.lastRefusalAt, random, b.keyCounts.total, b.kindWeight, b.zones, b.zonesOnTrial)
+	for _, k := range slices.Sorted(maps.Keys(b.members)) {
+		n := b.members[k]
+		fmt.Fprintln(h, n.limiter, n.entry, n.weight, n.failureStreak, n.failureRate, n.ejectedUntil, n.coldTokens, n.coldTokensAt, n.hotLoad, n.hotKeys, n.hits, n.missStreak, n.coldSince)
 	}
-	for _, k := range slices.Sorted(maps.Keys(b.flights)) {
-		f := b.flights[k]
-		fmt.Fprintln(h, f.Request, f.askedAt, f.aim, f.value, f.slot, f.attempts, f.tries, f.unsent, f.out, f.fetch, f.ran, f.ranAt, id(f.ranOn),
-			id(f.missAt), f.waiting, f.queued, f.joined, f.leased, f.owner, f.broke, f.stream, f.done)
-		for _, n := range f.tried {
-			fmt.Fprint(h, n.m.ID, ",")
+	for _, k := range slices.Sorted(maps.Keys(b.requests)) {
+		f := b.requests[k]
+		fmt.Fprintln(h, f.Request, f.arrivedAt, f.softDeadline, f.priority, f.slot, f.attempts, f.maxAttempts, f.unsent, f.outstanding, f.originAttempts, f.mayHaveRun, f.firstRunAt, id(f.firstRunMember),
+			id(f.missedCache), f.waiting, f.queued, f.coalesced, f.coalescedAfterMiss, f.ownsFetch, f.retriedAfterReset, f.streaming, f.answered)
+		for _, n := range f.triedCaches {
+			fmt.Fprint(h, n.entry.ID, ",")
 		}
 	}
-	for _, f := range b.queue {
+	for _, f := range b.originQueue {
 		fmt.Fprint(h, f.ID, " ")
 	}
-	for _, k := range slices.Sorted(maps.Keys(b.fetching)) {
+	for _, k := range slices.Sorted(maps.Keys(b.fetchWaiters)) {
 		fmt.Fprint(h, k, ":")
-		for _, f := range b.fetching[k] {
+		for _, f := range b.fetchWaiters[k] {
 			fmt.Fprint(h, f.ID, f.waiting, " ")
 		}
 	}
-	items := slices.Clone(b.counts.items)
-	slices.SortFunc(items, func(x, y counted) int { return cmp.Compare(x.key, y.key) })
+	items := slices.Clone(b.keyCounts.items)
+	slices.SortFunc(items, func(x, y keyCount) int { return cmp.Compare(x.key, y.key) })
 	fmt.Fprintln(h, items)
-	for _, k := range slices.Sorted(maps.Keys(b.hot)) {
-		fmt.Fprint(h, k, b.hot[k].next)
-		for _, n := range b.hot[k].nodes {
-			fmt.Fprint(h, n.m.ID, ",")
+	for _, k := range slices.Sorted(maps.Keys(b.hotTable)) {
+		fmt.Fprint(h, k, b.hotTable[k].next)
+		for _, n := range b.hotTable[k].members {
+			fmt.Fprint(h, n.entry.ID, ",")
 		}
 	}
 	return [16]byte(h.Sum(nil))
 }
 
 // Outstanding is how many requests the Balancer knows, those that are answered and have attempts out included.
-func (b *Balancer) Outstanding() int { return len(b.flights) }
+func (b *Balancer) Outstanding() int { return len(b.requests) }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -7,26 +7,26 @@
 	"linenloom/logic"
 )
 
-// printer is a host that only prints what it is asked to do.
-type printer struct{}
+// printingHost is a host that only prints what it is asked to do.
+type printingHost struct{}
 
-func (printer) Send(id logic.RequestID, to logic.MemberID, _ time.Duration) {
+func (printingHost) Send(id logic.RequestID, to logic.MemberID, _ time.Duration) {
 	fmt.Printf("send request %d to member %d\n", id, to)
 }
-func (printer) NotifyWaiting(logic.RequestID, logic.Reason) {}
-func (printer) Refuse(id logic.RequestID, _ time.Duration, _ logic.Reason) {
+func (printingHost) NotifyWaiting(logic.RequestID, logic.Reason) {}
+func (printingHost) Refuse(id logic.RequestID, _ time.Duration, _ logic.Reason) {
 	fmt.Printf("refuse request %d\n", id)
 }
-func (printer) Fail(id logic.RequestID, _ logic.Reason)                      { fmt.Printf("fail request %d\n", id) }
-func (printer) Cancel(logic.RequestID, int)                                  {}
-func (printer) Probe(logic.MemberID)                                         {}
-func (printer) ConnectionWait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
-func (printer) CloseIdle(logic.MemberID)                                     {}
-func (printer) SetTimer(time.Duration, uint64)                               {}
-func (printer) Watch(bool)                                                   {}
-func (printer) FetchList()                                                   {}
-func (printer) SendToPeer(int, []byte)                                       {}
-func (printer) Log(string)                                                   {}
+func (printingHost) Fail(id logic.RequestID, _ logic.Reason)                      { fmt.Printf("fail request %d\n", id) }
+func (printingHost) Cancel(logic.RequestID, int)                                  {}
+func (printingHost) Probe(logic.MemberID)                                         {}
+func (printingHost) ConnectionWait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
+func (printingHost) CloseIdle(logic.MemberID)                                     {}
+func (printingHost) SetTimer(time.Duration, uint64)                               {}
+func (printingHost) Watch(bool)                                                   {}
+func (printingHost) FetchList()                                                   {}
+func (printingHost) SendToPeer(int, []byte)                                       {}
+func (printingHost) Log(string)                                                   {}
 
 // A hit, a miss fetched from the origin, and a refusal.
 func Example() {
@@ -34,7 +34,7 @@
 		Classes:     []logic.Class{{SoftDeadline: time.Second, Deadline: 3 * time.Second, Value: 1}},
 		MaxAttempts: 4, Mode: logic.CacheAside, OriginKind: 1,
 	}
-	b, err := logic.New(settings, 1, printer{})
+	b, err := logic.New(settings, 1, printingHost{})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/logic/host_test.go
+++ b/logic/host_test.go
@@ -12,45 +12,45 @@
 
 // fakeHost records actions and checks the rules that need no more than one proxy's view.
 type fakeHost struct {
-	t      *testing.T
-	b      *Balancer
-	s      Settings
-	now    time.Duration
-	log    []string
-	timers []timerAt
-	open   map[RequestID]*openRequest
-	list   map[MemberID]Member
-	cold   map[MemberID][]time.Duration // sends to a member while it is cold
-	watch  int
-	broken []string
-	why    []Reason                     // of the final answers
-	wait   func(MemberID) time.Duration // for a connection; nil: none
-	heirOf *LearnedState                // what it takes over with its first list; nil: nothing
+	t              *testing.T
+	b              *Balancer
+	s              Settings
+	now            time.Duration
+	log            []string
+	timers         []pendingTimer
+	requests       map[RequestID]*hostRequest
+	listed         map[MemberID]Member
+	coldSends      map[MemberID][]time.Duration // sends to a member while it is cold
+	watchCalls     int
+	violations     []string
+	finalReasons   []Reason                     // of the final answers
+	connectionWait func(MemberID) time.Duration // for a connection; nil: none
+	importedState  *LearnedState                // what it takes over with its first list; nil: nothing
 }
 
-type timerAt struct {
+type pendingTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-type openRequest struct {
+type hostRequest struct {
 	Request
-	answered int
-	sent     []sentTo
+	answers  int
+	attempts []hostAttempt
 }
 
-type sentTo struct {
-	to      MemberID
-	at      time.Duration
-	timeout time.Duration
-	ended   bool
-	ran     bool
+type hostAttempt struct {
+	member     MemberID
+	sentAt     time.Duration
+	timeout    time.Duration
+	ended      bool
+	mayHaveRun bool
 }
 
 func newHost(t *testing.T, s Settings, seed uint64) *fakeHost {
 	t.Helper()
-	h := &fakeHost{t: t, s: s, now: time.Hour, open: map[RequestID]*openRequest{},
-		list: map[MemberID]Member{}, cold: map[MemberID][]time.Duration{}}
+	h := &fakeHost{t: t, s: s, now: time.Hour, requests: map[RequestID]*hostRequest{},
+		listed: map[MemberID]Member{}, coldSends: map[MemberID][]time.Duration{}}
 	b, err := New(s, seed, h)
 	if err != nil {
 		t.Fatalf("New: %v", err)
@@ -60,50 +60,50 @@
 	return h
 }
 
-func (h *fakeHost) breach(format string, args ...any) {
-	h.broken = append(h.broken, fmt.Sprintf(format, args...))
+func (h *fakeHost) violate(format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-func (h *fakeHost) note(format string, args ...any) {
+func (h *fakeHost) record(format string, args ...any) {
 	h.log = append(h.log, fmt.Sprintf("%v ", h.now)+fmt.Sprintf(format, args...))
 }
 
 func (h *fakeHost) Send(id RequestID, to MemberID, timeout time.Duration) {
-	h.note("send %d to %d for %v", id, to, timeout)
-	r := h.open[id]
+	h.record("send %d to %d for %v", id, to, timeout)
+	r := h.requests[id]
 	if r == nil {
-		h.breach("send for unknown request %d", id)
+		h.violate("send for unknown request %d", id)
 		return
 	}
-	m, known := h.list[to]
-	if r.answered > 0 {
-		h.breach("send for answered request %d", id)
+	m, known := h.listed[to]
+	if r.answers > 0 {
+		h.violate("send for answered request %d", id)
 	}
 	if !known || m.State != Ready {
-		h.breach("send to member %d, which is not ready", to)
+		h.violate("send to member %d, which is not ready", to)
 	}
-	if len(r.sent) >= h.s.MaxAttempts {
-		h.breach("request %d: attempt %d of %d", id, len(r.sent)+1, h.s.MaxAttempts)
+	if len(r.attempts) >= h.s.MaxAttempts {
+		h.violate("request %d: attempt %d of %d", id, len(r.attempts)+1, h.s.MaxAttempts)
 	}
 	c := h.class(r.Class)
-	for _, a := range r.sent {
+	for _, a := range r.attempts {
 		if !a.ended && !h.s.ConcurrentAttempts {
-			h.breach("request %d: two attempts at once", id)
+			h.violate("request %d: two attempts at once", id)
 		}
-		if a.ran && c.Effect == AtMostOnce {
-			h.breach("request %d: sent again though it may have run", id)
+		if a.mayHaveRun && c.Effect == AtMostOnce {
+			h.violate("request %d: sent again though it may have run", id)
 		}
-		if a.ran && c.Effect == DeduplicatedByKey && h.now >= a.at+c.DedupWindow {
-			h.breach("request %d: sent again outside its window", id)
+		if a.mayHaveRun && c.Effect == DeduplicatedByKey && h.now >= a.sentAt+c.DedupWindow {
+			h.violate("request %d: sent again outside its window", id)
 		}
-		if a.ran && c.Effect == DeduplicatedByKey && c.Scope == ScopeZone && m.Zone != h.list[a.to].Zone {
-			h.breach("request %d: sent again outside its zone", id)
+		if a.mayHaveRun && c.Effect == DeduplicatedByKey && c.Scope == ScopeZone && m.Zone != h.listed[a.member].Zone {
+			h.violate("request %d: sent again outside its zone", id)
 		}
 	}
 	if m.StartedAt > 0 && h.now-m.StartedAt < h.s.SlowStartDuration && !(h.s.Mode == CacheAside && m.Kind == h.s.OriginKind) {
-		h.cold[to] = append(h.cold[to], h.now)
+		h.coldSends[to] = append(h.coldSends[to], h.now)
 	}
-	r.sent = append(r.sent, sentTo{to: to, at: h.now, timeout: timeout, ran: true})
+	r.attempts = append(r.attempts, hostAttempt{member: to, sentAt: h.now, timeout: timeout, mayHaveRun: true})
 }
 
 func (h *fakeHost) class(i int) Class {
@@ -115,101 +115,101 @@
 	return c
 }
 
-func (h *fakeHost) answer(id RequestID, refusal bool) {
-	r := h.open[id]
+func (h *fakeHost) recordAnswer(id RequestID, refusal bool) {
+	r := h.requests[id]
 	if r == nil {
-		h.breach("answer for unknown request %d", id)
+		h.violate("answer for unknown request %d", id)
 		return
 	}
-	if r.answered++; r.answered > 1 {
-		h.breach("request %d answered twice", id)
+	if r.answers++; r.answers > 1 {
+		h.violate("request %d answered twice", id)
 	}
 	c := h.class(r.Class)
-	for _, a := range r.sent {
-		if refusal && a.ran && (c.Effect == AtMostOnce || c.Effect == DeduplicatedByKey && c.Scope != ScopeAll) {
-			h.breach("request %d refused though it may have run", id)
+	for _, a := range r.attempts {
+		if refusal && a.mayHaveRun && (c.Effect == AtMostOnce || c.Effect == DeduplicatedByKey && c.Scope != ScopeAll) {
+			h.violate("request %d refused though it may have run", id)
 		}
 	}
 }
 
 func (h *fakeHost) Refuse(id RequestID, after time.Duration, why Reason) {
-	h.note("refuse %d", id)
-	h.why = append(h.why, why)
-	h.answer(id, true)
+	h.record("refuse %d", id)
+	h.finalReasons = append(h.finalReasons, why)
+	h.recordAnswer(id, true)
 }
 
 func (h *fakeHost) NotifyWaiting(id RequestID, why Reason) {}
 
 func (h *fakeHost) ConnectionWait(_ RequestID, m MemberID) time.Duration {
-	if h.wait == nil {
+	if h.connectionWait == nil {
 		return 0
 	}
-	return h.wait(m)
+	return h.connectionWait(m)
 }
 
 func (h *fakeHost) Fail(id RequestID, why Reason) {
-	h.note("fail %d", id)
-	h.why = append(h.why, why)
-	h.answer(id, false)
+	h.record("fail %d", id)
+	h.finalReasons = append(h.finalReasons, why)
+	h.recordAnswer(id, false)
 }
 
 func (h *fakeHost) Cancel(id RequestID, attempt int) {
-	h.note("cancel %d.%d", id, attempt)
-	if r := h.open[id]; r == nil || attempt >= len(r.sent) {
-		h.breach("cancel of attempt %d.%d, never sent", id, attempt)
+	h.record("cancel %d.%d", id, attempt)
+	if r := h.requests[id]; r == nil || attempt >= len(r.attempts) {
+		h.violate("cancel of attempt %d.%d, never sent", id, attempt)
 	}
 }
 
-func (h *fakeHost) Probe(m MemberID)       { h.note("probe %d", m) }
-func (h *fakeHost) CloseIdle(m MemberID)   { h.note("close %d", m) }
-func (h *fakeHost) Watch(on bool)          { h.note("watch"); h.watch++ }
-func (h *fakeHost) FetchList()             { h.note("fetch") }
-func (h *fakeHost) SendToPeer(int, []byte) { h.note("tell") }
+func (h *fakeHost) Probe(m MemberID)       { h.record("probe %d", m) }
+func (h *fakeHost) CloseIdle(m MemberID)   { h.record("close %d", m) }
+func (h *fakeHost) Watch(on bool)          { h.record("watch"); h.watchCalls++ }
+func (h *fakeHost) FetchList()             { h.record("fetch") }
+func (h *fakeHost) SendToPeer(int, []byte) { h.record("tell") }
 func (h *fakeHost) Log(string)             {}
 func (h *fakeHost) SetTimer(at time.Duration, token uint64) {
-	h.timers = append(h.timers, timerAt{at, token})
+	h.timers = append(h.timers, pendingTimer{at, token})
 }
 
-func (h *fakeHost) members(kind ListKind, list ...Member) {
+func (h *fakeHost) setMembers(kind ListKind, list ...Member) {
 	if kind == ListFull || kind == ListCached {
-		h.list = map[MemberID]Member{}
+		h.listed = map[MemberID]Member{}
 	}
 	if kind != ListFailed {
 		for _, m := range list {
-			h.list[m.ID] = m
+			h.listed[m.ID] = m
 		}
 	}
 	h.b.SetMembers(h.now, kind, list)
 }
 
-func (h *fakeHost) ask(r Request) *openRequest {
+func (h *fakeHost) request(r Request) *hostRequest {
 	if r.Deadline == 0 {
 		r.Deadline = h.now + h.class(r.Class).Deadline
 	}
-	o := &openRequest{Request: r}
-	h.open[r.ID] = o
+	o := &hostRequest{Request: r}
+	h.requests[r.ID] = o
 	h.b.Request(h.now, r)
 	return o
 }
 
-// end ends an attempt; the status decides whether it may have run.
-func (h *fakeHost) end(id RequestID, attempt int, s Status) {
-	r := h.open[id]
-	a := &r.sent[attempt]
+// endAttempt ends an attempt; the status decides whether it may have run.
+func (h *fakeHost) endAttempt(id RequestID, attempt int, s Status) {
+	r := h.requests[id]
+	a := &r.attempts[attempt]
 	a.ended = true
-	a.ran = !s.NeverRan()
-	if s == StatusOK && r.answered == 0 {
-		r.answered = 1
+	a.mayHaveRun = !s.NeverRan()
+	if s == StatusOK && r.answers == 0 {
+		r.answers = 1
 	}
-	h.b.Outcome(h.now, Outcome{Request: id, Attempt: attempt, Member: a.to, Status: s,
-		Elapsed: h.now - a.at, Final: r.answered > 0})
+	h.b.Outcome(h.now, Outcome{Request: id, Attempt: attempt, Member: a.member, Status: s,
+		Elapsed: h.now - a.sentAt, Final: r.answers > 0})
 }
 
-// run advances the clock, delivering timers in order.
-func (h *fakeHost) run(d time.Duration) {
+// advance advances the clock, delivering timers in order.
+func (h *fakeHost) advance(d time.Duration) {
 	end := h.now + d
 	for {
-		slices.SortStableFunc(h.timers, func(a, b timerAt) int { return cmp.Compare(a.at, b.at) })
+		slices.SortStableFunc(h.timers, func(a, b pendingTimer) int { return cmp.Compare(a.at, b.at) })
 		if len(h.timers) == 0 || h.timers[0].at > end {
 			break
 		}
@@ -221,9 +221,9 @@
 	h.now = end
 }
 
-func (h *fakeHost) check() {
+func (h *fakeHost) checkViolations() {
 	h.t.Helper()
-	for _, s := range h.broken {
+	for _, s := range h.violations {
 		h.t.Errorf("rule broken: %s", s)
 	}
 }
@@ -244,7 +244,7 @@
 	}
 }
 
-func caches(n int) []Member {
+func cacheMembers(n int) []Member {
 	var list []Member
 	for i := range n {
 		list = append(list, Member{ID: MemberID(i + 1), Zone: i % 2, Weight: 1})
@@ -255,5 +255,5 @@
 const originID MemberID = 1000
 
 func withOrigin(n int) []Member {
-	return append(caches(n), Member{ID: originID, Kind: 9, Weight: 1})
+	return append(cacheMembers(n), Member{ID: originID, Kind: 9, Weight: 1})
 }
--- a/logic/learnt.go
+++ b/logic/learnt.go
@@ -50,27 +50,27 @@
 	EjectedFor     time.Duration `json:"Out"`    // ejected for so long yet
 }
 
-// learntKeys bounds the keys that are handed on: the hot set, and as many that may enter it.
-const learntKeys = 2 * maxHot
+// maxExportedKeys bounds the keys that are handed on: the hot set, and as many that may enter it.
+const maxExportedKeys = 2 * maxHotKeys
 
 // ExportState tells what has been learnt until now.
 func (b *Balancer) ExportState(now time.Duration) LearnedState {
 	b.advance(now)
-	l := LearnedState{Total: b.counts.total, EarlierTotal: b.kept, Latency: b.latency, FailureRate: b.fails, Arrivals: b.arrivals,
-		ServedWork: b.carried, SpanSeconds: b.span + (b.now - b.closeAt).Seconds(), RecentAttempts: b.asked, RecentAnswers: b.answered}
-	for _, it := range b.counts.hottest(1, learntKeys) {
-		k := LearnedKey{Key: it.key, Count: it.count, Err: it.err}
-		if p := b.hot[it.key]; p != nil {
-			for _, n := range p.nodes {
-				k.Members = append(k.Members, n.m.ID)
+	l := LearnedState{Total: b.keyCounts.total, EarlierTotal: b.earlierTotal, Latency: b.meanLatency, FailureRate: b.failureRate, Arrivals: b.arrivals,
+		ServedWork: b.servedWork, SpanSeconds: b.spanSeconds + (b.now - b.windowStart).Seconds(), RecentAttempts: b.recentAttempts, RecentAnswers: b.recentAnswers}
+	for _, it := range b.keyCounts.hottest(1, maxExportedKeys) {
+		k := LearnedKey{Key: it.key, Count: it.count, Err: it.maxError}
+		if p := b.hotTable[it.key]; p != nil {
+			for _, n := range p.members {
+				k.Members = append(k.Members, n.entry.ID)
 			}
 		}
 		l.Keys = append(l.Keys, k)
 	}
 	for _, n := range append(slices.Clone(b.caches), b.origins...) {
-		if n.seen > 0 || n.streak > 0 {
-			l.Members = append(l.Members, LearnedMember{ID: n.m.ID, StartedAt: n.m.StartedAt, Limit: n.limit, Latency: n.latency,
-				SendInterval: n.gap, AnswerInterval: n.pace, Samples: n.seen, LimitCut: n.cutAt > 0, FailureRate: n.fails, FailureStreak: n.streak, EjectedFor: max(0, n.outUntil-b.now)})
+		if n.samples > 0 || n.failureStreak > 0 {
+			l.Members = append(l.Members, LearnedMember{ID: n.entry.ID, StartedAt: n.entry.StartedAt, Limit: n.limit, Latency: n.latency,
+				SendInterval: n.sendInterval, AnswerInterval: n.answerInterval, Samples: n.samples, LimitCut: n.limitCutAt > 0, FailureRate: n.failureRate, FailureStreak: n.failureStreak, EjectedFor: max(0, n.ejectedUntil-b.now)})
 		}
 	}
 	return l
@@ -81,60 +81,60 @@
 func (b *Balancer) ImportState(now time.Duration, l LearnedState) (members int) {
 	b.advance(now)
 	for _, m := range l.Members {
-		n := b.nodes[m.ID]
-		if n == nil || n.m.State != Ready || n.m.StartedAt != m.StartedAt || n.seen > 0 || m.Samples < 1 ||
-			!figures(m.Limit, m.Latency, m.SendInterval, m.AnswerInterval, m.FailureRate) || m.Limit <= 0 || m.FailureRate > 1 {
+		n := b.members[m.ID]
+		if n == nil || n.entry.State != Ready || n.entry.StartedAt != m.StartedAt || n.samples > 0 || m.Samples < 1 ||
+			!validNumbers(m.Limit, m.Latency, m.SendInterval, m.AnswerInterval, m.FailureRate) || m.Limit <= 0 || m.FailureRate > 1 {
 			continue
 		}
-		n.limit, n.latency, n.gap, n.pace = min(m.Limit, float64(b.s.Instances)*1e4), m.Latency, m.SendInterval, m.AnswerInterval
-		n.seen, n.fails, n.streak = m.Samples, m.FailureRate, min(max(0, m.FailureStreak), maxStreak)
+		n.limit, n.latency, n.sendInterval, n.answerInterval = min(m.Limit, float64(b.settings.Instances)*1e4), m.Latency, m.SendInterval, m.AnswerInterval
+		n.samples, n.failureRate, n.failureStreak = m.Samples, m.FailureRate, min(max(0, m.FailureStreak), maxFailureStreak)
 		if m.LimitCut {
-			n.cutAt = max(1, b.now-time.Second)
+			n.limitCutAt = max(1, b.now-time.Second)
 		}
 		if m.EjectedFor > 0 { // no longer than an ejection ever lasts
-			n.outUntil = b.now + min(m.EjectedFor, 12*time.Second)
+			n.ejectedUntil = b.now + min(m.EjectedFor, 12*time.Second)
 		}
 		members++
 	}
-	if figures(l.Latency, l.FailureRate, l.Arrivals, l.ServedWork, l.SpanSeconds, l.RecentAttempts, l.RecentAnswers) && l.FailureRate <= 1 && members > 0 {
-		b.latency, b.fails = l.Latency, l.FailureRate
-		b.arrivals, b.carried, b.span = l.Arrivals, l.ServedWork, l.SpanSeconds
-		b.asked, b.answered, b.askedAt, b.heardAt = l.RecentAttempts, l.RecentAnswers, b.now, b.now
+	if validNumbers(l.Latency, l.FailureRate, l.Arrivals, l.ServedWork, l.SpanSeconds, l.RecentAttempts, l.RecentAnswers) && l.FailureRate <= 1 && members > 0 {
+		b.meanLatency, b.failureRate = l.Latency, l.FailureRate
+		b.arrivals, b.servedWork, b.spanSeconds = l.Arrivals, l.ServedWork, l.SpanSeconds
+		b.recentAttempts, b.recentAnswers, b.recentCountsAt, b.lastAnswerAt = l.RecentAttempts, l.RecentAnswers, b.now, b.now
 	}
-	if figures(l.Total, l.EarlierTotal) && b.counts.total == 0 && len(b.caches) > 0 {
-		b.inheritKeys(l)
+	if validNumbers(l.Total, l.EarlierTotal) && b.keyCounts.total == 0 && len(b.caches) > 0 {
+		b.importKeys(l)
 	}
 	return members
 }
 
-// inheritKeys takes over the counts, and places the hot keys where they were, as far as those caches may have them now.
-func (b *Balancer) inheritKeys(l LearnedState) {
+// importKeys takes over the counts, and places the hot keys where they were, as far as those caches may have them now.
+func (b *Balancer) importKeys(l LearnedState) {
 	sum := 0.0
-	for _, k := range l.Keys[:min(len(l.Keys), counterSize)] {
-		if _, twice := b.counts.at[k.Key]; twice || k.Key == 0 || !figures(k.Count, k.Err) || k.Err > k.Count || k.Count < 1 {
+	for _, k := range l.Keys[:min(len(l.Keys), counterCapacity)] {
+		if _, twice := b.keyCounts.index[k.Key]; twice || k.Key == 0 || !validNumbers(k.Count, k.Err) || k.Err > k.Count || k.Count < 1 {
 			continue
 		}
-		b.counts.put(counted{key: k.Key, count: k.Count, err: k.Err})
+		b.keyCounts.insert(keyCount{key: k.Key, count: k.Count, maxError: k.Err})
 		sum += k.Count - k.Err
-		p := &placed{}
-		for _, id := range k.Members[:min(len(k.Members), orderDepth)] {
-			if n := b.nodes[id]; n != nil && n.m.State == Ready && !b.isOrigin(n.m) && b.owns(n, slotOf(k.Key)) {
-				p.nodes = append(p.nodes, n)
+		p := &placement{}
+		for _, id := range k.Members[:min(len(k.Members), candidateDepth)] {
+			if n := b.members[id]; n != nil && n.entry.State == Ready && !b.isOrigin(n.entry) && b.ownsSlot(n, slotOf(k.Key)) {
+				p.members = append(p.members, n)
 			}
 		}
-		if len(p.nodes) > 0 {
-			b.hot[k.Key] = p
+		if len(p.members) > 0 {
+			b.hotTable[k.Key] = p
 		}
 	}
-	b.counts.total = max(l.Total, sum)
-	b.kept = min(l.EarlierTotal, b.counts.total)
-	b.place()
+	b.keyCounts.total = max(l.Total, sum)
+	b.earlierTotal = min(l.EarlierTotal, b.keyCounts.total)
+	b.placeHotKeys()
 }
 
-// figures tells whether all are numbers that a Balancer could have: finite, and not negative.
-func figures(all ...float64) bool {
+// validNumbers tells whether all are numbers that a Balancer could have: finite, and not negative.
+func validNumbers(all ...float64) bool {
 	return !slices.ContainsFunc(all, func(f float64) bool { return !(f >= 0) || math.IsInf(f, 0) })
 }
 
 // InitialLimit is the limit of a member that nothing is known of.
-const InitialLimit = startLimit
+const InitialLimit = initialLimit
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -18,8 +18,8 @@
 		if len(l.Members) == 0 || len(l.Keys) == 0 {
 			t.Fatalf("seed %d: nothing was learnt: %d members, %d keys", seed, len(l.Members), len(l.Keys))
 		}
-		heir := func(h *fakeHost) { h.heirOf = &l }
-		driveRandom(t, s, seed+50, heir).check()
+		heir := func(h *fakeHost) { h.importedState = &l }
+		driveRandom(t, s, seed+50, heir).checkViolations()
 
 		rng := rand.New(rand.NewPCG(seed, 3))
 		odd := func(f *float64) {
@@ -46,7 +46,7 @@
 		for _, f := range []*float64{&l.Total, &l.EarlierTotal, &l.Latency, &l.FailureRate, &l.Arrivals, &l.ServedWork, &l.SpanSeconds, &l.RecentAttempts, &l.RecentAnswers} {
 			odd(f)
 		}
-		driveRandom(t, s, seed+50, heir).check()
+		driveRandom(t, s, seed+50, heir).checkViolations()
 	}
 }
 
@@ -56,19 +56,19 @@
 	list := withOrigin(6)
 	list[4].StartedAt = time.Hour - time.Second // cold, and told so to both
 	old := newHost(t, s, 1)
-	old.members(ListCached, list...)
+	old.setMembers(ListCached, list...)
 	for i := range 400 {
-		a := old.ask(Request{ID: RequestID(i + 1), Key: uint64(1 + i%8)})
-		if len(a.sent) == 1 {
-			old.run(10 * ms)
-			old.end(a.ID, 0, StatusOK)
+		a := old.request(Request{ID: RequestID(i + 1), Key: uint64(1 + i%8)})
+		if len(a.attempts) == 1 {
+			old.advance(10 * ms)
+			old.endAttempt(a.ID, 0, StatusOK)
 		}
 	}
 	old.b.closeWindow()
 	for _, n := range append(old.b.caches, old.b.origins...) {
-		n.seen, n.limit, n.latency, n.tokens = 50, 20+float64(n.m.ID%7), 0.01, 3
+		n.samples, n.limit, n.latency, n.coldTokens = 50, 20+float64(n.entry.ID%7), 0.01, 3
 	}
-	old.ask(Request{ID: 9999, Key: 5, Class: 1, Write: true}) // an order in hand
+	old.request(Request{ID: 9999, Key: 5, Class: 1, Write: true}) // an order in hand
 	l := old.b.ExportState(old.now)
 
 	list[0].State = Gone
@@ -76,35 +76,35 @@
 	list[2].State = Draining
 	fresh := func() *fakeHost {
 		h := newHost(t, s, 2)
-		h.members(ListCached, list...)
+		h.setMembers(ListCached, list...)
 		return h
 	}
 	h, plain := fresh(), fresh()
 	if got := h.b.ImportState(h.now, l); got != 4 { // two caches, the cold one and the origin
 		t.Errorf("something is taken over of %d members", got)
 	}
-	for id, n := range h.b.nodes {
-		want := float64(startLimit)
+	for id, n := range h.b.members {
+		want := float64(initialLimit)
 		if id != 2 && id != 3 {
 			want = 20 + float64(id%7)
 		}
 		if n.limit != want {
 			t.Errorf("member %d: limit %v, want %v", id, n.limit, want)
 		}
-		if other := plain.b.nodes[id]; n.tokens != other.tokens || n.m.State != other.m.State || n.out != 0 {
+		if other := plain.b.members[id]; n.coldTokens != other.coldTokens || n.entry.State != other.entry.State || n.outstanding != 0 {
 			t.Errorf("member %d: a budget, a state or an attempt is taken over: %+v", id, n)
 		}
 	}
-	if len(h.b.flights) != 0 || len(h.b.hot) == 0 {
-		t.Errorf("%d requests, %d hot keys", len(h.b.flights), len(h.b.hot))
+	if len(h.b.requests) != 0 || len(h.b.hotTable) == 0 {
+		t.Errorf("%d requests, %d hot keys", len(h.b.requests), len(h.b.hotTable))
 	}
-	for key, p := range h.b.hot {
-		for _, n := range p.nodes {
-			if n.m.State != Ready || n.m.ID == 1 || n.m.ID == 3 {
-				t.Errorf("key %d is placed at member %d", key, n.m.ID)
+	for key, p := range h.b.hotTable {
+		for _, n := range p.members {
+			if n.entry.State != Ready || n.entry.ID == 1 || n.entry.ID == 3 {
+				t.Errorf("key %d is placed at member %d", key, n.entry.ID)
 			}
-			if was := old.b.hot[key]; was != nil && len(p.nodes) == 1 && was.nodes[0].m.ID > 3 && was.nodes[0].m.ID != n.m.ID {
-				t.Errorf("key %d moves from %d to %d", key, was.nodes[0].m.ID, n.m.ID)
+			if was := old.b.hotTable[key]; was != nil && len(p.members) == 1 && was.members[0].entry.ID > 3 && was.members[0].entry.ID != n.entry.ID {
+				t.Errorf("key %d moves from %d to %d", key, was.members[0].entry.ID, n.entry.ID)
 			}
 		}
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -10,29 +10,29 @@
 
 func TestMissGoesToTheOriginAndTheNextReadWaits(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(6)...)
-	a := h.ask(Request{ID: 1, Key: 77})
-	cache := a.sent[0].to
-	h.run(10 * ms)
-	h.end(1, 0, StatusMiss)
-	if len(a.sent) != 2 || a.sent[1].to != originID {
-		t.Fatalf("after a miss: sent %+v, want the origin second", a.sent)
+	h.setMembers(ListCached, withOrigin(6)...)
+	a := h.request(Request{ID: 1, Key: 77})
+	cache := a.attempts[0].member
+	h.advance(10 * ms)
+	h.endAttempt(1, 0, StatusMiss)
+	if len(a.attempts) != 2 || a.attempts[1].member != originID {
+		t.Fatalf("after a miss: sent %+v, want the origin second", a.attempts)
 	}
 	// Single flight: a second read of the key waits for the fetch, then reads the cache.
-	b := h.ask(Request{ID: 2, Key: 77})
-	if len(b.sent) != 0 {
-		t.Fatalf("a read of a key being fetched was sent at once: %+v", b.sent)
+	b := h.request(Request{ID: 2, Key: 77})
+	if len(b.attempts) != 0 {
+		t.Fatalf("a read of a key being fetched was sent at once: %+v", b.attempts)
 	}
-	h.run(50 * ms)
-	h.end(1, 1, StatusOK)
-	if len(b.sent) != 1 || b.sent[0].to != cache {
-		t.Fatalf("after the fetch: sent %+v, want cache %d", b.sent, cache)
+	h.advance(50 * ms)
+	h.endAttempt(1, 1, StatusOK)
+	if len(b.attempts) != 1 || b.attempts[0].member != cache {
+		t.Fatalf("after the fetch: sent %+v, want cache %d", b.attempts, cache)
 	}
-	h.end(2, 0, StatusOK)
-	h.run(5 * time.Second)
-	h.check()
-	if len(h.b.flights) != 0 || len(h.b.fetching) != 0 {
-		t.Errorf("left behind: %d requests, %d fetches", len(h.b.flights), len(h.b.fetching))
+	h.endAttempt(2, 0, StatusOK)
+	h.advance(5 * time.Second)
+	h.checkViolations()
+	if len(h.b.requests) != 0 || len(h.b.fetchWaiters) != 0 {
+		t.Errorf("left behind: %d requests, %d fetches", len(h.b.requests), len(h.b.fetchWaiters))
 	}
 }
 
@@ -40,31 +40,31 @@
 func TestExpiredOwnerPassesTheFetchOn(t *testing.T) {
 	s := testSettings()
 	h := newHost(t, s, 1)
-	h.members(ListCached, withOrigin(3)...)
+	h.setMembers(ListCached, withOrigin(3)...)
 	o := h.b.origins[0]
-	o.limit, o.latency, o.sentAt = 0.25, 0.2, h.now
-	h.ask(Request{ID: 1, Key: 5})
-	h.end(1, 0, StatusMiss) // queued: no room
-	b := h.ask(Request{ID: 2, Key: 5})
-	h.open[1].answered = 1
+	o.limit, o.latency, o.lastSentAt = 0.25, 0.2, h.now
+	h.request(Request{ID: 1, Key: 5})
+	h.endAttempt(1, 0, StatusMiss) // queued: no room
+	b := h.request(Request{ID: 2, Key: 5})
+	h.requests[1].answers = 1
 	h.b.RequestCancelled(h.now, 1)
-	if len(b.sent) == 0 {
+	if len(b.attempts) == 0 {
 		t.Fatal("the waiting read was not sent on when the fetch's owner left")
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A slow spell once left the latency estimate above every aim, and no fetch was sent that could lower it.
 func TestSlowOriginIsStillTried(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(3)...)
+	h.setMembers(ListCached, withOrigin(3)...)
 	h.b.origins[0].latency = 30
-	a := h.ask(Request{ID: 1, Key: 5})
-	h.end(1, 0, StatusMiss)
-	if len(a.sent) != 2 {
-		t.Fatalf("sent %+v, want a fetch", a.sent)
+	a := h.request(Request{ID: 1, Key: 5})
+	h.endAttempt(1, 0, StatusMiss)
+	if len(a.attempts) != 2 {
+		t.Fatalf("sent %+v, want a fetch", a.attempts)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A request that is to be answered before any member could answer it is not begun.
@@ -74,48 +74,48 @@
 		"an order": {Key: 5, Class: 1, Write: true},
 	} {
 		h := newHost(t, testSettings(), 1)
-		h.members(ListCached, withOrigin(3)...)
-		ask.ID, ask.Deadline = 1, h.now+h.b.slack()
-		if a := h.ask(ask); len(a.sent) != 0 || a.answered != 1 {
-			t.Errorf("%s: sent %+v, answered %d times", name, a.sent, a.answered)
+		h.setMembers(ListCached, withOrigin(3)...)
+		ask.ID, ask.Deadline = 1, h.now+h.b.answerMargin()
+		if a := h.request(ask); len(a.attempts) != 0 || a.answers != 1 {
+			t.Errorf("%s: sent %+v, answered %d times", name, a.attempts, a.answers)
 		}
-		ask.ID, ask.Deadline = 2, h.now+h.b.slack()+ms
-		if a := h.ask(ask); len(a.sent) != 1 {
-			t.Errorf("%s with a little more time: sent %+v", name, a.sent)
+		ask.ID, ask.Deadline = 2, h.now+h.b.answerMargin()+ms
+		if a := h.request(ask); len(a.attempts) != 1 {
+			t.Errorf("%s with a little more time: sent %+v", name, a.attempts)
 		}
 	}
 }
 
 func TestOnceIsNotRepeatedAfterATimeout(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(3)...)
-	a := h.ask(Request{ID: 1, Key: 5, Class: 1, Write: true})
-	h.end(1, 0, StatusFull) // never ran: may be sent again
-	h.run(50 * ms)
-	if len(a.sent) != 2 {
-		t.Fatalf("a rejected write was not sent again: %+v", a.sent)
-	}
-	h.end(1, 1, StatusReset)
-	h.run(10 * time.Second)
-	if len(a.sent) != 2 || a.answered != 1 {
-		t.Errorf("sent %d times, answered %d times; want 2 and 1", len(a.sent), a.answered)
+	h.setMembers(ListCached, withOrigin(3)...)
+	a := h.request(Request{ID: 1, Key: 5, Class: 1, Write: true})
+	h.endAttempt(1, 0, StatusFull) // never ran: may be sent again
+	h.advance(50 * ms)
+	if len(a.attempts) != 2 {
+		t.Fatalf("a rejected write was not sent again: %+v", a.attempts)
+	}
+	h.endAttempt(1, 1, StatusReset)
+	h.advance(10 * time.Second)
+	if len(a.attempts) != 2 || a.answers != 1 {
+		t.Errorf("sent %d times, answered %d times; want 2 and 1", len(a.attempts), a.answers)
 	}
 	if !slices.ContainsFunc(h.log, func(s string) bool { return s[len(s)-6:] == "fail 1" }) {
 		t.Error("a write that may have run was not failed")
 	}
-	h.check()
+	h.checkViolations()
 }
 
 func TestDrainActsAtOnce(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(2)...)
-	first := h.ask(Request{ID: 1, Key: 9}).sent[0].to
-	h.end(1, 0, StatusOK)
-	h.members(ListDelta, Member{ID: first, State: Draining, Weight: 1})
-	if to := h.ask(Request{ID: 2, Key: 9}).sent[0].to; to == first {
+	h.setMembers(ListCached, withOrigin(2)...)
+	first := h.request(Request{ID: 1, Key: 9}).attempts[0].member
+	h.endAttempt(1, 0, StatusOK)
+	h.setMembers(ListDelta, Member{ID: first, State: Draining, Weight: 1})
+	if to := h.request(Request{ID: 2, Key: 9}).attempts[0].member; to == first {
 		t.Errorf("sent to member %d, which drains", to)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A key that one cache can't carry is split; one proxy of few then uses several caches.
@@ -123,7 +123,7 @@
 	s := testSettings()
 	s.Instances = 1
 	h := newHost(t, s, 1)
-	h.members(ListCached, withOrigin(10)...)
+	h.setMembers(ListCached, withOrigin(10)...)
 	id := RequestID(0)
 	used := map[MemberID]int{}
 	for i := range 4000 {
@@ -132,77 +132,77 @@
 		if i%2 == 0 {
 			key = uint64(100 + i)
 		}
-		r := h.ask(Request{ID: id, Key: key})
+		r := h.request(Request{ID: id, Key: key})
 		if key == 1 && i > 3000 {
-			used[r.sent[0].to]++
+			used[r.attempts[0].member]++
 		}
-		h.end(id, 0, StatusOK)
-		h.run(5 * ms)
+		h.endAttempt(id, 0, StatusOK)
+		h.advance(5 * ms)
 	}
 	if len(used) < 4 {
 		t.Errorf("a key with half of all requests uses %d of 10 caches, want 4 or more", len(used))
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A member that fails quickly attracts no work: it is ejected, and others serve its keys.
 func TestFastFailingMemberIsEjected(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(5)...)
+	h.setMembers(ListCached, withOrigin(5)...)
 	bad := MemberID(1)
 	sent := 0
 	for id := RequestID(1); id <= 2000; id++ {
-		r := h.ask(Request{ID: id, Key: uint64(id)})
-		for i := 0; i < len(r.sent); i++ {
-			if r.sent[i].to == bad {
+		r := h.request(Request{ID: id, Key: uint64(id)})
+		for i := 0; i < len(r.attempts); i++ {
+			if r.attempts[i].member == bad {
 				sent++
-				h.end(id, i, StatusConnectFailed)
-			} else if !r.sent[i].ended {
-				h.end(id, i, StatusOK)
+				h.endAttempt(id, i, StatusConnectFailed)
+			} else if !r.attempts[i].ended {
+				h.endAttempt(id, i, StatusOK)
 			}
 		}
-		h.run(5 * ms)
+		h.advance(5 * ms)
 	}
 	if sent > 40 {
 		t.Errorf("the failing member got %d of 2000 requests, want at most 40", sent)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // When everything fails alike nobody is ejected.
 func TestGeneralFailureEjectsNobody(t *testing.T) {
 	s := testSettings()
 	h := newHost(t, s, 1)
-	h.members(ListCached, withOrigin(5)...)
+	h.setMembers(ListCached, withOrigin(5)...)
 	for id := RequestID(1); id <= 1000; id++ { // the first failures may still look like outliers
-		r := h.ask(Request{ID: id, Key: uint64(id)})
-		for i := 0; i < len(r.sent); i++ {
-			h.end(id, i, StatusError)
+		r := h.request(Request{ID: id, Key: uint64(id)})
+		for i := 0; i < len(r.attempts); i++ {
+			h.endAttempt(id, i, StatusError)
 		}
-		h.run(20 * ms)
+		h.advance(20 * ms)
 	}
 	for _, n := range h.b.caches {
-		if n.outUntil > h.now {
-			t.Errorf("member %d is ejected though all fail alike", n.m.ID)
+		if n.ejectedUntil > h.now {
+			t.Errorf("member %d is ejected though all fail alike", n.entry.ID)
 		}
 	}
-	h.check()
+	h.checkViolations()
 }
 
 func TestWatchIsAskedForAgain(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = true
 	h := newHost(t, s, 1)
-	h.members(ListCached, withOrigin(2)...)
-	h.run(2 * time.Second)
-	if h.watch != 1 {
-		t.Fatalf("asked %d times at the start, want once", h.watch)
+	h.setMembers(ListCached, withOrigin(2)...)
+	h.advance(2 * time.Second)
+	if h.watchCalls != 1 {
+		t.Fatalf("asked %d times at the start, want once", h.watchCalls)
 	}
 	for i := range 5 {
-		h.members(ListFailed)
-		h.run(13 * time.Second)
-		if h.watch != i+2 {
-			t.Fatalf("asked %d times after %d failures", h.watch, i+1)
+		h.setMembers(ListFailed)
+		h.advance(13 * time.Second)
+		if h.watchCalls != i+2 {
+			t.Fatalf("asked %d times after %d failures", h.watchCalls, i+1)
 		}
 	}
 	if len(h.b.caches) != 2 {
@@ -236,13 +236,13 @@
 		{ID: 4, Key: 1, CostKnown: true, Cost: -time.Second}, {ID: 5, Class: 99, Write: true},
 	}
 	for _, r := range odd { // with no member at all
-		h.ask(r)
+		h.request(r)
 	}
-	h.members(ListFull)
-	h.members(ListCached, Member{ID: 1, Zone: 200, Weight: math.NaN(), State: State(77)}, Member{ID: 2, Weight: -1})
+	h.setMembers(ListFull)
+	h.setMembers(ListCached, Member{ID: 1, Zone: 200, Weight: math.NaN(), State: State(77)}, Member{ID: 2, Weight: -1})
 	for _, r := range odd {
 		r.ID += 10
-		h.ask(r)
+		h.request(r)
 	}
 	h.b.Outcome(h.now, Outcome{Request: 999})
 	h.b.Outcome(h.now, Outcome{Request: 11, Attempt: 900})
@@ -252,29 +252,29 @@
 	h.b.Timer(h.now, math.MaxUint64)
 	h.b.ProbeResult(h.now, 7, StatusOK, 0, nil)
 	h.b.PeerMessage(h.now, -1, nil)
-	h.run(10 * time.Second)
-	for id, r := range h.open {
-		if r.answered != 1 {
-			t.Errorf("request %d answered %d times", id, r.answered)
+	h.advance(10 * time.Second)
+	for id, r := range h.requests {
+		if r.answers != 1 {
+			t.Errorf("request %d answered %d times", id, r.answers)
 		}
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A burst once left members with deep queues jammed for good: every attempt timed out, and clients tried again.
 func TestJammedMemberIsSentLess(t *testing.T) {
 	s := testSettings()
 	h := newHost(t, s, 1)
-	h.members(ListCached, withOrigin(4)...)
+	h.setMembers(ListCached, withOrigin(4)...)
 	sent := 0
 	for id := RequestID(1); id <= 1000; id++ {
-		h.ask(Request{ID: id, Key: uint64(id)})
-		h.run(10 * ms)
-		for old, r := range h.open {
-			for i, a := range r.sent {
-				if !a.ended && h.now-a.at >= 300*ms {
+		h.request(Request{ID: id, Key: uint64(id)})
+		h.advance(10 * ms)
+		for old, r := range h.requests {
+			for i, a := range r.attempts {
+				if !a.ended && h.now-a.sentAt >= 300*ms {
 					sent++
-					h.end(old, i, StatusTimeout)
+					h.endAttempt(old, i, StatusTimeout)
 				}
 			}
 		}
@@ -282,31 +282,31 @@
 	if sent > 500 {
 		t.Errorf("%d attempts in 10 s at 4 members that answer nothing in time, want at most 500", sent)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // Once jammed, members that had recovered stood idle: each good answer cut their limits further while the mean
 // of earlier ones was still over the target.
 func TestLimitsRecoverAfterAJam(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(4)...)
+	h.setMembers(ListCached, withOrigin(4)...)
 	asked, sent := 0, 0
 	for id := RequestID(1); id <= 2400; id++ { // 100 a second: 4 s of time-outs, then 20 s of fast answers
 		jam := id <= 400
-		r := h.ask(Request{ID: id, Key: uint64(id)})
+		r := h.request(Request{ID: id, Key: uint64(id)})
 		if id > 1900 {
 			asked++
-			sent += min(1, len(r.sent))
+			sent += min(1, len(r.attempts))
 		}
-		h.run(10 * ms)
+		h.advance(10 * ms)
 		for old := max(1, id-100); old <= id; old++ {
-			for i, a := range h.open[old].sent {
+			for i, a := range h.requests[old].attempts {
 				switch {
 				case a.ended:
-				case jam && h.now-a.at >= 300*ms:
-					h.end(old, i, StatusTimeout)
+				case jam && h.now-a.sentAt >= 300*ms:
+					h.endAttempt(old, i, StatusTimeout)
 				case !jam:
-					h.end(old, i, StatusOK)
+					h.endAttempt(old, i, StatusOK)
 				}
 			}
 		}
@@ -314,29 +314,29 @@
 	if sent < asked*8/10 {
 		t.Errorf("%d of %d requests sent 15 s after a jam ended, want most", sent, asked)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // Spilling from busy members scattered keys: hits became misses that jammed the origin.
 func TestBusyMemberDoesNotScatterItsKeys(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(8)...)
-	home := h.ask(Request{ID: 1, Key: 7}).sent[0].to
-	h.end(1, 0, StatusOK)
-	n := h.b.nodes[home]
-	n.limit, n.out = 1, 1 // busy
-	if r := h.ask(Request{ID: 9, Key: 7}); len(r.sent) != 1 || r.sent[0].to == home {
-		t.Errorf("sent to %v while the key's member is busy and the origin idle, want the next candidate", r.sent)
-	}
-	h.b.nodes[originID].latency = h.b.target // a fetch is dear
-	if r := h.ask(Request{ID: 2, Key: 7}); len(r.sent) != 0 || r.answered == 0 {
-		t.Errorf("sent to %v while the key's member is busy, want a refusal", r.sent)
-	}
-	n.outUntil = h.now + time.Second // ejected: then the next candidate does
-	if r := h.ask(Request{ID: 3, Key: 7}); len(r.sent) != 1 || r.sent[0].to == home {
-		t.Errorf("sent to %v while the key's member is ejected, want the next candidate", r.sent)
-	}
-	h.check()
+	h.setMembers(ListCached, withOrigin(8)...)
+	home := h.request(Request{ID: 1, Key: 7}).attempts[0].member
+	h.endAttempt(1, 0, StatusOK)
+	n := h.b.members[home]
+	n.limit, n.outstanding = 1, 1 // busy
+	if r := h.request(Request{ID: 9, Key: 7}); len(r.attempts) != 1 || r.attempts[0].member == home {
+		t.Errorf("sent to %v while the key's member is busy and the origin idle, want the next candidate", r.attempts)
+	}
+	h.b.members[originID].latency = h.b.fetchTarget // a fetch is dear
+	if r := h.request(Request{ID: 2, Key: 7}); len(r.attempts) != 0 || r.answers == 0 {
+		t.Errorf("sent to %v while the key's member is busy, want a refusal", r.attempts)
+	}
+	n.ejectedUntil = h.now + time.Second // ejected: then the next candidate does
+	if r := h.request(Request{ID: 3, Key: 7}); len(r.attempts) != 1 || r.attempts[0].member == home {
+		t.Errorf("sent to %v while the key's member is ejected, want the next candidate", r.attempts)
+	}
+	h.checkViolations()
 }
 
 // Where caches fetch by themselves, giving up slow answers and asking the next cache doubled the fetches.
@@ -344,35 +344,35 @@
 	s := testSettings()
 	s.Mode, s.OriginKind = ReadThrough, -1
 	h := newHost(t, s, 1)
-	h.members(ListCached, caches(4)...)
-	r := h.ask(Request{ID: 1, Key: 7})
-	if len(r.sent) != 1 || r.sent[0].timeout != 0 {
-		t.Errorf("attempts %+v, want one that is not given up", r.sent)
+	h.setMembers(ListCached, cacheMembers(4)...)
+	r := h.request(Request{ID: 1, Key: 7})
+	if len(r.attempts) != 1 || r.attempts[0].timeout != 0 {
+		t.Errorf("attempts %+v, want one that is not given up", r.attempts)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A full member was left out for a while, which scattered all its keys; cutting its limit from what is out held
 // back proxies that send to it seldom. Now its limit falls to one at least.
 func TestFullMemberKeepsItsKeys(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(8)...)
-	home := h.ask(Request{ID: 1, Key: 7}).sent[0].to
-	n := h.b.nodes[home]
-	h.end(1, 0, StatusFull)
-	if n.limit >= startLimit {
-		t.Errorf("limit %v after a full answer, want less than %d", n.limit, startLimit)
+	h.setMembers(ListCached, withOrigin(8)...)
+	home := h.request(Request{ID: 1, Key: 7}).attempts[0].member
+	n := h.b.members[home]
+	h.endAttempt(1, 0, StatusFull)
+	if n.limit >= initialLimit {
+		t.Errorf("limit %v after a full answer, want less than %d", n.limit, initialLimit)
 	}
-	if r := h.ask(Request{ID: 2, Key: 7}); len(r.sent) != 1 || r.sent[0].to != home {
-		t.Errorf("the next request goes to %+v, want member %d", r.sent, home)
+	if r := h.request(Request{ID: 2, Key: 7}); len(r.attempts) != 1 || r.attempts[0].member != home {
+		t.Errorf("the next request goes to %+v, want member %d", r.attempts, home)
 	}
 	for range 20 {
-		h.b.learn(n, Outcome{Status: StatusFull}, false)
+		h.b.recordOutcome(n, Outcome{Status: StatusFull}, false)
 	}
 	if n.limit < 1 {
 		t.Errorf("limit %v after many full answers, want 1", n.limit)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // While most of the fleet was cold its budgets shrank with the little that the few warm members answered: they go by
@@ -387,7 +387,7 @@
 		for i := range c.cold {
 			list[i].StartedAt = h.now - 2*time.Second // warm to 0.36
 		}
-		h.members(ListCached, list...)
+		h.setMembers(ListCached, list...)
 		if w := h.b.warmWeight(); w < c.low || w > c.high {
 			t.Errorf("%d of 10 members cold: weight %.2f, want %v to %v", c.cold, w, c.low, c.high)
 		}
@@ -398,20 +398,20 @@
 // slot's member unless the objective gains enough by moving it.
 func TestNewlyHotKeyStaysWithItsSlot(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, caches(8)...)
+	h.setMembers(ListCached, cacheMembers(8)...)
 	for range 50 { // one key sets the level, the others are at the edge
-		h.b.counts.add(1)
+		h.b.keyCounts.add(1)
 	}
 	for key := uint64(2); key < 60; key++ {
-		h.b.counts.add(key)
-		h.b.counts.add(key)
+		h.b.keyCounts.add(key)
+		h.b.keyCounts.add(key)
 	}
-	h.b.place()
+	h.b.placeHotKeys()
 	moved, placed := 0, 0
 	for key := uint64(2); key < 60; key++ {
-		if p := h.b.hot[key]; p != nil {
+		if p := h.b.hotTable[key]; p != nil {
 			placed++
-			if p.nodes[0] != h.b.order(slotOf(key))[0].n {
+			if p.members[0] != h.b.candidates(slotOf(key))[0].member {
 				moved++
 			}
 		}
@@ -424,82 +424,82 @@
 // Keys wanted only once took the origin's room from those that many ask for: a known key goes first.
 func TestKnownKeysAreFetchedFirst(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(4)...)
+	h.setMembers(ListCached, withOrigin(4)...)
 	for id := RequestID(1); id <= 20; id++ {
-		r := h.ask(Request{ID: id, Key: 7})
-		h.end(id, len(r.sent)-1, StatusOK)
+		r := h.request(Request{ID: id, Key: 7})
+		h.endAttempt(id, len(r.attempts)-1, StatusOK)
 	}
-	h.b.nodes[originID].limit = 1
-	h.b.nodes[originID].out = 1 // its room is taken
+	h.b.members[originID].limit = 1
+	h.b.members[originID].outstanding = 1 // its room is taken
 	for i, key := range []uint64{100, 101, 7} {
 		id := RequestID(100 + i)
-		h.ask(Request{ID: id, Key: key})
-		h.end(id, 0, StatusMiss)
+		h.request(Request{ID: id, Key: key})
+		h.endAttempt(id, 0, StatusMiss)
 	}
-	h.b.nodes[originID].out = 0
-	h.run(25 * ms)
+	h.b.members[originID].outstanding = 0
+	h.advance(25 * ms)
 	for i, want := range []int{1, 1, 2} {
-		if got := len(h.open[RequestID(100+i)].sent); got != want {
+		if got := len(h.requests[RequestID(100+i)].attempts); got != want {
 			t.Errorf("request %d: %d attempts, want %d", 100+i, got, want)
 		}
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // Clients that try again under overload once inflated the cold budget: it must follow what caches answer.
 func TestColdBudgetFollowsWhatCachesAnswer(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(4)...)
+	h.setMembers(ListCached, withOrigin(4)...)
 	answered := 0
 	for id := RequestID(1); id <= 4000; id++ { // 500 a second, of which caches answer two in three
-		r := h.ask(Request{ID: id, Key: uint64(id)})
-		for i := 0; i < len(r.sent); i++ {
+		r := h.request(Request{ID: id, Key: uint64(id)})
+		for i := 0; i < len(r.attempts); i++ {
 			if id%3 == 0 {
-				h.end(id, i, StatusFull)
+				h.endAttempt(id, i, StatusFull)
 			} else {
-				h.end(id, i, StatusOK)
+				h.endAttempt(id, i, StatusOK)
 				answered++
 			}
 		}
-		h.run(2 * ms)
+		h.advance(2 * ms)
 	}
-	if most := float64(answered) / 8 * 1.1; h.b.rate() > most || h.b.rate() < most/2 {
-		t.Errorf("the budget goes by %.0f a second while caches answer %.0f", h.b.rate(), most/1.1)
+	if most := float64(answered) / 8 * 1.1; h.b.servedRate() > most || h.b.servedRate() < most/2 {
+		t.Errorf("the budget goes by %.0f a second while caches answer %.0f", h.b.servedRate(), most/1.1)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // Many members, each sent to seldom: no member's limit sees the jam, the throttle must.
 func TestThrottleEndsAJamOfSeldomUsedMembers(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(400)...)
+	h.setMembers(ListCached, withOrigin(400)...)
 	sent, asked := 0, 0
 	for id := RequestID(1); id <= 1500; id++ {
-		r := h.ask(Request{ID: id, Key: uint64(id)})
+		r := h.request(Request{ID: id, Key: uint64(id)})
 		if h.now > time.Hour+5*time.Second {
 			asked++
-			sent += len(r.sent)
+			sent += len(r.attempts)
 		}
-		for i := range r.sent {
-			h.end(id, i, StatusError)
+		for i := range r.attempts {
+			h.endAttempt(id, i, StatusError)
 			break
 		}
-		h.run(10 * ms)
+		h.advance(10 * ms)
 	}
 	if asked == 0 || sent > asked/2 {
 		t.Errorf("%d attempts for %d requests though no cache answers, want at most half", sent, asked)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // The time before a member was first sent to counts from when it was heard of, not from the clock's zero.
 func TestFirstGapIsNotTheClock(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(1)...)
-	h.run(10 * ms)
-	h.ask(Request{ID: 1, Key: 1})
-	if n := h.b.caches[0]; n.gap > 1 {
-		t.Errorf("gap %v s after 10 ms", n.gap)
+	h.setMembers(ListCached, withOrigin(1)...)
+	h.advance(10 * ms)
+	h.request(Request{ID: 1, Key: 1})
+	if n := h.b.caches[0]; n.sendInterval > 1 {
+		t.Errorf("gap %v s after 10 ms", n.sendInterval)
 	}
 }
 
@@ -507,7 +507,7 @@
 
 func TestCounterKeepsItsErrorBound(t *testing.T) {
 	const size, total = 64, 20000
-	c := counter{at: map[uint64]int{}, size: size}
+	c := counter{index: map[uint64]int{}, capacity: size}
 	rng := rand.New(rand.NewPCG(1, 2))
 	zipf := rand.NewZipf(rng, 1.2, 2, 5000)
 	exact := map[uint64]float64{}
@@ -517,13 +517,13 @@
 		c.add(k)
 	}
 	for _, it := range c.items {
-		if over := it.count - exact[it.key]; over < 0 || over > it.err || it.err > total/size {
-			t.Errorf("key %d: counted %v with error %v, exactly %v; bound %d", it.key, it.count, it.err,
+		if over := it.count - exact[it.key]; over < 0 || over > it.maxError || it.maxError > total/size {
+			t.Errorf("key %d: counted %v with error %v, exactly %v; bound %d", it.key, it.count, it.maxError,
 				exact[it.key], total/size)
 		}
 	}
 	for k, n := range exact { // whatever is above the bound is kept
-		if _, ok := c.at[k]; !ok && n > total/size {
+		if _, ok := c.index[k]; !ok && n > total/size {
 			t.Errorf("key %d with %v requests was dropped", k, n)
 		}
 	}
@@ -537,39 +537,39 @@
 		s := testSettings()
 		s.Instances = 100
 		h := newHost(t, s, uint64(round))
-		h.members(ListCached, withOrigin(3)...)
-		h.b.hot = map[uint64]*placed{}
+		h.setMembers(ListCached, withOrigin(3)...)
+		h.b.hotTable = map[uint64]*placement{}
 		counts := make([]float64, 5+rng.IntN(3))
 		for i := range counts {
 			counts[i] = float64(2 + rng.IntN(30))
 			for range int(counts[i]) {
-				h.b.counts.add(uint64(i + 1))
+				h.b.keyCounts.add(uint64(i + 1))
 			}
 		}
-		h.b.counts.total *= 1000 // a wide tail: no key is hot enough to be split
-		got := h.greedyAll(counts)
+		h.b.keyCounts.total *= 1000 // a wide tail: no key is hot enough to be split
+		got := h.placeOnAllCaches(counts)
 		best := bruteForce(counts, 3)
-		if got > best*4/3+keyWeight {
+		if got > best*4/3+keyCost {
 			t.Errorf("round %d: greedy %v, best %v, counts %v", round, got, best, counts)
 		}
 	}
 }
 
-// greedyAll places the keys with all caches as candidates and returns the objective.
-func (h *fakeHost) greedyAll(counts []float64) float64 {
+// placeOnAllCaches places the keys with all caches as candidates and returns the objective.
+func (h *fakeHost) placeOnAllCaches(counts []float64) float64 {
 	maxS, maxT := 0.0, 0.0
-	for _, it := range h.b.counts.hottest(2, maxHot) {
-		var order []ranked
+	for _, it := range h.b.keyCounts.hottest(2, maxHotKeys) {
+		var order []candidate
 		for _, n := range h.b.caches {
-			order = append(order, ranked{n: n})
+			order = append(order, candidate{member: n})
 		}
 		// An old place on no cache here: the bound is the greedy's own, without the margin for old places.
-		n := h.b.leastRaise(order, &placed{}, 0, it, 1, maxS, maxT, &placed{})
+		n := h.b.cheapestCandidate(order, &placement{}, 0, it, 1, maxS, maxT, &placement{})
 		n.hotLoad += it.count
 		n.hotKeys++
 		maxS, maxT = max(maxS, n.hotLoad), max(maxT, n.hotKeys)
 	}
-	return maxS + keyWeight*maxT
+	return maxS + keyCost*maxT
 }
 
 func bruteForce(counts []float64, servers int) float64 {
@@ -578,7 +578,7 @@
 	var try func(i int)
 	try = func(i int) {
 		if i == len(counts) {
-			best = min(best, slices.Max(load)+keyWeight*slices.Max(keys))
+			best = min(best, slices.Max(load)+keyCost*slices.Max(keys))
 			return
 		}
 		for j := range servers {
@@ -593,10 +593,10 @@
 	return best
 }
 
-func firsts(b *Balancer) []MemberID {
+func firstCandidates(b *Balancer) []MemberID {
 	out := make([]MemberID, slotCount)
 	for i := range out {
-		out[i] = b.order(i)[0].n.m.ID
+		out[i] = b.candidates(i)[0].member.entry.ID
 	}
 	return out
 }
@@ -607,12 +607,12 @@
 		list[i].Weight = float64(1 + i%3)
 	}
 	a, b := newHost(t, testSettings(), 1), newHost(t, testSettings(), 99)
-	a.members(ListCached, list...)
+	a.setMembers(ListCached, list...)
 	back := slices.Clone(list)
 	slices.Reverse(back)
-	b.members(ListCached, back...)
-	was := firsts(a.b)
-	if !slices.Equal(was, firsts(b.b)) {
+	b.setMembers(ListCached, back...)
+	was := firstCandidates(a.b)
+	if !slices.Equal(was, firstCandidates(b.b)) {
 		t.Fatal("the table depends on the list's order or the seed")
 	}
 	share, weight := map[MemberID]float64{}, 0.0
@@ -630,14 +630,14 @@
 	}
 	gone := list[4]
 	gone.State = Gone
-	a.members(ListDelta, gone)
-	for i, id := range firsts(a.b) {
+	a.setMembers(ListDelta, gone)
+	for i, id := range firstCandidates(a.b) {
 		if was[i] != gone.ID && id != was[i] {
 			t.Fatalf("slot %d moved from %d to %d though neither left", i, was[i], id)
 		}
 	}
-	a.members(ListDelta, list[4])
-	if !slices.Equal(was, firsts(a.b)) {
+	a.setMembers(ListDelta, list[4])
+	if !slices.Equal(was, firstCandidates(a.b)) {
 		t.Error("the table differs after a member left and came back")
 	}
 }
@@ -648,13 +648,13 @@
 	s.Weights = WeightsLive
 	h := newHost(t, s, 1)
 	list := withOrigin(8)
-	h.members(ListCached, list...)
-	was := firsts(h.b)
+	h.setMembers(ListCached, list...)
+	was := firstCandidates(h.b)
 	for i := range list {
 		list[i].Weight /= float64(1 + i)
 	}
-	h.members(ListDelta, list...)
-	if !slices.Equal(was, firsts(h.b)) {
+	h.setMembers(ListDelta, list...)
+	if !slices.Equal(was, firstCandidates(h.b)) {
 		t.Error("slots moved with the load")
 	}
 }
@@ -662,18 +662,18 @@
 // One broken connection tells nothing of its member: it stays in use, and the read may go there again.
 func TestOneResetDoesNotEject(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(6)...)
-	a := h.ask(Request{ID: 1, Key: 77})
-	h.run(10 * ms)
-	h.end(1, 0, StatusReset)
-	if len(a.sent) != 2 || a.sent[1].to != a.sent[0].to {
-		t.Fatalf("sent %+v, want the same cache twice", a.sent)
-	}
-	h.end(1, 1, StatusReset)
-	if n := h.b.nodes[a.sent[0].to]; n.outUntil > h.now {
+	h.setMembers(ListCached, withOrigin(6)...)
+	a := h.request(Request{ID: 1, Key: 77})
+	h.advance(10 * ms)
+	h.endAttempt(1, 0, StatusReset)
+	if len(a.attempts) != 2 || a.attempts[1].member != a.attempts[0].member {
+		t.Fatalf("sent %+v, want the same cache twice", a.attempts)
+	}
+	h.endAttempt(1, 1, StatusReset)
+	if n := h.b.members[a.attempts[0].member]; n.ejectedUntil > h.now {
 		t.Error("broken connections ejected a cache that may be up")
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // Members under ever new ids leave nothing behind.
@@ -681,35 +681,35 @@
 	h := newHost(t, testSettings(), 1)
 	for i := range 50 {
 		m := Member{ID: MemberID(1000 + i), Weight: 1}
-		h.members(ListDelta, m)
+		h.setMembers(ListDelta, m)
 		m.State = Draining
-		h.members(ListDelta, m)
+		h.setMembers(ListDelta, m)
 		if i%2 == 0 {
 			m.State = Gone
-			h.members(ListDelta, m)
+			h.setMembers(ListDelta, m)
 		}
 	}
-	h.members(ListFull, Member{ID: 1, Weight: 1})
-	if len(h.b.nodes) != 1 {
-		t.Errorf("%d members kept, want 1", len(h.b.nodes))
+	h.setMembers(ListFull, Member{ID: 1, Weight: 1})
+	if len(h.b.members) != 1 {
+		t.Errorf("%d members kept, want 1", len(h.b.members))
 	}
 }
 
 // A request that a member finds fault with is not sent again, and the member keeps its good name.
 func TestRejectedRequestFailsAtOnce(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(6)...)
+	h.setMembers(ListCached, withOrigin(6)...)
 	for id := RequestID(1); id < 10; id++ {
-		a := h.ask(Request{ID: id, Key: 77})
-		h.end(id, 0, StatusRejected)
-		if len(a.sent) != 1 || a.answered != 1 {
-			t.Fatalf("sent %+v, answered %d times", a.sent, a.answered)
+		a := h.request(Request{ID: id, Key: 77})
+		h.endAttempt(id, 0, StatusRejected)
+		if len(a.attempts) != 1 || a.answers != 1 {
+			t.Fatalf("sent %+v, answered %d times", a.attempts, a.answers)
 		}
-		if n := h.b.nodes[a.sent[0].to]; n.fails != 0 || n.streak != 0 {
+		if n := h.b.members[a.attempts[0].member]; n.failureRate != 0 || n.failureStreak != 0 {
 			t.Fatal("it counted against the member")
 		}
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // With the slot's cache in this zone busy, a read goes to the one that has the slot in another zone, where its
@@ -722,69 +722,69 @@
 	for i := range list {
 		list[i].Zone = i % 3
 	}
-	h.members(ListCached, list...)
-	order := h.b.order(slotOf(77))
-	first := order[0].n
-	if first.m.Zone != s.Zone {
-		t.Fatalf("the slot's first cache is in zone %d", first.m.Zone)
+	h.setMembers(ListCached, list...)
+	order := h.b.candidates(slotOf(77))
+	first := order[0].member
+	if first.entry.Zone != s.Zone {
+		t.Fatalf("the slot's first cache is in zone %d", first.entry.Zone)
 	}
-	at := slices.IndexFunc(order, func(r ranked) bool { return r.n.m.Zone != s.Zone })
+	at := slices.IndexFunc(order, func(r candidate) bool { return r.member.entry.Zone != s.Zone })
 	for _, r := range order[:at] {
-		r.n.limit, r.n.out = 1, 1
+		r.member.limit, r.member.outstanding = 1, 1
 	}
 	o := h.b.origins[0]
-	o.limit, o.out = 1, 1
-	a := h.ask(Request{ID: 1, Key: 77})
-	if len(a.sent) != 1 || a.sent[0].to != order[at].n.m.ID {
-		t.Fatalf("sent %+v, want %d", a.sent, order[at].n.m.ID)
+	o.limit, o.outstanding = 1, 1
+	a := h.request(Request{ID: 1, Key: 77})
+	if len(a.attempts) != 1 || a.attempts[0].member != order[at].member.entry.ID {
+		t.Fatalf("sent %+v, want %d", a.attempts, order[at].member.entry.ID)
 	}
-	h.end(1, 0, StatusOK)
-	h.check()
+	h.endAttempt(1, 0, StatusOK)
+	h.checkViolations()
 }
 
 // The host's own shortage of connections tells nothing of the member and costs neither an attempt nor the retry
 // budget.
 func TestOwnShortageIsNotTheMembersLoad(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(8)...)
-	r := h.ask(Request{ID: 1, Key: 7})
-	h.b.retries = 1
-	n := h.b.nodes[r.sent[0].to]
-	h.end(1, 0, StatusNoConn)
-	if n.limit != startLimit || n.streak != 0 || n.fails != 0 || n.outUntil != 0 {
+	h.setMembers(ListCached, withOrigin(8)...)
+	r := h.request(Request{ID: 1, Key: 7})
+	h.b.retryTokens = 1
+	n := h.b.members[r.attempts[0].member]
+	h.endAttempt(1, 0, StatusNoConn)
+	if n.limit != initialLimit || n.failureStreak != 0 || n.failureRate != 0 || n.ejectedUntil != 0 {
 		t.Errorf("the member is held to blame: %+v", n.limiter)
 	}
-	if len(r.sent) != 2 {
-		t.Fatalf("sent %+v, want a further attempt", r.sent)
+	if len(r.attempts) != 2 {
+		t.Fatalf("sent %+v, want a further attempt", r.attempts)
 	}
-	if f := h.b.flights[1]; h.b.retries != 1 || f.sent() != 1 {
-		t.Errorf("retry budget %v, attempts on the wire %d, want 1 and 1", h.b.retries, f.sent())
+	if f := h.b.requests[1]; h.b.retryTokens != 1 || f.sentAttempts() != 1 {
+		t.Errorf("retry budget %v, attempts on the wire %d, want 1 and 1", h.b.retryTokens, f.sentAttempts())
 	}
-	h.end(1, 1, StatusOK)
-	h.check()
+	h.endAttempt(1, 1, StatusOK)
+	h.checkViolations()
 }
 
 // A crowd that comes at once is let in at members that are quick, and not at those that are slow, have turned work away
 // or are not known yet.
 func TestCrowdIsLetInAtQuickMembers(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(3)...)
+	h.setMembers(ListCached, withOrigin(3)...)
 	n := h.b.caches[0]
 	for name, c := range map[string]struct {
 		limiter limiter
 		want    bool
 	}{
-		"quick":                               {limiter{limit: startLimit, latency: 0.0003, seen: 50, out: 100}, true},
-		"slow":                                {limiter{limit: startLimit, latency: 0.03, seen: 50, out: 100}, false},
-		"more than it can":                    {limiter{limit: startLimit, latency: 0.0003, seen: 50, out: 100000}, false},
-		"turned work away":                    {limiter{limit: startLimit * 0.7, latency: 0.0003, seen: 50, out: 100}, false},
-		"not known":                           {limiter{limit: startLimit, out: 100}, false},
-		"slow, with many answers in a second": {limiter{limit: startLimit, latency: 0.03, pace: 0.0003, seen: 50, out: 100}, true},
-		"slow, with few":                      {limiter{limit: startLimit, latency: 0.03, pace: 0.02, seen: 50, out: 100}, false},
-		"within its limit":                    {limiter{limit: startLimit, latency: 0.3, seen: 50, out: 1}, true},
+		"quick":                               {limiter{limit: initialLimit, latency: 0.0003, samples: 50, outstanding: 100}, true},
+		"slow":                                {limiter{limit: initialLimit, latency: 0.03, samples: 50, outstanding: 100}, false},
+		"more than it can":                    {limiter{limit: initialLimit, latency: 0.0003, samples: 50, outstanding: 100000}, false},
+		"turned work away":                    {limiter{limit: initialLimit * 0.7, latency: 0.0003, samples: 50, outstanding: 100}, false},
+		"not known":                           {limiter{limit: initialLimit, outstanding: 100}, false},
+		"slow, with many answers in a second": {limiter{limit: initialLimit, latency: 0.03, answerInterval: 0.0003, samples: 50, outstanding: 100}, true},
+		"slow, with few":                      {limiter{limit: initialLimit, latency: 0.03, answerInterval: 0.02, samples: 50, outstanding: 100}, false},
+		"within its limit":                    {limiter{limit: initialLimit, latency: 0.3, samples: 50, outstanding: 1}, true},
 	} {
 		n.limiter = c.limiter
-		if got := h.b.room(n); got != c.want {
+		if got := h.b.hasCapacity(n); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -800,36 +800,36 @@
 	}{"quick members": {3 * ms, true}, "silent members": {0, false}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, testSettings(), 1)
-			h.members(ListCached, withOrigin(8)...)
+			h.setMembers(ListCached, withOrigin(8)...)
 			for id := RequestID(1); id <= crowd; id++ {
-				h.ask(Request{ID: id, Key: uint64(id)})
+				h.request(Request{ID: id, Key: uint64(id)})
 			}
 			for range 100 { // 300 ms of an aim of 500
-				h.run(3 * ms)
+				h.advance(3 * ms)
 				for id := RequestID(1); id <= crowd && c.answers > 0; id++ {
-					if r := h.open[id]; len(r.sent) > 0 && !r.sent[0].ended && h.now-r.sent[0].at >= c.answers {
-						h.end(id, 0, StatusOK)
+					if r := h.requests[id]; len(r.attempts) > 0 && !r.attempts[0].ended && h.now-r.attempts[0].sentAt >= c.answers {
+						h.endAttempt(id, 0, StatusOK)
 					}
 				}
 			}
 			served, refused := 0, 0
-			for _, r := range h.open {
+			for _, r := range h.requests {
 				switch {
-				case len(r.sent) > 0 && r.sent[0].ended:
+				case len(r.attempts) > 0 && r.attempts[0].ended:
 					served++
-				case r.answered > 0:
+				case r.answers > 0:
 					refused++
 				}
 			}
-			if c.served && served != crowd || !c.served && refused < crowd-8*startLimit*2 {
+			if c.served && served != crowd || !c.served && refused < crowd-8*initialLimit*2 {
 				t.Errorf("%d served, %d refused of %d", served, refused, crowd)
 			}
-			for _, why := range h.why {
+			for _, why := range h.finalReasons {
 				if why != NoRoom && why != RetryBudget && why != Throttled {
 					t.Errorf("refused for %v", why)
 				}
 			}
-			h.check()
+			h.checkViolations()
 		})
 	}
 }
@@ -839,44 +839,44 @@
 func TestThrottleCountsOnlyWhatWasAsked(t *testing.T) {
 	for _, s := range []Status{StatusNoConn, StatusCancelled} {
 		h := newHost(t, testSettings(), 1)
-		h.members(ListCached, withOrigin(8)...)
+		h.setMembers(ListCached, withOrigin(8)...)
 		for id := RequestID(1); id <= 200; id++ {
-			r := h.ask(Request{ID: id, Key: uint64(id)})
-			h.b.retries = 1
-			n := h.b.nodes[r.sent[0].to]
-			h.end(id, 0, s)
-			if n.streak != 0 || n.fails != 0 || n.limit != startLimit {
+			r := h.request(Request{ID: id, Key: uint64(id)})
+			h.b.retryTokens = 1
+			n := h.b.members[r.attempts[0].member]
+			h.endAttempt(id, 0, s)
+			if n.failureStreak != 0 || n.failureRate != 0 || n.limit != initialLimit {
 				t.Fatalf("%v: the member is held to blame: %+v", s, n.limiter)
 			}
-			if len(r.sent) != 2 {
-				t.Fatalf("%v: read %d was sent %d times, want a further attempt", s, id, len(r.sent))
+			if len(r.attempts) != 2 {
+				t.Fatalf("%v: read %d was sent %d times, want a further attempt", s, id, len(r.attempts))
 			}
-			if h.b.asked > h.b.answered+2 {
-				t.Fatalf("%v: %v asked, %v answered", s, h.b.asked, h.b.answered)
+			if h.b.recentAttempts > h.b.recentAnswers+2 {
+				t.Fatalf("%v: %v asked, %v answered", s, h.b.recentAttempts, h.b.recentAnswers)
 			}
-			h.end(id, 1, StatusOK)
-			for _, n := range h.b.nodes {
-				n.limit = startLimit
+			h.endAttempt(id, 1, StatusOK)
+			for _, n := range h.b.members {
+				n.limit = initialLimit
 			}
 		}
-		h.check()
+		h.checkViolations()
 	}
 }
 
-// quickCaches is a host before eight caches that are known to be quick, one of which has just answered, and a function that
+// newHostWithFastCaches is a host before eight caches that are known to be quick, one of which has just answered, and a function that
 // asks for reads of keys of their own and counts those refused.
-func quickCaches(t *testing.T, latency time.Duration) (h *fakeHost, refused func(from, to RequestID) int) {
+func newHostWithFastCaches(t *testing.T, latency time.Duration) (h *fakeHost, refused func(from, to RequestID) int) {
 	t.Helper()
 	h = newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(8)...)
+	h.setMembers(ListCached, withOrigin(8)...)
 	for _, n := range h.b.caches {
-		n.limiter = limiter{limit: 1000, latency: latency.Seconds(), pace: 0.0001, seen: 100}
+		n.limiter = limiter{limit: 1000, latency: latency.Seconds(), answerInterval: 0.0001, samples: 100}
 	}
-	h.ask(Request{ID: 1, Key: 1})
-	h.end(1, 0, StatusOK)
+	h.request(Request{ID: 1, Key: 1})
+	h.endAttempt(1, 0, StatusOK)
 	return h, func(from, to RequestID) (n int) {
 		for id := from; id < to; id++ {
-			n += h.ask(Request{ID: id, Key: uint64(id)}).answered
+			n += h.request(Request{ID: id, Key: uint64(id)}).answers
 		}
 		return n
 	}
@@ -884,51 +884,51 @@
 
 // What is out and may yet be answered is no sign of a jam while the caches answer; once they have fallen silent it is.
 func TestThrottleLeavesOutWhatMayYetBeAnswered(t *testing.T) {
-	h, refused := quickCaches(t, 10*ms)
+	h, refused := newHostWithFastCaches(t, 10*ms)
 	if n := refused(2, 800); n > 0 {
 		t.Errorf("%d of 800 reads refused though the caches answer", n)
 	}
-	h.run(200 * ms)
+	h.advance(200 * ms)
 	if n := refused(1000, 1400); n < 200 {
 		t.Errorf("%d of 400 reads refused, 200 ms after the last answer and with 800 out", n)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A crowd that comes when nothing has been heard for a moment, as the proxy itself was busy taking it in, is not taken for a jam:
 // what was asked just now can't have been answered.
 func TestThrottleLeavesOutACrowdThatHasJustCome(t *testing.T) {
-	h, refused := quickCaches(t, ms)
-	h.run(25 * ms) // longer than caches as quick as these are silent
+	h, refused := newHostWithFastCaches(t, ms)
+	h.advance(25 * ms) // longer than caches as quick as these are silent
 	if n := refused(2, 900); n > 0 {
 		t.Errorf("%d of 898 reads refused", n)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A fetch whose connection broke goes back in line, and those who wait for it don't ask the cache meanwhile.
 func TestBrokenFetchKeepsThoseWhoWait(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(6)...)
-	a := h.ask(Request{ID: 1, Key: 77})
-	h.end(1, 0, StatusMiss)
-	b := h.ask(Request{ID: 2, Key: 77})
-	h.end(1, 1, StatusReset)
-	if len(a.sent) != 3 || a.sent[2].to != originID {
-		t.Fatalf("after a reset: sent %+v, want the origin again", a.sent)
-	}
-	if len(b.sent) != 0 {
-		t.Fatalf("the read that waits was sent to a cache that has nothing yet: %+v", b.sent)
-	}
-	h.end(1, 2, StatusOK)
-	if len(b.sent) != 1 || b.sent[0].to == originID {
-		t.Fatalf("after the fetch: sent %+v, want the cache", b.sent)
-	}
-	h.end(2, 0, StatusOK)
-	h.run(5 * time.Second)
-	h.check()
-	if len(h.b.flights) != 0 || len(h.b.fetching) != 0 {
-		t.Errorf("left behind: %d requests, %d fetches", len(h.b.flights), len(h.b.fetching))
+	h.setMembers(ListCached, withOrigin(6)...)
+	a := h.request(Request{ID: 1, Key: 77})
+	h.endAttempt(1, 0, StatusMiss)
+	b := h.request(Request{ID: 2, Key: 77})
+	h.endAttempt(1, 1, StatusReset)
+	if len(a.attempts) != 3 || a.attempts[2].member != originID {
+		t.Fatalf("after a reset: sent %+v, want the origin again", a.attempts)
+	}
+	if len(b.attempts) != 0 {
+		t.Fatalf("the read that waits was sent to a cache that has nothing yet: %+v", b.attempts)
+	}
+	h.endAttempt(1, 2, StatusOK)
+	if len(b.attempts) != 1 || b.attempts[0].member == originID {
+		t.Fatalf("after the fetch: sent %+v, want the cache", b.attempts)
+	}
+	h.endAttempt(2, 0, StatusOK)
+	h.advance(5 * time.Second)
+	h.checkViolations()
+	if len(h.b.requests) != 0 || len(h.b.fetchWaiters) != 0 {
+		t.Errorf("left behind: %d requests, %d fetches", len(h.b.requests), len(h.b.fetchWaiters))
 	}
 }
 
@@ -938,18 +938,18 @@
 	for name, others := range map[string]int{"others are answered": 20, "nothing is answered": 0} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, testSettings(), 1)
-			h.members(ListCached, withOrigin(3)...)
+			h.setMembers(ListCached, withOrigin(3)...)
 			o := h.b.origins[0]
-			o.latency, o.seen, o.limit = 0.02, 10, 10
-			h.ask(Request{ID: 1, Key: 1})
-			h.end(1, 0, StatusMiss)
+			o.latency, o.samples, o.limit = 0.02, 10, 10
+			h.request(Request{ID: 1, Key: 1})
+			h.endAttempt(1, 0, StatusMiss)
 			sent := h.now
 			for i := range others {
 				id := RequestID(i + 2)
-				h.ask(Request{ID: id, Key: uint64(id)})
-				h.end(id, 0, StatusMiss)
+				h.request(Request{ID: id, Key: uint64(id)})
+				h.endAttempt(id, 0, StatusMiss)
 				h.now += 20 * ms
-				h.end(id, 1, StatusOK)
+				h.endAttempt(id, 1, StatusOK)
 			}
 			h.now = sent + 400*ms
 			latency, limit := o.latency, o.limit
@@ -966,13 +966,13 @@
 	s := testSettings()
 	s.MaxRetryAfter = 2 * time.Second
 	h := newHost(t, s, 1)
-	h.members(ListCached, withOrigin(3)...)
-	f := &flight{}
+	h.setMembers(ListCached, withOrigin(3)...)
+	f := &pendingRequest{}
 	mean := func(at time.Duration) (sum time.Duration) {
 		h.b.now = at
 		seen := map[time.Duration]bool{}
 		for range 100 {
-			d := h.b.comeBack(f)
+			d := h.b.retryAfter(f)
 			if d <= 0 || d > s.MaxRetryAfter {
 				t.Fatalf("told to come back after %v", d)
 			}
@@ -1001,21 +1001,21 @@
 // all the same.
 func TestChanceStreaksEjectNobody(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(8)...)
+	h.setMembers(ListCached, withOrigin(8)...)
 	n := h.b.caches[0]
-	h.b.fails = 0.15
+	h.b.failureRate = 0.15
 	for range 2 {
-		h.b.learn(n, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
+		h.b.recordOutcome(n, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
 	}
-	if n.outUntil > h.b.now {
+	if n.ejectedUntil > h.b.now {
 		t.Error("ejected after two time-outs where many fail")
 	}
-	for range maxStreak {
-		h.b.learn(n, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
-		h.b.fails = 0.15
+	for range maxFailureStreak {
+		h.b.recordOutcome(n, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
+		h.b.failureRate = 0.15
 	}
-	if n.outUntil <= h.b.now {
-		t.Errorf("not ejected after %d failures in a row", n.streak)
+	if n.ejectedUntil <= h.b.now {
+		t.Errorf("not ejected after %d failures in a row", n.failureStreak)
 	}
 }
 
@@ -1024,13 +1024,13 @@
 	for name, fresh := range map[string]bool{"first on its connection": true, "on a kept connection": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, testSettings(), 1)
-			h.members(ListCached, withOrigin(8)...)
+			h.setMembers(ListCached, withOrigin(8)...)
 			n := h.b.caches[0]
 			for range 5 {
-				h.b.learn(n, Outcome{Status: StatusOK, Elapsed: 2 * seconds(h.b.target), FirstOnConnection: fresh}, false)
+				h.b.recordOutcome(n, Outcome{Status: StatusOK, Elapsed: 2 * seconds(h.b.fetchTarget), FirstOnConnection: fresh}, false)
 				h.b.now += time.Second
 			}
-			if cut := n.limit < startLimit; cut == fresh {
+			if cut := n.limit < initialLimit; cut == fresh {
 				t.Errorf("limit %v after slow answers", n.limit)
 			}
 		})
@@ -1040,28 +1040,28 @@
 // A request goes only to the members that it allows, a cache or the origin; narrowed to nobody it is answered at once.
 func TestOnlyTheMembersAllowed(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(6)...)
+	h.setMembers(ListCached, withOrigin(6)...)
 	for id := RequestID(1); id <= 20; id++ {
-		a := h.ask(Request{ID: id, Key: uint64(id), AllowedMembers: []MemberID{3}})
-		if len(a.sent) != 1 || a.sent[0].to != 3 {
-			t.Fatalf("sent %+v, want member 3", a.sent)
+		a := h.request(Request{ID: id, Key: uint64(id), AllowedMembers: []MemberID{3}})
+		if len(a.attempts) != 1 || a.attempts[0].member != 3 {
+			t.Fatalf("sent %+v, want member 3", a.attempts)
 		}
-		h.end(id, 0, StatusMiss) // the origin is not allowed
-		if a.answered != 1 || len(a.sent) != 1 || h.why[len(h.why)-1] != NoMember {
-			t.Fatalf("after a miss: %+v, answered %d, %v", a.sent, a.answered, h.why)
+		h.endAttempt(id, 0, StatusMiss) // the origin is not allowed
+		if a.answers != 1 || len(a.attempts) != 1 || h.finalReasons[len(h.finalReasons)-1] != NoMember {
+			t.Fatalf("after a miss: %+v, answered %d, %v", a.attempts, a.answers, h.finalReasons)
 		}
 	}
-	if a := h.ask(Request{ID: 21, Key: 5, AllowedMembers: []MemberID{}}); a.answered != 1 {
+	if a := h.request(Request{ID: 21, Key: 5, AllowedMembers: []MemberID{}}); a.answers != 1 {
 		t.Error("a request that may go to nobody is not answered")
 	}
-	h.b.origins[0].limit, h.b.origins[0].latency, h.b.origins[0].sentAt = 0.25, 0.2, h.now
-	h.ask(Request{ID: 22, Key: 77})
-	h.end(22, 0, StatusMiss) // in line
+	h.b.origins[0].limit, h.b.origins[0].latency, h.b.origins[0].lastSentAt = 0.25, 0.2, h.now
+	h.request(Request{ID: 22, Key: 77})
+	h.endAttempt(22, 0, StatusMiss) // in line
 	h.b.RestrictMembers(h.now, 22, []MemberID{3})
-	if h.open[22].answered != 1 {
+	if h.requests[22].answers != 1 {
 		t.Error("a request in line for a member that it allows no more is not answered")
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // Spares are warm members that may be sent to; where a client has gone on to one by itself, that counts as an attempt.
@@ -1069,36 +1069,36 @@
 	h := newHost(t, testSettings(), 1)
 	list := withOrigin(6)
 	list[2].StartedAt = h.now - 100*ms
-	h.members(ListCached, list...)
-	a := h.ask(Request{ID: 1, Key: 77})
+	h.setMembers(ListCached, list...)
+	a := h.request(Request{ID: 1, Key: 77})
 	spares := h.b.Fallbacks(1, 10)
 	if len(spares) != 3 { // of four attempts
 		t.Fatalf("spares %v", spares)
 	}
 	for _, m := range append(spares, originID) {
-		if (m == a.sent[0].to || m == 3 || m == originID) == slices.Contains(spares, m) {
+		if (m == a.attempts[0].member || m == 3 || m == originID) == slices.Contains(spares, m) {
 			t.Errorf("spares %v: %d is the one sent to, a cold one or the origin", spares, m)
 		}
 	}
-	h.b.FallbackUsed(h.now, 1, a.sent[0].to, spares[0])
+	h.b.FallbackUsed(h.now, 1, a.attempts[0].member, spares[0])
 	h.b.FallbackUsed(h.now, 1, spares[0], spares[1])
-	if f := h.b.flights[1]; f.sent() != 3 || h.b.nodes[spares[1]].out != 1 || h.b.nodes[spares[0]].out != 0 ||
-		h.b.nodes[a.sent[0].to].out != 0 || h.b.nodes[spares[0]].streak != 1 {
-		t.Errorf("%d attempts", f.sent())
+	if f := h.b.requests[1]; f.sentAttempts() != 3 || h.b.members[spares[1]].outstanding != 1 || h.b.members[spares[0]].outstanding != 0 ||
+		h.b.members[a.attempts[0].member].outstanding != 0 || h.b.members[spares[0]].failureStreak != 1 {
+		t.Errorf("%d attempts", f.sentAttempts())
 	}
 	h.b.Outcome(h.now, Outcome{Request: 1, Attempt: 0, Member: spares[1], Status: StatusError})
-	if len(a.sent) != 2 {
-		t.Fatalf("sent %+v, want the fourth attempt", a.sent)
+	if len(a.attempts) != 2 {
+		t.Fatalf("sent %+v, want the fourth attempt", a.attempts)
 	}
-	h.end(1, 1, StatusError)
-	if len(a.sent) != 2 || a.answered != 1 {
-		t.Errorf("sent %+v, answered %d times, after four attempts", a.sent, a.answered)
+	h.endAttempt(1, 1, StatusError)
+	if len(a.attempts) != 2 || a.answers != 1 {
+		t.Errorf("sent %+v, answered %d times, after four attempts", a.attempts, a.answers)
 	}
-	o := h.ask(Request{ID: 2, Key: 8, Class: 1, Write: true})
-	if got := h.b.Fallbacks(2, 3); len(o.sent) != 1 || got != nil {
+	o := h.request(Request{ID: 2, Key: 8, Class: 1, Write: true})
+	if got := h.b.Fallbacks(2, 3); len(o.attempts) != 1 || got != nil {
 		t.Errorf("spares of an order: %v", got)
 	}
-	h.ask(Request{ID: 3, Key: 9, Write: true}) // safe to repeat, but no cache takes it
+	h.request(Request{ID: 3, Key: 9, Write: true}) // safe to repeat, but no cache takes it
 	if got := h.b.Fallbacks(3, 3); got != nil {
 		t.Errorf("spares of a write: %v", got)
 	}
@@ -1119,18 +1119,18 @@
 			for i := range list[:4] {
 				list[i].StartedAt = h.now
 			}
-			h.members(ListCached, list...)
+			h.setMembers(ListCached, list...)
 			asked, served := 0, 0
 			for id := RequestID(1); h.now < time.Hour+6*time.Second; id++ {
-				h.ask(Request{ID: id, Key: uint64(id)})
-				h.run(c.gap)
+				h.request(Request{ID: id, Key: uint64(id)})
+				h.advance(c.gap)
 				for i := max(200, id) - 199; i <= id; i++ {
-					r := h.open[i]
-					if r.answered > 0 || len(r.sent) == 0 {
+					r := h.requests[i]
+					if r.answers > 0 || len(r.attempts) == 0 {
 						continue
 					}
-					if a := r.sent[len(r.sent)-1]; !a.ended && h.now-a.at >= c.takes {
-						h.end(r.ID, len(r.sent)-1, StatusOK)
+					if a := r.attempts[len(r.attempts)-1]; !a.ended && h.now-a.sentAt >= c.takes {
+						h.endAttempt(r.ID, len(r.attempts)-1, StatusOK)
 						if h.now > time.Hour+5*time.Second {
 							served++
 						}
@@ -1143,14 +1143,14 @@
 			if share := float64(served) / float64(asked); share < c.least {
 				t.Errorf("%.2f of the reads are served, want %.2f", share, c.least)
 			}
-			for id, at := range h.cold {
+			for id, at := range h.coldSends {
 				for i := 1; i < len(at) && c.takes == time.Hour; i++ { // nothing is known of it
 					if gap := at[i] - at[i-1]; gap < time.Duration(h.s.Instances)*50*ms {
 						t.Errorf("member %d, which answers nothing, is asked again after %v", id, gap)
 					}
 				}
 			}
-			h.check()
+			h.checkViolations()
 		})
 	}
 }
@@ -1159,25 +1159,25 @@
 // throttle refuse others' reads.
 func TestRejectionsAreNoShortage(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(4)...)
+	h.setMembers(ListCached, withOrigin(4)...)
 	for id := RequestID(1); id <= 400; id++ {
-		r := h.ask(Request{ID: id, Key: uint64(id)})
-		if len(r.sent) == 0 {
-			t.Fatalf("request %d is refused: %v", id, h.why)
+		r := h.request(Request{ID: id, Key: uint64(id)})
+		if len(r.attempts) == 0 {
+			t.Fatalf("request %d is refused: %v", id, h.finalReasons)
 		}
-		h.end(id, 0, StatusRejected)
-		h.run(ms)
+		h.endAttempt(id, 0, StatusRejected)
+		h.advance(ms)
 	}
-	h.check()
+	h.checkViolations()
 }
 
 // A read for which this proxy has no connection goes to another candidate that it has one to, waits where it has none at
 // all, and is refused, for that reason, once a quarter of its time has passed.
 func TestShortOfConnections(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
-	h.members(ListCached, withOrigin(4)...)
-	first := h.ask(Request{ID: 1, Key: 9}).sent[0].to
-	h.end(1, 0, StatusOK)
+	h.setMembers(ListCached, withOrigin(4)...)
+	first := h.request(Request{ID: 1, Key: 9}).attempts[0].member
+	h.endAttempt(1, 0, StatusOK)
 	for name, c := range map[string]struct {
 		wait func(MemberID) time.Duration
 		sent int
@@ -1185,43 +1185,43 @@
 	}{
 		"a short line":    {func(MemberID) time.Duration { return ms }, 1, true},
 		"a long line":     {func(m MemberID) time.Duration { return time.Duration(m&1|1) * time.Hour }, 0, false},
-		"stuck":           {func(m MemberID) time.Duration { return -time.Duration(b2i(m == first)) }, 1, false},
+		"stuck":           {func(m MemberID) time.Duration { return -time.Duration(boolToInt(m == first)) }, 1, false},
 		"none to anybody": {func(MemberID) time.Duration { return -1 }, 0, false},
 	} {
-		h.wait = c.wait
-		id := RequestID(len(h.open) + 1)
+		h.connectionWait = c.wait
+		id := RequestID(len(h.requests) + 1)
 		asked := h.now
-		r := h.ask(Request{ID: id, Key: 9})
-		if len(r.sent) != c.sent || c.sent > 0 && (r.sent[0].to == first) != c.same {
-			t.Errorf("%s: sent %+v; the key's own is %d", name, r.sent, first)
+		r := h.request(Request{ID: id, Key: 9})
+		if len(r.attempts) != c.sent || c.sent > 0 && (r.attempts[0].member == first) != c.same {
+			t.Errorf("%s: sent %+v; the key's own is %d", name, r.attempts, first)
 		}
 		if c.sent > 0 {
-			h.end(id, 0, StatusOK)
+			h.endAttempt(id, 0, StatusOK)
 			continue
 		}
-		h.why = nil
-		aim := h.b.flights[id].aim - asked
-		h.run(aim/4 - firstLook)
-		if r.answered > 0 {
+		h.finalReasons = nil
+		aim := h.b.requests[id].softDeadline - asked
+		h.advance(aim/4 - unknownCacheRetryDelay)
+		if r.answers > 0 {
 			t.Errorf("%s: answered within a quarter of its time", name)
 		}
-		h.run(2 * firstLook)
-		if r.answered != 1 || !slices.Equal(h.why, []Reason{NoConnection}) {
-			t.Errorf("%s: %d answers after a quarter of its time: %v", name, r.answered, h.why)
+		h.advance(2 * unknownCacheRetryDelay)
+		if r.answers != 1 || !slices.Equal(h.finalReasons, []Reason{NoConnection}) {
+			t.Errorf("%s: %d answers after a quarter of its time: %v", name, r.answers, h.finalReasons)
 		}
 	}
-	h.wait = func(MemberID) time.Duration { return -1 }
-	r := h.ask(Request{ID: 100, Key: 9})
-	h.wait = nil
-	h.run(2 * firstLook)
-	if len(r.sent) != 1 {
-		t.Errorf("sent %d times once there was a connection", len(r.sent))
+	h.connectionWait = func(MemberID) time.Duration { return -1 }
+	r := h.request(Request{ID: 100, Key: 9})
+	h.connectionWait = nil
+	h.advance(2 * unknownCacheRetryDelay)
+	if len(r.attempts) != 1 {
+		t.Errorf("sent %d times once there was a connection", len(r.attempts))
 	}
-	h.end(100, 0, StatusOK)
-	h.check()
+	h.endAttempt(100, 0, StatusOK)
+	h.checkViolations()
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -1237,19 +1237,19 @@
 		refuse bool
 	}{{StatusFull, false}, {StatusError, true}} {
 		h := newHost(t, testSettings(), 1)
-		h.members(ListFull, withOrigin(8)...)
+		h.setMembers(ListFull, withOrigin(8)...)
 		for id := RequestID(1); id <= 200; id++ {
-			r := h.ask(Request{ID: id, Key: uint64(id) * 7919})
-			if id%2 == 0 && len(r.sent) > 0 {
-				h.end(id, 0, c.status)
+			r := h.request(Request{ID: id, Key: uint64(id) * 7919})
+			if id%2 == 0 && len(r.attempts) > 0 {
+				h.endAttempt(id, 0, c.status)
 			}
-			if n := len(r.sent); n > 0 && !r.sent[n-1].ended {
-				h.end(id, n-1, StatusOK)
+			if n := len(r.attempts); n > 0 && !r.attempts[n-1].ended {
+				h.endAttempt(id, n-1, StatusOK)
 			}
-			h.run(20 * ms)
+			h.advance(20 * ms)
 		}
 		refused := 0
-		for _, why := range h.why {
+		for _, why := range h.finalReasons {
 			if why == RetryBudget {
 				refused++
 			}
@@ -1257,7 +1257,7 @@
 		if got := refused > 0; got != c.refuse {
 			t.Errorf("%v: %d of 200 reads refused for the retry budget; refused %v, want %v", c.status, refused, got, c.refuse)
 		}
-		h.check()
+		h.checkViolations()
 	}
 }
 
@@ -1269,21 +1269,21 @@
 		refuse bool
 	}{{StatusFull, false}, {StatusError, true}} {
 		h := newHost(t, testSettings(), 1)
-		h.members(ListFull, withOrigin(8)...)
+		h.setMembers(ListFull, withOrigin(8)...)
 		for id := RequestID(1); id <= 200; id++ {
-			h.b.retries = retryBurst
-			r := h.ask(Request{ID: id, Key: uint64(id) * 7919})
-			for n := 0; n < len(r.sent) && r.answered == 0; n++ {
-				if r.sent[n].to != originID && n < 2 {
-					h.end(id, n, c.status)
+			h.b.retryTokens = retryBurst
+			r := h.request(Request{ID: id, Key: uint64(id) * 7919})
+			for n := 0; n < len(r.attempts) && r.answers == 0; n++ {
+				if r.attempts[n].member != originID && n < 2 {
+					h.endAttempt(id, n, c.status)
 				} else {
-					h.end(id, n, StatusOK)
+					h.endAttempt(id, n, StatusOK)
 				}
 			}
-			h.run(20 * ms)
+			h.advance(20 * ms)
 		}
 		refused := 0
-		for _, why := range h.why {
+		for _, why := range h.finalReasons {
 			if why == Throttled {
 				refused++
 			}
@@ -1291,6 +1291,6 @@
 		if got := refused > 0; got != c.refuse {
 			t.Errorf("%v: %d of 200 reads throttled; want some: %v", c.status, refused, c.refuse)
 		}
-		h.check()
+		h.checkViolations()
 	}
 }
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -21,7 +21,7 @@
 				s := testSettings()
 				change(&s)
 				s.Tenants = []Tenant{{Share: 0.7}, {Share: 0.3}}
-				driveRandom(t, s, seed).check()
+				driveRandom(t, s, seed).checkViolations()
 			}
 		})
 	}
@@ -29,8 +29,8 @@
 		for seed := range uint64(2) {
 			waits := rand.New(rand.NewPCG(seed, 7))
 			driveRandom(t, testSettings(), seed, func(h *fakeHost) {
-				h.wait = func(MemberID) time.Duration { return time.Duration(waits.IntN(60)-20) * ms }
-			}).check()
+				h.connectionWait = func(MemberID) time.Duration { return time.Duration(waits.IntN(60)-20) * ms }
+			}).checkViolations()
 		}
 	})
 }
@@ -53,9 +53,9 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 42))
 	list := withOrigin(12)
-	h.members(ListCached, list...)
-	if h.heirOf != nil {
-		h.b.ImportState(h.now, *h.heirOf)
+	h.setMembers(ListCached, list...)
+	if h.importedState != nil {
+		h.b.ImportState(h.now, *h.importedState)
 	}
 	next := RequestID(0)
 	for range 6000 {
@@ -63,38 +63,38 @@
 		case p < 45:
 			next++
 			class := rng.IntN(len(s.Classes) + 1)
-			h.ask(Request{ID: next, Key: uint64(rng.IntN(60) * rng.IntN(2)), Class: class, Tenant: rng.IntN(3),
+			h.request(Request{ID: next, Key: uint64(rng.IntN(60) * rng.IntN(2)), Class: class, Tenant: rng.IntN(3),
 				Write: class != 0, CostKnown: p < 20, Cost: time.Duration(rng.IntN(80)) * ms,
 				Deadline: h.now + time.Duration(rng.IntN(1500))*ms})
 		case p < 80:
-			h.endSome(rng)
+			h.endRandomAttempt(rng)
 		case p < 84:
-			h.changeMember(rng, list)
+			h.changeRandomMember(rng, list)
 		case p < 85:
-			h.members([]ListKind{ListFull, ListFailed}[rng.IntN(2)], list...)
+			h.setMembers([]ListKind{ListFull, ListFailed}[rng.IntN(2)], list...)
 		case p < 87:
-			h.leaveSome(rng)
+			h.cancelRandomRequest(rng)
 		}
-		h.run(time.Duration(rng.IntN(12)) * ms)
+		h.advance(time.Duration(rng.IntN(12)) * ms)
 		h.checkDeadlines()
 	}
-	h.run(20 * time.Second)
+	h.advance(20 * time.Second)
 	for id := RequestID(1); id <= next; id++ {
-		if h.open[id].answered != 1 {
-			h.breach("request %d answered %d times", id, h.open[id].answered)
+		if h.requests[id].answers != 1 {
+			h.violate("request %d answered %d times", id, h.requests[id].answers)
 		}
 	}
-	h.checkCold()
+	h.checkColdSends()
 	return h
 }
 
-var statuses = []Status{StatusOK, StatusOK, StatusOK, StatusMiss, StatusMiss, StatusFull, StatusError,
+var randomStatuses = []Status{StatusOK, StatusOK, StatusOK, StatusMiss, StatusMiss, StatusFull, StatusError,
 	StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusMoot, StatusUnknown}
 
-func (h *fakeHost) endSome(rng *rand.Rand) {
-	ids := make([]RequestID, 0, len(h.open))
-	for id, r := range h.open {
-		if slices.ContainsFunc(r.sent, func(a sentTo) bool { return !a.ended }) {
+func (h *fakeHost) endRandomAttempt(rng *rand.Rand) {
+	ids := make([]RequestID, 0, len(h.requests))
+	for id, r := range h.requests {
+		if slices.ContainsFunc(r.attempts, func(a hostAttempt) bool { return !a.ended }) {
 			ids = append(ids, id)
 		}
 	}
@@ -103,18 +103,18 @@
 	}
 	slices.Sort(ids)
 	id := ids[rng.IntN(len(ids))]
-	for i, a := range h.open[id].sent {
+	for i, a := range h.requests[id].attempts {
 		if !a.ended {
-			h.end(id, i, statuses[rng.IntN(len(statuses))])
+			h.endAttempt(id, i, randomStatuses[rng.IntN(len(randomStatuses))])
 			if rng.IntN(10) == 0 { // told twice
-				h.b.Outcome(h.now, Outcome{Request: id, Attempt: i, Member: a.to, Status: StatusTimeout})
+				h.b.Outcome(h.now, Outcome{Request: id, Attempt: i, Member: a.member, Status: StatusTimeout})
 			}
 			return
 		}
 	}
 }
 
-func (h *fakeHost) changeMember(rng *rand.Rand, list []Member) {
+func (h *fakeHost) changeRandomMember(rng *rand.Rand, list []Member) {
 	m := &list[rng.IntN(len(list))]
 	switch rng.IntN(4) {
 	case 0:
@@ -125,16 +125,16 @@
 		m.State = Ready
 		if m.ID != originID {
 			m.StartedAt = h.now
-			delete(h.cold, m.ID)
+			delete(h.coldSends, m.ID)
 		}
 	}
-	h.members(ListDelta, *m)
+	h.setMembers(ListDelta, *m)
 }
 
-func (h *fakeHost) leaveSome(rng *rand.Rand) {
-	for id, n := RequestID(1), RequestID(len(h.open)); id <= n; id++ {
-		if r := h.open[id]; r.answered == 0 && rng.IntN(5) == 0 {
-			r.answered = 1
+func (h *fakeHost) cancelRandomRequest(rng *rand.Rand) {
+	for id, n := RequestID(1), RequestID(len(h.requests)); id <= n; id++ {
+		if r := h.requests[id]; r.answers == 0 && rng.IntN(5) == 0 {
+			r.answers = 1
 			h.b.RequestCancelled(h.now, id)
 			return
 		}
@@ -142,19 +142,19 @@
 }
 
 func (h *fakeHost) checkDeadlines() {
-	for id, r := range h.open {
-		if r.answered == 0 && h.now > r.Deadline+20*ms {
-			h.breach("request %d unanswered %v after its deadline", id, h.now-r.Deadline)
-			r.answered = 1
+	for id, r := range h.requests {
+		if r.answers == 0 && h.now > r.Deadline+20*ms {
+			h.violate("request %d unanswered %v after its deadline", id, h.now-r.Deadline)
+			r.answers = 1
 		}
 	}
 }
 
-// checkCold holds sends to a cold member under the whole fleet's budget: even one proxy that carried
+// checkColdSends holds sends to a cold member under the whole fleet's budget: even one proxy that carried
 // everything must stay below it. A member's capacity is taken as its even share of the requests.
-func (h *fakeHost) checkCold() {
-	rate := float64(len(h.open)) / (h.now - time.Hour).Seconds()
-	for id, at := range h.cold {
+func (h *fakeHost) checkColdSends() {
+	rate := float64(len(h.requests)) / (h.now - time.Hour).Seconds()
+	for id, at := range h.coldSends {
 		for i := range at {
 			in := 0
 			for _, x := range at[i:] {
@@ -162,11 +162,11 @@
 					in++
 				}
 			}
-			age := min(1, (at[i]+h.s.OverloadDuration-h.list[id].StartedAt).Seconds()/h.s.SlowStartDuration.Seconds())
+			age := min(1, (at[i]+h.s.OverloadDuration-h.listed[id].StartedAt).Seconds()/h.s.SlowStartDuration.Seconds())
 			ramp := h.s.SlowStartCapacity + (1-h.s.SlowStartCapacity)*age
 			most := 2 + h.s.OverloadMultiple*ramp*2*rate/12*h.s.OverloadDuration.Seconds()
 			if float64(in) > most {
-				h.breach("cold member %d got %d sends in %v, at most %.1f", id, in, h.s.OverloadDuration, most)
+				h.violate("cold member %d got %d sends in %v, at most %.1f", id, in, h.s.OverloadDuration, most)
 				return
 			}
 		}
--- a/logic/transit_test.go
+++ b/logic/transit_test.go
@@ -6,11 +6,11 @@
 )
 
 // endInTransit ends a request's latest attempt, which may be under way for so long yet.
-func (h *fakeHost) endInTransit(r *openRequest, s Status, transit time.Duration) {
-	n := len(r.sent) - 1
-	a := &r.sent[n]
-	a.ended, a.ran = true, !s.NeverRan()
-	h.b.Outcome(h.now, Outcome{Request: r.ID, Attempt: n, Member: a.to, Status: s, Elapsed: h.now - a.at, InTransit: transit})
+func (h *fakeHost) endInTransit(r *hostRequest, s Status, transit time.Duration) {
+	n := len(r.attempts) - 1
+	a := &r.attempts[n]
+	a.ended, a.mayHaveRun = true, !s.NeverRan()
+	h.b.Outcome(h.now, Outcome{Request: r.ID, Attempt: n, Member: a.member, Status: s, Elapsed: h.now - a.sentAt, InTransit: transit})
 }
 
 // A further attempt waits until none before it can come at a member any more, and is then made at once. Where that leaves no time for it, the
@@ -31,26 +31,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, testSettings(), 1)
-			h.members(ListCached, withOrigin(8)...)
-			r := h.ask(Request{ID: 1, Key: 7, Class: c.class, Write: c.class > 0})
-			h.b.retries = 10
+			h.setMembers(ListCached, withOrigin(8)...)
+			r := h.request(Request{ID: 1, Key: 7, Class: c.class, Write: c.class > 0})
+			h.b.retryTokens = 10
 			h.endInTransit(r, c.status, c.transit)
 			if c.sent == 0 {
-				if r.answered != 1 || len(r.sent) != 1 {
-					t.Errorf("answered %d times, sent %d times; want an answer at once", r.answered, len(r.sent))
+				if r.answers != 1 || len(r.attempts) != 1 {
+					t.Errorf("answered %d times, sent %d times; want an answer at once", r.answers, len(r.attempts))
 				}
-				h.check()
+				h.checkViolations()
 				return
 			}
-			h.run(c.sent - ms)
-			if c.sent > ms && len(r.sent) > 1 {
-				t.Errorf("sent again %v before the first attempt has surely come", c.sent-(r.sent[1].at-r.sent[0].at))
+			h.advance(c.sent - ms)
+			if c.sent > ms && len(r.attempts) > 1 {
+				t.Errorf("sent again %v before the first attempt has surely come", c.sent-(r.attempts[1].sentAt-r.attempts[0].sentAt))
 			}
-			h.run(ms)
-			if len(r.sent) != 2 {
-				t.Errorf("sent %d times after %v, want 2", len(r.sent), c.sent)
+			h.advance(ms)
+			if len(r.attempts) != 2 {
+				t.Errorf("sent %d times after %v, want 2", len(r.attempts), c.sent)
 			}
-			h.check()
+			h.checkViolations()
 		})
 	}
 }
@@ -59,15 +59,15 @@
 func TestTooShortATryIsNoFault(t *testing.T) {
 	for elapsed, blamed := range map[time.Duration]bool{30 * ms: false, 90 * ms: true} {
 		h := newHost(t, testSettings(), 1)
-		h.members(ListCached, withOrigin(8)...)
+		h.setMembers(ListCached, withOrigin(8)...)
 		n := h.b.caches[0]
 		for range 20 {
-			h.b.learn(n, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
+			h.b.recordOutcome(n, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
 		}
-		h.run(time.Second) // the answers are some time ago
-		h.b.learn(n, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
-		if (n.streak > 0) != blamed {
-			t.Errorf("a time-out after %v, where answers take 40 ms: %d failures in a row", elapsed, n.streak)
+		h.advance(time.Second) // the answers are some time ago
+		h.b.recordOutcome(n, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
+		if (n.failureStreak > 0) != blamed {
+			t.Errorf("a time-out after %v, where answers take 40 ms: %d failures in a row", elapsed, n.failureStreak)
 		}
 	}
 }
--- a/logic/untold_test.go
+++ b/logic/untold_test.go
@@ -12,29 +12,29 @@
 		hits, misses int
 		cold         bool
 	}{
-		"hits, then nothing":        {emptyAfter, emptyAfter, true},
-		"one miss short":            {emptyAfter, emptyAfter - 1, false},
-		"never held anything":       {0, 4 * emptyAfter, false},
-		"known by too few hits yet": {emptyAfter - 1, emptyAfter, false},
+		"hits, then nothing":        {emptyCacheMisses, emptyCacheMisses, true},
+		"one miss short":            {emptyCacheMisses, emptyCacheMisses - 1, false},
+		"never held anything":       {0, 4 * emptyCacheMisses, false},
+		"known by too few hits yet": {emptyCacheMisses - 1, emptyCacheMisses, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
 			s.Mode, s.OriginKind, s.SlowStartCapacity, s.SlowStartDuration = CacheAside, 9, 0.3, 10*time.Second
 			h := newHost(t, s, 1)
-			h.members(ListFull, caches(1)...)
+			h.setMembers(ListFull, cacheMembers(1)...)
 			n := h.b.caches[0]
 			for i := range c.hits + c.misses {
 				o := Outcome{Status: StatusMiss, Elapsed: ms}
 				if i < c.hits {
 					o.Status = StatusOK
 				}
-				h.b.learn(n, o, false)
+				h.b.recordOutcome(n, o, false)
 			}
-			if got := h.b.ramp(n); (got < 1) != c.cold {
+			if got := h.b.warmth(n); (got < 1) != c.cold {
 				t.Errorf("it counts as %.2f warm", got)
 			}
 			h.b.advance(h.b.now + s.SlowStartDuration)
-			if got := h.b.ramp(n); got != 1 {
+			if got := h.b.warmth(n); got != 1 {
 				t.Errorf("when it is warm, it counts as %.2f", got)
 			}
 		})
