--- a/logic/counter.go
+++ b/logic/counter.go
@@ -38,20 +38,20 @@
 		c.insert(keyCount{key: key, count: 1})
 		return
 	default:
-		least := c.items[0]
-		delete(c.index, least.key)
+		smallest := c.items[0]
+		delete(c.index, smallest.key)
 		i = 0
 		c.index[key] = 0
-		c.items[0] = keyCount{key: key, count: least.count + 1, maxError: least.count}
+		c.items[0] = keyCount{key: key, count: smallest.count + 1, maxError: smallest.count}
 	}
 	heap.Fix(c, i)
 }
 
 // insert takes a key's count over from elsewhere, while there is room.
-func (c *counter) insert(it keyCount) {
+func (c *counter) insert(counted keyCount) {
 	if len(c.items) < c.capacity {
-		c.index[it.key] = len(c.items)
-		heap.Push(c, it)
+		c.index[counted.key] = len(c.items)
+		heap.Push(c, counted)
 	}
 }
 
@@ -65,17 +65,17 @@
 }
 
 // hottest lists up to most keys surely counted at least so often, in falling count.
-func (c *counter) hottest(least float64, most int) []keyCount {
+func (c *counter) hottest(minCount float64, limit int) []keyCount {
 	var top []keyCount
-	for _, it := range c.items {
-		if it.count-it.maxError >= least {
-			top = append(top, it)
+	for _, counted := range c.items {
+		if counted.count-counted.maxError >= minCount {
+			top = append(top, counted)
 		}
 	}
 	slices.SortFunc(top, func(a, b keyCount) int {
 		return cmp.Or(cmp.Compare(b.count, a.count), cmp.Compare(a.key, b.key))
 	})
-	return top[:min(len(top), most)]
+	return top[:min(len(top), limit)]
 }
 
 // guaranteedCount is the count that a key has for certain.
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -140,14 +140,14 @@
 }
 
 // run plays until a time, with so many reads a second over all proxies.
-func (f *fleet) run(d time.Duration, perS float64) {
+func (f *fleet) run(d time.Duration, readsPerSecond float64) {
 	end := f.now + d
 	var next func()
 	next = func() {
 		if f.now >= end {
 			return
 		}
-		f.schedule(f.now+time.Duration(f.rng.ExpFloat64()/perS*float64(time.Second)), next)
+		f.schedule(f.now+time.Duration(f.rng.ExpFloat64()/readsPerSecond*float64(time.Second)), next)
 		if p := f.proxies[f.rng.IntN(len(f.proxies))]; !p.stopped {
 			p.request(uint64(math.Pow(2000, f.rng.Float64()))) // few keys are asked for often
 		}
@@ -349,7 +349,7 @@
 	return true
 }
 
-func (c *fleetCache) serve(f *fleet, work time.Duration, done func(ok bool), full func()) {
+func (c *fleetCache) serve(f *fleet, work time.Duration, done func(ok bool), reject func()) {
 	begin := func() {
 		c.busy++
 		f.schedule(f.now+work, func() {
@@ -368,7 +368,7 @@
 	case len(c.queue) < c.queueCapacity:
 		c.queue = append(c.queue, begin)
 	default:
-		full()
+		reject()
 	}
 }
 
@@ -437,29 +437,29 @@
 	return s
 }
 
-func (f *fleet) checkLimits(what string) {
+func (f *fleet) checkLimits(phase string) {
 	f.t.Helper()
 	// By chance alone the proxies, which share nothing, go over it by some: at other seeds by 3 and 6 of 64 without any trouble.
 	if f.originPeakOutstanding > f.origin.workers+f.origin.workers/8 {
-		f.t.Errorf("%s: the origin is sent %d at once, and takes %d", what, f.originPeakOutstanding, f.origin.workers)
+		f.t.Errorf("%s: the origin is sent %d at once, and takes %d", phase, f.originPeakOutstanding, f.origin.workers)
 	}
 	if f.maxColdShare > 1 {
-		f.t.Errorf("%s: a cold cache is sent %.2f of what it may be", what, f.maxColdShare)
+		f.t.Errorf("%s: a cold cache is sent %.2f of what it may be", phase, f.maxColdShare)
 	}
 	if f.sendsToUnready > 0 {
-		f.t.Errorf("%s: %d sends to members that drain or are gone", what, f.sendsToUnready)
+		f.t.Errorf("%s: %d sends to members that drain or are gone", phase, f.sendsToUnready)
 	}
 }
 
 // checkRecovery ends a part of a play in which something came back or was replaced: so much of the reads since the last look must have been in
 // time, and the rules have been kept.
-func (f *fleet) checkRecovery(what string, least float64) {
+func (f *fleet) checkRecovery(phase string, minShare float64) {
 	f.t.Helper()
 	share := f.takeServedShare()
-	f.t.Logf("%s: %.3f in time, %v, cold %.2f, at the origin %d", what, share, f.refused, f.maxColdShare, f.originPeakOutstanding)
-	f.checkLimits(what)
-	if share < least {
-		f.t.Errorf("%s: %.3f of the reads are in time", what, share)
+	f.t.Logf("%s: %.3f in time, %v, cold %.2f, at the origin %d", phase, share, f.refused, f.maxColdShare, f.originPeakOutstanding)
+	f.checkLimits(phase)
+	if share < minShare {
+		f.t.Errorf("%s: %.3f of the reads are in time", phase, share)
 	}
 }
 
@@ -469,7 +469,7 @@
 // fleetLoad is reads a second that take 0.45 of what the caches can do.
 func fleetLoad(caches int) float64 { return 0.45 * float64(2*caches) / fleetHitTime.Seconds() }
 
-func forEachFleetSize(t *testing.T, play func(t *testing.T, f *fleet, load float64)) {
+func forEachFleetSize(t *testing.T, scenario func(t *testing.T, f *fleet, load float64)) {
 	for _, c := range fleetSizes {
 		t.Run(fmt.Sprintf("%d proxies", c.proxies), func(t *testing.T) {
 			t.Parallel()
@@ -478,7 +478,7 @@
 			f.run(4*time.Second, load)
 			t.Logf("calm: %.3f in time, %v, at the origin %d", f.takeServedShare(), f.refused, f.originPeakOutstanding)
 			f.originPeakOutstanding = 0 // empty caches are all filled at first
-			play(t, f, load)
+			scenario(t, f, load)
 		})
 	}
 }
--- a/logic/learnt.go
+++ b/logic/learnt.go
@@ -56,84 +56,84 @@
 // ExportState tells what has been learnt until now.
 func (b *Balancer) ExportState(now time.Duration) LearnedState {
 	b.advance(now)
-	l := LearnedState{Total: b.keyCounts.total, EarlierTotal: b.earlierTotal, Latency: b.meanLatency, FailureRate: b.failureRate, Arrivals: b.arrivals,
+	state := LearnedState{Total: b.keyCounts.total, EarlierTotal: b.earlierTotal, Latency: b.meanLatency, FailureRate: b.failureRate, Arrivals: b.arrivals,
 		ServedWork: b.servedWork, SpanSeconds: b.spanSeconds + (b.now - b.windowStart).Seconds(), RecentAttempts: b.recentAttempts, RecentAnswers: b.recentAnswers}
-	for _, it := range b.keyCounts.hottest(1, maxExportedKeys) {
-		k := LearnedKey{Key: it.key, Count: it.count, Err: it.maxError}
-		if p := b.hotTable[it.key]; p != nil {
-			for _, n := range p.members {
-				k.Members = append(k.Members, n.entry.ID)
+	for _, counted := range b.keyCounts.hottest(1, maxExportedKeys) {
+		key := LearnedKey{Key: counted.key, Count: counted.count, Err: counted.maxError}
+		if placed := b.hotTable[counted.key]; placed != nil {
+			for _, member := range placed.members {
+				key.Members = append(key.Members, member.entry.ID)
 			}
 		}
-		l.Keys = append(l.Keys, k)
+		state.Keys = append(state.Keys, key)
 	}
-	for _, n := range append(slices.Clone(b.caches), b.origins...) {
-		if n.samples > 0 || n.failureStreak > 0 {
-			l.Members = append(l.Members, LearnedMember{ID: n.entry.ID, StartedAt: n.entry.StartedAt, Limit: n.limit, Latency: n.latency,
-				SendInterval: n.sendInterval, AnswerInterval: n.answerInterval, Samples: n.samples, LimitCut: n.limitCutAt > 0, FailureRate: n.failureRate, FailureStreak: n.failureStreak, EjectedFor: max(0, n.ejectedUntil-b.now)})
+	for _, member := range append(slices.Clone(b.caches), b.origins...) {
+		if member.samples > 0 || member.failureStreak > 0 {
+			state.Members = append(state.Members, LearnedMember{ID: member.entry.ID, StartedAt: member.entry.StartedAt, Limit: member.limit, Latency: member.latency,
+				SendInterval: member.sendInterval, AnswerInterval: member.answerInterval, Samples: member.samples, LimitCut: member.limitCutAt > 0, FailureRate: member.failureRate, FailureStreak: member.failureStreak, EjectedFor: max(0, member.ejectedUntil-b.now)})
 		}
 	}
-	return l
+	return state
 }
 
 // ImportState takes over what another process has learnt, before the first request. Of members that the list does not name as ready, or
 // that have started anew since, nothing is taken; what is no figure is left out. It tells of how many members something was taken.
-func (b *Balancer) ImportState(now time.Duration, l LearnedState) (members int) {
+func (b *Balancer) ImportState(now time.Duration, state LearnedState) (members int) {
 	b.advance(now)
-	for _, m := range l.Members {
-		n := b.members[m.ID]
-		if n == nil || n.entry.State != Ready || n.entry.StartedAt != m.StartedAt || n.samples > 0 || m.Samples < 1 ||
-			!validNumbers(m.Limit, m.Latency, m.SendInterval, m.AnswerInterval, m.FailureRate) || m.Limit <= 0 || m.FailureRate > 1 {
+	for _, learned := range state.Members {
+		member := b.members[learned.ID]
+		if member == nil || member.entry.State != Ready || member.entry.StartedAt != learned.StartedAt || member.samples > 0 || learned.Samples < 1 ||
+			!validNumbers(learned.Limit, learned.Latency, learned.SendInterval, learned.AnswerInterval, learned.FailureRate) || learned.Limit <= 0 || learned.FailureRate > 1 {
 			continue
 		}
-		n.limit, n.latency, n.sendInterval, n.answerInterval = min(m.Limit, float64(b.settings.Instances)*1e4), m.Latency, m.SendInterval, m.AnswerInterval
-		n.samples, n.failureRate, n.failureStreak = m.Samples, m.FailureRate, min(max(0, m.FailureStreak), maxFailureStreak)
-		if m.LimitCut {
-			n.limitCutAt = max(1, b.now-time.Second)
+		member.limit, member.latency, member.sendInterval, member.answerInterval = min(learned.Limit, float64(b.settings.Instances)*1e4), learned.Latency, learned.SendInterval, learned.AnswerInterval
+		member.samples, member.failureRate, member.failureStreak = learned.Samples, learned.FailureRate, min(max(0, learned.FailureStreak), maxFailureStreak)
+		if learned.LimitCut {
+			member.limitCutAt = max(1, b.now-time.Second)
 		}
-		if m.EjectedFor > 0 { // no longer than an ejection ever lasts
-			n.ejectedUntil = b.now + min(m.EjectedFor, 12*time.Second)
+		if learned.EjectedFor > 0 { // no longer than an ejection ever lasts
+			member.ejectedUntil = b.now + min(learned.EjectedFor, 12*time.Second)
 		}
 		members++
 	}
-	if validNumbers(l.Latency, l.FailureRate, l.Arrivals, l.ServedWork, l.SpanSeconds, l.RecentAttempts, l.RecentAnswers) && l.FailureRate <= 1 && members > 0 {
-		b.meanLatency, b.failureRate = l.Latency, l.FailureRate
-		b.arrivals, b.servedWork, b.spanSeconds = l.Arrivals, l.ServedWork, l.SpanSeconds
-		b.recentAttempts, b.recentAnswers, b.recentCountsAt, b.lastAnswerAt = l.RecentAttempts, l.RecentAnswers, b.now, b.now
+	if validNumbers(state.Latency, state.FailureRate, state.Arrivals, state.ServedWork, state.SpanSeconds, state.RecentAttempts, state.RecentAnswers) && state.FailureRate <= 1 && members > 0 {
+		b.meanLatency, b.failureRate = state.Latency, state.FailureRate
+		b.arrivals, b.servedWork, b.spanSeconds = state.Arrivals, state.ServedWork, state.SpanSeconds
+		b.recentAttempts, b.recentAnswers, b.recentCountsAt, b.lastAnswerAt = state.RecentAttempts, state.RecentAnswers, b.now, b.now
 	}
-	if validNumbers(l.Total, l.EarlierTotal) && b.keyCounts.total == 0 && len(b.caches) > 0 {
-		b.importKeys(l)
+	if validNumbers(state.Total, state.EarlierTotal) && b.keyCounts.total == 0 && len(b.caches) > 0 {
+		b.importKeys(state)
 	}
 	return members
 }
 
 // importKeys takes over the counts, and places the hot keys where they were, as far as those caches may have them now.
-func (b *Balancer) importKeys(l LearnedState) {
+func (b *Balancer) importKeys(state LearnedState) {
 	sum := 0.0
-	for _, k := range l.Keys[:min(len(l.Keys), counterCapacity)] {
-		if _, twice := b.keyCounts.index[k.Key]; twice || k.Key == 0 || !validNumbers(k.Count, k.Err) || k.Err > k.Count || k.Count < 1 {
+	for _, key := range state.Keys[:min(len(state.Keys), counterCapacity)] {
+		if _, known := b.keyCounts.index[key.Key]; known || key.Key == 0 || !validNumbers(key.Count, key.Err) || key.Err > key.Count || key.Count < 1 {
 			continue
 		}
-		b.keyCounts.insert(keyCount{key: k.Key, count: k.Count, maxError: k.Err})
-		sum += k.Count - k.Err
-		p := &placement{}
-		for _, id := range k.Members[:min(len(k.Members), candidateDepth)] {
-			if n := b.members[id]; n != nil && n.entry.State == Ready && !b.isOrigin(n.entry) && b.ownsSlot(n, slotOf(k.Key)) {
-				p.members = append(p.members, n)
+		b.keyCounts.insert(keyCount{key: key.Key, count: key.Count, maxError: key.Err})
+		sum += key.Count - key.Err
+		placed := &placement{}
+		for _, id := range key.Members[:min(len(key.Members), candidateDepth)] {
+			if member := b.members[id]; member != nil && member.entry.State == Ready && !b.isOrigin(member.entry) && b.ownsSlot(member, slotOf(key.Key)) {
+				placed.members = append(placed.members, member)
 			}
 		}
-		if len(p.members) > 0 {
-			b.hotTable[k.Key] = p
+		if len(placed.members) > 0 {
+			b.hotTable[key.Key] = placed
 		}
 	}
-	b.keyCounts.total = max(l.Total, sum)
-	b.earlierTotal = min(l.EarlierTotal, b.keyCounts.total)
+	b.keyCounts.total = max(state.Total, sum)
+	b.earlierTotal = min(state.EarlierTotal, b.keyCounts.total)
 	b.placeHotKeys()
 }
 
 // validNumbers tells whether all are numbers that a Balancer could have: finite, and not negative.
-func validNumbers(all ...float64) bool {
-	return !slices.ContainsFunc(all, func(f float64) bool { return !(f >= 0) || math.IsInf(f, 0) })
+func validNumbers(values ...float64) bool {
+	return !slices.ContainsFunc(values, func(f float64) bool { return !(f >= 0) || math.IsInf(f, 0) })
 }
 
 // InitialLimit is the limit of a member that nothing is known of.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -67,8 +67,8 @@
 )
 
 // New makes a Balancer. The seed sets all its random choices.
-func New(s Settings, seed uint64, do Actions) (*Balancer, error) {
-	if do == nil {
+func New(s Settings, seed uint64, actions Actions) (*Balancer, error) {
+	if actions == nil {
 		return nil, errors.New("logic: no actions")
 	}
 	if err := s.check(); err != nil {
@@ -76,9 +76,9 @@
 	}
 	s.Instances = max(1, s.Instances)
 	s.MaxAttempts = min(s.MaxAttempts, maxAttemptsLimit)
-	pcg := rand.NewPCG(seed, uint64(s.SelfIndex))
+	source := rand.NewPCG(seed, uint64(s.SelfIndex))
 	b := &Balancer{
-		settings: s, actions: do, randomSource: pcg, rng: rand.New(pcg),
+		settings: s, actions: actions, randomSource: source, rng: rand.New(source),
 		members: map[MemberID]*memberState{}, slots: make([][]candidate, slotCount), kindWeight: map[int]float64{},
 		keyCounts: counter{index: map[uint64]int{}, capacity: counterCapacity}, hotTable: map[uint64]*placement{},
 		tenantRequests: make([]float64, len(s.Tenants)), requests: map[RequestID]*pendingRequest{},
@@ -99,14 +99,14 @@
 }
 
 // UpdateClasses takes over other classes and another number of attempts, for requests that come from now on.
-func (b *Balancer) UpdateClasses(now time.Duration, classes []Class, tryLimit int) error {
-	s := b.settings
-	s.Classes, s.MaxAttempts = slices.Clone(classes), min(tryLimit, maxAttemptsLimit) // requests in hand hold on to the old ones
-	if err := s.check(); err != nil {
+func (b *Balancer) UpdateClasses(now time.Duration, classes []Class, maxAttempts int) error {
+	updated := b.settings
+	updated.Classes, updated.MaxAttempts = slices.Clone(classes), min(maxAttempts, maxAttemptsLimit) // requests in hand hold on to the old ones
+	if err := updated.check(); err != nil {
 		return err
 	}
 	b.advance(now)
-	b.settings = s
+	b.settings = updated
 	b.updateFetchTarget()
 	return nil
 }
@@ -146,10 +146,10 @@
 		b.updateMember(m)
 	}
 	if kind != ListDelta {
-		for _, n := range append(slices.Clone(b.caches), b.origins...) {
-			if !listed[n.entry.ID] {
-				n.entry.State = Gone
-				b.updateMember(n.entry)
+		for _, member := range append(slices.Clone(b.caches), b.origins...) {
+			if !listed[member.entry.ID] {
+				member.entry.State = Gone
+				b.updateMember(member.entry)
 			}
 		}
 		maps.DeleteFunc(b.members, func(id MemberID, _ *memberState) bool { return !listed[id] }) // those that drained when last heard of
@@ -162,67 +162,67 @@
 // endUnsendable ends the requests that wait for what no member is left to give them after a change of the list.
 func (b *Balancer) endUnsendable() {
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		if f := b.requests[id]; f != nil { // ending one may have sent another on
-			b.endIfUnsendable(f)
+		if req := b.requests[id]; req != nil { // ending one may have sent another on
+			b.endIfUnsendable(req)
 		}
 	}
 }
 
 // endIfUnsendable gives a request that waits its final answer if it can't be sent any more, and tells whether it did.
-func (b *Balancer) endIfUnsendable(f *pendingRequest) bool {
-	why := b.unsendable(f)
-	if f.waiting && why != NoReason {
-		b.refuseOrFail(f, why)
+func (b *Balancer) endIfUnsendable(req *pendingRequest) bool {
+	why := b.unsendable(req)
+	if req.waiting && why != NoReason {
+		b.refuseOrFail(req, why)
 	}
-	return f.answered
+	return req.answered
 }
 
 func (b *Balancer) tableWeight() (weight float64) {
-	for _, n := range b.caches {
-		if !b.zoneTables || n.entry.Zone == b.settings.Zone {
-			weight += n.weight
+	for _, member := range b.caches {
+		if !b.zoneTables || member.entry.Zone == b.settings.Zone {
+			weight += member.weight
 		}
 	}
 	return weight
 }
 
-func (b *Balancer) updateMember(m Member) {
-	n := b.members[m.ID]
-	if m.State != Ready && m.State != Draining {
-		defer delete(b.members, m.ID) // ids are ever new: what is gone must not be kept
+func (b *Balancer) updateMember(entry Member) {
+	member := b.members[entry.ID]
+	if entry.State != Ready && entry.State != Draining {
+		defer delete(b.members, entry.ID) // ids are ever new: what is gone must not be kept
 	}
-	if n == nil {
-		n = &memberState{hash: mix(uint64(m.ID) + 0x9e3779b97f4a7c15), weight: b.slotWeight(m)}
-		n.limit, n.lastSentAt = initialLimit, b.now
-		b.members[m.ID] = n
-		n.entry.State = Gone
+	if member == nil {
+		member = &memberState{hash: mix(uint64(entry.ID) + 0x9e3779b97f4a7c15), weight: b.slotWeight(entry)}
+		member.limit, member.lastSentAt = initialLimit, b.now
+		b.members[entry.ID] = member
+		member.entry.State = Gone
 	}
-	if m.StartedAt != n.entry.StartedAt && m.State == Ready {
-		b.resetMember(n)
+	if entry.StartedAt != member.entry.StartedAt && entry.State == Ready {
+		b.resetMember(member)
 	}
-	n.entry, n.zone = m, &b.zones[m.Zone&63]
+	member.entry, member.zone = entry, &b.zones[entry.Zone&63]
 	group := &b.caches
-	if b.isOrigin(m) {
-		group, n.zone = &b.origins, &zoneState{}
+	if b.isOrigin(entry) {
+		group, member.zone = &b.origins, &zoneState{}
 	}
 	byID := func(a *memberState, id MemberID) int { return cmp.Compare(a.entry.ID, id) }
-	at, found := slices.BinarySearchFunc(*group, m.ID, byID)
-	if found && m.State != Ready {
-		*group = slices.Delete(*group, at, at+1)
-		b.removeFromSlots(n)
-	}
-	if !found && m.State == Ready {
-		*group = slices.Insert(*group, at, n)
-		b.updateKindWeight(m)
-		if !b.isOrigin(m) {
-			b.addToSlots(n)
+	position, found := slices.BinarySearchFunc(*group, entry.ID, byID)
+	if found && entry.State != Ready {
+		*group = slices.Delete(*group, position, position+1)
+		b.removeFromSlots(member)
+	}
+	if !found && entry.State == Ready {
+		*group = slices.Insert(*group, position, member)
+		b.updateKindWeight(entry)
+		if !b.isOrigin(entry) {
+			b.addToSlots(member)
 		}
 	}
 }
 
 // resetMember makes void what was known of a member: it is a new process, or may be one.
-func (b *Balancer) resetMember(n *memberState) {
-	*n = memberState{entry: n.entry, zone: n.zone, hash: n.hash, weight: n.weight, coldTokensAt: b.now, coldTokens: b.rng.Float64(),
+func (b *Balancer) resetMember(member *memberState) {
+	*member = memberState{entry: member.entry, zone: member.zone, hash: member.hash, weight: member.weight, coldTokensAt: b.now, coldTokens: b.rng.Float64(),
 		limiter: limiter{limit: initialLimit, lastSentAt: b.now}}
 }
 
@@ -230,13 +230,13 @@
 func (b *Balancer) SetZoneShares(now time.Duration, shares []ZoneShare) {
 	b.advance(now)
 	b.zonesOnTrial = false
-	for i, s := range shares[:min(len(shares), len(b.zones))] {
-		z, was := &b.zones[i], b.zones[i].withheldShare
-		z.withheldShare, z.trial = 1-max(0, min(1, s.Share)), s.Trial
-		b.zonesOnTrial = b.zonesOnTrial || z.trial
-		for _, n := range b.caches {
-			if was >= 1 && z.withheldShare < 1 && n.zone == z {
-				b.resetMember(n)
+	for i, share := range shares[:min(len(shares), len(b.zones))] {
+		zone, previouslyWithheld := &b.zones[i], b.zones[i].withheldShare
+		zone.withheldShare, zone.trial = 1-max(0, min(1, share.Share)), share.Trial
+		b.zonesOnTrial = b.zonesOnTrial || zone.trial
+		for _, member := range b.caches {
+			if previouslyWithheld >= 1 && zone.withheldShare < 1 && member.zone == zone {
+				b.resetMember(member)
 			}
 		}
 	}
@@ -245,32 +245,32 @@
 	b.endUnsendable()
 }
 
-func (b *Balancer) isOrigin(m Member) bool {
-	return b.settings.Mode == CacheAside && b.settings.OriginKind >= 0 && m.Kind == b.settings.OriginKind
+func (b *Balancer) isOrigin(entry Member) bool {
+	return b.settings.Mode == CacheAside && b.settings.OriginKind >= 0 && entry.Kind == b.settings.OriginKind
 }
 
 // slotWeight must come out alike at every proxy and must not follow load. Live weights fall with load, so
 // the largest seen of a kind, in coarse steps, stands for the kind's size.
-func (b *Balancer) slotWeight(m Member) float64 {
-	w := m.Weight
-	if !(w > 0) || math.IsInf(w, 0) || b.settings.Weights == WeightsOff {
+func (b *Balancer) slotWeight(entry Member) float64 {
+	weight := entry.Weight
+	if !(weight > 0) || math.IsInf(weight, 0) || b.settings.Weights == WeightsOff {
 		return 1
 	}
 	if b.settings.Weights != WeightsLive {
-		return w
+		return weight
 	}
-	return max(b.kindWeight[m.Kind], math.Exp2(math.Round(2*math.Log2(w))/2))
+	return max(b.kindWeight[entry.Kind], math.Exp2(math.Round(2*math.Log2(weight))/2))
 }
 
-func (b *Balancer) updateKindWeight(m Member) {
-	w := b.slotWeight(m)
-	if b.settings.Weights != WeightsLive || w == b.kindWeight[m.Kind] {
+func (b *Balancer) updateKindWeight(entry Member) {
+	weight := b.slotWeight(entry)
+	if b.settings.Weights != WeightsLive || weight == b.kindWeight[entry.Kind] {
 		return
 	}
-	b.kindWeight[m.Kind] = w
-	for _, n := range b.caches {
-		if n.entry.Kind == m.Kind {
-			n.weight = w
+	b.kindWeight[entry.Kind] = weight
+	for _, member := range b.caches {
+		if member.entry.Kind == entry.Kind {
+			member.weight = weight
 		}
 	}
 	clear(b.slots)
@@ -278,68 +278,68 @@
 
 // score ranks a member for a slot by weighted rendezvous hashing: alike at all proxies, and a change of the
 // list moves only the share of the member that changed.
-func (b *Balancer) score(slot int, n *memberState) float64 {
-	s := math.Log(unit(mix(n.hash^mix(uint64(slot)+1)))) / n.weight
-	if b.zoneTables && n.entry.Zone != b.settings.Zone {
-		return s - 1e9
+func (b *Balancer) score(slot int, member *memberState) float64 {
+	score := math.Log(unit(mix(member.hash^mix(uint64(slot)+1)))) / member.weight
+	if b.zoneTables && member.entry.Zone != b.settings.Zone {
+		return score - 1e9
 	}
-	return s
+	return score
 }
 
 // candidates is the slot's candidates, best first. It is worked out when first asked for and then kept current,
 // so that a request costs nothing that grows with the fleet.
 func (b *Balancer) candidates(slot int) []candidate {
 	if len(b.slots[slot]) == 0 {
-		for _, n := range b.caches {
-			b.insertCandidate(slot, n)
+		for _, member := range b.caches {
+			b.insertCandidate(slot, member)
 		}
 	}
 	return b.slots[slot]
 }
 
-func (b *Balancer) insertCandidate(slot int, n *memberState) {
-	o, s := b.slots[slot], b.score(slot, n)
+func (b *Balancer) insertCandidate(slot int, member *memberState) {
+	list, score := b.slots[slot], b.score(slot, member)
 	depth, last := candidateDepth, 0
-	if b.zoneTables && n.entry.Zone != b.settings.Zone {
+	if b.zoneTables && member.entry.Zone != b.settings.Zone {
 		depth = otherZoneDepth
 	}
-	for i, r := range o {
-		if !b.zoneTables || r.member.entry.Zone == n.entry.Zone {
+	for i, r := range list {
+		if !b.zoneTables || r.member.entry.Zone == member.entry.Zone {
 			depth, last = depth-1, i
 		}
 	}
 	if depth == 0 {
-		if o[last].score >= s {
+		if list[last].score >= score {
 			return
 		}
-		o = slices.Delete(o, last, last+1)
+		list = slices.Delete(list, last, last+1)
 	}
-	i := len(o)
-	for i > 0 && o[i-1].score < s {
+	i := len(list)
+	for i > 0 && list[i-1].score < score {
 		i--
 	}
-	b.slots[slot] = slices.Insert(o, i, candidate{n, s})
+	b.slots[slot] = slices.Insert(list, i, candidate{member, score})
 }
 
-func (b *Balancer) addToSlots(n *memberState) {
-	for slot, o := range b.slots {
-		if len(o) > 0 {
-			b.insertCandidate(slot, n)
+func (b *Balancer) addToSlots(member *memberState) {
+	for slot, list := range b.slots {
+		if len(list) > 0 {
+			b.insertCandidate(slot, member)
 		}
 	}
 }
 
-func (b *Balancer) removeFromSlots(n *memberState) {
-	for slot, o := range b.slots {
-		if slices.ContainsFunc(o, func(r candidate) bool { return r.member == n }) {
-			b.slots[slot] = slices.Delete(o, 0, len(o)) // its room is used again: where caches come and go it would be garbage all day
+func (b *Balancer) removeFromSlots(member *memberState) {
+	for slot, list := range b.slots {
+		if slices.ContainsFunc(list, func(r candidate) bool { return r.member == member }) {
+			b.slots[slot] = slices.Delete(list, 0, len(list)) // its room is used again: where caches come and go it would be garbage all day
 		}
 	}
 }
 
 // warmth is the share of its capacity that a member surely has. It may have started anew, untold by the list: see outage, emptyCacheMisses.
-func (b *Balancer) warmth(n *memberState) float64 {
-	since := max(n.entry.StartedAt, n.zone.coldSince, n.coldSince)
+func (b *Balancer) warmth(member *memberState) float64 {
+	since := max(member.entry.StartedAt, member.zone.coldSince, member.coldSince)
 	age := b.now - since
 	if since == 0 || age >= b.settings.SlowStartDuration {
 		return 1
@@ -348,26 +348,26 @@
 }
 
 // ownsSlot tells whether a cold member already has this slot: its slots come to it as it warms, in an order alike at every proxy.
-func (b *Balancer) ownsSlot(n *memberState, slot int) bool {
-	return n.receivesSlot(slot) && unit(mix(n.hash+uint64(slot)*0x9e3779b97f4a7c15)) < b.warmth(n)
+func (b *Balancer) ownsSlot(member *memberState, slot int) bool {
+	return member.receivesSlot(slot) && unit(mix(member.hash+uint64(slot)*0x9e3779b97f4a7c15)) < b.warmth(member)
 }
 
 // receivesSlot tells whether a slot is of the part that its zone gets: the same at every proxy and for all of the zone's members.
-func (n *memberState) receivesSlot(slot int) bool {
-	return n.zone.withheldShare == 0 || unit(mix(uint64(n.entry.Zone+1)<<32|uint64(slot))) >= n.zone.withheldShare
+func (member *memberState) receivesSlot(slot int) bool {
+	return member.zone.withheldShare == 0 || unit(mix(uint64(member.entry.Zone+1)<<32|uint64(slot))) >= member.zone.withheldShare
 }
 
 // capacity is the estimate that S and T are divided by: the weight, less where the member is cold, ejected or
 // answers slower than the fleet.
-func (b *Balancer) capacity(n *memberState) float64 {
-	c := n.weight * b.warmth(n)
-	if n.ejectedUntil > b.now {
-		return c / 100
+func (b *Balancer) capacity(member *memberState) float64 {
+	capacity := member.weight * b.warmth(member)
+	if member.ejectedUntil > b.now {
+		return capacity / 100
 	}
-	if n.samples >= 5 && b.meanLatency > 0 {
-		c *= max(0.25, min(1, 1.5*b.meanLatency/n.latency))
+	if member.samples >= 5 && b.meanLatency > 0 {
+		capacity *= max(0.25, min(1, 1.5*b.meanLatency/member.latency))
 	}
-	return c
+	return capacity
 }
 
 // placeHotKeys assigns the hot keys, greedily: in falling count, each on the candidate that least raises
@@ -375,62 +375,62 @@
 func (b *Balancer) placeHotKeys() {
 	old := b.hotTable
 	b.hotTable = make(map[uint64]*placement, len(old))
-	for _, n := range b.caches {
-		n.hotLoad, n.hotKeys = 0, 0
+	for _, member := range b.caches {
+		member.hotLoad, member.hotKeys = 0, 0
 	}
-	size := b.tableWeight()
-	if size == 0 {
+	totalWeight := b.tableWeight()
+	if totalWeight == 0 {
 		return
 	}
 	maxS, maxT := 0.0, 0.0
-	for _, it := range b.keyCounts.hottest(2, maxHotKeys) {
-		slot := slotOf(it.key)
-		order := b.candidates(slot)
+	for _, counted := range b.keyCounts.hottest(2, maxHotKeys) {
+		slot := slotOf(counted.key)
+		candidates := b.candidates(slot)
 		// What chance may have added to a thin count must not make copies.
-		sure := max(0, it.count-it.maxError-math.Sqrt(it.count))
-		copies := int(sure / b.keyCounts.total * size / order[0].member.weight / splitLoadShare)
-		copies = max(1, min(copies, len(order)))
+		guaranteed := max(0, counted.count-counted.maxError-math.Sqrt(counted.count))
+		copies := int(guaranteed / b.keyCounts.total * totalWeight / candidates[0].member.weight / splitLoadShare)
+		copies = max(1, min(copies, len(candidates)))
 		parts := max(1, min(copies, copies*2/b.settings.Instances))
-		p := &placement{}
+		placed := &placement{}
 		for range parts {
-			near := order[:min(len(order), copies+1)]
-			n := b.cheapestCandidate(near, p, slot, it, float64(parts), maxS, maxT, old[it.key])
-			if n == nil { // all cold: the key goes by slot
+			nearest := candidates[:min(len(candidates), copies+1)]
+			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(parts), maxS, maxT, old[counted.key])
+			if member == nil { // all cold: the key goes by slot
 				break
 			}
-			c := b.capacity(n)
-			n.hotLoad += it.count / float64(parts)
-			n.hotKeys++
-			maxS, maxT = max(maxS, n.hotLoad/c), max(maxT, n.hotKeys/c)
-			p.members = append(p.members, n)
+			capacity := b.capacity(member)
+			member.hotLoad += counted.count / float64(parts)
+			member.hotKeys++
+			maxS, maxT = max(maxS, member.hotLoad/capacity), max(maxT, member.hotKeys/capacity)
+			placed.members = append(placed.members, member)
 		}
-		if len(p.members) > 0 {
-			b.hotTable[it.key] = p
+		if len(placed.members) > 0 {
+			b.hotTable[counted.key] = placed
 		}
 	}
 }
 
-func (b *Balancer) cheapestCandidate(order []candidate, p *placement, slot int, it keyCount, parts, maxS, maxT float64, old *placement) *memberState {
+func (b *Balancer) cheapestCandidate(candidates []candidate, placed *placement, slot int, counted keyCount, parts, maxS, maxT float64, old *placement) *memberState {
 	var best *memberState
-	least := math.Inf(1)
-	turn := 0
-	if len(order) > 2 { // several caches share the key: proxies begin at different ones
-		turn = int(mix(it.key^uint64(b.settings.SelfIndex)*0x9e3779b97f4a7c15) % uint64(len(order)))
-	}
-	for i := range order {
-		n := order[(i+turn)%len(order)].member
-		if slices.Contains(p.members, n) || !b.ownsSlot(n, slot) {
+	minCost := math.Inf(1)
+	offset := 0
+	if len(candidates) > 2 { // several caches share the key: proxies begin at different ones
+		offset = int(mix(counted.key^uint64(b.settings.SelfIndex)*0x9e3779b97f4a7c15) % uint64(len(candidates)))
+	}
+	for i := range candidates {
+		member := candidates[(i+offset)%len(candidates)].member
+		if slices.Contains(placed.members, member) || !b.ownsSlot(member, slot) {
 			continue
 		}
-		c := b.capacity(n)
-		m := max(maxS, (n.hotLoad+it.count/parts)/c) + keyCost*max(maxT, (n.hotKeys+1)/c)
+		capacity := b.capacity(member)
+		cost := max(maxS, (member.hotLoad+counted.count/parts)/capacity) + keyCost*max(maxT, (member.hotKeys+1)/capacity)
 		// A key that was not placed before has gone by its slot: that is its old place. Else keys at the hot
 		// set's edge change caches each time they enter or leave it.
-		if old != nil && slices.Contains(old.members, n) || old == nil && n == order[0].member {
-			m *= 1 - min(0.9, moveMargin+1/math.Sqrt(it.count)) // and by more than chance in its count
+		if old != nil && slices.Contains(old.members, member) || old == nil && member == candidates[0].member {
+			cost *= 1 - min(0.9, moveMargin+1/math.Sqrt(counted.count)) // and by more than chance in its count
 		}
-		if m < least {
-			best, least = n, m
+		if cost < minCost {
+			best, minCost = member, cost
 		}
 	}
 	return best
@@ -464,42 +464,42 @@
 	if b.requests[r.ID] != nil {
 		return
 	}
-	f := &pendingRequest{Request: r, class: b.classOf(&r), maxAttempts: b.settings.MaxAttempts}
-	aim := f.class.SoftDeadline
+	req := &pendingRequest{Request: r, class: b.classOf(&r), maxAttempts: b.settings.MaxAttempts}
+	target := req.class.SoftDeadline
 	if r.CostKnown && r.Cost > 0 {
-		aim = min(f.class.Deadline, aim+time.Duration(f.class.SoftDeadlineCostFactor*float64(r.Cost)))
+		target = min(req.class.Deadline, target+time.Duration(req.class.SoftDeadlineCostFactor*float64(r.Cost)))
 	}
-	f.arrivedAt, f.softDeadline = b.now, min(b.now+aim, r.Deadline)
-	if f.class.LateValue > 0 {
-		f.softDeadline = r.Deadline
+	req.arrivedAt, req.softDeadline = b.now, min(b.now+target, r.Deadline)
+	if req.class.LateValue > 0 {
+		req.softDeadline = r.Deadline
 	}
-	f.priority = f.class.Value / max(1e-9, f.class.SoftDeadline.Seconds())
-	b.requests[r.ID] = f
+	req.priority = req.class.Value / max(1e-9, req.class.SoftDeadline.Seconds())
+	b.requests[r.ID] = req
 	b.arrivals++
 	b.retryTokens = min(retryBurst, b.retryTokens+retryRatio)
 	if b.exceedsTenantShare(r.Tenant) {
-		f.priority *= b.settings.OverShareValue
+		req.priority *= b.settings.OverShareValue
 	}
 	if r.Key != 0 {
 		// A fetch also serves those who will ask for the key again; keys wanted once must not crowd them out.
-		f.priority *= 1 + b.keyCounts.guaranteedCount(r.Key)
+		req.priority *= 1 + b.keyCounts.guaranteedCount(r.Key)
 		b.keyCounts.add(r.Key)
-		f.slot = slotOf(r.Key)
+		req.slot = slotOf(r.Key)
 	} else {
-		f.slot = b.rng.IntN(slotCount)
+		req.slot = b.rng.IntN(slotCount)
 	}
-	if f.softDeadline < r.Deadline {
-		b.setRequestTimer(f, max(b.now, f.softDeadline-b.answerMargin()), timerSoftDeadline)
+	if req.softDeadline < r.Deadline {
+		b.setRequestTimer(req, max(b.now, req.softDeadline-b.answerMargin()), timerSoftDeadline)
 	}
-	b.setRequestTimer(f, max(b.now, r.Deadline-b.answerMargin()), timerDeadline)
-	b.route(f)
+	b.setRequestTimer(req, max(b.now, r.Deadline-b.answerMargin()), timerDeadline)
+	b.route(req)
 }
 
 // answerMargin is how early a request is ended, so that the answer is in time though events are late.
 func (b *Balancer) answerMargin() time.Duration { return 2*b.settings.MaxEventDelay + time.Millisecond }
 
-func (b *Balancer) setRequestTimer(f *pendingRequest, at time.Duration, purpose uint64) {
-	b.actions.SetTimer(at, uint64(f.ID)<<3|purpose)
+func (b *Balancer) setRequestTimer(req *pendingRequest, at time.Duration, purpose uint64) {
+	b.actions.SetTimer(at, uint64(req.ID)<<3|purpose)
 }
 
 // classOf takes an unknown class, and a keyed request that lacks its key, for the strictest kind, so that it is never lost or run twice.
@@ -514,88 +514,88 @@
 }
 
 // exceedsTenantShare draws whether a request is of the part of its tenant's traffic beyond the tenant's share.
-func (b *Balancer) exceedsTenantShare(t int) bool {
-	if t < 0 || t >= len(b.tenantRequests) {
+func (b *Balancer) exceedsTenantShare(tenant int) bool {
+	if tenant < 0 || tenant >= len(b.tenantRequests) {
 		return false
 	}
-	b.tenantRequests[t]++
-	due := b.settings.Tenants[t].Share * b.arrivals
-	return b.tenantRequests[t] > due+2*math.Sqrt(due)+1 && b.rng.Float64()*b.tenantRequests[t] > due
+	b.tenantRequests[tenant]++
+	expected := b.settings.Tenants[tenant].Share * b.arrivals
+	return b.tenantRequests[tenant] > expected+2*math.Sqrt(expected)+1 && b.rng.Float64()*b.tenantRequests[tenant] > expected
 }
 
 // route takes the ordinary path: writes beside the caches go to the origin, everything else to the cache that the tables name.
-func (b *Balancer) route(f *pendingRequest) {
-	if b.settings.Mode == CacheAside && f.Write {
-		b.enqueueForOrigin(f)
+func (b *Balancer) route(req *pendingRequest) {
+	if b.settings.Mode == CacheAside && req.Write {
+		b.enqueueForOrigin(req)
 		return
 	}
-	if w, out := b.fetchWaiters[f.Key]; out && f.Key != 0 && !f.coalesced {
-		b.fetchWaiters[f.Key] = append(w, f)
-		b.waitForFetch(f, (f.softDeadline-b.now)/2)
+	if waiters, fetching := b.fetchWaiters[req.Key]; fetching && req.Key != 0 && !req.coalesced {
+		b.fetchWaiters[req.Key] = append(waiters, req)
+		b.waitForFetch(req, (req.softDeadline-b.now)/2)
 		return
 	}
-	n, why := b.chooseCache(f)
-	if n != nil && b.throttled() {
-		n, why = nil, Throttled
+	member, why := b.chooseCache(req)
+	if member != nil && b.throttled() {
+		member, why = nil, Throttled
 	}
 	switch {
-	case n != nil:
-		b.send(f, n, b.attemptTimeout(f, n))
-	case b.mayRetryLater(f, why):
-		if b.waitUnlessUnsendable(f, why) {
-			b.setRequestTimer(f, b.now+unknownCacheRetryDelay, timerResume)
+	case member != nil:
+		b.send(req, member, b.attemptTimeout(req, member))
+	case b.mayRetryLater(req, why):
+		if b.waitUnlessUnsendable(req, why) {
+			b.setRequestTimer(req, b.now+unknownCacheRetryDelay, timerResume)
 		}
 	default:
-		b.refuseOrFail(f, why)
+		b.refuseOrFail(req, why)
 	}
 }
 
 // mayRetryLater tells whether a read that nobody takes now is to look again: where this proxy is short of connections, and where too little
 // is known yet of the cache that has its slot, whose limit then is a guess. A crowd at a proxy just started waits for the first
 // answers, which raise the limits of those that can take it. Where none come in a quarter of its time it is refused.
-func (b *Balancer) mayRetryLater(f *pendingRequest, why Reason) bool {
-	if why != NoRoom && why != NoConnection || b.now+unknownCacheRetryDelay >= f.softDeadline-(f.softDeadline-f.arrivedAt)*3/4 {
+func (b *Balancer) mayRetryLater(req *pendingRequest, why Reason) bool {
+	if why != NoRoom && why != NoConnection || b.now+unknownCacheRetryDelay >= req.softDeadline-(req.softDeadline-req.arrivedAt)*3/4 {
 		return false
 	}
-	o := b.candidates(f.slot)
-	i := slices.IndexFunc(o, func(r candidate) bool { return b.usable(f, r.member) && b.ownsSlot(r.member, f.slot) })
-	return why == NoConnection || i >= 0 && o[i].member.samples < knownSamples && o[i].member.limit >= initialLimit
+	candidates := b.candidates(req.slot)
+	first := slices.IndexFunc(candidates, func(r candidate) bool { return b.usable(req, r.member) && b.ownsSlot(r.member, req.slot) })
+	return why == NoConnection || first >= 0 && candidates[first].member.samples < knownSamples && candidates[first].member.limit >= initialLimit
 }
 
 // waitForFetch lets a request wait for another's fetch, for so long at the most.
-func (b *Balancer) waitForFetch(f *pendingRequest, wait time.Duration) {
-	f.coalesced = true
-	if b.waitUnlessUnsendable(f, SharedFetch) {
-		b.setRequestTimer(f, b.now+wait, timerResume)
+func (b *Balancer) waitForFetch(req *pendingRequest, wait time.Duration) {
+	req.coalesced = true
+	if b.waitUnlessUnsendable(req, SharedFetch) {
+		b.setRequestTimer(req, b.now+wait, timerResume)
 	}
 }
 
 // waitUnlessUnsendable lets a request wait with nothing out, unless no member is left that could take it.
-func (b *Balancer) waitUnlessUnsendable(f *pendingRequest, why Reason) bool {
-	f.waiting = true
-	if b.endIfUnsendable(f) {
+func (b *Balancer) waitUnlessUnsendable(req *pendingRequest, why Reason) bool {
+	req.waiting = true
+	if b.endIfUnsendable(req) {
 		return false
 	}
-	if f.mayHaveRun != 0 && f.class.Effect == DeduplicatedByKey {
-		b.setRequestTimer(f, max(b.now, b.dedupWindowEnd(f)), timerDedupWindow)
+	if req.mayHaveRun != 0 && req.class.Effect == DeduplicatedByKey {
+		b.setRequestTimer(req, max(b.now, b.dedupWindowEnd(req)), timerDedupWindow)
 	}
-	b.actions.NotifyWaiting(f.ID, why)
+	b.actions.NotifyWaiting(req.ID, why)
 	return true
 }
 
 // dedupWindowEnd is when repeats of a keyed request that may have run are no longer surely dropped.
-func (b *Balancer) dedupWindowEnd(f *pendingRequest) time.Duration {
-	return f.firstRunAt + f.class.DedupWindow - 2*b.settings.MaxEventDelay
+func (b *Balancer) dedupWindowEnd(req *pendingRequest) time.Duration {
+	return req.firstRunAt + req.class.DedupWindow - 2*b.settings.MaxEventDelay
 }
 
 // noFurtherAttempt tells why no further attempt may be made, whatever the members do.
-func (b *Balancer) noFurtherAttempt(f *pendingRequest) Reason {
+func (b *Balancer) noFurtherAttempt(req *pendingRequest) Reason {
 	switch {
-	case f.sentAttempts() >= f.maxAttempts:
+	case req.sentAttempts() >= req.maxAttempts:
 		return OutOfTries
-	case b.now+b.answerMargin() >= f.softDeadline:
+	case b.now+b.answerMargin() >= req.softDeadline:
 		return OutOfTime
-	case f.mayHaveRun != 0 && (f.class.Effect == AtMostOnce || f.class.Effect == DeduplicatedByKey && b.now >= b.dedupWindowEnd(f)):
+	case req.mayHaveRun != 0 && (req.class.Effect == AtMostOnce || req.class.Effect == DeduplicatedByKey && b.now >= b.dedupWindowEnd(req)):
 		return MayHaveRun
 	}
 	return NoReason
@@ -603,170 +603,170 @@
 
 // unsendable tells why a request that waits can't be sent any more, now or later before its aim: neither to the origin
 // it stands in line for, nor to a cache once the fetch it waits for is back.
-func (b *Balancer) unsendable(f *pendingRequest) Reason {
-	if why := b.noFurtherAttempt(f); why != NoReason {
+func (b *Balancer) unsendable(req *pendingRequest) Reason {
+	if why := b.noFurtherAttempt(req); why != NoReason {
 		return why
 	}
 	group := b.caches
-	if f.queued {
+	if req.queued {
 		group = b.origins
 	}
 	switch {
-	case slices.ContainsFunc(group, func(n *memberState) bool { return b.maySend(f, n) }):
+	case slices.ContainsFunc(group, func(member *memberState) bool { return b.maySend(req, member) }):
 		return NoReason
-	case f.mayHaveRun != 0 && len(group) > 0:
+	case req.mayHaveRun != 0 && len(group) > 0:
 		return MayHaveRun // outside the group that drops its repeats
 	}
 	return NoMember
 }
 
 // attemptTimeout is an attempt's time-out: part of what is left while there is another attempt to make.
-func (b *Balancer) attemptTimeout(f *pendingRequest, n *memberState) time.Duration {
+func (b *Balancer) attemptTimeout(req *pendingRequest, member *memberState) time.Duration {
 	// Where caches fetch by themselves a slow answer is most often a miss: giving it up wastes the fetch, and
 	// the next candidate would only fetch once more.
-	if f.sentAttempts()+1 >= f.maxAttempts || f.class.Effect == AtMostOnce || b.settings.Mode == ReadThrough {
+	if req.sentAttempts()+1 >= req.maxAttempts || req.class.Effect == AtMostOnce || b.settings.Mode == ReadThrough {
 		return 0
 	}
-	left := f.softDeadline - b.now
-	d := max(left*6/10, min(left, seconds(2*n.latency))) // one that is known to take longer is not asked in vain
-	if f.CostKnown {
-		d = max(d, min(left, 3*f.Cost))
+	remaining := req.softDeadline - b.now
+	timeout := max(remaining*6/10, min(remaining, seconds(2*member.latency))) // one that is known to take longer is not asked in vain
+	if req.CostKnown {
+		timeout = max(timeout, min(remaining, 3*req.Cost))
 	}
-	return max(d, time.Millisecond)
+	return max(timeout, time.Millisecond)
 }
 
 // chooseCache names the cache for a request: the hot table's, else the slot's, else the next candidate that may be
 // sent to; or tells why there is none.
-func (b *Balancer) chooseCache(f *pendingRequest) (*memberState, Reason) {
-	if f.missedCache != nil && b.usable(f, f.missedCache) && b.hasCapacity(f.missedCache) {
-		return f.missedCache, NoReason
+func (b *Balancer) chooseCache(req *pendingRequest) (*memberState, Reason) {
+	if req.missedCache != nil && b.usable(req, req.missedCache) && b.hasCapacity(req.missedCache) {
+		return req.missedCache, NoReason
 	}
-	for i := 0; i < len(b.caches) && b.zonesOnTrial && len(f.triedCaches) == 0 && f.class.Effect == Repeatable; i++ {
-		if n := b.caches[(i+f.slot)%len(b.caches)]; n.zone.trial && b.maySend(f, n) && b.hasConnection(f, n) {
-			return n, NoReason
+	for i := 0; i < len(b.caches) && b.zonesOnTrial && len(req.triedCaches) == 0 && req.class.Effect == Repeatable; i++ {
+		if member := b.caches[(i+req.slot)%len(b.caches)]; member.zone.trial && b.maySend(req, member) && b.hasConnection(req, member) {
+			return member, NoReason
 		}
 	}
-	if p := b.hotTable[f.Key]; p != nil && f.Key != 0 {
-		for range p.members {
-			p.next = (p.next + 1) % len(p.members)
-			if n := p.members[p.next]; b.usable(f, n) && b.hasCapacity(n) {
-				return n, NoReason
+	if placed := b.hotTable[req.Key]; placed != nil && req.Key != 0 {
+		for range placed.members {
+			placed.next = (placed.next + 1) % len(placed.members)
+			if member := placed.members[placed.next]; b.usable(req, member) && b.hasCapacity(member) {
+				return member, NoReason
 			}
 		}
 	}
 	busy := 0
-	for _, r := range b.candidates(f.slot) {
-		if !b.ownsSlot(r.member, f.slot) || !b.usable(f, r.member) {
+	for _, ranked := range b.candidates(req.slot) {
+		if !b.ownsSlot(ranked.member, req.slot) || !b.usable(req, ranked.member) {
 			continue
 		}
 		// A busy member spills to the next only while a fetch is cheap: spilling turns hits into misses,
 		// which else jam the origin and, with it, all members.
-		if b.hasCapacity(r.member) {
-			return r.member, NoReason
+		if b.hasCapacity(ranked.member) {
+			return ranked.member, NoReason
 		}
-		if n := b.otherZoneCache(f); busy == 0 && n != nil {
-			return n, NoReason
+		if member := b.otherZoneCache(req); busy == 0 && member != nil {
+			return member, NoReason
 		}
-		if busy++; busy == maxBusyCandidates || !b.originAvailable(f) {
+		if busy++; busy == maxBusyCandidates || !b.originAvailable(req) {
 			return nil, NoRoom
 		}
 	}
 	// All candidates are cold, ejected or tried: any that takes work, from a place that spreads; and rather an ejected one than none.
-	var last *memberState
+	var fallback *memberState
 	for i := range b.caches {
-		n := b.caches[(i+f.slot)%len(b.caches)]
-		if b.usable(f, n) {
-			return n, NoReason
+		member := b.caches[(i+req.slot)%len(b.caches)]
+		if b.usable(req, member) {
+			return member, NoReason
 		}
-		if last == nil && b.maySend(f, n) && b.withinColdBudget(n) && b.hasConnection(f, n) {
-			last = n
+		if fallback == nil && b.maySend(req, member) && b.withinColdBudget(member) && b.hasConnection(req, member) {
+			fallback = member
 		}
 	}
-	if last == nil {
-		return nil, b.noCacheReason(f)
+	if fallback == nil {
+		return nil, b.noCacheReason(req)
 	}
-	return last, NoReason
+	return fallback, NoReason
 }
 
 // noCacheReason tells why no cache at all takes a request.
-func (b *Balancer) noCacheReason(f *pendingRequest) Reason {
-	if why := b.unsendable(f); why != NoReason {
+func (b *Balancer) noCacheReason(req *pendingRequest) Reason {
+	if why := b.unsendable(req); why != NoReason {
 		return why
 	}
-	if slices.ContainsFunc(b.caches, func(n *memberState) bool { return b.maySend(f, n) && !b.hasConnection(f, n) }) {
+	if slices.ContainsFunc(b.caches, func(member *memberState) bool { return b.maySend(req, member) && !b.hasConnection(req, member) }) {
 		return NoConnection
 	}
 	return ColdBudget
 }
 
 // hasConnection tells whether there is a connection to a member in good time, as the host tells.
-func (b *Balancer) hasConnection(f *pendingRequest, n *memberState) bool {
-	w := b.actions.ConnectionWait(f.ID, n.entry.ID)
-	return w >= 0 && w <= (f.softDeadline-b.now)/connectionWaitDivisor
+func (b *Balancer) hasConnection(req *pendingRequest, member *memberState) bool {
+	wait := b.actions.ConnectionWait(req.ID, member.entry.ID)
+	return wait >= 0 && wait <= (req.softDeadline-b.now)/connectionWaitDivisor
 }
 
 // otherZoneCache is a cache with room in another zone that has the slot in that zone's table. The proxies there ask it for the same keys, so
 // a read is more likely found than at a second candidate here, and costs less than a refusal; nil where all zones share a table.
-func (b *Balancer) otherZoneCache(f *pendingRequest) *memberState {
-	for _, r := range b.candidates(f.slot) {
-		if b.zoneTables && r.member.entry.Zone != b.settings.Zone && b.ownsSlot(r.member, f.slot) && b.usable(f, r.member) && b.hasCapacity(r.member) {
-			return r.member
+func (b *Balancer) otherZoneCache(req *pendingRequest) *memberState {
+	for _, ranked := range b.candidates(req.slot) {
+		if b.zoneTables && ranked.member.entry.Zone != b.settings.Zone && b.ownsSlot(ranked.member, req.slot) && b.usable(req, ranked.member) && b.hasCapacity(ranked.member) {
+			return ranked.member
 		}
 	}
 	return nil
 }
 
-func (b *Balancer) usable(f *pendingRequest, n *memberState) bool {
-	return n.ejectedUntil <= b.now && !b.inSilentZone(n) && !slices.Contains(f.triedCaches, n) && b.maySend(f, n) && b.withinColdBudget(n) && b.hasConnection(f, n)
+func (b *Balancer) usable(req *pendingRequest, member *memberState) bool {
+	return member.ejectedUntil <= b.now && !b.inSilentZone(member) && !slices.Contains(req.triedCaches, member) && b.maySend(req, member) && b.withinColdBudget(member) && b.hasConnection(req, member)
 }
 
 // inSilentZone tells whether the caches of a zone with a table of its own have fallen silent, one after another: as many time-outs in a
 // row, of any of them, say more of the zone than of each. One read at a time is still sent there, and the first answer ends it. It
 // could do harm where answers come late everywhere: some of the reads then go abroad.
-func (b *Balancer) inSilentZone(n *memberState) bool {
-	return b.zoneTables && n.zone.timeoutStreak >= silentZoneTimeouts && b.now < n.zone.nextProbeAt
+func (b *Balancer) inSilentZone(member *memberState) bool {
+	return b.zoneTables && member.zone.timeoutStreak >= silentZoneTimeouts && b.now < member.zone.nextProbeAt
 }
 
 // sentAttempts is how many attempts the request has had on the wire.
-func (f *pendingRequest) sentAttempts() int { return f.attempts - f.unsent }
+func (req *pendingRequest) sentAttempts() int { return req.attempts - req.unsent }
 
 // maySend is the one guard of every send: drains, the attempts allowed, and effects that must not double.
-func (b *Balancer) maySend(f *pendingRequest, n *memberState) bool {
-	if f.answered || f.streaming || n.entry.State != Ready || f.sentAttempts() >= f.maxAttempts || b.now+b.answerMargin() >= f.Deadline {
+func (b *Balancer) maySend(req *pendingRequest, member *memberState) bool {
+	if req.answered || req.streaming || member.entry.State != Ready || req.sentAttempts() >= req.maxAttempts || b.now+b.answerMargin() >= req.Deadline {
 		return false
 	}
-	if f.outstanding != 0 && !b.settings.ConcurrentAttempts || f.AllowedMembers != nil && !slices.Contains(f.AllowedMembers, n.entry.ID) ||
-		!n.receivesSlot(f.slot) && (!n.zone.trial || b.now < n.zone.nextProbeAt) {
+	if req.outstanding != 0 && !b.settings.ConcurrentAttempts || req.AllowedMembers != nil && !slices.Contains(req.AllowedMembers, member.entry.ID) ||
+		!member.receivesSlot(req.slot) && (!member.zone.trial || b.now < member.zone.nextProbeAt) {
 		return false
 	}
-	if f.mayHaveRun == 0 || f.class.Effect == Repeatable {
+	if req.mayHaveRun == 0 || req.class.Effect == Repeatable {
 		return true
 	}
-	if f.class.Effect == AtMostOnce || b.now+2*b.settings.MaxEventDelay >= f.firstRunAt+f.class.DedupWindow {
+	if req.class.Effect == AtMostOnce || b.now+2*b.settings.MaxEventDelay >= req.firstRunAt+req.class.DedupWindow {
 		return false
 	}
-	return f.class.Scope == ScopeAll || f.class.Scope == ScopeZone && n.entry.Zone == f.firstRunMember.entry.Zone ||
-		f.class.Scope == ScopeCell && n.entry.Cell == f.firstRunMember.entry.Cell
+	return req.class.Scope == ScopeAll || req.class.Scope == ScopeZone && member.entry.Zone == req.firstRunMember.entry.Zone ||
+		req.class.Scope == ScopeCell && member.entry.Cell == req.firstRunMember.entry.Cell
 }
 
 // mayRefuse tells whether the client may be told that a retry is harmless.
-func (b *Balancer) mayRefuse(f *pendingRequest) bool {
-	return f.mayHaveRun == 0 || f.class.SafeToRetry(f.class.Effect)
+func (b *Balancer) mayRefuse(req *pendingRequest) bool {
+	return req.mayHaveRun == 0 || req.class.SafeToRetry(req.class.Effect)
 }
 
 // withinColdBudget keeps this proxy's part of the cold budget: its share of the fleet's requests for the member's size and warmth, times a part of
 // the fall multiple. The first token is random, so that the many proxies whose share is under one don't all spend one at once.
-func (b *Balancer) withinColdBudget(n *memberState) bool {
-	r := b.warmth(n)
-	if r >= 1 || b.settings.OverloadMultiple == 0 {
+func (b *Balancer) withinColdBudget(member *memberState) bool {
+	warmth := b.warmth(member)
+	if warmth >= 1 || b.settings.OverloadMultiple == 0 {
 		return true
 	}
-	rate := b.servedRate() * n.weight / max(b.warmWeight(), n.weight) * r * b.settings.OverloadMultiple * coldBudgetShare
-	n.coldTokens, n.coldTokensAt = min(n.coldTokens+rate*(b.now-n.coldTokensAt).Seconds(), max(1, rate*b.settings.OverloadDuration.Seconds()/2)), b.now
+	rate := b.servedRate() * member.weight / max(b.warmWeight(), member.weight) * warmth * b.settings.OverloadMultiple * coldBudgetShare
+	member.coldTokens, member.coldTokensAt = min(member.coldTokens+rate*(b.now-member.coldTokensAt).Seconds(), max(1, rate*b.settings.OverloadDuration.Seconds()/2)), b.now
 	// While the whole fleet is cold a proxy asks one request at a time, some way apart: the budget goes by what caches answer, and sinks
 	// with it. All proxies together ask no faster than a member answers one by one; quick answers may be misses, which tell little.
-	gap := seconds(float64(b.settings.Instances) * max(n.latency, b.fetchTarget/4))
-	return n.coldTokens >= 1 || b.mostlyCold && n.outstanding == 0 && b.now-n.lastSentAt >= gap
+	minInterval := seconds(float64(b.settings.Instances) * max(member.latency, b.fetchTarget/4))
+	return member.coldTokens >= 1 || b.mostlyCold && member.outstanding == 0 && b.now-member.lastSentAt >= minInterval
 }
 
 // warmWeight is the weight that does the answering: cold members count by their warmth. At least half of the
@@ -774,9 +774,9 @@
 func (b *Balancer) warmWeight() float64 {
 	if b.now-b.cachedWarmWeightAt >= 500*time.Millisecond { // not at every request: it grows with the fleet
 		b.cachedWarmWeight, b.cachedWarmWeightAt = 0, b.now
-		for _, n := range b.caches {
-			if !b.zoneTables || n.entry.Zone == b.settings.Zone {
-				b.cachedWarmWeight += n.weight * b.warmth(n)
+		for _, member := range b.caches {
+			if !b.zoneTables || member.entry.Zone == b.settings.Zone {
+				b.cachedWarmWeight += member.weight * b.warmth(member)
 			}
 		}
 		b.mostlyCold = b.cachedWarmWeight < b.tableWeight()/2
@@ -784,83 +784,83 @@
 	return max(b.cachedWarmWeight, b.peakWeight/2)
 }
 
-func (b *Balancer) send(f *pendingRequest, n *memberState, timeout time.Duration) {
-	if b.warmth(n) < 1 {
-		n.coldTokens = max(-1, n.coldTokens-1)
+func (b *Balancer) send(req *pendingRequest, member *memberState, timeout time.Duration) {
+	if b.warmth(member) < 1 {
+		member.coldTokens = max(-1, member.coldTokens-1)
 	}
-	bit := uint64(1) << f.attempts
-	f.attempts, f.outstanding = f.attempts+1, f.outstanding|bit
-	if f.mayHaveRun == 0 {
-		f.firstRunMember, f.firstRunAt = n, b.now
+	bit := uint64(1) << req.attempts
+	req.attempts, req.outstanding = req.attempts+1, req.outstanding|bit
+	if req.mayHaveRun == 0 {
+		req.firstRunMember, req.firstRunAt = member, b.now
 	}
-	f.mayHaveRun |= bit
-	f.waiting, f.queued = false, false
-	gap := (b.now - n.lastSentAt).Seconds()
-	if n.sendInterval == 0 {
-		n.sendInterval = gap // since the member was first heard of
+	req.mayHaveRun |= bit
+	req.waiting, req.queued = false, false
+	interval := (b.now - member.lastSentAt).Seconds()
+	if member.sendInterval == 0 {
+		member.sendInterval = interval // since the member was first heard of
 	}
-	n.sendInterval += (gap - n.sendInterval) * 0.3
-	n.outstanding, n.lastSentAt = n.outstanding+1, b.now
-	n.peakOutstanding = max(n.peakOutstanding, float64(n.outstanding))
-	if b.isOrigin(n.entry) {
-		f.originAttempts |= bit
+	member.sendInterval += (interval - member.sendInterval) * 0.3
+	member.outstanding, member.lastSentAt = member.outstanding+1, b.now
+	member.peakOutstanding = max(member.peakOutstanding, float64(member.outstanding))
+	if b.isOrigin(member.entry) {
+		req.originAttempts |= bit
 	} else {
-		f.triedCaches = append(f.triedCaches, n)
-		b.outstandingAtCaches, n.zone.nextProbeAt = b.outstandingAtCaches+1, b.now+silentZoneInterval
+		req.triedCaches = append(req.triedCaches, member)
+		b.outstandingAtCaches, member.zone.nextProbeAt = b.outstandingAtCaches+1, b.now+silentZoneInterval
 	}
-	b.actions.Send(f.ID, n.entry.ID, timeout)
+	b.actions.Send(req.ID, member.entry.ID, timeout)
 }
 
 // refuseOrFail is the one place of the balancer's own final answers.
-func (b *Balancer) refuseOrFail(f *pendingRequest, why Reason) {
+func (b *Balancer) refuseOrFail(req *pendingRequest, why Reason) {
 	switch {
-	case f.answered:
+	case req.answered:
 		return
-	case b.mayRefuse(f):
-		b.actions.Refuse(f.ID, b.retryAfter(f), why)
+	case b.mayRefuse(req):
+		b.actions.Refuse(req.ID, b.retryAfter(req), why)
 	default:
-		b.actions.Fail(f.ID, why)
+		b.actions.Fail(req.ID, why)
 	}
-	b.finish(f)
+	b.finish(req)
 }
 
 // retryAfter is when a refused client should ask again: once the line for the origin is drained, and, the longer
 // this proxy has had to refuse, the later, since a shortage that has lasted is not over soon. Clients that ask
 // again at once multiply the load that they were refused for. It is spread, so that they don't return together.
-func (b *Balancer) retryAfter(f *pendingRequest) time.Duration {
+func (b *Balancer) retryAfter(req *pendingRequest) time.Duration {
 	if b.now-b.lastRefusalAt > shortageEndGap {
 		b.refusingSince = b.now
 	}
 	b.lastRefusalAt = b.now
 	wait := max(minRetryAfter, b.now-b.refusingSince)
-	if o := b.originFor(f); o != nil {
-		wait = max(wait, seconds(float64(len(b.originQueue)+1)*o.latency/max(1, o.limit)))
+	if origin := b.originFor(req); origin != nil {
+		wait = max(wait, seconds(float64(len(b.originQueue)+1)*origin.latency/max(1, origin.limit)))
 	}
 	wait = min(wait, b.settings.MaxRetryAfter*2/3)
 	return wait/2 + b.jitter(wait)
 }
 
 // finish ends a request; attempts still out are called off, but for fetches, whose value will be stored.
-func (b *Balancer) finish(f *pendingRequest) {
-	f.answered, f.waiting, f.queued = true, false, false
-	for i := 0; f.outstanding>>i != 0; i++ {
-		if b.settings.CanCancel && (f.outstanding&^f.originAttempts)>>i&1 != 0 {
-			b.actions.Cancel(f.ID, i)
+func (b *Balancer) finish(req *pendingRequest) {
+	req.answered, req.waiting, req.queued = true, false, false
+	for i := 0; req.outstanding>>i != 0; i++ {
+		if b.settings.CanCancel && (req.outstanding&^req.originAttempts)>>i&1 != 0 {
+			b.actions.Cancel(req.ID, i)
 		}
 	}
-	if f.ownsFetch && f.outstanding&f.originAttempts == 0 {
-		b.fetchEnded(f, false) // else those who wait would wait in vain
+	if req.ownsFetch && req.outstanding&req.originAttempts == 0 {
+		b.fetchEnded(req, false) // else those who wait would wait in vain
 	}
-	if f.outstanding == 0 {
-		delete(b.requests, f.ID)
+	if req.outstanding == 0 {
+		delete(b.requests, req.ID)
 	}
 }
 
 // RequestCancelled ends a request whose client left.
 func (b *Balancer) RequestCancelled(now time.Duration, id RequestID) {
 	b.advance(now)
-	if f := b.requests[id]; f != nil && !f.answered {
-		b.finish(f)
+	if req := b.requests[id]; req != nil && !req.answered {
+		b.finish(req)
 		b.dispatchOriginQueue()
 	}
 }
@@ -868,16 +868,16 @@
 // StreamStarted binds a request to the attempt that has begun to answer.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, attempt int) {
 	b.advance(now)
-	if f := b.requests[id]; f != nil {
-		f.streaming = true
+	if req := b.requests[id]; req != nil {
+		req.streaming = true
 	}
 }
 
 // Timer delivers a timer set before.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	b.advance(now)
-	f := b.requests[RequestID(token>>3)]
-	idle := f != nil && f.outstanding == 0 && !f.streaming && !f.answered
+	req := b.requests[RequestID(token>>3)]
+	idle := req != nil && req.outstanding == 0 && !req.streaming && !req.answered
 	switch token & 7 {
 	case timerWindow:
 		b.closeWindow()
@@ -888,280 +888,280 @@
 		b.dispatchOriginQueue()
 	case timerSoftDeadline, timerDeadline: // nothing out at its aim: no answer can come in time
 		switch {
-		case idle && f.queued && token&7 == timerSoftDeadline:
-			b.refuseOrFail(f, OriginLine)
-		case idle || token&7 == timerDeadline && f != nil && !f.streaming:
-			b.refuseOrFail(f, OutOfTime)
+		case idle && req.queued && token&7 == timerSoftDeadline:
+			b.refuseOrFail(req, OriginLine)
+		case idle || token&7 == timerDeadline && req != nil && !req.streaming:
+			b.refuseOrFail(req, OutOfTime)
 		}
 	case timerResume:
-		if idle && f.waiting && !f.queued {
-			f.waiting = false
-			b.sendNextAttempt(f)
+		if idle && req.waiting && !req.queued {
+			req.waiting = false
+			b.sendNextAttempt(req)
 		}
 	case timerDedupWindow:
 		if idle {
-			b.endIfUnsendable(f)
+			b.endIfUnsendable(req)
 		}
 	}
 }
 
 // Outcome tells how an attempt ended.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+func (b *Balancer) Outcome(now time.Duration, outcome Outcome) {
 	b.advance(now)
-	f := b.requests[o.Request]
-	if f == nil || o.Attempt < 0 || o.Attempt > 63 || f.outstanding>>o.Attempt&1 == 0 {
+	req := b.requests[outcome.Request]
+	if req == nil || outcome.Attempt < 0 || outcome.Attempt > 63 || req.outstanding>>outcome.Attempt&1 == 0 {
 		return // unknown, or told before
 	}
-	bit := uint64(1) << o.Attempt
-	f.outstanding &^= bit
-	n, fetched := b.members[o.Member], f.originAttempts&bit != 0
-	if !fetched {
+	bit := uint64(1) << outcome.Attempt
+	req.outstanding &^= bit
+	member, fromOrigin := b.members[outcome.Member], req.originAttempts&bit != 0
+	if !fromOrigin {
 		b.outstandingAtCaches--
 	}
-	if n != nil {
-		b.recordOutcome(n, o, fetched)
+	if member != nil {
+		b.recordOutcome(member, outcome, fromOrigin)
 	}
-	if o.Status.NeverRan() {
-		f.mayHaveRun &^= bit
+	if outcome.Status.NeverRan() {
+		req.mayHaveRun &^= bit
 	} else {
-		f.notBefore = max(f.notBefore, b.now+o.InTransit)
+		req.notBefore = max(req.notBefore, b.now+outcome.InTransit)
 	}
 	// Nobody was asked, or it was turned away unseen, which is no load that a jam is made of, or the connection ended for
 	// something else, or the request is at fault: the throttle would take this for a jam.
-	if s := o.Status; !fetched && (s == StatusNoConn || s == StatusFull || s == StatusRejected || s == StatusCancelled && !f.answered) {
+	if status := outcome.Status; !fromOrigin && (status == StatusNoConn || status == StatusFull || status == StatusRejected || status == StatusCancelled && !req.answered) {
 		b.recentAttempts = max(0, b.recentAttempts-1)
 	}
-	if o.Status == StatusNoConn {
-		f.unsent = min(f.unsent+1, f.maxAttempts)
+	if outcome.Status == StatusNoConn {
+		req.unsent = min(req.unsent+1, req.maxAttempts)
 	}
-	f.answered = f.answered || o.Final
+	req.answered = req.answered || outcome.Final
 	// A fetch that failed goes back in line below; until it is given up, those who wait for it go on waiting.
-	if fetched && f.ownsFetch && (f.answered || o.Status == StatusOK) {
-		b.fetchEnded(f, o.Status == StatusOK)
+	if fromOrigin && req.ownsFetch && (req.answered || outcome.Status == StatusOK) {
+		b.fetchEnded(req, outcome.Status == StatusOK)
 	}
 	switch {
-	case f.answered || o.Status == StatusOK:
-		b.finish(f)
-	case o.Status == StatusRejected:
-		b.actions.Fail(f.ID, Rejected)
-		b.finish(f)
-	case f.outstanding != 0 || f.waiting:
-	case o.Status == StatusMiss && b.settings.Mode == CacheAside && !fetched:
-		b.handleMiss(f, n, o.Note)
+	case req.answered || outcome.Status == StatusOK:
+		b.finish(req)
+	case outcome.Status == StatusRejected:
+		b.actions.Fail(req.ID, Rejected)
+		b.finish(req)
+	case req.outstanding != 0 || req.waiting:
+	case outcome.Status == StatusMiss && b.settings.Mode == CacheAside && !fromOrigin:
+		b.handleMiss(req, member, outcome.Note)
 	default:
-		b.retryAfterFailure(f, o.Status, fetched)
+		b.retryAfterFailure(req, outcome.Status, fromOrigin)
 	}
 	b.dispatchOriginQueue()
 }
 
 // RestrictMembers changes the members that a request may go to from now on; nil: all.
-func (b *Balancer) RestrictMembers(now time.Duration, id RequestID, only []MemberID) {
+func (b *Balancer) RestrictMembers(now time.Duration, id RequestID, allowed []MemberID) {
 	b.advance(now)
-	if f := b.requests[id]; f != nil && !f.answered {
-		f.AllowedMembers = only
-		b.endIfUnsendable(f)
+	if req := b.requests[id]; req != nil && !req.answered {
+		req.AllowedMembers = allowed
+		b.endIfUnsendable(req)
 	}
 }
 
 // Fallbacks names up to most further caches for a request that is out, for clients that go on to the next by themselves
 // where one can't be reached. Only for what is safe to repeat, within the attempts allowed, and never a cold member, whose
 // budget is spent by sending. What the client does with them is told by Moved.
-func (b *Balancer) Fallbacks(id RequestID, most int) (spares []MemberID) {
-	f := b.requests[id]
-	if f == nil || f.answered || f.class.Effect != Repeatable || f.Write {
+func (b *Balancer) Fallbacks(id RequestID, limit int) (fallbacks []MemberID) {
+	req := b.requests[id]
+	if req == nil || req.answered || req.class.Effect != Repeatable || req.Write {
 		return nil
 	}
-	most = min(most, f.maxAttempts-f.sentAttempts())
-	out := f.outstanding
-	f.outstanding = 0 // the one that is out will have ended
-	for _, r := range b.candidates(f.slot) {
-		if len(spares) < most && b.warmth(r.member) >= 1 && b.usable(f, r.member) && b.hasCapacity(r.member) {
-			spares = append(spares, r.member.entry.ID)
+	limit = min(limit, req.maxAttempts-req.sentAttempts())
+	outstanding := req.outstanding
+	req.outstanding = 0 // the one that is out will have ended
+	for _, ranked := range b.candidates(req.slot) {
+		if len(fallbacks) < limit && b.warmth(ranked.member) >= 1 && b.usable(req, ranked.member) && b.hasCapacity(ranked.member) {
+			fallbacks = append(fallbacks, ranked.member.entry.ID)
 		}
 	}
-	f.outstanding = out
-	return spares
+	req.outstanding = outstanding
+	return fallbacks
 }
 
 // FallbackUsed tells that the client has gone on by itself with an attempt that is out, from a member that failed it to one of
 // Spares. It counts as one more attempt.
 func (b *Balancer) FallbackUsed(now time.Duration, id RequestID, from, to MemberID) {
 	b.advance(now)
-	f := b.requests[id]
-	if f == nil || f.outstanding == 0 {
+	req := b.requests[id]
+	if req == nil || req.outstanding == 0 {
 		return
 	}
-	if n := b.members[from]; n != nil {
-		b.recordOutcome(n, Outcome{Status: StatusUnknown}, false)
+	if member := b.members[from]; member != nil {
+		b.recordOutcome(member, Outcome{Status: StatusUnknown}, false)
 	}
-	f.unsent-- // one more than was sent from here
-	if n := b.members[to]; n != nil {
-		n.outstanding++
-		f.triedCaches = append(f.triedCaches, n)
+	req.unsent-- // one more than was sent from here
+	if member := b.members[to]; member != nil {
+		member.outstanding++
+		req.triedCaches = append(req.triedCaches, member)
 	}
 }
 
 // handleMiss sends a read on to the origin, unless the key is being fetched already.
-func (b *Balancer) handleMiss(f *pendingRequest, n *memberState, note int) {
-	if n != nil && f.missedCache == nil {
-		f.missedCache = n
+func (b *Balancer) handleMiss(req *pendingRequest, member *memberState, note int) {
+	if member != nil && req.missedCache == nil {
+		req.missedCache = member
 	}
-	w, out := b.fetchWaiters[f.Key]
-	if f.coalescedAfterMiss || f.Key == 0 || f.sentAttempts()+2 > f.maxAttempts || !out && note != NoteFetched {
-		b.enqueueForOrigin(f)
+	waiters, fetching := b.fetchWaiters[req.Key]
+	if req.coalescedAfterMiss || req.Key == 0 || req.sentAttempts()+2 > req.maxAttempts || !fetching && note != NoteFetched {
+		b.enqueueForOrigin(req)
 		return
 	}
-	f.coalescedAfterMiss, f.triedCaches = true, nil
-	wait := (f.softDeadline - b.now) / 2
-	if out {
-		b.fetchWaiters[f.Key] = append(w, f)
-	} else if at := b.originFor(f); at != nil { // another proxy fetches it
-		wait = min(wait, seconds(max(at.latency, 0.02)))
+	req.coalescedAfterMiss, req.triedCaches = true, nil
+	wait := (req.softDeadline - b.now) / 2
+	if fetching {
+		b.fetchWaiters[req.Key] = append(waiters, req)
+	} else if origin := b.originFor(req); origin != nil { // another proxy fetches it
+		wait = min(wait, seconds(max(origin.latency, 0.02)))
 	}
-	b.waitForFetch(f, wait)
+	b.waitForFetch(req, wait)
 }
 
 // fetchEnded lets those who waited for a fetch read the cache, or makes the first of them fetch itself.
-func (b *Balancer) fetchEnded(f *pendingRequest, ok bool) {
-	waiters := b.fetchWaiters[f.Key]
-	delete(b.fetchWaiters, f.Key)
-	f.ownsFetch = false
-	for _, w := range waiters {
-		if w.answered || !w.waiting || w.outstanding != 0 {
+func (b *Balancer) fetchEnded(req *pendingRequest, ok bool) {
+	waiters := b.fetchWaiters[req.Key]
+	delete(b.fetchWaiters, req.Key)
+	req.ownsFetch = false
+	for _, waiter := range waiters {
+		if waiter.answered || !waiter.waiting || waiter.outstanding != 0 {
 			continue
 		}
-		w.waiting, w.coalesced = false, false
-		if ok && f.missedCache != nil {
-			w.missedCache = f.missedCache
+		waiter.waiting, waiter.coalesced = false, false
+		if ok && req.missedCache != nil {
+			waiter.missedCache = req.missedCache
 		}
-		b.route(w)
+		b.route(waiter)
 	}
 }
 
 // retryAfterFailure makes a further attempt after a failure, if the rules, the time and the retry budget allow one.
-func (b *Balancer) retryAfterFailure(f *pendingRequest, s Status, fetched bool) {
+func (b *Balancer) retryAfterFailure(req *pendingRequest, status Status, fromOrigin bool) {
 	cost := 1.0
-	switch s {
+	switch status {
 	case StatusNoConn:
 		cost = 0
 	case StatusReset, StatusConnectFailed, StatusCancelled, StatusFull:
 		cost = unseenRetryCost
 	}
-	why := b.noFurtherAttempt(f)
+	why := b.noFurtherAttempt(req)
 	if why == NoReason && b.retryTokens < cost {
 		why = RetryBudget
 	}
 	if why != NoReason {
-		b.refuseOrFail(f, why)
+		b.refuseOrFail(req, why)
 		return
 	}
 	b.retryTokens -= cost
-	f.toOrigin = fetched || b.settings.Mode == CacheAside && f.sentAttempts()+1 >= f.maxAttempts && !b.hotTable[f.Key].isSplit() // one try left: other caches lack the key
-	if !f.toOrigin && (s == StatusReset || s == StatusCancelled) && len(f.triedCaches) == 1 && !f.retriedAfterReset && b.now < f.arrivedAt+(f.softDeadline-f.arrivedAt)/4 {
+	req.toOrigin = fromOrigin || b.settings.Mode == CacheAside && req.sentAttempts()+1 >= req.maxAttempts && !b.hotTable[req.Key].isSplit() // one try left: other caches lack the key
+	if !req.toOrigin && (status == StatusReset || status == StatusCancelled) && len(req.triedCaches) == 1 && !req.retriedAfterReset && b.now < req.arrivedAt+(req.softDeadline-req.arrivedAt)/4 {
 		// The connection broke early; the member, which has the key, may well be up. Once: one that holds few connections breaks
 		// all that are new, and would use up the read's tries. Late, the read has waited behind what its member doesn't answer.
-		f.triedCaches, f.retriedAfterReset = f.triedCaches[:0], s == StatusReset
+		req.triedCaches, req.retriedAfterReset = req.triedCaches[:0], status == StatusReset
 	}
-	f.missedCache = nil
-	b.sendNextAttempt(f)
+	req.missedCache = nil
+	b.sendNextAttempt(req)
 }
 
 // sendNextAttempt makes the next attempt of a request, once no earlier one can come at a member after it.
-func (b *Balancer) sendNextAttempt(f *pendingRequest) {
+func (b *Balancer) sendNextAttempt(req *pendingRequest) {
 	switch {
-	case f.notBefore > b.now && f.notBefore+b.answerMargin() >= f.softDeadline:
-		b.refuseOrFail(f, OutOfTime)
-	case f.notBefore > b.now:
-		if b.waitUnlessUnsendable(f, InTransit) {
-			b.setRequestTimer(f, f.notBefore, timerResume)
+	case req.notBefore > b.now && req.notBefore+b.answerMargin() >= req.softDeadline:
+		b.refuseOrFail(req, OutOfTime)
+	case req.notBefore > b.now:
+		if b.waitUnlessUnsendable(req, InTransit) {
+			b.setRequestTimer(req, req.notBefore, timerResume)
 		}
-	case f.toOrigin:
-		f.toOrigin = false
-		b.enqueueForOrigin(f)
+	case req.toOrigin:
+		req.toOrigin = false
+		b.enqueueForOrigin(req)
 	default:
-		b.route(f)
+		b.route(req)
 	}
 }
 
 // recordOutcome takes in how an attempt ended.
-func (b *Balancer) recordOutcome(n *memberState, o Outcome, fetched bool) {
-	n.outstanding = max(0, n.outstanding-1)
-	bad := 1.0
-	switch o.Status {
+func (b *Balancer) recordOutcome(member *memberState, outcome Outcome, fromOrigin bool) {
+	member.outstanding = max(0, member.outstanding-1)
+	failure := 1.0
+	switch outcome.Status {
 	case StatusCancelled, StatusMoot, StatusRejected, StatusNoConn:
 		return
 	case StatusFull:
-		if fetched {
-			b.cutLimit(n, 0.7)
+		if fromOrigin {
+			b.cutLimit(member, 0.7)
 		} else { // not from what is out: a proxy that sends seldom is not what fills it
-			n.limit = max(min(1, n.limit), 0.7*n.limit)
+			member.limit = max(min(1, member.limit), 0.7*member.limit)
 		}
 		return
 	case StatusOK, StatusMiss:
-		if z := n.zone; !fetched && z.timeoutStreak >= 2*silentZoneTimeouts && b.now-z.firstTimeoutAt >= zoneOutageTime && b.lastAnswerAt > z.firstTimeoutAt { // others have answered
-			z.coldSince = b.now
+		if zone := member.zone; !fromOrigin && zone.timeoutStreak >= 2*silentZoneTimeouts && b.now-zone.firstTimeoutAt >= zoneOutageTime && b.lastAnswerAt > zone.firstTimeoutAt { // others have answered
+			zone.coldSince = b.now
 		}
-		bad, n.failureStreak, n.zone.timeoutStreak = 0, 0, 0
-		n.answeredSentAt = max(n.answeredSentAt, b.now-o.Elapsed)
-		if n.lastAnswerAt > 0 {
-			n.answerInterval += (min(n.latency, (b.now-n.lastAnswerAt).Seconds()) - n.answerInterval) * max(0.05, 1/float64(n.samples))
+		failure, member.failureStreak, member.zone.timeoutStreak = 0, 0, 0
+		member.answeredSentAt = max(member.answeredSentAt, b.now-outcome.Elapsed)
+		if member.lastAnswerAt > 0 {
+			member.answerInterval += (min(member.latency, (b.now-member.lastAnswerAt).Seconds()) - member.answerInterval) * max(0.05, 1/float64(member.samples))
 		}
-		n.lastAnswerAt = b.now
-		n.recordFastestAnswer(o)
-		b.adaptLimit(n, o.Elapsed.Seconds(), o.FirstOnConnection)
-		if n.missStreak++; o.Status == StatusOK {
-			n.hits, n.missStreak = min(n.hits+1, emptyCacheMisses), 0
-		} else if !fetched && n.missStreak >= emptyCacheMisses && n.hits >= emptyCacheMisses && b.warmth(n) >= 1 {
-			n.coldSince, n.hits = b.now, 0
+		member.lastAnswerAt = b.now
+		member.recordFastestAnswer(outcome)
+		b.adaptLimit(member, outcome.Elapsed.Seconds(), outcome.FirstOnConnection)
+		if member.missStreak++; outcome.Status == StatusOK {
+			member.hits, member.missStreak = min(member.hits+1, emptyCacheMisses), 0
+		} else if !fromOrigin && member.missStreak >= emptyCacheMisses && member.hits >= emptyCacheMisses && b.warmth(member) >= 1 {
+			member.coldSince, member.hits = b.now, 0
 		}
-		if !fetched {
-			b.meanLatency += (o.Elapsed.Seconds() - b.meanLatency) * 0.01
+		if !fromOrigin {
+			b.meanLatency += (outcome.Elapsed.Seconds() - b.meanLatency) * 0.01
 			b.recentAnswers, b.lastAnswerAt = b.recentAnswers+1, b.now
 			b.servedWork += 0.5
-			if o.Status == StatusOK {
+			if outcome.Status == StatusOK {
 				b.servedWork += 0.5
 			}
 		}
 	case StatusTimeout:
-		if o.Elapsed < seconds(n.fastestAnswer) {
+		if outcome.Elapsed < seconds(member.fastestAnswer) {
 			return // it had too little time for that to say anything; a member may drop such an attempt without a word
 		}
 		// A member that has answered what was sent in the second half of the wait is neither jammed nor gone: this attempt's
 		// connection fell silent, or its work was long. As latency, the wait would cut the limit of a member that is well. A
 		// jam that takes attempts in turn is still seen; one that serves the newest first would be missed.
-		if n.answeredSentAt > b.now-o.Elapsed/2 {
+		if member.answeredSentAt > b.now-outcome.Elapsed/2 {
 			return
 		}
-		b.adaptLimit(n, max(o.Elapsed.Seconds(), 2*b.fetchTarget), o.FirstOnConnection)
-		if n.failureStreak++; n.zone.timeoutStreak == 0 {
-			n.zone.firstTimeoutAt = b.now
+		b.adaptLimit(member, max(outcome.Elapsed.Seconds(), 2*b.fetchTarget), outcome.FirstOnConnection)
+		if member.failureStreak++; member.zone.timeoutStreak == 0 {
+			member.zone.firstTimeoutAt = b.now
 		}
-		n.zone.timeoutStreak++
+		member.zone.timeoutStreak++
 	default:
-		n.failureStreak++
+		member.failureStreak++
 	}
-	n.failureRate += (bad - n.failureRate) * 0.3
-	b.failureRate += (bad - b.failureRate) * 0.05
+	member.failureRate += (failure - member.failureRate) * 0.3
+	b.failureRate += (failure - b.failureRate) * 0.05
 	// Two in a row, and more where an answer or connection broke: that tells of a connection rather than of
 	// its member, which is up if the next one can be opened. An ejected member's load goes to others that lack
 	// its keys. Relative to the fleet: when everything fails alike, ejecting helps nobody.
-	least := 2.0
-	if o.Status == StatusReset || o.Status == StatusError {
-		least = 4
+	minStreak := 2.0
+	if outcome.Status == StatusReset || outcome.Status == StatusError {
+		minStreak = 4
 	}
 	// Where attempts fail everywhere, a few in a row come about by chance, and kinds of failure mix: as many are
 	// asked for as the fleet's own share of failures would bring only once in ejectionOdds attempts.
-	least = max(least, min(maxFailureStreak, math.Log(ejectionOdds)/-math.Log(max(1e-9, min(0.9, b.failureRate)))))
-	if bad > 0 && !fetched && float64(n.failureStreak) >= least && n.failureRate > 2*b.failureRate {
-		d := 250 * time.Millisecond << min(n.failureStreak, 5)
-		n.ejectedUntil = b.now + d/2 + b.jitter(d)
+	minStreak = max(minStreak, min(maxFailureStreak, math.Log(ejectionOdds)/-math.Log(max(1e-9, min(0.9, b.failureRate)))))
+	if failure > 0 && !fromOrigin && float64(member.failureStreak) >= minStreak && member.failureRate > 2*b.failureRate {
+		duration := 250 * time.Millisecond << min(member.failureStreak, 5)
+		member.ejectedUntil = b.now + duration/2 + b.jitter(duration)
 	}
 }
 
 // recordFastestAnswer takes in how long an answer took.
-func (n *memberState) recordFastestAnswer(o Outcome) {
-	if took := o.Elapsed.Seconds(); !o.FirstOnConnection {
-		n.fastestAnswer = min(took, cmp.Or(n.fastestAnswer*minLatencyGrowth, took))
+func (member *memberState) recordFastestAnswer(outcome Outcome) {
+	if elapsed := outcome.Elapsed.Seconds(); !outcome.FirstOnConnection {
+		member.fastestAnswer = min(elapsed, cmp.Or(member.fastestAnswer*minLatencyGrowth, elapsed))
 	}
 }
 
@@ -1170,36 +1170,36 @@
 //
 // A handshake is no load: the wait for one neither cuts the limit nor raises it. Members in other zones would else look jammed
 // where connections don't last. It could do harm at one whose every connection is new: only full answers hold its limit down.
-func (b *Balancer) adaptLimit(n *memberState, s float64, fresh bool) {
-	n.samples++
-	n.latency += (s - n.latency) * max(0.1, 1/float64(n.samples))
-	n.peakOutstanding = max(float64(n.outstanding), n.peakOutstanding*0.95)
-	n.minLatency = min(n.latency, cmp.Or(n.minLatency*minLatencyGrowth, n.latency))
-	slow := max(b.fetchTarget, min(2*n.minLatency, 1.25*b.fetchTarget)) // a member that is far is no slower for being sent less
+func (b *Balancer) adaptLimit(member *memberState, elapsed float64, firstOnConnection bool) {
+	member.samples++
+	member.latency += (elapsed - member.latency) * max(0.1, 1/float64(member.samples))
+	member.peakOutstanding = max(float64(member.outstanding), member.peakOutstanding*0.95)
+	member.minLatency = min(member.latency, cmp.Or(member.minLatency*minLatencyGrowth, member.latency))
+	slowThreshold := max(b.fetchTarget, min(2*member.minLatency, 1.25*b.fetchTarget)) // a member that is far is no slower for being sent less
 	switch {
-	case fresh && s > slow:
-	case n.latency > slow && s > slow: // an answer in time never cuts, however slow those before it
-		b.cutLimit(n, 0.8)
-	case float64(n.outstanding+1) < n.limit-1: // not what holds it back
-	case n.limitCutAt == 0:
-		n.limit++
+	case firstOnConnection && elapsed > slowThreshold:
+	case member.latency > slowThreshold && elapsed > slowThreshold: // an answer in time never cuts, however slow those before it
+		b.cutLimit(member, 0.8)
+	case float64(member.outstanding+1) < member.limit-1: // not what holds it back
+	case member.limitCutAt == 0:
+		member.limit++
 	default:
-		n.limit += min(1/n.limit, n.limit/2)
+		member.limit += min(1/member.limit, member.limit/2)
 	}
 }
 
 // cutLimit lowers a limit, from what has been out lately: a proxy that sends seldom has a part of one attempt out on average, and a limit
 // above that would hold nothing back. What is out at the moment says too little: a burst is over as its slow answers come.
-func (b *Balancer) cutLimit(n *memberState, by float64) {
-	if b.now-n.limitCutAt >= seconds(max(0.05, n.latency)) { // once a round trip
-		used := max(float64(n.outstanding), n.peakOutstanding-2) + min(1, n.latency/max(0.001, n.sendInterval))
+func (b *Balancer) cutLimit(member *memberState, factor float64) {
+	if b.now-member.limitCutAt >= seconds(max(0.05, member.latency)) { // once a round trip
+		used := max(float64(member.outstanding), member.peakOutstanding-2) + min(1, member.latency/max(0.001, member.sendInterval))
 		if used < 1 { // it will hear of this member only seldom
-			by *= by
+			factor *= factor
 		}
 		// The proxies together may keep half an attempt out: one slow answer to a proxy that seldom asks would
 		// else take the member out for it.
-		least := max(0.01, 0.5/float64(b.settings.Instances))
-		n.limitCutAt, n.limit = b.now, max(least, min(n.limit, used)*by)
+		minLimit := max(0.01, 0.5/float64(b.settings.Instances))
+		member.limitCutAt, member.limit = b.now, max(minLimit, min(member.limit, used)*factor)
 	}
 }
 
@@ -1208,77 +1208,77 @@
 // that sends to each but now and then. What is out and may yet be answered does not count while the caches answer, and
 // before they can have: a crowd that comes at once would else be refused before its first answers.
 func (b *Balancer) throttled() bool {
-	keep := math.Exp(-(b.now - b.recentCountsAt).Seconds() / throttleWindow.Seconds())
-	b.recentAttempts, b.recentAnswers, b.recentCountsAt = b.recentAttempts*keep+1, b.recentAnswers*keep, b.now
-	young, span := float64(b.outstandingAtCaches), seconds(max(0.02, 3*b.meanLatency))
-	if past := b.now - b.currentReadsSince; past > span { // what was asked since then can't all have been answered
-		if b.previousReads = b.currentReads; past > 2*span {
+	decay := math.Exp(-(b.now - b.recentCountsAt).Seconds() / throttleWindow.Seconds())
+	b.recentAttempts, b.recentAnswers, b.recentCountsAt = b.recentAttempts*decay+1, b.recentAnswers*decay, b.now
+	unanswered, answerTime := float64(b.outstandingAtCaches), seconds(max(0.02, 3*b.meanLatency))
+	if elapsed := b.now - b.currentReadsSince; elapsed > answerTime { // what was asked since then can't all have been answered
+		if b.previousReads = b.currentReads; elapsed > 2*answerTime {
 			b.previousReads = 0
 		}
 		b.currentReads, b.currentReadsSince = 0, b.now
 	}
-	if b.now-b.lastAnswerAt > span {
-		young = min(young, max(float64(initialLimit*len(b.caches)), float64(b.previousReads+b.currentReads)))
+	if b.now-b.lastAnswerAt > answerTime {
+		unanswered = min(unanswered, max(float64(initialLimit*len(b.caches)), float64(b.previousReads+b.currentReads)))
 	}
 	b.currentReads++
-	return b.rng.Float64()*(b.recentAttempts+throttleSlack) < b.recentAttempts-young-throttleRatio*b.recentAnswers-throttleSlack
+	return b.rng.Float64()*(b.recentAttempts+throttleSlack) < b.recentAttempts-unanswered-throttleRatio*b.recentAnswers-throttleSlack
 }
 
 // hasCapacity tells whether a member's limit lets another attempt out. A limit under one is kept by spacing: many
 // proxies, each with a single attempt out, could else be too much together.
-func (b *Balancer) hasCapacity(n *memberState) bool {
-	if n.limit >= 1 {
+func (b *Balancer) hasCapacity(member *memberState) bool {
+	if member.limit >= 1 {
 		// A limit grows by what is answered, too late for a crowd that comes at once. Where a member is so quick that it
 		// could do all that is out one by one, or as fast as it answers lately, in a part of the target, and has not turned
 		// work away, the crowd is let in.
-		return n.outstanding < int(n.limit) || n.limit >= initialLimit && n.samples >= initialLimit &&
-			cmp.Or(min(n.latency, n.answerInterval), n.latency)*float64(n.outstanding+1) < b.fetchTarget*burstTargetShare
+		return member.outstanding < int(member.limit) || member.limit >= initialLimit && member.samples >= initialLimit &&
+			cmp.Or(min(member.latency, member.answerInterval), member.latency)*float64(member.outstanding+1) < b.fetchTarget*burstTargetShare
 	}
-	return n.outstanding == 0 && b.now-n.lastSentAt >= seconds(n.latency*(1/n.limit-1))
+	return member.outstanding == 0 && b.now-member.lastSentAt >= seconds(member.latency*(1/member.limit-1))
 }
 
 // enqueueForOrigin puts a request in line for the origin: writes first, then by worth.
-func (b *Balancer) enqueueForOrigin(f *pendingRequest) {
-	f.waiting, f.queued = true, true
-	if !f.Write && f.Key != 0 {
-		if _, out := b.fetchWaiters[f.Key]; !out {
-			b.fetchWaiters[f.Key] = nil
-			f.ownsFetch = true
+func (b *Balancer) enqueueForOrigin(req *pendingRequest) {
+	req.waiting, req.queued = true, true
+	if !req.Write && req.Key != 0 {
+		if _, fetching := b.fetchWaiters[req.Key]; !fetching {
+			b.fetchWaiters[req.Key] = nil
+			req.ownsFetch = true
 		}
 	}
-	at := slices.IndexFunc(b.originQueue, func(g *pendingRequest) bool {
-		return f.Write && !g.Write || f.Write == g.Write && f.priority > g.priority
+	position := slices.IndexFunc(b.originQueue, func(other *pendingRequest) bool {
+		return req.Write && !other.Write || req.Write == other.Write && req.priority > other.priority
 	})
-	if at < 0 {
-		at = len(b.originQueue)
+	if position < 0 {
+		position = len(b.originQueue)
 	}
-	b.originQueue = slices.Insert(b.originQueue, at, f)
+	b.originQueue = slices.Insert(b.originQueue, position, req)
 	b.dispatchOriginQueue()
-	if f.queued {
-		b.waitUnlessUnsendable(f, OriginLine)
+	if req.queued {
+		b.waitUnlessUnsendable(req, OriginLine)
 	}
 }
 
 // dispatchOriginQueue sends what the origin has room for, and refuses what can't make its aim any more.
 func (b *Balancer) dispatchOriginQueue() {
-	kept := b.originQueue[:0:0]
-	var dropped []*pendingRequest
-	for _, f := range b.originQueue {
-		n := b.originFor(f)
+	remaining := b.originQueue[:0:0]
+	var unsendable []*pendingRequest
+	for _, req := range b.originQueue {
+		member := b.originFor(req)
 		switch {
-		case f.answered || !f.queued:
-		case n == nil || !b.maySend(f, n) || b.now+seconds(min(n.latency, b.fetchTarget)/2) >= f.softDeadline:
-			dropped = append(dropped, f)
-		case f.Write || b.hasCapacity(n):
-			b.send(f, n, b.fetchTimeout(f, n))
+		case req.answered || !req.queued:
+		case member == nil || !b.maySend(req, member) || b.now+seconds(min(member.latency, b.fetchTarget)/2) >= req.softDeadline:
+			unsendable = append(unsendable, req)
+		case req.Write || b.hasCapacity(member):
+			b.send(req, member, b.fetchTimeout(req, member))
 		default:
-			kept = append(kept, f)
+			remaining = append(remaining, req)
 		}
 	}
-	b.originQueue = kept
-	for _, f := range dropped {
-		if !b.endIfUnsendable(f) {
-			b.refuseOrFail(f, OriginLine)
+	b.originQueue = remaining
+	for _, req := range unsendable {
+		if !b.endIfUnsendable(req) {
+			b.refuseOrFail(req, OriginLine)
 		}
 	}
 	if len(b.originQueue) > 0 && b.originQueueTimerAt == 0 {
@@ -1290,23 +1290,23 @@
 // fetchTimeout is a fetch's time-out: until its aim, or several times what fetches take lately. One whose connection
 // fell silent would else hold a place in the origin's limit until its client gives up. A write is never given up
 // earlier, since it could not be made again.
-func (b *Balancer) fetchTimeout(f *pendingRequest, n *memberState) time.Duration {
-	if f.Write {
+func (b *Balancer) fetchTimeout(req *pendingRequest, member *memberState) time.Duration {
+	if req.Write {
 		return 0
 	}
-	return max(f.softDeadline-b.now, seconds(4*n.latency), time.Millisecond)
+	return max(req.softDeadline-b.now, seconds(4*member.latency), time.Millisecond)
 }
 
 // originAvailable tells whether another fetch would be taken at once, and in good time.
-func (b *Balancer) originAvailable(f *pendingRequest) bool {
-	n := b.originFor(f)
-	return n != nil && len(b.originQueue) == 0 && b.hasCapacity(n) && n.latency < b.fetchTarget/2
+func (b *Balancer) originAvailable(req *pendingRequest) bool {
+	member := b.originFor(req)
+	return member != nil && len(b.originQueue) == 0 && b.hasCapacity(member) && member.latency < b.fetchTarget/2
 }
 
-func (b *Balancer) originFor(f *pendingRequest) *memberState {
-	var n *memberState
-	for i := len(b.origins); i > 0 && (n == nil || !b.maySend(f, n)); i-- {
-		n = b.origins[(f.slot+i)%len(b.origins)]
+func (b *Balancer) originFor(req *pendingRequest) *memberState {
+	var member *memberState
+	for i := len(b.origins); i > 0 && (member == nil || !b.maySend(req, member)); i-- {
+		member = b.origins[(req.slot+i)%len(b.origins)]
 	}
-	return n
+	return member
 }
