--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -44,7 +44,7 @@
 	streamCost = 12 << 10
 	// streamWindow is what a caller may send on a stream before we read it, by HTTP/2's flow control.
 	streamWindow = 64 << 10
-	// peakConns is how many connections callers may hold. A caller needs one or two, each for many streams.
+	// mostConns is how many connections callers may hold. A caller needs one or two, each for many streams.
 	mostConns = 64
 	// firstMessage is how long a stream may stand without its first message; it is one exchange's, so a caller opens
 	// it when it has something to say.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -362,7 +362,7 @@
 		!slices.ContainsFunc(m.Conns, func(c *Conn[X]) bool { return c.Kept || !c.TurnedAway && !c.Busy() })
 }
 
-// tryConnect opens a connection that no request waits for. That it stands is not all: a cache that holds all the connections it will
+// tryOut opens a connection that no request waits for. That it stands is not all: a cache that holds all the connections it will
 // takes one more only to turn its first request away. A ping would find that out, and is priced as a probe.
 func (p *Pool[X]) tryOut(m *Member[X]) {
 	switch {
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -126,7 +126,7 @@
 	return m.last
 }
 
-// Outstanding is how many requests are being worked on.
+// InHand is how many requests are being worked on.
 func (m *member) InHand() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
