--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,4 +1,4 @@
-// The interface of this module is in api.go; this file holds every decision.
+// This file holds all routing decisions; the exported API is in api.go.
 
 package logic
 
@@ -13,60 +13,67 @@
 )
 
 const (
-	slotCount       = 4096            // many more than members, so that shares come out even
-	candidateDepth  = 12              // candidates kept for a slot; where zones have tables of their own, in this one
-	otherZoneDepth  = 2               // and in each other
-	counterCapacity = 1024            // keys the counter follows, several times the hot set
-	maxHotKeys      = 200             // the cap of the hot set (MIP-200 of the paper)
-	keyCost         = 3.33            // k of the paper: what a key costs beside its requests
-	maxWindow       = 4 * time.Second // counts are halved and hot keys placed anew this often
-	sufficientCount = 400             // requests that rank the hot keys well enough
-	splitLoadShare  = 0.5             // a key that asks for more of a cache's mean load than this is split
-	moveMargin      = 0.1             // a hot key moves only if that lowers the objective by this share
-	retryRatio      = 0.15            // further attempts after failures, as a share of requests
+	slotCount       = 4096            // many more than members, so that slots divide evenly
+	candidateDepth  = 12              // candidates kept per slot; with one slot table per zone, those in the local zone
+	otherZoneDepth  = 2               // candidates kept per slot in each other zone
+	counterCapacity = 1024            // keys tracked by the counter, several times the hot set
+	maxHotKeys      = 200             // maximum size of the hot set (MIP-200 in the paper)
+	keyCost         = 3.33            // k in the paper: cost of a key on top of its requests
+	maxWindow       = 4 * time.Second // interval at which counts are halved and hot keys are placed
+	sufficientCount = 400             // requests sufficient to rank the hot keys
+	splitLoadShare  = 0.5             // keys above this share of a cache's mean load are split
+	moveMargin      = 0.1             // a hot key moves only if this reduces the objective by this share
+	retryRatio      = 0.15            // retries after failures, as a share of requests
 	retryBurst      = 10
-	// unseenRetryCost is what a further attempt takes of the retry budget after a connection broke or did not come up, or a member turned
-	// the attempt away unseen: that tells of no load, and where it is common it would use the budget up. It could do harm where
-	// members shed load by resetting: there each request costs up to as many attempts as it may have.
+	// unseenRetryCost is the retry budget taken by a retry after a connection broke or could not be
+	// established, or after a member rejected the attempt without processing it. Such failures do not
+	// indicate load, and where they are common, full cost would exhaust the budget. The discount could do
+	// harm where members shed load by resetting connections: each request then costs up to its maximum
+	// number of attempts.
 	unseenRetryCost        = 0.25
-	initialLimit           = 8                      // attempts out at a member that has told nothing yet
-	knownSamples           = 16 * initialLimit      // answers; until then a limit that was never cut is a guess
-	unknownCacheRetryDelay = 10 * time.Millisecond  // after which a crowd at members that nothing is known of yet is looked at again
-	burstTargetShare       = 0.25                   // of the target: what a quick member may have out, one by one
-	throttleWindow         = 3 * time.Second        // over which asked and answered are compared
-	throttleRatio          = 2                      // a read may be refused when the caches answer less than one in this many
-	throttleSlack          = 8                      // fewer asked than this tell nothing
-	silentZoneTimeouts     = 4                      // time-outs in a row of a zone's caches that tell of the zone
-	silentZoneInterval     = 300 * time.Millisecond // between attempts there
-	zoneOutageTime         = 3 * time.Second        // of silence, in which its caches may have started anew: far beyond a jam
-	emptyCacheMisses       = 32                     // misses in a row of a cache that had as many hits: it has lost what it held, so it is a new process
-	maxBusyCandidates      = 6                      // busy candidates passed over before a read is refused
-	connectionWaitDivisor  = 12                     // part of its time that a read may wait for a connection: the right cache beats a miss elsewhere
-	ejectionOdds           = 3000                   // a streak that comes about by chance in fewer attempts ejects nobody
-	maxAttemptsLimit       = 32                     // as many again may find no connection, and a flight has 64 bits
-	maxFailureStreak       = 8                      // but one this long always does
-	minLatencyGrowth       = 1.002                  // with each answer, of the least that a member's answers have taken on average
-	coldBudgetShare        = 0.5                    // of the fall multiple: the rest is left for what this proxy can't see
+	initialLimit           = 8                     // concurrency limit of a member without any outcome yet
+	knownSamples           = 16 * initialLimit     // with fewer samples, an uncut limit is an estimate
+	unknownCacheRetryDelay = 10 * time.Millisecond // retry delay of reads held back at members with few samples
+	// share of fetchTarget that outstanding attempts may take at a fast member
+	burstTargetShare   = 0.25
+	throttleWindow     = 3 * time.Second        // period over which attempts and answers are compared
+	throttleRatio      = 2                      // reads may be refused below one answer in this many attempts
+	throttleSlack      = 8                      // fewer attempts than this are not significant
+	silentZoneTimeouts = 4                      // consecutive timeouts that mark a zone as silent
+	silentZoneInterval = 300 * time.Millisecond // minimum interval between attempts in a silent zone
+	// silence after which the caches of a zone may have restarted; far longer than overload lasts
+	zoneOutageTime = 3 * time.Second
+	// consecutive misses, after as many hits, that show that a cache restarted without its data
+	emptyCacheMisses  = 32
+	maxBusyCandidates = 6 // busy candidates at which a read is refused
+	// a read may wait 1/12 of its time for a connection: a hit after a short wait is better than a miss
+	// elsewhere
+	connectionWaitDivisor = 12
+	ejectionOdds          = 3000  // no ejection for streaks that chance produces more than once in this many attempts
+	maxAttemptsLimit      = 32    // as many again may get no connection, and the attempt bit sets have 64 bits
+	maxFailureStreak      = 8     // upper bound of the failure streak required for ejection
+	minLatencyGrowth      = 1.002 // growth of a member's minimum latency with each answer
+	coldBudgetShare       = 0.5   // share of OverloadMultiple; the rest is reserved for what this proxy can't observe
 )
 
-// What a refused client is told.
+// Bounds of the retry delay that a refused client is given.
 const (
 	minRetryAfter  = 50 * time.Millisecond
-	shortageEndGap = time.Second // without a refusal ends a shortage
+	shortageEndGap = time.Second // a shortage ends after this time without a refusal
 )
 
-// purposes of a timer, in the low bits of its token.
+// Purposes of a timer, stored in the low bits of its token.
 const (
-	timerWindow       = iota // the window closes
-	timerWatch               // ask for the list again
-	timerOriginQueue         // look at the origin's queue again
-	timerSoftDeadline        // a request's aim passes
-	timerDeadline            // a request must be answered
-	timerResume              // a request that waits with nothing out goes on
-	timerDedupWindow         // repeats of a request are dropped no longer
+	timerWindow       = iota // the counting window ends
+	timerWatch               // subscribe to the member list again
+	timerOriginQueue         // dispatch the origin queue again
+	timerSoftDeadline        // a request's soft deadline
+	timerDeadline            // a request's deadline
+	timerResume              // resume a waiting request without outstanding attempts
+	timerDedupWindow         // end of a request's deduplication window
 )
 
-// New makes a Balancer. The seed sets all its random choices.
+// New creates a Balancer. The seed determines all its random choices.
 func New(s Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if actions == nil {
 		return nil, errors.New("logic: no actions")
@@ -85,12 +92,13 @@
 		fetchWaiters: map[uint64][]*pendingRequest{}, retryTokens: retryBurst,
 	}
 	b.updateFetchTarget()
-	// Where crossing zones costs more than the copies it saves, each zone has a table of its own.
+	// Each zone has a slot table of its own where crossing zones costs more than the duplicate copies
+	// save.
 	b.zoneTables = s.Zones > 1 && s.CrossZoneCost*(1-1/float64(s.Zones)) > 0.03
 	return b, nil
 }
 
-// updateFetchTarget sets what a fetch may take: half of the shortest aim.
+// updateFetchTarget sets the target duration of a fetch to half of the shortest soft deadline.
 func (b *Balancer) updateFetchTarget() {
 	b.fetchTarget = math.Inf(1)
 	for _, c := range b.settings.Classes {
@@ -98,10 +106,11 @@
 	}
 }
 
-// UpdateClasses takes over other classes and another number of attempts, for requests that come from now on.
+// UpdateClasses replaces the classes and the number of attempts for requests that arrive from now on.
 func (b *Balancer) UpdateClasses(now time.Duration, classes []Class, maxAttempts int) error {
 	updated := b.settings
-	updated.Classes, updated.MaxAttempts = slices.Clone(classes), min(maxAttempts, maxAttemptsLimit) // requests in hand hold on to the old ones
+	// pending requests keep the old classes
+	updated.Classes, updated.MaxAttempts = slices.Clone(classes), min(maxAttempts, maxAttemptsLimit)
 	if err := updated.check(); err != nil {
 		return err
 	}
@@ -111,7 +120,8 @@
 	return nil
 }
 
-// Start begins at the host's time; windows are phased by instance so that rebuilds don't coincide.
+// Start begins operation at the host's time. The windows of the instances are staggered so that their hot-
+// key placements don't coincide.
 func (b *Balancer) Start(now time.Duration) {
 	b.now, b.windowStart, b.windowLength = now, now, maxWindow/8
 	phase := time.Duration(b.settings.SelfIndex%b.settings.Instances) * maxWindow / time.Duration(b.settings.Instances)
@@ -127,11 +137,11 @@
 	return seconds(b.rng.Float64() * d.Seconds())
 }
 
-// SetMembers applies a list. A member that drains or is gone leaves the tables at once.
+// SetMembers applies a member list. A draining or removed member leaves the tables immediately.
 func (b *Balancer) SetMembers(now time.Duration, kind ListKind, list []Member) {
 	b.advance(now)
 	if kind == ListFailed {
-		// Every proxy loses the list at the same moment; jitter keeps their calls apart.
+		// All proxies lose the list at the same moment; jitter spreads their calls.
 		if b.settings.Subscribe {
 			b.listFailures = min(b.listFailures+1, 4)
 			d := 500 * time.Millisecond << b.listFailures
@@ -152,23 +162,26 @@
 				b.updateMember(member.entry)
 			}
 		}
-		maps.DeleteFunc(b.members, func(id MemberID, _ *memberState) bool { return !listed[id] }) // those that drained when last heard of
+		// deletes members that were draining in the last list
+		maps.DeleteFunc(b.members, func(id MemberID, _ *memberState) bool { return !listed[id] })
 	}
 	b.peakWeight = max(b.peakWeight, b.tableWeight())
 	b.dispatchOriginQueue()
 	b.endUnsendable()
 }
 
-// endUnsendable ends the requests that wait for what no member is left to give them after a change of the list.
+// endUnsendable ends waiting requests that no remaining member can take after a change of the member list
+// or of zone shares.
 func (b *Balancer) endUnsendable() {
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		if req := b.requests[id]; req != nil { // ending one may have sent another on
+		if req := b.requests[id]; req != nil { // ending one request may have completed another
 			b.endIfUnsendable(req)
 		}
 	}
 }
 
-// endIfUnsendable gives a request that waits its final answer if it can't be sent any more, and tells whether it did.
+// endIfUnsendable refuses or fails a waiting request that can't be sent any more. It reports whether the
+// request is answered.
 func (b *Balancer) endIfUnsendable(req *pendingRequest) bool {
 	why := b.unsendable(req)
 	if req.waiting && why != NoReason {
@@ -177,6 +190,7 @@
 	return req.answered
 }
 
+// tableWeight returns the total weight of the caches in the slot table.
 func (b *Balancer) tableWeight() (weight float64) {
 	for _, member := range b.caches {
 		if !b.zoneTables || member.entry.Zone == b.settings.Zone {
@@ -186,10 +200,12 @@
 	return weight
 }
 
+// updateMember applies one entry of the member list.
 func (b *Balancer) updateMember(entry Member) {
 	member := b.members[entry.ID]
 	if entry.State != Ready && entry.State != Draining {
-		defer delete(b.members, entry.ID) // ids are ever new: what is gone must not be kept
+		// ids are never reused, so keeping removed members would leak memory
+		defer delete(b.members, entry.ID)
 	}
 	if member == nil {
 		member = &memberState{hash: mix(uint64(entry.ID) + 0x9e3779b97f4a7c15), weight: b.slotWeight(entry)}
@@ -220,13 +236,14 @@
 	}
 }
 
-// resetMember makes void what was known of a member: it is a new process, or may be one.
+// resetMember discards the statistics of a member that is, or may be, a new process.
 func (b *Balancer) resetMember(member *memberState) {
-	*member = memberState{entry: member.entry, zone: member.zone, hash: member.hash, weight: member.weight, coldTokensAt: b.now, coldTokens: b.rng.Float64(),
-		limiter: limiter{limit: initialLimit, lastSentAt: b.now}}
+	*member = memberState{entry: member.entry, zone: member.zone, hash: member.hash, weight: member.weight,
+		coldTokensAt: b.now, coldTokens: b.rng.Float64(), limiter: limiter{limit: initialLimit, lastSentAt: b.now}}
 }
 
-// SetZoneShares takes the part of its usual work that the caches of each zone are to get from now on; a zone beyond the list as before.
+// SetZoneShares sets the share of its usual work that the caches of each zone receive from now on. Zones
+// beyond the list keep their share.
 func (b *Balancer) SetZoneShares(now time.Duration, shares []ZoneShare) {
 	b.advance(now)
 	b.zonesOnTrial = false
@@ -245,12 +262,14 @@
 	b.endUnsendable()
 }
 
+// isOrigin reports whether a member is an origin.
 func (b *Balancer) isOrigin(entry Member) bool {
 	return b.settings.Mode == CacheAside && b.settings.OriginKind >= 0 && entry.Kind == b.settings.OriginKind
 }
 
-// slotWeight must come out alike at every proxy and must not follow load. Live weights fall with load, so
-// the largest seen of a kind, in coarse steps, stands for the kind's size.
+// slotWeight returns a member's weight in the slot table. It must be the same at every proxy and
+// independent of load. Live weights fall with load, so the largest weight seen of a kind, in coarse steps,
+// is used for all members of the kind.
 func (b *Balancer) slotWeight(entry Member) float64 {
 	weight := entry.Weight
 	if !(weight > 0) || math.IsInf(weight, 0) || b.settings.Weights == WeightsOff {
@@ -262,6 +281,7 @@
 	return max(b.kindWeight[entry.Kind], math.Exp2(math.Round(2*math.Log2(weight))/2))
 }
 
+// updateKindWeight raises the weight of all caches of a kind if this entry has a larger one.
 func (b *Balancer) updateKindWeight(entry Member) {
 	weight := b.slotWeight(entry)
 	if b.settings.Weights != WeightsLive || weight == b.kindWeight[entry.Kind] {
@@ -276,8 +296,8 @@
 	clear(b.slots)
 }
 
-// score ranks a member for a slot by weighted rendezvous hashing: alike at all proxies, and a change of the
-// list moves only the share of the member that changed.
+// score ranks a member for a slot by weighted rendezvous hashing. All proxies compute the same scores, and
+// a change of the list moves only the slots of the member that changed.
 func (b *Balancer) score(slot int, member *memberState) float64 {
 	score := math.Log(unit(mix(member.hash^mix(uint64(slot)+1)))) / member.weight
 	if b.zoneTables && member.entry.Zone != b.settings.Zone {
@@ -286,8 +306,8 @@
 	return score
 }
 
-// candidates is the slot's candidates, best first. It is worked out when first asked for and then kept current,
-// so that a request costs nothing that grows with the fleet.
+// candidates returns the candidates of a slot, best first. The list is computed on first use and then kept
+// up to date, so that the cost of a request does not grow with the fleet.
 func (b *Balancer) candidates(slot int) []candidate {
 	if len(b.slots[slot]) == 0 {
 		for _, member := range b.caches {
@@ -297,6 +317,7 @@
 	return b.slots[slot]
 }
 
+// insertCandidate adds a member to the candidates of a slot, which stay sorted and limited in number.
 func (b *Balancer) insertCandidate(slot int, member *memberState) {
 	list, score := b.slots[slot], b.score(slot, member)
 	depth, last := candidateDepth, 0
@@ -321,6 +342,7 @@
 	b.slots[slot] = slices.Insert(list, i, candidate{member, score})
 }
 
+// addToSlots adds a member to all slots that are already computed.
 func (b *Balancer) addToSlots(member *memberState) {
 	for slot, list := range b.slots {
 		if len(list) > 0 {
@@ -329,15 +351,18 @@
 	}
 }
 
+// removeFromSlots clears the candidates of all slots that contain the member.
 func (b *Balancer) removeFromSlots(member *memberState) {
 	for slot, list := range b.slots {
 		if slices.ContainsFunc(list, func(r candidate) bool { return r.member == member }) {
-			b.slots[slot] = slices.Delete(list, 0, len(list)) // its room is used again: where caches come and go it would be garbage all day
+			// keeps the allocation: with frequent member changes it would be a constant source of garbage
+			b.slots[slot] = slices.Delete(list, 0, len(list))
 		}
 	}
 }
 
-// warmth is the share of its capacity that a member surely has. It may have started anew, untold by the list: see outage, emptyCacheMisses.
+// warmth returns the share of its capacity that a member certainly has. A member may also have restarted
+// without notice by the list: see zoneOutageTime and emptyCacheMisses.
 func (b *Balancer) warmth(member *memberState) float64 {
 	since := max(member.entry.StartedAt, member.zone.coldSince, member.coldSince)
 	age := b.now - since
@@ -347,18 +372,20 @@
 	return b.settings.SlowStartCapacity + (1-b.settings.SlowStartCapacity)*max(0, age.Seconds())/b.settings.SlowStartDuration.Seconds()
 }
 
-// ownsSlot tells whether a cold member already has this slot: its slots come to it as it warms, in an order alike at every proxy.
+// ownsSlot reports whether a member takes a slot. A cold member takes over its slots as it warms up, in an
+// order that is the same at every proxy.
 func (b *Balancer) ownsSlot(member *memberState, slot int) bool {
 	return member.receivesSlot(slot) && unit(mix(member.hash+uint64(slot)*0x9e3779b97f4a7c15)) < b.warmth(member)
 }
 
-// receivesSlot tells whether a slot is of the part that its zone gets: the same at every proxy and for all of the zone's members.
+// receivesSlot reports whether a slot is in the share of work that the member's zone receives. The result
+// is the same at every proxy and for all members of the zone.
 func (member *memberState) receivesSlot(slot int) bool {
 	return member.zone.withheldShare == 0 || unit(mix(uint64(member.entry.Zone+1)<<32|uint64(slot))) >= member.zone.withheldShare
 }
 
-// capacity is the estimate that S and T are divided by: the weight, less where the member is cold, ejected or
-// answers slower than the fleet.
+// capacity returns the estimate that divides S and T: the weight, reduced where the member is cold,
+// ejected or slower than the fleet.
 func (b *Balancer) capacity(member *memberState) float64 {
 	capacity := member.weight * b.warmth(member)
 	if member.ejectedUntil > b.now {
@@ -370,8 +397,9 @@
 	return capacity
 }
 
-// placeHotKeys assigns the hot keys, greedily: in falling count, each on the candidate that least raises
-// max S + k·max T. A key that asks for more than a cache's mean load is split over several.
+// placeHotKeys assigns the hot keys greedily: by descending count, each to the candidate that increases
+// max S + k·max T least. A key that takes more than splitLoadShare of a cache's mean load is split over
+// several.
 func (b *Balancer) placeHotKeys() {
 	old := b.hotTable
 	b.hotTable = make(map[uint64]*placement, len(old))
@@ -386,7 +414,7 @@
 	for _, counted := range b.keyCounts.hottest(2, maxHotKeys) {
 		slot := slotOf(counted.key)
 		candidates := b.candidates(slot)
-		// What chance may have added to a thin count must not make copies.
+		// Random excess in a low count must not create copies.
 		guaranteed := max(0, counted.count-counted.maxError-math.Sqrt(counted.count))
 		copies := int(guaranteed / b.keyCounts.total * totalWeight / candidates[0].member.weight / splitLoadShare)
 		copies = max(1, min(copies, len(candidates)))
@@ -395,7 +423,7 @@
 		for range parts {
 			nearest := candidates[:min(len(candidates), copies+1)]
 			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(parts), maxS, maxT, old[counted.key])
-			if member == nil { // all cold: the key goes by slot
+			if member == nil { // all candidates are cold: the key is routed by its slot
 				break
 			}
 			capacity := b.capacity(member)
@@ -410,11 +438,14 @@
 	}
 }
 
-func (b *Balancer) cheapestCandidate(candidates []candidate, placed *placement, slot int, counted keyCount, parts, maxS, maxT float64, old *placement) *memberState {
+// cheapestCandidate returns the candidate whose use increases the objective least, with a preference for
+// the previous placement; nil if none takes the slot.
+func (b *Balancer) cheapestCandidate(candidates []candidate, placed *placement, slot int, counted keyCount,
+	parts, maxS, maxT float64, old *placement) *memberState {
 	var best *memberState
 	minCost := math.Inf(1)
 	offset := 0
-	if len(candidates) > 2 { // several caches share the key: proxies begin at different ones
+	if len(candidates) > 2 { // several caches share the key: proxies start at different caches
 		offset = int(mix(counted.key^uint64(b.settings.SelfIndex)*0x9e3779b97f4a7c15) % uint64(len(candidates)))
 	}
 	for i := range candidates {
@@ -424,10 +455,12 @@
 		}
 		capacity := b.capacity(member)
 		cost := max(maxS, (member.hotLoad+counted.count/parts)/capacity) + keyCost*max(maxT, (member.hotKeys+1)/capacity)
-		// A key that was not placed before has gone by its slot: that is its old place. Else keys at the hot
-		// set's edge change caches each time they enter or leave it.
+		// A key that was not placed before was routed by its slot, so the slot's first candidate is its
+		// previous place. Otherwise keys at the edge of the hot set would change caches whenever they
+		// enter or leave it.
 		if old != nil && slices.Contains(old.members, member) || old == nil && member == candidates[0].member {
-			cost *= 1 - min(0.9, moveMargin+1/math.Sqrt(counted.count)) // and by more than chance in its count
+			// also requires a gain beyond random variation of the count
+			cost *= 1 - min(0.9, moveMargin+1/math.Sqrt(counted.count))
 		}
 		if cost < minCost {
 			best, minCost = member, cost
@@ -436,29 +469,34 @@
 	return best
 }
 
+// slotOf returns the slot of a key.
 func slotOf(key uint64) int { return int(mix(key^0xa0761d6478bd642f) % slotCount) }
 
+// closeWindow ends a counting window: it places the hot keys and decays the counts.
 func (b *Balancer) closeWindow() {
 	b.spanSeconds, b.windowStart = b.spanSeconds+(b.now-b.windowStart).Seconds(), b.now
 	b.placeHotKeys()
-	// Halved, but less at a quiet proxy, whose counts would be too thin to tell a hot key from chance.
+	// Counts are halved, but reduced less at a proxy with little traffic, whose counts would otherwise be
+	// too low to distinguish a hot key from chance.
 	b.keyCounts.decay(max(0.5, min(0.9, 1-(b.keyCounts.total-b.earlierTotal)/sufficientCount)))
 	b.earlierTotal = b.keyCounts.total
 	b.arrivals, b.servedWork, b.spanSeconds = b.arrivals/2, b.servedWork/2, b.spanSeconds/2
 	for i := range b.tenantRequests {
 		b.tenantRequests[i] /= 2
 	}
-	b.windowLength = min(maxWindow, 2*b.windowLength) // short at first: until the first close all keys go by slot
+	// the first windows are short: until the first one ends, all keys are routed by slot
+	b.windowLength = min(maxWindow, 2*b.windowLength)
 	b.actions.SetTimer(b.now+b.windowLength, timerWindow)
 }
 
-// servedRate is what the caches do for this proxy a second. Not what it asks of them: under overload, with clients
-// trying again, that could be several times what they can do, and no guide to what a cold one can.
+// servedRate returns the work per second that caches do for this proxy, not the rate of attempts. Under
+// overload, with client retries, the attempt rate could be several times what the caches can serve, and
+// would not show what a cold member can serve.
 func (b *Balancer) servedRate() float64 {
 	return b.servedWork / max(1, b.spanSeconds+(b.now-b.windowStart).Seconds())
 }
 
-// Request takes a client's request.
+// Request handles the arrival of a client request.
 func (b *Balancer) Request(now time.Duration, r Request) {
 	b.advance(now)
 	if b.requests[r.ID] != nil {
@@ -481,7 +519,8 @@
 		req.priority *= b.settings.OverShareValue
 	}
 	if r.Key != 0 {
-		// A fetch also serves those who will ask for the key again; keys wanted once must not crowd them out.
+		// A fetch also serves later requests for the key; keys requested only once must not displace those
+		// requested often.
 		req.priority *= 1 + b.keyCounts.guaranteedCount(r.Key)
 		b.keyCounts.add(r.Key)
 		req.slot = slotOf(r.Key)
@@ -495,14 +534,17 @@
 	b.route(req)
 }
 
-// answerMargin is how early a request is ended, so that the answer is in time though events are late.
+// answerMargin returns how long before its deadline a request is ended, so that the answer is in time
+// although events are late.
 func (b *Balancer) answerMargin() time.Duration { return 2*b.settings.MaxEventDelay + time.Millisecond }
 
+// setRequestTimer sets a timer whose token names the request and the purpose.
 func (b *Balancer) setRequestTimer(req *pendingRequest, at time.Duration, purpose uint64) {
 	b.actions.SetTimer(at, uint64(req.ID)<<3|purpose)
 }
 
-// classOf takes an unknown class, and a keyed request that lacks its key, for the strictest kind, so that it is never lost or run twice.
+// classOf returns the class of a request. An unknown class, and a keyed request without its key, are
+// treated as AtMostOnce, so that the request is never lost or run twice.
 func (b *Balancer) classOf(r *Request) *Class {
 	i := max(0, min(r.Class, len(b.settings.Classes)-1))
 	if c := &b.settings.Classes[i]; i == r.Class && c.EffectOf(r.NoDedupKey) == c.Effect {
@@ -513,7 +555,8 @@
 	return &c
 }
 
-// exceedsTenantShare draws whether a request is of the part of its tenant's traffic beyond the tenant's share.
+// exceedsTenantShare decides at random whether a request counts as the part of its tenant's traffic that
+// exceeds the tenant's share.
 func (b *Balancer) exceedsTenantShare(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenantRequests) {
 		return false
@@ -523,7 +566,8 @@
 	return b.tenantRequests[tenant] > expected+2*math.Sqrt(expected)+1 && b.rng.Float64()*b.tenantRequests[tenant] > expected
 }
 
-// route takes the ordinary path: writes beside the caches go to the origin, everything else to the cache that the tables name.
+// route selects the path of a request: in CacheAside mode writes go to the origin, everything else goes to
+// the cache that the tables select.
 func (b *Balancer) route(req *pendingRequest) {
 	if b.settings.Mode == CacheAside && req.Write {
 		b.enqueueForOrigin(req)
@@ -550,19 +594,23 @@
 	}
 }
 
-// mayRetryLater tells whether a read that nobody takes now is to look again: where this proxy is short of connections, and where too little
-// is known yet of the cache that has its slot, whose limit then is a guess. A crowd at a proxy just started waits for the first
-// answers, which raise the limits of those that can take it. Where none come in a quarter of its time it is refused.
+// mayRetryLater reports whether a read that no cache takes now is to be retried after a short delay: if
+// this proxy lacks connections, or if the concurrency limit of the cache that owns the slot is only an
+// estimate because it has few samples. At a proxy that has just started, a burst waits for the first
+// answers, which raise the limits of the members that can take it. Reads are refused if no answer arrives
+// within a quarter of their time.
 func (b *Balancer) mayRetryLater(req *pendingRequest, why Reason) bool {
-	if why != NoRoom && why != NoConnection || b.now+unknownCacheRetryDelay >= req.softDeadline-(req.softDeadline-req.arrivedAt)*3/4 {
+	if why != NoRoom && why != NoConnection ||
+		b.now+unknownCacheRetryDelay >= req.softDeadline-(req.softDeadline-req.arrivedAt)*3/4 {
 		return false
 	}
 	candidates := b.candidates(req.slot)
 	first := slices.IndexFunc(candidates, func(r candidate) bool { return b.usable(req, r.member) && b.ownsSlot(r.member, req.slot) })
-	return why == NoConnection || first >= 0 && candidates[first].member.samples < knownSamples && candidates[first].member.limit >= initialLimit
+	return why == NoConnection ||
+		first >= 0 && candidates[first].member.samples < knownSamples && candidates[first].member.limit >= initialLimit
 }
 
-// waitForFetch lets a request wait for another's fetch, for so long at the most.
+// waitForFetch lets a request wait for another request's fetch, for a limited time.
 func (b *Balancer) waitForFetch(req *pendingRequest, wait time.Duration) {
 	req.coalesced = true
 	if b.waitUnlessUnsendable(req, SharedFetch) {
@@ -570,7 +618,8 @@
 	}
 }
 
-// waitUnlessUnsendable lets a request wait with nothing out, unless no member is left that could take it.
+// waitUnlessUnsendable lets a request without outstanding attempts wait, unless no remaining member could
+// take it. It reports whether the request waits.
 func (b *Balancer) waitUnlessUnsendable(req *pendingRequest, why Reason) bool {
 	req.waiting = true
 	if b.endIfUnsendable(req) {
@@ -583,26 +632,30 @@
 	return true
 }
 
-// dedupWindowEnd is when repeats of a keyed request that may have run are no longer surely dropped.
+// dedupWindowEnd returns the time from which repeats of a keyed request that may have run are no longer
+// certain to be dropped.
 func (b *Balancer) dedupWindowEnd(req *pendingRequest) time.Duration {
 	return req.firstRunAt + req.class.DedupWindow - 2*b.settings.MaxEventDelay
 }
 
-// noFurtherAttempt tells why no further attempt may be made, whatever the members do.
+// noFurtherAttempt returns the reason why no further attempt is allowed, regardless of the members, or
+// NoReason.
 func (b *Balancer) noFurtherAttempt(req *pendingRequest) Reason {
 	switch {
 	case req.sentAttempts() >= req.maxAttempts:
 		return OutOfTries
 	case b.now+b.answerMargin() >= req.softDeadline:
 		return OutOfTime
-	case req.mayHaveRun != 0 && (req.class.Effect == AtMostOnce || req.class.Effect == DeduplicatedByKey && b.now >= b.dedupWindowEnd(req)):
+	case req.mayHaveRun != 0 && (req.class.Effect == AtMostOnce ||
+		req.class.Effect == DeduplicatedByKey && b.now >= b.dedupWindowEnd(req)):
 		return MayHaveRun
 	}
 	return NoReason
 }
 
-// unsendable tells why a request that waits can't be sent any more, now or later before its aim: neither to the origin
-// it stands in line for, nor to a cache once the fetch it waits for is back.
+// unsendable returns the reason why a waiting request can't be sent any more before its soft deadline, or
+// NoReason. It checks the origins if the request is in the origin queue, and otherwise the caches, which a
+// request reads after the fetch that it waits for.
 func (b *Balancer) unsendable(req *pendingRequest) Reason {
 	if why := b.noFurtherAttempt(req); why != NoReason {
 		return why
@@ -615,28 +668,30 @@
 	case slices.ContainsFunc(group, func(member *memberState) bool { return b.maySend(req, member) }):
 		return NoReason
 	case req.mayHaveRun != 0 && len(group) > 0:
-		return MayHaveRun // outside the group that drops its repeats
+		return MayHaveRun // only members outside the group that drops its repeats remain
 	}
 	return NoMember
 }
 
-// attemptTimeout is an attempt's time-out: part of what is left while there is another attempt to make.
+// attemptTimeout returns the timeout of an attempt: a part of the remaining time if another attempt is
+// possible, otherwise 0, which means none.
 func (b *Balancer) attemptTimeout(req *pendingRequest, member *memberState) time.Duration {
-	// Where caches fetch by themselves a slow answer is most often a miss: giving it up wastes the fetch, and
-	// the next candidate would only fetch once more.
+	// In ReadThrough mode a slow answer is usually a miss: giving up the attempt wastes the fetch, and the
+	// next candidate would fetch the value again.
 	if req.sentAttempts()+1 >= req.maxAttempts || req.class.Effect == AtMostOnce || b.settings.Mode == ReadThrough {
 		return 0
 	}
 	remaining := req.softDeadline - b.now
-	timeout := max(remaining*6/10, min(remaining, seconds(2*member.latency))) // one that is known to take longer is not asked in vain
+	// allows for the latency of a member that is known to be slower
+	timeout := max(remaining*6/10, min(remaining, seconds(2*member.latency)))
 	if req.CostKnown {
 		timeout = max(timeout, min(remaining, 3*req.Cost))
 	}
 	return max(timeout, time.Millisecond)
 }
 
-// chooseCache names the cache for a request: the hot table's, else the slot's, else the next candidate that may be
-// sent to; or tells why there is none.
+// chooseCache returns the cache for a request: from the hot table, else from the slot, else the next
+// usable candidate. If there is none, it returns the reason.
 func (b *Balancer) chooseCache(req *pendingRequest) (*memberState, Reason) {
 	if req.missedCache != nil && b.usable(req, req.missedCache) && b.hasCapacity(req.missedCache) {
 		return req.missedCache, NoReason
@@ -659,8 +714,8 @@
 		if !b.ownsSlot(ranked.member, req.slot) || !b.usable(req, ranked.member) {
 			continue
 		}
-		// A busy member spills to the next only while a fetch is cheap: spilling turns hits into misses,
-		// which else jam the origin and, with it, all members.
+		// Reads move from a busy member to the next candidate only while a fetch is cheap: spilling turns
+		// hits into misses, which would otherwise overload the origin and, through it, all members.
 		if b.hasCapacity(ranked.member) {
 			return ranked.member, NoReason
 		}
@@ -671,7 +726,8 @@
 			return nil, NoRoom
 		}
 	}
-	// All candidates are cold, ejected or tried: any that takes work, from a place that spreads; and rather an ejected one than none.
+	// All candidates are cold, ejected or tried: take any usable cache, starting at a position that varies
+	// by slot, and an ejected cache rather than none.
 	var fallback *memberState
 	for i := range b.caches {
 		member := b.caches[(i+req.slot)%len(b.caches)]
@@ -688,54 +744,65 @@
 	return fallback, NoReason
 }
 
-// noCacheReason tells why no cache at all takes a request.
+// noCacheReason returns the reason why no cache takes a request.
 func (b *Balancer) noCacheReason(req *pendingRequest) Reason {
 	if why := b.unsendable(req); why != NoReason {
 		return why
 	}
-	if slices.ContainsFunc(b.caches, func(member *memberState) bool { return b.maySend(req, member) && !b.hasConnection(req, member) }) {
+	if slices.ContainsFunc(b.caches, func(member *memberState) bool {
+		return b.maySend(req, member) && !b.hasConnection(req, member)
+	}) {
 		return NoConnection
 	}
 	return ColdBudget
 }
 
-// hasConnection tells whether there is a connection to a member in good time, as the host tells.
+// hasConnection reports whether the host has, or will have in good time, a connection to a member.
 func (b *Balancer) hasConnection(req *pendingRequest, member *memberState) bool {
 	wait := b.actions.ConnectionWait(req.ID, member.entry.ID)
 	return wait >= 0 && wait <= (req.softDeadline-b.now)/connectionWaitDivisor
 }
 
-// otherZoneCache is a cache with room in another zone that has the slot in that zone's table. The proxies there ask it for the same keys, so
-// a read is more likely found than at a second candidate here, and costs less than a refusal; nil where all zones share a table.
+// otherZoneCache returns a cache with spare capacity in another zone that owns the slot in that zone's
+// table, or nil if all zones share a table. The proxies of that zone send it the same keys, so a hit is
+// more likely there than at a second candidate in the local zone, and the crossing costs less than a
+// refusal.
 func (b *Balancer) otherZoneCache(req *pendingRequest) *memberState {
 	for _, ranked := range b.candidates(req.slot) {
-		if b.zoneTables && ranked.member.entry.Zone != b.settings.Zone && b.ownsSlot(ranked.member, req.slot) && b.usable(req, ranked.member) && b.hasCapacity(ranked.member) {
+		if b.zoneTables && ranked.member.entry.Zone != b.settings.Zone && b.ownsSlot(ranked.member, req.slot) &&
+			b.usable(req, ranked.member) && b.hasCapacity(ranked.member) {
 			return ranked.member
 		}
 	}
 	return nil
 }
 
+// usable reports whether a cache may get the next attempt of a request, apart from its concurrency limit.
 func (b *Balancer) usable(req *pendingRequest, member *memberState) bool {
-	return member.ejectedUntil <= b.now && !b.inSilentZone(member) && !slices.Contains(req.triedCaches, member) && b.maySend(req, member) && b.withinColdBudget(member) && b.hasConnection(req, member)
+	return member.ejectedUntil <= b.now && !b.inSilentZone(member) && !slices.Contains(req.triedCaches, member) &&
+		b.maySend(req, member) && b.withinColdBudget(member) && b.hasConnection(req, member)
 }
 
-// inSilentZone tells whether the caches of a zone with a table of its own have fallen silent, one after another: as many time-outs in a
-// row, of any of them, say more of the zone than of each. One read at a time is still sent there, and the first answer ends it. It
-// could do harm where answers come late everywhere: some of the reads then go abroad.
+// inSilentZone reports whether the caches of a member's zone have stopped answering, where each zone has a
+// slot table of its own. Several consecutive timeouts of any of them say more about the zone than about
+// each cache. One read per silentZoneInterval is still sent there, and the first answer ends the state. It
+// could do harm where answers are late everywhere: some of the reads then go to other zones.
 func (b *Balancer) inSilentZone(member *memberState) bool {
 	return b.zoneTables && member.zone.timeoutStreak >= silentZoneTimeouts && b.now < member.zone.nextProbeAt
 }
 
-// sentAttempts is how many attempts the request has had on the wire.
+// sentAttempts returns the number of attempts that were actually sent.
 func (req *pendingRequest) sentAttempts() int { return req.attempts - req.unsent }
 
-// maySend is the one guard of every send: drains, the attempts allowed, and effects that must not double.
+// maySend is the check that every send must pass: member state, allowed attempts, and effects that must
+// not be duplicated.
 func (b *Balancer) maySend(req *pendingRequest, member *memberState) bool {
-	if req.answered || req.streaming || member.entry.State != Ready || req.sentAttempts() >= req.maxAttempts || b.now+b.answerMargin() >= req.Deadline {
+	if req.answered || req.streaming || member.entry.State != Ready || req.sentAttempts() >= req.maxAttempts ||
+		b.now+b.answerMargin() >= req.Deadline {
 		return false
 	}
-	if req.outstanding != 0 && !b.settings.ConcurrentAttempts || req.AllowedMembers != nil && !slices.Contains(req.AllowedMembers, member.entry.ID) ||
+	if req.outstanding != 0 && !b.settings.ConcurrentAttempts ||
+		req.AllowedMembers != nil && !slices.Contains(req.AllowedMembers, member.entry.ID) ||
 		!member.receivesSlot(req.slot) && (!member.zone.trial || b.now < member.zone.nextProbeAt) {
 		return false
 	}
@@ -749,30 +816,37 @@
 		req.class.Scope == ScopeCell && member.entry.Cell == req.firstRunMember.entry.Cell
 }
 
-// mayRefuse tells whether the client may be told that a retry is harmless.
+// mayRefuse reports whether the client may be told that a retry is harmless.
 func (b *Balancer) mayRefuse(req *pendingRequest) bool {
 	return req.mayHaveRun == 0 || req.class.SafeToRetry(req.class.Effect)
 }
 
-// withinColdBudget keeps this proxy's part of the cold budget: its share of the fleet's requests for the member's size and warmth, times a part of
-// the fall multiple. The first token is random, so that the many proxies whose share is under one don't all spend one at once.
+// withinColdBudget reports whether the budget for a cold member allows an attempt. This proxy's part of
+// the budget is its share of the fleet's requests according to the member's size and warmth, times
+// coldBudgetShare of OverloadMultiple. The first token is random, so that proxies with a share below one
+// don't all spend one at once.
 func (b *Balancer) withinColdBudget(member *memberState) bool {
 	warmth := b.warmth(member)
 	if warmth >= 1 || b.settings.OverloadMultiple == 0 {
 		return true
 	}
 	rate := b.servedRate() * member.weight / max(b.warmWeight(), member.weight) * warmth * b.settings.OverloadMultiple * coldBudgetShare
-	member.coldTokens, member.coldTokensAt = min(member.coldTokens+rate*(b.now-member.coldTokensAt).Seconds(), max(1, rate*b.settings.OverloadDuration.Seconds()/2)), b.now
-	// While the whole fleet is cold a proxy asks one request at a time, some way apart: the budget goes by what caches answer, and sinks
-	// with it. All proxies together ask no faster than a member answers one by one; quick answers may be misses, which tell little.
+	member.coldTokens, member.coldTokensAt = min(member.coldTokens+rate*(b.now-member.coldTokensAt).Seconds(),
+		max(1, rate*b.settings.OverloadDuration.Seconds()/2)), b.now
+	// While most of the fleet is cold, a proxy sends one request at a time, with a minimum interval: the
+	// budget follows the answers of the caches and would shrink with them. All proxies together then send
+	// no faster than a member answers serially. The latency has a lower bound because fast answers may be
+	// misses, which say little.
 	minInterval := seconds(float64(b.settings.Instances) * max(member.latency, b.fetchTarget/4))
 	return member.coldTokens >= 1 || b.mostlyCold && member.outstanding == 0 && b.now-member.lastSentAt >= minInterval
 }
 
-// warmWeight is the weight that does the answering: cold members count by their warmth. At least half of the
-// most that the list has held counts, since answers from before a loss would promise too much.
+// warmWeight returns the weight that serves requests; cold members count by their warmth. It is at least
+// half of the peak weight of the list, since rates measured before a loss of members would promise too
+// much.
 func (b *Balancer) warmWeight() float64 {
-	if b.now-b.cachedWarmWeightAt >= 500*time.Millisecond { // not at every request: it grows with the fleet
+	// not computed for every request: the cost grows with the fleet
+	if b.now-b.cachedWarmWeightAt >= 500*time.Millisecond {
 		b.cachedWarmWeight, b.cachedWarmWeightAt = 0, b.now
 		for _, member := range b.caches {
 			if !b.zoneTables || member.entry.Zone == b.settings.Zone {
@@ -784,6 +858,7 @@
 	return max(b.cachedWarmWeight, b.peakWeight/2)
 }
 
+// send starts an attempt of a request at a member.
 func (b *Balancer) send(req *pendingRequest, member *memberState, timeout time.Duration) {
 	if b.warmth(member) < 1 {
 		member.coldTokens = max(-1, member.coldTokens-1)
@@ -797,7 +872,7 @@
 	req.waiting, req.queued = false, false
 	interval := (b.now - member.lastSentAt).Seconds()
 	if member.sendInterval == 0 {
-		member.sendInterval = interval // since the member was first heard of
+		member.sendInterval = interval // time since the member was first listed
 	}
 	member.sendInterval += (interval - member.sendInterval) * 0.3
 	member.outstanding, member.lastSentAt = member.outstanding+1, b.now
@@ -811,7 +886,8 @@
 	b.actions.Send(req.ID, member.entry.ID, timeout)
 }
 
-// refuseOrFail is the one place of the balancer's own final answers.
+// refuseOrFail gives the final answer of the Balancer to a request: a refusal if a retry is harmless,
+// otherwise a failure. Apart from requests that a member rejected, all such answers are given here.
 func (b *Balancer) refuseOrFail(req *pendingRequest, why Reason) {
 	switch {
 	case req.answered:
@@ -824,9 +900,10 @@
 	b.finish(req)
 }
 
-// retryAfter is when a refused client should ask again: once the line for the origin is drained, and, the longer
-// this proxy has had to refuse, the later, since a shortage that has lasted is not over soon. Clients that ask
-// again at once multiply the load that they were refused for. It is spread, so that they don't return together.
+// retryAfter returns the delay after which a refused client should retry: the time to drain the origin
+// queue, and longer the longer this proxy has been refusing requests, since a lasting shortage does not
+// end soon. Clients that retry immediately multiply the load that caused the refusal. The delay is
+// jittered so that they don't return at the same time.
 func (b *Balancer) retryAfter(req *pendingRequest) time.Duration {
 	if b.now-b.lastRefusalAt > shortageEndGap {
 		b.refusingSince = b.now
@@ -840,7 +917,8 @@
 	return wait/2 + b.jitter(wait)
 }
 
-// finish ends a request; attempts still out are called off, but for fetches, whose value will be stored.
+// finish ends a request. Outstanding attempts are cancelled except fetches from the origin, whose value
+// will be stored.
 func (b *Balancer) finish(req *pendingRequest) {
 	req.answered, req.waiting, req.queued = true, false, false
 	for i := 0; req.outstanding>>i != 0; i++ {
@@ -849,14 +927,14 @@
 		}
 	}
 	if req.ownsFetch && req.outstanding&req.originAttempts == 0 {
-		b.fetchEnded(req, false) // else those who wait would wait in vain
+		b.fetchEnded(req, false) // no fetch is left for the waiting requests
 	}
 	if req.outstanding == 0 {
 		delete(b.requests, req.ID)
 	}
 }
 
-// RequestCancelled ends a request whose client left.
+// RequestCancelled ends a request whose client disconnected or gave up.
 func (b *Balancer) RequestCancelled(now time.Duration, id RequestID) {
 	b.advance(now)
 	if req := b.requests[id]; req != nil && !req.answered {
@@ -865,7 +943,7 @@
 	}
 }
 
-// StreamStarted binds a request to the attempt that has begun to answer.
+// StreamStarted records that an attempt has begun to answer: the request gets no further attempts.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, attempt int) {
 	b.advance(now)
 	if req := b.requests[id]; req != nil {
@@ -873,7 +951,7 @@
 	}
 }
 
-// Timer delivers a timer set before.
+// Timer handles the expiry of a timer that the Balancer set.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	b.advance(now)
 	req := b.requests[RequestID(token>>3)]
@@ -886,7 +964,8 @@
 	case timerOriginQueue:
 		b.originQueueTimerAt = 0
 		b.dispatchOriginQueue()
-	case timerSoftDeadline, timerDeadline: // nothing out at its aim: no answer can come in time
+	// without an outstanding attempt no answer can arrive in time
+	case timerSoftDeadline, timerDeadline:
 		switch {
 		case idle && req.queued && token&7 == timerSoftDeadline:
 			b.refuseOrFail(req, OriginLine)
@@ -905,12 +984,12 @@
 	}
 }
 
-// Outcome tells how an attempt ended.
+// Outcome handles the end of an attempt.
 func (b *Balancer) Outcome(now time.Duration, outcome Outcome) {
 	b.advance(now)
 	req := b.requests[outcome.Request]
 	if req == nil || outcome.Attempt < 0 || outcome.Attempt > 63 || req.outstanding>>outcome.Attempt&1 == 0 {
-		return // unknown, or told before
+		return // unknown or already reported
 	}
 	bit := uint64(1) << outcome.Attempt
 	req.outstanding &^= bit
@@ -926,16 +1005,19 @@
 	} else {
 		req.notBefore = max(req.notBefore, b.now+outcome.InTransit)
 	}
-	// Nobody was asked, or it was turned away unseen, which is no load that a jam is made of, or the connection ended for
-	// something else, or the request is at fault: the throttle would take this for a jam.
-	if status := outcome.Status; !fromOrigin && (status == StatusNoConn || status == StatusFull || status == StatusRejected || status == StatusCancelled && !req.answered) {
+	// These attempts do not count for the throttle, which would take them for overload: no member received
+	// the attempt, a member rejected it unprocessed, the connection ended for another reason, or the
+	// request is invalid.
+	if status := outcome.Status; !fromOrigin &&
+		(status == StatusNoConn || status == StatusFull || status == StatusRejected || status == StatusCancelled && !req.answered) {
 		b.recentAttempts = max(0, b.recentAttempts-1)
 	}
 	if outcome.Status == StatusNoConn {
 		req.unsent = min(req.unsent+1, req.maxAttempts)
 	}
 	req.answered = req.answered || outcome.Final
-	// A fetch that failed goes back in line below; until it is given up, those who wait for it go on waiting.
+	// A failed fetch returns to the origin queue below; requests that wait for it keep waiting until it is
+	// given up.
 	if fromOrigin && req.ownsFetch && (req.answered || outcome.Status == StatusOK) {
 		b.fetchEnded(req, outcome.Status == StatusOK)
 	}
@@ -954,7 +1036,7 @@
 	b.dispatchOriginQueue()
 }
 
-// RestrictMembers changes the members that a request may go to from now on; nil: all.
+// RestrictMembers sets the members that a request may be sent to from now on; nil allows all.
 func (b *Balancer) RestrictMembers(now time.Duration, id RequestID, allowed []MemberID) {
 	b.advance(now)
 	if req := b.requests[id]; req != nil && !req.answered {
@@ -963,9 +1045,10 @@
 	}
 }
 
-// Fallbacks names up to most further caches for a request that is out, for clients that go on to the next by themselves
-// where one can't be reached. Only for what is safe to repeat, within the attempts allowed, and never a cold member, whose
-// budget is spent by sending. What the client does with them is told by Moved.
+// Fallbacks returns further caches, up to limit, for a request with an outstanding attempt. They are for
+// clients that try the next cache themselves if one is unreachable. Only requests that are safe to repeat
+// get fallbacks, within their allowed attempts, and never a cold member, whose budget is spent by sending.
+// The host reports the use of a fallback with FallbackUsed.
 func (b *Balancer) Fallbacks(id RequestID, limit int) (fallbacks []MemberID) {
 	req := b.requests[id]
 	if req == nil || req.answered || req.class.Effect != Repeatable || req.Write {
@@ -973,7 +1056,7 @@
 	}
 	limit = min(limit, req.maxAttempts-req.sentAttempts())
 	outstanding := req.outstanding
-	req.outstanding = 0 // the one that is out will have ended
+	req.outstanding = 0 // the outstanding attempt will have ended by then
 	for _, ranked := range b.candidates(req.slot) {
 		if len(fallbacks) < limit && b.warmth(ranked.member) >= 1 && b.usable(req, ranked.member) && b.hasCapacity(ranked.member) {
 			fallbacks = append(fallbacks, ranked.member.entry.ID)
@@ -983,8 +1066,8 @@
 	return fallbacks
 }
 
-// FallbackUsed tells that the client has gone on by itself with an attempt that is out, from a member that failed it to one of
-// Spares. It counts as one more attempt.
+// FallbackUsed records that the client moved its outstanding attempt from a member that failed to one of
+// the Fallbacks. This counts as one more attempt.
 func (b *Balancer) FallbackUsed(now time.Duration, id RequestID, from, to MemberID) {
 	b.advance(now)
 	req := b.requests[id]
@@ -994,14 +1077,15 @@
 	if member := b.members[from]; member != nil {
 		b.recordOutcome(member, Outcome{Status: StatusUnknown}, false)
 	}
-	req.unsent-- // one more than was sent from here
+	req.unsent-- // one attempt that the Balancer did not send
 	if member := b.members[to]; member != nil {
 		member.outstanding++
 		req.triedCaches = append(req.triedCaches, member)
 	}
 }
 
-// handleMiss sends a read on to the origin, unless the key is being fetched already.
+// handleMiss sends a read to the origin after a cache miss, or lets it wait if the key is already being
+// fetched.
 func (b *Balancer) handleMiss(req *pendingRequest, member *memberState, note int) {
 	if member != nil && req.missedCache == nil {
 		req.missedCache = member
@@ -1015,13 +1099,14 @@
 	wait := (req.softDeadline - b.now) / 2
 	if fetching {
 		b.fetchWaiters[req.Key] = append(waiters, req)
-	} else if origin := b.originFor(req); origin != nil { // another proxy fetches it
+	} else if origin := b.originFor(req); origin != nil { // another proxy is fetching the key
 		wait = min(wait, seconds(max(origin.latency, 0.02)))
 	}
 	b.waitForFetch(req, wait)
 }
 
-// fetchEnded lets those who waited for a fetch read the cache, or makes the first of them fetch itself.
+// fetchEnded routes the requests that waited for a fetch: after a success they read the cache, otherwise
+// the first of them fetches the value itself.
 func (b *Balancer) fetchEnded(req *pendingRequest, ok bool) {
 	waiters := b.fetchWaiters[req.Key]
 	delete(b.fetchWaiters, req.Key)
@@ -1038,7 +1123,8 @@
 	}
 }
 
-// retryAfterFailure makes a further attempt after a failure, if the rules, the time and the retry budget allow one.
+// retryAfterFailure makes a further attempt after a failure if the rules, the remaining time and the retry
+// budget allow it.
 func (b *Balancer) retryAfterFailure(req *pendingRequest, status Status, fromOrigin bool) {
 	cost := 1.0
 	switch status {
@@ -1056,17 +1142,23 @@
 		return
 	}
 	b.retryTokens -= cost
-	req.toOrigin = fromOrigin || b.settings.Mode == CacheAside && req.sentAttempts()+1 >= req.maxAttempts && !b.hotTable[req.Key].isSplit() // one try left: other caches lack the key
-	if !req.toOrigin && (status == StatusReset || status == StatusCancelled) && len(req.triedCaches) == 1 && !req.retriedAfterReset && b.now < req.arrivedAt+(req.softDeadline-req.arrivedAt)/4 {
-		// The connection broke early; the member, which has the key, may well be up. Once: one that holds few connections breaks
-		// all that are new, and would use up the read's tries. Late, the read has waited behind what its member doesn't answer.
+	// with one attempt left the origin is used, since other caches lack the key
+	req.toOrigin = fromOrigin || b.settings.Mode == CacheAside && req.sentAttempts()+1 >= req.maxAttempts &&
+		!b.hotTable[req.Key].isSplit()
+	if !req.toOrigin && (status == StatusReset || status == StatusCancelled) && len(req.triedCaches) == 1 &&
+		!req.retriedAfterReset && b.now < req.arrivedAt+(req.softDeadline-req.arrivedAt)/4 {
+		// The connection broke early; the member, which has the key, may well be available, so it is tried
+		// again. Only once: a member that allows few connections breaks all new ones and would use up the
+		// attempts of the read. Not late: the read has then probably waited behind requests that the
+		// member does not answer.
 		req.triedCaches, req.retriedAfterReset = req.triedCaches[:0], status == StatusReset
 	}
 	req.missedCache = nil
 	b.sendNextAttempt(req)
 }
 
-// sendNextAttempt makes the next attempt of a request, once no earlier one can come at a member after it.
+// sendNextAttempt makes the next attempt of a request once no earlier attempt can still reach a member
+// after it.
 func (b *Balancer) sendNextAttempt(req *pendingRequest) {
 	switch {
 	case req.notBefore > b.now && req.notBefore+b.answerMargin() >= req.softDeadline:
@@ -1083,7 +1175,7 @@
 	}
 }
 
-// recordOutcome takes in how an attempt ended.
+// recordOutcome updates the statistics of a member with the end of an attempt.
 func (b *Balancer) recordOutcome(member *memberState, outcome Outcome, fromOrigin bool) {
 	member.outstanding = max(0, member.outstanding-1)
 	failure := 1.0
@@ -1093,18 +1185,22 @@
 	case StatusFull:
 		if fromOrigin {
 			b.cutLimit(member, 0.7)
-		} else { // not from what is out: a proxy that sends seldom is not what fills it
+			// independent of outstanding attempts: a proxy that sends rarely does not cause the overload
+		} else {
 			member.limit = max(min(1, member.limit), 0.7*member.limit)
 		}
 		return
 	case StatusOK, StatusMiss:
-		if zone := member.zone; !fromOrigin && zone.timeoutStreak >= 2*silentZoneTimeouts && b.now-zone.firstTimeoutAt >= zoneOutageTime && b.lastAnswerAt > zone.firstTimeoutAt { // others have answered
+		// caches of other zones have answered meanwhile
+		if zone := member.zone; !fromOrigin && zone.timeoutStreak >= 2*silentZoneTimeouts &&
+			b.now-zone.firstTimeoutAt >= zoneOutageTime && b.lastAnswerAt > zone.firstTimeoutAt {
 			zone.coldSince = b.now
 		}
 		failure, member.failureStreak, member.zone.timeoutStreak = 0, 0, 0
 		member.answeredSentAt = max(member.answeredSentAt, b.now-outcome.Elapsed)
 		if member.lastAnswerAt > 0 {
-			member.answerInterval += (min(member.latency, (b.now-member.lastAnswerAt).Seconds()) - member.answerInterval) * max(0.05, 1/float64(member.samples))
+			member.answerInterval += (min(member.latency, (b.now-member.lastAnswerAt).Seconds()) - member.answerInterval) *
+				max(0.05, 1/float64(member.samples))
 		}
 		member.lastAnswerAt = b.now
 		member.recordFastestAnswer(outcome)
@@ -1124,11 +1220,13 @@
 		}
 	case StatusTimeout:
 		if outcome.Elapsed < seconds(member.fastestAnswer) {
-			return // it had too little time for that to say anything; a member may drop such an attempt without a word
+			// the timeout was too short to say anything; a member may drop such an attempt silently
+			return
 		}
-		// A member that has answered what was sent in the second half of the wait is neither jammed nor gone: this attempt's
-		// connection fell silent, or its work was long. As latency, the wait would cut the limit of a member that is well. A
-		// jam that takes attempts in turn is still seen; one that serves the newest first would be missed.
+		// A member that answered an attempt sent in the second half of the wait is neither overloaded nor
+		// gone: this attempt's connection became silent, or its work took long. Counting the wait as
+		// latency would cut the limit of a healthy member. Overload of a member that serves attempts in
+		// order is still detected; overload of one that serves the newest first would be missed.
 		if member.answeredSentAt > b.now-outcome.Elapsed/2 {
 			return
 		}
@@ -1142,15 +1240,17 @@
 	}
 	member.failureRate += (failure - member.failureRate) * 0.3
 	b.failureRate += (failure - b.failureRate) * 0.05
-	// Two in a row, and more where an answer or connection broke: that tells of a connection rather than of
-	// its member, which is up if the next one can be opened. An ejected member's load goes to others that lack
-	// its keys. Relative to the fleet: when everything fails alike, ejecting helps nobody.
+	// Ejection requires two consecutive failures, or four after a broken answer or connection, which may
+	// be the fault of the connection rather than of the member: the member is up if the next connection
+	// can be opened. The load of an ejected member goes to others that lack its keys. The failure rate is
+	// compared with that of the fleet: when all members fail alike, ejection does not help.
 	minStreak := 2.0
 	if outcome.Status == StatusReset || outcome.Status == StatusError {
 		minStreak = 4
 	}
-	// Where attempts fail everywhere, a few in a row come about by chance, and kinds of failure mix: as many are
-	// asked for as the fleet's own share of failures would bring only once in ejectionOdds attempts.
+	// Where attempts fail everywhere, short streaks occur by chance, and the kinds of failure are mixed.
+	// The required streak is therefore the one that the fleet's failure rate produces only once in
+	// ejectionOdds attempts.
 	minStreak = max(minStreak, min(maxFailureStreak, math.Log(ejectionOdds)/-math.Log(max(1e-9, min(0.9, b.failureRate)))))
 	if failure > 0 && !fromOrigin && float64(member.failureStreak) >= minStreak && member.failureRate > 2*b.failureRate {
 		duration := 250 * time.Millisecond << min(member.failureStreak, 5)
@@ -1158,29 +1258,32 @@
 	}
 }
 
-// recordFastestAnswer takes in how long an answer took.
+// recordFastestAnswer updates the shortest time that recent answers took.
 func (member *memberState) recordFastestAnswer(outcome Outcome) {
 	if elapsed := outcome.Elapsed.Seconds(); !outcome.FirstOnConnection {
 		member.fastestAnswer = min(elapsed, cmp.Or(member.fastestAnswer*minLatencyGrowth, elapsed))
 	}
 }
 
-// adaptLimit moves a member's limit so that answers come within the target: members with deep queues else hold
-// work that nobody waits for any more, and stay jammed long after a burst has passed.
+// adaptLimit adjusts a member's concurrency limit so that answers arrive within fetchTarget. Otherwise
+// members with deep queues hold work whose clients have given up, and stay overloaded long after a burst.
 //
-// A handshake is no load: the wait for one neither cuts the limit nor raises it. Members in other zones would else look jammed
-// where connections don't last. It could do harm at one whose every connection is new: only full answers hold its limit down.
+// A handshake is not load: the wait for it neither reduces nor raises the limit. Otherwise members in
+// other zones would look overloaded where connections are short-lived. It could do harm at a member whose
+// every connection is new: only StatusFull holds its limit down.
 func (b *Balancer) adaptLimit(member *memberState, elapsed float64, firstOnConnection bool) {
 	member.samples++
 	member.latency += (elapsed - member.latency) * max(0.1, 1/float64(member.samples))
 	member.peakOutstanding = max(float64(member.outstanding), member.peakOutstanding*0.95)
 	member.minLatency = min(member.latency, cmp.Or(member.minLatency*minLatencyGrowth, member.latency))
-	slowThreshold := max(b.fetchTarget, min(2*member.minLatency, 1.25*b.fetchTarget)) // a member that is far is no slower for being sent less
+	// sending less does not make a distant member faster
+	slowThreshold := max(b.fetchTarget, min(2*member.minLatency, 1.25*b.fetchTarget))
 	switch {
 	case firstOnConnection && elapsed > slowThreshold:
-	case member.latency > slowThreshold && elapsed > slowThreshold: // an answer in time never cuts, however slow those before it
+	// an answer in time never cuts the limit, however slow earlier ones were
+	case member.latency > slowThreshold && elapsed > slowThreshold:
 		b.cutLimit(member, 0.8)
-	case float64(member.outstanding+1) < member.limit-1: // not what holds it back
+	case float64(member.outstanding+1) < member.limit-1: // the limit is not what restricts the member
 	case member.limitCutAt == 0:
 		member.limit++
 	default:
@@ -1188,30 +1291,33 @@
 	}
 }
 
-// cutLimit lowers a limit, from what has been out lately: a proxy that sends seldom has a part of one attempt out on average, and a limit
-// above that would hold nothing back. What is out at the moment says too little: a burst is over as its slow answers come.
+// cutLimit reduces a limit, based on the recent number of outstanding attempts: a proxy that sends rarely
+// has less than one attempt outstanding on average, and a limit above that would have no effect. The
+// current number is not enough: a burst is over when its slow answers arrive.
 func (b *Balancer) cutLimit(member *memberState, factor float64) {
-	if b.now-member.limitCutAt >= seconds(max(0.05, member.latency)) { // once a round trip
+	if b.now-member.limitCutAt >= seconds(max(0.05, member.latency)) { // at most once per round trip
 		used := max(float64(member.outstanding), member.peakOutstanding-2) + min(1, member.latency/max(0.001, member.sendInterval))
-		if used < 1 { // it will hear of this member only seldom
+		if used < 1 { // this proxy gets few samples of the member
 			factor *= factor
 		}
-		// The proxies together may keep half an attempt out: one slow answer to a proxy that seldom asks would
-		// else take the member out for it.
+		// All proxies together may keep half an attempt outstanding; otherwise one slow answer to a proxy
+		// that sends rarely would stop its use of the member.
 		minLimit := max(0.01, 0.5/float64(b.settings.Instances))
 		member.limitCutAt, member.limit = b.now, max(minLimit, min(member.limit, used)*factor)
 	}
 }
 
-// throttled draws whether to refuse a read at once: adaptive throttling, so that what is asked of the caches
-// stays under a multiple of what they answer. It ends a jam that no single member's limit sees at a proxy
-// that sends to each but now and then. What is out and may yet be answered does not count while the caches answer, and
-// before they can have: a crowd that comes at once would else be refused before its first answers.
+// throttled decides at random whether to refuse a read immediately. This is adaptive throttling, which
+// keeps the attempts at caches below a multiple of their answers. It ends overload that no single member's
+// limit detects at a proxy that sends to each member only occasionally. Outstanding attempts do not count
+// while the caches answer, nor before they can have answered: otherwise a sudden burst would be refused
+// before its first answers.
 func (b *Balancer) throttled() bool {
 	decay := math.Exp(-(b.now - b.recentCountsAt).Seconds() / throttleWindow.Seconds())
 	b.recentAttempts, b.recentAnswers, b.recentCountsAt = b.recentAttempts*decay+1, b.recentAnswers*decay, b.now
 	unanswered, answerTime := float64(b.outstandingAtCaches), seconds(max(0.02, 3*b.meanLatency))
-	if elapsed := b.now - b.currentReadsSince; elapsed > answerTime { // what was asked since then can't all have been answered
+	// not all reads since then can have been answered
+	if elapsed := b.now - b.currentReadsSince; elapsed > answerTime {
 		if b.previousReads = b.currentReads; elapsed > 2*answerTime {
 			b.previousReads = 0
 		}
@@ -1224,20 +1330,20 @@
 	return b.rng.Float64()*(b.recentAttempts+throttleSlack) < b.recentAttempts-unanswered-throttleRatio*b.recentAnswers-throttleSlack
 }
 
-// hasCapacity tells whether a member's limit lets another attempt out. A limit under one is kept by spacing: many
-// proxies, each with a single attempt out, could else be too much together.
+// hasCapacity reports whether a member's concurrency limit allows another attempt. A limit below one is
+// enforced by spacing attempts: many proxies with a single attempt each could be too much together.
 func (b *Balancer) hasCapacity(member *memberState) bool {
 	if member.limit >= 1 {
-		// A limit grows by what is answered, too late for a crowd that comes at once. Where a member is so quick that it
-		// could do all that is out one by one, or as fast as it answers lately, in a part of the target, and has not turned
-		// work away, the crowd is let in.
+		// A limit grows with answers, which is too late for a sudden burst. A burst is allowed where the
+		// member has not rejected work and is so fast that it could process all outstanding attempts
+		// within burstTargetShare of fetchTarget, either serially or at its recent answer rate.
 		return member.outstanding < int(member.limit) || member.limit >= initialLimit && member.samples >= initialLimit &&
 			cmp.Or(min(member.latency, member.answerInterval), member.latency)*float64(member.outstanding+1) < b.fetchTarget*burstTargetShare
 	}
 	return member.outstanding == 0 && b.now-member.lastSentAt >= seconds(member.latency*(1/member.limit-1))
 }
 
-// enqueueForOrigin puts a request in line for the origin: writes first, then by worth.
+// enqueueForOrigin adds a request to the origin queue: writes first, then by descending priority.
 func (b *Balancer) enqueueForOrigin(req *pendingRequest) {
 	req.waiting, req.queued = true, true
 	if !req.Write && req.Key != 0 {
@@ -1259,7 +1365,8 @@
 	}
 }
 
-// dispatchOriginQueue sends what the origin has room for, and refuses what can't make its aim any more.
+// dispatchOriginQueue sends the queued requests that the origin has capacity for, and ends those that
+// can't meet their soft deadline any more.
 func (b *Balancer) dispatchOriginQueue() {
 	remaining := b.originQueue[:0:0]
 	var unsendable []*pendingRequest
@@ -1287,9 +1394,9 @@
 	}
 }
 
-// fetchTimeout is a fetch's time-out: until its aim, or several times what fetches take lately. One whose connection
-// fell silent would else hold a place in the origin's limit until its client gives up. A write is never given up
-// earlier, since it could not be made again.
+// fetchTimeout returns the timeout of a fetch: the time to its soft deadline, or several times the recent
+// latency of fetches if that is longer. Otherwise a fetch on a silent connection would occupy the origin's
+// concurrency limit until its client gives up. A write has no timeout, since it could not be repeated.
 func (b *Balancer) fetchTimeout(req *pendingRequest, member *memberState) time.Duration {
 	if req.Write {
 		return 0
@@ -1297,12 +1404,14 @@
 	return max(req.softDeadline-b.now, seconds(4*member.latency), time.Millisecond)
 }
 
-// originAvailable tells whether another fetch would be taken at once, and in good time.
+// originAvailable reports whether another fetch would be sent at once and answered in good time.
 func (b *Balancer) originAvailable(req *pendingRequest) bool {
 	member := b.originFor(req)
 	return member != nil && len(b.originQueue) == 0 && b.hasCapacity(member) && member.latency < b.fetchTarget/2
 }
 
+// originFor returns an origin that the request may be sent to, or any origin if there is none; nil without
+// origins.
 func (b *Balancer) originFor(req *pendingRequest) *memberState {
 	var member *memberState
 	for i := len(b.origins); i > 0 && (member == nil || !b.maySend(req, member)); i-- {
