--- a/logic/counter.go
+++ b/logic/counter.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// counter is the Space-Saving top-K counter: a min-heap of counts; a new key takes the least one over.
+// counter implements the Space-Saving top-K algorithm as a min-heap of counts; a new key replaces the one
+// with the smallest count.
 type counter struct {
 	index    map[uint64]int
 	items    []keyCount
@@ -14,6 +15,7 @@
 	total    float64
 }
 
+// keyCount is a counted key; its true count is between count-maxError and count.
 type keyCount struct {
 	key             uint64
 	count, maxError float64
@@ -28,6 +30,7 @@
 	c.index[c.items[i].key], c.index[c.items[j].key] = i, j
 }
 
+// add counts one request for a key.
 func (c *counter) add(key uint64) {
 	c.total++
 	i, ok := c.index[key]
@@ -47,7 +50,7 @@
 	heap.Fix(c, i)
 }
 
-// insert takes a key's count over from elsewhere, while there is room.
+// insert adds a key with an existing count if there is space.
 func (c *counter) insert(counted keyCount) {
 	if len(c.items) < c.capacity {
 		c.index[counted.key] = len(c.items)
@@ -55,7 +58,7 @@
 	}
 }
 
-// decay keeps the given share of every count, so that popularity that moved on fades.
+// decay multiplies all counts by the given factor, so that keys that are no longer popular lose rank.
 func (c *counter) decay(keep float64) {
 	c.total *= keep
 	for i := range c.items {
@@ -64,7 +67,7 @@
 	}
 }
 
-// hottest lists up to most keys surely counted at least so often, in falling count.
+// hottest returns up to limit keys whose guaranteed count is at least minCount, by descending count.
 func (c *counter) hottest(minCount float64, limit int) []keyCount {
 	var top []keyCount
 	for _, counted := range c.items {
@@ -78,7 +81,7 @@
 	return top[:min(len(top), limit)]
 }
 
-// guaranteedCount is the count that a key has for certain.
+// guaranteedCount returns the lower bound of the count of a key.
 func (c *counter) guaranteedCount(key uint64) float64 {
 	i, ok := c.index[key]
 	if !ok {
--- a/logic/digest.go
+++ b/logic/digest.go
@@ -8,8 +8,9 @@
 	"slices"
 )
 
-// StateDigest is a number of all that the Balancer's further decisions rest on: two with the same digest and settings act
-// alike from here on. It is for checkers that explore its states (internal/explore), and costs far more than an event.
+// StateDigest returns a hash of all state that further decisions depend on: two Balancers with the same
+// digest and settings behave identically from then on. It is for checkers that explore the state space
+// (internal/explore), and costs far more than an event.
 func (b *Balancer) StateDigest() [16]byte {
 	h := fnv.New128a()
 	id := func(member *memberState) MemberID {
@@ -18,18 +19,25 @@
 		}
 		return member.entry.ID
 	}
-	random, _ := b.randomSource.MarshalBinary() // it knows no error
-	fmt.Fprintln(h, b.now, b.windowStart, b.windowLength, b.cachedWarmWeight, b.cachedWarmWeightAt, b.mostlyCold, b.peakWeight, b.earlierTotal, b.arrivals, b.spanSeconds, b.servedWork, b.tenantRequests,
-		b.originQueueTimerAt, b.fetchTarget, b.meanLatency, b.failureRate, b.retryTokens, b.recentAttempts, b.recentAnswers, b.recentCountsAt, b.lastAnswerAt, b.outstandingAtCaches, b.listFailures, b.refusingSince,
+	random, _ := b.randomSource.MarshalBinary() // never returns an error
+	fmt.Fprintln(h, b.now, b.windowStart, b.windowLength, b.cachedWarmWeight, b.cachedWarmWeightAt, b.mostlyCold,
+		b.peakWeight, b.earlierTotal, b.arrivals, b.spanSeconds, b.servedWork, b.tenantRequests,
+		b.originQueueTimerAt, b.fetchTarget, b.meanLatency, b.failureRate, b.retryTokens,
+		b.recentAttempts, b.recentAnswers, b.recentCountsAt, b.lastAnswerAt, b.outstandingAtCaches, b.listFailures,
+		b.refusingSince,
 		b.lastRefusalAt, random, b.keyCounts.total, b.kindWeight, b.zones, b.zonesOnTrial)
 	for _, k := range slices.Sorted(maps.Keys(b.members)) {
 		member := b.members[k]
-		fmt.Fprintln(h, member.limiter, member.entry, member.weight, member.failureStreak, member.failureRate, member.ejectedUntil, member.coldTokens, member.coldTokensAt, member.hotLoad, member.hotKeys, member.hits, member.missStreak, member.coldSince)
+		fmt.Fprintln(h, member.limiter, member.entry, member.weight, member.failureStreak, member.failureRate, member.ejectedUntil,
+			member.coldTokens, member.coldTokensAt, member.hotLoad, member.hotKeys, member.hits, member.missStreak, member.coldSince)
 	}
 	for _, k := range slices.Sorted(maps.Keys(b.requests)) {
 		req := b.requests[k]
-		fmt.Fprintln(h, req.Request, req.arrivedAt, req.softDeadline, req.priority, req.slot, req.attempts, req.maxAttempts, req.unsent, req.outstanding, req.originAttempts, req.mayHaveRun, req.firstRunAt, id(req.firstRunMember),
-			id(req.missedCache), req.waiting, req.queued, req.coalesced, req.coalescedAfterMiss, req.ownsFetch, req.retriedAfterReset, req.streaming, req.answered)
+		fmt.Fprintln(h, req.Request, req.arrivedAt, req.softDeadline, req.priority, req.slot, req.attempts, req.maxAttempts, req.unsent,
+			req.outstanding,
+			req.originAttempts, req.mayHaveRun, req.firstRunAt, id(req.firstRunMember),
+			id(req.missedCache), req.waiting, req.queued, req.coalesced, req.coalescedAfterMiss, req.ownsFetch,
+			req.retriedAfterReset, req.streaming, req.answered)
 		for _, n := range req.triedCaches {
 			fmt.Fprint(h, n.entry.ID, ",")
 		}
@@ -55,5 +63,6 @@
 	return [16]byte(h.Sum(nil))
 }
 
-// Outstanding is how many requests the Balancer knows, those that are answered and have attempts out included.
+// Outstanding returns the number of requests that the Balancer keeps, including answered ones with
+// outstanding attempts.
 func (b *Balancer) Outstanding() int { return len(b.requests) }
--- a/logic/home.go
+++ b/logic/home.go
@@ -1,7 +1,8 @@
 package logic
 
-// PrimaryCache names the cache that a key's reads go to first, as the tables stand now; 0: there is none. It decides nothing: what
-// a read that comes now meets there (limits, ejection, the cold budget) is decided when it comes.
+// PrimaryCache returns the cache that reads of a key are sent to first according to the current tables; 0
+// if there is none. It decides nothing: what applies to a read (limits, ejection, the cold budget) is
+// decided when it arrives.
 func (b *Balancer) PrimaryCache(key uint64) MemberID {
 	if placed := b.hotTable[key]; placed != nil && key != 0 {
 		return placed.members[(placed.next+1)%len(placed.members)].entry.ID
--- a/logic/types.go
+++ b/logic/types.go
@@ -5,129 +5,131 @@
 	"time"
 )
 
-// limiter is the adaptive concurrency of a member, from this proxy.
+// limiter is the adaptive concurrency limit of a member at this proxy, with the measurements behind it.
 type limiter struct {
-	limit, latency         float64 // latency: seconds an answer takes lately
-	sendInterval           float64 // seconds between sends, lately
-	answerInterval         float64 // seconds between answers lately, at the most latency
-	peakOutstanding        float64 // the most that was out lately
-	minLatency             float64 // the least that latency has been; it rises slowly
-	fastestAnswer          float64 // seconds the quickest answers take lately, without a handshake; 0: there was none
+	limit, latency         float64 // latency: mean seconds of recent answers
+	sendInterval           float64 // mean seconds between recent sends
+	answerInterval         float64 // mean seconds between recent answers; each interval counts as latency at most
+	peakOutstanding        float64 // recent maximum of outstanding, decaying
+	minLatency             float64 // minimum of latency, rising slowly
+	fastestAnswer          float64 // seconds of the fastest recent answers, without handshakes; 0: none yet
 	samples, outstanding   int
 	limitCutAt, lastSentAt time.Duration
-	lastAnswerAt           time.Duration // when it answered last
-	answeredSentAt         time.Duration // when the latest attempt was sent that has been answered
+	lastAnswerAt           time.Duration // time of the last answer
+	answeredSentAt         time.Duration // send time of the latest answered attempt
 }
 
-// memberState is what the balancer knows of a member.
+// memberState is what the Balancer knows about a member.
 type memberState struct {
 	limiter
 	entry            Member
 	zone             *zoneState
 	hash             uint64
-	weight           float64       // its share of slots: alike at every proxy, untouched by load
-	failureStreak    int           // failures in a row
-	failureRate      float64       // share of attempts that failed, lately
-	ejectedUntil     time.Duration // ejected, or full, until then
-	coldTokens       float64       // the cold budget
+	weight           float64       // share of the slots; the same at every proxy and independent of load
+	failureStreak    int           // consecutive failures
+	failureRate      float64       // share of recent attempts that failed
+	ejectedUntil     time.Duration // end of the ejection
+	coldTokens       float64       // tokens of the cold budget
 	coldTokensAt     time.Duration
-	hotLoad, hotKeys float64       // S and T of the paper
-	hits, missStreak int           // the latter in a row
-	coldSince        time.Duration // when it was found to have lost what it held
+	hotLoad, hotKeys float64       // S and T in the paper
+	hits, missStreak int           // missStreak: consecutive misses
+	coldSince        time.Duration // time at which the cache was found to have lost its data
 }
 
-// zoneState is what a zone's caches have in common.
+// zoneState is the state that the caches of a zone share.
 type zoneState struct {
-	timeoutStreak  int           // time-outs in a row, over all of them
-	firstTimeoutAt time.Duration // the first of them
-	nextProbeAt    time.Duration // when one may be asked while they are silent, or on trial
-	coldSince      time.Duration // when they were heard of again after an outage: they may be cold from then on
-	withheldShare  float64       // the part of their work that they are not to get
-	trial          bool          // while closed, they get a read now and then
+	timeoutStreak  int           // consecutive timeouts over all caches of the zone
+	firstTimeoutAt time.Duration // time of the first timeout of the streak
+	nextProbeAt    time.Duration // earliest next attempt while the zone is silent or on trial
+	coldSince      time.Duration // time of the first answer after an outage; the caches may be cold from then on
+	withheldShare  float64       // share of its work that the zone does not receive
+	trial          bool          // while the share is withheld, the zone gets an occasional read
 }
 
+// candidate is a member with its score for a slot.
 type candidate struct {
 	member *memberState
 	score  float64
 }
 
-// pendingRequest is a request in hand.
+// pendingRequest is a request that has no final answer or still has outstanding attempts.
 type pendingRequest struct {
 	Request
-	class              *Class
-	arrivedAt          time.Duration
-	softDeadline       time.Duration // answers after this are worth little or nothing
-	priority           float64
-	slot, attempts     int
-	maxAttempts        int    // attempts allowed, as when it came
-	unsent             int    // attempts that found no connection: they count for nothing, up to the try limit
-	outstanding        uint64 // attempts outstanding, a bit each
-	originAttempts     uint64 // attempts that went to the origin
-	mayHaveRun         uint64 // attempts that may have run, or may yet
-	firstRunAt         time.Duration
-	firstRunMember     *memberState  // the first of those went there
-	notBefore          time.Duration // no attempt before: an earlier one may be in transit
-	toOrigin           bool          // the next attempt goes there
-	missedCache        *memberState  // where the value will be stored
-	triedCaches        []*memberState
-	waiting            bool // for another request's fetch, or in the origin's queue
-	queued             bool // in the origin's queue
-	coalesced          bool // it has waited for another's fetch before asking a cache
-	coalescedAfterMiss bool // it has waited for another's fetch after a miss
-	ownsFetch          bool // others may wait for its fetch
-	retriedAfterReset  bool // a connection to a cache broke under it, and it went there again
+	class          *Class
+	arrivedAt      time.Duration
+	softDeadline   time.Duration // later answers have little or no value
+	priority       float64
+	slot, attempts int
+	maxAttempts    int    // maximum attempts according to the settings at arrival
+	unsent         int    // attempts without a connection; up to maxAttempts of them are not counted
+	outstanding    uint64 // outstanding attempts, one bit each
+	originAttempts uint64 // attempts sent to the origin, one bit each
+	mayHaveRun     uint64 // attempts that may have run or may still run, one bit each
+	firstRunAt     time.Duration
+	firstRunMember *memberState  // member of the first attempt in mayHaveRun
+	notBefore      time.Duration // earliest time of the next attempt: an earlier one may still arrive
+	toOrigin       bool          // the next attempt goes to the origin
+	missedCache    *memberState  // cache that will store the value
+	triedCaches    []*memberState
+	// no attempt is outstanding: in the origin queue, or waiting for a fetch, a delay or a connection
+	waiting            bool
+	queued             bool // in the origin queue
+	coalesced          bool // has waited for another request's fetch before its first attempt
+	coalescedAfterMiss bool // has waited for another request's fetch after a miss
+	ownsFetch          bool // other requests may wait for its fetch
+	retriedAfterReset  bool // was sent to the same cache again after its connection broke
 	streaming          bool
-	answered           bool // answered; kept until its attempts have ended
+	answered           bool // has its final answer; kept until its attempts have ended
 }
 
-// Balancer makes the decisions of one proxy. Make it with New, then call Start.
+// Balancer makes the routing decisions of one proxy. Create it with New, then call Start.
 type Balancer struct {
 	settings                      Settings
 	actions                       Actions
-	randomSource                  *rand.PCG // the source of rng
+	randomSource                  *rand.PCG // source of rng
 	rng                           *rand.Rand
 	now, windowStart              time.Duration
 	members                       map[MemberID]*memberState
-	caches, origins               []*memberState // ready, by id
+	caches, origins               []*memberState // ready members, sorted by ID
 	slots                         [][]candidate
 	kindWeight                    map[int]float64
 	zones                         [64]zoneState
-	zonesOnTrial                  bool    // some zone is on trial
-	cachedWarmWeight              float64 // weight of the caches, cold ones by their warmth
+	zonesOnTrial                  bool    // at least one zone is on trial
+	cachedWarmWeight              float64 // weight of the caches, cold ones scaled by their warmth
 	cachedWarmWeightAt            time.Duration
-	mostlyCold                    bool    // the fleet has less than half of its capacity
-	peakWeight                    float64 // the most weight the list has held
-	zoneTables                    bool    // each zone has a slot table of its own
+	mostlyCold                    bool    // less than half of the weight is warm
+	peakWeight                    float64 // maximum weight of the list so far
+	zoneTables                    bool    // each zone has its own slot table
 	keyCounts                     counter
-	earlierTotal                  float64 // of the count, from earlier windows
+	earlierTotal                  float64 // part of keyCounts.total from earlier windows
 	hotTable                      map[uint64]*placement
-	arrivals, spanSeconds         float64       // requests, and the seconds they were counted
-	servedWork                    float64       // what the caches did of them, in answers; a miss is half of one
-	windowLength                  time.Duration // of the window
+	arrivals, spanSeconds         float64       // requests, and the seconds in which they were counted
+	servedWork                    float64       // answers of the caches; a miss counts as half
+	windowLength                  time.Duration // length of the current counting window
 	tenantRequests                []float64
 	requests                      map[RequestID]*pendingRequest
-	fetchWaiters                  map[uint64][]*pendingRequest // by key: who waits for the fetch that is out
-	originQueue                   []*pendingRequest            // for the origin
+	fetchWaiters                  map[uint64][]*pendingRequest // by key: requests that wait for an outstanding fetch
+	originQueue                   []*pendingRequest            // reads and writes waiting for capacity of the origin
 	originQueueTimerAt            time.Duration
-	fetchTarget                   float64 // seconds a fetch may take
-	meanLatency, failureRate      float64 // the caches' mean
-	retryTokens                   float64 // the retry budget
-	recentAttempts, recentAnswers float64 // attempts at caches, lately
+	fetchTarget                   float64 // target duration of a fetch in seconds
+	meanLatency, failureRate      float64 // mean over the caches
+	retryTokens                   float64 // tokens of the retry budget
+	recentAttempts, recentAnswers float64 // attempts at caches and their answers, decaying
 	recentCountsAt                time.Duration
-	lastAnswerAt                  time.Duration // when a cache answered last
-	outstandingAtCaches           int           // attempts at caches that have no outcome yet
-	currentReads, previousReads   int           // reads asked for lately, and in the time before that
-	currentReadsSince             time.Duration // when lately began
+	lastAnswerAt                  time.Duration // time of the last answer of any cache
+	outstandingAtCaches           int           // attempts at caches without an outcome
+	currentReads, previousReads   int           // reads in the current and the previous interval of the throttle
+	currentReadsSince             time.Duration // start of the current interval
 	listFailures                  int
-	refusingSince                 time.Duration // since when this proxy has had to refuse
+	refusingSince                 time.Duration // start of the current shortage
 	lastRefusalAt                 time.Duration
 }
 
-// placement are the caches of a hot key; more than one only if the key is split.
+// placement lists the caches of a hot key; there are several only if the key is split.
 type placement struct {
 	members []*memberState
 	next    int
 }
 
-// isSplit tells whether several caches hold the key.
+// isSplit reports whether several caches hold the key.
 func (p *placement) isSplit() bool { return p != nil && len(p.members) > 1 }
