--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -67,7 +67,7 @@
 }
 
 // A rebuild places the hot set anew.
-func BenchmarkRebuild(b *testing.B) {
+func BenchmarkPlaceHotKeys(b *testing.B) {
 	for _, members := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
 			bal, _, _ := newWarmBalancer(b, members)
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -485,7 +485,7 @@
 
 // Where zones have tables of their own, a slot's candidates abroad are those that the proxies there ask first, however many caches
 // this zone has, and after caches come and go.
-func TestCandidatesAbroad(t *testing.T) {
+func TestOtherZoneCandidates(t *testing.T) {
 	f := newFleet(t, 3, 120, 7)
 	check := func() {
 		t.Helper()
@@ -524,7 +524,7 @@
 }
 
 // A zone that falls silent is asked by one read at a time, and by all again with its first answer; one bad cache says nothing of it.
-func TestDarkZone(t *testing.T) {
+func TestSilentZoneIsProbed(t *testing.T) {
 	f := newFleet(t, 3, 60, 7)
 	f.run(time.Second, 500)
 	p := f.proxies[0]
@@ -760,7 +760,7 @@
 // 64 of 80 proxies (3 of 4) are killed at once, and start with the list of their configuration, while discovery answers late: ten
 // caches of that list have gone meanwhile, ten more drain while they wait, and each is told by a list of its own within ten seconds.
 // Until then reads are served from what is known; from then on nothing is sent to what drains.
-func TestFleetStartsFromAnOldList(t *testing.T) {
+func TestFleetStartsFromOutdatedList(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
 		known := maps.Clone(f.list)
 		for i := range 10 { // replaced before the restart, and heard of by those that run
@@ -873,7 +873,7 @@
 }
 
 // A zone falls silent and comes back with other processes, of which the list tells nothing: what is sent to it is what cold caches bear.
-func TestFleetZoneBackUntold(t *testing.T) {
+func TestFleetZoneRestartsUnannounced(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
 		f.settings.SlowStartCapacity, f.settings.OverloadMultiple = 0.1, 1.5 // the usual load would be too much for them
 		for i, p := range f.proxies {
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -9,7 +9,7 @@
 )
 
 // Whatever a Balancer is given to take over, of its own kind or damaged, it keeps the rules afterwards.
-func TestHeirKeepsTheRules(t *testing.T) {
+func TestImportedStateKeepsInvariants(t *testing.T) {
 	for seed := range uint64(6) {
 		s := testSettings()
 		s.Zones, s.CrossZoneCost = 2, 0.1
@@ -51,7 +51,7 @@
 }
 
 // Only what is known of members that are still the same is taken over. A cold budget, a drain and a request are never.
-func TestInheritTakesWhatFits(t *testing.T) {
+func TestImportStateTakesMatchingMembers(t *testing.T) {
 	s := testSettings()
 	list := withOrigin(6)
 	list[4].StartedAt = time.Hour - time.Second // cold, and told so to both
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestMissGoesToTheOriginAndTheNextReadWaits(t *testing.T) {
+func TestMissIsFetchedAndNextReadIsCoalesced(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(6)...)
 	a := h.request(Request{ID: 1, Key: 77})
@@ -37,7 +37,7 @@
 }
 
 // A fetch whose client left in the queue must not leave the others waiting for it.
-func TestExpiredOwnerPassesTheFetchOn(t *testing.T) {
+func TestCancelledFetchOwnerReleasesWaiters(t *testing.T) {
 	s := testSettings()
 	h := newHost(t, s, 1)
 	h.setMembers(ListCached, withOrigin(3)...)
@@ -55,7 +55,7 @@
 }
 
 // A slow spell once left the latency estimate above every aim, and no fetch was sent that could lower it.
-func TestSlowOriginIsStillTried(t *testing.T) {
+func TestSlowOriginStillGetsFetches(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(3)...)
 	h.b.origins[0].latency = 30
@@ -68,7 +68,7 @@
 }
 
 // A request that is to be answered before any member could answer it is not begun.
-func TestTooLittleTimeIsNotBegun(t *testing.T) {
+func TestRequestWithoutEnoughTimeIsNotSent(t *testing.T) {
 	for name, ask := range map[string]Request{
 		"a read":   {Key: 5},
 		"an order": {Key: 5, Class: 1, Write: true},
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestOnceIsNotRepeatedAfterATimeout(t *testing.T) {
+func TestAtMostOnceIsNotRepeatedAfterReset(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(3)...)
 	a := h.request(Request{ID: 1, Key: 5, Class: 1, Write: true})
@@ -106,7 +106,7 @@
 	h.checkViolations()
 }
 
-func TestDrainActsAtOnce(t *testing.T) {
+func TestDrainingMemberGetsNoRequests(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(2)...)
 	first := h.request(Request{ID: 1, Key: 9}).attempts[0].member
@@ -170,7 +170,7 @@
 }
 
 // When everything fails alike nobody is ejected.
-func TestGeneralFailureEjectsNobody(t *testing.T) {
+func TestGeneralFailureEjectsNoMember(t *testing.T) {
 	s := testSettings()
 	h := newHost(t, s, 1)
 	h.setMembers(ListCached, withOrigin(5)...)
@@ -189,7 +189,7 @@
 	h.checkViolations()
 }
 
-func TestWatchIsAskedForAgain(t *testing.T) {
+func TestFailedWatchIsRetried(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = true
 	h := newHost(t, s, 1)
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestOddEventsLoseNothing(t *testing.T) {
+func TestUnexpectedEventsLoseNoRequest(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	odd := []Request{
 		{ID: 1}, {ID: 2, Class: 99, Tenant: 99, Key: 3}, {ID: 3, Class: -1, Tenant: -5},
@@ -262,7 +262,7 @@
 }
 
 // A burst once left members with deep queues jammed for good: every attempt timed out, and clients tried again.
-func TestJammedMemberIsSentLess(t *testing.T) {
+func TestOverloadedMemberIsSentLess(t *testing.T) {
 	s := testSettings()
 	h := newHost(t, s, 1)
 	h.setMembers(ListCached, withOrigin(4)...)
@@ -287,7 +287,7 @@
 
 // Once jammed, members that had recovered stood idle: each good answer cut their limits further while the mean
 // of earlier ones was still over the target.
-func TestLimitsRecoverAfterAJam(t *testing.T) {
+func TestLimitsRecoverAfterOverload(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(4)...)
 	asked, sent := 0, 0
@@ -340,7 +340,7 @@
 }
 
 // Where caches fetch by themselves, giving up slow answers and asking the next cache doubled the fetches.
-func TestThroughModeWaitsForAFetch(t *testing.T) {
+func TestReadThroughModeWaitsForFetch(t *testing.T) {
 	s := testSettings()
 	s.Mode, s.OriginKind = ReadThrough, -1
 	h := newHost(t, s, 1)
@@ -377,7 +377,7 @@
 
 // While most of the fleet was cold its budgets shrank with the little that the few warm members answered: they go by
 // the weight that answers, and never by less than half of the fleet.
-func TestColdBudgetGoesByTheWeightThatAnswers(t *testing.T) {
+func TestColdBudgetUsesWarmWeight(t *testing.T) {
 	for _, c := range []struct {
 		cold      int
 		low, high float64
@@ -447,7 +447,7 @@
 }
 
 // Clients that try again under overload once inflated the cold budget: it must follow what caches answer.
-func TestColdBudgetFollowsWhatCachesAnswer(t *testing.T) {
+func TestColdBudgetFollowsAnswers(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(4)...)
 	answered := 0
@@ -470,7 +470,7 @@
 }
 
 // Many members, each sent to seldom: no member's limit sees the jam, the throttle must.
-func TestThrottleEndsAJamOfSeldomUsedMembers(t *testing.T) {
+func TestThrottleEndsOverloadOfRarelyUsedMembers(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(400)...)
 	sent, asked := 0, 0
@@ -493,7 +493,7 @@
 }
 
 // The time before a member was first sent to counts from when it was heard of, not from the clock's zero.
-func TestFirstGapIsNotTheClock(t *testing.T) {
+func TestFirstSendIntervalStartsWithListing(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(1)...)
 	h.advance(10 * ms)
@@ -677,7 +677,7 @@
 }
 
 // Members under ever new ids leave nothing behind.
-func TestMembersGoneAreForgotten(t *testing.T) {
+func TestRemovedMembersAreDeleted(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	for i := range 50 {
 		m := Member{ID: MemberID(1000 + i), Weight: 1}
@@ -714,7 +714,7 @@
 
 // With the slot's cache in this zone busy, a read goes to the one that has the slot in another zone, where its
 // key is kept too, and is not refused because the origin has no room for a miss.
-func TestBusyZoneSpillsToTheSlotsCacheAbroad(t *testing.T) {
+func TestBusyZoneSpillsToOtherZone(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.CrossZoneCost = 3, 0.06
 	h := newHost(t, s, 1)
@@ -744,7 +744,7 @@
 
 // The host's own shortage of connections tells nothing of the member and costs neither an attempt nor the retry
 // budget.
-func TestOwnShortageIsNotTheMembersLoad(t *testing.T) {
+func TestConnectionShortageIsNotMemberLoad(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(8)...)
 	r := h.request(Request{ID: 1, Key: 7})
@@ -766,7 +766,7 @@
 
 // A crowd that comes at once is let in at members that are quick, and not at those that are slow, have turned work away
 // or are not known yet.
-func TestCrowdIsLetInAtQuickMembers(t *testing.T) {
+func TestBurstIsAllowedAtFastMembers(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(3)...)
 	n := h.b.caches[0]
@@ -792,7 +792,7 @@
 
 // A crowd that comes at once before members that nothing is known of waits for the first answers. Where those are quick all
 // of it is served; where none come, or slow ones, it is refused in good time, and its place in line is no promise.
-func TestCrowdAtAFreshProxy(t *testing.T) {
+func TestBurstAtStartedProxy(t *testing.T) {
 	const crowd = 400
 	for name, c := range map[string]struct {
 		answers time.Duration
@@ -836,7 +836,7 @@
 
 // Attempts that found no connection, or whose connection ended for something else, were not asked of the caches: the
 // throttle must not refuse reads for them, and the latter tell nothing of the member either.
-func TestThrottleCountsOnlyWhatWasAsked(t *testing.T) {
+func TestThrottleCountsOnlySentAttempts(t *testing.T) {
 	for _, s := range []Status{StatusNoConn, StatusCancelled} {
 		h := newHost(t, testSettings(), 1)
 		h.setMembers(ListCached, withOrigin(8)...)
@@ -883,7 +883,7 @@
 }
 
 // What is out and may yet be answered is no sign of a jam while the caches answer; once they have fallen silent it is.
-func TestThrottleLeavesOutWhatMayYetBeAnswered(t *testing.T) {
+func TestThrottleIgnoresOutstandingReads(t *testing.T) {
 	h, refused := newHostWithFastCaches(t, 10*ms)
 	if n := refused(2, 800); n > 0 {
 		t.Errorf("%d of 800 reads refused though the caches answer", n)
@@ -897,7 +897,7 @@
 
 // A crowd that comes when nothing has been heard for a moment, as the proxy itself was busy taking it in, is not taken for a jam:
 // what was asked just now can't have been answered.
-func TestThrottleLeavesOutACrowdThatHasJustCome(t *testing.T) {
+func TestThrottleIgnoresNewBurst(t *testing.T) {
 	h, refused := newHostWithFastCaches(t, ms)
 	h.advance(25 * ms) // longer than caches as quick as these are silent
 	if n := refused(2, 900); n > 0 {
@@ -907,7 +907,7 @@
 }
 
 // A fetch whose connection broke goes back in line, and those who wait for it don't ask the cache meanwhile.
-func TestBrokenFetchKeepsThoseWhoWait(t *testing.T) {
+func TestBrokenFetchKeepsWaiters(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(6)...)
 	a := h.request(Request{ID: 1, Key: 77})
@@ -934,7 +934,7 @@
 
 // A fetch whose connection falls silent, while the origin answers others, must not cut what the origin is sent;
 // one that nothing overtakes does.
-func TestOvertakenTimeoutIsNoLoad(t *testing.T) {
+func TestOvertakenTimeoutDoesNotCutLimit(t *testing.T) {
 	for name, others := range map[string]int{"others are answered": 20, "nothing is answered": 0} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, testSettings(), 1)
@@ -962,7 +962,7 @@
 }
 
 // A refused client is told when to come back: later, the longer the shortage lasts, spread, and within the bound.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalRetryAfter(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = 2 * time.Second
 	h := newHost(t, s, 1)
@@ -999,7 +999,7 @@
 
 // Where many of all attempts fail, two in a row are chance and eject nobody; a member that only fails is ejected
 // all the same.
-func TestChanceStreaksEjectNobody(t *testing.T) {
+func TestRandomStreaksDoNotEject(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(8)...)
 	n := h.b.caches[0]
@@ -1020,7 +1020,7 @@
 }
 
 // A handshake makes a first answer slow; that is no load of the member's.
-func TestHandshakeIsNoLoad(t *testing.T) {
+func TestHandshakeDoesNotCutLimit(t *testing.T) {
 	for name, fresh := range map[string]bool{"first on its connection": true, "on a kept connection": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, testSettings(), 1)
@@ -1038,7 +1038,7 @@
 }
 
 // A request goes only to the members that it allows, a cache or the origin; narrowed to nobody it is answered at once.
-func TestOnlyTheMembersAllowed(t *testing.T) {
+func TestAllowedMembersOnly(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(6)...)
 	for id := RequestID(1); id <= 20; id++ {
@@ -1065,7 +1065,7 @@
 }
 
 // Spares are warm members that may be sent to; where a client has gone on to one by itself, that counts as an attempt.
-func TestSparesCountAsAttempts(t *testing.T) {
+func TestFallbacksCountAsAttempts(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	list := withOrigin(6)
 	list[2].StartedAt = h.now - 100*ms
@@ -1106,7 +1106,7 @@
 
 // A proxy just started, before a fleet that is all cold, has answered nothing that its budget could go by. It asks each
 // member a little, and more as it answers; never more than its part of what a member that has just started surely can.
-func TestFreshProxyBeforeAColdFleet(t *testing.T) {
+func TestStartedProxyWithColdFleet(t *testing.T) {
 	for name, c := range map[string]struct {
 		takes, gap time.Duration // an answer; between requests
 		least      float64       // of the requests served in the last of 6 seconds
@@ -1157,7 +1157,7 @@
 
 // A cache that finds fault with a request has answered it. A client whose requests are all at fault must not make the
 // throttle refuse others' reads.
-func TestRejectionsAreNoShortage(t *testing.T) {
+func TestRejectionsDoNotThrottle(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(4)...)
 	for id := RequestID(1); id <= 400; id++ {
@@ -1173,7 +1173,7 @@
 
 // A read for which this proxy has no connection goes to another candidate that it has one to, waits where it has none at
 // all, and is refused, for that reason, once a quarter of its time has passed.
-func TestShortOfConnections(t *testing.T) {
+func TestConnectionShortage(t *testing.T) {
 	h := newHost(t, testSettings(), 1)
 	h.setMembers(ListCached, withOrigin(4)...)
 	first := h.request(Request{ID: 1, Key: 9}).attempts[0].member
@@ -1231,7 +1231,7 @@
 // A member turns away what finds no place, unseen: that is no load, and another may well have room. One in two first attempts
 // ends so here, as it does by chance where members have few places; the reads go on to another, and none is refused for the
 // retry budget. Attempts that failed cost as much of it as ever.
-func TestTurnedAwayUnseenIsNoLoad(t *testing.T) {
+func TestFullAnswersSpareRetryBudget(t *testing.T) {
 	for _, c := range []struct {
 		status Status
 		refuse bool
@@ -1263,7 +1263,7 @@
 
 // What was turned away unseen is not what a jam is made of: where each read is taken by the third cache only, the throttle, which
 // compares what is asked with what is answered, refuses none. Where two in three are asked in vain, it does.
-func TestTurnedAwayUnseenIsNoJam(t *testing.T) {
+func TestFullAnswersDoNotThrottle(t *testing.T) {
 	for _, c := range []struct {
 		status Status
 		refuse bool
--- a/logic/transit_test.go
+++ b/logic/transit_test.go
@@ -15,7 +15,7 @@
 
 // A further attempt waits until none before it can come at a member any more, and is then made at once. Where that leaves no time for it, the
 // request is answered at once.
-func TestFurtherAttemptsWaitForTransit(t *testing.T) {
+func TestNextAttemptWaitsForTransit(t *testing.T) {
 	for name, c := range map[string]struct {
 		status  Status
 		class   int
@@ -56,7 +56,7 @@
 }
 
 // An attempt that was given less time than its member's quickest answers take says nothing of the member; one that had more time does.
-func TestTooShortATryIsNoFault(t *testing.T) {
+func TestTooShortTimeoutIsNoFailure(t *testing.T) {
 	for elapsed, blamed := range map[time.Duration]bool{30 * ms: false, 90 * ms: true} {
 		h := newHost(t, testSettings(), 1)
 		h.setMembers(ListCached, withOrigin(8)...)
--- a/logic/untold_test.go
+++ b/logic/untold_test.go
@@ -7,7 +7,7 @@
 
 // A cache that has had hits and then has nothing any more counts as started with the last of so many misses, and not before; one that
 // never had any is just empty.
-func TestCacheThatLostWhatItHeld(t *testing.T) {
+func TestCacheThatLostItsData(t *testing.T) {
 	for name, c := range map[string]struct {
 		hits, misses int
 		cold         bool
