--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -105,25 +105,25 @@
 )
 
 func newFleet(t *testing.T, proxies, caches int, seed uint64) *fleet {
-	f := &fleet{t: t, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 9)), caches: map[MemberID]*fleetCache{},
+	sim := &fleet{t: t, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 9)), caches: map[MemberID]*fleetCache{},
 		list: map[MemberID]Member{}, refused: map[Reason]int{}, maxAnswerDelay: map[Reason]time.Duration{}}
-	f.settings = testSettings()
-	f.settings.Classes = f.settings.Classes[:2]
-	f.settings.Classes[0].SoftDeadline, f.settings.Classes[0].Deadline = 440*ms, 1600*ms
-	f.settings.Instances, f.settings.Zones, f.settings.CrossZoneCost = proxies, 3, 0.06
-	f.settings.SlowStartCapacity, f.settings.SlowStartDuration, f.settings.OverloadMultiple, f.settings.MaxEventDelay = 0.3, 9*time.Second, 4, ms
+	sim.settings = testSettings()
+	sim.settings.Classes = sim.settings.Classes[:2]
+	sim.settings.Classes[0].SoftDeadline, sim.settings.Classes[0].Deadline = 440*ms, 1600*ms
+	sim.settings.Instances, sim.settings.Zones, sim.settings.CrossZoneCost = proxies, 3, 0.06
+	sim.settings.SlowStartCapacity, sim.settings.SlowStartDuration, sim.settings.OverloadMultiple, sim.settings.MaxEventDelay = 0.3, 9*time.Second, 4, ms
 	for i := range caches {
-		f.addCache(MemberID(i+1), 0)
+		sim.addCache(MemberID(i+1), 0)
 	}
-	f.origin = &fleetCache{entry: Member{ID: fleetOriginID, Kind: 9, Weight: 1}, workers: 64, queueCapacity: 1000, slowdown: 1, keys: map[uint64]bool{}}
-	f.list[fleetOriginID] = f.origin.entry
-	f.excessConnectionStatus = StatusFull
+	sim.origin = &fleetCache{entry: Member{ID: fleetOriginID, Kind: 9, Weight: 1}, workers: 64, queueCapacity: 1000, slowdown: 1, keys: map[uint64]bool{}}
+	sim.list[fleetOriginID] = sim.origin.entry
+	sim.excessConnectionStatus = StatusFull
 	for i := range proxies {
-		p := &fleetProxy{fleet: f}
-		f.proxies = append(f.proxies, p)
+		p := &fleetProxy{fleet: sim}
+		sim.proxies = append(sim.proxies, p)
 		p.start(i)
 	}
-	return f
+	return sim
 }
 
 // addCache starts a cache, which every proxy is told of by tell.
@@ -189,77 +189,77 @@
 	for _, c := range p.fleet.caches {
 		delete(c.conns, p)
 	}
-	b, err := New(s, p.fleet.rng.Uint64(), p)
+	balancer, err := New(s, p.fleet.rng.Uint64(), p)
 	if err != nil {
 		p.fleet.t.Fatal(err)
 	}
-	p.balancer = b
-	b.Start(p.fleet.now)
+	p.balancer = balancer
+	balancer.Start(p.fleet.now)
 	var list []Member
 	for _, id := range slices.Sorted(maps.Keys(known)) { // in order, so that every run is alike
 		list = append(list, known[id])
 		p.listed[id] = known[id]
 	}
-	b.SetMembers(p.fleet.now, ListCached, list)
+	balancer.SetMembers(p.fleet.now, ListCached, list)
 }
 
 func (p *fleetProxy) request(key uint64) {
-	f := p.fleet
-	f.nextID++
-	f.arrivedReads++
+	sim := p.fleet
+	sim.nextID++
+	sim.arrivedReads++
 	p.arrivedReads++
-	r := &fleetRequest{Request: Request{ID: f.nextID, Key: key, Deadline: f.now + f.settings.Classes[0].Deadline}, outstanding: map[int]MemberID{},
-		lastEventAt: f.now}
+	r := &fleetRequest{Request: Request{ID: sim.nextID, Key: key, Deadline: sim.now + sim.settings.Classes[0].Deadline}, outstanding: map[int]MemberID{},
+		lastEventAt: sim.now}
 	p.requests[r.ID] = r
-	p.balancer.Request(f.now, r.Request)
+	p.balancer.Request(sim.now, r.Request)
 }
 
 func (p *fleetProxy) Send(id RequestID, to MemberID, timeout time.Duration) {
-	f, r, epoch := p.fleet, p.requests[id], p.epoch
-	n := r.attempts
-	r.attempts++
-	r.outstanding[n] = to
+	sim, read, epoch := p.fleet, p.requests[id], p.epoch
+	attempt := read.attempts
+	read.attempts++
+	read.outstanding[attempt] = to
 	if p.listed[to].State != Ready {
-		f.sendsToUnready++
+		sim.sendsToUnready++
 	}
-	sentAt := f.now
+	sentAt := sim.now
 	end := func(s Status, after time.Duration) {
-		f.schedule(f.now+after, func() {
-			if _, out := r.outstanding[n]; !out || p.epoch != epoch {
+		sim.schedule(sim.now+after, func() {
+			if _, out := read.outstanding[attempt]; !out || p.epoch != epoch {
 				return
 			}
-			delete(r.outstanding, n)
-			r.lastEventAt = f.now
-			if s == StatusOK && !r.answered {
-				r.answered = true
-				if f.now <= r.Deadline-f.settings.Classes[0].Deadline+f.settings.Classes[0].SoftDeadline {
-					f.servedReads++
+			delete(read.outstanding, attempt)
+			read.lastEventAt = sim.now
+			if s == StatusOK && !read.answered {
+				read.answered = true
+				if sim.now <= read.Deadline-sim.settings.Classes[0].Deadline+sim.settings.Classes[0].SoftDeadline {
+					sim.servedReads++
 					p.servedReads++
 				}
 			}
-			p.balancer.Outcome(f.now, Outcome{Request: id, Attempt: n, Member: to, Status: s, Elapsed: f.now - sentAt, Final: r.answered})
-			if r.answered && len(r.outstanding) == 0 {
+			p.balancer.Outcome(sim.now, Outcome{Request: id, Attempt: attempt, Member: to, Status: s, Elapsed: sim.now - sentAt, Final: read.answered})
+			if read.answered && len(read.outstanding) == 0 {
 				delete(p.requests, id)
 			}
 		})
 	}
 	if timeout == 0 {
-		timeout = r.Deadline - f.now
+		timeout = read.Deadline - sim.now
 	}
 	end(StatusTimeout, timeout)
 	if to == fleetOriginID {
-		f.originOutstanding++
-		f.originPeakOutstanding = max(f.originPeakOutstanding, f.originOutstanding)
-		f.origin.serve(f, 50*ms, func(ok bool) {
-			f.originOutstanding--
-			for _, m := range r.missedCaches(f) {
-				m.keys[r.Key] = true
+		sim.originOutstanding++
+		sim.originPeakOutstanding = max(sim.originPeakOutstanding, sim.originOutstanding)
+		sim.origin.serve(sim, 50*ms, func(ok bool) {
+			sim.originOutstanding--
+			for _, m := range read.missedCaches(sim) {
+				m.keys[read.Key] = true
 			}
 			end(StatusOK, ms)
-		}, func() { f.originOutstanding--; end(StatusFull, ms) })
+		}, func() { sim.originOutstanding--; end(StatusFull, ms) })
 		return
 	}
-	c := f.caches[to]
+	c := sim.caches[to]
 	if c != nil {
 		c.attempts++
 	}
@@ -270,18 +270,18 @@
 	case c.silent:
 		return
 	case !p.tryConnect(to):
-		end(f.excessConnectionStatus, ms)
+		end(sim.excessConnectionStatus, ms)
 		return
 	}
-	f.countCold(c)
-	c.serve(f, time.Duration(float64(fleetHitTime)*c.slowdown*f.rng.ExpFloat64()/f.warmth(c)), func(ok bool) {
+	sim.countCold(c)
+	c.serve(sim, time.Duration(float64(fleetHitTime)*c.slowdown*sim.rng.ExpFloat64()/sim.warmth(c)), func(ok bool) {
 		switch {
 		case !ok:
 			end(StatusError, ms)
-		case c.keys[r.Key]:
+		case c.keys[read.Key]:
 			end(StatusOK, ms)
 		default:
-			r.Size++ // it missed somewhere
+			read.Size++ // it missed somewhere
 			end(StatusMiss, ms)
 		}
 	}, func() { end(StatusFull, ms) })
@@ -469,16 +469,16 @@
 // fleetLoad is reads a second that take 0.45 of what the caches can do.
 func fleetLoad(caches int) float64 { return 0.45 * float64(2*caches) / fleetHitTime.Seconds() }
 
-func forEachFleetSize(t *testing.T, scenario func(t *testing.T, f *fleet, load float64)) {
+func forEachFleetSize(t *testing.T, scenario func(t *testing.T, sim *fleet, load float64)) {
 	for _, c := range fleetSizes {
 		t.Run(fmt.Sprintf("%d proxies", c.proxies), func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, c.proxies, c.caches, 7)
+			sim := newFleet(t, c.proxies, c.caches, 7)
 			load := fleetLoad(c.caches)
-			f.run(4*time.Second, load)
-			t.Logf("calm: %.3f in time, %v, at the origin %d", f.takeServedShare(), f.refused, f.originPeakOutstanding)
-			f.originPeakOutstanding = 0 // empty caches are all filled at first
-			scenario(t, f, load)
+			sim.run(4*time.Second, load)
+			t.Logf("calm: %.3f in time, %v, at the origin %d", sim.takeServedShare(), sim.refused, sim.originPeakOutstanding)
+			sim.originPeakOutstanding = 0 // empty caches are all filled at first
+			scenario(t, sim, load)
 		})
 	}
 }
@@ -486,12 +486,12 @@
 // Where zones have tables of their own, a slot's candidates abroad are those that the proxies there ask first, however many caches
 // this zone has, and after caches come and go.
 func TestOtherZoneCandidates(t *testing.T) {
-	f := newFleet(t, 3, 120, 7)
+	sim := newFleet(t, 3, 120, 7)
 	check := func() {
 		t.Helper()
 		for slot := range 200 {
-			for _, p := range f.proxies {
-				for _, q := range f.proxies {
+			for _, p := range sim.proxies {
+				for _, q := range sim.proxies {
 					first := q.balancer.candidates(slot)[0].member.entry.ID
 					if !slices.ContainsFunc(p.balancer.candidates(slot), func(r candidate) bool { return r.member.entry.ID == first }) {
 						t.Fatalf("slot %d: zone %d asks cache %d first, which zone %d does not know as a candidate", slot, q.balancer.settings.Zone,
@@ -514,22 +514,22 @@
 	}
 	check()
 	for i := range 40 {
-		m := f.caches[MemberID(2*i+1)].entry
+		m := sim.caches[MemberID(2*i+1)].entry
 		m.State = Gone
-		f.announce(m)
-		f.announce(f.addCache(MemberID(1000+i), f.now).entry)
+		sim.announce(m)
+		sim.announce(sim.addCache(MemberID(1000+i), sim.now).entry)
 	}
-	f.run(2*time.Second, 1)
+	sim.run(2*time.Second, 1)
 	check()
 }
 
 // A zone that falls silent is asked by one read at a time, and by all again with its first answer; one bad cache says nothing of it.
 func TestSilentZoneIsProbed(t *testing.T) {
-	f := newFleet(t, 3, 60, 7)
-	f.run(time.Second, 500)
-	p := f.proxies[0]
+	sim := newFleet(t, 3, 60, 7)
+	sim.run(time.Second, 500)
+	p := sim.proxies[0]
 	asked := func(zone int) (n int) {
-		for _, c := range f.caches {
+		for _, c := range sim.caches {
 			if c.entry.Zone == zone {
 				n += c.attempts
 			}
@@ -538,26 +538,26 @@
 		return n
 	}
 	asked(0)
-	f.caches[3].silent = true // of zone 0
-	f.run(2*time.Second, 500)
+	sim.caches[3].silent = true // of zone 0
+	sim.run(2*time.Second, 500)
 	if p.balancer.inSilentZone(p.balancer.members[6]) {
 		t.Error("one silent cache makes its zone dark")
 	}
-	for _, c := range f.caches {
+	for _, c := range sim.caches {
 		c.silent = c.entry.Zone == 0
 	}
-	f.run(2*time.Second, 500)
+	sim.run(2*time.Second, 500)
 	asked(0)
-	f.run(3*time.Second, 500)
+	sim.run(3*time.Second, 500)
 	if n := asked(0); n == 0 || n > 3*int(time.Second/silentZoneInterval)+2 {
 		t.Errorf("a silent zone is asked %d times in three seconds", n)
 	}
-	for _, c := range f.caches {
+	for _, c := range sim.caches {
 		c.silent = false
 	}
-	f.run(6*time.Second, 500) // ejected caches come back one by one
+	sim.run(6*time.Second, 500) // ejected caches come back one by one
 	asked(0)
-	f.run(time.Second, 500)
+	sim.run(time.Second, 500)
 	if n := asked(0); n < 100 {
 		t.Errorf("a zone that answers again is asked %d times in a second", n)
 	}
@@ -565,91 +565,91 @@
 
 // Six in ten caches are replaced within seven seconds, and two in five proxies start anew while it goes on.
 func TestFleetReplaced(t *testing.T) {
-	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
+	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		for i := range 36 {
-			old, at := f.caches[MemberID(i+1)], f.now+time.Duration(i)*200*ms
-			f.schedule(at, func() {
+			old, at := sim.caches[MemberID(i+1)], sim.now+time.Duration(i)*200*ms
+			sim.schedule(at, func() {
 				m := old.entry
 				m.State = Draining
-				f.announce(m)
-				f.announce(f.addCache(MemberID(100+i), f.now).entry)
+				sim.announce(m)
+				sim.announce(sim.addCache(MemberID(100+i), sim.now).entry)
 			})
-			f.schedule(at+2*time.Second, func() {
+			sim.schedule(at+2*time.Second, func() {
 				m := old.entry
 				m.State = Gone
-				f.announce(m)
-				f.schedule(f.now+time.Second, func() { delete(f.caches, m.ID) })
+				sim.announce(m)
+				sim.schedule(sim.now+time.Second, func() { delete(sim.caches, m.ID) })
 			})
 		}
-		for i, p := range f.proxies {
+		for i, p := range sim.proxies {
 			if i%5 < 2 {
-				f.schedule(f.now+3*time.Second, func() { p.start(i) })
+				sim.schedule(sim.now+3*time.Second, func() { p.start(i) })
 			}
 		}
-		f.run(9*time.Second, load)
-		t.Logf("while they are replaced: %.3f in time, %v", f.takeServedShare(), f.refused)
-		f.run(9*time.Second, load)
-		f.checkRecovery("nine seconds after the last was replaced", 0.9)
+		sim.run(9*time.Second, load)
+		t.Logf("while they are replaced: %.3f in time, %v", sim.takeServedShare(), sim.refused)
+		sim.run(9*time.Second, load)
+		sim.checkRecovery("nine seconds after the last was replaced", 0.9)
 	})
 }
 
 // A zone is lost silently, and comes back cold.
 func TestFleetZoneLost(t *testing.T) {
-	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
-		for _, id := range slices.Sorted(maps.Keys(f.caches)) {
-			c := f.caches[id]
+	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
+		for _, id := range slices.Sorted(maps.Keys(sim.caches)) {
+			c := sim.caches[id]
 			if id%3 != 0 {
 				continue
 			}
 			c.silent = true
-			f.schedule(f.now+5*time.Second, func() {
+			sim.schedule(sim.now+5*time.Second, func() {
 				m := c.entry
 				m.State = Gone
-				f.announce(m)
+				sim.announce(m)
 			})
-			f.schedule(f.now+10*time.Second, func() {
-				n := f.addCache(id, f.now)
-				f.announce(n.entry)
+			sim.schedule(sim.now+10*time.Second, func() {
+				n := sim.addCache(id, sim.now)
+				sim.announce(n.entry)
 			})
 		}
-		f.run(10*time.Second, load)
-		share := f.takeServedShare()
-		t.Logf("while it is lost: %.3f in time, %v", share, f.refused)
+		sim.run(10*time.Second, load)
+		share := sim.takeServedShare()
+		t.Logf("while it is lost: %.3f in time, %v", share, sim.refused)
 		if share < 0.93 {
 			t.Errorf("%.3f of the reads are in time while a zone is lost", share)
 		}
-		f.run(10*time.Second, load)
-		f.checkRecovery("after the lost zone is back", 0.85)
+		sim.run(10*time.Second, load)
+		sim.checkRecovery("after the lost zone is back", 0.85)
 	})
 }
 
 // One cache in five answers four in five requests with an error. Ten seconds on, no more than half of its part of the attempts goes to
 // it, though each of 80 proxies asks it only now and then, and a tenth of it with few proxies; well ones are not left out for it.
 func TestFleetOneInFiveBad(t *testing.T) {
-	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
-		for _, id := range slices.Sorted(maps.Keys(f.caches)) {
-			c := f.caches[id]
+	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
+		for _, id := range slices.Sorted(maps.Keys(sim.caches)) {
+			c := sim.caches[id]
 			if id%5 == 0 {
 				c.errorShare = 0.8
 			}
 		}
-		f.run(10*time.Second, load)
-		f.takeServedShare()
-		for _, c := range f.caches {
+		sim.run(10*time.Second, load)
+		sim.takeServedShare()
+		for _, c := range sim.caches {
 			c.attempts = 0
 		}
-		f.run(4*time.Second, load)
-		share := f.takeServedShare()
+		sim.run(4*time.Second, load)
+		share := sim.takeServedShare()
 		asked, askedBad := 0, 0
-		for _, c := range f.caches {
+		for _, c := range sim.caches {
 			if asked += c.attempts; c.errorShare > 0 {
 				askedBad += c.attempts
 			}
 		}
 		well, bad, wellOut, badOut := 0, 0, 0, 0
-		for _, p := range f.proxies {
+		for _, p := range sim.proxies {
 			for _, id := range p.ejected() {
-				if f.caches[id].errorShare > 0 {
+				if sim.caches[id].errorShare > 0 {
 					badOut++
 				} else {
 					wellOut++
@@ -658,14 +658,14 @@
 			bad += len(p.balancer.caches) / 5
 			well += len(p.balancer.caches) - len(p.balancer.caches)/5
 		}
-		t.Logf("%.3f in time, %v; left out %.3f of the bad and %.3f of the well; %.3f of the attempts go to bad ones", share, f.refused,
+		t.Logf("%.3f in time, %v; left out %.3f of the bad and %.3f of the well; %.3f of the attempts go to bad ones", share, sim.refused,
 			float64(badOut)/float64(bad), float64(wellOut)/float64(well), float64(askedBad)/float64(asked))
-		f.checkLimits("one in five bad")
+		sim.checkLimits("one in five bad")
 		if share < 0.9 || float64(wellOut)/float64(well) > 0.02 {
 			t.Errorf("%.3f in time, %d of %d well ones left out", share, wellOut, well)
 		}
 		most := 0.1
-		if len(f.proxies) < 10 {
+		if len(sim.proxies) < 10 {
 			most = 0.04
 		}
 		if part := float64(askedBad) / float64(asked); part > most {
@@ -677,20 +677,20 @@
 // All caches get slower at once, to more than they can do: nobody is to blame. Many proxies leave none out for it. Few proxies,
 // which hear enough of each to see how long its line is, leave some out for a while: those whose line is longer than a read waits.
 func TestFleetAllSlower(t *testing.T) {
-	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
-		for _, c := range f.caches {
+	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
+		for _, c := range sim.caches {
 			c.slowdown = 2.5
 		}
-		f.run(8*time.Second, load)
+		sim.run(8*time.Second, load)
 		out, all := 0, 0
-		for _, p := range f.proxies {
+		for _, p := range sim.proxies {
 			out, all = out+len(p.ejected()), all+len(p.balancer.caches)
 		}
-		share := f.takeServedShare()
-		t.Logf("%.3f in time, %v; %d of %d left out; late %v", share, f.refused, out, all, f.maxAnswerDelay)
-		f.checkLimits("all slower")
+		share := sim.takeServedShare()
+		t.Logf("%.3f in time, %v; %d of %d left out; late %v", share, sim.refused, out, all, sim.maxAnswerDelay)
+		sim.checkLimits("all slower")
 		most := 0.001
-		if len(f.proxies) < 10 {
+		if len(sim.proxies) < 10 {
 			most = 0.15
 		}
 		if float64(out) > most*float64(all) {
@@ -699,7 +699,7 @@
 		if share < 0.5 {
 			t.Errorf("%.3f of the reads are in time", share)
 		}
-		for why, late := range f.maxAnswerDelay {
+		for why, late := range sim.maxAnswerDelay {
 			if late > 60*ms {
 				t.Errorf("%v: a read is turned away %v after the last that was heard of it", why, late)
 			}
@@ -710,30 +710,30 @@
 // Caches are replaced twice a second for a minute. What a proxy keeps goes back to what the list needs: ids are ever new, and
 // what is gone must not be kept.
 func TestFleetChurn(t *testing.T) {
-	forEachFleetSize(t, func(t *testing.T, f *fleet, _ float64) {
+	forEachFleetSize(t, func(t *testing.T, sim *fleet, _ float64) {
 		const load = 200
-		ids := slices.Sorted(maps.Keys(f.caches))
+		ids := slices.Sorted(maps.Keys(sim.caches))
 		for i := range 120 {
-			f.schedule(f.now+time.Duration(i)*500*ms, func() {
-				old := f.caches[ids[0]].entry
+			sim.schedule(sim.now+time.Duration(i)*500*ms, func() {
+				old := sim.caches[ids[0]].entry
 				ids = append(ids[1:], MemberID(1000+i))
-				f.announce(f.addCache(MemberID(1000+i), f.now).entry)
+				sim.announce(sim.addCache(MemberID(1000+i), sim.now).entry)
 				old.State = Gone
-				f.announce(old)
-				f.schedule(f.now+1500*ms, func() { delete(f.caches, old.ID) })
+				sim.announce(old)
+				sim.schedule(sim.now+1500*ms, func() { delete(sim.caches, old.ID) })
 			})
 		}
-		f.run(60*time.Second, load)
-		f.takeServedShare()
-		f.run(12*time.Second, load)
-		share := f.takeServedShare()
-		t.Logf("after it: %.3f in time, %v, cold %.2f", share, f.refused, f.maxColdShare)
-		f.checkLimits("churn")
+		sim.run(60*time.Second, load)
+		sim.takeServedShare()
+		sim.run(12*time.Second, load)
+		share := sim.takeServedShare()
+		t.Logf("after it: %.3f in time, %v, cold %.2f", share, sim.refused, sim.maxColdShare)
+		sim.checkLimits("churn")
 		if share < 0.95 {
 			t.Errorf("%.3f of the reads are in time", share)
 		}
-		f.run(3*time.Second, 0.001) // until all is answered
-		for i, p := range f.proxies {
+		sim.run(3*time.Second, 0.001) // until all is answered
+		for i, p := range sim.proxies {
 			b := p.balancer
 			if len(b.members) != 61 || len(b.caches) != 60 || len(b.requests) > 1 || len(b.fetchWaiters) > 1 || len(b.originQueue) > 0 {
 				t.Fatalf("proxy %d keeps %d members, %d caches, %d requests, %d fetches, %d in line", i, len(b.members), len(b.caches),
@@ -741,7 +741,7 @@
 			}
 			for _, o := range b.slots {
 				for _, r := range o {
-					if f.caches[r.member.entry.ID] == nil {
+					if sim.caches[r.member.entry.ID] == nil {
 						t.Fatalf("proxy %d: a slot names member %d, which has gone", i, r.member.entry.ID)
 					}
 				}
@@ -761,59 +761,59 @@
 // caches of that list have gone meanwhile, ten more drain while they wait, and each is told by a list of its own within ten seconds.
 // Until then reads are served from what is known; from then on nothing is sent to what drains.
 func TestFleetStartsFromOutdatedList(t *testing.T) {
-	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
-		known := maps.Clone(f.list)
+	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
+		known := maps.Clone(sim.list)
 		for i := range 10 { // replaced before the restart, and heard of by those that run
-			m := f.caches[MemberID(6*i+1)].entry
+			m := sim.caches[MemberID(6*i+1)].entry
 			m.State = Gone
-			f.announce(m)
-			f.announce(f.addCache(MemberID(100+i), f.now).entry)
-			delete(f.caches, m.ID)
+			sim.announce(m)
+			sim.announce(sim.addCache(MemberID(100+i), sim.now).entry)
+			delete(sim.caches, m.ID)
 		}
-		f.run(2*time.Second, load)
-		f.takeServedShare()
-		for i, p := range f.proxies[:len(f.proxies)*4/5] {
+		sim.run(2*time.Second, load)
+		sim.takeServedShare()
+		for i, p := range sim.proxies[:len(sim.proxies)*4/5] {
 			p.stopped = true
-			f.schedule(f.now+2*time.Second, func() { p.startWith(i, known) })
+			sim.schedule(sim.now+2*time.Second, func() { p.startWith(i, known) })
 			epoch := p.epoch + 1
-			f.schedule(f.now+2*time.Second+time.Duration(f.rng.Float64()*8*float64(time.Second)), func() {
+			sim.schedule(sim.now+2*time.Second+time.Duration(sim.rng.Float64()*8*float64(time.Second)), func() {
 				if p.epoch != epoch {
 					t.Fatal("a proxy was started twice")
 				}
 				var list []Member
-				p.listed = maps.Clone(f.list)
-				for _, id := range slices.Sorted(maps.Keys(f.list)) {
-					list = append(list, f.list[id])
+				p.listed = maps.Clone(sim.list)
+				for _, id := range slices.Sorted(maps.Keys(sim.list)) {
+					list = append(list, sim.list[id])
 				}
-				p.balancer.SetMembers(f.now, ListFull, list)
+				p.balancer.SetMembers(sim.now, ListFull, list)
 			})
 		}
-		f.run(2*time.Second, load)
+		sim.run(2*time.Second, load)
 		for i := range 10 { // those that have their list are told, the others with it
-			m := f.caches[MemberID(6*i+2)].entry
+			m := sim.caches[MemberID(6*i+2)].entry
 			m.State = Draining
-			f.list[m.ID] = m
-			for _, p := range f.proxies {
-				f.schedule(f.now+time.Duration(i)*500*ms, func() {
+			sim.list[m.ID] = m
+			for _, p := range sim.proxies {
+				sim.schedule(sim.now+time.Duration(i)*500*ms, func() {
 					if _, has := p.listed[100]; has {
 						p.listed[m.ID] = m
-						p.balancer.SetMembers(f.now, ListDelta, []Member{m})
+						p.balancer.SetMembers(sim.now, ListDelta, []Member{m})
 					}
 				})
 			}
 		}
-		f.run(2*time.Second, load)
-		share := f.takeServedShare()
-		t.Logf("before most lists: %.3f in time, %v", share, f.refused)
+		sim.run(2*time.Second, load)
+		share := sim.takeServedShare()
+		t.Logf("before most lists: %.3f in time, %v", share, sim.refused)
 		if share < 0.85 {
 			t.Errorf("%.3f of the reads are in time while most have no list", share)
 		}
-		f.run(8*time.Second, load)
-		f.takeServedShare()
-		f.run(3*time.Second, load)
-		share = f.takeServedShare()
-		t.Logf("all have a list: %.3f in time, %v, cold %.2f, at the origin %d", share, f.refused, f.maxColdShare, f.originPeakOutstanding)
-		f.checkLimits("start")
+		sim.run(8*time.Second, load)
+		sim.takeServedShare()
+		sim.run(3*time.Second, load)
+		share = sim.takeServedShare()
+		t.Logf("all have a list: %.3f in time, %v, cold %.2f, at the origin %d", share, sim.refused, sim.maxColdShare, sim.originPeakOutstanding)
+		sim.checkLimits("start")
 		if share < 0.95 {
 			t.Errorf("%.3f of the reads are in time with all lists there", share)
 		}
@@ -826,44 +826,44 @@
 	for _, crowded := range []Status{StatusConnectFailed, StatusFull} {
 		for _, most := range []int{28, 14} {
 			t.Run(fmt.Sprintf("%d told as %v", most, crowded), func(t *testing.T) {
-				forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
-					f.excessConnectionStatus = crowded
-					for _, c := range f.caches {
+				forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
+					sim.excessConnectionStatus = crowded
+					for _, c := range sim.caches {
 						c.maxConns, c.peakConns = most, 0
 						clear(c.conns)
 					}
-					f.run(6*time.Second, load)
-					f.takeServedShare()
-					f.refusedConnections = 0
-					for _, p := range f.proxies {
+					sim.run(6*time.Second, load)
+					sim.takeServedShare()
+					sim.refusedConnections = 0
+					for _, p := range sim.proxies {
 						p.arrivedReads, p.servedReads = 0, 0
 					}
-					f.run(8*time.Second, load)
+					sim.run(8*time.Second, load)
 					least, out := 1.0, 0
-					for _, p := range f.proxies {
+					for _, p := range sim.proxies {
 						least = min(least, float64(p.servedReads)/float64(p.arrivedReads))
 						out += len(p.ejected())
 					}
-					share := f.takeServedShare()
-					t.Logf("%.3f in time, the worst proxy %.3f, %v, %d turned away, %d left out", share, least, f.refused, f.refusedConnections, out)
-					for _, c := range f.caches {
+					share := sim.takeServedShare()
+					t.Logf("%.3f in time, the worst proxy %.3f, %v, %d turned away, %d left out", share, least, sim.refused, sim.refusedConnections, out)
+					for _, c := range sim.caches {
 						if c.peakConns > most {
 							t.Fatalf("cache %d holds %d connections", c.entry.ID, c.peakConns)
 						}
 						c.maxConns = 0
 					}
-					f.checkLimits("few connections")
+					sim.checkLimits("few connections")
 					if share < 0.95 || least < 0.75 {
 						t.Errorf("%.3f of the reads are in time, %.3f at the worst proxy", share, least)
 					}
-					if perS := f.refusedConnections / 8; perS > len(f.proxies)*10 {
+					if perS := sim.refusedConnections / 8; perS > len(sim.proxies)*10 {
 						t.Errorf("%d connections a second are turned away", perS)
 					}
-					if crowded == StatusFull && out > len(f.proxies)*len(f.caches)/1000 {
+					if crowded == StatusFull && out > len(sim.proxies)*len(sim.caches)/1000 {
 						t.Errorf("%d caches are left out for being full", out)
 					}
-					f.run(2*time.Second, load)
-					if share := f.takeServedShare(); share < 0.97 {
+					sim.run(2*time.Second, load)
+					if share := sim.takeServedShare(); share < 0.97 {
 						t.Errorf("%.3f of the reads are in time within two seconds after caches take more", share)
 					}
 				})
@@ -874,44 +874,44 @@
 
 // A zone falls silent and comes back with other processes, of which the list tells nothing: what is sent to it is what cold caches bear.
 func TestFleetZoneRestartsUnannounced(t *testing.T) {
-	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
-		f.settings.SlowStartCapacity, f.settings.OverloadMultiple = 0.1, 1.5 // the usual load would be too much for them
-		for i, p := range f.proxies {
+	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
+		sim.settings.SlowStartCapacity, sim.settings.OverloadMultiple = 0.1, 1.5 // the usual load would be too much for them
+		for i, p := range sim.proxies {
 			p.start(i)
 		}
-		f.run(2*time.Second, load)
-		for id, c := range f.caches {
+		sim.run(2*time.Second, load)
+		for id, c := range sim.caches {
 			if id%3 == 0 {
 				c.silent = true
 			}
 		}
-		f.run(6*time.Second, load)
-		f.maxColdShare = 0
-		for id, c := range f.caches {
+		sim.run(6*time.Second, load)
+		sim.maxColdShare = 0
+		for id, c := range sim.caches {
 			if id%3 == 0 {
-				c.silent, c.entry.StartedAt, c.keys = false, f.now, map[uint64]bool{}
+				c.silent, c.entry.StartedAt, c.keys = false, sim.now, map[uint64]bool{}
 			}
 		}
-		f.takeServedShare()
-		f.run(9*time.Second, load)
-		f.checkRecovery("while a zone warms that is back untold", 0.85)
+		sim.takeServedShare()
+		sim.run(9*time.Second, load)
+		sim.checkRecovery("while a zone warms that is back untold", 0.85)
 	})
 }
 
 // The part of its work that a zone gets is the part that all proxies are told, whatever their number: none, some reads on trial, a
 // part, all.
 func TestFleetShares(t *testing.T) {
-	forEachFleetSize(t, func(t *testing.T, f *fleet, load float64) {
+	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		attempts := func(shares ...ZoneShare) (n float64) {
-			for _, p := range f.proxies {
-				p.balancer.SetZoneShares(f.now, shares)
+			for _, p := range sim.proxies {
+				p.balancer.SetZoneShares(sim.now, shares)
 			}
-			f.run(time.Second, load) // what was out ends, and limits find their place
-			for _, c := range f.caches {
+			sim.run(time.Second, load) // what was out ends, and limits find their place
+			for _, c := range sim.caches {
 				c.attempts = 0
 			}
-			f.run(2*time.Second, load)
-			for _, c := range f.caches {
+			sim.run(2*time.Second, load)
+			for _, c := range sim.caches {
 				if c.entry.Zone == 0 {
 					n += float64(c.attempts) / (2 * load / 3)
 				}
@@ -919,7 +919,7 @@
 			return n
 		}
 		usual := attempts(ZoneShare{Share: 1})
-		trials := float64(len(f.proxies)) * float64(time.Second/silentZoneInterval+1) / (load / 3)
+		trials := float64(len(sim.proxies)) * float64(time.Second/silentZoneInterval+1) / (load / 3)
 		for _, c := range []struct {
 			share       ZoneShare
 			least, most float64
@@ -931,6 +931,6 @@
 				t.Errorf("told %+v, the zone gets %.3f of its work, from %.2f to %.2f wanted", c.share, got, c.least, c.most)
 			}
 		}
-		f.checkLimits("shares")
+		sim.checkLimits("shares")
 	})
 }
--- a/logic/host_test.go
+++ b/logic/host_test.go
@@ -51,12 +51,12 @@
 	t.Helper()
 	h := &fakeHost{t: t, s: s, now: time.Hour, requests: map[RequestID]*hostRequest{},
 		listed: map[MemberID]Member{}, coldSends: map[MemberID][]time.Duration{}}
-	b, err := New(s, seed, h)
+	balancer, err := New(s, seed, h)
 	if err != nil {
 		t.Fatalf("New: %v", err)
 	}
-	h.b = b
-	b.Start(h.now)
+	h.b = balancer
+	balancer.Start(h.now)
 	return h
 }
 
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -11,15 +11,15 @@
 // Whatever a Balancer is given to take over, of its own kind or damaged, it keeps the rules afterwards.
 func TestImportedStateKeepsInvariants(t *testing.T) {
 	for seed := range uint64(6) {
-		s := testSettings()
-		s.Zones, s.CrossZoneCost = 2, 0.1
-		old := driveRandom(t, s, seed)
+		settings := testSettings()
+		settings.Zones, settings.CrossZoneCost = 2, 0.1
+		old := driveRandom(t, settings, seed)
 		l := old.b.ExportState(old.now)
 		if len(l.Members) == 0 || len(l.Keys) == 0 {
 			t.Fatalf("seed %d: nothing was learnt: %d members, %d keys", seed, len(l.Members), len(l.Keys))
 		}
 		heir := func(h *fakeHost) { h.importedState = &l }
-		driveRandom(t, s, seed+50, heir).checkViolations()
+		driveRandom(t, settings, seed+50, heir).checkViolations()
 
 		rng := rand.New(rand.NewPCG(seed, 3))
 		odd := func(f *float64) {
@@ -46,16 +46,16 @@
 		for _, f := range []*float64{&l.Total, &l.EarlierTotal, &l.Latency, &l.FailureRate, &l.Arrivals, &l.ServedWork, &l.SpanSeconds, &l.RecentAttempts, &l.RecentAnswers} {
 			odd(f)
 		}
-		driveRandom(t, s, seed+50, heir).checkViolations()
+		driveRandom(t, settings, seed+50, heir).checkViolations()
 	}
 }
 
 // Only what is known of members that are still the same is taken over. A cold budget, a drain and a request are never.
 func TestImportStateTakesMatchingMembers(t *testing.T) {
-	s := testSettings()
+	settings := testSettings()
 	list := withOrigin(6)
 	list[4].StartedAt = time.Hour - time.Second // cold, and told so to both
-	old := newHost(t, s, 1)
+	old := newHost(t, settings, 1)
 	old.setMembers(ListCached, list...)
 	for i := range 400 {
 		a := old.request(Request{ID: RequestID(i + 1), Key: uint64(1 + i%8)})
@@ -75,15 +75,15 @@
 	list[1].StartedAt = time.Hour // started anew
 	list[2].State = Draining
 	fresh := func() *fakeHost {
-		h := newHost(t, s, 2)
-		h.setMembers(ListCached, list...)
-		return h
+		host := newHost(t, settings, 2)
+		host.setMembers(ListCached, list...)
+		return host
 	}
-	h, plain := fresh(), fresh()
-	if got := h.b.ImportState(h.now, l); got != 4 { // two caches, the cold one and the origin
+	host, plain := fresh(), fresh()
+	if got := host.b.ImportState(host.now, l); got != 4 { // two caches, the cold one and the origin
 		t.Errorf("something is taken over of %d members", got)
 	}
-	for id, n := range h.b.members {
+	for id, n := range host.b.members {
 		want := float64(initialLimit)
 		if id != 2 && id != 3 {
 			want = 20 + float64(id%7)
@@ -95,10 +95,10 @@
 			t.Errorf("member %d: a budget, a state or an attempt is taken over: %+v", id, n)
 		}
 	}
-	if len(h.b.requests) != 0 || len(h.b.hotTable) == 0 {
-		t.Errorf("%d requests, %d hot keys", len(h.b.requests), len(h.b.hotTable))
+	if len(host.b.requests) != 0 || len(host.b.hotTable) == 0 {
+		t.Errorf("%d requests, %d hot keys", len(host.b.requests), len(host.b.hotTable))
 	}
-	for key, p := range h.b.hotTable {
+	for key, p := range host.b.hotTable {
 		for _, n := range p.members {
 			if n.entry.State != Ready || n.entry.ID == 1 || n.entry.ID == 3 {
 				t.Errorf("key %d is placed at member %d", key, n.entry.ID)
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	if h.b.ImportState(h.now, l) != 0 {
+	if host.b.ImportState(host.now, l) != 0 {
 		t.Error("taken over twice")
 	}
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -9,62 +9,62 @@
 )
 
 func TestMissIsFetchedAndNextReadIsCoalesced(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(6)...)
-	a := h.request(Request{ID: 1, Key: 77})
-	cache := a.attempts[0].member
-	h.advance(10 * ms)
-	h.endAttempt(1, 0, StatusMiss)
-	if len(a.attempts) != 2 || a.attempts[1].member != originID {
-		t.Fatalf("after a miss: sent %+v, want the origin second", a.attempts)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(6)...)
+	req := host.request(Request{ID: 1, Key: 77})
+	cache := req.attempts[0].member
+	host.advance(10 * ms)
+	host.endAttempt(1, 0, StatusMiss)
+	if len(req.attempts) != 2 || req.attempts[1].member != originID {
+		t.Fatalf("after a miss: sent %+v, want the origin second", req.attempts)
 	}
 	// Single flight: a second read of the key waits for the fetch, then reads the cache.
-	b := h.request(Request{ID: 2, Key: 77})
-	if len(b.attempts) != 0 {
-		t.Fatalf("a read of a key being fetched was sent at once: %+v", b.attempts)
+	second := host.request(Request{ID: 2, Key: 77})
+	if len(second.attempts) != 0 {
+		t.Fatalf("a read of a key being fetched was sent at once: %+v", second.attempts)
 	}
-	h.advance(50 * ms)
-	h.endAttempt(1, 1, StatusOK)
-	if len(b.attempts) != 1 || b.attempts[0].member != cache {
-		t.Fatalf("after the fetch: sent %+v, want cache %d", b.attempts, cache)
+	host.advance(50 * ms)
+	host.endAttempt(1, 1, StatusOK)
+	if len(second.attempts) != 1 || second.attempts[0].member != cache {
+		t.Fatalf("after the fetch: sent %+v, want cache %d", second.attempts, cache)
 	}
-	h.endAttempt(2, 0, StatusOK)
-	h.advance(5 * time.Second)
-	h.checkViolations()
-	if len(h.b.requests) != 0 || len(h.b.fetchWaiters) != 0 {
-		t.Errorf("left behind: %d requests, %d fetches", len(h.b.requests), len(h.b.fetchWaiters))
+	host.endAttempt(2, 0, StatusOK)
+	host.advance(5 * time.Second)
+	host.checkViolations()
+	if len(host.b.requests) != 0 || len(host.b.fetchWaiters) != 0 {
+		t.Errorf("left behind: %d requests, %d fetches", len(host.b.requests), len(host.b.fetchWaiters))
 	}
 }
 
 // A fetch whose client left in the queue must not leave the others waiting for it.
 func TestCancelledFetchOwnerReleasesWaiters(t *testing.T) {
-	s := testSettings()
-	h := newHost(t, s, 1)
-	h.setMembers(ListCached, withOrigin(3)...)
-	o := h.b.origins[0]
-	o.limit, o.latency, o.lastSentAt = 0.25, 0.2, h.now
-	h.request(Request{ID: 1, Key: 5})
-	h.endAttempt(1, 0, StatusMiss) // queued: no room
-	b := h.request(Request{ID: 2, Key: 5})
-	h.requests[1].answers = 1
-	h.b.RequestCancelled(h.now, 1)
-	if len(b.attempts) == 0 {
+	settings := testSettings()
+	host := newHost(t, settings, 1)
+	host.setMembers(ListCached, withOrigin(3)...)
+	origin := host.b.origins[0]
+	origin.limit, origin.latency, origin.lastSentAt = 0.25, 0.2, host.now
+	host.request(Request{ID: 1, Key: 5})
+	host.endAttempt(1, 0, StatusMiss) // queued: no room
+	second := host.request(Request{ID: 2, Key: 5})
+	host.requests[1].answers = 1
+	host.b.RequestCancelled(host.now, 1)
+	if len(second.attempts) == 0 {
 		t.Fatal("the waiting read was not sent on when the fetch's owner left")
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // A slow spell once left the latency estimate above every aim, and no fetch was sent that could lower it.
 func TestSlowOriginStillGetsFetches(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(3)...)
-	h.b.origins[0].latency = 30
-	a := h.request(Request{ID: 1, Key: 5})
-	h.endAttempt(1, 0, StatusMiss)
-	if len(a.attempts) != 2 {
-		t.Fatalf("sent %+v, want a fetch", a.attempts)
-	}
-	h.checkViolations()
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(3)...)
+	host.b.origins[0].latency = 30
+	req := host.request(Request{ID: 1, Key: 5})
+	host.endAttempt(1, 0, StatusMiss)
+	if len(req.attempts) != 2 {
+		t.Fatalf("sent %+v, want a fetch", req.attempts)
+	}
+	host.checkViolations()
 }
 
 // A request that is to be answered before any member could answer it is not begun.
@@ -73,57 +73,57 @@
 		"a read":   {Key: 5},
 		"an order": {Key: 5, Class: 1, Write: true},
 	} {
-		h := newHost(t, testSettings(), 1)
-		h.setMembers(ListCached, withOrigin(3)...)
-		ask.ID, ask.Deadline = 1, h.now+h.b.answerMargin()
-		if a := h.request(ask); len(a.attempts) != 0 || a.answers != 1 {
-			t.Errorf("%s: sent %+v, answered %d times", name, a.attempts, a.answers)
+		host := newHost(t, testSettings(), 1)
+		host.setMembers(ListCached, withOrigin(3)...)
+		ask.ID, ask.Deadline = 1, host.now+host.b.answerMargin()
+		if req := host.request(ask); len(req.attempts) != 0 || req.answers != 1 {
+			t.Errorf("%s: sent %+v, answered %d times", name, req.attempts, req.answers)
 		}
-		ask.ID, ask.Deadline = 2, h.now+h.b.answerMargin()+ms
-		if a := h.request(ask); len(a.attempts) != 1 {
-			t.Errorf("%s with a little more time: sent %+v", name, a.attempts)
+		ask.ID, ask.Deadline = 2, host.now+host.b.answerMargin()+ms
+		if req := host.request(ask); len(req.attempts) != 1 {
+			t.Errorf("%s with a little more time: sent %+v", name, req.attempts)
 		}
 	}
 }
 
 func TestAtMostOnceIsNotRepeatedAfterReset(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(3)...)
-	a := h.request(Request{ID: 1, Key: 5, Class: 1, Write: true})
-	h.endAttempt(1, 0, StatusFull) // never ran: may be sent again
-	h.advance(50 * ms)
-	if len(a.attempts) != 2 {
-		t.Fatalf("a rejected write was not sent again: %+v", a.attempts)
-	}
-	h.endAttempt(1, 1, StatusReset)
-	h.advance(10 * time.Second)
-	if len(a.attempts) != 2 || a.answers != 1 {
-		t.Errorf("sent %d times, answered %d times; want 2 and 1", len(a.attempts), a.answers)
-	}
-	if !slices.ContainsFunc(h.log, func(s string) bool { return s[len(s)-6:] == "fail 1" }) {
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(3)...)
+	req := host.request(Request{ID: 1, Key: 5, Class: 1, Write: true})
+	host.endAttempt(1, 0, StatusFull) // never ran: may be sent again
+	host.advance(50 * ms)
+	if len(req.attempts) != 2 {
+		t.Fatalf("a rejected write was not sent again: %+v", req.attempts)
+	}
+	host.endAttempt(1, 1, StatusReset)
+	host.advance(10 * time.Second)
+	if len(req.attempts) != 2 || req.answers != 1 {
+		t.Errorf("sent %d times, answered %d times; want 2 and 1", len(req.attempts), req.answers)
+	}
+	if !slices.ContainsFunc(host.log, func(s string) bool { return s[len(s)-6:] == "fail 1" }) {
 		t.Error("a write that may have run was not failed")
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 func TestDrainingMemberGetsNoRequests(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(2)...)
-	first := h.request(Request{ID: 1, Key: 9}).attempts[0].member
-	h.endAttempt(1, 0, StatusOK)
-	h.setMembers(ListDelta, Member{ID: first, State: Draining, Weight: 1})
-	if to := h.request(Request{ID: 2, Key: 9}).attempts[0].member; to == first {
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(2)...)
+	first := host.request(Request{ID: 1, Key: 9}).attempts[0].member
+	host.endAttempt(1, 0, StatusOK)
+	host.setMembers(ListDelta, Member{ID: first, State: Draining, Weight: 1})
+	if to := host.request(Request{ID: 2, Key: 9}).attempts[0].member; to == first {
 		t.Errorf("sent to member %d, which drains", to)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // A key that one cache can't carry is split; one proxy of few then uses several caches.
 func TestHotKeyIsSplit(t *testing.T) {
-	s := testSettings()
-	s.Instances = 1
-	h := newHost(t, s, 1)
-	h.setMembers(ListCached, withOrigin(10)...)
+	settings := testSettings()
+	settings.Instances = 1
+	host := newHost(t, settings, 1)
+	host.setMembers(ListCached, withOrigin(10)...)
 	id := RequestID(0)
 	used := map[MemberID]int{}
 	for i := range 4000 {
@@ -132,80 +132,80 @@
 		if i%2 == 0 {
 			key = uint64(100 + i)
 		}
-		r := h.request(Request{ID: id, Key: key})
+		req := host.request(Request{ID: id, Key: key})
 		if key == 1 && i > 3000 {
-			used[r.attempts[0].member]++
+			used[req.attempts[0].member]++
 		}
-		h.endAttempt(id, 0, StatusOK)
-		h.advance(5 * ms)
+		host.endAttempt(id, 0, StatusOK)
+		host.advance(5 * ms)
 	}
 	if len(used) < 4 {
 		t.Errorf("a key with half of all requests uses %d of 10 caches, want 4 or more", len(used))
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // A member that fails quickly attracts no work: it is ejected, and others serve its keys.
 func TestFastFailingMemberIsEjected(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(5)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(5)...)
 	bad := MemberID(1)
 	sent := 0
 	for id := RequestID(1); id <= 2000; id++ {
-		r := h.request(Request{ID: id, Key: uint64(id)})
-		for i := 0; i < len(r.attempts); i++ {
-			if r.attempts[i].member == bad {
+		req := host.request(Request{ID: id, Key: uint64(id)})
+		for i := 0; i < len(req.attempts); i++ {
+			if req.attempts[i].member == bad {
 				sent++
-				h.endAttempt(id, i, StatusConnectFailed)
-			} else if !r.attempts[i].ended {
-				h.endAttempt(id, i, StatusOK)
+				host.endAttempt(id, i, StatusConnectFailed)
+			} else if !req.attempts[i].ended {
+				host.endAttempt(id, i, StatusOK)
 			}
 		}
-		h.advance(5 * ms)
+		host.advance(5 * ms)
 	}
 	if sent > 40 {
 		t.Errorf("the failing member got %d of 2000 requests, want at most 40", sent)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // When everything fails alike nobody is ejected.
 func TestGeneralFailureEjectsNoMember(t *testing.T) {
-	s := testSettings()
-	h := newHost(t, s, 1)
-	h.setMembers(ListCached, withOrigin(5)...)
+	settings := testSettings()
+	host := newHost(t, settings, 1)
+	host.setMembers(ListCached, withOrigin(5)...)
 	for id := RequestID(1); id <= 1000; id++ { // the first failures may still look like outliers
-		r := h.request(Request{ID: id, Key: uint64(id)})
-		for i := 0; i < len(r.attempts); i++ {
-			h.endAttempt(id, i, StatusError)
+		req := host.request(Request{ID: id, Key: uint64(id)})
+		for i := 0; i < len(req.attempts); i++ {
+			host.endAttempt(id, i, StatusError)
 		}
-		h.advance(20 * ms)
+		host.advance(20 * ms)
 	}
-	for _, n := range h.b.caches {
-		if n.ejectedUntil > h.now {
+	for _, n := range host.b.caches {
+		if n.ejectedUntil > host.now {
 			t.Errorf("member %d is ejected though all fail alike", n.entry.ID)
 		}
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 func TestFailedWatchIsRetried(t *testing.T) {
-	s := testSettings()
-	s.Subscribe = true
-	h := newHost(t, s, 1)
-	h.setMembers(ListCached, withOrigin(2)...)
-	h.advance(2 * time.Second)
-	if h.watchCalls != 1 {
-		t.Fatalf("asked %d times at the start, want once", h.watchCalls)
+	settings := testSettings()
+	settings.Subscribe = true
+	host := newHost(t, settings, 1)
+	host.setMembers(ListCached, withOrigin(2)...)
+	host.advance(2 * time.Second)
+	if host.watchCalls != 1 {
+		t.Fatalf("asked %d times at the start, want once", host.watchCalls)
 	}
 	for i := range 5 {
-		h.setMembers(ListFailed)
-		h.advance(13 * time.Second)
-		if h.watchCalls != i+2 {
-			t.Fatalf("asked %d times after %d failures", h.watchCalls, i+1)
+		host.setMembers(ListFailed)
+		host.advance(13 * time.Second)
+		if host.watchCalls != i+2 {
+			t.Fatalf("asked %d times after %d failures", host.watchCalls, i+1)
 		}
 	}
-	if len(h.b.caches) != 2 {
+	if len(host.b.caches) != 2 {
 		t.Error("the last list was not kept while discovery was dark")
 	}
 }
@@ -218,9 +218,9 @@
 		"cold share":   func(s *Settings) { s.SlowStartCapacity = 2 },
 		"not a number": func(s *Settings) { s.OverloadMultiple = math.NaN() },
 	} {
-		s := testSettings()
-		change(&s)
-		if _, err := New(s, 1, &fakeHost{}); err == nil {
+		settings := testSettings()
+		change(&settings)
+		if _, err := New(settings, 1, &fakeHost{}); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
@@ -230,51 +230,51 @@
 }
 
 func TestUnexpectedEventsLoseNoRequest(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
+	host := newHost(t, testSettings(), 1)
 	odd := []Request{
 		{ID: 1}, {ID: 2, Class: 99, Tenant: 99, Key: 3}, {ID: 3, Class: -1, Tenant: -5},
 		{ID: 4, Key: 1, CostKnown: true, Cost: -time.Second}, {ID: 5, Class: 99, Write: true},
 	}
 	for _, r := range odd { // with no member at all
-		h.request(r)
+		host.request(r)
 	}
-	h.setMembers(ListFull)
-	h.setMembers(ListCached, Member{ID: 1, Zone: 200, Weight: math.NaN(), State: State(77)}, Member{ID: 2, Weight: -1})
+	host.setMembers(ListFull)
+	host.setMembers(ListCached, Member{ID: 1, Zone: 200, Weight: math.NaN(), State: State(77)}, Member{ID: 2, Weight: -1})
 	for _, r := range odd {
 		r.ID += 10
-		h.request(r)
-	}
-	h.b.Outcome(h.now, Outcome{Request: 999})
-	h.b.Outcome(h.now, Outcome{Request: 11, Attempt: 900})
-	h.b.Outcome(h.now, Outcome{Request: 11, Attempt: -1})
-	h.b.RequestCancelled(h.now, 999)
-	h.b.StreamStarted(h.now, 999, 0)
-	h.b.Timer(h.now, math.MaxUint64)
-	h.b.ProbeResult(h.now, 7, StatusOK, 0, nil)
-	h.b.PeerMessage(h.now, -1, nil)
-	h.advance(10 * time.Second)
-	for id, r := range h.requests {
+		host.request(r)
+	}
+	host.b.Outcome(host.now, Outcome{Request: 999})
+	host.b.Outcome(host.now, Outcome{Request: 11, Attempt: 900})
+	host.b.Outcome(host.now, Outcome{Request: 11, Attempt: -1})
+	host.b.RequestCancelled(host.now, 999)
+	host.b.StreamStarted(host.now, 999, 0)
+	host.b.Timer(host.now, math.MaxUint64)
+	host.b.ProbeResult(host.now, 7, StatusOK, 0, nil)
+	host.b.PeerMessage(host.now, -1, nil)
+	host.advance(10 * time.Second)
+	for id, r := range host.requests {
 		if r.answers != 1 {
 			t.Errorf("request %d answered %d times", id, r.answers)
 		}
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // A burst once left members with deep queues jammed for good: every attempt timed out, and clients tried again.
 func TestOverloadedMemberIsSentLess(t *testing.T) {
-	s := testSettings()
-	h := newHost(t, s, 1)
-	h.setMembers(ListCached, withOrigin(4)...)
+	settings := testSettings()
+	host := newHost(t, settings, 1)
+	host.setMembers(ListCached, withOrigin(4)...)
 	sent := 0
 	for id := RequestID(1); id <= 1000; id++ {
-		h.request(Request{ID: id, Key: uint64(id)})
-		h.advance(10 * ms)
-		for old, r := range h.requests {
+		host.request(Request{ID: id, Key: uint64(id)})
+		host.advance(10 * ms)
+		for old, r := range host.requests {
 			for i, a := range r.attempts {
-				if !a.ended && h.now-a.sentAt >= 300*ms {
+				if !a.ended && host.now-a.sentAt >= 300*ms {
 					sent++
-					h.endAttempt(old, i, StatusTimeout)
+					host.endAttempt(old, i, StatusTimeout)
 				}
 			}
 		}
@@ -282,31 +282,31 @@
 	if sent > 500 {
 		t.Errorf("%d attempts in 10 s at 4 members that answer nothing in time, want at most 500", sent)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // Once jammed, members that had recovered stood idle: each good answer cut their limits further while the mean
 // of earlier ones was still over the target.
 func TestLimitsRecoverAfterOverload(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(4)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(4)...)
 	asked, sent := 0, 0
 	for id := RequestID(1); id <= 2400; id++ { // 100 a second: 4 s of time-outs, then 20 s of fast answers
 		jam := id <= 400
-		r := h.request(Request{ID: id, Key: uint64(id)})
+		req := host.request(Request{ID: id, Key: uint64(id)})
 		if id > 1900 {
 			asked++
-			sent += min(1, len(r.attempts))
+			sent += min(1, len(req.attempts))
 		}
-		h.advance(10 * ms)
+		host.advance(10 * ms)
 		for old := max(1, id-100); old <= id; old++ {
-			for i, a := range h.requests[old].attempts {
+			for i, a := range host.requests[old].attempts {
 				switch {
 				case a.ended:
-				case jam && h.now-a.sentAt >= 300*ms:
-					h.endAttempt(old, i, StatusTimeout)
+				case jam && host.now-a.sentAt >= 300*ms:
+					host.endAttempt(old, i, StatusTimeout)
 				case !jam:
-					h.endAttempt(old, i, StatusOK)
+					host.endAttempt(old, i, StatusOK)
 				}
 			}
 		}
@@ -314,65 +314,65 @@
 	if sent < asked*8/10 {
 		t.Errorf("%d of %d requests sent 15 s after a jam ended, want most", sent, asked)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // Spilling from busy members scattered keys: hits became misses that jammed the origin.
 func TestBusyMemberDoesNotScatterItsKeys(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(8)...)
-	home := h.request(Request{ID: 1, Key: 7}).attempts[0].member
-	h.endAttempt(1, 0, StatusOK)
-	n := h.b.members[home]
-	n.limit, n.outstanding = 1, 1 // busy
-	if r := h.request(Request{ID: 9, Key: 7}); len(r.attempts) != 1 || r.attempts[0].member == home {
-		t.Errorf("sent to %v while the key's member is busy and the origin idle, want the next candidate", r.attempts)
-	}
-	h.b.members[originID].latency = h.b.fetchTarget // a fetch is dear
-	if r := h.request(Request{ID: 2, Key: 7}); len(r.attempts) != 0 || r.answers == 0 {
-		t.Errorf("sent to %v while the key's member is busy, want a refusal", r.attempts)
-	}
-	n.ejectedUntil = h.now + time.Second // ejected: then the next candidate does
-	if r := h.request(Request{ID: 3, Key: 7}); len(r.attempts) != 1 || r.attempts[0].member == home {
-		t.Errorf("sent to %v while the key's member is ejected, want the next candidate", r.attempts)
-	}
-	h.checkViolations()
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(8)...)
+	home := host.request(Request{ID: 1, Key: 7}).attempts[0].member
+	host.endAttempt(1, 0, StatusOK)
+	member := host.b.members[home]
+	member.limit, member.outstanding = 1, 1 // busy
+	if req := host.request(Request{ID: 9, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member == home {
+		t.Errorf("sent to %v while the key's member is busy and the origin idle, want the next candidate", req.attempts)
+	}
+	host.b.members[originID].latency = host.b.fetchTarget // a fetch is dear
+	if req := host.request(Request{ID: 2, Key: 7}); len(req.attempts) != 0 || req.answers == 0 {
+		t.Errorf("sent to %v while the key's member is busy, want a refusal", req.attempts)
+	}
+	member.ejectedUntil = host.now + time.Second // ejected: then the next candidate does
+	if req := host.request(Request{ID: 3, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member == home {
+		t.Errorf("sent to %v while the key's member is ejected, want the next candidate", req.attempts)
+	}
+	host.checkViolations()
 }
 
 // Where caches fetch by themselves, giving up slow answers and asking the next cache doubled the fetches.
 func TestReadThroughModeWaitsForFetch(t *testing.T) {
-	s := testSettings()
-	s.Mode, s.OriginKind = ReadThrough, -1
-	h := newHost(t, s, 1)
-	h.setMembers(ListCached, cacheMembers(4)...)
-	r := h.request(Request{ID: 1, Key: 7})
-	if len(r.attempts) != 1 || r.attempts[0].timeout != 0 {
-		t.Errorf("attempts %+v, want one that is not given up", r.attempts)
-	}
-	h.checkViolations()
+	settings := testSettings()
+	settings.Mode, settings.OriginKind = ReadThrough, -1
+	host := newHost(t, settings, 1)
+	host.setMembers(ListCached, cacheMembers(4)...)
+	req := host.request(Request{ID: 1, Key: 7})
+	if len(req.attempts) != 1 || req.attempts[0].timeout != 0 {
+		t.Errorf("attempts %+v, want one that is not given up", req.attempts)
+	}
+	host.checkViolations()
 }
 
 // A full member was left out for a while, which scattered all its keys; cutting its limit from what is out held
 // back proxies that send to it seldom. Now its limit falls to one at least.
 func TestFullMemberKeepsItsKeys(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(8)...)
-	home := h.request(Request{ID: 1, Key: 7}).attempts[0].member
-	n := h.b.members[home]
-	h.endAttempt(1, 0, StatusFull)
-	if n.limit >= initialLimit {
-		t.Errorf("limit %v after a full answer, want less than %d", n.limit, initialLimit)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(8)...)
+	home := host.request(Request{ID: 1, Key: 7}).attempts[0].member
+	member := host.b.members[home]
+	host.endAttempt(1, 0, StatusFull)
+	if member.limit >= initialLimit {
+		t.Errorf("limit %v after a full answer, want less than %d", member.limit, initialLimit)
 	}
-	if r := h.request(Request{ID: 2, Key: 7}); len(r.attempts) != 1 || r.attempts[0].member != home {
-		t.Errorf("the next request goes to %+v, want member %d", r.attempts, home)
+	if req := host.request(Request{ID: 2, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member != home {
+		t.Errorf("the next request goes to %+v, want member %d", req.attempts, home)
 	}
 	for range 20 {
-		h.b.recordOutcome(n, Outcome{Status: StatusFull}, false)
+		host.b.recordOutcome(member, Outcome{Status: StatusFull}, false)
 	}
-	if n.limit < 1 {
-		t.Errorf("limit %v after many full answers, want 1", n.limit)
+	if member.limit < 1 {
+		t.Errorf("limit %v after many full answers, want 1", member.limit)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // While most of the fleet was cold its budgets shrank with the little that the few warm members answered: they go by
@@ -382,13 +382,13 @@
 		cold      int
 		low, high float64
 	}{{0, 10, 10}, {4, 7, 8}, {9, 5, 5}} {
-		h := newHost(t, testSettings(), 1)
+		host := newHost(t, testSettings(), 1)
 		list := withOrigin(10)
 		for i := range c.cold {
-			list[i].StartedAt = h.now - 2*time.Second // warm to 0.36
+			list[i].StartedAt = host.now - 2*time.Second // warm to 0.36
 		}
-		h.setMembers(ListCached, list...)
-		if w := h.b.warmWeight(); w < c.low || w > c.high {
+		host.setMembers(ListCached, list...)
+		if w := host.b.warmWeight(); w < c.low || w > c.high {
 			t.Errorf("%d of 10 members cold: weight %.2f, want %v to %v", c.cold, w, c.low, c.high)
 		}
 	}
@@ -397,21 +397,21 @@
 // Keys at the hot set's edge changed caches each time they entered or left it: a key newly placed stays with its
 // slot's member unless the objective gains enough by moving it.
 func TestNewlyHotKeyStaysWithItsSlot(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, cacheMembers(8)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, cacheMembers(8)...)
 	for range 50 { // one key sets the level, the others are at the edge
-		h.b.keyCounts.add(1)
+		host.b.keyCounts.add(1)
 	}
 	for key := uint64(2); key < 60; key++ {
-		h.b.keyCounts.add(key)
-		h.b.keyCounts.add(key)
+		host.b.keyCounts.add(key)
+		host.b.keyCounts.add(key)
 	}
-	h.b.placeHotKeys()
+	host.b.placeHotKeys()
 	moved, placed := 0, 0
 	for key := uint64(2); key < 60; key++ {
-		if p := h.b.hotTable[key]; p != nil {
+		if p := host.b.hotTable[key]; p != nil {
 			placed++
-			if p.members[0] != h.b.candidates(slotOf(key))[0].member {
+			if p.members[0] != host.b.candidates(slotOf(key))[0].member {
 				moved++
 			}
 		}
@@ -423,83 +423,83 @@
 
 // Keys wanted only once took the origin's room from those that many ask for: a known key goes first.
 func TestKnownKeysAreFetchedFirst(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(4)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(4)...)
 	for id := RequestID(1); id <= 20; id++ {
-		r := h.request(Request{ID: id, Key: 7})
-		h.endAttempt(id, len(r.attempts)-1, StatusOK)
+		req := host.request(Request{ID: id, Key: 7})
+		host.endAttempt(id, len(req.attempts)-1, StatusOK)
 	}
-	h.b.members[originID].limit = 1
-	h.b.members[originID].outstanding = 1 // its room is taken
+	host.b.members[originID].limit = 1
+	host.b.members[originID].outstanding = 1 // its room is taken
 	for i, key := range []uint64{100, 101, 7} {
 		id := RequestID(100 + i)
-		h.request(Request{ID: id, Key: key})
-		h.endAttempt(id, 0, StatusMiss)
+		host.request(Request{ID: id, Key: key})
+		host.endAttempt(id, 0, StatusMiss)
 	}
-	h.b.members[originID].outstanding = 0
-	h.advance(25 * ms)
+	host.b.members[originID].outstanding = 0
+	host.advance(25 * ms)
 	for i, want := range []int{1, 1, 2} {
-		if got := len(h.requests[RequestID(100+i)].attempts); got != want {
+		if got := len(host.requests[RequestID(100+i)].attempts); got != want {
 			t.Errorf("request %d: %d attempts, want %d", 100+i, got, want)
 		}
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // Clients that try again under overload once inflated the cold budget: it must follow what caches answer.
 func TestColdBudgetFollowsAnswers(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(4)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(4)...)
 	answered := 0
 	for id := RequestID(1); id <= 4000; id++ { // 500 a second, of which caches answer two in three
-		r := h.request(Request{ID: id, Key: uint64(id)})
-		for i := 0; i < len(r.attempts); i++ {
+		req := host.request(Request{ID: id, Key: uint64(id)})
+		for i := 0; i < len(req.attempts); i++ {
 			if id%3 == 0 {
-				h.endAttempt(id, i, StatusFull)
+				host.endAttempt(id, i, StatusFull)
 			} else {
-				h.endAttempt(id, i, StatusOK)
+				host.endAttempt(id, i, StatusOK)
 				answered++
 			}
 		}
-		h.advance(2 * ms)
+		host.advance(2 * ms)
 	}
-	if most := float64(answered) / 8 * 1.1; h.b.servedRate() > most || h.b.servedRate() < most/2 {
-		t.Errorf("the budget goes by %.0f a second while caches answer %.0f", h.b.servedRate(), most/1.1)
+	if most := float64(answered) / 8 * 1.1; host.b.servedRate() > most || host.b.servedRate() < most/2 {
+		t.Errorf("the budget goes by %.0f a second while caches answer %.0f", host.b.servedRate(), most/1.1)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // Many members, each sent to seldom: no member's limit sees the jam, the throttle must.
 func TestThrottleEndsOverloadOfRarelyUsedMembers(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(400)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(400)...)
 	sent, asked := 0, 0
 	for id := RequestID(1); id <= 1500; id++ {
-		r := h.request(Request{ID: id, Key: uint64(id)})
-		if h.now > time.Hour+5*time.Second {
+		req := host.request(Request{ID: id, Key: uint64(id)})
+		if host.now > time.Hour+5*time.Second {
 			asked++
-			sent += len(r.attempts)
+			sent += len(req.attempts)
 		}
-		for i := range r.attempts {
-			h.endAttempt(id, i, StatusError)
+		for i := range req.attempts {
+			host.endAttempt(id, i, StatusError)
 			break
 		}
-		h.advance(10 * ms)
+		host.advance(10 * ms)
 	}
 	if asked == 0 || sent > asked/2 {
 		t.Errorf("%d attempts for %d requests though no cache answers, want at most half", sent, asked)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // The time before a member was first sent to counts from when it was heard of, not from the clock's zero.
 func TestFirstSendIntervalStartsWithListing(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(1)...)
-	h.advance(10 * ms)
-	h.request(Request{ID: 1, Key: 1})
-	if n := h.b.caches[0]; n.sendInterval > 1 {
-		t.Errorf("gap %v s after 10 ms", n.sendInterval)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(1)...)
+	host.advance(10 * ms)
+	host.request(Request{ID: 1, Key: 1})
+	if member := host.b.caches[0]; member.sendInterval > 1 {
+		t.Errorf("gap %v s after 10 ms", member.sendInterval)
 	}
 }
 
@@ -534,20 +534,20 @@
 func TestGreedyAgainstBruteForce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 40 {
-		s := testSettings()
-		s.Instances = 100
-		h := newHost(t, s, uint64(round))
-		h.setMembers(ListCached, withOrigin(3)...)
-		h.b.hotTable = map[uint64]*placement{}
+		settings := testSettings()
+		settings.Instances = 100
+		host := newHost(t, settings, uint64(round))
+		host.setMembers(ListCached, withOrigin(3)...)
+		host.b.hotTable = map[uint64]*placement{}
 		counts := make([]float64, 5+rng.IntN(3))
 		for i := range counts {
 			counts[i] = float64(2 + rng.IntN(30))
 			for range int(counts[i]) {
-				h.b.keyCounts.add(uint64(i + 1))
+				host.b.keyCounts.add(uint64(i + 1))
 			}
 		}
-		h.b.keyCounts.total *= 1000 // a wide tail: no key is hot enough to be split
-		got := h.placeOnAllCaches(counts)
+		host.b.keyCounts.total *= 1000 // a wide tail: no key is hot enough to be split
+		got := host.placeOnAllCaches(counts)
 		best := bruteForce(counts, 3)
 		if got > best*4/3+keyCost {
 			t.Errorf("round %d: greedy %v, best %v, counts %v", round, got, best, counts)
@@ -644,132 +644,132 @@
 
 // Live weights follow load; slots must not.
 func TestLiveWeightsMoveNoSlots(t *testing.T) {
-	s := testSettings()
-	s.Weights = WeightsLive
-	h := newHost(t, s, 1)
+	settings := testSettings()
+	settings.Weights = WeightsLive
+	host := newHost(t, settings, 1)
 	list := withOrigin(8)
-	h.setMembers(ListCached, list...)
-	was := firstCandidates(h.b)
+	host.setMembers(ListCached, list...)
+	was := firstCandidates(host.b)
 	for i := range list {
 		list[i].Weight /= float64(1 + i)
 	}
-	h.setMembers(ListDelta, list...)
-	if !slices.Equal(was, firstCandidates(h.b)) {
+	host.setMembers(ListDelta, list...)
+	if !slices.Equal(was, firstCandidates(host.b)) {
 		t.Error("slots moved with the load")
 	}
 }
 
 // One broken connection tells nothing of its member: it stays in use, and the read may go there again.
 func TestOneResetDoesNotEject(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(6)...)
-	a := h.request(Request{ID: 1, Key: 77})
-	h.advance(10 * ms)
-	h.endAttempt(1, 0, StatusReset)
-	if len(a.attempts) != 2 || a.attempts[1].member != a.attempts[0].member {
-		t.Fatalf("sent %+v, want the same cache twice", a.attempts)
-	}
-	h.endAttempt(1, 1, StatusReset)
-	if n := h.b.members[a.attempts[0].member]; n.ejectedUntil > h.now {
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(6)...)
+	req := host.request(Request{ID: 1, Key: 77})
+	host.advance(10 * ms)
+	host.endAttempt(1, 0, StatusReset)
+	if len(req.attempts) != 2 || req.attempts[1].member != req.attempts[0].member {
+		t.Fatalf("sent %+v, want the same cache twice", req.attempts)
+	}
+	host.endAttempt(1, 1, StatusReset)
+	if member := host.b.members[req.attempts[0].member]; member.ejectedUntil > host.now {
 		t.Error("broken connections ejected a cache that may be up")
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // Members under ever new ids leave nothing behind.
 func TestRemovedMembersAreDeleted(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
+	host := newHost(t, testSettings(), 1)
 	for i := range 50 {
 		m := Member{ID: MemberID(1000 + i), Weight: 1}
-		h.setMembers(ListDelta, m)
+		host.setMembers(ListDelta, m)
 		m.State = Draining
-		h.setMembers(ListDelta, m)
+		host.setMembers(ListDelta, m)
 		if i%2 == 0 {
 			m.State = Gone
-			h.setMembers(ListDelta, m)
+			host.setMembers(ListDelta, m)
 		}
 	}
-	h.setMembers(ListFull, Member{ID: 1, Weight: 1})
-	if len(h.b.members) != 1 {
-		t.Errorf("%d members kept, want 1", len(h.b.members))
+	host.setMembers(ListFull, Member{ID: 1, Weight: 1})
+	if len(host.b.members) != 1 {
+		t.Errorf("%d members kept, want 1", len(host.b.members))
 	}
 }
 
 // A request that a member finds fault with is not sent again, and the member keeps its good name.
 func TestRejectedRequestFailsAtOnce(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(6)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(6)...)
 	for id := RequestID(1); id < 10; id++ {
-		a := h.request(Request{ID: id, Key: 77})
-		h.endAttempt(id, 0, StatusRejected)
-		if len(a.attempts) != 1 || a.answers != 1 {
-			t.Fatalf("sent %+v, answered %d times", a.attempts, a.answers)
+		req := host.request(Request{ID: id, Key: 77})
+		host.endAttempt(id, 0, StatusRejected)
+		if len(req.attempts) != 1 || req.answers != 1 {
+			t.Fatalf("sent %+v, answered %d times", req.attempts, req.answers)
 		}
-		if n := h.b.members[a.attempts[0].member]; n.failureRate != 0 || n.failureStreak != 0 {
+		if member := host.b.members[req.attempts[0].member]; member.failureRate != 0 || member.failureStreak != 0 {
 			t.Fatal("it counted against the member")
 		}
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // With the slot's cache in this zone busy, a read goes to the one that has the slot in another zone, where its
 // key is kept too, and is not refused because the origin has no room for a miss.
 func TestBusyZoneSpillsToOtherZone(t *testing.T) {
-	s := testSettings()
-	s.Zones, s.CrossZoneCost = 3, 0.06
-	h := newHost(t, s, 1)
+	settings := testSettings()
+	settings.Zones, settings.CrossZoneCost = 3, 0.06
+	host := newHost(t, settings, 1)
 	list := withOrigin(9)
 	for i := range list {
 		list[i].Zone = i % 3
 	}
-	h.setMembers(ListCached, list...)
-	order := h.b.candidates(slotOf(77))
+	host.setMembers(ListCached, list...)
+	order := host.b.candidates(slotOf(77))
 	first := order[0].member
-	if first.entry.Zone != s.Zone {
+	if first.entry.Zone != settings.Zone {
 		t.Fatalf("the slot's first cache is in zone %d", first.entry.Zone)
 	}
-	at := slices.IndexFunc(order, func(r candidate) bool { return r.member.entry.Zone != s.Zone })
+	at := slices.IndexFunc(order, func(r candidate) bool { return r.member.entry.Zone != settings.Zone })
 	for _, r := range order[:at] {
 		r.member.limit, r.member.outstanding = 1, 1
 	}
-	o := h.b.origins[0]
-	o.limit, o.outstanding = 1, 1
-	a := h.request(Request{ID: 1, Key: 77})
-	if len(a.attempts) != 1 || a.attempts[0].member != order[at].member.entry.ID {
-		t.Fatalf("sent %+v, want %d", a.attempts, order[at].member.entry.ID)
+	origin := host.b.origins[0]
+	origin.limit, origin.outstanding = 1, 1
+	req := host.request(Request{ID: 1, Key: 77})
+	if len(req.attempts) != 1 || req.attempts[0].member != order[at].member.entry.ID {
+		t.Fatalf("sent %+v, want %d", req.attempts, order[at].member.entry.ID)
 	}
-	h.endAttempt(1, 0, StatusOK)
-	h.checkViolations()
+	host.endAttempt(1, 0, StatusOK)
+	host.checkViolations()
 }
 
 // The host's own shortage of connections tells nothing of the member and costs neither an attempt nor the retry
 // budget.
 func TestConnectionShortageIsNotMemberLoad(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(8)...)
-	r := h.request(Request{ID: 1, Key: 7})
-	h.b.retryTokens = 1
-	n := h.b.members[r.attempts[0].member]
-	h.endAttempt(1, 0, StatusNoConn)
-	if n.limit != initialLimit || n.failureStreak != 0 || n.failureRate != 0 || n.ejectedUntil != 0 {
-		t.Errorf("the member is held to blame: %+v", n.limiter)
-	}
-	if len(r.attempts) != 2 {
-		t.Fatalf("sent %+v, want a further attempt", r.attempts)
-	}
-	if f := h.b.requests[1]; h.b.retryTokens != 1 || f.sentAttempts() != 1 {
-		t.Errorf("retry budget %v, attempts on the wire %d, want 1 and 1", h.b.retryTokens, f.sentAttempts())
-	}
-	h.endAttempt(1, 1, StatusOK)
-	h.checkViolations()
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(8)...)
+	req := host.request(Request{ID: 1, Key: 7})
+	host.b.retryTokens = 1
+	member := host.b.members[req.attempts[0].member]
+	host.endAttempt(1, 0, StatusNoConn)
+	if member.limit != initialLimit || member.failureStreak != 0 || member.failureRate != 0 || member.ejectedUntil != 0 {
+		t.Errorf("the member is held to blame: %+v", member.limiter)
+	}
+	if len(req.attempts) != 2 {
+		t.Fatalf("sent %+v, want a further attempt", req.attempts)
+	}
+	if f := host.b.requests[1]; host.b.retryTokens != 1 || f.sentAttempts() != 1 {
+		t.Errorf("retry budget %v, attempts on the wire %d, want 1 and 1", host.b.retryTokens, f.sentAttempts())
+	}
+	host.endAttempt(1, 1, StatusOK)
+	host.checkViolations()
 }
 
 // A crowd that comes at once is let in at members that are quick, and not at those that are slow, have turned work away
 // or are not known yet.
 func TestBurstIsAllowedAtFastMembers(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(3)...)
-	n := h.b.caches[0]
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(3)...)
+	member := host.b.caches[0]
 	for name, c := range map[string]struct {
 		limiter limiter
 		want    bool
@@ -783,8 +783,8 @@
 		"slow, with few":                      {limiter{limit: initialLimit, latency: 0.03, answerInterval: 0.02, samples: 50, outstanding: 100}, false},
 		"within its limit":                    {limiter{limit: initialLimit, latency: 0.3, samples: 50, outstanding: 1}, true},
 	} {
-		n.limiter = c.limiter
-		if got := h.b.hasCapacity(n); got != c.want {
+		member.limiter = c.limiter
+		if got := host.b.hasCapacity(member); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -799,21 +799,21 @@
 		served  bool
 	}{"quick members": {3 * ms, true}, "silent members": {0, false}} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, testSettings(), 1)
-			h.setMembers(ListCached, withOrigin(8)...)
+			host := newHost(t, testSettings(), 1)
+			host.setMembers(ListCached, withOrigin(8)...)
 			for id := RequestID(1); id <= crowd; id++ {
-				h.request(Request{ID: id, Key: uint64(id)})
+				host.request(Request{ID: id, Key: uint64(id)})
 			}
 			for range 100 { // 300 ms of an aim of 500
-				h.advance(3 * ms)
+				host.advance(3 * ms)
 				for id := RequestID(1); id <= crowd && c.answers > 0; id++ {
-					if r := h.requests[id]; len(r.attempts) > 0 && !r.attempts[0].ended && h.now-r.attempts[0].sentAt >= c.answers {
-						h.endAttempt(id, 0, StatusOK)
+					if r := host.requests[id]; len(r.attempts) > 0 && !r.attempts[0].ended && host.now-r.attempts[0].sentAt >= c.answers {
+						host.endAttempt(id, 0, StatusOK)
 					}
 				}
 			}
 			served, refused := 0, 0
-			for _, r := range h.requests {
+			for _, r := range host.requests {
 				switch {
 				case len(r.attempts) > 0 && r.attempts[0].ended:
 					served++
@@ -824,12 +824,12 @@
 			if c.served && served != crowd || !c.served && refused < crowd-8*initialLimit*2 {
 				t.Errorf("%d served, %d refused of %d", served, refused, crowd)
 			}
-			for _, why := range h.finalReasons {
+			for _, why := range host.finalReasons {
 				if why != NoRoom && why != RetryBudget && why != Throttled {
 					t.Errorf("refused for %v", why)
 				}
 			}
-			h.checkViolations()
+			host.checkViolations()
 		})
 	}
 }
@@ -838,45 +838,45 @@
 // throttle must not refuse reads for them, and the latter tell nothing of the member either.
 func TestThrottleCountsOnlySentAttempts(t *testing.T) {
 	for _, s := range []Status{StatusNoConn, StatusCancelled} {
-		h := newHost(t, testSettings(), 1)
-		h.setMembers(ListCached, withOrigin(8)...)
+		host := newHost(t, testSettings(), 1)
+		host.setMembers(ListCached, withOrigin(8)...)
 		for id := RequestID(1); id <= 200; id++ {
-			r := h.request(Request{ID: id, Key: uint64(id)})
-			h.b.retryTokens = 1
-			n := h.b.members[r.attempts[0].member]
-			h.endAttempt(id, 0, s)
-			if n.failureStreak != 0 || n.failureRate != 0 || n.limit != initialLimit {
-				t.Fatalf("%v: the member is held to blame: %+v", s, n.limiter)
+			req := host.request(Request{ID: id, Key: uint64(id)})
+			host.b.retryTokens = 1
+			member := host.b.members[req.attempts[0].member]
+			host.endAttempt(id, 0, s)
+			if member.failureStreak != 0 || member.failureRate != 0 || member.limit != initialLimit {
+				t.Fatalf("%v: the member is held to blame: %+v", s, member.limiter)
 			}
-			if len(r.attempts) != 2 {
-				t.Fatalf("%v: read %d was sent %d times, want a further attempt", s, id, len(r.attempts))
+			if len(req.attempts) != 2 {
+				t.Fatalf("%v: read %d was sent %d times, want a further attempt", s, id, len(req.attempts))
 			}
-			if h.b.recentAttempts > h.b.recentAnswers+2 {
-				t.Fatalf("%v: %v asked, %v answered", s, h.b.recentAttempts, h.b.recentAnswers)
+			if host.b.recentAttempts > host.b.recentAnswers+2 {
+				t.Fatalf("%v: %v asked, %v answered", s, host.b.recentAttempts, host.b.recentAnswers)
 			}
-			h.endAttempt(id, 1, StatusOK)
-			for _, n := range h.b.members {
+			host.endAttempt(id, 1, StatusOK)
+			for _, n := range host.b.members {
 				n.limit = initialLimit
 			}
 		}
-		h.checkViolations()
+		host.checkViolations()
 	}
 }
 
 // newHostWithFastCaches is a host before eight caches that are known to be quick, one of which has just answered, and a function that
 // asks for reads of keys of their own and counts those refused.
-func newHostWithFastCaches(t *testing.T, latency time.Duration) (h *fakeHost, refused func(from, to RequestID) int) {
+func newHostWithFastCaches(t *testing.T, latency time.Duration) (host *fakeHost, refused func(from, to RequestID) int) {
 	t.Helper()
-	h = newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(8)...)
-	for _, n := range h.b.caches {
+	host = newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(8)...)
+	for _, n := range host.b.caches {
 		n.limiter = limiter{limit: 1000, latency: latency.Seconds(), answerInterval: 0.0001, samples: 100}
 	}
-	h.request(Request{ID: 1, Key: 1})
-	h.endAttempt(1, 0, StatusOK)
-	return h, func(from, to RequestID) (n int) {
+	host.request(Request{ID: 1, Key: 1})
+	host.endAttempt(1, 0, StatusOK)
+	return host, func(from, to RequestID) (n int) {
 		for id := from; id < to; id++ {
-			n += h.request(Request{ID: id, Key: uint64(id)}).answers
+			n += host.request(Request{ID: id, Key: uint64(id)}).answers
 		}
 		return n
 	}
@@ -884,51 +884,51 @@
 
 // What is out and may yet be answered is no sign of a jam while the caches answer; once they have fallen silent it is.
 func TestThrottleIgnoresOutstandingReads(t *testing.T) {
-	h, refused := newHostWithFastCaches(t, 10*ms)
+	host, refused := newHostWithFastCaches(t, 10*ms)
 	if n := refused(2, 800); n > 0 {
 		t.Errorf("%d of 800 reads refused though the caches answer", n)
 	}
-	h.advance(200 * ms)
+	host.advance(200 * ms)
 	if n := refused(1000, 1400); n < 200 {
 		t.Errorf("%d of 400 reads refused, 200 ms after the last answer and with 800 out", n)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // A crowd that comes when nothing has been heard for a moment, as the proxy itself was busy taking it in, is not taken for a jam:
 // what was asked just now can't have been answered.
 func TestThrottleIgnoresNewBurst(t *testing.T) {
-	h, refused := newHostWithFastCaches(t, ms)
-	h.advance(25 * ms) // longer than caches as quick as these are silent
+	host, refused := newHostWithFastCaches(t, ms)
+	host.advance(25 * ms) // longer than caches as quick as these are silent
 	if n := refused(2, 900); n > 0 {
 		t.Errorf("%d of 898 reads refused", n)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // A fetch whose connection broke goes back in line, and those who wait for it don't ask the cache meanwhile.
 func TestBrokenFetchKeepsWaiters(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(6)...)
-	a := h.request(Request{ID: 1, Key: 77})
-	h.endAttempt(1, 0, StatusMiss)
-	b := h.request(Request{ID: 2, Key: 77})
-	h.endAttempt(1, 1, StatusReset)
-	if len(a.attempts) != 3 || a.attempts[2].member != originID {
-		t.Fatalf("after a reset: sent %+v, want the origin again", a.attempts)
-	}
-	if len(b.attempts) != 0 {
-		t.Fatalf("the read that waits was sent to a cache that has nothing yet: %+v", b.attempts)
-	}
-	h.endAttempt(1, 2, StatusOK)
-	if len(b.attempts) != 1 || b.attempts[0].member == originID {
-		t.Fatalf("after the fetch: sent %+v, want the cache", b.attempts)
-	}
-	h.endAttempt(2, 0, StatusOK)
-	h.advance(5 * time.Second)
-	h.checkViolations()
-	if len(h.b.requests) != 0 || len(h.b.fetchWaiters) != 0 {
-		t.Errorf("left behind: %d requests, %d fetches", len(h.b.requests), len(h.b.fetchWaiters))
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(6)...)
+	req := host.request(Request{ID: 1, Key: 77})
+	host.endAttempt(1, 0, StatusMiss)
+	second := host.request(Request{ID: 2, Key: 77})
+	host.endAttempt(1, 1, StatusReset)
+	if len(req.attempts) != 3 || req.attempts[2].member != originID {
+		t.Fatalf("after a reset: sent %+v, want the origin again", req.attempts)
+	}
+	if len(second.attempts) != 0 {
+		t.Fatalf("the read that waits was sent to a cache that has nothing yet: %+v", second.attempts)
+	}
+	host.endAttempt(1, 2, StatusOK)
+	if len(second.attempts) != 1 || second.attempts[0].member == originID {
+		t.Fatalf("after the fetch: sent %+v, want the cache", second.attempts)
+	}
+	host.endAttempt(2, 0, StatusOK)
+	host.advance(5 * time.Second)
+	host.checkViolations()
+	if len(host.b.requests) != 0 || len(host.b.fetchWaiters) != 0 {
+		t.Errorf("left behind: %d requests, %d fetches", len(host.b.requests), len(host.b.fetchWaiters))
 	}
 }
 
@@ -937,25 +937,25 @@
 func TestOvertakenTimeoutDoesNotCutLimit(t *testing.T) {
 	for name, others := range map[string]int{"others are answered": 20, "nothing is answered": 0} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, testSettings(), 1)
-			h.setMembers(ListCached, withOrigin(3)...)
-			o := h.b.origins[0]
-			o.latency, o.samples, o.limit = 0.02, 10, 10
-			h.request(Request{ID: 1, Key: 1})
-			h.endAttempt(1, 0, StatusMiss)
-			sent := h.now
+			host := newHost(t, testSettings(), 1)
+			host.setMembers(ListCached, withOrigin(3)...)
+			origin := host.b.origins[0]
+			origin.latency, origin.samples, origin.limit = 0.02, 10, 10
+			host.request(Request{ID: 1, Key: 1})
+			host.endAttempt(1, 0, StatusMiss)
+			sent := host.now
 			for i := range others {
 				id := RequestID(i + 2)
-				h.request(Request{ID: id, Key: uint64(id)})
-				h.endAttempt(id, 0, StatusMiss)
-				h.now += 20 * ms
-				h.endAttempt(id, 1, StatusOK)
+				host.request(Request{ID: id, Key: uint64(id)})
+				host.endAttempt(id, 0, StatusMiss)
+				host.now += 20 * ms
+				host.endAttempt(id, 1, StatusOK)
 			}
-			h.now = sent + 400*ms
-			latency, limit := o.latency, o.limit
-			h.b.Outcome(h.now, Outcome{Request: 1, Attempt: 1, Member: originID, Status: StatusTimeout, Elapsed: h.now - sent})
-			if cut := o.latency > latency || o.limit < limit; cut != (others == 0) {
-				t.Errorf("latency %v -> %v, limit %v -> %v", latency, o.latency, limit, o.limit)
+			host.now = sent + 400*ms
+			latency, limit := origin.latency, origin.limit
+			host.b.Outcome(host.now, Outcome{Request: 1, Attempt: 1, Member: originID, Status: StatusTimeout, Elapsed: host.now - sent})
+			if cut := origin.latency > latency || origin.limit < limit; cut != (others == 0) {
+				t.Errorf("latency %v -> %v, limit %v -> %v", latency, origin.latency, limit, origin.limit)
 			}
 		})
 	}
@@ -963,28 +963,28 @@
 
 // A refused client is told when to come back: later, the longer the shortage lasts, spread, and within the bound.
 func TestRefusalRetryAfter(t *testing.T) {
-	s := testSettings()
-	s.MaxRetryAfter = 2 * time.Second
-	h := newHost(t, s, 1)
-	h.setMembers(ListCached, withOrigin(3)...)
+	settings := testSettings()
+	settings.MaxRetryAfter = 2 * time.Second
+	host := newHost(t, settings, 1)
+	host.setMembers(ListCached, withOrigin(3)...)
 	f := &pendingRequest{}
 	mean := func(at time.Duration) (sum time.Duration) {
-		h.b.now = at
+		host.b.now = at
 		seen := map[time.Duration]bool{}
 		for range 100 {
-			d := h.b.retryAfter(f)
-			if d <= 0 || d > s.MaxRetryAfter {
+			d := host.b.retryAfter(f)
+			if d <= 0 || d > settings.MaxRetryAfter {
 				t.Fatalf("told to come back after %v", d)
 			}
 			seen[d] = true
 			sum += d / 100
 		}
-		if len(seen) < 50 && sum < s.MaxRetryAfter {
+		if len(seen) < 50 && sum < settings.MaxRetryAfter {
 			t.Errorf("only %d times of 100 differ", len(seen))
 		}
 		return sum
 	}
-	start := h.now
+	start := host.now
 	first := mean(start)
 	mean(start + 500*ms)
 	later := mean(start + time.Second)
@@ -1000,22 +1000,22 @@
 // Where many of all attempts fail, two in a row are chance and eject nobody; a member that only fails is ejected
 // all the same.
 func TestRandomStreaksDoNotEject(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(8)...)
-	n := h.b.caches[0]
-	h.b.failureRate = 0.15
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(8)...)
+	member := host.b.caches[0]
+	host.b.failureRate = 0.15
 	for range 2 {
-		h.b.recordOutcome(n, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
+		host.b.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
 	}
-	if n.ejectedUntil > h.b.now {
+	if member.ejectedUntil > host.b.now {
 		t.Error("ejected after two time-outs where many fail")
 	}
 	for range maxFailureStreak {
-		h.b.recordOutcome(n, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
-		h.b.failureRate = 0.15
+		host.b.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
+		host.b.failureRate = 0.15
 	}
-	if n.ejectedUntil <= h.b.now {
-		t.Errorf("not ejected after %d failures in a row", n.failureStreak)
+	if member.ejectedUntil <= host.b.now {
+		t.Errorf("not ejected after %d failures in a row", member.failureStreak)
 	}
 }
 
@@ -1023,15 +1023,15 @@
 func TestHandshakeDoesNotCutLimit(t *testing.T) {
 	for name, fresh := range map[string]bool{"first on its connection": true, "on a kept connection": false} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, testSettings(), 1)
-			h.setMembers(ListCached, withOrigin(8)...)
-			n := h.b.caches[0]
+			host := newHost(t, testSettings(), 1)
+			host.setMembers(ListCached, withOrigin(8)...)
+			member := host.b.caches[0]
 			for range 5 {
-				h.b.recordOutcome(n, Outcome{Status: StatusOK, Elapsed: 2 * seconds(h.b.fetchTarget), FirstOnConnection: fresh}, false)
-				h.b.now += time.Second
+				host.b.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 2 * seconds(host.b.fetchTarget), FirstOnConnection: fresh}, false)
+				host.b.now += time.Second
 			}
-			if cut := n.limit < initialLimit; cut == fresh {
-				t.Errorf("limit %v after slow answers", n.limit)
+			if cut := member.limit < initialLimit; cut == fresh {
+				t.Errorf("limit %v after slow answers", member.limit)
 			}
 		})
 	}
@@ -1039,67 +1039,67 @@
 
 // A request goes only to the members that it allows, a cache or the origin; narrowed to nobody it is answered at once.
 func TestAllowedMembersOnly(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(6)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(6)...)
 	for id := RequestID(1); id <= 20; id++ {
-		a := h.request(Request{ID: id, Key: uint64(id), AllowedMembers: []MemberID{3}})
-		if len(a.attempts) != 1 || a.attempts[0].member != 3 {
-			t.Fatalf("sent %+v, want member 3", a.attempts)
+		req := host.request(Request{ID: id, Key: uint64(id), AllowedMembers: []MemberID{3}})
+		if len(req.attempts) != 1 || req.attempts[0].member != 3 {
+			t.Fatalf("sent %+v, want member 3", req.attempts)
 		}
-		h.endAttempt(id, 0, StatusMiss) // the origin is not allowed
-		if a.answers != 1 || len(a.attempts) != 1 || h.finalReasons[len(h.finalReasons)-1] != NoMember {
-			t.Fatalf("after a miss: %+v, answered %d, %v", a.attempts, a.answers, h.finalReasons)
+		host.endAttempt(id, 0, StatusMiss) // the origin is not allowed
+		if req.answers != 1 || len(req.attempts) != 1 || host.finalReasons[len(host.finalReasons)-1] != NoMember {
+			t.Fatalf("after a miss: %+v, answered %d, %v", req.attempts, req.answers, host.finalReasons)
 		}
 	}
-	if a := h.request(Request{ID: 21, Key: 5, AllowedMembers: []MemberID{}}); a.answers != 1 {
+	if req := host.request(Request{ID: 21, Key: 5, AllowedMembers: []MemberID{}}); req.answers != 1 {
 		t.Error("a request that may go to nobody is not answered")
 	}
-	h.b.origins[0].limit, h.b.origins[0].latency, h.b.origins[0].lastSentAt = 0.25, 0.2, h.now
-	h.request(Request{ID: 22, Key: 77})
-	h.endAttempt(22, 0, StatusMiss) // in line
-	h.b.RestrictMembers(h.now, 22, []MemberID{3})
-	if h.requests[22].answers != 1 {
+	host.b.origins[0].limit, host.b.origins[0].latency, host.b.origins[0].lastSentAt = 0.25, 0.2, host.now
+	host.request(Request{ID: 22, Key: 77})
+	host.endAttempt(22, 0, StatusMiss) // in line
+	host.b.RestrictMembers(host.now, 22, []MemberID{3})
+	if host.requests[22].answers != 1 {
 		t.Error("a request in line for a member that it allows no more is not answered")
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // Spares are warm members that may be sent to; where a client has gone on to one by itself, that counts as an attempt.
 func TestFallbacksCountAsAttempts(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
+	host := newHost(t, testSettings(), 1)
 	list := withOrigin(6)
-	list[2].StartedAt = h.now - 100*ms
-	h.setMembers(ListCached, list...)
-	a := h.request(Request{ID: 1, Key: 77})
-	spares := h.b.Fallbacks(1, 10)
+	list[2].StartedAt = host.now - 100*ms
+	host.setMembers(ListCached, list...)
+	req := host.request(Request{ID: 1, Key: 77})
+	spares := host.b.Fallbacks(1, 10)
 	if len(spares) != 3 { // of four attempts
 		t.Fatalf("spares %v", spares)
 	}
 	for _, m := range append(spares, originID) {
-		if (m == a.attempts[0].member || m == 3 || m == originID) == slices.Contains(spares, m) {
+		if (m == req.attempts[0].member || m == 3 || m == originID) == slices.Contains(spares, m) {
 			t.Errorf("spares %v: %d is the one sent to, a cold one or the origin", spares, m)
 		}
 	}
-	h.b.FallbackUsed(h.now, 1, a.attempts[0].member, spares[0])
-	h.b.FallbackUsed(h.now, 1, spares[0], spares[1])
-	if f := h.b.requests[1]; f.sentAttempts() != 3 || h.b.members[spares[1]].outstanding != 1 || h.b.members[spares[0]].outstanding != 0 ||
-		h.b.members[a.attempts[0].member].outstanding != 0 || h.b.members[spares[0]].failureStreak != 1 {
+	host.b.FallbackUsed(host.now, 1, req.attempts[0].member, spares[0])
+	host.b.FallbackUsed(host.now, 1, spares[0], spares[1])
+	if f := host.b.requests[1]; f.sentAttempts() != 3 || host.b.members[spares[1]].outstanding != 1 || host.b.members[spares[0]].outstanding != 0 ||
+		host.b.members[req.attempts[0].member].outstanding != 0 || host.b.members[spares[0]].failureStreak != 1 {
 		t.Errorf("%d attempts", f.sentAttempts())
 	}
-	h.b.Outcome(h.now, Outcome{Request: 1, Attempt: 0, Member: spares[1], Status: StatusError})
-	if len(a.attempts) != 2 {
-		t.Fatalf("sent %+v, want the fourth attempt", a.attempts)
+	host.b.Outcome(host.now, Outcome{Request: 1, Attempt: 0, Member: spares[1], Status: StatusError})
+	if len(req.attempts) != 2 {
+		t.Fatalf("sent %+v, want the fourth attempt", req.attempts)
 	}
-	h.endAttempt(1, 1, StatusError)
-	if len(a.attempts) != 2 || a.answers != 1 {
-		t.Errorf("sent %+v, answered %d times, after four attempts", a.attempts, a.answers)
+	host.endAttempt(1, 1, StatusError)
+	if len(req.attempts) != 2 || req.answers != 1 {
+		t.Errorf("sent %+v, answered %d times, after four attempts", req.attempts, req.answers)
 	}
-	o := h.request(Request{ID: 2, Key: 8, Class: 1, Write: true})
-	if got := h.b.Fallbacks(2, 3); len(o.attempts) != 1 || got != nil {
+	o := host.request(Request{ID: 2, Key: 8, Class: 1, Write: true})
+	if got := host.b.Fallbacks(2, 3); len(o.attempts) != 1 || got != nil {
 		t.Errorf("spares of an order: %v", got)
 	}
-	h.request(Request{ID: 3, Key: 9, Write: true}) // safe to repeat, but no cache takes it
-	if got := h.b.Fallbacks(3, 3); got != nil {
+	host.request(Request{ID: 3, Key: 9, Write: true}) // safe to repeat, but no cache takes it
+	if got := host.b.Fallbacks(3, 3); got != nil {
 		t.Errorf("spares of a write: %v", got)
 	}
 }
@@ -1114,43 +1114,43 @@
 		"quick members": {10 * ms, 20 * ms, 0.35}, "slow members": {300 * ms, 50 * ms, 0.2}, "silent members": {time.Hour, 20 * ms, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, testSettings(), 1)
+			host := newHost(t, testSettings(), 1)
 			list := withOrigin(4)
 			for i := range list[:4] {
-				list[i].StartedAt = h.now
+				list[i].StartedAt = host.now
 			}
-			h.setMembers(ListCached, list...)
+			host.setMembers(ListCached, list...)
 			asked, served := 0, 0
-			for id := RequestID(1); h.now < time.Hour+6*time.Second; id++ {
-				h.request(Request{ID: id, Key: uint64(id)})
-				h.advance(c.gap)
+			for id := RequestID(1); host.now < time.Hour+6*time.Second; id++ {
+				host.request(Request{ID: id, Key: uint64(id)})
+				host.advance(c.gap)
 				for i := max(200, id) - 199; i <= id; i++ {
-					r := h.requests[i]
+					r := host.requests[i]
 					if r.answers > 0 || len(r.attempts) == 0 {
 						continue
 					}
-					if a := r.attempts[len(r.attempts)-1]; !a.ended && h.now-a.sentAt >= c.takes {
-						h.endAttempt(r.ID, len(r.attempts)-1, StatusOK)
-						if h.now > time.Hour+5*time.Second {
+					if a := r.attempts[len(r.attempts)-1]; !a.ended && host.now-a.sentAt >= c.takes {
+						host.endAttempt(r.ID, len(r.attempts)-1, StatusOK)
+						if host.now > time.Hour+5*time.Second {
 							served++
 						}
 					}
 				}
-				if h.now > time.Hour+5*time.Second {
+				if host.now > time.Hour+5*time.Second {
 					asked++
 				}
 			}
 			if share := float64(served) / float64(asked); share < c.least {
 				t.Errorf("%.2f of the reads are served, want %.2f", share, c.least)
 			}
-			for id, at := range h.coldSends {
+			for id, at := range host.coldSends {
 				for i := 1; i < len(at) && c.takes == time.Hour; i++ { // nothing is known of it
-					if gap := at[i] - at[i-1]; gap < time.Duration(h.s.Instances)*50*ms {
+					if gap := at[i] - at[i-1]; gap < time.Duration(host.s.Instances)*50*ms {
 						t.Errorf("member %d, which answers nothing, is asked again after %v", id, gap)
 					}
 				}
 			}
-			h.checkViolations()
+			host.checkViolations()
 		})
 	}
 }
@@ -1158,26 +1158,26 @@
 // A cache that finds fault with a request has answered it. A client whose requests are all at fault must not make the
 // throttle refuse others' reads.
 func TestRejectionsDoNotThrottle(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(4)...)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(4)...)
 	for id := RequestID(1); id <= 400; id++ {
-		r := h.request(Request{ID: id, Key: uint64(id)})
-		if len(r.attempts) == 0 {
-			t.Fatalf("request %d is refused: %v", id, h.finalReasons)
+		req := host.request(Request{ID: id, Key: uint64(id)})
+		if len(req.attempts) == 0 {
+			t.Fatalf("request %d is refused: %v", id, host.finalReasons)
 		}
-		h.endAttempt(id, 0, StatusRejected)
-		h.advance(ms)
+		host.endAttempt(id, 0, StatusRejected)
+		host.advance(ms)
 	}
-	h.checkViolations()
+	host.checkViolations()
 }
 
 // A read for which this proxy has no connection goes to another candidate that it has one to, waits where it has none at
 // all, and is refused, for that reason, once a quarter of its time has passed.
 func TestConnectionShortage(t *testing.T) {
-	h := newHost(t, testSettings(), 1)
-	h.setMembers(ListCached, withOrigin(4)...)
-	first := h.request(Request{ID: 1, Key: 9}).attempts[0].member
-	h.endAttempt(1, 0, StatusOK)
+	host := newHost(t, testSettings(), 1)
+	host.setMembers(ListCached, withOrigin(4)...)
+	first := host.request(Request{ID: 1, Key: 9}).attempts[0].member
+	host.endAttempt(1, 0, StatusOK)
 	for name, c := range map[string]struct {
 		wait func(MemberID) time.Duration
 		sent int
@@ -1188,37 +1188,37 @@
 		"stuck":           {func(m MemberID) time.Duration { return -time.Duration(boolToInt(m == first)) }, 1, false},
 		"none to anybody": {func(MemberID) time.Duration { return -1 }, 0, false},
 	} {
-		h.connectionWait = c.wait
-		id := RequestID(len(h.requests) + 1)
-		asked := h.now
-		r := h.request(Request{ID: id, Key: 9})
-		if len(r.attempts) != c.sent || c.sent > 0 && (r.attempts[0].member == first) != c.same {
-			t.Errorf("%s: sent %+v; the key's own is %d", name, r.attempts, first)
+		host.connectionWait = c.wait
+		id := RequestID(len(host.requests) + 1)
+		asked := host.now
+		req := host.request(Request{ID: id, Key: 9})
+		if len(req.attempts) != c.sent || c.sent > 0 && (req.attempts[0].member == first) != c.same {
+			t.Errorf("%s: sent %+v; the key's own is %d", name, req.attempts, first)
 		}
 		if c.sent > 0 {
-			h.endAttempt(id, 0, StatusOK)
+			host.endAttempt(id, 0, StatusOK)
 			continue
 		}
-		h.finalReasons = nil
-		aim := h.b.requests[id].softDeadline - asked
-		h.advance(aim/4 - unknownCacheRetryDelay)
-		if r.answers > 0 {
+		host.finalReasons = nil
+		aim := host.b.requests[id].softDeadline - asked
+		host.advance(aim/4 - unknownCacheRetryDelay)
+		if req.answers > 0 {
 			t.Errorf("%s: answered within a quarter of its time", name)
 		}
-		h.advance(2 * unknownCacheRetryDelay)
-		if r.answers != 1 || !slices.Equal(h.finalReasons, []Reason{NoConnection}) {
-			t.Errorf("%s: %d answers after a quarter of its time: %v", name, r.answers, h.finalReasons)
+		host.advance(2 * unknownCacheRetryDelay)
+		if req.answers != 1 || !slices.Equal(host.finalReasons, []Reason{NoConnection}) {
+			t.Errorf("%s: %d answers after a quarter of its time: %v", name, req.answers, host.finalReasons)
 		}
 	}
-	h.connectionWait = func(MemberID) time.Duration { return -1 }
-	r := h.request(Request{ID: 100, Key: 9})
-	h.connectionWait = nil
-	h.advance(2 * unknownCacheRetryDelay)
-	if len(r.attempts) != 1 {
-		t.Errorf("sent %d times once there was a connection", len(r.attempts))
+	host.connectionWait = func(MemberID) time.Duration { return -1 }
+	req := host.request(Request{ID: 100, Key: 9})
+	host.connectionWait = nil
+	host.advance(2 * unknownCacheRetryDelay)
+	if len(req.attempts) != 1 {
+		t.Errorf("sent %d times once there was a connection", len(req.attempts))
 	}
-	h.endAttempt(100, 0, StatusOK)
-	h.checkViolations()
+	host.endAttempt(100, 0, StatusOK)
+	host.checkViolations()
 }
 
 func boolToInt(b bool) int {
@@ -1236,20 +1236,20 @@
 		status Status
 		refuse bool
 	}{{StatusFull, false}, {StatusError, true}} {
-		h := newHost(t, testSettings(), 1)
-		h.setMembers(ListFull, withOrigin(8)...)
+		host := newHost(t, testSettings(), 1)
+		host.setMembers(ListFull, withOrigin(8)...)
 		for id := RequestID(1); id <= 200; id++ {
-			r := h.request(Request{ID: id, Key: uint64(id) * 7919})
-			if id%2 == 0 && len(r.attempts) > 0 {
-				h.endAttempt(id, 0, c.status)
+			req := host.request(Request{ID: id, Key: uint64(id) * 7919})
+			if id%2 == 0 && len(req.attempts) > 0 {
+				host.endAttempt(id, 0, c.status)
 			}
-			if n := len(r.attempts); n > 0 && !r.attempts[n-1].ended {
-				h.endAttempt(id, n-1, StatusOK)
+			if n := len(req.attempts); n > 0 && !req.attempts[n-1].ended {
+				host.endAttempt(id, n-1, StatusOK)
 			}
-			h.advance(20 * ms)
+			host.advance(20 * ms)
 		}
 		refused := 0
-		for _, why := range h.finalReasons {
+		for _, why := range host.finalReasons {
 			if why == RetryBudget {
 				refused++
 			}
@@ -1257,7 +1257,7 @@
 		if got := refused > 0; got != c.refuse {
 			t.Errorf("%v: %d of 200 reads refused for the retry budget; refused %v, want %v", c.status, refused, got, c.refuse)
 		}
-		h.checkViolations()
+		host.checkViolations()
 	}
 }
 
@@ -1268,22 +1268,22 @@
 		status Status
 		refuse bool
 	}{{StatusFull, false}, {StatusError, true}} {
-		h := newHost(t, testSettings(), 1)
-		h.setMembers(ListFull, withOrigin(8)...)
+		host := newHost(t, testSettings(), 1)
+		host.setMembers(ListFull, withOrigin(8)...)
 		for id := RequestID(1); id <= 200; id++ {
-			h.b.retryTokens = retryBurst
-			r := h.request(Request{ID: id, Key: uint64(id) * 7919})
-			for n := 0; n < len(r.attempts) && r.answers == 0; n++ {
-				if r.attempts[n].member != originID && n < 2 {
-					h.endAttempt(id, n, c.status)
+			host.b.retryTokens = retryBurst
+			req := host.request(Request{ID: id, Key: uint64(id) * 7919})
+			for n := 0; n < len(req.attempts) && req.answers == 0; n++ {
+				if req.attempts[n].member != originID && n < 2 {
+					host.endAttempt(id, n, c.status)
 				} else {
-					h.endAttempt(id, n, StatusOK)
+					host.endAttempt(id, n, StatusOK)
 				}
 			}
-			h.advance(20 * ms)
+			host.advance(20 * ms)
 		}
 		refused := 0
-		for _, why := range h.finalReasons {
+		for _, why := range host.finalReasons {
 			if why == Throttled {
 				refused++
 			}
@@ -1291,6 +1291,6 @@
 		if got := refused > 0; got != c.refuse {
 			t.Errorf("%v: %d of 200 reads throttled; want some: %v", c.status, refused, c.refuse)
 		}
-		h.checkViolations()
+		host.checkViolations()
 	}
 }
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -18,10 +18,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(6) {
-				s := testSettings()
-				change(&s)
-				s.Tenants = []Tenant{{Share: 0.7}, {Share: 0.3}}
-				driveRandom(t, s, seed).checkViolations()
+				settings := testSettings()
+				change(&settings)
+				settings.Tenants = []Tenant{{Share: 0.7}, {Share: 0.3}}
+				driveRandom(t, settings, seed).checkViolations()
 			}
 		})
 	}
@@ -45,47 +45,47 @@
 	}
 }
 
-func driveRandom(t *testing.T, s Settings, seed uint64, edit ...func(*fakeHost)) *fakeHost {
+func driveRandom(t *testing.T, settings Settings, seed uint64, edit ...func(*fakeHost)) *fakeHost {
 	t.Helper()
-	h := newHost(t, s, seed)
+	host := newHost(t, settings, seed)
 	for _, f := range edit {
-		f(h)
+		f(host)
 	}
 	rng := rand.New(rand.NewPCG(seed, 42))
 	list := withOrigin(12)
-	h.setMembers(ListCached, list...)
-	if h.importedState != nil {
-		h.b.ImportState(h.now, *h.importedState)
+	host.setMembers(ListCached, list...)
+	if host.importedState != nil {
+		host.b.ImportState(host.now, *host.importedState)
 	}
 	next := RequestID(0)
 	for range 6000 {
 		switch p := rng.IntN(100); {
 		case p < 45:
 			next++
-			class := rng.IntN(len(s.Classes) + 1)
-			h.request(Request{ID: next, Key: uint64(rng.IntN(60) * rng.IntN(2)), Class: class, Tenant: rng.IntN(3),
+			class := rng.IntN(len(settings.Classes) + 1)
+			host.request(Request{ID: next, Key: uint64(rng.IntN(60) * rng.IntN(2)), Class: class, Tenant: rng.IntN(3),
 				Write: class != 0, CostKnown: p < 20, Cost: time.Duration(rng.IntN(80)) * ms,
-				Deadline: h.now + time.Duration(rng.IntN(1500))*ms})
+				Deadline: host.now + time.Duration(rng.IntN(1500))*ms})
 		case p < 80:
-			h.endRandomAttempt(rng)
+			host.endRandomAttempt(rng)
 		case p < 84:
-			h.changeRandomMember(rng, list)
+			host.changeRandomMember(rng, list)
 		case p < 85:
-			h.setMembers([]ListKind{ListFull, ListFailed}[rng.IntN(2)], list...)
+			host.setMembers([]ListKind{ListFull, ListFailed}[rng.IntN(2)], list...)
 		case p < 87:
-			h.cancelRandomRequest(rng)
+			host.cancelRandomRequest(rng)
 		}
-		h.advance(time.Duration(rng.IntN(12)) * ms)
-		h.checkDeadlines()
+		host.advance(time.Duration(rng.IntN(12)) * ms)
+		host.checkDeadlines()
 	}
-	h.advance(20 * time.Second)
+	host.advance(20 * time.Second)
 	for id := RequestID(1); id <= next; id++ {
-		if h.requests[id].answers != 1 {
-			h.violate("request %d answered %d times", id, h.requests[id].answers)
+		if host.requests[id].answers != 1 {
+			host.violate("request %d answered %d times", id, host.requests[id].answers)
 		}
 	}
-	h.checkColdSends()
-	return h
+	host.checkColdSends()
+	return host
 }
 
 var randomStatuses = []Status{StatusOK, StatusOK, StatusOK, StatusMiss, StatusMiss, StatusFull, StatusError,
--- a/logic/transit_test.go
+++ b/logic/transit_test.go
@@ -30,27 +30,27 @@
 		"until past its aim":      {StatusTimeout, 0, 495 * ms, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, testSettings(), 1)
-			h.setMembers(ListCached, withOrigin(8)...)
-			r := h.request(Request{ID: 1, Key: 7, Class: c.class, Write: c.class > 0})
-			h.b.retryTokens = 10
-			h.endInTransit(r, c.status, c.transit)
+			host := newHost(t, testSettings(), 1)
+			host.setMembers(ListCached, withOrigin(8)...)
+			req := host.request(Request{ID: 1, Key: 7, Class: c.class, Write: c.class > 0})
+			host.b.retryTokens = 10
+			host.endInTransit(req, c.status, c.transit)
 			if c.sent == 0 {
-				if r.answers != 1 || len(r.attempts) != 1 {
-					t.Errorf("answered %d times, sent %d times; want an answer at once", r.answers, len(r.attempts))
+				if req.answers != 1 || len(req.attempts) != 1 {
+					t.Errorf("answered %d times, sent %d times; want an answer at once", req.answers, len(req.attempts))
 				}
-				h.checkViolations()
+				host.checkViolations()
 				return
 			}
-			h.advance(c.sent - ms)
-			if c.sent > ms && len(r.attempts) > 1 {
-				t.Errorf("sent again %v before the first attempt has surely come", c.sent-(r.attempts[1].sentAt-r.attempts[0].sentAt))
+			host.advance(c.sent - ms)
+			if c.sent > ms && len(req.attempts) > 1 {
+				t.Errorf("sent again %v before the first attempt has surely come", c.sent-(req.attempts[1].sentAt-req.attempts[0].sentAt))
 			}
-			h.advance(ms)
-			if len(r.attempts) != 2 {
-				t.Errorf("sent %d times after %v, want 2", len(r.attempts), c.sent)
+			host.advance(ms)
+			if len(req.attempts) != 2 {
+				t.Errorf("sent %d times after %v, want 2", len(req.attempts), c.sent)
 			}
-			h.checkViolations()
+			host.checkViolations()
 		})
 	}
 }
@@ -58,16 +58,16 @@
 // An attempt that was given less time than its member's quickest answers take says nothing of the member; one that had more time does.
 func TestTooShortTimeoutIsNoFailure(t *testing.T) {
 	for elapsed, blamed := range map[time.Duration]bool{30 * ms: false, 90 * ms: true} {
-		h := newHost(t, testSettings(), 1)
-		h.setMembers(ListCached, withOrigin(8)...)
-		n := h.b.caches[0]
+		host := newHost(t, testSettings(), 1)
+		host.setMembers(ListCached, withOrigin(8)...)
+		member := host.b.caches[0]
 		for range 20 {
-			h.b.recordOutcome(n, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
+			host.b.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
 		}
-		h.advance(time.Second) // the answers are some time ago
-		h.b.recordOutcome(n, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
-		if (n.failureStreak > 0) != blamed {
-			t.Errorf("a time-out after %v, where answers take 40 ms: %d failures in a row", elapsed, n.failureStreak)
+		host.advance(time.Second) // the answers are some time ago
+		host.b.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
+		if (member.failureStreak > 0) != blamed {
+			t.Errorf("a time-out after %v, where answers take 40 ms: %d failures in a row", elapsed, member.failureStreak)
 		}
 	}
 }
--- a/logic/untold_test.go
+++ b/logic/untold_test.go
@@ -18,23 +18,23 @@
 		"known by too few hits yet": {emptyCacheMisses - 1, emptyCacheMisses, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := testSettings()
-			s.Mode, s.OriginKind, s.SlowStartCapacity, s.SlowStartDuration = CacheAside, 9, 0.3, 10*time.Second
-			h := newHost(t, s, 1)
-			h.setMembers(ListFull, cacheMembers(1)...)
-			n := h.b.caches[0]
+			settings := testSettings()
+			settings.Mode, settings.OriginKind, settings.SlowStartCapacity, settings.SlowStartDuration = CacheAside, 9, 0.3, 10*time.Second
+			host := newHost(t, settings, 1)
+			host.setMembers(ListFull, cacheMembers(1)...)
+			member := host.b.caches[0]
 			for i := range c.hits + c.misses {
 				o := Outcome{Status: StatusMiss, Elapsed: ms}
 				if i < c.hits {
 					o.Status = StatusOK
 				}
-				h.b.recordOutcome(n, o, false)
+				host.b.recordOutcome(member, o, false)
 			}
-			if got := h.b.warmth(n); (got < 1) != c.cold {
+			if got := host.b.warmth(member); (got < 1) != c.cold {
 				t.Errorf("it counts as %.2f warm", got)
 			}
-			h.b.advance(h.b.now + s.SlowStartDuration)
-			if got := h.b.warmth(n); got != 1 {
+			host.b.advance(host.b.now + settings.SlowStartDuration)
+			if got := host.b.warmth(member); got != 1 {
 				t.Errorf("when it is warm, it counts as %.2f", got)
 			}
 		})
