--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// discardHost is a host that keeps nothing but the last send.
+// discardHost is a host that records only the member of the last send.
 type discardHost struct{ lastTarget MemberID }
 
 func (q *discardHost) Send(_ RequestID, to MemberID, _ time.Duration) { q.lastTarget = to }
@@ -24,7 +24,7 @@
 func (*discardHost) Log(string)                                       {}
 func (*discardHost) SetTimer(time.Duration, uint64)                   {}
 
-// newWarmBalancer makes a balancer over a fleet that has served some thousand requests of a Zipf popularity.
+// newWarmBalancer returns a Balancer whose fleet has served 20000 requests with Zipf-distributed keys.
 func newWarmBalancer(b *testing.B, members int) (*Balancer, *discardHost, func()) {
 	b.Helper()
 	q := &discardHost{}
@@ -46,7 +46,7 @@
 			bal.Outcome(now, Outcome{Request: id, Member: q.lastTarget, Status: StatusOK, Elapsed: 20 * ms, Final: true})
 		}
 	}
-	for range 20000 { // every slot that will be asked for has been worked out
+	for range 20000 { // computes the candidates of every slot that will be used
 		serve()
 	}
 	b.ReportAllocs()
@@ -54,7 +54,7 @@
 	return bal, q, serve
 }
 
-// The request path must not grow with the fleet.
+// BenchmarkRequest measures the request path, whose cost must not grow with the fleet.
 func BenchmarkRequest(b *testing.B) {
 	for _, members := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// A rebuild places the hot set anew.
+// BenchmarkPlaceHotKeys measures the placement of the hot set.
 func BenchmarkPlaceHotKeys(b *testing.B) {
 	for _, members := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -7,7 +7,7 @@
 	"linenloom/logic"
 )
 
-// printingHost is a host that only prints what it is asked to do.
+// printingHost is a host that only prints the actions.
 type printingHost struct{}
 
 func (printingHost) Send(id logic.RequestID, to logic.MemberID, _ time.Duration) {
@@ -50,7 +50,7 @@
 	b.Outcome(now, logic.Outcome{Request: 2, Member: 10, Status: logic.StatusMiss})
 	b.Outcome(now, logic.Outcome{Request: 2, Attempt: 1, Member: 99, Status: logic.StatusOK, Final: true})
 
-	b.SetMembers(now, logic.ListFull, nil) // everything is gone
+	b.SetMembers(now, logic.ListFull, nil) // all members are removed
 	b.Request(now, logic.Request{ID: 3, Key: 7, Deadline: now + 3*time.Second})
 	// Output:
 	// send request 1 to member 10
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// fleet is many Balancers before one set of caches and one origin, in one thread and on one clock: what each proxy does alone is
-// added up here, as no proxy can. Caches have a few places, a short line, and turn away what finds no room in it.
+// fleet simulates many Balancers in front of one set of caches and one origin, single-threaded and on one
+// clock. It measures the combined effect of all proxies, which no single proxy can observe. Caches have a
+// few workers and a short queue, and reject requests when the queue is full.
 type fleet struct {
 	t                         *testing.T
 	settings                  Settings
@@ -24,13 +25,13 @@
 	caches                    map[MemberID]*fleetCache
 	list                      map[MemberID]Member
 	origin                    *fleetCache
-	maxColdShare              float64 // what a cold cache was sent, of what rule 4 allows, at the worst
+	maxColdShare              float64 // maximum attempts at a cold cache, as a share of the allowed ones
 	arrivedReads, servedReads int
 	refused                   map[Reason]int
 	sendsToUnready            int
-	excessConnectionStatus    Status // how a cache turns a connection away that is too many
+	excessConnectionStatus    Status // status of an attempt whose connection a full cache refuses
 	refusedConnections        int
-	maxAnswerDelay            map[Reason]time.Duration // refused so long after the last that was heard of it, at the worst
+	maxAnswerDelay            map[Reason]time.Duration // maximum time from the last event of a request to its refusal
 	originOutstanding         int
 	originPeakOutstanding     int
 	nextID                    RequestID
@@ -57,21 +58,21 @@
 	return x
 }
 
-// fleetCache works on as many requests at once as it has slots, and lets as many wait as its line holds.
+// fleetCache processes as many requests at once as it has workers, and queues up to queueCapacity more.
 type fleetCache struct {
 	entry                  Member
 	workers, queueCapacity int
 	busy                   int
 	queue                  []func()
-	maxConns               int                           // it takes so many connections; 0: any number
-	conns                  map[*fleetProxy]time.Duration // when each proxy's was used last: each has one at the most
+	maxConns               int                           // maximum number of connections; 0: unlimited
+	conns                  map[*fleetProxy]time.Duration // last use of each proxy's only connection
 	peakConns              int
-	attempts               int     // by all proxies
-	slowdown               float64 // its answers take so many times as long
-	errorShare             float64 // this share of its answers are errors
-	silent                 bool    // silent: nothing comes back
+	attempts               int     // from all proxies
+	slowdown               float64 // factor on the duration of its answers
+	errorShare             float64 // share of its answers that are errors
+	silent                 bool    // attempts get no answer
 	keys                   map[uint64]bool
-	coldSends              []time.Duration // while it was cold, lately
+	coldSends              []time.Duration // recent attempts received while cold
 }
 
 // fleetProxy is the host of one Balancer.
@@ -84,26 +85,29 @@
 	epoch    int
 
 	arrivedReads, servedReads int
-	backoffs                  map[MemberID]connectBackoff // caches that have turned its connection away
+	backoffs                  map[MemberID]connectBackoff // caches that have refused a connection of this proxy
 }
 
+// connectBackoff is the time of the next connection attempt and the current delay.
 type connectBackoff struct{ until, step time.Duration }
 
+// fleetRequest is a read at one proxy.
 type fleetRequest struct {
 	Request
 	attempts    int
 	outstanding map[int]MemberID
 	answered    bool
-	lastEventAt time.Duration // when it was asked, or an attempt of it has ended last
+	lastEventAt time.Duration // time of arrival or of the last end of an attempt
 }
 
 const (
-	minConnectBackoff = 10 * ms               // a connection that is turned away is not tried again for so long, doubling
-	fleetIdleTimeout  = 4 * time.Second       // a proxy closes a connection that has stood idle for so long
-	fleetHitTime      = 40 * time.Millisecond // a cache with a speed of one takes this long for a hit
-	fleetOriginID     = MemberID(1 << 40)     // the origin
+	minConnectBackoff = 10 * ms               // initial delay before a refused connection is retried; doubles
+	fleetIdleTimeout  = 4 * time.Second       // idle time after which a proxy closes a connection
+	fleetHitTime      = 40 * time.Millisecond // mean duration of a hit at a cache without slowdown
+	fleetOriginID     = MemberID(1 << 40)
 )
 
+// newFleet starts a fleet with the given number of proxies and caches.
 func newFleet(t *testing.T, proxies, caches int, seed uint64) *fleet {
 	sim := &fleet{t: t, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 9)), caches: map[MemberID]*fleetCache{},
 		list: map[MemberID]Member{}, refused: map[Reason]int{}, maxAnswerDelay: map[Reason]time.Duration{}}
@@ -126,7 +130,7 @@
 	return sim
 }
 
-// addCache starts a cache, which every proxy is told of by tell.
+// addCache starts a cache; announce reports it to the proxies.
 func (f *fleet) addCache(id MemberID, started time.Duration) *fleetCache {
 	c := &fleetCache{entry: Member{ID: id, Zone: int(id) % 3, Weight: 1, StartedAt: started}, workers: 2, queueCapacity: 4, slowdown: 1,
 		keys: map[uint64]bool{}, conns: map[*fleetProxy]time.Duration{}}
@@ -134,12 +138,13 @@
 	return c
 }
 
+// schedule runs a function at the given time, but not before now.
 func (f *fleet) schedule(at time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.events, fleetEvent{max(f.now, at), f.seq, do})
 }
 
-// run plays until a time, with so many reads a second over all proxies.
+// run advances the simulation by a duration, with the given rate of reads over all proxies.
 func (f *fleet) run(d time.Duration, readsPerSecond float64) {
 	end := f.now + d
 	var next func()
@@ -149,7 +154,7 @@
 		}
 		f.schedule(f.now+time.Duration(f.rng.ExpFloat64()/readsPerSecond*float64(time.Second)), next)
 		if p := f.proxies[f.rng.IntN(len(f.proxies))]; !p.stopped {
-			p.request(uint64(math.Pow(2000, f.rng.Float64()))) // few keys are asked for often
+			p.request(uint64(math.Pow(2000, f.rng.Float64()))) // few keys are requested often
 		}
 	}
 	f.schedule(f.now, next)
@@ -161,7 +166,7 @@
 	f.now = end
 }
 
-// announce has every proxy hear of a member, each within a second of its own.
+// announce reports a member to every proxy, after a random delay of up to a second each.
 func (f *fleet) announce(m Member) {
 	if f.list[m.ID] = m; m.State == Gone {
 		delete(f.list, m.ID)
@@ -177,10 +182,10 @@
 	}
 }
 
-// start starts the process of a proxy anew, with the list as it is.
+// start restarts the process of a proxy with the current member list.
 func (p *fleetProxy) start(self int) { p.startWith(self, p.fleet.list) }
 
-// startWith starts it with the list of its configuration, which may be an old one.
+// startWith restarts it with the list in its configuration, which may be outdated.
 func (p *fleetProxy) startWith(self int, known map[MemberID]Member) {
 	s := p.fleet.settings
 	s.SelfIndex, s.Zone = self, self%3
@@ -196,7 +201,7 @@
 	p.balancer = balancer
 	balancer.Start(p.fleet.now)
 	var list []Member
-	for _, id := range slices.Sorted(maps.Keys(known)) { // in order, so that every run is alike
+	for _, id := range slices.Sorted(maps.Keys(known)) { // in order, for reproducible runs
 		list = append(list, known[id])
 		p.listed[id] = known[id]
 	}
@@ -281,13 +286,13 @@
 		case c.keys[read.Key]:
 			end(StatusOK, ms)
 		default:
-			read.Size++ // it missed somewhere
+			read.Size++ // marks that a cache missed
 			end(StatusMiss, ms)
 		}
 	}, func() { end(StatusFull, ms) })
 }
 
-// missedCaches are the caches that the value of a read will be stored at.
+// missedCaches returns the caches that will store the value of a read.
 func (r *fleetRequest) missedCaches(f *fleet) (at []*fleetCache) {
 	for _, p := range f.proxies {
 		if fl := p.balancer.requests[r.ID]; fl != nil && fl.missedCache != nil {
@@ -299,6 +304,7 @@
 	return at
 }
 
+// warmth returns the share of its capacity that a cache has reached since its start.
 func (f *fleet) warmth(c *fleetCache) float64 {
 	age := f.now - c.entry.StartedAt
 	if c.entry.StartedAt == 0 || age >= f.settings.SlowStartDuration {
@@ -307,7 +313,7 @@
 	return f.settings.SlowStartCapacity + (1-f.settings.SlowStartCapacity)*age.Seconds()/f.settings.SlowStartDuration.Seconds()
 }
 
-// countCold adds up what all proxies send to a cold cache, against what rule 4 allows.
+// countCold compares the attempts of all proxies at a cold cache with the number that it tolerates.
 func (f *fleet) countCold(c *fleetCache) {
 	w := f.warmth(c)
 	if w >= 1 {
@@ -317,11 +323,13 @@
 	for f.now-c.coldSends[0] > f.settings.OverloadDuration {
 		c.coldSends = c.coldSends[1:]
 	}
-	can := w * float64(c.workers) * f.settings.OverloadDuration.Seconds() / fleetHitTime.Seconds() // requests in that time
+	// requests that it can serve in OverloadDuration
+	can := w * float64(c.workers) * f.settings.OverloadDuration.Seconds() / fleetHitTime.Seconds()
 	f.maxColdShare = max(f.maxColdShare, float64(len(c.coldSends))/(can*f.settings.OverloadMultiple))
 }
 
-// tryConnect tells whether a proxy has a connection to a cache, or gets one; else it tries again later, by internal/pool's backoff.
+// tryConnect reports whether a proxy has or gets a connection to a cache. Otherwise the next try follows
+// after a doubling delay, like in internal/pool.
 func (p *fleetProxy) tryConnect(at MemberID) bool {
 	if c := p.fleet.caches[at]; c != nil && c.connect(p) {
 		delete(p.backoffs, at)
@@ -334,7 +342,8 @@
 	return false
 }
 
-// connect tells whether a proxy has a connection to the cache, or gets one. Those that have stood idle are closed.
+// connect reports whether a proxy has or gets a connection to the cache. Idle connections are closed if
+// needed.
 func (c *fleetCache) connect(p *fleetProxy) bool {
 	_, has := c.conns[p]
 	if !has && c.maxConns > 0 && len(c.conns) >= c.maxConns {
@@ -349,6 +358,7 @@
 	return true
 }
 
+// serve processes, queues or rejects a request.
 func (c *fleetCache) serve(f *fleet, work time.Duration, done func(ok bool), reject func()) {
 	begin := func() {
 		c.busy++
@@ -372,6 +382,7 @@
 	}
 }
 
+// finalAnswer records a refusal or failure.
 func (p *fleetProxy) finalAnswer(id RequestID, why Reason) {
 	p.fleet.refused[why]++
 	r := p.requests[id]
@@ -390,8 +401,9 @@
 func (p *fleetProxy) Fail(id RequestID, why Reason)                    { p.finalAnswer(id, why) }
 func (p *fleetProxy) NotifyWaiting(RequestID, Reason)                  {}
 func (p *fleetProxy) ConnectionWait(_ RequestID, at MemberID) time.Duration {
-	// As internal/pool tells it: from the second connection in a row that is turned away, with tries beside the reads. Where a
-	// connection is taken and its first request turned away, the next read finds that out.
+	// Like internal/pool: a wait is reported from the second consecutive refused connection on, and
+	// connections are tried independently of reads. Where a cache accepts a connection and rejects its
+	// first request, the next read detects that.
 	a := p.backoffs[at]
 	if a.step <= minConnectBackoff {
 		return 0
@@ -420,7 +432,7 @@
 	})
 }
 
-// ejected is the caches that a proxy leaves out for now.
+// ejected returns the caches that are currently ejected at a proxy.
 func (p *fleetProxy) ejected() (out []MemberID) {
 	for _, n := range p.balancer.caches {
 		if n.ejectedUntil > p.fleet.now {
@@ -430,16 +442,19 @@
 	return out
 }
 
-// takeServedShare is the share of the reads served in their aim since the last call.
+// takeServedShare returns the share of the reads since the last call that were answered within the soft
+// deadline.
 func (f *fleet) takeServedShare() float64 {
 	s := float64(f.servedReads) / max(1, float64(f.arrivedReads))
 	f.servedReads, f.arrivedReads = 0, 0
 	return s
 }
 
+// checkLimits checks the load of the origin and of cold caches, and that draining members got no requests.
 func (f *fleet) checkLimits(phase string) {
 	f.t.Helper()
-	// By chance alone the proxies, which share nothing, go over it by some: at other seeds by 3 and 6 of 64 without any trouble.
+	// The proxies are independent and exceed the capacity of the origin by chance: at other seeds by 3 and
+	// 6 of 64 without any fault.
 	if f.originPeakOutstanding > f.origin.workers+f.origin.workers/8 {
 		f.t.Errorf("%s: the origin is sent %d at once, and takes %d", phase, f.originPeakOutstanding, f.origin.workers)
 	}
@@ -451,8 +466,8 @@
 	}
 }
 
-// checkRecovery ends a part of a play in which something came back or was replaced: so much of the reads since the last look must have been in
-// time, and the rules have been kept.
+// checkRecovery ends a phase in which members returned or were replaced: at least minShare of the reads
+// since the last call of takeServedShare must have been answered in time, and checkLimits must hold.
 func (f *fleet) checkRecovery(phase string, minShare float64) {
 	f.t.Helper()
 	share := f.takeServedShare()
@@ -463,12 +478,13 @@
 	}
 }
 
-// sizes are a fleet as it will be and one as it is: no mend for the one may cost the other.
+// fleetSizes are a planned and a current fleet: a fix for one must not harm the other.
 var fleetSizes = []struct{ proxies, caches int }{{80, 60}, {4, 60}}
 
-// fleetLoad is reads a second that take 0.45 of what the caches can do.
+// fleetLoad returns the reads per second that use 0.45 of the capacity of the caches.
 func fleetLoad(caches int) float64 { return 0.45 * float64(2*caches) / fleetHitTime.Seconds() }
 
+// forEachFleetSize runs a scenario at each fleet size, after four seconds of normal load.
 func forEachFleetSize(t *testing.T, scenario func(t *testing.T, sim *fleet, load float64)) {
 	for _, c := range fleetSizes {
 		t.Run(fmt.Sprintf("%d proxies", c.proxies), func(t *testing.T) {
@@ -477,14 +493,15 @@
 			load := fleetLoad(c.caches)
 			sim.run(4*time.Second, load)
 			t.Logf("calm: %.3f in time, %v, at the origin %d", sim.takeServedShare(), sim.refused, sim.originPeakOutstanding)
-			sim.originPeakOutstanding = 0 // empty caches are all filled at first
+			sim.originPeakOutstanding = 0 // the initially empty caches load the origin
 			scenario(t, sim, load)
 		})
 	}
 }
 
-// Where zones have tables of their own, a slot's candidates abroad are those that the proxies there ask first, however many caches
-// this zone has, and after caches come and go.
+// With one slot table per zone, the candidates of a slot in other zones must be the first candidates of
+// the proxies there, regardless of the number of caches in the local zone, and also after members were
+// added and removed.
 func TestOtherZoneCandidates(t *testing.T) {
 	sim := newFleet(t, 3, 120, 7)
 	check := func() {
@@ -523,7 +540,8 @@
 	check()
 }
 
-// A zone that falls silent is asked by one read at a time, and by all again with its first answer; one bad cache says nothing of it.
+// A zone whose caches stop answering gets one read per interval, and full traffic again after its first
+// answer. A single silent cache must not affect its zone.
 func TestSilentZoneIsProbed(t *testing.T) {
 	sim := newFleet(t, 3, 60, 7)
 	sim.run(time.Second, 500)
@@ -538,7 +556,7 @@
 		return n
 	}
 	asked(0)
-	sim.caches[3].silent = true // of zone 0
+	sim.caches[3].silent = true // in zone 0
 	sim.run(2*time.Second, 500)
 	if p.balancer.inSilentZone(p.balancer.members[6]) {
 		t.Error("one silent cache makes its zone dark")
@@ -555,7 +573,7 @@
 	for _, c := range sim.caches {
 		c.silent = false
 	}
-	sim.run(6*time.Second, 500) // ejected caches come back one by one
+	sim.run(6*time.Second, 500) // the ejections end one by one
 	asked(0)
 	sim.run(time.Second, 500)
 	if n := asked(0); n < 100 {
@@ -563,7 +581,7 @@
 	}
 }
 
-// Six in ten caches are replaced within seven seconds, and two in five proxies start anew while it goes on.
+// Six in ten caches are replaced within seven seconds, and two in five proxies restart meanwhile.
 func TestFleetReplaced(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		for i := range 36 {
@@ -593,7 +611,7 @@
 	})
 }
 
-// A zone is lost silently, and comes back cold.
+// All caches of a zone fail silently and are replaced by cold ones.
 func TestFleetZoneLost(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		for _, id := range slices.Sorted(maps.Keys(sim.caches)) {
@@ -623,8 +641,9 @@
 	})
 }
 
-// One cache in five answers four in five requests with an error. Ten seconds on, no more than half of its part of the attempts goes to
-// it, though each of 80 proxies asks it only now and then, and a tenth of it with few proxies; well ones are not left out for it.
+// One cache in five answers four in five requests with an error. After ten seconds the faulty caches must
+// get no more than half of their share of the attempts, although each of 80 proxies sends to a cache only
+// occasionally, and no more than a tenth of it with few proxies. Healthy caches must not be ejected.
 func TestFleetOneInFiveBad(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		for _, id := range slices.Sorted(maps.Keys(sim.caches)) {
@@ -674,8 +693,9 @@
 	})
 }
 
-// All caches get slower at once, to more than they can do: nobody is to blame. Many proxies leave none out for it. Few proxies,
-// which hear enough of each to see how long its line is, leave some out for a while: those whose line is longer than a read waits.
+// All caches become slower at once, so that the load exceeds their capacity; none is at fault. Many
+// proxies must eject none of them. Few proxies, which get enough samples to see the length of each queue,
+// eject some for a while: those whose queue is longer than a read waits.
 func TestFleetAllSlower(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		for _, c := range sim.caches {
@@ -707,8 +727,8 @@
 	})
 }
 
-// Caches are replaced twice a second for a minute. What a proxy keeps goes back to what the list needs: ids are ever new, and
-// what is gone must not be kept.
+// Caches are replaced twice a second for a minute. Member ids are never reused, so the state of a proxy
+// must shrink back to what the current list needs.
 func TestFleetChurn(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, _ float64) {
 		const load = 200
@@ -732,7 +752,7 @@
 		if share < 0.95 {
 			t.Errorf("%.3f of the reads are in time", share)
 		}
-		sim.run(3*time.Second, 0.001) // until all is answered
+		sim.run(3*time.Second, 0.001) // until all requests are answered
 		for i, p := range sim.proxies {
 			b := p.balancer
 			if len(b.members) != 61 || len(b.caches) != 60 || len(b.requests) > 1 || len(b.fetchWaiters) > 1 || len(b.originQueue) > 0 {
@@ -757,13 +777,14 @@
 	})
 }
 
-// 64 of 80 proxies (3 of 4) are killed at once, and start with the list of their configuration, while discovery answers late: ten
-// caches of that list have gone meanwhile, ten more drain while they wait, and each is told by a list of its own within ten seconds.
-// Until then reads are served from what is known; from then on nothing is sent to what drains.
+// 64 of 80 proxies (3 of 4) are killed at once and start with the list in their configuration while
+// discovery answers late. Ten caches of that list have been removed meanwhile, ten more drain while the
+// proxies wait, and each proxy gets its own list within ten seconds. Until then reads are served from the
+// known members; afterwards draining members must get nothing.
 func TestFleetStartsFromOutdatedList(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		known := maps.Clone(sim.list)
-		for i := range 10 { // replaced before the restart, and heard of by those that run
+		for i := range 10 { // replaced before the restart; only running proxies are notified
 			m := sim.caches[MemberID(6*i+1)].entry
 			m.State = Gone
 			sim.announce(m)
@@ -789,7 +810,8 @@
 			})
 		}
 		sim.run(2*time.Second, load)
-		for i := range 10 { // those that have their list are told, the others with it
+		// proxies with a current list are notified; the others get it with their list
+		for i := range 10 {
 			m := sim.caches[MemberID(6*i+2)].entry
 			m.State = Draining
 			sim.list[m.ID] = m
@@ -820,8 +842,10 @@
 	})
 }
 
-// Caches take fewer connections than there are proxies, told as refused or as -BUSY. A proxy that gets none at one goes to others: each
-// proxy's reads are served, what is turned away is bounded, and no cache is left out for a -BUSY. Once they take more, all is as it was.
+// Caches accept fewer connections than there are proxies, and refuse others with a failed connect or with
+// -BUSY. A proxy without a connection to one cache uses others: the reads of each proxy are served,
+// refused connections are bounded, and no cache is ejected for -BUSY. After the limit is lifted,
+// everything returns to normal.
 func TestFleetFewConnections(t *testing.T) {
 	for _, crowded := range []Status{StatusConnectFailed, StatusFull} {
 		for _, most := range []int{28, 14} {
@@ -872,10 +896,12 @@
 	}
 }
 
-// A zone falls silent and comes back with other processes, of which the list tells nothing: what is sent to it is what cold caches bear.
+// A zone becomes silent and returns with new processes without notice in the member list. It must be sent
+// no more than cold caches can bear.
 func TestFleetZoneRestartsUnannounced(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
-		sim.settings.SlowStartCapacity, sim.settings.OverloadMultiple = 0.1, 1.5 // the usual load would be too much for them
+		// the normal load would be too much for cold caches
+		sim.settings.SlowStartCapacity, sim.settings.OverloadMultiple = 0.1, 1.5
 		for i, p := range sim.proxies {
 			p.start(i)
 		}
@@ -898,15 +924,15 @@
 	})
 }
 
-// The part of its work that a zone gets is the part that all proxies are told, whatever their number: none, some reads on trial, a
-// part, all.
+// The share of work that a zone receives must follow the share that all proxies are given, regardless of
+// their number: none, occasional reads on trial, a part, all.
 func TestFleetShares(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		attempts := func(shares ...ZoneShare) (n float64) {
 			for _, p := range sim.proxies {
 				p.balancer.SetZoneShares(sim.now, shares)
 			}
-			sim.run(time.Second, load) // what was out ends, and limits find their place
+			sim.run(time.Second, load) // outstanding attempts end and limits settle
 			for _, c := range sim.caches {
 				c.attempts = 0
 			}
--- a/logic/host_test.go
+++ b/logic/host_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// fakeHost records actions and checks the rules that need no more than one proxy's view.
+// fakeHost records actions and checks the rules that can be verified at a single proxy.
 type fakeHost struct {
 	t              *testing.T
 	b              *Balancer
@@ -20,19 +20,21 @@
 	timers         []pendingTimer
 	requests       map[RequestID]*hostRequest
 	listed         map[MemberID]Member
-	coldSends      map[MemberID][]time.Duration // sends to a member while it is cold
+	coldSends      map[MemberID][]time.Duration // times of sends to a member while it is cold
 	watchCalls     int
 	violations     []string
-	finalReasons   []Reason                     // of the final answers
-	connectionWait func(MemberID) time.Duration // for a connection; nil: none
-	importedState  *LearnedState                // what it takes over with its first list; nil: nothing
+	finalReasons   []Reason                     // reasons of the final answers
+	connectionWait func(MemberID) time.Duration // wait for a connection to a member; nil: none
+	importedState  *LearnedState                // state imported after the first member list; nil: none
 }
 
+// pendingTimer is a timer that has not fired yet.
 type pendingTimer struct {
 	at    time.Duration
 	token uint64
 }
 
+// hostRequest is a request with its attempts and the number of its final answers.
 type hostRequest struct {
 	Request
 	answers  int
@@ -205,7 +207,7 @@
 		Elapsed: h.now - a.sentAt, Final: r.answers > 0})
 }
 
-// advance advances the clock, delivering timers in order.
+// advance moves the clock forward and fires timers in order.
 func (h *fakeHost) advance(d time.Duration) {
 	end := h.now + d
 	for {
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Whatever a Balancer is given to take over, of its own kind or damaged, it keeps the rules afterwards.
+// A Balancer keeps the rules after importing any state, whether exported by a Balancer or damaged.
 func TestImportedStateKeepsInvariants(t *testing.T) {
 	for seed := range uint64(6) {
 		settings := testSettings()
@@ -50,11 +50,11 @@
 	}
 }
 
-// Only what is known of members that are still the same is taken over. A cold budget, a drain and a request are never.
+// Only the state of members that are unchanged is imported, and never a cold budget, a drain or a request.
 func TestImportStateTakesMatchingMembers(t *testing.T) {
 	settings := testSettings()
 	list := withOrigin(6)
-	list[4].StartedAt = time.Hour - time.Second // cold, and told so to both
+	list[4].StartedAt = time.Hour - time.Second // cold, and listed so for both
 	old := newHost(t, settings, 1)
 	old.setMembers(ListCached, list...)
 	for i := range 400 {
@@ -68,11 +68,11 @@
 	for _, n := range append(old.b.caches, old.b.origins...) {
 		n.samples, n.limit, n.latency, n.coldTokens = 50, 20+float64(n.entry.ID%7), 0.01, 3
 	}
-	old.request(Request{ID: 9999, Key: 5, Class: 1, Write: true}) // an order in hand
+	old.request(Request{ID: 9999, Key: 5, Class: 1, Write: true}) // a pending order
 	l := old.b.ExportState(old.now)
 
 	list[0].State = Gone
-	list[1].StartedAt = time.Hour // started anew
+	list[1].StartedAt = time.Hour // restarted
 	list[2].State = Draining
 	fresh := func() *fakeHost {
 		host := newHost(t, settings, 2)
@@ -80,7 +80,7 @@
 		return host
 	}
 	host, plain := fresh(), fresh()
-	if got := host.b.ImportState(host.now, l); got != 4 { // two caches, the cold one and the origin
+	if got := host.b.ImportState(host.now, l); got != 4 { // two warm caches, the cold one and the origin
 		t.Errorf("something is taken over of %d members", got)
 	}
 	for id, n := range host.b.members {
@@ -113,7 +113,8 @@
 	}
 }
 
-// internal/inherit stores the exported state as JSON, which processes of other versions read: the names in it must not change.
+// internal/inherit stores the exported state as JSON, which processes of other versions read: its names
+// must not change.
 func TestExportedStateKeepsItsJSONNames(t *testing.T) {
 	l := LearnedState{
 		Keys:  []LearnedKey{{Key: 1, Count: 2, Err: 3, Members: []MemberID{4}}},
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -18,7 +18,7 @@
 	if len(req.attempts) != 2 || req.attempts[1].member != originID {
 		t.Fatalf("after a miss: sent %+v, want the origin second", req.attempts)
 	}
-	// Single flight: a second read of the key waits for the fetch, then reads the cache.
+	// Request coalescing: a second read of the key waits for the fetch, then reads the cache.
 	second := host.request(Request{ID: 2, Key: 77})
 	if len(second.attempts) != 0 {
 		t.Fatalf("a read of a key being fetched was sent at once: %+v", second.attempts)
@@ -36,7 +36,7 @@
 	}
 }
 
-// A fetch whose client left in the queue must not leave the others waiting for it.
+// If the client of a queued fetch disconnects, the requests that wait for the fetch must be routed again.
 func TestCancelledFetchOwnerReleasesWaiters(t *testing.T) {
 	settings := testSettings()
 	host := newHost(t, settings, 1)
@@ -44,7 +44,7 @@
 	origin := host.b.origins[0]
 	origin.limit, origin.latency, origin.lastSentAt = 0.25, 0.2, host.now
 	host.request(Request{ID: 1, Key: 5})
-	host.endAttempt(1, 0, StatusMiss) // queued: no room
+	host.endAttempt(1, 0, StatusMiss) // queued: the origin has no capacity
 	second := host.request(Request{ID: 2, Key: 5})
 	host.requests[1].answers = 1
 	host.b.RequestCancelled(host.now, 1)
@@ -54,7 +54,8 @@
 	host.checkViolations()
 }
 
-// A slow spell once left the latency estimate above every aim, and no fetch was sent that could lower it.
+// After a slow phase the latency estimate of the origin is above every soft deadline. Fetches must still
+// be sent, since only they can lower it.
 func TestSlowOriginStillGetsFetches(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(3)...)
@@ -67,7 +68,7 @@
 	host.checkViolations()
 }
 
-// A request that is to be answered before any member could answer it is not begun.
+// A request that must be answered before any member could answer it is not sent.
 func TestRequestWithoutEnoughTimeIsNotSent(t *testing.T) {
 	for name, ask := range map[string]Request{
 		"a read":   {Key: 5},
@@ -90,7 +91,7 @@
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(3)...)
 	req := host.request(Request{ID: 1, Key: 5, Class: 1, Write: true})
-	host.endAttempt(1, 0, StatusFull) // never ran: may be sent again
+	host.endAttempt(1, 0, StatusFull) // did not run: may be sent again
 	host.advance(50 * ms)
 	if len(req.attempts) != 2 {
 		t.Fatalf("a rejected write was not sent again: %+v", req.attempts)
@@ -118,7 +119,8 @@
 	host.checkViolations()
 }
 
-// A key that one cache can't carry is split; one proxy of few then uses several caches.
+// A key that exceeds the capacity of one cache is split; with few proxies, each one uses several of its
+// caches.
 func TestHotKeyIsSplit(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 1
@@ -145,7 +147,7 @@
 	host.checkViolations()
 }
 
-// A member that fails quickly attracts no work: it is ejected, and others serve its keys.
+// A member that fails quickly must not attract requests: it is ejected, and others serve its keys.
 func TestFastFailingMemberIsEjected(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(5)...)
@@ -169,7 +171,7 @@
 	host.checkViolations()
 }
 
-// When everything fails alike nobody is ejected.
+// No member is ejected while all fail alike.
 func TestGeneralFailureEjectsNoMember(t *testing.T) {
 	settings := testSettings()
 	host := newHost(t, settings, 1)
@@ -235,7 +237,7 @@
 		{ID: 1}, {ID: 2, Class: 99, Tenant: 99, Key: 3}, {ID: 3, Class: -1, Tenant: -5},
 		{ID: 4, Key: 1, CostKnown: true, Cost: -time.Second}, {ID: 5, Class: 99, Write: true},
 	}
-	for _, r := range odd { // with no member at all
+	for _, r := range odd { // without any member
 		host.request(r)
 	}
 	host.setMembers(ListFull)
@@ -261,7 +263,8 @@
 	host.checkViolations()
 }
 
-// A burst once left members with deep queues jammed for good: every attempt timed out, and clients tried again.
+// A burst can leave members with deep queues overloaded permanently: every attempt times out, and clients
+// retry. The limits must reduce the attempts.
 func TestOverloadedMemberIsSentLess(t *testing.T) {
 	settings := testSettings()
 	host := newHost(t, settings, 1)
@@ -285,13 +288,13 @@
 	host.checkViolations()
 }
 
-// Once jammed, members that had recovered stood idle: each good answer cut their limits further while the mean
-// of earlier ones was still over the target.
+// Limits must recover after overload. The failure: members that had recovered stayed idle, because each
+// good answer cut their limits further while the mean of earlier latencies was still above the target.
 func TestLimitsRecoverAfterOverload(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(4)...)
 	asked, sent := 0, 0
-	for id := RequestID(1); id <= 2400; id++ { // 100 a second: 4 s of time-outs, then 20 s of fast answers
+	for id := RequestID(1); id <= 2400; id++ { // 100 per second: 4 s of timeouts, then 20 s of fast answers
 		jam := id <= 400
 		req := host.request(Request{ID: id, Key: uint64(id)})
 		if id > 1900 {
@@ -317,7 +320,7 @@
 	host.checkViolations()
 }
 
-// Spilling from busy members scattered keys: hits became misses that jammed the origin.
+// Spilling from busy members must not scatter keys: hits would become misses, which overload the origin.
 func TestBusyMemberDoesNotScatterItsKeys(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
@@ -328,18 +331,19 @@
 	if req := host.request(Request{ID: 9, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member == home {
 		t.Errorf("sent to %v while the key's member is busy and the origin idle, want the next candidate", req.attempts)
 	}
-	host.b.members[originID].latency = host.b.fetchTarget // a fetch is dear
+	host.b.members[originID].latency = host.b.fetchTarget // a fetch is expensive
 	if req := host.request(Request{ID: 2, Key: 7}); len(req.attempts) != 0 || req.answers == 0 {
 		t.Errorf("sent to %v while the key's member is busy, want a refusal", req.attempts)
 	}
-	member.ejectedUntil = host.now + time.Second // ejected: then the next candidate does
+	member.ejectedUntil = host.now + time.Second // ejected: the next candidate is used
 	if req := host.request(Request{ID: 3, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member == home {
 		t.Errorf("sent to %v while the key's member is ejected, want the next candidate", req.attempts)
 	}
 	host.checkViolations()
 }
 
-// Where caches fetch by themselves, giving up slow answers and asking the next cache doubled the fetches.
+// Where caches fetch values themselves, giving up slow answers and trying the next cache would double the
+// fetches.
 func TestReadThroughModeWaitsForFetch(t *testing.T) {
 	settings := testSettings()
 	settings.Mode, settings.OriginKind = ReadThrough, -1
@@ -352,8 +356,9 @@
 	host.checkViolations()
 }
 
-// A full member was left out for a while, which scattered all its keys; cutting its limit from what is out held
-// back proxies that send to it seldom. Now its limit falls to one at least.
+// A full answer reduces a member's limit to no less than one. Ejecting the member would scatter all its
+// keys, and cutting its limit below one by the outstanding attempts would hold back proxies that send to
+// it rarely.
 func TestFullMemberKeepsItsKeys(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
@@ -375,8 +380,9 @@
 	host.checkViolations()
 }
 
-// While most of the fleet was cold its budgets shrank with the little that the few warm members answered: they go by
-// the weight that answers, and never by less than half of the fleet.
+// The cold budget is based on the weight that serves requests, and on at least half of the fleet.
+// Otherwise the budgets would shrink with the few answers of the warm members while most of the fleet is
+// cold.
 func TestColdBudgetUsesWarmWeight(t *testing.T) {
 	for _, c := range []struct {
 		cold      int
@@ -385,7 +391,7 @@
 		host := newHost(t, testSettings(), 1)
 		list := withOrigin(10)
 		for i := range c.cold {
-			list[i].StartedAt = host.now - 2*time.Second // warm to 0.36
+			list[i].StartedAt = host.now - 2*time.Second // warmth 0.36
 		}
 		host.setMembers(ListCached, list...)
 		if w := host.b.warmWeight(); w < c.low || w > c.high {
@@ -394,12 +400,12 @@
 	}
 }
 
-// Keys at the hot set's edge changed caches each time they entered or left it: a key newly placed stays with its
-// slot's member unless the objective gains enough by moving it.
+// A newly placed key stays with the first candidate of its slot unless moving it improves the objective
+// enough. Otherwise keys at the edge of the hot set change caches whenever they enter or leave it.
 func TestNewlyHotKeyStaysWithItsSlot(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, cacheMembers(8)...)
-	for range 50 { // one key sets the level, the others are at the edge
+	for range 50 { // one key sets the level, the others are at the edge of the hot set
 		host.b.keyCounts.add(1)
 	}
 	for key := uint64(2); key < 60; key++ {
@@ -421,7 +427,8 @@
 	}
 }
 
-// Keys wanted only once took the origin's room from those that many ask for: a known key goes first.
+// Keys that are requested often are fetched first, so that keys requested once do not take the capacity of
+// the origin.
 func TestKnownKeysAreFetchedFirst(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(4)...)
@@ -430,7 +437,7 @@
 		host.endAttempt(id, len(req.attempts)-1, StatusOK)
 	}
 	host.b.members[originID].limit = 1
-	host.b.members[originID].outstanding = 1 // its room is taken
+	host.b.members[originID].outstanding = 1 // no capacity left
 	for i, key := range []uint64{100, 101, 7} {
 		id := RequestID(100 + i)
 		host.request(Request{ID: id, Key: key})
@@ -446,12 +453,13 @@
 	host.checkViolations()
 }
 
-// Clients that try again under overload once inflated the cold budget: it must follow what caches answer.
+// The cold budget must follow the answers of the caches; client retries under overload must not inflate
+// it.
 func TestColdBudgetFollowsAnswers(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(4)...)
 	answered := 0
-	for id := RequestID(1); id <= 4000; id++ { // 500 a second, of which caches answer two in three
+	for id := RequestID(1); id <= 4000; id++ { // 500 per second, of which caches answer two in three
 		req := host.request(Request{ID: id, Key: uint64(id)})
 		for i := 0; i < len(req.attempts); i++ {
 			if id%3 == 0 {
@@ -469,7 +477,7 @@
 	host.checkViolations()
 }
 
-// Many members, each sent to seldom: no member's limit sees the jam, the throttle must.
+// With many members that each get few requests, no member's limit detects overload; the throttle must.
 func TestThrottleEndsOverloadOfRarelyUsedMembers(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(400)...)
@@ -492,7 +500,8 @@
 	host.checkViolations()
 }
 
-// The time before a member was first sent to counts from when it was heard of, not from the clock's zero.
+// The interval before the first send to a member starts when the member is first listed, not at the zero
+// of the clock.
 func TestFirstSendIntervalStartsWithListing(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(1)...)
@@ -503,7 +512,7 @@
 	}
 }
 
-// ---- the mechanism
+// ---- counter, placement and slot table
 
 func TestCounterKeepsItsErrorBound(t *testing.T) {
 	const size, total = 64, 20000
@@ -522,15 +531,15 @@
 				exact[it.key], total/size)
 		}
 	}
-	for k, n := range exact { // whatever is above the bound is kept
+	for k, n := range exact { // keys above the bound are kept
 		if _, ok := c.index[k]; !ok && n > total/size {
 			t.Errorf("key %d with %v requests was dropped", k, n)
 		}
 	}
 }
 
-// The greedy stays within 4/3 of the best objective, the bound of longest-first scheduling, plus one
-// key's cost for the second term.
+// The greedy placement is within 4/3 of the best objective, the bound of longest-first scheduling, plus
+// one key's cost for the second term.
 func TestGreedyAgainstBruteForce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 40 {
@@ -546,7 +555,7 @@
 				host.b.keyCounts.add(uint64(i + 1))
 			}
 		}
-		host.b.keyCounts.total *= 1000 // a wide tail: no key is hot enough to be split
+		host.b.keyCounts.total *= 1000 // many other requests: no key is hot enough to be split
 		got := host.placeOnAllCaches(counts)
 		best := bruteForce(counts, 3)
 		if got > best*4/3+keyCost {
@@ -563,7 +572,8 @@
 		for _, n := range h.b.caches {
 			order = append(order, candidate{member: n})
 		}
-		// An old place on no cache here: the bound is the greedy's own, without the margin for old places.
+		// An empty previous placement: the bound is that of the greedy, without the margin for previous
+		// placements.
 		n := h.b.cheapestCandidate(order, &placement{}, 0, it, 1, maxS, maxT, &placement{})
 		n.hotLoad += it.count
 		n.hotKeys++
@@ -572,6 +582,7 @@
 	return maxS + keyCost*maxT
 }
 
+// bruteForce returns the best objective over all placements.
 func bruteForce(counts []float64, servers int) float64 {
 	best := math.Inf(1)
 	load, keys := make([]float64, servers), make([]float64, servers)
@@ -593,6 +604,7 @@
 	return best
 }
 
+// firstCandidates returns the first candidate of every slot.
 func firstCandidates(b *Balancer) []MemberID {
 	out := make([]MemberID, slotCount)
 	for i := range out {
@@ -622,7 +634,7 @@
 	for _, m := range list[:12] {
 		weight += m.Weight
 	}
-	for _, m := range list[:12] { // tolerance: a quarter of the due share
+	for _, m := range list[:12] { // tolerance: a quarter of the expected share
 		due := slotCount * m.Weight / weight
 		if math.Abs(share[m.ID]-due) > due/4 {
 			t.Errorf("member %d has %v slots, due %v", m.ID, share[m.ID], due)
@@ -659,7 +671,8 @@
 	}
 }
 
-// One broken connection tells nothing of its member: it stays in use, and the read may go there again.
+// One broken connection says nothing about its member: the member stays in use, and the read may be sent
+// to it again.
 func TestOneResetDoesNotEject(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(6)...)
@@ -676,7 +689,7 @@
 	host.checkViolations()
 }
 
-// Members under ever new ids leave nothing behind.
+// Members with ever new ids must not leave state behind.
 func TestRemovedMembersAreDeleted(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	for i := range 50 {
@@ -695,7 +708,7 @@
 	}
 }
 
-// A request that a member finds fault with is not sent again, and the member keeps its good name.
+// A request that a member rejects is not sent again and does not count as a failure of the member.
 func TestRejectedRequestFailsAtOnce(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(6)...)
@@ -712,8 +725,8 @@
 	host.checkViolations()
 }
 
-// With the slot's cache in this zone busy, a read goes to the one that has the slot in another zone, where its
-// key is kept too, and is not refused because the origin has no room for a miss.
+// If the slot's cache in the local zone is busy, a read goes to the cache that owns the slot in another
+// zone, which holds the key too. It is not refused because the origin has no capacity for a miss.
 func TestBusyZoneSpillsToOtherZone(t *testing.T) {
 	settings := testSettings()
 	settings.Zones, settings.CrossZoneCost = 3, 0.06
@@ -742,8 +755,8 @@
 	host.checkViolations()
 }
 
-// The host's own shortage of connections tells nothing of the member and costs neither an attempt nor the retry
-// budget.
+// A shortage of connections at the host says nothing about the member and costs neither an attempt nor
+// retry budget.
 func TestConnectionShortageIsNotMemberLoad(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
@@ -764,8 +777,8 @@
 	host.checkViolations()
 }
 
-// A crowd that comes at once is let in at members that are quick, and not at those that are slow, have turned work away
-// or are not known yet.
+// A sudden burst is allowed at fast members, but not at members that are slow, have rejected work or have
+// no samples yet.
 func TestBurstIsAllowedAtFastMembers(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(3)...)
@@ -790,8 +803,8 @@
 	}
 }
 
-// A crowd that comes at once before members that nothing is known of waits for the first answers. Where those are quick all
-// of it is served; where none come, or slow ones, it is refused in good time, and its place in line is no promise.
+// A sudden burst at members without samples waits for the first answers. If they are fast, the whole burst
+// is served; if there are none, or slow ones, it is refused in good time, although it was waiting.
 func TestBurstAtStartedProxy(t *testing.T) {
 	const crowd = 400
 	for name, c := range map[string]struct {
@@ -804,7 +817,7 @@
 			for id := RequestID(1); id <= crowd; id++ {
 				host.request(Request{ID: id, Key: uint64(id)})
 			}
-			for range 100 { // 300 ms of an aim of 500
+			for range 100 { // 300 ms of a soft deadline of 500
 				host.advance(3 * ms)
 				for id := RequestID(1); id <= crowd && c.answers > 0; id++ {
 					if r := host.requests[id]; len(r.attempts) > 0 && !r.attempts[0].ended && host.now-r.attempts[0].sentAt >= c.answers {
@@ -834,8 +847,9 @@
 	}
 }
 
-// Attempts that found no connection, or whose connection ended for something else, were not asked of the caches: the
-// throttle must not refuse reads for them, and the latter tell nothing of the member either.
+// Attempts without a connection, or whose connection ended for another reason, do not count as attempts at
+// caches: the throttle must not refuse reads for them. They must not count as failures of the member
+// either.
 func TestThrottleCountsOnlySentAttempts(t *testing.T) {
 	for _, s := range []Status{StatusNoConn, StatusCancelled} {
 		host := newHost(t, testSettings(), 1)
@@ -863,8 +877,8 @@
 	}
 }
 
-// newHostWithFastCaches is a host before eight caches that are known to be quick, one of which has just answered, and a function that
-// asks for reads of keys of their own and counts those refused.
+// newHostWithFastCaches returns a host with eight caches that are known to be fast, one of which has just
+// answered, and a function that sends reads of distinct keys and counts the refused ones.
 func newHostWithFastCaches(t *testing.T, latency time.Duration) (host *fakeHost, refused func(from, to RequestID) int) {
 	t.Helper()
 	host = newHost(t, testSettings(), 1)
@@ -882,7 +896,7 @@
 	}
 }
 
-// What is out and may yet be answered is no sign of a jam while the caches answer; once they have fallen silent it is.
+// Outstanding reads are no sign of overload while the caches answer; once the caches are silent, they are.
 func TestThrottleIgnoresOutstandingReads(t *testing.T) {
 	host, refused := newHostWithFastCaches(t, 10*ms)
 	if n := refused(2, 800); n > 0 {
@@ -895,18 +909,19 @@
 	host.checkViolations()
 }
 
-// A crowd that comes when nothing has been heard for a moment, as the proxy itself was busy taking it in, is not taken for a jam:
-// what was asked just now can't have been answered.
+// A burst that arrives after a short silence, because the proxy itself was busy receiving it, is not taken
+// for overload: recent reads can't have been answered yet.
 func TestThrottleIgnoresNewBurst(t *testing.T) {
 	host, refused := newHostWithFastCaches(t, ms)
-	host.advance(25 * ms) // longer than caches as quick as these are silent
+	host.advance(25 * ms) // longer than such fast caches are silent under load
 	if n := refused(2, 900); n > 0 {
 		t.Errorf("%d of 898 reads refused", n)
 	}
 	host.checkViolations()
 }
 
-// A fetch whose connection broke goes back in line, and those who wait for it don't ask the cache meanwhile.
+// A fetch whose connection broke is queued again; the requests that wait for it must not read the cache
+// meanwhile.
 func TestBrokenFetchKeepsWaiters(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(6)...)
@@ -932,8 +947,8 @@
 	}
 }
 
-// A fetch whose connection falls silent, while the origin answers others, must not cut what the origin is sent;
-// one that nothing overtakes does.
+// A fetch on a connection that became silent must not cut the limit of the origin while the origin answers
+// later fetches. If no later one is answered, its timeout does cut the limit.
 func TestOvertakenTimeoutDoesNotCutLimit(t *testing.T) {
 	for name, others := range map[string]int{"others are answered": 20, "nothing is answered": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -961,7 +976,8 @@
 	}
 }
 
-// A refused client is told when to come back: later, the longer the shortage lasts, spread, and within the bound.
+// The retry delay of a refused client grows with the length of the shortage, is jittered and stays within
+// its bound.
 func TestRefusalRetryAfter(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = 2 * time.Second
@@ -997,8 +1013,8 @@
 	}
 }
 
-// Where many of all attempts fail, two in a row are chance and eject nobody; a member that only fails is ejected
-// all the same.
+// Where many attempts fail, two consecutive failures occur by chance and must not eject. A member that
+// always fails is still ejected.
 func TestRandomStreaksDoNotEject(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
@@ -1019,7 +1035,7 @@
 	}
 }
 
-// A handshake makes a first answer slow; that is no load of the member's.
+// A handshake makes the first answer on a connection slow; this must not count as load of the member.
 func TestHandshakeDoesNotCutLimit(t *testing.T) {
 	for name, fresh := range map[string]bool{"first on its connection": true, "on a kept connection": false} {
 		t.Run(name, func(t *testing.T) {
@@ -1037,7 +1053,8 @@
 	}
 }
 
-// A request goes only to the members that it allows, a cache or the origin; narrowed to nobody it is answered at once.
+// A request is sent only to its allowed members, whether cache or origin. If none is allowed, it is
+// answered at once.
 func TestAllowedMembersOnly(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(6)...)
@@ -1056,7 +1073,7 @@
 	}
 	host.b.origins[0].limit, host.b.origins[0].latency, host.b.origins[0].lastSentAt = 0.25, 0.2, host.now
 	host.request(Request{ID: 22, Key: 77})
-	host.endAttempt(22, 0, StatusMiss) // in line
+	host.endAttempt(22, 0, StatusMiss) // queued for the origin
 	host.b.RestrictMembers(host.now, 22, []MemberID{3})
 	if host.requests[22].answers != 1 {
 		t.Error("a request in line for a member that it allows no more is not answered")
@@ -1064,7 +1081,8 @@
 	host.checkViolations()
 }
 
-// Spares are warm members that may be sent to; where a client has gone on to one by itself, that counts as an attempt.
+// Fallbacks are warm members that the request may be sent to; each one that the client uses counts as an
+// attempt.
 func TestFallbacksCountAsAttempts(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	list := withOrigin(6)
@@ -1072,7 +1090,7 @@
 	host.setMembers(ListCached, list...)
 	req := host.request(Request{ID: 1, Key: 77})
 	spares := host.b.Fallbacks(1, 10)
-	if len(spares) != 3 { // of four attempts
+	if len(spares) != 3 { // four attempts, one of them outstanding
 		t.Fatalf("spares %v", spares)
 	}
 	for _, m := range append(spares, originID) {
@@ -1098,18 +1116,19 @@
 	if got := host.b.Fallbacks(2, 3); len(o.attempts) != 1 || got != nil {
 		t.Errorf("spares of an order: %v", got)
 	}
-	host.request(Request{ID: 3, Key: 9, Write: true}) // safe to repeat, but no cache takes it
+	host.request(Request{ID: 3, Key: 9, Write: true}) // safe to repeat, but not sent to caches
 	if got := host.b.Fallbacks(3, 3); got != nil {
 		t.Errorf("spares of a write: %v", got)
 	}
 }
 
-// A proxy just started, before a fleet that is all cold, has answered nothing that its budget could go by. It asks each
-// member a little, and more as it answers; never more than its part of what a member that has just started surely can.
+// A proxy that has just started with a cold fleet has no answers to base its budget on. It sends each
+// member a little, and more as the member answers, but never more than its share of what a just started
+// member can certainly serve.
 func TestStartedProxyWithColdFleet(t *testing.T) {
 	for name, c := range map[string]struct {
-		takes, gap time.Duration // an answer; between requests
-		least      float64       // of the requests served in the last of 6 seconds
+		takes, gap time.Duration // duration of an answer; interval between requests
+		least      float64       // share of the requests served in the last of 6 seconds
 	}{
 		"quick members": {10 * ms, 20 * ms, 0.35}, "slow members": {300 * ms, 50 * ms, 0.2}, "silent members": {time.Hour, 20 * ms, 0},
 	} {
@@ -1144,7 +1163,7 @@
 				t.Errorf("%.2f of the reads are served, want %.2f", share, c.least)
 			}
 			for id, at := range host.coldSends {
-				for i := 1; i < len(at) && c.takes == time.Hour; i++ { // nothing is known of it
+				for i := 1; i < len(at) && c.takes == time.Hour; i++ { // members without answers
 					if gap := at[i] - at[i-1]; gap < time.Duration(host.s.Instances)*50*ms {
 						t.Errorf("member %d, which answers nothing, is asked again after %v", id, gap)
 					}
@@ -1155,8 +1174,8 @@
 	}
 }
 
-// A cache that finds fault with a request has answered it. A client whose requests are all at fault must not make the
-// throttle refuse others' reads.
+// A cache that rejects a request has answered it. A client that sends only invalid requests must not make
+// the throttle refuse the reads of others.
 func TestRejectionsDoNotThrottle(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(4)...)
@@ -1171,8 +1190,8 @@
 	host.checkViolations()
 }
 
-// A read for which this proxy has no connection goes to another candidate that it has one to, waits where it has none at
-// all, and is refused, for that reason, once a quarter of its time has passed.
+// A read whose proxy has no connection to the first candidate goes to another candidate with a connection.
+// It waits if there is none at all, and is refused for that reason after a quarter of its time.
 func TestConnectionShortage(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(4)...)
@@ -1228,9 +1247,10 @@
 	return 0
 }
 
-// A member turns away what finds no place, unseen: that is no load, and another may well have room. One in two first attempts
-// ends so here, as it does by chance where members have few places; the reads go on to another, and none is refused for the
-// retry budget. Attempts that failed cost as much of it as ever.
+// A full member rejects requests without processing them. That does not indicate load of the fleet, and
+// another member may well have capacity. Here half of the first attempts end this way, as happens by
+// chance where members have few slots; the reads go on to another member, and none may be refused for the
+// retry budget. Attempts that fail with an error take their full cost.
 func TestFullAnswersSpareRetryBudget(t *testing.T) {
 	for _, c := range []struct {
 		status Status
@@ -1261,8 +1281,9 @@
 	}
 }
 
-// What was turned away unseen is not what a jam is made of: where each read is taken by the third cache only, the throttle, which
-// compares what is asked with what is answered, refuses none. Where two in three are asked in vain, it does.
+// Attempts rejected without processing are no sign of overload: where each read is accepted only by the
+// third cache, the throttle, which compares attempts with answers, must refuse none. Where two of three
+// attempts fail with an error, it must.
 func TestFullAnswersDoNotThrottle(t *testing.T) {
 	for _, c := range []struct {
 		status Status
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestRandomEvents drives long random sequences and holds the rules as invariants.
+// TestRandomEvents runs long random event sequences and checks the rules as invariants.
 func TestRandomEvents(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"aside":   func(s *Settings) {},
@@ -45,6 +45,7 @@
 	}
 }
 
+// driveRandom runs a random event sequence and checks that every request gets exactly one answer.
 func driveRandom(t *testing.T, settings Settings, seed uint64, edit ...func(*fakeHost)) *fakeHost {
 	t.Helper()
 	host := newHost(t, settings, seed)
@@ -91,6 +92,7 @@
 var randomStatuses = []Status{StatusOK, StatusOK, StatusOK, StatusMiss, StatusMiss, StatusFull, StatusError,
 	StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusMoot, StatusUnknown}
 
+// endRandomAttempt ends an outstanding attempt of a random request.
 func (h *fakeHost) endRandomAttempt(rng *rand.Rand) {
 	ids := make([]RequestID, 0, len(h.requests))
 	for id, r := range h.requests {
@@ -106,7 +108,7 @@
 	for i, a := range h.requests[id].attempts {
 		if !a.ended {
 			h.endAttempt(id, i, randomStatuses[rng.IntN(len(randomStatuses))])
-			if rng.IntN(10) == 0 { // told twice
+			if rng.IntN(10) == 0 { // reported twice
 				h.b.Outcome(h.now, Outcome{Request: id, Attempt: i, Member: a.member, Status: StatusTimeout})
 			}
 			return
@@ -114,6 +116,7 @@
 	}
 }
 
+// changeRandomMember drains, removes or restarts a random member.
 func (h *fakeHost) changeRandomMember(rng *rand.Rand, list []Member) {
 	m := &list[rng.IntN(len(list))]
 	switch rng.IntN(4) {
@@ -131,6 +134,7 @@
 	h.setMembers(ListDelta, *m)
 }
 
+// cancelRandomRequest cancels an unanswered request.
 func (h *fakeHost) cancelRandomRequest(rng *rand.Rand) {
 	for id, n := RequestID(1), RequestID(len(h.requests)); id <= n; id++ {
 		if r := h.requests[id]; r.answers == 0 && rng.IntN(5) == 0 {
@@ -141,6 +145,7 @@
 	}
 }
 
+// checkDeadlines checks that requests are answered by their deadline.
 func (h *fakeHost) checkDeadlines() {
 	for id, r := range h.requests {
 		if r.answers == 0 && h.now > r.Deadline+20*ms {
@@ -150,8 +155,9 @@
 	}
 }
 
-// checkColdSends holds sends to a cold member under the whole fleet's budget: even one proxy that carried
-// everything must stay below it. A member's capacity is taken as its even share of the requests.
+// checkColdSends checks sends to cold members against the budget of the whole fleet: even a single proxy
+// that carries all load must stay below it. The capacity of a member is taken to be its even share of the
+// requests.
 func (h *fakeHost) checkColdSends() {
 	rate := float64(len(h.requests)) / (h.now - time.Hour).Seconds()
 	for id, at := range h.coldSends {
--- a/logic/transit_test.go
+++ b/logic/transit_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// endInTransit ends a request's latest attempt, which may be under way for so long yet.
+// endInTransit ends a request's latest attempt, which may still arrive at its member within the given
+// time.
 func (h *fakeHost) endInTransit(r *hostRequest, s Status, transit time.Duration) {
 	n := len(r.attempts) - 1
 	a := &r.attempts[n]
@@ -13,14 +14,14 @@
 	h.b.Outcome(h.now, Outcome{Request: r.ID, Attempt: n, Member: a.member, Status: s, Elapsed: h.now - a.sentAt, InTransit: transit})
 }
 
-// A further attempt waits until none before it can come at a member any more, and is then made at once. Where that leaves no time for it, the
-// request is answered at once.
+// The next attempt waits until no earlier one can still arrive at a member, and is then made at once. If
+// that leaves too little time, the request is answered at once.
 func TestNextAttemptWaitsForTransit(t *testing.T) {
 	for name, c := range map[string]struct {
 		status  Status
 		class   int
 		transit time.Duration
-		sent    time.Duration // when the next attempt has to be sent; 0: the request is answered at once
+		sent    time.Duration // expected time of the next attempt; 0: the request is answered at once
 	}{
 		"nothing in transit":      {StatusTimeout, 0, 0, 1},
 		"a read":                  {StatusTimeout, 0, 40 * ms, 40 * ms},
@@ -55,7 +56,8 @@
 	}
 }
 
-// An attempt that was given less time than its member's quickest answers take says nothing of the member; one that had more time does.
+// A timeout shorter than the member's fastest answers says nothing about the member; a longer one counts
+// as a failure.
 func TestTooShortTimeoutIsNoFailure(t *testing.T) {
 	for elapsed, blamed := range map[time.Duration]bool{30 * ms: false, 90 * ms: true} {
 		host := newHost(t, testSettings(), 1)
@@ -64,7 +66,7 @@
 		for range 20 {
 			host.b.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
 		}
-		host.advance(time.Second) // the answers are some time ago
+		host.advance(time.Second) // time since the last answer
 		host.b.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
 		if (member.failureStreak > 0) != blamed {
 			t.Errorf("a time-out after %v, where answers take 40 ms: %d failures in a row", elapsed, member.failureStreak)
--- a/logic/untold_test.go
+++ b/logic/untold_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A cache that has had hits and then has nothing any more counts as started with the last of so many misses, and not before; one that
-// never had any is just empty.
+// A cache that had hits and then only misses counts as restarted once the misses reach emptyCacheMisses,
+// and not before. A cache that never had hits is just empty.
 func TestCacheThatLostItsData(t *testing.T) {
 	for name, c := range map[string]struct {
 		hits, misses int
