--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -27,23 +27,23 @@
 // newWarmBalancer returns a Balancer whose fleet has served 20000 requests with Zipf-distributed keys.
 func newWarmBalancer(b *testing.B, members int) (*Balancer, *discardHost, func()) {
 	b.Helper()
-	q := &discardHost{}
-	bal, err := New(testSettings(), 1, q)
+	host := &discardHost{}
+	balancer, err := New(testSettings(), 1, host)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Hour
-	bal.Start(now)
-	bal.SetMembers(now, ListCached, withOrigin(members))
+	balancer.Start(now)
+	balancer.SetMembers(now, ListCached, withOrigin(members))
 	keys := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), 1.1, 1, 20000)
 	id := RequestID(0)
 	serve := func() {
 		id++
 		now += 2 * ms
-		q.lastTarget = 0
-		bal.Request(now, Request{ID: id, Key: keys.Uint64() + 1, Deadline: now + time.Second})
-		if q.lastTarget != 0 {
-			bal.Outcome(now, Outcome{Request: id, Member: q.lastTarget, Status: StatusOK, Elapsed: 20 * ms, Final: true})
+		host.lastTarget = 0
+		balancer.Request(now, Request{ID: id, Key: keys.Uint64() + 1, Deadline: now + time.Second})
+		if host.lastTarget != 0 {
+			balancer.Outcome(now, Outcome{Request: id, Member: host.lastTarget, Status: StatusOK, Elapsed: 20 * ms, Final: true})
 		}
 	}
 	for range 20000 { // computes the candidates of every slot that will be used
@@ -51,7 +51,7 @@
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
-	return bal, q, serve
+	return balancer, host, serve
 }
 
 // BenchmarkRequest measures the request path, whose cost must not grow with the fleet.
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -23,7 +23,7 @@
 	rng                       *rand.Rand
 	proxies                   []*fleetProxy
 	caches                    map[MemberID]*fleetCache
-	list                      map[MemberID]Member
+	listed                    map[MemberID]Member
 	origin                    *fleetCache
 	maxColdShare              float64 // maximum attempts at a cold cache, as a share of the allowed ones
 	arrivedReads, servedReads int
@@ -110,7 +110,7 @@
 // newFleet starts a fleet with the given number of proxies and caches.
 func newFleet(t *testing.T, proxies, caches int, seed uint64) *fleet {
 	sim := &fleet{t: t, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 9)), caches: map[MemberID]*fleetCache{},
-		list: map[MemberID]Member{}, refused: map[Reason]int{}, maxAnswerDelay: map[Reason]time.Duration{}}
+		listed: map[MemberID]Member{}, refused: map[Reason]int{}, maxAnswerDelay: map[Reason]time.Duration{}}
 	sim.settings = testSettings()
 	sim.settings.Classes = sim.settings.Classes[:2]
 	sim.settings.Classes[0].SoftDeadline, sim.settings.Classes[0].Deadline = 440*ms, 1600*ms
@@ -120,7 +120,7 @@
 		sim.addCache(MemberID(i+1), 0)
 	}
 	sim.origin = &fleetCache{entry: Member{ID: fleetOriginID, Kind: 9, Weight: 1}, workers: 64, queueCapacity: 1000, slowdown: 1, keys: map[uint64]bool{}}
-	sim.list[fleetOriginID] = sim.origin.entry
+	sim.listed[fleetOriginID] = sim.origin.entry
 	sim.excessConnectionStatus = StatusFull
 	for i := range proxies {
 		p := &fleetProxy{fleet: sim}
@@ -134,7 +134,7 @@
 func (f *fleet) addCache(id MemberID, started time.Duration) *fleetCache {
 	c := &fleetCache{entry: Member{ID: id, Zone: int(id) % 3, Weight: 1, StartedAt: started}, workers: 2, queueCapacity: 4, slowdown: 1,
 		keys: map[uint64]bool{}, conns: map[*fleetProxy]time.Duration{}}
-	f.caches[id], f.list[id] = c, c.entry
+	f.caches[id], f.listed[id] = c, c.entry
 	return c
 }
 
@@ -168,8 +168,8 @@
 
 // announce reports a member to every proxy, after a random delay of up to a second each.
 func (f *fleet) announce(m Member) {
-	if f.list[m.ID] = m; m.State == Gone {
-		delete(f.list, m.ID)
+	if f.listed[m.ID] = m; m.State == Gone {
+		delete(f.listed, m.ID)
 	}
 	for _, p := range f.proxies {
 		epoch := p.epoch
@@ -183,7 +183,7 @@
 }
 
 // start restarts the process of a proxy with the current member list.
-func (p *fleetProxy) start(self int) { p.startWith(self, p.fleet.list) }
+func (p *fleetProxy) start(self int) { p.startWith(self, p.fleet.listed) }
 
 // startWith restarts it with the list in its configuration, which may be outdated.
 func (p *fleetProxy) startWith(self int, known map[MemberID]Member) {
@@ -293,15 +293,15 @@
 }
 
 // missedCaches returns the caches that will store the value of a read.
-func (r *fleetRequest) missedCaches(f *fleet) (at []*fleetCache) {
+func (r *fleetRequest) missedCaches(f *fleet) (caches []*fleetCache) {
 	for _, p := range f.proxies {
-		if fl := p.balancer.requests[r.ID]; fl != nil && fl.missedCache != nil {
-			if c := f.caches[fl.missedCache.entry.ID]; c != nil {
-				at = append(at, c)
+		if pending := p.balancer.requests[r.ID]; pending != nil && pending.missedCache != nil {
+			if c := f.caches[pending.missedCache.entry.ID]; c != nil {
+				caches = append(caches, c)
 			}
 		}
 	}
-	return at
+	return caches
 }
 
 // warmth returns the share of its capacity that a cache has reached since its start.
@@ -315,8 +315,8 @@
 
 // countCold compares the attempts of all proxies at a cold cache with the number that it tolerates.
 func (f *fleet) countCold(c *fleetCache) {
-	w := f.warmth(c)
-	if w >= 1 {
+	warmth := f.warmth(c)
+	if warmth >= 1 {
 		return
 	}
 	c.coldSends = append(c.coldSends, f.now)
@@ -324,21 +324,21 @@
 		c.coldSends = c.coldSends[1:]
 	}
 	// requests that it can serve in OverloadDuration
-	can := w * float64(c.workers) * f.settings.OverloadDuration.Seconds() / fleetHitTime.Seconds()
-	f.maxColdShare = max(f.maxColdShare, float64(len(c.coldSends))/(can*f.settings.OverloadMultiple))
+	capacity := warmth * float64(c.workers) * f.settings.OverloadDuration.Seconds() / fleetHitTime.Seconds()
+	f.maxColdShare = max(f.maxColdShare, float64(len(c.coldSends))/(capacity*f.settings.OverloadMultiple))
 }
 
 // tryConnect reports whether a proxy has or gets a connection to a cache. Otherwise the next try follows
 // after a doubling delay, like in internal/pool.
-func (p *fleetProxy) tryConnect(at MemberID) bool {
-	if c := p.fleet.caches[at]; c != nil && c.connect(p) {
-		delete(p.backoffs, at)
+func (p *fleetProxy) tryConnect(id MemberID) bool {
+	if c := p.fleet.caches[id]; c != nil && c.connect(p) {
+		delete(p.backoffs, id)
 		return true
 	}
-	a := p.backoffs[at]
-	a.step = min(max(minConnectBackoff, 2*a.step), time.Second)
-	a.until = p.fleet.now + a.step
-	p.backoffs[at] = a
+	backoff := p.backoffs[id]
+	backoff.step = min(max(minConnectBackoff, 2*backoff.step), time.Second)
+	backoff.until = p.fleet.now + backoff.step
+	p.backoffs[id] = backoff
 	return false
 }
 
@@ -382,8 +382,8 @@
 	}
 }
 
-// finalAnswer records a refusal or failure.
-func (p *fleetProxy) finalAnswer(id RequestID, why Reason) {
+// recordFinalAnswer records a refusal or failure.
+func (p *fleetProxy) recordFinalAnswer(id RequestID, why Reason) {
 	p.fleet.refused[why]++
 	r := p.requests[id]
 	if len(r.outstanding) == 0 {
@@ -397,8 +397,8 @@
 	}
 }
 
-func (p *fleetProxy) Refuse(id RequestID, _ time.Duration, why Reason) { p.finalAnswer(id, why) }
-func (p *fleetProxy) Fail(id RequestID, why Reason)                    { p.finalAnswer(id, why) }
+func (p *fleetProxy) Refuse(id RequestID, _ time.Duration, why Reason) { p.recordFinalAnswer(id, why) }
+func (p *fleetProxy) Fail(id RequestID, why Reason)                    { p.recordFinalAnswer(id, why) }
 func (p *fleetProxy) NotifyWaiting(RequestID, Reason)                  {}
 func (p *fleetProxy) ConnectionWait(_ RequestID, at MemberID) time.Duration {
 	// Like internal/pool: a wait is reported from the second consecutive refused connection on, and
@@ -445,9 +445,9 @@
 // takeServedShare returns the share of the reads since the last call that were answered within the soft
 // deadline.
 func (f *fleet) takeServedShare() float64 {
-	s := float64(f.servedReads) / max(1, float64(f.arrivedReads))
+	share := float64(f.servedReads) / max(1, float64(f.arrivedReads))
 	f.servedReads, f.arrivedReads = 0, 0
-	return s
+	return share
 }
 
 // checkLimits checks the load of the origin and of cold caches, and that draining members got no requests.
@@ -546,7 +546,7 @@
 	sim := newFleet(t, 3, 60, 7)
 	sim.run(time.Second, 500)
 	p := sim.proxies[0]
-	asked := func(zone int) (n int) {
+	takeAttempts := func(zone int) (n int) {
 		for _, c := range sim.caches {
 			if c.entry.Zone == zone {
 				n += c.attempts
@@ -555,7 +555,7 @@
 		}
 		return n
 	}
-	asked(0)
+	takeAttempts(0)
 	sim.caches[3].silent = true // in zone 0
 	sim.run(2*time.Second, 500)
 	if p.balancer.inSilentZone(p.balancer.members[6]) {
@@ -565,18 +565,18 @@
 		c.silent = c.entry.Zone == 0
 	}
 	sim.run(2*time.Second, 500)
-	asked(0)
+	takeAttempts(0)
 	sim.run(3*time.Second, 500)
-	if n := asked(0); n == 0 || n > 3*int(time.Second/silentZoneInterval)+2 {
+	if n := takeAttempts(0); n == 0 || n > 3*int(time.Second/silentZoneInterval)+2 {
 		t.Errorf("a silent zone is asked %d times in three seconds", n)
 	}
 	for _, c := range sim.caches {
 		c.silent = false
 	}
 	sim.run(6*time.Second, 500) // the ejections end one by one
-	asked(0)
+	takeAttempts(0)
 	sim.run(time.Second, 500)
-	if n := asked(0); n < 100 {
+	if n := takeAttempts(0); n < 100 {
 		t.Errorf("a zone that answers again is asked %d times in a second", n)
 	}
 }
@@ -585,14 +585,14 @@
 func TestFleetReplaced(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		for i := range 36 {
-			old, at := sim.caches[MemberID(i+1)], sim.now+time.Duration(i)*200*ms
-			sim.schedule(at, func() {
+			old, start := sim.caches[MemberID(i+1)], sim.now+time.Duration(i)*200*ms
+			sim.schedule(start, func() {
 				m := old.entry
 				m.State = Draining
 				sim.announce(m)
 				sim.announce(sim.addCache(MemberID(100+i), sim.now).entry)
 			})
-			sim.schedule(at+2*time.Second, func() {
+			sim.schedule(start+2*time.Second, func() {
 				m := old.entry
 				m.State = Gone
 				sim.announce(m)
@@ -659,35 +659,35 @@
 		}
 		sim.run(4*time.Second, load)
 		share := sim.takeServedShare()
-		asked, askedBad := 0, 0
+		attempts, attemptsAtFaulty := 0, 0
 		for _, c := range sim.caches {
-			if asked += c.attempts; c.errorShare > 0 {
-				askedBad += c.attempts
+			if attempts += c.attempts; c.errorShare > 0 {
+				attemptsAtFaulty += c.attempts
 			}
 		}
-		well, bad, wellOut, badOut := 0, 0, 0, 0
+		healthy, faulty, healthyEjected, faultyEjected := 0, 0, 0, 0
 		for _, p := range sim.proxies {
 			for _, id := range p.ejected() {
 				if sim.caches[id].errorShare > 0 {
-					badOut++
+					faultyEjected++
 				} else {
-					wellOut++
+					healthyEjected++
 				}
 			}
-			bad += len(p.balancer.caches) / 5
-			well += len(p.balancer.caches) - len(p.balancer.caches)/5
+			faulty += len(p.balancer.caches) / 5
+			healthy += len(p.balancer.caches) - len(p.balancer.caches)/5
 		}
 		t.Logf("%.3f in time, %v; left out %.3f of the bad and %.3f of the well; %.3f of the attempts go to bad ones", share, sim.refused,
-			float64(badOut)/float64(bad), float64(wellOut)/float64(well), float64(askedBad)/float64(asked))
+			float64(faultyEjected)/float64(faulty), float64(healthyEjected)/float64(healthy), float64(attemptsAtFaulty)/float64(attempts))
 		sim.checkLimits("one in five bad")
-		if share < 0.9 || float64(wellOut)/float64(well) > 0.02 {
-			t.Errorf("%.3f in time, %d of %d well ones left out", share, wellOut, well)
+		if share < 0.9 || float64(healthyEjected)/float64(healthy) > 0.02 {
+			t.Errorf("%.3f in time, %d of %d well ones left out", share, healthyEjected, healthy)
 		}
-		most := 0.1
+		maxPart := 0.1
 		if len(sim.proxies) < 10 {
-			most = 0.04
+			maxPart = 0.04
 		}
-		if part := float64(askedBad) / float64(asked); part > most {
+		if part := float64(attemptsAtFaulty) / float64(attempts); part > maxPart {
 			t.Errorf("%.3f of the attempts go to bad caches", part)
 		}
 	})
@@ -702,19 +702,19 @@
 			c.slowdown = 2.5
 		}
 		sim.run(8*time.Second, load)
-		out, all := 0, 0
+		ejected, all := 0, 0
 		for _, p := range sim.proxies {
-			out, all = out+len(p.ejected()), all+len(p.balancer.caches)
+			ejected, all = ejected+len(p.ejected()), all+len(p.balancer.caches)
 		}
 		share := sim.takeServedShare()
-		t.Logf("%.3f in time, %v; %d of %d left out; late %v", share, sim.refused, out, all, sim.maxAnswerDelay)
+		t.Logf("%.3f in time, %v; %d of %d left out; late %v", share, sim.refused, ejected, all, sim.maxAnswerDelay)
 		sim.checkLimits("all slower")
-		most := 0.001
+		maxShare := 0.001
 		if len(sim.proxies) < 10 {
-			most = 0.15
+			maxShare = 0.15
 		}
-		if float64(out) > most*float64(all) {
-			t.Errorf("%d of %d caches are left out", out, all)
+		if float64(ejected) > maxShare*float64(all) {
+			t.Errorf("%d of %d caches are left out", ejected, all)
 		}
 		if share < 0.5 {
 			t.Errorf("%.3f of the reads are in time", share)
@@ -783,7 +783,7 @@
 // known members; afterwards draining members must get nothing.
 func TestFleetStartsFromOutdatedList(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
-		known := maps.Clone(sim.list)
+		known := maps.Clone(sim.listed)
 		for i := range 10 { // replaced before the restart; only running proxies are notified
 			m := sim.caches[MemberID(6*i+1)].entry
 			m.State = Gone
@@ -802,9 +802,9 @@
 					t.Fatal("a proxy was started twice")
 				}
 				var list []Member
-				p.listed = maps.Clone(sim.list)
-				for _, id := range slices.Sorted(maps.Keys(sim.list)) {
-					list = append(list, sim.list[id])
+				p.listed = maps.Clone(sim.listed)
+				for _, id := range slices.Sorted(maps.Keys(sim.listed)) {
+					list = append(list, sim.listed[id])
 				}
 				p.balancer.SetMembers(sim.now, ListFull, list)
 			})
@@ -814,7 +814,7 @@
 		for i := range 10 {
 			m := sim.caches[MemberID(6*i+2)].entry
 			m.State = Draining
-			sim.list[m.ID] = m
+			sim.listed[m.ID] = m
 			for _, p := range sim.proxies {
 				sim.schedule(sim.now+time.Duration(i)*500*ms, func() {
 					if _, has := p.listed[100]; has {
@@ -847,13 +847,13 @@
 // refused connections are bounded, and no cache is ejected for -BUSY. After the limit is lifted,
 // everything returns to normal.
 func TestFleetFewConnections(t *testing.T) {
-	for _, crowded := range []Status{StatusConnectFailed, StatusFull} {
-		for _, most := range []int{28, 14} {
-			t.Run(fmt.Sprintf("%d told as %v", most, crowded), func(t *testing.T) {
+	for _, excessStatus := range []Status{StatusConnectFailed, StatusFull} {
+		for _, maxConns := range []int{28, 14} {
+			t.Run(fmt.Sprintf("%d told as %v", maxConns, excessStatus), func(t *testing.T) {
 				forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
-					sim.excessConnectionStatus = crowded
+					sim.excessConnectionStatus = excessStatus
 					for _, c := range sim.caches {
-						c.maxConns, c.peakConns = most, 0
+						c.maxConns, c.peakConns = maxConns, 0
 						clear(c.conns)
 					}
 					sim.run(6*time.Second, load)
@@ -863,28 +863,28 @@
 						p.arrivedReads, p.servedReads = 0, 0
 					}
 					sim.run(8*time.Second, load)
-					least, out := 1.0, 0
+					worstShare, ejected := 1.0, 0
 					for _, p := range sim.proxies {
-						least = min(least, float64(p.servedReads)/float64(p.arrivedReads))
-						out += len(p.ejected())
+						worstShare = min(worstShare, float64(p.servedReads)/float64(p.arrivedReads))
+						ejected += len(p.ejected())
 					}
 					share := sim.takeServedShare()
-					t.Logf("%.3f in time, the worst proxy %.3f, %v, %d turned away, %d left out", share, least, sim.refused, sim.refusedConnections, out)
+					t.Logf("%.3f in time, the worst proxy %.3f, %v, %d turned away, %d left out", share, worstShare, sim.refused, sim.refusedConnections, ejected)
 					for _, c := range sim.caches {
-						if c.peakConns > most {
+						if c.peakConns > maxConns {
 							t.Fatalf("cache %d holds %d connections", c.entry.ID, c.peakConns)
 						}
 						c.maxConns = 0
 					}
 					sim.checkLimits("few connections")
-					if share < 0.95 || least < 0.75 {
-						t.Errorf("%.3f of the reads are in time, %.3f at the worst proxy", share, least)
+					if share < 0.95 || worstShare < 0.75 {
+						t.Errorf("%.3f of the reads are in time, %.3f at the worst proxy", share, worstShare)
 					}
 					if perS := sim.refusedConnections / 8; perS > len(sim.proxies)*10 {
 						t.Errorf("%d connections a second are turned away", perS)
 					}
-					if crowded == StatusFull && out > len(sim.proxies)*len(sim.caches)/1000 {
-						t.Errorf("%d caches are left out for being full", out)
+					if excessStatus == StatusFull && ejected > len(sim.proxies)*len(sim.caches)/1000 {
+						t.Errorf("%d caches are left out for being full", ejected)
 					}
 					sim.run(2*time.Second, load)
 					if share := sim.takeServedShare(); share < 0.97 {
@@ -944,17 +944,17 @@
 			}
 			return n
 		}
-		usual := attempts(ZoneShare{Share: 1})
+		fullShare := attempts(ZoneShare{Share: 1})
 		trials := float64(len(sim.proxies)) * float64(time.Second/silentZoneInterval+1) / (load / 3)
 		for _, c := range []struct {
-			share       ZoneShare
-			least, most float64
+			share              ZoneShare
+			minShare, maxShare float64
 		}{
 			{ZoneShare{}, 0, 0}, {ZoneShare{Trial: true}, min(0.1, trials/2), trials},
 			{ZoneShare{Share: 0.2}, 0.1, 0.35}, {ZoneShare{Share: 0.6}, 0.4, 0.8}, {ZoneShare{Share: 1}, 0.8, 1.2},
 		} {
-			if got := attempts(c.share) / usual; got < c.least || got > c.most {
-				t.Errorf("told %+v, the zone gets %.3f of its work, from %.2f to %.2f wanted", c.share, got, c.least, c.most)
+			if got := attempts(c.share) / fullShare; got < c.minShare || got > c.maxShare {
+				t.Errorf("told %+v, the zone gets %.3f of its work, from %.2f to %.2f wanted", c.share, got, c.minShare, c.maxShare)
 			}
 		}
 		sim.checkLimits("shares")
--- a/logic/host_test.go
+++ b/logic/host_test.go
@@ -13,8 +13,8 @@
 // fakeHost records actions and checks the rules that can be verified at a single proxy.
 type fakeHost struct {
 	t              *testing.T
-	b              *Balancer
-	s              Settings
+	balancer       *Balancer
+	settings       Settings
 	now            time.Duration
 	log            []string
 	timers         []pendingTimer
@@ -37,8 +37,8 @@
 // hostRequest is a request with its attempts and the number of its final answers.
 type hostRequest struct {
 	Request
-	answers  int
-	attempts []hostAttempt
+	finalAnswers int
+	attempts     []hostAttempt
 }
 
 type hostAttempt struct {
@@ -51,13 +51,13 @@
 
 func newHost(t *testing.T, s Settings, seed uint64) *fakeHost {
 	t.Helper()
-	h := &fakeHost{t: t, s: s, now: time.Hour, requests: map[RequestID]*hostRequest{},
+	h := &fakeHost{t: t, settings: s, now: time.Hour, requests: map[RequestID]*hostRequest{},
 		listed: map[MemberID]Member{}, coldSends: map[MemberID][]time.Duration{}}
 	balancer, err := New(s, seed, h)
 	if err != nil {
 		t.Fatalf("New: %v", err)
 	}
-	h.b = balancer
+	h.balancer = balancer
 	balancer.Start(h.now)
 	return h
 }
@@ -78,18 +78,18 @@
 		return
 	}
 	m, known := h.listed[to]
-	if r.answers > 0 {
+	if r.finalAnswers > 0 {
 		h.violate("send for answered request %d", id)
 	}
 	if !known || m.State != Ready {
 		h.violate("send to member %d, which is not ready", to)
 	}
-	if len(r.attempts) >= h.s.MaxAttempts {
-		h.violate("request %d: attempt %d of %d", id, len(r.attempts)+1, h.s.MaxAttempts)
+	if len(r.attempts) >= h.settings.MaxAttempts {
+		h.violate("request %d: attempt %d of %d", id, len(r.attempts)+1, h.settings.MaxAttempts)
 	}
 	c := h.class(r.Class)
 	for _, a := range r.attempts {
-		if !a.ended && !h.s.ConcurrentAttempts {
+		if !a.ended && !h.settings.ConcurrentAttempts {
 			h.violate("request %d: two attempts at once", id)
 		}
 		if a.mayHaveRun && c.Effect == AtMostOnce {
@@ -102,17 +102,17 @@
 			h.violate("request %d: sent again outside its zone", id)
 		}
 	}
-	if m.StartedAt > 0 && h.now-m.StartedAt < h.s.SlowStartDuration && !(h.s.Mode == CacheAside && m.Kind == h.s.OriginKind) {
+	if m.StartedAt > 0 && h.now-m.StartedAt < h.settings.SlowStartDuration && !(h.settings.Mode == CacheAside && m.Kind == h.settings.OriginKind) {
 		h.coldSends[to] = append(h.coldSends[to], h.now)
 	}
 	r.attempts = append(r.attempts, hostAttempt{member: to, sentAt: h.now, timeout: timeout, mayHaveRun: true})
 }
 
 func (h *fakeHost) class(i int) Class {
-	if i >= 0 && i < len(h.s.Classes) {
-		return h.s.Classes[i]
+	if i >= 0 && i < len(h.settings.Classes) {
+		return h.settings.Classes[i]
 	}
-	c := h.s.Classes[0]
+	c := h.settings.Classes[0]
 	c.Effect = AtMostOnce
 	return c
 }
@@ -123,7 +123,7 @@
 		h.violate("answer for unknown request %d", id)
 		return
 	}
-	if r.answers++; r.answers > 1 {
+	if r.finalAnswers++; r.finalAnswers > 1 {
 		h.violate("request %d answered twice", id)
 	}
 	c := h.class(r.Class)
@@ -181,7 +181,7 @@
 			h.listed[m.ID] = m
 		}
 	}
-	h.b.SetMembers(h.now, kind, list)
+	h.balancer.SetMembers(h.now, kind, list)
 }
 
 func (h *fakeHost) request(r Request) *hostRequest {
@@ -190,7 +190,7 @@
 	}
 	o := &hostRequest{Request: r}
 	h.requests[r.ID] = o
-	h.b.Request(h.now, r)
+	h.balancer.Request(h.now, r)
 	return o
 }
 
@@ -200,11 +200,11 @@
 	a := &r.attempts[attempt]
 	a.ended = true
 	a.mayHaveRun = !s.NeverRan()
-	if s == StatusOK && r.answers == 0 {
-		r.answers = 1
+	if s == StatusOK && r.finalAnswers == 0 {
+		r.finalAnswers = 1
 	}
-	h.b.Outcome(h.now, Outcome{Request: id, Attempt: attempt, Member: a.member, Status: s,
-		Elapsed: h.now - a.sentAt, Final: r.answers > 0})
+	h.balancer.Outcome(h.now, Outcome{Request: id, Attempt: attempt, Member: a.member, Status: s,
+		Elapsed: h.now - a.sentAt, Final: r.finalAnswers > 0})
 }
 
 // advance moves the clock forward and fires timers in order.
@@ -218,7 +218,7 @@
 		next := h.timers[0]
 		h.timers = h.timers[1:]
 		h.now = max(h.now, next.at)
-		h.b.Timer(h.now, next.token)
+		h.balancer.Timer(h.now, next.token)
 	}
 	h.now = end
 }
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -14,39 +14,39 @@
 		settings := testSettings()
 		settings.Zones, settings.CrossZoneCost = 2, 0.1
 		old := driveRandom(t, settings, seed)
-		l := old.b.ExportState(old.now)
-		if len(l.Members) == 0 || len(l.Keys) == 0 {
-			t.Fatalf("seed %d: nothing was learnt: %d members, %d keys", seed, len(l.Members), len(l.Keys))
+		state := old.balancer.ExportState(old.now)
+		if len(state.Members) == 0 || len(state.Keys) == 0 {
+			t.Fatalf("seed %d: nothing was learnt: %d members, %d keys", seed, len(state.Members), len(state.Keys))
 		}
-		heir := func(h *fakeHost) { h.importedState = &l }
-		driveRandom(t, settings, seed+50, heir).checkViolations()
+		importing := func(h *fakeHost) { h.importedState = &state }
+		driveRandom(t, settings, seed+50, importing).checkViolations()
 
 		rng := rand.New(rand.NewPCG(seed, 3))
-		odd := func(f *float64) {
+		corrupt := func(f *float64) {
 			if rng.IntN(3) == 0 {
 				*f = []float64{math.NaN(), math.Inf(1), -1, 0, 1e300, 1e-300}[rng.IntN(6)]
 			}
 		}
-		for i := range l.Members {
-			m := &l.Members[i]
+		for i := range state.Members {
+			m := &state.Members[i]
 			for _, f := range []*float64{&m.Limit, &m.Latency, &m.SendInterval, &m.AnswerInterval, &m.FailureRate} {
-				odd(f)
+				corrupt(f)
 			}
 			m.Samples, m.FailureStreak, m.EjectedFor = rng.IntN(3e9)-1, rng.IntN(100)-50, time.Duration(rng.Int64())
 			if rng.IntN(4) == 0 {
 				m.ID = MemberID(rng.IntN(20))
 			}
 		}
-		for i := range l.Keys {
-			k := &l.Keys[i]
-			odd(&k.Count)
-			odd(&k.Err)
+		for i := range state.Keys {
+			k := &state.Keys[i]
+			corrupt(&k.Count)
+			corrupt(&k.Err)
 			k.Members = append(k.Members, MemberID(rng.IntN(2000)), originID)
 		}
-		for _, f := range []*float64{&l.Total, &l.EarlierTotal, &l.Latency, &l.FailureRate, &l.Arrivals, &l.ServedWork, &l.SpanSeconds, &l.RecentAttempts, &l.RecentAnswers} {
-			odd(f)
+		for _, f := range []*float64{&state.Total, &state.EarlierTotal, &state.Latency, &state.FailureRate, &state.Arrivals, &state.ServedWork, &state.SpanSeconds, &state.RecentAttempts, &state.RecentAnswers} {
+			corrupt(f)
 		}
-		driveRandom(t, settings, seed+50, heir).checkViolations()
+		driveRandom(t, settings, seed+50, importing).checkViolations()
 	}
 }
 
@@ -64,12 +64,12 @@
 			old.endAttempt(a.ID, 0, StatusOK)
 		}
 	}
-	old.b.closeWindow()
-	for _, n := range append(old.b.caches, old.b.origins...) {
+	old.balancer.closeWindow()
+	for _, n := range append(old.balancer.caches, old.balancer.origins...) {
 		n.samples, n.limit, n.latency, n.coldTokens = 50, 20+float64(n.entry.ID%7), 0.01, 3
 	}
 	old.request(Request{ID: 9999, Key: 5, Class: 1, Write: true}) // a pending order
-	l := old.b.ExportState(old.now)
+	state := old.balancer.ExportState(old.now)
 
 	list[0].State = Gone
 	list[1].StartedAt = time.Hour // restarted
@@ -80,10 +80,10 @@
 		return host
 	}
 	host, plain := fresh(), fresh()
-	if got := host.b.ImportState(host.now, l); got != 4 { // two warm caches, the cold one and the origin
+	if got := host.balancer.ImportState(host.now, state); got != 4 { // two warm caches, the cold one and the origin
 		t.Errorf("something is taken over of %d members", got)
 	}
-	for id, n := range host.b.members {
+	for id, n := range host.balancer.members {
 		want := float64(initialLimit)
 		if id != 2 && id != 3 {
 			want = 20 + float64(id%7)
@@ -91,24 +91,24 @@
 		if n.limit != want {
 			t.Errorf("member %d: limit %v, want %v", id, n.limit, want)
 		}
-		if other := plain.b.members[id]; n.coldTokens != other.coldTokens || n.entry.State != other.entry.State || n.outstanding != 0 {
+		if other := plain.balancer.members[id]; n.coldTokens != other.coldTokens || n.entry.State != other.entry.State || n.outstanding != 0 {
 			t.Errorf("member %d: a budget, a state or an attempt is taken over: %+v", id, n)
 		}
 	}
-	if len(host.b.requests) != 0 || len(host.b.hotTable) == 0 {
-		t.Errorf("%d requests, %d hot keys", len(host.b.requests), len(host.b.hotTable))
+	if len(host.balancer.requests) != 0 || len(host.balancer.hotTable) == 0 {
+		t.Errorf("%d requests, %d hot keys", len(host.balancer.requests), len(host.balancer.hotTable))
 	}
-	for key, p := range host.b.hotTable {
+	for key, p := range host.balancer.hotTable {
 		for _, n := range p.members {
 			if n.entry.State != Ready || n.entry.ID == 1 || n.entry.ID == 3 {
 				t.Errorf("key %d is placed at member %d", key, n.entry.ID)
 			}
-			if was := old.b.hotTable[key]; was != nil && len(p.members) == 1 && was.members[0].entry.ID > 3 && was.members[0].entry.ID != n.entry.ID {
+			if was := old.balancer.hotTable[key]; was != nil && len(p.members) == 1 && was.members[0].entry.ID > 3 && was.members[0].entry.ID != n.entry.ID {
 				t.Errorf("key %d moves from %d to %d", key, was.members[0].entry.ID, n.entry.ID)
 			}
 		}
 	}
-	if host.b.ImportState(host.now, l) != 0 {
+	if host.balancer.ImportState(host.now, state) != 0 {
 		t.Error("taken over twice")
 	}
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -31,8 +31,8 @@
 	host.endAttempt(2, 0, StatusOK)
 	host.advance(5 * time.Second)
 	host.checkViolations()
-	if len(host.b.requests) != 0 || len(host.b.fetchWaiters) != 0 {
-		t.Errorf("left behind: %d requests, %d fetches", len(host.b.requests), len(host.b.fetchWaiters))
+	if len(host.balancer.requests) != 0 || len(host.balancer.fetchWaiters) != 0 {
+		t.Errorf("left behind: %d requests, %d fetches", len(host.balancer.requests), len(host.balancer.fetchWaiters))
 	}
 }
 
@@ -41,13 +41,13 @@
 	settings := testSettings()
 	host := newHost(t, settings, 1)
 	host.setMembers(ListCached, withOrigin(3)...)
-	origin := host.b.origins[0]
+	origin := host.balancer.origins[0]
 	origin.limit, origin.latency, origin.lastSentAt = 0.25, 0.2, host.now
 	host.request(Request{ID: 1, Key: 5})
 	host.endAttempt(1, 0, StatusMiss) // queued: the origin has no capacity
 	second := host.request(Request{ID: 2, Key: 5})
-	host.requests[1].answers = 1
-	host.b.RequestCancelled(host.now, 1)
+	host.requests[1].finalAnswers = 1
+	host.balancer.RequestCancelled(host.now, 1)
 	if len(second.attempts) == 0 {
 		t.Fatal("the waiting read was not sent on when the fetch's owner left")
 	}
@@ -59,7 +59,7 @@
 func TestSlowOriginStillGetsFetches(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(3)...)
-	host.b.origins[0].latency = 30
+	host.balancer.origins[0].latency = 30
 	req := host.request(Request{ID: 1, Key: 5})
 	host.endAttempt(1, 0, StatusMiss)
 	if len(req.attempts) != 2 {
@@ -76,11 +76,11 @@
 	} {
 		host := newHost(t, testSettings(), 1)
 		host.setMembers(ListCached, withOrigin(3)...)
-		ask.ID, ask.Deadline = 1, host.now+host.b.answerMargin()
-		if req := host.request(ask); len(req.attempts) != 0 || req.answers != 1 {
-			t.Errorf("%s: sent %+v, answered %d times", name, req.attempts, req.answers)
+		ask.ID, ask.Deadline = 1, host.now+host.balancer.answerMargin()
+		if req := host.request(ask); len(req.attempts) != 0 || req.finalAnswers != 1 {
+			t.Errorf("%s: sent %+v, answered %d times", name, req.attempts, req.finalAnswers)
 		}
-		ask.ID, ask.Deadline = 2, host.now+host.b.answerMargin()+ms
+		ask.ID, ask.Deadline = 2, host.now+host.balancer.answerMargin()+ms
 		if req := host.request(ask); len(req.attempts) != 1 {
 			t.Errorf("%s with a little more time: sent %+v", name, req.attempts)
 		}
@@ -98,8 +98,8 @@
 	}
 	host.endAttempt(1, 1, StatusReset)
 	host.advance(10 * time.Second)
-	if len(req.attempts) != 2 || req.answers != 1 {
-		t.Errorf("sent %d times, answered %d times; want 2 and 1", len(req.attempts), req.answers)
+	if len(req.attempts) != 2 || req.finalAnswers != 1 {
+		t.Errorf("sent %d times, answered %d times; want 2 and 1", len(req.attempts), req.finalAnswers)
 	}
 	if !slices.ContainsFunc(host.log, func(s string) bool { return s[len(s)-6:] == "fail 1" }) {
 		t.Error("a write that may have run was not failed")
@@ -151,12 +151,12 @@
 func TestFastFailingMemberIsEjected(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(5)...)
-	bad := MemberID(1)
+	failing := MemberID(1)
 	sent := 0
 	for id := RequestID(1); id <= 2000; id++ {
 		req := host.request(Request{ID: id, Key: uint64(id)})
 		for i := 0; i < len(req.attempts); i++ {
-			if req.attempts[i].member == bad {
+			if req.attempts[i].member == failing {
 				sent++
 				host.endAttempt(id, i, StatusConnectFailed)
 			} else if !req.attempts[i].ended {
@@ -183,7 +183,7 @@
 		}
 		host.advance(20 * ms)
 	}
-	for _, n := range host.b.caches {
+	for _, n := range host.balancer.caches {
 		if n.ejectedUntil > host.now {
 			t.Errorf("member %d is ejected though all fail alike", n.entry.ID)
 		}
@@ -207,7 +207,7 @@
 			t.Fatalf("asked %d times after %d failures", host.watchCalls, i+1)
 		}
 	}
-	if len(host.b.caches) != 2 {
+	if len(host.balancer.caches) != 2 {
 		t.Error("the last list was not kept while discovery was dark")
 	}
 }
@@ -233,31 +233,31 @@
 
 func TestUnexpectedEventsLoseNoRequest(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
-	odd := []Request{
+	requests := []Request{
 		{ID: 1}, {ID: 2, Class: 99, Tenant: 99, Key: 3}, {ID: 3, Class: -1, Tenant: -5},
 		{ID: 4, Key: 1, CostKnown: true, Cost: -time.Second}, {ID: 5, Class: 99, Write: true},
 	}
-	for _, r := range odd { // without any member
+	for _, r := range requests { // without any member
 		host.request(r)
 	}
 	host.setMembers(ListFull)
 	host.setMembers(ListCached, Member{ID: 1, Zone: 200, Weight: math.NaN(), State: State(77)}, Member{ID: 2, Weight: -1})
-	for _, r := range odd {
+	for _, r := range requests {
 		r.ID += 10
 		host.request(r)
 	}
-	host.b.Outcome(host.now, Outcome{Request: 999})
-	host.b.Outcome(host.now, Outcome{Request: 11, Attempt: 900})
-	host.b.Outcome(host.now, Outcome{Request: 11, Attempt: -1})
-	host.b.RequestCancelled(host.now, 999)
-	host.b.StreamStarted(host.now, 999, 0)
-	host.b.Timer(host.now, math.MaxUint64)
-	host.b.ProbeResult(host.now, 7, StatusOK, 0, nil)
-	host.b.PeerMessage(host.now, -1, nil)
+	host.balancer.Outcome(host.now, Outcome{Request: 999})
+	host.balancer.Outcome(host.now, Outcome{Request: 11, Attempt: 900})
+	host.balancer.Outcome(host.now, Outcome{Request: 11, Attempt: -1})
+	host.balancer.RequestCancelled(host.now, 999)
+	host.balancer.StreamStarted(host.now, 999, 0)
+	host.balancer.Timer(host.now, math.MaxUint64)
+	host.balancer.ProbeResult(host.now, 7, StatusOK, 0, nil)
+	host.balancer.PeerMessage(host.now, -1, nil)
 	host.advance(10 * time.Second)
 	for id, r := range host.requests {
-		if r.answers != 1 {
-			t.Errorf("request %d answered %d times", id, r.answers)
+		if r.finalAnswers != 1 {
+			t.Errorf("request %d answered %d times", id, r.finalAnswers)
 		}
 	}
 	host.checkViolations()
@@ -295,7 +295,7 @@
 	host.setMembers(ListCached, withOrigin(4)...)
 	asked, sent := 0, 0
 	for id := RequestID(1); id <= 2400; id++ { // 100 per second: 4 s of timeouts, then 20 s of fast answers
-		jam := id <= 400
+		overloaded := id <= 400
 		req := host.request(Request{ID: id, Key: uint64(id)})
 		if id > 1900 {
 			asked++
@@ -306,9 +306,9 @@
 			for i, a := range host.requests[old].attempts {
 				switch {
 				case a.ended:
-				case jam && host.now-a.sentAt >= 300*ms:
+				case overloaded && host.now-a.sentAt >= 300*ms:
 					host.endAttempt(old, i, StatusTimeout)
-				case !jam:
+				case !overloaded:
 					host.endAttempt(old, i, StatusOK)
 				}
 			}
@@ -324,19 +324,19 @@
 func TestBusyMemberDoesNotScatterItsKeys(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
-	home := host.request(Request{ID: 1, Key: 7}).attempts[0].member
+	first := host.request(Request{ID: 1, Key: 7}).attempts[0].member
 	host.endAttempt(1, 0, StatusOK)
-	member := host.b.members[home]
+	member := host.balancer.members[first]
 	member.limit, member.outstanding = 1, 1 // busy
-	if req := host.request(Request{ID: 9, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member == home {
+	if req := host.request(Request{ID: 9, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member == first {
 		t.Errorf("sent to %v while the key's member is busy and the origin idle, want the next candidate", req.attempts)
 	}
-	host.b.members[originID].latency = host.b.fetchTarget // a fetch is expensive
-	if req := host.request(Request{ID: 2, Key: 7}); len(req.attempts) != 0 || req.answers == 0 {
+	host.balancer.members[originID].latency = host.balancer.fetchTarget // a fetch is expensive
+	if req := host.request(Request{ID: 2, Key: 7}); len(req.attempts) != 0 || req.finalAnswers == 0 {
 		t.Errorf("sent to %v while the key's member is busy, want a refusal", req.attempts)
 	}
 	member.ejectedUntil = host.now + time.Second // ejected: the next candidate is used
-	if req := host.request(Request{ID: 3, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member == home {
+	if req := host.request(Request{ID: 3, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member == first {
 		t.Errorf("sent to %v while the key's member is ejected, want the next candidate", req.attempts)
 	}
 	host.checkViolations()
@@ -362,17 +362,17 @@
 func TestFullMemberKeepsItsKeys(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
-	home := host.request(Request{ID: 1, Key: 7}).attempts[0].member
-	member := host.b.members[home]
+	first := host.request(Request{ID: 1, Key: 7}).attempts[0].member
+	member := host.balancer.members[first]
 	host.endAttempt(1, 0, StatusFull)
 	if member.limit >= initialLimit {
 		t.Errorf("limit %v after a full answer, want less than %d", member.limit, initialLimit)
 	}
-	if req := host.request(Request{ID: 2, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member != home {
-		t.Errorf("the next request goes to %+v, want member %d", req.attempts, home)
+	if req := host.request(Request{ID: 2, Key: 7}); len(req.attempts) != 1 || req.attempts[0].member != first {
+		t.Errorf("the next request goes to %+v, want member %d", req.attempts, first)
 	}
 	for range 20 {
-		host.b.recordOutcome(member, Outcome{Status: StatusFull}, false)
+		host.balancer.recordOutcome(member, Outcome{Status: StatusFull}, false)
 	}
 	if member.limit < 1 {
 		t.Errorf("limit %v after many full answers, want 1", member.limit)
@@ -394,7 +394,7 @@
 			list[i].StartedAt = host.now - 2*time.Second // warmth 0.36
 		}
 		host.setMembers(ListCached, list...)
-		if w := host.b.warmWeight(); w < c.low || w > c.high {
+		if w := host.balancer.warmWeight(); w < c.low || w > c.high {
 			t.Errorf("%d of 10 members cold: weight %.2f, want %v to %v", c.cold, w, c.low, c.high)
 		}
 	}
@@ -406,18 +406,18 @@
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, cacheMembers(8)...)
 	for range 50 { // one key sets the level, the others are at the edge of the hot set
-		host.b.keyCounts.add(1)
+		host.balancer.keyCounts.add(1)
 	}
 	for key := uint64(2); key < 60; key++ {
-		host.b.keyCounts.add(key)
-		host.b.keyCounts.add(key)
+		host.balancer.keyCounts.add(key)
+		host.balancer.keyCounts.add(key)
 	}
-	host.b.placeHotKeys()
+	host.balancer.placeHotKeys()
 	moved, placed := 0, 0
 	for key := uint64(2); key < 60; key++ {
-		if p := host.b.hotTable[key]; p != nil {
+		if p := host.balancer.hotTable[key]; p != nil {
 			placed++
-			if p.members[0] != host.b.candidates(slotOf(key))[0].member {
+			if p.members[0] != host.balancer.candidates(slotOf(key))[0].member {
 				moved++
 			}
 		}
@@ -436,14 +436,14 @@
 		req := host.request(Request{ID: id, Key: 7})
 		host.endAttempt(id, len(req.attempts)-1, StatusOK)
 	}
-	host.b.members[originID].limit = 1
-	host.b.members[originID].outstanding = 1 // no capacity left
+	host.balancer.members[originID].limit = 1
+	host.balancer.members[originID].outstanding = 1 // no capacity left
 	for i, key := range []uint64{100, 101, 7} {
 		id := RequestID(100 + i)
 		host.request(Request{ID: id, Key: key})
 		host.endAttempt(id, 0, StatusMiss)
 	}
-	host.b.members[originID].outstanding = 0
+	host.balancer.members[originID].outstanding = 0
 	host.advance(25 * ms)
 	for i, want := range []int{1, 1, 2} {
 		if got := len(host.requests[RequestID(100+i)].attempts); got != want {
@@ -471,8 +471,8 @@
 		}
 		host.advance(2 * ms)
 	}
-	if most := float64(answered) / 8 * 1.1; host.b.servedRate() > most || host.b.servedRate() < most/2 {
-		t.Errorf("the budget goes by %.0f a second while caches answer %.0f", host.b.servedRate(), most/1.1)
+	if maxRate := float64(answered) / 8 * 1.1; host.balancer.servedRate() > maxRate || host.balancer.servedRate() < maxRate/2 {
+		t.Errorf("the budget goes by %.0f a second while caches answer %.0f", host.balancer.servedRate(), maxRate/1.1)
 	}
 	host.checkViolations()
 }
@@ -507,7 +507,7 @@
 	host.setMembers(ListCached, withOrigin(1)...)
 	host.advance(10 * ms)
 	host.request(Request{ID: 1, Key: 1})
-	if member := host.b.caches[0]; member.sendInterval > 1 {
+	if member := host.balancer.caches[0]; member.sendInterval > 1 {
 		t.Errorf("gap %v s after 10 ms", member.sendInterval)
 	}
 }
@@ -547,15 +547,15 @@
 		settings.Instances = 100
 		host := newHost(t, settings, uint64(round))
 		host.setMembers(ListCached, withOrigin(3)...)
-		host.b.hotTable = map[uint64]*placement{}
+		host.balancer.hotTable = map[uint64]*placement{}
 		counts := make([]float64, 5+rng.IntN(3))
 		for i := range counts {
 			counts[i] = float64(2 + rng.IntN(30))
 			for range int(counts[i]) {
-				host.b.keyCounts.add(uint64(i + 1))
+				host.balancer.keyCounts.add(uint64(i + 1))
 			}
 		}
-		host.b.keyCounts.total *= 1000 // many other requests: no key is hot enough to be split
+		host.balancer.keyCounts.total *= 1000 // many other requests: no key is hot enough to be split
 		got := host.placeOnAllCaches(counts)
 		best := bruteForce(counts, 3)
 		if got > best*4/3+keyCost {
@@ -567,14 +567,14 @@
 // placeOnAllCaches places the keys with all caches as candidates and returns the objective.
 func (h *fakeHost) placeOnAllCaches(counts []float64) float64 {
 	maxS, maxT := 0.0, 0.0
-	for _, it := range h.b.keyCounts.hottest(2, maxHotKeys) {
+	for _, it := range h.balancer.keyCounts.hottest(2, maxHotKeys) {
 		var order []candidate
-		for _, n := range h.b.caches {
+		for _, n := range h.balancer.caches {
 			order = append(order, candidate{member: n})
 		}
 		// An empty previous placement: the bound is that of the greedy, without the margin for previous
 		// placements.
-		n := h.b.cheapestCandidate(order, &placement{}, 0, it, 1, maxS, maxT, &placement{})
+		n := h.balancer.cheapestCandidate(order, &placement{}, 0, it, 1, maxS, maxT, &placement{})
 		n.hotLoad += it.count
 		n.hotKeys++
 		maxS, maxT = max(maxS, n.hotLoad), max(maxT, n.hotKeys)
@@ -620,36 +620,36 @@
 	}
 	a, b := newHost(t, testSettings(), 1), newHost(t, testSettings(), 99)
 	a.setMembers(ListCached, list...)
-	back := slices.Clone(list)
-	slices.Reverse(back)
-	b.setMembers(ListCached, back...)
-	was := firstCandidates(a.b)
-	if !slices.Equal(was, firstCandidates(b.b)) {
+	reversed := slices.Clone(list)
+	slices.Reverse(reversed)
+	b.setMembers(ListCached, reversed...)
+	before := firstCandidates(a.balancer)
+	if !slices.Equal(before, firstCandidates(b.balancer)) {
 		t.Fatal("the table depends on the list's order or the seed")
 	}
 	share, weight := map[MemberID]float64{}, 0.0
-	for _, id := range was {
+	for _, id := range before {
 		share[id]++
 	}
 	for _, m := range list[:12] {
 		weight += m.Weight
 	}
 	for _, m := range list[:12] { // tolerance: a quarter of the expected share
-		due := slotCount * m.Weight / weight
-		if math.Abs(share[m.ID]-due) > due/4 {
-			t.Errorf("member %d has %v slots, due %v", m.ID, share[m.ID], due)
+		expected := slotCount * m.Weight / weight
+		if math.Abs(share[m.ID]-expected) > expected/4 {
+			t.Errorf("member %d has %v slots, due %v", m.ID, share[m.ID], expected)
 		}
 	}
 	gone := list[4]
 	gone.State = Gone
 	a.setMembers(ListDelta, gone)
-	for i, id := range firstCandidates(a.b) {
-		if was[i] != gone.ID && id != was[i] {
-			t.Fatalf("slot %d moved from %d to %d though neither left", i, was[i], id)
+	for i, id := range firstCandidates(a.balancer) {
+		if before[i] != gone.ID && id != before[i] {
+			t.Fatalf("slot %d moved from %d to %d though neither left", i, before[i], id)
 		}
 	}
 	a.setMembers(ListDelta, list[4])
-	if !slices.Equal(was, firstCandidates(a.b)) {
+	if !slices.Equal(before, firstCandidates(a.balancer)) {
 		t.Error("the table differs after a member left and came back")
 	}
 }
@@ -661,12 +661,12 @@
 	host := newHost(t, settings, 1)
 	list := withOrigin(8)
 	host.setMembers(ListCached, list...)
-	was := firstCandidates(host.b)
+	before := firstCandidates(host.balancer)
 	for i := range list {
 		list[i].Weight /= float64(1 + i)
 	}
 	host.setMembers(ListDelta, list...)
-	if !slices.Equal(was, firstCandidates(host.b)) {
+	if !slices.Equal(before, firstCandidates(host.balancer)) {
 		t.Error("slots moved with the load")
 	}
 }
@@ -683,7 +683,7 @@
 		t.Fatalf("sent %+v, want the same cache twice", req.attempts)
 	}
 	host.endAttempt(1, 1, StatusReset)
-	if member := host.b.members[req.attempts[0].member]; member.ejectedUntil > host.now {
+	if member := host.balancer.members[req.attempts[0].member]; member.ejectedUntil > host.now {
 		t.Error("broken connections ejected a cache that may be up")
 	}
 	host.checkViolations()
@@ -703,8 +703,8 @@
 		}
 	}
 	host.setMembers(ListFull, Member{ID: 1, Weight: 1})
-	if len(host.b.members) != 1 {
-		t.Errorf("%d members kept, want 1", len(host.b.members))
+	if len(host.balancer.members) != 1 {
+		t.Errorf("%d members kept, want 1", len(host.balancer.members))
 	}
 }
 
@@ -715,10 +715,10 @@
 	for id := RequestID(1); id < 10; id++ {
 		req := host.request(Request{ID: id, Key: 77})
 		host.endAttempt(id, 0, StatusRejected)
-		if len(req.attempts) != 1 || req.answers != 1 {
-			t.Fatalf("sent %+v, answered %d times", req.attempts, req.answers)
+		if len(req.attempts) != 1 || req.finalAnswers != 1 {
+			t.Fatalf("sent %+v, answered %d times", req.attempts, req.finalAnswers)
 		}
-		if member := host.b.members[req.attempts[0].member]; member.failureRate != 0 || member.failureStreak != 0 {
+		if member := host.balancer.members[req.attempts[0].member]; member.failureRate != 0 || member.failureStreak != 0 {
 			t.Fatal("it counted against the member")
 		}
 	}
@@ -736,7 +736,7 @@
 		list[i].Zone = i % 3
 	}
 	host.setMembers(ListCached, list...)
-	order := host.b.candidates(slotOf(77))
+	order := host.balancer.candidates(slotOf(77))
 	first := order[0].member
 	if first.entry.Zone != settings.Zone {
 		t.Fatalf("the slot's first cache is in zone %d", first.entry.Zone)
@@ -745,7 +745,7 @@
 	for _, r := range order[:at] {
 		r.member.limit, r.member.outstanding = 1, 1
 	}
-	origin := host.b.origins[0]
+	origin := host.balancer.origins[0]
 	origin.limit, origin.outstanding = 1, 1
 	req := host.request(Request{ID: 1, Key: 77})
 	if len(req.attempts) != 1 || req.attempts[0].member != order[at].member.entry.ID {
@@ -761,8 +761,8 @@
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
 	req := host.request(Request{ID: 1, Key: 7})
-	host.b.retryTokens = 1
-	member := host.b.members[req.attempts[0].member]
+	host.balancer.retryTokens = 1
+	member := host.balancer.members[req.attempts[0].member]
 	host.endAttempt(1, 0, StatusNoConn)
 	if member.limit != initialLimit || member.failureStreak != 0 || member.failureRate != 0 || member.ejectedUntil != 0 {
 		t.Errorf("the member is held to blame: %+v", member.limiter)
@@ -770,8 +770,8 @@
 	if len(req.attempts) != 2 {
 		t.Fatalf("sent %+v, want a further attempt", req.attempts)
 	}
-	if f := host.b.requests[1]; host.b.retryTokens != 1 || f.sentAttempts() != 1 {
-		t.Errorf("retry budget %v, attempts on the wire %d, want 1 and 1", host.b.retryTokens, f.sentAttempts())
+	if f := host.balancer.requests[1]; host.balancer.retryTokens != 1 || f.sentAttempts() != 1 {
+		t.Errorf("retry budget %v, attempts on the wire %d, want 1 and 1", host.balancer.retryTokens, f.sentAttempts())
 	}
 	host.endAttempt(1, 1, StatusOK)
 	host.checkViolations()
@@ -782,7 +782,7 @@
 func TestBurstIsAllowedAtFastMembers(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(3)...)
-	member := host.b.caches[0]
+	member := host.balancer.caches[0]
 	for name, c := range map[string]struct {
 		limiter limiter
 		want    bool
@@ -797,7 +797,7 @@
 		"within its limit":                    {limiter{limit: initialLimit, latency: 0.3, samples: 50, outstanding: 1}, true},
 	} {
 		member.limiter = c.limiter
-		if got := host.b.hasCapacity(member); got != c.want {
+		if got := host.balancer.hasCapacity(member); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -806,7 +806,7 @@
 // A sudden burst at members without samples waits for the first answers. If they are fast, the whole burst
 // is served; if there are none, or slow ones, it is refused in good time, although it was waiting.
 func TestBurstAtStartedProxy(t *testing.T) {
-	const crowd = 400
+	const burst = 400
 	for name, c := range map[string]struct {
 		answers time.Duration
 		served  bool
@@ -814,12 +814,12 @@
 		t.Run(name, func(t *testing.T) {
 			host := newHost(t, testSettings(), 1)
 			host.setMembers(ListCached, withOrigin(8)...)
-			for id := RequestID(1); id <= crowd; id++ {
+			for id := RequestID(1); id <= burst; id++ {
 				host.request(Request{ID: id, Key: uint64(id)})
 			}
 			for range 100 { // 300 ms of a soft deadline of 500
 				host.advance(3 * ms)
-				for id := RequestID(1); id <= crowd && c.answers > 0; id++ {
+				for id := RequestID(1); id <= burst && c.answers > 0; id++ {
 					if r := host.requests[id]; len(r.attempts) > 0 && !r.attempts[0].ended && host.now-r.attempts[0].sentAt >= c.answers {
 						host.endAttempt(id, 0, StatusOK)
 					}
@@ -830,12 +830,12 @@
 				switch {
 				case len(r.attempts) > 0 && r.attempts[0].ended:
 					served++
-				case r.answers > 0:
+				case r.finalAnswers > 0:
 					refused++
 				}
 			}
-			if c.served && served != crowd || !c.served && refused < crowd-8*initialLimit*2 {
-				t.Errorf("%d served, %d refused of %d", served, refused, crowd)
+			if c.served && served != burst || !c.served && refused < burst-8*initialLimit*2 {
+				t.Errorf("%d served, %d refused of %d", served, refused, burst)
 			}
 			for _, why := range host.finalReasons {
 				if why != NoRoom && why != RetryBudget && why != Throttled {
@@ -856,8 +856,8 @@
 		host.setMembers(ListCached, withOrigin(8)...)
 		for id := RequestID(1); id <= 200; id++ {
 			req := host.request(Request{ID: id, Key: uint64(id)})
-			host.b.retryTokens = 1
-			member := host.b.members[req.attempts[0].member]
+			host.balancer.retryTokens = 1
+			member := host.balancer.members[req.attempts[0].member]
 			host.endAttempt(id, 0, s)
 			if member.failureStreak != 0 || member.failureRate != 0 || member.limit != initialLimit {
 				t.Fatalf("%v: the member is held to blame: %+v", s, member.limiter)
@@ -865,11 +865,11 @@
 			if len(req.attempts) != 2 {
 				t.Fatalf("%v: read %d was sent %d times, want a further attempt", s, id, len(req.attempts))
 			}
-			if host.b.recentAttempts > host.b.recentAnswers+2 {
-				t.Fatalf("%v: %v asked, %v answered", s, host.b.recentAttempts, host.b.recentAnswers)
+			if host.balancer.recentAttempts > host.balancer.recentAnswers+2 {
+				t.Fatalf("%v: %v asked, %v answered", s, host.balancer.recentAttempts, host.balancer.recentAnswers)
 			}
 			host.endAttempt(id, 1, StatusOK)
-			for _, n := range host.b.members {
+			for _, n := range host.balancer.members {
 				n.limit = initialLimit
 			}
 		}
@@ -883,14 +883,14 @@
 	t.Helper()
 	host = newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
-	for _, n := range host.b.caches {
+	for _, n := range host.balancer.caches {
 		n.limiter = limiter{limit: 1000, latency: latency.Seconds(), answerInterval: 0.0001, samples: 100}
 	}
 	host.request(Request{ID: 1, Key: 1})
 	host.endAttempt(1, 0, StatusOK)
 	return host, func(from, to RequestID) (n int) {
 		for id := from; id < to; id++ {
-			n += host.request(Request{ID: id, Key: uint64(id)}).answers
+			n += host.request(Request{ID: id, Key: uint64(id)}).finalAnswers
 		}
 		return n
 	}
@@ -942,8 +942,8 @@
 	host.endAttempt(2, 0, StatusOK)
 	host.advance(5 * time.Second)
 	host.checkViolations()
-	if len(host.b.requests) != 0 || len(host.b.fetchWaiters) != 0 {
-		t.Errorf("left behind: %d requests, %d fetches", len(host.b.requests), len(host.b.fetchWaiters))
+	if len(host.balancer.requests) != 0 || len(host.balancer.fetchWaiters) != 0 {
+		t.Errorf("left behind: %d requests, %d fetches", len(host.balancer.requests), len(host.balancer.fetchWaiters))
 	}
 }
 
@@ -954,7 +954,7 @@
 		t.Run(name, func(t *testing.T) {
 			host := newHost(t, testSettings(), 1)
 			host.setMembers(ListCached, withOrigin(3)...)
-			origin := host.b.origins[0]
+			origin := host.balancer.origins[0]
 			origin.latency, origin.samples, origin.limit = 0.02, 10, 10
 			host.request(Request{ID: 1, Key: 1})
 			host.endAttempt(1, 0, StatusMiss)
@@ -968,7 +968,7 @@
 			}
 			host.now = sent + 400*ms
 			latency, limit := origin.latency, origin.limit
-			host.b.Outcome(host.now, Outcome{Request: 1, Attempt: 1, Member: originID, Status: StatusTimeout, Elapsed: host.now - sent})
+			host.balancer.Outcome(host.now, Outcome{Request: 1, Attempt: 1, Member: originID, Status: StatusTimeout, Elapsed: host.now - sent})
 			if cut := origin.latency > latency || origin.limit < limit; cut != (others == 0) {
 				t.Errorf("latency %v -> %v, limit %v -> %v", latency, origin.latency, limit, origin.limit)
 			}
@@ -985,10 +985,10 @@
 	host.setMembers(ListCached, withOrigin(3)...)
 	f := &pendingRequest{}
 	mean := func(at time.Duration) (sum time.Duration) {
-		host.b.now = at
+		host.balancer.now = at
 		seen := map[time.Duration]bool{}
 		for range 100 {
-			d := host.b.retryAfter(f)
+			d := host.balancer.retryAfter(f)
 			if d <= 0 || d > settings.MaxRetryAfter {
 				t.Fatalf("told to come back after %v", d)
 			}
@@ -1005,8 +1005,8 @@
 	mean(start + 500*ms)
 	later := mean(start + time.Second)
 	mean(start + 2*time.Second)
-	if most := mean(start + 3*time.Second); later < 2*first || most < later {
-		t.Errorf("%v at first, %v after a second, %v after three", first, later, most)
+	if longest := mean(start + 3*time.Second); later < 2*first || longest < later {
+		t.Errorf("%v at first, %v after a second, %v after three", first, later, longest)
 	}
 	if again := mean(start + 10*time.Second); again > 2*first {
 		t.Errorf("%v at the start of another shortage, %v at that of the first", again, first)
@@ -1018,19 +1018,19 @@
 func TestRandomStreaksDoNotEject(t *testing.T) {
 	host := newHost(t, testSettings(), 1)
 	host.setMembers(ListCached, withOrigin(8)...)
-	member := host.b.caches[0]
-	host.b.failureRate = 0.15
+	member := host.balancer.caches[0]
+	host.balancer.failureRate = 0.15
 	for range 2 {
-		host.b.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
+		host.balancer.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
 	}
-	if member.ejectedUntil > host.b.now {
+	if member.ejectedUntil > host.balancer.now {
 		t.Error("ejected after two time-outs where many fail")
 	}
 	for range maxFailureStreak {
-		host.b.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
-		host.b.failureRate = 0.15
+		host.balancer.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: 100 * ms}, false)
+		host.balancer.failureRate = 0.15
 	}
-	if member.ejectedUntil <= host.b.now {
+	if member.ejectedUntil <= host.balancer.now {
 		t.Errorf("not ejected after %d failures in a row", member.failureStreak)
 	}
 }
@@ -1041,10 +1041,10 @@
 		t.Run(name, func(t *testing.T) {
 			host := newHost(t, testSettings(), 1)
 			host.setMembers(ListCached, withOrigin(8)...)
-			member := host.b.caches[0]
+			member := host.balancer.caches[0]
 			for range 5 {
-				host.b.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 2 * seconds(host.b.fetchTarget), FirstOnConnection: fresh}, false)
-				host.b.now += time.Second
+				host.balancer.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 2 * seconds(host.balancer.fetchTarget), FirstOnConnection: fresh}, false)
+				host.balancer.now += time.Second
 			}
 			if cut := member.limit < initialLimit; cut == fresh {
 				t.Errorf("limit %v after slow answers", member.limit)
@@ -1064,18 +1064,18 @@
 			t.Fatalf("sent %+v, want member 3", req.attempts)
 		}
 		host.endAttempt(id, 0, StatusMiss) // the origin is not allowed
-		if req.answers != 1 || len(req.attempts) != 1 || host.finalReasons[len(host.finalReasons)-1] != NoMember {
-			t.Fatalf("after a miss: %+v, answered %d, %v", req.attempts, req.answers, host.finalReasons)
+		if req.finalAnswers != 1 || len(req.attempts) != 1 || host.finalReasons[len(host.finalReasons)-1] != NoMember {
+			t.Fatalf("after a miss: %+v, answered %d, %v", req.attempts, req.finalAnswers, host.finalReasons)
 		}
 	}
-	if req := host.request(Request{ID: 21, Key: 5, AllowedMembers: []MemberID{}}); req.answers != 1 {
+	if req := host.request(Request{ID: 21, Key: 5, AllowedMembers: []MemberID{}}); req.finalAnswers != 1 {
 		t.Error("a request that may go to nobody is not answered")
 	}
-	host.b.origins[0].limit, host.b.origins[0].latency, host.b.origins[0].lastSentAt = 0.25, 0.2, host.now
+	host.balancer.origins[0].limit, host.balancer.origins[0].latency, host.balancer.origins[0].lastSentAt = 0.25, 0.2, host.now
 	host.request(Request{ID: 22, Key: 77})
 	host.endAttempt(22, 0, StatusMiss) // queued for the origin
-	host.b.RestrictMembers(host.now, 22, []MemberID{3})
-	if host.requests[22].answers != 1 {
+	host.balancer.RestrictMembers(host.now, 22, []MemberID{3})
+	if host.requests[22].finalAnswers != 1 {
 		t.Error("a request in line for a member that it allows no more is not answered")
 	}
 	host.checkViolations()
@@ -1089,35 +1089,35 @@
 	list[2].StartedAt = host.now - 100*ms
 	host.setMembers(ListCached, list...)
 	req := host.request(Request{ID: 1, Key: 77})
-	spares := host.b.Fallbacks(1, 10)
-	if len(spares) != 3 { // four attempts, one of them outstanding
-		t.Fatalf("spares %v", spares)
+	fallbacks := host.balancer.Fallbacks(1, 10)
+	if len(fallbacks) != 3 { // four attempts, one of them outstanding
+		t.Fatalf("spares %v", fallbacks)
 	}
-	for _, m := range append(spares, originID) {
-		if (m == req.attempts[0].member || m == 3 || m == originID) == slices.Contains(spares, m) {
-			t.Errorf("spares %v: %d is the one sent to, a cold one or the origin", spares, m)
+	for _, m := range append(fallbacks, originID) {
+		if (m == req.attempts[0].member || m == 3 || m == originID) == slices.Contains(fallbacks, m) {
+			t.Errorf("spares %v: %d is the one sent to, a cold one or the origin", fallbacks, m)
 		}
 	}
-	host.b.FallbackUsed(host.now, 1, req.attempts[0].member, spares[0])
-	host.b.FallbackUsed(host.now, 1, spares[0], spares[1])
-	if f := host.b.requests[1]; f.sentAttempts() != 3 || host.b.members[spares[1]].outstanding != 1 || host.b.members[spares[0]].outstanding != 0 ||
-		host.b.members[req.attempts[0].member].outstanding != 0 || host.b.members[spares[0]].failureStreak != 1 {
+	host.balancer.FallbackUsed(host.now, 1, req.attempts[0].member, fallbacks[0])
+	host.balancer.FallbackUsed(host.now, 1, fallbacks[0], fallbacks[1])
+	if f := host.balancer.requests[1]; f.sentAttempts() != 3 || host.balancer.members[fallbacks[1]].outstanding != 1 || host.balancer.members[fallbacks[0]].outstanding != 0 ||
+		host.balancer.members[req.attempts[0].member].outstanding != 0 || host.balancer.members[fallbacks[0]].failureStreak != 1 {
 		t.Errorf("%d attempts", f.sentAttempts())
 	}
-	host.b.Outcome(host.now, Outcome{Request: 1, Attempt: 0, Member: spares[1], Status: StatusError})
+	host.balancer.Outcome(host.now, Outcome{Request: 1, Attempt: 0, Member: fallbacks[1], Status: StatusError})
 	if len(req.attempts) != 2 {
 		t.Fatalf("sent %+v, want the fourth attempt", req.attempts)
 	}
 	host.endAttempt(1, 1, StatusError)
-	if len(req.attempts) != 2 || req.answers != 1 {
-		t.Errorf("sent %+v, answered %d times, after four attempts", req.attempts, req.answers)
+	if len(req.attempts) != 2 || req.finalAnswers != 1 {
+		t.Errorf("sent %+v, answered %d times, after four attempts", req.attempts, req.finalAnswers)
 	}
 	o := host.request(Request{ID: 2, Key: 8, Class: 1, Write: true})
-	if got := host.b.Fallbacks(2, 3); len(o.attempts) != 1 || got != nil {
+	if got := host.balancer.Fallbacks(2, 3); len(o.attempts) != 1 || got != nil {
 		t.Errorf("spares of an order: %v", got)
 	}
 	host.request(Request{ID: 3, Key: 9, Write: true}) // safe to repeat, but not sent to caches
-	if got := host.b.Fallbacks(3, 3); got != nil {
+	if got := host.balancer.Fallbacks(3, 3); got != nil {
 		t.Errorf("spares of a write: %v", got)
 	}
 }
@@ -1127,8 +1127,8 @@
 // member can certainly serve.
 func TestStartedProxyWithColdFleet(t *testing.T) {
 	for name, c := range map[string]struct {
-		takes, gap time.Duration // duration of an answer; interval between requests
-		least      float64       // share of the requests served in the last of 6 seconds
+		answerTime, interval time.Duration // duration of an answer; interval between requests
+		minShare             float64       // share of the requests served in the last of 6 seconds
 	}{
 		"quick members": {10 * ms, 20 * ms, 0.35}, "slow members": {300 * ms, 50 * ms, 0.2}, "silent members": {time.Hour, 20 * ms, 0},
 	} {
@@ -1142,13 +1142,13 @@
 			asked, served := 0, 0
 			for id := RequestID(1); host.now < time.Hour+6*time.Second; id++ {
 				host.request(Request{ID: id, Key: uint64(id)})
-				host.advance(c.gap)
+				host.advance(c.interval)
 				for i := max(200, id) - 199; i <= id; i++ {
 					r := host.requests[i]
-					if r.answers > 0 || len(r.attempts) == 0 {
+					if r.finalAnswers > 0 || len(r.attempts) == 0 {
 						continue
 					}
-					if a := r.attempts[len(r.attempts)-1]; !a.ended && host.now-a.sentAt >= c.takes {
+					if a := r.attempts[len(r.attempts)-1]; !a.ended && host.now-a.sentAt >= c.answerTime {
 						host.endAttempt(r.ID, len(r.attempts)-1, StatusOK)
 						if host.now > time.Hour+5*time.Second {
 							served++
@@ -1159,12 +1159,12 @@
 					asked++
 				}
 			}
-			if share := float64(served) / float64(asked); share < c.least {
-				t.Errorf("%.2f of the reads are served, want %.2f", share, c.least)
+			if share := float64(served) / float64(asked); share < c.minShare {
+				t.Errorf("%.2f of the reads are served, want %.2f", share, c.minShare)
 			}
 			for id, at := range host.coldSends {
-				for i := 1; i < len(at) && c.takes == time.Hour; i++ { // members without answers
-					if gap := at[i] - at[i-1]; gap < time.Duration(host.s.Instances)*50*ms {
+				for i := 1; i < len(at) && c.answerTime == time.Hour; i++ { // members without answers
+					if gap := at[i] - at[i-1]; gap < time.Duration(host.settings.Instances)*50*ms {
 						t.Errorf("member %d, which answers nothing, is asked again after %v", id, gap)
 					}
 				}
@@ -1219,14 +1219,14 @@
 			continue
 		}
 		host.finalReasons = nil
-		aim := host.b.requests[id].softDeadline - asked
+		aim := host.balancer.requests[id].softDeadline - asked
 		host.advance(aim/4 - unknownCacheRetryDelay)
-		if req.answers > 0 {
+		if req.finalAnswers > 0 {
 			t.Errorf("%s: answered within a quarter of its time", name)
 		}
 		host.advance(2 * unknownCacheRetryDelay)
-		if req.answers != 1 || !slices.Equal(host.finalReasons, []Reason{NoConnection}) {
-			t.Errorf("%s: %d answers after a quarter of its time: %v", name, req.answers, host.finalReasons)
+		if req.finalAnswers != 1 || !slices.Equal(host.finalReasons, []Reason{NoConnection}) {
+			t.Errorf("%s: %d answers after a quarter of its time: %v", name, req.finalAnswers, host.finalReasons)
 		}
 	}
 	host.connectionWait = func(MemberID) time.Duration { return -1 }
@@ -1292,9 +1292,9 @@
 		host := newHost(t, testSettings(), 1)
 		host.setMembers(ListFull, withOrigin(8)...)
 		for id := RequestID(1); id <= 200; id++ {
-			host.b.retryTokens = retryBurst
+			host.balancer.retryTokens = retryBurst
 			req := host.request(Request{ID: id, Key: uint64(id) * 7919})
-			for n := 0; n < len(req.attempts) && req.answers == 0; n++ {
+			for n := 0; n < len(req.attempts) && req.finalAnswers == 0; n++ {
 				if req.attempts[n].member != originID && n < 2 {
 					host.endAttempt(id, n, c.status)
 				} else {
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -56,7 +56,7 @@
 	list := withOrigin(12)
 	host.setMembers(ListCached, list...)
 	if host.importedState != nil {
-		host.b.ImportState(host.now, *host.importedState)
+		host.balancer.ImportState(host.now, *host.importedState)
 	}
 	next := RequestID(0)
 	for range 6000 {
@@ -81,8 +81,8 @@
 	}
 	host.advance(20 * time.Second)
 	for id := RequestID(1); id <= next; id++ {
-		if host.requests[id].answers != 1 {
-			host.violate("request %d answered %d times", id, host.requests[id].answers)
+		if host.requests[id].finalAnswers != 1 {
+			host.violate("request %d answered %d times", id, host.requests[id].finalAnswers)
 		}
 	}
 	host.checkColdSends()
@@ -109,7 +109,7 @@
 		if !a.ended {
 			h.endAttempt(id, i, randomStatuses[rng.IntN(len(randomStatuses))])
 			if rng.IntN(10) == 0 { // reported twice
-				h.b.Outcome(h.now, Outcome{Request: id, Attempt: i, Member: a.member, Status: StatusTimeout})
+				h.balancer.Outcome(h.now, Outcome{Request: id, Attempt: i, Member: a.member, Status: StatusTimeout})
 			}
 			return
 		}
@@ -137,9 +137,9 @@
 // cancelRandomRequest cancels an unanswered request.
 func (h *fakeHost) cancelRandomRequest(rng *rand.Rand) {
 	for id, n := RequestID(1), RequestID(len(h.requests)); id <= n; id++ {
-		if r := h.requests[id]; r.answers == 0 && rng.IntN(5) == 0 {
-			r.answers = 1
-			h.b.RequestCancelled(h.now, id)
+		if r := h.requests[id]; r.finalAnswers == 0 && rng.IntN(5) == 0 {
+			r.finalAnswers = 1
+			h.balancer.RequestCancelled(h.now, id)
 			return
 		}
 	}
@@ -148,9 +148,9 @@
 // checkDeadlines checks that requests are answered by their deadline.
 func (h *fakeHost) checkDeadlines() {
 	for id, r := range h.requests {
-		if r.answers == 0 && h.now > r.Deadline+20*ms {
+		if r.finalAnswers == 0 && h.now > r.Deadline+20*ms {
 			h.violate("request %d unanswered %v after its deadline", id, h.now-r.Deadline)
-			r.answers = 1
+			r.finalAnswers = 1
 		}
 	}
 }
@@ -164,15 +164,15 @@
 		for i := range at {
 			in := 0
 			for _, x := range at[i:] {
-				if x-at[i] < h.s.OverloadDuration {
+				if x-at[i] < h.settings.OverloadDuration {
 					in++
 				}
 			}
-			age := min(1, (at[i]+h.s.OverloadDuration-h.listed[id].StartedAt).Seconds()/h.s.SlowStartDuration.Seconds())
-			ramp := h.s.SlowStartCapacity + (1-h.s.SlowStartCapacity)*age
-			most := 2 + h.s.OverloadMultiple*ramp*2*rate/12*h.s.OverloadDuration.Seconds()
-			if float64(in) > most {
-				h.violate("cold member %d got %d sends in %v, at most %.1f", id, in, h.s.OverloadDuration, most)
+			age := min(1, (at[i]+h.settings.OverloadDuration-h.listed[id].StartedAt).Seconds()/h.settings.SlowStartDuration.Seconds())
+			ramp := h.settings.SlowStartCapacity + (1-h.settings.SlowStartCapacity)*age
+			allowed := 2 + h.settings.OverloadMultiple*ramp*2*rate/12*h.settings.OverloadDuration.Seconds()
+			if float64(in) > allowed {
+				h.violate("cold member %d got %d sends in %v, at most %.1f", id, in, h.settings.OverloadDuration, allowed)
 				return
 			}
 		}
--- a/logic/transit_test.go
+++ b/logic/transit_test.go
@@ -11,17 +11,17 @@
 	n := len(r.attempts) - 1
 	a := &r.attempts[n]
 	a.ended, a.mayHaveRun = true, !s.NeverRan()
-	h.b.Outcome(h.now, Outcome{Request: r.ID, Attempt: n, Member: a.member, Status: s, Elapsed: h.now - a.sentAt, InTransit: transit})
+	h.balancer.Outcome(h.now, Outcome{Request: r.ID, Attempt: n, Member: a.member, Status: s, Elapsed: h.now - a.sentAt, InTransit: transit})
 }
 
 // The next attempt waits until no earlier one can still arrive at a member, and is then made at once. If
 // that leaves too little time, the request is answered at once.
 func TestNextAttemptWaitsForTransit(t *testing.T) {
 	for name, c := range map[string]struct {
-		status  Status
-		class   int
-		transit time.Duration
-		sent    time.Duration // expected time of the next attempt; 0: the request is answered at once
+		status    Status
+		class     int
+		transit   time.Duration
+		nextAfter time.Duration // expected time of the next attempt; 0: the request is answered at once
 	}{
 		"nothing in transit":      {StatusTimeout, 0, 0, 1},
 		"a read":                  {StatusTimeout, 0, 40 * ms, 40 * ms},
@@ -34,22 +34,22 @@
 			host := newHost(t, testSettings(), 1)
 			host.setMembers(ListCached, withOrigin(8)...)
 			req := host.request(Request{ID: 1, Key: 7, Class: c.class, Write: c.class > 0})
-			host.b.retryTokens = 10
+			host.balancer.retryTokens = 10
 			host.endInTransit(req, c.status, c.transit)
-			if c.sent == 0 {
-				if req.answers != 1 || len(req.attempts) != 1 {
-					t.Errorf("answered %d times, sent %d times; want an answer at once", req.answers, len(req.attempts))
+			if c.nextAfter == 0 {
+				if req.finalAnswers != 1 || len(req.attempts) != 1 {
+					t.Errorf("answered %d times, sent %d times; want an answer at once", req.finalAnswers, len(req.attempts))
 				}
 				host.checkViolations()
 				return
 			}
-			host.advance(c.sent - ms)
-			if c.sent > ms && len(req.attempts) > 1 {
-				t.Errorf("sent again %v before the first attempt has surely come", c.sent-(req.attempts[1].sentAt-req.attempts[0].sentAt))
+			host.advance(c.nextAfter - ms)
+			if c.nextAfter > ms && len(req.attempts) > 1 {
+				t.Errorf("sent again %v before the first attempt has surely come", c.nextAfter-(req.attempts[1].sentAt-req.attempts[0].sentAt))
 			}
 			host.advance(ms)
 			if len(req.attempts) != 2 {
-				t.Errorf("sent %d times after %v, want 2", len(req.attempts), c.sent)
+				t.Errorf("sent %d times after %v, want 2", len(req.attempts), c.nextAfter)
 			}
 			host.checkViolations()
 		})
@@ -62,12 +62,12 @@
 	for elapsed, blamed := range map[time.Duration]bool{30 * ms: false, 90 * ms: true} {
 		host := newHost(t, testSettings(), 1)
 		host.setMembers(ListCached, withOrigin(8)...)
-		member := host.b.caches[0]
+		member := host.balancer.caches[0]
 		for range 20 {
-			host.b.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
+			host.balancer.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
 		}
 		host.advance(time.Second) // time since the last answer
-		host.b.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
+		host.balancer.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
 		if (member.failureStreak > 0) != blamed {
 			t.Errorf("a time-out after %v, where answers take 40 ms: %d failures in a row", elapsed, member.failureStreak)
 		}
--- a/logic/untold_test.go
+++ b/logic/untold_test.go
@@ -22,19 +22,19 @@
 			settings.Mode, settings.OriginKind, settings.SlowStartCapacity, settings.SlowStartDuration = CacheAside, 9, 0.3, 10*time.Second
 			host := newHost(t, settings, 1)
 			host.setMembers(ListFull, cacheMembers(1)...)
-			member := host.b.caches[0]
+			member := host.balancer.caches[0]
 			for i := range c.hits + c.misses {
 				o := Outcome{Status: StatusMiss, Elapsed: ms}
 				if i < c.hits {
 					o.Status = StatusOK
 				}
-				host.b.recordOutcome(member, o, false)
+				host.balancer.recordOutcome(member, o, false)
 			}
-			if got := host.b.warmth(member); (got < 1) != c.cold {
+			if got := host.balancer.warmth(member); (got < 1) != c.cold {
 				t.Errorf("it counts as %.2f warm", got)
 			}
-			host.b.advance(host.b.now + settings.SlowStartDuration)
-			if got := host.b.warmth(member); got != 1 {
+			host.balancer.advance(host.balancer.now + settings.SlowStartDuration)
+			if got := host.balancer.warmth(member); got != 1 {
 				t.Errorf("when it is warm, it counts as %.2f", got)
 			}
 		})
