--- a/logic/api.go
+++ b/logic/api.go
@@ -186,14 +186,14 @@
 // check returns an error if the settings are unusable.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
-		return errors.New("logic: settings name no class")
+		return errors.New("logic: settings contain no class")
 	}
 	if s.MaxAttempts < 1 {
-		return fmt.Errorf("logic: try limit %d leaves no attempt", s.MaxAttempts)
+		return fmt.Errorf("logic: try limit %d allows no attempt", s.MaxAttempts)
 	}
 	if !(s.SlowStartCapacity >= 0 && s.SlowStartCapacity <= 1) || !(s.OverloadMultiple >= 0) ||
 		s.SlowStartDuration < 0 || s.OverloadDuration < 0 {
-		return errors.New("logic: cold-start settings out of range")
+		return errors.New("logic: slow-start settings out of range")
 	}
 	for _, c := range s.Classes {
 		if c.SoftDeadline <= 0 || c.Deadline <= 0 {
--- a/logic/counter.go
+++ b/logic/counter.go
@@ -24,7 +24,7 @@
 func (c *counter) Len() int           { return len(c.items) }
 func (c *counter) Less(i, j int) bool { return c.items[i].count < c.items[j].count }
 func (c *counter) Push(x any)         { c.items = append(c.items, x.(keyCount)) }
-func (c *counter) Pop() any           { panic("counter: keys only leave by replacement") }
+func (c *counter) Pop() any           { panic("counter: keys are removed only by replacement") }
 func (c *counter) Swap(i, j int) {
 	c.items[i], c.items[j] = c.items[j], c.items[i]
 	c.index[c.items[i].key], c.index[c.items[j].key] = i, j
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -76,7 +76,7 @@
 // New creates a Balancer. The seed determines all its random choices.
 func New(s Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if actions == nil {
-		return nil, errors.New("logic: no actions")
+		return nil, errors.New("logic: actions are nil")
 	}
 	if err := s.check(); err != nil {
 		return nil, err
