--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -115,11 +115,13 @@
 	sim.settings.Classes = sim.settings.Classes[:2]
 	sim.settings.Classes[0].SoftDeadline, sim.settings.Classes[0].Deadline = 440*ms, 1600*ms
 	sim.settings.Instances, sim.settings.Zones, sim.settings.CrossZoneCost = proxies, 3, 0.06
-	sim.settings.SlowStartCapacity, sim.settings.SlowStartDuration, sim.settings.OverloadMultiple, sim.settings.MaxEventDelay = 0.3, 9*time.Second, 4, ms
+	sim.settings.SlowStartCapacity, sim.settings.SlowStartDuration, sim.settings.OverloadMultiple, sim.settings.MaxEventDelay =
+		0.3, 9*time.Second, 4, ms
 	for i := range caches {
 		sim.addCache(MemberID(i+1), 0)
 	}
-	sim.origin = &fleetCache{entry: Member{ID: fleetOriginID, Kind: 9, Weight: 1}, workers: 64, queueCapacity: 1000, slowdown: 1, keys: map[uint64]bool{}}
+	sim.origin = &fleetCache{entry: Member{ID: fleetOriginID, Kind: 9, Weight: 1}, workers: 64, queueCapacity: 1000,
+		slowdown: 1, keys: map[uint64]bool{}}
 	sim.listed[fleetOriginID] = sim.origin.entry
 	sim.excessConnectionStatus = StatusFull
 	for i := range proxies {
@@ -213,8 +215,8 @@
 	sim.nextID++
 	sim.arrivedReads++
 	p.arrivedReads++
-	r := &fleetRequest{Request: Request{ID: sim.nextID, Key: key, Deadline: sim.now + sim.settings.Classes[0].Deadline}, outstanding: map[int]MemberID{},
-		lastEventAt: sim.now}
+	r := &fleetRequest{Request: Request{ID: sim.nextID, Key: key, Deadline: sim.now + sim.settings.Classes[0].Deadline},
+		outstanding: map[int]MemberID{}, lastEventAt: sim.now}
 	p.requests[r.ID] = r
 	p.balancer.Request(sim.now, r.Request)
 }
@@ -242,7 +244,8 @@
 					p.servedReads++
 				}
 			}
-			p.balancer.Outcome(sim.now, Outcome{Request: id, Attempt: attempt, Member: to, Status: s, Elapsed: sim.now - sentAt, Final: read.answered})
+			p.balancer.Outcome(sim.now, Outcome{Request: id, Attempt: attempt, Member: to, Status: s, Elapsed: sim.now - sentAt,
+				Final: read.answered})
 			if read.answered && len(read.outstanding) == 0 {
 				delete(p.requests, id)
 			}
@@ -869,7 +872,8 @@
 						ejected += len(p.ejected())
 					}
 					share := sim.takeServedShare()
-					t.Logf("%.3f in time, the worst proxy %.3f, %v, %d turned away, %d left out", share, worstShare, sim.refused, sim.refusedConnections, ejected)
+					t.Logf("%.3f in time, the worst proxy %.3f, %v, %d turned away, %d left out", share,
+						worstShare, sim.refused, sim.refusedConnections, ejected)
 					for _, c := range sim.caches {
 						if c.peakConns > maxConns {
 							t.Fatalf("cache %d holds %d connections", c.entry.ID, c.peakConns)
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -43,7 +43,8 @@
 			corrupt(&k.Err)
 			k.Members = append(k.Members, MemberID(rng.IntN(2000)), originID)
 		}
-		for _, f := range []*float64{&state.Total, &state.EarlierTotal, &state.Latency, &state.FailureRate, &state.Arrivals, &state.ServedWork, &state.SpanSeconds, &state.RecentAttempts, &state.RecentAnswers} {
+		for _, f := range []*float64{&state.Total, &state.EarlierTotal, &state.Latency, &state.FailureRate, &state.Arrivals,
+			&state.ServedWork, &state.SpanSeconds, &state.RecentAttempts, &state.RecentAnswers} {
 			corrupt(f)
 		}
 		driveRandom(t, settings, seed+50, importing).checkViolations()
@@ -103,7 +104,8 @@
 			if n.entry.State != Ready || n.entry.ID == 1 || n.entry.ID == 3 {
 				t.Errorf("key %d is placed at member %d", key, n.entry.ID)
 			}
-			if was := old.balancer.hotTable[key]; was != nil && len(p.members) == 1 && was.members[0].entry.ID > 3 && was.members[0].entry.ID != n.entry.ID {
+			if was := old.balancer.hotTable[key]; was != nil && len(p.members) == 1 &&
+				was.members[0].entry.ID > 3 && was.members[0].entry.ID != n.entry.ID {
 				t.Errorf("key %d moves from %d to %d", key, was.members[0].entry.ID, n.entry.ID)
 			}
 		}
@@ -119,7 +121,8 @@
 	l := LearnedState{
 		Keys:  []LearnedKey{{Key: 1, Count: 2, Err: 3, Members: []MemberID{4}}},
 		Total: 5, EarlierTotal: 6,
-		Members: []LearnedMember{{ID: 7, StartedAt: 8, Limit: 9, Latency: 10, SendInterval: 11, AnswerInterval: 12, Samples: 13, LimitCut: true, FailureRate: 14, FailureStreak: 15,
+		Members: []LearnedMember{{ID: 7, StartedAt: 8, Limit: 9, Latency: 10, SendInterval: 11, AnswerInterval: 12, Samples: 13,
+			LimitCut: true, FailureRate: 14, FailureStreak: 15,
 			EjectedFor: 16}},
 		Latency: 17, FailureRate: 18, Arrivals: 19, ServedWork: 20, SpanSeconds: 21, RecentAttempts: 22, RecentAnswers: 23,
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -1043,7 +1043,8 @@
 			host.setMembers(ListCached, withOrigin(8)...)
 			member := host.balancer.caches[0]
 			for range 5 {
-				host.balancer.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 2 * seconds(host.balancer.fetchTarget), FirstOnConnection: fresh}, false)
+				host.balancer.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 2 * seconds(host.balancer.fetchTarget),
+					FirstOnConnection: fresh}, false)
 				host.balancer.now += time.Second
 			}
 			if cut := member.limit < initialLimit; cut == fresh {
@@ -1100,7 +1101,8 @@
 	}
 	host.balancer.FallbackUsed(host.now, 1, req.attempts[0].member, fallbacks[0])
 	host.balancer.FallbackUsed(host.now, 1, fallbacks[0], fallbacks[1])
-	if f := host.balancer.requests[1]; f.sentAttempts() != 3 || host.balancer.members[fallbacks[1]].outstanding != 1 || host.balancer.members[fallbacks[0]].outstanding != 0 ||
+	if f := host.balancer.requests[1]; f.sentAttempts() != 3 ||
+		host.balancer.members[fallbacks[1]].outstanding != 1 || host.balancer.members[fallbacks[0]].outstanding != 0 ||
 		host.balancer.members[req.attempts[0].member].outstanding != 0 || host.balancer.members[fallbacks[0]].failureStreak != 1 {
 		t.Errorf("%d attempts", f.sentAttempts())
 	}
