--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -66,7 +66,7 @@
 type Snapshot struct {
 	Fleet      uint64                       // result of FleetHash
 	TakenMS    int64                        // Unix time
-	Balancer   logic.Learnt                 `json:"Learnt"`
+	Balancer   logic.LearnedState           `json:"Learnt"`
 	Links      map[logic.MemberID]LinkState `json:"Members"`
 	Idle       pool.IdleStats
 	ReuseShare float64 `json:"Reuse"` // share of client connections that carry further requests
@@ -112,7 +112,7 @@
 			return nil, fmt.Errorf("inherit: snapshot has %d bytes without members, more than fit", len(body))
 		}
 		members := slices.Clone(s.Balancer.Members)
-		slices.SortStableFunc(members, func(a, b logic.LearntMember) int { return b.Seen - a.Seen })
+		slices.SortStableFunc(members, func(a, b logic.LearnedMember) int { return b.Samples - a.Samples })
 		s.Balancer.Members = members[:n]
 		links := map[logic.MemberID]LinkState{}
 		for _, m := range s.Balancer.Members {
@@ -189,16 +189,16 @@
 		return Snapshot{}, fmt.Errorf("%w: the list has %d of its %d members", ErrFleet, named, total)
 	}
 	share := remainingShare(age, countsHalfLife)
-	balancer.Total, balancer.Kept = balancer.Total*share, balancer.Kept*share
+	balancer.Total, balancer.EarlierTotal = balancer.Total*share, balancer.EarlierTotal*share
 	balancer.Keys = nil
 	for _, k := range s.Balancer.Keys {
 		k.Count, k.Err = k.Count*share, k.Err*share
 		balancer.Keys = append(balancer.Keys, k)
 	}
 	share = remainingShare(age, loadHalfLife)
-	balancer.Arrivals, balancer.Carried, balancer.Span = balancer.Arrivals*share, balancer.Carried*share, balancer.Span*share
-	balancer.Asked, balancer.Answered = balancer.Asked*share, balancer.Answered*share
-	balancer.Fails *= remainingShare(age, failsHalfLife)
+	balancer.Arrivals, balancer.ServedWork, balancer.SpanSeconds = balancer.Arrivals*share, balancer.ServedWork*share, balancer.SpanSeconds*share
+	balancer.RecentAttempts, balancer.RecentAnswers = balancer.RecentAttempts*share, balancer.RecentAnswers*share
+	balancer.FailureRate *= remainingShare(age, failsHalfLife)
 	s.Balancer = balancer
 	links := make(map[logic.MemberID]LinkState, len(s.Links))
 	for _, m := range balancer.Members {
@@ -216,13 +216,13 @@
 // decayMember returns the state of a member after a time. The number of observations decays as well, so
 // that new responses weigh more. Streaks of failures decay, and the remaining time of an ejection runs
 // on.
-func decayMember(m logic.LearntMember, age time.Duration) logic.LearntMember {
+func decayMember(m logic.LearnedMember, age time.Duration) logic.LearnedMember {
 	share := remainingShare(age, membersHalfLife)
-	m.Limit = logic.StartLimit + (m.Limit-logic.StartLimit)*share
-	m.Seen = int(math.Round(float64(max(0, m.Seen)) * share))
-	m.Fails *= remainingShare(age, failsHalfLife)
-	m.Streak = int(float64(max(0, m.Streak)) * remainingShare(age, failsHalfLife))
-	m.Out = max(0, m.Out-age)
+	m.Limit = logic.InitialLimit + (m.Limit-logic.InitialLimit)*share
+	m.Samples = int(math.Round(float64(max(0, m.Samples)) * share))
+	m.FailureRate *= remainingShare(age, failsHalfLife)
+	m.FailureStreak = int(float64(max(0, m.FailureStreak)) * remainingShare(age, failsHalfLife))
+	m.EjectedFor = max(0, m.EjectedFor-age)
 	return m
 }
 
--- a/internal/inherit/inherit_test.go
+++ b/internal/inherit/inherit_test.go
@@ -18,16 +18,16 @@
 func sampleSnapshot(members int) (Snapshot, map[logic.MemberID]CurrentMember) {
 	s := Snapshot{Fleet: FleetHash("a", "b"), TakenMS: sampleTakenMS, Links: map[logic.MemberID]LinkState{}, ReuseShare: 0.1,
 		Idle:     pool.IdleStats{Reused: []float64{8, 4}, Broken: []float64{0, 4}},
-		Balancer: logic.Learnt{Total: 100, Kept: 40, Latency: 0.02, Fails: 0.1, Arrivals: 60, Carried: 50, Span: 4, Asked: 30, Answered: 28}}
+		Balancer: logic.LearnedState{Total: 100, EarlierTotal: 40, Latency: 0.02, FailureRate: 0.1, Arrivals: 60, ServedWork: 50, SpanSeconds: 4, RecentAttempts: 30, RecentAnswers: 28}}
 	now := map[logic.MemberID]CurrentMember{}
 	for i := range members {
 		id := logic.MemberID(i + 1)
-		s.Balancer.Members = append(s.Balancer.Members, logic.LearntMember{ID: id, Limit: 30, Latency: 0.01, Seen: 1000 + i, Fails: 0.2,
-			Streak: 2, Out: time.Second})
+		s.Balancer.Members = append(s.Balancer.Members, logic.LearnedMember{ID: id, Limit: 30, Latency: 0.01, Samples: 1000 + i, FailureRate: 0.2,
+			FailureStreak: 2, EjectedFor: time.Second})
 		s.Links[id] = LinkState{Addr: "10.1.0.1:6379", ConnStats: pool.ConnStats{Occupancy: time.Millisecond, CleanAnswers: 9}}
 		now[id] = CurrentMember{Addr: "10.1.0.1:6379"}
 	}
-	s.Balancer.Keys = []logic.LearntKey{{Key: 7, Count: 20, Err: 2, At: []logic.MemberID{1}}}
+	s.Balancer.Keys = []logic.LearnedKey{{Key: 7, Count: 20, Err: 2, Members: []logic.MemberID{1}}}
 	return s, now
 }
 
@@ -125,19 +125,19 @@
 		}
 		was, is := last.Balancer, next.Balancer
 		m, n := was.Members[0], is.Members[0]
-		if n.Limit >= m.Limit || n.Limit <= logic.StartLimit || n.Seen > m.Seen || n.Fails >= m.Fails || n.Out > max(0, time.Second-age) {
+		if n.Limit >= m.Limit || n.Limit <= logic.InitialLimit || n.Samples > m.Samples || n.FailureRate >= m.FailureRate || n.EjectedFor > max(0, time.Second-age) {
 			t.Fatalf("%v: %+v after %+v", age, n, m)
 		}
-		if is.Total >= was.Total || is.Keys[0].Count >= was.Keys[0].Count || is.Carried >= was.Carried || is.Fails >= was.Fails ||
+		if is.Total >= was.Total || is.Keys[0].Count >= was.Keys[0].Count || is.ServedWork >= was.ServedWork || is.FailureRate >= was.FailureRate ||
 			next.ReuseShare <= last.ReuseShare || next.ReuseShare > 1 {
 			t.Fatalf("%v: %+v after %+v", age, is, was)
 		}
-		if rate := is.Carried / is.Span; math.Abs(rate-12.5) > 1e-9 {
+		if rate := is.ServedWork / is.SpanSeconds; math.Abs(rate-12.5) > 1e-9 {
 			t.Fatalf("%v: the rate is %v, and was 12.5", age, rate)
 		}
 		last = next
 	}
-	if m := last.Balancer.Members[0]; m.Limit > 12 || m.Fails > 0.001 || m.Out != 0 {
+	if m := last.Balancer.Members[0]; m.Limit > 12 || m.FailureRate > 0.001 || m.EjectedFor != 0 {
 		t.Errorf("after %v: %+v", MaxAge, m)
 	}
 }
@@ -153,7 +153,7 @@
 	if err != nil || len(got.Balancer.Members) < 1000 || len(got.Links) != len(got.Balancer.Members) {
 		t.Fatalf("%d members, %v", len(got.Balancer.Members), err)
 	}
-	if least := got.Balancer.Members[len(got.Balancer.Members)-1].Seen; least < 1000+20_000-len(got.Balancer.Members) {
+	if least := got.Balancer.Members[len(got.Balancer.Members)-1].Samples; least < 1000+20_000-len(got.Balancer.Members) {
 		t.Errorf("the least known has %d answers", least)
 	}
 	for _, n := range []int{60, 2000} {
--- a/internal/joining/joining_test.go
+++ b/internal/joining/joining_test.go
@@ -29,8 +29,8 @@
 		key    string
 	}{
 		"a write":          {logic.Request{Write: true}, logic.Repeatable, "k"},
-		"an order":         {logic.Request{}, logic.Once, "k"},
-		"a keyed request":  {logic.Request{}, logic.ByKey, "k"},
+		"an order":         {logic.Request{}, logic.AtMostOnce, "k"},
+		"a keyed request":  {logic.Request{}, logic.DeduplicatedByKey, "k"},
 		"one without keys": {logic.Request{}, logic.Repeatable, ""},
 	} {
 		if _, ok := testLimits.NewRead(&c.r, c.effect, c.key, ""); ok {
--- a/internal/reasons/reasons.go
+++ b/internal/reasons/reasons.go
@@ -30,16 +30,16 @@
 
 // Reasons of the host. They follow those of the module.
 const (
-	HostFull     logic.Reason = logic.Reasons + iota // requests in progress, or their bytes, are at the memory limit
-	Stopping                                         // the proxy accepts no further requests
-	Overload                                         // the core is overloaded: the request waited unread for long
-	RecordFull                                       // the record of orders is full
-	RecordBehind                                     // the disk is slow, or the predecessor still has the record
-	RecordFault                                      // writes to the record's disk fail
-	OrderInHand                                      // a request in progress has the order's name
-	OtherOrder                                       // the order's name is that of another order
-	OrderHasRun                                      // the order has run, and its receipt is not disclosed
-	OrderUnknown                                     // the order may have run, and an operator has to look it up
+	HostFull     logic.Reason = logic.ReasonCount + iota // requests in progress, or their bytes, are at the memory limit
+	Stopping                                             // the proxy accepts no further requests
+	Overload                                             // the core is overloaded: the request waited unread for long
+	RecordFull                                           // the record of orders is full
+	RecordBehind                                         // the disk is slow, or the predecessor still has the record
+	RecordFault                                          // writes to the record's disk fail
+	OrderInHand                                          // a request in progress has the order's name
+	OtherOrder                                           // the order's name is that of another order
+	OrderHasRun                                          // the order has run, and its receipt is not disclosed
+	OrderUnknown                                         // the order may have run, and an operator has to look it up
 	reasonCount
 )
 
--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -133,9 +133,9 @@
 // to the less permissive.
 func stricter(a, b logic.Class) logic.Class {
 	a.Effect, a.Scope = max(a.Effect, b.Effect), max(a.Scope, b.Scope)
-	a.Aim, a.Deadline = min(a.Aim, b.Aim), min(a.Deadline, b.Deadline)
-	if b.Effect == logic.ByKey {
-		a.Window = min(a.Window, b.Window)
+	a.SoftDeadline, a.Deadline = min(a.SoftDeadline, b.SoftDeadline), min(a.Deadline, b.Deadline)
+	if b.Effect == logic.DeduplicatedByKey {
+		a.DedupWindow = min(a.DedupWindow, b.DedupWindow)
 	}
 	return a
 }
--- a/internal/shed/shed.go
+++ b/internal/shed/shed.go
@@ -61,15 +61,15 @@
 	ctl.waitLimit, ctl.lowWorth = 0, make([]bool, len(classes))
 	maxWorth := 0.0
 	for _, c := range classes {
-		if ctl.waitLimit == 0 || c.Aim/aimDivisor < ctl.waitLimit {
-			ctl.waitLimit = c.Aim / aimDivisor
+		if ctl.waitLimit == 0 || c.SoftDeadline/aimDivisor < ctl.waitLimit {
+			ctl.waitLimit = c.SoftDeadline / aimDivisor
 		}
 		if c.Effect == logic.Repeatable {
-			maxWorth = max(maxWorth, c.Worth)
+			maxWorth = max(maxWorth, c.Value)
 		}
 	}
 	for i, c := range classes {
-		ctl.lowWorth[i] = c.Effect == logic.Repeatable && c.Worth < maxWorth
+		ctl.lowWorth[i] = c.Effect == logic.Repeatable && c.Value < maxWorth
 	}
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -206,7 +206,7 @@
 	q.ID = logic.RequestID(c.u32())
 	q.Cost = millis(c.f64())
 	bits := c.u8()
-	q.Known, q.Retry, q.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
+	q.CostKnown, q.Retry, q.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
 	q.Class = int(c.u16())
 	q.Size = float64(c.f32())
 	q.Deadline = millis(c.f64())
@@ -394,8 +394,8 @@
 	a.Reply.u32(uint32(id))
 }
 
-// Hold implements logic.Actions. The protocol has no action for it.
-func (a Actions) Hold(logic.RequestID, logic.Reason) {}
+// NotifyWaiting implements logic.Actions. The protocol has no action for it.
+func (a Actions) NotifyWaiting(logic.RequestID, logic.Reason) {}
 
 // Cancel implements logic.Actions.
 func (a Actions) Cancel(id logic.RequestID, attempt int) {
@@ -407,8 +407,8 @@
 // Probe implements logic.Actions.
 func (a Actions) Probe(m logic.MemberID) { a.member(acProbe, m) }
 
-// Wait implements logic.Actions. The simulator's instances never run out of connections.
-func (a Actions) Wait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
+// ConnectionWait implements logic.Actions. The simulator's instances never run out of connections.
+func (a Actions) ConnectionWait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
 
 // CloseIdle implements logic.Actions.
 func (a Actions) CloseIdle(m logic.MemberID) { a.member(acCloseIdle, m) }
@@ -435,11 +435,11 @@
 	a.Reply.buf = append(a.Reply.buf, b)
 }
 
-// Fetch implements logic.Actions.
-func (a Actions) Fetch() { a.Reply.record(acFetch, a.Instance, 0) }
+// FetchList implements logic.Actions.
+func (a Actions) FetchList() { a.Reply.record(acFetch, a.Instance, 0) }
 
-// Tell implements logic.Actions.
-func (a Actions) Tell(peer int, data []byte) {
+// SendToPeer implements logic.Actions.
+func (a Actions) SendToPeer(peer int, data []byte) {
 	data = data[:min(len(data), maxPeerData)]
 	a.Reply.record(acPeerMessage, a.Instance, 6+len(data))
 	if peer == logic.AllPeers {
--- a/logic/digest.go
+++ b/logic/digest.go
@@ -8,52 +8,61 @@
 	"slices"
 )
 
-// Digest is a number of all that the Balancer's further decisions rest on: two with the same digest and settings act
-// alike from here on. It is for checkers that explore its states (internal/explore), and costs far more than an event.
-func (b *Balancer) Digest() [16]byte {
+// StateDigest returns a hash of all state that further decisions depend on: two Balancers with the same
+// digest and settings behave identically from then on. It is for checkers that explore the state space
+// (internal/explore), and costs far more than an event.
+func (b *Balancer) StateDigest() [16]byte {
 	h := fnv.New128a()
-	id := func(n *node) MemberID {
-		if n == nil {
+	id := func(member *memberState) MemberID {
+		if member == nil {
 			return 0
 		}
-		return n.m.ID
+		return member.entry.ID
 	}
-	random, _ := b.pcg.MarshalBinary() // it knows no error
-	fmt.Fprintln(h, b.now, b.closeAt, b.period, b.warm, b.warmAt, b.allCold, b.peak, b.kept, b.arrivals, b.span, b.carried, b.tenants,
-		b.pumpAt, b.target, b.latency, b.fails, b.retries, b.asked, b.answered, b.askedAt, b.heardAt, b.out, b.watches, b.refusing,
-		b.refusedAt, random, b.counts.total, b.kindSize, b.zones, b.trials)
-	for _, k := range slices.Sorted(maps.Keys(b.nodes)) {
-		n := b.nodes[k]
-		fmt.Fprintln(h, n.limiter, n.m, n.weight, n.streak, n.fails, n.outUntil, n.tokens, n.tokensAt, n.hotLoad, n.hotKeys, n.hits, n.misses, n.since)
+	random, _ := b.randomSource.MarshalBinary() // never returns an error
+	fmt.Fprintln(h, b.now, b.windowStart, b.windowLength, b.cachedWarmWeight, b.cachedWarmWeightAt, b.mostlyCold,
+		b.peakWeight, b.earlierTotal, b.arrivals, b.spanSeconds, b.servedWork, b.tenantRequests,
+		b.originQueueTimerAt, b.fetchTarget, b.meanLatency, b.failureRate, b.retryTokens,
+		b.recentAttempts, b.recentAnswers, b.recentCountsAt, b.lastAnswerAt, b.outstandingAtCaches, b.listFailures,
+		b.refusingSince,
+		b.lastRefusalAt, random, b.keyCounts.total, b.kindWeight, b.zones, b.zonesOnTrial)
+	for _, k := range slices.Sorted(maps.Keys(b.members)) {
+		member := b.members[k]
+		fmt.Fprintln(h, member.limiter, member.entry, member.weight, member.failureStreak, member.failureRate, member.ejectedUntil,
+			member.coldTokens, member.coldTokensAt, member.hotLoad, member.hotKeys, member.hits, member.missStreak, member.coldSince)
 	}
-	for _, k := range slices.Sorted(maps.Keys(b.flights)) {
-		f := b.flights[k]
-		fmt.Fprintln(h, f.Request, f.askedAt, f.aim, f.value, f.slot, f.attempts, f.tries, f.unsent, f.out, f.fetch, f.ran, f.ranAt, id(f.ranOn),
-			id(f.missAt), f.waiting, f.queued, f.joined, f.leased, f.owner, f.broke, f.stream, f.done)
-		for _, n := range f.tried {
-			fmt.Fprint(h, n.m.ID, ",")
+	for _, k := range slices.Sorted(maps.Keys(b.requests)) {
+		req := b.requests[k]
+		fmt.Fprintln(h, req.Request, req.arrivedAt, req.softDeadline, req.priority, req.slot, req.attempts, req.maxAttempts, req.unsent,
+			req.outstanding,
+			req.originAttempts, req.mayHaveRun, req.firstRunAt, id(req.firstRunMember),
+			id(req.missedCache), req.waiting, req.queued, req.coalesced, req.coalescedAfterMiss, req.ownsFetch,
+			req.retriedAfterReset, req.streaming, req.answered)
+		for _, n := range req.triedCaches {
+			fmt.Fprint(h, n.entry.ID, ",")
 		}
 	}
-	for _, f := range b.queue {
-		fmt.Fprint(h, f.ID, " ")
+	for _, req := range b.originQueue {
+		fmt.Fprint(h, req.ID, " ")
 	}
-	for _, k := range slices.Sorted(maps.Keys(b.fetching)) {
+	for _, k := range slices.Sorted(maps.Keys(b.fetchWaiters)) {
 		fmt.Fprint(h, k, ":")
-		for _, f := range b.fetching[k] {
-			fmt.Fprint(h, f.ID, f.waiting, " ")
+		for _, req := range b.fetchWaiters[k] {
+			fmt.Fprint(h, req.ID, req.waiting, " ")
 		}
 	}
-	items := slices.Clone(b.counts.items)
-	slices.SortFunc(items, func(x, y counted) int { return cmp.Compare(x.key, y.key) })
+	items := slices.Clone(b.keyCounts.items)
+	slices.SortFunc(items, func(x, y keyCount) int { return cmp.Compare(x.key, y.key) })
 	fmt.Fprintln(h, items)
-	for _, k := range slices.Sorted(maps.Keys(b.hot)) {
-		fmt.Fprint(h, k, b.hot[k].next)
-		for _, n := range b.hot[k].nodes {
-			fmt.Fprint(h, n.m.ID, ",")
+	for _, k := range slices.Sorted(maps.Keys(b.hotTable)) {
+		fmt.Fprint(h, k, b.hotTable[k].next)
+		for _, member := range b.hotTable[k].members {
+			fmt.Fprint(h, member.entry.ID, ",")
 		}
 	}
 	return [16]byte(h.Sum(nil))
 }
 
-// InHand is how many requests the Balancer knows, those that are answered and have attempts out included.
-func (b *Balancer) InHand() int { return len(b.flights) }
+// Outstanding returns the number of requests that the Balancer keeps, including answered ones with
+// outstanding attempts.
+func (b *Balancer) Outstanding() int { return len(b.requests) }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -7,34 +7,34 @@
 	"linenloom/logic"
 )
 
-// printer is a host that only prints what it is asked to do.
-type printer struct{}
+// printingHost is a host that only prints the actions.
+type printingHost struct{}
 
-func (printer) Send(id logic.RequestID, to logic.MemberID, _ time.Duration) {
+func (printingHost) Send(id logic.RequestID, to logic.MemberID, _ time.Duration) {
 	fmt.Printf("send request %d to member %d\n", id, to)
 }
-func (printer) Hold(logic.RequestID, logic.Reason) {}
-func (printer) Refuse(id logic.RequestID, _ time.Duration, _ logic.Reason) {
+func (printingHost) NotifyWaiting(logic.RequestID, logic.Reason) {}
+func (printingHost) Refuse(id logic.RequestID, _ time.Duration, _ logic.Reason) {
 	fmt.Printf("refuse request %d\n", id)
 }
-func (printer) Fail(id logic.RequestID, _ logic.Reason)            { fmt.Printf("fail request %d\n", id) }
-func (printer) Cancel(logic.RequestID, int)                        {}
-func (printer) Probe(logic.MemberID)                               {}
-func (printer) Wait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
-func (printer) CloseIdle(logic.MemberID)                           {}
-func (printer) SetTimer(time.Duration, uint64)                     {}
-func (printer) Watch(bool)                                         {}
-func (printer) Fetch()                                             {}
-func (printer) Tell(int, []byte)                                   {}
-func (printer) Log(string)                                         {}
+func (printingHost) Fail(id logic.RequestID, _ logic.Reason)                      { fmt.Printf("fail request %d\n", id) }
+func (printingHost) Cancel(logic.RequestID, int)                                  {}
+func (printingHost) Probe(logic.MemberID)                                         {}
+func (printingHost) ConnectionWait(logic.RequestID, logic.MemberID) time.Duration { return 0 }
+func (printingHost) CloseIdle(logic.MemberID)                                     {}
+func (printingHost) SetTimer(time.Duration, uint64)                               {}
+func (printingHost) Watch(bool)                                                   {}
+func (printingHost) FetchList()                                                   {}
+func (printingHost) SendToPeer(int, []byte)                                       {}
+func (printingHost) Log(string)                                                   {}
 
 // A hit, a miss fetched from the origin, and a refusal.
 func Example() {
 	settings := logic.Settings{
-		Classes:  []logic.Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}},
-		TryLimit: 4, Mode: logic.Aside, OriginKind: 1,
+		Classes:     []logic.Class{{SoftDeadline: time.Second, Deadline: 3 * time.Second, Value: 1}},
+		MaxAttempts: 4, Mode: logic.CacheAside, OriginKind: 1,
 	}
-	b, err := logic.New(settings, 1, printer{})
+	b, err := logic.New(settings, 1, printingHost{})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -50,7 +50,7 @@
 	b.Outcome(now, logic.Outcome{Request: 2, Member: 10, Status: logic.StatusMiss})
 	b.Outcome(now, logic.Outcome{Request: 2, Attempt: 1, Member: 99, Status: logic.StatusOK, Final: true})
 
-	b.SetMembers(now, logic.ListFull, nil) // everything is gone
+	b.SetMembers(now, logic.ListFull, nil) // all members are removed
 	b.Request(now, logic.Request{ID: 3, Key: 7, Deadline: now + 3*time.Second})
 	// Output:
 	// send request 1 to member 10
--- a/logic/home.go
+++ b/logic/home.go
@@ -1,13 +1,14 @@
 package logic
 
-// Home names the cache that a key's reads go to first, as the tables stand now; 0: there is none. It decides nothing: what
-// a read that comes now meets there (limits, ejection, the cold budget) is decided when it comes.
-func (b *Balancer) Home(key uint64) MemberID {
-	if p := b.hot[key]; p != nil && key != 0 {
-		return p.nodes[(p.next+1)%len(p.nodes)].m.ID
+// PrimaryCache returns the cache that reads of a key are sent to first according to the current tables; 0
+// if there is none. It decides nothing: what applies to a read (limits, ejection, the cold budget) is
+// decided when it arrives.
+func (b *Balancer) PrimaryCache(key uint64) MemberID {
+	if placed := b.hotTable[key]; placed != nil && key != 0 {
+		return placed.members[(placed.next+1)%len(placed.members)].entry.ID
 	}
-	if o := b.order(slotOf(key)); len(o) > 0 {
-		return o[0].n.m.ID
+	if candidates := b.candidates(slotOf(key)); len(candidates) > 0 {
+		return candidates[0].member.entry.ID
 	}
 	return 0
 }
--- a/logic/learnt.go
+++ b/logic/learnt.go
@@ -6,124 +6,150 @@
 	"time"
 )
 
-// Learnt is what a Balancer has learnt of its members and of what is asked, for the process that takes its place. Nothing in it is of
-// a request, a drain or a cold budget: those hold for the process that has them, and the list tells drains anew. What of it is still
-// true after how long is not decided here; Inherit takes what it is given, as far as it fits the members that there are now.
-type Learnt struct {
-	Keys            []LearntKey
-	Total, Kept     float64 // counts of all keys, and what of them is of earlier windows
-	Members         []LearntMember
-	Latency, Fails  float64 // the caches' mean: seconds, and a share
-	Arrivals        float64
-	Carried, Span   float64 // what the caches did, in answers, over so many seconds
-	Asked, Answered float64 // attempts at caches, lately, and their answers
+// LearnedState is what a Balancer has learned about its members and the requested keys, for the successor
+// process. It contains no request, drain or cold budget: those belong to the process that has them, and
+// the member list reports drains again. How long the values stay valid is not decided here: ImportState
+// accepts what it is given, as far as it fits the current members.
+type LearnedState struct {
+	Keys []LearnedKey `json:"Keys"`
+	// counts of all keys, and the part from earlier windows
+	Total        float64         `json:"Total"`
+	EarlierTotal float64         `json:"Kept"`
+	Members      []LearnedMember `json:"Members"`
+	// mean latency of the caches in seconds, and their share of failures
+	Latency     float64 `json:"Latency"`
+	FailureRate float64 `json:"Fails"`
+	Arrivals    float64 `json:"Arrivals"`
+	// work done by the caches, in answers, and the seconds in which it was done
+	ServedWork  float64 `json:"Carried"`
+	SpanSeconds float64 `json:"Span"`
+	// recent attempts at caches and their answers
+	RecentAttempts float64 `json:"Asked"`
+	RecentAnswers  float64 `json:"Answered"`
 }
 
-// LearntKey is a key that is asked for often.
-type LearntKey struct {
-	Key        uint64
-	Count, Err float64
-	At         []MemberID // where it is placed, if it is hot
+// LearnedKey is a frequently requested key.
+type LearnedKey struct {
+	Key     uint64     `json:"Key"`
+	Count   float64    `json:"Count"`
+	Err     float64    `json:"Err"`
+	Members []MemberID `json:"At"` // caches that it is placed on, if it is hot
 }
 
-// LearntMember is what is known of a member since it started.
-type LearntMember struct {
-	ID             MemberID
-	StartedAt      time.Duration
-	Limit, Latency float64
-	Gap, Pace      float64
-	Seen           int
-	Cut            bool          // its limit has been cut, and is no guess
-	Fails          float64       // share of attempts that failed
-	Streak         int           // of failures
-	Out            time.Duration // ejected for so long yet
+// LearnedMember is what is known about a member since it started.
+type LearnedMember struct {
+	ID             MemberID      `json:"ID"`
+	StartedAt      time.Duration `json:"StartedAt"`
+	Limit          float64       `json:"Limit"`
+	Latency        float64       `json:"Latency"`
+	SendInterval   float64       `json:"Gap"`
+	AnswerInterval float64       `json:"Pace"`
+	Samples        int           `json:"Seen"`
+	LimitCut       bool          `json:"Cut"`    // the limit has been cut, so it is not just an estimate
+	FailureRate    float64       `json:"Fails"`  // share of failed attempts
+	FailureStreak  int           `json:"Streak"` // consecutive failures
+	EjectedFor     time.Duration `json:"Out"`    // remaining time of an ejection
 }
 
-// learntKeys bounds the keys that are handed on: the hot set, and as many that may enter it.
-const learntKeys = 2 * maxHot
+// maxExportedKeys limits the exported keys: the hot set, and as many keys that may enter it.
+const maxExportedKeys = 2 * maxHotKeys
 
-// Learnt tells what has been learnt until now.
-func (b *Balancer) Learnt(now time.Duration) Learnt {
+// ExportState returns what the Balancer has learned so far.
+func (b *Balancer) ExportState(now time.Duration) LearnedState {
 	b.advance(now)
-	l := Learnt{Total: b.counts.total, Kept: b.kept, Latency: b.latency, Fails: b.fails, Arrivals: b.arrivals,
-		Carried: b.carried, Span: b.span + (b.now - b.closeAt).Seconds(), Asked: b.asked, Answered: b.answered}
-	for _, it := range b.counts.hottest(1, learntKeys) {
-		k := LearntKey{Key: it.key, Count: it.count, Err: it.err}
-		if p := b.hot[it.key]; p != nil {
-			for _, n := range p.nodes {
-				k.At = append(k.At, n.m.ID)
+	state := LearnedState{Total: b.keyCounts.total, EarlierTotal: b.earlierTotal, Latency: b.meanLatency,
+		FailureRate: b.failureRate, Arrivals: b.arrivals, ServedWork: b.servedWork,
+		SpanSeconds:    b.spanSeconds + (b.now - b.windowStart).Seconds(),
+		RecentAttempts: b.recentAttempts, RecentAnswers: b.recentAnswers}
+	for _, counted := range b.keyCounts.hottest(1, maxExportedKeys) {
+		key := LearnedKey{Key: counted.key, Count: counted.count, Err: counted.maxError}
+		if placed := b.hotTable[counted.key]; placed != nil {
+			for _, member := range placed.members {
+				key.Members = append(key.Members, member.entry.ID)
 			}
 		}
-		l.Keys = append(l.Keys, k)
+		state.Keys = append(state.Keys, key)
 	}
-	for _, n := range append(slices.Clone(b.caches), b.origins...) {
-		if n.seen > 0 || n.streak > 0 {
-			l.Members = append(l.Members, LearntMember{ID: n.m.ID, StartedAt: n.m.StartedAt, Limit: n.limit, Latency: n.latency,
-				Gap: n.gap, Pace: n.pace, Seen: n.seen, Cut: n.cutAt > 0, Fails: n.fails, Streak: n.streak, Out: max(0, n.outUntil-b.now)})
+	for _, member := range append(slices.Clone(b.caches), b.origins...) {
+		if member.samples > 0 || member.failureStreak > 0 {
+			state.Members = append(state.Members, LearnedMember{ID: member.entry.ID, StartedAt: member.entry.StartedAt, Limit: member.limit,
+				Latency:      member.latency,
+				SendInterval: member.sendInterval, AnswerInterval: member.answerInterval, Samples: member.samples, LimitCut: member.limitCutAt > 0,
+				FailureRate: member.failureRate, FailureStreak: member.failureStreak, EjectedFor: max(0, member.ejectedUntil-b.now)})
 		}
 	}
-	return l
+	return state
 }
 
-// Inherit takes over what another process has learnt, before the first request. Of members that the list does not name as ready, or
-// that have started anew since, nothing is taken; what is no figure is left out. It tells of how many members something was taken.
-func (b *Balancer) Inherit(now time.Duration, l Learnt) (members int) {
+// ImportState takes over the state learned by another process. It must be called before the first request.
+// Members that are not ready in the list, or have restarted since, are skipped, as are invalid numbers. It
+// returns the number of members whose state was taken over.
+func (b *Balancer) ImportState(now time.Duration, state LearnedState) (members int) {
 	b.advance(now)
-	for _, m := range l.Members {
-		n := b.nodes[m.ID]
-		if n == nil || n.m.State != Ready || n.m.StartedAt != m.StartedAt || n.seen > 0 || m.Seen < 1 ||
-			!figures(m.Limit, m.Latency, m.Gap, m.Pace, m.Fails) || m.Limit <= 0 || m.Fails > 1 {
+	for _, learned := range state.Members {
+		member := b.members[learned.ID]
+		if member == nil || member.entry.State != Ready || member.entry.StartedAt != learned.StartedAt ||
+			member.samples > 0 || learned.Samples < 1 ||
+			!validNumbers(learned.Limit, learned.Latency, learned.SendInterval, learned.AnswerInterval, learned.FailureRate) ||
+			learned.Limit <= 0 || learned.FailureRate > 1 {
 			continue
 		}
-		n.limit, n.latency, n.gap, n.pace = min(m.Limit, float64(b.s.Instances)*1e4), m.Latency, m.Gap, m.Pace
-		n.seen, n.fails, n.streak = m.Seen, m.Fails, min(max(0, m.Streak), maxStreak)
-		if m.Cut {
-			n.cutAt = max(1, b.now-time.Second)
+		member.limit, member.latency, member.sendInterval, member.answerInterval =
+			min(learned.Limit, float64(b.settings.Instances)*1e4), learned.Latency,
+			learned.SendInterval, learned.AnswerInterval
+		member.samples, member.failureRate, member.failureStreak =
+			learned.Samples, learned.FailureRate, min(max(0, learned.FailureStreak), maxFailureStreak)
+		if learned.LimitCut {
+			member.limitCutAt = max(1, b.now-time.Second)
 		}
-		if m.Out > 0 { // no longer than an ejection ever lasts
-			n.outUntil = b.now + min(m.Out, 12*time.Second)
+		if learned.EjectedFor > 0 { // limited to the longest possible ejection
+			member.ejectedUntil = b.now + min(learned.EjectedFor, 12*time.Second)
 		}
 		members++
 	}
-	if figures(l.Latency, l.Fails, l.Arrivals, l.Carried, l.Span, l.Asked, l.Answered) && l.Fails <= 1 && members > 0 {
-		b.latency, b.fails = l.Latency, l.Fails
-		b.arrivals, b.carried, b.span = l.Arrivals, l.Carried, l.Span
-		b.asked, b.answered, b.askedAt, b.heardAt = l.Asked, l.Answered, b.now, b.now
+	if validNumbers(state.Latency, state.FailureRate, state.Arrivals, state.ServedWork, state.SpanSeconds,
+		state.RecentAttempts, state.RecentAnswers) && state.FailureRate <= 1 && members > 0 {
+		b.meanLatency, b.failureRate = state.Latency, state.FailureRate
+		b.arrivals, b.servedWork, b.spanSeconds = state.Arrivals, state.ServedWork, state.SpanSeconds
+		b.recentAttempts, b.recentAnswers, b.recentCountsAt, b.lastAnswerAt = state.RecentAttempts, state.RecentAnswers, b.now, b.now
 	}
-	if figures(l.Total, l.Kept) && b.counts.total == 0 && len(b.caches) > 0 {
-		b.inheritKeys(l)
+	if validNumbers(state.Total, state.EarlierTotal) && b.keyCounts.total == 0 && len(b.caches) > 0 {
+		b.importKeys(state)
 	}
 	return members
 }
 
-// inheritKeys takes over the counts, and places the hot keys where they were, as far as those caches may have them now.
-func (b *Balancer) inheritKeys(l Learnt) {
+// importKeys takes over the counts, and places the hot keys on their previous caches where those own the
+// slots now.
+func (b *Balancer) importKeys(state LearnedState) {
 	sum := 0.0
-	for _, k := range l.Keys[:min(len(l.Keys), counterSize)] {
-		if _, twice := b.counts.at[k.Key]; twice || k.Key == 0 || !figures(k.Count, k.Err) || k.Err > k.Count || k.Count < 1 {
+	for _, key := range state.Keys[:min(len(state.Keys), counterCapacity)] {
+		if _, known := b.keyCounts.index[key.Key]; known || key.Key == 0 || !validNumbers(key.Count, key.Err) ||
+			key.Err > key.Count || key.Count < 1 {
 			continue
 		}
-		b.counts.put(counted{key: k.Key, count: k.Count, err: k.Err})
-		sum += k.Count - k.Err
-		p := &placed{}
-		for _, id := range k.At[:min(len(k.At), orderDepth)] {
-			if n := b.nodes[id]; n != nil && n.m.State == Ready && !b.isOrigin(n.m) && b.owns(n, slotOf(k.Key)) {
-				p.nodes = append(p.nodes, n)
+		b.keyCounts.insert(keyCount{key: key.Key, count: key.Count, maxError: key.Err})
+		sum += key.Count - key.Err
+		placed := &placement{}
+		for _, id := range key.Members[:min(len(key.Members), candidateDepth)] {
+			if member := b.members[id]; member != nil && member.entry.State == Ready &&
+				!b.isOrigin(member.entry) && b.ownsSlot(member, slotOf(key.Key)) {
+				placed.members = append(placed.members, member)
 			}
 		}
-		if len(p.nodes) > 0 {
-			b.hot[k.Key] = p
+		if len(placed.members) > 0 {
+			b.hotTable[key.Key] = placed
 		}
 	}
-	b.counts.total = max(l.Total, sum)
-	b.kept = min(l.Kept, b.counts.total)
-	b.place()
+	b.keyCounts.total = max(state.Total, sum)
+	b.earlierTotal = min(state.EarlierTotal, b.keyCounts.total)
+	b.placeHotKeys()
 }
 
-// figures tells whether all are numbers that a Balancer could have: finite, and not negative.
-func figures(all ...float64) bool {
-	return !slices.ContainsFunc(all, func(f float64) bool { return !(f >= 0) || math.IsInf(f, 0) })
+// validNumbers reports whether all values are finite and not negative.
+func validNumbers(values ...float64) bool {
+	return !slices.ContainsFunc(values, func(f float64) bool { return !(f >= 0) || math.IsInf(f, 0) })
 }
 
-// StartLimit is the limit of a member that nothing is known of.
-const StartLimit = startLimit
+// InitialLimit is the concurrency limit of a member that nothing is known about.
+const InitialLimit = initialLimit
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,4 +1,4 @@
-// The interface of this module is in api.go; this file holds every decision.
+// This file holds all routing decisions; the exported API is in api.go.
 
 package logic
 
@@ -13,111 +13,121 @@
 )
 
 const (
-	slotCount    = 4096            // many more than members, so that shares come out even
-	orderDepth   = 12              // candidates kept for a slot; where zones have tables of their own, in this one
-	abroadDepth  = 2               // and in each other
-	counterSize  = 1024            // keys the counter follows, several times the hot set
-	maxHot       = 200             // the cap of the hot set (MIP-200 of the paper)
-	keyWeight    = 3.33            // k of the paper: what a key costs beside its requests
-	window       = 4 * time.Second // counts are halved and hot keys placed anew this often
-	enoughCounts = 400             // requests that rank the hot keys well enough
-	splitAt      = 0.5             // a key that asks for more of a cache's mean load than this is split
-	keepMargin   = 0.1             // a hot key moves only if that lowers the objective by this share
-	retryRatio   = 0.15            // further attempts after failures, as a share of requests
-	retryBurst   = 10
-	// brokenCost is what a further attempt takes of the retry budget after a connection broke or did not come up, or a member turned
-	// the attempt away unseen: that tells of no load, and where it is common it would use the budget up. It could do harm where
-	// members shed load by resetting: there each request costs up to as many attempts as it may have.
-	brokenCost    = 0.25
-	startLimit    = 8                      // attempts out at a member that has told nothing yet
-	knownAfter    = 16 * startLimit        // answers; until then a limit that was never cut is a guess
-	firstLook     = 10 * time.Millisecond  // after which a crowd at members that nothing is known of yet is looked at again
-	crowdShare    = 0.25                   // of the target: what a quick member may have out, one by one
-	throttleSpan  = 3 * time.Second        // over which asked and answered are compared
-	throttleAt    = 2                      // a read may be refused when the caches answer less than one in this many
-	throttleSlack = 8                      // fewer asked than this tell nothing
-	darkAfter     = 4                      // time-outs in a row of a zone's caches that tell of the zone
-	darkGap       = 300 * time.Millisecond // between attempts there
-	outage        = 3 * time.Second        // of silence, in which its caches may have started anew: far beyond a jam
-	emptyAfter    = 32                     // misses in a row of a cache that had as many hits: it has lost what it held, so it is a new process
-	spillOver     = 6                      // busy candidates passed over before a read is refused
-	waitShare     = 12                     // part of its time that a read may wait for a connection: the right cache beats a miss elsewhere
-	ejectChance   = 3000                   // a streak that comes about by chance in fewer attempts ejects nobody
-	mostTries     = 32                     // as many again may find no connection, and a flight has 64 bits
-	maxStreak     = 8                      // but one this long always does
-	floorRise     = 1.002                  // with each answer, of the least that a member's answers have taken on average
-	coldShare     = 0.5                    // of the fall multiple: the rest is left for what this proxy can't see
+	slotCount       = 4096            // many more than members, so that slots divide evenly
+	candidateDepth  = 12              // candidates kept per slot; with one slot table per zone, those in the local zone
+	otherZoneDepth  = 2               // candidates kept per slot in each other zone
+	counterCapacity = 1024            // keys tracked by the counter, several times the hot set
+	maxHotKeys      = 200             // maximum size of the hot set (MIP-200 in the paper)
+	keyCost         = 3.33            // k in the paper: cost of a key on top of its requests
+	maxWindow       = 4 * time.Second // interval at which counts are halved and hot keys are placed
+	sufficientCount = 400             // requests sufficient to rank the hot keys
+	splitLoadShare  = 0.5             // keys above this share of a cache's mean load are split
+	moveMargin      = 0.1             // a hot key moves only if this reduces the objective by this share
+	retryRatio      = 0.15            // retries after failures, as a share of requests
+	retryBurst      = 10
+	// unseenRetryCost is the retry budget taken by a retry after a connection broke or could not be
+	// established, or after a member rejected the attempt without processing it. Such failures do not
+	// indicate load, and where they are common, full cost would exhaust the budget. The discount could do
+	// harm where members shed load by resetting connections: each request then costs up to its maximum
+	// number of attempts.
+	unseenRetryCost        = 0.25
+	initialLimit           = 8                     // concurrency limit of a member without any outcome yet
+	knownSamples           = 16 * initialLimit     // with fewer samples, an uncut limit is an estimate
+	unknownCacheRetryDelay = 10 * time.Millisecond // retry delay of reads held back at members with few samples
+	// share of fetchTarget that outstanding attempts may take at a fast member
+	burstTargetShare   = 0.25
+	throttleWindow     = 3 * time.Second        // period over which attempts and answers are compared
+	throttleRatio      = 2                      // reads may be refused below one answer in this many attempts
+	throttleSlack      = 8                      // fewer attempts than this are not significant
+	silentZoneTimeouts = 4                      // consecutive timeouts that mark a zone as silent
+	silentZoneInterval = 300 * time.Millisecond // minimum interval between attempts in a silent zone
+	// silence after which the caches of a zone may have restarted; far longer than overload lasts
+	zoneOutageTime = 3 * time.Second
+	// consecutive misses, after as many hits, that show that a cache restarted without its data
+	emptyCacheMisses  = 32
+	maxBusyCandidates = 6 // busy candidates at which a read is refused
+	// a read may wait 1/12 of its time for a connection: a hit after a short wait is better than a miss
+	// elsewhere
+	connectionWaitDivisor = 12
+	ejectionOdds          = 3000  // no ejection for streaks that chance produces more than once in this many attempts
+	maxAttemptsLimit      = 32    // as many again may get no connection, and the attempt bit sets have 64 bits
+	maxFailureStreak      = 8     // upper bound of the failure streak required for ejection
+	minLatencyGrowth      = 1.002 // growth of a member's minimum latency with each answer
+	coldBudgetShare       = 0.5   // share of OverloadMultiple; the rest is reserved for what this proxy can't observe
 )
 
-// What a refused client is told.
+// Bounds of the retry delay that a refused client is given.
 const (
-	leastWait  = 50 * time.Millisecond
-	refusalGap = time.Second // without a refusal ends a shortage
+	minRetryAfter  = 50 * time.Millisecond
+	shortageEndGap = time.Second // a shortage ends after this time without a refusal
 )
 
-// purposes of a timer, in the low bits of its token.
+// Purposes of a timer, stored in the low bits of its token.
 const (
-	tickClose  = iota // the window closes
-	tickWatch         // ask for the list again
-	tickPump          // look at the origin's queue again
-	tickAim           // a request's aim passes
-	tickEnd           // a request must be answered
-	tickResume        // a request that waits with nothing out goes on
-	tickWindow        // repeats of a request are dropped no longer
+	timerWindow       = iota // the counting window ends
+	timerWatch               // subscribe to the member list again
+	timerOriginQueue         // dispatch the origin queue again
+	timerSoftDeadline        // a request's soft deadline
+	timerDeadline            // a request's deadline
+	timerResume              // resume a waiting request without outstanding attempts
+	timerDedupWindow         // end of a request's deduplication window
 )
 
-// New makes a Balancer. The seed sets all its random choices.
-func New(s Settings, seed uint64, do Actions) (*Balancer, error) {
-	if do == nil {
-		return nil, errors.New("logic: no actions")
+// New creates a Balancer. The seed determines all its random choices.
+func New(s Settings, seed uint64, actions Actions) (*Balancer, error) {
+	if actions == nil {
+		return nil, errors.New("logic: actions are nil")
 	}
 	if err := s.check(); err != nil {
 		return nil, err
 	}
 	s.Instances = max(1, s.Instances)
-	s.TryLimit = min(s.TryLimit, mostTries)
-	pcg := rand.NewPCG(seed, uint64(s.Self))
+	s.MaxAttempts = min(s.MaxAttempts, maxAttemptsLimit)
+	source := rand.NewPCG(seed, uint64(s.SelfIndex))
 	b := &Balancer{
-		s: s, do: do, pcg: pcg, rng: rand.New(pcg),
-		nodes: map[MemberID]*node{}, slots: make([][]ranked, slotCount), kindSize: map[int]float64{},
-		counts: counter{at: map[uint64]int{}, size: counterSize}, hot: map[uint64]*placed{},
-		tenants: make([]float64, len(s.Tenants)), flights: map[RequestID]*flight{},
-		fetching: map[uint64][]*flight{}, retries: retryBurst,
-	}
-	b.aimAt()
-	// Where crossing zones costs more than the copies it saves, each zone has a table of its own.
-	b.local = s.Zones > 1 && s.CrossZonePrice*(1-1/float64(s.Zones)) > 0.03
+		settings: s, actions: actions, randomSource: source, rng: rand.New(source),
+		members: map[MemberID]*memberState{}, slots: make([][]candidate, slotCount), kindWeight: map[int]float64{},
+		keyCounts: counter{index: map[uint64]int{}, capacity: counterCapacity}, hotTable: map[uint64]*placement{},
+		tenantRequests: make([]float64, len(s.Tenants)), requests: map[RequestID]*pendingRequest{},
+		fetchWaiters: map[uint64][]*pendingRequest{}, retryTokens: retryBurst,
+	}
+	b.updateFetchTarget()
+	// Each zone has a slot table of its own where crossing zones costs more than the duplicate copies
+	// save.
+	b.zoneTables = s.Zones > 1 && s.CrossZoneCost*(1-1/float64(s.Zones)) > 0.03
 	return b, nil
 }
 
-// aimAt sets what a fetch may take: half of the shortest aim.
-func (b *Balancer) aimAt() {
-	b.target = math.Inf(1)
-	for _, c := range b.s.Classes {
-		b.target = min(b.target, c.Aim.Seconds()/2)
+// updateFetchTarget sets the target duration of a fetch to half of the shortest soft deadline.
+func (b *Balancer) updateFetchTarget() {
+	b.fetchTarget = math.Inf(1)
+	for _, c := range b.settings.Classes {
+		b.fetchTarget = min(b.fetchTarget, c.SoftDeadline.Seconds()/2)
 	}
 }
 
-// Retune takes over other classes and another number of attempts, for requests that come from now on.
-func (b *Balancer) Retune(now time.Duration, classes []Class, tryLimit int) error {
-	s := b.s
-	s.Classes, s.TryLimit = slices.Clone(classes), min(tryLimit, mostTries) // requests in hand hold on to the old ones
-	if err := s.check(); err != nil {
+// UpdateClasses replaces the classes and the number of attempts for requests that arrive from now on.
+func (b *Balancer) UpdateClasses(now time.Duration, classes []Class, maxAttempts int) error {
+	updated := b.settings
+	// pending requests keep the old classes
+	updated.Classes, updated.MaxAttempts = slices.Clone(classes), min(maxAttempts, maxAttemptsLimit)
+	if err := updated.check(); err != nil {
 		return err
 	}
 	b.advance(now)
-	b.s = s
-	b.aimAt()
+	b.settings = updated
+	b.updateFetchTarget()
 	return nil
 }
 
-// Start begins at the host's time; windows are phased by instance so that rebuilds don't coincide.
+// Start begins operation at the host's time. The windows of the instances are staggered so that their hot-
+// key placements don't coincide.
 func (b *Balancer) Start(now time.Duration) {
-	b.now, b.closeAt, b.period = now, now, window/8
-	phase := time.Duration(b.s.Self%b.s.Instances) * window / time.Duration(b.s.Instances)
-	b.do.SetTimer(now+b.period+phase/4, tickClose)
-	if b.s.Subscribe {
-		b.do.SetTimer(now+b.jitter(time.Second), tickWatch)
+	b.now, b.windowStart, b.windowLength = now, now, maxWindow/8
+	phase := time.Duration(b.settings.SelfIndex%b.settings.Instances) * maxWindow / time.Duration(b.settings.Instances)
+	b.actions.SetTimer(now+b.windowLength+phase/4, timerWindow)
+	if b.settings.Subscribe {
+		b.actions.SetTimer(now+b.jitter(time.Second), timerWatch)
 	}
 }
 
@@ -127,1184 +137,1285 @@
 	return seconds(b.rng.Float64() * d.Seconds())
 }
 
-// SetMembers applies a list. A member that drains or is gone leaves the tables at once.
+// SetMembers applies a member list. A draining or removed member leaves the tables immediately.
 func (b *Balancer) SetMembers(now time.Duration, kind ListKind, list []Member) {
 	b.advance(now)
 	if kind == ListFailed {
-		// Every proxy loses the list at the same moment; jitter keeps their calls apart.
-		if b.s.Subscribe {
-			b.watches = min(b.watches+1, 4)
-			d := 500 * time.Millisecond << b.watches
-			b.do.SetTimer(b.now+d/2+b.jitter(d), tickWatch)
+		// All proxies lose the list at the same moment; jitter spreads their calls.
+		if b.settings.Subscribe {
+			b.listFailures = min(b.listFailures+1, 4)
+			d := 500 * time.Millisecond << b.listFailures
+			b.actions.SetTimer(b.now+d/2+b.jitter(d), timerWatch)
 		}
 		return
 	}
-	b.watches = 0
+	b.listFailures = 0
 	listed := make(map[MemberID]bool, len(list))
 	for _, m := range list {
 		listed[m.ID] = true
-		b.update(m)
+		b.updateMember(m)
 	}
 	if kind != ListDelta {
-		for _, n := range append(slices.Clone(b.caches), b.origins...) {
-			if !listed[n.m.ID] {
-				n.m.State = Gone
-				b.update(n.m)
+		for _, member := range append(slices.Clone(b.caches), b.origins...) {
+			if !listed[member.entry.ID] {
+				member.entry.State = Gone
+				b.updateMember(member.entry)
 			}
 		}
-		maps.DeleteFunc(b.nodes, func(id MemberID, _ *node) bool { return !listed[id] }) // those that drained when last heard of
+		// deletes members that were draining in the last list
+		maps.DeleteFunc(b.members, func(id MemberID, _ *memberState) bool { return !listed[id] })
 	}
-	b.peak = max(b.peak, b.size())
-	b.pump()
-	b.sift()
+	b.peakWeight = max(b.peakWeight, b.tableWeight())
+	b.dispatchOriginQueue()
+	b.endUnsendable()
 }
 
-// sift ends the requests that wait for what no member is left to give them after a change of the list.
-func (b *Balancer) sift() {
-	for _, id := range slices.Sorted(maps.Keys(b.flights)) {
-		if f := b.flights[id]; f != nil { // ending one may have sent another on
-			b.endHopeless(f)
+// endUnsendable ends waiting requests that no remaining member can take after a change of the member list
+// or of zone shares.
+func (b *Balancer) endUnsendable() {
+	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
+		if req := b.requests[id]; req != nil { // ending one request may have completed another
+			b.endIfUnsendable(req)
 		}
 	}
 }
 
-// endHopeless gives a request that waits its final answer if it can't be sent any more, and tells whether it did.
-func (b *Balancer) endHopeless(f *flight) bool {
-	why := b.hopeless(f)
-	if f.waiting && why != NoReason {
-		b.conclude(f, why)
+// endIfUnsendable refuses or fails a waiting request that can't be sent any more. It reports whether the
+// request is answered.
+func (b *Balancer) endIfUnsendable(req *pendingRequest) bool {
+	why := b.unsendable(req)
+	if req.waiting && why != NoReason {
+		b.refuseOrFail(req, why)
 	}
-	return f.done
+	return req.answered
 }
 
-func (b *Balancer) size() (weight float64) {
-	for _, n := range b.caches {
-		if !b.local || n.m.Zone == b.s.Zone {
-			weight += n.weight
+// tableWeight returns the total weight of the caches in the slot table.
+func (b *Balancer) tableWeight() (weight float64) {
+	for _, member := range b.caches {
+		if !b.zoneTables || member.entry.Zone == b.settings.Zone {
+			weight += member.weight
 		}
 	}
 	return weight
 }
 
-func (b *Balancer) update(m Member) {
-	n := b.nodes[m.ID]
-	if m.State != Ready && m.State != Draining {
-		defer delete(b.nodes, m.ID) // ids are ever new: what is gone must not be kept
+// updateMember applies one entry of the member list.
+func (b *Balancer) updateMember(entry Member) {
+	member := b.members[entry.ID]
+	if entry.State != Ready && entry.State != Draining {
+		// ids are never reused, so keeping removed members would leak memory
+		defer delete(b.members, entry.ID)
 	}
-	if n == nil {
-		n = &node{hash: mix(uint64(m.ID) + 0x9e3779b97f4a7c15), weight: b.slotWeight(m)}
-		n.limit, n.sentAt = startLimit, b.now
-		b.nodes[m.ID] = n
-		n.m.State = Gone
+	if member == nil {
+		member = &memberState{hash: mix(uint64(entry.ID) + 0x9e3779b97f4a7c15), weight: b.slotWeight(entry)}
+		member.limit, member.lastSentAt = initialLimit, b.now
+		b.members[entry.ID] = member
+		member.entry.State = Gone
 	}
-	if m.StartedAt != n.m.StartedAt && m.State == Ready {
-		b.renew(n)
+	if entry.StartedAt != member.entry.StartedAt && entry.State == Ready {
+		b.resetMember(member)
 	}
-	n.m, n.zone = m, &b.zones[m.Zone&63]
+	member.entry, member.zone = entry, &b.zones[entry.Zone&63]
 	group := &b.caches
-	if b.isOrigin(m) {
-		group, n.zone = &b.origins, &zone{}
-	}
-	byID := func(a *node, id MemberID) int { return cmp.Compare(a.m.ID, id) }
-	at, found := slices.BinarySearchFunc(*group, m.ID, byID)
-	if found && m.State != Ready {
-		*group = slices.Delete(*group, at, at+1)
-		b.leave(n)
-	}
-	if !found && m.State == Ready {
-		*group = slices.Insert(*group, at, n)
-		b.resize(m)
-		if !b.isOrigin(m) {
-			b.join(n)
+	if b.isOrigin(entry) {
+		group, member.zone = &b.origins, &zoneState{}
+	}
+	byID := func(a *memberState, id MemberID) int { return cmp.Compare(a.entry.ID, id) }
+	position, found := slices.BinarySearchFunc(*group, entry.ID, byID)
+	if found && entry.State != Ready {
+		*group = slices.Delete(*group, position, position+1)
+		b.removeFromSlots(member)
+	}
+	if !found && entry.State == Ready {
+		*group = slices.Insert(*group, position, member)
+		b.updateKindWeight(entry)
+		if !b.isOrigin(entry) {
+			b.addToSlots(member)
 		}
 	}
 }
 
-// renew makes void what was known of a member: it is a new process, or may be one.
-func (b *Balancer) renew(n *node) {
-	*n = node{m: n.m, zone: n.zone, hash: n.hash, weight: n.weight, tokensAt: b.now, tokens: b.rng.Float64(),
-		limiter: limiter{limit: startLimit, sentAt: b.now}}
+// resetMember discards the statistics of a member that is, or may be, a new process.
+func (b *Balancer) resetMember(member *memberState) {
+	*member = memberState{entry: member.entry, zone: member.zone, hash: member.hash, weight: member.weight,
+		coldTokensAt: b.now, coldTokens: b.rng.Float64(), limiter: limiter{limit: initialLimit, lastSentAt: b.now}}
 }
 
-// SetShares takes the part of its usual work that the caches of each zone are to get from now on; a zone beyond the list as before.
-func (b *Balancer) SetShares(now time.Duration, shares []ZoneShare) {
+// SetZoneShares sets the share of its usual work that the caches of each zone receive from now on. Zones
+// beyond the list keep their share.
+func (b *Balancer) SetZoneShares(now time.Duration, shares []ZoneShare) {
 	b.advance(now)
-	b.trials = false
-	for i, s := range shares[:min(len(shares), len(b.zones))] {
-		z, was := &b.zones[i], b.zones[i].closed
-		z.closed, z.trial = 1-max(0, min(1, s.Share)), s.Trial
-		b.trials = b.trials || z.trial
-		for _, n := range b.caches {
-			if was >= 1 && z.closed < 1 && n.zone == z {
-				b.renew(n)
+	b.zonesOnTrial = false
+	for i, share := range shares[:min(len(shares), len(b.zones))] {
+		zone, previouslyWithheld := &b.zones[i], b.zones[i].withheldShare
+		zone.withheldShare, zone.trial = 1-max(0, min(1, share.Share)), share.Trial
+		b.zonesOnTrial = b.zonesOnTrial || zone.trial
+		for _, member := range b.caches {
+			if previouslyWithheld >= 1 && zone.withheldShare < 1 && member.zone == zone {
+				b.resetMember(member)
 			}
 		}
 	}
-	b.place()
-	b.pump()
-	b.sift()
+	b.placeHotKeys()
+	b.dispatchOriginQueue()
+	b.endUnsendable()
 }
 
-func (b *Balancer) isOrigin(m Member) bool {
-	return b.s.Mode == Aside && b.s.OriginKind >= 0 && m.Kind == b.s.OriginKind
+// isOrigin reports whether a member is an origin.
+func (b *Balancer) isOrigin(entry Member) bool {
+	return b.settings.Mode == CacheAside && b.settings.OriginKind >= 0 && entry.Kind == b.settings.OriginKind
 }
 
-// slotWeight must come out alike at every proxy and must not follow load. Live weights fall with load, so
-// the largest seen of a kind, in coarse steps, stands for the kind's size.
-func (b *Balancer) slotWeight(m Member) float64 {
-	w := m.Weight
-	if !(w > 0) || math.IsInf(w, 0) || b.s.Weights == WeightsOff {
+// slotWeight returns a member's weight in the slot table. It must be the same at every proxy and
+// independent of load. Live weights fall with load, so the largest weight seen of a kind, in coarse steps,
+// is used for all members of the kind.
+func (b *Balancer) slotWeight(entry Member) float64 {
+	weight := entry.Weight
+	if !(weight > 0) || math.IsInf(weight, 0) || b.settings.Weights == WeightsOff {
 		return 1
 	}
-	if b.s.Weights != WeightsLive {
-		return w
+	if b.settings.Weights != WeightsLive {
+		return weight
 	}
-	return max(b.kindSize[m.Kind], math.Exp2(math.Round(2*math.Log2(w))/2))
+	return max(b.kindWeight[entry.Kind], math.Exp2(math.Round(2*math.Log2(weight))/2))
 }
 
-func (b *Balancer) resize(m Member) {
-	w := b.slotWeight(m)
-	if b.s.Weights != WeightsLive || w == b.kindSize[m.Kind] {
+// updateKindWeight raises the weight of all caches of a kind if this entry has a larger one.
+func (b *Balancer) updateKindWeight(entry Member) {
+	weight := b.slotWeight(entry)
+	if b.settings.Weights != WeightsLive || weight == b.kindWeight[entry.Kind] {
 		return
 	}
-	b.kindSize[m.Kind] = w
-	for _, n := range b.caches {
-		if n.m.Kind == m.Kind {
-			n.weight = w
+	b.kindWeight[entry.Kind] = weight
+	for _, member := range b.caches {
+		if member.entry.Kind == entry.Kind {
+			member.weight = weight
 		}
 	}
 	clear(b.slots)
 }
 
-// score ranks a member for a slot by weighted rendezvous hashing: alike at all proxies, and a change of the
-// list moves only the share of the member that changed.
-func (b *Balancer) score(slot int, n *node) float64 {
-	s := math.Log(unit(mix(n.hash^mix(uint64(slot)+1)))) / n.weight
-	if b.local && n.m.Zone != b.s.Zone {
-		return s - 1e9
+// score ranks a member for a slot by weighted rendezvous hashing. All proxies compute the same scores, and
+// a change of the list moves only the slots of the member that changed.
+func (b *Balancer) score(slot int, member *memberState) float64 {
+	score := math.Log(unit(mix(member.hash^mix(uint64(slot)+1)))) / member.weight
+	if b.zoneTables && member.entry.Zone != b.settings.Zone {
+		return score - 1e9
 	}
-	return s
+	return score
 }
 
-// order is the slot's candidates, best first. It is worked out when first asked for and then kept current,
-// so that a request costs nothing that grows with the fleet.
-func (b *Balancer) order(slot int) []ranked {
+// candidates returns the candidates of a slot, best first. The list is computed on first use and then kept
+// up to date, so that the cost of a request does not grow with the fleet.
+func (b *Balancer) candidates(slot int) []candidate {
 	if len(b.slots[slot]) == 0 {
-		for _, n := range b.caches {
-			b.insert(slot, n)
+		for _, member := range b.caches {
+			b.insertCandidate(slot, member)
 		}
 	}
 	return b.slots[slot]
 }
 
-func (b *Balancer) insert(slot int, n *node) {
-	o, s := b.slots[slot], b.score(slot, n)
-	depth, last := orderDepth, 0
-	if b.local && n.m.Zone != b.s.Zone {
-		depth = abroadDepth
+// insertCandidate adds a member to the candidates of a slot, which stay sorted and limited in number.
+func (b *Balancer) insertCandidate(slot int, member *memberState) {
+	list, score := b.slots[slot], b.score(slot, member)
+	depth, last := candidateDepth, 0
+	if b.zoneTables && member.entry.Zone != b.settings.Zone {
+		depth = otherZoneDepth
 	}
-	for i, r := range o {
-		if !b.local || r.n.m.Zone == n.m.Zone {
+	for i, r := range list {
+		if !b.zoneTables || r.member.entry.Zone == member.entry.Zone {
 			depth, last = depth-1, i
 		}
 	}
 	if depth == 0 {
-		if o[last].score >= s {
+		if list[last].score >= score {
 			return
 		}
-		o = slices.Delete(o, last, last+1)
+		list = slices.Delete(list, last, last+1)
 	}
-	i := len(o)
-	for i > 0 && o[i-1].score < s {
+	i := len(list)
+	for i > 0 && list[i-1].score < score {
 		i--
 	}
-	b.slots[slot] = slices.Insert(o, i, ranked{n, s})
+	b.slots[slot] = slices.Insert(list, i, candidate{member, score})
 }
 
-func (b *Balancer) join(n *node) {
-	for slot, o := range b.slots {
-		if len(o) > 0 {
-			b.insert(slot, n)
+// addToSlots adds a member to all slots that are already computed.
+func (b *Balancer) addToSlots(member *memberState) {
+	for slot, list := range b.slots {
+		if len(list) > 0 {
+			b.insertCandidate(slot, member)
 		}
 	}
 }
 
-func (b *Balancer) leave(n *node) {
-	for slot, o := range b.slots {
-		if slices.ContainsFunc(o, func(r ranked) bool { return r.n == n }) {
-			b.slots[slot] = slices.Delete(o, 0, len(o)) // its room is used again: where caches come and go it would be garbage all day
+// removeFromSlots clears the candidates of all slots that contain the member.
+func (b *Balancer) removeFromSlots(member *memberState) {
+	for slot, list := range b.slots {
+		if slices.ContainsFunc(list, func(r candidate) bool { return r.member == member }) {
+			// keeps the allocation: with frequent member changes it would be a constant source of garbage
+			b.slots[slot] = slices.Delete(list, 0, len(list))
 		}
 	}
 }
 
-// ramp is the share of its capacity that a member surely has. It may have started anew, untold by the list: see outage, emptyAfter.
-func (b *Balancer) ramp(n *node) float64 {
-	since := max(n.m.StartedAt, n.zone.since, n.since)
+// warmth returns the share of its capacity that a member certainly has. A member may also have restarted
+// without notice by the list: see zoneOutageTime and emptyCacheMisses.
+func (b *Balancer) warmth(member *memberState) float64 {
+	since := max(member.entry.StartedAt, member.zone.coldSince, member.coldSince)
 	age := b.now - since
-	if since == 0 || age >= b.s.ColdFor {
+	if since == 0 || age >= b.settings.SlowStartDuration {
 		return 1
 	}
-	return b.s.ColdFrom + (1-b.s.ColdFrom)*max(0, age.Seconds())/b.s.ColdFor.Seconds()
+	return b.settings.SlowStartCapacity + (1-b.settings.SlowStartCapacity)*max(0, age.Seconds())/b.settings.SlowStartDuration.Seconds()
 }
 
-// owns tells whether a cold member already has this slot: its slots come to it as it warms, in an order alike at every proxy.
-func (b *Balancer) owns(n *node, slot int) bool {
-	return n.given(slot) && unit(mix(n.hash+uint64(slot)*0x9e3779b97f4a7c15)) < b.ramp(n)
+// ownsSlot reports whether a member takes a slot. A cold member takes over its slots as it warms up, in an
+// order that is the same at every proxy.
+func (b *Balancer) ownsSlot(member *memberState, slot int) bool {
+	return member.receivesSlot(slot) && unit(mix(member.hash+uint64(slot)*0x9e3779b97f4a7c15)) < b.warmth(member)
 }
 
-// given tells whether a slot is of the part that its zone gets: the same at every proxy and for all of the zone's members.
-func (n *node) given(slot int) bool {
-	return n.zone.closed == 0 || unit(mix(uint64(n.m.Zone+1)<<32|uint64(slot))) >= n.zone.closed
+// receivesSlot reports whether a slot is in the share of work that the member's zone receives. The result
+// is the same at every proxy and for all members of the zone.
+func (member *memberState) receivesSlot(slot int) bool {
+	return member.zone.withheldShare == 0 || unit(mix(uint64(member.entry.Zone+1)<<32|uint64(slot))) >= member.zone.withheldShare
 }
 
-// capacity is the estimate that S and T are divided by: the weight, less where the member is cold, ejected or
-// answers slower than the fleet.
-func (b *Balancer) capacity(n *node) float64 {
-	c := n.weight * b.ramp(n)
-	if n.outUntil > b.now {
-		return c / 100
+// capacity returns the estimate that divides S and T: the weight, reduced where the member is cold,
+// ejected or slower than the fleet.
+func (b *Balancer) capacity(member *memberState) float64 {
+	capacity := member.weight * b.warmth(member)
+	if member.ejectedUntil > b.now {
+		return capacity / 100
 	}
-	if n.seen >= 5 && b.latency > 0 {
-		c *= max(0.25, min(1, 1.5*b.latency/n.latency))
+	if member.samples >= 5 && b.meanLatency > 0 {
+		capacity *= max(0.25, min(1, 1.5*b.meanLatency/member.latency))
 	}
-	return c
+	return capacity
 }
 
-// place assigns the hot keys, greedily: in falling count, each on the candidate that least raises
-// max S + k·max T. A key that asks for more than a cache's mean load is split over several.
-func (b *Balancer) place() {
-	old := b.hot
-	b.hot = make(map[uint64]*placed, len(old))
-	for _, n := range b.caches {
-		n.hotLoad, n.hotKeys = 0, 0
+// placeHotKeys assigns the hot keys greedily: by descending count, each to the candidate that increases
+// max S + k·max T least. A key that takes more than splitLoadShare of a cache's mean load is split over
+// several.
+func (b *Balancer) placeHotKeys() {
+	old := b.hotTable
+	b.hotTable = make(map[uint64]*placement, len(old))
+	for _, member := range b.caches {
+		member.hotLoad, member.hotKeys = 0, 0
 	}
-	size := b.size()
-	if size == 0 {
+	totalWeight := b.tableWeight()
+	if totalWeight == 0 {
 		return
 	}
 	maxS, maxT := 0.0, 0.0
-	for _, it := range b.counts.hottest(2, maxHot) {
-		slot := slotOf(it.key)
-		order := b.order(slot)
-		// What chance may have added to a thin count must not make copies.
-		sure := max(0, it.count-it.err-math.Sqrt(it.count))
-		copies := int(sure / b.counts.total * size / order[0].n.weight / splitAt)
-		copies = max(1, min(copies, len(order)))
-		parts := max(1, min(copies, copies*2/b.s.Instances))
-		p := &placed{}
+	for _, counted := range b.keyCounts.hottest(2, maxHotKeys) {
+		slot := slotOf(counted.key)
+		candidates := b.candidates(slot)
+		// Random excess in a low count must not create copies.
+		guaranteed := max(0, counted.count-counted.maxError-math.Sqrt(counted.count))
+		copies := int(guaranteed / b.keyCounts.total * totalWeight / candidates[0].member.weight / splitLoadShare)
+		copies = max(1, min(copies, len(candidates)))
+		parts := max(1, min(copies, copies*2/b.settings.Instances))
+		placed := &placement{}
 		for range parts {
-			near := order[:min(len(order), copies+1)]
-			n := b.leastRaise(near, p, slot, it, float64(parts), maxS, maxT, old[it.key])
-			if n == nil { // all cold: the key goes by slot
+			nearest := candidates[:min(len(candidates), copies+1)]
+			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(parts), maxS, maxT, old[counted.key])
+			if member == nil { // all candidates are cold: the key is routed by its slot
 				break
 			}
-			c := b.capacity(n)
-			n.hotLoad += it.count / float64(parts)
-			n.hotKeys++
-			maxS, maxT = max(maxS, n.hotLoad/c), max(maxT, n.hotKeys/c)
-			p.nodes = append(p.nodes, n)
+			capacity := b.capacity(member)
+			member.hotLoad += counted.count / float64(parts)
+			member.hotKeys++
+			maxS, maxT = max(maxS, member.hotLoad/capacity), max(maxT, member.hotKeys/capacity)
+			placed.members = append(placed.members, member)
 		}
-		if len(p.nodes) > 0 {
-			b.hot[it.key] = p
+		if len(placed.members) > 0 {
+			b.hotTable[counted.key] = placed
 		}
 	}
 }
 
-func (b *Balancer) leastRaise(order []ranked, p *placed, slot int, it counted, parts, maxS, maxT float64, old *placed) *node {
-	var best *node
-	least := math.Inf(1)
-	turn := 0
-	if len(order) > 2 { // several caches share the key: proxies begin at different ones
-		turn = int(mix(it.key^uint64(b.s.Self)*0x9e3779b97f4a7c15) % uint64(len(order)))
+// cheapestCandidate returns the candidate whose use increases the objective least, with a preference for
+// the previous placement; nil if none takes the slot.
+func (b *Balancer) cheapestCandidate(candidates []candidate, placed *placement, slot int, counted keyCount,
+	parts, maxS, maxT float64, old *placement) *memberState {
+	var best *memberState
+	minCost := math.Inf(1)
+	offset := 0
+	if len(candidates) > 2 { // several caches share the key: proxies start at different caches
+		offset = int(mix(counted.key^uint64(b.settings.SelfIndex)*0x9e3779b97f4a7c15) % uint64(len(candidates)))
 	}
-	for i := range order {
-		n := order[(i+turn)%len(order)].n
-		if slices.Contains(p.nodes, n) || !b.owns(n, slot) {
+	for i := range candidates {
+		member := candidates[(i+offset)%len(candidates)].member
+		if slices.Contains(placed.members, member) || !b.ownsSlot(member, slot) {
 			continue
 		}
-		c := b.capacity(n)
-		m := max(maxS, (n.hotLoad+it.count/parts)/c) + keyWeight*max(maxT, (n.hotKeys+1)/c)
-		// A key that was not placed before has gone by its slot: that is its old place. Else keys at the hot
-		// set's edge change caches each time they enter or leave it.
-		if old != nil && slices.Contains(old.nodes, n) || old == nil && n == order[0].n {
-			m *= 1 - min(0.9, keepMargin+1/math.Sqrt(it.count)) // and by more than chance in its count
+		capacity := b.capacity(member)
+		cost := max(maxS, (member.hotLoad+counted.count/parts)/capacity) + keyCost*max(maxT, (member.hotKeys+1)/capacity)
+		// A key that was not placed before was routed by its slot, so the slot's first candidate is its
+		// previous place. Otherwise keys at the edge of the hot set would change caches whenever they
+		// enter or leave it.
+		if old != nil && slices.Contains(old.members, member) || old == nil && member == candidates[0].member {
+			// also requires a gain beyond random variation of the count
+			cost *= 1 - min(0.9, moveMargin+1/math.Sqrt(counted.count))
 		}
-		if m < least {
-			best, least = n, m
+		if cost < minCost {
+			best, minCost = member, cost
 		}
 	}
 	return best
 }
 
+// slotOf returns the slot of a key.
 func slotOf(key uint64) int { return int(mix(key^0xa0761d6478bd642f) % slotCount) }
 
+// closeWindow ends a counting window: it places the hot keys and decays the counts.
 func (b *Balancer) closeWindow() {
-	b.span, b.closeAt = b.span+(b.now-b.closeAt).Seconds(), b.now
-	b.place()
-	// Halved, but less at a quiet proxy, whose counts would be too thin to tell a hot key from chance.
-	b.counts.age(max(0.5, min(0.9, 1-(b.counts.total-b.kept)/enoughCounts)))
-	b.kept = b.counts.total
-	b.arrivals, b.carried, b.span = b.arrivals/2, b.carried/2, b.span/2
-	for i := range b.tenants {
-		b.tenants[i] /= 2
+	b.spanSeconds, b.windowStart = b.spanSeconds+(b.now-b.windowStart).Seconds(), b.now
+	b.placeHotKeys()
+	// Counts are halved, but reduced less at a proxy with little traffic, whose counts would otherwise be
+	// too low to distinguish a hot key from chance.
+	b.keyCounts.decay(max(0.5, min(0.9, 1-(b.keyCounts.total-b.earlierTotal)/sufficientCount)))
+	b.earlierTotal = b.keyCounts.total
+	b.arrivals, b.servedWork, b.spanSeconds = b.arrivals/2, b.servedWork/2, b.spanSeconds/2
+	for i := range b.tenantRequests {
+		b.tenantRequests[i] /= 2
 	}
-	b.period = min(window, 2*b.period) // short at first: until the first close all keys go by slot
-	b.do.SetTimer(b.now+b.period, tickClose)
+	// the first windows are short: until the first one ends, all keys are routed by slot
+	b.windowLength = min(maxWindow, 2*b.windowLength)
+	b.actions.SetTimer(b.now+b.windowLength, timerWindow)
 }
 
-// rate is what the caches do for this proxy a second. Not what it asks of them: under overload, with clients
-// trying again, that could be several times what they can do, and no guide to what a cold one can.
-func (b *Balancer) rate() float64 {
-	return b.carried / max(1, b.span+(b.now-b.closeAt).Seconds())
+// servedRate returns the work per second that caches do for this proxy, not the rate of attempts. Under
+// overload, with client retries, the attempt rate could be several times what the caches can serve, and
+// would not show what a cold member can serve.
+func (b *Balancer) servedRate() float64 {
+	return b.servedWork / max(1, b.spanSeconds+(b.now-b.windowStart).Seconds())
 }
 
-// Request takes a client's request.
+// Request handles the arrival of a client request.
 func (b *Balancer) Request(now time.Duration, r Request) {
 	b.advance(now)
-	if b.flights[r.ID] != nil {
+	if b.requests[r.ID] != nil {
 		return
 	}
-	f := &flight{Request: r, class: b.classOf(&r), tries: b.s.TryLimit}
-	aim := f.class.Aim
-	if r.Known && r.Cost > 0 {
-		aim = min(f.class.Deadline, aim+time.Duration(f.class.AimStretch*float64(r.Cost)))
+	req := &pendingRequest{Request: r, class: b.classOf(&r), maxAttempts: b.settings.MaxAttempts}
+	target := req.class.SoftDeadline
+	if r.CostKnown && r.Cost > 0 {
+		target = min(req.class.Deadline, target+time.Duration(req.class.SoftDeadlineCostFactor*float64(r.Cost)))
 	}
-	f.askedAt, f.aim = b.now, min(b.now+aim, r.Deadline)
-	if f.class.LateWorth > 0 {
-		f.aim = r.Deadline
+	req.arrivedAt, req.softDeadline = b.now, min(b.now+target, r.Deadline)
+	if req.class.LateValue > 0 {
+		req.softDeadline = r.Deadline
 	}
-	f.value = f.class.Worth / max(1e-9, f.class.Aim.Seconds())
-	b.flights[r.ID] = f
+	req.priority = req.class.Value / max(1e-9, req.class.SoftDeadline.Seconds())
+	b.requests[r.ID] = req
 	b.arrivals++
-	b.retries = min(retryBurst, b.retries+retryRatio)
-	if b.overShare(r.Tenant) {
-		f.value *= b.s.OverShareWorth
+	b.retryTokens = min(retryBurst, b.retryTokens+retryRatio)
+	if b.exceedsTenantShare(r.Tenant) {
+		req.priority *= b.settings.OverShareValue
 	}
 	if r.Key != 0 {
-		// A fetch also serves those who will ask for the key again; keys wanted once must not crowd them out.
-		f.value *= 1 + b.counts.sure(r.Key)
-		b.counts.add(r.Key)
-		f.slot = slotOf(r.Key)
+		// A fetch also serves later requests for the key; keys requested only once must not displace those
+		// requested often.
+		req.priority *= 1 + b.keyCounts.guaranteedCount(r.Key)
+		b.keyCounts.add(r.Key)
+		req.slot = slotOf(r.Key)
 	} else {
-		f.slot = b.rng.IntN(slotCount)
+		req.slot = b.rng.IntN(slotCount)
 	}
-	if f.aim < r.Deadline {
-		b.timer(f, max(b.now, f.aim-b.slack()), tickAim)
+	if req.softDeadline < r.Deadline {
+		b.setRequestTimer(req, max(b.now, req.softDeadline-b.answerMargin()), timerSoftDeadline)
 	}
-	b.timer(f, max(b.now, r.Deadline-b.slack()), tickEnd)
-	b.route(f)
+	b.setRequestTimer(req, max(b.now, r.Deadline-b.answerMargin()), timerDeadline)
+	b.route(req)
 }
 
-// slack is how early a request is ended, so that the answer is in time though events are late.
-func (b *Balancer) slack() time.Duration { return 2*b.s.Tick + time.Millisecond }
+// answerMargin returns how long before its deadline a request is ended, so that the answer is in time
+// although events are late.
+func (b *Balancer) answerMargin() time.Duration { return 2*b.settings.MaxEventDelay + time.Millisecond }
 
-func (b *Balancer) timer(f *flight, at time.Duration, purpose uint64) {
-	b.do.SetTimer(at, uint64(f.ID)<<3|purpose)
+// setRequestTimer sets a timer whose token names the request and the purpose.
+func (b *Balancer) setRequestTimer(req *pendingRequest, at time.Duration, purpose uint64) {
+	b.actions.SetTimer(at, uint64(req.ID)<<3|purpose)
 }
 
-// classOf takes an unknown class, and a keyed request that lacks its key, for the strictest kind, so that it is never lost or run twice.
+// classOf returns the class of a request. An unknown class, and a keyed request without its key, are
+// treated as AtMostOnce, so that the request is never lost or run twice.
 func (b *Balancer) classOf(r *Request) *Class {
-	i := max(0, min(r.Class, len(b.s.Classes)-1))
-	if c := &b.s.Classes[i]; i == r.Class && c.EffectOf(r.Unkeyed) == c.Effect {
+	i := max(0, min(r.Class, len(b.settings.Classes)-1))
+	if c := &b.settings.Classes[i]; i == r.Class && c.EffectOf(r.NoDedupKey) == c.Effect {
 		return c
 	}
-	c := b.s.Classes[i]
-	c.Effect = Once
+	c := b.settings.Classes[i]
+	c.Effect = AtMostOnce
 	return &c
 }
 
-// overShare draws whether a request is of the part of its tenant's traffic beyond the tenant's share.
-func (b *Balancer) overShare(t int) bool {
-	if t < 0 || t >= len(b.tenants) {
+// exceedsTenantShare decides at random whether a request counts as the part of its tenant's traffic that
+// exceeds the tenant's share.
+func (b *Balancer) exceedsTenantShare(tenant int) bool {
+	if tenant < 0 || tenant >= len(b.tenantRequests) {
 		return false
 	}
-	b.tenants[t]++
-	due := b.s.Tenants[t].Share * b.arrivals
-	return b.tenants[t] > due+2*math.Sqrt(due)+1 && b.rng.Float64()*b.tenants[t] > due
+	b.tenantRequests[tenant]++
+	expected := b.settings.Tenants[tenant].Share * b.arrivals
+	return b.tenantRequests[tenant] > expected+2*math.Sqrt(expected)+1 && b.rng.Float64()*b.tenantRequests[tenant] > expected
 }
 
-// route takes the ordinary path: writes beside the caches go to the origin, everything else to the cache that the tables name.
-func (b *Balancer) route(f *flight) {
-	if b.s.Mode == Aside && f.Write {
-		b.enqueue(f)
+// route selects the path of a request: in CacheAside mode writes go to the origin, everything else goes to
+// the cache that the tables select.
+func (b *Balancer) route(req *pendingRequest) {
+	if b.settings.Mode == CacheAside && req.Write {
+		b.enqueueForOrigin(req)
 		return
 	}
-	if w, out := b.fetching[f.Key]; out && f.Key != 0 && !f.joined {
-		b.fetching[f.Key] = append(w, f)
-		b.follow(f, (f.aim-b.now)/2)
+	if waiters, fetching := b.fetchWaiters[req.Key]; fetching && req.Key != 0 && !req.coalesced {
+		b.fetchWaiters[req.Key] = append(waiters, req)
+		b.waitForFetch(req, (req.softDeadline-b.now)/2)
 		return
 	}
-	n, why := b.choose(f)
-	if n != nil && b.throttled() {
-		n, why = nil, Throttled
+	member, why := b.chooseCache(req)
+	if member != nil && b.throttled() {
+		member, why = nil, Throttled
 	}
 	switch {
-	case n != nil:
-		b.send(f, n, b.patience(f, n))
-	case b.lookAgain(f, why):
-		if b.hold(f, why) {
-			b.timer(f, b.now+firstLook, tickResume)
+	case member != nil:
+		b.send(req, member, b.attemptTimeout(req, member))
+	case b.mayRetryLater(req, why):
+		if b.waitUnlessUnsendable(req, why) {
+			b.setRequestTimer(req, b.now+unknownCacheRetryDelay, timerResume)
 		}
 	default:
-		b.conclude(f, why)
+		b.refuseOrFail(req, why)
 	}
 }
 
-// lookAgain tells whether a read that nobody takes now is to look again: where this proxy is short of connections, and where too little
-// is known yet of the cache that has its slot, whose limit then is a guess. A crowd at a proxy just started waits for the first
-// answers, which raise the limits of those that can take it. Where none come in a quarter of its time it is refused.
-func (b *Balancer) lookAgain(f *flight, why Reason) bool {
-	if why != NoRoom && why != NoConnection || b.now+firstLook >= f.aim-(f.aim-f.askedAt)*3/4 {
+// mayRetryLater reports whether a read that no cache takes now is to be retried after a short delay: if
+// this proxy lacks connections, or if the concurrency limit of the cache that owns the slot is only an
+// estimate because it has few samples. At a proxy that has just started, a burst waits for the first
+// answers, which raise the limits of the members that can take it. Reads are refused if no answer arrives
+// within a quarter of their time.
+func (b *Balancer) mayRetryLater(req *pendingRequest, why Reason) bool {
+	if why != NoRoom && why != NoConnection ||
+		b.now+unknownCacheRetryDelay >= req.softDeadline-(req.softDeadline-req.arrivedAt)*3/4 {
 		return false
 	}
-	o := b.order(f.slot)
-	i := slices.IndexFunc(o, func(r ranked) bool { return b.usable(f, r.n) && b.owns(r.n, f.slot) })
-	return why == NoConnection || i >= 0 && o[i].n.seen < knownAfter && o[i].n.limit >= startLimit
+	candidates := b.candidates(req.slot)
+	first := slices.IndexFunc(candidates, func(r candidate) bool { return b.usable(req, r.member) && b.ownsSlot(r.member, req.slot) })
+	return why == NoConnection ||
+		first >= 0 && candidates[first].member.samples < knownSamples && candidates[first].member.limit >= initialLimit
 }
 
-// follow lets a request wait for another's fetch, for so long at the most.
-func (b *Balancer) follow(f *flight, wait time.Duration) {
-	f.joined = true
-	if b.hold(f, SharedFetch) {
-		b.timer(f, b.now+wait, tickResume)
+// waitForFetch lets a request wait for another request's fetch, for a limited time.
+func (b *Balancer) waitForFetch(req *pendingRequest, wait time.Duration) {
+	req.coalesced = true
+	if b.waitUnlessUnsendable(req, SharedFetch) {
+		b.setRequestTimer(req, b.now+wait, timerResume)
 	}
 }
 
-// hold lets a request wait with nothing out, unless no member is left that could take it.
-func (b *Balancer) hold(f *flight, why Reason) bool {
-	f.waiting = true
-	if b.endHopeless(f) {
+// waitUnlessUnsendable lets a request without outstanding attempts wait, unless no remaining member could
+// take it. It reports whether the request waits.
+func (b *Balancer) waitUnlessUnsendable(req *pendingRequest, why Reason) bool {
+	req.waiting = true
+	if b.endIfUnsendable(req) {
 		return false
 	}
-	if f.ran != 0 && f.class.Effect == ByKey {
-		b.timer(f, max(b.now, b.windowEnd(f)), tickWindow)
+	if req.mayHaveRun != 0 && req.class.Effect == DeduplicatedByKey {
+		b.setRequestTimer(req, max(b.now, b.dedupWindowEnd(req)), timerDedupWindow)
 	}
-	b.do.Hold(f.ID, why)
+	b.actions.NotifyWaiting(req.ID, why)
 	return true
 }
 
-// windowEnd is when repeats of a keyed request that may have run are no longer surely dropped.
-func (b *Balancer) windowEnd(f *flight) time.Duration { return f.ranAt + f.class.Window - 2*b.s.Tick }
+// dedupWindowEnd returns the time from which repeats of a keyed request that may have run are no longer
+// certain to be dropped.
+func (b *Balancer) dedupWindowEnd(req *pendingRequest) time.Duration {
+	return req.firstRunAt + req.class.DedupWindow - 2*b.settings.MaxEventDelay
+}
 
-// over tells why no further attempt may be made, whatever the members do.
-func (b *Balancer) over(f *flight) Reason {
+// noFurtherAttempt returns the reason why no further attempt is allowed, regardless of the members, or
+// NoReason.
+func (b *Balancer) noFurtherAttempt(req *pendingRequest) Reason {
 	switch {
-	case f.sent() >= f.tries:
+	case req.sentAttempts() >= req.maxAttempts:
 		return OutOfTries
-	case b.now+b.slack() >= f.aim:
+	case b.now+b.answerMargin() >= req.softDeadline:
 		return OutOfTime
-	case f.ran != 0 && (f.class.Effect == Once || f.class.Effect == ByKey && b.now >= b.windowEnd(f)):
+	case req.mayHaveRun != 0 && (req.class.Effect == AtMostOnce ||
+		req.class.Effect == DeduplicatedByKey && b.now >= b.dedupWindowEnd(req)):
 		return MayHaveRun
 	}
 	return NoReason
 }
 
-// hopeless tells why a request that waits can't be sent any more, now or later before its aim: neither to the origin
-// it stands in line for, nor to a cache once the fetch it waits for is back.
-func (b *Balancer) hopeless(f *flight) Reason {
-	if why := b.over(f); why != NoReason {
+// unsendable returns the reason why a waiting request can't be sent any more before its soft deadline, or
+// NoReason. It checks the origins if the request is in the origin queue, and otherwise the caches, which a
+// request reads after the fetch that it waits for.
+func (b *Balancer) unsendable(req *pendingRequest) Reason {
+	if why := b.noFurtherAttempt(req); why != NoReason {
 		return why
 	}
 	group := b.caches
-	if f.queued {
+	if req.queued {
 		group = b.origins
 	}
 	switch {
-	case slices.ContainsFunc(group, func(n *node) bool { return b.maySend(f, n) }):
+	case slices.ContainsFunc(group, func(member *memberState) bool { return b.maySend(req, member) }):
 		return NoReason
-	case f.ran != 0 && len(group) > 0:
-		return MayHaveRun // outside the group that drops its repeats
+	case req.mayHaveRun != 0 && len(group) > 0:
+		return MayHaveRun // only members outside the group that drops its repeats remain
 	}
 	return NoMember
 }
 
-// patience is an attempt's time-out: part of what is left while there is another attempt to make.
-func (b *Balancer) patience(f *flight, n *node) time.Duration {
-	// Where caches fetch by themselves a slow answer is most often a miss: giving it up wastes the fetch, and
-	// the next candidate would only fetch once more.
-	if f.sent()+1 >= f.tries || f.class.Effect == Once || b.s.Mode == Through {
+// attemptTimeout returns the timeout of an attempt: a part of the remaining time if another attempt is
+// possible, otherwise 0, which means none.
+func (b *Balancer) attemptTimeout(req *pendingRequest, member *memberState) time.Duration {
+	// In ReadThrough mode a slow answer is usually a miss: giving up the attempt wastes the fetch, and the
+	// next candidate would fetch the value again.
+	if req.sentAttempts()+1 >= req.maxAttempts || req.class.Effect == AtMostOnce || b.settings.Mode == ReadThrough {
 		return 0
 	}
-	left := f.aim - b.now
-	d := max(left*6/10, min(left, seconds(2*n.latency))) // one that is known to take longer is not asked in vain
-	if f.Known {
-		d = max(d, min(left, 3*f.Cost))
+	remaining := req.softDeadline - b.now
+	// allows for the latency of a member that is known to be slower
+	timeout := max(remaining*6/10, min(remaining, seconds(2*member.latency)))
+	if req.CostKnown {
+		timeout = max(timeout, min(remaining, 3*req.Cost))
 	}
-	return max(d, time.Millisecond)
+	return max(timeout, time.Millisecond)
 }
 
-// choose names the cache for a request: the hot table's, else the slot's, else the next candidate that may be
-// sent to; or tells why there is none.
-func (b *Balancer) choose(f *flight) (*node, Reason) {
-	if f.missAt != nil && b.usable(f, f.missAt) && b.room(f.missAt) {
-		return f.missAt, NoReason
+// chooseCache returns the cache for a request: from the hot table, else from the slot, else the next
+// usable candidate. If there is none, it returns the reason.
+func (b *Balancer) chooseCache(req *pendingRequest) (*memberState, Reason) {
+	if req.missedCache != nil && b.usable(req, req.missedCache) && b.hasCapacity(req.missedCache) {
+		return req.missedCache, NoReason
 	}
-	for i := 0; i < len(b.caches) && b.trials && len(f.tried) == 0 && f.class.Effect == Repeatable; i++ {
-		if n := b.caches[(i+f.slot)%len(b.caches)]; n.zone.trial && b.maySend(f, n) && b.linked(f, n) {
-			return n, NoReason
+	for i := 0; i < len(b.caches) && b.zonesOnTrial && len(req.triedCaches) == 0 && req.class.Effect == Repeatable; i++ {
+		if member := b.caches[(i+req.slot)%len(b.caches)]; member.zone.trial && b.maySend(req, member) && b.hasConnection(req, member) {
+			return member, NoReason
 		}
 	}
-	if p := b.hot[f.Key]; p != nil && f.Key != 0 {
-		for range p.nodes {
-			p.next = (p.next + 1) % len(p.nodes)
-			if n := p.nodes[p.next]; b.usable(f, n) && b.room(n) {
-				return n, NoReason
+	if placed := b.hotTable[req.Key]; placed != nil && req.Key != 0 {
+		for range placed.members {
+			placed.next = (placed.next + 1) % len(placed.members)
+			if member := placed.members[placed.next]; b.usable(req, member) && b.hasCapacity(member) {
+				return member, NoReason
 			}
 		}
 	}
 	busy := 0
-	for _, r := range b.order(f.slot) {
-		if !b.owns(r.n, f.slot) || !b.usable(f, r.n) {
+	for _, ranked := range b.candidates(req.slot) {
+		if !b.ownsSlot(ranked.member, req.slot) || !b.usable(req, ranked.member) {
 			continue
 		}
-		// A busy member spills to the next only while a fetch is cheap: spilling turns hits into misses,
-		// which else jam the origin and, with it, all members.
-		if b.room(r.n) {
-			return r.n, NoReason
+		// Reads move from a busy member to the next candidate only while a fetch is cheap: spilling turns
+		// hits into misses, which would otherwise overload the origin and, through it, all members.
+		if b.hasCapacity(ranked.member) {
+			return ranked.member, NoReason
 		}
-		if n := b.abroad(f); busy == 0 && n != nil {
-			return n, NoReason
+		if member := b.otherZoneCache(req); busy == 0 && member != nil {
+			return member, NoReason
 		}
-		if busy++; busy == spillOver || !b.originIdle(f) {
+		if busy++; busy == maxBusyCandidates || !b.originAvailable(req) {
 			return nil, NoRoom
 		}
 	}
-	// All candidates are cold, ejected or tried: any that takes work, from a place that spreads; and rather an ejected one than none.
-	var last *node
+	// All candidates are cold, ejected or tried: take any usable cache, starting at a position that varies
+	// by slot, and an ejected cache rather than none.
+	var fallback *memberState
 	for i := range b.caches {
-		n := b.caches[(i+f.slot)%len(b.caches)]
-		if b.usable(f, n) {
-			return n, NoReason
+		member := b.caches[(i+req.slot)%len(b.caches)]
+		if b.usable(req, member) {
+			return member, NoReason
 		}
-		if last == nil && b.maySend(f, n) && b.coldRoom(n) && b.linked(f, n) {
-			last = n
+		if fallback == nil && b.maySend(req, member) && b.withinColdBudget(member) && b.hasConnection(req, member) {
+			fallback = member
 		}
 	}
-	if last == nil {
-		return nil, b.whyNone(f)
+	if fallback == nil {
+		return nil, b.noCacheReason(req)
 	}
-	return last, NoReason
+	return fallback, NoReason
 }
 
-// whyNone tells why no cache at all takes a request.
-func (b *Balancer) whyNone(f *flight) Reason {
-	if why := b.hopeless(f); why != NoReason {
+// noCacheReason returns the reason why no cache takes a request.
+func (b *Balancer) noCacheReason(req *pendingRequest) Reason {
+	if why := b.unsendable(req); why != NoReason {
 		return why
 	}
-	if slices.ContainsFunc(b.caches, func(n *node) bool { return b.maySend(f, n) && !b.linked(f, n) }) {
+	if slices.ContainsFunc(b.caches, func(member *memberState) bool {
+		return b.maySend(req, member) && !b.hasConnection(req, member)
+	}) {
 		return NoConnection
 	}
 	return ColdBudget
 }
 
-// linked tells whether there is a connection to a member in good time, as the host tells.
-func (b *Balancer) linked(f *flight, n *node) bool {
-	w := b.do.Wait(f.ID, n.m.ID)
-	return w >= 0 && w <= (f.aim-b.now)/waitShare
+// hasConnection reports whether the host has, or will have in good time, a connection to a member.
+func (b *Balancer) hasConnection(req *pendingRequest, member *memberState) bool {
+	wait := b.actions.ConnectionWait(req.ID, member.entry.ID)
+	return wait >= 0 && wait <= (req.softDeadline-b.now)/connectionWaitDivisor
 }
 
-// abroad is a cache with room in another zone that has the slot in that zone's table. The proxies there ask it for the same keys, so
-// a read is more likely found than at a second candidate here, and costs less than a refusal; nil where all zones share a table.
-func (b *Balancer) abroad(f *flight) *node {
-	for _, r := range b.order(f.slot) {
-		if b.local && r.n.m.Zone != b.s.Zone && b.owns(r.n, f.slot) && b.usable(f, r.n) && b.room(r.n) {
-			return r.n
+// otherZoneCache returns a cache with spare capacity in another zone that owns the slot in that zone's
+// table, or nil if all zones share a table. The proxies of that zone send it the same keys, so a hit is
+// more likely there than at a second candidate in the local zone, and the crossing costs less than a
+// refusal.
+func (b *Balancer) otherZoneCache(req *pendingRequest) *memberState {
+	for _, ranked := range b.candidates(req.slot) {
+		if b.zoneTables && ranked.member.entry.Zone != b.settings.Zone && b.ownsSlot(ranked.member, req.slot) &&
+			b.usable(req, ranked.member) && b.hasCapacity(ranked.member) {
+			return ranked.member
 		}
 	}
 	return nil
 }
 
-func (b *Balancer) usable(f *flight, n *node) bool {
-	return n.outUntil <= b.now && !b.dark(n) && !slices.Contains(f.tried, n) && b.maySend(f, n) && b.coldRoom(n) && b.linked(f, n)
+// usable reports whether a cache may get the next attempt of a request, apart from its concurrency limit.
+func (b *Balancer) usable(req *pendingRequest, member *memberState) bool {
+	return member.ejectedUntil <= b.now && !b.inSilentZone(member) && !slices.Contains(req.triedCaches, member) &&
+		b.maySend(req, member) && b.withinColdBudget(member) && b.hasConnection(req, member)
 }
 
-// dark tells whether the caches of a zone with a table of its own have fallen silent, one after another: as many time-outs in a
-// row, of any of them, say more of the zone than of each. One read at a time is still sent there, and the first answer ends it. It
-// could do harm where answers come late everywhere: some of the reads then go abroad.
-func (b *Balancer) dark(n *node) bool {
-	return b.local && n.zone.silent >= darkAfter && b.now < n.zone.nextAt
+// inSilentZone reports whether the caches of a member's zone have stopped answering, where each zone has a
+// slot table of its own. Several consecutive timeouts of any of them say more about the zone than about
+// each cache. One read per silentZoneInterval is still sent there, and the first answer ends the state. It
+// could do harm where answers are late everywhere: some of the reads then go to other zones.
+func (b *Balancer) inSilentZone(member *memberState) bool {
+	return b.zoneTables && member.zone.timeoutStreak >= silentZoneTimeouts && b.now < member.zone.nextProbeAt
 }
 
-// sent is how many attempts the request has had on the wire.
-func (f *flight) sent() int { return f.attempts - f.unsent }
+// sentAttempts returns the number of attempts that were actually sent.
+func (req *pendingRequest) sentAttempts() int { return req.attempts - req.unsent }
 
-// maySend is the one guard of every send: drains, the attempts allowed, and effects that must not double.
-func (b *Balancer) maySend(f *flight, n *node) bool {
-	if f.done || f.stream || n.m.State != Ready || f.sent() >= f.tries || b.now+b.slack() >= f.Deadline {
+// maySend is the check that every send must pass: member state, allowed attempts, and effects that must
+// not be duplicated.
+func (b *Balancer) maySend(req *pendingRequest, member *memberState) bool {
+	if req.answered || req.streaming || member.entry.State != Ready || req.sentAttempts() >= req.maxAttempts ||
+		b.now+b.answerMargin() >= req.Deadline {
 		return false
 	}
-	if f.out != 0 && !b.s.SecondCopies || f.Only != nil && !slices.Contains(f.Only, n.m.ID) ||
-		!n.given(f.slot) && (!n.zone.trial || b.now < n.zone.nextAt) {
+	if req.outstanding != 0 && !b.settings.ConcurrentAttempts ||
+		req.AllowedMembers != nil && !slices.Contains(req.AllowedMembers, member.entry.ID) ||
+		!member.receivesSlot(req.slot) && (!member.zone.trial || b.now < member.zone.nextProbeAt) {
 		return false
 	}
-	if f.ran == 0 || f.class.Effect == Repeatable {
+	if req.mayHaveRun == 0 || req.class.Effect == Repeatable {
 		return true
 	}
-	if f.class.Effect == Once || b.now+2*b.s.Tick >= f.ranAt+f.class.Window {
+	if req.class.Effect == AtMostOnce || b.now+2*b.settings.MaxEventDelay >= req.firstRunAt+req.class.DedupWindow {
 		return false
 	}
-	return f.class.Scope == ScopeAll || f.class.Scope == ScopeZone && n.m.Zone == f.ranOn.m.Zone ||
-		f.class.Scope == ScopeCell && n.m.Cell == f.ranOn.m.Cell
+	return req.class.Scope == ScopeAll || req.class.Scope == ScopeZone && member.entry.Zone == req.firstRunMember.entry.Zone ||
+		req.class.Scope == ScopeCell && member.entry.Cell == req.firstRunMember.entry.Cell
 }
 
-// mayRefuse tells whether the client may be told that a retry is harmless.
-func (b *Balancer) mayRefuse(f *flight) bool {
-	return f.ran == 0 || f.class.RepeatIsHarmless(f.class.Effect)
+// mayRefuse reports whether the client may be told that a retry is harmless.
+func (b *Balancer) mayRefuse(req *pendingRequest) bool {
+	return req.mayHaveRun == 0 || req.class.SafeToRetry(req.class.Effect)
 }
 
-// coldRoom keeps this proxy's part of the cold budget: its share of the fleet's requests for the member's size and warmth, times a part of
-// the fall multiple. The first token is random, so that the many proxies whose share is under one don't all spend one at once.
-func (b *Balancer) coldRoom(n *node) bool {
-	r := b.ramp(n)
-	if r >= 1 || b.s.FallMultiple == 0 {
+// withinColdBudget reports whether the budget for a cold member allows an attempt. This proxy's part of
+// the budget is its share of the fleet's requests according to the member's size and warmth, times
+// coldBudgetShare of OverloadMultiple. The first token is random, so that proxies with a share below one
+// don't all spend one at once.
+func (b *Balancer) withinColdBudget(member *memberState) bool {
+	warmth := b.warmth(member)
+	if warmth >= 1 || b.settings.OverloadMultiple == 0 {
 		return true
 	}
-	rate := b.rate() * n.weight / max(b.warmWeight(), n.weight) * r * b.s.FallMultiple * coldShare
-	n.tokens, n.tokensAt = min(n.tokens+rate*(b.now-n.tokensAt).Seconds(), max(1, rate*b.s.FallAfter.Seconds()/2)), b.now
-	// While the whole fleet is cold a proxy asks one request at a time, some way apart: the budget goes by what caches answer, and sinks
-	// with it. All proxies together ask no faster than a member answers one by one; quick answers may be misses, which tell little.
-	gap := seconds(float64(b.s.Instances) * max(n.latency, b.target/4))
-	return n.tokens >= 1 || b.allCold && n.out == 0 && b.now-n.sentAt >= gap
+	rate := b.servedRate() * member.weight / max(b.warmWeight(), member.weight) * warmth * b.settings.OverloadMultiple * coldBudgetShare
+	member.coldTokens, member.coldTokensAt = min(member.coldTokens+rate*(b.now-member.coldTokensAt).Seconds(),
+		max(1, rate*b.settings.OverloadDuration.Seconds()/2)), b.now
+	// While most of the fleet is cold, a proxy sends one request at a time, with a minimum interval: the
+	// budget follows the answers of the caches and would shrink with them. All proxies together then send
+	// no faster than a member answers serially. The latency has a lower bound because fast answers may be
+	// misses, which say little.
+	minInterval := seconds(float64(b.settings.Instances) * max(member.latency, b.fetchTarget/4))
+	return member.coldTokens >= 1 || b.mostlyCold && member.outstanding == 0 && b.now-member.lastSentAt >= minInterval
 }
 
-// warmWeight is the weight that does the answering: cold members count by their warmth. At least half of the
-// most that the list has held counts, since answers from before a loss would promise too much.
+// warmWeight returns the weight that serves requests; cold members count by their warmth. It is at least
+// half of the peak weight of the list, since rates measured before a loss of members would promise too
+// much.
 func (b *Balancer) warmWeight() float64 {
-	if b.now-b.warmAt >= 500*time.Millisecond { // not at every request: it grows with the fleet
-		b.warm, b.warmAt = 0, b.now
-		for _, n := range b.caches {
-			if !b.local || n.m.Zone == b.s.Zone {
-				b.warm += n.weight * b.ramp(n)
+	// not computed for every request: the cost grows with the fleet
+	if b.now-b.cachedWarmWeightAt >= 500*time.Millisecond {
+		b.cachedWarmWeight, b.cachedWarmWeightAt = 0, b.now
+		for _, member := range b.caches {
+			if !b.zoneTables || member.entry.Zone == b.settings.Zone {
+				b.cachedWarmWeight += member.weight * b.warmth(member)
 			}
 		}
-		b.allCold = b.warm < b.size()/2
+		b.mostlyCold = b.cachedWarmWeight < b.tableWeight()/2
 	}
-	return max(b.warm, b.peak/2)
+	return max(b.cachedWarmWeight, b.peakWeight/2)
 }
 
-func (b *Balancer) send(f *flight, n *node, timeout time.Duration) {
-	if b.ramp(n) < 1 {
-		n.tokens = max(-1, n.tokens-1)
+// send starts an attempt of a request at a member.
+func (b *Balancer) send(req *pendingRequest, member *memberState, timeout time.Duration) {
+	if b.warmth(member) < 1 {
+		member.coldTokens = max(-1, member.coldTokens-1)
 	}
-	bit := uint64(1) << f.attempts
-	f.attempts, f.out = f.attempts+1, f.out|bit
-	if f.ran == 0 {
-		f.ranOn, f.ranAt = n, b.now
+	bit := uint64(1) << req.attempts
+	req.attempts, req.outstanding = req.attempts+1, req.outstanding|bit
+	if req.mayHaveRun == 0 {
+		req.firstRunMember, req.firstRunAt = member, b.now
 	}
-	f.ran |= bit
-	f.waiting, f.queued = false, false
-	gap := (b.now - n.sentAt).Seconds()
-	if n.gap == 0 {
-		n.gap = gap // since the member was first heard of
+	req.mayHaveRun |= bit
+	req.waiting, req.queued = false, false
+	interval := (b.now - member.lastSentAt).Seconds()
+	if member.sendInterval == 0 {
+		member.sendInterval = interval // time since the member was first listed
 	}
-	n.gap += (gap - n.gap) * 0.3
-	n.out, n.sentAt = n.out+1, b.now
-	n.high = max(n.high, float64(n.out))
-	if b.isOrigin(n.m) {
-		f.fetch |= bit
+	member.sendInterval += (interval - member.sendInterval) * 0.3
+	member.outstanding, member.lastSentAt = member.outstanding+1, b.now
+	member.peakOutstanding = max(member.peakOutstanding, float64(member.outstanding))
+	if b.isOrigin(member.entry) {
+		req.originAttempts |= bit
 	} else {
-		f.tried = append(f.tried, n)
-		b.out, n.zone.nextAt = b.out+1, b.now+darkGap
+		req.triedCaches = append(req.triedCaches, member)
+		b.outstandingAtCaches, member.zone.nextProbeAt = b.outstandingAtCaches+1, b.now+silentZoneInterval
 	}
-	b.do.Send(f.ID, n.m.ID, timeout)
+	b.actions.Send(req.ID, member.entry.ID, timeout)
 }
 
-// conclude is the one place of the balancer's own final answers.
-func (b *Balancer) conclude(f *flight, why Reason) {
+// refuseOrFail gives the final answer of the Balancer to a request: a refusal if a retry is harmless,
+// otherwise a failure. Apart from requests that a member rejected, all such answers are given here.
+func (b *Balancer) refuseOrFail(req *pendingRequest, why Reason) {
 	switch {
-	case f.done:
+	case req.answered:
 		return
-	case b.mayRefuse(f):
-		b.do.Refuse(f.ID, b.comeBack(f), why)
+	case b.mayRefuse(req):
+		b.actions.Refuse(req.ID, b.retryAfter(req), why)
 	default:
-		b.do.Fail(f.ID, why)
+		b.actions.Fail(req.ID, why)
 	}
-	b.retire(f)
+	b.finish(req)
 }
 
-// comeBack is when a refused client should ask again: once the line for the origin is drained, and, the longer
-// this proxy has had to refuse, the later, since a shortage that has lasted is not over soon. Clients that ask
-// again at once multiply the load that they were refused for. It is spread, so that they don't return together.
-func (b *Balancer) comeBack(f *flight) time.Duration {
-	if b.now-b.refusedAt > refusalGap {
-		b.refusing = b.now
+// retryAfter returns the delay after which a refused client should retry: the time to drain the origin
+// queue, and longer the longer this proxy has been refusing requests, since a lasting shortage does not
+// end soon. Clients that retry immediately multiply the load that caused the refusal. The delay is
+// jittered so that they don't return at the same time.
+func (b *Balancer) retryAfter(req *pendingRequest) time.Duration {
+	if b.now-b.lastRefusalAt > shortageEndGap {
+		b.refusingSince = b.now
 	}
-	b.refusedAt = b.now
-	wait := max(leastWait, b.now-b.refusing)
-	if o := b.originFor(f); o != nil {
-		wait = max(wait, seconds(float64(len(b.queue)+1)*o.latency/max(1, o.limit)))
+	b.lastRefusalAt = b.now
+	wait := max(minRetryAfter, b.now-b.refusingSince)
+	if origin := b.originFor(req); origin != nil {
+		wait = max(wait, seconds(float64(len(b.originQueue)+1)*origin.latency/max(1, origin.limit)))
 	}
-	wait = min(wait, b.s.MaxRetryAfter*2/3)
+	wait = min(wait, b.settings.MaxRetryAfter*2/3)
 	return wait/2 + b.jitter(wait)
 }
 
-// retire ends a request; attempts still out are called off, but for fetches, whose value will be stored.
-func (b *Balancer) retire(f *flight) {
-	f.done, f.waiting, f.queued = true, false, false
-	for i := 0; f.out>>i != 0; i++ {
-		if b.s.CanCancel && (f.out&^f.fetch)>>i&1 != 0 {
-			b.do.Cancel(f.ID, i)
+// finish ends a request. Outstanding attempts are cancelled except fetches from the origin, whose value
+// will be stored.
+func (b *Balancer) finish(req *pendingRequest) {
+	req.answered, req.waiting, req.queued = true, false, false
+	for i := 0; req.outstanding>>i != 0; i++ {
+		if b.settings.CanCancel && (req.outstanding&^req.originAttempts)>>i&1 != 0 {
+			b.actions.Cancel(req.ID, i)
 		}
 	}
-	if f.owner && f.out&f.fetch == 0 {
-		b.landed(f, false) // else those who wait would wait in vain
+	if req.ownsFetch && req.outstanding&req.originAttempts == 0 {
+		b.fetchEnded(req, false) // no fetch is left for the waiting requests
 	}
-	if f.out == 0 {
-		delete(b.flights, f.ID)
+	if req.outstanding == 0 {
+		delete(b.requests, req.ID)
 	}
 }
 
-// Expired ends a request whose client left.
-func (b *Balancer) Expired(now time.Duration, id RequestID) {
+// RequestCancelled ends a request whose client disconnected or gave up.
+func (b *Balancer) RequestCancelled(now time.Duration, id RequestID) {
 	b.advance(now)
-	if f := b.flights[id]; f != nil && !f.done {
-		b.retire(f)
-		b.pump()
+	if req := b.requests[id]; req != nil && !req.answered {
+		b.finish(req)
+		b.dispatchOriginQueue()
 	}
 }
 
-// StreamStarted binds a request to the attempt that has begun to answer.
+// StreamStarted records that an attempt has begun to answer: the request gets no further attempts.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, attempt int) {
 	b.advance(now)
-	if f := b.flights[id]; f != nil {
-		f.stream = true
+	if req := b.requests[id]; req != nil {
+		req.streaming = true
 	}
 }
 
-// Timer delivers a timer set before.
+// Timer handles the expiry of a timer that the Balancer set.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	b.advance(now)
-	f := b.flights[RequestID(token>>3)]
-	idle := f != nil && f.out == 0 && !f.stream && !f.done
+	req := b.requests[RequestID(token>>3)]
+	idle := req != nil && req.outstanding == 0 && !req.streaming && !req.answered
 	switch token & 7 {
-	case tickClose:
+	case timerWindow:
 		b.closeWindow()
-	case tickWatch:
-		b.do.Watch(true)
-	case tickPump:
-		b.pumpAt = 0
-		b.pump()
-	case tickAim, tickEnd: // nothing out at its aim: no answer can come in time
+	case timerWatch:
+		b.actions.Watch(true)
+	case timerOriginQueue:
+		b.originQueueTimerAt = 0
+		b.dispatchOriginQueue()
+	// without an outstanding attempt no answer can arrive in time
+	case timerSoftDeadline, timerDeadline:
 		switch {
-		case idle && f.queued && token&7 == tickAim:
-			b.conclude(f, OriginLine)
-		case idle || token&7 == tickEnd && f != nil && !f.stream:
-			b.conclude(f, OutOfTime)
+		case idle && req.queued && token&7 == timerSoftDeadline:
+			b.refuseOrFail(req, OriginLine)
+		case idle || token&7 == timerDeadline && req != nil && !req.streaming:
+			b.refuseOrFail(req, OutOfTime)
 		}
-	case tickResume:
-		if idle && f.waiting && !f.queued {
-			f.waiting = false
-			b.further(f)
+	case timerResume:
+		if idle && req.waiting && !req.queued {
+			req.waiting = false
+			b.sendNextAttempt(req)
 		}
-	case tickWindow:
+	case timerDedupWindow:
 		if idle {
-			b.endHopeless(f)
+			b.endIfUnsendable(req)
 		}
 	}
 }
 
-// Outcome tells how an attempt ended.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+// Outcome handles the end of an attempt.
+func (b *Balancer) Outcome(now time.Duration, outcome Outcome) {
 	b.advance(now)
-	f := b.flights[o.Request]
-	if f == nil || o.Attempt < 0 || o.Attempt > 63 || f.out>>o.Attempt&1 == 0 {
-		return // unknown, or told before
+	req := b.requests[outcome.Request]
+	if req == nil || outcome.Attempt < 0 || outcome.Attempt > 63 || req.outstanding>>outcome.Attempt&1 == 0 {
+		return // unknown or already reported
 	}
-	bit := uint64(1) << o.Attempt
-	f.out &^= bit
-	n, fetched := b.nodes[o.Member], f.fetch&bit != 0
-	if !fetched {
-		b.out--
+	bit := uint64(1) << outcome.Attempt
+	req.outstanding &^= bit
+	member, fromOrigin := b.members[outcome.Member], req.originAttempts&bit != 0
+	if !fromOrigin {
+		b.outstandingAtCaches--
 	}
-	if n != nil {
-		b.learn(n, o, fetched)
+	if member != nil {
+		b.recordOutcome(member, outcome, fromOrigin)
 	}
-	if o.Status.NeverRan() {
-		f.ran &^= bit
+	if outcome.Status.NeverRan() {
+		req.mayHaveRun &^= bit
 	} else {
-		f.nextAt = max(f.nextAt, b.now+o.InTransit)
+		req.notBefore = max(req.notBefore, b.now+outcome.InTransit)
 	}
-	// Nobody was asked, or it was turned away unseen, which is no load that a jam is made of, or the connection ended for
-	// something else, or the request is at fault: the throttle would take this for a jam.
-	if s := o.Status; !fetched && (s == StatusNoConn || s == StatusFull || s == StatusRejected || s == StatusCancelled && !f.done) {
-		b.asked = max(0, b.asked-1)
+	// These attempts do not count for the throttle, which would take them for overload: no member received
+	// the attempt, a member rejected it unprocessed, the connection ended for another reason, or the
+	// request is invalid.
+	if status := outcome.Status; !fromOrigin &&
+		(status == StatusNoConn || status == StatusFull || status == StatusRejected || status == StatusCancelled && !req.answered) {
+		b.recentAttempts = max(0, b.recentAttempts-1)
 	}
-	if o.Status == StatusNoConn {
-		f.unsent = min(f.unsent+1, f.tries)
+	if outcome.Status == StatusNoConn {
+		req.unsent = min(req.unsent+1, req.maxAttempts)
 	}
-	f.done = f.done || o.Final
-	// A fetch that failed goes back in line below; until it is given up, those who wait for it go on waiting.
-	if fetched && f.owner && (f.done || o.Status == StatusOK) {
-		b.landed(f, o.Status == StatusOK)
+	req.answered = req.answered || outcome.Final
+	// A failed fetch returns to the origin queue below; requests that wait for it keep waiting until it is
+	// given up.
+	if fromOrigin && req.ownsFetch && (req.answered || outcome.Status == StatusOK) {
+		b.fetchEnded(req, outcome.Status == StatusOK)
 	}
 	switch {
-	case f.done || o.Status == StatusOK:
-		b.retire(f)
-	case o.Status == StatusRejected:
-		b.do.Fail(f.ID, Rejected)
-		b.retire(f)
-	case f.out != 0 || f.waiting:
-	case o.Status == StatusMiss && b.s.Mode == Aside && !fetched:
-		b.missed(f, n, o.Note)
+	case req.answered || outcome.Status == StatusOK:
+		b.finish(req)
+	case outcome.Status == StatusRejected:
+		b.actions.Fail(req.ID, Rejected)
+		b.finish(req)
+	case req.outstanding != 0 || req.waiting:
+	case outcome.Status == StatusMiss && b.settings.Mode == CacheAside && !fromOrigin:
+		b.handleMiss(req, member, outcome.Note)
 	default:
-		b.again(f, o.Status, fetched)
+		b.retryAfterFailure(req, outcome.Status, fromOrigin)
 	}
-	b.pump()
+	b.dispatchOriginQueue()
 }
 
-// Narrow changes the members that a request may go to from now on; nil: all.
-func (b *Balancer) Narrow(now time.Duration, id RequestID, only []MemberID) {
+// RestrictMembers sets the members that a request may be sent to from now on; nil allows all.
+func (b *Balancer) RestrictMembers(now time.Duration, id RequestID, allowed []MemberID) {
 	b.advance(now)
-	if f := b.flights[id]; f != nil && !f.done {
-		f.Only = only
-		b.endHopeless(f)
+	if req := b.requests[id]; req != nil && !req.answered {
+		req.AllowedMembers = allowed
+		b.endIfUnsendable(req)
 	}
 }
 
-// Spares names up to most further caches for a request that is out, for clients that go on to the next by themselves
-// where one can't be reached. Only for what is safe to repeat, within the attempts allowed, and never a cold member, whose
-// budget is spent by sending. What the client does with them is told by Moved.
-func (b *Balancer) Spares(id RequestID, most int) (spares []MemberID) {
-	f := b.flights[id]
-	if f == nil || f.done || f.class.Effect != Repeatable || f.Write {
+// Fallbacks returns further caches, up to limit, for a request with an outstanding attempt. They are for
+// clients that try the next cache themselves if one is unreachable. Only requests that are safe to repeat
+// get fallbacks, within their allowed attempts, and never a cold member, whose budget is spent by sending.
+// The host reports the use of a fallback with FallbackUsed.
+func (b *Balancer) Fallbacks(id RequestID, limit int) (fallbacks []MemberID) {
+	req := b.requests[id]
+	if req == nil || req.answered || req.class.Effect != Repeatable || req.Write {
 		return nil
 	}
-	most = min(most, f.tries-f.sent())
-	out := f.out
-	f.out = 0 // the one that is out will have ended
-	for _, r := range b.order(f.slot) {
-		if len(spares) < most && b.ramp(r.n) >= 1 && b.usable(f, r.n) && b.room(r.n) {
-			spares = append(spares, r.n.m.ID)
+	limit = min(limit, req.maxAttempts-req.sentAttempts())
+	outstanding := req.outstanding
+	req.outstanding = 0 // the outstanding attempt will have ended by then
+	for _, ranked := range b.candidates(req.slot) {
+		if len(fallbacks) < limit && b.warmth(ranked.member) >= 1 && b.usable(req, ranked.member) && b.hasCapacity(ranked.member) {
+			fallbacks = append(fallbacks, ranked.member.entry.ID)
 		}
 	}
-	f.out = out
-	return spares
+	req.outstanding = outstanding
+	return fallbacks
 }
 
-// Moved tells that the client has gone on by itself with an attempt that is out, from a member that failed it to one of
-// Spares. It counts as one more attempt.
-func (b *Balancer) Moved(now time.Duration, id RequestID, from, to MemberID) {
+// FallbackUsed records that the client moved its outstanding attempt from a member that failed to one of
+// the Fallbacks. This counts as one more attempt.
+func (b *Balancer) FallbackUsed(now time.Duration, id RequestID, from, to MemberID) {
 	b.advance(now)
-	f := b.flights[id]
-	if f == nil || f.out == 0 {
+	req := b.requests[id]
+	if req == nil || req.outstanding == 0 {
 		return
 	}
-	if n := b.nodes[from]; n != nil {
-		b.learn(n, Outcome{Status: StatusUnknown}, false)
+	if member := b.members[from]; member != nil {
+		b.recordOutcome(member, Outcome{Status: StatusUnknown}, false)
 	}
-	f.unsent-- // one more than was sent from here
-	if n := b.nodes[to]; n != nil {
-		n.out++
-		f.tried = append(f.tried, n)
+	req.unsent-- // one attempt that the Balancer did not send
+	if member := b.members[to]; member != nil {
+		member.outstanding++
+		req.triedCaches = append(req.triedCaches, member)
 	}
 }
 
-// missed sends a read on to the origin, unless the key is being fetched already.
-func (b *Balancer) missed(f *flight, n *node, note int) {
-	if n != nil && f.missAt == nil {
-		f.missAt = n
+// handleMiss sends a read to the origin after a cache miss, or lets it wait if the key is already being
+// fetched.
+func (b *Balancer) handleMiss(req *pendingRequest, member *memberState, note int) {
+	if member != nil && req.missedCache == nil {
+		req.missedCache = member
 	}
-	w, out := b.fetching[f.Key]
-	if f.leased || f.Key == 0 || f.sent()+2 > f.tries || !out && note != NoteFetched {
-		b.enqueue(f)
+	waiters, fetching := b.fetchWaiters[req.Key]
+	if req.coalescedAfterMiss || req.Key == 0 || req.sentAttempts()+2 > req.maxAttempts || !fetching && note != NoteFetched {
+		b.enqueueForOrigin(req)
 		return
 	}
-	f.leased, f.tried = true, nil
-	wait := (f.aim - b.now) / 2
-	if out {
-		b.fetching[f.Key] = append(w, f)
-	} else if at := b.originFor(f); at != nil { // another proxy fetches it
-		wait = min(wait, seconds(max(at.latency, 0.02)))
+	req.coalescedAfterMiss, req.triedCaches = true, nil
+	wait := (req.softDeadline - b.now) / 2
+	if fetching {
+		b.fetchWaiters[req.Key] = append(waiters, req)
+	} else if origin := b.originFor(req); origin != nil { // another proxy is fetching the key
+		wait = min(wait, seconds(max(origin.latency, 0.02)))
 	}
-	b.follow(f, wait)
+	b.waitForFetch(req, wait)
 }
 
-// landed lets those who waited for a fetch read the cache, or makes the first of them fetch itself.
-func (b *Balancer) landed(f *flight, ok bool) {
-	waiters := b.fetching[f.Key]
-	delete(b.fetching, f.Key)
-	f.owner = false
-	for _, w := range waiters {
-		if w.done || !w.waiting || w.out != 0 {
+// fetchEnded routes the requests that waited for a fetch: after a success they read the cache, otherwise
+// the first of them fetches the value itself.
+func (b *Balancer) fetchEnded(req *pendingRequest, ok bool) {
+	waiters := b.fetchWaiters[req.Key]
+	delete(b.fetchWaiters, req.Key)
+	req.ownsFetch = false
+	for _, waiter := range waiters {
+		if waiter.answered || !waiter.waiting || waiter.outstanding != 0 {
 			continue
 		}
-		w.waiting, w.joined = false, false
-		if ok && f.missAt != nil {
-			w.missAt = f.missAt
+		waiter.waiting, waiter.coalesced = false, false
+		if ok && req.missedCache != nil {
+			waiter.missedCache = req.missedCache
 		}
-		b.route(w)
+		b.route(waiter)
 	}
 }
 
-// again makes a further attempt after a failure, if the rules, the time and the retry budget allow one.
-func (b *Balancer) again(f *flight, s Status, fetched bool) {
+// retryAfterFailure makes a further attempt after a failure if the rules, the remaining time and the retry
+// budget allow it.
+func (b *Balancer) retryAfterFailure(req *pendingRequest, status Status, fromOrigin bool) {
 	cost := 1.0
-	switch s {
+	switch status {
 	case StatusNoConn:
 		cost = 0
 	case StatusReset, StatusConnectFailed, StatusCancelled, StatusFull:
-		cost = brokenCost
+		cost = unseenRetryCost
 	}
-	why := b.over(f)
-	if why == NoReason && b.retries < cost {
+	why := b.noFurtherAttempt(req)
+	if why == NoReason && b.retryTokens < cost {
 		why = RetryBudget
 	}
 	if why != NoReason {
-		b.conclude(f, why)
+		b.refuseOrFail(req, why)
 		return
 	}
-	b.retries -= cost
-	f.toOrigin = fetched || b.s.Mode == Aside && f.sent()+1 >= f.tries && !b.hot[f.Key].split() // one try left: other caches lack the key
-	if !f.toOrigin && (s == StatusReset || s == StatusCancelled) && len(f.tried) == 1 && !f.broke && b.now < f.askedAt+(f.aim-f.askedAt)/4 {
-		// The connection broke early; the member, which has the key, may well be up. Once: one that holds few connections breaks
-		// all that are new, and would use up the read's tries. Late, the read has waited behind what its member doesn't answer.
-		f.tried, f.broke = f.tried[:0], s == StatusReset
-	}
-	f.missAt = nil
-	b.further(f)
-}
-
-// further makes the next attempt of a request, once no earlier one can come at a member after it.
-func (b *Balancer) further(f *flight) {
+	b.retryTokens -= cost
+	// with one attempt left the origin is used, since other caches lack the key
+	req.toOrigin = fromOrigin || b.settings.Mode == CacheAside && req.sentAttempts()+1 >= req.maxAttempts &&
+		!b.hotTable[req.Key].isSplit()
+	if !req.toOrigin && (status == StatusReset || status == StatusCancelled) && len(req.triedCaches) == 1 &&
+		!req.retriedAfterReset && b.now < req.arrivedAt+(req.softDeadline-req.arrivedAt)/4 {
+		// The connection broke early; the member, which has the key, may well be available, so it is tried
+		// again. Only once: a member that allows few connections breaks all new ones and would use up the
+		// attempts of the read. Not late: the read has then probably waited behind requests that the
+		// member does not answer.
+		req.triedCaches, req.retriedAfterReset = req.triedCaches[:0], status == StatusReset
+	}
+	req.missedCache = nil
+	b.sendNextAttempt(req)
+}
+
+// sendNextAttempt makes the next attempt of a request once no earlier attempt can still reach a member
+// after it.
+func (b *Balancer) sendNextAttempt(req *pendingRequest) {
 	switch {
-	case f.nextAt > b.now && f.nextAt+b.slack() >= f.aim:
-		b.conclude(f, OutOfTime)
-	case f.nextAt > b.now:
-		if b.hold(f, InTransit) {
-			b.timer(f, f.nextAt, tickResume)
+	case req.notBefore > b.now && req.notBefore+b.answerMargin() >= req.softDeadline:
+		b.refuseOrFail(req, OutOfTime)
+	case req.notBefore > b.now:
+		if b.waitUnlessUnsendable(req, InTransit) {
+			b.setRequestTimer(req, req.notBefore, timerResume)
 		}
-	case f.toOrigin:
-		f.toOrigin = false
-		b.enqueue(f)
+	case req.toOrigin:
+		req.toOrigin = false
+		b.enqueueForOrigin(req)
 	default:
-		b.route(f)
+		b.route(req)
 	}
 }
 
-// learn takes in how an attempt ended.
-func (b *Balancer) learn(n *node, o Outcome, fetched bool) {
-	n.out = max(0, n.out-1)
-	bad := 1.0
-	switch o.Status {
+// recordOutcome updates the statistics of a member with the end of an attempt.
+func (b *Balancer) recordOutcome(member *memberState, outcome Outcome, fromOrigin bool) {
+	member.outstanding = max(0, member.outstanding-1)
+	failure := 1.0
+	switch outcome.Status {
 	case StatusCancelled, StatusMoot, StatusRejected, StatusNoConn:
 		return
 	case StatusFull:
-		if fetched {
-			b.cut(n, 0.7)
-		} else { // not from what is out: a proxy that sends seldom is not what fills it
-			n.limit = max(min(1, n.limit), 0.7*n.limit)
+		if fromOrigin {
+			b.cutLimit(member, 0.7)
+			// independent of outstanding attempts: a proxy that sends rarely does not cause the overload
+		} else {
+			member.limit = max(min(1, member.limit), 0.7*member.limit)
 		}
 		return
 	case StatusOK, StatusMiss:
-		if z := n.zone; !fetched && z.silent >= 2*darkAfter && b.now-z.silentAt >= outage && b.heardAt > z.silentAt { // others have answered
-			z.since = b.now
+		// caches of other zones have answered meanwhile
+		if zone := member.zone; !fromOrigin && zone.timeoutStreak >= 2*silentZoneTimeouts &&
+			b.now-zone.firstTimeoutAt >= zoneOutageTime && b.lastAnswerAt > zone.firstTimeoutAt {
+			zone.coldSince = b.now
 		}
-		bad, n.streak, n.zone.silent = 0, 0, 0
-		n.answered = max(n.answered, b.now-o.Elapsed)
-		if n.heardAt > 0 {
-			n.pace += (min(n.latency, (b.now-n.heardAt).Seconds()) - n.pace) * max(0.05, 1/float64(n.seen))
+		failure, member.failureStreak, member.zone.timeoutStreak = 0, 0, 0
+		member.answeredSentAt = max(member.answeredSentAt, b.now-outcome.Elapsed)
+		if member.lastAnswerAt > 0 {
+			member.answerInterval += (min(member.latency, (b.now-member.lastAnswerAt).Seconds()) - member.answerInterval) *
+				max(0.05, 1/float64(member.samples))
 		}
-		n.heardAt = b.now
-		n.timed(o)
-		b.adapt(n, o.Elapsed.Seconds(), o.Fresh)
-		if n.misses++; o.Status == StatusOK {
-			n.hits, n.misses = min(n.hits+1, emptyAfter), 0
-		} else if !fetched && n.misses >= emptyAfter && n.hits >= emptyAfter && b.ramp(n) >= 1 {
-			n.since, n.hits = b.now, 0
+		member.lastAnswerAt = b.now
+		member.recordFastestAnswer(outcome)
+		b.adaptLimit(member, outcome.Elapsed.Seconds(), outcome.FirstOnConnection)
+		if member.missStreak++; outcome.Status == StatusOK {
+			member.hits, member.missStreak = min(member.hits+1, emptyCacheMisses), 0
+		} else if !fromOrigin && member.missStreak >= emptyCacheMisses && member.hits >= emptyCacheMisses && b.warmth(member) >= 1 {
+			member.coldSince, member.hits = b.now, 0
 		}
-		if !fetched {
-			b.latency += (o.Elapsed.Seconds() - b.latency) * 0.01
-			b.answered, b.heardAt = b.answered+1, b.now
-			b.carried += 0.5
-			if o.Status == StatusOK {
-				b.carried += 0.5
+		if !fromOrigin {
+			b.meanLatency += (outcome.Elapsed.Seconds() - b.meanLatency) * 0.01
+			b.recentAnswers, b.lastAnswerAt = b.recentAnswers+1, b.now
+			b.servedWork += 0.5
+			if outcome.Status == StatusOK {
+				b.servedWork += 0.5
 			}
 		}
 	case StatusTimeout:
-		if o.Elapsed < seconds(n.quickest) {
-			return // it had too little time for that to say anything; a member may drop such an attempt without a word
+		if outcome.Elapsed < seconds(member.fastestAnswer) {
+			// the timeout was too short to say anything; a member may drop such an attempt silently
+			return
 		}
-		// A member that has answered what was sent in the second half of the wait is neither jammed nor gone: this attempt's
-		// connection fell silent, or its work was long. As latency, the wait would cut the limit of a member that is well. A
-		// jam that takes attempts in turn is still seen; one that serves the newest first would be missed.
-		if n.answered > b.now-o.Elapsed/2 {
+		// A member that answered an attempt sent in the second half of the wait is neither overloaded nor
+		// gone: this attempt's connection became silent, or its work took long. Counting the wait as
+		// latency would cut the limit of a healthy member. Overload of a member that serves attempts in
+		// order is still detected; overload of one that serves the newest first would be missed.
+		if member.answeredSentAt > b.now-outcome.Elapsed/2 {
 			return
 		}
-		b.adapt(n, max(o.Elapsed.Seconds(), 2*b.target), o.Fresh)
-		if n.streak++; n.zone.silent == 0 {
-			n.zone.silentAt = b.now
+		b.adaptLimit(member, max(outcome.Elapsed.Seconds(), 2*b.fetchTarget), outcome.FirstOnConnection)
+		if member.failureStreak++; member.zone.timeoutStreak == 0 {
+			member.zone.firstTimeoutAt = b.now
 		}
-		n.zone.silent++
+		member.zone.timeoutStreak++
 	default:
-		n.streak++
+		member.failureStreak++
 	}
-	n.fails += (bad - n.fails) * 0.3
-	b.fails += (bad - b.fails) * 0.05
-	// Two in a row, and more where an answer or connection broke: that tells of a connection rather than of
-	// its member, which is up if the next one can be opened. An ejected member's load goes to others that lack
-	// its keys. Relative to the fleet: when everything fails alike, ejecting helps nobody.
-	least := 2.0
-	if o.Status == StatusReset || o.Status == StatusError {
-		least = 4
+	member.failureRate += (failure - member.failureRate) * 0.3
+	b.failureRate += (failure - b.failureRate) * 0.05
+	// Ejection requires two consecutive failures, or four after a broken answer or connection, which may
+	// be the fault of the connection rather than of the member: the member is up if the next connection
+	// can be opened. The load of an ejected member goes to others that lack its keys. The failure rate is
+	// compared with that of the fleet: when all members fail alike, ejection does not help.
+	minStreak := 2.0
+	if outcome.Status == StatusReset || outcome.Status == StatusError {
+		minStreak = 4
 	}
-	// Where attempts fail everywhere, a few in a row come about by chance, and kinds of failure mix: as many are
-	// asked for as the fleet's own share of failures would bring only once in ejectChance attempts.
-	least = max(least, min(maxStreak, math.Log(ejectChance)/-math.Log(max(1e-9, min(0.9, b.fails)))))
-	if bad > 0 && !fetched && float64(n.streak) >= least && n.fails > 2*b.fails {
-		d := 250 * time.Millisecond << min(n.streak, 5)
-		n.outUntil = b.now + d/2 + b.jitter(d)
+	// Where attempts fail everywhere, short streaks occur by chance, and the kinds of failure are mixed.
+	// The required streak is therefore the one that the fleet's failure rate produces only once in
+	// ejectionOdds attempts.
+	minStreak = max(minStreak, min(maxFailureStreak, math.Log(ejectionOdds)/-math.Log(max(1e-9, min(0.9, b.failureRate)))))
+	if failure > 0 && !fromOrigin && float64(member.failureStreak) >= minStreak && member.failureRate > 2*b.failureRate {
+		duration := 250 * time.Millisecond << min(member.failureStreak, 5)
+		member.ejectedUntil = b.now + duration/2 + b.jitter(duration)
 	}
 }
 
-// timed takes in how long an answer took.
-func (n *node) timed(o Outcome) {
-	if took := o.Elapsed.Seconds(); !o.Fresh {
-		n.quickest = min(took, cmp.Or(n.quickest*floorRise, took))
+// recordFastestAnswer updates the shortest time that recent answers took.
+func (member *memberState) recordFastestAnswer(outcome Outcome) {
+	if elapsed := outcome.Elapsed.Seconds(); !outcome.FirstOnConnection {
+		member.fastestAnswer = min(elapsed, cmp.Or(member.fastestAnswer*minLatencyGrowth, elapsed))
 	}
 }
 
-// adapt moves a member's limit so that answers come within the target: members with deep queues else hold
-// work that nobody waits for any more, and stay jammed long after a burst has passed.
+// adaptLimit adjusts a member's concurrency limit so that answers arrive within fetchTarget. Otherwise
+// members with deep queues hold work whose clients have given up, and stay overloaded long after a burst.
 //
-// A handshake is no load: the wait for one neither cuts the limit nor raises it. Members in other zones would else look jammed
-// where connections don't last. It could do harm at one whose every connection is new: only full answers hold its limit down.
-func (b *Balancer) adapt(n *node, s float64, fresh bool) {
-	n.seen++
-	n.latency += (s - n.latency) * max(0.1, 1/float64(n.seen))
-	n.high = max(float64(n.out), n.high*0.95)
-	n.floor = min(n.latency, cmp.Or(n.floor*floorRise, n.latency))
-	slow := max(b.target, min(2*n.floor, 1.25*b.target)) // a member that is far is no slower for being sent less
+// A handshake is not load: the wait for it neither reduces nor raises the limit. Otherwise members in
+// other zones would look overloaded where connections are short-lived. It could do harm at a member whose
+// every connection is new: only StatusFull holds its limit down.
+func (b *Balancer) adaptLimit(member *memberState, elapsed float64, firstOnConnection bool) {
+	member.samples++
+	member.latency += (elapsed - member.latency) * max(0.1, 1/float64(member.samples))
+	member.peakOutstanding = max(float64(member.outstanding), member.peakOutstanding*0.95)
+	member.minLatency = min(member.latency, cmp.Or(member.minLatency*minLatencyGrowth, member.latency))
+	// sending less does not make a distant member faster
+	slowThreshold := max(b.fetchTarget, min(2*member.minLatency, 1.25*b.fetchTarget))
 	switch {
-	case fresh && s > slow:
-	case n.latency > slow && s > slow: // an answer in time never cuts, however slow those before it
-		b.cut(n, 0.8)
-	case float64(n.out+1) < n.limit-1: // not what holds it back
-	case n.cutAt == 0:
-		n.limit++
+	case firstOnConnection && elapsed > slowThreshold:
+	// an answer in time never cuts the limit, however slow earlier ones were
+	case member.latency > slowThreshold && elapsed > slowThreshold:
+		b.cutLimit(member, 0.8)
+	case float64(member.outstanding+1) < member.limit-1: // the limit is not what restricts the member
+	case member.limitCutAt == 0:
+		member.limit++
 	default:
-		n.limit += min(1/n.limit, n.limit/2)
+		member.limit += min(1/member.limit, member.limit/2)
 	}
 }
 
-// cut lowers a limit, from what has been out lately: a proxy that sends seldom has a part of one attempt out on average, and a limit
-// above that would hold nothing back. What is out at the moment says too little: a burst is over as its slow answers come.
-func (b *Balancer) cut(n *node, by float64) {
-	if b.now-n.cutAt >= seconds(max(0.05, n.latency)) { // once a round trip
-		used := max(float64(n.out), n.high-2) + min(1, n.latency/max(0.001, n.gap))
-		if used < 1 { // it will hear of this member only seldom
-			by *= by
+// cutLimit reduces a limit, based on the recent number of outstanding attempts: a proxy that sends rarely
+// has less than one attempt outstanding on average, and a limit above that would have no effect. The
+// current number is not enough: a burst is over when its slow answers arrive.
+func (b *Balancer) cutLimit(member *memberState, factor float64) {
+	if b.now-member.limitCutAt >= seconds(max(0.05, member.latency)) { // at most once per round trip
+		used := max(float64(member.outstanding), member.peakOutstanding-2) + min(1, member.latency/max(0.001, member.sendInterval))
+		if used < 1 { // this proxy gets few samples of the member
+			factor *= factor
 		}
-		// The proxies together may keep half an attempt out: one slow answer to a proxy that seldom asks would
-		// else take the member out for it.
-		least := max(0.01, 0.5/float64(b.s.Instances))
-		n.cutAt, n.limit = b.now, max(least, min(n.limit, used)*by)
+		// All proxies together may keep half an attempt outstanding; otherwise one slow answer to a proxy
+		// that sends rarely would stop its use of the member.
+		minLimit := max(0.01, 0.5/float64(b.settings.Instances))
+		member.limitCutAt, member.limit = b.now, max(minLimit, min(member.limit, used)*factor)
 	}
 }
 
-// throttled draws whether to refuse a read at once: adaptive throttling, so that what is asked of the caches
-// stays under a multiple of what they answer. It ends a jam that no single member's limit sees at a proxy
-// that sends to each but now and then. What is out and may yet be answered does not count while the caches answer, and
-// before they can have: a crowd that comes at once would else be refused before its first answers.
+// throttled decides at random whether to refuse a read immediately. This is adaptive throttling, which
+// keeps the attempts at caches below a multiple of their answers. It ends overload that no single member's
+// limit detects at a proxy that sends to each member only occasionally. Outstanding attempts do not count
+// while the caches answer, nor before they can have answered: otherwise a sudden burst would be refused
+// before its first answers.
 func (b *Balancer) throttled() bool {
-	keep := math.Exp(-(b.now - b.askedAt).Seconds() / throttleSpan.Seconds())
-	b.asked, b.answered, b.askedAt = b.asked*keep+1, b.answered*keep, b.now
-	young, span := float64(b.out), seconds(max(0.02, 3*b.latency))
-	if past := b.now - b.youngAt; past > span { // what was asked since then can't all have been answered
-		if b.elder = b.young; past > 2*span {
-			b.elder = 0
+	decay := math.Exp(-(b.now - b.recentCountsAt).Seconds() / throttleWindow.Seconds())
+	b.recentAttempts, b.recentAnswers, b.recentCountsAt = b.recentAttempts*decay+1, b.recentAnswers*decay, b.now
+	unanswered, answerTime := float64(b.outstandingAtCaches), seconds(max(0.02, 3*b.meanLatency))
+	// not all reads since then can have been answered
+	if elapsed := b.now - b.currentReadsSince; elapsed > answerTime {
+		if b.previousReads = b.currentReads; elapsed > 2*answerTime {
+			b.previousReads = 0
 		}
-		b.young, b.youngAt = 0, b.now
+		b.currentReads, b.currentReadsSince = 0, b.now
 	}
-	if b.now-b.heardAt > span {
-		young = min(young, max(float64(startLimit*len(b.caches)), float64(b.elder+b.young)))
+	if b.now-b.lastAnswerAt > answerTime {
+		unanswered = min(unanswered, max(float64(initialLimit*len(b.caches)), float64(b.previousReads+b.currentReads)))
 	}
-	b.young++
-	return b.rng.Float64()*(b.asked+throttleSlack) < b.asked-young-throttleAt*b.answered-throttleSlack
+	b.currentReads++
+	return b.rng.Float64()*(b.recentAttempts+throttleSlack) < b.recentAttempts-unanswered-throttleRatio*b.recentAnswers-throttleSlack
 }
 
-// room tells whether a member's limit lets another attempt out. A limit under one is kept by spacing: many
-// proxies, each with a single attempt out, could else be too much together.
-func (b *Balancer) room(n *node) bool {
-	if n.limit >= 1 {
-		// A limit grows by what is answered, too late for a crowd that comes at once. Where a member is so quick that it
-		// could do all that is out one by one, or as fast as it answers lately, in a part of the target, and has not turned
-		// work away, the crowd is let in.
-		return n.out < int(n.limit) || n.limit >= startLimit && n.seen >= startLimit &&
-			cmp.Or(min(n.latency, n.pace), n.latency)*float64(n.out+1) < b.target*crowdShare
+// hasCapacity reports whether a member's concurrency limit allows another attempt. A limit below one is
+// enforced by spacing attempts: many proxies with a single attempt each could be too much together.
+func (b *Balancer) hasCapacity(member *memberState) bool {
+	if member.limit >= 1 {
+		// A limit grows with answers, which is too late for a sudden burst. A burst is allowed where the
+		// member has not rejected work and is so fast that it could process all outstanding attempts
+		// within burstTargetShare of fetchTarget, either serially or at its recent answer rate.
+		return member.outstanding < int(member.limit) || member.limit >= initialLimit && member.samples >= initialLimit &&
+			cmp.Or(min(member.latency, member.answerInterval), member.latency)*float64(member.outstanding+1) < b.fetchTarget*burstTargetShare
 	}
-	return n.out == 0 && b.now-n.sentAt >= seconds(n.latency*(1/n.limit-1))
+	return member.outstanding == 0 && b.now-member.lastSentAt >= seconds(member.latency*(1/member.limit-1))
 }
 
-// enqueue puts a request in line for the origin: writes first, then by worth.
-func (b *Balancer) enqueue(f *flight) {
-	f.waiting, f.queued = true, true
-	if !f.Write && f.Key != 0 {
-		if _, out := b.fetching[f.Key]; !out {
-			b.fetching[f.Key] = nil
-			f.owner = true
+// enqueueForOrigin adds a request to the origin queue: writes first, then by descending priority.
+func (b *Balancer) enqueueForOrigin(req *pendingRequest) {
+	req.waiting, req.queued = true, true
+	if !req.Write && req.Key != 0 {
+		if _, fetching := b.fetchWaiters[req.Key]; !fetching {
+			b.fetchWaiters[req.Key] = nil
+			req.ownsFetch = true
 		}
 	}
-	at := slices.IndexFunc(b.queue, func(g *flight) bool {
-		return f.Write && !g.Write || f.Write == g.Write && f.value > g.value
+	position := slices.IndexFunc(b.originQueue, func(other *pendingRequest) bool {
+		return req.Write && !other.Write || req.Write == other.Write && req.priority > other.priority
 	})
-	if at < 0 {
-		at = len(b.queue)
+	if position < 0 {
+		position = len(b.originQueue)
 	}
-	b.queue = slices.Insert(b.queue, at, f)
-	b.pump()
-	if f.queued {
-		b.hold(f, OriginLine)
+	b.originQueue = slices.Insert(b.originQueue, position, req)
+	b.dispatchOriginQueue()
+	if req.queued {
+		b.waitUnlessUnsendable(req, OriginLine)
 	}
 }
 
-// pump sends what the origin has room for, and refuses what can't make its aim any more.
-func (b *Balancer) pump() {
-	kept := b.queue[:0:0]
-	var dropped []*flight
-	for _, f := range b.queue {
-		n := b.originFor(f)
+// dispatchOriginQueue sends the queued requests that the origin has capacity for, and ends those that
+// can't meet their soft deadline any more.
+func (b *Balancer) dispatchOriginQueue() {
+	remaining := b.originQueue[:0:0]
+	var unsendable []*pendingRequest
+	for _, req := range b.originQueue {
+		member := b.originFor(req)
 		switch {
-		case f.done || !f.queued:
-		case n == nil || !b.maySend(f, n) || b.now+seconds(min(n.latency, b.target)/2) >= f.aim:
-			dropped = append(dropped, f)
-		case f.Write || b.room(n):
-			b.send(f, n, b.fetchTime(f, n))
+		case req.answered || !req.queued:
+		case member == nil || !b.maySend(req, member) || b.now+seconds(min(member.latency, b.fetchTarget)/2) >= req.softDeadline:
+			unsendable = append(unsendable, req)
+		case req.Write || b.hasCapacity(member):
+			b.send(req, member, b.fetchTimeout(req, member))
 		default:
-			kept = append(kept, f)
+			remaining = append(remaining, req)
 		}
 	}
-	b.queue = kept
-	for _, f := range dropped {
-		if !b.endHopeless(f) {
-			b.conclude(f, OriginLine)
+	b.originQueue = remaining
+	for _, req := range unsendable {
+		if !b.endIfUnsendable(req) {
+			b.refuseOrFail(req, OriginLine)
 		}
 	}
-	if len(b.queue) > 0 && b.pumpAt == 0 {
-		b.pumpAt = b.now + 20*time.Millisecond
-		b.do.SetTimer(b.pumpAt, tickPump)
+	if len(b.originQueue) > 0 && b.originQueueTimerAt == 0 {
+		b.originQueueTimerAt = b.now + 20*time.Millisecond
+		b.actions.SetTimer(b.originQueueTimerAt, timerOriginQueue)
 	}
 }
 
-// fetchTime is a fetch's time-out: until its aim, or several times what fetches take lately. One whose connection
-// fell silent would else hold a place in the origin's limit until its client gives up. A write is never given up
-// earlier, since it could not be made again.
-func (b *Balancer) fetchTime(f *flight, n *node) time.Duration {
-	if f.Write {
+// fetchTimeout returns the timeout of a fetch: the time to its soft deadline, or several times the recent
+// latency of fetches if that is longer. Otherwise a fetch on a silent connection would occupy the origin's
+// concurrency limit until its client gives up. A write has no timeout, since it could not be repeated.
+func (b *Balancer) fetchTimeout(req *pendingRequest, member *memberState) time.Duration {
+	if req.Write {
 		return 0
 	}
-	return max(f.aim-b.now, seconds(4*n.latency), time.Millisecond)
+	return max(req.softDeadline-b.now, seconds(4*member.latency), time.Millisecond)
 }
 
-// originIdle tells whether another fetch would be taken at once, and in good time.
-func (b *Balancer) originIdle(f *flight) bool {
-	n := b.originFor(f)
-	return n != nil && len(b.queue) == 0 && b.room(n) && n.latency < b.target/2
+// originAvailable reports whether another fetch would be sent at once and answered in good time.
+func (b *Balancer) originAvailable(req *pendingRequest) bool {
+	member := b.originFor(req)
+	return member != nil && len(b.originQueue) == 0 && b.hasCapacity(member) && member.latency < b.fetchTarget/2
 }
 
-func (b *Balancer) originFor(f *flight) *node {
-	var n *node
-	for i := len(b.origins); i > 0 && (n == nil || !b.maySend(f, n)); i-- {
-		n = b.origins[(f.slot+i)%len(b.origins)]
+// originFor returns an origin that the request may be sent to, or any origin if there is none; nil without
+// origins.
+func (b *Balancer) originFor(req *pendingRequest) *memberState {
+	var member *memberState
+	for i := len(b.origins); i > 0 && (member == nil || !b.maySend(req, member)); i-- {
+		member = b.origins[(req.slot+i)%len(b.origins)]
 	}
-	return n
+	return member
 }
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// TestRandomEvents drives long random sequences and holds the rules as invariants.
+// TestRandomEvents runs long random event sequences and checks the rules as invariants.
 func TestRandomEvents(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"aside":   func(s *Settings) {},
-		"through": func(s *Settings) { s.Mode = Through },
-		"zones":   func(s *Settings) { s.Zones, s.CrossZonePrice = 2, 0.1 },
-		"copies":  func(s *Settings) { s.SecondCopies, s.TryLimit = true, 3 },
+		"through": func(s *Settings) { s.Mode = ReadThrough },
+		"zones":   func(s *Settings) { s.Zones, s.CrossZoneCost = 2, 0.1 },
+		"copies":  func(s *Settings) { s.ConcurrentAttempts, s.MaxAttempts = true, 3 },
 		"live":    func(s *Settings) { s.Weights, s.Subscribe = WeightsLive, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(6) {
-				s := testSettings()
-				change(&s)
-				s.Tenants = []Tenant{{Share: 0.7}, {Share: 0.3}}
-				driveRandom(t, s, seed).check()
+				settings := testSettings()
+				change(&settings)
+				settings.Tenants = []Tenant{{Share: 0.7}, {Share: 0.3}}
+				driveRandom(t, settings, seed).checkViolations()
 			}
 		})
 	}
@@ -29,8 +29,8 @@
 		for seed := range uint64(2) {
 			waits := rand.New(rand.NewPCG(seed, 7))
 			driveRandom(t, testSettings(), seed, func(h *fakeHost) {
-				h.wait = func(MemberID) time.Duration { return time.Duration(waits.IntN(60)-20) * ms }
-			}).check()
+				h.connectionWait = func(MemberID) time.Duration { return time.Duration(waits.IntN(60)-20) * ms }
+			}).checkViolations()
 		}
 	})
 }
@@ -45,56 +45,58 @@
 	}
 }
 
-func driveRandom(t *testing.T, s Settings, seed uint64, edit ...func(*fakeHost)) *fakeHost {
+// driveRandom runs a random event sequence and checks that every request gets exactly one answer.
+func driveRandom(t *testing.T, settings Settings, seed uint64, edit ...func(*fakeHost)) *fakeHost {
 	t.Helper()
-	h := newHost(t, s, seed)
+	host := newHost(t, settings, seed)
 	for _, f := range edit {
-		f(h)
+		f(host)
 	}
 	rng := rand.New(rand.NewPCG(seed, 42))
 	list := withOrigin(12)
-	h.members(ListCached, list...)
-	if h.heirOf != nil {
-		h.b.Inherit(h.now, *h.heirOf)
+	host.setMembers(ListCached, list...)
+	if host.importedState != nil {
+		host.balancer.ImportState(host.now, *host.importedState)
 	}
 	next := RequestID(0)
 	for range 6000 {
 		switch p := rng.IntN(100); {
 		case p < 45:
 			next++
-			class := rng.IntN(len(s.Classes) + 1)
-			h.ask(Request{ID: next, Key: uint64(rng.IntN(60) * rng.IntN(2)), Class: class, Tenant: rng.IntN(3),
-				Write: class != 0, Known: p < 20, Cost: time.Duration(rng.IntN(80)) * ms,
-				Deadline: h.now + time.Duration(rng.IntN(1500))*ms})
+			class := rng.IntN(len(settings.Classes) + 1)
+			host.request(Request{ID: next, Key: uint64(rng.IntN(60) * rng.IntN(2)), Class: class, Tenant: rng.IntN(3),
+				Write: class != 0, CostKnown: p < 20, Cost: time.Duration(rng.IntN(80)) * ms,
+				Deadline: host.now + time.Duration(rng.IntN(1500))*ms})
 		case p < 80:
-			h.endSome(rng)
+			host.endRandomAttempt(rng)
 		case p < 84:
-			h.changeMember(rng, list)
+			host.changeRandomMember(rng, list)
 		case p < 85:
-			h.members([]ListKind{ListFull, ListFailed}[rng.IntN(2)], list...)
+			host.setMembers([]ListKind{ListFull, ListFailed}[rng.IntN(2)], list...)
 		case p < 87:
-			h.leaveSome(rng)
+			host.cancelRandomRequest(rng)
 		}
-		h.run(time.Duration(rng.IntN(12)) * ms)
-		h.checkDeadlines()
+		host.advance(time.Duration(rng.IntN(12)) * ms)
+		host.checkDeadlines()
 	}
-	h.run(20 * time.Second)
+	host.advance(20 * time.Second)
 	for id := RequestID(1); id <= next; id++ {
-		if h.open[id].answered != 1 {
-			h.breach("request %d answered %d times", id, h.open[id].answered)
+		if host.requests[id].finalAnswers != 1 {
+			host.violate("request %d answered %d times", id, host.requests[id].finalAnswers)
 		}
 	}
-	h.checkCold()
-	return h
+	host.checkColdSends()
+	return host
 }
 
-var statuses = []Status{StatusOK, StatusOK, StatusOK, StatusMiss, StatusMiss, StatusFull, StatusError,
+var randomStatuses = []Status{StatusOK, StatusOK, StatusOK, StatusMiss, StatusMiss, StatusFull, StatusError,
 	StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusMoot, StatusUnknown}
 
-func (h *fakeHost) endSome(rng *rand.Rand) {
-	ids := make([]RequestID, 0, len(h.open))
-	for id, r := range h.open {
-		if slices.ContainsFunc(r.sent, func(a sentTo) bool { return !a.ended }) {
+// endRandomAttempt ends an outstanding attempt of a random request.
+func (h *fakeHost) endRandomAttempt(rng *rand.Rand) {
+	ids := make([]RequestID, 0, len(h.requests))
+	for id, r := range h.requests {
+		if slices.ContainsFunc(r.attempts, func(a hostAttempt) bool { return !a.ended }) {
 			ids = append(ids, id)
 		}
 	}
@@ -103,18 +105,19 @@
 	}
 	slices.Sort(ids)
 	id := ids[rng.IntN(len(ids))]
-	for i, a := range h.open[id].sent {
+	for i, a := range h.requests[id].attempts {
 		if !a.ended {
-			h.end(id, i, statuses[rng.IntN(len(statuses))])
-			if rng.IntN(10) == 0 { // told twice
-				h.b.Outcome(h.now, Outcome{Request: id, Attempt: i, Member: a.to, Status: StatusTimeout})
+			h.endAttempt(id, i, randomStatuses[rng.IntN(len(randomStatuses))])
+			if rng.IntN(10) == 0 { // reported twice
+				h.balancer.Outcome(h.now, Outcome{Request: id, Attempt: i, Member: a.member, Status: StatusTimeout})
 			}
 			return
 		}
 	}
 }
 
-func (h *fakeHost) changeMember(rng *rand.Rand, list []Member) {
+// changeRandomMember drains, removes or restarts a random member.
+func (h *fakeHost) changeRandomMember(rng *rand.Rand, list []Member) {
 	m := &list[rng.IntN(len(list))]
 	switch rng.IntN(4) {
 	case 0:
@@ -125,48 +128,51 @@
 		m.State = Ready
 		if m.ID != originID {
 			m.StartedAt = h.now
-			delete(h.cold, m.ID)
+			delete(h.coldSends, m.ID)
 		}
 	}
-	h.members(ListDelta, *m)
+	h.setMembers(ListDelta, *m)
 }
 
-func (h *fakeHost) leaveSome(rng *rand.Rand) {
-	for id, n := RequestID(1), RequestID(len(h.open)); id <= n; id++ {
-		if r := h.open[id]; r.answered == 0 && rng.IntN(5) == 0 {
-			r.answered = 1
-			h.b.Expired(h.now, id)
+// cancelRandomRequest cancels an unanswered request.
+func (h *fakeHost) cancelRandomRequest(rng *rand.Rand) {
+	for id, n := RequestID(1), RequestID(len(h.requests)); id <= n; id++ {
+		if r := h.requests[id]; r.finalAnswers == 0 && rng.IntN(5) == 0 {
+			r.finalAnswers = 1
+			h.balancer.RequestCancelled(h.now, id)
 			return
 		}
 	}
 }
 
+// checkDeadlines checks that requests are answered by their deadline.
 func (h *fakeHost) checkDeadlines() {
-	for id, r := range h.open {
-		if r.answered == 0 && h.now > r.Deadline+20*ms {
-			h.breach("request %d unanswered %v after its deadline", id, h.now-r.Deadline)
-			r.answered = 1
+	for id, r := range h.requests {
+		if r.finalAnswers == 0 && h.now > r.Deadline+20*ms {
+			h.violate("request %d unanswered %v after its deadline", id, h.now-r.Deadline)
+			r.finalAnswers = 1
 		}
 	}
 }
 
-// checkCold holds sends to a cold member under the whole fleet's budget: even one proxy that carried
-// everything must stay below it. A member's capacity is taken as its even share of the requests.
-func (h *fakeHost) checkCold() {
-	rate := float64(len(h.open)) / (h.now - time.Hour).Seconds()
-	for id, at := range h.cold {
+// checkColdSends checks sends to cold members against the budget of the whole fleet: even a single proxy
+// that carries all load must stay below it. The capacity of a member is taken to be its even share of the
+// requests.
+func (h *fakeHost) checkColdSends() {
+	rate := float64(len(h.requests)) / (h.now - time.Hour).Seconds()
+	for id, at := range h.coldSends {
 		for i := range at {
 			in := 0
 			for _, x := range at[i:] {
-				if x-at[i] < h.s.FallAfter {
+				if x-at[i] < h.settings.OverloadDuration {
 					in++
 				}
 			}
-			age := min(1, (at[i]+h.s.FallAfter-h.list[id].StartedAt).Seconds()/h.s.ColdFor.Seconds())
-			ramp := h.s.ColdFrom + (1-h.s.ColdFrom)*age
-			most := 2 + h.s.FallMultiple*ramp*2*rate/12*h.s.FallAfter.Seconds()
-			if float64(in) > most {
-				h.breach("cold member %d got %d sends in %v, at most %.1f", id, in, h.s.FallAfter, most)
+			age := min(1, (at[i]+h.settings.OverloadDuration-h.listed[id].StartedAt).Seconds()/h.settings.SlowStartDuration.Seconds())
+			ramp := h.settings.SlowStartCapacity + (1-h.settings.SlowStartCapacity)*age
+			allowed := 2 + h.settings.OverloadMultiple*ramp*2*rate/12*h.settings.OverloadDuration.Seconds()
+			if float64(in) > allowed {
+				h.violate("cold member %d got %d sends in %v, at most %.1f", id, in, h.settings.OverloadDuration, allowed)
 				return
 			}
 		}
--- a/logic/transit_test.go
+++ b/logic/transit_test.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// endInTransit ends a request's latest attempt, which may be under way for so long yet.
-func (h *fakeHost) endInTransit(r *openRequest, s Status, transit time.Duration) {
-	n := len(r.sent) - 1
-	a := &r.sent[n]
-	a.ended, a.ran = true, !s.NeverRan()
-	h.b.Outcome(h.now, Outcome{Request: r.ID, Attempt: n, Member: a.to, Status: s, Elapsed: h.now - a.at, InTransit: transit})
+// endInTransit ends a request's latest attempt, which may still arrive at its member within the given
+// time.
+func (h *fakeHost) endInTransit(r *hostRequest, s Status, transit time.Duration) {
+	n := len(r.attempts) - 1
+	a := &r.attempts[n]
+	a.ended, a.mayHaveRun = true, !s.NeverRan()
+	h.balancer.Outcome(h.now, Outcome{Request: r.ID, Attempt: n, Member: a.member, Status: s, Elapsed: h.now - a.sentAt, InTransit: transit})
 }
 
-// A further attempt waits until none before it can come at a member any more, and is then made at once. Where that leaves no time for it, the
-// request is answered at once.
-func TestFurtherAttemptsWaitForTransit(t *testing.T) {
+// The next attempt waits until no earlier one can still arrive at a member, and is then made at once. If
+// that leaves too little time, the request is answered at once.
+func TestNextAttemptWaitsForTransit(t *testing.T) {
 	for name, c := range map[string]struct {
-		status  Status
-		class   int
-		transit time.Duration
-		sent    time.Duration // when the next attempt has to be sent; 0: the request is answered at once
+		status    Status
+		class     int
+		transit   time.Duration
+		nextAfter time.Duration // expected time of the next attempt; 0: the request is answered at once
 	}{
 		"nothing in transit":      {StatusTimeout, 0, 0, 1},
 		"a read":                  {StatusTimeout, 0, 40 * ms, 40 * ms},
@@ -30,44 +31,45 @@
 		"until past its aim":      {StatusTimeout, 0, 495 * ms, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, testSettings(), 1)
-			h.members(ListCached, withOrigin(8)...)
-			r := h.ask(Request{ID: 1, Key: 7, Class: c.class, Write: c.class > 0})
-			h.b.retries = 10
-			h.endInTransit(r, c.status, c.transit)
-			if c.sent == 0 {
-				if r.answered != 1 || len(r.sent) != 1 {
-					t.Errorf("answered %d times, sent %d times; want an answer at once", r.answered, len(r.sent))
+			host := newHost(t, testSettings(), 1)
+			host.setMembers(ListCached, withOrigin(8)...)
+			req := host.request(Request{ID: 1, Key: 7, Class: c.class, Write: c.class > 0})
+			host.balancer.retryTokens = 10
+			host.endInTransit(req, c.status, c.transit)
+			if c.nextAfter == 0 {
+				if req.finalAnswers != 1 || len(req.attempts) != 1 {
+					t.Errorf("answered %d times, sent %d times; want an answer at once", req.finalAnswers, len(req.attempts))
 				}
-				h.check()
+				host.checkViolations()
 				return
 			}
-			h.run(c.sent - ms)
-			if c.sent > ms && len(r.sent) > 1 {
-				t.Errorf("sent again %v before the first attempt has surely come", c.sent-(r.sent[1].at-r.sent[0].at))
+			host.advance(c.nextAfter - ms)
+			if c.nextAfter > ms && len(req.attempts) > 1 {
+				t.Errorf("sent again %v before the first attempt has surely come", c.nextAfter-(req.attempts[1].sentAt-req.attempts[0].sentAt))
 			}
-			h.run(ms)
-			if len(r.sent) != 2 {
-				t.Errorf("sent %d times after %v, want 2", len(r.sent), c.sent)
+			host.advance(ms)
+			if len(req.attempts) != 2 {
+				t.Errorf("sent %d times after %v, want 2", len(req.attempts), c.nextAfter)
 			}
-			h.check()
+			host.checkViolations()
 		})
 	}
 }
 
-// An attempt that was given less time than its member's quickest answers take says nothing of the member; one that had more time does.
-func TestTooShortATryIsNoFault(t *testing.T) {
+// A timeout shorter than the member's fastest answers says nothing about the member; a longer one counts
+// as a failure.
+func TestTooShortTimeoutIsNoFailure(t *testing.T) {
 	for elapsed, blamed := range map[time.Duration]bool{30 * ms: false, 90 * ms: true} {
-		h := newHost(t, testSettings(), 1)
-		h.members(ListCached, withOrigin(8)...)
-		n := h.b.caches[0]
+		host := newHost(t, testSettings(), 1)
+		host.setMembers(ListCached, withOrigin(8)...)
+		member := host.balancer.caches[0]
 		for range 20 {
-			h.b.learn(n, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
+			host.balancer.recordOutcome(member, Outcome{Status: StatusOK, Elapsed: 40 * ms}, false)
 		}
-		h.run(time.Second) // the answers are some time ago
-		h.b.learn(n, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
-		if (n.streak > 0) != blamed {
-			t.Errorf("a time-out after %v, where answers take 40 ms: %d failures in a row", elapsed, n.streak)
+		host.advance(time.Second) // time since the last answer
+		host.balancer.recordOutcome(member, Outcome{Status: StatusTimeout, Elapsed: elapsed}, false)
+		if (member.failureStreak > 0) != blamed {
+			t.Errorf("a time-out after %v, where answers take 40 ms: %d failures in a row", elapsed, member.failureStreak)
 		}
 	}
 }
--- a/logic/types.go
+++ b/logic/types.go
@@ -5,129 +5,131 @@
 	"time"
 )
 
-// limiter is the adaptive concurrency of a member, from this proxy.
+// limiter is the adaptive concurrency limit of a member at this proxy, with the measurements behind it.
 type limiter struct {
-	limit, latency float64 // latency: seconds an answer takes lately
-	gap            float64 // seconds between sends, lately
-	pace           float64 // seconds between answers lately, at the most latency
-	high           float64 // the most that was out lately
-	floor          float64 // the least that latency has been; it rises slowly
-	quickest       float64 // seconds the quickest answers take lately, without a handshake; 0: there was none
-	seen, out      int
-	cutAt, sentAt  time.Duration
-	heardAt        time.Duration // when it answered last
-	answered       time.Duration // when the latest attempt was sent that has been answered
+	limit, latency         float64 // latency: mean seconds of recent answers
+	sendInterval           float64 // mean seconds between recent sends
+	answerInterval         float64 // mean seconds between recent answers; each interval counts as latency at most
+	peakOutstanding        float64 // recent maximum of outstanding, decaying
+	minLatency             float64 // minimum of latency, rising slowly
+	fastestAnswer          float64 // seconds of the fastest recent answers, without handshakes; 0: none yet
+	samples, outstanding   int
+	limitCutAt, lastSentAt time.Duration
+	lastAnswerAt           time.Duration // time of the last answer
+	answeredSentAt         time.Duration // send time of the latest answered attempt
 }
 
-// node is what the balancer knows of a member.
-type node struct {
+// memberState is what the Balancer knows about a member.
+type memberState struct {
 	limiter
-	m                Member
-	zone             *zone
+	entry            Member
+	zone             *zoneState
 	hash             uint64
-	weight           float64       // its share of slots: alike at every proxy, untouched by load
-	streak           int           // failures in a row
-	fails            float64       // share of attempts that failed, lately
-	outUntil         time.Duration // ejected, or full, until then
-	tokens           float64       // the cold budget
-	tokensAt         time.Duration
-	hotLoad, hotKeys float64       // S and T of the paper
-	hits, misses     int           // the latter in a row
-	since            time.Duration // when it was found to have lost what it held
+	weight           float64       // share of the slots; the same at every proxy and independent of load
+	failureStreak    int           // consecutive failures
+	failureRate      float64       // share of recent attempts that failed
+	ejectedUntil     time.Duration // end of the ejection
+	coldTokens       float64       // tokens of the cold budget
+	coldTokensAt     time.Duration
+	hotLoad, hotKeys float64       // S and T in the paper
+	hits, missStreak int           // missStreak: consecutive misses
+	coldSince        time.Duration // time at which the cache was found to have lost its data
 }
 
-// zone is what a zone's caches have in common.
-type zone struct {
-	silent   int           // time-outs in a row, over all of them
-	silentAt time.Duration // the first of them
-	nextAt   time.Duration // when one may be asked while they are silent, or on trial
-	since    time.Duration // when they were heard of again after an outage: they may be cold from then on
-	closed   float64       // the part of their work that they are not to get
-	trial    bool          // while closed, they get a read now and then
+// zoneState is the state that the caches of a zone share.
+type zoneState struct {
+	timeoutStreak  int           // consecutive timeouts over all caches of the zone
+	firstTimeoutAt time.Duration // time of the first timeout of the streak
+	nextProbeAt    time.Duration // earliest next attempt while the zone is silent or on trial
+	coldSince      time.Duration // time of the first answer after an outage; the caches may be cold from then on
+	withheldShare  float64       // share of its work that the zone does not receive
+	trial          bool          // while the share is withheld, the zone gets an occasional read
 }
 
-type ranked struct {
-	n     *node
-	score float64
+// candidate is a member with its score for a slot.
+type candidate struct {
+	member *memberState
+	score  float64
 }
 
-// flight is a request in hand.
-type flight struct {
+// pendingRequest is a request that has no final answer or still has outstanding attempts.
+type pendingRequest struct {
 	Request
 	class          *Class
-	askedAt        time.Duration
-	aim            time.Duration // answers after this are worth little or nothing
-	value          float64
+	arrivedAt      time.Duration
+	softDeadline   time.Duration // later answers have little or no value
+	priority       float64
 	slot, attempts int
-	tries          int    // attempts allowed, as when it came
-	unsent         int    // attempts that found no connection: they count for nothing, up to the try limit
-	out            uint64 // attempts outstanding, a bit each
-	fetch          uint64 // attempts that went to the origin
-	ran            uint64 // attempts that may have run, or may yet
-	ranAt          time.Duration
-	ranOn          *node         // the first of those went there
-	nextAt         time.Duration // no attempt before: an earlier one may be in transit
-	toOrigin       bool          // the next attempt goes there
-	missAt         *node         // where the value will be stored
-	tried          []*node
-	waiting        bool // for another request's fetch, or in the origin's queue
-	queued         bool // in the origin's queue
-	joined         bool // it has waited for another's fetch before asking a cache
-	leased         bool // it has waited for another's fetch after a miss
-	owner          bool // others may wait for its fetch
-	broke          bool // a connection to a cache broke under it, and it went there again
-	stream         bool
-	done           bool // answered; kept until its attempts have ended
+	maxAttempts    int    // maximum attempts according to the settings at arrival
+	unsent         int    // attempts without a connection; up to maxAttempts of them are not counted
+	outstanding    uint64 // outstanding attempts, one bit each
+	originAttempts uint64 // attempts sent to the origin, one bit each
+	mayHaveRun     uint64 // attempts that may have run or may still run, one bit each
+	firstRunAt     time.Duration
+	firstRunMember *memberState  // member of the first attempt in mayHaveRun
+	notBefore      time.Duration // earliest time of the next attempt: an earlier one may still arrive
+	toOrigin       bool          // the next attempt goes to the origin
+	missedCache    *memberState  // cache that will store the value
+	triedCaches    []*memberState
+	// no attempt is outstanding: in the origin queue, or waiting for a fetch, a delay or a connection
+	waiting            bool
+	queued             bool // in the origin queue
+	coalesced          bool // has waited for another request's fetch before its first attempt
+	coalescedAfterMiss bool // has waited for another request's fetch after a miss
+	ownsFetch          bool // other requests may wait for its fetch
+	retriedAfterReset  bool // was sent to the same cache again after its connection broke
+	streaming          bool
+	answered           bool // has its final answer; kept until its attempts have ended
 }
 
-// Balancer makes the decisions of one proxy. Make it with New, then call Start.
+// Balancer makes the routing decisions of one proxy. Create it with New, then call Start.
 type Balancer struct {
-	s               Settings
-	do              Actions
-	pcg             *rand.PCG // the source of rng
-	rng             *rand.Rand
-	now, closeAt    time.Duration
-	nodes           map[MemberID]*node
-	caches, origins []*node // ready, by id
-	slots           [][]ranked
-	kindSize        map[int]float64
-	zones           [64]zone
-	trials          bool    // some zone is on trial
-	warm            float64 // weight of the caches, cold ones by their warmth
-	warmAt          time.Duration
-	allCold         bool    // the fleet has less than half of its capacity
-	peak            float64 // the most weight the list has held
-	local           bool    // each zone has a slot table of its own
-	counts          counter
-	kept            float64 // of the count, from earlier windows
-	hot             map[uint64]*placed
-	arrivals, span  float64       // requests, and the seconds they were counted
-	carried         float64       // what the caches did of them, in answers; a miss is half of one
-	period          time.Duration // of the window
-	tenants         []float64
-	flights         map[RequestID]*flight
-	fetching        map[uint64][]*flight // by key: who waits for the fetch that is out
-	queue           []*flight            // for the origin
-	pumpAt          time.Duration
-	target          float64 // seconds a fetch may take
-	latency, fails  float64 // the caches' mean
-	retries         float64 // the retry budget
-	asked, answered float64 // attempts at caches, lately
-	askedAt         time.Duration
-	heardAt         time.Duration // when a cache answered last
-	out             int           // attempts at caches that have no outcome yet
-	young, elder    int           // reads asked for lately, and in the time before that
-	youngAt         time.Duration // when lately began
-	watches         int
-	refusing        time.Duration // since when this proxy has had to refuse
-	refusedAt       time.Duration
+	settings                      Settings
+	actions                       Actions
+	randomSource                  *rand.PCG // source of rng
+	rng                           *rand.Rand
+	now, windowStart              time.Duration
+	members                       map[MemberID]*memberState
+	caches, origins               []*memberState // ready members, sorted by ID
+	slots                         [][]candidate
+	kindWeight                    map[int]float64
+	zones                         [64]zoneState
+	zonesOnTrial                  bool    // at least one zone is on trial
+	cachedWarmWeight              float64 // weight of the caches, cold ones scaled by their warmth
+	cachedWarmWeightAt            time.Duration
+	mostlyCold                    bool    // less than half of the weight is warm
+	peakWeight                    float64 // maximum weight of the list so far
+	zoneTables                    bool    // each zone has its own slot table
+	keyCounts                     counter
+	earlierTotal                  float64 // part of keyCounts.total from earlier windows
+	hotTable                      map[uint64]*placement
+	arrivals, spanSeconds         float64       // requests, and the seconds in which they were counted
+	servedWork                    float64       // answers of the caches; a miss counts as half
+	windowLength                  time.Duration // length of the current counting window
+	tenantRequests                []float64
+	requests                      map[RequestID]*pendingRequest
+	fetchWaiters                  map[uint64][]*pendingRequest // by key: requests that wait for an outstanding fetch
+	originQueue                   []*pendingRequest            // reads and writes waiting for capacity of the origin
+	originQueueTimerAt            time.Duration
+	fetchTarget                   float64 // target duration of a fetch in seconds
+	meanLatency, failureRate      float64 // mean over the caches
+	retryTokens                   float64 // tokens of the retry budget
+	recentAttempts, recentAnswers float64 // attempts at caches and their answers, decaying
+	recentCountsAt                time.Duration
+	lastAnswerAt                  time.Duration // time of the last answer of any cache
+	outstandingAtCaches           int           // attempts at caches without an outcome
+	currentReads, previousReads   int           // reads in the current and the previous interval of the throttle
+	currentReadsSince             time.Duration // start of the current interval
+	listFailures                  int
+	refusingSince                 time.Duration // start of the current shortage
+	lastRefusalAt                 time.Duration
 }
 
-// placed are the caches of a hot key; more than one only if the key is split.
-type placed struct {
-	nodes []*node
-	next  int
+// placement lists the caches of a hot key; there are several only if the key is split.
+type placement struct {
+	members []*memberState
+	next    int
 }
 
-// split tells whether several caches hold the key.
-func (p *placed) split() bool { return p != nil && len(p.nodes) > 1 }
+// isSplit reports whether several caches hold the key.
+func (p *placement) isSplit() bool { return p != nil && len(p.members) > 1 }
--- a/logic/untold_test.go
+++ b/logic/untold_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// A cache that has had hits and then has nothing any more counts as started with the last of so many misses, and not before; one that
-// never had any is just empty.
-func TestCacheThatLostWhatItHeld(t *testing.T) {
+// A cache that had hits and then only misses counts as restarted once the misses reach emptyCacheMisses,
+// and not before. A cache that never had hits is just empty.
+func TestCacheThatLostItsData(t *testing.T) {
 	for name, c := range map[string]struct {
 		hits, misses int
 		cold         bool
 	}{
-		"hits, then nothing":        {emptyAfter, emptyAfter, true},
-		"one miss short":            {emptyAfter, emptyAfter - 1, false},
-		"never held anything":       {0, 4 * emptyAfter, false},
-		"known by too few hits yet": {emptyAfter - 1, emptyAfter, false},
+		"hits, then nothing":        {emptyCacheMisses, emptyCacheMisses, true},
+		"one miss short":            {emptyCacheMisses, emptyCacheMisses - 1, false},
+		"never held anything":       {0, 4 * emptyCacheMisses, false},
+		"known by too few hits yet": {emptyCacheMisses - 1, emptyCacheMisses, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := testSettings()
-			s.Mode, s.OriginKind, s.ColdFrom, s.ColdFor = Aside, 9, 0.3, 10*time.Second
-			h := newHost(t, s, 1)
-			h.members(ListFull, caches(1)...)
-			n := h.b.caches[0]
+			settings := testSettings()
+			settings.Mode, settings.OriginKind, settings.SlowStartCapacity, settings.SlowStartDuration = CacheAside, 9, 0.3, 10*time.Second
+			host := newHost(t, settings, 1)
+			host.setMembers(ListFull, cacheMembers(1)...)
+			member := host.balancer.caches[0]
 			for i := range c.hits + c.misses {
 				o := Outcome{Status: StatusMiss, Elapsed: ms}
 				if i < c.hits {
 					o.Status = StatusOK
 				}
-				h.b.learn(n, o, false)
+				host.balancer.recordOutcome(member, o, false)
 			}
-			if got := h.b.ramp(n); (got < 1) != c.cold {
+			if got := host.balancer.warmth(member); (got < 1) != c.cold {
 				t.Errorf("it counts as %.2f warm", got)
 			}
-			h.b.advance(h.b.now + s.ColdFor)
-			if got := h.b.ramp(n); got != 1 {
+			host.balancer.advance(host.balancer.now + settings.SlowStartDuration)
+			if got := host.balancer.warmth(member); got != 1 {
 				t.Errorf("when it is warm, it counts as %.2f", got)
 			}
 		})
