--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -143,8 +143,8 @@
 		Listen: c.Listen, Discovery: c.Discovery, Seed: seed, Settings: settings,
 		Zones: host.Areas, Kinds: host.Kinds,
 		ConnIdle:  time.Duration(host.Limits.ConnIdleMS * float64(time.Millisecond)),
-		Multiplex: host.Limits.Multiplex, MostHeld: host.Limits.MostHeld,
-		MemoryMB: int(c.Limits.MemoryMB), Sockets: c.Limits.Sockets,
-		Known: c.Known, AcceptMore: acceptMore,
+		Multiplex: host.Limits.Multiplex, MaxRequests: host.Limits.MostHeld,
+		MemoryMB: int(c.Limits.MemoryMB), Descriptors: c.Limits.Sockets,
+		InitialList: c.Known, AcceptAfterStop: acceptMore,
 	}, nil
 }
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -62,9 +62,9 @@
 	}
 	if file.Zones != nil && len(settings.Zones) > 1 && len(settings.Zones) <= zones.MaxZones {
 		f.meter = zones.NewMeter(len(settings.Zones), shortestAim(settings.Settings.Classes))
-		settings.Meter = f.meter
+		settings.ZoneMeter = f.meter
 	}
-	settings.Before = func() {
+	settings.BeforeServing = func() {
 		f.Join()
 		ctx, stop := context.WithCancel(context.Background())
 		f.stop, f.done = stop, make(chan struct{})
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -78,7 +78,7 @@
 	}
 	r.cfg = cfg
 	r.log.Info("reload", "discovery", cfg.Discovery, "classes", logic.ClassNames(now.Settings.Classes), "attempts", now.Settings.MaxAttempts)
-	r.p.Follow(cfg.Discovery)
+	r.p.SetDiscoveryAddr(cfg.Discovery)
 	return nil
 }
 
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -56,16 +56,16 @@
 		log.Warn("no directory to hand over by: members out of use are forgotten at the end of this process", "err", err)
 	}
 	s.first = s.alone
-	if settings.Out, _, err = s.dir.Reload(); err != nil {
+	if settings.OutOfUse, _, err = s.dir.Reload(); err != nil {
 		log.Error("the record of members out of use can't be read", "err", err)
 	}
 	if !s.alone {
 		log.Info("following another process")
 		s.keep(nil)
-		settings.Sockets, settings.MemoryMB = s.sockets, int(s.memory)
+		settings.Descriptors, settings.MemoryMB = s.sockets, int(s.memory)
 	}
 	if s.dir.Persistent() {
-		settings.Inherit = s.inherit
+		settings.LoadSnapshot = s.inherit
 	}
 	return s
 }
@@ -97,7 +97,7 @@
 	if !s.dir.Persistent() {
 		return
 	}
-	text, err := inherit.Encode(p.Learnt())
+	text, err := inherit.Encode(p.Snapshot())
 	if err == nil {
 		err = s.dir.WriteState(text)
 	}
@@ -164,7 +164,7 @@
 
 func (s *sharing) set(p *proxy.Proxy, sockets int, memory float64) {
 	if s.sockets, s.memory = sockets, memory; p != nil {
-		p.Limit(sockets, int(memory))
+		p.SetLimits(sockets, int(memory))
 	}
 	debug.SetMemoryLimit(heapLimit(memory))
 }
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -287,7 +287,7 @@
 			r.Origin = a.Origin
 			v = r.Verdict()
 			a.End(v, note)
-			s.f.p.Tell()
+			s.f.p.DeliverOutcomes()
 		}
 		switch {
 		case v == logic.StatusRejected:
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -46,8 +46,8 @@
 					t.Fatal(err)
 				}
 				cfg.Discovery, cfg.Settings.ConnectTimeout = view, 600*time.Millisecond
-				for i, m := range cfg.Known.Members {
-					cfg.Known.Members[i] = see(m)
+				for i, m := range cfg.InitialList.Members {
+					cfg.InitialList.Members[i] = see(m)
 				}
 			})
 			r.c.Retries, r.c.TryTimeout = 4, 50*time.Millisecond
--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -333,7 +333,7 @@
 func TestShedStatus(t *testing.T) {
 	for status, more := range map[int]string{429: "", 503: "shed_status = 503"} {
 		fleet := newFleet(t, 1)
-		r := newRig(t, fleet, file("answer", more), func(c *proxy.Config) { c.MostHeld = 1 })
+		r := newRig(t, fleet, file("answer", more), func(c *proxy.Config) { c.MaxRequests = 1 })
 		fleet.Boxes[0].SetFault(standin.Stall)
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		held := r.start(ctx, read("a", "h1"))
--- a/internal/extproc/server/record_test.go
+++ b/internal/extproc/server/record_test.go
@@ -43,7 +43,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					cfg.Record, cfg.Receipts = k, []string{"extproc"}
+					cfg.Record, cfg.ReceiptFronts = k, []string{"extproc"}
 				})
 			}
 			q := func(id string) caller.Request {
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.AcceptMore = 0
+	cfg.AcceptAfterStop = 0
 	return cfg
 }
 
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -317,11 +317,11 @@
 	if i.options.Machine == nil {
 		return
 	}
-	capacity := i.proxy.Capacity()
+	capacity := i.proxy.ZoneCapacity()
 	i.mu.Lock()
 	all := i.otherMembers()
 	peers := i.zonePeers(all)
-	i.proxy.Zones(func(now time.Duration) []logic.ZoneShare {
+	i.proxy.UpdateZoneShares(func(now time.Duration) []logic.ZoneShare {
 		stats, originRefusals := i.options.Meter.ZoneStats(now)
 		i.options.Machine.SetPeers(peers)
 		i.options.Machine.SetCapacity(capacity)
@@ -450,7 +450,7 @@
 	if i.options.Machine == nil || msg.From == i.self.Number {
 		return false
 	}
-	i.proxy.Zones(func(now time.Duration) []logic.ZoneShare {
+	i.proxy.UpdateZoneShares(func(now time.Duration) []logic.ZoneShare {
 		if msg.Report != nil && msg.Report.Number == msg.From {
 			i.options.Machine.ReceiveReport(now, *msg.Report)
 		}
@@ -496,7 +496,7 @@
 		i.applyMessage(&msg)
 		return
 	}
-	i.proxy.Zones(func(now time.Duration) []logic.ZoneShare {
+	i.proxy.UpdateZoneShares(func(now time.Duration) []logic.ZoneShare {
 		if msg.Verdict != nil {
 			i.options.Machine.Inherit(now, *msg.Verdict, msg.Overrides)
 		}
--- a/internal/instances/view.go
+++ b/internal/instances/view.go
@@ -60,7 +60,7 @@
 		return told, fmt.Errorf("no zone or region has the name %q; there are %s", name, strings.Join(i.options.Zones, ", "))
 	}
 	i.mu.Lock()
-	i.proxy.Zones(func(now time.Duration) []logic.ZoneShare {
+	i.proxy.UpdateZoneShares(func(now time.Duration) []logic.ZoneShare {
 		err = i.options.Machine.SetOverride(now, zones.Override{Mode: mode, TimestampMS: time.Now().UnixMilli(), Requester: who}, at...)
 		return i.changedShares()
 	})
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg.AcceptMore = 0
+	cfg.AcceptAfterStop = 0
 	cfg.Clock = func() time.Duration { return time.Duration(h.now.Load()) }
 	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) {
 		h.mu.Lock()
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -112,7 +112,7 @@
 		}
 		if faulty = err != nil; changed && !faulty {
 			f.log.Info("members out of use have changed, by the record of another process", "count", set.CountOut())
-			f.proxy.Maintain(set)
+			f.proxy.UpdateMaintenance(set)
 		}
 	}
 }
@@ -236,7 +236,7 @@
 	case !maintenance.ValidID(id):
 		http.Error(w, "the body is the id of a member: "+maintenance.ErrBadID.Error(), http.StatusBadRequest)
 		return
-	case !f.proxy.Knows(id):
+	case !f.proxy.KnowsMember(id):
 		http.Error(w, fmt.Sprintf("no member has the id %q", id), http.StatusNotFound)
 		return
 	}
@@ -246,7 +246,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	f.proxy.Maintain(set)
+	f.proxy.UpdateMaintenance(set)
 	f.log.Info("maintenance", "member", id, "out", out, "all_out", set.CountOut())
 	fmt.Fprintf(w, "%s out=%t\n", id, out)
 }
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.AcceptMore = 0
+	cfg.AcceptAfterStop = 0
 	// Attempts are counted when they are sent: on a busy machine a server may start an abandoned attempt after later
 	// ones have been counted.
 	sentTo := map[logic.MemberID]int{}
@@ -183,7 +183,7 @@
 	member := r.fleet.Registry.List().Members[1]
 	member.Phase = "in_service"
 	r.fleet.Registry.Tell(member)
-	for !r.proxy.Knows("s-3") {
+	for !r.proxy.KnowsMember("s-3") {
 		time.Sleep(time.Millisecond)
 	}
 	if n := r.attemptsForReads(60); n[0] != 0 {
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -20,9 +20,9 @@
 	if r == nil {
 		return // it would be a fault of the module; there is no one to send for
 	}
-	p.catchUp()
-	a := &attempt{req: r, n: int32(len(r.attempts)), to: to, sentAt: p.now}
-	a.ExpiresAt = r.deadlineNow()
+	p.refreshNow()
+	a := &attempt{request: r, index: int32(len(r.attempts)), memberID: to, startedAt: p.now}
+	a.ExpiresAt = r.currentDeadline()
 	if timeout > 0 {
 		a.ExpiresAt = min(a.ExpiresAt, p.now+timeout)
 	}
@@ -32,47 +32,47 @@
 	}
 	r.out++
 	if r.done || a.ExpiresAt-p.now < upstream.MinDeadline {
-		p.end(a, logic.StatusMoot, 0)
+		p.endAttempt(a, logic.StatusMoot, 0)
 		return
 	}
 	if !p.proven(r) {
-		p.end(a, logic.StatusRejected, 0) // never sent, and no member's fault; a further attempt would end alike
+		p.endAttempt(a, logic.StatusRejected, 0) // never sent, and no member's fault; a further attempt would end alike
 		return
 	}
 	m := p.members[to]
 	if m == nil || m.state != logic.Ready {
-		p.end(a, logic.StatusConnectFailed, 0)
+		p.endAttempt(a, logic.StatusConnectFailed, 0)
 		return
 	}
 	if r.rec != nil {
 		p.sendRecorded(r, a, m)
 		return
 	}
-	p.launch(r, a, m)
+	p.startAttempt(r, a, m)
 }
 
-// launch starts the exchange of an attempt, here or at a Carrier's client.
-func (p *Proxy) launch(r *Request, a *attempt, m *member) {
-	if p.cfg.Meter != nil && !m.Origin {
-		a.metered = p.cfg.Meter.AttemptStarted(p.now, p.zone(m.listed.Locality), uint64(m.id))
+// startAttempt starts the exchange of an attempt, here or at a Carrier's client.
+func (p *Proxy) startAttempt(r *Request, a *attempt, m *member) {
+	if p.cfg.ZoneMeter != nil && !m.Origin {
+		a.meterID = p.cfg.ZoneMeter.AttemptStarted(p.now, p.zoneIndex(m.listed.Locality), uint64(m.id))
 	}
 	if c, ok := r.Taker.(Carrier); ok {
-		a.carried = true
-		p.schedule(due{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
+		a.byCarrier = true
+		p.schedule(timerEntry{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 		c.Carry(&Attempt{p: p, a: a, Addr: m.Addr, Origin: m.Origin})
 		return
 	}
-	p.exchange(m, a)
+	p.startExchange(m, a)
 }
 
 // Refuse is the final answer that a retry is harmless.
 func (x actions) Refuse(id logic.RequestID, retryAfter time.Duration, why logic.Reason) {
-	x.p.conclude(id, Answer{Kind: Refused, RetryAfter: retryAfter, Why: why})
+	x.p.finishRequest(id, Answer{Kind: Refused, RetryAfter: retryAfter, Why: why})
 }
 
 // Fail is the final answer that promises nothing.
 func (x actions) Fail(id logic.RequestID, why logic.Reason) {
-	x.p.conclude(id, Answer{Kind: Failed, Why: why})
+	x.p.finishRequest(id, Answer{Kind: Failed, Why: why})
 }
 
 // NotifyWaiting counts a wait.
@@ -82,7 +82,7 @@
 	}
 }
 
-func (p *Proxy) conclude(id logic.RequestID, a Answer) {
+func (p *Proxy) finishRequest(id logic.RequestID, a Answer) {
 	if r := p.requests[id]; r != nil && !r.done {
 		r.done = true
 		what := reasons.Refused
@@ -92,13 +92,13 @@
 			p.unspend(r)
 		}
 		p.reasons.Add(what, r.class, r.tenant, a.Why)
-		if p.cfg.Meter != nil && a.Why == logic.OriginLine {
-			p.cfg.Meter.OriginRefused(p.now)
+		if p.cfg.ZoneMeter != nil && a.Why == logic.OriginLine {
+			p.cfg.ZoneMeter.OriginRefused(p.now)
 		}
 		r.Taker.Answer(a)
 		p.fence(r)
 		p.joinEnded(r)
-		p.settle(r)
+		p.releaseIfOver(r)
 	}
 }
 
@@ -111,7 +111,7 @@
 		return
 	}
 	if a := r.attempts[attempt]; !a.Ended && (!r.done || !a.Sent()) {
-		x.p.abandon(a, logic.StatusCancelled)
+		x.p.abandonAttempt(a, logic.StatusCancelled)
 	}
 }
 
@@ -123,7 +123,7 @@
 		}
 	}
 	if m := x.p.members[to]; m != nil {
-		return x.p.ups.ExpectedWait(&m.Member)
+		return x.p.upstreams.ExpectedWait(&m.Member)
 	}
 	return 0
 }
@@ -131,13 +131,13 @@
 // CloseIdle closes idle connections to a member.
 func (x actions) CloseIdle(id logic.MemberID) {
 	if m := x.p.members[id]; m != nil {
-		x.p.ups.CloseIdle(&m.Member, 0)
+		x.p.upstreams.CloseIdle(&m.Member, 0)
 	}
 }
 
 // SetTimer asks for a Timer event.
 func (x actions) SetTimer(at time.Duration, token uint64) {
-	x.p.timers.pushToken(x.p.now, at, token)
+	x.p.timers.addToken(x.p.now, at, token)
 }
 
 // Watch and Fetch ask for the list. Discovery pushes it here, and the watch is always kept up.
--- a/internal/proxy/answers.go
+++ b/internal/proxy/answers.go
@@ -29,7 +29,7 @@
 	}
 	if slices.Contains(c.pending, o) {
 		o.reply = slices.Clone(reply)
-		c.p.held += len(o.reply)
+		c.p.bufferedBytes += len(o.reply)
 	}
 }
 
@@ -94,7 +94,7 @@
 			return
 		}
 		if len(c.pending) == 1 || c.pending[1].reply == nil {
-			c.p.held -= len(o.reply)
+			c.p.bufferedBytes -= len(o.reply)
 			c.w.Send(o.reply, true)
 			o.reply = nil
 			c.pop()
@@ -104,7 +104,7 @@
 		for len(c.pending) > 0 && c.pending[0].reply != nil && len(b) < resp.MaxValue {
 			o := c.pending[0]
 			b = append(b, o.reply...)
-			c.p.held -= len(o.reply)
+			c.p.bufferedBytes -= len(o.reply)
 			o.reply = nil
 			c.pop()
 		}
--- a/internal/proxy/attempt_log.go
+++ b/internal/proxy/attempt_log.go
@@ -10,25 +10,25 @@
 // request were at the same time can be read from their lines alone: when it was begun, how long it waited for its connection, when it was written
 // and with how much of its time left, and when it ended. Times are milliseconds since the start of the process.
 func (p *Proxy) logAttempt(a *attempt, s logic.Status) {
-	if !p.debug {
+	if !p.debugEnabled {
 		return
 	}
-	r := a.req
+	r := a.request
 	line := []any{
-		"request", string(r.ReqID), "attempt", a.n, "status", s.String(), "ended_ms", p.sinceStart(p.now),
-		"begun_ms", p.sinceStart(a.sentAt), "client_left_ms", milliseconds(r.deadlineNow() - p.now),
+		"request", string(r.ReqID), "attempt", a.index, "status", s.String(), "ended_ms", p.sinceStart(p.now),
+		"begun_ms", p.sinceStart(a.startedAt), "client_left_ms", milliseconds(r.currentDeadline() - p.now),
 	}
-	if m := p.members[a.to]; m != nil {
+	if m := p.members[a.memberID]; m != nil {
 		line = append(line, "member", m.listed.ID, "zone", m.listed.Locality, "origin", m.Origin)
 	}
 	if a.BeganAt > 0 {
-		line = append(line, "waited_ms", milliseconds(a.BeganAt-a.sentAt), "out_ms", milliseconds(p.now-a.BeganAt),
+		line = append(line, "waited_ms", milliseconds(a.BeganAt-a.startedAt), "out_ms", milliseconds(p.now-a.BeganAt),
 			"left_at_write_ms", milliseconds(a.ExpiresAt-a.BeganAt), "first_on_connection", a.Fresh())
 	}
 	p.log.Debug("attempt", line...)
 }
 
-func (p *Proxy) sinceStart(at time.Duration) float64 { return milliseconds(at - p.offset) }
+func (p *Proxy) sinceStart(at time.Duration) float64 { return milliseconds(at - p.clockOffset) }
 
 // milliseconds makes a duration a number that is easily read.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -38,7 +38,7 @@
 					t.Errorf("answered %q, want %s", got, c.want)
 				}
 				open()
-				p.eventually("the dial has ended", func() bool { return p.ups.OpenConns() == 0 })
+				p.eventually("the dial has ended", func() bool { return p.upstreams.OpenConns() == 0 })
 				if got := l.all(); len(got) > 0 {
 					t.Errorf("the member that drains was asked under %v", got)
 				}
@@ -117,7 +117,7 @@
 	l := newRoll()
 	door, open := shut(t, l, "large")
 	p := start(t, leaving(false), entry("s-1", door, "large"))
-	p.Do(func() { p.killMost = time.Hour }) // the stop waits for what is in hand
+	p.Do(func() { p.maxStopDeadline = time.Hour }) // the stop waits for what is in hand
 	clients := []*testClient{p.dial(), p.dial()}
 	clients[0].send(getLong("a1", "left"))
 	clients[1].send(pipelined(3 * maxPipeline))
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -109,9 +109,9 @@
 	}
 	type state struct{ members, connections, timers, goroutines int }
 	now := func() state {
-		p.enter()
-		defer p.leave()
-		return state{len(p.members), p.ups.OpenConns(), p.timers.count, runtime.NumGoroutine()}
+		p.beginEvent()
+		defer p.endEvent()
+		return state{len(p.members), p.upstreams.OpenConns(), p.timers.count, runtime.NumGoroutine()}
 	}
 	heap := func() uint64 {
 		var m runtime.MemStats
@@ -155,7 +155,7 @@
 	read(100)
 	var after state
 	p.eventually("all is as it was", func() bool { // the lock is held: what now does is done here
-		after = state{len(p.members), p.ups.OpenConns(), p.timers.count, runtime.NumGoroutine()}
+		after = state{len(p.members), p.upstreams.OpenConns(), p.timers.count, runtime.NumGoroutine()}
 		return len(p.requests) == 0 && after.members == before.members && after.connections <= before.connections+len(live) &&
 			after.timers < 20 && after.goroutines <= before.goroutines+3*len(live)
 	})
--- a/internal/proxy/command.go
+++ b/internal/proxy/command.go
@@ -151,10 +151,10 @@
 			grown := make([]byte, len(cmd.Value), size)
 			copy(grown, cmd.Value)
 			p.mu.Lock()
-			p.held += cap(grown) - cap(cmd.Value)
-			over := p.held > p.heldMax
+			p.bufferedBytes += cap(grown) - cap(cmd.Value)
+			over := p.bufferedBytes > p.maxBufferedBytes
 			if over {
-				p.held -= cap(grown)
+				p.bufferedBytes -= cap(grown)
 			}
 			p.mu.Unlock()
 			if over {
@@ -171,14 +171,14 @@
 		}
 		if err != nil {
 			p.mu.Lock()
-			p.held -= cap(cmd.Value)
+			p.bufferedBytes -= cap(cmd.Value)
 			p.mu.Unlock()
 			return err
 		}
 	}
 	if err := c.in.LineEnd(); err != nil { // the length was wrong
 		p.mu.Lock()
-		p.held -= cap(cmd.Value)
+		p.bufferedBytes -= cap(cmd.Value)
 		p.mu.Unlock()
 		return err
 	}
--- a/internal/proxy/copies_test.go
+++ b/internal/proxy/copies_test.go
@@ -120,7 +120,7 @@
 			s.testProxy = start(t, cfg,
 				s.relayed("far", far, "large", 60*time.Millisecond, 40*time.Millisecond, 0),
 				s.relayed("near", near, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
-			s.eventually("it is set up", func() bool { s.ups.SetMaxPipelineAge(patience); return len(s.members) == 3 })
+			s.eventually("it is set up", func() bool { s.upstreams.SetMaxPipelineAge(patience); return len(s.members) == 3 })
 			s.client = s.dial()
 			keys := s.farKeys(pool.MinCleanAnswers+2, 400)
 			if behind {
@@ -200,7 +200,7 @@
 	var made atomic.Int32
 	relay.SetDelay(func() (there, back time.Duration) { return time.Duration(made.Add(1)%2) * slow, 0 })
 	s.testProxy = start(t, cfg, entry("far", relay.Addr(), "large"), s.relayed("near", near, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
-	s.eventually("it is set up", func() bool { s.ups.SetMaxPipelineAge(patience); return len(s.members) == 3 })
+	s.eventually("it is set up", func() bool { s.upstreams.SetMaxPipelineAge(patience); return len(s.members) == 3 })
 	s.client = s.dial()
 	for round := range rounds {
 		keys := s.farKeys(pool.MinCleanAnswers+2, 400)
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -173,7 +173,7 @@
 			t.Parallel()
 			s := &transit{t: t, copies: standin.NewCopies()}
 			cfg := testConfig()
-			cfg.MostHeld, cfg.Sockets = 1000, 1024
+			cfg.MaxRequests, cfg.Descriptors = 1000, 1024
 			cfg.Settings.ConnectTimeout = 250 * time.Millisecond
 			cfg.Settings.Classes = append(cfg.Settings.Classes, logic.Class{Name: "keyed", Value: 15, Effect: logic.DeduplicatedByKey, DedupWindow: 4 * time.Second})
 			for i := range cfg.Settings.Classes {
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -366,7 +366,7 @@
 	w := watchDeadlines(t, &cfg)
 	var p *testProxy
 	ready, begin := make(chan struct{}), make(chan struct{})
-	cfg.Before = func() {
+	cfg.BeforeServing = func() {
 		close(ready)
 		<-begin
 	}
@@ -394,10 +394,10 @@
 		return hit("value of " + a.key)
 	}), "large"))
 	ask := func(id string) int {
-		p.enter() // so that nobody is taken before the command has come
+		p.beginEvent() // so that nobody is taken before the command has come
 		client := p.dial()
 		client.send(w.get("k", id, 15_000))
-		p.leave()
+		p.endEvent()
 		if got := client.answer(); got != "value of k" {
 			t.Fatalf("answered %q", got)
 		}
@@ -575,26 +575,26 @@
 
 // A process that was held up dates what it reads right afterwards by when it may have come: in the midst of an event, and between two.
 func TestStallsDateRequests(t *testing.T) {
-	p := &Proxy{cfg: Config{}, started: time.Now().Add(-time.Minute), ups: upstream.New(pool.Config{}, nil)}
-	p.stalls.MaxGap = stallGap
-	p.timers = newTimers(time.Millisecond, p.Clock())
+	p := &Proxy{cfg: Config{}, started: time.Now().Add(-time.Minute), upstreams: upstream.New(pool.Config{}, nil)}
+	p.stalls.MaxGap = maxEventGap
+	p.timers = newTimerWheel(time.Millisecond, p.Clock())
 	p.timer = time.AfterFunc(time.Hour, func() {})
 	p.now = p.Clock()
 	p.wakeAt = p.now
-	p.enter()
-	began := p.began
+	p.beginEvent()
+	began := p.eventBegan
 	for p.Clock()-began < 20*time.Millisecond { // the event takes its time
 		time.Sleep(time.Millisecond)
 	}
-	p.leave()
-	p.enter()
+	p.endEvent()
+	p.beginEvent()
 	if got := p.arrivedAt(p.now); got != began {
 		t.Errorf("read right after an event that took long, dated %v after it began", got-began)
 	}
 	last := p.now - time.Second
-	p.now, p.stalls = last, arrival.Stalls{MaxGap: stallGap} // nothing has happened for a second
+	p.now, p.stalls = last, arrival.Stalls{MaxGap: maxEventGap} // nothing has happened for a second
 	p.mu.Unlock()
-	p.enter()
+	p.beginEvent()
 	if got := p.arrivedAt(p.now); got != last {
 		t.Errorf("read right after a long pause, dated %v after it began", got-last)
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -17,7 +17,7 @@
 	// lingerTime is how long clients have to hear that their connections end. Closed at once, with
 	// something unread, a connection is reset, and the client can lose its last answer.
 	lingerTime = 100 * time.Millisecond
-	// A process that was told to end may be killed once the longest deadline, taken as killMost if it is longer, and killMore have passed.
+	// A process that was told to end may be killed once the longest deadline, taken as maxStopDeadline if it is longer, and killMore have passed.
 	// Everything taken has its answer endMargin before that, if it is only that it was refused, or may have run: what is still out then is
 	// at members that hang, and a deadline beyond would never come. It costs those that would have answered that late.
 	killMost  = 3 * time.Second
@@ -32,7 +32,7 @@
 	for _, f := range p.fronts {
 		f.Drain()
 	}
-	time.Sleep(p.cfg.AcceptMore)
+	time.Sleep(p.cfg.AcceptAfterStop)
 	for _, f := range p.fronts {
 		f.StopTaking()
 	}
@@ -42,16 +42,16 @@
 		time.Sleep(owedEvery / 2)
 	}
 	// What comes later is turned away: answered in full, it could take longer than there is time for.
-	p.enter()
+	p.beginEvent()
 	p.stopping = true
 	p.closeRecord()
-	p.leave()
+	p.endEvent()
 	longest := time.Duration(0)
 	for _, c := range p.Classes() {
 		longest = max(longest, c.Deadline)
 	}
 	most := max(longest, commandTime)
-	by := told.Add(min(longest, p.killMost) + killMore - endMargin)
+	by := told.Add(min(longest, p.maxStopDeadline) + killMore - endMargin)
 	p.owedUntil(by)
 	p.Do(p.endTaken)
 	// What is left are answers on their way to clients that take them slowly, and values of which a part has gone out.
@@ -77,13 +77,13 @@
 		case r.rec != nil && r.rec.owes:
 			p.recordLate(r)
 		case !r.done:
-			p.recall(r)
+			p.recallUnsent(r)
 			a := Answer{Kind: Failed, Why: reasons.Stopping}
 			if r.again || !r.MayHaveRun() {
 				a.Kind = Refused
 			}
-			p.conclude(id, a)
-			p.bal.RequestCancelled(p.now, id)
+			p.finishRequest(id, a)
+			p.balancer.RequestCancelled(p.now, id)
 		}
 	}
 	for _, f := range p.fronts {
@@ -93,8 +93,8 @@
 
 // owes tells whether a front still owes an answer.
 func (p *Proxy) owes() (owed bool) {
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	for _, f := range p.fronts {
 		if f.Owes() {
 			owed = true
--- a/internal/proxy/follow_test.go
+++ b/internal/proxy/follow_test.go
@@ -38,7 +38,7 @@
 
 	p := startAt(t, testConfig(), old)
 	<-old.watched
-	p.Follow(lagging.Listener.Addr().String())
+	p.SetDiscoveryAddr(lagging.Listener.Addr().String())
 	wait := func(what string) {
 		t.Helper()
 		select {
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -121,20 +121,20 @@
 // the attempt still stands; one that has ended, or whose member is no longer ready, must not be given. It may be asked
 // again of an attempt that was given and has surely not been sent yet: if its member has gone, that one never ran.
 func (x *Attempt) Give() bool {
-	if m := x.p.members[x.a.to]; !x.a.Ended && (m == nil || m.state != logic.Ready || m.Addr != x.Addr) {
-		x.p.end(x.a, logic.StatusConnectFailed, 0)
+	if m := x.p.members[x.a.memberID]; !x.a.Ended && (m == nil || m.state != logic.Ready || m.Addr != x.Addr) {
+		x.p.endAttempt(x.a, logic.StatusConnectFailed, 0)
 	}
 	if x.a.Ended {
 		return false
 	}
-	if !x.a.given {
-		x.a.given, x.a.BeganAt = true, x.p.now
+	if !x.a.handedOver {
+		x.a.handedOver, x.a.BeganAt = true, x.p.now
 	}
 	return true
 }
 
 // Given tells whether the client has been told of the attempt.
-func (x *Attempt) Given() bool { return x.a.given }
+func (x *Attempt) Given() bool { return x.a.handedOver }
 
 // Ended tells whether the attempt has its outcome.
 func (x *Attempt) Ended() bool { return x.a.Ended }
@@ -143,14 +143,14 @@
 func (x *Attempt) Left() time.Duration { return x.a.ExpiresAt - x.p.now }
 
 // End gives the attempt its outcome, with a note as in logic.Outcome; later ones are dropped.
-func (x *Attempt) End(s logic.Status, note int) { x.p.end(x.a, s, note) }
+func (x *Attempt) End(s logic.Status, note int) { x.p.endAttempt(x.a, s, note) }
 
 // Spares names up to most further members that the client may go on to by itself where this one fails it, in order.
 func (x *Attempt) Spares(most int) (addrs []string) {
 	if x.a.Ended {
 		return nil
 	}
-	for _, id := range x.p.bal.Fallbacks(x.a.req.id, most) {
+	for _, id := range x.p.balancer.Fallbacks(x.a.request.id, most) {
 		if m := x.p.members[id]; m != nil && m.state == logic.Ready {
 			addrs = append(addrs, m.Addr)
 		}
@@ -165,8 +165,8 @@
 	}
 	for id, m := range x.p.members {
 		if m.Addr == addr {
-			x.p.bal.FallbackUsed(x.p.now, x.a.req.id, x.a.to, id)
-			x.a.to, x.Addr = id, addr
+			x.p.balancer.FallbackUsed(x.p.now, x.a.request.id, x.a.memberID, id)
+			x.a.memberID, x.Addr = id, addr
 			return true
 		}
 	}
@@ -177,21 +177,21 @@
 // learnt of the member that was named.
 func (x *Attempt) DeliverElsewhere() {
 	if !x.a.Ended {
-		x.a.req.done = true
-		x.p.fence(x.a.req)
-		if c := x.a.req.rec; c != nil {
+		x.a.request.done = true
+		x.p.fence(x.a.request)
+		if c := x.a.request.rec; c != nil {
 			c.ok, c.by = true, orders.ReportedByCaller
 		}
-		x.p.end(x.a, logic.StatusCancelled, 0)
+		x.p.endAttempt(x.a, logic.StatusCancelled, 0)
 	}
 }
 
 // Deliver ends an attempt whose answer the client has: the request is served, and gets no further answer.
 func (x *Attempt) Deliver(note int) {
 	if !x.a.Ended {
-		x.a.req.done = true
-		x.p.fence(x.a.req)
-		x.p.end(x.a, logic.StatusOK, note)
+		x.a.request.done = true
+		x.p.fence(x.a.request)
+		x.p.endAttempt(x.a, logic.StatusOK, note)
 	}
 }
 
@@ -201,7 +201,7 @@
 		return true
 	}
 	for _, a := range r.attempts {
-		if !a.Ended && !a.recording && (!a.carried || a.given) {
+		if !a.Ended && !a.awaitsRecord && (!a.byCarrier || a.handedOver) {
 			return true
 		}
 	}
@@ -231,8 +231,8 @@
 }
 
 func (p *Proxy) submit(r *Request) error {
-	lr, err := r.describe(&p.cfg.Settings)
-	if err == nil && p.ids.used(r.ReqID, p.now) {
+	lr, err := r.parseRequest(&p.cfg.Settings)
+	if err == nil && p.recentIDs.contains(r.ReqID, p.now) {
 		err = ErrInUse
 	}
 	if err == nil {
@@ -244,11 +244,11 @@
 	case p.stopping:
 		p.reasons.Add(reasons.Refused, lr.Class, lr.Tenant, reasons.Stopping)
 		return ErrStopping
-	case len(p.requests) >= p.maxRequests() || p.held > p.heldMax:
+	case len(p.requests) >= p.maxRequests() || p.bufferedBytes > p.maxBufferedBytes:
 		p.reasons.Add(reasons.Refused, lr.Class, lr.Tenant, reasons.HostFull)
 		return ErrBusy
 	}
-	p.ids.add(r.ReqID, p.now)
+	p.recentIDs.add(r.ReqID, p.now)
 	p.nextID++ // after 2^32 it begins anew, long after the request that had the number
 	r.id, r.p = p.nextID, p
 	lr.ID = r.id
@@ -265,8 +265,8 @@
 		p.record(r, lr)
 		return nil
 	}
-	if p.joins == nil || !p.join(r, lr) {
-		p.bal.Request(p.now, lr)
+	if p.joinTable == nil || !p.join(r, lr) {
+		p.balancer.Request(p.now, lr)
 	}
 	return nil
 }
@@ -308,13 +308,13 @@
 	if r.join != nil {
 		r.join.lr.AllowedMembers = only
 	}
-	p.bal.RestrictMembers(p.now, r.id, only)
+	p.balancer.RestrictMembers(p.now, r.id, only)
 	for _, a := range r.attempts {
-		if only != nil && a.carried && !a.given && !a.Ended && !slices.Contains(only, a.to) {
-			p.end(a, logic.StatusNoConn, 0)
+		if only != nil && a.byCarrier && !a.handedOver && !a.Ended && !slices.Contains(only, a.memberID) {
+			p.endAttempt(a, logic.StatusNoConn, 0)
 		}
 	}
-	p.Tell()
+	p.DeliverOutcomes()
 }
 
 // Withdraw says that nobody waits for the request any more. What has not been sent for it is not sent; attempts that are out end by themselves.
@@ -322,21 +322,21 @@
 	if r.id == 0 {
 		return // it was never taken
 	}
-	if p.joins != nil && p.withdrawJoined(r) || r.rec != nil && p.withdrawRecorded(r) {
+	if p.joinTable != nil && p.withdrawJoined(r) || r.rec != nil && p.withdrawRecorded(r) {
 		return
 	}
 	if !r.done {
 		r.done = true
-		p.recall(r) // before the module calls off what is out: what was never sent is not told as cancelled, which may have run
-		p.bal.RequestCancelled(p.now, r.id)
+		p.recallUnsent(r) // before the module calls off what is out: what was never sent is not told as cancelled, which may have run
+		p.balancer.RequestCancelled(p.now, r.id)
 	}
-	p.settle(r)
+	p.releaseIfOver(r)
 }
 
 // Do runs f under the host's lock, as one event.
 func (p *Proxy) Do(f func()) {
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	f()
 }
 
@@ -360,9 +360,9 @@
 
 // Retune takes over other classes and another number of attempts. Requests in hand keep theirs.
 func (p *Proxy) Retune(classes []logic.Class, tryLimit int) error {
-	p.enter()
-	defer p.leave()
-	if err := p.bal.UpdateClasses(p.now, classes, tryLimit); err != nil {
+	p.beginEvent()
+	defer p.endEvent()
+	if err := p.balancer.UpdateClasses(p.now, classes, tryLimit); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	was := p.cfg.Settings.Classes
@@ -370,8 +370,8 @@
 	p.redis.gate.SetClasses(classes)
 	names := logic.ClassNames(classes)
 	p.reasons = p.reasons.ForClasses(names)
-	if p.reasonsTold != nil {
-		p.reasonsTold = p.reasonsTold.ForClasses(names)
+	if p.reasonsLogged != nil {
+		p.reasonsLogged = p.reasonsLogged.ForClasses(names)
 	}
 	for _, r := range p.requests {
 		if r.class >= 0 {
@@ -383,16 +383,16 @@
 
 // Hold counts n bytes, or gives back -n, under the lock. It tells whether the room is overdrawn.
 func (p *Proxy) Hold(n int) (over bool) {
-	p.held += n
-	return p.held > p.heldMax
+	p.bufferedBytes += n
+	return p.bufferedBytes > p.maxBufferedBytes
 }
 
 // Descriptors counts n descriptors that a front has opened, or -n that it has closed, under the lock.
-func (p *Proxy) Descriptors(n int) { p.frontFDs += n }
+func (p *Proxy) Descriptors(n int) { p.frontDescriptors += n }
 
 // Room tells, under the lock, whether a front may open one more descriptor, and makes room if it can.
 func (p *Proxy) Room() bool {
-	for p.sockets() >= p.cfg.Sockets-spareSockets {
+	for p.openDescriptors() >= p.cfg.Descriptors-reservedDescriptors {
 		if !p.makeRoom() {
 			return false
 		}
@@ -408,7 +408,7 @@
 		}
 	}
 	for _, m := range p.members {
-		if p.ups.CloseIdle(&m.Member, 0) > 0 {
+		if p.upstreams.CloseIdle(&m.Member, 0) > 0 {
 			return true
 		}
 	}
@@ -416,7 +416,7 @@
 }
 
 // Tick does what has fallen due, for hosts with a Clock of their own.
-func (p *Proxy) Tick() { p.ring() }
+func (p *Proxy) Tick() { p.onTimer() }
 
 // Load counts, for tests and the rig, what the host has in hand, and the members that it takes for ready. Busy are
 // connections to members that carry a request or rest after one.
@@ -425,7 +425,7 @@
 // Load tells what is in hand now.
 func (p *Proxy) Load() (l Load) {
 	p.Do(func() {
-		l = Load{Requests: len(p.requests), Held: p.held, Descriptors: p.sockets()}
+		l = Load{Requests: len(p.requests), Held: p.bufferedBytes, Descriptors: p.openDescriptors()}
 		for _, r := range p.requests {
 			l.Attempts += r.out
 		}
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -44,7 +44,7 @@
 					u.Backdate(200 * time.Millisecond) // as if it stood idle so long
 				}
 			}
-			p.ups.UpdateIdleLimit()
+			p.upstreams.UpdateIdleLimit()
 			return true
 		})
 	}
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -70,22 +70,22 @@
 	if _, own := r.Taker.(Carrier); own || r.Only != nil {
 		return false
 	}
-	read, ok := p.joins.Limits().NewRead(&lr, r.effect, string(r.Key), namesOf(r.Attrs))
+	read, ok := p.joinTable.Limits().NewRead(&lr, r.effect, string(r.Key), namesOf(r.Attrs))
 	if !ok {
 		return false
 	}
-	switch p.joins.Join(read) {
+	switch p.joinTable.Join(read) {
 	case joining.Follow:
 		r.join = &joined{lr: lr}
-		p.joined.Followed++
+		p.joinStats.Followed++
 		p.reasons.Add(reasons.Waited, r.class, r.tenant, logic.SharedFetch)
-		p.timers.pushToken(p.now, max(p.now, lr.Deadline-p.answerSlack()), uint64(r.id)<<3|tickJoin)
+		p.timers.addToken(p.now, max(p.now, lr.Deadline-p.answerSlack()), uint64(r.id)<<3|tickJoin)
 		return true
 	case joining.Lead:
 		r.join = &joined{lr: lr, lead: true}
-		p.joined.Led++
+		p.joinStats.Led++
 	default:
-		p.joined.Apart++
+		p.joinStats.Apart++
 	}
 	return false
 }
@@ -110,7 +110,7 @@
 
 // share gives what a lead has got to those who follow it: to some now, to the others in turns that let everybody else in between.
 func (p *Proxy) share(r *Request, value []byte) {
-	ids := p.joins.Complete(r.id)
+	ids := p.joinTable.Complete(r.id)
 	if len(ids) == 0 {
 		return
 	}
@@ -122,23 +122,23 @@
 		}
 	}
 	body.Release()
-	p.shares = append(p.shares, ids...)
+	p.pendingShares = append(p.pendingShares, ids...)
 	p.shareSome()
-	if len(p.shares) > 0 && !p.sharing {
+	if len(p.pendingShares) > 0 && !p.sharing {
 		p.sharing = true
 		go p.shareRest()
 	}
 }
 
 func (p *Proxy) shareSome() {
-	n := min(len(p.shares), shareAtOnce)
-	for _, id := range p.shares[:n] {
+	n := min(len(p.pendingShares), shareAtOnce)
+	for _, id := range p.pendingShares[:n] {
 		if f := p.requests[id]; f != nil {
 			p.shareWith(f)
 		}
 	}
-	if p.shares = p.shares[n:]; len(p.shares) == 0 {
-		p.shares = nil
+	if p.pendingShares = p.pendingShares[n:]; len(p.pendingShares) == 0 {
+		p.pendingShares = nil
 	}
 }
 
@@ -146,7 +146,7 @@
 	for more := true; more; {
 		p.Do(func() {
 			p.shareSome()
-			if more = len(p.shares) > 0; !more {
+			if more = len(p.pendingShares) > 0; !more {
 				p.sharing = false
 			}
 		})
@@ -162,7 +162,7 @@
 	f.join.body = nil
 	if !f.done {
 		f.done = true
-		p.joined.Shared++
+		p.joinStats.Shared++
 		if p.proven(f) {
 			f.Taker.Answer(Answer{Kind: Served, Value: body.Value(), Body: body})
 		} else {
@@ -170,7 +170,7 @@
 		}
 	}
 	body.Release()
-	p.settle(f)
+	p.releaseIfOver(f)
 }
 
 // joinLate ends a follower whose time is over. If its answer is there, it gets it.
@@ -182,38 +182,38 @@
 		p.shareWith(f)
 	default:
 		p.joinLeft(id)
-		p.conclude(id, Answer{Kind: Refused, Why: logic.OutOfTime})
+		p.finishRequest(id, Answer{Kind: Refused, Why: logic.OutOfTime})
 	}
 }
 
 // joinEnded notes that a read has its final answer, and got none that others could share: the lead passes on.
 func (p *Proxy) joinEnded(r *Request) {
 	if r.join != nil && r.join.lead {
-		p.lost = append(p.lost, r.id)
+		p.lostLeads = append(p.lostLeads, r.id)
 	}
 }
 
 // passLeads hands over leads that were lost, each by an event of its own. One that is lost at once passes on in the same loop, not in
 // the depth of the one before.
 func (p *Proxy) passLeads() (some bool) {
-	for len(p.lost) > 0 {
-		id := p.lost[0]
-		p.lost = p.lost[1:]
-		next, ok := p.joins.PassLead(id)
+	for len(p.lostLeads) > 0 {
+		id := p.lostLeads[0]
+		p.lostLeads = p.lostLeads[1:]
+		next, ok := p.joinTable.PassLead(id)
 		if !ok {
 			continue
 		}
 		some = true
 		f := p.requests[next]
 		if f == nil || f.done { // it has left without a word; the next
-			p.lost = append(p.lost, next)
+			p.lostLeads = append(p.lostLeads, next)
 			continue
 		}
-		p.joined.Passed++
+		p.joinStats.Passed++
 		f.join.lead = true
-		p.bal.Request(p.now, f.join.lr)
+		p.balancer.Request(p.now, f.join.lr)
 	}
-	p.lost = nil
+	p.lostLeads = nil
 	return some
 }
 
@@ -222,11 +222,11 @@
 	if r.join == nil || !r.join.lead {
 		return
 	}
-	for _, id := range p.joins.MarkUnshareable(r.id) {
+	for _, id := range p.joinTable.MarkUnshareable(r.id) {
 		if f := p.requests[id]; f != nil && !f.done {
 			lr := f.join.lr
 			f.join = nil
-			p.bal.Request(p.now, lr)
+			p.balancer.Request(p.now, lr)
 		}
 	}
 }
@@ -236,7 +236,7 @@
 	switch {
 	case r.join == nil || r.done:
 		return false
-	case r.join.lead && p.joins.FollowerCount(r.id) > 0:
+	case r.join.lead && p.joinTable.FollowerCount(r.id) > 0:
 		r.Taker = nobody{}
 		return true
 	case r.join.lead:
@@ -249,13 +249,13 @@
 	}
 	r.done = true
 	p.joinLeft(r.id)
-	p.settle(r)
+	p.releaseIfOver(r)
 	return true
 }
 
 // joinLeft takes a follower out. A lead that has gone on for others after its own client had left ends with the last of them.
 func (p *Proxy) joinLeft(id logic.RequestID) {
-	lead, alone := p.joins.RemoveFollower(id)
+	lead, alone := p.joinTable.RemoveFollower(id)
 	if r := p.requests[lead]; alone && r != nil && r.Taker == (nobody{}) {
 		p.Withdraw(r)
 	}
@@ -263,13 +263,13 @@
 
 // fence keeps reads that come from now on from sharing what was asked for before a write of the key was answered, or may have run.
 func (p *Proxy) fence(r *Request) {
-	if p.joins != nil && r.Write {
-		p.joins.Fence(string(r.Key))
+	if p.joinTable != nil && r.Write {
+		p.joinTable.Fence(string(r.Key))
 	}
 }
 
 // JoinedReads counts what became of reads that share attempts.
 func (p *Proxy) JoinedReads() (c Joined) {
-	p.Do(func() { c = p.joined })
+	p.Do(func() { c = p.joinStats })
 	return c
 }
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -40,7 +40,7 @@
 		f(&cfg)
 	}
 	cfg.Joining = &l
-	cfg.MostHeld, cfg.Sockets = 5000, 2048
+	cfg.MaxRequests, cfg.Descriptors = 5000, 2048
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "acme", Share: 0.5}, {Name: "best", Share: 0.5}}
 	return start(t, cfg, entry("s-a", cache(t, answer), "large"),
 		entry("s-o", origin(t, func(r *http.Request) string { return page("receipt of " + r.URL.Path[1:]) }), "origin"))
@@ -49,7 +49,7 @@
 // followed waits until so many reads follow others.
 func (p *testProxy) followed(n int) {
 	p.t.Helper()
-	p.eventually(fmt.Sprint(n, " reads follow"), func() bool { _, f := p.joins.Len(); return f == n })
+	p.eventually(fmt.Sprint(n, " reads follow"), func() bool { _, f := p.joinTable.Len(); return f == n })
 }
 
 func ahead(key, id, d string) string { return words("OBJ.GET", key, id, "c=tile-read,d="+d) }
@@ -94,7 +94,7 @@
 	if n := g.n.Load(); n != 2 {
 		t.Errorf("%d attempts", n)
 	}
-	p.eventually("nothing is held", func() bool { return p.held == 0 && len(p.requests) == 0 })
+	p.eventually("nothing is held", func() bool { return p.bufferedBytes == 0 && len(p.requests) == 0 })
 }
 
 // What becomes of the lead condemns nobody: its client leaves, its time ends, its attempt fails or is spoilt; those who follow are served.
@@ -151,7 +151,7 @@
 			if n := g.n.Load(); n > 8 {
 				t.Errorf("%d attempts for %d followers", n, followers)
 			}
-			p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests)+p.held == 0 })
+			p.eventually("nothing is left", func() bool { n, f := p.joinTable.Len(); return n+f+len(p.requests)+p.bufferedBytes == 0 })
 		})
 	}
 }
@@ -178,7 +178,7 @@
 		t.Errorf("%d attempts", n)
 	}
 	close(g.out)
-	p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests) == 0 })
+	p.eventually("nothing is left", func() bool { n, f := p.joinTable.Len(); return n+f+len(p.requests) == 0 })
 }
 
 // A read that comes after a write's answer never gets what was asked for before it.
@@ -261,14 +261,14 @@
 		t.Fatalf("%d bytes", len(got))
 	}
 	p.eventually("the slow client's answers are on their way", func() bool { return len(p.requests) == 0 })
-	p.enter()
-	held := p.held
-	p.leave()
+	p.beginEvent()
+	held := p.bufferedBytes
+	p.endEvent()
 	if held > 2*resp.MaxValue {
 		t.Errorf("%d bytes are held for %d answers of %d", held, wanted, resp.MaxValue)
 	}
 	slow.Close()
-	p.eventually("nothing is held", func() bool { return p.held == 0 })
+	p.eventually("nothing is held", func() bool { return p.bufferedBytes == 0 })
 }
 
 // A stop and a storm: all that was taken is answered.
@@ -344,7 +344,7 @@
 	if n := g.n.Load(); n > 12 {
 		t.Errorf("%d attempts for %d reads", n, clients*each)
 	}
-	p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests)+p.held == 0 })
+	p.eventually("nothing is left", func() bool { n, f := p.joinTable.Len(); return n+f+len(p.requests)+p.bufferedBytes == 0 })
 }
 
 // The cache that a storm's lead is at drains, and other classes come into force, in the midst of it: the attempt that is out is answered, all
@@ -353,7 +353,7 @@
 	g := newGate()
 	other := cache(t, func(a asked) string { return hit("other " + a.key) })
 	cfg := testConfig()
-	cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinAll, 5000, 2048
+	cfg.Joining, cfg.MaxRequests, cfg.Descriptors = &joinAll, 5000, 2048
 	first := entry("s-a", cache(t, g.answer), "large")
 	r := newRegistry(t, discoveryList(1, true, first, entry("o-1", origin(t, func(*http.Request) string { return page("o") }), "origin")))
 	p := startAt(t, cfg, r)
@@ -444,7 +444,7 @@
 				return 0
 			}
 			cfg := testConfig()
-			cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinAll, 5000, 2048
+			cfg.Joining, cfg.MaxRequests, cfg.Descriptors = &joinAll, 5000, 2048
 			run := slowClock(t, &cfg, 4*time.Second) // it stands while all come, and then stays before their time
 			box := listen(t, func(conn net.Conn) {
 				for in := resp.NewReader(conn, 4096); ; {
@@ -501,7 +501,7 @@
 			if got := n.Load(); got > c.most {
 				t.Errorf("%d attempts for %d reads of one key", got, clients*each)
 			}
-			p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests)+p.held == 0 })
+			p.eventually("nothing is left", func() bool { n, f := p.joinTable.Len(); return n+f+len(p.requests)+p.bufferedBytes == 0 })
 		})
 	}
 }
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -138,7 +138,7 @@
 func (p *testProxy) gone() {
 	p.t.Helper()
 	p.eventually("nothing is in hand", func() bool {
-		return len(p.requests) == 0 && len(p.redis.clients) == 0 && p.held == 0 && p.long.used == 0
+		return len(p.requests) == 0 && len(p.redis.clients) == 0 && p.bufferedBytes == 0 && p.longValues.used == 0
 	})
 }
 
@@ -224,13 +224,13 @@
 			noteOrigin(in, conn, l)
 		})
 		p := start(t, leaving(cancel), entry("o-1", o, "origin"))
-		p.Do(func() { p.ups.SetLastByteDelay(time.Hour) })
+		p.Do(func() { p.upstreams.SetLastByteDelay(time.Hour) })
 		client := p.dial()
 		client.send(putLong("a1", "left", "order"))
 		<-begun
 		client.conn.Close()
 		p.gone()
-		p.Do(func() { p.ups.SetLastByteDelay(time.Millisecond) })
+		p.Do(func() { p.upstreams.SetLastByteDelay(time.Millisecond) })
 		next := p.dial()
 		next.send(put("a2", "next", "order"))
 		if got := next.answer(); got != "value of a2" {
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -16,7 +16,7 @@
 // since it may have to be sent again, but only as many as there is room for: the others are not read until then, which
 // costs their clients nothing, as their time counts from the last byte.
 const (
-	// longShare is the part of the memory for long values that are written, beside bufferShare for everything else.
+	// longShare is the part of the memory for long values that are written, beside bufferMemoryShare for everything else.
 	longShare = 0.25
 	// longStep is how much of a long value has to come within commandTime. Slower, a client would hold its room for minutes.
 	longStep = 64 << 10
@@ -74,7 +74,7 @@
 
 // ReserveLongValue asks for room for a value that a member sends, which is held until it is whole.
 func (h host) ReserveLongValue(n int, until time.Duration) upstream.Reservation {
-	return &heldPlace{place: h.long.enter(n, h.longMax()), p: h.Proxy, left: until - h.now}
+	return &heldPlace{place: h.longValues.enter(n, h.longMax()), p: h.Proxy, left: until - h.now}
 }
 
 // LongRoom asks, outside the lock, for room for a long value that a front holds, for so long at the most.
@@ -83,7 +83,7 @@
 }
 
 func (p *Proxy) longRoom(n int, within time.Duration, gone <-chan struct{}) (w *heldPlace) {
-	p.Do(func() { w = &heldPlace{place: p.long.enter(n, p.longMax()), p: p, left: within, gone: gone} })
+	p.Do(func() { w = &heldPlace{place: p.longValues.enter(n, p.longMax()), p: p, left: within, gone: gone} })
 	return w
 }
 
@@ -118,23 +118,23 @@
 
 // Shrink gives back what the value does not take.
 func (w *heldPlace) Shrink(n int) {
-	w.p.Do(func() { w.p.long.used -= w.n - n; w.n = n })
+	w.p.Do(func() { w.p.longValues.used -= w.n - n; w.n = n })
 }
 
 // Release gives the room back.
 func (w *heldPlace) Release() { w.p.Do(w.ReleaseLocked) }
 
 // ReleaseLocked is Leave under the lock.
-func (w *heldPlace) ReleaseLocked() { w.p.long.leave(w.place) }
+func (w *heldPlace) ReleaseLocked() { w.p.longValues.leave(w.place) }
 
 func (p *Proxy) longMax() int { return int(float64(p.cfg.MemoryMB) * (1 << 20) * longShare) }
 
 // letGo gives back the room of a request's value.
 func (p *Proxy) letGo(r *Request) {
 	if r.long > 0 {
-		p.long.used -= r.long
+		p.longValues.used -= r.long
 	} else {
-		p.held -= cap(r.Value)
+		p.bufferedBytes -= cap(r.Value)
 	}
 	r.long, r.Value = 0, nil
 }
@@ -144,7 +144,7 @@
 	p := c.p
 	gone := make(chan struct{})
 	p.Do(func() { c.waits = gone })
-	w := p.longRoom(n, cmp.Or(p.long.longest, longestWait), gone)
+	w := p.longRoom(n, cmp.Or(p.longValues.longest, longestWait), gone)
 	let := w.Wait()
 	c.arrived.NoteUnreadPossible()
 	p.Do(func() { c.waits = nil })
@@ -202,9 +202,9 @@
 	c := o.client
 	p := c.p
 	for {
-		p.enter()
+		p.beginEvent()
 		if c.closed || c.w.Failed() || !slices.Contains(c.pending, o) {
-			p.leave()
+			p.endEvent()
 			return errGone
 		}
 		if c.pending[0] == o && !c.w.Busy() {
@@ -213,12 +213,12 @@
 				c.pop()
 				c.flush()
 			}
-			p.leave()
+			p.endEvent()
 			return nil
 		}
 		turn := make(chan struct{})
 		o.turn = turn
-		p.leave()
+		p.endEvent()
 		<-turn
 	}
 }
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -131,7 +131,7 @@
 					t.Errorf("client %d: %d bytes, %.60q", i, len(got), got)
 				}
 			}
-			p.eventually("nothing is held", func() bool { return p.long.used == 0 && len(p.long.waiting) == 0 && p.held == 0 })
+			p.eventually("nothing is held", func() bool { return p.longValues.used == 0 && len(p.longValues.waiting) == 0 && p.bufferedBytes == 0 })
 		})
 	}
 }
@@ -161,7 +161,7 @@
 			fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n%s%s", len(value), value, hit("first"), hit("second"))
 		}
 	}), "large"))
-	p.Do(func() { p.ups.SetMaxPipelineAge(patience) })
+	p.Do(func() { p.upstreams.SetMaxPipelineAge(patience) })
 	c := p.dial()
 	for i := range 2 * pool.MinCleanAnswers {
 		c.send(get(fmt.Sprint("k", i), fmt.Sprint("w", i)))
@@ -204,7 +204,7 @@
 	if got := slow.answer(); got != value {
 		t.Errorf("the long value: %d bytes", len(got))
 	}
-	p.eventually("nothing is held", func() bool { return p.long.used == 0 && p.held == 0 && len(p.requests) == 0 })
+	p.eventually("nothing is held", func() bool { return p.longValues.used == 0 && p.bufferedBytes == 0 && len(p.requests) == 0 })
 }
 
 // A member that breaks off in the middle, and a client that leaves there: the client sees that the value is not whole,
@@ -238,7 +238,7 @@
 		t.Fatal(err)
 	}
 	d.conn.Close()
-	p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 && p.held == 0 })
+	p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 && p.bufferedBytes == 0 })
 	if n := len(asks); n != 2 {
 		t.Errorf("%d requests to the cache, want 2", n)
 	}
@@ -261,7 +261,7 @@
 		clients[i].send(text[:len(text)-resp.MaxLongValue/2])
 	}
 	p.eventually("some are let in, the others wait", func() bool {
-		return p.long.used == 2*resp.MaxLongValue && len(p.long.waiting) == writers-2
+		return p.longValues.used == 2*resp.MaxLongValue && len(p.longValues.waiting) == writers-2
 	})
 	reader := p.dial()
 	reader.send(get("k", "r1"))
@@ -277,13 +277,13 @@
 			t.Errorf("writer %d: %.60q", i, got)
 		}
 	}
-	p.eventually("all room is given back", func() bool { return p.long.used == 0 && len(p.long.waiting) == 0 && p.held == 0 })
+	p.eventually("all room is given back", func() bool { return p.longValues.used == 0 && len(p.longValues.waiting) == 0 && p.bufferedBytes == 0 })
 }
 
 // A crowd that sends half a command each gives its places to clients that ask, and to slow ones that go on.
 func TestStalledCommandsGiveWay(t *testing.T) {
 	cfg := testConfig()
-	cfg.Sockets = 64
+	cfg.Descriptors = 64
 	p := start(t, cfg, entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
 	slow := p.dial()
 	whole := get("k", "slow")
@@ -336,7 +336,7 @@
 // where they are used again, they are kept.
 func TestConnectionsAskedOnOnce(t *testing.T) {
 	cfg := testConfig()
-	cfg.Sockets = 128
+	cfg.Descriptors = 128
 	run := slowClock(t, &cfg, time.Second) // nobody counts as idle meanwhile
 	p := start(t, cfg, entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
 	run(p)
@@ -365,9 +365,9 @@
 		c := ask(fmt.Sprint("c", i))
 		p.eventually("it is settled", func() bool { return len(p.requests) == 0 })
 		c.conn.SetReadDeadline(time.Now().Add(patience))
-		p.enter()
+		p.beginEvent()
 		kept := len(p.redis.clients) > cap(clients)+(i+1)-closed-1
-		p.leave()
+		p.endEvent()
 		if !kept {
 			if got := c.answer(); got != "" {
 				t.Errorf("closed with %q", got)
--- a/internal/proxy/maintain_test.go
+++ b/internal/proxy/maintain_test.go
@@ -17,9 +17,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Maintain(two)
-	p.Maintain(one)
-	if !p.Knows("a") || !p.Knows("b") {
+	p.UpdateMaintenance(two)
+	p.UpdateMaintenance(one)
+	if !p.KnowsMember("a") || !p.KnowsMember("b") {
 		t.Error("a member that was called out came back")
 	}
 }
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -59,31 +59,31 @@
 		return nil, manykeys.ErrNoKeys
 	}
 	for _, k := range keys {
-		if !plain([]byte(k)) {
+		if !isPlain([]byte(k)) {
 			return nil, errors.New("keys must be given, without spaces")
 		}
 	}
 	first := c
 	first.Key = []byte(keys[0])
-	lr, err := first.describe(&p.cfg.Settings)
+	lr, err := first.parseRequest(&p.cfg.Settings)
 	switch {
 	case err != nil:
 		return nil, err
 	case c.Write || p.cfg.Settings.Classes[lr.Class].Effect != logic.Repeatable:
 		return nil, errors.New("requests for many keys are for reads")
-	case p.ids.used(c.ReqID, p.now):
+	case p.recentIDs.contains(c.ReqID, p.now):
 		return nil, ErrInUse
 	}
 	limits := *l
 	limits.Bytes = min(limits.Bytes, most)
-	g, err := manykeys.New(limits, keys, func(key string) uint64 { return uint64(p.bal.PrimaryCache(keyOf([]byte(key)))) })
+	g, err := manykeys.New(limits, keys, func(key string) uint64 { return uint64(p.balancer.PrimaryCache(keyNumber([]byte(key)))) })
 	if err != nil {
 		return nil, err
 	}
-	p.ids.add(c.ReqID, p.now)
+	p.recentIDs.add(c.ReqID, p.now)
 	c.Arrived = p.arrivedAt(c.Arrived) // of each of its reads, whenever that is asked for
-	p.groups = max(1, p.groups+1)
-	m := &Many{p: p, Gather: g, to: to, command: c, by: by, front: front, group: p.groups, reads: make([]manyRead, g.Len()),
+	p.lastGroup = max(1, p.lastGroup+1)
+	m := &Many{p: p, Gather: g, to: to, command: c, by: by, front: front, group: p.lastGroup, reads: make([]manyRead, g.Len()),
 		ids: make([]byte, 0, g.Len()*(len(c.ReqID)+5))}
 	m.queue()
 	return m, nil
@@ -92,7 +92,7 @@
 func (m *Many) queue() {
 	if !m.queued {
 		m.queued = true
-		m.p.manys = append(m.p.manys, m)
+		m.p.pendingMany = append(m.p.pendingMany, m)
 	}
 }
 
@@ -173,13 +173,13 @@
 
 // manyOn goes on with requests for many keys whose keys have ended. It tells whether there were any.
 func (p *Proxy) manyOn() (some bool) {
-	p.ups.Cork()
-	defer p.ups.Uncork()
-	for i := 0; i < len(p.manys); i++ { // it grows while it is gone through
-		p.manys[i].goOn()
-		p.manys[i] = nil
+	p.upstreams.Cork()
+	defer p.upstreams.Uncork()
+	for i := 0; i < len(p.pendingMany); i++ { // it grows while it is gone through
+		p.pendingMany[i].goOn()
+		p.pendingMany[i] = nil
 		some = true
 	}
-	p.manys = p.manys[:0]
+	p.pendingMany = p.pendingMany[:0]
 	return some
 }
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -101,7 +101,7 @@
 			t.Errorf("place %d: %q", i, got[fmt.Sprint(":", i)])
 		}
 	}
-	p.eventually("nothing is held", func() bool { return p.held == 0 && len(p.requests) == 0 })
+	p.eventually("nothing is held", func() bool { return p.bufferedBytes == 0 && len(p.requests) == 0 })
 }
 
 // What is wrong with the request as a whole is told once, and nothing of it is asked for; the connection goes on.
@@ -171,7 +171,7 @@
 		t.Errorf("%d places", len(got))
 	}
 	free()
-	p.eventually("nothing is left", func() bool { return len(p.requests) == 0 && p.held == 0 })
+	p.eventually("nothing is left", func() bool { return len(p.requests) == 0 && p.bufferedBytes == 0 })
 }
 
 // Misses come from the origin; a reply that grows too long marks what it has no room for.
@@ -253,7 +253,7 @@
 			if n := asks.Load(); n != served || name == "draining" && n > 0 || name == "cold" && n == int32(len(keys)) {
 				t.Errorf("the cache is asked for %d keys, %d served by it", n, served)
 			}
-			p.eventually("nothing is left", func() bool { return len(p.requests) == 0 && p.held == 0 })
+			p.eventually("nothing is left", func() bool { return len(p.requests) == 0 && p.bufferedBytes == 0 })
 		})
 	}
 }
@@ -296,7 +296,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		limits := manykeys.Limits{Keys: 8, Bytes: 100, Outstanding: 2, PartSize: 2}
-		p := &Proxy{cfg: Config{ManyKeys: &limits, MemoryMB: 1}, heldMax: 1 << 20}
+		p := &Proxy{cfg: Config{ManyKeys: &limits, MemoryMB: 1}, maxBufferedBytes: 1 << 20}
 		c := &client{p: p, conn: &net.TCPConn{}, stream: &net.TCPConn{}}
 		c.in = resp.NewReader(bytes.NewReader(text), 256)
 		c.in.SetMaxElements(manyElements)
@@ -315,8 +315,8 @@
 			}
 			held += cap(cmd.Value)
 		}
-		if p.held != held {
-			t.Fatalf("%d bytes count as held, %d are", p.held, held)
+		if p.bufferedBytes != held {
+			t.Fatalf("%d bytes count as held, %d are", p.bufferedBytes, held)
 		}
 	})
 }
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -78,15 +78,15 @@
 // The member's latency is counted from when it was written to: the wait for a connection is the proxy's own.
 func TestWaitForAConnectionIsNoLatency(t *testing.T) {
 	p := start(t, testConfig())
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	r := &Request{done: true}
-	waited := &attempt{req: r, sentAt: p.now - time.Second}
+	waited := &attempt{request: r, startedAt: p.now - time.Second}
 	waited.BeganAt = p.now - 10*time.Millisecond
-	never := &attempt{req: r, sentAt: p.now - time.Second}
+	never := &attempt{request: r, startedAt: p.now - time.Second}
 	r.out = 2
-	p.end(waited, logic.StatusOK, 0)
-	p.end(never, logic.StatusNoConn, 0)
+	p.endAttempt(waited, logic.StatusOK, 0)
+	p.endAttempt(never, logic.StatusNoConn, 0)
 	if got := p.outcomes[0].Elapsed; got != 10*time.Millisecond {
 		t.Errorf("an attempt that waited took %v", got)
 	}
@@ -154,9 +154,9 @@
 		}
 	})
 	p := start(t, testConfig(), entry("o-1", o, "origin"))
-	p.enter()
-	p.ups.SetLastByteDelay(500 * time.Millisecond) // the reset is seen by then, however slow the machine
-	p.leave()
+	p.beginEvent()
+	p.upstreams.SetLastByteDelay(500 * time.Millisecond) // the reset is seen by then, however slow the machine
+	p.endEvent()
 	c := p.dial()
 	for i := range 3 {
 		id := fmt.Sprintf("id%d", i)
@@ -233,13 +233,13 @@
 			}
 			return false
 		})
-		p.enter()
+		p.beginEvent()
 		for _, m := range p.members {
 			if fresh := m.Conns[0].Fresh(); fresh != want {
 				t.Errorf("read %d counts as first on its connection: %v", i, fresh)
 			}
 		}
-		p.leave()
+		p.endEvent()
 	}
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -176,7 +176,7 @@
 func testConfig() Config {
 	return Config{
 		Listen: "127.0.0.1:0", Seed: 1, Zones: []string{"kochi-dc"}, Kinds: []string{"large", "origin"},
-		ConnIdle: 5 * time.Second, MostHeld: 1000, MemoryMB: 64, Sockets: 256,
+		ConnIdle: 5 * time.Second, MaxRequests: 1000, MemoryMB: 64, Descriptors: 256,
 		Settings: logic.Settings{
 			Classes: []logic.Class{
 				{Name: "tile-read", SoftDeadline: 5 * time.Second, Deadline: 8 * time.Second, Value: 5},
@@ -205,7 +205,7 @@
 
 func startAt(t *testing.T, cfg Config, r *registry) *testProxy {
 	t.Helper()
-	cfg.Discovery, cfg.Known = r.addr, r.list
+	cfg.Discovery, cfg.InitialList = r.addr, r.list
 	inner, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -297,9 +297,9 @@
 func (p *testProxy) eventually(what string, ok func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		p.enter()
+		p.beginEvent()
 		is := ok()
-		p.leave()
+		p.endEvent()
 		if is {
 			return
 		}
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -100,8 +100,8 @@
 		}
 	}
 	r.rec = &recorded{name: o.Name, lr: lr}
-	p.recorded++
-	p.timers.pushToken(p.now, max(p.now, r.deadline-p.answerSlack()), uint64(r.id)<<3|tickJoin)
+	p.openOrders++
+	p.timers.addToken(p.now, max(p.now, r.deadline-p.answerSlack()), uint64(r.id)<<3|tickJoin)
 	p.cfg.Record.Take(o, func(v orders.Verdict, receipt []byte, err error) {
 		p.Do(func() { p.taken(r, v, receipt, err) })
 	})
@@ -132,20 +132,20 @@
 			p.finish(r)
 		}
 	case err != nil:
-		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
+		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
 	case v == orders.Proceed:
-		p.bal.Request(p.now, c.lr)
+		p.balancer.Request(p.now, c.lr)
 	case v == orders.RecordFull:
-		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: reasons.RecordFull})
+		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: reasons.RecordFull})
 	case v == orders.TokenUsed:
 		r.denied = &identity.Error{Why: identity.Replayed}
-		p.conclude(r.id, Answer{Kind: Failed, Why: logic.Rejected})
-	case v == orders.Receipt && slices.Contains(p.cfg.Receipts, r.Front):
+		p.finishRequest(r.id, Answer{Kind: Failed, Why: logic.Rejected})
+	case v == orders.Receipt && slices.Contains(p.cfg.ReceiptFronts, r.Front):
 		r.done = true
 		r.Taker.Answer(Answer{Kind: Served, Value: receipt})
-		p.settle(r)
+		p.releaseIfOver(r)
 	default:
-		p.conclude(r.id, Answer{Kind: Failed, Why: map[orders.Verdict]logic.Reason{
+		p.finishRequest(r.id, Answer{Kind: Failed, Why: map[orders.Verdict]logic.Reason{
 			orders.InProgress: reasons.OrderInHand, orders.Mismatch: reasons.OtherOrder, orders.OutcomeUnknown: reasons.OrderUnknown,
 			orders.Receipt: reasons.OrderHasRun, orders.ReceiptMissing: reasons.OrderHasRun,
 		}[v]})
@@ -170,13 +170,13 @@
 // unrecord notes that nothing more of an order is to be recorded. A process that stops gives the record to the next one then.
 func (p *Proxy) unrecord(c *recorded) {
 	c.phase = settled
-	p.recorded--
+	p.openOrders--
 	p.closeRecord()
 }
 
 // closeRecord closes the record once the proxy takes nothing more and no order is in hand.
 func (p *Proxy) closeRecord() {
-	if p.cfg.Record == nil || !p.stopping || p.recorded > 0 || p.recordClosed {
+	if p.cfg.Record == nil || !p.stopping || p.openOrders > 0 || p.recordClosed {
 		return
 	}
 	p.recordClosed = true
@@ -190,9 +190,9 @@
 // sendRecorded sends an attempt of an order once the record says that it may have run.
 func (p *Proxy) sendRecorded(r *Request, a *attempt, m *member) {
 	c := r.rec
-	a.recording = true
-	_, a.carried = r.Taker.(Carrier)
-	p.schedule(due{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
+	a.awaitsRecord = true
+	_, a.byCarrier = r.Taker.(Carrier)
+	p.schedule(timerEntry{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 	to := m.Addr
 	c.change(func() {
 		if a.Ended { // it waited for the change before, and is over
@@ -208,28 +208,28 @@
 // onRecord sends an attempt that is on record. Meanwhile its time may be over, its member draining, or its proof taken away.
 func (p *Proxy) onRecord(r *Request, a *attempt, err error) {
 	c := r.rec
-	a.recording = false
+	a.awaitsRecord = false
 	c.sent, c.returned = err == nil, err == nil
-	m := p.members[a.to]
+	m := p.members[a.memberID]
 	switch {
 	case a.Ended:
 	case err != nil: // it can't be sent, here or to anybody else
 		p.log.Warn("an order can't be recorded, and is refused", "err", err)
-		p.end(a, logic.StatusMoot, 0)
+		p.endAttempt(a, logic.StatusMoot, 0)
 		if !r.done {
-			p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
-			p.bal.RequestCancelled(p.now, r.id)
+			p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
+			p.balancer.RequestCancelled(p.now, r.id)
 		}
 	case r.done || a.ExpiresAt-p.now < upstream.MinDeadline:
-		p.end(a, logic.StatusMoot, 0)
+		p.endAttempt(a, logic.StatusMoot, 0)
 	case m == nil || m.state != logic.Ready:
-		p.end(a, logic.StatusConnectFailed, 0)
+		p.endAttempt(a, logic.StatusConnectFailed, 0)
 	case !p.proven(r):
-		p.end(a, logic.StatusRejected, 0)
+		p.endAttempt(a, logic.StatusRejected, 0)
 	default:
 		c.returned = false
-		a.sentAt = p.now
-		p.launch(r, a, m)
+		a.startedAt = p.now
+		p.startAttempt(r, a, m)
 	}
 	c.changed()
 }
@@ -240,11 +240,11 @@
 	case s == logic.StatusOK:
 		c.ok = true
 		if c.phase == inHand {
-			if c.by = orders.ReportedByStreaming; a.carried {
+			if c.by = orders.ReportedByStreaming; a.byCarrier {
 				c.by = orders.ReportedByCaller
 			}
 		}
-	case s.NeverRan() && !a.recording:
+	case s.NeverRan() && !a.awaitsRecord:
 		c.returned = true
 	}
 }
@@ -297,7 +297,7 @@
 	p.Hold(-len(c.receipt))
 	c.receipt = nil
 	p.fence(r)
-	p.settle(r)
+	p.releaseIfOver(r)
 }
 
 // recordLate answers an order whose time ends while the disk is waited for.
@@ -307,9 +307,9 @@
 		c.owes = false
 		p.reasons.Add(reasons.Failed, r.class, r.tenant, reasons.RecordBehind)
 		r.Taker.Answer(Answer{Kind: Failed, Why: reasons.RecordBehind})
-		p.settle(r)
+		p.releaseIfOver(r)
 	case c.phase == taking && !r.done:
-		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: reasons.RecordBehind})
+		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: reasons.RecordBehind})
 	}
 }
 
@@ -331,6 +331,6 @@
 	default:
 		return false
 	}
-	p.settle(r)
+	p.releaseIfOver(r)
 	return true
 }
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -70,7 +70,7 @@
 func recording(t *testing.T, o *till, d *crash.Disk, set ...func(*Config, *keeper.Options)) *testProxy {
 	t.Helper()
 	cfg, opt := testConfig(), recordOptions
-	cfg.Receipts = []string{"resp2"}
+	cfg.ReceiptFronts = []string{"resp2"}
 	cfg.Settings.CanRetryAfter, cfg.Settings.MaxRetryAfter = true, 2*time.Second
 	for _, f := range set {
 		f(&cfg, &opt)
@@ -111,7 +111,7 @@
 			o.answer = c.answer
 			set := func(cfg *Config, _ *keeper.Options) {
 				if !c.receiptsAreTold {
-					cfg.Receipts = nil
+					cfg.ReceiptFronts = nil
 				}
 			}
 			p := recording(t, o, d, set)
@@ -263,7 +263,7 @@
 	}
 	client.send(order("first", "1", "a pass", ",k=first"))
 	// The clock goes on a little for the module's choice, and far less than the order's time.
-	p.eventually("it is taken", func() bool { return p.recorded == 1 })
+	p.eventually("it is taken", func() bool { return p.openOrders == 1 })
 	for ticks, waits := 0, true; waits; ticks++ {
 		select {
 		case <-reached: // its receipt is on its way to the disk
@@ -297,7 +297,7 @@
 	}
 	block.Store(false)
 	close(stuck)
-	p.eventually("nothing is in hand", func() bool { return p.recorded == 0 && len(p.requests) == 0 })
+	p.eventually("nothing is in hand", func() bool { return p.openOrders == 0 && len(p.requests) == 0 })
 	client.send(order("first", "9", "a pass", ",k=first,r=1"))
 	if got := client.answer(); got != "receipt of first" {
 		t.Errorf("the repeat: %q", got)
@@ -326,7 +326,7 @@
 	next := recording(t, o, d, func(_ *Config, opt *keeper.Options) { opt.WaitForPredecessor = true })
 	b := next.dial()
 	b.send(order("p", "2", "a pass", ",k=p"))
-	next.eventually("it waits", func() bool { return next.recorded == 1 })
+	next.eventually("it waits", func() bool { return next.openOrders == 1 })
 	p.stop()
 	p.eventually("the stop is under way", func() bool { return p.stopping })
 	close(free)
@@ -386,7 +386,7 @@
 	c.conn.Close()
 	p.eventually("its end is seen", func() bool { return len(p.redis.clients) == 0 })
 	close(free)
-	p.eventually("nothing is in hand", func() bool { return p.recorded == 0 && len(p.requests) == 0 && p.held == 0 })
+	p.eventually("nothing is in hand", func() bool { return p.openOrders == 0 && len(p.requests) == 0 && p.bufferedBytes == 0 })
 	again := p.dial()
 	again.send(order("p", "2", "a pass", ",k=a,r=1"))
 	if got := again.answer(); got != "receipt" || o.runs("p") != 1 {
@@ -400,7 +400,7 @@
 	token := office.token("k1", "shop", "j1")
 	for i, at := range []string{"at first", "after a restart"} {
 		p, _, _ := guarded(t, office, func(cfg *Config) {
-			cfg.Record, cfg.Receipts = openRecord(t, d, recordOptions), []string{"resp2"}
+			cfg.Record, cfg.ReceiptFronts = openRecord(t, d, recordOptions), []string{"resp2"}
 		})
 		c := p.dial()
 		for _, a := range []struct{ key, more, want string }{
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -116,7 +116,7 @@
 		c.hangUp(false)
 		return
 	}
-	if !f.draining && f.reuse < reuseLeast && f.asked >= f.p.cfg.Sockets*askedShare/300 && !c.kept && !c.again && c.free() && c.quiet() {
+	if !f.draining && f.reuse < reuseLeast && f.asked >= f.p.cfg.Descriptors*askedShare/300 && !c.kept && !c.again && c.free() && c.quiet() {
 		c.close()
 	}
 }
@@ -138,7 +138,7 @@
 	if err == nil {
 		err = c.read()
 	}
-	c.p.enter()
+	c.p.beginEvent()
 	late := c.mid && errors.Is(err, os.ErrDeadlineExceeded) // one that said nothing is closed without a word
 	if err != nil && !c.ended && (errors.Is(err, resp.ErrProtocol) || late || errors.Is(err, errFaulty)) {
 		text := "ERR Protocol error: " + err.Error()
@@ -148,14 +148,14 @@
 		c.error(text)
 		c.mid = false
 		c.hangUp(true)
-		c.p.leave()
+		c.p.endEvent()
 		if !c.linger() {
 			c.awaitAnswers()
 		}
-		c.p.enter()
+		c.p.beginEvent()
 	}
 	c.gone()
-	c.p.leave()
+	c.p.endEvent()
 }
 
 // linger reads and drops what still comes, so that the client can take in what it has been sent. It tells whether the client has left.
@@ -206,14 +206,14 @@
 		if p.cfg.Callers != nil {
 			c.identify(&cmd)
 		}
-		p.enter()
+		p.beginEvent()
 		c.mid = false
 		c.intake.takenUp(c.in.Buffered() > 0)
 		if c.ended { // it has been told of the end; a request that crosses it is sent again elsewhere
 			p.letGo(&Request{Command: cmd.Command, long: cmd.long})
 			c.intake.takenUp(false) // what was read behind it is dropped too
 			hung := c.hung
-			p.leave()
+			p.endEvent()
 			if !hung { // answers are still out, to what came before
 				c.awaitAnswers()
 			}
@@ -242,7 +242,7 @@
 			wait = make(chan struct{})
 			c.resume = wait
 		}
-		p.leave()
+		p.endEvent()
 		if faulty {
 			return errFaulty
 		}
@@ -260,16 +260,16 @@
 
 // crowded tells whether the client has to take in answers before more is read from it.
 func (c *client) crowded() bool {
-	return len(c.pending) >= c.f.pipeline || c.w.Backlog() > maxUnsent || c.w.Busy() && c.p.held > c.p.heldMax
+	return len(c.pending) >= c.f.pipeline || c.w.Backlog() > maxUnsent || c.w.Busy() && c.p.bufferedBytes > c.p.maxBufferedBytes
 }
 
 // awaitAnswers waits until everything pending is answered, which the deadline of the requests bounds, or the client has left. What it still
 // sends is read and dropped, no faster than lingerPace: its end stands behind that.
 func (c *client) awaitAnswers() {
 	for {
-		c.p.enter()
+		c.p.beginEvent()
 		over := c.closed || c.w.Failed() || c.free()
-		c.p.leave()
+		c.p.endEvent()
 		if over {
 			return
 		}
@@ -387,7 +387,7 @@
 	pending := c.pending
 	c.pending = nil
 	for _, o := range pending {
-		c.p.held -= len(o.reply)
+		c.p.bufferedBytes -= len(o.reply)
 		o.reply = nil
 		if o.body != nil {
 			o.body.Release()
--- a/internal/proxy/redis_front.go
+++ b/internal/proxy/redis_front.go
@@ -170,10 +170,10 @@
 			continue
 		}
 		failures = 0
-		p.enter()
+		p.beginEvent()
 		c, err := f.newClient(conn)
 		f.lookAtLine()
-		p.leave()
+		p.endEvent()
 		if err != nil || c == nil {
 			conn.Close()
 			continue
@@ -188,14 +188,14 @@
 		return
 	}
 	p := f.p
-	p.enter()
+	p.beginEvent()
 	if f.waited == 0 {
 		f.waited = p.now
 	}
 	if fault == acceptShort {
 		p.makeRoom() // what the kernel has taken must be answered
 	}
-	p.leave()
+	p.endEvent()
 	time.Sleep(acceptBackoff(failures))
 }
 
@@ -242,7 +242,7 @@
 
 // maxClients keeps descriptors for the members: without connections to them, no client can be served.
 func (f *redisFront) maxClients() int {
-	return (f.p.cfg.Sockets - spareSockets) * clientShare / 100
+	return (f.p.cfg.Descriptors - reservedDescriptors) * clientDescriptorPercent / 100
 }
 
 // dropClient closes the idle client that is missed least: first those that have connected and asked nothing,
@@ -304,7 +304,7 @@
 
 // idleAge is how long a connection may stand idle while so many have asked.
 func (f *redisFront) idleAge(asked int) time.Duration {
-	half := max(1, f.p.cfg.Sockets*askedShare/200)
+	half := max(1, f.p.cfg.Descriptors*askedShare/200)
 	switch {
 	case asked <= half && len(f.clients) <= f.maxClients()/2:
 		return clientIdle
--- a/internal/proxy/redis_test.go
+++ b/internal/proxy/redis_test.go
@@ -50,7 +50,7 @@
 	if n := sent.Load(); n > 0 {
 		t.Errorf("%d commands were passed on", n)
 	}
-	p.eventually("no memory held for values", func() bool { return p.held == 0 })
+	p.eventually("no memory held for values", func() bool { return p.bufferedBytes == 0 })
 }
 
 // After a run of faulty commands the connection ends, however many more would come.
@@ -93,7 +93,7 @@
 // closed the same connection over and over, under the lock, for good.
 func TestSilentCrowdLeavesRoom(t *testing.T) {
 	cfg := testConfig()
-	cfg.Sockets = 64
+	cfg.Descriptors = 64
 	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
 	p := start(t, cfg, entry("s-1", node, "large"))
 	good := p.dial()
@@ -106,12 +106,12 @@
 		}
 	}
 	ask(0)
-	crowd := make([]*testClient, 3*cfg.Sockets)
+	crowd := make([]*testClient, 3*cfg.Descriptors)
 	for i := range crowd {
 		crowd[i] = p.dial()
 		ask(i + 1)
 	}
-	p.eventually("descriptors within the limit", func() bool { return p.sockets() <= cfg.Sockets-spareSockets })
+	p.eventually("descriptors within the limit", func() bool { return p.openDescriptors() <= cfg.Descriptors-reservedDescriptors })
 	for _, c := range crowd { // each is owed an end, though it said nothing
 		if got := c.answer(); got != "" {
 			t.Fatalf("a silent client was told %q", got)
@@ -210,21 +210,21 @@
 }
 
 func TestIDsAreBounded(t *testing.T) {
-	s := newIDs()
-	for i := range 5 * idsKept {
+	s := newIDHistory()
+	for i := range 5 * maxIDsPerGeneration {
 		s.add(fmt.Append(nil, i), time.Duration(i))
 	}
-	if n := len(s.now) + len(s.last); n > 2*idsKept {
+	if n := len(s.current) + len(s.previous); n > 2*maxIDsPerGeneration {
 		t.Errorf("%d ids kept", n)
 	}
-	if !s.used(fmt.Append(nil, 5*idsKept-1), 5*idsKept) {
+	if !s.contains(fmt.Append(nil, 5*maxIDsPerGeneration-1), 5*maxIDsPerGeneration) {
 		t.Error("the last id is not known")
 	}
-	s = newIDs()
+	s = newIDHistory()
 	s.add([]byte("a"), time.Second)
-	s.add([]byte("b"), time.Second+idKeep)
-	s.add([]byte("c"), time.Second+2*idKeep)
-	if s.used([]byte("a"), time.Second+2*idKeep) {
+	s.add([]byte("b"), time.Second+idRetention)
+	s.add([]byte("c"), time.Second+2*idRetention)
+	if s.contains([]byte("a"), time.Second+2*idRetention) {
 		t.Error("an old id was not let go of")
 	}
 }
@@ -232,10 +232,10 @@
 // A crowd that asks once and stays must not hold the room that clients have for requests.
 func TestCrowdThatStaysIsClosedSooner(t *testing.T) {
 	cfg := testConfig()
-	cfg.Sockets = 64
+	cfg.Descriptors = 64
 	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
 	p := start(t, cfg, entry("s-1", node, "large"))
-	crowd := make([]*testClient, cfg.Sockets*askedShare/100)
+	crowd := make([]*testClient, cfg.Descriptors*askedShare/100)
 	for i := range crowd {
 		crowd[i] = p.dial()
 		crowd[i].send(get("a1", fmt.Sprintf("id%d", i)))
@@ -262,7 +262,7 @@
 }
 
 func TestIdleAgeFallsWithTheRoomLeft(t *testing.T) {
-	p := &redisFront{p: &Proxy{cfg: Config{Sockets: 400}}}
+	p := &redisFront{p: &Proxy{cfg: Config{Descriptors: 400}}}
 	last := p.idleAge(0)
 	if last != clientIdle {
 		t.Errorf("%v with nobody there", last)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -16,30 +16,30 @@
 // attempt is one sending of a request to a member: an exchange made here, or one that a Carrier's client makes.
 type attempt struct {
 	upstream.Exchange
-	req     *Request // nil once the request is over
-	to      logic.MemberID
-	sentAt  time.Duration
-	metered uint64 // its number at the zones' meter
-	n       int32
-	carried bool // by a Carrier
-	given   bool // its client has been told of it
-	// recording: it is sent once the record of orders says so; until then it has surely not run.
-	recording bool
+	request    *Request // nil once the request is over
+	memberID   logic.MemberID
+	startedAt  time.Duration
+	meterID    uint64 // its number at the zones' meter
+	index      int32
+	byCarrier  bool // by a Carrier
+	handedOver bool // its client has been told of it
+	// awaitsRecord: it is sent once the record of orders says so; until then it has surely not run.
+	awaitsRecord bool
 }
 
 var _ upstream.Client = (*attempt)(nil)
 
-// exchange hands an attempt over to the connections of its member.
-func (p *Proxy) exchange(m *member, a *attempt) {
-	r, x := a.req, &a.Exchange
+// startExchange hands an attempt over to the connections of its member.
+func (p *Proxy) startExchange(m *member, a *attempt) {
+	r, x := a.request, &a.Exchange
 	x.Write, x.Once, x.Group = r.Write, r.effect == logic.AtMostOnce, r.group
 	x.Message, x.Client = &r.Message, a
-	p.ups.Exchange(&m.Member, x)
+	p.upstreams.Exchange(&m.Member, x)
 }
 
 // Served gives the client the value of the first good answer.
 func (a *attempt) Served(value []byte) {
-	if r := a.req; r.rec != nil {
+	if r := a.request; r.rec != nil {
 		r.p.receipted(r, value)
 	} else if !r.done {
 		r.done = true
@@ -53,74 +53,76 @@
 
 // StreamValue binds the request to an attempt that has begun to answer with a long value.
 func (a *attempt) StreamValue(n int) upstream.ValueStream {
-	r := a.req
+	r := a.request
 	p := r.p
 	if r.done { // nobody waits for it
-		p.end(a, logic.StatusOK, 0)
+		p.endAttempt(a, logic.StatusOK, 0)
 		return nil
 	}
 	to, ok := r.Taker.(upstream.ValueStream)
 	if !ok {
 		// This client's front takes no long values. The member has done its part, and another would end alike.
 		p.log.Debug("a value is too long for its client", "bytes", n)
-		p.end(a, logic.StatusRejected, 0)
+		p.endAttempt(a, logic.StatusRejected, 0)
 		return nil
 	}
 	r.done = true
 	p.fence(r)
 	p.joinApart(r)
-	p.bal.StreamStarted(p.now, r.id, int(a.n))
+	p.balancer.StreamStarted(p.now, r.id, int(a.index))
 	return to
 }
 
 // Done takes the outcome of an exchange.
-func (a *attempt) Done(s logic.Status, note int) { a.req.p.end(a, s, note) }
+func (a *attempt) Done(s logic.Status, note int) { a.request.p.endAttempt(a, s, note) }
 
 // Deadline is the client's.
-func (a *attempt) Deadline() time.Duration { return a.req.deadlineNow() }
+func (a *attempt) Deadline() time.Duration { return a.request.currentDeadline() }
 
 // AnswerBy is when the client is answered at the latest.
-func (a *attempt) AnswerBy() time.Duration { return a.req.deadlineNow() - a.req.p.answerSlack() }
+func (a *attempt) AnswerBy() time.Duration {
+	return a.request.currentDeadline() - a.request.p.answerSlack()
+}
 
-// deadlineNow is until when somebody waits for the request. It is its client's deadline, and where that has left and others share the
+// currentDeadline is until when somebody waits for the request. It is its client's deadline, and where that has left and others share the
 // answer, the latest of theirs. Whatever a member or caller is told of a deadline comes from here.
-func (r *Request) deadlineNow() time.Duration {
+func (r *Request) currentDeadline() time.Duration {
 	if r.join != nil && r.Taker == (nobody{}) {
-		return min(r.deadline, r.p.joins.LatestDeadline(r.id))
+		return min(r.deadline, r.p.joinTable.LatestDeadline(r.id))
 	}
 	return r.deadline
 }
 
-// abandon stops waiting for an attempt.
-func (p *Proxy) abandon(a *attempt, s logic.Status) {
-	if a.recording {
-		p.end(a, logic.StatusNoConn, 0)
+// abandonAttempt stops waiting for an attempt.
+func (p *Proxy) abandonAttempt(a *attempt, s logic.Status) {
+	if a.awaitsRecord {
+		p.endAttempt(a, logic.StatusNoConn, 0)
 		return
 	}
-	if !a.carried {
-		p.ups.Abandon(&a.Exchange, s)
+	if !a.byCarrier {
+		p.upstreams.Abandon(&a.Exchange, s)
 		return
 	}
-	if s == logic.StatusTimeout && !a.given {
+	if s == logic.StatusTimeout && !a.handedOver {
 		s = logic.StatusConnectFailed
 	}
-	p.end(a, s, 0)
+	p.endAttempt(a, s, 0)
 }
 
-// end gives an attempt its outcome; later ones are dropped.
-func (p *Proxy) end(a *attempt, s logic.Status, note int) {
+// endAttempt gives an attempt its outcome; later ones are dropped.
+func (p *Proxy) endAttempt(a *attempt, s logic.Status, note int) {
 	if a.Ended {
 		return
 	}
 	a.Ended = true
-	r := a.req
+	r := a.request
 	r.out--
 	r.ran = r.ran || !s.NeverRan()
 	if r.rec != nil {
 		r.rec.attemptEnded(a, s)
 	}
 	// The wait for a connection is this proxy's own: as the member's latency it would cut the member's limit.
-	since := a.sentAt
+	since := a.startedAt
 	if a.BeganAt > 0 {
 		since = a.BeganAt
 	}
@@ -128,58 +130,58 @@
 	if at := a.StreamingSince(); at > 0 { // the rest goes at the pace of the client
 		until = at
 	}
-	if a.metered != 0 {
-		p.cfg.Meter.AttemptEnded(p.now, a.metered, metered(s), until-since)
+	if a.meterID != 0 {
+		p.cfg.ZoneMeter.AttemptEnded(p.now, a.meterID, zoneOutcome(s), until-since)
 	}
 	p.logAttempt(a, s)
 	p.outcomes = append(p.outcomes, logic.Outcome{
-		Request: r.id, Attempt: int(a.n), Member: a.to, Status: s, Elapsed: until - since, Note: note,
-		Final: r.done, FirstOnConnection: a.Fresh(), InTransit: max(0, p.inTransit(a, s)-p.now),
+		Request: r.id, Attempt: int(a.index), Member: a.memberID, Status: s, Elapsed: until - since, Note: note,
+		Final: r.done, FirstOnConnection: a.Fresh(), InTransit: max(0, p.inTransitUntil(a, s)-p.now),
 	})
-	p.settle(r)
+	p.releaseIfOver(r)
 }
 
-// inTransit is until when an attempt that has ended with a status may come at its member as one that is new; 0: it does not. Of one that a
+// inTransitUntil is until when an attempt that has ended with a status may come at its member as one that is new; 0: it does not. Of one that a
 // Carrier's client was told to make, it is not known when that was written, nor whether as the first on a connection.
-func (p *Proxy) inTransit(a *attempt, s logic.Status) time.Duration {
-	if !a.carried {
+func (p *Proxy) inTransitUntil(a *attempt, s logic.Status) time.Duration {
+	if !a.byCarrier {
 		return a.InTransitUntil()
 	}
-	m := p.members[a.to]
-	if !a.given || m == nil || s != logic.StatusTimeout && s != logic.StatusCancelled {
+	m := p.members[a.memberID]
+	if !a.handedOver || m == nil || s != logic.StatusTimeout && s != logic.StatusCancelled {
 		return 0
 	}
-	return a.BeganAt + p.ups.FirstTransit()
+	return a.BeganAt + p.upstreams.FirstTransit()
 }
 
-// recall takes back the attempts of a request that is over which surely have not run yet: those that wait for a connection, for the
+// recallUnsent takes back the attempts of a request that is over which surely have not run yet: those that wait for a connection, for the
 // record or for their last byte to go out. Whether the module may cancel what a member has in hand, and whether a fetch is worth its
 // end, is another matter: nothing is sent for nobody.
-func (p *Proxy) recall(r *Request) {
+func (p *Proxy) recallUnsent(r *Request) {
 	for _, a := range r.attempts {
 		switch {
 		case a.Ended:
-		case a.carried || a.recording:
-			if !a.given {
-				p.end(a, logic.StatusNoConn, 0)
+		case a.byCarrier || a.awaitsRecord:
+			if !a.handedOver {
+				p.endAttempt(a, logic.StatusNoConn, 0)
 			}
 		default:
-			p.ups.Recall(&a.Exchange)
+			p.upstreams.Recall(&a.Exchange)
 		}
 	}
 }
 
-// settle lets go of a request that is over, and first takes back what has not been sent for it. Timers still name its attempts for a
+// releaseIfOver lets go of a request that is over, and first takes back what has not been sent for it. Timers still name its attempts for a
 // while, so its value, which may be large, is let go of here.
-func (p *Proxy) settle(r *Request) {
+func (p *Proxy) releaseIfOver(r *Request) {
 	if r.done && r.out > 0 {
-		p.recall(r)
+		p.recallUnsent(r)
 	}
 	if r.done && r.out == 0 && p.requests[r.id] == r && (r.rec == nil || p.recordOver(r)) {
 		delete(p.requests, r.id)
 		p.letGo(r)
 		for _, a := range r.attempts { // timers still name them
-			a.req, a.Message = nil, nil
+			a.request, a.Message = nil, nil
 		}
 	}
 }
@@ -187,15 +189,15 @@
 // requestsPerMB bounds the requests in hand by the memory: each takes a few KB with its timers and attempts.
 const requestsPerMB = 64
 
-func (p *Proxy) maxRequests() int { return min(p.cfg.MostHeld, p.cfg.MemoryMB*requestsPerMB) }
+func (p *Proxy) maxRequests() int { return min(p.cfg.MaxRequests, p.cfg.MemoryMB*requestsPerMB) }
 
-// describe reads what the command tells of the request; Deadline is still relative. What a client has to say
+// parseRequest reads what the command tells of the request; Deadline is still relative. What a client has to say
 // is checked here, once, since members and the Balancer rely on it: a command that no client should send is
 // not passed on, so that it can neither be served nor count against the member that turns it away. It would
 // harm clients that leave out a name of the protocol.
-func (c *Command) describe(s *logic.Settings) (logic.Request, error) {
-	r := logic.Request{Key: keyOf(c.Key), Class: -1, Write: c.Write, NoDedupKey: true}
-	if !plain(c.Key) || !plain(c.ReqID) || len(c.Attrs) > 0 && !plain(c.Attrs) {
+func (c *Command) parseRequest(s *logic.Settings) (logic.Request, error) {
+	r := logic.Request{Key: keyNumber(c.Key), Class: -1, Write: c.Write, NoDedupKey: true}
+	if !isPlain(c.Key) || !isPlain(c.ReqID) || len(c.Attrs) > 0 && !isPlain(c.Attrs) {
 		return r, errors.New("key, id and list must be given, without spaces")
 	}
 	var wait float64
@@ -215,25 +217,25 @@
 				}
 			}
 		case "d":
-			if wait = number(value); hasWait || len(bytes.Trim(value, "0123456789.")) > 0 {
+			if wait = parseNumber(value); hasWait || len(bytes.Trim(value, "0123456789.")) > 0 {
 				return r, errors.New("the deadline is no number")
 			}
 			hasWait = true
 		case "h":
-			r.Cost = time.Duration(number(value) * float64(time.Microsecond))
+			r.Cost = time.Duration(parseNumber(value) * float64(time.Microsecond))
 			r.CostKnown = r.Cost > 0
 		case "r":
 			r.Retry = string(value) == "1"
 		case "k":
 			r.NoDedupKey = len(value) == 0
 		case "size":
-			r.Size = number(value)
+			r.Size = parseNumber(value)
 		}
 	}
 	switch {
 	case r.Class < 0:
 		return r, errors.New("unknown class")
-	case !(wait > 0 && wait <= maxWait):
+	case !(wait > 0 && wait <= maxDeadlineMS):
 		return r, errors.New("the deadline is out of range")
 	}
 	// No client waits longer than its class allows.
@@ -241,49 +243,51 @@
 	return r, nil
 }
 
-// maxWait is the longest wait, in milliseconds, that is taken for a wait and not for a mistake: a day.
-const maxWait = 24 * 60 * 60 * 1000
+// maxDeadlineMS is the longest wait, in milliseconds, that is taken for a wait and not for a mistake: a day.
+const maxDeadlineMS = 24 * 60 * 60 * 1000
 
-// plain tells whether a text is there and holds nothing that could end a line or an item.
-func plain(text []byte) bool {
+// isPlain tells whether a text is there and holds nothing that could end a line or an item.
+func isPlain(text []byte) bool {
 	return len(text) > 0 && !slices.ContainsFunc(text, func(b byte) bool { return b <= ' ' || b == 0x7f })
 }
 
-// idKeep is how long an id counts as in use after its request was taken, at the least, and idsKept how many
+// idRetention is how long an id counts as in use after its request was taken, at the least, and maxIDsPerGeneration how many
 // are remembered at the most, in each of two generations. Ids are new with every request, so one that comes
 // again belongs to another client or is a copy.
 const (
-	idKeep  = 6 * time.Second
-	idsKept = 8192
+	idRetention         = 6 * time.Second
+	maxIDsPerGeneration = 8192
 )
 
-// ids remembers the ids taken lately, as numbers of a hash that clients can't foresee.
-type ids struct {
-	seed      maphash.Seed
-	now, last map[uint64]struct{}
-	since     time.Duration
+// idHistory remembers the ids taken lately, as numbers of a hash that clients can't foresee.
+type idHistory struct {
+	seed              maphash.Seed
+	current, previous map[uint64]struct{}
+	currentSince      time.Duration
 }
 
-func newIDs() ids { return ids{seed: maphash.MakeSeed(), now: map[uint64]struct{}{}} }
+func newIDHistory() idHistory {
+	return idHistory{seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
+}
 
-func (s *ids) used(id []byte, now time.Duration) bool {
+func (s *idHistory) contains(id []byte, now time.Duration) bool {
 	h := maphash.Bytes(s.seed, id)
-	if _, ok := s.now[h]; ok {
+	if _, ok := s.current[h]; ok {
 		return true
 	}
-	_, ok := s.last[h]
-	return ok && now-s.since < idKeep
+	_, ok := s.previous[h]
+	return ok && now-s.currentSince < idRetention
 }
 
-func (s *ids) add(id []byte, now time.Duration) {
-	if now-s.since >= idKeep || len(s.now) >= idsKept {
-		s.last, s.now, s.since = s.now, make(map[uint64]struct{}), now
+func (s *idHistory) add(id []byte, now time.Duration) {
+	if now-s.currentSince >= idRetention || len(s.current) >= maxIDsPerGeneration {
+		s.previous, s.current, s.currentSince = s.current, make(map[uint64]struct{}), now
 	}
-	s.now[maphash.Bytes(s.seed, id)] = struct{}{}
+	s.current[maphash.Bytes(s.seed, id)] = struct{}{}
 }
 
-// number reads a figure that a client gave; what is not one, or negative, is 0.
-func number(text []byte) float64 {
+// parseNumber reads a figure that a client gave; what is not one, or negative, is 0.
+func parseNumber(text []byte) float64 {
 	f, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || !(f > 0) || f > 1e12 {
 		return 0
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -74,7 +74,7 @@
 	} {
 		crowdIsServed := func(t *testing.T, clients, each int, fresh bool) {
 			cfg := testConfig()
-			cfg.Sockets = 1024
+			cfg.Descriptors = 1024
 			cfg.Multiplex = 32
 			cfg.Settings.Classes[0].SoftDeadline = 2 * time.Second
 			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
@@ -96,7 +96,7 @@
 						return false
 					}
 				}
-				return len(p.requests) == 0 && p.held == 0
+				return len(p.requests) == 0 && p.bufferedBytes == 0
 			})
 		}
 		t.Run(name, func(t *testing.T) { crowdIsServed(t, 120, 6, false) })
@@ -112,7 +112,7 @@
 	const clients = 200
 	release := make(chan struct{})
 	cfg := testConfig()
-	cfg.Sockets = 1024
+	cfg.Descriptors = 1024
 	cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = time.Hour, time.Hour
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 	members := []discovery.Member{entry("o-1", o, "origin")}
@@ -176,7 +176,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		tick := time.Duration(1+rng.IntN(5)) * time.Millisecond
 		now := time.Hour + time.Duration(rng.IntN(1e6))
-		w := newTimers(tick, now)
+		w := newTimerWheel(tick, now)
 		type set struct {
 			at     time.Duration
 			module bool
@@ -207,9 +207,9 @@
 				next++
 				model[next] = set{max(at, now), next%3 > 0}
 				if next%3 > 0 {
-					w.pushToken(now, at, next)
+					w.addToken(now, at, next)
 				} else {
-					w.push(now, due{Timer: upstream.Timer{At: at}, token: next})
+					w.addEntry(now, timerEntry{Timer: upstream.Timer{At: at}, token: next})
 				}
 			}
 			soonest := time.Duration(1<<62 - 1)
@@ -224,8 +224,8 @@
 				step = time.Duration(rng.Int64N(int64(30 * time.Second)))
 			}
 			now += step
-			w.run(now, func(token uint64) { ran(token, true) }, func(d due) { ran(d.token, false) })
-			w.run(now, func(token uint64) { ran(token, true) }, func(d due) { ran(d.token, false) })
+			w.run(now, func(token uint64) { ran(token, true) }, func(d timerEntry) { ran(d.token, false) })
+			w.run(now, func(token uint64) { ran(token, true) }, func(d timerEntry) { ran(d.token, false) })
 			for token, s := range model {
 				if s.at+2*tick <= now {
 					t.Fatalf("seed %d: timer %d is %v late", seed, token, now-s.at)
@@ -239,16 +239,16 @@
 }
 
 func BenchmarkTimers(b *testing.B) {
-	w := newTimers(2*time.Millisecond, time.Hour)
+	w := newTimerWheel(2*time.Millisecond, time.Hour)
 	now := time.Hour
 	b.ReportAllocs()
 	for i := range b.N {
 		now += 30 * time.Microsecond
-		w.pushToken(now, now+800*time.Millisecond, uint64(i))
-		w.pushToken(now, now+3*time.Second, uint64(i))
-		w.push(now, due{Timer: upstream.Timer{At: now + 480*time.Millisecond}, token: uint64(i)})
+		w.addToken(now, now+800*time.Millisecond, uint64(i))
+		w.addToken(now, now+3*time.Second, uint64(i))
+		w.addEntry(now, timerEntry{Timer: upstream.Timer{At: now + 480*time.Millisecond}, token: uint64(i)})
 		if i%64 == 0 {
-			w.run(now, func(uint64) {}, func(due) {})
+			w.run(now, func(uint64) {}, func(timerEntry) {})
 		}
 	}
 }
@@ -262,7 +262,7 @@
 	cfg := testConfig()
 	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that each proxy has one connection to a cache
 	p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
-	p.eventually("it is set up", func() bool { p.ups.SetMaxPipelineAge(patience); return len(p.members) == 2 })
+	p.eventually("it is set up", func() bool { p.upstreams.SetMaxPipelineAge(patience); return len(p.members) == 2 })
 	c := p.dial()
 	for i := range pool.MinCleanAnswers + 4 {
 		c.send(get(fmt.Sprint("w", i), fmt.Sprint("w", i)))
@@ -404,7 +404,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Sockets, cfg.Multiplex = 1024, 32
+			cfg.Descriptors, cfg.Multiplex = 1024, 32
 			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 			members := []discovery.Member{entry("o-1", o, "origin")}
 			var conns atomic.Int32
@@ -481,10 +481,10 @@
 	}
 	p.eventually("three are behind", out(3))
 	var ended []logic.Outcome
-	p.enter()
-	p.ups.Abandon(u.Pipelined[0], logic.StatusTimeout) // as if its time were up
+	p.beginEvent()
+	p.upstreams.Abandon(u.Pipelined[0], logic.StatusTimeout) // as if its time were up
 	ended = append(ended, p.outcomes...)
-	p.leave()
+	p.endEvent()
 	if len(ended) != 4 {
 		t.Errorf("%d attempts ended, want all four", len(ended))
 	}
@@ -609,7 +609,7 @@
 		c.send(get(fmt.Sprint("w", i), fmt.Sprint("w", i)))
 		c.answer()
 	}
-	p.eventually("the window for more is long", func() bool { p.ups.SetMaxPipelineAge(patience); return true })
+	p.eventually("the window for more is long", func() bool { p.upstreams.SetMaxPipelineAge(patience); return true })
 	var crowd []*testClient
 	for i := range together + pool.MaxWaiting {
 		c := p.dial()
--- a/internal/proxy/secure.go
+++ b/internal/proxy/secure.go
@@ -42,8 +42,8 @@
 	c.conn.SetReadDeadline(time.Now().Add(commandTime))
 	state := s.ConnectionState()
 	p, _ := c.p.cfg.Callers.Certificate(&state)
-	c.p.enter()
-	defer c.p.leave()
+	c.p.beginEvent()
+	defer c.p.endEvent()
 	if c.closed {
 		return net.ErrClosed
 	}
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -58,7 +58,7 @@
 	if waited <= 0 {
 		return false
 	}
-	r, err := cmd.describe(&p.cfg.Settings)
+	r, err := cmd.parseRequest(&p.cfg.Settings)
 	if err != nil || c.f.gate.Admit(&r, &p.cfg.Settings.Classes[r.Class], waited) {
 		return false
 	}
@@ -77,7 +77,7 @@
 		after = min(waited+rand.N(waited), s.MaxRetryAfter*2/3)
 	}
 	o.reply = appendBusy(o.reply, after)
-	p.held += len(o.reply) - was
+	p.bufferedBytes += len(o.reply) - was
 	if c.corked = true; len(o.reply) >= corkMost {
 		c.corked = false
 		c.flush()
--- a/internal/proxy/shed_test.go
+++ b/internal/proxy/shed_test.go
@@ -60,7 +60,7 @@
 			if used < 1 && turned > 0 || used == 1 && (served < maxPipeline || turned < reads/2 || counted != turned) {
 				t.Errorf("%d served, %d turned away, %d counted", served, turned, counted)
 			}
-			p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 && p.held == 0 })
+			p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 && p.bufferedBytes == 0 })
 		})
 	}
 }
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -58,13 +58,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := start(t, cfg, entry("o-1", c.member, "origin"), entry("s-1", cache(t, func(asked) string { return miss }), "large"))
-			p.Do(func() { p.killMost = 0 })
+			p.Do(func() { p.maxStopDeadline = 0 })
 			client := p.dial()
 			client.send(c.ask)
 			p.eventually("it is in hand", func() bool {
 				for _, r := range p.requests {
 					for _, a := range r.attempts {
-						if m := p.members[a.to]; m.Origin && (a.Sent() || c.member != o) {
+						if m := p.members[a.memberID]; m.Origin && (a.Sent() || c.member != o) {
 							return true
 						}
 					}
@@ -135,7 +135,7 @@
 	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
 	cfg := testConfig()
 	p := start(t, cfg, entry("s-1", node, "large"))
-	p.Do(func() { p.killMost = 0 })
+	p.Do(func() { p.maxStopDeadline = 0 })
 	client := p.dial()
 	client.send(get("a1", "first"))
 	client.answer()
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -71,7 +71,7 @@
 		return page("receipt")
 	})
 	p := start(t, cfg, entry("o", o, "origin"))
-	p.Do(func() { p.long.longest = time.Hour })
+	p.Do(func() { p.longValues.longest = time.Hour })
 	value := long(resp.MaxLongValue)
 	for i := range 2 { // both have the room, until the origin answers
 		p.dial().send(putLong(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
@@ -83,14 +83,14 @@
 		text := putLong(fmt.Sprint("l", i), fmt.Sprint("left", i), value)
 		c.send(text[:len(text)-resp.MaxLongValue])
 		writers = append(writers, c)
-		p.eventually("it waits for room", func() bool { return len(p.long.waiting) == i+1 })
+		p.eventually("it waits for room", func() bool { return len(p.longValues.waiting) == i+1 })
 	}
 	for _, c := range writers {
 		c.conn.Close()
 	}
-	p.eventually("their places are free", func() bool { return len(p.long.waiting) == 0 && p.long.used == 2*resp.MaxLongValue })
+	p.eventually("their places are free", func() bool { return len(p.longValues.waiting) == 0 && p.longValues.used == 2*resp.MaxLongValue })
 	close(release)
-	p.eventually("nothing is held", func() bool { return p.long.used == 0 && p.held == 0 })
+	p.eventually("nothing is held", func() bool { return p.longValues.used == 0 && p.bufferedBytes == 0 })
 }
 
 // A client that is gone before its connection is accepted has asked for nothing, though a connection to a member is free.
@@ -102,14 +102,14 @@
 	first.send(get("a0", "first"))
 	first.answer()
 	p.eventually("a connection is free", func() bool { return len(p.at(node).Conns) == 1 && p.at(node).Conns[0].Reusable(p.now) })
-	p.enter() // so that nobody is taken in
+	p.beginEvent() // so that nobody is taken in
 	conn, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(conn, getLong("a1", "left"))
 	conn.Close()
-	p.leave()
+	p.endEvent()
 	p.eventually("it has come and gone", func() bool { return p.redis.count == 2 && len(p.redis.clients) == 1 })
 	first.send(get("a9", "next"))
 	first.answer()
@@ -124,7 +124,7 @@
 	l := newRoll()
 	door, open := shut(t, l, "large")
 	cfg := leaving(false)
-	cfg.Sockets = 4096
+	cfg.Descriptors = 4096
 	p := start(t, cfg, entry("s-1", door, "large"), entry("o-1", door, "origin"))
 	p.eventually("nobody is there", func() bool { return len(p.redis.clients) == 0 })
 	const crowd = 1000
@@ -154,7 +154,7 @@
 	all.Wait()
 	p.eventually("all have been accepted", func() bool { return p.redis.count == crowd })
 	p.gone()
-	p.eventually("no descriptor is held for clients", func() bool { return p.frontFDs == 0 && p.inLine() == 0 })
+	p.eventually("no descriptor is held for clients", func() bool { return p.frontDescriptors == 0 && p.inLine() == 0 })
 	p.eventually("no goroutine is left of a client", func() bool {
 		stacks := make([]byte, 4<<20)
 		return !bytes.Contains(stacks[:runtime.Stack(stacks, true)], []byte("(*client).serve"))
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -157,7 +157,7 @@
 		}
 		<-closed
 	}
-	p.eventually("no connection is left", func() bool { return p.ups.OpenConns() == 0 })
+	p.eventually("no connection is left", func() bool { return p.upstreams.OpenConns() == 0 })
 }
 
 // Members that come and go leave nothing behind, be it under new ids at an old address.
@@ -179,7 +179,7 @@
 		}
 	}
 	p.eventually("one member and its connection are left", func() bool {
-		return len(p.members) == 1 && p.ups.OpenConns() == 1
+		return len(p.members) == 1 && p.upstreams.OpenConns() == 1
 	})
 }
 
@@ -248,7 +248,7 @@
 	node := cache(t, func(a asked) string { asks <- a; <-release; return hit("value") })
 	p := start(t, testConfig(), entry("s-1", node, "large"))
 	p.eventually("the member is known", func() bool { return len(p.members) == 1 })
-	p.enter()
+	p.beginEvent()
 	var m *member
 	for _, m = range p.members {
 	}
@@ -256,10 +256,10 @@
 	var all []*Request // one each: nothing is sent for a request that is over
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
 		r := &Request{p: p.Proxy, Taker: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
-		over = &attempt{req: r, to: m.id}
+		over = &attempt{request: r, memberID: m.id}
 		over.ExpiresAt = p.now + patience
 		r.attempts, r.out = append(r.attempts, over), r.out+1
-		p.exchange(m, over)
+		p.startExchange(m, over)
 		all = append(all, r)
 	}
 	if !over.Ended || len(p.outcomes) != 1 {
@@ -267,7 +267,7 @@
 	} else if s := p.outcomes[0].Status; s != logic.StatusNoConn {
 		t.Errorf("the pool's own shortage is told as status %d of the cache", s)
 	}
-	p.leave()
+	p.endEvent()
 	for range pool.MaxCacheConns {
 		<-asks
 	}
--- a/internal/proxy/wall_test.go
+++ b/internal/proxy/wall_test.go
@@ -26,13 +26,13 @@
 			cfg := testConfig()
 			cfg.Listen = ""
 			cfg.Clock = func() time.Duration { return 0 }
-			cfg.Wall = func() time.Duration { return now + c.later }
-			p := &Proxy{cfg: cfg, offset: now + c.atStart, members: nil}
-			p.now = p.offset
+			cfg.WallClock = func() time.Duration { return now + c.later }
+			p := &Proxy{cfg: cfg, clockOffset: now + c.atStart, members: nil}
+			p.now = p.clockOffset
 			for age, want := range map[time.Duration]bool{100 * time.Millisecond: true, 10 * time.Hour: false} {
 				e := entry("s-1", "127.0.0.1:1", "large")
 				e.UpSinceMS = float64((now - age).Milliseconds())
-				started := p.startedAt(MemberID(e.ID), p.upSince(e))
+				started := p.startedAt(MemberID(e.ID), p.listedStart(e))
 				cold := p.now-started < cfg.Settings.SlowStartDuration
 				if cold != want {
 					t.Errorf("a member that started %v ago counts as started %v ago", age, p.now-started)
@@ -47,14 +47,14 @@
 	var ahead time.Duration
 	cfg := testConfig()
 	on := handClock(&cfg)
-	cfg.Wall = func() time.Duration { return 24*time.Hour + ahead }
+	cfg.WallClock = func() time.Duration { return 24*time.Hour + ahead }
 	m := entry("s-1", "127.0.0.1:1", "large")
 	m.UpSinceMS = float64((23 * time.Hour).Milliseconds())
 	r := newRegistry(t, discovery.List{Revision: 1, Complete: true, Members: []discovery.Member{m}})
 	p := startAt(t, cfg, r)
 	p.eventually("the list is taken in", func() bool { return len(p.members) == 1 })
 	var was time.Duration
-	p.Do(func() { was = p.members[MemberID("s-1")].started })
+	p.Do(func() { was = p.members[MemberID("s-1")].startedAt })
 	<-r.watched
 	on(p, 10*time.Millisecond)
 	p.Do(func() { ahead = time.Hour })
@@ -62,8 +62,8 @@
 	r.tell(discoveryList(2, false, m))
 	p.eventually("the next list is taken in", func() bool { return p.members[MemberID("s-1")].listed.Size == 2 })
 	p.Do(func() {
-		if got := p.members[MemberID("s-1")]; got.started != was || got.Epoch != 0 {
-			t.Errorf("started at %v, then at %v, epoch %d", was, got.started, got.Epoch)
+		if got := p.members[MemberID("s-1")]; got.startedAt != was || got.Epoch != 0 {
+			t.Errorf("started at %v, then at %v, epoch %d", was, got.startedAt, got.Epoch)
 		}
 	})
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -13,75 +13,75 @@
 // watch is a watch on discovery at one address. It counts until the next one has told its first list, so that
 // an address that is not up yet leaves the proxy no worse off; from then on nothing that it tells is taken.
 type watch struct {
-	addr   string
-	told   chan struct{} // closed with its first list
-	opened chan struct{} // closed once discovery has taken it up
-	cancel context.CancelFunc
-	pace   *discovery.Backoff
-	wait   time.Duration // before its first call
+	addr         string
+	gotList      chan struct{} // closed with its first list
+	opened       chan struct{} // closed once discovery has taken it up
+	cancel       context.CancelFunc
+	backoff      *discovery.Backoff
+	initialDelay time.Duration // before its first call
 }
 
-// Follow moves the watch to another address. It returns at once.
-func (p *Proxy) Follow(addr string) {
-	p.enter()
-	defer p.leave()
+// SetDiscoveryAddr moves the watch to another address. It returns at once.
+func (p *Proxy) SetDiscoveryAddr(addr string) {
+	p.beginEvent()
+	defer p.endEvent()
 	if p.startWatch == nil {
 		p.cfg.Discovery = addr
 		return
 	}
 	if newest := p.watches[len(p.watches)-1]; newest.addr != addr {
 		p.log.Info("discovery moves", "from", newest.addr, "to", addr)
-		p.follow(addr, true)
+		p.addWatch(addr, true)
 	}
 }
 
-// follow starts a watch. Of those before it, the one that counts goes on for the time being.
-func (p *Proxy) follow(addr string, whole bool) *watch {
+// addWatch starts a watch. Of those before it, the one that counts goes on for the time being.
+func (p *Proxy) addWatch(addr string, whole bool) *watch {
 	for len(p.watches) > 1 {
 		p.watches[1].cancel()
 		p.watches = slices.Delete(p.watches, 1, 2)
 	}
 	s := &p.cfg.Settings
-	w := &watch{addr: addr, told: make(chan struct{}), opened: make(chan struct{}), cancel: func() {},
-		pace: discovery.NewBackoff(s.Subscribe, s.SelfIndex, s.Instances, s.MaxPollInterval, p.cfg.Seed)}
-	if !whole && len(p.cfg.Known.Members) > 0 { // there is a list to begin with
-		w.wait = w.pace.StartDelay()
+	w := &watch{addr: addr, gotList: make(chan struct{}), opened: make(chan struct{}), cancel: func() {},
+		backoff: discovery.NewBackoff(s.Subscribe, s.SelfIndex, s.Instances, s.MaxPollInterval, p.cfg.Seed)}
+	if !whole && len(p.cfg.InitialList.Members) > 0 { // there is a list to begin with
+		w.initialDelay = w.backoff.StartDelay()
 	}
 	p.watches = append(p.watches, w)
 	p.startWatch(w, whole)
 	return w
 }
 
-// watch runs a watch until it is superseded or the context ends.
-func (p *Proxy) watch(ctx context.Context, w *watch, whole bool) {
+// runWatch runs a watch until it is superseded or the context ends.
+func (p *Proxy) runWatch(ctx context.Context, w *watch, whole bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p.enter()
+	p.beginEvent()
 	w.cancel = cancel
 	current := slices.Contains(p.watches, w)
 	revision, held := p.revision, len(p.members) > 0
-	p.leave()
+	p.endEvent()
 	if !current {
 		return
 	}
 	watcher := discovery.Watcher{
-		Addr: w.addr, Revision: revision, FetchFirst: whole, Backoff: w.pace, InitialDelay: w.wait, HasMembers: held, Log: p.log,
-		OnList:  func(l discovery.List) (int64, bool) { return p.take(w, l) },
+		Addr: w.addr, Revision: revision, FetchFirst: whole, Backoff: w.backoff, InitialDelay: w.initialDelay, HasMembers: held, Log: p.log,
+		OnList:  func(l discovery.List) (int64, bool) { return p.receiveList(w, l) },
 		OnOpen:  sync.OnceFunc(func() { close(w.opened) }),
-		OnBreak: func() { p.broken(w) },
+		OnBreak: func() { p.watchBroken(w) },
 	}
 	watcher.Run(ctx)
 }
 
-// take applies a list, if the watch that it came by still counts or begins to. One that begins to may have lagged behind: while it asked
+// receiveList applies a list, if the watch that it came by still counts or begins to. One that begins to may have lagged behind: while it asked
 // for its first list, the one before has told more. That list would call members back that drain, and is not taken.
-func (p *Proxy) take(w *watch, l discovery.List) (newest int64, taken bool) {
+func (p *Proxy) receiveList(w *watch, l discovery.List) (newest int64, taken bool) {
 	kind := logic.ListDelta
 	if l.Complete {
 		kind = logic.ListFull
 	}
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	at := slices.Index(p.watches, w)
 	switch {
 	case at < 0:
@@ -94,18 +94,18 @@
 	}
 	p.watches = slices.Delete(p.watches, 0, at)
 	p.revision = l.Revision
-	p.apply(kind, l)
+	p.applyList(kind, l)
 	select {
-	case <-w.told:
+	case <-w.gotList:
 	default:
-		close(w.told)
+		close(w.gotList)
 	}
 	return l.Revision, true
 }
 
-// first waits for a watch's first list, for so long at the most. A watch that discovery has taken up and that tells nothing for
-// newsWithin has nothing to tell: the list of the configuration holds, and is not waited for any longer.
-func (w *watch) first(ctx context.Context, within time.Duration) {
+// awaitFirstList waits for a watch's first list, for so long at the most. A watch that discovery has taken up and that tells nothing for
+// listUpdateTimeout has nothing to tell: the list of the configuration holds, and is not waited for any longer.
+func (w *watch) awaitFirstList(ctx context.Context, within time.Duration) {
 	most := time.NewTimer(within)
 	defer most.Stop()
 	opened := w.opened
@@ -113,9 +113,9 @@
 		select {
 		case <-opened:
 			opened = nil
-			most.Reset(newsWithin)
+			most.Reset(listUpdateTimeout)
 			continue
-		case <-w.told:
+		case <-w.gotList:
 		case <-most.C:
 		case <-ctx.Done():
 		}
@@ -123,10 +123,10 @@
 	}
 }
 
-func (p *Proxy) broken(w *watch) {
-	p.enter()
-	defer p.leave()
+func (p *Proxy) watchBroken(w *watch) {
+	p.beginEvent()
+	defer p.endEvent()
 	if p.watches[0] == w {
-		p.bal.SetMembers(p.now, logic.ListFailed, nil)
+		p.balancer.SetMembers(p.now, logic.ListFailed, nil)
 	}
 }
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -29,8 +29,8 @@
 		t.Fatalf("before the move: %q", got)
 	}
 
-	p.Follow(fresh.addr)
-	p.Follow(fresh.addr) // again: nothing changes
+	p.SetDiscoveryAddr(fresh.addr)
+	p.SetDiscoveryAddr(fresh.addr) // again: nothing changes
 	<-fresh.watched
 	p.eventually("the new list holds", func() bool { return p.revision == 7 && len(p.watches) == 1 })
 	c.send(get("k", "id2"))
@@ -38,13 +38,13 @@
 		t.Errorf("after the move: %q", got)
 	}
 	<-old.ended
-	p.take(&watch{}, discoveryList(9, true, a)) // what the old one had on its way
+	p.receiveList(&watch{}, discoveryList(9, true, a)) // what the old one had on its way
 	c.send(get("k", "id3"))
 	if got := c.answer(); got != "b" {
 		t.Errorf("after a late list of the old discovery: %q", got)
 	}
 
-	p.Follow(old.addr) // and back, to one that has fallen behind: its list holds after a while
+	p.SetDiscoveryAddr(old.addr) // and back, to one that has fallen behind: its list holds after a while
 	<-old.watched
 	p.eventually("the first list holds again", func() bool { return p.revision == 5 })
 	c.send(get("k", "id4"))
@@ -60,7 +60,7 @@
 	old := newRegistry(t, discoveryList(5, true, a))
 	p := startAt(t, testConfig(), old)
 	<-old.watched
-	p.Follow("127.0.0.1:1")
+	p.SetDiscoveryAddr("127.0.0.1:1")
 	gone := a
 	gone.Phase = discovery.PhaseTerminated
 	old.tell(discoveryList(6, false, gone, b))
@@ -86,8 +86,8 @@
 		t.Fatalf("answered %q", got)
 	}
 	p.Do(func() {
-		if w := p.watches[0]; w.wait < 2*time.Second || len(r.watched) > 0 {
-			t.Errorf("the first call is put off by %v, and %d were made", w.wait, len(r.watched))
+		if w := p.watches[0]; w.initialDelay < 2*time.Second || len(r.watched) > 0 {
+			t.Errorf("the first call is put off by %v, and %d were made", w.initialDelay, len(r.watched))
 		}
 	})
 }
@@ -144,7 +144,7 @@
 			return false
 		}
 	})
-	w.first(t.Context(), time.Hour) // ends by itself
+	w.awaitFirstList(t.Context(), time.Hour) // ends by itself
 	c := p.dial()
 	c.send(get("k", "id1"))
 	if got := c.answer(); got != "a" {
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -8,8 +8,8 @@
 	"linenloom/logic"
 )
 
-// metered is an attempt's outcome as it tells of a zone.
-func metered(s logic.Status) zones.Outcome {
+// zoneOutcome is an attempt's outcome as it tells of a zone.
+func zoneOutcome(s logic.Status) zones.Outcome {
 	switch s {
 	case logic.StatusOK:
 		return zones.OutcomeAnswered
@@ -23,15 +23,15 @@
 	return zones.OutcomeNone
 }
 
-// zone is the place of a zone in the settings, below 0: they do not have it.
-func (p *Proxy) zone(locality string) int { return slices.Index(p.cfg.Zones, locality) }
+// zoneIndex is the place of a zone in the settings, below 0: they do not have it.
+func (p *Proxy) zoneIndex(locality string) int { return slices.Index(p.cfg.Zones, locality) }
 
-// Capacity is what the ready caches of each zone can do, by the sizes that the list tells.
-func (p *Proxy) Capacity() []float64 {
+// ZoneCapacity is what the ready caches of each zone can do, by the sizes that the list tells.
+func (p *Proxy) ZoneCapacity() []float64 {
 	capacity := make([]float64, len(p.cfg.Zones))
 	p.Do(func() {
 		for _, m := range p.members {
-			if at := p.zone(m.listed.Locality); at >= 0 && m.state == logic.Ready && !m.Origin {
+			if at := p.zoneIndex(m.listed.Locality); at >= 0 && m.state == logic.Ready && !m.Origin {
 				capacity[at] += max(0, m.listed.Size)
 			}
 		}
@@ -39,12 +39,12 @@
 	return capacity
 }
 
-// Zones takes from decide what part of its usual work each zone is to get here from now on; nil: nothing changes. It is called under the
+// UpdateZoneShares takes from decide what part of its usual work each zone is to get here from now on; nil: nothing changes. It is called under the
 // lock, and waits for nothing.
-func (p *Proxy) Zones(decide func(now time.Duration) []logic.ZoneShare) {
+func (p *Proxy) UpdateZoneShares(decide func(now time.Duration) []logic.ZoneShare) {
 	p.Do(func() {
 		if shares := decide(p.now); shares != nil {
-			p.bal.SetZoneShares(p.now, shares)
+			p.balancer.SetZoneShares(p.now, shares)
 		}
 	})
 }
