--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,7 +15,7 @@
 
 // A member that is told to drain, or goes, while a connection to it is coming up gets nothing on it; what waited is answered at once, or
 // goes elsewhere.
-func TestDrainDuringTheDial(t *testing.T) {
+func TestAttemptDrainDuringDial(t *testing.T) {
 	for _, phase := range []string{discovery.PhaseTerminating, discovery.PhaseTerminated} {
 		for name, c := range map[string]struct{ kind, ask, want string }{
 			"a read":   {"large", getLong("a1", "id"), "-BUSY"},
@@ -25,15 +25,15 @@
 				t.Parallel()
 				l := newRoll()
 				door, open := shut(t, l, c.kind)
-				m := entry("s-1", door, c.kind)
-				r := newRegistry(t, discoveryList(1, true, m))
-				p := startAt(t, leaving(false), r)
-				<-r.watched
+				m := listEntry("s-1", door, c.kind)
+				r := newFakeDiscovery(t, discoveryList(1, true, m))
+				p := startProxyAt(t, leaving(false), r)
+				<-r.watchBegan
 				client := p.dial()
 				client.send(c.ask)
 				p.eventually("it waits for the connection", func() bool { return len(p.at(door).Waiting) == 1 })
 				m.Phase = phase
-				r.tell(discoveryList(2, false, m))
+				r.publish(discoveryList(2, false, m))
 				if got := client.answer(); !strings.HasPrefix(got, c.want) {
 					t.Errorf("answered %q, want %s", got, c.want)
 				}
@@ -48,30 +48,30 @@
 }
 
 // The answer and the deadline, in both orders: the client has one answer, and the next one on its connection is the next request's own.
-func TestAnswerAndDeadline(t *testing.T) {
+func TestAttemptAnswerAndDeadlineOrders(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		for name, c := range map[string]struct{ ask, timely, late string }{
-			"a read":   {get("a1", "id"), "value of a1", "-BUSY"},
-			"an order": {put("a1", "id", "order"), "value of a1", "-ERR"},
+			"a read":   {getCommand("a1", "id"), "value of a1", "-BUSY"},
+			"an order": {setCommand("a1", "id", "order"), "value of a1", "-ERR"},
 		} {
 			t.Run(fmt.Sprintf("%s, late %v", name, late), func(t *testing.T) {
 				came, release := make(chan struct{}, 10), make(chan struct{})
-				node := cache(t, func(a asked) string {
+				node := startCache(t, func(a memberCommand) string {
 					if came <- struct{}{}; a.id == "id" {
 						<-release
 					}
-					return hit("value of " + a.key)
+					return hitReply("value of " + a.key)
 				})
-				o := origin(t, func(r *http.Request) string {
+				o := startOrigin(t, func(r *http.Request) string {
 					if came <- struct{}{}; r.Header.Get("X-Request-ID") == "id" {
 						<-release
 					}
-					return page("value of " + r.URL.Path[1:])
+					return httpOK("value of " + r.URL.Path[1:])
 				})
 				cfg := testConfig()
 				cfg.Settings.MaxAttempts = 1
 				on := handClock(&cfg)
-				p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
+				p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 				client := p.dial()
 				client.send(c.ask)
 				until := func(what string, c <-chan struct{}) { // lets the clock pass until something has come, far before any aim
@@ -102,7 +102,7 @@
 				} else {
 					on(p, 9*time.Second)
 				}
-				client.send(get("a2", "next"))
+				client.send(getCommand("a2", "next"))
 				until("the next is at its member", came)
 				if got := client.answer(); got != "value of a2" {
 					t.Errorf("the next read was answered %q", got)
@@ -113,10 +113,10 @@
 }
 
 // A stop does not keep what a client has left behind: it is withdrawn then too, also behind commands that were not read.
-func TestClientLeavesDuringAStop(t *testing.T) {
+func TestAttemptClientDisconnectsDuringStop(t *testing.T) {
 	l := newRoll()
 	door, open := shut(t, l, "large")
-	p := start(t, leaving(false), entry("s-1", door, "large"))
+	p := startProxy(t, leaving(false), listEntry("s-1", door, "large"))
 	p.Do(func() { p.maxStopDeadline = time.Hour }) // the stop waits for what is in hand
 	clients := []*testClient{p.dial(), p.dial()}
 	clients[0].send(getLong("a1", "left"))
@@ -140,9 +140,9 @@
 
 // A cache that sends second copies of its answers some milliseconds late: once one has been seen, none is taken for the answer to the next
 // request, as that is not sent on the connection before the copy would have come.
-func TestSecondAnswerSomeMillisecondsLate(t *testing.T) {
+func TestAttemptDelayedDuplicateAnswer(t *testing.T) {
 	ended := make(chan struct{}, 10)
-	node := listen(t, func(conn net.Conn) {
+	node := serveConns(t, func(conn net.Conn) {
 		defer func() { ended <- struct{}{} }()
 		in := resp.NewReader(conn, 4096)
 		last := ""
@@ -154,7 +154,7 @@
 			if last != "" { // the copy crosses the next request
 				io.WriteString(conn, last)
 			}
-			last = hit("value of " + words[1])
+			last = hitReply("value of " + words[1])
 			io.WriteString(conn, last)
 			if words[2] == "first" { // and here it comes at once
 				io.WriteString(conn, last)
@@ -163,16 +163,16 @@
 	})
 	cfg := testConfig()
 	on := handClock(&cfg)
-	p := start(t, cfg, entry("s-1", node, "large"))
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 	client := p.dial()
-	client.send(get("a1", "first"))
+	client.send(getCommand("a1", "first"))
 	if got := client.answer(); got != "value of a1" {
 		t.Fatalf("answered %q", got)
 	}
 	<-ended            // the connection, for what nobody asked for
 	for i := range 4 { // within 15 ms
 		key := fmt.Sprintf("b%d", i)
-		client.send(get(key, "id"+key))
+		client.send(getCommand(key, "id"+key))
 		if got := client.answer(); got != "value of "+key {
 			t.Fatalf("read %d was answered %q", i, got)
 		}
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -94,21 +94,21 @@
 		t.Fatal(err)
 	}
 	cfg.Callers = g
-	answer := func(asked) string { return hit("v") }
+	answer := func(memberCommand) string { return hitReply("v") }
 	for _, m := range more {
 		switch m := m.(type) {
 		case func(*Config):
 			m(&cfg)
-		case func(asked) string:
+		case func(memberCommand) string:
 			answer = m
 		}
 	}
-	p = start(t, cfg, entry("s-a", cache(t, func(a asked) string { note(a.attrs); return answer(a) }), "large"),
-		entry("s-o", origin(t, func(r *http.Request) string { note(r.Header.Get("X-Attrs")); return page("receipt") }), "origin"))
+	p = startProxy(t, cfg, listEntry("s-a", startCache(t, func(a memberCommand) string { note(a.attrs); return answer(a) }), "large"),
+		listEntry("s-o", startOrigin(t, func(r *http.Request) string { note(r.Header.Get("X-Attrs")); return httpOK("receipt") }), "origin"))
 	return p, g, func() []string { mu.Lock(); defer mu.Unlock(); return append([]string(nil), attrs...) }
 }
 
-func ask(key, id, attrs string) string { return words("OBJ.GET", key, id, attrs) }
+func ask(key, id, attrs string) string { return respCommand("OBJ.GET", key, id, attrs) }
 
 // Who may do what, and what members are told: the proven tenant and no token, whatever a request says of itself.
 func TestCallersAreProven(t *testing.T) {
@@ -121,16 +121,16 @@
 		{"", ask("map/1", "r#", "c=tile-read,t=shop,d=4000"), "-NOAUTH"},
 		{kiosk, ask("map/1", "r#", "c=tile-read,t=shop,d=4000"), "v"},
 		{kiosk, ask("orders/1", "r#", "c=tile-read,d=4000"), "-NOPERM"},
-		{kiosk, words("OBJ.SET", "map/1", "r#", "c=pass-order,t=shop,d=4000", "x"), "-NOPERM"},
-		{kiosk, words("OBJ.SET", "map/1", "r#", "c=tile-read,d=4000", "x"), "-NOPERM"},
-		{kiosk, words("OBJ.SET", "map/1", "r#", "c=pass-order,d=4000,tk="+shop, "x"), "receipt"},
-		{kiosk, words("OBJ.SET", "map/1", "r#", "c=pass-order,d=4000,tk="+shop, "x"), "-NOPERM used before"},
+		{kiosk, respCommand("OBJ.SET", "map/1", "r#", "c=pass-order,t=shop,d=4000", "x"), "-NOPERM"},
+		{kiosk, respCommand("OBJ.SET", "map/1", "r#", "c=tile-read,d=4000", "x"), "-NOPERM"},
+		{kiosk, respCommand("OBJ.SET", "map/1", "r#", "c=pass-order,d=4000,tk="+shop, "x"), "receipt"},
+		{kiosk, respCommand("OBJ.SET", "map/1", "r#", "c=pass-order,d=4000,tk="+shop, "x"), "-NOPERM used before"},
 		{kiosk, ask("map/1", "r#", "c=tile-read,d=4000,tk=a.b.c"), "-WRONGPASS"},
 		{kiosk[:len(kiosk)-8] + "AAAAAAAA", ask("map/1", "r#", "c=tile-read,d=4000"), "-NOAUTH"},
 	} {
 		cl := p.dial()
 		if c.auth != "" {
-			cl.send(words("AUTH", c.auth))
+			cl.send(respCommand("AUTH", c.auth))
 			if got := cl.answer(); got != "+OK" && !strings.HasPrefix(got, "-WRONGPASS") {
 				t.Errorf("%d: AUTH: %q", i, got)
 			}
@@ -153,9 +153,9 @@
 	o := newOffice(t, "k1")
 	p, _, seen := guarded(t, o)
 	c := p.dial()
-	c.send(words("AUTH", o.token("k1", "kiosk", "")) + ask("map/1", "a", "c=tile-read,d=4000") +
-		words("AUTH", "user", o.token("k1", "shop", "")) + ask("else/1", "b", "c=tile-read,d=4000") +
-		words("AUTH", "nonsense") + ask("map/1", "c", "c=tile-read,d=4000"))
+	c.send(respCommand("AUTH", o.token("k1", "kiosk", "")) + ask("map/1", "a", "c=tile-read,d=4000") +
+		respCommand("AUTH", "user", o.token("k1", "shop", "")) + ask("else/1", "b", "c=tile-read,d=4000") +
+		respCommand("AUTH", "nonsense") + ask("map/1", "c", "c=tile-read,d=4000"))
 	for i, want := range []string{"+OK", "v", "+OK", "v", "-WRONGPASS", "-NOAUTH"} {
 		if got := c.answer(); !strings.HasPrefix(got, want) {
 			t.Errorf("%d: %q, want %q", i, got, want)
@@ -172,7 +172,7 @@
 	o := newOffice(t, "k1")
 	p, g, _ := guarded(t, o)
 	old := p.dial()
-	old.send(words("AUTH", o.token("k1", "shop", "")))
+	old.send(respCommand("AUTH", o.token("k1", "shop", "")))
 	old.answer()
 	n := 0
 	try := func(c *testClient, attrs, want string) {
@@ -208,7 +208,7 @@
 		try(old, "", "-WRONGPASS its key is retired")
 		try(old, ",tk="+held, "-WRONGPASS its key is retired")
 		old = p.dial()
-		old.send(words("AUTH", o.token(next, "shop", "")))
+		old.send(respCommand("AUTH", o.token(next, "shop", "")))
 		if got := old.answer(); got != "+OK" {
 			t.Fatal(got)
 		}
@@ -247,15 +247,15 @@
 			if goneAt == 0 {
 				f.gone.Store(1)
 			}
-			p := start(t, cfg, entry("s-o", origin(t, func(*http.Request) string {
+			p := startProxy(t, cfg, listEntry("s-o", startOrigin(t, func(*http.Request) string {
 				asked.Add(1)
 				f.gone.Store(1)
 				return "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 			}), "origin"))
 			c := p.dial()
-			c.send(words("AUTH", "token"))
+			c.send(respCommand("AUTH", "token"))
 			c.answer()
-			c.send(put("orders/1", "z", "x"))
+			c.send(setCommand("orders/1", "z", "x"))
 			if got := c.answer(); !strings.HasPrefix(got, "-WRONGPASS its key is retired") {
 				t.Errorf("%q", got)
 			}
@@ -272,14 +272,14 @@
 	f := &fading{}
 	cfg := testConfig()
 	cfg.Callers = f
-	p := start(t, cfg, entry("s-o", origin(t, func(*http.Request) string {
+	p := startProxy(t, cfg, listEntry("s-o", startOrigin(t, func(*http.Request) string {
 		f.gone.Store(1)
 		return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	}), "origin"))
 	c := p.dial()
-	c.send(words("AUTH", "token"))
+	c.send(respCommand("AUTH", "token"))
 	c.answer()
-	c.send(put("orders/1", "z", "x"))
+	c.send(setCommand("orders/1", "z", "x"))
 	if got := c.answer(); got != "-ERR failed" {
 		t.Errorf("%q", got)
 	}
@@ -312,9 +312,9 @@
 func TestUncheckedTokenEndsTheIdentityBefore(t *testing.T) {
 	cfg := testConfig()
 	cfg.Callers = &busy{}
-	p := start(t, cfg, entry("s-a", cache(t, func(asked) string { return hit("v") }), "large"))
+	p := startProxy(t, cfg, listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	c := p.dial()
-	c.send(words("AUTH", "one") + get("k", "id1") + words("AUTH", "two") + get("k", "id2"))
+	c.send(respCommand("AUTH", "one") + getCommand("k", "id1") + respCommand("AUTH", "two") + getCommand("k", "id2"))
 	for _, want := range []string{"+OK", "v", "-BUSY", "-NOAUTH no token"} {
 		if got := c.answer(); got != want {
 			t.Errorf("%q, want %q", got, want)
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	c := &churnCache{listener: l}
-	t.Cleanup(c.die)
+	t.Cleanup(c.kill)
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -55,18 +55,18 @@
 		silent := c.silent
 		c.mu.Unlock()
 		if !silent {
-			io.WriteString(conn, hit("value of "+words[1]))
+			io.WriteString(conn, hitReply("value of "+words[1]))
 		}
 	}
 }
 
-func (c *churnCache) fallSilent() {
+func (c *churnCache) stopAnswering() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent = true
 }
 
-func (c *churnCache) die() {
+func (c *churnCache) kill() {
 	c.listener.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,22 +78,22 @@
 
 // A hundred and twenty caches are replaced, at ever new addresses and with reads going on: some drain first, some die, some fall silent
 // with reads out. Members, connections, timers, goroutines and memory go back to what they were.
-func TestChurnOfCachesLeavesNothingBehind(t *testing.T) {
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
+func TestChurnOfCachesLeaksNothing(t *testing.T) {
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 	live := []*churnCache{newChurnCache(t), newChurnCache(t), newChurnCache(t)}
 	id := func(n int) string { return fmt.Sprintf("s-%d", n) }
-	list := []discovery.Member{entry("o-1", o, "origin")}
+	list := []discovery.Member{listEntry("o-1", o, "origin")}
 	for i, c := range live {
-		list = append(list, entry(id(i), c.listener.Addr().String(), "large"))
+		list = append(list, listEntry(id(i), c.listener.Addr().String(), "large"))
 	}
-	r := newRegistry(t, discoveryList(1, true, list...))
+	r := newFakeDiscovery(t, discoveryList(1, true, list...))
 	cfg := testConfig()
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 400*time.Millisecond
 	}
 	cfg.Settings.ConnectTimeout = 100 * time.Millisecond
-	p := startAt(t, cfg, r)
-	<-r.watched
+	p := startProxyAt(t, cfg, r)
+	<-r.watchBegan
 	c := p.dial()
 	reads := 0
 	read := func(n int) {
@@ -101,7 +101,7 @@
 		for range n {
 			reads++
 			key := fmt.Sprintf("a%d", reads)
-			c.send(get(key, "r"+key))
+			c.send(getCommand(key, "r"+key))
 			if got := c.answer(); got != "value of "+key && got[0] != '-' {
 				t.Fatalf("%s was answered %q", key, got)
 			}
@@ -128,29 +128,29 @@
 	tell := func(m ...discovery.Member) {
 		revision++
 		at := revision
-		r.tell(discoveryList(at, false, m...))
+		r.publish(discoveryList(at, false, m...))
 		p.eventually("the change is known", func() bool { return p.revision == at })
 	}
 	for i := range 120 {
 		old, next := live[0], newChurnCache(t)
 		live = append(live[1:], next)
-		gone := entry(id(i), old.listener.Addr().String(), "large")
+		gone := listEntry(id(i), old.listener.Addr().String(), "large")
 		switch i % 3 {
 		case 0:
 			gone.Phase = discovery.PhaseTerminating
 			tell(gone)
 			read(2)
 		case 1:
-			old.die()
+			old.kill()
 			read(2)
 		case 2:
-			old.fallSilent()
+			old.stopAnswering()
 			read(2)
 		}
 		gone.Phase = discovery.PhaseTerminated
-		tell(gone, entry(id(i+3), next.listener.Addr().String(), "large"))
+		tell(gone, listEntry(id(i+3), next.listener.Addr().String(), "large"))
 		read(3)
-		old.die()
+		old.kill()
 	}
 	read(100)
 	var after state
--- a/internal/proxy/copies_test.go
+++ b/internal/proxy/copies_test.go
@@ -39,13 +39,13 @@
 	}
 	s.t.Cleanup(r.Close)
 	r.SetHandshake(func() time.Duration { return handshake })
-	return entry(name, r.Addr(), kind)
+	return listEntry(name, r.Addr(), kind)
 }
 
 // ask sends a read and tells whether it was written to the far member first.
 func (s *transit) ask(key, id string, wait int) (far bool) {
 	s.t.Helper()
-	s.client.send(words("OBJ.GET", key, id, fmt.Sprint("c=tile-read,d=", wait)))
+	s.client.send(respCommand("OBJ.GET", key, id, fmt.Sprint("c=tile-read,d=", wait)))
 	s.eventually("it is written", func() bool {
 		return s.copies.Written("far", id)+s.copies.Written("near", id)+s.copies.Written("origin", id) > 0
 	})
@@ -90,7 +90,7 @@
 			t.Parallel()
 			s := &transit{t: t, copies: standin.NewCopies()}
 			spoil, answer := make(chan struct{}), make(chan struct{})
-			far := listen(t, func(conn net.Conn) {
+			far := serveConns(t, func(conn net.Conn) {
 				go func() {
 					select {
 					case <-spoil:
@@ -104,23 +104,23 @@
 						return
 					}
 					if !strings.HasPrefix(w[2], "first") {
-						io.WriteString(conn, hit("value of "+w[1]))
+						io.WriteString(conn, hitReply("value of "+w[1]))
 					}
 				}
 			})
-			near := cache(t, func(a asked) string {
+			near := startCache(t, func(a memberCommand) string {
 				if a.id == "second" {
 					<-answer
 				}
-				return hit("value of " + a.key)
+				return hitReply("value of " + a.key)
 			})
-			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
+			o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 			cfg := testConfig()
 			cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that there is one connection to each cache
-			s.testProxy = start(t, cfg,
+			s.testProxy = startProxy(t, cfg,
 				s.relayed("far", far, "large", 60*time.Millisecond, 40*time.Millisecond, 0),
 				s.relayed("near", near, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
-			s.eventually("it is set up", func() bool { s.upstreams.SetMaxPipelineAge(patience); return len(s.members) == 3 })
+			s.eventually("it is set up", func() bool { s.upstreams.SetMaxPipelineAge(testTimeout); return len(s.members) == 3 })
 			s.client = s.dial()
 			keys := s.farKeys(pool.MinCleanAnswers+2, 400)
 			if behind {
@@ -160,7 +160,7 @@
 	s := &transit{t: t, copies: standin.NewCopies()}
 	var mu sync.Mutex
 	var conns []net.Conn
-	far := listen(t, func(conn net.Conn) {
+	far := serveConns(t, func(conn net.Conn) {
 		mu.Lock()
 		conns = append(conns, conn)
 		mu.Unlock()
@@ -170,7 +170,7 @@
 				return
 			}
 			if !strings.HasPrefix(w[2], "round") {
-				io.WriteString(conn, hit("value of "+w[1]))
+				io.WriteString(conn, hitReply("value of "+w[1]))
 			}
 		}
 	})
@@ -183,13 +183,13 @@
 		conns = nil
 	}
 	answer := make(chan struct{})
-	near := cache(t, func(a asked) string {
+	near := startCache(t, func(a memberCommand) string {
 		if strings.HasPrefix(a.id, "round") {
 			<-answer
 		}
-		return hit("value of " + a.key)
+		return hitReply("value of " + a.key)
 	})
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
 	cfg.Settings.Instances = pool.CacheConnCapacity // so that there is one connection to each cache
 	relay, err := standin.NewRelay("far", far, false, 0, 0, s.copies)
@@ -199,8 +199,8 @@
 	t.Cleanup(relay.Close)
 	var made atomic.Int32
 	relay.SetDelay(func() (there, back time.Duration) { return time.Duration(made.Add(1)%2) * slow, 0 })
-	s.testProxy = start(t, cfg, entry("far", relay.Addr(), "large"), s.relayed("near", near, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
-	s.eventually("it is set up", func() bool { s.upstreams.SetMaxPipelineAge(patience); return len(s.members) == 3 })
+	s.testProxy = startProxy(t, cfg, listEntry("far", relay.Addr(), "large"), s.relayed("near", near, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
+	s.eventually("it is set up", func() bool { s.upstreams.SetMaxPipelineAge(testTimeout); return len(s.members) == 3 })
 	s.client = s.dial()
 	for round := range rounds {
 		keys := s.farKeys(pool.MinCleanAnswers+2, 400)
@@ -230,13 +230,13 @@
 	t.Parallel()
 	const aim = 200 * time.Millisecond // of which a first attempt has 120 ms
 	s := &transit{t: t, copies: standin.NewCopies()}
-	quick := cache(t, func(a asked) string { return hit("value of " + a.key) })
-	hangs := listen(t, func(conn net.Conn) { readAll(conn) })
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
+	quick := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
+	hangs := serveConns(t, func(conn net.Conn) { readAll(conn) })
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
 	cfg.Settings.ConnectTimeout = 250 * time.Millisecond
 	cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = aim, 5*aim
-	s.testProxy = start(t, cfg,
+	s.testProxy = startProxy(t, cfg,
 		s.relayed("far", quick, "large", 10*time.Millisecond, 10*time.Millisecond, 130*time.Millisecond),
 		s.relayed("near", hangs, "large", 0, 0, 0), s.relayed("origin", o, "origin", 0, 0, 0))
 	s.eventually("it is set up", func() bool { return len(s.members) == 3 })
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -33,7 +33,7 @@
 
 func orderOf(class string) func(*rand.Rand, string) (string, int) {
 	return func(rng *rand.Rand, id string) (string, int) {
-		return words("OBJ.SET", "p-"+id, id, "c="+class+",k="+id+","+waitAtMost(rng), "a pass for "+id), 1
+		return respCommand("OBJ.SET", "p-"+id, id, "c="+class+",k="+id+","+waitAtMost(rng), "a pass for "+id), 1
 	}
 }
 
@@ -41,7 +41,7 @@
 	return func(rng *rand.Rand, id string) (string, int) {
 		var text strings.Builder
 		for i := range n {
-			text.WriteString(words("OBJ.GET", anyKey(rng), fmt.Sprint(id, "-", i), "c=tile-read,"+waitAtMost(rng)))
+			text.WriteString(respCommand("OBJ.GET", anyKey(rng), fmt.Sprint(id, "-", i), "c=tile-read,"+waitAtMost(rng)))
 		}
 		return text.String(), n
 	}
@@ -66,7 +66,7 @@
 	"reads that share an attempt": {
 		set: func(_ *testing.T, cfg *Config) { cfg.Joining = &joinAll },
 		ask: func(rng *rand.Rand, id string) (string, int) {
-			return words("OBJ.GET", fmt.Sprint("k", rng.IntN(5)), id, "c=tile-read,"+waitAtMost(rng)), 1
+			return respCommand("OBJ.GET", fmt.Sprint("k", rng.IntN(5)), id, "c=tile-read,"+waitAtMost(rng)), 1
 		}},
 	"many keys, written together": {
 		set: func(t *testing.T, cfg *Config) { fewConnections(t, cfg); cfg.ManyKeys = &manyUsual },
@@ -98,11 +98,11 @@
 func moodyCache(t *testing.T) string {
 	turn := moody(t, func() string {
 		if rand.IntN(10) == 0 {
-			return miss
+			return missReply
 		}
-		return hit("value")
+		return hitReply("value")
 	})
-	return listen(t, func(conn net.Conn) {
+	return serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
 			w, err := readCommand(in)
@@ -118,9 +118,9 @@
 		if rand.IntN(10) == 0 {
 			return notProcessed
 		}
-		return page("from the origin")
+		return httpOK("from the origin")
 	})
-	return listen(t, func(conn net.Conn) {
+	return serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
 			r, err := http.ReadRequest(in)
@@ -183,14 +183,14 @@
 			if w.set != nil {
 				w.set(t, &cfg)
 			}
-			s.testProxy = start(t, cfg, s.moodyMembers()...)
+			s.testProxy = startProxy(t, cfg, s.moodyMembers()...)
 			const clients, enough, look = 16, 25, 8
 			var asking sync.WaitGroup
 			for i := range clients {
 				asking.Go(func() {
 					rng := rand.New(rand.NewPCG(uint64(i), 60))
 					var client *testClient
-					for round, end := 0, time.Now().Add(patience/2); time.Now().Before(end); round++ {
+					for round, end := 0, time.Now().Add(testTimeout/2); time.Now().Before(end); round++ {
 						if round%look == 0 {
 							if _, further := s.copies.Attempts(); further >= enough {
 								return
@@ -203,7 +203,7 @@
 								return
 							}
 							defer conn.Close()
-							conn.SetDeadline(end.Add(patience))
+							conn.SetDeadline(end.Add(testTimeout))
 							client = &testClient{t: t, conn: conn, in: bufio.NewReader(conn)}
 						}
 						text, answers := w.ask(rng, fmt.Sprintf("c%d-%d", i, round))
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -44,8 +44,8 @@
 }
 
 // cache is a cache whose deadlines are checked.
-func (w *deadlineWatch) cache(name string, answer func(asked) string) string {
-	return cache(w.t, func(a asked) string {
+func (w *deadlineWatch) cache(name string, answer func(memberCommand) string) string {
+	return startCache(w.t, func(a memberCommand) string {
 		w.Told(name, a.id, a.attrs)
 		return answer(a)
 	})
@@ -64,7 +64,7 @@
 			_, deadline, _ := strings.Cut(command[3], ",d=")
 			told <- deadline
 		}
-		if _, err := io.WriteString(conn, hit("value of "+command[1])); err != nil {
+		if _, err := io.WriteString(conn, hitReply("value of "+command[1])); err != nil {
 			return
 		}
 	}
@@ -72,7 +72,7 @@
 
 // origin is an origin whose deadlines are checked.
 func (w *deadlineWatch) origin(answer func(*http.Request) string) string {
-	return origin(w.t, func(r *http.Request) string {
+	return startOrigin(w.t, func(r *http.Request) string {
 		w.Told("origin", r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
 		return answer(r)
 	})
@@ -82,13 +82,13 @@
 func (w *deadlineWatch) get(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=tile-read,d=%d", wait)
 	w.Sent(id, attrs)
-	return words("OBJ.GET", key, id, attrs)
+	return respCommand("OBJ.GET", key, id, attrs)
 }
 
 func (w *deadlineWatch) put(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=pass-order,d=%d", wait)
 	w.Sent(id, attrs)
-	return words("OBJ.SET", key, id, attrs, "value")
+	return respCommand("OBJ.SET", key, id, attrs, "value")
 }
 
 // wantAttempts wants the members to have had so many first attempts, and some further ones.
@@ -134,7 +134,7 @@
 func TestFurtherAttemptTellsWhatIsLeft(t *testing.T) {
 	const busyOrigin = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, first := range map[string]string{
-		"missed":      miss,
+		"missed":      missReply,
 		"failed":      "-ERR failed\r\n",
 		"turned away": "-BUSY\r\n",
 		"spoilt":      "\x8fb2\xf4\r\n",
@@ -146,10 +146,10 @@
 			w := watchDeadlines(t, &cfg)
 			came, next, release := make(chan struct{}, 10), make(chan struct{}, 10), make(chan struct{})
 			var asks atomic.Int32
-			answer := func(a asked) string {
+			answer := func(a memberCommand) string {
 				if asks.Add(1) > 1 {
 					next <- struct{}{}
-					return miss
+					return missReply
 				}
 				came <- struct{}{}
 				<-release
@@ -160,9 +160,9 @@
 				case next <- struct{}{}:
 				default:
 				}
-				return page("value")
+				return httpOK("value")
 			})
-			p := start(t, cfg, entry("s-1", w.cache("s-1", answer), "large"), entry("s-2", w.cache("s-2", answer), "large"), entry("o-1", o, "origin"))
+			p := startProxy(t, cfg, listEntry("s-1", w.cache("s-1", answer), "large"), listEntry("s-2", w.cache("s-2", answer), "large"), listEntry("o-1", o, "origin"))
 			client := p.dial()
 			client.send(w.get("a1", "id", 8000))
 			<-came
@@ -189,9 +189,9 @@
 				<-release
 				return busyOrigin
 			}
-			return page("receipt")
+			return httpOK("receipt")
 		})
-		p := start(t, cfg, entry("o-1", o, "origin"))
+		p := startProxy(t, cfg, listEntry("o-1", o, "origin"))
 		client := p.dial()
 		client.send(w.put("a1", "id", 8000))
 		w.passing(p, time.Second, "the first attempt", came)
@@ -209,17 +209,17 @@
 			cfg := testConfig()
 			w := watchDeadlines(t, &cfg)
 			came, release := make(chan struct{}, 10), make(chan struct{})
-			node := w.cache("s-1", func(asked) string {
+			node := w.cache("s-1", func(memberCommand) string {
 				came <- struct{}{}
 				<-release
-				return miss
+				return missReply
 			})
 			told := make(chan string, 1)
 			o := w.origin(func(r *http.Request) string {
 				told <- r.Header.Get("X-Attrs")
-				return page("value")
+				return httpOK("value")
 			})
-			p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
+			p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 			client := p.dial()
 			client.send(w.get("a1", "id", 8000))
 			<-came
@@ -264,7 +264,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { d.Close() })
-	p := start(t, cfg, entry("s-1", d.Addr().String(), "large"))
+	p := startProxy(t, cfg, listEntry("s-1", d.Addr().String(), "large"))
 	var text strings.Builder
 	for i := range commands {
 		text.WriteString(w.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
@@ -306,7 +306,7 @@
 	}
 	t.Cleanup(func() { d.Close() })
 	told := make(chan string, 10*maxPipeline)
-	p := start(t, cfg, entry("s-1", d.Addr().String(), "large"))
+	p := startProxy(t, cfg, listEntry("s-1", d.Addr().String(), "large"))
 	client := p.dial()
 	send := func(from, to int) {
 		var text strings.Builder
@@ -370,7 +370,7 @@
 		close(ready)
 		<-begin
 	}
-	p = start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string { return hit("value of " + a.key) }), "large"))
+	p = startProxy(t, cfg, listEntry("s-1", w.cache("s-1", func(a memberCommand) string { return hitReply("value of " + a.key) }), "large"))
 	<-ready
 	client := p.dial()
 	client.send(w.get("k", "id", 15_000))
@@ -388,10 +388,10 @@
 	cfg.Settings.MaxAttempts = 1
 	w := watchDeadlines(t, &cfg)
 	told := make(chan string, 10)
-	p := start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string {
+	p := startProxy(t, cfg, listEntry("s-1", w.cache("s-1", func(a memberCommand) string {
 		_, deadline, _ := strings.Cut(a.attrs, ",d=")
 		told <- deadline
-		return hit("value of " + a.key)
+		return hitReply("value of " + a.key)
 	}), "large"))
 	ask := func(id string) int {
 		p.beginEvent() // so that nobody is taken before the command has come
@@ -458,22 +458,22 @@
 	o := w.origin(func(r *http.Request) string {
 		if r.Method != http.MethodPut {
 			arrived <- struct{}{}
-			return page("value")
+			return httpOK("value")
 		}
 		if warm.Add(1) == reads {
 			close(together)
 		}
 		<-together
-		return page("receipt")
+		return httpOK("receipt")
 	})
 	stuck, asks := make(chan struct{}), make(chan struct{}, 100)
-	silent := w.cache("s-1", func(asked) string {
+	silent := w.cache("s-1", func(memberCommand) string {
 		asks <- struct{}{}
 		<-stuck
-		return miss
+		return missReply
 	})
 	t.Cleanup(func() { close(stuck) })
-	p := start(t, cfg, entry("s-1", silent, "large"), entry("o-1", o, "origin"))
+	p := startProxy(t, cfg, listEntry("s-1", silent, "large"), listEntry("o-1", o, "origin"))
 	for i := range reads { // as many connections to the origin
 		p.dial().send(w.put(fmt.Sprint("o", i), fmt.Sprint("order", i), 8000))
 	}
@@ -520,10 +520,10 @@
 	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Outstanding: 1, PartSize: 1}
 	w := watchDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{}, 10)
-	p := start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string {
+	p := startProxy(t, cfg, listEntry("s-1", w.cache("s-1", func(a memberCommand) string {
 		came <- struct{}{}
 		<-release
-		return hit("value of " + a.key)
+		return hitReply("value of " + a.key)
 	}), "large"))
 	client := p.dial()
 	w.Sent("many", "c=tile-read,d=8000")
@@ -547,17 +547,17 @@
 	came, release := make(chan struct{}, 10), make(chan struct{})
 	var asks atomic.Int32
 	told := make(chan string, 10)
-	answer := func(a asked) string {
+	answer := func(a memberCommand) string {
 		told <- a.attrs
 		if asks.Add(1) == 1 {
 			came <- struct{}{}
 			<-release
 			return "-ERR failed\r\n"
 		}
-		return hit("value")
+		return hitReply("value")
 	}
-	o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
-	p := start(t, cfg, entry("s-1", w.cache("s-1", answer), "large"), entry("o-1", o, "origin"))
+	o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return httpOK("value") })
+	p := startProxy(t, cfg, listEntry("s-1", w.cache("s-1", answer), "large"), listEntry("o-1", o, "origin"))
 	lead, follower := p.dial(), p.dial()
 	lead.send(w.get("a", "lead", 8000))
 	<-came
@@ -615,12 +615,12 @@
 	clock := func() time.Duration { return time.Duration(now.Load()) }
 	w := &deadlineWatch{t: t, Deadlines: standin.Deadlines{Now: clock}}
 	var seed atomic.Uint64
-	answers := []string{miss, "-ERR failed\r\n", "-BUSY\r\n", hit("value"), miss}
-	answer := func(asked) string {
+	answers := []string{missReply, "-ERR failed\r\n", "-BUSY\r\n", hitReply("value"), missReply}
+	answer := func(memberCommand) string {
 		return answers[rand.New(rand.NewPCG(54, seed.Add(1))).IntN(len(answers))]
 	}
-	members := []discovery.Member{entry("s-1", w.cache("s-1", answer), "large"), entry("s-2", w.cache("s-2", answer), "large"),
-		entry("o-1", w.origin(func(*http.Request) string { return page("value") }), "origin")}
+	members := []discovery.Member{listEntry("s-1", w.cache("s-1", answer), "large"), listEntry("s-2", w.cache("s-2", answer), "large"),
+		listEntry("o-1", w.origin(func(*http.Request) string { return httpOK("value") }), "origin")}
 	var all []*testProxy
 	w.advance = func(_ *testProxy, d time.Duration) {
 		now.Add(int64(d))
@@ -638,7 +638,7 @@
 				now.Add(1 + rng.Int64N(int64(pauseMost)))
 			}
 		}
-		all = append(all, start(t, cfg, members...))
+		all = append(all, startProxy(t, cfg, members...))
 	}
 	pauses.Store(true)
 	asked := 0
@@ -696,9 +696,9 @@
 				cfg.Settings.MaxAttempts = 1
 				w := watchDeadlines(t, &cfg)
 				told := make(chan string, 10)
-				node := w.cache("s-1", func(a asked) string { told <- a.attrs; return hit("value") })
-				o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
-				p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
+				node := w.cache("s-1", func(a memberCommand) string { told <- a.attrs; return hitReply("value") })
+				o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return httpOK("value") })
+				p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 				attrs := "c=" + c.class + "," + text
 				w.Sent("id", attrs)
 				client := p.dial()
@@ -706,7 +706,7 @@
 				if c.name == "OBJ.SET" {
 					command = append(command, "order")
 				}
-				client.send(words(command...))
+				client.send(respCommand(command...))
 				wantAnswer := want.answer
 				if wantAnswer == "" {
 					wantAnswer = "value"
--- a/internal/proxy/effect_test.go
+++ b/internal/proxy/effect_test.go
@@ -12,7 +12,7 @@
 
 // What may have run is tried again only if the class's effect allows it: a keyed request within its group and window, and only if it has
 // the key. One that has none can't be told from another by who gets it.
-func TestRepeatsByTheClassesEffect(t *testing.T) {
+func TestEffectDecidesRetries(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect logic.Effect
 		scope  logic.Scope
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := newRoll()
-			node := listen(t, func(conn net.Conn) { // the first that comes is taken whole, and its connection breaks
+			node := serveConns(t, func(conn net.Conn) { // the first that comes is taken whole, and its connection breaks
 				in := resp.NewReader(conn, 4096)
 				for {
 					words, err := readCommand(in)
@@ -42,15 +42,15 @@
 					if l.note(words[2]); len(l.all()) == 1 {
 						return
 					}
-					conn.Write([]byte(hit("value")))
+					conn.Write([]byte(hitReply("value")))
 				}
 			})
 			cfg := testConfig()
 			cfg.Settings.Classes[0] = logic.Class{Name: "odd", SoftDeadline: 5 * time.Second, Deadline: 8 * time.Second, Value: 1, Effect: c.effect,
 				Scope: c.scope, DedupWindow: time.Hour}
-			p := start(t, cfg, entry("s-1", node, "large"))
+			p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 			client := p.dial()
-			client.send(words("OBJ.GET", "a1", "id", "c=odd,d=8000"+c.key))
+			client.send(respCommand("OBJ.GET", "a1", "id", "c=odd,d=8000"+c.key))
 			if got := client.answer(); !strings.HasPrefix(got, c.want) {
 				t.Errorf("answered %q, want %s", got, c.want)
 			}
--- a/internal/proxy/follow_test.go
+++ b/internal/proxy/follow_test.go
@@ -14,12 +14,12 @@
 // A discovery that the watch is moved to may lag behind the one before, which goes on telling until the first list is there. What it has
 // told by then is not taken back, and no member that drains is called back; once the new one has caught up, its list holds.
 func TestFollowToADiscoveryThatLagsBehind(t *testing.T) {
-	node := cache(t, func(a asked) string { return hit("value") })
-	entries := []discovery.Member{entry("s-1", node, "large"), entry("s-2", node, "large")}
+	node := startCache(t, func(a memberCommand) string { return hitReply("value") })
+	entries := []discovery.Member{listEntry("s-1", node, "large"), listEntry("s-2", node, "large")}
 	drains := entries[0]
 	drains.Phase = discovery.PhaseTerminating
 
-	old := newRegistry(t, discoveryList(41, true, entries...))
+	old := newFakeDiscovery(t, discoveryList(41, true, entries...))
 	asked, answer := make(chan struct{}, 100), make(chan discovery.List)
 	lagging := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Query().Get("watch") != "" {
@@ -36,19 +36,19 @@
 	}))
 	t.Cleanup(func() { lagging.CloseClientConnections(); lagging.Close() })
 
-	p := startAt(t, testConfig(), old)
-	<-old.watched
+	p := startProxyAt(t, testConfig(), old)
+	<-old.watchBegan
 	p.SetDiscoveryAddr(lagging.Listener.Addr().String())
 	wait := func(what string) {
 		t.Helper()
 		select {
 		case <-asked:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("never came about: %s", what)
 		}
 	}
 	wait("the new discovery is asked")
-	old.tell(discoveryList(42, false, drains))
+	old.publish(discoveryList(42, false, drains))
 	p.eventually("the drain is known", func() bool { return p.revision == 42 })
 	state := func() (s logic.State) {
 		p.Do(func() { s = p.members[MemberID("s-1")].state })
--- a/internal/proxy/givenup_test.go
+++ b/internal/proxy/givenup_test.go
@@ -59,31 +59,31 @@
 		what   reasons.Outcome
 		why    logic.Reason
 	}{
-		"an order that has run, and failed": {miss, func(t *testing.T) string { return origin(t, failing) },
-			put("p", "1", "a pass"), "-ERR", reasons.Failed, logic.MayHaveRun},
-		"an order whose connection broke": {miss, func(t *testing.T) string {
-			return listen(t, func(conn net.Conn) {
+		"an order that has run, and failed": {missReply, func(t *testing.T) string { return startOrigin(t, failing) },
+			setCommand("p", "1", "a pass"), "-ERR", reasons.Failed, logic.MayHaveRun},
+		"an order whose connection broke": {missReply, func(t *testing.T) string {
+			return serveConns(t, func(conn net.Conn) {
 				if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 					io.Copy(io.Discard, r.Body) // to the last byte, which comes alone
 				}
 			})
-		}, put("p", "1", "a pass"), "-ERR", reasons.Failed, logic.MayHaveRun},
-		"an order that is turned away each time": {miss, func(t *testing.T) string {
-			return origin(t, func(*http.Request) string {
+		}, setCommand("p", "1", "a pass"), "-ERR", reasons.Failed, logic.MayHaveRun},
+		"an order that is turned away each time": {missReply, func(t *testing.T) string {
+			return startOrigin(t, func(*http.Request) string {
 				return "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 			})
-		}, put("p", "1", "a pass"), "-BUSY", reasons.Refused, logic.OutOfTries},
-		"a read that every cache fails": {"-ERR failed\r\n", func(t *testing.T) string { return origin(t, failing) },
-			get("k", "1"), "-BUSY", reasons.Refused, logic.OutOfTries},
-		"a read that the origin fails": {miss, func(t *testing.T) string { return origin(t, failing) },
-			get("k", "1"), "-BUSY", reasons.Refused, logic.OutOfTries},
+		}, setCommand("p", "1", "a pass"), "-BUSY", reasons.Refused, logic.OutOfTries},
+		"a read that every cache fails": {"-ERR failed\r\n", func(t *testing.T) string { return startOrigin(t, failing) },
+			getCommand("k", "1"), "-BUSY", reasons.Refused, logic.OutOfTries},
+		"a read that the origin fails": {missReply, func(t *testing.T) string { return startOrigin(t, failing) },
+			getCommand("k", "1"), "-BUSY", reasons.Refused, logic.OutOfTries},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
 			run := slowClock(t, &cfg, time.Second)
-			answer := func(asked) string { return c.cache }
-			p := start(t, cfg, entry("a", cache(t, answer), "large"), entry("b", cache(t, answer), "large"),
-				entry("c", cache(t, answer), "large"), entry("d", cache(t, answer), "large"), entry("o", c.origin(t), "origin"))
+			answer := func(memberCommand) string { return c.cache }
+			p := startProxy(t, cfg, listEntry("a", startCache(t, answer), "large"), listEntry("b", startCache(t, answer), "large"),
+				listEntry("c", startCache(t, answer), "large"), listEntry("d", startCache(t, answer), "large"), listEntry("o", c.origin(t), "origin"))
 			run(p)
 			client := p.dial()
 			client.send(c.ask)
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -14,7 +14,7 @@
 // Connections that don't live as long as the settings say are found out and not used for so long.
 func TestStaleConnectionsAreFoundOut(t *testing.T) {
 	var broke atomic.Int32
-	node := listen(t, func(conn net.Conn) {
+	node := serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for n := 0; ; n++ {
 			if _, err := readCommand(in); err != nil {
@@ -24,14 +24,14 @@
 				broke.Add(1)
 				return
 			}
-			io.WriteString(conn, hit("value"))
+			io.WriteString(conn, hitReply("value"))
 		}
 	})
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	c := p.dial()
 	const reads = 40
 	for i := range reads {
-		c.send(get("a1", fmt.Sprintf("id%d", i)))
+		c.send(getCommand("a1", fmt.Sprintf("id%d", i)))
 		if got := c.answer(); got != "value" {
 			t.Fatalf("read %d was answered %q", i, got)
 		}
--- a/internal/proxy/intake_test.go
+++ b/internal/proxy/intake_test.go
@@ -12,7 +12,7 @@
 func (p *testProxy) restingClient() (client *testClient, side *client) {
 	p.t.Helper()
 	client = p.dial()
-	client.send(get("a1", "first"))
+	client.send(getCommand("a1", "first"))
 	client.answer()
 	p.eventually("it stands idle", func() bool {
 		for side = range p.redis.clients {
@@ -40,12 +40,12 @@
 func TestCommandThatIsBeingReadKeepsItsConnection(t *testing.T) {
 	for name, end := range closers {
 		t.Run(name, func(t *testing.T) {
-			node := cache(t, func(a asked) string { return hit("value of " + a.key) })
-			p := start(t, testConfig(), entry("s-1", node, "large"))
+			node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
+			p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 			client, side := p.restingClient()
 			p.Do(func() {
-				client.send(get("a1", "second")) // its reader can't go on while the lock is held
-				for deadline := time.Now().Add(patience); side.w.Peek() != sender.NoData; time.Sleep(time.Millisecond) {
+				client.send(getCommand("a1", "second")) // its reader can't go on while the lock is held
+				for deadline := time.Now().Add(testTimeout); side.w.Peek() != sender.NoData; time.Sleep(time.Millisecond) {
 					if time.Now().After(deadline) {
 						t.Fatal("the command is never read from the kernel")
 					}
@@ -63,7 +63,7 @@
 func TestUnreadCommandKeepsItsConnection(t *testing.T) {
 	for name, end := range closers {
 		t.Run(name, func(t *testing.T) {
-			p := start(t, testConfig())
+			p := startProxy(t, testConfig())
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -84,7 +84,7 @@
 					t.Fatal(err)
 				}
 				side.ask()
-				if _, err := conn.Write([]byte(get("a1", "only"))); err != nil {
+				if _, err := conn.Write([]byte(getCommand("a1", "only"))); err != nil {
 					t.Fatal(err)
 				}
 				end(side)
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -20,20 +20,22 @@
 
 // gate is a cache whose answers wait until they are let out.
 type gate struct {
-	asks chan asked
+	asks chan memberCommand
 	out  chan string
 	n    atomic.Int32
 }
 
-func newGate() *gate { return &gate{asks: make(chan asked, 5000), out: make(chan string, 5000)} }
+func newGate() *gate {
+	return &gate{asks: make(chan memberCommand, 5000), out: make(chan string, 5000)}
+}
 
-func (g *gate) answer(a asked) string {
+func (g *gate) answer(a memberCommand) string {
 	g.n.Add(1)
 	g.asks <- a
 	return <-g.out
 }
 
-func joiningProxy(t *testing.T, l joining.Limits, answer func(asked) string, set ...func(*Config)) *testProxy {
+func joiningProxy(t *testing.T, l joining.Limits, answer func(memberCommand) string, set ...func(*Config)) *testProxy {
 	t.Helper()
 	cfg := testConfig()
 	for _, f := range set {
@@ -42,8 +44,8 @@
 	cfg.Joining = &l
 	cfg.MaxRequests, cfg.Descriptors = 5000, 2048
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "acme", Share: 0.5}, {Name: "best", Share: 0.5}}
-	return start(t, cfg, entry("s-a", cache(t, answer), "large"),
-		entry("s-o", origin(t, func(r *http.Request) string { return page("receipt of " + r.URL.Path[1:]) }), "origin"))
+	return startProxy(t, cfg, listEntry("s-a", startCache(t, answer), "large"),
+		listEntry("s-o", startOrigin(t, func(r *http.Request) string { return httpOK("receipt of " + r.URL.Path[1:]) }), "origin"))
 }
 
 // followed waits until so many reads follow others.
@@ -52,14 +54,14 @@
 	p.eventually(fmt.Sprint(n, " reads follow"), func() bool { _, f := p.joinTable.Len(); return f == n })
 }
 
-func ahead(key, id, d string) string { return words("OBJ.GET", key, id, "c=tile-read,d="+d) }
+func ahead(key, id, d string) string { return respCommand("OBJ.GET", key, id, "c=tile-read,d="+d) }
 
 // Identical reads share one attempt, from one connection or many, and each has its one answer; other keys, tenants and classes do not.
 func TestIdenticalReadsShareAnAttempt(t *testing.T) {
 	g := newGate()
 	p := joiningProxy(t, joinAll, g.answer)
 	lead := p.dial()
-	lead.send(get("a", "lead"))
+	lead.send(getCommand("a", "lead"))
 	<-g.asks
 	const clients, each = 20, 10
 	var all []*testClient
@@ -67,16 +69,16 @@
 		c := p.dial()
 		all = append(all, c)
 		for j := range each {
-			c.send(get("a", fmt.Sprintf("f%d-%d", i, j)))
+			c.send(getCommand("a", fmt.Sprintf("f%d-%d", i, j)))
 		}
 	}
 	p.followed(clients * each)
 	other := p.dial()
-	other.send(words("OBJ.GET", "a", "other", "c=tile-read,d=4000,t=best"))
+	other.send(respCommand("OBJ.GET", "a", "other", "c=tile-read,d=4000,t=best"))
 	<-g.asks
 	value := strings.Repeat("v", 40_000)
-	g.out <- hit(value)
-	g.out <- hit("its own")
+	g.out <- hitReply(value)
+	g.out <- hitReply("its own")
 	for _, c := range append(all, lead) {
 		n := each
 		if c == lead {
@@ -103,14 +105,14 @@
 		"its client leaves": func(g *gate, lead *testClient) {
 			lead.conn.Close()
 			time.Sleep(10 * time.Millisecond) // so that the proxy may see it before the answer; either order has to do
-			g.out <- hit("v")
+			g.out <- hitReply("v")
 		},
 		"its time ends": func(g *gate, lead *testClient) {
 			if got := lead.answer(); !strings.HasPrefix(got, "-BUSY") {
 				lead.t.Errorf("the lead is told %q", got)
 			}
 			for range 200 { // some go to attempts that are over
-				g.out <- hit("v")
+				g.out <- hitReply("v")
 			}
 		},
 		"its attempts fail": func(g *gate, lead *testClient) {
@@ -118,13 +120,13 @@
 				g.out <- "-ERR failed\r\n"
 			}
 			for range 200 {
-				g.out <- hit("v")
+				g.out <- hitReply("v")
 			}
 		},
 		"its answer is spoilt": func(g *gate, lead *testClient) {
 			g.out <- "*3\r\n$6\r\nspo"
 			for range 200 {
-				g.out <- hit("v")
+				g.out <- hitReply("v")
 			}
 		},
 	} {
@@ -186,17 +188,17 @@
 	g := newGate()
 	p := joiningProxy(t, joinAll, g.answer)
 	before := p.dial()
-	before.send(get("a", "before"))
+	before.send(getCommand("a", "before"))
 	<-g.asks
 	c := p.dial()
-	c.send(put("a", "w", "new"))
+	c.send(setCommand("a", "w", "new"))
 	if got := c.answer(); got != "receipt of a" {
 		t.Fatal(got)
 	}
-	c.send(get("a", "after"))
+	c.send(getCommand("a", "after"))
 	<-g.asks // an attempt of its own
-	g.out <- hit("old")
-	g.out <- hit("new")
+	g.out <- hitReply("old")
+	g.out <- hitReply("new")
 	if got, first := c.answer(), before.answer(); got == first {
 		t.Errorf("both reads got %q", got)
 	}
@@ -210,7 +212,7 @@
 	p := joiningProxy(t, l, g.answer)
 	storm := p.dial()
 	for i := range 13 { // one leads, ten follow, two make their own way
-		storm.send(words("OBJ.GET", "a", fmt.Sprint("s", i), "c=tile-read,d=4000,t=acme"))
+		storm.send(respCommand("OBJ.GET", "a", fmt.Sprint("s", i), "c=tile-read,d=4000,t=acme"))
 	}
 	for range 3 {
 		<-g.asks
@@ -218,12 +220,12 @@
 	p.followed(10)
 	c := p.dial()
 	for i := range 5 {
-		c.send(words("OBJ.GET", "b", fmt.Sprint("b", i), "c=tile-read,d=4000,t=best"))
+		c.send(respCommand("OBJ.GET", "b", fmt.Sprint("b", i), "c=tile-read,d=4000,t=best"))
 	}
 	<-g.asks
 	p.followed(14)
 	for range 4 {
-		g.out <- hit("v")
+		g.out <- hitReply("v")
 	}
 	for range 13 {
 		if got := storm.answer(); got != "v" {
@@ -242,7 +244,7 @@
 	g := newGate()
 	p := joiningProxy(t, joinAll, g.answer)
 	lead := p.dial()
-	lead.send(get("a", "lead"))
+	lead.send(getCommand("a", "lead"))
 	<-g.asks
 	slow, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
@@ -252,11 +254,11 @@
 	slow.(*net.TCPConn).SetReadBuffer(4 << 10)
 	const wanted = 16
 	for i := range wanted {
-		fmt.Fprint(slow, get("a", fmt.Sprint("slow", i)))
+		fmt.Fprint(slow, getCommand("a", fmt.Sprint("slow", i)))
 	}
 	p.followed(wanted)
 	value := strings.Repeat("v", resp.MaxValue)
-	g.out <- hit(value)
+	g.out <- hitReply(value)
 	if got := lead.answer(); got != value {
 		t.Fatalf("%d bytes", len(got))
 	}
@@ -278,14 +280,14 @@
 	var all []*testClient
 	for i := range 100 {
 		c := p.dial()
-		c.send(get("a", fmt.Sprint("r", i)))
+		c.send(getCommand("a", fmt.Sprint("r", i)))
 		all = append(all, c)
 	}
 	<-g.asks
 	p.followed(99)
 	var wg sync.WaitGroup
 	p.stop()
-	g.out <- hit("v")
+	g.out <- hitReply("v")
 	for i, c := range all {
 		wg.Go(func() {
 			if got := c.answer(); got != "v" {
@@ -332,7 +334,7 @@
 		}
 	}
 	for range 100 {
-		g.out <- hit("v")
+		g.out <- hitReply("v")
 	}
 	for i := 0; i < clients; i += 2 {
 		for j := range each {
@@ -351,24 +353,24 @@
 // that follow it are served, and nothing new goes to that cache.
 func TestDrainAndRetuneInAStorm(t *testing.T) {
 	g := newGate()
-	other := cache(t, func(a asked) string { return hit("other " + a.key) })
+	other := startCache(t, func(a memberCommand) string { return hitReply("other " + a.key) })
 	cfg := testConfig()
 	cfg.Joining, cfg.MaxRequests, cfg.Descriptors = &joinAll, 5000, 2048
-	first := entry("s-a", cache(t, g.answer), "large")
-	r := newRegistry(t, discoveryList(1, true, first, entry("o-1", origin(t, func(*http.Request) string { return page("o") }), "origin")))
-	p := startAt(t, cfg, r)
-	<-r.watched
+	first := listEntry("s-a", startCache(t, g.answer), "large")
+	r := newFakeDiscovery(t, discoveryList(1, true, first, listEntry("o-1", startOrigin(t, func(*http.Request) string { return httpOK("o") }), "origin")))
+	p := startProxyAt(t, cfg, r)
+	<-r.watchBegan
 	var all []*testClient
 	for i := range 60 {
 		c := p.dial()
-		c.send(get("a", fmt.Sprint("r", i)))
+		c.send(getCommand("a", fmt.Sprint("r", i)))
 		if all = append(all, c); i == 0 {
 			<-g.asks
 		}
 	}
 	p.followed(59)
 	first.Phase = "terminating"
-	r.tell(discoveryList(2, false, first, entry("s-b", other, "large")))
+	r.publish(discoveryList(2, false, first, listEntry("s-b", other, "large")))
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
 	classes := append([]logic.Class(nil), cfg.Settings.Classes...)
 	classes[0].SoftDeadline = 4 * time.Second
@@ -376,11 +378,11 @@
 		t.Fatal(err)
 	}
 	after := p.dial()
-	after.send(get("b", "rb"))
+	after.send(getCommand("b", "rb"))
 	if got := after.answer(); got != "other b" {
 		t.Errorf("another key: %q", got)
 	}
-	g.out <- hit("v")
+	g.out <- hitReply("v")
 	for i, c := range all {
 		if got := c.answer(); got != "v" {
 			t.Fatalf("read %d: %q", i, got)
@@ -406,29 +408,29 @@
 				if asked(); n <= 4 {
 					return "-BUSY\r\n"
 				}
-				return hit("v")
+				return hitReply("v")
 			},
 			of: func(n int32, _ func(), _ chan struct{}, _ string) string {
 				if n <= 4 {
 					return "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 				}
-				return page("v")
+				return httpOK("v")
 			}},
 		"reset half way": {lead: "v", most: 4,
 			box: func(n int32, asked func(), conn net.Conn, _ string) string {
 				if asked(); n > 1 {
-					return hit("v")
+					return hitReply("v")
 				}
 				io.WriteString(conn, "*3\r\n$1000\r\nhalf of it")
 				conn.(*net.TCPConn).SetLinger(0)
 				return ""
 			},
-			of: func(int32, func(), chan struct{}, string) string { return page("v") }},
+			of: func(int32, func(), chan struct{}, string) string { return httpOK("v") }},
 		"an origin at its limit": {lead: "v", most: 4, fill: 30,
-			box: func(_ int32, _ func(), _ net.Conn, k string) string { return miss },
+			box: func(_ int32, _ func(), _ net.Conn, k string) string { return missReply },
 			of: func(_ int32, asked func(), free chan struct{}, k string) string {
 				<-free
-				return page("v")
+				return httpOK("v")
 			}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -446,7 +448,7 @@
 			cfg := testConfig()
 			cfg.Joining, cfg.MaxRequests, cfg.Descriptors = &joinAll, 5000, 2048
 			run := slowClock(t, &cfg, 4*time.Second) // it stands while all come, and then stays before their time
-			box := listen(t, func(conn net.Conn) {
+			box := serveConns(t, func(conn net.Conn) {
 				for in := resp.NewReader(conn, 4096); ; {
 					w, err := readCommand(in)
 					if err != nil {
@@ -459,16 +461,16 @@
 					io.WriteString(conn, text)
 				}
 			})
-			p := start(t, cfg, entry("s-a", box, "large"), entry("s-o", origin(t, func(r *http.Request) string {
+			p := startProxy(t, cfg, listEntry("s-a", box, "large"), listEntry("s-o", startOrigin(t, func(r *http.Request) string {
 				return c.of(count(r.URL.Path[1:]), once, free, r.URL.Path[1:])
 			}), "origin"))
 			filler := p.dial()
 			for i := range c.fill {
-				filler.send(get(fmt.Sprint("f", i), fmt.Sprint("f", i)))
+				filler.send(getCommand(fmt.Sprint("f", i), fmt.Sprint("f", i)))
 			}
 			p.eventually("the origin has what it takes", func() bool { return len(p.requests) == c.fill })
 			lead := p.dial()
-			lead.send(get("a", "lead"))
+			lead.send(getCommand("a", "lead"))
 			if c.fill == 0 {
 				<-begun
 			} else {
@@ -481,7 +483,7 @@
 			for i := range clients {
 				all = append(all, p.dial())
 				for j := range each {
-					all[i].send(get("a", fmt.Sprintf("r%d-%d", i, j)))
+					all[i].send(getCommand("a", fmt.Sprintf("r%d-%d", i, j)))
 				}
 			}
 			p.followed(clients * each)
@@ -515,30 +517,30 @@
 	p, _, _ := guarded(t, o, func(cfg *Config) { cfg.Joining = &shared }, g.answer)
 	proven := func(tenant string) *testClient {
 		c := p.dial()
-		c.send(words("AUTH", o.token("k1", tenant, "")))
+		c.send(respCommand("AUTH", o.token("k1", tenant, "")))
 		if got := c.answer(); got != "+OK" {
 			t.Fatal(got)
 		}
 		return c
 	}
 	shop, kiosk, other := proven("shop"), proven("kiosk"), proven("shop")
-	shop.send(get("orders/1", "r1"))
+	shop.send(getCommand("orders/1", "r1"))
 	<-g.asks
-	kiosk.send(get("orders/1", "r2"))
+	kiosk.send(getCommand("orders/1", "r2"))
 	if got := kiosk.answer(); !strings.HasPrefix(got, "-NOPERM") {
 		t.Errorf("without the right: %q", got)
 	}
-	other.send(get("orders/1", "r3"))
+	other.send(getCommand("orders/1", "r3"))
 	p.followed(1)
-	g.out <- hit("secret")
+	g.out <- hitReply("secret")
 	for _, c := range []*testClient{shop, other} {
 		if got := c.answer(); got != "secret" {
 			t.Errorf("%q", got)
 		}
 	}
-	kiosk.send(get("map/1", "r4"))
+	kiosk.send(getCommand("map/1", "r4"))
 	<-g.asks
-	g.out <- hit("map")
+	g.out <- hitReply("map")
 	if got := kiosk.answer(); got != "map" {
 		t.Errorf("what it may read: %q", got)
 	}
@@ -551,7 +553,7 @@
 		door, open := shut(t, l, "large")
 		cfg := leaving(cancel)
 		cfg.Joining = &joinAll
-		p := start(t, cfg, entry("s-1", door, "large"))
+		p := startProxy(t, cfg, listEntry("s-1", door, "large"))
 		var clients []*testClient
 		for i := range 3 {
 			c := p.dial()
@@ -569,7 +571,7 @@
 		p.gone()
 		open()
 		next := p.dial()
-		next.send(get("a1", "next"))
+		next.send(getCommand("a1", "next"))
 		if got := next.answer(); got != "value of a1" {
 			t.Errorf("answered %q", got)
 		}
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -41,7 +41,7 @@
 	for range n {
 		select {
 		case <-l.any:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("asked under %v only", l.all())
 		}
 	}
@@ -102,21 +102,21 @@
 		if hold != nil {
 			<-hold
 		}
-		io.WriteString(conn, hit("value of "+words[1]))
+		io.WriteString(conn, hitReply("value of "+words[1]))
 	}
 }
 
 // getLong and putLong ask for what may take an hour, so that no time of its own ends it.
-func getLong(key, id string) string { return words("OBJ.GET", key, id, "c=tile-read,d=3600000") }
+func getLong(key, id string) string { return respCommand("OBJ.GET", key, id, "c=tile-read,d=3600000") }
 
 func putLong(key, id, value string) string {
-	return words("OBJ.SET", key, id, "c=pass-order,d=3600000", value)
+	return respCommand("OBJ.SET", key, id, "c=pass-order,d=3600000", value)
 }
 
 // leaving is the configuration of a proxy at which nothing ends by itself: neither a request, nor a dial.
 func leaving(cancel bool) Config {
 	cfg := testConfig()
-	cfg.Settings.CanCancel, cfg.Settings.ConnectTimeout = cancel, patience
+	cfg.Settings.CanCancel, cfg.Settings.ConnectTimeout = cancel, testTimeout
 	for i := range cfg.Settings.Classes {
 		c := &cfg.Settings.Classes[i]
 		c.SoftDeadline, c.Deadline = time.Hour, time.Hour
@@ -146,7 +146,7 @@
 func (p *testProxy) onlyNext(l *roll) {
 	p.t.Helper()
 	c := p.dial()
-	c.send(get("a9", "next"))
+	c.send(getCommand("a9", "next"))
 	if got := c.answer(); got != "value of a9" {
 		p.t.Errorf("the next read was answered %q", got)
 	}
@@ -170,18 +170,18 @@
 			"a read that missed":          {getLong("a1", "left"), "origin", false},
 			"an order":                    {putLong("a1", "left", "order"), "origin", false},
 			"a long order":                {putLong("a1", "left", strings.Repeat("x", 100<<10)), "origin", false},
-			"a read that must run once":   {words("OBJ.GET", "a1", "left", "c=pass-order,d=3600000"), "large", false},
-			"many keys, at a cache":       {words("OBJ.MGET", "left", "c=tile-read,d=3600000", "a1", "a2"), "large", true},
-			"many keys, one that missed":  {words("OBJ.MGET", "left", "c=tile-read,d=3600000", "a1"), "origin", true},
+			"a read that must run once":   {respCommand("OBJ.GET", "a1", "left", "c=pass-order,d=3600000"), "large", false},
+			"many keys, at a cache":       {respCommand("OBJ.MGET", "left", "c=tile-read,d=3600000", "a1", "a2"), "large", true},
+			"many keys, one that missed":  {respCommand("OBJ.MGET", "left", "c=tile-read,d=3600000", "a1"), "origin", true},
 			"a read that others may join": {getLong("a1", "left"), "origin", false},
 		} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
 				t.Parallel()
 				l := newRoll()
 				door, open := shut(t, l, c.kind)
-				members := []discovery.Member{entry("s-1", door, c.kind)}
+				members := []discovery.Member{listEntry("s-1", door, c.kind)}
 				if c.kind == "origin" {
-					members = append(members, entry("s-2", cache(t, func(asked) string { return miss }), "large"))
+					members = append(members, listEntry("s-2", startCache(t, func(memberCommand) string { return missReply }), "large"))
 				}
 				cfg := leaving(cancel)
 				if c.many {
@@ -190,7 +190,7 @@
 				if strings.Contains(name, "join") {
 					cfg.Joining = &joinAll
 				}
-				p := start(t, cfg, members...)
+				p := startProxy(t, cfg, members...)
 				client := p.dial()
 				client.send(c.ask)
 				p.eventually("it waits for the connection", func() bool { return len(p.at(door).Waiting) > 0 })
@@ -199,8 +199,8 @@
 				open()
 				p.eventually("the connection is up", func() bool { return len(p.at(door).Conns) > 0 })
 				next := p.dial() // what comes later is behind it in every line
-				if next.send(get("a9", "next")); c.kind == "origin" {
-					next.send(put("a8", "next2", "order"))
+				if next.send(getCommand("a9", "next")); c.kind == "origin" {
+					next.send(setCommand("a8", "next2", "order"))
 				}
 				next.answer()
 				l.asked(t, 1)
@@ -216,14 +216,14 @@
 func TestClientLeavesBeforeTheLastByte(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		l, begun := newRoll(), make(chan struct{}, 10)
-		o := listen(t, func(conn net.Conn) {
+		o := serveConns(t, func(conn net.Conn) {
 			in := bufio.NewReader(conn)
 			if _, err := in.Peek(1); err == nil {
 				begun <- struct{}{}
 			}
 			noteOrigin(in, conn, l)
 		})
-		p := start(t, leaving(cancel), entry("o-1", o, "origin"))
+		p := startProxy(t, leaving(cancel), listEntry("o-1", o, "origin"))
 		p.Do(func() { p.upstreams.SetLastByteDelay(time.Hour) })
 		client := p.dial()
 		client.send(putLong("a1", "left", "order"))
@@ -232,7 +232,7 @@
 		p.gone()
 		p.Do(func() { p.upstreams.SetLastByteDelay(time.Millisecond) })
 		next := p.dial()
-		next.send(put("a2", "next", "order"))
+		next.send(setCommand("a2", "next", "order"))
 		if got := next.answer(); got != "value of a2" {
 			t.Errorf("the next order was answered %q", got)
 		}
@@ -246,7 +246,7 @@
 func TestClientLeavesWhileItsValueIsWritten(t *testing.T) {
 	release, ended := make(chan struct{}), make(chan error, 1)
 	var first atomic.Bool
-	o := listen(t, func(conn net.Conn) {
+	o := serveConns(t, func(conn net.Conn) {
 		if !first.CompareAndSwap(false, true) {
 			noteOrigin(bufio.NewReader(conn), conn, newRoll())
 			return
@@ -259,7 +259,7 @@
 		}
 		ended <- err
 	})
-	p := start(t, leaving(false), entry("o-1", o, "origin"))
+	p := startProxy(t, leaving(false), listEntry("o-1", o, "origin"))
 	client := p.dial()
 	client.send(putLong("a1", "left", strings.Repeat("x", 4<<20)))
 	p.eventually("a part of it is out", func() bool {
@@ -282,11 +282,11 @@
 func TestClientLeavesBetweenTwoAttempts(t *testing.T) {
 	l, turned := newRoll(), make(chan struct{}, 10)
 	door, open := shut(t, l, "large")
-	full := cache(t, func(asked) string {
+	full := startCache(t, func(memberCommand) string {
 		turned <- struct{}{}
 		return "-BUSY\r\n"
 	})
-	p := start(t, leaving(false), entry("s-1", full, "large"), entry("s-2", door, "large"))
+	p := startProxy(t, leaving(false), listEntry("s-1", full, "large"), listEntry("s-2", door, "large"))
 	client := p.dial()
 	for i := 0; ; i++ { // until the first attempt of one goes to the one that is full
 		client.send(getLong(fmt.Sprintf("b%d", i), fmt.Sprintf("left%d", i)))
@@ -305,12 +305,12 @@
 func TestClientLeavesTheLineOfAFullMember(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		l, hold := newRoll(), make(chan struct{})
-		node := listen(t, func(conn net.Conn) { noteCache(conn, l, hold) })
+		node := serveConns(t, func(conn net.Conn) { noteCache(conn, l, hold) })
 		cfg := leaving(cancel)
 		cfg.Multiplex, cfg.Settings.Instances = 1, pool.CacheConnCapacity
-		p := start(t, cfg, entry("s-1", node, "large"))
+		p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 		front := p.dial()
-		front.send(get("a1", "front"))
+		front.send(getCommand("a1", "front"))
 		l.asked(t, 1)
 		client := p.dial()
 		client.send(getLong("a2", "left"))
@@ -318,7 +318,7 @@
 		client.conn.Close()
 		p.eventually("its place is free", func() bool { return p.inLine() == 0 && len(p.requests) == 1 })
 		next := p.dial()
-		next.send(get("a3", "next"))
+		next.send(getCommand("a3", "next"))
 		p.eventually("the next waits in line", func() bool { return p.inLine() == 1 })
 		close(hold)
 		for _, c := range []*testClient{front, next} {
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -34,7 +34,7 @@
 	half := make(chan struct{})
 	for name, member := range map[string]func(t *testing.T) (flavor, addr string){
 		"cache": func(t *testing.T) (string, string) {
-			return "large", listen(t, func(conn net.Conn) {
+			return "large", serveConns(t, func(conn net.Conn) {
 				if _, err := readCommand(resp.NewReader(conn, 4096)); err != nil {
 					return
 				}
@@ -45,18 +45,18 @@
 			})
 		},
 		"origin": func(t *testing.T) (string, string) {
-			return "origin", origin(t, func(*http.Request) string { return page(value) })
+			return "origin", startOrigin(t, func(*http.Request) string { return httpOK(value) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			flavor, addr := member(t)
-			members := []discovery.Member{entry("m", addr, flavor)}
+			members := []discovery.Member{listEntry("m", addr, flavor)}
 			if flavor == "origin" {
-				members = append(members, entry("c", cache(t, func(asked) string { return miss }), "large"))
+				members = append(members, listEntry("c", startCache(t, func(memberCommand) string { return missReply }), "large"))
 			}
-			p := start(t, testConfig(), members...)
+			p := startProxy(t, testConfig(), members...)
 			c := p.dial()
-			c.send(get("k1", "r1") + get("k2", "r2"))
+			c.send(getCommand("k1", "r1") + getCommand("k2", "r2"))
 			line, err := c.in.ReadString('\n')
 			if err != nil || line != fmt.Sprintf("$%d\r\n", len(value)) {
 				t.Fatalf("%q %v", line, err)
@@ -109,7 +109,7 @@
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.MemoryMB = 32 // room for two of them
-			o := listen(t, func(conn net.Conn) {
+			o := serveConns(t, func(conn net.Conn) {
 				in := bufio.NewReader(conn)
 				if _, err := http.ReadRequest(in); err != nil {
 					return
@@ -120,11 +120,11 @@
 					conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			p := start(t, cfg, entry("o", o, "origin"), entry("c", cache(t, func(asked) string { return miss }), "large"))
+			p := startProxy(t, cfg, listEntry("o", o, "origin"), listEntry("c", startCache(t, func(memberCommand) string { return missReply }), "large"))
 			var clients []*testClient
 			for i := range 4 {
 				clients = append(clients, p.dial())
-				clients[i].send(get(fmt.Sprint("k", i), fmt.Sprint("r", i)))
+				clients[i].send(getCommand(fmt.Sprint("k", i), fmt.Sprint("r", i)))
 			}
 			for i, cl := range clients {
 				if got := cl.answer(); got != c.want && (c.want != "" || !strings.HasPrefix(got, "-")) {
@@ -142,14 +142,14 @@
 	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that it has one connection to the cache
 	value := long(3 << 20)
 	asked, behind := make(chan struct{}), make(chan struct{})
-	p := start(t, cfg, entry("c", listen(t, func(conn net.Conn) {
+	p := startProxy(t, cfg, listEntry("c", serveConns(t, func(conn net.Conn) {
 		for in := resp.NewReader(conn, 4096); ; {
 			w, err := readCommand(in)
 			if err != nil {
 				return
 			}
 			if w[1] != "long" {
-				io.WriteString(conn, hit("v"))
+				io.WriteString(conn, hitReply("v"))
 				continue
 			}
 			close(asked)
@@ -158,13 +158,13 @@
 					return
 				}
 			}
-			fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n%s%s", len(value), value, hit("first"), hit("second"))
+			fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n%s%s", len(value), value, hitReply("first"), hitReply("second"))
 		}
 	}), "large"))
-	p.Do(func() { p.upstreams.SetMaxPipelineAge(patience) })
+	p.Do(func() { p.upstreams.SetMaxPipelineAge(testTimeout) })
 	c := p.dial()
 	for i := range 2 * pool.MinCleanAnswers {
-		c.send(get(fmt.Sprint("k", i), fmt.Sprint("w", i)))
+		c.send(getCommand(fmt.Sprint("k", i), fmt.Sprint("w", i)))
 		if got := c.answer(); got != "v" {
 			t.Fatal(got)
 		}
@@ -177,11 +177,11 @@
 			c.conn.SetWriteBuffer(64 << 10)
 		}
 	})
-	slow.send(get("long", "l")) // and takes nothing yet
+	slow.send(getCommand("long", "l")) // and takes nothing yet
 	<-asked
 	go func() {
 		d := p.dial()
-		d.send(get("a", "ra"))
+		d.send(getCommand("a", "ra"))
 		if got := d.answer(); got != "first" && got != "second" {
 			t.Errorf("%.60q", got)
 		}
@@ -196,7 +196,7 @@
 		return false
 	})
 	e := p.dial()
-	e.send(get("e", "re"))
+	e.send(getCommand("e", "re"))
 	if got := e.answer(); got != "first" && got != "second" {
 		t.Errorf("%.60q", got)
 	}
@@ -212,7 +212,7 @@
 func TestLongValueCutOff(t *testing.T) {
 	value := long(1 << 20)
 	asks := make(chan string, 10)
-	p := start(t, testConfig(), entry("m", listen(t, func(conn net.Conn) {
+	p := startProxy(t, testConfig(), listEntry("m", serveConns(t, func(conn net.Conn) {
 		for in := resp.NewReader(conn, 4096); ; {
 			w, err := readCommand(in)
 			if err != nil {
@@ -227,13 +227,13 @@
 		}
 	}), "large"))
 	c := p.dial()
-	c.send(get("cut", "r1"))
+	c.send(getCommand("cut", "r1"))
 	got, err := io.ReadAll(c.in)
 	if err != nil || !bytes.HasPrefix(got, []byte("$1048576\r\n0,2,")) || len(got) > 200<<10+12 {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
 	d := p.dial()
-	d.send(get("whole", "r2"))
+	d.send(getCommand("whole", "r2"))
 	if _, err := d.in.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
@@ -249,27 +249,27 @@
 func TestLongWritesWaitForRoom(t *testing.T) {
 	cfg := testConfig()
 	cfg.MemoryMB = 32 // room for two of them
-	cfg.Settings.Classes[1].Deadline = patience
-	o := origin(t, func(r *http.Request) string { return page("receipt " + r.Header.Get("X-Request-ID")) })
-	p := start(t, cfg, entry("o", o, "origin"), entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
+	cfg.Settings.Classes[1].Deadline = testTimeout
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("receipt " + r.Header.Get("X-Request-ID")) })
+	p := startProxy(t, cfg, listEntry("o", o, "origin"), listEntry("c", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	value := long(resp.MaxLongValue)
 	const writers = 6
 	var clients [writers]*testClient
 	for i := range clients { // all begin, none ends
 		clients[i] = p.dial()
-		text := put(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
+		text := setCommand(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
 		clients[i].send(text[:len(text)-resp.MaxLongValue/2])
 	}
 	p.eventually("some are let in, the others wait", func() bool {
 		return p.longValues.used == 2*resp.MaxLongValue && len(p.longValues.waiting) == writers-2
 	})
 	reader := p.dial()
-	reader.send(get("k", "r1"))
+	reader.send(getCommand("k", "r1"))
 	if got := reader.answer(); got != "v" {
 		t.Errorf("a read meanwhile: %q", got)
 	}
 	for i, c := range clients {
-		text := put(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
+		text := setCommand(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
 		go c.send(text[len(text)-resp.MaxLongValue/2:])
 	}
 	for i, c := range clients {
@@ -284,15 +284,15 @@
 func TestStalledCommandsGiveWay(t *testing.T) {
 	cfg := testConfig()
 	cfg.Descriptors = 64
-	p := start(t, cfg, entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
+	p := startProxy(t, cfg, listEntry("c", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	slow := p.dial()
-	whole := get("k", "slow")
+	whole := getCommand("k", "slow")
 	slow.send(whole[:1])
 	most := p.redis.maxClients()
 	var halves []*testClient
 	for i := range most - 1 {
 		halves = append(halves, p.dial())
-		halves[i].send(get("k", fmt.Sprint("half", i))[:20])
+		halves[i].send(getCommand("k", fmt.Sprint("half", i))[:20])
 	}
 	p.eventually("all are in the middle of a command", func() bool {
 		n := 0
@@ -310,7 +310,7 @@
 			sent++
 		}
 		c := p.dial() // one that comes before anybody has stalled for long is closed, and comes again
-		c.send(get("k", fmt.Sprint("new", time.Now().UnixNano())))
+		c.send(getCommand("k", fmt.Sprint("new", time.Now().UnixNano())))
 		if c.answer() == "v" {
 			served++ // and it keeps its connection
 		} else {
@@ -338,11 +338,11 @@
 	cfg := testConfig()
 	cfg.Descriptors = 128
 	run := slowClock(t, &cfg, time.Second) // nobody counts as idle meanwhile
-	p := start(t, cfg, entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
+	p := startProxy(t, cfg, listEntry("c", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	run(p)
 	ask := func(name string) *testClient {
 		c := p.dial()
-		c.send(get("k", name))
+		c.send(getCommand("k", name))
 		if got := c.answer(); got != "v" {
 			t.Fatalf("%s: %q", name, got)
 		}
@@ -351,7 +351,7 @@
 	clients := make([]*testClient, 0, 24)
 	for i := range cap(clients) { // over a third of the room, each of which asks twice
 		clients = append(clients, ask(fmt.Sprint("a", i)))
-		clients[i].send(get("k", fmt.Sprint("b", i)))
+		clients[i].send(getCommand("k", fmt.Sprint("b", i)))
 		if got := clients[i].answer(); got != "v" {
 			t.Fatalf("the second time: %q", got)
 		}
@@ -364,7 +364,7 @@
 	for i := range once {
 		c := ask(fmt.Sprint("c", i))
 		p.eventually("it is settled", func() bool { return len(p.requests) == 0 })
-		c.conn.SetReadDeadline(time.Now().Add(patience))
+		c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 		p.beginEvent()
 		kept := len(p.redis.clients) > cap(clients)+(i+1)-closed-1
 		p.endEvent()
@@ -378,7 +378,7 @@
 	if closed != once-once/keepEvery {
 		t.Errorf("%d of %d are closed, want all but one in %d", closed, once, keepEvery)
 	}
-	clients[0].send(get("k", "d")) // one that has asked again is not
+	clients[0].send(getCommand("k", "d")) // one that has asked again is not
 	if got := clients[0].answer(); got != "v" {
 		t.Errorf("%q", got)
 	}
@@ -401,10 +401,10 @@
 func TestValueTooLongForItsFront(t *testing.T) {
 	var asks atomic.Int64
 	value := long(resp.MaxValue + 1)
-	member := cache(t, func(asked) string { asks.Add(1); return hit(value) })
-	p := start(t, testConfig(), entry("m", member, "large"), entry("n", member, "large"))
+	member := startCache(t, func(memberCommand) string { asks.Add(1); return hitReply(value) })
+	p := startProxy(t, testConfig(), listEntry("m", member, "large"), listEntry("n", member, "large"))
 	c := p.dial()
-	c.send(get("k", "first")) // once it is answered, the proxy knows its members
+	c.send(getCommand("k", "first")) // once it is answered, the proxy knows its members
 	if got := c.answer(); got != value {
 		t.Fatalf("a client that takes it: %d bytes", len(got))
 	}
@@ -426,7 +426,7 @@
 	if n := asks.Load(); n != reads {
 		t.Errorf("%d attempts at %d reads", n, reads)
 	}
-	c.send(get("k", "last"))
+	c.send(getCommand("k", "last"))
 	if got := c.answer(); got != value {
 		t.Errorf("another client: %d bytes", len(got))
 	}
--- a/internal/proxy/maintain_test.go
+++ b/internal/proxy/maintain_test.go
@@ -7,8 +7,8 @@
 )
 
 // Two calls may reach the proxy in another order than the record: the older set takes nothing back.
-func TestOlderSetTakesNothingBack(t *testing.T) {
-	p := start(t, testConfig(), entry("a", cache(t, func(asked) string { return hit("v") }), "large"))
+func TestMaintenanceOlderSetIsMerged(t *testing.T) {
+	p := startProxy(t, testConfig(), listEntry("a", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	one, err := maintenance.Set{}.Enter("a", 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -20,21 +20,21 @@
 var manyUsual = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
 
 // manyFleet is a proxy that takes OBJ.MGET before three caches that all answer alike, and an origin.
-func manyFleet(t *testing.T, l manykeys.Limits, answer func(box int, a asked) string) *testProxy {
+func manyFleet(t *testing.T, l manykeys.Limits, answer func(box int, a memberCommand) string) *testProxy {
 	t.Helper()
 	cfg := testConfig()
 	cfg.ManyKeys = &l
 	members := []string{}
 	for box := range 3 {
-		members = append(members, cache(t, func(a asked) string { return answer(box, a) }))
+		members = append(members, startCache(t, func(a memberCommand) string { return answer(box, a) }))
 	}
-	o := origin(t, func(r *http.Request) string { return page("origin's " + r.URL.Path[1:]) })
-	return start(t, cfg, entry("s-a", members[0], "large"), entry("s-b", members[1], "large"), entry("s-c", members[2], "large"),
-		entry("s-o", o, "origin"))
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("origin's " + r.URL.Path[1:]) })
+	return startProxy(t, cfg, listEntry("s-a", members[0], "large"), listEntry("s-b", members[1], "large"), listEntry("s-c", members[2], "large"),
+		listEntry("s-o", o, "origin"))
 }
 
 func mget(id, attrs string, keys ...string) string {
-	return words(append([]string{"OBJ.MGET", id, attrs}, keys...)...)
+	return respCommand(append([]string{"OBJ.MGET", id, attrs}, keys...)...)
 }
 
 // reply reads the reply to OBJ.MGET: what stands at each place; nil and the line, if it is none.
@@ -69,12 +69,12 @@
 
 func TestManyKeysInOneReply(t *testing.T) {
 	var most, now [3]atomic.Int32
-	p := manyFleet(t, manyUsual, func(box int, a asked) string {
+	p := manyFleet(t, manyUsual, func(box int, a memberCommand) string {
 		if n := now[box].Add(1); n > most[box].Load() {
 			most[box].Store(n)
 		}
 		defer now[box].Add(-1)
-		return hit("value of " + a.key)
+		return hitReply("value of " + a.key)
 	})
 	c := p.dial()
 	var keys, want []string
@@ -82,7 +82,7 @@
 		key := fmt.Sprint("k", i%50) // ten stand twice
 		keys, want = append(keys, key), append(want, "value of "+key)
 	}
-	c.send(mget("m1", "c=tile-read,d=4000", keys...) + get("after", "g1"))
+	c.send(mget("m1", "c=tile-read,d=4000", keys...) + getCommand("after", "g1"))
 	if got, line := c.reply(); !slices.Equal(got, want) {
 		t.Fatalf("%s: %v", line, got)
 	}
@@ -107,7 +107,7 @@
 // What is wrong with the request as a whole is told once, and nothing of it is asked for; the connection goes on.
 func TestFaultyManyKeys(t *testing.T) {
 	var asks atomic.Int32
-	p := manyFleet(t, manyUsual, func(_ int, a asked) string { asks.Add(1); return hit("v") })
+	p := manyFleet(t, manyUsual, func(_ int, a memberCommand) string { asks.Add(1); return hitReply("v") })
 	c := p.dial()
 	c.send(mget("used", "c=tile-read,d=4000", "a"))
 	c.reply()
@@ -128,7 +128,7 @@
 	if n := asks.Load(); n > 0 {
 		t.Errorf("%d keys were asked for", n)
 	}
-	bare := start(t, testConfig()).dial()
+	bare := startProxy(t, testConfig()).dial()
 	bare.send(mget("m", "c=tile-read,d=4000", "a"))
 	if got := bare.answer(); !strings.HasPrefix(got, "-ERR unknown command") {
 		t.Errorf("where it is off: %q", got)
@@ -141,11 +141,11 @@
 	var once sync.Once
 	free := func() { once.Do(func() { close(release) }) }
 	t.Cleanup(free)
-	p := manyFleet(t, manyUsual, func(box int, a asked) string {
+	p := manyFleet(t, manyUsual, func(box int, a memberCommand) string {
 		if box == 0 || strings.HasPrefix(a.key, "never") {
 			<-release
 		}
-		return hit("value of " + a.key)
+		return hitReply("value of " + a.key)
 	})
 	c := p.dial()
 	var keys, want []string
@@ -159,7 +159,7 @@
 	c.send(mget("m2", "c=tile-read,d=600", append([]string{"never1", "never2"}, keys...)...))
 	begun := time.Now()
 	got, line := c.reply()
-	if took := time.Since(begun); took > patience/2 {
+	if took := time.Since(begun); took > testTimeout/2 {
 		t.Errorf("the reply took %v", took)
 	}
 	for i, v := range got {
@@ -178,14 +178,14 @@
 func TestManyKeysElsewhere(t *testing.T) {
 	l := manyUsual
 	l.Bytes = 3000
-	p := manyFleet(t, l, func(_ int, a asked) string {
+	p := manyFleet(t, l, func(_ int, a memberCommand) string {
 		switch {
 		case strings.HasPrefix(a.key, "miss"):
 			return "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 		case strings.HasPrefix(a.key, "big"):
-			return hit(strings.Repeat("x", 1000))
+			return hitReply(strings.Repeat("x", 1000))
 		}
-		return hit("value of " + a.key)
+		return hitReply("value of " + a.key)
 	})
 	c := p.dial()
 	c.send(mget("m1", "c=tile-read,d=4000", "miss1", "k1", "miss2"))
@@ -223,18 +223,18 @@
 			cfg.ManyKeys = &manyUsual
 			cfg.Settings.SlowStartDuration, cfg.Settings.Instances = time.Hour, 1
 			var asks atomic.Int32
-			only := entry("s-a", cache(t, func(a asked) string { asks.Add(1); return hit("value of " + a.key) }), "large")
-			origin := entry("s-o", origin(t, func(r *http.Request) string { return page("origin's " + r.URL.Path[1:]) }), "origin")
-			r := newRegistry(t, discoveryList(1, true, only, origin))
-			p := startAt(t, cfg, r)
-			<-r.watched
+			only := listEntry("s-a", startCache(t, func(a memberCommand) string { asks.Add(1); return hitReply("value of " + a.key) }), "large")
+			origin := listEntry("s-o", startOrigin(t, func(r *http.Request) string { return httpOK("origin's " + r.URL.Path[1:]) }), "origin")
+			r := newFakeDiscovery(t, discoveryList(1, true, only, origin))
+			p := startProxyAt(t, cfg, r)
+			<-r.watchBegan
 			c := p.dial()
 			c.send(mget("warm", "c=tile-read,d=4000", keys...))
 			if got, line := c.reply(); len(got) != len(keys) {
 				t.Fatalf("%d places, %q", len(got), line)
 			}
 			change(&only)
-			r.tell(discoveryList(2, false, only))
+			r.publish(discoveryList(2, false, only))
 			p.eventually("the list is told", func() bool { return p.revision == 2 })
 			asks.Store(0)
 			c.send(mget("all", "c=tile-read,d=4000", keys...))
@@ -262,7 +262,7 @@
 func TestManyKeysCutShort(t *testing.T) {
 	release := make(chan struct{})
 	var asks atomic.Int32
-	p := manyFleet(t, manyUsual, func(_ int, a asked) string { asks.Add(1); <-release; return hit("value of " + a.key) })
+	p := manyFleet(t, manyUsual, func(_ int, a memberCommand) string { asks.Add(1); <-release; return hitReply("value of " + a.key) })
 	gone, stays := p.dial(), p.dial()
 	keys := make([]string, 4) // of more, with no answer at all, the throttle would turn some away
 	for i := range keys {
@@ -290,8 +290,8 @@
 
 // Whatever a client sends, what is kept of a command stays within its bounds, and no room is lost.
 func FuzzCommand(f *testing.F) {
-	for _, s := range []string{get("k", "i"), put("k", "i", "value"), mget("m", "c=tile-read,d=40,s=1", "a", "b", "a"), mget("m", "c=x"),
-		words("OBJ.MGET", "m"), "*70\r\n$8\r\nOBJ.MGET\r\n", "*5\r\n$8\r\nOBJ.MGET\r\n$1\r\nm\r\n$-1\r\n", words("AUTH", "a", "b"), "*-1\r\n", "PING\r\n"} {
+	for _, s := range []string{getCommand("k", "i"), setCommand("k", "i", "value"), mget("m", "c=tile-read,d=40,s=1", "a", "b", "a"), mget("m", "c=x"),
+		respCommand("OBJ.MGET", "m"), "*70\r\n$8\r\nOBJ.MGET\r\n", "*5\r\n$8\r\nOBJ.MGET\r\n$1\r\nm\r\n$-1\r\n", respCommand("AUTH", "a", "b"), "*-1\r\n", "PING\r\n"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -30,7 +30,7 @@
 			if words[1] == "a1" {
 				<-release
 			}
-			io.WriteString(conn, hit("value of "+words[1]))
+			io.WriteString(conn, hitReply("value of "+words[1]))
 		}
 	}
 	accept := func(l net.Listener) {
@@ -48,13 +48,13 @@
 	}
 	go accept(l)
 	cfg := testConfig()
-	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = patience, 1 // the read must wait, and get its connection
-	p := start(t, cfg, entry("s-1", l.Addr().String(), "large"))
+	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = testTimeout, 1 // the read must wait, and get its connection
+	p := startProxy(t, cfg, listEntry("s-1", l.Addr().String(), "large"))
 	busy, waiting := p.dial(), p.dial()
-	busy.send(get("a1", "id1"))
+	busy.send(getCommand("a1", "id1"))
 	<-asks
 	l.Close()
-	waiting.send(get("a2", "id2"))
+	waiting.send(getCommand("a2", "id2"))
 	p.eventually("a dial has failed", func() bool {
 		for _, m := range p.members {
 			return m.Backoff() > 0
@@ -76,8 +76,8 @@
 }
 
 // The member's latency is counted from when it was written to: the wait for a connection is the proxy's own.
-func TestWaitForAConnectionIsNoLatency(t *testing.T) {
-	p := start(t, testConfig())
+func TestPoolWaitIsNotMemberLatency(t *testing.T) {
+	p := startProxy(t, testConfig())
 	p.beginEvent()
 	defer p.endEvent()
 	r := &Request{done: true}
@@ -97,7 +97,7 @@
 }
 
 // Connections that break all day must not use up what further attempts are allowed.
-func TestBrokenConnectionsAreTriedAgain(t *testing.T) {
+func TestPoolBreaksDoNotExhaustRetries(t *testing.T) {
 	first := map[string]bool{}
 	ids := make(chan string, 1)
 	seen := make(chan bool)
@@ -108,7 +108,7 @@
 		}
 	}()
 	t.Cleanup(func() { close(ids) })
-	node := listen(t, func(conn net.Conn) {
+	node := serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
 			words, err := readCommand(in)
@@ -118,13 +118,13 @@
 			if ids <- words[2]; !<-seen { // every read's first attempt
 				return
 			}
-			io.WriteString(conn, hit("value of "+words[1]))
+			io.WriteString(conn, hitReply("value of "+words[1]))
 		}
 	})
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	c := p.dial()
 	for i := range 40 {
-		c.send(get("a1", fmt.Sprintf("id%d", i)))
+		c.send(getCommand("a1", fmt.Sprintf("id%d", i)))
 		if got := c.answer(); got != "value of a1" {
 			t.Fatalf("read %d was answered %q", i, got)
 		}
@@ -133,9 +133,9 @@
 
 // An origin that has dropped a kept connection resets it over the next write, which must not run twice. Its last
 // byte was never sent, so it is known not to have run, and is made again elsewhere.
-func TestResetBeforeTheLastByteProvesThatAWriteNeverRan(t *testing.T) {
+func TestPoolResetBeforeLastByteAllowsRetry(t *testing.T) {
 	whole := make(chan string, 10)
-	o := listen(t, func(conn net.Conn) {
+	o := serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for n := 0; ; n++ {
 			if n > 0 { // a kept connection ends over the first byte
@@ -150,17 +150,17 @@
 				return
 			}
 			whole <- r.Header.Get("X-Request-ID")
-			io.WriteString(conn, page("receipt"))
+			io.WriteString(conn, httpOK("receipt"))
 		}
 	})
-	p := start(t, testConfig(), entry("o-1", o, "origin"))
+	p := startProxy(t, testConfig(), listEntry("o-1", o, "origin"))
 	p.beginEvent()
 	p.upstreams.SetLastByteDelay(500 * time.Millisecond) // the reset is seen by then, however slow the machine
 	p.endEvent()
 	c := p.dial()
 	for i := range 3 {
 		id := fmt.Sprintf("id%d", i)
-		c.send(put("a1", id, "order"))
+		c.send(setCommand("a1", id, "order"))
 		if got := c.answer(); got != "receipt" {
 			t.Fatalf("order %d was answered %q", i, got)
 		}
@@ -181,10 +181,10 @@
 
 // A fetch whose connection falls silent is given up once it can be of no use, long before its client gives up: it
 // would hold a place at the origin until then.
-func TestSilentFetchIsGivenUp(t *testing.T) {
-	node := cache(t, func(asked) string { return miss })
+func TestPoolSilentFetchTimesOut(t *testing.T) {
+	node := startCache(t, func(memberCommand) string { return missReply })
 	silent := make(chan struct{}, 10)
-	o := listen(t, func(conn net.Conn) {
+	o := serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
 			r, err := http.ReadRequest(in)
@@ -195,18 +195,18 @@
 				silent <- struct{}{}
 				continue
 			}
-			io.WriteString(conn, page("value"))
+			io.WriteString(conn, httpOK("value"))
 		}
 	})
 	cfg := testConfig()
 	cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = 2*time.Second, time.Hour
 	cfg.Settings.MaxRetryAfter = time.Second
-	p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 	c := p.dial()
-	c.send(words("OBJ.GET", "51", "id1", "c=tile-read,d=3600000"))
+	c.send(respCommand("OBJ.GET", "51", "id1", "c=tile-read,d=3600000"))
 	select {
 	case <-silent:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the fetch never came")
 	}
 	got := c.answer()
@@ -218,12 +218,12 @@
 }
 
 // The Balancer is told which attempts had to wait for a handshake.
-func TestFirstOnAConnectionIsTold(t *testing.T) {
-	node := cache(t, func(a asked) string { return hit("value") })
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+func TestPoolReportsFirstOnConnection(t *testing.T) {
+	node := startCache(t, func(a memberCommand) string { return hitReply("value") })
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	c := p.dial()
 	for i, want := range []bool{true, false, false} {
-		c.send(get("a1", fmt.Sprintf("id%d", i)))
+		c.send(getCommand("a1", fmt.Sprintf("id%d", i)))
 		if got := c.answer(); got != "value" {
 			t.Fatalf("answered %q", got)
 		}
@@ -245,22 +245,22 @@
 
 // A cache that holds all the connections it will answers the first request on a new one with -BUSY, and closes it. Reads that it
 // should get go elsewhere, and only a few of them find that out: each by one attempt that never ran.
-func TestCacheThatTurnsConnectionsAway(t *testing.T) {
+func TestPoolCacheThatRefusesConnections(t *testing.T) {
 	var turned atomic.Int32
-	full := listen(t, func(conn net.Conn) {
+	full := serveConns(t, func(conn net.Conn) {
 		if _, err := readCommand(resp.NewReader(conn, 1<<10)); err == nil {
 			turned.Add(1)
 			io.WriteString(conn, "-BUSY too many connections\r\n")
 		}
 	})
-	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
-	p := start(t, testConfig(), entry("s-1", full, "large"), entry("s-2", node, "large"), entry("o-1", o, "origin"))
+	node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
+	p := startProxy(t, testConfig(), listEntry("s-1", full, "large"), listEntry("s-2", node, "large"), listEntry("o-1", o, "origin"))
 	c := p.dial()
 	const reads = 400
 	for i := range reads {
 		key := fmt.Sprintf("a%d", i)
-		c.send(get(key, "r"+key))
+		c.send(getCommand(key, "r"+key))
 		if got := c.answer(); got != "value of "+key {
 			t.Fatalf("read %d was answered %q", i, got)
 		}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -20,14 +20,14 @@
 	"linenloom/logic"
 )
 
-// patience bounds every wait of a test. It is no measure of speed: only a test that fails waits as long.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test. It is no measure of speed: only a test that fails waits as long.
+const testTimeout = 20 * time.Second
 
 // command is what a fake member was asked.
-type asked struct{ name, key, id, attrs, value string }
+type memberCommand struct{ name, key, id, attrs, value string }
 
-// listen serves connections on a loopback address until the test ends.
-func listen(t *testing.T, serve func(net.Conn)) string {
+// serveConns serves connections on a loopback address until the test ends.
+func serveConns(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,16 +49,16 @@
 	return l.Addr().String()
 }
 
-// cache is a fake cache: what answer returns goes out for each command, as it is.
-func cache(t *testing.T, answer func(asked) string) string {
-	return listen(t, func(conn net.Conn) {
+// startCache is a fake cache: what answer returns goes out for each command, as it is.
+func startCache(t *testing.T, answer func(memberCommand) string) string {
+	return serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
 			words, err := readCommand(in)
 			if err != nil {
 				return
 			}
-			a := asked{name: words[0], key: words[1], id: words[2], attrs: words[3]}
+			a := memberCommand{name: words[0], key: words[1], id: words[2], attrs: words[3]}
 			if _, err := io.WriteString(conn, answer(a)); err != nil {
 				return
 			}
@@ -85,9 +85,9 @@
 	return words, nil
 }
 
-// origin is a fake origin that answers as it is told.
-func origin(t *testing.T, answer func(r *http.Request) string) string {
-	return listen(t, func(conn net.Conn) {
+// startOrigin is a fake origin that answers as it is told.
+func startOrigin(t *testing.T, answer func(r *http.Request) string) string {
+	return serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
 			r, err := http.ReadRequest(in)
@@ -102,33 +102,33 @@
 	})
 }
 
-func hit(value string) string {
+func hitReply(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
 }
 
-const miss = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
+const missReply = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 
-func page(value string) string {
+func httpOK(value string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(value), value)
 }
 
-// registry is a fake discovery: lines given to tell go out to every watch.
-type registry struct {
-	addr    string
-	list    discovery.List
-	silent  bool // who watches from the list's revision on is told nothing at first
-	mu      sync.Mutex
-	watches []chan discovery.List
-	watched chan struct{} // a token for each watch that has begun
-	ended   chan struct{} // and for each that has ended
+// fakeDiscovery is a fake discovery: lines given to tell go out to every watch.
+type fakeDiscovery struct {
+	addr         string
+	list         discovery.List
+	quietAtStart bool // who watches from the list's revision on is told nothing at first
+	mu           sync.Mutex
+	watches      []chan discovery.List
+	watchBegan   chan struct{} // a token for each watch that has begun
+	watchEnded   chan struct{} // and for each that has ended
 }
 
-func newRegistry(t *testing.T, list discovery.List) *registry {
-	r := &registry{list: list, watched: make(chan struct{}, 100), ended: make(chan struct{}, 100)}
+func newFakeDiscovery(t *testing.T, list discovery.List) *fakeDiscovery {
+	r := &fakeDiscovery{list: list, watchBegan: make(chan struct{}, 100), watchEnded: make(chan struct{}, 100)}
 	stop := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		out := json.NewEncoder(w)
-		if !r.silent {
+		if !r.quietAtStart {
 			out.Encode(r.list)
 		}
 		w.(http.Flusher).Flush()
@@ -139,8 +139,8 @@
 		r.mu.Lock()
 		r.watches = append(r.watches, c)
 		r.mu.Unlock()
-		r.watched <- struct{}{}
-		defer func() { r.ended <- struct{}{} }()
+		r.watchBegan <- struct{}{}
+		defer func() { r.watchEnded <- struct{}{} }()
 		for {
 			select {
 			case l := <-c:
@@ -160,7 +160,7 @@
 	return r
 }
 
-func (r *registry) tell(l discovery.List) {
+func (r *fakeDiscovery) publish(l discovery.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.watches {
@@ -168,7 +168,7 @@
 	}
 }
 
-func entry(id, addr, flavor string) discovery.Member {
+func listEntry(id, addr, flavor string) discovery.Member {
 	return discovery.Member{ID: id, HostPort: addr, Locality: "kochi-dc", Flavor: flavor,
 		Phase: discovery.PhaseInService, Size: 1}
 }
@@ -196,14 +196,14 @@
 	done chan error
 }
 
-// start runs a proxy before the members, until the test ends.
-func start(t *testing.T, cfg Config, members ...discovery.Member) *testProxy {
+// startProxy runs a proxy before the members, until the test ends.
+func startProxy(t *testing.T, cfg Config, members ...discovery.Member) *testProxy {
 	t.Helper()
-	r := newRegistry(t, discovery.List{Revision: 1, Complete: true, Members: members})
-	return startAt(t, cfg, r)
+	r := newFakeDiscovery(t, discovery.List{Revision: 1, Complete: true, Members: members})
+	return startProxyAt(t, cfg, r)
 }
 
-func startAt(t *testing.T, cfg Config, r *registry) *testProxy {
+func startProxyAt(t *testing.T, cfg Config, r *fakeDiscovery) *testProxy {
 	t.Helper()
 	cfg.Discovery, cfg.InitialList = r.addr, r.list
 	inner, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -213,12 +213,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p := &testProxy{Proxy: inner, t: t, stop: stop, done: make(chan error, 1)}
 	go func() { p.done <- p.Run(ctx) }()
-	t.Cleanup(func() { p.ended() })
+	t.Cleanup(func() { p.stopAndWait() })
 	return p
 }
 
-// ended stops the proxy and waits for its end.
-func (p *testProxy) ended() {
+// stopAndWait stops the proxy and waits for its end.
+func (p *testProxy) stopAndWait() {
 	p.t.Helper()
 	p.stop()
 	select {
@@ -227,7 +227,7 @@
 			p.t.Errorf("Run: %v", err)
 		}
 		p.done <- nil
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Error("the proxy did not end")
 	}
 }
@@ -245,7 +245,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	p.t.Cleanup(func() { conn.Close() })
 	return &testClient{t: p.t, conn: conn, in: bufio.NewReader(conn)}
 }
@@ -278,7 +278,7 @@
 	return string(b[:n])
 }
 
-func words(w ...string) string {
+func respCommand(w ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(w))
 	for _, s := range w {
@@ -287,16 +287,16 @@
 	return b.String()
 }
 
-func get(key, id string) string { return words("OBJ.GET", key, id, "c=tile-read,d=8000") }
+func getCommand(key, id string) string { return respCommand("OBJ.GET", key, id, "c=tile-read,d=8000") }
 
-func put(key, id, value string) string {
-	return words("OBJ.SET", key, id, "c=pass-order,d=8000", value)
+func setCommand(key, id, value string) string {
+	return respCommand("OBJ.SET", key, id, "c=pass-order,d=8000", value)
 }
 
 // eventually waits until ok holds under the proxy's lock.
 func (p *testProxy) eventually(what string, ok func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.beginEvent()
 		is := ok()
 		p.endEvent()
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -46,7 +46,7 @@
 }
 
 func (o *till) origin() string {
-	return origin(o.t, func(r *http.Request) string {
+	return startOrigin(o.t, func(r *http.Request) string {
 		key := r.URL.Path[1:]
 		o.mu.Lock()
 		o.ran[key]++
@@ -56,7 +56,7 @@
 		if o.answer != nil {
 			return o.answer(r, n)
 		}
-		return page("receipt of " + key)
+		return httpOK("receipt of " + key)
 	})
 }
 
@@ -76,11 +76,11 @@
 		f(&cfg, &opt)
 	}
 	cfg.Record = openRecord(t, d, opt)
-	return start(t, cfg, entry("s-a", cache(t, func(asked) string { return hit("tile") }), "large"), entry("s-o", o.origin(), "origin"))
+	return startProxy(t, cfg, listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("tile") }), "large"), listEntry("s-o", o.origin(), "origin"))
 }
 
 func order(key, id, value, more string) string {
-	return words("OBJ.SET", key, id, "c=pass-order,d=4000"+more, value)
+	return respCommand("OBJ.SET", key, id, "c=pass-order,d=4000"+more, value)
 }
 
 const notProcessed = "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -102,7 +102,7 @@
 			if n <= 4 {
 				return notProcessed
 			}
-			return page("receipt of p")
+			return httpOK("receipt of p")
 		}, first: "-BUSY", repeat: "receipt of p", receiptsAreTold: true, before: 4, runs: 5},
 		"it is another order": {first: "receipt", repeat: "-ERR the idempotency key", other: "two passes", receiptsAreTold: true, before: 1, runs: 1},
 	} {
@@ -135,7 +135,7 @@
 			}
 			tell(client, "1", c.first, c.before)
 			tell(client, "2", c.repeat, c.runs)
-			p.ended()
+			p.stopAndWait()
 			next := recording(t, o, d, set)
 			tell(next.dial(), "3", c.repeat, c.runs)
 		})
@@ -169,7 +169,7 @@
 func TestTheSameOrderTwiceAtOnce(t *testing.T) {
 	o := newTill(t)
 	free := make(chan struct{})
-	o.answer = func(*http.Request, int) string { <-free; return page("receipt") }
+	o.answer = func(*http.Request, int) string { <-free; return httpOK("receipt") }
 	p := recording(t, o, crash.New())
 	a, b := p.dial(), p.dial()
 	a.send(order("p", "1", "a pass", ",k=a"))
@@ -206,7 +206,7 @@
 			client := p.dial()
 			read := func() {
 				t.Helper()
-				client.send(get("a", fmt.Sprint("r", time.Now().UnixNano())))
+				client.send(getCommand("a", fmt.Sprint("r", time.Now().UnixNano())))
 				if got := client.answer(); got != "tile" {
 					t.Errorf("a read: %q", got)
 				}
@@ -259,7 +259,7 @@
 	}
 	o.answer = func(r *http.Request, _ int) string {
 		block.Store(true)
-		return page("receipt of " + r.URL.Path[1:])
+		return httpOK("receipt of " + r.URL.Path[1:])
 	}
 	client.send(order("first", "1", "a pass", ",k=first"))
 	// The clock goes on a little for the module's choice, and far less than the order's time.
@@ -282,7 +282,7 @@
 	}
 	p.eventually("two find the line full", func() bool { return p.reasons.Total(reasons.Refused, reasons.RecordBehind) == 3 })
 	reader := p.dial()
-	reader.send(get("a", "r1"))
+	reader.send(getCommand("a", "r1"))
 	if got := reader.answer(); got != "tile" {
 		t.Errorf("a read: %q", got)
 	}
@@ -317,7 +317,7 @@
 		if r.URL.Path == "/long" {
 			<-free
 		}
-		return page("receipt of " + r.URL.Path[1:])
+		return httpOK("receipt of " + r.URL.Path[1:])
 	}
 	p := recording(t, o, d)
 	a := p.dial()
@@ -347,10 +347,10 @@
 	o, other, d := newTill(t), newTill(t), crash.New()
 	cfg := testConfig()
 	cfg.Record = openRecord(t, d, recordOptions)
-	first := entry("o-1", o.origin(), "origin")
-	r := newRegistry(t, discoveryList(1, true, first))
-	p := startAt(t, cfg, r)
-	<-r.watched
+	first := listEntry("o-1", o.origin(), "origin")
+	r := newFakeDiscovery(t, discoveryList(1, true, first))
+	p := startProxyAt(t, cfg, r)
+	<-r.watchBegan
 	syncs, stuck, reached := 0, make(chan struct{}), make(chan struct{})
 	d.Fail = func(_ int, what string) error {
 		if strings.HasPrefix(what, "sync") {
@@ -365,7 +365,7 @@
 	c.send(order("p", "1", "a pass", ",k=a"))
 	<-reached
 	first.Phase = "terminating"
-	r.tell(discoveryList(2, false, first, entry("o-2", other.origin(), "origin")))
+	r.publish(discoveryList(2, false, first, listEntry("o-2", other.origin(), "origin")))
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
 	close(stuck)
 	if got := c.answer(); got != "receipt of p" || o.runs("p") != 0 || other.runs("p") != 1 {
@@ -377,7 +377,7 @@
 func TestClientOfAnOrderLeaves(t *testing.T) {
 	o, d := newTill(t), crash.New()
 	free := make(chan struct{})
-	o.answer = func(*http.Request, int) string { <-free; return page("receipt") }
+	o.answer = func(*http.Request, int) string { <-free; return httpOK("receipt") }
 	p := recording(t, o, d)
 	c := p.dial()
 	c.send(order("p", "1", "a pass", ",k=a"))
@@ -411,6 +411,6 @@
 				t.Errorf("%s, order %s%s: %q, want %q", at, a.key, a.more, got, a.want)
 			}
 		}
-		p.ended()
+		p.stopAndWait()
 	}
 }
--- a/internal/proxy/redis_test.go
+++ b/internal/proxy/redis_test.go
@@ -12,8 +12,8 @@
 // A command that no client should send gets an error line or a close, never a value, and reaches no member.
 func TestFaultyCommandIsTurnedAway(t *testing.T) {
 	var sent atomic.Int32
-	node := cache(t, func(asked) string { sent.Add(1); return hit("value") })
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	node := startCache(t, func(memberCommand) string { sent.Add(1); return hitReply("value") })
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	for name, text := range map[string]string{
 		"noise":              "\xb8mh\xf4\x05\x89Ti\r\n\r\n",
 		"inline":             "GET key\r\n",
@@ -23,21 +23,21 @@
 		"huge count":         "*99999999999999999999\r\n",
 		"wrong length":       "*5\r\n$7\r\nOBJ.SET\r\n$1\r\na\r\n$1\r\nb\r\n$18\r\nc=pass-order,d=100\r\n$4\r\nabcdefgh\r\n",
 		"huge value":         "*5\r\n$7\r\nOBJ.SET\r\n$1\r\na\r\n$1\r\nc\r\n$18\r\nc=pass-order,d=100\r\n$60000000\r\n" + strings.Repeat("v", 1<<20),
-		"unknown command":    words("FLUSHALL"),
-		"too few words":      words("OBJ.GET", "a", "d"),
-		"unknown class":      words("OBJ.GET", "a", "e", "c=tile-reads,d=100"),
-		"no class":           words("OBJ.GET", "a", "f", "d=100"),
-		"two classes":        words("OBJ.GET", "a", "f2", "c=tile-read,c=pass-order,d=100"),
-		"deadline no number": words("OBJ.GET", "a", "g", "c=tile-read,d=soon"),
-		"deadline empty":     words("OBJ.GET", "a", "h", "c=tile-read,d="),
-		"no deadline":        words("OBJ.GET", "a", "i", "c=tile-read"),
-		"deadline negative":  words("OBJ.GET", "a", "j", "c=tile-read,d=-5"),
-		"deadline not finite": words("OBJ.GET", "a", "k", "c=tile-read,d=inf") +
-			words("OBJ.GET", "a", "l", "c=tile-read,d=nan"),
-		"deadline absurd": words("OBJ.GET", "a", "m", "c=tile-read,d=99999999999999999999999"),
-		"no id":           words("OBJ.GET", "a", "", "c=tile-read,d=100"),
-		"no key":          words("OBJ.GET", "", "n", "c=tile-read,d=100"),
-		"line end in id":  words("OBJ.GET", "a", "o\r\nX-A: b", "c=tile-read,d=100"),
+		"unknown command":    respCommand("FLUSHALL"),
+		"too few words":      respCommand("OBJ.GET", "a", "d"),
+		"unknown class":      respCommand("OBJ.GET", "a", "e", "c=tile-reads,d=100"),
+		"no class":           respCommand("OBJ.GET", "a", "f", "d=100"),
+		"two classes":        respCommand("OBJ.GET", "a", "f2", "c=tile-read,c=pass-order,d=100"),
+		"deadline no number": respCommand("OBJ.GET", "a", "g", "c=tile-read,d=soon"),
+		"deadline empty":     respCommand("OBJ.GET", "a", "h", "c=tile-read,d="),
+		"no deadline":        respCommand("OBJ.GET", "a", "i", "c=tile-read"),
+		"deadline negative":  respCommand("OBJ.GET", "a", "j", "c=tile-read,d=-5"),
+		"deadline not finite": respCommand("OBJ.GET", "a", "k", "c=tile-read,d=inf") +
+			respCommand("OBJ.GET", "a", "l", "c=tile-read,d=nan"),
+		"deadline absurd": respCommand("OBJ.GET", "a", "m", "c=tile-read,d=99999999999999999999999"),
+		"no id":           respCommand("OBJ.GET", "a", "", "c=tile-read,d=100"),
+		"no key":          respCommand("OBJ.GET", "", "n", "c=tile-read,d=100"),
+		"line end in id":  respCommand("OBJ.GET", "a", "o\r\nX-A: b", "c=tile-read,d=100"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := p.dial()
@@ -55,9 +55,9 @@
 
 // After a run of faulty commands the connection ends, however many more would come.
 func TestFaultyClientIsCutOff(t *testing.T) {
-	p := start(t, testConfig())
+	p := startProxy(t, testConfig())
 	c := p.dial()
-	c.send(strings.Repeat(words("FLUSHALL"), 10*maxFaults))
+	c.send(strings.Repeat(respCommand("FLUSHALL"), 10*maxFaults))
 	errors := 0
 	for c.answer() != "" {
 		errors++
@@ -69,13 +69,13 @@
 
 // An id belongs to the request that brought it, while that is open and for a time after.
 func TestIDInUseIsTurnedAway(t *testing.T) {
-	asks, release := make(chan asked, 10), make(chan struct{})
-	node := cache(t, func(a asked) string { asks <- a; <-release; return hit("value of " + a.key) })
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	asks, release := make(chan memberCommand, 10), make(chan struct{})
+	node := startCache(t, func(a memberCommand) string { asks <- a; <-release; return hitReply("value of " + a.key) })
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	good, bad := p.dial(), p.dial()
-	good.send(get("a1", "id1"))
+	good.send(getCommand("a1", "id1"))
 	<-asks
-	bad.send(get("a2", "id1"))
+	bad.send(getCommand("a2", "id1"))
 	if got := bad.answer(); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("an id in use was answered %q", got)
 	}
@@ -83,7 +83,7 @@
 	if got := good.answer(); got != "value of a1" {
 		t.Errorf("the id's owner was answered %q", got)
 	}
-	bad.send(get("a1", "id1"))
+	bad.send(getCommand("a1", "id1"))
 	if got := bad.answer(); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("an id used before was answered %q", got)
 	}
@@ -94,13 +94,13 @@
 func TestSilentCrowdLeavesRoom(t *testing.T) {
 	cfg := testConfig()
 	cfg.Descriptors = 64
-	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
-	p := start(t, cfg, entry("s-1", node, "large"))
+	node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 	good := p.dial()
 	ask := func(i int) {
 		t.Helper()
 		key := fmt.Sprintf("a%d", i)
-		good.send(get(key, "id"+key))
+		good.send(getCommand(key, "id"+key))
 		if got := good.answer(); got != "value of "+key {
 			t.Fatalf("answered %q among a silent crowd", got)
 		}
@@ -122,7 +122,7 @@
 }
 
 func TestHalfACommandEnds(t *testing.T) {
-	p := start(t, testConfig())
+	p := startProxy(t, testConfig())
 	c := p.dial()
 	c.send("*4\r\n$7\r\nOBJ.GET\r\n$16\r\n26ba")
 	if got := c.answer(); !strings.HasPrefix(got, "-ERR") {
@@ -135,22 +135,22 @@
 
 // What was taken before the stop is answered; afterwards nothing is taken and Run ends.
 func TestDrainAnswersWhatWasTaken(t *testing.T) {
-	asks, release := make(chan asked, 10), make(chan struct{})
-	node := cache(t, func(a asked) string { asks <- a; <-release; return hit("value of " + a.key) })
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	asks, release := make(chan memberCommand, 10), make(chan struct{})
+	node := startCache(t, func(a memberCommand) string { asks <- a; <-release; return hitReply("value of " + a.key) })
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	busy, idle := p.dial(), p.dial()
-	idle.send(words("PING"))
+	idle.send(respCommand("PING"))
 	if got := idle.answer(); got != "+PONG" {
 		t.Fatalf("PING was answered %q", got)
 	}
-	busy.send(get("a1", "id1"))
+	busy.send(getCommand("a1", "id1"))
 	<-asks
 	p.stop()
 	if got := idle.answer(); got != "" {
 		t.Errorf("an idle client was told %q, want the end", got)
 	}
 	p.eventually("no request is taken any more", func() bool { return p.stopping })
-	busy.send(get("a2", "id2"))
+	busy.send(getCommand("a2", "id2"))
 	p.eventually("the second request is read", func() bool { // its answer waits for its turn
 		for c := range p.redis.clients {
 			if len(c.pending) == 2 {
@@ -166,14 +166,14 @@
 	if got := busy.answer(); got != "-BUSY" {
 		t.Errorf("what came after it was answered %q, want a refusal", got)
 	}
-	p.ended()
+	p.stopAndWait()
 }
 
 // A connection that stands idle for long is given up.
 func TestIdleClientIsClosed(t *testing.T) {
-	p := start(t, testConfig())
+	p := startProxy(t, testConfig())
 	c := p.dial()
-	c.send(words("PING"))
+	c.send(respCommand("PING"))
 	c.answer()
 	p.eventually("the client is known as idle", func() bool {
 		for c := range p.redis.clients {
@@ -194,9 +194,9 @@
 func TestOnceIsNotSentTwice(t *testing.T) {
 	var sent atomic.Int32
 	o := listenOnceThenClose(t, &sent)
-	p := start(t, testConfig(), entry("o-1", o, "origin"))
+	p := startProxy(t, testConfig(), listEntry("o-1", o, "origin"))
 	c := p.dial()
-	c.send(put("a1", "id1", "order"))
+	c.send(setCommand("a1", "id1", "order"))
 	if got := c.answer(); got != "-ERR failed" {
 		t.Errorf("answered %q, want a failure", got)
 	}
@@ -206,7 +206,7 @@
 }
 
 func listenOnceThenClose(t *testing.T, sent *atomic.Int32) string {
-	return origin(t, func(*http.Request) string { sent.Add(1); return "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nshort" })
+	return startOrigin(t, func(*http.Request) string { sent.Add(1); return "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nshort" })
 }
 
 func TestIDsAreBounded(t *testing.T) {
@@ -233,12 +233,12 @@
 func TestCrowdThatStaysIsClosedSooner(t *testing.T) {
 	cfg := testConfig()
 	cfg.Descriptors = 64
-	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
-	p := start(t, cfg, entry("s-1", node, "large"))
+	node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 	crowd := make([]*testClient, cfg.Descriptors*askedShare/100)
 	for i := range crowd {
 		crowd[i] = p.dial()
-		crowd[i].send(get("a1", fmt.Sprintf("id%d", i)))
+		crowd[i].send(getCommand("a1", fmt.Sprintf("id%d", i)))
 		if got := crowd[i].answer(); got != "value of a1" {
 			t.Fatalf("client %d was answered %q", i, got)
 		}
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -14,34 +14,34 @@
 func TestRetune(t *testing.T) {
 	release := make(chan struct{})
 	asked := make(chan string, 10)
-	o := origin(t, func(r *http.Request) string {
+	o := startOrigin(t, func(r *http.Request) string {
 		asked <- r.URL.Path
 		if r.URL.Path == "/b1" {
 			<-release
 			return "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n" // it may have run
 		}
-		return page("done")
+		return httpOK("done")
 	})
-	p := start(t, testConfig(), entry("o", o, "origin"))
+	p := startProxy(t, testConfig(), listEntry("o", o, "origin"))
 	c, d := p.dial(), p.dial()
-	c.send(put("b1", "r1", "x")) // in hand: an order, never to run twice
+	c.send(setCommand("b1", "r1", "x")) // in hand: an order, never to run twice
 	<-asked
 
 	classes := slices.Clone(p.Classes())
 	classes[1].Effect = logic.Repeatable
 	classes = append([]logic.Class{{Name: "overlay", SoftDeadline: time.Second, Deadline: 3 * time.Second, Value: 1}}, classes[1])
-	d.send(words("OBJ.SET", "b2", "r2", "c=overlay,d=8000", "x"))
+	d.send(respCommand("OBJ.SET", "b2", "r2", "c=overlay,d=8000", "x"))
 	if got := d.answer(); got != "-ERR unknown class" {
 		t.Errorf("before: %q", got)
 	}
 	if err := p.Retune(classes, 2); err != nil {
 		t.Fatal(err)
 	}
-	d.send(words("OBJ.SET", "b3", "r3", "c=overlay,d=8000", "x"))
+	d.send(respCommand("OBJ.SET", "b3", "r3", "c=overlay,d=8000", "x"))
 	if got := d.answer(); got != "done" {
 		t.Errorf("the class that is added: %q", got)
 	}
-	d.send(get("b4", "r4"))
+	d.send(getCommand("b4", "r4"))
 	if got := d.answer(); got != "-ERR unknown class" {
 		t.Errorf("the class that is dropped: %q", got)
 	}
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -28,7 +28,7 @@
 		g.Go(func() {
 			for i := range each {
 				key := fmt.Sprintf("a%d", (c*7+i)%500)
-				tc.send(get(key, fmt.Sprintf("id%d-%d-%d", clients, c, i)))
+				tc.send(getCommand(key, fmt.Sprintf("id%d-%d-%d", clients, c, i)))
 				switch got := tc.answer(); {
 				case got == "value of "+key:
 					s.Add(1)
@@ -50,21 +50,21 @@
 // them may be silent, drop connections, or take few of them.
 func TestCrowdIsServedByAHealthyFleet(t *testing.T) {
 	const caches = 8
-	healthy := func(a asked) string { return hit("value of " + a.key) }
+	healthy := func(a memberCommand) string { return hitReply("value of " + a.key) }
 	for name, odd := range map[string]func(t *testing.T) string{
-		"all are well": func(t *testing.T) string { return cache(t, healthy) },
+		"all are well": func(t *testing.T) string { return startCache(t, healthy) },
 		"one is silent": func(t *testing.T) string {
-			return listen(t, func(conn net.Conn) { readAll(conn) })
+			return serveConns(t, func(conn net.Conn) { readAll(conn) })
 		},
 		"one resets every third connection": func(t *testing.T) string {
 			var n atomic.Int32
-			return listen(t, func(conn net.Conn) {
+			return serveConns(t, func(conn net.Conn) {
 				serveCache(conn, healthy, n.Add(1)%3 == 0)
 			})
 		},
 		"one takes four connections": func(t *testing.T) string {
 			var open atomic.Int32
-			return listen(t, func(conn net.Conn) {
+			return serveConns(t, func(conn net.Conn) {
 				defer open.Add(-1)
 				if open.Add(1) <= 4 {
 					serveCache(conn, healthy, false)
@@ -77,12 +77,12 @@
 			cfg.Descriptors = 1024
 			cfg.Multiplex = 32
 			cfg.Settings.Classes[0].SoftDeadline = 2 * time.Second
-			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
-			members := []discovery.Member{entry("s-odd", odd(t), "large"), entry("o-1", o, "origin")}
+			o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
+			members := []discovery.Member{listEntry("s-odd", odd(t), "large"), listEntry("o-1", o, "origin")}
 			for i := range caches - 1 {
-				members = append(members, entry(fmt.Sprint("s-", i), cache(t, healthy), "large"))
+				members = append(members, listEntry(fmt.Sprint("s-", i), startCache(t, healthy), "large"))
 			}
-			p := start(t, cfg, members...)
+			p := startProxy(t, cfg, members...)
 			if !fresh {
 				crowd(t, p, 32, 6) // the module learns what the caches take
 			}
@@ -114,17 +114,17 @@
 	cfg := testConfig()
 	cfg.Descriptors = 1024
 	cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = time.Hour, time.Hour
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
-	members := []discovery.Member{entry("o-1", o, "origin")}
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
+	members := []discovery.Member{listEntry("o-1", o, "origin")}
 	for i := range 3 {
-		members = append(members, entry(fmt.Sprint("s-", i), cache(t, func(asked) string { <-release; return miss }), "large"))
+		members = append(members, listEntry(fmt.Sprint("s-", i), startCache(t, func(memberCommand) string { <-release; return missReply }), "large"))
 	}
-	p := start(t, cfg, members...)
+	p := startProxy(t, cfg, members...)
 	var served, turned atomic.Int64
 	var g sync.WaitGroup
 	for i := range clients {
 		c := p.dial()
-		c.send(words("OBJ.GET", fmt.Sprintf("a%d", i), fmt.Sprintf("id%d", i), "c=tile-read,d=3600000"))
+		c.send(respCommand("OBJ.GET", fmt.Sprintf("a%d", i), fmt.Sprintf("id%d", i), "c=tile-read,d=3600000"))
 		g.Go(func() {
 			if c.answer() == fmt.Sprintf("value of a%d", i) {
 				served.Add(1)
@@ -154,7 +154,7 @@
 }
 
 // serveCache answers commands; one that breaks does so at its first.
-func serveCache(conn net.Conn, answer func(asked) string, breaks bool) {
+func serveCache(conn net.Conn, answer func(memberCommand) string, breaks bool) {
 	in := resp.NewReader(conn, 4096)
 	for {
 		w, err := readCommand(in)
@@ -165,7 +165,7 @@
 			fmt.Fprint(conn, "+PONG\r\n")
 			continue
 		}
-		fmt.Fprint(conn, answer(asked{name: w[0], key: w[1], id: w[2], attrs: w[3]}))
+		fmt.Fprint(conn, answer(memberCommand{name: w[0], key: w[1], id: w[2], attrs: w[3]}))
 	}
 }
 
@@ -257,15 +257,15 @@
 func lined(t *testing.T, serve func(conn net.Conn, in *resp.Reader, nth int32)) *testProxy {
 	t.Helper()
 	var conns atomic.Int32
-	node := listen(t, func(conn net.Conn) { serve(conn, resp.NewReader(conn, 4096), conns.Add(1)) })
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
+	node := serveConns(t, func(conn net.Conn) { serve(conn, resp.NewReader(conn, 4096), conns.Add(1)) })
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
 	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that each proxy has one connection to a cache
-	p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
-	p.eventually("it is set up", func() bool { p.upstreams.SetMaxPipelineAge(patience); return len(p.members) == 2 })
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
+	p.eventually("it is set up", func() bool { p.upstreams.SetMaxPipelineAge(testTimeout); return len(p.members) == 2 })
 	c := p.dial()
 	for i := range pool.MinCleanAnswers + 4 {
-		c.send(get(fmt.Sprint("w", i), fmt.Sprint("w", i)))
+		c.send(getCommand(fmt.Sprint("w", i), fmt.Sprint("w", i)))
 		if got := c.answer(); got != fmt.Sprint("value of w", i) {
 			t.Fatalf("warming up: answered %q", got)
 		}
@@ -288,7 +288,7 @@
 	c := p.dial()
 	var all strings.Builder
 	for i := range n {
-		all.WriteString(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
+		all.WriteString(getCommand(fmt.Sprint("a", i), fmt.Sprint("id", i)))
 	}
 	c.send(all.String())
 	for i := range n {
@@ -301,10 +301,10 @@
 // With requests outstanding on a connection, an answer that is spoilt, or comes twice, never serves anybody a wrong
 // value, and those behind it get theirs elsewhere.
 func TestSpoiltAnswersWithOthersBehind(t *testing.T) {
-	twice := func(first string) string { return hit("value of "+first) + hit("value of "+first) }
+	twice := func(first string) string { return hitReply("value of "+first) + hitReply("value of "+first) }
 	for name, spoil := range map[string]func(first string) string{
 		"a second copy":    twice,
-		"noise behind":     func(first string) string { return hit("value of "+first) + "\x8fb2\xf4\r\n" },
+		"noise behind":     func(first string) string { return hitReply("value of "+first) + "\x8fb2\xf4\r\n" },
 		"noise":            func(string) string { return "\x8fb2\xf4\r\n" },
 		"an endless value": func(string) string { return "*3\r\n$3000000000\r\n" + strings.Repeat("x", 64<<10) },
 		"a short length":   func(first string) string { return "*3\r\n$3\r\nvalue of " + first + "\r\n$3\r\nhit\r\n$-1\r\n" },
@@ -322,7 +322,7 @@
 							return
 						}
 						if nth > 1 || key[0] == 'w' {
-							fmt.Fprint(conn, hit("value of "+key))
+							fmt.Fprint(conn, hitReply("value of "+key))
 							continue
 						}
 						keys := []string{key}
@@ -338,7 +338,7 @@
 						}
 						out := spoil(keys[0])
 						for _, k := range keys[1:] {
-							out += hit("value of " + k)
+							out += hitReply("value of " + k)
 						}
 						fmt.Fprint(conn, out)
 						readAll(conn)
@@ -376,7 +376,7 @@
 					keys = append(keys, key)
 				}
 				for _, key := range keys {
-					for _, b := range []byte(hit("value of " + key)) {
+					for _, b := range []byte(hitReply("value of " + key)) {
 						if _, err := conn.Write([]byte{b}); err != nil {
 							return
 						}
@@ -405,12 +405,12 @@
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.Descriptors, cfg.Multiplex = 1024, 32
-			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
-			members := []discovery.Member{entry("o-1", o, "origin")}
+			o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
+			members := []discovery.Member{listEntry("o-1", o, "origin")}
 			var conns atomic.Int32
 			var asked [caches]atomic.Int32
 			for i := range caches {
-				node := listen(t, func(conn net.Conn) {
+				node := serveConns(t, func(conn net.Conn) {
 					in := resp.NewReader(conn, 4096)
 					for left := answers(conns.Add(1)); left > 0; left-- {
 						key, err := nextKey(in)
@@ -418,12 +418,12 @@
 							return
 						}
 						asked[i].Add(1)
-						fmt.Fprint(conn, hit("value of "+key))
+						fmt.Fprint(conn, hitReply("value of "+key))
 					}
 				})
-				members = append(members, entry(fmt.Sprint("s-", i), node, "large"))
+				members = append(members, listEntry(fmt.Sprint("s-", i), node, "large"))
 			}
-			p := start(t, cfg, members...)
+			p := startProxy(t, cfg, members...)
 			served, refused, failed := crowd(t, p, clients, each)
 			if failed > 0 || refused > clients*each/50 {
 				t.Errorf("%d served, %d refused, %d failed: %v", served, refused, failed, p.Reasons().Attrs())
@@ -450,13 +450,13 @@
 			if key == "a0" && nth == 1 {
 				<-release
 			}
-			fmt.Fprint(conn, hit("value of "+key))
+			fmt.Fprint(conn, hitReply("value of "+key))
 		}
 	})
 	var g sync.WaitGroup
 	ask := func(i int) {
 		c := p.dial()
-		c.send(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
+		c.send(getCommand(fmt.Sprint("a", i), fmt.Sprint("id", i)))
 		g.Go(func() {
 			if got := c.answer(); got != fmt.Sprint("value of a", i) {
 				t.Errorf("read %d was answered %q", i, got)
@@ -502,7 +502,7 @@
 func gated(t *testing.T, clients int) (p *testProxy, crowd []*testClient, asked *atomic.Int32, release chan struct{}) {
 	t.Helper()
 	asked, release = &atomic.Int32{}, make(chan struct{})
-	node := listen(t, func(conn net.Conn) {
+	node := serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
 			key, err := nextKey(in)
@@ -514,15 +514,15 @@
 			} else {
 				asked.Add(1)
 			}
-			fmt.Fprint(conn, hit("value of "+key))
+			fmt.Fprint(conn, hitReply("value of "+key))
 		}
 	})
 	cfg := testConfig()
 	cfg.Settings.Instances = pool.CacheConnCapacity // one connection to the cache, and one request at a time on it
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
-	p = start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
+	p = startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 	first := p.dial()
-	first.send(get("gate", "gate"))
+	first.send(getCommand("gate", "gate"))
 	p.eventually("the cache is held", func() bool {
 		for _, m := range p.members {
 			if !m.Origin && len(m.Conns) == 1 && m.Conns[0].Current != nil {
@@ -533,7 +533,7 @@
 	})
 	for i := range clients {
 		c := p.dial()
-		c.send(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
+		c.send(getCommand(fmt.Sprint("a", i), fmt.Sprint("id", i)))
 		crowd = append(crowd, c)
 	}
 	p.eventually("there is a line", func() bool { return p.inLine() >= pool.MaxWaiting })
@@ -559,7 +559,7 @@
 			t.Errorf("client %d was answered %q", i, got)
 		}
 	}
-	p.ended()
+	p.stopAndWait()
 }
 
 // Clients that leave the line take their requests with them: the cache is never asked for them.
@@ -584,7 +584,7 @@
 	const together = 5
 	var asked atomic.Int32
 	release := make(chan struct{})
-	node := listen(t, func(conn net.Conn) {
+	node := serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
 			key, err := nextKey(in)
@@ -594,26 +594,26 @@
 			if key[0] == 'a' && asked.Add(1) == 1 {
 				<-release
 			}
-			fmt.Fprint(conn, hit("value of "+key))
+			fmt.Fprint(conn, hitReply("value of "+key))
 		}
 	})
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
 	cfg.Multiplex, cfg.Settings.Instances = together, pool.CacheConnCapacity
-	members := []discovery.Member{entry("s-1", node, "large"), entry("o-1", o, "origin")}
-	r := newRegistry(t, discovery.List{Revision: 1, Complete: true, Members: members})
-	p := startAt(t, cfg, r)
-	<-r.watched
+	members := []discovery.Member{listEntry("s-1", node, "large"), listEntry("o-1", o, "origin")}
+	r := newFakeDiscovery(t, discovery.List{Revision: 1, Complete: true, Members: members})
+	p := startProxyAt(t, cfg, r)
+	<-r.watchBegan
 	c := p.dial()
 	for i := range pool.MinCleanAnswers + 4 {
-		c.send(get(fmt.Sprint("w", i), fmt.Sprint("w", i)))
+		c.send(getCommand(fmt.Sprint("w", i), fmt.Sprint("w", i)))
 		c.answer()
 	}
-	p.eventually("the window for more is long", func() bool { p.upstreams.SetMaxPipelineAge(patience); return true })
+	p.eventually("the window for more is long", func() bool { p.upstreams.SetMaxPipelineAge(testTimeout); return true })
 	var crowd []*testClient
 	for i := range together + pool.MaxWaiting {
 		c := p.dial()
-		c.send(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
+		c.send(getCommand(fmt.Sprint("a", i), fmt.Sprint("id", i)))
 		crowd = append(crowd, c)
 	}
 	var u *pool.Conn[*upstream.Exchange]
@@ -627,7 +627,7 @@
 	})
 	gone := members[0]
 	gone.Phase = discovery.PhaseTerminating
-	r.tell(discovery.List{Revision: 2, Members: []discovery.Member{gone}})
+	r.publish(discovery.List{Revision: 2, Members: []discovery.Member{gone}})
 	p.eventually("the drain is known", func() bool { return u.Retired && p.inLine() == 0 })
 	close(release)
 	served := 0
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -27,7 +27,7 @@
 	seen chan string // lists that members were sent
 }
 
-func newDoor(t *testing.T, client string, answer func(a asked) string) *door {
+func newDoor(t *testing.T, client string, answer func(a memberCommand) string) *door {
 	t.Helper()
 	a, err := standin.NewAuthority(t.TempDir(), 2)
 	if err != nil {
@@ -44,8 +44,8 @@
 	cfg := testConfig()
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "kiosk", Share: 0.5}, {Name: "shop", Share: 0.5}}
 	cfg.Callers = d.gate
-	d.testProxy = start(t, cfg, entry("s-a", cache(t, func(a asked) string { d.seen <- a.attrs; return answer(a) }), "large"),
-		entry("s-o", origin(t, func(r *http.Request) string { return page("receipt of " + r.URL.Path[1:]) }), "origin"))
+	d.testProxy = startProxy(t, cfg, listEntry("s-a", startCache(t, func(a memberCommand) string { d.seen <- a.attrs; return answer(a) }), "large"),
+		listEntry("s-o", startOrigin(t, func(r *http.Request) string { return httpOK("receipt of " + r.URL.Path[1:]) }), "origin"))
 	return d
 }
 
@@ -60,33 +60,33 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	d.t.Cleanup(func() { conn.Close() })
 	return &testClient{t: d.t, conn: conn, in: bufio.NewReader(conn)}
 }
 
 // The certificate names the tenant, and its rights hold; long values and long pipelines pass.
 func TestCertificatesOnTheFront(t *testing.T) {
-	d := newDoor(t, "asked", func(a asked) string {
+	d := newDoor(t, "asked", func(a memberCommand) string {
 		size := 5_000
 		if a.key == "map/1" {
 			size = 100_000
 		}
-		return hit(strings.Repeat(a.key[:1], size))
+		return hitReply(strings.Repeat(a.key[:1], size))
 	})
 	kiosk, shop := d.enter(0, "kiosk.example"), d.enter(0, "shop.example")
-	kiosk.send(words("OBJ.GET", "map/1", "r1", "c=tile-read,t=shop,d=4000"))
+	kiosk.send(respCommand("OBJ.GET", "map/1", "r1", "c=tile-read,t=shop,d=4000"))
 	if got := kiosk.answer(); got != strings.Repeat("m", 100_000) {
 		t.Errorf("%d bytes: %.20q", len(got), got)
 	}
 	if attrs := <-d.seen; !strings.Contains(attrs, "t=kiosk") || strings.Contains(attrs, "shop") {
 		t.Errorf("the member was told %q", attrs)
 	}
-	kiosk.send(put("orders/1", "w1", "x"))
+	kiosk.send(setCommand("orders/1", "w1", "x"))
 	if got := kiosk.answer(); !strings.HasPrefix(got, "-NOPERM") {
 		t.Errorf("a kiosk's order: %q", got)
 	}
-	shop.send(put("orders/2", "w2", strings.Repeat("x", 400_000)))
+	shop.send(setCommand("orders/2", "w2", strings.Repeat("x", 400_000)))
 	if got := shop.answer(); got != "receipt of orders/2" {
 		t.Errorf("a shop's order: %q", got)
 	}
@@ -103,7 +103,7 @@
 		wg.Go(func() {
 			var b strings.Builder
 			for i := range 40 {
-				b.WriteString(get(fmt.Sprintf("%c%d", 'a'+i%26, i), fmt.Sprintf("p%d-%d", n, i)))
+				b.WriteString(getCommand(fmt.Sprintf("%c%d", 'a'+i%26, i), fmt.Sprintf("p%d-%d", n, i)))
 			}
 			go c.send(b.String())
 			for i := range 40 {
@@ -119,19 +119,19 @@
 
 // Who speaks plainly, or has no certificate where one is required, gets no answer.
 func TestTheDoorIsShut(t *testing.T) {
-	d := newDoor(t, "required", func(asked) string { return hit("v") })
+	d := newDoor(t, "required", func(memberCommand) string { return hitReply("v") })
 	plain := d.dial()
-	plain.send(get("map/1", "r1"))
+	plain.send(getCommand("map/1", "r1"))
 	if got := plain.answer(); strings.HasPrefix(got, "v") || strings.HasPrefix(got, "-NO") {
 		t.Errorf("in plain text: %q", got)
 	}
 	bare := d.enter(0, "")
-	bare.send(get("map/1", "r2"))
+	bare.send(getCommand("map/1", "r2"))
 	if got := bare.answer(); got != "" {
 		t.Errorf("without a certificate: %q", got)
 	}
 	c := d.enter(0, "kiosk.example")
-	c.send(get("map/1", "r3"))
+	c.send(getCommand("map/1", "r3"))
 	if got := c.answer(); got != "v" {
 		t.Errorf("with one: %q", got)
 	}
@@ -141,11 +141,11 @@
 // the others go on.
 func TestConnectionEndsWithItsRoot(t *testing.T) {
 	release := make(chan struct{})
-	d := newDoor(t, "asked", func(a asked) string {
+	d := newDoor(t, "asked", func(a memberCommand) string {
 		if a.key == "slow" {
 			<-release
 		}
-		return hit("value of " + a.key)
+		return hitReply("value of " + a.key)
 	})
 	idle, inHand := d.enter(0, "shop.example"), d.enter(0, "kiosk.example")
 	if err := d.Publish(d.Roots...); err != nil {
@@ -154,13 +154,13 @@
 	d.gate.Look()
 	stays := d.enter(1, "kiosk.example")
 	for i, c := range []*testClient{idle, inHand, stays} {
-		c.send(get("a", fmt.Sprint("r", i)))
+		c.send(getCommand("a", fmt.Sprint("r", i)))
 		if got := c.answer(); got != "value of a" {
 			t.Fatal(got)
 		}
 		<-d.seen
 	}
-	inHand.send(get("slow", "r-slow"))
+	inHand.send(getCommand("slow", "r-slow"))
 	<-d.seen
 	if err := d.Publish(d.Roots[1]); err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 	if got := inHand.answer(); got != "" {
 		t.Errorf("after it: %q", got)
 	}
-	stays.send(get("b", "r-b"))
+	stays.send(getCommand("b", "r-b"))
 	if got := stays.answer(); got != "value of b" {
 		t.Errorf("the other: %q", got)
 	}
--- a/internal/proxy/shed_test.go
+++ b/internal/proxy/shed_test.go
@@ -20,23 +20,23 @@
 			var ahead atomic.Int64 // of the system's clock
 			begun := time.Now()
 			release := make(chan struct{})
-			node := cache(t, func(a asked) string { <-release; return hit("value of " + a.key) })
-			o := origin(t, func(r *http.Request) string { return page("receipt") })
+			node := startCache(t, func(a memberCommand) string { <-release; return hitReply("value of " + a.key) })
+			o := startOrigin(t, func(r *http.Request) string { return httpOK("receipt") })
 			cfg := testConfig()
 			cfg.Clock = func() time.Duration { return time.Since(begun) + time.Duration(ahead.Load()) }
 			cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = time.Hour, time.Hour
 			cfg.Settings.CanRetryAfter, cfg.Settings.MaxRetryAfter = true, 2*time.Second
 			cfg.Settings.Instances = 28
-			p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
+			p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 			short := cfg.Settings.Classes[1].SoftDeadline / 4
 			p.Do(func() { p.redis.used = func(time.Duration) float64 { return used } })
 			p.eventually("the core is looked at", func() bool { return p.redis.gate.Busy() == (used == 1) })
 			c := p.dial()
 			var all strings.Builder
 			for i := range reads {
-				all.WriteString(words("OBJ.GET", fmt.Sprintf("a%d", i), fmt.Sprintf("id%d", i), "c=tile-read,d=3600000"))
+				all.WriteString(respCommand("OBJ.GET", fmt.Sprintf("a%d", i), fmt.Sprintf("id%d", i), "c=tile-read,d=3600000"))
 			}
-			all.WriteString(put("b1", "order", "one pass"))
+			all.WriteString(setCommand("b1", "order", "one pass"))
 			go c.send(all.String())
 			p.eventually("as many are in hand as may be", func() bool { return len(p.requests) == maxPipeline })
 			ahead.Add(int64(3 * short))
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { door.Close() })
-	o := listen(t, func(conn net.Conn) {
+	o := serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -42,7 +42,7 @@
 		logic.Class{Name: "keyed-all", SoftDeadline: time.Hour, Deadline: time.Hour, Value: 1, Effect: logic.DeduplicatedByKey, DedupWindow: time.Hour},
 		logic.Class{Name: "keyed-zone", SoftDeadline: time.Hour, Deadline: time.Hour, Value: 1, Effect: logic.DeduplicatedByKey, Scope: logic.ScopeZone, DedupWindow: time.Hour})
 	ask := func(class, id string) string {
-		return words("OBJ.SET", "a-"+id, id, "c="+class+",d=3600000,k=1", "order")
+		return respCommand("OBJ.SET", "a-"+id, id, "c="+class+",d=3600000,k=1", "order")
 	}
 	for name, c := range map[string]struct{ member, ask, want string }{
 		"an order that hangs":               {o, putLong("a1", "id", "order"), "-ERR"},
@@ -57,7 +57,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := start(t, cfg, entry("o-1", c.member, "origin"), entry("s-1", cache(t, func(asked) string { return miss }), "large"))
+			p := startProxy(t, cfg, listEntry("o-1", c.member, "origin"), listEntry("s-1", startCache(t, func(memberCommand) string { return missReply }), "large"))
 			p.Do(func() { p.maxStopDeadline = 0 })
 			client := p.dial()
 			client.send(c.ask)
@@ -117,10 +117,10 @@
 // five more of its batch.
 func TestCommandsReadTogetherAreAllAnsweredAtTheEnd(t *testing.T) {
 	const commands = 7
-	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	client := p.dial()
-	client.send(get("a1", "first"))
+	client.send(getCommand("a1", "first"))
 	client.answer()
 	p.Do(func() { p.redis.ending, p.stopping = p.now, true })
 	client.send(pipelined(commands))
@@ -132,18 +132,18 @@
 // A client that goes on sending on its connection, with one command always unread, is told of the end before the process may be killed,
 // and by an end that is no reset.
 func TestClientThatSendsUpToTheEnd(t *testing.T) {
-	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
+	node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
 	cfg := testConfig()
-	p := start(t, cfg, entry("s-1", node, "large"))
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 	p.Do(func() { p.maxStopDeadline = 0 })
 	client := p.dial()
-	client.send(get("a1", "first"))
+	client.send(getCommand("a1", "first"))
 	client.answer()
 	stopped := make(chan struct{})
 	go func() { // writes on and on, ahead of the answers, until the connection takes nothing
 		defer close(stopped)
 		for i := 0; ; i++ {
-			if _, err := io.WriteString(client.conn, get("a1", fmt.Sprintf("id%d", i))); err != nil {
+			if _, err := io.WriteString(client.conn, getCommand("a1", fmt.Sprintf("id%d", i))); err != nil {
 				return
 			}
 		}
@@ -165,17 +165,17 @@
 // A client whose certificate, or whatever else, ends its connection still gets the answers to what it asked before.
 func TestEndBehindAnswersThatAreOut(t *testing.T) {
 	release := make(chan struct{})
-	node := cache(t, func(a asked) string { <-release; return hit("value of " + a.key) })
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	node := startCache(t, func(a memberCommand) string { <-release; return hitReply("value of " + a.key) })
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	client := p.dial()
-	client.send(get("a1", "first"))
+	client.send(getCommand("a1", "first"))
 	p.eventually("it is out", func() bool { return len(p.requests) == 1 && p.requests[1].out == 1 })
 	p.Do(func() {
 		for c := range p.redis.clients {
 			c.hangUp(true)
 		}
 	})
-	client.send(get("a2", "crosses") + strings.Repeat("x", 256<<10)) // far more than is read at once: the command has been looked at by then
+	client.send(getCommand("a2", "crosses") + strings.Repeat("x", 256<<10)) // far more than is read at once: the command has been looked at by then
 	p.eventually("what crosses the end has been read", func() bool {
 		for c := range p.redis.clients {
 			return c.quiet()
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -19,7 +19,7 @@
 func TestClientLeavesBehindUnreadCommands(t *testing.T) {
 	l := newRoll()
 	door, open := shut(t, l, "large")
-	p := start(t, leaving(false), entry("s-1", door, "large"))
+	p := startProxy(t, leaving(false), listEntry("s-1", door, "large"))
 	client := p.dial()
 	var all strings.Builder
 	for i := range 4 * maxPipeline {
@@ -47,7 +47,7 @@
 		t.Run(name, func(t *testing.T) {
 			l := newRoll()
 			door, open := shut(t, l, "large")
-			p := start(t, leaving(false), entry("s-1", door, "large"))
+			p := startProxy(t, leaving(false), listEntry("s-1", door, "large"))
 			client := p.dial()
 			client.send(getLong("a1", "left"))
 			p.eventually("it waits for a connection", func() bool { return p.inLine() == 1 })
@@ -65,12 +65,12 @@
 	cfg := leaving(false)
 	cfg.MemoryMB = 32 // room for two
 	came, release := make(chan struct{}, 10), make(chan struct{})
-	o := origin(t, func(*http.Request) string {
+	o := startOrigin(t, func(*http.Request) string {
 		came <- struct{}{}
 		<-release
-		return page("receipt")
+		return httpOK("receipt")
 	})
-	p := start(t, cfg, entry("o", o, "origin"))
+	p := startProxy(t, cfg, listEntry("o", o, "origin"))
 	p.Do(func() { p.longValues.longest = time.Hour })
 	value := long(resp.MaxLongValue)
 	for i := range 2 { // both have the room, until the origin answers
@@ -96,10 +96,10 @@
 // A client that is gone before its connection is accepted has asked for nothing, though a connection to a member is free.
 func TestClientLeavesBeforeItIsAccepted(t *testing.T) {
 	l := newRoll()
-	node := listen(t, func(conn net.Conn) { noteCache(conn, l, nil) })
-	p := start(t, leaving(false), entry("s-1", node, "large"))
+	node := serveConns(t, func(conn net.Conn) { noteCache(conn, l, nil) })
+	p := startProxy(t, leaving(false), listEntry("s-1", node, "large"))
 	first := p.dial()
-	first.send(get("a0", "first"))
+	first.send(getCommand("a0", "first"))
 	first.answer()
 	p.eventually("a connection is free", func() bool { return len(p.at(node).Conns) == 1 && p.at(node).Conns[0].Reusable(p.now) })
 	p.beginEvent() // so that nobody is taken in
@@ -111,7 +111,7 @@
 	conn.Close()
 	p.endEvent()
 	p.eventually("it has come and gone", func() bool { return p.redis.count == 2 && len(p.redis.clients) == 1 })
-	first.send(get("a9", "next"))
+	first.send(getCommand("a9", "next"))
 	first.answer()
 	if got := fmt.Sprint(l.all()); got != "[first next]" {
 		t.Errorf("the member was asked under %v", got)
@@ -125,7 +125,7 @@
 	door, open := shut(t, l, "large")
 	cfg := leaving(false)
 	cfg.Descriptors = 4096
-	p := start(t, cfg, entry("s-1", door, "large"), entry("o-1", door, "origin"))
+	p := startProxy(t, cfg, listEntry("s-1", door, "large"), listEntry("o-1", door, "origin"))
 	p.eventually("nobody is there", func() bool { return len(p.redis.clients) == 0 })
 	const crowd = 1000
 	var all sync.WaitGroup
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -17,22 +17,22 @@
 )
 
 // Bytes behind an answer must never be taken for the answer to the next request.
-func TestBytesNobodyAskedForAreNoAnswer(t *testing.T) {
+func TestUpstreamUnrequestedBytesAreNoAnswer(t *testing.T) {
 	for name, behind := range map[string]string{
-		"a second copy":    hit("value of another"),
+		"a second copy":    hitReply("value of another"),
 		"noise":            "\x8fb2\xf4\r\n",
 		"half a line":      "*3\r\n$5\r\nsto",
 		"an error":         "-ERR failed\r\n",
-		"an HTTP response": page("value of another"),
+		"an HTTP response": httpOK("value of another"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			node := cache(t, func(a asked) string { return hit("value of "+a.key) + behind })
-			o := origin(t, func(r *http.Request) string { return page("receipt of "+r.URL.Path[1:]) + behind })
-			p := start(t, testConfig(), entry("s-1", node, "large"), entry("o-1", o, "origin"))
+			node := startCache(t, func(a memberCommand) string { return hitReply("value of "+a.key) + behind })
+			o := startOrigin(t, func(r *http.Request) string { return httpOK("receipt of "+r.URL.Path[1:]) + behind })
+			p := startProxy(t, testConfig(), listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 			c := p.dial()
 			for i := range 10 {
 				key := fmt.Sprintf("a%d", i)
-				c.send(get(key, "r"+key) + put(key, "w"+key, "order"))
+				c.send(getCommand(key, "r"+key) + setCommand(key, "w"+key, "order"))
 				if got := c.answer(); got != "value of "+key {
 					t.Fatalf("read %d was answered %q", i, got)
 				}
@@ -45,7 +45,7 @@
 }
 
 // An answer that can't be read has failed; the read goes elsewhere, and its client gets nothing of it.
-func TestSpoiltAnswerIsAFailedAttempt(t *testing.T) {
+func TestUpstreamMalformedAnswerIsAFailedAttempt(t *testing.T) {
 	for name, spoilt := range map[string]string{
 		"noise":          "\x8fb2\xf4\r\n",
 		"endless line":   strings.Repeat("x", 64<<10),
@@ -59,16 +59,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var turn atomic.Int32
-			answer := func(a asked) string { // the first of the two that is asked spoils
+			answer := func(a memberCommand) string { // the first of the two that is asked spoils
 				if turn.Add(1) == 1 {
 					return spoilt
 				}
-				return hit("value of " + a.key)
+				return hitReply("value of " + a.key)
 			}
-			p := start(t, testConfig(), entry("s-1", cache(t, answer), "large"),
-				entry("s-2", cache(t, answer), "large"))
+			p := startProxy(t, testConfig(), listEntry("s-1", startCache(t, answer), "large"),
+				listEntry("s-2", startCache(t, answer), "large"))
 			c := p.dial()
-			c.send(get("a1", "id1"))
+			c.send(getCommand("a1", "id1"))
 			if got := c.answer(); got != "value of a1" {
 				t.Errorf("answered %q", got)
 			}
@@ -77,7 +77,7 @@
 }
 
 // What comes with a good answer and is of no use must not spoil it.
-func TestGoodAnswerSurvivesItsTrimmings(t *testing.T) {
+func TestUpstreamAnswerWithMalformedReport(t *testing.T) {
 	value := "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n"
 	for name, answer := range map[string]string{
 		"report is noise":       value + "\x8fb2\xf4\r\n",
@@ -87,11 +87,11 @@
 		"report unreadable":     value + "$8\r\n\x00\x01=,,=\xff!\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			node := cache(t, func(asked) string { return answer })
-			p := start(t, testConfig(), entry("s-1", node, "large"))
+			node := startCache(t, func(memberCommand) string { return answer })
+			p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 			c := p.dial()
 			for i := range 3 {
-				c.send(get("a1", fmt.Sprintf("id%d", i)))
+				c.send(getCommand("a1", fmt.Sprintf("id%d", i)))
 				if got := c.answer(); got != "value" {
 					t.Fatalf("answered %q", got)
 				}
@@ -103,11 +103,11 @@
 		"103 and 102": "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := origin(t, func(r *http.Request) string { return ahead + page("receipt") })
-			p := start(t, testConfig(), entry("o-1", o, "origin"))
+			o := startOrigin(t, func(r *http.Request) string { return ahead + httpOK("receipt") })
+			p := startProxy(t, testConfig(), listEntry("o-1", o, "origin"))
 			c := p.dial()
 			for i := range 3 {
-				c.send(put("a1", fmt.Sprintf("id%d", i), "order"))
+				c.send(setCommand("a1", fmt.Sprintf("id%d", i), "order"))
 				if got := c.answer(); got != "receipt" {
 					t.Fatalf("answered %q", got)
 				}
@@ -117,21 +117,21 @@
 }
 
 // A cache that finds fault with the request is not at fault itself: others must still be sent to it.
-func TestRejectedRequestIsNotTheCachesFault(t *testing.T) {
-	node := cache(t, func(a asked) string {
+func TestUpstreamRejectionIsNotACacheFailure(t *testing.T) {
+	node := startCache(t, func(a memberCommand) string {
 		if strings.HasPrefix(a.key, "bad") {
 			return "-ERR bad request\r\n"
 		}
-		return hit("value")
+		return hitReply("value")
 	})
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	c := p.dial()
 	for i := range 20 {
-		c.send(get("bad", fmt.Sprintf("bad%d", i)))
+		c.send(getCommand("bad", fmt.Sprintf("bad%d", i)))
 		if got := c.answer(); got != "-ERR failed" {
 			t.Fatalf("a rejected request was answered %q", got)
 		}
-		c.send(get("good", fmt.Sprintf("good%d", i)))
+		c.send(getCommand("good", fmt.Sprintf("good%d", i)))
 		if got := c.answer(); got != "value" {
 			t.Fatalf("a good request was answered %q", got)
 		}
@@ -139,19 +139,19 @@
 }
 
 // A connection that the member has closed while it stood idle costs the next request nothing.
-func TestClosedConnectionIsNotUsedAgain(t *testing.T) {
+func TestUpstreamClosedConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 10)
-	node := listen(t, func(conn net.Conn) {
+	node := serveConns(t, func(conn net.Conn) {
 		if _, err := readCommand(resp.NewReader(conn, 4096)); err == nil {
-			io.WriteString(conn, hit("value"))
+			io.WriteString(conn, hitReply("value"))
 		}
 		conn.Close()
 		closed <- struct{}{}
 	})
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	c := p.dial()
 	for i := range 5 {
-		c.send(get("a1", fmt.Sprintf("id%d", i)))
+		c.send(getCommand("a1", fmt.Sprintf("id%d", i)))
 		if got := c.answer(); got != "value" {
 			t.Fatalf("read %d was answered %q", i, got)
 		}
@@ -161,19 +161,19 @@
 }
 
 // Members that come and go leave nothing behind, be it under new ids at an old address.
-func TestMembersGoneAreForgotten(t *testing.T) {
-	node := cache(t, func(a asked) string { return hit("value") })
-	r := newRegistry(t, discoveryList(1, true, entry("s-0", node, "large")))
-	p := startAt(t, testConfig(), r)
-	<-r.watched
+func TestRemovedMembersAreReleased(t *testing.T) {
+	node := startCache(t, func(a memberCommand) string { return hitReply("value") })
+	r := newFakeDiscovery(t, discoveryList(1, true, listEntry("s-0", node, "large")))
+	p := startProxyAt(t, testConfig(), r)
+	<-r.watchBegan
 	c := p.dial()
 	for i := range 20 {
-		gone := entry(fmt.Sprintf("s-%d", i), node, "large")
+		gone := listEntry(fmt.Sprintf("s-%d", i), node, "large")
 		gone.Phase = "terminated"
 		id := fmt.Sprintf("s-%d", i+1)
-		r.tell(discoveryList(int64(i+2), false, gone, entry(id, node, "large")))
+		r.publish(discoveryList(int64(i+2), false, gone, listEntry(id, node, "large")))
 		p.eventually("the new member is known", func() bool { return p.revision == int64(i+2) })
-		c.send(get("a1", "id-"+id))
+		c.send(getCommand("a1", "id-"+id))
 		if got := c.answer(); got != "value" {
 			t.Fatalf("from %s: %q", id, got)
 		}
@@ -185,9 +185,9 @@
 
 // The first request on a connection to a cache must not be the one that pays for its handshake, and a
 // connection that stands idle is kept in use.
-func TestCachesAreKeptWarm(t *testing.T) {
+func TestUpstreamConnectionsArePrewarmed(t *testing.T) {
 	pings, conns := make(chan net.Conn, 10), make(chan net.Conn, 10)
-	node := listen(t, func(conn net.Conn) {
+	node := serveConns(t, func(conn net.Conn) {
 		conns <- conn
 		in := resp.NewReader(conn, 4096)
 		for {
@@ -199,13 +199,13 @@
 				pings <- conn
 				io.WriteString(conn, "+PONG\r\n")
 			default:
-				io.WriteString(conn, hit("value"))
+				io.WriteString(conn, hitReply("value"))
 			}
 		}
 	})
 	cfg := testConfig()
 	cfg.Settings.CanProbe = true
-	p := start(t, cfg, entry("s-1", node, "large"))
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 	first := <-conns
 	if got := <-pings; got != first {
 		t.Fatal("the PING came on another connection")
@@ -230,7 +230,7 @@
 	}
 	p.eventually("the connection is free again", func() bool { return free() != nil })
 	c := p.dial()
-	c.send(get("a1", "id1"))
+	c.send(getCommand("a1", "id1"))
 	if got := c.answer(); got != "value" {
 		t.Errorf("answered %q", got)
 	}
@@ -243,10 +243,10 @@
 
 // When a cache's connections are all busy, the Balancer hears of it at once and sends elsewhere, rather than
 // have a line form that it can't see.
-func TestFullCacheIsNotQueuedFor(t *testing.T) {
-	asks, release := make(chan asked, 100), make(chan struct{})
-	node := cache(t, func(a asked) string { asks <- a; <-release; return hit("value") })
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+func TestUpstreamQueueIsBounded(t *testing.T) {
+	asks, release := make(chan memberCommand, 100), make(chan struct{})
+	node := startCache(t, func(a memberCommand) string { asks <- a; <-release; return hitReply("value") })
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	p.eventually("the member is known", func() bool { return len(p.members) == 1 })
 	p.beginEvent()
 	var m *member
@@ -257,7 +257,7 @@
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
 		r := &Request{p: p.Proxy, Taker: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
 		over = &attempt{request: r, memberID: m.id}
-		over.ExpiresAt = p.now + patience
+		over.ExpiresAt = p.now + testTimeout
 		r.attempts, r.out = append(r.attempts, over), r.out+1
 		p.startExchange(m, over)
 		all = append(all, r)
@@ -281,9 +281,9 @@
 }
 
 // An attempt whose client has left runs out on its connection, which then serves others.
-func TestClientThatLeavesCostsNoConnection(t *testing.T) {
-	conns, asks, release := make(chan struct{}, 10), make(chan asked, 10), make(chan struct{})
-	node := listen(t, func(conn net.Conn) {
+func TestUpstreamConnectionSurvivesClientDisconnect(t *testing.T) {
+	conns, asks, release := make(chan struct{}, 10), make(chan memberCommand, 10), make(chan struct{})
+	node := serveConns(t, func(conn net.Conn) {
 		conns <- struct{}{}
 		in := resp.NewReader(conn, 4096)
 		for {
@@ -291,14 +291,14 @@
 			if err != nil {
 				return
 			}
-			asks <- asked{key: words[1]}
+			asks <- memberCommand{key: words[1]}
 			<-release
-			io.WriteString(conn, hit("value of "+words[1]))
+			io.WriteString(conn, hitReply("value of "+words[1]))
 		}
 	})
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	gone := p.dial()
-	gone.send(get("a1", "id1"))
+	gone.send(getCommand("a1", "id1"))
 	<-asks
 	gone.conn.Close()
 	p.eventually("the client is gone", func() bool { return len(p.redis.clients) == 0 })
@@ -310,7 +310,7 @@
 		return false
 	})
 	c := p.dial()
-	c.send(get("a2", "id2"))
+	c.send(getCommand("a2", "id2"))
 	if got := c.answer(); got != "value of a2" {
 		t.Errorf("answered %q", got)
 	}
--- a/internal/proxy/wall_test.go
+++ b/internal/proxy/wall_test.go
@@ -10,7 +10,7 @@
 // Members tell their start by the wall's time. It was turned into the module's by what the wall said when the process began, so that a member that
 // started after the wall had been put right (an hour forward, say) counted as one that starts in an hour or had for an hour: with the wall ahead at
 // the start, a cold member counted as warm, and nothing kept requests from pushing it over.
-func TestSteppedWallLeavesColdMembersCold(t *testing.T) {
+func TestWallClockStepKeepsMembersCold(t *testing.T) {
 	const now = 50 * time.Hour // by the true time
 	for name, c := range map[string]struct {
 		atStart, later time.Duration // by how much the wall is ahead
@@ -30,7 +30,7 @@
 			p := &Proxy{cfg: cfg, clockOffset: now + c.atStart, members: nil}
 			p.now = p.clockOffset
 			for age, want := range map[time.Duration]bool{100 * time.Millisecond: true, 10 * time.Hour: false} {
-				e := entry("s-1", "127.0.0.1:1", "large")
+				e := listEntry("s-1", "127.0.0.1:1", "large")
 				e.UpSinceMS = float64((now - age).Milliseconds())
 				started := p.startedAt(MemberID(e.ID), p.listedStart(e))
 				cold := p.now-started < cfg.Settings.SlowStartDuration
@@ -43,23 +43,23 @@
 }
 
 // What was learnt of a start stays, whatever the wall does: a member must not look like another process for a step of the clock.
-func TestSteppedWallMovesNoMember(t *testing.T) {
+func TestWallClockStepDoesNotRestartMembers(t *testing.T) {
 	var ahead time.Duration
 	cfg := testConfig()
 	on := handClock(&cfg)
 	cfg.WallClock = func() time.Duration { return 24*time.Hour + ahead }
-	m := entry("s-1", "127.0.0.1:1", "large")
+	m := listEntry("s-1", "127.0.0.1:1", "large")
 	m.UpSinceMS = float64((23 * time.Hour).Milliseconds())
-	r := newRegistry(t, discovery.List{Revision: 1, Complete: true, Members: []discovery.Member{m}})
-	p := startAt(t, cfg, r)
+	r := newFakeDiscovery(t, discovery.List{Revision: 1, Complete: true, Members: []discovery.Member{m}})
+	p := startProxyAt(t, cfg, r)
 	p.eventually("the list is taken in", func() bool { return len(p.members) == 1 })
 	var was time.Duration
 	p.Do(func() { was = p.members[MemberID("s-1")].startedAt })
-	<-r.watched
+	<-r.watchBegan
 	on(p, 10*time.Millisecond)
 	p.Do(func() { ahead = time.Hour })
 	m.Size = 2
-	r.tell(discoveryList(2, false, m))
+	r.publish(discoveryList(2, false, m))
 	p.eventually("the next list is taken in", func() bool { return p.members[MemberID("s-1")].listed.Size == 2 })
 	p.Do(func() {
 		if got := p.members[MemberID("s-1")]; got.startedAt != was || got.Epoch != 0 {
