--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -8,17 +8,17 @@
 	"linenloom/logic"
 )
 
-// actions carries out what the Balancer decides. Its methods run under the proxy's lock, inside an event:
-// they never wait, and what they cause is told to the Balancer afterwards (see leave).
+// actions implements logic.Actions. Its methods run under the proxy's lock, during an event: they never block, and the
+// outcomes that they cause are passed to the Balancer afterwards (see endEvent).
 type actions struct{ p *Proxy }
 
 var _ logic.Actions = actions{}
 
-// Send starts an attempt.
+// Send starts an attempt at a member.
 func (x actions) Send(id logic.RequestID, to logic.MemberID, timeout time.Duration) {
 	p, r := x.p, x.p.requests[id]
 	if r == nil {
-		return // it would be a fault of the module; there is no one to send for
+		return // a fault of the Balancer: the request does not exist
 	}
 	p.refreshNow()
 	a := &attempt{request: r, index: int32(len(r.attempts)), memberID: to, startedAt: p.now}
@@ -36,7 +36,8 @@
 		return
 	}
 	if !p.proven(r) {
-		p.endAttempt(a, logic.StatusRejected, 0) // never sent, and no member's fault; a further attempt would end alike
+		// Not sent, and not the member's fault; another attempt would end the same way.
+		p.endAttempt(a, logic.StatusRejected, 0)
 		return
 	}
 	m := p.members[to]
@@ -51,7 +52,7 @@
 	p.startAttempt(r, a, m)
 }
 
-// startAttempt starts the exchange of an attempt, here or at a Carrier's client.
+// startAttempt starts the exchange of an attempt, in this process or at the client of a Carrier.
 func (p *Proxy) startAttempt(r *Request, a *attempt, m *member) {
 	if p.cfg.ZoneMeter != nil && !m.Origin {
 		a.meterID = p.cfg.ZoneMeter.AttemptStarted(p.now, p.zoneIndex(m.listed.Locality), uint64(m.id))
@@ -65,17 +66,17 @@
 	p.startExchange(m, a)
 }
 
-// Refuse is the final answer that a retry is harmless.
+// Refuse gives the final answer that the request was refused and may safely be retried.
 func (x actions) Refuse(id logic.RequestID, retryAfter time.Duration, why logic.Reason) {
 	x.p.finishRequest(id, Answer{Kind: Refused, RetryAfter: retryAfter, Why: why})
 }
 
-// Fail is the final answer that promises nothing.
+// Fail gives the final answer that the request failed and may have run.
 func (x actions) Fail(id logic.RequestID, why logic.Reason) {
 	x.p.finishRequest(id, Answer{Kind: Failed, Why: why})
 }
 
-// NotifyWaiting counts a wait.
+// NotifyWaiting counts a request that waits.
 func (x actions) NotifyWaiting(id logic.RequestID, why logic.Reason) {
 	if r := x.p.requests[id]; r != nil {
 		x.p.reasons.Add(reasons.Waited, r.class, r.tenant, why)
@@ -102,9 +103,9 @@
 	}
 }
 
-// Cancel stops waiting for an attempt. Of a request that is over it is left to end by itself, at its own time
-// at the latest: closing its connection would stop no work at the member and cost it another handshake, and
-// the Balancer would count as free what is not.
+// Cancel abandons an attempt. An attempt that was sent for a finished request is left to end by itself, by its
+// timeout at the latest: closing its connection would not stop the work at the member and would cost it another
+// handshake, and the Balancer would count the member's capacity as free too early.
 func (x actions) Cancel(id logic.RequestID, attempt int) {
 	r := x.p.requests[id]
 	if r == nil || attempt < 0 || attempt >= len(r.attempts) {
@@ -115,7 +116,7 @@
 	}
 }
 
-// ConnectionWait tells how long a connection to a member would be waited for.
+// ConnectionWait returns the expected wait for a connection to a member.
 func (x actions) ConnectionWait(id logic.RequestID, to logic.MemberID) time.Duration {
 	if r := x.p.requests[id]; r != nil {
 		if _, own := r.Taker.(Carrier); own {
@@ -135,24 +136,24 @@
 	}
 }
 
-// SetTimer asks for a Timer event.
+// SetTimer schedules a Timer event.
 func (x actions) SetTimer(at time.Duration, token uint64) {
 	x.p.timers.addToken(x.p.now, at, token)
 }
 
-// Watch and Fetch ask for the list. Discovery pushes it here, and the watch is always kept up.
+// Watch does nothing: discovery pushes the list, and the watch is always active.
 func (x actions) Watch(bool) {}
 
-// FetchList is answered by the watch too.
+// FetchList does nothing: the watch delivers the list.
 func (x actions) FetchList() {}
 
-// Probe and Tell are not used by the Balancer, and this proxy has no means for them.
+// Probe only logs an error: the Balancer does not use probes, and this proxy does not support them.
 func (x actions) Probe(m logic.MemberID) { x.p.log.Error("probes are not supported", "member", m) }
 
-// SendToPeer is likewise not supported.
+// SendToPeer only logs an error: the Balancer does not use messages, and this proxy does not support them.
 func (x actions) SendToPeer(peer int, _ []byte) {
 	x.p.log.Error("messages are not supported", "peer", peer)
 }
 
-// Log records a line of the Balancer's.
+// Log logs a line of the Balancer.
 func (x actions) Log(text string) { x.p.log.Info("balancer", "text", text) }
--- a/internal/proxy/attempt_log.go
+++ b/internal/proxy/attempt_log.go
@@ -6,9 +6,10 @@
 	"linenloom/logic"
 )
 
-// logAttempt logs how an attempt ended, where lines of debugging are wanted. One line holds the whole attempt, so that what two attempts of a
-// request were at the same time can be read from their lines alone: when it was begun, how long it waited for its connection, when it was written
-// and with how much of its time left, and when it ended. Times are milliseconds since the start of the process.
+// logAttempt logs the end of an attempt at debug level. One line covers the whole attempt, so that concurrent attempts
+// of a request can be compared by their lines alone: when it was started, how long it waited for a connection, when it
+// was written and how much time it had left then, and when it ended. Points in time are milliseconds since the start
+// of the process.
 func (p *Proxy) logAttempt(a *attempt, s logic.Status) {
 	if !p.debugEnabled {
 		return
@@ -30,5 +31,5 @@
 
 func (p *Proxy) sinceStart(at time.Duration) float64 { return milliseconds(at - p.clockOffset) }
 
-// milliseconds makes a duration a number that is easily read.
+// milliseconds converts a duration to milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -13,8 +13,8 @@
 	"linenloom/internal/resp"
 )
 
-// A member that is told to drain, or goes, while a connection to it is coming up gets nothing on it; what waited is answered at once, or
-// goes elsewhere.
+// A member that is listed as draining or gone while a connection to it is being opened gets no request on that
+// connection. Requests that waited for it are refused at once.
 func TestAttemptDrainDuringDial(t *testing.T) {
 	for _, phase := range []string{discovery.PhaseTerminating, discovery.PhaseTerminated} {
 		for name, c := range map[string]struct{ kind, ask, want string }{
@@ -47,7 +47,8 @@
 	}
 }
 
-// The answer and the deadline, in both orders: the client has one answer, and the next one on its connection is the next request's own.
+// The answer and the deadline in either order: the client gets one answer, and the next answer on its connection
+// belongs to the next request.
 func TestAttemptAnswerAndDeadlineOrders(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		for name, c := range map[string]struct{ ask, timely, late string }{
@@ -74,7 +75,8 @@
 				p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 				client := p.dial()
 				client.send(c.ask)
-				until := func(what string, c <-chan struct{}) { // lets the clock pass until something has come, far before any aim
+				// Advances the clock until c receives, far below any soft deadline.
+				until := func(what string, c <-chan struct{}) {
 					t.Helper()
 					for range 2000 {
 						select {
@@ -112,12 +114,12 @@
 	}
 }
 
-// A stop does not keep what a client has left behind: it is withdrawn then too, also behind commands that were not read.
+// Requests of a client that disconnects are withdrawn during a stop too, even if commands behind them were not read.
 func TestAttemptClientDisconnectsDuringStop(t *testing.T) {
 	l := newRoll()
 	door, open := shut(t, l, "large")
 	p := startProxy(t, leaving(false), listEntry("s-1", door, "large"))
-	p.Do(func() { p.maxStopDeadline = time.Hour }) // the stop waits for what is in hand
+	p.Do(func() { p.maxStopDeadline = time.Hour }) // the stop waits for the requests in progress
 	clients := []*testClient{p.dial(), p.dial()}
 	clients[0].send(getLong("a1", "left"))
 	clients[1].send(pipelined(3 * maxPipeline))
@@ -138,8 +140,8 @@
 	}
 }
 
-// A cache that sends second copies of its answers some milliseconds late: once one has been seen, none is taken for the answer to the next
-// request, as that is not sent on the connection before the copy would have come.
+// A cache sends duplicates of its answers some milliseconds later. Once a duplicate has been seen, none may be taken for
+// the answer to the next request: the next request is not sent on a connection before a duplicate would have arrived.
 func TestAttemptDelayedDuplicateAnswer(t *testing.T) {
 	ended := make(chan struct{}, 10)
 	node := serveConns(t, func(conn net.Conn) {
@@ -151,12 +153,12 @@
 			if err != nil {
 				return
 			}
-			if last != "" { // the copy crosses the next request
+			if last != "" { // the duplicate is sent after the next request has arrived
 				io.WriteString(conn, last)
 			}
 			last = hitReply("value of " + words[1])
 			io.WriteString(conn, last)
-			if words[2] == "first" { // and here it comes at once
+			if words[2] == "first" { // this duplicate is sent at once
 				io.WriteString(conn, last)
 			}
 		}
@@ -169,7 +171,7 @@
 	if got := client.answer(); got != "value of a1" {
 		t.Fatalf("answered %q", got)
 	}
-	<-ended            // the connection, for what nobody asked for
+	<-ended            // the connection is closed because of the unrequested bytes
 	for i := range 4 { // within 15 ms
 		key := fmt.Sprintf("b%d", i)
 		client.send(getCommand(key, "id"+key))
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -14,7 +14,7 @@
 	"linenloom/internal/resp"
 )
 
-// churnCache is a cache that can go: its process dies (connections reset, new ones are refused), or falls silent first.
+// churnCache is a simulated cache that can be killed (its connections are closed and new ones refused) or stop answering.
 type churnCache struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -76,8 +76,9 @@
 	c.conns = nil
 }
 
-// A hundred and twenty caches are replaced, at ever new addresses and with reads going on: some drain first, some die, some fall silent
-// with reads out. Members, connections, timers, goroutines and memory go back to what they were.
+// 120 caches are replaced, each at a new address, while reads go on: some drain first, some are killed, and some stop
+// answering with reads in flight. Members, connections, timers, goroutines and memory must return to their numbers
+// before the replacements.
 func TestChurnOfCachesLeaksNothing(t *testing.T) {
 	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 	live := []*churnCache{newChurnCache(t), newChurnCache(t), newChurnCache(t)}
@@ -154,7 +155,7 @@
 	}
 	read(100)
 	var after state
-	p.eventually("all is as it was", func() bool { // the lock is held: what now does is done here
+	p.eventually("all is as it was", func() bool { // as in now, which would take the lock again
 		after = state{len(p.members), p.upstreams.OpenConns(), p.timers.count, runtime.NumGoroutine()}
 		return len(p.requests) == 0 && after.members == before.members && after.connections <= before.connections+len(live) &&
 			after.timers < 20 && after.goroutines <= before.goroutines+3*len(live)
--- a/internal/proxy/effect_test.go
+++ b/internal/proxy/effect_test.go
@@ -10,8 +10,9 @@
 	"linenloom/logic"
 )
 
-// What may have run is tried again only if the class's effect allows it: a keyed request within its group and window, and only if it has
-// the key. One that has none can't be told from another by who gets it.
+// A request that may have run is retried only if its class's effect allows it. A class with deduplication by key allows
+// it within its scope and window, and only if the request has a key: without one, the receiver cannot recognize the
+// repetition.
 func TestEffectDecidesRetries(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect logic.Effect
@@ -32,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := newRoll()
-			node := serveConns(t, func(conn net.Conn) { // the first that comes is taken whole, and its connection breaks
+			node := serveConns(t, func(conn net.Conn) { // the first request is read completely, then its connection is closed
 				in := resp.NewReader(conn, 4096)
 				for {
 					words, err := readCommand(in)
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -9,14 +9,14 @@
 	"linenloom/logic"
 )
 
-// fleetHash is what tells this proxy's snapshots from those of others.
+// fleetHash identifies the snapshots that this proxy can load: its index, mode, zones and kinds of members.
 func (c *Config) fleetHash() uint64 {
 	s := &c.Settings
 	place := fmt.Sprint(s.SelfIndex, s.Instances, s.Zone, s.Mode, s.OriginKind)
 	return inherit.FleetHash(slices.Concat([]string{place}, c.Zones, []string{"kinds"}, c.Kinds)...)
 }
 
-// Snapshot is what this proxy has learnt, for the process that takes its place. Only the copy is made under the lock.
+// Snapshot returns the learned state for the successor process. The lock is held only while the state is copied.
 func (p *Proxy) Snapshot() (s inherit.Snapshot) {
 	p.Do(func() {
 		s = inherit.Snapshot{Fleet: p.cfg.fleetHash(), TakenMS: time.Now().UnixMilli(), Balancer: p.balancer.ExportState(p.now),
@@ -30,15 +30,15 @@
 	return s
 }
 
-// restoreSnapshot takes over what the process before has learnt, before the first client is taken. Whatever is wrong with it, it is told in
-// one line, and nothing else changes.
+// restoreSnapshot loads the learned state of the predecessor process, before clients are accepted. If the state cannot
+// be used, the reason is logged in one line and the proxy starts without it.
 func (p *Proxy) restoreSnapshot() {
 	if p.cfg.LoadSnapshot == nil {
 		return
 	}
 	s, err := p.cfg.LoadSnapshot()
 	if err == nil && s == nil {
-		return // there is none
+		return // no snapshot
 	}
 	members := 0
 	if err == nil {
@@ -62,7 +62,7 @@
 		})
 	}
 	if err != nil {
-		p.log.Warn("what the process before has learnt is not taken over", "err", err)
+		p.log.Warn("learned state of the predecessor process is not taken over", "err", err)
 		return
 	}
 	p.log.Info("taken over from the process before", "members", members, "of", len(s.Balancer.Members), "keys", len(s.Balancer.Keys),
--- a/internal/proxy/maintain_test.go
+++ b/internal/proxy/maintain_test.go
@@ -6,7 +6,8 @@
 	"linenloom/internal/maintenance"
 )
 
-// Two calls may reach the proxy in another order than the record: the older set takes nothing back.
+// Two sets of members out of use may arrive in a different order than they were recorded in: the older set must not
+// return a member to use.
 func TestMaintenanceOlderSetIsMerged(t *testing.T) {
 	p := startProxy(t, testConfig(), listEntry("a", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	one, err := maintenance.Set{}.Enter("a", 1)
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -14,8 +14,8 @@
 	"linenloom/logic"
 )
 
-// One dial that fails must not leave the pool short: those that wait get a connection as soon as there is one
-// to be had, though the only one that stands stays busy.
+// A failed dial must not leave the pool without connections: waiting attempts get a connection as soon as the member
+// accepts one, although the only open connection stays busy.
 func TestFailedDialDoesNotStarveThePool(t *testing.T) {
 	asks, release := make(chan string, 10), make(chan struct{})
 	serve := func(conn net.Conn) {
@@ -48,7 +48,7 @@
 	}
 	go accept(l)
 	cfg := testConfig()
-	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = testTimeout, 1 // the read must wait, and get its connection
+	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = testTimeout, 1 // the read must wait until it gets a connection
 	p := startProxy(t, cfg, listEntry("s-1", l.Addr().String(), "large"))
 	busy, waiting := p.dial(), p.dial()
 	busy.send(getCommand("a1", "id1"))
@@ -75,7 +75,7 @@
 	}
 }
 
-// The member's latency is counted from when it was written to: the wait for a connection is the proxy's own.
+// The member's latency is measured from when the request was written, without the wait for a connection.
 func TestPoolWaitIsNotMemberLatency(t *testing.T) {
 	p := startProxy(t, testConfig())
 	p.beginEvent()
@@ -96,7 +96,7 @@
 	p.outcomes = nil
 }
 
-// Connections that break all day must not use up what further attempts are allowed.
+// Connections that keep breaking must not use up the retry budget.
 func TestPoolBreaksDoNotExhaustRetries(t *testing.T) {
 	first := map[string]bool{}
 	ids := make(chan string, 1)
@@ -115,7 +115,7 @@
 			if err != nil {
 				return
 			}
-			if ids <- words[2]; !<-seen { // every read's first attempt
+			if ids <- words[2]; !<-seen { // the first attempt of every read
 				return
 			}
 			io.WriteString(conn, hitReply("value of "+words[1]))
@@ -131,14 +131,14 @@
 	}
 }
 
-// An origin that has dropped a kept connection resets it over the next write, which must not run twice. Its last
-// byte was never sent, so it is known not to have run, and is made again elsewhere.
+// An origin that has closed a kept-alive connection resets it when it gets the next write, which must not run twice.
+// The write's last byte was not sent, so it cannot have run and is retried on another connection.
 func TestPoolResetBeforeLastByteAllowsRetry(t *testing.T) {
 	whole := make(chan string, 10)
 	o := serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for n := 0; ; n++ {
-			if n > 0 { // a kept connection ends over the first byte
+			if n > 0 { // a kept-alive connection is closed on the first byte of the next request
 				in.Peek(1)
 				return
 			}
@@ -155,7 +155,7 @@
 	})
 	p := startProxy(t, testConfig(), listEntry("o-1", o, "origin"))
 	p.beginEvent()
-	p.upstreams.SetLastByteDelay(500 * time.Millisecond) // the reset is seen by then, however slow the machine
+	p.upstreams.SetLastByteDelay(500 * time.Millisecond) // long enough to see the reset even on a slow machine
 	p.endEvent()
 	c := p.dial()
 	for i := range 3 {
@@ -179,8 +179,8 @@
 	}
 }
 
-// A fetch whose connection falls silent is given up once it can be of no use, long before its client gives up: it
-// would hold a place at the origin until then.
+// A fetch whose connection becomes silent is abandoned once its result can no longer be useful, long before the
+// client's deadline: until then it would occupy capacity at the origin.
 func TestPoolSilentFetchTimesOut(t *testing.T) {
 	node := startCache(t, func(memberCommand) string { return missReply })
 	silent := make(chan struct{}, 10)
@@ -217,7 +217,7 @@
 	p.eventually("nothing is out", func() bool { return len(p.requests) == 0 })
 }
 
-// The Balancer is told which attempts had to wait for a handshake.
+// The Balancer is informed which attempts had to wait for a handshake.
 func TestPoolReportsFirstOnConnection(t *testing.T) {
 	node := startCache(t, func(a memberCommand) string { return hitReply("value") })
 	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
@@ -243,8 +243,8 @@
 	}
 }
 
-// A cache that holds all the connections it will answers the first request on a new one with -BUSY, and closes it. Reads that it
-// should get go elsewhere, and only a few of them find that out: each by one attempt that never ran.
+// A cache at its connection limit answers the first request on a new connection with -BUSY and closes it. Its reads
+// go to other members, and only a few of them are tried at the full cache first, each by one attempt that did not run.
 func TestPoolCacheThatRefusesConnections(t *testing.T) {
 	var turned atomic.Int32
 	full := serveConns(t, func(conn net.Conn) {
@@ -265,7 +265,7 @@
 			t.Fatalf("read %d was answered %q", i, got)
 		}
 	}
-	// Half of the keys are its own. The backoff doubles from 10 ms to 1 s.
+	// Half of the keys belong to the full cache. The dial backoff doubles from 10 ms to 1 s.
 	if n := turned.Load(); n == 0 || n > reads/8 {
 		t.Errorf("%d of %d reads were sent to a cache that takes no connection", n, reads)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,11 +1,11 @@
-// Package proxy hosts a Balancer between client connections, members and discovery.
+// Package proxy connects a Balancer with client connections, members and discovery.
 //
-// The Balancer decides; this package only carries out. One mutex guards the Balancer and every table here:
-// the process has one core, so finer locks would buy nothing, and with a single one the Balancer's view and
-// the sockets' state can't drift apart. Nothing blocks under it: writes are tried without waiting (package sender),
-// dials and reads have goroutines of their own.
+// The Balancer makes all decisions; this package carries them out. One mutex guards the Balancer and every
+// table here: the process has one core, so finer locks would gain nothing, and with a single lock the Balancer's
+// view and the state of the sockets cannot diverge. Nothing blocks while the mutex is held: writes are
+// non-blocking (package sender), and dials and reads run in goroutines of their own.
 //
-// What goes on with members is package upstream's, and which connection carries what package pool's.
+// Package upstream runs the exchanges with members, and package pool assigns them to connections.
 package proxy
 
 import (
@@ -33,102 +33,106 @@
 	"linenloom/logic"
 )
 
-// Config is what a Proxy is told at its start.
+// Config holds the settings of a Proxy.
 type Config struct {
 	Listen          string
 	Discovery       string
 	Seed            uint64
 	Settings        logic.Settings
-	Zones           []string // by place, as in Settings
+	Zones           []string // names by index, as Settings numbers them
 	Kinds           []string
-	ConnIdle        time.Duration // members close a connection that stood idle for this long
-	Multiplex       int           // attempts a connection to a cache carries at once
-	MaxRequests     int           // requests in hand
+	ConnIdle        time.Duration // members close a connection that has been idle for this long
+	Multiplex       int           // maximum of concurrent attempts on a connection to a cache
+	MaxRequests     int           // maximum of requests in progress
 	MemoryMB        int
 	Descriptors     int // file descriptors
 	InitialList     discovery.List
-	AcceptAfterStop time.Duration    // after the stop signal, new connections still come for this long
-	OutOfUse        maintenance.Set  // the members out of use at the start
-	Callers         Callers          // who clients are; nil: nobody asks
-	Joining         *joining.Limits  // reads in flight may share an answer; nil: each has its own
-	ManyKeys        *manykeys.Limits // OBJ.MGET; nil: it is unknown
-	Record          Record           // of orders; nil: none is kept. The host closes it when it stops
-	ReceiptFronts   []string         // the fronts that answer a repeat with the receipt on record
-	ZoneMeter       *zones.Meter     // told of attempts by zone, under the lock; nil: nobody is
-	// LoadSnapshot brings what the process before has learnt, once, before clients are taken; it may wait for a moment. Nil, or a nil
-	// snapshot: there is nothing.
+	AcceptAfterStop time.Duration    // new connections are accepted for this long after the stop signal
+	OutOfUse        maintenance.Set  // members out of use at the start
+	Callers         Callers          // authenticates clients; nil: clients are not authenticated
+	Joining         *joining.Limits  // coalescing of identical reads in flight; nil: none
+	ManyKeys        *manykeys.Limits // limits of OBJ.MGET; nil: the command is unknown
+	Record          Record           // record of orders; nil: none. The Proxy closes it when it stops
+	ReceiptFronts   []string         // front ends that answer a repeated order with the recorded receipt
+	ZoneMeter       *zones.Meter     // gets attempts by zone, called under the lock; may be nil
+	// LoadSnapshot, if set, returns the state that the predecessor process has learned, or a nil snapshot if
+	// there is none. It is called once, before clients are accepted, and may block for a moment.
 	LoadSnapshot func() (*inherit.Snapshot, error)
 
-	// BeforeServing, if set, is called once, before clients are taken; it may wait for a moment.
+	// BeforeServing, if set, is called once, before clients are accepted; it may block for a moment.
 	BeforeServing func()
 
-	// Clock, if set, is the time since the start in place of the system's, and Tick has to be called once it has
-	// moved; Wall is the wall's time in place of the system's. OnSend, if set, is told of each choice of the module's, under the lock. Both are for tests and the rig.
-	Clock     func() time.Duration
+	// Clock, if set, returns the time since the start instead of the system's clock; Tick has to be called after
+	// it has advanced. For tests and the simulation.
+	Clock func() time.Duration
+	// WallClock, if set, returns the time since 1970 instead of the system's clock. For tests and the simulation.
 	WallClock func() time.Duration
-	OnSend    func(logic.RequestID, logic.MemberID)
+	// OnSend, if set, is called under the lock with each member that the Balancer selects. For tests and the
+	// simulation.
+	OnSend func(logic.RequestID, logic.MemberID)
 }
 
 const (
-	// bufferMemoryShare is the part of the memory that bodies and unsent answers may take together. The rest is
-	// for connections, tables, and what the collector has not freed yet.
+	// bufferMemoryShare is the share of the memory that bodies and unsent answers may use together. The rest is
+	// for connections, tables and garbage that has not been collected yet.
 	bufferMemoryShare = 0.25
-	// reservedDescriptors are kept for the listener, discovery, the runtime and connections in between.
+	// reservedDescriptors are kept for the listener, discovery, the runtime and connections that are being opened
+	// or closed.
 	reservedDescriptors     = 24
-	clientDescriptorPercent = 50 // percent of the descriptors that clients may hold
+	clientDescriptorPercent = 50 // percent of the file descriptors that clients may use
 	memberSweepInterval     = 250 * time.Millisecond
-	frontSweepInterval      = 50 * time.Millisecond  // idle clients are looked at more often: a crowd comes at once
-	firstListTimeout        = 500 * time.Millisecond // wait this long at most for discovery's first list
-	listUpdateTimeout       = 50 * time.Millisecond  // and this long once it has taken the watch up
-	reasonsLogInterval      = 10 * time.Second       // what has changed in the reasons' counts is logged this often
+	frontSweepInterval      = 50 * time.Millisecond  // shorter, as many clients may connect at once
+	firstListTimeout        = 500 * time.Millisecond // maximum wait for the first list from discovery
+	listUpdateTimeout       = 50 * time.Millisecond  // maximum wait once discovery has accepted the watch
+	reasonsLogInterval      = 10 * time.Second       // interval for logging changes of the counts by reason
 )
 
-// Proxy is one proxy.
+// Proxy accepts requests from its front ends and sends them to members as its Balancer decides.
 type Proxy struct {
 	cfg          Config
 	log          *slog.Logger
-	debugEnabled bool // the log takes lines of debugging
+	debugEnabled bool // the debug level is logged
 	redis        *redisFront
 
 	mu          sync.Mutex
-	now         time.Duration // when the lock was taken, or an attempt begun since, on the module's clock
+	now         time.Duration // Balancer's clock when the lock was taken or an attempt has been started since
 	eventBegan  time.Duration // when the lock was taken
 	stalls      arrival.Stalls
 	started     time.Time
 	clockOffset time.Duration
 	balancer    *logic.Balancer
-	outcomes    []logic.Outcome // caused by actions; told once the current event is done
+	outcomes    []logic.Outcome // caused by actions; passed to the Balancer at the end of the current event
 	timers      timerWheel
 	timer       *time.Timer
 	wakeAt      time.Duration
 
 	members          map[logic.MemberID]*member
 	requests         map[logic.RequestID]*Request
-	joinTable        *joining.Table    // nil: reads share nothing but fetches
-	lostLeads        []logic.RequestID // leads that got no answer, to be passed on
-	pendingShares    []logic.RequestID // followers whose answer is there
-	sharing          bool              // a goroutine hands these over
+	joinTable        *joining.Table    // nil: reads are not coalesced, except for fetches by the Balancer
+	lostLeads        []logic.RequestID // leading reads without an answer, whose lead is to be passed on
+	pendingShares    []logic.RequestID // followers whose answer is available
+	sharing          bool              // a goroutine delivers the pending shares
 	joinStats        Joined
-	openOrders       int // orders on record that are in hand
+	openOrders       int // recorded orders in progress
 	recordClosed     bool
-	pendingMany      []*Many // requests for many keys to go on with
-	lastGroup        uint32  // of them, so far
+	pendingMany      []*Many // multi-key requests that can continue
+	lastGroup        uint32  // number of the last multi-key request
 	fronts           []Front
-	frontDescriptors int // descriptors that fronts hold
+	frontDescriptors int // file descriptors that front ends use
 	nextID           logic.RequestID
 
 	upstreams          *upstream.Set
 	poolTimer          *time.Timer
 	recentIDs          idHistory
-	serving            bool                       // clients are taken
-	stopping           bool                       // no request is taken any more
-	maxStopDeadline    time.Duration              // as the constant; tests have it shorter
-	outOfUse           maintenance.Set            // members out of use, whatever the list says
-	watches            []*watch                   // the one that counts, and one that has yet to tell its first list
-	startWatch         func(w *watch, whole bool) // nil while the proxy does not run
-	revision           int64                      // of the list
-	bufferedBytes      int                        // bytes of bodies and unsent answers, but for long values
-	longValues         room                       // for long values
+	serving            bool                       // clients are accepted
+	stopping           bool                       // no more requests are accepted
+	maxStopDeadline    time.Duration              // longest deadline that a stop allows for; shorter in tests
+	outOfUse           maintenance.Set            // members out of use, regardless of their listed phase
+	watches            []*watch                   // the active one, then at most one that waits for its first list
+	startWatch         func(w *watch, whole bool) // nil while Run is not active
+	revision           int64                      // of the applied list
+	bufferedBytes      int                        // bodies and unsent answers, without long values
+	longValues         room                       // memory for long values
 	maxBufferedBytes   int
 	scratch            []byte
 	reasons            *reasons.Counts
@@ -139,8 +143,8 @@
 
 func bufferLimit(memoryMB int) int { return int(float64(memoryMB) * (1 << 20) * bufferMemoryShare) }
 
-// New makes a Proxy and binds its address; clients that connect from then on wait for Run. Where another process of
-// this proxy listens there already, clients go on going to that one until this one is ready.
+// New creates a Proxy and binds its address; clients that connect from then on wait for Run. If another process
+// of this proxy already listens there, new clients keep going to that process until this one is ready.
 func New(cfg Config, log *slog.Logger) (*Proxy, error) {
 	p := &Proxy{
 		cfg: cfg, log: log, debugEnabled: log.Enabled(context.Background(), slog.LevelDebug), started: time.Now(),
@@ -148,7 +152,7 @@
 		recentIDs:        newIDHistory(),
 		maxBufferedBytes: bufferLimit(cfg.MemoryMB), outOfUse: cfg.OutOfUse, maxStopDeadline: killMost,
 	}
-	// The module's clock is monotonic and begins at the wall's time, so that all start times are positive on it.
+	// The Balancer's clock is monotonic and starts at the wall-clock time, so that all start times are positive.
 	p.clockOffset = time.Duration(p.started.UnixNano())
 	if cfg.Clock != nil {
 		p.clockOffset = time.Hour
@@ -178,10 +182,10 @@
 	return p, nil
 }
 
-// Addr is the address that clients connect to.
+// Addr returns the address that clients connect to.
 func (p *Proxy) Addr() net.Addr { return p.redis.addr() }
 
-// Run serves until the context ends and everything taken until then is answered.
+// Run serves until the context ends and all requests accepted until then are answered.
 func (p *Proxy) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -201,8 +205,8 @@
 	p.endEvent()
 	g.Go(func() { p.sweep(background) })
 
-	// Clients come once PING is answered: with a list too old, the first requests would go astray. Where the call for the
-	// list is put off for longer than that may take, there is one from the configuration.
+	// Clients come once PING is answered, and with an outdated list their first requests would fail. If the first
+	// call to discovery is delayed for longer than this wait, the configuration's list is used.
 	if first.initialDelay < firstListTimeout {
 		first.awaitFirstList(ctx, firstListTimeout)
 	}
@@ -244,7 +248,7 @@
 	return err
 }
 
-// closeAll ends what is still open; nothing is owed on it any more.
+// closeAll closes all connections, on which no more answers are due, and stops the timers.
 func (p *Proxy) closeAll() {
 	p.timer.Stop()
 	p.poolTimer.Stop()
@@ -256,25 +260,25 @@
 	}
 }
 
-// maxEventGap is how long the process may be without any event, of which the sweep is one, before it counts as held up.
+// maxEventGap is the longest time between events, including sweeps, before the process counts as stalled.
 const maxEventGap = frontSweepInterval + 10*time.Millisecond
 
-// beginEvent takes the lock and the time.
+// beginEvent locks the proxy and reads the clock.
 func (p *Proxy) beginEvent() {
 	p.mu.Lock()
 	last := p.now
 	p.now = p.Clock()
 	p.eventBegan = p.now
-	if p.cfg.Clock == nil { // a clock that is set moves in leaps
+	if p.cfg.Clock == nil { // a clock set by Config.Clock advances in steps
 		p.stalls.NoteGap(last, p.now)
 	}
 	p.upstreams.Advance(p.now)
 }
 
-// Clock is the time right now, on the module's clock. It needs no lock.
+// Clock returns the current time by the Balancer's clock. It needs no lock.
 func (p *Proxy) Clock() time.Duration { return p.clockOffset + p.elapsed() }
 
-// refreshNow takes the time anew in the midst of an event, which may have been held up since it began.
+// refreshNow reads the clock again during an event, which may have been stalled since it began.
 func (p *Proxy) refreshNow() { p.now = max(p.now, p.Clock()) }
 
 func (p *Proxy) elapsed() time.Duration {
@@ -284,8 +288,8 @@
 	return time.Since(p.started)
 }
 
-// endEvent tells the Balancer of the outcomes that its own actions have caused, and gives the lock back. Told
-// from inside an action, they would reach it in the middle of its work.
+// endEvent passes the outcomes caused by the Balancer's actions to the Balancer and unlocks the proxy. Passed from
+// inside an action, they would re-enter the Balancer during its event.
 func (p *Proxy) endEvent() {
 	p.DeliverOutcomes()
 	p.armTimer()
@@ -296,7 +300,7 @@
 	p.mu.Unlock()
 }
 
-// DeliverOutcomes tells the Balancer, within Do, of the outcomes so far, so that what it decides on them can be seen.
+// DeliverOutcomes passes the outcomes so far to the Balancer, within Do, so that its decisions take effect at once.
 func (p *Proxy) DeliverOutcomes() {
 	for {
 		for i := 0; i < len(p.outcomes); i++ {
@@ -310,7 +314,7 @@
 	}
 }
 
-// applyList takes a list: first here, then by the Balancer, so that both see the same members.
+// applyList applies a list here and then in the Balancer, so that both have the same members.
 func (p *Proxy) applyList(kind logic.ListKind, l discovery.List) {
 	members := make([]logic.Member, 0, len(l.Members))
 	listed := make(map[logic.MemberID]bool, len(l.Members))
@@ -331,7 +335,7 @@
 	p.balancer.SetMembers(p.now, kind, members)
 }
 
-// balancerMember is a list entry in the module's terms.
+// balancerMember converts a list entry to the Balancer's member.
 func (p *Proxy) balancerMember(e discovery.Member) logic.Member {
 	m := logic.Member{
 		ID: MemberID(e.ID), Zone: p.zoneIndex(e.Locality), Cell: e.Cell,
@@ -344,18 +348,19 @@
 	case discovery.PhaseTerminating:
 		m.State = logic.Draining
 	}
-	// Nothing new goes to a member out of use, as if the list said that it drains.
+	// A member out of use gets no new requests, as if it were listed as draining.
 	if m.State == logic.Ready && p.outOfUse.IsOut(e.ID) {
 		m.State = logic.Draining
 	}
 	return m
 }
 
-// UpdateMaintenance takes over which members are out of use. What waits to be sent to one that goes out is not sent.
+// UpdateMaintenance merges a set of members out of use. Requests that wait to be sent to a member that goes out of
+// use are not sent.
 func (p *Proxy) UpdateMaintenance(out maintenance.Set) {
 	p.beginEvent()
 	defer p.endEvent()
-	p.outOfUse = p.outOfUse.Merge(out) // sets of two calls may come in another order than they were recorded in
+	p.outOfUse = p.outOfUse.Merge(out) // two sets may arrive in a different order than they were recorded in
 	var changed []discovery.Member
 	for _, m := range p.members {
 		if e := p.balancerMember(m.listed); m.state != logic.Gone && (e.State != m.state || e.StartedAt != m.startedAt) {
@@ -368,7 +373,7 @@
 	}
 }
 
-// KnowsMember tells whether the list names a member, or it is out of use.
+// KnowsMember reports whether a member is listed or out of use.
 func (p *Proxy) KnowsMember(id string) (known bool) {
 	p.Do(func() {
 		m := p.members[MemberID(id)]
@@ -377,13 +382,13 @@
 	return known
 }
 
-// Serving tells whether clients are taken.
+// Serving reports whether clients are accepted.
 func (p *Proxy) Serving() (yes bool) {
 	p.Do(func() { yes = p.serving && !p.stopping })
 	return yes
 }
 
-// SetLimits changes how many descriptors and how much memory this process may use, while another one shares the limits.
+// SetLimits changes the limits of file descriptors and memory, which two processes share during a handover.
 func (p *Proxy) SetLimits(descriptors, memoryMB int) {
 	p.Do(func() {
 		p.cfg.Descriptors, p.cfg.MemoryMB, p.maxBufferedBytes = descriptors, memoryMB, bufferLimit(memoryMB)
@@ -391,17 +396,18 @@
 	})
 }
 
-// MemberID is the module's number for a member's id.
+// MemberID returns the Balancer's number for a member's id.
 func MemberID(id string) logic.MemberID { return logic.MemberID(hash(id)) }
 
-// hash makes a number of an id or key; every proxy must come to the same one.
+// hash returns the hash of an id or key; it must be the same in every proxy.
 func hash[T []byte | string](s T) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
 	return h.Sum64()
 }
 
-// keyNumber is the module's number for a key: its value if it is hexadecimal, else its hash. 0 means none there.
+// keyNumber returns the Balancer's number for a key: its value if it is hexadecimal, else its hash. The result is
+// never 0, which means no key.
 func keyNumber(text []byte) uint64 {
 	if k, err := strconv.ParseUint(string(text), 16, 64); err == nil && k != 0 {
 		return k
@@ -409,7 +415,7 @@
 	return max(1, hash(text))
 }
 
-// sweep closes what has stood idle for too long.
+// sweep closes idle connections, removes members that are gone, and logs shortages and counts by reason.
 func (p *Proxy) sweep(ctx context.Context) {
 	tick := time.NewTicker(frontSweepInterval)
 	defer tick.Stop()
@@ -438,14 +444,16 @@
 				delete(p.members, id)
 			}
 		}
-		p.shortOfDescriptors = p.logShortage(p.shortOfDescriptors, p.openDescriptors() >= p.cfg.Descriptors-reservedDescriptors, "short of descriptors")
-		p.shortOfMemory = p.logShortage(p.shortOfMemory, p.bufferedBytes >= p.maxBufferedBytes, "short of memory for bodies")
+		p.shortOfDescriptors = p.logShortage(p.shortOfDescriptors,
+			p.openDescriptors() >= p.cfg.Descriptors-reservedDescriptors, "short of file descriptors")
+		p.shortOfMemory = p.logShortage(p.shortOfMemory,
+			p.bufferedBytes >= p.maxBufferedBytes, "short of memory for buffered bodies")
 		p.endEvent()
 		p.logReasons(why)
 	}
 }
 
-// countReasons makes the counts for the settings' classes and tenants.
+// countReasons returns empty counts for the classes and tenants of the settings.
 func countReasons(s *logic.Settings) *reasons.Counts {
 	var tenants []string
 	for _, t := range s.Tenants {
@@ -454,7 +462,8 @@
 	return reasons.New(logic.ClassNames(s.Classes), tenants)
 }
 
-// newReasons tells why requests have waited, been refused or failed since it was last asked, under the lock.
+// newReasons returns log attributes: the counts of waits, refusals and failures by reason since the last call. The
+// caller holds the lock.
 func (p *Proxy) newReasons() []any {
 	attrs := p.reasons.Since(p.reasonsLogged).Attrs()
 	if len(attrs) > 0 {
@@ -463,14 +472,14 @@
 	return attrs
 }
 
-// logReasons logs them, not under the lock: a log that nobody reads must not hold requests up.
+// logReasons logs the result of newReasons, without the lock: a blocked log must not delay requests.
 func (p *Proxy) logReasons(why []any) {
 	if len(why) > 0 {
 		p.log.Info("reasons", why...)
 	}
 }
 
-// logShortage logs when a shortage begins and ends, not each time it is met.
+// logShortage logs when a shortage begins and ends.
 func (p *Proxy) logShortage(was, is bool, what string) bool {
 	switch {
 	case is && !was:
@@ -481,27 +490,28 @@
 	return is
 }
 
-// openDescriptors counts the descriptors in use on both sides.
+// openDescriptors returns the number of file descriptors in use by front ends and connections to members.
 func (p *Proxy) openDescriptors() int { return p.frontDescriptors + p.upstreams.OpenConns() }
 
-// member is what this package knows of a member: what the list has, and the connections to it.
+// member is a member with its list entry and its connections.
 type member struct {
 	upstream.Member
 	id          logic.MemberID
-	listed      discovery.Member // as the list has it
+	listed      discovery.Member // its list entry
 	state       logic.State
-	listedStart time.Duration // as the list tells it, of which started was made
+	listedStart time.Duration // the listed start time that startedAt was computed from
 	startedAt   time.Duration
 }
 
-// listedStart is when a member started by the wall's time, as the list and the operators' calls have it; 0: long ago.
+// listedStart returns a member's start by wall-clock time, from the list and the operators' calls; 0: long ago.
 func (p *Proxy) listedStart(e discovery.Member) time.Duration {
 	return time.Duration(p.outOfUse.UpSince(e.ID, e.UpSinceMS) * float64(time.Millisecond))
 }
 
-// startedAt is when a member started, on the module's clock. It is worked out once, when its start is learnt: the wall's time may be stepped while
-// this process runs, and was perhaps wrong when it began. Where the two disagree the member counts as the younger one: taken for older than it is,
-// a cold member would be pushed over.
+// startedAt returns when a member started, by the Balancer's clock. It is computed once per listed start: the wall
+// clock may be stepped while this process runs, and may have been wrong when the process started. Of the start by
+// the wall clock's current offset and by its offset at the start of the process, the later one is used: a cold member
+// that counts as older than it is would be overloaded.
 func (p *Proxy) startedAt(id logic.MemberID, upSince time.Duration) time.Duration {
 	if upSince <= 0 {
 		return 0
@@ -513,7 +523,7 @@
 	return min(p.now, max(byWall, upSince))
 }
 
-// wallTime is the wall's time, since 1970.
+// wallTime returns the wall-clock time since 1970.
 func (p *Proxy) wallTime() time.Duration {
 	switch {
 	case p.cfg.WallClock != nil:
@@ -524,7 +534,7 @@
 	return time.Duration(time.Now().UnixNano())
 }
 
-// updateMember takes a list entry.
+// updateMember applies a list entry.
 func (p *Proxy) updateMember(e logic.Member, listed discovery.Member) {
 	addr := listed.HostPort
 	m := p.members[e.ID]
@@ -543,7 +553,7 @@
 	p.upstreams.UpdateMember(&m.Member, e.State == logic.Ready, moved)
 }
 
-// host is what package upstream sees of a Proxy.
+// host implements upstream.Host for a Proxy.
 type host struct{ *Proxy }
 
 var _ upstream.Host = host{}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -20,13 +20,13 @@
 	"linenloom/logic"
 )
 
-// testTimeout bounds every wait of a test. It is no measure of speed: only a test that fails waits as long.
+// testTimeout limits every wait of a test. It does not measure speed: only a failing test waits that long.
 const testTimeout = 20 * time.Second
 
-// command is what a fake member was asked.
+// memberCommand is a command that a simulated member has received.
 type memberCommand struct{ name, key, id, attrs, value string }
 
-// serveConns serves connections on a loopback address until the test ends.
+// serveConns calls serve for each connection to a loopback address until the test ends. It returns the address.
 func serveConns(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	return l.Addr().String()
 }
 
-// startCache is a fake cache: what answer returns goes out for each command, as it is.
+// startCache starts a simulated cache, which replies to each command with the text that answer returns.
 func startCache(t *testing.T, answer func(memberCommand) string) string {
 	return serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
@@ -85,7 +85,7 @@
 	return words, nil
 }
 
-// startOrigin is a fake origin that answers as it is told.
+// startOrigin starts a simulated origin, which replies to each request with the text that answer returns.
 func startOrigin(t *testing.T, answer func(r *http.Request) string) string {
 	return serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
@@ -112,15 +112,15 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(value), value)
 }
 
-// fakeDiscovery is a fake discovery: lines given to tell go out to every watch.
+// fakeDiscovery is a simulated discovery: lists given to publish are sent to every watch.
 type fakeDiscovery struct {
 	addr         string
 	list         discovery.List
-	quietAtStart bool // who watches from the list's revision on is told nothing at first
+	quietAtStart bool // a new watch gets no list at first
 	mu           sync.Mutex
 	watches      []chan discovery.List
-	watchBegan   chan struct{} // a token for each watch that has begun
-	watchEnded   chan struct{} // and for each that has ended
+	watchBegan   chan struct{} // gets a token for each watch that begins
+	watchEnded   chan struct{} // and for each that ends
 }
 
 func newFakeDiscovery(t *testing.T, list discovery.List) *fakeDiscovery {
@@ -196,7 +196,7 @@
 	done chan error
 }
 
-// startProxy runs a proxy before the members, until the test ends.
+// startProxy runs a proxy with the members until the test ends.
 func startProxy(t *testing.T, cfg Config, members ...discovery.Member) *testProxy {
 	t.Helper()
 	r := newFakeDiscovery(t, discovery.List{Revision: 1, Complete: true, Members: members})
@@ -217,7 +217,7 @@
 	return p
 }
 
-// stopAndWait stops the proxy and waits for its end.
+// stopAndWait stops the proxy and waits until Run returns.
 func (p *testProxy) stopAndWait() {
 	p.t.Helper()
 	p.stop()
@@ -232,7 +232,7 @@
 	}
 }
 
-// testClient is a client's connection.
+// testClient is a client connection to the proxy.
 type testClient struct {
 	t    *testing.T
 	conn net.Conn
@@ -252,11 +252,11 @@
 
 func (c *testClient) send(text string) {
 	if _, err := io.WriteString(c.conn, text); err != nil {
-		c.t.Logf("send: %v", err) // the proxy may have closed already
+		c.t.Logf("send: %v", err) // the proxy may already have closed the connection
 	}
 }
 
-// answer reads one answer: the value of a bulk string, an error line, or "" at the end of the connection.
+// answer reads one answer and returns the value of a bulk string, an error line, or "" at the end of the connection.
 func (c *testClient) answer() string {
 	c.t.Helper()
 	line, err := c.in.ReadString('\n')
@@ -293,7 +293,7 @@
 	return respCommand("OBJ.SET", key, id, "c=pass-order,d=8000", value)
 }
 
-// eventually waits until ok holds under the proxy's lock.
+// eventually waits until ok, called under the proxy's lock, returns true.
 func (p *testProxy) eventually(what string, ok func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,23 +13,23 @@
 	"linenloom/logic"
 )
 
-// attempt is one sending of a request to a member: an exchange made here, or one that a Carrier's client makes.
+// attempt is one attempt of a request at a member: an exchange made by this process or by the client of a Carrier.
 type attempt struct {
 	upstream.Exchange
-	request    *Request // nil once the request is over
+	request    *Request // nil once the request is released
 	memberID   logic.MemberID
 	startedAt  time.Duration
-	meterID    uint64 // its number at the zones' meter
+	meterID    uint64 // its number in Config.ZoneMeter; 0: not metered
 	index      int32
-	byCarrier  bool // by a Carrier
-	handedOver bool // its client has been told of it
-	// awaitsRecord: it is sent once the record of orders says so; until then it has surely not run.
+	byCarrier  bool // its client makes the attempt, see Carrier
+	handedOver bool // its client has been notified of it
+	// awaitsRecord means that the attempt waits for the record of orders to permit it; until then it cannot have run.
 	awaitsRecord bool
 }
 
 var _ upstream.Client = (*attempt)(nil)
 
-// startExchange hands an attempt over to the connections of its member.
+// startExchange submits an attempt to the connections of its member.
 func (p *Proxy) startExchange(m *member, a *attempt) {
 	r, x := a.request, &a.Exchange
 	x.Write, x.Once, x.Group = r.Write, r.effect == logic.AtMostOnce, r.group
@@ -37,7 +37,7 @@
 	p.upstreams.Exchange(&m.Member, x)
 }
 
-// Served gives the client the value of the first good answer.
+// Served passes the value of the first valid answer to the client.
 func (a *attempt) Served(value []byte) {
 	if r := a.request; r.rec != nil {
 		r.p.receipted(r, value)
@@ -51,18 +51,20 @@
 	}
 }
 
-// StreamValue binds the request to an attempt that has begun to answer with a long value.
+// StreamValue binds the request to the attempt, which has begun to return a long value of n bytes, and returns the
+// stream to write the value to, or nil if no client can take the value.
 func (a *attempt) StreamValue(n int) upstream.ValueStream {
 	r := a.request
 	p := r.p
-	if r.done { // nobody waits for it
+	if r.done { // no client waits for the value
 		p.endAttempt(a, logic.StatusOK, 0)
 		return nil
 	}
 	to, ok := r.Taker.(upstream.ValueStream)
 	if !ok {
-		// This client's front takes no long values. The member has done its part, and another would end alike.
-		p.log.Debug("a value is too long for its client", "bytes", n)
+		// This client's front end does not support long values. The member is not at fault, and another member would
+		// return the same.
+		p.log.Debug("value is too long for the client's front end", "bytes", n)
 		p.endAttempt(a, logic.StatusRejected, 0)
 		return nil
 	}
@@ -73,19 +75,20 @@
 	return to
 }
 
-// Done takes the outcome of an exchange.
+// Done ends the attempt with the status of its exchange.
 func (a *attempt) Done(s logic.Status, note int) { a.request.p.endAttempt(a, s, note) }
 
-// Deadline is the client's.
+// Deadline returns the request's current deadline.
 func (a *attempt) Deadline() time.Duration { return a.request.currentDeadline() }
 
-// AnswerBy is when the client is answered at the latest.
+// AnswerBy returns the latest time at which the client is answered.
 func (a *attempt) AnswerBy() time.Duration {
 	return a.request.currentDeadline() - a.request.p.answerSlack()
 }
 
-// currentDeadline is until when somebody waits for the request. It is its client's deadline, and where that has left and others share the
-// answer, the latest of theirs. Whatever a member or caller is told of a deadline comes from here.
+// currentDeadline returns the time until which a client waits for the request: its own client's deadline, or, if
+// that client has left and others share the answer, the latest of their deadlines. Every deadline that is sent to a
+// member or caller is derived from it.
 func (r *Request) currentDeadline() time.Duration {
 	if r.join != nil && r.Taker == (nobody{}) {
 		return min(r.deadline, r.p.joinTable.LatestDeadline(r.id))
@@ -93,7 +96,7 @@
 	return r.deadline
 }
 
-// abandonAttempt stops waiting for an attempt.
+// abandonAttempt ends an attempt without waiting for its answer.
 func (p *Proxy) abandonAttempt(a *attempt, s logic.Status) {
 	if a.awaitsRecord {
 		p.endAttempt(a, logic.StatusNoConn, 0)
@@ -109,7 +112,7 @@
 	p.endAttempt(a, s, 0)
 }
 
-// endAttempt gives an attempt its outcome; later ones are dropped.
+// endAttempt records the outcome of an attempt; later outcomes are ignored.
 func (p *Proxy) endAttempt(a *attempt, s logic.Status, note int) {
 	if a.Ended {
 		return
@@ -121,13 +124,13 @@
 	if r.rec != nil {
 		r.rec.attemptEnded(a, s)
 	}
-	// The wait for a connection is this proxy's own: as the member's latency it would cut the member's limit.
+	// The wait for a connection is not the member's latency: counted as such, it would reduce the member's limit.
 	since := a.startedAt
 	if a.BeganAt > 0 {
 		since = a.BeganAt
 	}
 	until := p.now
-	if at := a.StreamingSince(); at > 0 { // the rest goes at the pace of the client
+	if at := a.StreamingSince(); at > 0 { // from then on the client's speed matters
 		until = at
 	}
 	if a.meterID != 0 {
@@ -141,8 +144,9 @@
 	p.releaseIfOver(r)
 }
 
-// inTransitUntil is until when an attempt that has ended with a status may come at its member as one that is new; 0: it does not. Of one that a
-// Carrier's client was told to make, it is not known when that was written, nor whether as the first on a connection.
+// inTransitUntil returns until when an attempt that has ended with a status may still reach its member; 0: it cannot.
+// For an attempt made by a Carrier's client it is unknown when it was written and whether it was the first on its
+// connection, so the transit time of a first request is assumed.
 func (p *Proxy) inTransitUntil(a *attempt, s logic.Status) time.Duration {
 	if !a.byCarrier {
 		return a.InTransitUntil()
@@ -154,9 +158,9 @@
 	return a.BeganAt + p.upstreams.FirstTransit()
 }
 
-// recallUnsent takes back the attempts of a request that is over which surely have not run yet: those that wait for a connection, for the
-// record or for their last byte to go out. Whether the module may cancel what a member has in hand, and whether a fetch is worth its
-// end, is another matter: nothing is sent for nobody.
+// recallUnsent ends the attempts of a finished request that cannot have run yet: those that wait for a connection, for
+// the record or for the sending of their last byte. It does so whether or not the Balancer may cancel attempts that
+// members have received or lets a fetch finish: nothing is sent when no client waits.
 func (p *Proxy) recallUnsent(r *Request) {
 	for _, a := range r.attempts {
 		switch {
@@ -171,8 +175,8 @@
 	}
 }
 
-// releaseIfOver lets go of a request that is over, and first takes back what has not been sent for it. Timers still name its attempts for a
-// while, so its value, which may be large, is let go of here.
+// releaseIfOver recalls the unsent attempts of a finished request and, once all of its attempts have ended, releases
+// it. Timers keep references to the attempts for a while, so the value, which may be large, is released here.
 func (p *Proxy) releaseIfOver(r *Request) {
 	if r.done && r.out > 0 {
 		p.recallUnsent(r)
@@ -180,21 +184,21 @@
 	if r.done && r.out == 0 && p.requests[r.id] == r && (r.rec == nil || p.recordOver(r)) {
 		delete(p.requests, r.id)
 		p.letGo(r)
-		for _, a := range r.attempts { // timers still name them
+		for _, a := range r.attempts { // timers may still refer to them
 			a.request, a.Message = nil, nil
 		}
 	}
 }
 
-// requestsPerMB bounds the requests in hand by the memory: each takes a few KB with its timers and attempts.
+// requestsPerMB limits the requests in progress by memory: each takes a few KB with its timers and attempts.
 const requestsPerMB = 64
 
 func (p *Proxy) maxRequests() int { return min(p.cfg.MaxRequests, p.cfg.MemoryMB*requestsPerMB) }
 
-// parseRequest reads what the command tells of the request; Deadline is still relative. What a client has to say
-// is checked here, once, since members and the Balancer rely on it: a command that no client should send is
-// not passed on, so that it can neither be served nor count against the member that turns it away. It would
-// harm clients that leave out a name of the protocol.
+// parseRequest converts a command to the Balancer's request; the deadline is still relative. It is the only place that
+// validates a command, and members and the Balancer rely on it. An invalid command is not forwarded, so that it is
+// neither served nor counted as a failure of the member that rejects it. A client that omits a required attribute
+// gets an error.
 func (c *Command) parseRequest(s *logic.Settings) (logic.Request, error) {
 	r := logic.Request{Key: keyNumber(c.Key), Class: -1, Write: c.Write, NoDedupKey: true}
 	if !isPlain(c.Key) || !isPlain(c.ReqID) || len(c.Attrs) > 0 && !isPlain(c.Attrs) {
@@ -238,28 +242,28 @@
 	case !(wait > 0 && wait <= maxDeadlineMS):
 		return r, errors.New("the deadline is out of range")
 	}
-	// No client waits longer than its class allows.
+	// The class limits the deadline.
 	r.Deadline = min(s.Classes[r.Class].Deadline, time.Duration(math.Ceil(wait*float64(time.Millisecond))))
 	return r, nil
 }
 
-// maxDeadlineMS is the longest wait, in milliseconds, that is taken for a wait and not for a mistake: a day.
+// maxDeadlineMS is the longest deadline that is accepted, a day; a longer one is taken for an error.
 const maxDeadlineMS = 24 * 60 * 60 * 1000
 
-// isPlain tells whether a text is there and holds nothing that could end a line or an item.
+// isPlain reports whether a text is not empty and has no character that could end a line or an item.
 func isPlain(text []byte) bool {
 	return len(text) > 0 && !slices.ContainsFunc(text, func(b byte) bool { return b <= ' ' || b == 0x7f })
 }
 
-// idRetention is how long an id counts as in use after its request was taken, at the least, and maxIDsPerGeneration how many
-// are remembered at the most, in each of two generations. Ids are new with every request, so one that comes
-// again belongs to another client or is a copy.
 const (
-	idRetention         = 6 * time.Second
+	// idRetention is the minimum time for which an id counts as in use after its request was accepted. Ids are new
+	// with every request, so a repeated one belongs to another client or to a duplicate.
+	idRetention = 6 * time.Second
+	// maxIDsPerGeneration limits the ids in each of the two generations of idHistory.
 	maxIDsPerGeneration = 8192
 )
 
-// idHistory remembers the ids taken lately, as numbers of a hash that clients can't foresee.
+// idHistory is the set of recently accepted ids, stored as hashes with a random seed, which clients cannot predict.
 type idHistory struct {
 	seed              maphash.Seed
 	current, previous map[uint64]struct{}
@@ -286,7 +290,7 @@
 	s.current[maphash.Bytes(s.seed, id)] = struct{}{}
 }
 
-// parseNumber reads a figure that a client gave; what is not one, or negative, is 0.
+// parseNumber parses a number from a client; it returns 0 for an invalid, negative or too large one.
 func parseNumber(text []byte) float64 {
 	f, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || !(f > 0) || f > 1e12 {
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -10,7 +10,8 @@
 	"linenloom/logic"
 )
 
-// Classes come, go and change under way. A request in hand keeps the class and the attempts that it came with.
+// Classes are added, removed and changed while the proxy runs. A request in progress keeps the class and the number of
+// attempts that it was accepted with.
 func TestRetune(t *testing.T) {
 	release := make(chan struct{})
 	asked := make(chan string, 10)
@@ -18,13 +19,13 @@
 		asked <- r.URL.Path
 		if r.URL.Path == "/b1" {
 			<-release
-			return "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n" // it may have run
+			return "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n" // the order may have run
 		}
 		return httpOK("done")
 	})
 	p := startProxy(t, testConfig(), listEntry("o", o, "origin"))
 	c, d := p.dial(), p.dial()
-	c.send(setCommand("b1", "r1", "x")) // in hand: an order, never to run twice
+	c.send(setCommand("b1", "r1", "x")) // an order in progress, which must not run twice
 	<-asked
 
 	classes := slices.Clone(p.Classes())
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -9,35 +9,35 @@
 	"linenloom/logic"
 )
 
-// timerEntry is something to do at a time. None is withdrawn; one that is no longer wanted does nothing.
+// timerEntry is an action that is due at a time. Entries are not removed; one that is obsolete does nothing when due.
 type timerEntry struct {
-	upstream.Timer          // what it is of the exchanges with members
-	attempt        *attempt // else: its time ends
+	upstream.Timer          // a timer of package upstream, if attempt is nil
+	attempt        *attempt // an attempt whose timeout is due
 	token          uint64
 }
 
 const (
-	wheelSlots      = 4096 // some seconds ahead at the usual ticks; what lies beyond waits in a list
+	wheelSlots      = 4096 // cover some seconds at the usual ticks; later timers wait in a list
 	wheelWords      = wheelSlots / 64
 	tokensPerChunk  = 30
 	entriesPerChunk = 15
-	maxSpareChunks  = 256 // chunks kept for further use
+	maxSpareChunks  = 256 // chunks kept for reuse
 )
 
-// timerWheel is a wheel of slots, one for each tick. A request sets several timers and hardly ever one that counts, so that
-// setting one has to cost little: it is put at the end of its slot, and none is ever moved. The module's own, most of
-// all, are kept apart as bare numbers.
+// timerWheel is a timing wheel with one slot per tick. A request sets several timers, and hardly any of them has an
+// effect, so setting one must be cheap: it is appended to its slot and never moved within the wheel. The Balancer's
+// timers, which are the majority, are stored separately as bare tokens.
 type timerWheel struct {
 	tick         time.Duration
-	next         int64 // the tick that runs next
+	next         int64 // the next tick to run
 	slots        []wheelSlot
-	occupied     [wheelWords]uint64 // which slots hold something
-	far          []farEntry         // beyond the wheel, unordered: there are few
+	occupied     [wheelWords]uint64 // bit set of the slots that are not empty
+	far          []farEntry         // timers beyond the wheel, unordered, as there are few
 	earliestFar  time.Duration
 	count        int
 	spareTokens  []*tokenList
 	spareEntries []*entryList
-	earliestNew  time.Duration // of what was set since it was last looked at
+	earliestNew  time.Duration // earliest of the timers added since the last armTimer
 }
 
 type wheelSlot struct {
@@ -66,22 +66,22 @@
 	return timerWheel{tick: tick, next: int64(now / tick), slots: make([]wheelSlot, wheelSlots), earliestNew: math.MaxInt64}
 }
 
-// tickFor is the slot of a time, put off to the end of its tick; false, if that lies beyond the wheel.
+// tickFor returns the tick of a time, rounded up, and whether it is within the wheel.
 func (t *timerWheel) tickFor(at time.Duration) (int64, bool) {
 	tick := max(t.next, int64((at+t.tick-1)/t.tick))
 	return tick, tick < t.next+wheelSlots
 }
 
-// addEntry sets a timer.
+// addEntry adds a timer.
 func (t *timerWheel) addEntry(now time.Duration, d timerEntry) { t.add(now, d, false) }
 
-// addToken sets a timer of the module's.
+// addToken adds a timer of the Balancer.
 func (t *timerWheel) addToken(now, at time.Duration, token uint64) {
 	t.add(now, timerEntry{Timer: upstream.Timer{At: at}, token: token}, true)
 }
 
 func (t *timerWheel) add(now time.Duration, d timerEntry, module bool) {
-	if t.count == 0 { // nothing has run meanwhile
+	if t.count == 0 { // an empty wheel may be behind
 		t.next = max(t.next, int64(now/t.tick))
 	}
 	t.count++
@@ -133,7 +133,7 @@
 	return new(T)
 }
 
-// earliest is when the next timer falls due; false, if there is none.
+// earliest returns the time of the next timer, and false if there is none.
 func (t *timerWheel) earliest() (time.Duration, bool) {
 	if t.count == 0 {
 		return 0, false
@@ -160,12 +160,12 @@
 	return at, found
 }
 
-// run does what has fallen due by now. What it sets anew for a time that has come runs in the next call.
+// run runs the timers that are due. Timers that are added meanwhile and are already due run in the next call.
 func (t *timerWheel) run(now time.Duration, token func(uint64), do func(timerEntry)) {
 	last := int64(now / t.tick)
 	for t.next <= last {
 		i := int(t.next % wheelSlots)
-		if t.occupied[i/64] == 0 && i%64 == 0 && t.next+64 <= last { // nothing in 64 ticks
+		if t.occupied[i/64] == 0 && i%64 == 0 && t.next+64 <= last { // 64 empty slots
 			t.next += 64
 			continue
 		}
@@ -191,7 +191,7 @@
 				do(d)
 			}
 			next := c.next
-			*c = entryList{} // let go of the attempts
+			*c = entryList{} // releases the references to attempts
 			if len(t.spareEntries) < maxSpareChunks {
 				t.spareEntries = append(t.spareEntries, c)
 			}
@@ -201,7 +201,7 @@
 	if len(t.far) > 0 && t.earliestFar < time.Duration(t.next+wheelSlots)*t.tick {
 		far := t.far
 		t.far = nil
-		for _, d := range far { // those that are still far go back
+		for _, d := range far { // those that are not due are added again
 			t.count--
 			switch {
 			case d.At > now:
@@ -215,19 +215,21 @@
 	}
 }
 
-// maxTick bounds how late timers may be, whatever the settings say, and minTick how finely they are told apart.
 const (
+	// maxTick limits how late timers may run, regardless of the settings.
 	maxTick = 5 * time.Millisecond
+	// minTick is the finest resolution of timers.
 	minTick = time.Millisecond
 )
 
-// tickLength is the module's tick, which it allows for: timers that fall due within one then share a wake-up.
+// tickLength returns the tick of the wheel, within the event delay that the Balancer allows for: timers that are due
+// within one tick share a wake-up.
 func tickLength(s *logic.Settings) time.Duration { return max(minTick, min(s.MaxEventDelay, maxTick)) }
 
 // schedule adds a timer.
 func (p *Proxy) schedule(d timerEntry) { p.timers.addEntry(p.now, d) }
 
-// armTimer sets the wake-up for the earliest timer.
+// armTimer sets the wake-up for the earliest timer that was added.
 func (p *Proxy) armTimer() {
 	if p.timers.earliestNew < p.wakeAt {
 		p.wakeAt = p.timers.earliestNew
@@ -236,7 +238,7 @@
 	p.timers.earliestNew = math.MaxInt64
 }
 
-// onTimer does what has fallen due.
+// onTimer runs the timers that are due.
 func (p *Proxy) onTimer() {
 	p.beginEvent()
 	p.timers.run(p.now, p.runToken, p.runEntry)
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -16,7 +16,7 @@
 	"linenloom/logic"
 )
 
-// Bytes behind an answer must never be taken for the answer to the next request.
+// Bytes that follow an answer must never be taken for the answer to the next request.
 func TestUpstreamUnrequestedBytesAreNoAnswer(t *testing.T) {
 	for name, behind := range map[string]string{
 		"a second copy":    hitReply("value of another"),
@@ -44,7 +44,8 @@
 	}
 }
 
-// An answer that can't be read has failed; the read goes elsewhere, and its client gets nothing of it.
+// An answer that cannot be parsed fails the attempt: the read is retried at another member, and no part of the
+// malformed answer reaches the client.
 func TestUpstreamMalformedAnswerIsAFailedAttempt(t *testing.T) {
 	for name, spoilt := range map[string]string{
 		"noise":          "\x8fb2\xf4\r\n",
@@ -59,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var turn atomic.Int32
-			answer := func(a memberCommand) string { // the first of the two that is asked spoils
+			answer := func(a memberCommand) string { // the first member that gets the read returns the malformed answer
 				if turn.Add(1) == 1 {
 					return spoilt
 				}
@@ -76,7 +77,7 @@
 	}
 }
 
-// What comes with a good answer and is of no use must not spoil it.
+// An unusable load report, or an interim HTTP response before the answer, must not invalidate a valid answer.
 func TestUpstreamAnswerWithMalformedReport(t *testing.T) {
 	value := "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n"
 	for name, answer := range map[string]string{
@@ -116,7 +117,7 @@
 	}
 }
 
-// A cache that finds fault with the request is not at fault itself: others must still be sent to it.
+// A rejected request is not a failure of the cache: it must still get other requests.
 func TestUpstreamRejectionIsNotACacheFailure(t *testing.T) {
 	node := startCache(t, func(a memberCommand) string {
 		if strings.HasPrefix(a.key, "bad") {
@@ -138,7 +139,7 @@
 	}
 }
 
-// A connection that the member has closed while it stood idle costs the next request nothing.
+// A connection that the member has closed while it was idle does not fail the next request.
 func TestUpstreamClosedConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 10)
 	node := serveConns(t, func(conn net.Conn) {
@@ -160,7 +161,7 @@
 	p.eventually("no connection is left", func() bool { return p.upstreams.OpenConns() == 0 })
 }
 
-// Members that come and go leave nothing behind, be it under new ids at an old address.
+// Members that are added and removed leave nothing behind, even under new ids at the same address.
 func TestRemovedMembersAreReleased(t *testing.T) {
 	node := startCache(t, func(a memberCommand) string { return hitReply("value") })
 	r := newFakeDiscovery(t, discoveryList(1, true, listEntry("s-0", node, "large")))
@@ -183,8 +184,8 @@
 	})
 }
 
-// The first request on a connection to a cache must not be the one that pays for its handshake, and a
-// connection that stands idle is kept in use.
+// Connections to caches are opened before the first request, so that no request waits for the handshake, and idle
+// connections are kept open by PING.
 func TestUpstreamConnectionsArePrewarmed(t *testing.T) {
 	pings, conns := make(chan net.Conn, 10), make(chan net.Conn, 10)
 	node := serveConns(t, func(conn net.Conn) {
@@ -221,7 +222,7 @@
 	p.eventually("the connection is free", func() bool {
 		u := free()
 		if u != nil {
-			u.Backdate(cfg.ConnIdle * pool.KeepalivePercent / 100) // as if it stood idle so long
+			u.Backdate(cfg.ConnIdle * pool.KeepalivePercent / 100) // as if it had been idle for that long
 		}
 		return u != nil
 	})
@@ -241,8 +242,8 @@
 	}
 }
 
-// When a cache's connections are all busy, the Balancer hears of it at once and sends elsewhere, rather than
-// have a line form that it can't see.
+// When all connections of a cache are busy and its queue is full, the attempt ends at once, so that the Balancer can
+// select another member. Otherwise a queue would form that the Balancer cannot see.
 func TestUpstreamQueueIsBounded(t *testing.T) {
 	asks, release := make(chan memberCommand, 100), make(chan struct{})
 	node := startCache(t, func(a memberCommand) string { asks <- a; <-release; return hitReply("value") })
@@ -253,7 +254,7 @@
 	for _, m = range p.members {
 	}
 	var over *attempt
-	var all []*Request // one each: nothing is sent for a request that is over
+	var all []*Request // one for each attempt: nothing is sent for a finished request
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
 		r := &Request{p: p.Proxy, Taker: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
 		over = &attempt{request: r, memberID: m.id}
@@ -280,7 +281,7 @@
 	})
 }
 
-// An attempt whose client has left runs out on its connection, which then serves others.
+// An attempt whose client has disconnected completes on its connection, which is then reused.
 func TestUpstreamConnectionSurvivesClientDisconnect(t *testing.T) {
 	conns, asks, release := make(chan struct{}, 10), make(chan memberCommand, 10), make(chan struct{})
 	node := serveConns(t, func(conn net.Conn) {
--- a/internal/proxy/wall_test.go
+++ b/internal/proxy/wall_test.go
@@ -7,13 +7,13 @@
 	"linenloom/internal/discovery"
 )
 
-// Members tell their start by the wall's time. It was turned into the module's by what the wall said when the process began, so that a member that
-// started after the wall had been put right (an hour forward, say) counted as one that starts in an hour or had for an hour: with the wall ahead at
-// the start, a cold member counted as warm, and nothing kept requests from pushing it over.
+// Members report their start in wall-clock time. If it is converted to the Balancer's clock by the wall clock's offset
+// at the start of the process only, a later step of the wall clock, by an hour for example, shifts the start of members
+// by that hour: a cold member then counts as warm and is overloaded.
 func TestWallClockStepKeepsMembersCold(t *testing.T) {
-	const now = 50 * time.Hour // by the true time
+	const now = 50 * time.Hour // the true time
 	for name, c := range map[string]struct {
-		atStart, later time.Duration // by how much the wall is ahead
+		atStart, later time.Duration // offset of the wall clock from the true time
 	}{
 		"never stepped":                   {0, 0},
 		"ahead at the start, put right":   {time.Hour, 0},
@@ -42,7 +42,8 @@
 	}
 }
 
-// What was learnt of a start stays, whatever the wall does: a member must not look like another process for a step of the clock.
+// The start time of a member stays as it was first computed: a step of the wall clock must not make the member look
+// like a restarted process.
 func TestWallClockStepDoesNotRestartMembers(t *testing.T) {
 	var ahead time.Duration
 	cfg := testConfig()
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -10,18 +10,18 @@
 	"linenloom/logic"
 )
 
-// watch is a watch on discovery at one address. It counts until the next one has told its first list, so that
-// an address that is not up yet leaves the proxy no worse off; from then on nothing that it tells is taken.
+// watch is a watch on discovery at one address. It stays active until the next watch has received its first list, so
+// that an address that is not reachable yet does no harm; after that its lists are ignored.
 type watch struct {
 	addr         string
-	gotList      chan struct{} // closed with its first list
-	opened       chan struct{} // closed once discovery has taken it up
+	gotList      chan struct{} // closed when its first list is applied
+	opened       chan struct{} // closed when discovery has accepted the watch
 	cancel       context.CancelFunc
 	backoff      *discovery.Backoff
-	initialDelay time.Duration // before its first call
+	initialDelay time.Duration // delay of its first call
 }
 
-// SetDiscoveryAddr moves the watch to another address. It returns at once.
+// SetDiscoveryAddr moves the watch on discovery to another address. It does not block.
 func (p *Proxy) SetDiscoveryAddr(addr string) {
 	p.beginEvent()
 	defer p.endEvent()
@@ -30,12 +30,12 @@
 		return
 	}
 	if newest := p.watches[len(p.watches)-1]; newest.addr != addr {
-		p.log.Info("discovery moves", "from", newest.addr, "to", addr)
+		p.log.Info("discovery address changed", "from", newest.addr, "to", addr)
 		p.addWatch(addr, true)
 	}
 }
 
-// addWatch starts a watch. Of those before it, the one that counts goes on for the time being.
+// addWatch starts a watch. Earlier watches are cancelled, except for the active one.
 func (p *Proxy) addWatch(addr string, whole bool) *watch {
 	for len(p.watches) > 1 {
 		p.watches[1].cancel()
@@ -44,7 +44,7 @@
 	s := &p.cfg.Settings
 	w := &watch{addr: addr, gotList: make(chan struct{}), opened: make(chan struct{}), cancel: func() {},
 		backoff: discovery.NewBackoff(s.Subscribe, s.SelfIndex, s.Instances, s.MaxPollInterval, p.cfg.Seed)}
-	if !whole && len(p.cfg.InitialList.Members) > 0 { // there is a list to begin with
+	if !whole && len(p.cfg.InitialList.Members) > 0 { // the configuration has a list
 		w.initialDelay = w.backoff.StartDelay()
 	}
 	p.watches = append(p.watches, w)
@@ -52,7 +52,7 @@
 	return w
 }
 
-// runWatch runs a watch until it is superseded or the context ends.
+// runWatch runs a watch until it is replaced or the context ends.
 func (p *Proxy) runWatch(ctx context.Context, w *watch, whole bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -73,8 +73,8 @@
 	watcher.Run(ctx)
 }
 
-// receiveList applies a list, if the watch that it came by still counts or begins to. One that begins to may have lagged behind: while it asked
-// for its first list, the one before has told more. That list would call members back that drain, and is not taken.
+// receiveList applies a list, unless its watch has been replaced. The first list of a new watch may be older than what
+// the active watch has received meanwhile. Such a list is rejected, as it would reactivate members that drain.
 func (p *Proxy) receiveList(w *watch, l discovery.List) (newest int64, taken bool) {
 	kind := logic.ListDelta
 	if l.Complete {
@@ -85,7 +85,7 @@
 	at := slices.Index(p.watches, w)
 	switch {
 	case at < 0:
-		return l.Revision, true // it is being ended
+		return l.Revision, true // the watch has been replaced and is ending
 	case at > 0 && l.Revision < p.revision && !l.RevisionsReset:
 		return p.revision, false
 	}
@@ -103,8 +103,8 @@
 	return l.Revision, true
 }
 
-// awaitFirstList waits for a watch's first list, for so long at the most. A watch that discovery has taken up and that tells nothing for
-// listUpdateTimeout has nothing to tell: the list of the configuration holds, and is not waited for any longer.
+// awaitFirstList waits for a watch's first list, up to a timeout. If nothing arrives for listUpdateTimeout after
+// discovery has accepted the watch, there is no newer list: the configuration's list is current, and the wait ends.
 func (w *watch) awaitFirstList(ctx context.Context, within time.Duration) {
 	most := time.NewTimer(within)
 	defer most.Stop()
@@ -123,6 +123,7 @@
 	}
 }
 
+// watchBroken reports to the Balancer that the active watch has failed.
 func (p *Proxy) watchBroken(w *watch) {
 	p.beginEvent()
 	defer p.endEvent()
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -14,7 +14,7 @@
 	return discovery.List{Revision: revision, Complete: complete, Members: members}
 }
 
-// Once another discovery has told its list, that one alone counts.
+// Once a discovery at a new address has sent its list, only its lists are applied.
 func TestWatchMovesToNewAddress(t *testing.T) {
 	node := func(name string) string { return startCache(t, func(memberCommand) string { return hitReply(name) }) }
 	a := listEntry("s-a", node("a"), "large")
@@ -30,7 +30,7 @@
 	}
 
 	p.SetDiscoveryAddr(fresh.addr)
-	p.SetDiscoveryAddr(fresh.addr) // again: nothing changes
+	p.SetDiscoveryAddr(fresh.addr) // the same address again has no effect
 	<-fresh.watchBegan
 	p.eventually("the new list holds", func() bool { return p.revision == 7 && len(p.watches) == 1 })
 	c.send(getCommand("k", "id2"))
@@ -38,13 +38,13 @@
 		t.Errorf("after the move: %q", got)
 	}
 	<-old.watchEnded
-	p.receiveList(&watch{}, discoveryList(9, true, a)) // what the old one had on its way
+	p.receiveList(&watch{}, discoveryList(9, true, a)) // a late list of the old watch
 	c.send(getCommand("k", "id3"))
 	if got := c.answer(); got != "b" {
 		t.Errorf("after a late list of the old discovery: %q", got)
 	}
 
-	p.SetDiscoveryAddr(old.addr) // and back, to one that has fallen behind: its list holds after a while
+	p.SetDiscoveryAddr(old.addr) // back to a discovery with an older revision: its list is applied after a while
 	<-old.watchBegan
 	p.eventually("the first list holds again", func() bool { return p.revision == 5 })
 	c.send(getCommand("k", "id4"))
@@ -53,7 +53,7 @@
 	}
 }
 
-// An address that does not answer leaves the watch that stands in force.
+// If the new address does not answer, the current watch stays active.
 func TestWatchStaysWhenNewAddressIsDown(t *testing.T) {
 	a := listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("a") }), "large")
 	b := listEntry("s-b", startCache(t, func(memberCommand) string { return hitReply("b") }), "large")
@@ -72,13 +72,13 @@
 	}
 }
 
-// One of many proxies before a discovery that all of them ask puts its first call off, and serves meanwhile from the list of its
-// configuration: all of them may be starting.
+// A proxy that shares a discovery with many others delays its first call, as all of them may be starting, and serves
+// from the list of its configuration meanwhile.
 func TestWatchServesFromInitialList(t *testing.T) {
 	r := newFakeDiscovery(t, discoveryList(5, true, listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("a") }), "large")))
 	cfg := testConfig()
 	cfg.Settings.Subscribe, cfg.Settings.Instances, cfg.Settings.MaxPollInterval = true, 80, time.Minute
-	cfg.Settings.SelfIndex = 60 // late in the spread
+	cfg.Settings.SelfIndex = 60 // a late position in the spread of first calls
 	p := startProxyAt(t, cfg, r)
 	c := p.dial()
 	c.send(getCommand("k", "id1"))
@@ -92,14 +92,14 @@
 	})
 }
 
-// Discovery is down when a proxy starts, refuses its calls for a while, and then tells a list: the proxy serves from the list of its
-// configuration meanwhile, and from then on keeps to what it was told.
+// Discovery is down when a proxy starts, rejects its calls for a while, and then sends a list: until then the proxy
+// serves from the list of its configuration, and afterwards from the list that it received.
 func TestWatchDiscoveryDownAtStart(t *testing.T) {
 	a := listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("a") }), "large")
 	b := listEntry("s-b", startCache(t, func(memberCommand) string { return hitReply("b") }), "large")
 	r := newFakeDiscovery(t, discoveryList(6, true, b))
 	var calls atomic.Int32
-	var up atomic.Bool // not a number of calls: how soon they come is the pace's affair
+	var up atomic.Bool // not a number of calls, as the backoff decides their rate
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if calls.Add(1); !up.Load() {
 			http.Error(w, "down", http.StatusServiceUnavailable)
@@ -115,7 +115,7 @@
 	if got := c.answer(); got != "a" {
 		t.Fatalf("while discovery is down: %q", got)
 	}
-	for calls.Load() < 4 { // it goes on asking
+	for calls.Load() < 4 { // it keeps retrying
 		time.Sleep(time.Millisecond)
 	}
 	up.Store(true)
@@ -126,7 +126,7 @@
 	}
 }
 
-// A discovery that takes the watch up and has nothing new to tell is not waited for.
+// The proxy does not wait for a discovery that accepts the watch and has no newer list.
 func TestWatchReadyWithoutNewList(t *testing.T) {
 	r := newFakeDiscovery(t, discoveryList(5, true, listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("a") }), "large")))
 	r.quietAtStart = true
@@ -144,7 +144,7 @@
 			return false
 		}
 	})
-	w.awaitFirstList(t.Context(), time.Hour) // ends by itself
+	w.awaitFirstList(t.Context(), time.Hour) // returns without the timeout
 	c := p.dial()
 	c.send(getCommand("k", "id1"))
 	if got := c.answer(); got != "a" {
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -8,7 +8,7 @@
 	"linenloom/logic"
 )
 
-// zoneOutcome is an attempt's outcome as it tells of a zone.
+// zoneOutcome returns the outcome that counts for the zone of an attempt with a status.
 func zoneOutcome(s logic.Status) zones.Outcome {
 	switch s {
 	case logic.StatusOK:
@@ -23,10 +23,10 @@
 	return zones.OutcomeNone
 }
 
-// zoneIndex is the place of a zone in the settings, below 0: they do not have it.
+// zoneIndex returns the index of a zone in the settings, or -1 if they do not contain it.
 func (p *Proxy) zoneIndex(locality string) int { return slices.Index(p.cfg.Zones, locality) }
 
-// ZoneCapacity is what the ready caches of each zone can do, by the sizes that the list tells.
+// ZoneCapacity returns the total listed size of the ready caches in each zone.
 func (p *Proxy) ZoneCapacity() []float64 {
 	capacity := make([]float64, len(p.cfg.Zones))
 	p.Do(func() {
@@ -39,8 +39,8 @@
 	return capacity
 }
 
-// UpdateZoneShares takes from decide what part of its usual work each zone is to get here from now on; nil: nothing changes. It is called under the
-// lock, and waits for nothing.
+// UpdateZoneShares sets the share of its usual load that each zone gets from this proxy. decide returns the shares, or
+// nil for no change; it is called under the lock and must not block.
 func (p *Proxy) UpdateZoneShares(decide func(now time.Duration) []logic.ZoneShare) {
 	p.Do(func() {
 		if shares := decide(p.now); shares != nil {
