--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -86,13 +86,13 @@
 func (p *Proxy) finishRequest(id logic.RequestID, a Answer) {
 	if r := p.requests[id]; r != nil && !r.done {
 		r.done = true
-		what := reasons.Refused
+		outcome := reasons.Refused
 		if a.Kind == Failed {
-			what = reasons.Failed
+			outcome = reasons.Failed
 		} else {
 			p.unspend(r)
 		}
-		p.reasons.Add(what, r.class, r.tenant, a.Why)
+		p.reasons.Add(outcome, r.class, r.tenant, a.Why)
 		if p.cfg.ZoneMeter != nil && a.Why == logic.OriginLine {
 			p.cfg.ZoneMeter.OriginRefused(p.now)
 		}
@@ -119,7 +119,7 @@
 // ConnectionWait returns the expected wait for a connection to a member.
 func (x actions) ConnectionWait(id logic.RequestID, to logic.MemberID) time.Duration {
 	if r := x.p.requests[id]; r != nil {
-		if _, own := r.Taker.(Carrier); own {
+		if _, ownConnections := r.Taker.(Carrier); ownConnections {
 			return 0
 		}
 	}
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -24,14 +24,14 @@
 			t.Run(name+", "+phase, func(t *testing.T) {
 				t.Parallel()
 				l := newRoll()
-				door, open := shut(t, l, c.kind)
-				m := listEntry("s-1", door, c.kind)
+				addr, open := shut(t, l, c.kind)
+				m := listEntry("s-1", addr, c.kind)
 				r := newFakeDiscovery(t, discoveryList(1, true, m))
 				p := startProxyAt(t, leaving(false), r)
 				<-r.watchBegan
 				client := p.dial()
 				client.send(c.ask)
-				p.eventually("it waits for the connection", func() bool { return len(p.at(door).Waiting) == 1 })
+				p.eventually("it waits for the connection", func() bool { return len(p.at(addr).Waiting) == 1 })
 				m.Phase = phase
 				r.publish(discoveryList(2, false, m))
 				if got := client.answer(); !strings.HasPrefix(got, c.want) {
@@ -56,42 +56,42 @@
 			"an order": {setCommand("a1", "id", "order"), "value of a1", "-ERR"},
 		} {
 			t.Run(fmt.Sprintf("%s, late %v", name, late), func(t *testing.T) {
-				came, release := make(chan struct{}, 10), make(chan struct{})
+				arrived, release := make(chan struct{}, 10), make(chan struct{})
 				node := startCache(t, func(a memberCommand) string {
-					if came <- struct{}{}; a.id == "id" {
+					if arrived <- struct{}{}; a.id == "id" {
 						<-release
 					}
 					return hitReply("value of " + a.key)
 				})
 				o := startOrigin(t, func(r *http.Request) string {
-					if came <- struct{}{}; r.Header.Get("X-Request-ID") == "id" {
+					if arrived <- struct{}{}; r.Header.Get("X-Request-ID") == "id" {
 						<-release
 					}
 					return httpOK("value of " + r.URL.Path[1:])
 				})
 				cfg := testConfig()
 				cfg.Settings.MaxAttempts = 1
-				on := handClock(&cfg)
+				advance := handClock(&cfg)
 				p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 				client := p.dial()
 				client.send(c.ask)
 				// Advances the clock until c receives, far below any soft deadline.
-				until := func(what string, c <-chan struct{}) {
+				advanceUntil := func(what string, c <-chan struct{}) {
 					t.Helper()
 					for range 2000 {
 						select {
 						case <-c:
 							return
 						case <-time.After(time.Millisecond):
-							on(p, time.Millisecond)
+							advance(p, time.Millisecond)
 						}
 					}
 					t.Fatalf("never came about: %s", what)
 				}
-				until("it is at its member", came)
+				advanceUntil("it is at its member", arrived)
 				want := c.timely
 				if late {
-					on(p, 9*time.Second)
+					advance(p, 9*time.Second)
 					want = c.late
 				} else {
 					close(release)
@@ -102,10 +102,10 @@
 				if late {
 					close(release)
 				} else {
-					on(p, 9*time.Second)
+					advance(p, 9*time.Second)
 				}
 				client.send(getCommand("a2", "next"))
-				until("the next is at its member", came)
+				advanceUntil("the next is at its member", arrived)
 				if got := client.answer(); got != "value of a2" {
 					t.Errorf("the next read was answered %q", got)
 				}
@@ -117,8 +117,8 @@
 // Requests of a client that disconnects are withdrawn during a stop too, even if commands behind them were not read.
 func TestAttemptClientDisconnectsDuringStop(t *testing.T) {
 	l := newRoll()
-	door, open := shut(t, l, "large")
-	p := startProxy(t, leaving(false), listEntry("s-1", door, "large"))
+	addr, open := shut(t, l, "large")
+	p := startProxy(t, leaving(false), listEntry("s-1", addr, "large"))
 	p.Do(func() { p.maxStopDeadline = time.Hour }) // the stop waits for the requests in progress
 	clients := []*testClient{p.dial(), p.dial()}
 	clients[0].send(getLong("a1", "left"))
@@ -143,9 +143,9 @@
 // A cache sends duplicates of its answers some milliseconds later. Once a duplicate has been seen, none may be taken for
 // the answer to the next request: the next request is not sent on a connection before a duplicate would have arrived.
 func TestAttemptDelayedDuplicateAnswer(t *testing.T) {
-	ended := make(chan struct{}, 10)
+	closed := make(chan struct{}, 10)
 	node := serveConns(t, func(conn net.Conn) {
-		defer func() { ended <- struct{}{} }()
+		defer func() { closed <- struct{}{} }()
 		in := resp.NewReader(conn, 4096)
 		last := ""
 		for {
@@ -164,14 +164,14 @@
 		}
 	})
 	cfg := testConfig()
-	on := handClock(&cfg)
+	advance := handClock(&cfg)
 	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 	client := p.dial()
 	client.send(getCommand("a1", "first"))
 	if got := client.answer(); got != "value of a1" {
 		t.Fatalf("answered %q", got)
 	}
-	<-ended            // the connection is closed because of the unrequested bytes
+	<-closed           // the connection is closed because of the unrequested bytes
 	for i := range 4 { // within 15 ms
 		key := fmt.Sprintf("b%d", i)
 		client.send(getCommand(key, "id"+key))
@@ -179,6 +179,6 @@
 			t.Fatalf("read %d was answered %q", i, got)
 		}
 		p.eventually("the connection rests", func() bool { return len(p.requests) == 0 })
-		on(p, 5*time.Millisecond)
+		advance(p, 5*time.Millisecond)
 	}
 }
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -126,7 +126,7 @@
 	before, heapBefore := now(), heap()
 
 	revision := int64(1)
-	tell := func(m ...discovery.Member) {
+	publish := func(m ...discovery.Member) {
 		revision++
 		at := revision
 		r.publish(discoveryList(at, false, m...))
@@ -139,7 +139,7 @@
 		switch i % 3 {
 		case 0:
 			gone.Phase = discovery.PhaseTerminating
-			tell(gone)
+			publish(gone)
 			read(2)
 		case 1:
 			old.kill()
@@ -149,7 +149,7 @@
 			read(2)
 		}
 		gone.Phase = discovery.PhaseTerminated
-		tell(gone, listEntry(id(i+3), next.listener.Addr().String(), "large"))
+		publish(gone, listEntry(id(i+3), next.listener.Addr().String(), "large"))
 		read(3)
 		old.kill()
 	}
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -12,8 +12,8 @@
 // fleetHash identifies the snapshots that this proxy can load: its index, mode, zones and kinds of members.
 func (c *Config) fleetHash() uint64 {
 	s := &c.Settings
-	place := fmt.Sprint(s.SelfIndex, s.Instances, s.Zone, s.Mode, s.OriginKind)
-	return inherit.FleetHash(slices.Concat([]string{place}, c.Zones, []string{"kinds"}, c.Kinds)...)
+	position := fmt.Sprint(s.SelfIndex, s.Instances, s.Zone, s.Mode, s.OriginKind)
+	return inherit.FleetHash(slices.Concat([]string{position}, c.Zones, []string{"kinds"}, c.Kinds)...)
 }
 
 // Snapshot returns the learned state for the successor process. The lock is held only while the state is copied.
@@ -40,31 +40,31 @@
 	if err == nil && s == nil {
 		return // no snapshot
 	}
-	members := 0
+	restored := 0
 	if err == nil {
 		p.Do(func() {
-			now := make(map[logic.MemberID]inherit.CurrentMember, len(p.members))
+			current := make(map[logic.MemberID]inherit.CurrentMember, len(p.members))
 			for id, m := range p.members {
 				if m.state == logic.Ready {
-					now[id] = inherit.CurrentMember{StartedAt: m.startedAt, Addr: m.Addr}
+					current[id] = inherit.CurrentMember{StartedAt: m.startedAt, Addr: m.Addr}
 				}
 			}
-			var held inherit.Snapshot
-			if held, err = s.AdjustFor(p.cfg.fleetHash(), time.Now().UnixMilli(), now); err != nil {
+			var adjusted inherit.Snapshot
+			if adjusted, err = s.AdjustFor(p.cfg.fleetHash(), time.Now().UnixMilli(), current); err != nil {
 				return
 			}
-			members = p.balancer.ImportState(p.now, held.Balancer)
-			for id, link := range held.Links {
+			restored = p.balancer.ImportState(p.now, adjusted.Balancer)
+			for id, link := range adjusted.Links {
 				p.members[id].RestoreStats(link.ConnStats)
 			}
-			p.upstreams.RestoreIdleStats(held.Idle)
-			p.redis.reuse = held.ReuseShare
+			p.upstreams.RestoreIdleStats(adjusted.Idle)
+			p.redis.reuse = adjusted.ReuseShare
 		})
 	}
 	if err != nil {
 		p.log.Warn("learned state of the predecessor process is not taken over", "err", err)
 		return
 	}
-	p.log.Info("taken over from the process before", "members", members, "of", len(s.Balancer.Members), "keys", len(s.Balancer.Keys),
+	p.log.Info("taken over from the process before", "members", restored, "of", len(s.Balancer.Members), "keys", len(s.Balancer.Keys),
 		"age_ms", time.Now().UnixMilli()-s.TakenMS)
 }
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -17,7 +17,7 @@
 // A failed dial must not leave the pool without connections: waiting attempts get a connection as soon as the member
 // accepts one, although the only open connection stays busy.
 func TestFailedDialDoesNotStarveThePool(t *testing.T) {
-	asks, release := make(chan string, 10), make(chan struct{})
+	keys, release := make(chan string, 10), make(chan struct{})
 	serve := func(conn net.Conn) {
 		defer conn.Close()
 		in := resp.NewReader(conn, 4096)
@@ -26,7 +26,7 @@
 			if err != nil {
 				return
 			}
-			asks <- words[1]
+			keys <- words[1]
 			if words[1] == "a1" {
 				<-release
 			}
@@ -52,7 +52,7 @@
 	p := startProxy(t, cfg, listEntry("s-1", l.Addr().String(), "large"))
 	busy, waiting := p.dial(), p.dial()
 	busy.send(getCommand("a1", "id1"))
-	<-asks
+	<-keys
 	l.Close()
 	waiting.send(getCommand("a2", "id2"))
 	p.eventually("a dial has failed", func() bool {
@@ -83,10 +83,10 @@
 	r := &Request{done: true}
 	waited := &attempt{request: r, startedAt: p.now - time.Second}
 	waited.BeganAt = p.now - 10*time.Millisecond
-	never := &attempt{request: r, startedAt: p.now - time.Second}
+	neverWritten := &attempt{request: r, startedAt: p.now - time.Second}
 	r.out = 2
 	p.endAttempt(waited, logic.StatusOK, 0)
-	p.endAttempt(never, logic.StatusNoConn, 0)
+	p.endAttempt(neverWritten, logic.StatusNoConn, 0)
 	if got := p.outcomes[0].Elapsed; got != 10*time.Millisecond {
 		t.Errorf("an attempt that waited took %v", got)
 	}
@@ -98,13 +98,13 @@
 
 // Connections that keep breaking must not use up the retry budget.
 func TestPoolBreaksDoNotExhaustRetries(t *testing.T) {
-	first := map[string]bool{}
+	seenIDs := map[string]bool{}
 	ids := make(chan string, 1)
 	seen := make(chan bool)
 	go func() {
 		for id := range ids {
-			seen <- first[id]
-			first[id] = true
+			seen <- seenIDs[id]
+			seenIDs[id] = true
 		}
 	}()
 	t.Cleanup(func() { close(ids) })
@@ -134,7 +134,7 @@
 // An origin that has closed a kept-alive connection resets it when it gets the next write, which must not run twice.
 // The write's last byte was not sent, so it cannot have run and is retried on another connection.
 func TestPoolResetBeforeLastByteAllowsRetry(t *testing.T) {
-	whole := make(chan string, 10)
+	received := make(chan string, 10)
 	o := serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for n := 0; ; n++ {
@@ -149,7 +149,7 @@
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
-			whole <- r.Header.Get("X-Request-ID")
+			received <- r.Header.Get("X-Request-ID")
 			io.WriteString(conn, httpOK("receipt"))
 		}
 	})
@@ -164,7 +164,7 @@
 		if got := c.answer(); got != "receipt" {
 			t.Fatalf("order %d was answered %q", i, got)
 		}
-		if got := <-whole; got != id {
+		if got := <-received; got != id {
 			t.Fatalf("the origin carried out %q, not %q", got, id)
 		}
 		p.eventually("the connection is free", func() bool {
@@ -174,7 +174,7 @@
 			return false
 		})
 	}
-	if n := len(whole); n != 0 {
+	if n := len(received); n != 0 {
 		t.Errorf("%d orders too many were carried out", n)
 	}
 }
@@ -246,10 +246,10 @@
 // A cache at its connection limit answers the first request on a new connection with -BUSY and closes it. Its reads
 // go to other members, and only a few of them are tried at the full cache first, each by one attempt that did not run.
 func TestPoolCacheThatRefusesConnections(t *testing.T) {
-	var turned atomic.Int32
+	var refused atomic.Int32
 	full := serveConns(t, func(conn net.Conn) {
 		if _, err := readCommand(resp.NewReader(conn, 1<<10)); err == nil {
-			turned.Add(1)
+			refused.Add(1)
 			io.WriteString(conn, "-BUSY too many connections\r\n")
 		}
 	})
@@ -266,7 +266,7 @@
 		}
 	}
 	// Half of the keys belong to the full cache. The dial backoff doubles from 10 ms to 1 s.
-	if n := turned.Load(); n == 0 || n > reads/8 {
+	if n := refused.Load(); n == 0 || n > reads/8 {
 		t.Errorf("%d of %d reads were sent to a cache that takes no connection", n, reads)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -167,11 +167,11 @@
 		ConcurrentAttempts: cfg.Settings.ConcurrentAttempts,
 	}, host{p})
 	p.upstreams.Advance(p.now)
-	bal, err := logic.New(cfg.Settings, cfg.Seed, actions{p})
+	balancer, err := logic.New(cfg.Settings, cfg.Seed, actions{p})
 	if err != nil {
 		return nil, fmt.Errorf("balancer: %w", err)
 	}
-	p.balancer = bal
+	p.balancer = balancer
 	if cfg.Joining != nil {
 		p.joinTable = joining.New(*cfg.Joining)
 	}
@@ -197,18 +197,18 @@
 	p.applyList(logic.ListCached, p.cfg.InitialList)
 	p.endEvent()
 
-	var g sync.WaitGroup
+	var goroutines sync.WaitGroup
 	p.beginEvent()
 	p.revision = p.cfg.InitialList.Revision
-	p.startWatch = func(w *watch, whole bool) { g.Go(func() { p.runWatch(background, w, whole) }) }
-	first := p.addWatch(p.cfg.Discovery, false)
+	p.startWatch = func(w *watch, whole bool) { goroutines.Go(func() { p.runWatch(background, w, whole) }) }
+	firstWatch := p.addWatch(p.cfg.Discovery, false)
 	p.endEvent()
-	g.Go(func() { p.sweep(background) })
+	goroutines.Go(func() { p.sweep(background) })
 
 	// Clients come once PING is answered, and with an outdated list their first requests would fail. If the first
 	// call to discovery is delayed for longer than this wait, the configuration's list is used.
-	if first.initialDelay < firstListTimeout {
-		first.awaitFirstList(ctx, firstListTimeout)
+	if firstWatch.initialDelay < firstListTimeout {
+		firstWatch.awaitFirstList(ctx, firstListTimeout)
 	}
 	p.restoreSnapshot()
 	if p.cfg.BeforeServing != nil {
@@ -220,14 +220,14 @@
 		p.startWatch = nil
 		p.closeAll()
 		p.mu.Unlock()
-		g.Wait()
+		goroutines.Wait()
 		return err
 	}
 	p.log.Info("ready", "listen", p.Addr().String(), "out_of_use", p.cfg.OutOfUse.CountOut(), "members", len(p.cfg.InitialList.Members))
 	served := make(chan error, len(p.fronts))
 	p.Do(func() { p.serving = true })
 	for _, f := range p.fronts {
-		g.Go(func() { served <- f.Serve() })
+		goroutines.Go(func() { served <- f.Serve() })
 	}
 
 	var err error
@@ -238,13 +238,13 @@
 	case err = <-served:
 	}
 	p.beginEvent()
-	why := p.newReasons()
+	newCounts := p.newReasons()
 	p.startWatch = nil
 	stop()
 	p.closeAll()
 	p.mu.Unlock()
-	p.logReasons(why)
-	g.Wait()
+	p.logReasons(newCounts)
+	goroutines.Wait()
 	return err
 }
 
@@ -357,10 +357,10 @@
 
 // UpdateMaintenance merges a set of members out of use. Requests that wait to be sent to a member that goes out of
 // use are not sent.
-func (p *Proxy) UpdateMaintenance(out maintenance.Set) {
+func (p *Proxy) UpdateMaintenance(outOfUse maintenance.Set) {
 	p.beginEvent()
 	defer p.endEvent()
-	p.outOfUse = p.outOfUse.Merge(out) // two sets may arrive in a different order than they were recorded in
+	p.outOfUse = p.outOfUse.Merge(outOfUse) // two sets may arrive in a different order than they were recorded in
 	var changed []discovery.Member
 	for _, m := range p.members {
 		if e := p.balancerMember(m.listed); m.state != logic.Gone && (e.State != m.state || e.StartedAt != m.startedAt) {
@@ -419,7 +419,7 @@
 func (p *Proxy) sweep(ctx context.Context) {
 	tick := time.NewTicker(frontSweepInterval)
 	defer tick.Stop()
-	for n := 1; ; n++ {
+	for ticks := 1; ; ticks++ {
 		select {
 		case <-ctx.Done():
 			return
@@ -429,13 +429,13 @@
 		for _, f := range p.fronts {
 			f.Sweep()
 		}
-		if n%int(memberSweepInterval/frontSweepInterval) != 0 {
+		if ticks%int(memberSweepInterval/frontSweepInterval) != 0 {
 			p.endEvent()
 			continue
 		}
-		var why []any
-		if n%int(reasonsLogInterval/frontSweepInterval) == 0 {
-			why = p.newReasons()
+		var newCounts []any
+		if ticks%int(reasonsLogInterval/frontSweepInterval) == 0 {
+			newCounts = p.newReasons()
 		}
 		p.upstreams.UpdateIdleLimit()
 		for id, m := range p.members {
@@ -449,7 +449,7 @@
 		p.shortOfMemory = p.logShortage(p.shortOfMemory,
 			p.bufferedBytes >= p.maxBufferedBytes, "short of memory for buffered bodies")
 		p.endEvent()
-		p.logReasons(why)
+		p.logReasons(newCounts)
 	}
 }
 
@@ -473,21 +473,21 @@
 }
 
 // logReasons logs the result of newReasons, without the lock: a blocked log must not delay requests.
-func (p *Proxy) logReasons(why []any) {
-	if len(why) > 0 {
-		p.log.Info("reasons", why...)
+func (p *Proxy) logReasons(newCounts []any) {
+	if len(newCounts) > 0 {
+		p.log.Info("reasons", newCounts...)
 	}
 }
 
 // logShortage logs when a shortage begins and ends.
-func (p *Proxy) logShortage(was, is bool, what string) bool {
+func (p *Proxy) logShortage(wasShort, isShort bool, message string) bool {
 	switch {
-	case is && !was:
-		p.log.Warn(what, "sockets", p.openDescriptors(), "held_bytes", p.bufferedBytes, "requests", len(p.requests))
-	case was && !is:
-		p.log.Info("no longer " + what)
+	case isShort && !wasShort:
+		p.log.Warn(message, "sockets", p.openDescriptors(), "held_bytes", p.bufferedBytes, "requests", len(p.requests))
+	case wasShort && !isShort:
+		p.log.Info("no longer " + message)
 	}
-	return is
+	return isShort
 }
 
 // openDescriptors returns the number of file descriptors in use by front ends and connections to members.
@@ -512,15 +512,15 @@
 // clock may be stepped while this process runs, and may have been wrong when the process started. Of the start by
 // the wall clock's current offset and by its offset at the start of the process, the later one is used: a cold member
 // that counts as older than it is would be overloaded.
-func (p *Proxy) startedAt(id logic.MemberID, upSince time.Duration) time.Duration {
-	if upSince <= 0 {
+func (p *Proxy) startedAt(id logic.MemberID, listedStart time.Duration) time.Duration {
+	if listedStart <= 0 {
 		return 0
 	}
-	if m := p.members[id]; m != nil && m.listedStart == upSince {
+	if m := p.members[id]; m != nil && m.listedStart == listedStart {
 		return m.startedAt
 	}
-	byWall := p.now - (p.wallTime() - upSince)
-	return min(p.now, max(byWall, upSince))
+	byCurrentOffset := p.now - (p.wallTime() - listedStart)
+	return min(p.now, max(byCurrentOffset, listedStart))
 }
 
 // wallTime returns the wall-clock time since 1970.
@@ -571,8 +571,8 @@
 func (h host) ScheduleTimer(d upstream.Timer) { h.schedule(timerEntry{Timer: d}) }
 func (h host) ScheduleWake(at time.Duration)  { h.poolTimer.Reset(at - h.now) }
 
-func (h host) HasDescriptor(make bool) bool {
-	if !make {
+func (h host) HasDescriptor(evict bool) bool {
+	if !evict {
 		return h.openDescriptors() < h.cfg.Descriptors-reservedDescriptors
 	}
 	return h.openDescriptors() < h.cfg.Descriptors-reservedDescriptors/2 || h.makeRoom()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -204,8 +204,8 @@
 	if !isPlain(c.Key) || !isPlain(c.ReqID) || len(c.Attrs) > 0 && !isPlain(c.Attrs) {
 		return r, errors.New("key, id and list must be given, without spaces")
 	}
-	var wait float64
-	var hasClass, hasWait bool
+	var deadlineMS float64
+	var hasClass, hasDeadline bool
 	for name, value := range upstream.Attributes(c.Attrs) {
 		switch name {
 		case "c":
@@ -221,10 +221,10 @@
 				}
 			}
 		case "d":
-			if wait = parseNumber(value); hasWait || len(bytes.Trim(value, "0123456789.")) > 0 {
+			if deadlineMS = parseNumber(value); hasDeadline || len(bytes.Trim(value, "0123456789.")) > 0 {
 				return r, errors.New("the deadline is no number")
 			}
-			hasWait = true
+			hasDeadline = true
 		case "h":
 			r.Cost = time.Duration(parseNumber(value) * float64(time.Microsecond))
 			r.CostKnown = r.Cost > 0
@@ -239,11 +239,11 @@
 	switch {
 	case r.Class < 0:
 		return r, errors.New("unknown class")
-	case !(wait > 0 && wait <= maxDeadlineMS):
+	case !(deadlineMS > 0 && deadlineMS <= maxDeadlineMS):
 		return r, errors.New("the deadline is out of range")
 	}
 	// The class limits the deadline.
-	r.Deadline = min(s.Classes[r.Class].Deadline, time.Duration(math.Ceil(wait*float64(time.Millisecond))))
+	r.Deadline = min(s.Classes[r.Class].Deadline, time.Duration(math.Ceil(deadlineMS*float64(time.Millisecond))))
 	return r, nil
 }
 
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -24,30 +24,30 @@
 		return httpOK("done")
 	})
 	p := startProxy(t, testConfig(), listEntry("o", o, "origin"))
-	c, d := p.dial(), p.dial()
-	c.send(setCommand("b1", "r1", "x")) // an order in progress, which must not run twice
+	orderClient, client := p.dial(), p.dial()
+	orderClient.send(setCommand("b1", "r1", "x")) // an order in progress, which must not run twice
 	<-asked
 
 	classes := slices.Clone(p.Classes())
 	classes[1].Effect = logic.Repeatable
 	classes = append([]logic.Class{{Name: "overlay", SoftDeadline: time.Second, Deadline: 3 * time.Second, Value: 1}}, classes[1])
-	d.send(respCommand("OBJ.SET", "b2", "r2", "c=overlay,d=8000", "x"))
-	if got := d.answer(); got != "-ERR unknown class" {
+	client.send(respCommand("OBJ.SET", "b2", "r2", "c=overlay,d=8000", "x"))
+	if got := client.answer(); got != "-ERR unknown class" {
 		t.Errorf("before: %q", got)
 	}
 	if err := p.Retune(classes, 2); err != nil {
 		t.Fatal(err)
 	}
-	d.send(respCommand("OBJ.SET", "b3", "r3", "c=overlay,d=8000", "x"))
-	if got := d.answer(); got != "done" {
+	client.send(respCommand("OBJ.SET", "b3", "r3", "c=overlay,d=8000", "x"))
+	if got := client.answer(); got != "done" {
 		t.Errorf("the class that is added: %q", got)
 	}
-	d.send(getCommand("b4", "r4"))
-	if got := d.answer(); got != "-ERR unknown class" {
+	client.send(getCommand("b4", "r4"))
+	if got := client.answer(); got != "-ERR unknown class" {
 		t.Errorf("the class that is dropped: %q", got)
 	}
 	close(release)
-	if got := c.answer(); got != "-ERR failed" {
+	if got := orderClient.answer(); got != "-ERR failed" {
 		t.Errorf("the order in hand: %q", got)
 	}
 	for len(asked) > 0 {
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -73,54 +73,54 @@
 }
 
 // addEntry adds a timer.
-func (t *timerWheel) addEntry(now time.Duration, d timerEntry) { t.add(now, d, false) }
+func (t *timerWheel) addEntry(now time.Duration, entry timerEntry) { t.add(now, entry, false) }
 
 // addToken adds a timer of the Balancer.
 func (t *timerWheel) addToken(now, at time.Duration, token uint64) {
 	t.add(now, timerEntry{Timer: upstream.Timer{At: at}, token: token}, true)
 }
 
-func (t *timerWheel) add(now time.Duration, d timerEntry, module bool) {
+func (t *timerWheel) add(now time.Duration, entry timerEntry, isToken bool) {
 	if t.count == 0 { // an empty wheel may be behind
 		t.next = max(t.next, int64(now/t.tick))
 	}
 	t.count++
-	tick, near := t.tickFor(d.At)
+	tick, near := t.tickFor(entry.At)
 	t.earliestNew = min(t.earliestNew, time.Duration(tick)*t.tick)
 	if !near {
-		if len(t.far) == 0 || d.At < t.earliestFar {
-			t.earliestFar = d.At
+		if len(t.far) == 0 || entry.At < t.earliestFar {
+			t.earliestFar = entry.At
 		}
-		t.far = append(t.far, farEntry{d, module})
+		t.far = append(t.far, farEntry{entry, isToken})
 		return
 	}
 	i := int(tick % wheelSlots)
 	t.occupied[i/64] |= 1 << (i % 64)
 	s := &t.slots[i]
-	if module {
+	if isToken {
 		if s.lastTokens == nil || s.lastTokens.n == tokensPerChunk {
-			c := takeSpare(&t.spareTokens)
+			chunk := takeSpare(&t.spareTokens)
 			if s.lastTokens == nil {
-				s.tokens = c
+				s.tokens = chunk
 			} else {
-				s.lastTokens.next = c
+				s.lastTokens.next = chunk
 			}
-			s.lastTokens = c
+			s.lastTokens = chunk
 		}
-		s.lastTokens.tokens[s.lastTokens.n] = d.token
+		s.lastTokens.tokens[s.lastTokens.n] = entry.token
 		s.lastTokens.n++
 		return
 	}
 	if s.lastEntries == nil || s.lastEntries.n == entriesPerChunk {
-		c := takeSpare(&t.spareEntries)
+		chunk := takeSpare(&t.spareEntries)
 		if s.lastEntries == nil {
-			s.entries = c
+			s.entries = chunk
 		} else {
-			s.lastEntries.next = c
+			s.lastEntries.next = chunk
 		}
-		s.lastEntries = c
+		s.lastEntries = chunk
 	}
-	s.lastEntries.entries[s.lastEntries.n] = d
+	s.lastEntries.entries[s.lastEntries.n] = entry
 	s.lastEntries.n++
 }
 
@@ -161,7 +161,7 @@
 }
 
 // run runs the timers that are due. Timers that are added meanwhile and are already due run in the next call.
-func (t *timerWheel) run(now time.Duration, token func(uint64), do func(timerEntry)) {
+func (t *timerWheel) run(now time.Duration, runToken func(uint64), runEntry func(timerEntry)) {
 	last := int64(now / t.tick)
 	for t.next <= last {
 		i := int(t.next % wheelSlots)
@@ -173,29 +173,29 @@
 		t.slots[i] = wheelSlot{}
 		t.occupied[i/64] &^= 1 << (i % 64)
 		t.next++
-		for c := s.tokens; c != nil; {
-			for _, v := range c.tokens[:c.n] {
+		for chunk := s.tokens; chunk != nil; {
+			for _, v := range chunk.tokens[:chunk.n] {
 				t.count--
-				token(v)
+				runToken(v)
 			}
-			next := c.next
-			c.next, c.n = nil, 0
+			next := chunk.next
+			chunk.next, chunk.n = nil, 0
 			if len(t.spareTokens) < maxSpareChunks {
-				t.spareTokens = append(t.spareTokens, c)
+				t.spareTokens = append(t.spareTokens, chunk)
 			}
-			c = next
+			chunk = next
 		}
-		for c := s.entries; c != nil; {
-			for _, d := range c.entries[:c.n] {
+		for chunk := s.entries; chunk != nil; {
+			for _, d := range chunk.entries[:chunk.n] {
 				t.count--
-				do(d)
+				runEntry(d)
 			}
-			next := c.next
-			*c = entryList{} // releases the references to attempts
+			next := chunk.next
+			*chunk = entryList{} // releases the references to attempts
 			if len(t.spareEntries) < maxSpareChunks {
-				t.spareEntries = append(t.spareEntries, c)
+				t.spareEntries = append(t.spareEntries, chunk)
 			}
-			c = next
+			chunk = next
 		}
 	}
 	if len(t.far) > 0 && t.earliestFar < time.Duration(t.next+wheelSlots)*t.tick {
@@ -207,9 +207,9 @@
 			case d.At > now:
 				t.add(now, d.timerEntry, d.isToken)
 			case d.isToken:
-				token(d.token)
+				runToken(d.token)
 			default:
-				do(d.timerEntry)
+				runEntry(d.timerEntry)
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 func tickLength(s *logic.Settings) time.Duration { return max(minTick, min(s.MaxEventDelay, maxTick)) }
 
 // schedule adds a timer.
-func (p *Proxy) schedule(d timerEntry) { p.timers.addEntry(p.now, d) }
+func (p *Proxy) schedule(entry timerEntry) { p.timers.addEntry(p.now, entry) }
 
 // armTimer sets the wake-up for the earliest timer that was added.
 func (p *Proxy) armTimer() {
@@ -262,11 +262,11 @@
 	p.balancer.Timer(p.now, token)
 }
 
-func (p *Proxy) runEntry(d timerEntry) {
+func (p *Proxy) runEntry(entry timerEntry) {
 	switch {
-	case d.attempt == nil:
-		p.upstreams.HandleTimer(d.Timer)
-	case !d.attempt.Ended:
-		p.abandonAttempt(d.attempt, logic.StatusTimeout)
+	case entry.attempt == nil:
+		p.upstreams.HandleTimer(entry.Timer)
+	case !entry.attempt.Ended:
+		p.abandonAttempt(entry.attempt, logic.StatusTimeout)
 	}
 }
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -18,7 +18,7 @@
 
 // Bytes that follow an answer must never be taken for the answer to the next request.
 func TestUpstreamUnrequestedBytesAreNoAnswer(t *testing.T) {
-	for name, behind := range map[string]string{
+	for name, trailing := range map[string]string{
 		"a second copy":    hitReply("value of another"),
 		"noise":            "\x8fb2\xf4\r\n",
 		"half a line":      "*3\r\n$5\r\nsto",
@@ -26,8 +26,8 @@
 		"an HTTP response": httpOK("value of another"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			node := startCache(t, func(a memberCommand) string { return hitReply("value of "+a.key) + behind })
-			o := startOrigin(t, func(r *http.Request) string { return httpOK("receipt of "+r.URL.Path[1:]) + behind })
+			node := startCache(t, func(a memberCommand) string { return hitReply("value of "+a.key) + trailing })
+			o := startOrigin(t, func(r *http.Request) string { return httpOK("receipt of "+r.URL.Path[1:]) + trailing })
 			p := startProxy(t, testConfig(), listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 			c := p.dial()
 			for i := range 10 {
@@ -47,7 +47,7 @@
 // An answer that cannot be parsed fails the attempt: the read is retried at another member, and no part of the
 // malformed answer reaches the client.
 func TestUpstreamMalformedAnswerIsAFailedAttempt(t *testing.T) {
-	for name, spoilt := range map[string]string{
+	for name, malformed := range map[string]string{
 		"noise":          "\x8fb2\xf4\r\n",
 		"endless line":   strings.Repeat("x", 64<<10),
 		"short length":   "*3\r\n$3\r\nspoilt value\r\n$3\r\nhit\r\n$-1\r\n",
@@ -59,10 +59,10 @@
 		"not an array":   "$6\r\nspoilt\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			var turn atomic.Int32
+			var commands atomic.Int32
 			answer := func(a memberCommand) string { // the first member that gets the read returns the malformed answer
-				if turn.Add(1) == 1 {
-					return spoilt
+				if commands.Add(1) == 1 {
+					return malformed
 				}
 				return hitReply("value of " + a.key)
 			}
@@ -99,12 +99,12 @@
 			}
 		})
 	}
-	for name, ahead := range map[string]string{
+	for name, interim := range map[string]string{
 		"100":         "HTTP/1.1 100 Continue\r\n\r\n",
 		"103 and 102": "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := startOrigin(t, func(r *http.Request) string { return ahead + httpOK("receipt") })
+			o := startOrigin(t, func(r *http.Request) string { return interim + httpOK("receipt") })
 			p := startProxy(t, testConfig(), listEntry("o-1", o, "origin"))
 			c := p.dial()
 			for i := range 3 {
@@ -220,11 +220,11 @@
 		return nil
 	}
 	p.eventually("the connection is free", func() bool {
-		u := free()
-		if u != nil {
-			u.Backdate(cfg.ConnIdle * pool.KeepalivePercent / 100) // as if it had been idle for that long
+		conn := free()
+		if conn != nil {
+			conn.Backdate(cfg.ConnIdle * pool.KeepalivePercent / 100) // as if it had been idle for that long
 		}
-		return u != nil
+		return conn != nil
 	})
 	if got := <-pings; got != first {
 		t.Error("the idle connection was not kept in use")
@@ -245,45 +245,45 @@
 // When all connections of a cache are busy and its queue is full, the attempt ends at once, so that the Balancer can
 // select another member. Otherwise a queue would form that the Balancer cannot see.
 func TestUpstreamQueueIsBounded(t *testing.T) {
-	asks, release := make(chan memberCommand, 100), make(chan struct{})
-	node := startCache(t, func(a memberCommand) string { asks <- a; <-release; return hitReply("value") })
+	commands, release := make(chan memberCommand, 100), make(chan struct{})
+	node := startCache(t, func(a memberCommand) string { commands <- a; <-release; return hitReply("value") })
 	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	p.eventually("the member is known", func() bool { return len(p.members) == 1 })
 	p.beginEvent()
 	var m *member
 	for _, m = range p.members {
 	}
-	var over *attempt
-	var all []*Request // one for each attempt: nothing is sent for a finished request
+	var excess *attempt
+	var requests []*Request // one for each attempt: nothing is sent for a finished request
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
 		r := &Request{p: p.Proxy, Taker: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
-		over = &attempt{request: r, memberID: m.id}
-		over.ExpiresAt = p.now + testTimeout
-		r.attempts, r.out = append(r.attempts, over), r.out+1
-		p.startExchange(m, over)
-		all = append(all, r)
+		excess = &attempt{request: r, memberID: m.id}
+		excess.ExpiresAt = p.now + testTimeout
+		r.attempts, r.out = append(r.attempts, excess), r.out+1
+		p.startExchange(m, excess)
+		requests = append(requests, r)
 	}
-	if !over.Ended || len(p.outcomes) != 1 {
+	if !excess.Ended || len(p.outcomes) != 1 {
 		t.Error("an attempt too many waits")
 	} else if s := p.outcomes[0].Status; s != logic.StatusNoConn {
 		t.Errorf("the pool's own shortage is told as status %d of the cache", s)
 	}
 	p.endEvent()
 	for range pool.MaxCacheConns {
-		<-asks
+		<-commands
 	}
 	close(release)
 	for range pool.MaxWaiting {
-		<-asks
+		<-commands
 	}
 	p.eventually("those that waited have their answers", func() bool {
-		return !slices.ContainsFunc(all, func(r *Request) bool { return r.out > 0 })
+		return !slices.ContainsFunc(requests, func(r *Request) bool { return r.out > 0 })
 	})
 }
 
 // An attempt whose client has disconnected completes on its connection, which is then reused.
 func TestUpstreamConnectionSurvivesClientDisconnect(t *testing.T) {
-	conns, asks, release := make(chan struct{}, 10), make(chan memberCommand, 10), make(chan struct{})
+	conns, commands, release := make(chan struct{}, 10), make(chan memberCommand, 10), make(chan struct{})
 	node := serveConns(t, func(conn net.Conn) {
 		conns <- struct{}{}
 		in := resp.NewReader(conn, 4096)
@@ -292,16 +292,16 @@
 			if err != nil {
 				return
 			}
-			asks <- memberCommand{key: words[1]}
+			commands <- memberCommand{key: words[1]}
 			<-release
 			io.WriteString(conn, hitReply("value of "+words[1]))
 		}
 	})
 	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
-	gone := p.dial()
-	gone.send(getCommand("a1", "id1"))
-	<-asks
-	gone.conn.Close()
+	leaving := p.dial()
+	leaving.send(getCommand("a1", "id1"))
+	<-commands
+	leaving.conn.Close()
 	p.eventually("the client is gone", func() bool { return len(p.redis.clients) == 0 })
 	close(release)
 	p.eventually("its request is over, and its connection free", func() bool {
--- a/internal/proxy/wall_test.go
+++ b/internal/proxy/wall_test.go
@@ -45,26 +45,26 @@
 // The start time of a member stays as it was first computed: a step of the wall clock must not make the member look
 // like a restarted process.
 func TestWallClockStepDoesNotRestartMembers(t *testing.T) {
-	var ahead time.Duration
+	var wallOffset time.Duration
 	cfg := testConfig()
-	on := handClock(&cfg)
-	cfg.WallClock = func() time.Duration { return 24*time.Hour + ahead }
+	advance := handClock(&cfg)
+	cfg.WallClock = func() time.Duration { return 24*time.Hour + wallOffset }
 	m := listEntry("s-1", "127.0.0.1:1", "large")
 	m.UpSinceMS = float64((23 * time.Hour).Milliseconds())
 	r := newFakeDiscovery(t, discovery.List{Revision: 1, Complete: true, Members: []discovery.Member{m}})
 	p := startProxyAt(t, cfg, r)
 	p.eventually("the list is taken in", func() bool { return len(p.members) == 1 })
-	var was time.Duration
-	p.Do(func() { was = p.members[MemberID("s-1")].startedAt })
+	var firstStart time.Duration
+	p.Do(func() { firstStart = p.members[MemberID("s-1")].startedAt })
 	<-r.watchBegan
-	on(p, 10*time.Millisecond)
-	p.Do(func() { ahead = time.Hour })
+	advance(p, 10*time.Millisecond)
+	p.Do(func() { wallOffset = time.Hour })
 	m.Size = 2
 	r.publish(discoveryList(2, false, m))
 	p.eventually("the next list is taken in", func() bool { return p.members[MemberID("s-1")].listed.Size == 2 })
 	p.Do(func() {
-		if got := p.members[MemberID("s-1")]; got.startedAt != was || got.Epoch != 0 {
-			t.Errorf("started at %v, then at %v, epoch %d", was, got.startedAt, got.Epoch)
+		if got := p.members[MemberID("s-1")]; got.startedAt != firstStart || got.Epoch != 0 {
+			t.Errorf("started at %v, then at %v, epoch %d", firstStart, got.startedAt, got.Epoch)
 		}
 	})
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -36,7 +36,7 @@
 }
 
 // addWatch starts a watch. Earlier watches are cancelled, except for the active one.
-func (p *Proxy) addWatch(addr string, whole bool) *watch {
+func (p *Proxy) addWatch(addr string, fetchFirst bool) *watch {
 	for len(p.watches) > 1 {
 		p.watches[1].cancel()
 		p.watches = slices.Delete(p.watches, 1, 2)
@@ -44,28 +44,28 @@
 	s := &p.cfg.Settings
 	w := &watch{addr: addr, gotList: make(chan struct{}), opened: make(chan struct{}), cancel: func() {},
 		backoff: discovery.NewBackoff(s.Subscribe, s.SelfIndex, s.Instances, s.MaxPollInterval, p.cfg.Seed)}
-	if !whole && len(p.cfg.InitialList.Members) > 0 { // the configuration has a list
+	if !fetchFirst && len(p.cfg.InitialList.Members) > 0 { // the configuration has a list
 		w.initialDelay = w.backoff.StartDelay()
 	}
 	p.watches = append(p.watches, w)
-	p.startWatch(w, whole)
+	p.startWatch(w, fetchFirst)
 	return w
 }
 
 // runWatch runs a watch until it is replaced or the context ends.
-func (p *Proxy) runWatch(ctx context.Context, w *watch, whole bool) {
+func (p *Proxy) runWatch(ctx context.Context, w *watch, fetchFirst bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p.beginEvent()
 	w.cancel = cancel
 	current := slices.Contains(p.watches, w)
-	revision, held := p.revision, len(p.members) > 0
+	revision, hasMembers := p.revision, len(p.members) > 0
 	p.endEvent()
 	if !current {
 		return
 	}
 	watcher := discovery.Watcher{
-		Addr: w.addr, Revision: revision, FetchFirst: whole, Backoff: w.backoff, InitialDelay: w.initialDelay, HasMembers: held, Log: p.log,
+		Addr: w.addr, Revision: revision, FetchFirst: fetchFirst, Backoff: w.backoff, InitialDelay: w.initialDelay, HasMembers: hasMembers, Log: p.log,
 		OnList:  func(l discovery.List) (int64, bool) { return p.receiveList(w, l) },
 		OnOpen:  sync.OnceFunc(func() { close(w.opened) }),
 		OnBreak: func() { p.watchBroken(w) },
@@ -75,7 +75,7 @@
 
 // receiveList applies a list, unless its watch has been replaced. The first list of a new watch may be older than what
 // the active watch has received meanwhile. Such a list is rejected, as it would reactivate members that drain.
-func (p *Proxy) receiveList(w *watch, l discovery.List) (newest int64, taken bool) {
+func (p *Proxy) receiveList(w *watch, l discovery.List) (newest int64, accepted bool) {
 	kind := logic.ListDelta
 	if l.Complete {
 		kind = logic.ListFull
@@ -89,8 +89,8 @@
 	case at > 0 && l.Revision < p.revision && !l.RevisionsReset:
 		return p.revision, false
 	}
-	for _, old := range p.watches[:at] {
-		old.cancel()
+	for _, replaced := range p.watches[:at] {
+		replaced.cancel()
 	}
 	p.watches = slices.Delete(p.watches, 0, at)
 	p.revision = l.Revision
@@ -105,18 +105,18 @@
 
 // awaitFirstList waits for a watch's first list, up to a timeout. If nothing arrives for listUpdateTimeout after
 // discovery has accepted the watch, there is no newer list: the configuration's list is current, and the wait ends.
-func (w *watch) awaitFirstList(ctx context.Context, within time.Duration) {
-	most := time.NewTimer(within)
-	defer most.Stop()
+func (w *watch) awaitFirstList(ctx context.Context, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	opened := w.opened
 	for {
 		select {
 		case <-opened:
 			opened = nil
-			most.Reset(listUpdateTimeout)
+			timer.Reset(listUpdateTimeout)
 			continue
 		case <-w.gotList:
-		case <-most.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 		return
