--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// A cache sends duplicates of its answers some milliseconds later. Once a duplicate has been seen, none may be taken for
-// the answer to the next request: the next request is not sent on a connection before a duplicate would have arrived.
+// A cache sends duplicates of its answers some milliseconds later. Once a duplicate has been seen, no duplicate may be
+// taken for the answer to the next request: a connection is not reused before a duplicate would have arrived.
 func TestAttemptDelayedDuplicateAnswer(t *testing.T) {
 	closed := make(chan struct{}, 10)
 	node := serveConns(t, func(conn net.Conn) {
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -14,7 +14,8 @@
 	"linenloom/internal/resp"
 )
 
-// churnCache is a simulated cache that can be killed (its connections are closed and new ones refused) or stop answering.
+// churnCache is a simulated cache that can be killed, so that its connections are closed and new ones refused, or can
+// stop answering.
 type churnCache struct {
 	listener net.Listener
 	mu       sync.Mutex
--- a/internal/proxy/effect_test.go
+++ b/internal/proxy/effect_test.go
@@ -33,7 +33,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := newRoll()
-			node := serveConns(t, func(conn net.Conn) { // the first request is read completely, then its connection is closed
+			// The first request is read completely, then its connection is closed.
+			node := serveConns(t, func(conn net.Conn) {
 				in := resp.NewReader(conn, 4096)
 				for {
 					words, err := readCommand(in)
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -48,7 +48,8 @@
 	}
 	go accept(l)
 	cfg := testConfig()
-	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = testTimeout, 1 // the read must wait until it gets a connection
+	// The read must wait until it gets a connection.
+	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = testTimeout, 1
 	p := startProxy(t, cfg, listEntry("s-1", l.Addr().String(), "large"))
 	busy, waiting := p.dial(), p.dial()
 	busy.send(getCommand("a1", "id1"))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -124,15 +124,15 @@
 	upstreams          *upstream.Set
 	poolTimer          *time.Timer
 	recentIDs          idHistory
-	serving            bool                       // clients are accepted
-	stopping           bool                       // no more requests are accepted
-	maxStopDeadline    time.Duration              // longest deadline that a stop allows for; shorter in tests
-	outOfUse           maintenance.Set            // members out of use, regardless of their listed phase
-	watches            []*watch                   // the active one, then at most one that waits for its first list
-	startWatch         func(w *watch, whole bool) // nil while Run is not active
-	revision           int64                      // of the applied list
-	bufferedBytes      int                        // bodies and unsent answers, without long values
-	longValues         room                       // memory for long values
+	serving            bool                            // clients are accepted
+	stopping           bool                            // no more requests are accepted
+	maxStopDeadline    time.Duration                   // longest deadline that a stop allows for; shorter in tests
+	outOfUse           maintenance.Set                 // members out of use, regardless of their listed phase
+	watches            []*watch                        // the active one, then at most one that waits for its first list
+	startWatch         func(w *watch, fetchFirst bool) // nil while Run is not active
+	revision           int64                           // of the applied list
+	bufferedBytes      int                             // bodies and unsent answers, without long values
+	longValues         room                            // memory for long values
 	maxBufferedBytes   int
 	scratch            []byte
 	reasons            *reasons.Counts
@@ -200,7 +200,7 @@
 	var goroutines sync.WaitGroup
 	p.beginEvent()
 	p.revision = p.cfg.InitialList.Revision
-	p.startWatch = func(w *watch, whole bool) { goroutines.Go(func() { p.runWatch(background, w, whole) }) }
+	p.startWatch = func(w *watch, fetchFirst bool) { goroutines.Go(func() { p.runWatch(background, w, fetchFirst) }) }
 	firstWatch := p.addWatch(p.cfg.Discovery, false)
 	p.endEvent()
 	goroutines.Go(func() { p.sweep(background) })
