--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -13,9 +13,9 @@
 	"linenloom/internal/resp"
 )
 
-// A member that is told to drain, or goes, while a connection to it is coming up gets nothing on it; what waited is answered at once, or
-// goes elsewhere.
-func TestDrainDuringTheDial(t *testing.T) {
+// A member that is listed as draining or gone while a connection to it is being opened gets no request on that
+// connection. Requests that waited for it are refused at once.
+func TestAttemptDrainDuringDial(t *testing.T) {
 	for _, phase := range []string{discovery.PhaseTerminating, discovery.PhaseTerminated} {
 		for name, c := range map[string]struct{ kind, ask, want string }{
 			"a read":   {"large", getLong("a1", "id"), "-BUSY"},
@@ -24,21 +24,21 @@
 			t.Run(name+", "+phase, func(t *testing.T) {
 				t.Parallel()
 				l := newRoll()
-				door, open := shut(t, l, c.kind)
-				m := entry("s-1", door, c.kind)
-				r := newRegistry(t, discoveryList(1, true, m))
-				p := startAt(t, leaving(false), r)
-				<-r.watched
+				addr, open := shut(t, l, c.kind)
+				m := listEntry("s-1", addr, c.kind)
+				r := newFakeDiscovery(t, discoveryList(1, true, m))
+				p := startProxyAt(t, leaving(false), r)
+				<-r.watchBegan
 				client := p.dial()
 				client.send(c.ask)
-				p.eventually("it waits for the connection", func() bool { return len(p.at(door).Waiting) == 1 })
+				p.eventually("it waits for the connection", func() bool { return len(p.at(addr).Waiting) == 1 })
 				m.Phase = phase
-				r.tell(discoveryList(2, false, m))
+				r.publish(discoveryList(2, false, m))
 				if got := client.answer(); !strings.HasPrefix(got, c.want) {
 					t.Errorf("answered %q, want %s", got, c.want)
 				}
 				open()
-				p.eventually("the dial has ended", func() bool { return p.ups.OpenConns() == 0 })
+				p.eventually("the dial has ended", func() bool { return p.upstreams.OpenConns() == 0 })
 				if got := l.all(); len(got) > 0 {
 					t.Errorf("the member that drains was asked under %v", got)
 				}
@@ -47,49 +47,51 @@
 	}
 }
 
-// The answer and the deadline, in both orders: the client has one answer, and the next one on its connection is the next request's own.
-func TestAnswerAndDeadline(t *testing.T) {
+// The answer and the deadline in either order: the client gets one answer, and the next answer on its connection
+// belongs to the next request.
+func TestAttemptAnswerAndDeadlineOrders(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		for name, c := range map[string]struct{ ask, timely, late string }{
-			"a read":   {get("a1", "id"), "value of a1", "-BUSY"},
-			"an order": {put("a1", "id", "order"), "value of a1", "-ERR"},
+			"a read":   {getCommand("a1", "id"), "value of a1", "-BUSY"},
+			"an order": {setCommand("a1", "id", "order"), "value of a1", "-ERR"},
 		} {
 			t.Run(fmt.Sprintf("%s, late %v", name, late), func(t *testing.T) {
-				came, release := make(chan struct{}, 10), make(chan struct{})
-				node := cache(t, func(a asked) string {
-					if came <- struct{}{}; a.id == "id" {
+				arrived, release := make(chan struct{}, 10), make(chan struct{})
+				node := startCache(t, func(a memberCommand) string {
+					if arrived <- struct{}{}; a.id == "id" {
 						<-release
 					}
-					return hit("value of " + a.key)
+					return hitReply("value of " + a.key)
 				})
-				o := origin(t, func(r *http.Request) string {
-					if came <- struct{}{}; r.Header.Get("X-Request-ID") == "id" {
+				o := startOrigin(t, func(r *http.Request) string {
+					if arrived <- struct{}{}; r.Header.Get("X-Request-ID") == "id" {
 						<-release
 					}
-					return page("value of " + r.URL.Path[1:])
+					return httpOK("value of " + r.URL.Path[1:])
 				})
 				cfg := testConfig()
 				cfg.Settings.MaxAttempts = 1
-				on := handClock(&cfg)
-				p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
+				advance := handClock(&cfg)
+				p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 				client := p.dial()
 				client.send(c.ask)
-				until := func(what string, c <-chan struct{}) { // lets the clock pass until something has come, far before any aim
+				// Advances the clock until c receives, far below any soft deadline.
+				advanceUntil := func(what string, c <-chan struct{}) {
 					t.Helper()
 					for range 2000 {
 						select {
 						case <-c:
 							return
 						case <-time.After(time.Millisecond):
-							on(p, time.Millisecond)
+							advance(p, time.Millisecond)
 						}
 					}
 					t.Fatalf("never came about: %s", what)
 				}
-				until("it is at its member", came)
+				advanceUntil("it is at its member", arrived)
 				want := c.timely
 				if late {
-					on(p, 9*time.Second)
+					advance(p, 9*time.Second)
 					want = c.late
 				} else {
 					close(release)
@@ -100,10 +102,10 @@
 				if late {
 					close(release)
 				} else {
-					on(p, 9*time.Second)
+					advance(p, 9*time.Second)
 				}
-				client.send(get("a2", "next"))
-				until("the next is at its member", came)
+				client.send(getCommand("a2", "next"))
+				advanceUntil("the next is at its member", arrived)
 				if got := client.answer(); got != "value of a2" {
 					t.Errorf("the next read was answered %q", got)
 				}
@@ -112,12 +114,12 @@
 	}
 }
 
-// A stop does not keep what a client has left behind: it is withdrawn then too, also behind commands that were not read.
-func TestClientLeavesDuringAStop(t *testing.T) {
+// Requests of a client that disconnects are withdrawn during a stop too, even if commands behind them were not read.
+func TestAttemptClientDisconnectsDuringStop(t *testing.T) {
 	l := newRoll()
-	door, open := shut(t, l, "large")
-	p := start(t, leaving(false), entry("s-1", door, "large"))
-	p.Do(func() { p.killMost = time.Hour }) // the stop waits for what is in hand
+	addr, open := shut(t, l, "large")
+	p := startProxy(t, leaving(false), listEntry("s-1", addr, "large"))
+	p.Do(func() { p.maxStopDeadline = time.Hour }) // the stop waits for the requests in progress
 	clients := []*testClient{p.dial(), p.dial()}
 	clients[0].send(getLong("a1", "left"))
 	clients[1].send(pipelined(3 * maxPipeline))
@@ -138,12 +140,12 @@
 	}
 }
 
-// A cache that sends second copies of its answers some milliseconds late: once one has been seen, none is taken for the answer to the next
-// request, as that is not sent on the connection before the copy would have come.
-func TestSecondAnswerSomeMillisecondsLate(t *testing.T) {
-	ended := make(chan struct{}, 10)
-	node := listen(t, func(conn net.Conn) {
-		defer func() { ended <- struct{}{} }()
+// A cache sends duplicates of its answers some milliseconds later. Once a duplicate has been seen, no duplicate may be
+// taken for the answer to the next request: a connection is not reused before a duplicate would have arrived.
+func TestAttemptDelayedDuplicateAnswer(t *testing.T) {
+	closed := make(chan struct{}, 10)
+	node := serveConns(t, func(conn net.Conn) {
+		defer func() { closed <- struct{}{} }()
 		in := resp.NewReader(conn, 4096)
 		last := ""
 		for {
@@ -151,32 +153,32 @@
 			if err != nil {
 				return
 			}
-			if last != "" { // the copy crosses the next request
+			if last != "" { // the duplicate is sent after the next request has arrived
 				io.WriteString(conn, last)
 			}
-			last = hit("value of " + words[1])
+			last = hitReply("value of " + words[1])
 			io.WriteString(conn, last)
-			if words[2] == "first" { // and here it comes at once
+			if words[2] == "first" { // this duplicate is sent at once
 				io.WriteString(conn, last)
 			}
 		}
 	})
 	cfg := testConfig()
-	on := handClock(&cfg)
-	p := start(t, cfg, entry("s-1", node, "large"))
+	advance := handClock(&cfg)
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 	client := p.dial()
-	client.send(get("a1", "first"))
+	client.send(getCommand("a1", "first"))
 	if got := client.answer(); got != "value of a1" {
 		t.Fatalf("answered %q", got)
 	}
-	<-ended            // the connection, for what nobody asked for
+	<-closed           // the connection is closed because of the unrequested bytes
 	for i := range 4 { // within 15 ms
 		key := fmt.Sprintf("b%d", i)
-		client.send(get(key, "id"+key))
+		client.send(getCommand(key, "id"+key))
 		if got := client.answer(); got != "value of "+key {
 			t.Fatalf("read %d was answered %q", i, got)
 		}
 		p.eventually("the connection rests", func() bool { return len(p.requests) == 0 })
-		on(p, 5*time.Millisecond)
+		advance(p, 5*time.Millisecond)
 	}
 }
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -14,7 +14,8 @@
 	"linenloom/internal/resp"
 )
 
-// churnCache is a cache that can go: its process dies (connections reset, new ones are refused), or falls silent first.
+// churnCache is a simulated cache that can be killed, so that its connections are closed and new ones refused, or can
+// stop answering.
 type churnCache struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -28,7 +29,7 @@
 		t.Fatal(err)
 	}
 	c := &churnCache{listener: l}
-	t.Cleanup(c.die)
+	t.Cleanup(c.kill)
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -55,18 +56,18 @@
 		silent := c.silent
 		c.mu.Unlock()
 		if !silent {
-			io.WriteString(conn, hit("value of "+words[1]))
+			io.WriteString(conn, hitReply("value of "+words[1]))
 		}
 	}
 }
 
-func (c *churnCache) fallSilent() {
+func (c *churnCache) stopAnswering() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent = true
 }
 
-func (c *churnCache) die() {
+func (c *churnCache) kill() {
 	c.listener.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,24 +77,25 @@
 	c.conns = nil
 }
 
-// A hundred and twenty caches are replaced, at ever new addresses and with reads going on: some drain first, some die, some fall silent
-// with reads out. Members, connections, timers, goroutines and memory go back to what they were.
-func TestChurnOfCachesLeavesNothingBehind(t *testing.T) {
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
+// 120 caches are replaced, each at a new address, while reads go on: some drain first, some are killed, and some stop
+// answering with reads in flight. Members, connections, timers, goroutines and memory must return to their numbers
+// before the replacements.
+func TestChurnOfCachesLeaksNothing(t *testing.T) {
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 	live := []*churnCache{newChurnCache(t), newChurnCache(t), newChurnCache(t)}
 	id := func(n int) string { return fmt.Sprintf("s-%d", n) }
-	list := []discovery.Member{entry("o-1", o, "origin")}
+	list := []discovery.Member{listEntry("o-1", o, "origin")}
 	for i, c := range live {
-		list = append(list, entry(id(i), c.listener.Addr().String(), "large"))
+		list = append(list, listEntry(id(i), c.listener.Addr().String(), "large"))
 	}
-	r := newRegistry(t, discoveryList(1, true, list...))
+	r := newFakeDiscovery(t, discoveryList(1, true, list...))
 	cfg := testConfig()
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 400*time.Millisecond
 	}
 	cfg.Settings.ConnectTimeout = 100 * time.Millisecond
-	p := startAt(t, cfg, r)
-	<-r.watched
+	p := startProxyAt(t, cfg, r)
+	<-r.watchBegan
 	c := p.dial()
 	reads := 0
 	read := func(n int) {
@@ -101,7 +103,7 @@
 		for range n {
 			reads++
 			key := fmt.Sprintf("a%d", reads)
-			c.send(get(key, "r"+key))
+			c.send(getCommand(key, "r"+key))
 			if got := c.answer(); got != "value of "+key && got[0] != '-' {
 				t.Fatalf("%s was answered %q", key, got)
 			}
@@ -109,9 +111,9 @@
 	}
 	type state struct{ members, connections, timers, goroutines int }
 	now := func() state {
-		p.enter()
-		defer p.leave()
-		return state{len(p.members), p.ups.OpenConns(), p.timers.count, runtime.NumGoroutine()}
+		p.beginEvent()
+		defer p.endEvent()
+		return state{len(p.members), p.upstreams.OpenConns(), p.timers.count, runtime.NumGoroutine()}
 	}
 	heap := func() uint64 {
 		var m runtime.MemStats
@@ -125,37 +127,37 @@
 	before, heapBefore := now(), heap()
 
 	revision := int64(1)
-	tell := func(m ...discovery.Member) {
+	publish := func(m ...discovery.Member) {
 		revision++
 		at := revision
-		r.tell(discoveryList(at, false, m...))
+		r.publish(discoveryList(at, false, m...))
 		p.eventually("the change is known", func() bool { return p.revision == at })
 	}
 	for i := range 120 {
 		old, next := live[0], newChurnCache(t)
 		live = append(live[1:], next)
-		gone := entry(id(i), old.listener.Addr().String(), "large")
+		gone := listEntry(id(i), old.listener.Addr().String(), "large")
 		switch i % 3 {
 		case 0:
 			gone.Phase = discovery.PhaseTerminating
-			tell(gone)
+			publish(gone)
 			read(2)
 		case 1:
-			old.die()
+			old.kill()
 			read(2)
 		case 2:
-			old.fallSilent()
+			old.stopAnswering()
 			read(2)
 		}
 		gone.Phase = discovery.PhaseTerminated
-		tell(gone, entry(id(i+3), next.listener.Addr().String(), "large"))
+		publish(gone, listEntry(id(i+3), next.listener.Addr().String(), "large"))
 		read(3)
-		old.die()
+		old.kill()
 	}
 	read(100)
 	var after state
-	p.eventually("all is as it was", func() bool { // the lock is held: what now does is done here
-		after = state{len(p.members), p.ups.OpenConns(), p.timers.count, runtime.NumGoroutine()}
+	p.eventually("all is as it was", func() bool { // as in now, which would take the lock again
+		after = state{len(p.members), p.upstreams.OpenConns(), p.timers.count, runtime.NumGoroutine()}
 		return len(p.requests) == 0 && after.members == before.members && after.connections <= before.connections+len(live) &&
 			after.timers < 20 && after.goroutines <= before.goroutines+3*len(live)
 	})
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -9,18 +9,18 @@
 	"linenloom/logic"
 )
 
-// fleet is what tells this proxy's snapshots from those of others.
-func (c *Config) fleet() uint64 {
+// fleetHash identifies the snapshots that this proxy can load: its index, mode, zones and kinds of members.
+func (c *Config) fleetHash() uint64 {
 	s := &c.Settings
-	place := fmt.Sprint(s.SelfIndex, s.Instances, s.Zone, s.Mode, s.OriginKind)
-	return inherit.FleetHash(slices.Concat([]string{place}, c.Zones, []string{"kinds"}, c.Kinds)...)
+	position := fmt.Sprint(s.SelfIndex, s.Instances, s.Zone, s.Mode, s.OriginKind)
+	return inherit.FleetHash(slices.Concat([]string{position}, c.Zones, []string{"kinds"}, c.Kinds)...)
 }
 
-// Learnt is what this proxy has learnt, for the process that takes its place. Only the copy is made under the lock.
-func (p *Proxy) Learnt() (s inherit.Snapshot) {
+// Snapshot returns the learned state for the successor process. The lock is held only while the state is copied.
+func (p *Proxy) Snapshot() (s inherit.Snapshot) {
 	p.Do(func() {
-		s = inherit.Snapshot{Fleet: p.cfg.fleet(), TakenMS: time.Now().UnixMilli(), Balancer: p.bal.ExportState(p.now),
-			Links: make(map[logic.MemberID]inherit.LinkState), Idle: p.ups.IdleStats(), ReuseShare: p.redis.reuse}
+		s = inherit.Snapshot{Fleet: p.cfg.fleetHash(), TakenMS: time.Now().UnixMilli(), Balancer: p.balancer.ExportState(p.now),
+			Links: make(map[logic.MemberID]inherit.LinkState), Idle: p.upstreams.IdleStats(), ReuseShare: p.redis.reuse}
 		for _, m := range s.Balancer.Members {
 			if known := p.members[m.ID]; known != nil {
 				s.Links[m.ID] = inherit.LinkState{Addr: known.Addr, ConnStats: known.Member.Stats()}
@@ -30,41 +30,41 @@
 	return s
 }
 
-// inherit takes over what the process before has learnt, before the first client is taken. Whatever is wrong with it, it is told in
-// one line, and nothing else changes.
-func (p *Proxy) inherit() {
-	if p.cfg.Inherit == nil {
+// restoreSnapshot loads the learned state of the predecessor process, before clients are accepted. If the state cannot
+// be used, the reason is logged in one line and the proxy starts without it.
+func (p *Proxy) restoreSnapshot() {
+	if p.cfg.LoadSnapshot == nil {
 		return
 	}
-	s, err := p.cfg.Inherit()
+	s, err := p.cfg.LoadSnapshot()
 	if err == nil && s == nil {
-		return // there is none
+		return // no snapshot
 	}
-	members := 0
+	restored := 0
 	if err == nil {
 		p.Do(func() {
-			now := make(map[logic.MemberID]inherit.CurrentMember, len(p.members))
+			current := make(map[logic.MemberID]inherit.CurrentMember, len(p.members))
 			for id, m := range p.members {
 				if m.state == logic.Ready {
-					now[id] = inherit.CurrentMember{StartedAt: m.started, Addr: m.Addr}
+					current[id] = inherit.CurrentMember{StartedAt: m.startedAt, Addr: m.Addr}
 				}
 			}
-			var held inherit.Snapshot
-			if held, err = s.AdjustFor(p.cfg.fleet(), time.Now().UnixMilli(), now); err != nil {
+			var adjusted inherit.Snapshot
+			if adjusted, err = s.AdjustFor(p.cfg.fleetHash(), time.Now().UnixMilli(), current); err != nil {
 				return
 			}
-			members = p.bal.ImportState(p.now, held.Balancer)
-			for id, link := range held.Links {
+			restored = p.balancer.ImportState(p.now, adjusted.Balancer)
+			for id, link := range adjusted.Links {
 				p.members[id].RestoreStats(link.ConnStats)
 			}
-			p.ups.RestoreIdleStats(held.Idle)
-			p.redis.reuse = held.ReuseShare
+			p.upstreams.RestoreIdleStats(adjusted.Idle)
+			p.redis.reuse = adjusted.ReuseShare
 		})
 	}
 	if err != nil {
-		p.log.Warn("what the process before has learnt is not taken over", "err", err)
+		p.log.Warn("learned state of the predecessor process is not taken over", "err", err)
 		return
 	}
-	p.log.Info("taken over from the process before", "members", members, "of", len(s.Balancer.Members), "keys", len(s.Balancer.Keys),
+	p.log.Info("taken over from the process before", "members", restored, "of", len(s.Balancer.Members), "keys", len(s.Balancer.Keys),
 		"age_ms", time.Now().UnixMilli()-s.TakenMS)
 }
--- a/internal/proxy/maintain_test.go
+++ b/internal/proxy/maintain_test.go
@@ -6,9 +6,10 @@
 	"linenloom/internal/maintenance"
 )
 
-// Two calls may reach the proxy in another order than the record: the older set takes nothing back.
-func TestOlderSetTakesNothingBack(t *testing.T) {
-	p := start(t, testConfig(), entry("a", cache(t, func(asked) string { return hit("v") }), "large"))
+// Two sets of members out of use may arrive in a different order than they were recorded in: the older set must not
+// return a member to use.
+func TestMaintenanceOlderSetIsMerged(t *testing.T) {
+	p := startProxy(t, testConfig(), listEntry("a", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	one, err := maintenance.Set{}.Enter("a", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -17,9 +18,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Maintain(two)
-	p.Maintain(one)
-	if !p.Knows("a") || !p.Knows("b") {
+	p.UpdateMaintenance(two)
+	p.UpdateMaintenance(one)
+	if !p.KnowsMember("a") || !p.KnowsMember("b") {
 		t.Error("a member that was called out came back")
 	}
 }
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -14,10 +14,10 @@
 	"linenloom/logic"
 )
 
-// One dial that fails must not leave the pool short: those that wait get a connection as soon as there is one
-// to be had, though the only one that stands stays busy.
+// A failed dial must not leave the pool without connections: waiting attempts get a connection as soon as the member
+// accepts one, although the only open connection stays busy.
 func TestFailedDialDoesNotStarveThePool(t *testing.T) {
-	asks, release := make(chan string, 10), make(chan struct{})
+	keys, release := make(chan string, 10), make(chan struct{})
 	serve := func(conn net.Conn) {
 		defer conn.Close()
 		in := resp.NewReader(conn, 4096)
@@ -26,11 +26,11 @@
 			if err != nil {
 				return
 			}
-			asks <- words[1]
+			keys <- words[1]
 			if words[1] == "a1" {
 				<-release
 			}
-			io.WriteString(conn, hit("value of "+words[1]))
+			io.WriteString(conn, hitReply("value of "+words[1]))
 		}
 	}
 	accept := func(l net.Listener) {
@@ -48,13 +48,14 @@
 	}
 	go accept(l)
 	cfg := testConfig()
-	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = patience, 1 // the read must wait, and get its connection
-	p := start(t, cfg, entry("s-1", l.Addr().String(), "large"))
+	// The read must wait until it gets a connection.
+	cfg.Settings.ConnectTimeout, cfg.Settings.MaxAttempts = testTimeout, 1
+	p := startProxy(t, cfg, listEntry("s-1", l.Addr().String(), "large"))
 	busy, waiting := p.dial(), p.dial()
-	busy.send(get("a1", "id1"))
-	<-asks
+	busy.send(getCommand("a1", "id1"))
+	<-keys
 	l.Close()
-	waiting.send(get("a2", "id2"))
+	waiting.send(getCommand("a2", "id2"))
 	p.eventually("a dial has failed", func() bool {
 		for _, m := range p.members {
 			return m.Backoff() > 0
@@ -75,18 +76,18 @@
 	}
 }
 
-// The member's latency is counted from when it was written to: the wait for a connection is the proxy's own.
-func TestWaitForAConnectionIsNoLatency(t *testing.T) {
-	p := start(t, testConfig())
-	p.enter()
-	defer p.leave()
+// The member's latency is measured from when the request was written, without the wait for a connection.
+func TestPoolWaitIsNotMemberLatency(t *testing.T) {
+	p := startProxy(t, testConfig())
+	p.beginEvent()
+	defer p.endEvent()
 	r := &Request{done: true}
-	waited := &attempt{req: r, sentAt: p.now - time.Second}
+	waited := &attempt{request: r, startedAt: p.now - time.Second}
 	waited.BeganAt = p.now - 10*time.Millisecond
-	never := &attempt{req: r, sentAt: p.now - time.Second}
+	neverWritten := &attempt{request: r, startedAt: p.now - time.Second}
 	r.out = 2
-	p.end(waited, logic.StatusOK, 0)
-	p.end(never, logic.StatusNoConn, 0)
+	p.endAttempt(waited, logic.StatusOK, 0)
+	p.endAttempt(neverWritten, logic.StatusNoConn, 0)
 	if got := p.outcomes[0].Elapsed; got != 10*time.Millisecond {
 		t.Errorf("an attempt that waited took %v", got)
 	}
@@ -96,49 +97,49 @@
 	p.outcomes = nil
 }
 
-// Connections that break all day must not use up what further attempts are allowed.
-func TestBrokenConnectionsAreTriedAgain(t *testing.T) {
-	first := map[string]bool{}
+// Connections that keep breaking must not use up the retry budget.
+func TestPoolBreaksDoNotExhaustRetries(t *testing.T) {
+	seenIDs := map[string]bool{}
 	ids := make(chan string, 1)
 	seen := make(chan bool)
 	go func() {
 		for id := range ids {
-			seen <- first[id]
-			first[id] = true
+			seen <- seenIDs[id]
+			seenIDs[id] = true
 		}
 	}()
 	t.Cleanup(func() { close(ids) })
-	node := listen(t, func(conn net.Conn) {
+	node := serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
 			words, err := readCommand(in)
 			if err != nil {
 				return
 			}
-			if ids <- words[2]; !<-seen { // every read's first attempt
+			if ids <- words[2]; !<-seen { // the first attempt of every read
 				return
 			}
-			io.WriteString(conn, hit("value of "+words[1]))
+			io.WriteString(conn, hitReply("value of "+words[1]))
 		}
 	})
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	c := p.dial()
 	for i := range 40 {
-		c.send(get("a1", fmt.Sprintf("id%d", i)))
+		c.send(getCommand("a1", fmt.Sprintf("id%d", i)))
 		if got := c.answer(); got != "value of a1" {
 			t.Fatalf("read %d was answered %q", i, got)
 		}
 	}
 }
 
-// An origin that has dropped a kept connection resets it over the next write, which must not run twice. Its last
-// byte was never sent, so it is known not to have run, and is made again elsewhere.
-func TestResetBeforeTheLastByteProvesThatAWriteNeverRan(t *testing.T) {
-	whole := make(chan string, 10)
-	o := listen(t, func(conn net.Conn) {
+// An origin that has closed a kept-alive connection resets it when it gets the next write, which must not run twice.
+// The write's last byte was not sent, so it cannot have run and is retried on another connection.
+func TestPoolResetBeforeLastByteAllowsRetry(t *testing.T) {
+	received := make(chan string, 10)
+	o := serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for n := 0; ; n++ {
-			if n > 0 { // a kept connection ends over the first byte
+			if n > 0 { // a kept-alive connection is closed on the first byte of the next request
 				in.Peek(1)
 				return
 			}
@@ -149,22 +150,22 @@
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
-			whole <- r.Header.Get("X-Request-ID")
-			io.WriteString(conn, page("receipt"))
+			received <- r.Header.Get("X-Request-ID")
+			io.WriteString(conn, httpOK("receipt"))
 		}
 	})
-	p := start(t, testConfig(), entry("o-1", o, "origin"))
-	p.enter()
-	p.ups.SetLastByteDelay(500 * time.Millisecond) // the reset is seen by then, however slow the machine
-	p.leave()
+	p := startProxy(t, testConfig(), listEntry("o-1", o, "origin"))
+	p.beginEvent()
+	p.upstreams.SetLastByteDelay(500 * time.Millisecond) // long enough to see the reset even on a slow machine
+	p.endEvent()
 	c := p.dial()
 	for i := range 3 {
 		id := fmt.Sprintf("id%d", i)
-		c.send(put("a1", id, "order"))
+		c.send(setCommand("a1", id, "order"))
 		if got := c.answer(); got != "receipt" {
 			t.Fatalf("order %d was answered %q", i, got)
 		}
-		if got := <-whole; got != id {
+		if got := <-received; got != id {
 			t.Fatalf("the origin carried out %q, not %q", got, id)
 		}
 		p.eventually("the connection is free", func() bool {
@@ -174,17 +175,17 @@
 			return false
 		})
 	}
-	if n := len(whole); n != 0 {
+	if n := len(received); n != 0 {
 		t.Errorf("%d orders too many were carried out", n)
 	}
 }
 
-// A fetch whose connection falls silent is given up once it can be of no use, long before its client gives up: it
-// would hold a place at the origin until then.
-func TestSilentFetchIsGivenUp(t *testing.T) {
-	node := cache(t, func(asked) string { return miss })
+// A fetch whose connection becomes silent is abandoned once its result can no longer be useful, long before the
+// client's deadline: until then it would occupy capacity at the origin.
+func TestPoolSilentFetchTimesOut(t *testing.T) {
+	node := startCache(t, func(memberCommand) string { return missReply })
 	silent := make(chan struct{}, 10)
-	o := listen(t, func(conn net.Conn) {
+	o := serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
 			r, err := http.ReadRequest(in)
@@ -195,18 +196,18 @@
 				silent <- struct{}{}
 				continue
 			}
-			io.WriteString(conn, page("value"))
+			io.WriteString(conn, httpOK("value"))
 		}
 	})
 	cfg := testConfig()
 	cfg.Settings.Classes[0].SoftDeadline, cfg.Settings.Classes[0].Deadline = 2*time.Second, time.Hour
 	cfg.Settings.MaxRetryAfter = time.Second
-	p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
+	p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 	c := p.dial()
-	c.send(words("OBJ.GET", "51", "id1", "c=tile-read,d=3600000"))
+	c.send(respCommand("OBJ.GET", "51", "id1", "c=tile-read,d=3600000"))
 	select {
 	case <-silent:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the fetch never came")
 	}
 	got := c.answer()
@@ -217,13 +218,13 @@
 	p.eventually("nothing is out", func() bool { return len(p.requests) == 0 })
 }
 
-// The Balancer is told which attempts had to wait for a handshake.
-func TestFirstOnAConnectionIsTold(t *testing.T) {
-	node := cache(t, func(a asked) string { return hit("value") })
-	p := start(t, testConfig(), entry("s-1", node, "large"))
+// The Balancer is informed which attempts had to wait for a handshake.
+func TestPoolReportsFirstOnConnection(t *testing.T) {
+	node := startCache(t, func(a memberCommand) string { return hitReply("value") })
+	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
 	c := p.dial()
 	for i, want := range []bool{true, false, false} {
-		c.send(get("a1", fmt.Sprintf("id%d", i)))
+		c.send(getCommand("a1", fmt.Sprintf("id%d", i)))
 		if got := c.answer(); got != "value" {
 			t.Fatalf("answered %q", got)
 		}
@@ -233,40 +234,40 @@
 			}
 			return false
 		})
-		p.enter()
+		p.beginEvent()
 		for _, m := range p.members {
 			if fresh := m.Conns[0].Fresh(); fresh != want {
 				t.Errorf("read %d counts as first on its connection: %v", i, fresh)
 			}
 		}
-		p.leave()
+		p.endEvent()
 	}
 }
 
-// A cache that holds all the connections it will answers the first request on a new one with -BUSY, and closes it. Reads that it
-// should get go elsewhere, and only a few of them find that out: each by one attempt that never ran.
-func TestCacheThatTurnsConnectionsAway(t *testing.T) {
-	var turned atomic.Int32
-	full := listen(t, func(conn net.Conn) {
+// A cache at its connection limit answers the first request on a new connection with -BUSY and closes it. Its reads
+// go to other members, and only a few of them are tried at the full cache first, each by one attempt that did not run.
+func TestPoolCacheThatRefusesConnections(t *testing.T) {
+	var refused atomic.Int32
+	full := serveConns(t, func(conn net.Conn) {
 		if _, err := readCommand(resp.NewReader(conn, 1<<10)); err == nil {
-			turned.Add(1)
+			refused.Add(1)
 			io.WriteString(conn, "-BUSY too many connections\r\n")
 		}
 	})
-	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
-	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
-	p := start(t, testConfig(), entry("s-1", full, "large"), entry("s-2", node, "large"), entry("o-1", o, "origin"))
+	node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
+	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
+	p := startProxy(t, testConfig(), listEntry("s-1", full, "large"), listEntry("s-2", node, "large"), listEntry("o-1", o, "origin"))
 	c := p.dial()
 	const reads = 400
 	for i := range reads {
 		key := fmt.Sprintf("a%d", i)
-		c.send(get(key, "r"+key))
+		c.send(getCommand(key, "r"+key))
 		if got := c.answer(); got != "value of "+key {
 			t.Fatalf("read %d was answered %q", i, got)
 		}
 	}
-	// Half of the keys are its own. The backoff doubles from 10 ms to 1 s.
-	if n := turned.Load(); n == 0 || n > reads/8 {
+	// Half of the keys belong to the full cache. The dial backoff doubles from 10 ms to 1 s.
+	if n := refused.Load(); n == 0 || n > reads/8 {
 		t.Errorf("%d of %d reads were sent to a cache that takes no connection", n, reads)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,11 +1,11 @@
-// Package proxy hosts a Balancer between client connections, members and discovery.
+// Package proxy connects a Balancer with client connections, members and discovery.
 //
-// The Balancer decides; this package only carries out. One mutex guards the Balancer and every table here:
-// the process has one core, so finer locks would buy nothing, and with a single one the Balancer's view and
-// the sockets' state can't drift apart. Nothing blocks under it: writes are tried without waiting (package sender),
-// dials and reads have goroutines of their own.
+// The Balancer makes all decisions; this package carries them out. One mutex guards the Balancer and every
+// table here: the process has one core, so finer locks would gain nothing, and with a single lock the Balancer's
+// view and the state of the sockets cannot diverge. Nothing blocks while the mutex is held: writes are
+// non-blocking (package sender), and dials and reads run in goroutines of their own.
 //
-// What goes on with members is package upstream's, and which connection carries what package pool's.
+// Package upstream runs the exchanges with members, and package pool assigns them to connections.
 package proxy
 
 import (
@@ -33,143 +33,147 @@
 	"linenloom/logic"
 )
 
-// Config is what a Proxy is told at its start.
+// Config holds the settings of a Proxy.
 type Config struct {
-	Listen     string
-	Discovery  string
-	Seed       uint64
-	Settings   logic.Settings
-	Zones      []string // by place, as in Settings
-	Kinds      []string
-	ConnIdle   time.Duration // members close a connection that stood idle for this long
-	Multiplex  int           // attempts a connection to a cache carries at once
-	MostHeld   int           // requests in hand
-	MemoryMB   int
-	Sockets    int // file descriptors
-	Known      discovery.List
-	AcceptMore time.Duration    // after the stop signal, new connections still come for this long
-	Out        maintenance.Set  // the members out of use at the start
-	Callers    Callers          // who clients are; nil: nobody asks
-	Joining    *joining.Limits  // reads in flight may share an answer; nil: each has its own
-	ManyKeys   *manykeys.Limits // OBJ.MGET; nil: it is unknown
-	Record     Record           // of orders; nil: none is kept. The host closes it when it stops
-	Receipts   []string         // the fronts that answer a repeat with the receipt on record
-	Meter      *zones.Meter     // told of attempts by zone, under the lock; nil: nobody is
-	// Inherit brings what the process before has learnt, once, before clients are taken; it may wait for a moment. Nil, or a nil
-	// snapshot: there is nothing.
-	Inherit func() (*inherit.Snapshot, error)
-
-	// Before, if set, is called once, before clients are taken; it may wait for a moment.
-	Before func()
-
-	// Clock, if set, is the time since the start in place of the system's, and Tick has to be called once it has
-	// moved; Wall is the wall's time in place of the system's. OnSend, if set, is told of each choice of the module's, under the lock. Both are for tests and the rig.
-	Clock  func() time.Duration
-	Wall   func() time.Duration
+	Listen          string
+	Discovery       string
+	Seed            uint64
+	Settings        logic.Settings
+	Zones           []string // names by index, as Settings numbers them
+	Kinds           []string
+	ConnIdle        time.Duration // members close a connection that has been idle for this long
+	Multiplex       int           // maximum of concurrent attempts on a connection to a cache
+	MaxRequests     int           // maximum of requests in progress
+	MemoryMB        int
+	Descriptors     int // file descriptors
+	InitialList     discovery.List
+	AcceptAfterStop time.Duration    // new connections are accepted for this long after the stop signal
+	OutOfUse        maintenance.Set  // members out of use at the start
+	Callers         Callers          // authenticates clients; nil: clients are not authenticated
+	Joining         *joining.Limits  // coalescing of identical reads in flight; nil: none
+	ManyKeys        *manykeys.Limits // limits of OBJ.MGET; nil: the command is unknown
+	Record          Record           // record of orders; nil: none. The Proxy closes it when it stops
+	ReceiptFronts   []string         // front ends that answer a repeated order with the recorded receipt
+	ZoneMeter       *zones.Meter     // gets attempts by zone, called under the lock; may be nil
+	// LoadSnapshot, if set, returns the state that the predecessor process has learned, or a nil snapshot if
+	// there is none. It is called once, before clients are accepted, and may block for a moment.
+	LoadSnapshot func() (*inherit.Snapshot, error)
+
+	// BeforeServing, if set, is called once, before clients are accepted; it may block for a moment.
+	BeforeServing func()
+
+	// Clock, if set, returns the time since the start instead of the system's clock; Tick has to be called after
+	// it has advanced. For tests and the simulation.
+	Clock func() time.Duration
+	// WallClock, if set, returns the time since 1970 instead of the system's clock. For tests and the simulation.
+	WallClock func() time.Duration
+	// OnSend, if set, is called under the lock with each member that the Balancer selects. For tests and the
+	// simulation.
 	OnSend func(logic.RequestID, logic.MemberID)
 }
 
 const (
-	// bufferShare is the part of the memory that bodies and unsent answers may take together. The rest is
-	// for connections, tables, and what the collector has not freed yet.
-	bufferShare = 0.25
-	// spareSockets are kept for the listener, discovery, the runtime and connections in between.
-	spareSockets = 24
-	clientShare  = 50 // percent of the descriptors that clients may hold
-	sweepEvery   = 250 * time.Millisecond
-	crowdEvery   = 50 * time.Millisecond  // idle clients are looked at more often: a crowd comes at once
-	readyWithin  = 500 * time.Millisecond // wait this long at most for discovery's first list
-	newsWithin   = 50 * time.Millisecond  // and this long once it has taken the watch up
-	reasonsEvery = 10 * time.Second       // what has changed in the reasons' counts is logged this often
+	// bufferMemoryShare is the share of the memory that bodies and unsent answers may use together. The rest is
+	// for connections, tables and garbage that has not been collected yet.
+	bufferMemoryShare = 0.25
+	// reservedDescriptors are kept for the listener, discovery, the runtime and connections that are being opened
+	// or closed.
+	reservedDescriptors     = 24
+	clientDescriptorPercent = 50 // percent of the file descriptors that clients may use
+	memberSweepInterval     = 250 * time.Millisecond
+	frontSweepInterval      = 50 * time.Millisecond  // shorter, as many clients may connect at once
+	firstListTimeout        = 500 * time.Millisecond // maximum wait for the first list from discovery
+	listUpdateTimeout       = 50 * time.Millisecond  // maximum wait once discovery has accepted the watch
+	reasonsLogInterval      = 10 * time.Second       // interval for logging changes of the counts by reason
 )
 
-// Proxy is one proxy.
+// Proxy accepts requests from its front ends and sends them to members as its Balancer decides.
 type Proxy struct {
-	cfg   Config
-	log   *slog.Logger
-	debug bool // the log takes lines of debugging
-	redis *redisFront
-
-	mu       sync.Mutex
-	now      time.Duration // when the lock was taken, or an attempt begun since, on the module's clock
-	began    time.Duration // when the lock was taken
-	stalls   arrival.Stalls
-	started  time.Time
-	offset   time.Duration
-	bal      *logic.Balancer
-	outcomes []logic.Outcome // caused by actions; told once the current event is done
-	timers   timers
-	timer    *time.Timer
-	wakeAt   time.Duration
-
-	members      map[logic.MemberID]*member
-	requests     map[logic.RequestID]*Request
-	joins        *joining.Table    // nil: reads share nothing but fetches
-	lost         []logic.RequestID // leads that got no answer, to be passed on
-	shares       []logic.RequestID // followers whose answer is there
-	sharing      bool              // a goroutine hands these over
-	joined       Joined
-	recorded     int // orders on record that are in hand
-	recordClosed bool
-	manys        []*Many // requests for many keys to go on with
-	groups       uint32  // of them, so far
-	fronts       []Front
-	frontFDs     int // descriptors that fronts hold
-	nextID       logic.RequestID
-
-	ups         *upstream.Set
-	restTimer   *time.Timer
-	ids         ids
-	serving     bool                       // clients are taken
-	stopping    bool                       // no request is taken any more
-	killMost    time.Duration              // as the constant; tests have it shorter
-	out         maintenance.Set            // members out of use, whatever the list says
-	watches     []*watch                   // the one that counts, and one that has yet to tell its first list
-	startWatch  func(w *watch, whole bool) // nil while the proxy does not run
-	revision    int64                      // of the list
-	held        int                        // bytes of bodies and unsent answers, but for long values
-	long        room                       // for long values
-	heldMax     int
-	scratch     []byte
-	reasons     *reasons.Counts
-	reasonsTold *reasons.Counts // as last logged
-	shortOfFDs  bool
-	shortOfRoom bool
+	cfg          Config
+	log          *slog.Logger
+	debugEnabled bool // the debug level is logged
+	redis        *redisFront
+
+	mu          sync.Mutex
+	now         time.Duration // Balancer's clock when the lock was taken or an attempt has been started since
+	eventBegan  time.Duration // when the lock was taken
+	stalls      arrival.Stalls
+	started     time.Time
+	clockOffset time.Duration
+	balancer    *logic.Balancer
+	outcomes    []logic.Outcome // caused by actions; passed to the Balancer at the end of the current event
+	timers      timerWheel
+	timer       *time.Timer
+	wakeAt      time.Duration
+
+	members          map[logic.MemberID]*member
+	requests         map[logic.RequestID]*Request
+	joinTable        *joining.Table    // nil: reads are not coalesced, except for fetches by the Balancer
+	lostLeads        []logic.RequestID // leading reads without an answer, whose lead is to be passed on
+	pendingShares    []logic.RequestID // followers whose answer is available
+	sharing          bool              // a goroutine delivers the pending shares
+	joinStats        Joined
+	openOrders       int // recorded orders in progress
+	recordClosed     bool
+	pendingMany      []*Many // multi-key requests that can continue
+	lastGroup        uint32  // number of the last multi-key request
+	fronts           []Front
+	frontDescriptors int // file descriptors that front ends use
+	nextID           logic.RequestID
+
+	upstreams          *upstream.Set
+	poolTimer          *time.Timer
+	recentIDs          idHistory
+	serving            bool                            // clients are accepted
+	stopping           bool                            // no more requests are accepted
+	maxStopDeadline    time.Duration                   // longest deadline that a stop allows for; shorter in tests
+	outOfUse           maintenance.Set                 // members out of use, regardless of their listed phase
+	watches            []*watch                        // the active one, then at most one that waits for its first list
+	startWatch         func(w *watch, fetchFirst bool) // nil while Run is not active
+	revision           int64                           // of the applied list
+	bufferedBytes      int                             // bodies and unsent answers, without long values
+	longValues         room                            // memory for long values
+	maxBufferedBytes   int
+	scratch            []byte
+	reasons            *reasons.Counts
+	reasonsLogged      *reasons.Counts // as last logged
+	shortOfDescriptors bool
+	shortOfMemory      bool
 }
 
-func heldMax(memoryMB int) int { return int(float64(memoryMB) * (1 << 20) * bufferShare) }
+func bufferLimit(memoryMB int) int { return int(float64(memoryMB) * (1 << 20) * bufferMemoryShare) }
 
-// New makes a Proxy and binds its address; clients that connect from then on wait for Run. Where another process of
-// this proxy listens there already, clients go on going to that one until this one is ready.
+// New creates a Proxy and binds its address; clients that connect from then on wait for Run. If another process
+// of this proxy already listens there, new clients keep going to that process until this one is ready.
 func New(cfg Config, log *slog.Logger) (*Proxy, error) {
 	p := &Proxy{
-		cfg: cfg, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), started: time.Now(),
+		cfg: cfg, log: log, debugEnabled: log.Enabled(context.Background(), slog.LevelDebug), started: time.Now(),
 		members: map[logic.MemberID]*member{}, requests: map[logic.RequestID]*Request{},
-		ids:     newIDs(),
-		heldMax: heldMax(cfg.MemoryMB), out: cfg.Out, killMost: killMost,
+		recentIDs:        newIDHistory(),
+		maxBufferedBytes: bufferLimit(cfg.MemoryMB), outOfUse: cfg.OutOfUse, maxStopDeadline: killMost,
 	}
-	// The module's clock is monotonic and begins at the wall's time, so that all start times are positive on it.
-	p.offset = time.Duration(p.started.UnixNano())
+	// The Balancer's clock is monotonic and starts at the wall-clock time, so that all start times are positive.
+	p.clockOffset = time.Duration(p.started.UnixNano())
 	if cfg.Clock != nil {
-		p.offset = time.Hour
+		p.clockOffset = time.Hour
 	}
-	p.now = p.offset
-	p.stalls.MaxGap = stallGap
-	p.timers = newTimers(tickOf(&p.cfg.Settings), p.now)
+	p.now = p.clockOffset
+	p.stalls.MaxGap = maxEventGap
+	p.timers = newTimerWheel(tickLength(&p.cfg.Settings), p.now)
 	p.reasons = countReasons(&p.cfg.Settings)
-	p.ups = upstream.New(pool.Config{
+	p.upstreams = upstream.New(pool.Config{
 		ConnIdle: cfg.ConnIdle, ConnectTimeout: cfg.Settings.ConnectTimeout, Multiplex: cfg.Multiplex,
-		Instances: cfg.Settings.Instances, Descriptors: cfg.Sockets, CanProbe: cfg.Settings.CanProbe,
+		Instances: cfg.Settings.Instances, Descriptors: cfg.Descriptors, CanProbe: cfg.Settings.CanProbe,
 		ConcurrentAttempts: cfg.Settings.ConcurrentAttempts,
 	}, host{p})
-	p.ups.Advance(p.now)
-	bal, err := logic.New(cfg.Settings, cfg.Seed, actions{p})
+	p.upstreams.Advance(p.now)
+	balancer, err := logic.New(cfg.Settings, cfg.Seed, actions{p})
 	if err != nil {
 		return nil, fmt.Errorf("balancer: %w", err)
 	}
-	p.bal = bal
+	p.balancer = balancer
 	if cfg.Joining != nil {
-		p.joins = joining.New(*cfg.Joining)
+		p.joinTable = joining.New(*cfg.Joining)
 	}
 	if p.redis, err = newRedisFront(p, cfg.Listen); err != nil {
 		return nil, err
@@ -178,52 +182,52 @@
 	return p, nil
 }
 
-// Addr is the address that clients connect to.
+// Addr returns the address that clients connect to.
 func (p *Proxy) Addr() net.Addr { return p.redis.addr() }
 
-// Run serves until the context ends and everything taken until then is answered.
+// Run serves until the context ends and all requests accepted until then are answered.
 func (p *Proxy) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	p.enter()
-	p.timer = time.AfterFunc(time.Hour, p.ring)
+	p.beginEvent()
+	p.timer = time.AfterFunc(time.Hour, p.onTimer)
 	p.wakeAt = p.now + time.Hour
-	p.restTimer = time.AfterFunc(time.Hour, func() { p.Do(p.ups.Wake) })
-	p.bal.Start(p.now)
-	p.apply(logic.ListCached, p.cfg.Known)
-	p.leave()
-
-	var g sync.WaitGroup
-	p.enter()
-	p.revision = p.cfg.Known.Revision
-	p.startWatch = func(w *watch, whole bool) { g.Go(func() { p.watch(background, w, whole) }) }
-	first := p.follow(p.cfg.Discovery, false)
-	p.leave()
-	g.Go(func() { p.sweep(background) })
-
-	// Clients come once PING is answered: with a list too old, the first requests would go astray. Where the call for the
-	// list is put off for longer than that may take, there is one from the configuration.
-	if first.wait < readyWithin {
-		first.first(ctx, readyWithin)
-	}
-	p.inherit()
-	if p.cfg.Before != nil {
-		p.cfg.Before()
+	p.poolTimer = time.AfterFunc(time.Hour, func() { p.Do(p.upstreams.Wake) })
+	p.balancer.Start(p.now)
+	p.applyList(logic.ListCached, p.cfg.InitialList)
+	p.endEvent()
+
+	var goroutines sync.WaitGroup
+	p.beginEvent()
+	p.revision = p.cfg.InitialList.Revision
+	p.startWatch = func(w *watch, fetchFirst bool) { goroutines.Go(func() { p.runWatch(background, w, fetchFirst) }) }
+	firstWatch := p.addWatch(p.cfg.Discovery, false)
+	p.endEvent()
+	goroutines.Go(func() { p.sweep(background) })
+
+	// Clients come once PING is answered, and with an outdated list their first requests would fail. If the first
+	// call to discovery is delayed for longer than this wait, the configuration's list is used.
+	if firstWatch.initialDelay < firstListTimeout {
+		firstWatch.awaitFirstList(ctx, firstListTimeout)
+	}
+	p.restoreSnapshot()
+	if p.cfg.BeforeServing != nil {
+		p.cfg.BeforeServing()
 	}
 	if err := p.redis.open(); err != nil {
 		stop()
-		p.enter()
+		p.beginEvent()
 		p.startWatch = nil
 		p.closeAll()
 		p.mu.Unlock()
-		g.Wait()
+		goroutines.Wait()
 		return err
 	}
-	p.log.Info("ready", "listen", p.Addr().String(), "out_of_use", p.cfg.Out.CountOut(), "members", len(p.cfg.Known.Members))
+	p.log.Info("ready", "listen", p.Addr().String(), "out_of_use", p.cfg.OutOfUse.CountOut(), "members", len(p.cfg.InitialList.Members))
 	served := make(chan error, len(p.fronts))
 	p.Do(func() { p.serving = true })
 	for _, f := range p.fronts {
-		g.Go(func() { served <- f.Serve() })
+		goroutines.Go(func() { served <- f.Serve() })
 	}
 
 	var err error
@@ -233,49 +237,49 @@
 		p.drain()
 	case err = <-served:
 	}
-	p.enter()
-	why := p.newReasons()
+	p.beginEvent()
+	newCounts := p.newReasons()
 	p.startWatch = nil
 	stop()
 	p.closeAll()
 	p.mu.Unlock()
-	p.logReasons(why)
-	g.Wait()
+	p.logReasons(newCounts)
+	goroutines.Wait()
 	return err
 }
 
-// closeAll ends what is still open; nothing is owed on it any more.
+// closeAll closes all connections, on which no more answers are due, and stops the timers.
 func (p *Proxy) closeAll() {
 	p.timer.Stop()
-	p.restTimer.Stop()
+	p.poolTimer.Stop()
 	for _, f := range p.fronts {
 		f.Close()
 	}
 	for _, m := range p.members {
-		p.ups.CloseMember(&m.Member)
+		p.upstreams.CloseMember(&m.Member)
 	}
 }
 
-// stallGap is how long the process may be without any event, of which the sweep is one, before it counts as held up.
-const stallGap = crowdEvery + 10*time.Millisecond
+// maxEventGap is the longest time between events, including sweeps, before the process counts as stalled.
+const maxEventGap = frontSweepInterval + 10*time.Millisecond
 
-// enter takes the lock and the time.
-func (p *Proxy) enter() {
+// beginEvent locks the proxy and reads the clock.
+func (p *Proxy) beginEvent() {
 	p.mu.Lock()
 	last := p.now
 	p.now = p.Clock()
-	p.began = p.now
-	if p.cfg.Clock == nil { // a clock that is set moves in leaps
+	p.eventBegan = p.now
+	if p.cfg.Clock == nil { // a clock set by Config.Clock advances in steps
 		p.stalls.NoteGap(last, p.now)
 	}
-	p.ups.Advance(p.now)
+	p.upstreams.Advance(p.now)
 }
 
-// Clock is the time right now, on the module's clock. It needs no lock.
-func (p *Proxy) Clock() time.Duration { return p.offset + p.elapsed() }
+// Clock returns the current time by the Balancer's clock. It needs no lock.
+func (p *Proxy) Clock() time.Duration { return p.clockOffset + p.elapsed() }
 
-// catchUp takes the time anew in the midst of an event, which may have been held up since it began.
-func (p *Proxy) catchUp() { p.now = max(p.now, p.Clock()) }
+// refreshNow reads the clock again during an event, which may have been stalled since it began.
+func (p *Proxy) refreshNow() { p.now = max(p.now, p.Clock()) }
 
 func (p *Proxy) elapsed() time.Duration {
 	if p.cfg.Clock != nil {
@@ -284,168 +288,172 @@
 	return time.Since(p.started)
 }
 
-// leave tells the Balancer of the outcomes that its own actions have caused, and gives the lock back. Told
-// from inside an action, they would reach it in the middle of its work.
-func (p *Proxy) leave() {
-	p.Tell()
-	p.arm()
-	p.long.grant(p.longMax())
+// endEvent passes the outcomes caused by the Balancer's actions to the Balancer and unlocks the proxy. Passed from
+// inside an action, they would re-enter the Balancer during its event.
+func (p *Proxy) endEvent() {
+	p.DeliverOutcomes()
+	p.armTimer()
+	p.longValues.grant(p.longMax())
 	if p.cfg.Clock == nil {
-		p.stalls.NoteEvent(p.began, p.Clock())
+		p.stalls.NoteEvent(p.eventBegan, p.Clock())
 	}
 	p.mu.Unlock()
 }
 
-// Tell tells the Balancer, within Do, of the outcomes so far, so that what it decides on them can be seen.
-func (p *Proxy) Tell() {
+// DeliverOutcomes passes the outcomes so far to the Balancer, within Do, so that its decisions take effect at once.
+func (p *Proxy) DeliverOutcomes() {
 	for {
 		for i := 0; i < len(p.outcomes); i++ {
-			p.bal.Outcome(p.now, p.outcomes[i])
+			p.balancer.Outcome(p.now, p.outcomes[i])
 		}
 		p.outcomes = p.outcomes[:0]
-		if p.lost != nil && p.passLeads() || len(p.manys) > 0 && p.manyOn() {
+		if p.lostLeads != nil && p.passLeads() || len(p.pendingMany) > 0 && p.manyOn() {
 			continue
 		}
 		return
 	}
 }
 
-// apply takes a list: first here, then by the Balancer, so that both see the same members.
-func (p *Proxy) apply(kind logic.ListKind, l discovery.List) {
+// applyList applies a list here and then in the Balancer, so that both have the same members.
+func (p *Proxy) applyList(kind logic.ListKind, l discovery.List) {
 	members := make([]logic.Member, 0, len(l.Members))
 	listed := make(map[logic.MemberID]bool, len(l.Members))
 	for _, e := range l.Members {
-		m := p.member(e)
+		m := p.balancerMember(e)
 		members = append(members, m)
 		listed[m.ID] = true
-		p.update(m, e)
+		p.updateMember(m, e)
 	}
 	if kind != logic.ListDelta {
 		for id, m := range p.members {
 			if !listed[id] && m.state != logic.Gone {
 				m.state = logic.Gone
-				p.ups.UpdateMember(&m.Member, false, false)
+				p.upstreams.UpdateMember(&m.Member, false, false)
 			}
 		}
 	}
-	p.bal.SetMembers(p.now, kind, members)
+	p.balancer.SetMembers(p.now, kind, members)
 }
 
-// member is a list entry in the module's terms.
-func (p *Proxy) member(e discovery.Member) logic.Member {
+// balancerMember converts a list entry to the Balancer's member.
+func (p *Proxy) balancerMember(e discovery.Member) logic.Member {
 	m := logic.Member{
-		ID: MemberID(e.ID), Zone: p.zone(e.Locality), Cell: e.Cell,
+		ID: MemberID(e.ID), Zone: p.zoneIndex(e.Locality), Cell: e.Cell,
 		Kind: slices.Index(p.cfg.Kinds, e.Flavor), State: logic.Gone, Weight: e.Size,
 	}
-	m.StartedAt = p.startedAt(m.ID, p.upSince(e))
+	m.StartedAt = p.startedAt(m.ID, p.listedStart(e))
 	switch e.Phase {
 	case discovery.PhaseInService:
 		m.State = logic.Ready
 	case discovery.PhaseTerminating:
 		m.State = logic.Draining
 	}
-	// Nothing new goes to a member out of use, as if the list said that it drains.
-	if m.State == logic.Ready && p.out.IsOut(e.ID) {
+	// A member out of use gets no new requests, as if it were listed as draining.
+	if m.State == logic.Ready && p.outOfUse.IsOut(e.ID) {
 		m.State = logic.Draining
 	}
 	return m
 }
 
-// Maintain takes over which members are out of use. What waits to be sent to one that goes out is not sent.
-func (p *Proxy) Maintain(out maintenance.Set) {
-	p.enter()
-	defer p.leave()
-	p.out = p.out.Merge(out) // sets of two calls may come in another order than they were recorded in
+// UpdateMaintenance merges a set of members out of use. Requests that wait to be sent to a member that goes out of
+// use are not sent.
+func (p *Proxy) UpdateMaintenance(outOfUse maintenance.Set) {
+	p.beginEvent()
+	defer p.endEvent()
+	p.outOfUse = p.outOfUse.Merge(outOfUse) // two sets may arrive in a different order than they were recorded in
 	var changed []discovery.Member
 	for _, m := range p.members {
-		if e := p.member(m.listed); m.state != logic.Gone && (e.State != m.state || e.StartedAt != m.started) {
+		if e := p.balancerMember(m.listed); m.state != logic.Gone && (e.State != m.state || e.StartedAt != m.startedAt) {
 			changed = append(changed, m.listed)
 		}
 	}
 	slices.SortFunc(changed, func(a, b discovery.Member) int { return cmp.Compare(a.ID, b.ID) })
 	if len(changed) > 0 {
-		p.apply(logic.ListDelta, discovery.List{Members: changed})
+		p.applyList(logic.ListDelta, discovery.List{Members: changed})
 	}
 }
 
-// Knows tells whether the list names a member, or it is out of use.
-func (p *Proxy) Knows(id string) (known bool) {
+// KnowsMember reports whether a member is listed or out of use.
+func (p *Proxy) KnowsMember(id string) (known bool) {
 	p.Do(func() {
 		m := p.members[MemberID(id)]
-		known = m != nil && m.listed.ID == id && m.state != logic.Gone || p.out.IsOut(id)
+		known = m != nil && m.listed.ID == id && m.state != logic.Gone || p.outOfUse.IsOut(id)
 	})
 	return known
 }
 
-// Serving tells whether clients are taken.
+// Serving reports whether clients are accepted.
 func (p *Proxy) Serving() (yes bool) {
 	p.Do(func() { yes = p.serving && !p.stopping })
 	return yes
 }
 
-// Limit changes how many descriptors and how much memory this process may use, while another one shares the limits.
-func (p *Proxy) Limit(descriptors, memoryMB int) {
+// SetLimits changes the limits of file descriptors and memory, which two processes share during a handover.
+func (p *Proxy) SetLimits(descriptors, memoryMB int) {
 	p.Do(func() {
-		p.cfg.Sockets, p.cfg.MemoryMB, p.heldMax = descriptors, memoryMB, heldMax(memoryMB)
-		p.ups.SetDescriptors(descriptors)
+		p.cfg.Descriptors, p.cfg.MemoryMB, p.maxBufferedBytes = descriptors, memoryMB, bufferLimit(memoryMB)
+		p.upstreams.SetDescriptors(descriptors)
 	})
 }
 
-// MemberID is the module's number for a member's id.
+// MemberID returns the Balancer's number for a member's id.
 func MemberID(id string) logic.MemberID { return logic.MemberID(hash(id)) }
 
-// hash makes a number of an id or key; every proxy must come to the same one.
+// hash returns the hash of an id or key; it must be the same in every proxy.
 func hash[T []byte | string](s T) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
 	return h.Sum64()
 }
 
-// keyOf is the module's number for a key: its value if it is hexadecimal, else its hash. 0 means none there.
-func keyOf(text []byte) uint64 {
+// keyNumber returns the Balancer's number for a key: its value if it is hexadecimal, else its hash. The result is
+// never 0, which means no key.
+func keyNumber(text []byte) uint64 {
 	if k, err := strconv.ParseUint(string(text), 16, 64); err == nil && k != 0 {
 		return k
 	}
 	return max(1, hash(text))
 }
 
-// sweep closes what has stood idle for too long.
+// sweep closes idle connections, removes members that are gone, and logs shortages and counts by reason.
 func (p *Proxy) sweep(ctx context.Context) {
-	tick := time.NewTicker(crowdEvery)
+	tick := time.NewTicker(frontSweepInterval)
 	defer tick.Stop()
-	for n := 1; ; n++ {
+	for ticks := 1; ; ticks++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		p.enter()
+		p.beginEvent()
 		for _, f := range p.fronts {
 			f.Sweep()
 		}
-		if n%int(sweepEvery/crowdEvery) != 0 {
-			p.leave()
+		if ticks%int(memberSweepInterval/frontSweepInterval) != 0 {
+			p.endEvent()
 			continue
 		}
-		var why []any
-		if n%int(reasonsEvery/crowdEvery) == 0 {
-			why = p.newReasons()
+		var newCounts []any
+		if ticks%int(reasonsLogInterval/frontSweepInterval) == 0 {
+			newCounts = p.newReasons()
 		}
-		p.ups.UpdateIdleLimit()
+		p.upstreams.UpdateIdleLimit()
 		for id, m := range p.members {
-			p.ups.Sweep(&m.Member, len(p.members))
+			p.upstreams.Sweep(&m.Member, len(p.members))
 			if m.state == logic.Gone && m.Idle() {
 				delete(p.members, id)
 			}
 		}
-		p.shortOfFDs = p.note(p.shortOfFDs, p.sockets() >= p.cfg.Sockets-spareSockets, "short of descriptors")
-		p.shortOfRoom = p.note(p.shortOfRoom, p.held >= p.heldMax, "short of memory for bodies")
-		p.leave()
-		p.logReasons(why)
+		p.shortOfDescriptors = p.logShortage(p.shortOfDescriptors,
+			p.openDescriptors() >= p.cfg.Descriptors-reservedDescriptors, "short of file descriptors")
+		p.shortOfMemory = p.logShortage(p.shortOfMemory,
+			p.bufferedBytes >= p.maxBufferedBytes, "short of memory for buffered bodies")
+		p.endEvent()
+		p.logReasons(newCounts)
 	}
 }
 
-// countReasons makes the counts for the settings' classes and tenants.
+// countReasons returns empty counts for the classes and tenants of the settings.
 func countReasons(s *logic.Settings) *reasons.Counts {
 	var tenants []string
 	for _, t := range s.Tenants {
@@ -454,116 +462,118 @@
 	return reasons.New(logic.ClassNames(s.Classes), tenants)
 }
 
-// newReasons tells why requests have waited, been refused or failed since it was last asked, under the lock.
+// newReasons returns log attributes: the counts of waits, refusals and failures by reason since the last call. The
+// caller holds the lock.
 func (p *Proxy) newReasons() []any {
-	attrs := p.reasons.Since(p.reasonsTold).Attrs()
+	attrs := p.reasons.Since(p.reasonsLogged).Attrs()
 	if len(attrs) > 0 {
-		p.reasonsTold = p.reasons.Clone()
+		p.reasonsLogged = p.reasons.Clone()
 	}
 	return attrs
 }
 
-// logReasons logs them, not under the lock: a log that nobody reads must not hold requests up.
-func (p *Proxy) logReasons(why []any) {
-	if len(why) > 0 {
-		p.log.Info("reasons", why...)
+// logReasons logs the result of newReasons, without the lock: a blocked log must not delay requests.
+func (p *Proxy) logReasons(newCounts []any) {
+	if len(newCounts) > 0 {
+		p.log.Info("reasons", newCounts...)
 	}
 }
 
-// note logs when a shortage begins and ends, not each time it is met.
-func (p *Proxy) note(was, is bool, what string) bool {
+// logShortage logs when a shortage begins and ends.
+func (p *Proxy) logShortage(wasShort, isShort bool, message string) bool {
 	switch {
-	case is && !was:
-		p.log.Warn(what, "sockets", p.sockets(), "held_bytes", p.held, "requests", len(p.requests))
-	case was && !is:
-		p.log.Info("no longer " + what)
+	case isShort && !wasShort:
+		p.log.Warn(message, "sockets", p.openDescriptors(), "held_bytes", p.bufferedBytes, "requests", len(p.requests))
+	case wasShort && !isShort:
+		p.log.Info("no longer " + message)
 	}
-	return is
+	return isShort
 }
 
-// sockets counts the descriptors in use on both sides.
-func (p *Proxy) sockets() int { return p.frontFDs + p.ups.OpenConns() }
+// openDescriptors returns the number of file descriptors in use by front ends and connections to members.
+func (p *Proxy) openDescriptors() int { return p.frontDescriptors + p.upstreams.OpenConns() }
 
-// member is what this package knows of a member: what the list has, and the connections to it.
+// member is a member with its list entry and its connections.
 type member struct {
 	upstream.Member
-	id      logic.MemberID
-	listed  discovery.Member // as the list has it
-	state   logic.State
-	upSince time.Duration // as the list tells it, of which started was made
-	started time.Duration
+	id          logic.MemberID
+	listed      discovery.Member // its list entry
+	state       logic.State
+	listedStart time.Duration // the listed start time that startedAt was computed from
+	startedAt   time.Duration
 }
 
-// upSince is when a member started by the wall's time, as the list and the operators' calls have it; 0: long ago.
-func (p *Proxy) upSince(e discovery.Member) time.Duration {
-	return time.Duration(p.out.UpSince(e.ID, e.UpSinceMS) * float64(time.Millisecond))
+// listedStart returns a member's start by wall-clock time, from the list and the operators' calls; 0: long ago.
+func (p *Proxy) listedStart(e discovery.Member) time.Duration {
+	return time.Duration(p.outOfUse.UpSince(e.ID, e.UpSinceMS) * float64(time.Millisecond))
 }
 
-// startedAt is when a member started, on the module's clock. It is worked out once, when its start is learnt: the wall's time may be stepped while
-// this process runs, and was perhaps wrong when it began. Where the two disagree the member counts as the younger one: taken for older than it is,
-// a cold member would be pushed over.
-func (p *Proxy) startedAt(id logic.MemberID, upSince time.Duration) time.Duration {
-	if upSince <= 0 {
+// startedAt returns when a member started, by the Balancer's clock. It is computed once per listed start: the wall
+// clock may be stepped while this process runs, and may have been wrong when the process started. Of the start by
+// the wall clock's current offset and by its offset at the start of the process, the later one is used: a cold member
+// that counts as older than it is would be overloaded.
+func (p *Proxy) startedAt(id logic.MemberID, listedStart time.Duration) time.Duration {
+	if listedStart <= 0 {
 		return 0
 	}
-	if m := p.members[id]; m != nil && m.upSince == upSince {
-		return m.started
+	if m := p.members[id]; m != nil && m.listedStart == listedStart {
+		return m.startedAt
 	}
-	byWall := p.now - (p.wall() - upSince)
-	return min(p.now, max(byWall, upSince))
+	byCurrentOffset := p.now - (p.wallTime() - listedStart)
+	return min(p.now, max(byCurrentOffset, listedStart))
 }
 
-// wall is the wall's time, since 1970.
-func (p *Proxy) wall() time.Duration {
+// wallTime returns the wall-clock time since 1970.
+func (p *Proxy) wallTime() time.Duration {
 	switch {
-	case p.cfg.Wall != nil:
-		return p.cfg.Wall()
+	case p.cfg.WallClock != nil:
+		return p.cfg.WallClock()
 	case p.cfg.Clock != nil:
 		return p.Clock()
 	}
 	return time.Duration(time.Now().UnixNano())
 }
 
-// update takes a list entry.
-func (p *Proxy) update(e logic.Member, listed discovery.Member) {
+// updateMember applies a list entry.
+func (p *Proxy) updateMember(e logic.Member, listed discovery.Member) {
 	addr := listed.HostPort
 	m := p.members[e.ID]
 	if m == nil {
 		if e.State == logic.Gone {
 			return
 		}
-		m = &member{id: e.ID, started: e.StartedAt}
+		m = &member{id: e.ID, startedAt: e.StartedAt}
 		m.Addr = addr
 		p.members[e.ID] = m
 	}
 	m.Origin = e.Kind == p.cfg.Settings.OriginKind && p.cfg.Settings.Mode == logic.CacheAside
 	m.listed = listed
-	moved := m.Addr != addr || m.started != e.StartedAt
-	m.Addr, m.started, m.state, m.upSince = addr, e.StartedAt, e.State, p.upSince(listed)
-	p.ups.UpdateMember(&m.Member, e.State == logic.Ready, moved)
+	moved := m.Addr != addr || m.startedAt != e.StartedAt
+	m.Addr, m.startedAt, m.state, m.listedStart = addr, e.StartedAt, e.State, p.listedStart(listed)
+	p.upstreams.UpdateMember(&m.Member, e.State == logic.Ready, moved)
 }
 
-// host is what package upstream sees of a Proxy.
+// host implements upstream.Host for a Proxy.
 type host struct{ *Proxy }
 
 var _ upstream.Host = host{}
 
-func (h host) Enter()  { h.enter() }
-func (h host) Leave()  { h.leave() }
+func (h host) Enter()  { h.beginEvent() }
+func (h host) Leave()  { h.endEvent() }
 func (h host) Lock()   { h.mu.Lock() }
 func (h host) Unlock() { h.mu.Unlock() }
 
 func (h host) Clock() time.Duration {
-	h.catchUp()
+	h.refreshNow()
 	return h.now
 }
 
-func (h host) ScheduleTimer(d upstream.Timer) { h.schedule(due{Timer: d}) }
-func (h host) ScheduleWake(at time.Duration)  { h.restTimer.Reset(at - h.now) }
+func (h host) ScheduleTimer(d upstream.Timer) { h.schedule(timerEntry{Timer: d}) }
+func (h host) ScheduleWake(at time.Duration)  { h.poolTimer.Reset(at - h.now) }
 
-func (h host) HasDescriptor(make bool) bool {
-	if !make {
-		return h.sockets() < h.cfg.Sockets-spareSockets
+func (h host) HasDescriptor(evict bool) bool {
+	if !evict {
+		return h.openDescriptors() < h.cfg.Descriptors-reservedDescriptors
 	}
-	return h.sockets() < h.cfg.Sockets-spareSockets/2 || h.makeRoom()
+	return h.openDescriptors() < h.cfg.Descriptors-reservedDescriptors/2 || h.makeRoom()
 }
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -9,122 +9,122 @@
 	"linenloom/logic"
 )
 
-// due is something to do at a time. None is withdrawn; one that is no longer wanted does nothing.
-type due struct {
-	upstream.Timer          // what it is of the exchanges with members
-	attempt        *attempt // else: its time ends
+// timerEntry is an action that is due at a time. Entries are not removed; one that is obsolete does nothing when due.
+type timerEntry struct {
+	upstream.Timer          // a timer of package upstream, if attempt is nil
+	attempt        *attempt // an attempt whose timeout is due
 	token          uint64
 }
 
 const (
-	wheelSlots = 4096 // some seconds ahead at the usual ticks; what lies beyond waits in a list
-	wheelWords = wheelSlots / 64
-	tokenChunk = 30
-	dueChunk   = 15
-	spareMost  = 256 // chunks kept for further use
+	wheelSlots      = 4096 // cover some seconds at the usual ticks; later timers wait in a list
+	wheelWords      = wheelSlots / 64
+	tokensPerChunk  = 30
+	entriesPerChunk = 15
+	maxSpareChunks  = 256 // chunks kept for reuse
 )
 
-// timers is a wheel of slots, one for each tick. A request sets several timers and hardly ever one that counts, so that
-// setting one has to cost little: it is put at the end of its slot, and none is ever moved. The module's own, most of
-// all, are kept apart as bare numbers.
-type timers struct {
-	tick    time.Duration
-	next    int64 // the tick that runs next
-	slots   []slot
-	used    [wheelWords]uint64 // which slots hold something
-	far     []farDue           // beyond the wheel, unordered: there are few
-	farNext time.Duration
-	count   int
-	spareT  []*tokens
-	spareD  []*dues
-	soonest time.Duration // of what was set since it was last looked at
+// timerWheel is a timing wheel with one slot per tick. A request sets several timers, and hardly any of them has an
+// effect, so setting one must be cheap: it is appended to its slot and never moved within the wheel. The Balancer's
+// timers, which are the majority, are stored separately as bare tokens.
+type timerWheel struct {
+	tick         time.Duration
+	next         int64 // the next tick to run
+	slots        []wheelSlot
+	occupied     [wheelWords]uint64 // bit set of the slots that are not empty
+	far          []farEntry         // timers beyond the wheel, unordered, as there are few
+	earliestFar  time.Duration
+	count        int
+	spareTokens  []*tokenList
+	spareEntries []*entryList
+	earliestNew  time.Duration // earliest of the timers added since the last armTimer
 }
 
-type slot struct {
-	tokens, lastTokens *tokens
-	dues, lastDues     *dues
+type wheelSlot struct {
+	tokens, lastTokens   *tokenList
+	entries, lastEntries *entryList
 }
 
-type tokens struct {
-	next *tokens
-	n    int
-	t    [tokenChunk]uint64
+type tokenList struct {
+	next   *tokenList
+	n      int
+	tokens [tokensPerChunk]uint64
 }
 
-type dues struct {
-	next *dues
-	n    int
-	d    [dueChunk]due
+type entryList struct {
+	next    *entryList
+	n       int
+	entries [entriesPerChunk]timerEntry
 }
 
-type farDue struct {
-	due
-	module bool
+type farEntry struct {
+	timerEntry
+	isToken bool
 }
 
-func newTimers(tick, now time.Duration) timers {
-	return timers{tick: tick, next: int64(now / tick), slots: make([]slot, wheelSlots), soonest: math.MaxInt64}
+func newTimerWheel(tick, now time.Duration) timerWheel {
+	return timerWheel{tick: tick, next: int64(now / tick), slots: make([]wheelSlot, wheelSlots), earliestNew: math.MaxInt64}
 }
 
-// place is the slot of a time, put off to the end of its tick; false, if that lies beyond the wheel.
-func (t *timers) place(at time.Duration) (int64, bool) {
+// tickFor returns the tick of a time, rounded up, and whether it is within the wheel.
+func (t *timerWheel) tickFor(at time.Duration) (int64, bool) {
 	tick := max(t.next, int64((at+t.tick-1)/t.tick))
 	return tick, tick < t.next+wheelSlots
 }
 
-// push sets a timer.
-func (t *timers) push(now time.Duration, d due) { t.put(now, d, false) }
+// addEntry adds a timer.
+func (t *timerWheel) addEntry(now time.Duration, entry timerEntry) { t.add(now, entry, false) }
 
-// pushToken sets a timer of the module's.
-func (t *timers) pushToken(now, at time.Duration, token uint64) {
-	t.put(now, due{Timer: upstream.Timer{At: at}, token: token}, true)
+// addToken adds a timer of the Balancer.
+func (t *timerWheel) addToken(now, at time.Duration, token uint64) {
+	t.add(now, timerEntry{Timer: upstream.Timer{At: at}, token: token}, true)
 }
 
-func (t *timers) put(now time.Duration, d due, module bool) {
-	if t.count == 0 { // nothing has run meanwhile
+func (t *timerWheel) add(now time.Duration, entry timerEntry, isToken bool) {
+	if t.count == 0 { // an empty wheel may be behind
 		t.next = max(t.next, int64(now/t.tick))
 	}
 	t.count++
-	tick, near := t.place(d.At)
-	t.soonest = min(t.soonest, time.Duration(tick)*t.tick)
+	tick, near := t.tickFor(entry.At)
+	t.earliestNew = min(t.earliestNew, time.Duration(tick)*t.tick)
 	if !near {
-		if len(t.far) == 0 || d.At < t.farNext {
-			t.farNext = d.At
+		if len(t.far) == 0 || entry.At < t.earliestFar {
+			t.earliestFar = entry.At
 		}
-		t.far = append(t.far, farDue{d, module})
+		t.far = append(t.far, farEntry{entry, isToken})
 		return
 	}
 	i := int(tick % wheelSlots)
-	t.used[i/64] |= 1 << (i % 64)
+	t.occupied[i/64] |= 1 << (i % 64)
 	s := &t.slots[i]
-	if module {
-		if s.lastTokens == nil || s.lastTokens.n == tokenChunk {
-			c := take(&t.spareT)
+	if isToken {
+		if s.lastTokens == nil || s.lastTokens.n == tokensPerChunk {
+			chunk := takeSpare(&t.spareTokens)
 			if s.lastTokens == nil {
-				s.tokens = c
+				s.tokens = chunk
 			} else {
-				s.lastTokens.next = c
+				s.lastTokens.next = chunk
 			}
-			s.lastTokens = c
+			s.lastTokens = chunk
 		}
-		s.lastTokens.t[s.lastTokens.n] = d.token
+		s.lastTokens.tokens[s.lastTokens.n] = entry.token
 		s.lastTokens.n++
 		return
 	}
-	if s.lastDues == nil || s.lastDues.n == dueChunk {
-		c := take(&t.spareD)
-		if s.lastDues == nil {
-			s.dues = c
+	if s.lastEntries == nil || s.lastEntries.n == entriesPerChunk {
+		chunk := takeSpare(&t.spareEntries)
+		if s.lastEntries == nil {
+			s.entries = chunk
 		} else {
-			s.lastDues.next = c
+			s.lastEntries.next = chunk
 		}
-		s.lastDues = c
+		s.lastEntries = chunk
 	}
-	s.lastDues.d[s.lastDues.n] = d
-	s.lastDues.n++
+	s.lastEntries.entries[s.lastEntries.n] = entry
+	s.lastEntries.n++
 }
 
-func take[T any](spare *[]*T) *T {
+func takeSpare[T any](spare *[]*T) *T {
 	if n := len(*spare); n > 0 {
 		c := (*spare)[n-1]
 		*spare = (*spare)[:n-1]
@@ -133,16 +133,16 @@
 	return new(T)
 }
 
-// earliest is when the next timer falls due; false, if there is none.
-func (t *timers) earliest() (time.Duration, bool) {
+// earliest returns the time of the next timer, and false if there is none.
+func (t *timerWheel) earliest() (time.Duration, bool) {
 	if t.count == 0 {
 		return 0, false
 	}
-	at, found := t.farNext, len(t.far) > 0
+	at, found := t.earliestFar, len(t.far) > 0
 	from := int(t.next % wheelSlots)
 	for k := 0; k <= wheelWords; k++ {
 		w := (from/64 + k) % wheelWords
-		word := t.used[w]
+		word := t.occupied[w]
 		if k == 0 {
 			word &= ^uint64(0) << (from % 64)
 		} else if k == wheelWords {
@@ -160,94 +160,96 @@
 	return at, found
 }
 
-// run does what has fallen due by now. What it sets anew for a time that has come runs in the next call.
-func (t *timers) run(now time.Duration, token func(uint64), do func(due)) {
+// run runs the timers that are due. Timers that are added meanwhile and are already due run in the next call.
+func (t *timerWheel) run(now time.Duration, runToken func(uint64), runEntry func(timerEntry)) {
 	last := int64(now / t.tick)
 	for t.next <= last {
 		i := int(t.next % wheelSlots)
-		if t.used[i/64] == 0 && i%64 == 0 && t.next+64 <= last { // nothing in 64 ticks
+		if t.occupied[i/64] == 0 && i%64 == 0 && t.next+64 <= last { // 64 empty slots
 			t.next += 64
 			continue
 		}
 		s := t.slots[i]
-		t.slots[i] = slot{}
-		t.used[i/64] &^= 1 << (i % 64)
+		t.slots[i] = wheelSlot{}
+		t.occupied[i/64] &^= 1 << (i % 64)
 		t.next++
-		for c := s.tokens; c != nil; {
-			for _, v := range c.t[:c.n] {
+		for chunk := s.tokens; chunk != nil; {
+			for _, v := range chunk.tokens[:chunk.n] {
 				t.count--
-				token(v)
+				runToken(v)
 			}
-			next := c.next
-			c.next, c.n = nil, 0
-			if len(t.spareT) < spareMost {
-				t.spareT = append(t.spareT, c)
+			next := chunk.next
+			chunk.next, chunk.n = nil, 0
+			if len(t.spareTokens) < maxSpareChunks {
+				t.spareTokens = append(t.spareTokens, chunk)
 			}
-			c = next
+			chunk = next
 		}
-		for c := s.dues; c != nil; {
-			for _, d := range c.d[:c.n] {
+		for chunk := s.entries; chunk != nil; {
+			for _, d := range chunk.entries[:chunk.n] {
 				t.count--
-				do(d)
+				runEntry(d)
 			}
-			next := c.next
-			*c = dues{} // let go of the attempts
-			if len(t.spareD) < spareMost {
-				t.spareD = append(t.spareD, c)
+			next := chunk.next
+			*chunk = entryList{} // releases the references to attempts
+			if len(t.spareEntries) < maxSpareChunks {
+				t.spareEntries = append(t.spareEntries, chunk)
 			}
-			c = next
+			chunk = next
 		}
 	}
-	if len(t.far) > 0 && t.farNext < time.Duration(t.next+wheelSlots)*t.tick {
+	if len(t.far) > 0 && t.earliestFar < time.Duration(t.next+wheelSlots)*t.tick {
 		far := t.far
 		t.far = nil
-		for _, d := range far { // those that are still far go back
+		for _, d := range far { // those that are not due are added again
 			t.count--
 			switch {
 			case d.At > now:
-				t.put(now, d.due, d.module)
-			case d.module:
-				token(d.token)
+				t.add(now, d.timerEntry, d.isToken)
+			case d.isToken:
+				runToken(d.token)
 			default:
-				do(d.due)
+				runEntry(d.timerEntry)
 			}
 		}
 	}
 }
 
-// maxTick bounds how late timers may be, whatever the settings say, and leastTick how finely they are told apart.
 const (
-	maxTick   = 5 * time.Millisecond
-	leastTick = time.Millisecond
+	// maxTick limits how late timers may run, regardless of the settings.
+	maxTick = 5 * time.Millisecond
+	// minTick is the finest resolution of timers.
+	minTick = time.Millisecond
 )
 
-// tickOf is the module's tick, which it allows for: timers that fall due within one then share a wake-up.
-func tickOf(s *logic.Settings) time.Duration { return max(leastTick, min(s.MaxEventDelay, maxTick)) }
+// tickLength returns the tick of the wheel, within the event delay that the Balancer allows for: timers that are due
+// within one tick share a wake-up.
+func tickLength(s *logic.Settings) time.Duration { return max(minTick, min(s.MaxEventDelay, maxTick)) }
 
 // schedule adds a timer.
-func (p *Proxy) schedule(d due) { p.timers.push(p.now, d) }
+func (p *Proxy) schedule(entry timerEntry) { p.timers.addEntry(p.now, entry) }
 
-// arm sets the wake-up for the earliest timer.
-func (p *Proxy) arm() {
-	if p.timers.soonest < p.wakeAt {
-		p.wakeAt = p.timers.soonest
+// armTimer sets the wake-up for the earliest timer that was added.
+func (p *Proxy) armTimer() {
+	if p.timers.earliestNew < p.wakeAt {
+		p.wakeAt = p.timers.earliestNew
 		p.timer.Reset(p.wakeAt - p.now)
 	}
-	p.timers.soonest = math.MaxInt64
+	p.timers.earliestNew = math.MaxInt64
 }
 
-// ring does what has fallen due.
-func (p *Proxy) ring() {
-	p.enter()
-	p.timers.run(p.now, p.ringToken, p.ringDue)
+// onTimer runs the timers that are due.
+func (p *Proxy) onTimer() {
+	p.beginEvent()
+	p.timers.run(p.now, p.runToken, p.runEntry)
 	p.wakeAt = p.now + time.Hour
 	if at, ok := p.timers.earliest(); ok {
-		p.timers.soonest = min(p.timers.soonest, at)
+		p.timers.earliestNew = min(p.timers.earliestNew, at)
 	}
-	p.leave()
+	p.endEvent()
 }
 
-func (p *Proxy) ringToken(token uint64) {
+func (p *Proxy) runToken(token uint64) {
 	if token&7 == tickJoin {
 		id := logic.RequestID(token >> 3)
 		if r := p.requests[id]; r != nil && r.rec != nil {
@@ -257,14 +259,14 @@
 		}
 		return
 	}
-	p.bal.Timer(p.now, token)
+	p.balancer.Timer(p.now, token)
 }
 
-func (p *Proxy) ringDue(d due) {
+func (p *Proxy) runEntry(entry timerEntry) {
 	switch {
-	case d.attempt == nil:
-		p.ups.HandleTimer(d.Timer)
-	case !d.attempt.Ended:
-		p.abandon(d.attempt, logic.StatusTimeout)
+	case entry.attempt == nil:
+		p.upstreams.HandleTimer(entry.Timer)
+	case !entry.attempt.Ended:
+		p.abandonAttempt(entry.attempt, logic.StatusTimeout)
 	}
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -10,123 +10,124 @@
 	"linenloom/logic"
 )
 
-// watch is a watch on discovery at one address. It counts until the next one has told its first list, so that
-// an address that is not up yet leaves the proxy no worse off; from then on nothing that it tells is taken.
+// watch is a watch on discovery at one address. It stays active until the next watch has received its first list, so
+// that an address that is not reachable yet does no harm; after that its lists are ignored.
 type watch struct {
-	addr   string
-	told   chan struct{} // closed with its first list
-	opened chan struct{} // closed once discovery has taken it up
-	cancel context.CancelFunc
-	pace   *discovery.Backoff
-	wait   time.Duration // before its first call
+	addr         string
+	gotList      chan struct{} // closed when its first list is applied
+	opened       chan struct{} // closed when discovery has accepted the watch
+	cancel       context.CancelFunc
+	backoff      *discovery.Backoff
+	initialDelay time.Duration // delay of its first call
 }
 
-// Follow moves the watch to another address. It returns at once.
-func (p *Proxy) Follow(addr string) {
-	p.enter()
-	defer p.leave()
+// SetDiscoveryAddr moves the watch on discovery to another address. It does not block.
+func (p *Proxy) SetDiscoveryAddr(addr string) {
+	p.beginEvent()
+	defer p.endEvent()
 	if p.startWatch == nil {
 		p.cfg.Discovery = addr
 		return
 	}
 	if newest := p.watches[len(p.watches)-1]; newest.addr != addr {
-		p.log.Info("discovery moves", "from", newest.addr, "to", addr)
-		p.follow(addr, true)
+		p.log.Info("discovery address changed", "from", newest.addr, "to", addr)
+		p.addWatch(addr, true)
 	}
 }
 
-// follow starts a watch. Of those before it, the one that counts goes on for the time being.
-func (p *Proxy) follow(addr string, whole bool) *watch {
+// addWatch starts a watch. Earlier watches are cancelled, except for the active one.
+func (p *Proxy) addWatch(addr string, fetchFirst bool) *watch {
 	for len(p.watches) > 1 {
 		p.watches[1].cancel()
 		p.watches = slices.Delete(p.watches, 1, 2)
 	}
 	s := &p.cfg.Settings
-	w := &watch{addr: addr, told: make(chan struct{}), opened: make(chan struct{}), cancel: func() {},
-		pace: discovery.NewBackoff(s.Subscribe, s.SelfIndex, s.Instances, s.MaxPollInterval, p.cfg.Seed)}
-	if !whole && len(p.cfg.Known.Members) > 0 { // there is a list to begin with
-		w.wait = w.pace.StartDelay()
+	w := &watch{addr: addr, gotList: make(chan struct{}), opened: make(chan struct{}), cancel: func() {},
+		backoff: discovery.NewBackoff(s.Subscribe, s.SelfIndex, s.Instances, s.MaxPollInterval, p.cfg.Seed)}
+	if !fetchFirst && len(p.cfg.InitialList.Members) > 0 { // the configuration has a list
+		w.initialDelay = w.backoff.StartDelay()
 	}
 	p.watches = append(p.watches, w)
-	p.startWatch(w, whole)
+	p.startWatch(w, fetchFirst)
 	return w
 }
 
-// watch runs a watch until it is superseded or the context ends.
-func (p *Proxy) watch(ctx context.Context, w *watch, whole bool) {
+// runWatch runs a watch until it is replaced or the context ends.
+func (p *Proxy) runWatch(ctx context.Context, w *watch, fetchFirst bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p.enter()
+	p.beginEvent()
 	w.cancel = cancel
 	current := slices.Contains(p.watches, w)
-	revision, held := p.revision, len(p.members) > 0
-	p.leave()
+	revision, hasMembers := p.revision, len(p.members) > 0
+	p.endEvent()
 	if !current {
 		return
 	}
 	watcher := discovery.Watcher{
-		Addr: w.addr, Revision: revision, FetchFirst: whole, Backoff: w.pace, InitialDelay: w.wait, HasMembers: held, Log: p.log,
-		OnList:  func(l discovery.List) (int64, bool) { return p.take(w, l) },
+		Addr: w.addr, Revision: revision, FetchFirst: fetchFirst, Backoff: w.backoff, InitialDelay: w.initialDelay, HasMembers: hasMembers, Log: p.log,
+		OnList:  func(l discovery.List) (int64, bool) { return p.receiveList(w, l) },
 		OnOpen:  sync.OnceFunc(func() { close(w.opened) }),
-		OnBreak: func() { p.broken(w) },
+		OnBreak: func() { p.watchBroken(w) },
 	}
 	watcher.Run(ctx)
 }
 
-// take applies a list, if the watch that it came by still counts or begins to. One that begins to may have lagged behind: while it asked
-// for its first list, the one before has told more. That list would call members back that drain, and is not taken.
-func (p *Proxy) take(w *watch, l discovery.List) (newest int64, taken bool) {
+// receiveList applies a list, unless its watch has been replaced. The first list of a new watch may be older than what
+// the active watch has received meanwhile. Such a list is rejected, as it would reactivate members that drain.
+func (p *Proxy) receiveList(w *watch, l discovery.List) (newest int64, accepted bool) {
 	kind := logic.ListDelta
 	if l.Complete {
 		kind = logic.ListFull
 	}
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	at := slices.Index(p.watches, w)
 	switch {
 	case at < 0:
-		return l.Revision, true // it is being ended
+		return l.Revision, true // the watch has been replaced and is ending
 	case at > 0 && l.Revision < p.revision && !l.RevisionsReset:
 		return p.revision, false
 	}
-	for _, old := range p.watches[:at] {
-		old.cancel()
+	for _, replaced := range p.watches[:at] {
+		replaced.cancel()
 	}
 	p.watches = slices.Delete(p.watches, 0, at)
 	p.revision = l.Revision
-	p.apply(kind, l)
+	p.applyList(kind, l)
 	select {
-	case <-w.told:
+	case <-w.gotList:
 	default:
-		close(w.told)
+		close(w.gotList)
 	}
 	return l.Revision, true
 }
 
-// first waits for a watch's first list, for so long at the most. A watch that discovery has taken up and that tells nothing for
-// newsWithin has nothing to tell: the list of the configuration holds, and is not waited for any longer.
-func (w *watch) first(ctx context.Context, within time.Duration) {
-	most := time.NewTimer(within)
-	defer most.Stop()
+// awaitFirstList waits for a watch's first list, up to a timeout. If nothing arrives for listUpdateTimeout after
+// discovery has accepted the watch, there is no newer list: the configuration's list is current, and the wait ends.
+func (w *watch) awaitFirstList(ctx context.Context, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	opened := w.opened
 	for {
 		select {
 		case <-opened:
 			opened = nil
-			most.Reset(newsWithin)
+			timer.Reset(listUpdateTimeout)
 			continue
-		case <-w.told:
-		case <-most.C:
+		case <-w.gotList:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 		return
 	}
 }
 
-func (p *Proxy) broken(w *watch) {
-	p.enter()
-	defer p.leave()
+// watchBroken reports to the Balancer that the active watch has failed.
+func (p *Proxy) watchBroken(w *watch) {
+	p.beginEvent()
+	defer p.endEvent()
 	if p.watches[0] == w {
-		p.bal.SetMembers(p.now, logic.ListFailed, nil)
+		p.balancer.SetMembers(p.now, logic.ListFailed, nil)
 	}
 }
