--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -31,7 +31,7 @@
 			left = time.Until(s.deadline)
 		}
 	})
-	place := w.f.p.LongRoom(n, left)
+	place := w.f.p.ReserveLongValueWithin(n, left)
 	if !place.Wait() {
 		w.conclude(proxy.Answer{Kind: proxy.Refused, Why: reasons.HostFull})
 		return errNoRoom
@@ -105,7 +105,7 @@
 		if s.head.length > 0 {
 			n = min(n, s.head.length)
 		}
-		place := s.f.p.LongRoom(n, time.Until(s.deadline))
+		place := s.f.p.ReserveLongValueWithin(n, time.Until(s.deadline))
 		if !place.Wait() {
 			return false
 		}
--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Told takes what became of a key.
-func (m *manyCall) Told(k int, mark manykeys.Outcome, a proxy.Answer, _ error) {
+// KeyDone takes what became of a key.
+func (m *manyCall) KeyDone(k int, mark manykeys.Outcome, a proxy.Answer, _ error) {
 	t := told{Key: m.many.Gather.Key(k)}
 	switch mark {
 	case manykeys.Served:
@@ -67,8 +67,8 @@
 	m.keys[k] = t
 }
 
-// Over gives the call its one answer, in the order asked.
-func (m *manyCall) Over() {
+// AllDone gives the call its one answer, in the order asked.
+func (m *manyCall) AllDone() {
 	var reply struct {
 		Keys []told `json:"keys"`
 	}
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -439,7 +439,7 @@
 func (c *call) Answer(a proxy.Answer) {
 	switch {
 	case a.Body != nil:
-		a.Body.Keep()
+		a.Body.Retain()
 	case a.Value != nil:
 		a.Value = append([]byte(nil), a.Value...)
 		c.f.p.Hold(len(a.Value))
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -543,7 +543,7 @@
 			id = f.newID()
 		}
 		now := f.p.Now()
-		entry, replaced, decision := f.calls.Begin(id, h.attempt, s.unsafe(class), class.Effect == logic.AtMostOnce && f.p.Records(), now)
+		entry, replaced, decision := f.calls.Begin(id, h.attempt, s.unsafe(class), class.Effect == logic.AtMostOnce && f.p.RecordsOrders(), now)
 		if d = decision; replaced != nil {
 			replaced.Owner.(*call).abandon()
 		}
@@ -643,7 +643,7 @@
 		c.req.Taker = routed{c}
 	}
 	if s.place != nil {
-		c.req.InRoom(len(s.body))
+		c.req.SetReservedBytes(len(s.body))
 	}
 	c.req.By, c.req.Front = s.proof, "extproc"
 	if s.target.Many {
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -96,8 +96,8 @@
 			p.cfg.Meter.OriginRefused(p.now)
 		}
 		r.Taker.Answer(a)
-		p.fence(r)
-		p.joinEnded(r)
+		p.fenceReads(r)
+		p.leadEnded(r)
 		p.settle(r)
 	}
 }
--- a/internal/proxy/answers.go
+++ b/internal/proxy/answers.go
@@ -35,7 +35,7 @@
 
 // answerShared is answer for a value that others get too. A client that takes it slowly holds nothing of its own, and a descriptor.
 func (c *client) answerShared(o *owed, b *Body) {
-	b.Keep()
+	b.Retain()
 	if len(c.pending) > 0 && c.pending[0] == o && !c.w.Busy() {
 		c.sendShared(b)
 		c.pop()
@@ -72,7 +72,7 @@
 	for len(c.pending) > 0 && !c.w.Busy() {
 		o := c.pending[0]
 		if o.many != nil && o.many.stream {
-			b, last := o.many.flushed()
+			b, last := o.many.takeUnsent()
 			if len(b) > 0 {
 				c.w.Send(b, true)
 			}
@@ -90,7 +90,7 @@
 			continue
 		}
 		if o.reply == nil {
-			o.wakeTurn()
+			o.signalTurn()
 			return
 		}
 		if len(c.pending) == 1 || c.pending[1].reply == nil {
--- a/internal/proxy/command.go
+++ b/internal/proxy/command.go
@@ -141,7 +141,7 @@
 		c.limit()
 	}
 	if h.N > resp.MaxValue {
-		return c.longValue(cmd, h.N)
+		return c.readLongValue(cmd, h.N)
 	}
 	p := c.p
 	const piece = 4 << 10
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -74,8 +74,8 @@
 		r := p.requests[id]
 		switch {
 		case r == nil: // it ended with one before
-		case r.rec != nil && r.rec.owes:
-			p.recordLate(r)
+		case r.rec != nil && r.rec.reportReceipt:
+			p.handleRecordTimeout(r)
 		case !r.done:
 			p.recall(r)
 			a := Answer{Kind: Failed, Why: reasons.Stopping}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -67,15 +67,15 @@
 	long     int  // bytes of the room for long values that its value has; else it is counted as held
 	tenant   int
 	deadline time.Duration
-	attempts []*attempt // by number
-	out      int        // attempts without outcome
-	done     bool       // the final answer is decided, or nobody waits for it
-	ran      bool       // an attempt that has ended may have run
-	spent    bool       // the id of its token is used by it
-	denied   error      // why it was not sent: its proof no longer holds
-	group    uint32     // it is one of several that were asked for at once; 0: of none
-	join     *joined    // it leads other reads or follows one; nil: neither
-	rec      *recorded  // it is an order on record; nil: it is not
+	attempts []*attempt     // by number
+	out      int            // attempts without outcome
+	done     bool           // the final answer is decided, or nobody waits for it
+	ran      bool           // an attempt that has ended may have run
+	spent    bool           // the id of its token is used by it
+	denied   error          // why it was not sent: its proof no longer holds
+	group    uint32         // it is one of several that were asked for at once; 0: of none
+	join     *joinState     // it leads other reads or follows one; nil: neither
+	rec      *recordedOrder // it is an order on record; nil: it is not
 }
 
 // Kind is the kind of a final answer.
@@ -178,9 +178,9 @@
 func (x *Attempt) DeliverElsewhere() {
 	if !x.a.Ended {
 		x.a.req.done = true
-		x.p.fence(x.a.req)
+		x.p.fenceReads(x.a.req)
 		if c := x.a.req.rec; c != nil {
-			c.ok, c.by = true, orders.ReportedByCaller
+			c.answered, c.reportedBy = true, orders.ReportedByCaller
 		}
 		x.p.end(x.a, logic.StatusCancelled, 0)
 	}
@@ -190,7 +190,7 @@
 func (x *Attempt) Deliver(note int) {
 	if !x.a.Ended {
 		x.a.req.done = true
-		x.p.fence(x.a.req)
+		x.p.fenceReads(x.a.req)
 		x.p.end(x.a, logic.StatusOK, note)
 	}
 }
@@ -262,7 +262,7 @@
 	r.deadline = lr.Deadline
 	p.requests[r.id] = r
 	if p.cfg.Record != nil && r.effect == logic.AtMostOnce {
-		p.record(r, lr)
+		p.recordOrder(r, lr)
 		return nil
 	}
 	if p.joins == nil || !p.join(r, lr) {
@@ -306,7 +306,7 @@
 		only = p.named(addrs)
 	}
 	if r.join != nil {
-		r.join.lr.AllowedMembers = only
+		r.join.balancerRequest.AllowedMembers = only
 	}
 	p.bal.RestrictMembers(p.now, r.id, only)
 	for _, a := range r.attempts {
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -138,7 +138,7 @@
 func (p *testProxy) gone() {
 	p.t.Helper()
 	p.eventually("nothing is in hand", func() bool {
-		return len(p.requests) == 0 && len(p.redis.clients) == 0 && p.held == 0 && p.long.used == 0
+		return len(p.requests) == 0 && len(p.redis.clients) == 0 && p.held == 0 && p.long.usedBytes == 0
 	})
 }
 
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -16,160 +16,162 @@
 // since it may have to be sent again, but only as many as there is room for: the others are not read until then, which
 // costs their clients nothing, as their time counts from the last byte.
 const (
-	// longShare is the part of the memory for long values that are written, beside bufferShare for everything else.
-	longShare = 0.25
-	// longStep is how much of a long value has to come within commandTime. Slower, a client would hold its room for minutes.
-	longStep = 64 << 10
-	// longestWait is how long a long value waits for room before it is refused.
-	longestWait = 10 * time.Second
+	// longMemoryShare is the part of the memory for long values that are written, beside bufferShare for everything else.
+	longMemoryShare = 0.25
+	// longPieceBytes is how much of a long value has to come within commandTime. Slower, a client would hold its room for minutes.
+	longPieceBytes = 64 << 10
+	// maxLongValueWait is how long a long value waits for room before it is refused.
+	maxLongValueWait = 10 * time.Second
 )
 
-// room is what may be held of long values. Who comes first is let in first, so that none waits for ever.
-type room struct {
-	used    int
-	waiting []*place
-	longest time.Duration // as longestWait; tests have it longer
+// longValueBudget is what may be held of long values. Who comes first is let in first, so that none waits for ever.
+type longValueBudget struct {
+	usedBytes int
+	waiting   []*budgetReservation
+	maxWait   time.Duration // as maxLongValueWait; tests have it longer
 }
 
-// place waits for room.
-type place struct {
-	n    int
-	let  chan struct{} // closed once it is let in
-	done bool          // let in, or given up
+// budgetReservation waits for room.
+type budgetReservation struct {
+	bytes   int
+	granted chan struct{} // closed once it is let in
+	done    bool          // let in, or given up
 }
 
-// enter asks for n bytes.
-func (r *room) enter(n, most int) *place {
-	w := &place{n: n, let: make(chan struct{})}
-	r.waiting = append(r.waiting, w)
-	r.grant(most)
-	return w
+// reserve asks for n bytes.
+func (b *longValueBudget) reserve(bytes, maxBytes int) *budgetReservation {
+	reservation := &budgetReservation{bytes: bytes, granted: make(chan struct{})}
+	b.waiting = append(b.waiting, reservation)
+	b.grantWaiting(maxBytes)
+	return reservation
 }
 
-// grant lets in those for whom there is room, and one in any case.
-func (r *room) grant(most int) {
-	for len(r.waiting) > 0 {
-		w := r.waiting[0]
-		if r.used > 0 && r.used+w.n > most {
+// grantWaiting lets in those for whom there is room, and one in any case.
+func (b *longValueBudget) grantWaiting(maxBytes int) {
+	for len(b.waiting) > 0 {
+		next := b.waiting[0]
+		if b.usedBytes > 0 && b.usedBytes+next.bytes > maxBytes {
 			return
 		}
-		r.waiting = r.waiting[1:]
-		r.used += w.n
-		w.done = true
-		close(w.let)
+		b.waiting = b.waiting[1:]
+		b.usedBytes += next.bytes
+		next.done = true
+		close(next.granted)
 	}
 }
 
-// leave gives up the wait, or the room.
-func (r *room) leave(w *place) {
-	if w.done {
-		r.used -= w.n
+// release gives up the wait, or the room.
+func (b *longValueBudget) release(reservation *budgetReservation) {
+	if reservation.done {
+		b.usedBytes -= reservation.bytes
 		return
 	}
-	w.done = true
-	if i := slices.Index(r.waiting, w); i >= 0 {
-		r.waiting = slices.Delete(r.waiting, i, i+1)
+	reservation.done = true
+	if i := slices.Index(b.waiting, reservation); i >= 0 {
+		b.waiting = slices.Delete(b.waiting, i, i+1)
 	}
 }
 
 // ReserveLongValue asks for room for a value that a member sends, which is held until it is whole.
-func (h host) ReserveLongValue(n int, until time.Duration) upstream.Reservation {
-	return &heldPlace{place: h.long.enter(n, h.longMax()), p: h.Proxy, left: until - h.now}
+func (h host) ReserveLongValue(bytes int, until time.Duration) upstream.Reservation {
+	return &longValueReservation{budgetReservation: h.long.reserve(bytes, h.maxLongBytes()), proxy: h.Proxy, timeout: until - h.now}
 }
 
-// LongRoom asks, outside the lock, for room for a long value that a front holds, for so long at the most.
-func (p *Proxy) LongRoom(n int, within time.Duration) (place upstream.Reservation) {
-	return p.longRoom(n, within, nil)
+// ReserveLongValueWithin asks, outside the lock, for room for a long value that a front holds, for so long at the most.
+func (p *Proxy) ReserveLongValueWithin(bytes int, within time.Duration) (reservation upstream.Reservation) {
+	return p.reserveLongValue(bytes, within, nil)
 }
 
-func (p *Proxy) longRoom(n int, within time.Duration, gone <-chan struct{}) (w *heldPlace) {
-	p.Do(func() { w = &heldPlace{place: p.long.enter(n, p.longMax()), p: p, left: within, gone: gone} })
-	return w
+func (p *Proxy) reserveLongValue(bytes int, within time.Duration, cancelled <-chan struct{}) (reservation *longValueReservation) {
+	p.Do(func() {
+		reservation = &longValueReservation{budgetReservation: p.long.reserve(bytes, p.maxLongBytes()), proxy: p, timeout: within, cancelled: cancelled}
+	})
+	return reservation
 }
 
-// InRoom says, before the request is taken, that its value is in the room for long values, with so many bytes. From then on they are given
+// SetReservedBytes says, before the request is taken, that its value is in the room for long values, with so many bytes. From then on they are given
 // back with the request.
-func (r *Request) InRoom(n int) { r.long = n }
+func (r *Request) SetReservedBytes(bytes int) { r.long = bytes }
 
-// heldPlace is a place in the room that is waited for without the lock, for so long at the most.
-type heldPlace struct {
-	*place
-	p    *Proxy
-	left time.Duration
-	gone <-chan struct{} // closed once nobody wants it any more; nil: that is not told
+// longValueReservation is a place in the room that is waited for without the lock, for so long at the most.
+type longValueReservation struct {
+	*budgetReservation
+	proxy     *Proxy
+	timeout   time.Duration
+	cancelled <-chan struct{} // closed once nobody wants it any more; nil: that is not told
 }
 
 // Wait waits for the room.
-func (w *heldPlace) Wait() (let bool) {
-	late := time.NewTimer(w.left)
-	defer late.Stop()
+func (r *longValueReservation) Wait() (granted bool) {
+	timer := time.NewTimer(r.timeout)
+	defer timer.Stop()
 	select {
-	case <-w.let:
-	case <-late.C:
-	case <-w.gone:
+	case <-r.granted:
+	case <-timer.C:
+	case <-r.cancelled:
 	}
-	w.p.Do(func() {
-		if let = w.done; !let {
-			w.ReleaseLocked()
+	r.proxy.Do(func() {
+		if granted = r.done; !granted {
+			r.ReleaseLocked()
 		}
 	})
-	return let
+	return granted
 }
 
 // Shrink gives back what the value does not take.
-func (w *heldPlace) Shrink(n int) {
-	w.p.Do(func() { w.p.long.used -= w.n - n; w.n = n })
+func (r *longValueReservation) Shrink(bytes int) {
+	r.proxy.Do(func() { r.proxy.long.usedBytes -= r.bytes - bytes; r.bytes = bytes })
 }
 
 // Release gives the room back.
-func (w *heldPlace) Release() { w.p.Do(w.ReleaseLocked) }
+func (r *longValueReservation) Release() { r.proxy.Do(r.ReleaseLocked) }
 
 // ReleaseLocked is Leave under the lock.
-func (w *heldPlace) ReleaseLocked() { w.p.long.leave(w.place) }
+func (r *longValueReservation) ReleaseLocked() { r.proxy.long.release(r.budgetReservation) }
 
-func (p *Proxy) longMax() int { return int(float64(p.cfg.MemoryMB) * (1 << 20) * longShare) }
+func (p *Proxy) maxLongBytes() int { return int(float64(p.cfg.MemoryMB) * (1 << 20) * longMemoryShare) }
 
-// letGo gives back the room of a request's value.
-func (p *Proxy) letGo(r *Request) {
+// releaseValue gives back the room of a request's value.
+func (p *Proxy) releaseValue(r *Request) {
 	if r.long > 0 {
-		p.long.used -= r.long
+		p.long.usedBytes -= r.long
 	} else {
 		p.held -= cap(r.Value)
 	}
 	r.long, r.Value = 0, nil
 }
 
-// longValue reads a long value of a client, once there is room for it.
-func (c *client) longValue(cmd *input, n int) error {
+// readLongValue reads a long value of a client, once there is room for it.
+func (c *client) readLongValue(cmd *input, length int) error {
 	p := c.p
 	gone := make(chan struct{})
 	p.Do(func() { c.waits = gone })
-	w := p.longRoom(n, cmp.Or(p.long.longest, longestWait), gone)
-	let := w.Wait()
+	reservation := p.reserveLongValue(length, cmp.Or(p.long.maxWait, maxLongValueWait), gone)
+	granted := reservation.Wait()
 	c.arrived.NoteUnreadPossible()
 	p.Do(func() { c.waits = nil })
-	if !let { // it is read over, and refused
+	if !granted { // it is read over, and refused
 		*cmd = input{refused: true}
 		c.limit()
-		return c.in.Skip(n)
+		return c.in.Skip(length)
 	}
-	value := make([]byte, n)
-	err := c.pieces(value)
+	value := make([]byte, length)
+	err := c.readPieces(value)
 	if err == nil {
 		err = c.in.LineEnd()
 	}
 	if err != nil {
-		w.Release()
+		reservation.Release()
 		return err
 	}
-	cmd.Value, cmd.long = value, n
+	cmd.Value, cmd.long = value, length
 	return nil
 }
 
-// pieces reads a long value, which has to keep a least pace.
-func (c *client) pieces(value []byte) error {
+// readPieces reads a long value, which has to keep a least pace.
+func (c *client) readPieces(value []byte) error {
 	for len(value) > 0 {
-		piece := value[:min(len(value), longStep)]
+		piece := value[:min(len(value), longPieceBytes)]
 		c.limit()
 		if _, err := io.ReadFull(c.in, piece); err != nil {
 			return err
@@ -180,32 +182,32 @@
 	return nil
 }
 
-// errGone tells that a client takes nothing any more.
-var errGone = errors.New("the client has gone")
+// errClientGone tells that a client takes nothing any more.
+var errClientGone = errors.New("the client has gone")
 
 var _ upstream.ValueStream = (*owed)(nil)
 
 // Begin begins the answer.
-func (o *owed) Begin(n int) error { return o.write(resp.AppendBulkHead(nil, n), false) }
+func (o *owed) Begin(n int) error { return o.writeInTurn(resp.AppendBulkHead(nil, n), false) }
 
 // WritePiece writes a piece.
-func (o *owed) WritePiece(piece []byte) error { return o.write(piece, false) }
+func (o *owed) WritePiece(piece []byte) error { return o.writeInTurn(piece, false) }
 
 // Finish ends the answer.
-func (o *owed) Finish() error { return o.write([]byte("\r\n"), true) }
+func (o *owed) Finish() error { return o.writeInTurn([]byte("\r\n"), true) }
 
 // Abort closes the connection.
 func (o *owed) Abort() { o.client.p.Do(o.client.close) }
 
-// write sends bytes of an answer once its turn has come and the client has taken what was sent before.
-func (o *owed) write(b []byte, last bool) error {
+// writeInTurn sends bytes of an answer once its turn has come and the client has taken what was sent before.
+func (o *owed) writeInTurn(b []byte, last bool) error {
 	c := o.client
 	p := c.p
 	for {
 		p.enter()
 		if c.closed || c.w.Failed() || !slices.Contains(c.pending, o) {
 			p.leave()
-			return errGone
+			return errClientGone
 		}
 		if c.pending[0] == o && !c.w.Busy() {
 			c.w.Send(b, false)
@@ -223,8 +225,8 @@
 	}
 }
 
-// wakeTurn lets the answer go on whose turn it is.
-func (o *owed) wakeTurn() {
+// signalTurn lets the answer go on whose turn it is.
+func (o *owed) signalTurn() {
 	if o.turn != nil {
 		close(o.turn)
 		o.turn = nil
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -131,7 +131,7 @@
 					t.Errorf("client %d: %d bytes, %.60q", i, len(got), got)
 				}
 			}
-			p.eventually("nothing is held", func() bool { return p.long.used == 0 && len(p.long.waiting) == 0 && p.held == 0 })
+			p.eventually("nothing is held", func() bool { return p.long.usedBytes == 0 && len(p.long.waiting) == 0 && p.held == 0 })
 		})
 	}
 }
@@ -204,7 +204,7 @@
 	if got := slow.answer(); got != value {
 		t.Errorf("the long value: %d bytes", len(got))
 	}
-	p.eventually("nothing is held", func() bool { return p.long.used == 0 && p.held == 0 && len(p.requests) == 0 })
+	p.eventually("nothing is held", func() bool { return p.long.usedBytes == 0 && p.held == 0 && len(p.requests) == 0 })
 }
 
 // A member that breaks off in the middle, and a client that leaves there: the client sees that the value is not whole,
@@ -261,7 +261,7 @@
 		clients[i].send(text[:len(text)-resp.MaxLongValue/2])
 	}
 	p.eventually("some are let in, the others wait", func() bool {
-		return p.long.used == 2*resp.MaxLongValue && len(p.long.waiting) == writers-2
+		return p.long.usedBytes == 2*resp.MaxLongValue && len(p.long.waiting) == writers-2
 	})
 	reader := p.dial()
 	reader.send(get("k", "r1"))
@@ -277,7 +277,7 @@
 			t.Errorf("writer %d: %.60q", i, got)
 		}
 	}
-	p.eventually("all room is given back", func() bool { return p.long.used == 0 && len(p.long.waiting) == 0 && p.held == 0 })
+	p.eventually("all room is given back", func() bool { return p.long.usedBytes == 0 && len(p.long.waiting) == 0 && p.held == 0 })
 }
 
 // A crowd that sends half a command each gives its places to clients that ask, and to slow ones that go on.
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -13,48 +13,48 @@
 
 // ManyTaker gets what becomes of the keys of one request, under the host's lock; it must not block.
 type ManyTaker interface {
-	// Told tells of a key, by its number in the Gather: its value, which is valid during the call, or why there is none. It may come in
+	// KeyDone tells of a key, by its number in the Gather: its value, which is valid during the call, or why there is none. It may come in
 	// the midst of the Balancer's work.
-	Told(k int, mark manykeys.Outcome, a Answer, denied error)
-	// Over comes once every key has been told of.
-	Over()
+	KeyDone(keyIndex int, outcome manykeys.Outcome, answer Answer, denied error)
+	// AllDone comes once every key has been told of.
+	AllDone()
 }
 
 // Many is a request for many keys: one reply, and a read of its own for each key.
 type Many struct {
-	p        *Proxy
-	Gather   *manykeys.Gather
-	to       ManyTaker
-	command  Command // of which each read has a key and an id
-	by       *identity.Proof
-	front    string
-	reads    []manyRead // by key
-	ids      []byte     // of the reads
-	group    uint32     // of the reads, to the connections
-	queued   bool       // in the host's list of those to go on with
-	over     bool
-	withdrew bool
+	proxy     *Proxy
+	Gather    *manykeys.Gather
+	taker     ManyTaker
+	command   Command // of which each read has a key and an id
+	proof     *identity.Proof
+	front     string
+	reads     []manyRead // by key
+	idBuffer  []byte     // of the reads
+	group     uint32     // of the reads, to the connections
+	queued    bool       // in the host's list of those to go on with
+	finished  bool
+	withdrawn bool
 }
 
 // manyRead is the read of one key.
 type manyRead struct {
 	Request
-	m *Many
-	k int
+	many     *Many
+	keyIndex int
 }
 
-// ErrNoMany tells that requests for many keys are not taken here.
-var ErrNoMany = errors.New("requests for many keys are not taken")
+// ErrManyKeysDisabled tells that requests for many keys are not taken here.
+var ErrManyKeysDisabled = errors.New("requests for many keys are not taken")
 
 // SubmitMany takes a request for many keys, under the host's lock; most is how many bytes its values may have, beside what is set. What is
 // wrong with all of it is told at once, and nothing is asked for then. It begins once the event is done, as what it does may end some of it at once.
-func (p *Proxy) SubmitMany(c Command, keys []string, by *identity.Proof, front string, most int, to ManyTaker) (*Many, error) {
-	l := p.cfg.ManyKeys
+func (p *Proxy) SubmitMany(c Command, keys []string, proof *identity.Proof, front string, maxBytes int, taker ManyTaker) (*Many, error) {
+	configured := p.cfg.ManyKeys
 	switch {
-	case l == nil:
-		return nil, ErrNoMany
-	case len(keys) > l.Keys: // before any of them is looked at
-		return nil, fmt.Errorf("%w: %d, and %d are allowed", manykeys.ErrTooMany, len(keys), l.Keys)
+	case configured == nil:
+		return nil, ErrManyKeysDisabled
+	case len(keys) > configured.Keys: // before any of them is looked at
+		return nil, fmt.Errorf("%w: %d, and %d are allowed", manykeys.ErrTooMany, len(keys), configured.Keys)
 	case len(keys) == 0:
 		return nil, manykeys.ErrNoKeys
 	}
@@ -65,26 +65,26 @@
 	}
 	first := c
 	first.Key = []byte(keys[0])
-	lr, err := first.describe(&p.cfg.Settings)
+	balancerRequest, err := first.describe(&p.cfg.Settings)
 	switch {
 	case err != nil:
 		return nil, err
-	case c.Write || p.cfg.Settings.Classes[lr.Class].Effect != logic.Repeatable:
+	case c.Write || p.cfg.Settings.Classes[balancerRequest.Class].Effect != logic.Repeatable:
 		return nil, errors.New("requests for many keys are for reads")
 	case p.ids.used(c.ReqID, p.now):
 		return nil, ErrInUse
 	}
-	limits := *l
-	limits.Bytes = min(limits.Bytes, most)
-	g, err := manykeys.New(limits, keys, func(key string) uint64 { return uint64(p.bal.PrimaryCache(keyOf([]byte(key)))) })
+	limits := *configured
+	limits.Bytes = min(limits.Bytes, maxBytes)
+	gather, err := manykeys.New(limits, keys, func(key string) uint64 { return uint64(p.bal.PrimaryCache(keyOf([]byte(key)))) })
 	if err != nil {
 		return nil, err
 	}
 	p.ids.add(c.ReqID, p.now)
 	c.Arrived = p.arrivedAt(c.Arrived) // of each of its reads, whenever that is asked for
 	p.groups = max(1, p.groups+1)
-	m := &Many{p: p, Gather: g, to: to, command: c, by: by, front: front, group: p.groups, reads: make([]manyRead, g.Len()),
-		ids: make([]byte, 0, g.Len()*(len(c.ReqID)+5))}
+	m := &Many{proxy: p, Gather: gather, taker: taker, command: c, proof: proof, front: front, group: p.groups, reads: make([]manyRead, gather.Len()),
+		idBuffer: make([]byte, 0, gather.Len()*(len(c.ReqID)+5))}
 	m.queue()
 	return m, nil
 }
@@ -92,94 +92,94 @@
 func (m *Many) queue() {
 	if !m.queued {
 		m.queued = true
-		m.p.manys = append(m.p.manys, m)
+		m.proxy.manys = append(m.proxy.manys, m)
 	}
 }
 
-// goOn asks for what is to be asked for now, and ends the request once all of it has its mark.
-func (m *Many) goOn() {
+// advance asks for what is to be asked for now, and ends the request once all of it has its mark.
+func (m *Many) advance() {
 	m.queued = false
-	if m.withdrew || m.over {
+	if m.withdrawn || m.finished {
 		return
 	}
-	for now := m.Gather.Next(); len(now) > 0; now = m.Gather.Next() {
-		for _, k := range now {
-			m.ask(k)
+	for keys := m.Gather.Next(); len(keys) > 0; keys = m.Gather.Next() {
+		for _, keyIndex := range keys {
+			m.submitKey(keyIndex)
 		}
 	}
 	if m.Gather.Finished() {
-		m.over = true
-		m.to.Over()
+		m.finished = true
+		m.taker.AllDone()
 	}
 }
 
-func (m *Many) ask(k int) {
-	s := &m.reads[k]
-	s.m, s.k = m, k
-	from := len(m.ids)
-	m.ids = strconv.AppendInt(append(append(m.ids, m.command.ReqID...), '/'), int64(k), 10)
-	s.Command = Command{Only: m.command.Only, Arrived: m.command.Arrived, Message: upstream.Message{Key: []byte(m.Gather.Key(k)), Attrs: m.command.Attrs,
-		ReqID: m.ids[from:len(m.ids):len(m.ids)]}}
-	s.By, s.Front, s.Taker, s.group = m.by, m.front, s, m.group
-	err := m.p.Submit(&s.Request)
+func (m *Many) submitKey(keyIndex int) {
+	read := &m.reads[keyIndex]
+	read.many, read.keyIndex = m, keyIndex
+	from := len(m.idBuffer)
+	m.idBuffer = strconv.AppendInt(append(append(m.idBuffer, m.command.ReqID...), '/'), int64(keyIndex), 10)
+	read.Command = Command{Only: m.command.Only, Arrived: m.command.Arrived, Message: upstream.Message{Key: []byte(m.Gather.Key(keyIndex)), Attrs: m.command.Attrs,
+		ReqID: m.idBuffer[from:len(m.idBuffer):len(m.idBuffer)]}}
+	read.By, read.Front, read.Taker, read.group = m.proof, m.front, read, m.group
+	err := m.proxy.Submit(&read.Request)
 	switch {
 	case err == nil:
 	case errors.Is(err, ErrBusy):
-		m.tell(k, manykeys.Refused, Answer{Kind: Refused}, nil)
+		m.completeKey(keyIndex, manykeys.Refused, Answer{Kind: Refused}, nil)
 	case identity.WhyOf(err) != 0:
-		m.tell(k, manykeys.Denied, Answer{Kind: Failed}, err)
+		m.completeKey(keyIndex, manykeys.Denied, Answer{Kind: Failed}, err)
 	default:
-		m.tell(k, manykeys.Failed, Answer{Kind: Failed}, err)
+		m.completeKey(keyIndex, manykeys.Failed, Answer{Kind: Failed}, err)
 	}
 }
 
 // Answer takes a key's final answer.
-func (s *manyRead) Answer(a Answer) {
-	mark := manykeys.Failed
+func (r *manyRead) Answer(a Answer) {
+	outcome := manykeys.Failed
 	switch {
 	case a.Kind == Served:
-		mark = manykeys.Served
-	case s.denied != nil:
-		mark = manykeys.Denied
+		outcome = manykeys.Served
+	case r.denied != nil:
+		outcome = manykeys.Denied
 	case a.Kind == Refused && (a.Why == logic.OutOfTime || a.Why == logic.OriginLine):
-		mark = manykeys.Late
+		outcome = manykeys.Late
 	case a.Kind == Refused:
-		mark = manykeys.Refused
+		outcome = manykeys.Refused
 	}
-	s.m.tell(s.k, mark, a, s.denied)
+	r.many.completeKey(r.keyIndex, outcome, a, r.denied)
 }
 
-// tell notes what became of a key. What follows from it waits until the Balancer has done its work.
-func (m *Many) tell(k int, mark manykeys.Outcome, a Answer, denied error) {
-	if m.withdrew {
+// completeKey notes what became of a key. What follows from it waits until the Balancer has done its work.
+func (m *Many) completeKey(keyIndex int, outcome manykeys.Outcome, a Answer, denied error) {
+	if m.withdrawn {
 		return
 	}
-	m.to.Told(k, m.Gather.Complete(k, mark, len(a.Value)), a, denied)
+	m.taker.KeyDone(keyIndex, m.Gather.Complete(keyIndex, outcome, len(a.Value)), a, denied)
 	m.queue()
 }
 
 // Withdraw says that nobody waits for the reply any more: the reads that are out are given up.
 func (m *Many) Withdraw() {
-	if m.withdrew || m.over {
+	if m.withdrawn || m.finished {
 		return
 	}
-	m.withdrew = true
+	m.withdrawn = true
 	for k := range m.reads {
-		if m.reads[k].m != nil {
-			m.p.Withdraw(&m.reads[k].Request)
+		if m.reads[k].many != nil {
+			m.proxy.Withdraw(&m.reads[k].Request)
 		}
 	}
 }
 
-// manyOn goes on with requests for many keys whose keys have ended. It tells whether there were any.
-func (p *Proxy) manyOn() (some bool) {
+// advanceMany goes on with requests for many keys whose keys have ended. It tells whether there were any.
+func (p *Proxy) advanceMany() (advanced bool) {
 	p.ups.Cork()
 	defer p.ups.Uncork()
 	for i := 0; i < len(p.manys); i++ { // it grows while it is gone through
-		p.manys[i].goOn()
+		p.manys[i].advance()
 		p.manys[i] = nil
-		some = true
+		advanced = true
 	}
 	p.manys = p.manys[:0]
-	return some
+	return advanced
 }
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -11,22 +11,22 @@
 	"linenloom/internal/upstream"
 )
 
-// streamName is the name in a request's list by which a client says that it takes keys as they come.
-const streamName = "s"
+// streamAttribute is the name in a request's list by which a client says that it takes keys as they come.
+const streamAttribute = "s"
 
-// mostScratch is how much of the room for replies is kept for the next.
-const mostScratch = 1 << 20
+// maxKeptScratch is how much of the room for replies is kept for the next.
+const maxKeptScratch = 1 << 20
 
 // manyReply is the reply to OBJ.MGET (docs/many-keys.md).
 type manyReply struct {
-	p      *Proxy
-	o      *owed
-	many   *Many
-	texts  [][]byte // what the reply says of each key
-	text   []byte   // what is to be written, where keys are taken as they come
-	held   int
-	stream bool
-	told   int // places told so far, where keys are taken as they come
+	proxy         *Proxy
+	answer        *owed
+	many          *Many
+	keyTexts      [][]byte // what the reply says of each key
+	unsent        []byte   // what is to be written, where keys are taken as they come
+	heldBytes     int
+	stream        bool
+	placesWritten int // places told so far, where keys are taken as they come
 }
 
 var _ ManyTaker = (*manyReply)(nil)
@@ -49,10 +49,10 @@
 	}
 	o.many = m
 	if m.stream {
-		m.text = resp.AppendArray(nil, len(m.many.Gather.KeyIndexes()))
-		m.hold(len(m.text))
+		m.unsent = resp.AppendArray(nil, len(m.many.Gather.KeyIndexes()))
+		m.addHeld(len(m.unsent))
 	} else {
-		m.texts = make([][]byte, m.many.Gather.Len())
+		m.keyTexts = make([][]byte, m.many.Gather.Len())
 	}
 }
 
@@ -60,10 +60,10 @@
 	if cmd.tooMany > 0 {
 		return nil, fmt.Errorf("%w: %d, and %d are allowed", manykeys.ErrTooMany, cmd.tooMany, c.p.cfg.ManyKeys.Keys)
 	}
-	m := &manyReply{p: c.p, o: o}
+	m := &manyReply{proxy: c.p, answer: o}
 	attrs := make([]byte, 0, len(cmd.Attrs))
 	for name, value := range upstream.Attributes(cmd.Attrs) {
-		if name == streamName {
+		if name == streamAttribute {
 			m.stream = string(value) == "1"
 			continue
 		}
@@ -76,11 +76,11 @@
 	return m, nil
 }
 
-// Told puts what became of a key into RESP2.
-func (m *manyReply) Told(k int, mark manykeys.Outcome, a Answer, denied error) {
-	p := m.p
+// KeyDone puts what became of a key into RESP2.
+func (m *manyReply) KeyDone(keyIndex int, outcome manykeys.Outcome, a Answer, denied error) {
+	p := m.proxy
 	b := p.scratch[:0]
-	switch mark {
+	switch outcome {
 	case manykeys.Served:
 		b = resp.AppendBulk(b, a.Value)
 	case manykeys.Refused:
@@ -94,62 +94,62 @@
 	default:
 		b = resp.AppendError(b, "ERR failed")
 	}
-	if cap(p.scratch) < cap(b) && cap(b) <= mostScratch {
+	if cap(p.scratch) < cap(b) && cap(b) <= maxKeptScratch {
 		p.scratch = b[:0]
 	}
 	if !m.stream { // one by one: a single piece that grows costs more
-		m.texts[k] = slices.Clone(b)
-		m.hold(len(b))
+		m.keyTexts[keyIndex] = slices.Clone(b)
+		m.addHeld(len(b))
 		return
 	}
-	was := len(m.text)
-	for place, at := range m.many.Gather.KeyIndexes() {
-		if at == k {
-			m.text = append(m.text, "*2\r\n:"...)
-			m.text = append(strconv.AppendInt(m.text, int64(place), 10), "\r\n"...)
-			m.text = append(m.text, b...)
-			m.told++
+	before := len(m.unsent)
+	for place, index := range m.many.Gather.KeyIndexes() {
+		if index == keyIndex {
+			m.unsent = append(m.unsent, "*2\r\n:"...)
+			m.unsent = append(strconv.AppendInt(m.unsent, int64(place), 10), "\r\n"...)
+			m.unsent = append(m.unsent, b...)
+			m.placesWritten++
 		}
 	}
-	m.hold(len(m.text) - was)
-	m.o.client.flush()
+	m.addHeld(len(m.unsent) - before)
+	m.answer.client.flush()
 }
 
-// hold counts what is held for the reply.
-func (m *manyReply) hold(n int) {
-	m.held += n
-	m.p.Hold(n)
+// addHeld counts what is held for the reply.
+func (m *manyReply) addHeld(n int) {
+	m.heldBytes += n
+	m.proxy.Hold(n)
 }
 
-// Over writes the reply, in the order asked, or what is left of one that went out as keys came.
-func (m *manyReply) Over() {
-	c, o := m.o.client, m.o
+// AllDone writes the reply, in the order asked, or what is left of one that went out as keys came.
+func (m *manyReply) AllDone() {
+	c, o := m.answer.client, m.answer
 	if m.stream {
 		c.flush()
 		return
 	}
-	b := resp.AppendArray(m.p.scratch[:0], len(m.many.Gather.KeyIndexes()))
+	b := resp.AppendArray(m.proxy.scratch[:0], len(m.many.Gather.KeyIndexes()))
 	for _, k := range m.many.Gather.KeyIndexes() {
-		b = append(b, m.texts[k]...)
+		b = append(b, m.keyTexts[k]...)
 	}
-	m.hold(-m.held)
-	m.texts, o.many = nil, nil
+	m.addHeld(-m.heldBytes)
+	m.keyTexts, o.many = nil, nil
 	c.answer(o, b)
-	if m.p.scratch = b[:0]; cap(b) > mostScratch {
-		m.p.scratch = nil
+	if m.proxy.scratch = b[:0]; cap(b) > maxKeptScratch {
+		m.proxy.scratch = nil
 	}
 }
 
-// flushed takes what is to be written now, and tells whether that is the last of it.
-func (m *manyReply) flushed() (b []byte, last bool) {
-	b, m.text = m.text, nil
-	m.hold(-m.held)
-	return b, m.told == len(m.many.Gather.KeyIndexes())
+// takeUnsent takes what is to be written now, and tells whether that is the last of it.
+func (m *manyReply) takeUnsent() (b []byte, last bool) {
+	b, m.unsent = m.unsent, nil
+	m.addHeld(-m.heldBytes)
+	return b, m.placesWritten == len(m.many.Gather.KeyIndexes())
 }
 
-// leave ends a request whose client has gone.
-func (m *manyReply) leave() {
-	m.hold(-m.held)
-	m.texts, m.text = nil, nil
+// abandon ends a request whose client has gone.
+func (m *manyReply) abandon() {
+	m.addHeld(-m.heldBytes)
+	m.keyTexts, m.unsent = nil, nil
 	m.many.Withdraw()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -108,7 +108,7 @@
 	lost         []logic.RequestID // leads that got no answer, to be passed on
 	shares       []logic.RequestID // followers whose answer is there
 	sharing      bool              // a goroutine hands these over
-	joined       Joined
+	joined       JoinCounts
 	recorded     int // orders on record that are in hand
 	recordClosed bool
 	manys        []*Many // requests for many keys to go on with
@@ -128,7 +128,7 @@
 	startWatch  func(w *watch, whole bool) // nil while the proxy does not run
 	revision    int64                      // of the list
 	held        int                        // bytes of bodies and unsent answers, but for long values
-	long        room                       // for long values
+	long        longValueBudget            // for long values
 	heldMax     int
 	scratch     []byte
 	reasons     *reasons.Counts
@@ -289,7 +289,7 @@
 func (p *Proxy) leave() {
 	p.Tell()
 	p.arm()
-	p.long.grant(p.longMax())
+	p.long.grantWaiting(p.maxLongBytes())
 	if p.cfg.Clock == nil {
 		p.stalls.NoteEvent(p.began, p.Clock())
 	}
@@ -303,7 +303,7 @@
 			p.bal.Outcome(p.now, p.outcomes[i])
 		}
 		p.outcomes = p.outcomes[:0]
-		if p.lost != nil && p.passLeads() || len(p.manys) > 0 && p.manyOn() {
+		if p.lost != nil && p.passLeads() || len(p.manys) > 0 && p.advanceMany() {
 			continue
 		}
 		return
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -210,7 +210,7 @@
 		c.mid = false
 		c.intake.takenUp(c.in.Buffered() > 0)
 		if c.ended { // it has been told of the end; a request that crosses it is sent again elsewhere
-			p.letGo(&Request{Command: cmd.Command, long: cmd.long})
+			p.releaseValue(&Request{Command: cmd.Command, long: cmd.long})
 			c.intake.takenUp(false) // what was read behind it is dropped too
 			hung := c.hung
 			p.leave()
@@ -315,7 +315,7 @@
 		c.f.gate.CountRequest(o.tenant)
 		return
 	}
-	c.p.letGo(&o.Request)
+	c.p.releaseValue(&o.Request)
 	if errors.Is(err, ErrBusy) {
 		c.answer(o, resp.AppendError(nil, "BUSY"))
 		return
@@ -376,7 +376,7 @@
 func (c *client) lost() {
 	c.wake()
 	for _, o := range c.pending {
-		o.wakeTurn()
+		o.signalTurn()
 	}
 }
 
@@ -394,7 +394,7 @@
 			o.body = nil
 		}
 		if o.many != nil {
-			o.many.leave()
+			o.many.abandon()
 		}
 		c.p.Withdraw(&o.Request)
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -40,13 +40,13 @@
 // Served gives the client the value of the first good answer.
 func (a *attempt) Served(value []byte) {
 	if r := a.req; r.rec != nil {
-		r.p.receipted(r, value)
+		r.p.handleReceipt(r, value)
 	} else if !r.done {
 		r.done = true
 		r.Taker.Answer(Answer{Kind: Served, Value: value})
-		r.p.fence(r)
+		r.p.fenceReads(r)
 		if r.join != nil {
-			r.p.share(r, value)
+			r.p.shareAnswer(r, value)
 		}
 	}
 }
@@ -67,8 +67,8 @@
 		return nil
 	}
 	r.done = true
-	p.fence(r)
-	p.joinApart(r)
+	p.fenceReads(r)
+	p.stopSharing(r)
 	p.bal.StreamStarted(p.now, r.id, int(a.n))
 	return to
 }
@@ -85,7 +85,7 @@
 // deadlineNow is until when somebody waits for the request. It is its client's deadline, and where that has left and others share the
 // answer, the latest of theirs. Whatever a member or caller is told of a deadline comes from here.
 func (r *Request) deadlineNow() time.Duration {
-	if r.join != nil && r.Taker == (nobody{}) {
+	if r.join != nil && r.Taker == (discardingTaker{}) {
 		return min(r.deadline, r.p.joins.LatestDeadline(r.id))
 	}
 	return r.deadline
@@ -175,9 +175,9 @@
 	if r.done && r.out > 0 {
 		p.recall(r)
 	}
-	if r.done && r.out == 0 && p.requests[r.id] == r && (r.rec == nil || p.recordOver(r)) {
+	if r.done && r.out == 0 && p.requests[r.id] == r && (r.rec == nil || p.endRecorded(r)) {
 		delete(p.requests, r.id)
-		p.letGo(r)
+		p.releaseValue(r)
 		for _, a := range r.attempts { // timers still name them
 			a.req, a.Message = nil, nil
 		}
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -248,12 +248,12 @@
 }
 
 func (p *Proxy) ringToken(token uint64) {
-	if token&7 == tickJoin {
+	if token&7 == followerTimer {
 		id := logic.RequestID(token >> 3)
 		if r := p.requests[id]; r != nil && r.rec != nil {
-			p.recordLate(r)
+			p.handleRecordTimeout(r)
 		} else {
-			p.joinLate(id)
+			p.followerTimedOut(id)
 		}
 		return
 	}
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -71,7 +71,7 @@
 		return page("receipt")
 	})
 	p := start(t, cfg, entry("o", o, "origin"))
-	p.Do(func() { p.long.longest = time.Hour })
+	p.Do(func() { p.long.maxWait = time.Hour })
 	value := long(resp.MaxLongValue)
 	for i := range 2 { // both have the room, until the origin answers
 		p.dial().send(putLong(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
@@ -88,9 +88,9 @@
 	for _, c := range writers {
 		c.conn.Close()
 	}
-	p.eventually("their places are free", func() bool { return len(p.long.waiting) == 0 && p.long.used == 2*resp.MaxLongValue })
+	p.eventually("their places are free", func() bool { return len(p.long.waiting) == 0 && p.long.usedBytes == 2*resp.MaxLongValue })
 	close(release)
-	p.eventually("nothing is held", func() bool { return p.long.used == 0 && p.held == 0 })
+	p.eventually("nothing is held", func() bool { return p.long.usedBytes == 0 && p.held == 0 })
 }
 
 // A client that is gone before its connection is accepted has asked for nothing, though a connection to a member is free.
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -255,7 +255,7 @@
 	var over *attempt
 	var all []*Request // one each: nothing is sent for a request that is over
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
-		r := &Request{p: p.Proxy, Taker: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
+		r := &Request{p: p.Proxy, Taker: discardingTaker{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
 		over = &attempt{req: r, to: m.id}
 		over.ExpiresAt = p.now + patience
 		r.attempts, r.out = append(r.attempts, over), r.out+1
