--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -70,7 +70,7 @@
 				})
 				cfg := testConfig()
 				cfg.Settings.MaxAttempts = 1
-				on := handClock(&cfg)
+				on := manualClock(&cfg)
 				p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 				client := p.dial()
 				client.send(c.ask)
@@ -162,7 +162,7 @@
 		}
 	})
 	cfg := testConfig()
-	on := handClock(&cfg)
+	on := manualClock(&cfg)
 	p := start(t, cfg, entry("s-1", node, "large"))
 	client := p.dial()
 	client.send(get("a1", "first"))
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -20,28 +20,28 @@
 	"linenloom/logic"
 )
 
-// way is a way on which attempts come to be written, and how a client asks for what goes that way.
-type way struct {
-	set func(t *testing.T, cfg *Config)
-	ask func(rng *rand.Rand, id string) (text string, answers int)
+// attemptScenario is a way on which attempts come to be written, and how a client asks for what goes that way.
+type attemptScenario struct {
+	configure  func(t *testing.T, cfg *Config)
+	newRequest func(rng *rand.Rand, id string) (text string, answers int)
 }
 
-// waitAtMost is a deadline between almost none and that of the class.
-func waitAtMost(rng *rand.Rand) string { return fmt.Sprint("d=", 20+rng.IntN(580)) }
+// randomDeadline is a deadline between almost none and that of the class.
+func randomDeadline(rng *rand.Rand) string { return fmt.Sprint("d=", 20+rng.IntN(580)) }
 
-func anyKey(rng *rand.Rand) string { return fmt.Sprint("k", rng.IntN(500)) }
+func randomKey(rng *rand.Rand) string { return fmt.Sprint("k", rng.IntN(500)) }
 
-func orderOf(class string) func(*rand.Rand, string) (string, int) {
+func orderRequests(class string) func(*rand.Rand, string) (string, int) {
 	return func(rng *rand.Rand, id string) (string, int) {
-		return words("OBJ.SET", "p-"+id, id, "c="+class+",k="+id+","+waitAtMost(rng), "a pass for "+id), 1
+		return words("OBJ.SET", "p-"+id, id, "c="+class+",k="+id+","+randomDeadline(rng), "a pass for "+id), 1
 	}
 }
 
-func someReads(n int) func(*rand.Rand, string) (string, int) {
+func readRequests(n int) func(*rand.Rand, string) (string, int) {
 	return func(rng *rand.Rand, id string) (string, int) {
 		var text strings.Builder
 		for i := range n {
-			text.WriteString(words("OBJ.GET", anyKey(rng), fmt.Sprint(id, "-", i), "c=tile-read,"+waitAtMost(rng)))
+			text.WriteString(words("OBJ.GET", randomKey(rng), fmt.Sprint(id, "-", i), "c=tile-read,"+randomDeadline(rng)))
 		}
 		return text.String(), n
 	}
@@ -52,31 +52,31 @@
 	cfg.Multiplex, cfg.Settings.Instances = 32, pool.CacheConnCapacity/8
 }
 
-var ways = map[string]way{
-	"reads":                        {ask: someReads(1)},
-	"reads behind one another":     {ask: someReads(5), set: fewConnections},
-	"reads without cancellation":   {ask: someReads(1), set: func(_ *testing.T, cfg *Config) { cfg.Settings.CanCancel = false }},
-	"orders, their last byte held": {ask: orderOf("pass-order")},
-	"keyed orders":                 {ask: orderOf("keyed")},
-	"orders on record": {ask: orderOf("pass-order"), set: func(t *testing.T, cfg *Config) {
+var attemptScenarios = map[string]attemptScenario{
+	"reads":                        {newRequest: readRequests(1)},
+	"reads behind one another":     {newRequest: readRequests(5), configure: fewConnections},
+	"reads without cancellation":   {newRequest: readRequests(1), configure: func(_ *testing.T, cfg *Config) { cfg.Settings.CanCancel = false }},
+	"orders, their last byte held": {newRequest: orderRequests("pass-order")},
+	"keyed orders":                 {newRequest: orderRequests("keyed")},
+	"orders on record": {newRequest: orderRequests("pass-order"), configure: func(t *testing.T, cfg *Config) {
 		opt := recordOptions
 		opt.Limits.MaxOrders = 100_000 // however many are asked for until enough have been tried again
 		cfg.Record = openRecord(t, crash.New(), opt)
 	}},
 	"reads that share an attempt": {
-		set: func(_ *testing.T, cfg *Config) { cfg.Joining = &joinAll },
-		ask: func(rng *rand.Rand, id string) (string, int) {
-			return words("OBJ.GET", fmt.Sprint("k", rng.IntN(5)), id, "c=tile-read,"+waitAtMost(rng)), 1
+		configure: func(_ *testing.T, cfg *Config) { cfg.Joining = &joinLimits },
+		newRequest: func(rng *rand.Rand, id string) (string, int) {
+			return words("OBJ.GET", fmt.Sprint("k", rng.IntN(5)), id, "c=tile-read,"+randomDeadline(rng)), 1
 		}},
 	"many keys, written together": {
-		set: func(t *testing.T, cfg *Config) { fewConnections(t, cfg); cfg.ManyKeys = &manyUsual },
-		ask: func(rng *rand.Rand, id string) (string, int) {
-			return mget(id, "c=tile-read,"+waitAtMost(rng), anyKey(rng), anyKey(rng)+"b", anyKey(rng)+"c", anyKey(rng)+"d"), 1
+		configure: func(t *testing.T, cfg *Config) { fewConnections(t, cfg); cfg.ManyKeys = &manyKeysLimits },
+		newRequest: func(rng *rand.Rand, id string) (string, int) {
+			return mget(id, "c=tile-read,"+randomDeadline(rng), randomKey(rng), randomKey(rng)+"b", randomKey(rng)+"c", randomKey(rng)+"d"), 1
 		}},
 }
 
-// moody is a member that answers, now and then late, never, with noise, or with the end of the connection.
-func moody(t *testing.T, answer func() string) func(conn net.Conn, id string) (more bool) {
+// unreliable is a member that answers, now and then late, never, with noise, or with the end of the connection.
+func unreliable(t *testing.T, answer func() string) func(conn net.Conn, id string) (more bool) {
 	return func(conn net.Conn, id string) bool {
 		switch mood := rand.IntN(60); {
 		case mood < 24:
@@ -85,7 +85,7 @@
 			readAll(conn) // to its end
 			return false
 		case mood <= 27:
-			conn.Write([]byte(noise))
+			conn.Write([]byte(invalidAnswer))
 			return false
 		case mood == 28:
 			return false
@@ -95,8 +95,8 @@
 	}
 }
 
-func moodyCache(t *testing.T) string {
-	turn := moody(t, func() string {
+func unreliableCache(t *testing.T) string {
+	turn := unreliable(t, func() string {
 		if rand.IntN(10) == 0 {
 			return miss
 		}
@@ -113,8 +113,8 @@
 	})
 }
 
-func moodyOrigin(t *testing.T) string {
-	turn := moody(t, func() string {
+func unreliableOrigin(t *testing.T) string {
+	turn := unreliable(t, func() string {
 		if rand.IntN(10) == 0 {
 			return notProcessed
 		}
@@ -135,17 +135,17 @@
 	})
 }
 
-// moodyMembers are two caches that are far, one that is near, and an origin.
-func (s *transit) moodyMembers() (all []discovery.Member) {
+// unreliableMembers are two caches that are far, one that is near, and an origin.
+func (s *transitScenario) unreliableMembers() (all []discovery.Member) {
 	for i, delay := range []time.Duration{60 * time.Millisecond, 20 * time.Millisecond, 0} {
 		handshake := time.Duration(rand.IntN(80)) * time.Millisecond
-		all = append(all, s.relayed(fmt.Sprint("s-", i), moodyCache(s.t), "large", delay, delay/4, handshake))
+		all = append(all, s.startRelay(fmt.Sprint("s-", i), unreliableCache(s.t), "large", delay, delay/4, handshake))
 	}
-	return append(all, s.relayed("origin", moodyOrigin(s.t), "origin", 10*time.Millisecond, 10*time.Millisecond, 0))
+	return append(all, s.startRelay("origin", unreliableOrigin(s.t), "origin", 10*time.Millisecond, 10*time.Millisecond, 0))
 }
 
-// takes reads a whole answer, one of many keys too; false: the connection has ended.
-func (c *testClient) takes() bool {
+// skipAnswer reads a whole answer, one of many keys too; false: the connection has ended.
+func (c *testClient) skipAnswer() bool {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
 		return false
@@ -157,7 +157,7 @@
 	}
 	if k, _ := fmt.Sscanf(line, "*%d", &n); k == 1 {
 		for range n {
-			if !c.takes() {
+			if !c.skipAnswer() {
 				return false
 			}
 		}
@@ -167,11 +167,11 @@
 
 // However a request's attempts come to be written, members have one of them at a time: with time-outs in the midst of the way to the members, which
 // is up to 60 ms long and has a handshake of up to 80 ms, and members that break off, send noise and stay silent.
-func TestOneCopyAtATimeOnEveryWay(t *testing.T) {
-	for name, w := range ways {
+func TestOneCopyAtATime(t *testing.T) {
+	for name, w := range attemptScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := &transit{t: t, copies: standin.NewCopies()}
+			scenario := &transitScenario{t: t, copies: standin.NewCopies()}
 			cfg := testConfig()
 			cfg.MostHeld, cfg.Sockets = 1000, 1024
 			cfg.Settings.ConnectTimeout = 250 * time.Millisecond
@@ -180,10 +180,10 @@
 				c := &cfg.Settings.Classes[i]
 				c.SoftDeadline, c.Deadline = 200*time.Millisecond, 600*time.Millisecond
 			}
-			if w.set != nil {
-				w.set(t, &cfg)
+			if w.configure != nil {
+				w.configure(t, &cfg)
 			}
-			s.testProxy = start(t, cfg, s.moodyMembers()...)
+			scenario.testProxy = start(t, cfg, scenario.unreliableMembers()...)
 			const clients, enough, look = 16, 25, 8
 			var asking sync.WaitGroup
 			for i := range clients {
@@ -192,12 +192,12 @@
 					var client *testClient
 					for round, end := 0, time.Now().Add(patience/2); time.Now().Before(end); round++ {
 						if round%look == 0 {
-							if _, further := s.copies.Attempts(); further >= enough {
+							if _, further := scenario.copies.Attempts(); further >= enough {
 								return
 							}
 						}
 						if client == nil {
-							conn, err := net.Dial("tcp", s.Addr().String())
+							conn, err := net.Dial("tcp", scenario.Addr().String())
 							if err != nil {
 								t.Error(err)
 								return
@@ -206,10 +206,10 @@
 							conn.SetDeadline(end.Add(patience))
 							client = &testClient{t: t, conn: conn, in: bufio.NewReader(conn)}
 						}
-						text, answers := w.ask(rng, fmt.Sprintf("c%d-%d", i, round))
+						text, answers := w.newRequest(rng, fmt.Sprintf("c%d-%d", i, round))
 						io.WriteString(client.conn, text) // where it fails the connection has ended, which reading finds out
 						for range answers {
-							if !client.takes() {
+							if !client.skipAnswer() {
 								client = nil
 								break
 							}
@@ -219,12 +219,12 @@
 				})
 			}
 			asking.Wait()
-			all, further := s.copies.Attempts()
+			all, further := scenario.copies.Attempts()
 			if further == 0 {
 				t.Errorf("%d attempts came, none of them a further one", all)
 			}
 			t.Logf("%d attempts came, %d of them further ones", all, further)
-			s.verdict()
+			scenario.reportViolations()
 		})
 	}
 }
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -24,27 +24,27 @@
 	"linenloom/logic"
 )
 
-// deadlineWatch checks the deadlines that the members of a proxy are told, on a clock that the test moves.
-type deadlineWatch struct {
+// deadlineChecker checks the deadlines that the members of a proxy are told, on a clock that the test moves.
+type deadlineChecker struct {
 	standin.Deadlines
 	t       *testing.T
 	advance func(*testProxy, time.Duration)
 }
 
-// watchDeadlines has a proxy's clock be the test's, and looks at the end whether every member was told of no more than its client had left.
-func watchDeadlines(t *testing.T, cfg *Config) *deadlineWatch {
-	w := &deadlineWatch{t: t, advance: handClock(cfg)}
-	w.Now = cfg.Clock
+// checkDeadlines has a proxy's clock be the test's, and looks at the end whether every member was told of no more than its client had left.
+func checkDeadlines(t *testing.T, cfg *Config) *deadlineChecker {
+	checker := &deadlineChecker{t: t, advance: manualClock(cfg)}
+	checker.Now = cfg.Clock
 	t.Cleanup(func() {
-		for _, v := range w.Violations() {
+		for _, v := range checker.Violations() {
 			t.Error(v)
 		}
 	})
-	return w
+	return checker
 }
 
 // cache is a cache whose deadlines are checked.
-func (w *deadlineWatch) cache(name string, answer func(asked) string) string {
+func (w *deadlineChecker) cache(name string, answer func(asked) string) string {
 	return cache(w.t, func(a asked) string {
 		w.Told(name, a.id, a.attrs)
 		return answer(a)
@@ -52,7 +52,7 @@
 }
 
 // serve is a cache's side of one connection, whose deadlines are checked: it has everything. Their texts are told, if somebody wants them.
-func (w *deadlineWatch) serve(name string, conn net.Conn, told chan<- string) {
+func (w *deadlineChecker) serve(name string, conn net.Conn, told chan<- string) {
 	in := resp.NewReader(conn, 4096)
 	for {
 		command, err := readCommand(in)
@@ -71,7 +71,7 @@
 }
 
 // origin is an origin whose deadlines are checked.
-func (w *deadlineWatch) origin(answer func(*http.Request) string) string {
+func (w *deadlineChecker) origin(answer func(*http.Request) string) string {
 	return origin(w.t, func(r *http.Request) string {
 		w.Told("origin", r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
 		return answer(r)
@@ -79,31 +79,31 @@
 }
 
 // get and put are commands of a client that waits for so many milliseconds. Their last byte counts as written now.
-func (w *deadlineWatch) get(key, id string, wait int) string {
+func (w *deadlineChecker) get(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=tile-read,d=%d", wait)
 	w.Sent(id, attrs)
 	return words("OBJ.GET", key, id, attrs)
 }
 
-func (w *deadlineWatch) put(key, id string, wait int) string {
+func (w *deadlineChecker) put(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=pass-order,d=%d", wait)
 	w.Sent(id, attrs)
 	return words("OBJ.SET", key, id, attrs, "value")
 }
 
-// wantAttempts wants the members to have had so many first attempts, and some further ones.
-func (w *deadlineWatch) wantAttempts(first int, further bool) {
+// expectAttempts wants the members to have had so many first attempts, and some further ones.
+func (w *deadlineChecker) expectAttempts(first int, further bool) {
 	w.t.Helper()
 	if f, more := w.Attempts(); f != first || more > 0 != further {
 		w.t.Errorf("%d first attempts and %d further ones; want %d, and further ones: %v", f, more, first, further)
 	}
 }
 
-// passing moves the clock until something has come: attempts time out meanwhile, and others follow. It stands still while bytes are under way.
-func (w *deadlineWatch) passing(p *testProxy, most time.Duration, what string, came <-chan struct{}) {
+// advanceUntil moves the clock until something has come: attempts time out meanwhile, and others follow. It stands still while bytes are under way.
+func (w *deadlineChecker) advanceUntil(p *testProxy, most time.Duration, what string, came <-chan struct{}) {
 	w.t.Helper()
 	for range most / time.Millisecond {
-		p.eventually("what was sent has come", func() bool { return w.allCame(p) })
+		p.eventually("what was sent has come", func() bool { return w.allArrived(p) })
 		select {
 		case <-came:
 			return
@@ -114,8 +114,8 @@
 	w.t.Fatalf("never came about: %s", what)
 }
 
-// allCame tells whether all reads that were written to members have come there. The last byte of a write may be held back until time passes.
-func (w *deadlineWatch) allCame(p *testProxy) bool {
+// allArrived tells whether all reads that were written to members have come there. The last byte of a write may be held back until time passes.
+func (w *deadlineChecker) allArrived(p *testProxy) bool {
 	for _, r := range p.requests {
 		sent := 0
 		for _, a := range r.attempts {
@@ -131,7 +131,7 @@
 }
 
 // A further attempt tells its server what the client has left by then, however the attempt before it has ended and whichever server is next.
-func TestFurtherAttemptTellsWhatIsLeft(t *testing.T) {
+func TestFurtherAttemptSendsRemainingDeadline(t *testing.T) {
 	const busyOrigin = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, first := range map[string]string{
 		"missed":      miss,
@@ -143,7 +143,7 @@
 		t.Run("a read, "+name, func(t *testing.T) {
 			t.Parallel()
 			cfg := testConfig()
-			w := watchDeadlines(t, &cfg)
+			checker := checkDeadlines(t, &cfg)
 			came, next, release := make(chan struct{}, 10), make(chan struct{}, 10), make(chan struct{})
 			var asks atomic.Int32
 			answer := func(a asked) string {
@@ -155,35 +155,35 @@
 				<-release
 				return first
 			}
-			o := w.origin(func(r *http.Request) string {
+			o := checker.origin(func(r *http.Request) string {
 				select {
 				case next <- struct{}{}:
 				default:
 				}
 				return page("value")
 			})
-			p := start(t, cfg, entry("s-1", w.cache("s-1", answer), "large"), entry("s-2", w.cache("s-2", answer), "large"), entry("o-1", o, "origin"))
+			p := start(t, cfg, entry("s-1", checker.cache("s-1", answer), "large"), entry("s-2", checker.cache("s-2", answer), "large"), entry("o-1", o, "origin"))
 			client := p.dial()
-			client.send(w.get("a1", "id", 8000))
+			client.send(checker.get("a1", "id", 8000))
 			<-came
-			w.advance(p, 2500*time.Millisecond) // before the attempt's own time is up
+			checker.advance(p, 2500*time.Millisecond) // before the attempt's own time is up
 			if first != "" {
 				close(release)
 			} else {
 				defer close(release)
 			}
-			w.passing(p, 5*time.Second, "another attempt", next)
-			w.passing(p, 5*time.Second, "the answer", answered(client, "value"))
-			w.wantAttempts(1, true)
+			checker.advanceUntil(p, 5*time.Second, "another attempt", next)
+			checker.advanceUntil(p, 5*time.Second, "the answer", awaitAnswer(client, "value"))
+			checker.expectAttempts(1, true)
 		})
 	}
 	t.Run("an order, turned away", func(t *testing.T) {
 		t.Parallel()
 		cfg := testConfig()
-		w := watchDeadlines(t, &cfg)
+		checker := checkDeadlines(t, &cfg)
 		came, release := make(chan struct{}, 10), make(chan struct{})
 		var asks atomic.Int32
-		o := w.origin(func(*http.Request) string {
+		o := checker.origin(func(*http.Request) string {
 			if asks.Add(1) == 1 {
 				came <- struct{}{}
 				<-release
@@ -193,37 +193,37 @@
 		})
 		p := start(t, cfg, entry("o-1", o, "origin"))
 		client := p.dial()
-		client.send(w.put("a1", "id", 8000))
-		w.passing(p, time.Second, "the first attempt", came)
-		w.advance(p, 2500*time.Millisecond)
+		client.send(checker.put("a1", "id", 8000))
+		checker.advanceUntil(p, time.Second, "the first attempt", came)
+		checker.advance(p, 2500*time.Millisecond)
 		close(release)
-		w.passing(p, 5*time.Second, "the receipt", answered(client, "receipt"))
-		w.wantAttempts(1, true)
+		checker.advanceUntil(p, 5*time.Second, "the receipt", awaitAnswer(client, "receipt"))
+		checker.expectAttempts(1, true)
 	})
 }
 
 // A request in hand keeps the deadline that it came with when the classes change between two of its attempts.
-func TestDeadlineOutlivesItsClass(t *testing.T) {
+func TestDeadlineSurvivesRetune(t *testing.T) {
 	for _, deadline := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			cfg := testConfig()
-			w := watchDeadlines(t, &cfg)
+			checker := checkDeadlines(t, &cfg)
 			came, release := make(chan struct{}, 10), make(chan struct{})
-			node := w.cache("s-1", func(asked) string {
+			node := checker.cache("s-1", func(asked) string {
 				came <- struct{}{}
 				<-release
 				return miss
 			})
 			told := make(chan string, 1)
-			o := w.origin(func(r *http.Request) string {
+			o := checker.origin(func(r *http.Request) string {
 				told <- r.Header.Get("X-Attrs")
 				return page("value")
 			})
 			p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 			client := p.dial()
-			client.send(w.get("a1", "id", 8000))
+			client.send(checker.get("a1", "id", 8000))
 			<-came
-			w.advance(p, 2*time.Second)
+			checker.advance(p, 2*time.Second)
 			classes := slices.Clone(cfg.Settings.Classes)
 			for i := range classes {
 				classes[i].Deadline = deadline
@@ -232,7 +232,7 @@
 				t.Fatal(err)
 			}
 			close(release)
-			w.passing(p, 5*time.Second, "the answer", answered(client, "value"))
+			checker.advanceUntil(p, 5*time.Second, "the answer", awaitAnswer(client, "value"))
 			_, text, _ := strings.Cut(<-told, ",d=")
 			if ms, err := strconv.Atoi(text); err != nil || ms < 5500 || ms > 6000 {
 				t.Errorf("the origin was told %q, want what is left of 8000 after 2 s", text)
@@ -241,8 +241,8 @@
 	}
 }
 
-// answered tells once a client has had the answer that it is to have.
-func answered(c *testClient, want string) <-chan struct{} {
+// awaitAnswer tells once a client has had the answer that it is to have.
+func awaitAnswer(c *testClient, want string) <-chan struct{} {
 	has := make(chan struct{})
 	go func() {
 		if got := c.answer(); got != want {
@@ -254,11 +254,11 @@
 }
 
 // A client's time runs from its last byte, also for commands that stood unread while others before them were waited for.
-func TestUnreadCommandsKeepTheirTime(t *testing.T) {
+func TestUnreadCommandsKeepTheirDeadline(t *testing.T) {
 	const commands = 3 * maxPipeline
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1 // so that an attempt may take all that its client has left
-	w := watchDeadlines(t, &cfg)
+	checker := checkDeadlines(t, &cfg)
 	d, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
@@ -267,7 +267,7 @@
 	p := start(t, cfg, entry("s-1", d.Addr().String(), "large"))
 	var text strings.Builder
 	for i := range commands {
-		text.WriteString(w.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
+		text.WriteString(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
 	}
 	client := p.dial()
 	client.send(text.String())
@@ -277,8 +277,8 @@
 		}
 		return false
 	})
-	w.advance(p, 5*time.Second)
-	d.Serve(func(conn net.Conn) { w.serve("s-1", conn, nil) })
+	checker.advance(p, 5*time.Second)
+	d.Serve(func(conn net.Conn) { checker.serve("s-1", conn, nil) })
 	all := make(chan struct{})
 	go func() {
 		defer close(all)
@@ -289,17 +289,17 @@
 			}
 		}
 	}()
-	w.passing(p, 9*time.Second, "the answers", all)
-	if first, _ := w.Attempts(); first <= maxPipeline {
+	checker.advanceUntil(p, 9*time.Second, "the answers", all)
+	if first, _ := checker.Attempts(); first <= maxPipeline {
 		t.Errorf("only %d commands were sent on: none that stood unread", first)
 	}
 }
 
 // Commands that came while their connection's reader waited are dated by the wait, and those that came after it by themselves.
-func TestCommandsSentDuringAWaitKeepTheirTime(t *testing.T) {
+func TestCommandsSentDuringAWaitKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
-	w := watchDeadlines(t, &cfg)
+	checker := checkDeadlines(t, &cfg)
 	d, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
@@ -311,7 +311,7 @@
 	send := func(from, to int) {
 		var text strings.Builder
 		for i := from; i < to; i++ {
-			text.WriteString(w.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
+			text.WriteString(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
 		}
 		client.send(text.String())
 	}
@@ -330,8 +330,8 @@
 		}
 		return false
 	})
-	w.advance(p, 5*time.Second)
-	d.Serve(func(conn net.Conn) { w.serve("s-1", conn, told) })
+	checker.advance(p, 5*time.Second)
+	d.Serve(func(conn net.Conn) { checker.serve("s-1", conn, told) })
 	all := make(chan struct{})
 	go func() {
 		defer close(all)
@@ -339,7 +339,7 @@
 			client.answer()
 		}
 	}()
-	w.passing(p, 9*time.Second, "the answers", all)
+	checker.advanceUntil(p, 9*time.Second, "the answers", all)
 	for len(told) > 0 {
 		<-told
 	}
@@ -349,46 +349,46 @@
 		}
 		return false
 	})
-	w.advance(p, 3*time.Second)
+	checker.advance(p, 3*time.Second)
 	send(maxPipeline+during, maxPipeline+during+1)
 	last := make(chan struct{})
 	go func() { defer close(last); client.answer() }()
-	w.passing(p, 9*time.Second, "the last answer", last)
+	checker.advanceUntil(p, 9*time.Second, "the last answer", last)
 	if n, err := strconv.Atoi(<-told); err != nil || n < 14_000 {
 		t.Errorf("a command that came by itself was told %d ms of 15,000, %v", n, err)
 	}
 }
 
 // A connection may have stood in the listener's line, with a command on it, before the proxy took its first client.
-func TestConnectionsInLineAtTheStartKeepTheirTime(t *testing.T) {
+func TestConnectionsQueuedAtStartKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
-	w := watchDeadlines(t, &cfg)
+	checker := checkDeadlines(t, &cfg)
 	var p *testProxy
 	ready, begin := make(chan struct{}), make(chan struct{})
 	cfg.Before = func() {
 		close(ready)
 		<-begin
 	}
-	p = start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string { return hit("value of " + a.key) }), "large"))
+	p = start(t, cfg, entry("s-1", checker.cache("s-1", func(a asked) string { return hit("value of " + a.key) }), "large"))
 	<-ready
 	client := p.dial()
-	client.send(w.get("k", "id", 15_000))
-	w.advance(p, 2*time.Second)
+	client.send(checker.get("k", "id", 15_000))
+	checker.advance(p, 2*time.Second)
 	close(begin)
 	if got := client.answer(); got != "value of k" {
 		t.Errorf("answered %q", got)
 	}
-	w.wantAttempts(1, false)
+	checker.expectAttempts(1, false)
 }
 
 // What stood in line while the proxy had no descriptor for it is dated by that, and what comes later by itself.
-func TestConnectionsInLineForADescriptorKeepTheirTime(t *testing.T) {
+func TestConnectionsQueuedForADescriptorKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
-	w := watchDeadlines(t, &cfg)
+	checker := checkDeadlines(t, &cfg)
 	told := make(chan string, 10)
-	p := start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string {
+	p := start(t, cfg, entry("s-1", checker.cache("s-1", func(a asked) string {
 		_, deadline, _ := strings.Cut(a.attrs, ",d=")
 		told <- deadline
 		return hit("value of " + a.key)
@@ -396,7 +396,7 @@
 	ask := func(id string) int {
 		p.enter() // so that nobody is taken before the command has come
 		client := p.dial()
-		client.send(w.get("k", id, 15_000))
+		client.send(checker.get("k", id, 15_000))
 		p.leave()
 		if got := client.answer(); got != "value of k" {
 			t.Fatalf("answered %q", got)
@@ -409,41 +409,41 @@
 	}
 	ask("first") // from here on connections are taken as they come
 	p.redis.awaitAccept(acceptShort, 1)
-	w.advance(p, 2*time.Second)
+	checker.advance(p, 2*time.Second)
 	if ms := ask("in-line"); ms > 13_000 {
 		t.Errorf("what may have stood in line for 2 s was told %d ms of 15,000", ms)
 	}
 	p.eventually("the line is empty", func() bool { return p.redis.waited == 0 })
-	w.advance(p, 2*time.Second)
+	checker.advance(p, 2*time.Second)
 	if ms := ask("later"); ms < 14_500 {
 		t.Errorf("what came by itself was told %d ms of 15,000", ms)
 	}
 }
 
 // Attempts that begin in one event, each held up before its bytes go out, tell their servers what is left when they do go out.
-func TestHeldUpAttemptsTellWhatIsLeft(t *testing.T) {
+func TestDelayedAttemptsSendRemainingDeadline(t *testing.T) {
 	for name, wait := range map[string]time.Duration{
 		"time enough":           8 * time.Second,
 		"over before the event": 4100 * time.Millisecond, // what would be sent after that is not sent
 	} {
-		t.Run(name, func(t *testing.T) { heldUpAttempts(t, wait) })
+		t.Run(name, func(t *testing.T) { testDelayedAttempts(t, wait) })
 	}
 }
 
-// heldUpAttempts has the second attempts of several reads begin in one event, 3.5 s after their clients wrote them.
-func heldUpAttempts(t *testing.T, wait time.Duration) {
+// testDelayedAttempts has the second attempts of several reads begin in one event, 3.5 s after their clients wrote them.
+func testDelayedAttempts(t *testing.T, wait time.Duration) {
 	const reads, pause = 6, 140 * time.Millisecond
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 2 // so that the second attempt goes to the origin
 	var holding atomic.Bool
 	var sent atomic.Int32
 	arrived := make(chan struct{}, 100)
-	w := &deadlineWatch{t: t}
+	checker := &deadlineChecker{t: t}
 	var moved atomic.Int64 // by the pauses, beside what the test moves the clock by
-	w.advance = handClock(&cfg)
+	checker.advance = manualClock(&cfg)
 	base := cfg.Clock
 	cfg.Clock = func() time.Duration { return base() + time.Duration(moved.Load()) }
-	w.Now = cfg.Clock
+	checker.Now = cfg.Clock
 	cfg.OnSend = func(logic.RequestID, logic.MemberID) {
 		if !holding.Load() {
 			return
@@ -455,7 +455,7 @@
 	}
 	together := make(chan struct{})
 	var warm atomic.Int32
-	o := w.origin(func(r *http.Request) string {
+	o := checker.origin(func(r *http.Request) string {
 		if r.Method != http.MethodPut {
 			arrived <- struct{}{}
 			return page("value")
@@ -467,7 +467,7 @@
 		return page("receipt")
 	})
 	stuck, asks := make(chan struct{}), make(chan struct{}, 100)
-	silent := w.cache("s-1", func(asked) string {
+	silent := checker.cache("s-1", func(asked) string {
 		asks <- struct{}{}
 		<-stuck
 		return miss
@@ -475,11 +475,11 @@
 	t.Cleanup(func() { close(stuck) })
 	p := start(t, cfg, entry("s-1", silent, "large"), entry("o-1", o, "origin"))
 	for i := range reads { // as many connections to the origin
-		p.dial().send(w.put(fmt.Sprint("o", i), fmt.Sprint("order", i), 8000))
+		p.dial().send(checker.put(fmt.Sprint("o", i), fmt.Sprint("order", i), 8000))
 	}
-	w.passing(p, time.Second, "the orders are at the origin", together)
+	checker.advanceUntil(p, time.Second, "the orders are at the origin", together)
 	for range 20 {
-		w.advance(p, time.Millisecond)
+		checker.advance(p, time.Millisecond)
 	}
 	p.eventually("the connections are free", func() bool {
 		free := 0
@@ -492,7 +492,7 @@
 		return len(p.requests) == 0 && free == reads
 	})
 	for i := range reads {
-		p.dial().send(w.get(fmt.Sprint("k", i), fmt.Sprint("id", i), int(wait.Milliseconds())))
+		p.dial().send(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), int(wait.Milliseconds())))
 		<-asks
 	}
 	p.Do(func() {}) // the last one's event is over: it has noted when it was written
@@ -507,8 +507,8 @@
 		t.Fatalf("%d attempts in one event, want %d", n, want)
 	}
 	p.eventually("all are answered", func() bool { return len(p.requests) == 0 })
-	w.wantAttempts(2*reads, true)
-	for _, v := range w.Violations() {
+	checker.expectAttempts(2*reads, true)
+	for _, v := range checker.Violations() {
 		t.Error(v)
 	}
 }
@@ -518,32 +518,32 @@
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 1
 	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Outstanding: 1, PartSize: 1}
-	w := watchDeadlines(t, &cfg)
+	checker := checkDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{}, 10)
-	p := start(t, cfg, entry("s-1", w.cache("s-1", func(a asked) string {
+	p := start(t, cfg, entry("s-1", checker.cache("s-1", func(a asked) string {
 		came <- struct{}{}
 		<-release
 		return hit("value of " + a.key)
 	}), "large"))
 	client := p.dial()
-	w.Sent("many", "c=tile-read,d=8000")
+	checker.Sent("many", "c=tile-read,d=8000")
 	client.send(mget("many", "c=tile-read,d=8000", "a", "b", "c"))
 	for range 3 {
 		<-came
-		w.advance(p, 2*time.Second)
+		checker.advance(p, 2*time.Second)
 		release <- struct{}{}
 	}
-	if got, line := client.reply(); !slices.Equal(got, []string{"value of a", "value of b", "value of c"}) {
+	if got, line := client.readArray(); !slices.Equal(got, []string{"value of a", "value of b", "value of c"}) {
 		t.Errorf("%s %q", line, got)
 	}
 }
 
 // A read that goes on for those who share its answer, after its own client has left, tells what the last of them has left.
-func TestJoinedReadTellsWhatItsFollowersHaveLeft(t *testing.T) {
+func TestJoinedReadSendsDeadlineOfItsFollowers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 2 // so that the second attempt may take all that is left
 	cfg.Joining = &joining.Limits{Followers: 10, PerTenant: 10, Groups: 10}
-	w := watchDeadlines(t, &cfg)
+	checker := checkDeadlines(t, &cfg)
 	came, release := make(chan struct{}, 10), make(chan struct{})
 	var asks atomic.Int32
 	told := make(chan string, 10)
@@ -556,25 +556,25 @@
 		}
 		return hit("value")
 	}
-	o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
-	p := start(t, cfg, entry("s-1", w.cache("s-1", answer), "large"), entry("o-1", o, "origin"))
+	o := checker.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
+	p := start(t, cfg, entry("s-1", checker.cache("s-1", answer), "large"), entry("o-1", o, "origin"))
 	lead, follower := p.dial(), p.dial()
-	lead.send(w.get("a", "lead", 8000))
+	lead.send(checker.get("a", "lead", 8000))
 	<-came
 	<-told
-	follower.send(w.get("a", "follower", 4000))
-	p.followed(1)
+	follower.send(checker.get("a", "follower", 4000))
+	p.awaitFollowers(1)
 	lead.conn.Close()
 	p.eventually("the lead's client has left", func() bool { return len(p.redis.clients) == 1 })
-	w.Sent("lead", "d=4000") // nobody waits for it any longer than the follower does
-	w.advance(p, 2500*time.Millisecond)
+	checker.Sent("lead", "d=4000") // nobody waits for it any longer than the follower does
+	checker.advance(p, 2500*time.Millisecond)
 	close(release)
-	w.passing(p, 2*time.Second, "the answer", answered(follower, "value"))
-	w.wantAttempts(1, true)
+	checker.advanceUntil(p, 2*time.Second, "the answer", awaitAnswer(follower, "value"))
+	checker.expectAttempts(1, true)
 }
 
 // A process that was held up dates what it reads right afterwards by when it may have come: in the midst of an event, and between two.
-func TestStallsDateRequests(t *testing.T) {
+func TestRequestsReadAfterAStallKeepTheirDeadline(t *testing.T) {
 	p := &Proxy{cfg: Config{}, started: time.Now().Add(-time.Minute), ups: upstream.New(pool.Config{}, nil)}
 	p.stalls.MaxGap = stallGap
 	p.timers = newTimers(time.Millisecond, p.Clock())
@@ -609,20 +609,20 @@
 
 // Many proxies before members they share, each held up by a seed between choosing a member and writing to it, with reads that miss, fail, are
 // turned away and time out: no member is told of more than is left.
-func TestManyHeldUpProxiesTellWhatIsLeft(t *testing.T) {
+func TestManyDelayedProxiesSendRemainingDeadline(t *testing.T) {
 	const proxies, rounds, pauseMost = 24, 12, 150 * time.Millisecond
 	var now atomic.Int64
 	clock := func() time.Duration { return time.Duration(now.Load()) }
-	w := &deadlineWatch{t: t, Deadlines: standin.Deadlines{Now: clock}}
+	checker := &deadlineChecker{t: t, Deadlines: standin.Deadlines{Now: clock}}
 	var seed atomic.Uint64
 	answers := []string{miss, "-ERR failed\r\n", "-BUSY\r\n", hit("value"), miss}
 	answer := func(asked) string {
 		return answers[rand.New(rand.NewPCG(54, seed.Add(1))).IntN(len(answers))]
 	}
-	members := []discovery.Member{entry("s-1", w.cache("s-1", answer), "large"), entry("s-2", w.cache("s-2", answer), "large"),
-		entry("o-1", w.origin(func(*http.Request) string { return page("value") }), "origin")}
+	members := []discovery.Member{entry("s-1", checker.cache("s-1", answer), "large"), entry("s-2", checker.cache("s-2", answer), "large"),
+		entry("o-1", checker.origin(func(*http.Request) string { return page("value") }), "origin")}
 	var all []*testProxy
-	w.advance = func(_ *testProxy, d time.Duration) {
+	checker.advance = func(_ *testProxy, d time.Duration) {
 		now.Add(int64(d))
 		for _, p := range all {
 			p.Tick()
@@ -646,25 +646,25 @@
 		for i, p := range all {
 			client := p.dial()
 			id := fmt.Sprintf("id-%d-%d", round, i)
-			client.send(w.get(fmt.Sprint("k", round*proxies+i), id, 8000))
+			client.send(checker.get(fmt.Sprint("k", round*proxies+i), id, 8000))
 			asked++
 			has := make(chan struct{})
 			go func() { defer close(has); client.answer() }()
-			w.passing(p, 8*time.Second, "the answer", has)
+			checker.advanceUntil(p, 8*time.Second, "the answer", has)
 			client.conn.Close()
 		}
 	}
-	first, further := w.Attempts()
+	first, further := checker.Attempts()
 	if first > asked || first < asked/2 || further == 0 {
 		t.Errorf("%d first attempts and %d further ones of %d reads", first, further, asked)
 	}
-	for _, v := range w.Violations() {
+	for _, v := range checker.Violations() {
 		t.Error(v)
 	}
 }
 
 // What a client says of its deadline, and what its server is told.
-func TestDeadlineThatClientsGive(t *testing.T) {
+func TestDeadlineOfClients(t *testing.T) {
 	for text, want := range map[string]struct {
 		told   int
 		answer string
@@ -694,13 +694,13 @@
 				t.Parallel()
 				cfg := testConfig()
 				cfg.Settings.MaxAttempts = 1
-				w := watchDeadlines(t, &cfg)
+				checker := checkDeadlines(t, &cfg)
 				told := make(chan string, 10)
-				node := w.cache("s-1", func(a asked) string { told <- a.attrs; return hit("value") })
-				o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
+				node := checker.cache("s-1", func(a asked) string { told <- a.attrs; return hit("value") })
+				o := checker.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
 				p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 				attrs := "c=" + c.class + "," + text
-				w.Sent("id", attrs)
+				checker.Sent("id", attrs)
 				client := p.dial()
 				command := []string{c.name, "a1", "id", attrs}
 				if c.name == "OBJ.SET" {
@@ -718,7 +718,7 @@
 					}
 					close(answer)
 				}()
-				w.passing(p, time.Second, "the answer", answer)
+				checker.advanceUntil(p, time.Second, "the answer", answer)
 				if n := len(told); n > 1 || (n == 1) != (want.told > 0) {
 					t.Fatalf("its server was asked %d times", n)
 				}
--- a/internal/proxy/follow_test.go
+++ b/internal/proxy/follow_test.go
@@ -13,7 +13,7 @@
 
 // A discovery that the watch is moved to may lag behind the one before, which goes on telling until the first list is there. What it has
 // told by then is not taken back, and no member that drains is called back; once the new one has caught up, its list holds.
-func TestFollowToADiscoveryThatLagsBehind(t *testing.T) {
+func TestFollowADiscoveryThatLagsBehind(t *testing.T) {
 	node := cache(t, func(a asked) string { return hit("value") })
 	entries := []discovery.Member{entry("s-1", node, "large"), entry("s-2", node, "large")}
 	drains := entries[0]
--- a/internal/proxy/givenup_test.go
+++ b/internal/proxy/givenup_test.go
@@ -14,8 +14,8 @@
 	"linenloom/logic"
 )
 
-// handClock stands still until the test moves it on, a millisecond at a time.
-func handClock(cfg *Config) (on func(*testProxy, time.Duration)) {
+// manualClock stands still until the test moves it on, a millisecond at a time.
+func manualClock(cfg *Config) (on func(*testProxy, time.Duration)) {
 	var now atomic.Int64
 	cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
 	return func(p *testProxy, d time.Duration) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// slowClock lets the module's time pass up to a bound, far before any aim: what needs more of it never comes.
-func slowClock(t *testing.T, cfg *Config, most time.Duration) (run func(p *testProxy)) {
+// boundedClock lets the module's time pass up to a bound, far before any aim: what needs more of it never comes.
+func boundedClock(t *testing.T, cfg *Config, most time.Duration) (run func(p *testProxy)) {
 	var now atomic.Int64
 	cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
 	return func(p *testProxy) {
@@ -80,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
-			run := slowClock(t, &cfg, time.Second)
+			run := boundedClock(t, &cfg, time.Second)
 			answer := func(asked) string { return c.cache }
 			p := start(t, cfg, entry("a", cache(t, answer), "large"), entry("b", cache(t, answer), "large"),
 				entry("c", cache(t, answer), "large"), entry("d", cache(t, answer), "large"), entry("o", c.origin(t), "origin"))
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -16,24 +16,26 @@
 	"linenloom/logic"
 )
 
-var joinAll = joining.Limits{Followers: 5000, PerTenant: 5000, Groups: 100}
+var joinLimits = joining.Limits{Followers: 5000, PerTenant: 5000, Groups: 100}
 
-// gate is a cache whose answers wait until they are let out.
-type gate struct {
-	asks chan asked
-	out  chan string
-	n    atomic.Int32
+// gatedCache is a cache whose answers wait until they are let out.
+type gatedCache struct {
+	requests chan asked
+	answers  chan string
+	attempts atomic.Int32
 }
 
-func newGate() *gate { return &gate{asks: make(chan asked, 5000), out: make(chan string, 5000)} }
+func newGatedCache() *gatedCache {
+	return &gatedCache{requests: make(chan asked, 5000), answers: make(chan string, 5000)}
+}
 
-func (g *gate) answer(a asked) string {
-	g.n.Add(1)
-	g.asks <- a
-	return <-g.out
+func (g *gatedCache) answer(a asked) string {
+	g.attempts.Add(1)
+	g.requests <- a
+	return <-g.answers
 }
 
-func joiningProxy(t *testing.T, l joining.Limits, answer func(asked) string, set ...func(*Config)) *testProxy {
+func startJoining(t *testing.T, l joining.Limits, answer func(asked) string, set ...func(*Config)) *testProxy {
 	t.Helper()
 	cfg := testConfig()
 	for _, f := range set {
@@ -46,21 +48,21 @@
 		entry("s-o", origin(t, func(r *http.Request) string { return page("receipt of " + r.URL.Path[1:]) }), "origin"))
 }
 
-// followed waits until so many reads follow others.
-func (p *testProxy) followed(n int) {
+// awaitFollowers waits until so many reads follow others.
+func (p *testProxy) awaitFollowers(n int) {
 	p.t.Helper()
 	p.eventually(fmt.Sprint(n, " reads follow"), func() bool { _, f := p.joins.Len(); return f == n })
 }
 
-func ahead(key, id, d string) string { return words("OBJ.GET", key, id, "c=tile-read,d="+d) }
+func getWithin(key, id, d string) string { return words("OBJ.GET", key, id, "c=tile-read,d="+d) }
 
 // Identical reads share one attempt, from one connection or many, and each has its one answer; other keys, tenants and classes do not.
-func TestIdenticalReadsShareAnAttempt(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+func TestIdenticalReadsAreJoined(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	lead := p.dial()
 	lead.send(get("a", "lead"))
-	<-g.asks
+	<-gated.requests
 	const clients, each = 20, 10
 	var all []*testClient
 	for i := range clients {
@@ -70,13 +72,13 @@
 			c.send(get("a", fmt.Sprintf("f%d-%d", i, j)))
 		}
 	}
-	p.followed(clients * each)
+	p.awaitFollowers(clients * each)
 	other := p.dial()
 	other.send(words("OBJ.GET", "a", "other", "c=tile-read,d=4000,t=best"))
-	<-g.asks
+	<-gated.requests
 	value := strings.Repeat("v", 40_000)
-	g.out <- hit(value)
-	g.out <- hit("its own")
+	gated.answers <- hit(value)
+	gated.answers <- hit("its own")
 	for _, c := range append(all, lead) {
 		n := each
 		if c == lead {
@@ -91,64 +93,64 @@
 	if got := other.answer(); got != "its own" {
 		t.Errorf("another tenant's: %.20q", got)
 	}
-	if n := g.n.Load(); n != 2 {
+	if n := gated.attempts.Load(); n != 2 {
 		t.Errorf("%d attempts", n)
 	}
 	p.eventually("nothing is held", func() bool { return p.held == 0 && len(p.requests) == 0 })
 }
 
 // What becomes of the lead condemns nobody: its client leaves, its time ends, its attempt fails or is spoilt; those who follow are served.
-func TestLeadCondemnsNobody(t *testing.T) {
-	for name, end := range map[string]func(g *gate, lead *testClient){
-		"its client leaves": func(g *gate, lead *testClient) {
+func TestFollowersOutliveTheLead(t *testing.T) {
+	for name, end := range map[string]func(gated *gatedCache, lead *testClient){
+		"its client leaves": func(gated *gatedCache, lead *testClient) {
 			lead.conn.Close()
 			time.Sleep(10 * time.Millisecond) // so that the proxy may see it before the answer; either order has to do
-			g.out <- hit("v")
+			gated.answers <- hit("v")
 		},
-		"its time ends": func(g *gate, lead *testClient) {
+		"its time ends": func(gated *gatedCache, lead *testClient) {
 			if got := lead.answer(); !strings.HasPrefix(got, "-BUSY") {
 				lead.t.Errorf("the lead is told %q", got)
 			}
 			for range 200 { // some go to attempts that are over
-				g.out <- hit("v")
+				gated.answers <- hit("v")
 			}
 		},
-		"its attempts fail": func(g *gate, lead *testClient) {
+		"its attempts fail": func(gated *gatedCache, lead *testClient) {
 			for range 4 {
-				g.out <- "-ERR failed\r\n"
+				gated.answers <- "-ERR failed\r\n"
 			}
 			for range 200 {
-				g.out <- hit("v")
+				gated.answers <- hit("v")
 			}
 		},
-		"its answer is spoilt": func(g *gate, lead *testClient) {
-			g.out <- "*3\r\n$6\r\nspo"
+		"its answer is spoilt": func(gated *gatedCache, lead *testClient) {
+			gated.answers <- "*3\r\n$6\r\nspo"
 			for range 200 {
-				g.out <- hit("v")
+				gated.answers <- hit("v")
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newGate()
-			p := joiningProxy(t, joinAll, g.answer)
+			gated := newGatedCache()
+			p := startJoining(t, joinLimits, gated.answer)
 			lead := p.dial()
-			lead.send(ahead("a", "lead", "150"))
-			<-g.asks
+			lead.send(getWithin("a", "lead", "150"))
+			<-gated.requests
 			const followers = 50
 			var all []*testClient
 			for i := range followers {
 				c := p.dial()
-				c.send(ahead("a", fmt.Sprint("f", i), fmt.Sprint(3000+i*20)))
+				c.send(getWithin("a", fmt.Sprint("f", i), fmt.Sprint(3000+i*20)))
 				all = append(all, c)
 			}
-			p.followed(followers)
-			end(g, lead)
+			p.awaitFollowers(followers)
+			end(gated, lead)
 			for i, c := range all {
 				if got := c.answer(); got != "v" && got != "receipt of a" { // the last try is the origin's
 					t.Fatalf("follower %d: %q", i, got)
 				}
 			}
-			if n := g.n.Load(); n > 8 {
+			if n := gated.attempts.Load(); n > 8 {
 				t.Errorf("%d attempts for %d followers", n, followers)
 			}
 			p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests)+p.held == 0 })
@@ -157,16 +159,16 @@
 }
 
 // Where nothing can be had, each follower is told in its own time, and none waits for ever; the cache is not stormed.
-func TestFollowersOfWhatNeverComes(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+func TestFollowersOfASilentCache(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	var all []*testClient
 	for i := range 40 {
 		c := p.dial()
-		c.send(ahead("a", fmt.Sprint("f", i), fmt.Sprint(100+i*5)))
+		c.send(getWithin("a", fmt.Sprint("f", i), fmt.Sprint(100+i*5)))
 		all = append(all, c)
 		if i == 0 {
-			<-g.asks
+			<-gated.requests
 		}
 	}
 	for i, c := range all {
@@ -174,56 +176,56 @@
 			t.Errorf("follower %d: %q", i, got)
 		}
 	}
-	if n := g.n.Load(); n > 20 {
+	if n := gated.attempts.Load(); n > 20 {
 		t.Errorf("%d attempts", n)
 	}
-	close(g.out)
+	close(gated.answers)
 	p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests) == 0 })
 }
 
 // A read that comes after a write's answer never gets what was asked for before it.
-func TestReadAfterAWriteSharesNothingOlder(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+func TestReadAfterAWriteJoinsNothingOlder(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	before := p.dial()
 	before.send(get("a", "before"))
-	<-g.asks
+	<-gated.requests
 	c := p.dial()
 	c.send(put("a", "w", "new"))
 	if got := c.answer(); got != "receipt of a" {
 		t.Fatal(got)
 	}
 	c.send(get("a", "after"))
-	<-g.asks // an attempt of its own
-	g.out <- hit("old")
-	g.out <- hit("new")
+	<-gated.requests // an attempt of its own
+	gated.answers <- hit("old")
+	gated.answers <- hit("new")
 	if got, first := c.answer(), before.answer(); got == first {
 		t.Errorf("both reads got %q", got)
 	}
 }
 
 // One tenant's storm holds back nobody else's reads: past its part its reads are ordinary ones.
-func TestStormOfOneTenant(t *testing.T) {
-	g := newGate()
-	l := joinAll
+func TestJoinLimitPerTenant(t *testing.T) {
+	gated := newGatedCache()
+	l := joinLimits
 	l.PerTenant = 10
-	p := joiningProxy(t, l, g.answer)
+	p := startJoining(t, l, gated.answer)
 	storm := p.dial()
 	for i := range 13 { // one leads, ten follow, two make their own way
 		storm.send(words("OBJ.GET", "a", fmt.Sprint("s", i), "c=tile-read,d=4000,t=acme"))
 	}
 	for range 3 {
-		<-g.asks
+		<-gated.requests
 	}
-	p.followed(10)
+	p.awaitFollowers(10)
 	c := p.dial()
 	for i := range 5 {
 		c.send(words("OBJ.GET", "b", fmt.Sprint("b", i), "c=tile-read,d=4000,t=best"))
 	}
-	<-g.asks
-	p.followed(14)
+	<-gated.requests
+	p.awaitFollowers(14)
 	for range 4 {
-		g.out <- hit("v")
+		gated.answers <- hit("v")
 	}
 	for range 13 {
 		if got := storm.answer(); got != "v" {
@@ -238,12 +240,12 @@
 }
 
 // One value is held once, however many take it, until the slowest has it; a client that takes nothing bounds itself.
-func TestSharedValueIsHeldOnce(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+func TestJoinedValueIsHeldOnce(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	lead := p.dial()
 	lead.send(get("a", "lead"))
-	<-g.asks
+	<-gated.requests
 	slow, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -254,9 +256,9 @@
 	for i := range wanted {
 		fmt.Fprint(slow, get("a", fmt.Sprint("slow", i)))
 	}
-	p.followed(wanted)
+	p.awaitFollowers(wanted)
 	value := strings.Repeat("v", resp.MaxValue)
-	g.out <- hit(value)
+	gated.answers <- hit(value)
 	if got := lead.answer(); got != value {
 		t.Fatalf("%d bytes", len(got))
 	}
@@ -272,20 +274,20 @@
 }
 
 // A stop and a storm: all that was taken is answered.
-func TestStopInAStorm(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+func TestStopWhileReadsAreJoined(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	var all []*testClient
 	for i := range 100 {
 		c := p.dial()
 		c.send(get("a", fmt.Sprint("r", i)))
 		all = append(all, c)
 	}
-	<-g.asks
-	p.followed(99)
+	<-gated.requests
+	p.awaitFollowers(99)
 	var wg sync.WaitGroup
 	p.stop()
-	g.out <- hit("v")
+	gated.answers <- hit("v")
 	for i, c := range all {
 		wg.Go(func() {
 			if got := c.answer(); got != "v" {
@@ -298,13 +300,13 @@
 
 // A thousand followers of different times, and a lead whose attempts stall: when the cache answers at last, all whose time is not over are
 // served, and those whose time was over have been told so.
-func TestThousandFollowersOfAStall(t *testing.T) {
-	g := newGate()
+func TestThousandFollowersOfAStalledLead(t *testing.T) {
+	gated := newGatedCache()
 	var clock func(*testProxy, time.Duration) // it stands while all come, however long the machine takes for that
-	p := joiningProxy(t, joinAll, g.answer, func(cfg *Config) { clock = handClock(cfg) })
+	p := startJoining(t, joinLimits, gated.answer, func(cfg *Config) { clock = manualClock(cfg) })
 	lead := p.dial()
-	lead.send(ahead("a", "lead", "300"))
-	<-g.asks
+	lead.send(getWithin("a", "lead", "300"))
+	<-gated.requests
 	const clients, each = 40, 25
 	type one struct {
 		c    *testClient
@@ -318,11 +320,11 @@
 			wait = 7000
 		}
 		for j := range each {
-			c.send(ahead("a", fmt.Sprintf("f%d-%d", i, j), fmt.Sprint(wait+j)))
+			c.send(getWithin("a", fmt.Sprintf("f%d-%d", i, j), fmt.Sprint(wait+j)))
 		}
 		all = append(all, one{c, wait})
 	}
-	p.followed(clients * each)
+	p.awaitFollowers(clients * each)
 	clock(p, 500*time.Millisecond)
 	for i := 1; i < clients; i += 2 {
 		for j := range each {
@@ -332,7 +334,7 @@
 		}
 	}
 	for range 100 {
-		g.out <- hit("v")
+		gated.answers <- hit("v")
 	}
 	for i := 0; i < clients; i += 2 {
 		for j := range each {
@@ -341,7 +343,7 @@
 			}
 		}
 	}
-	if n := g.n.Load(); n > 12 {
+	if n := gated.attempts.Load(); n > 12 {
 		t.Errorf("%d attempts for %d reads", n, clients*each)
 	}
 	p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests)+p.held == 0 })
@@ -349,12 +351,12 @@
 
 // The cache that a storm's lead is at drains, and other classes come into force, in the midst of it: the attempt that is out is answered, all
 // that follow it are served, and nothing new goes to that cache.
-func TestDrainAndRetuneInAStorm(t *testing.T) {
-	g := newGate()
+func TestDrainAndRetuneWhileReadsAreJoined(t *testing.T) {
+	gated := newGatedCache()
 	other := cache(t, func(a asked) string { return hit("other " + a.key) })
 	cfg := testConfig()
-	cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinAll, 5000, 2048
-	first := entry("s-a", cache(t, g.answer), "large")
+	cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinLimits, 5000, 2048
+	first := entry("s-a", cache(t, gated.answer), "large")
 	r := newRegistry(t, discoveryList(1, true, first, entry("o-1", origin(t, func(*http.Request) string { return page("o") }), "origin")))
 	p := startAt(t, cfg, r)
 	<-r.watched
@@ -363,10 +365,10 @@
 		c := p.dial()
 		c.send(get("a", fmt.Sprint("r", i)))
 		if all = append(all, c); i == 0 {
-			<-g.asks
+			<-gated.requests
 		}
 	}
-	p.followed(59)
+	p.awaitFollowers(59)
 	first.Phase = "terminating"
 	r.tell(discoveryList(2, false, first, entry("s-b", other, "large")))
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
@@ -380,20 +382,20 @@
 	if got := after.answer(); got != "other b" {
 		t.Errorf("another key: %q", got)
 	}
-	g.out <- hit("v")
+	gated.answers <- hit("v")
 	for i, c := range all {
 		if got := c.answer(); got != "v" {
 			t.Fatalf("read %d: %q", i, got)
 		}
 	}
-	if n := g.n.Load(); n != 1 {
+	if n := gated.attempts.Load(); n != 1 {
 		t.Errorf("the draining cache was asked %d times", n)
 	}
 }
 
 // A thousand reads follow a lead that is turned away by all that it asks, whose connection is reset in the middle of the value, or that
 // stands in the line of an origin at its limit: each has its one answer, the key is asked for a few times, and nothing is left.
-func TestThousandFollowers(t *testing.T) {
+func TestThousandFollowersOfAFailingLead(t *testing.T) {
 	for name, c := range map[string]struct {
 		lead string // how its answer begins
 		most int32  // attempts for the key, over caches and origin
@@ -444,8 +446,8 @@
 				return 0
 			}
 			cfg := testConfig()
-			cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinAll, 5000, 2048
-			run := slowClock(t, &cfg, 4*time.Second) // it stands while all come, and then stays before their time
+			cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinLimits, 5000, 2048
+			run := boundedClock(t, &cfg, 4*time.Second) // it stands while all come, and then stays before their time
 			box := listen(t, func(conn net.Conn) {
 				for in := resp.NewReader(conn, 4096); ; {
 					w, err := readCommand(in)
@@ -484,7 +486,7 @@
 					all[i].send(get("a", fmt.Sprintf("r%d-%d", i, j)))
 				}
 			}
-			p.followed(clients * each)
+			p.awaitFollowers(clients * each)
 			close(done)
 			close(free)
 			run(p)
@@ -507,12 +509,12 @@
 }
 
 // A tenant without the right to a key gets nothing of another's attempt for it, also where tenants share attempts.
-func TestJoiningAsksForTheRightFirst(t *testing.T) {
-	g := newGate()
+func TestJoiningChecksAccessFirst(t *testing.T) {
+	gated := newGatedCache()
 	o := newOffice(t, "k1")
-	shared := joinAll
+	shared := joinLimits
 	shared.AcrossTenants = true
-	p, _, _ := guarded(t, o, func(cfg *Config) { cfg.Joining = &shared }, g.answer)
+	p, _, _ := guarded(t, o, func(cfg *Config) { cfg.Joining = &shared }, gated.answer)
 	proven := func(tenant string) *testClient {
 		c := p.dial()
 		c.send(words("AUTH", o.token("k1", tenant, "")))
@@ -523,34 +525,34 @@
 	}
 	shop, kiosk, other := proven("shop"), proven("kiosk"), proven("shop")
 	shop.send(get("orders/1", "r1"))
-	<-g.asks
+	<-gated.requests
 	kiosk.send(get("orders/1", "r2"))
 	if got := kiosk.answer(); !strings.HasPrefix(got, "-NOPERM") {
 		t.Errorf("without the right: %q", got)
 	}
 	other.send(get("orders/1", "r3"))
-	p.followed(1)
-	g.out <- hit("secret")
+	p.awaitFollowers(1)
+	gated.answers <- hit("secret")
 	for _, c := range []*testClient{shop, other} {
 		if got := c.answer(); got != "secret" {
 			t.Errorf("%q", got)
 		}
 	}
 	kiosk.send(get("map/1", "r4"))
-	<-g.asks
-	g.out <- hit("map")
+	<-gated.requests
+	gated.answers <- hit("map")
 	if got := kiosk.answer(); got != "map" {
 		t.Errorf("what it may read: %q", got)
 	}
 }
 
 // A read that leads others goes on for them when its client leaves, and ends with the last of them.
-func TestAllOfAJoinedReadLeave(t *testing.T) {
+func TestJoinedReadEndsWithItsLastClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		l := newRoll()
 		door, open := shut(t, l, "large")
 		cfg := leaving(cancel)
-		cfg.Joining = &joinAll
+		cfg.Joining = &joinLimits
 		p := start(t, cfg, entry("s-1", door, "large"))
 		var clients []*testClient
 		for i := range 3 {
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -185,10 +185,10 @@
 				}
 				cfg := leaving(cancel)
 				if c.many {
-					cfg.ManyKeys = &manyUsual
+					cfg.ManyKeys = &manyKeysLimits
 				}
 				if strings.Contains(name, "join") {
-					cfg.Joining = &joinAll
+					cfg.Joining = &joinLimits
 				}
 				p := start(t, cfg, members...)
 				client := p.dial()
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -19,8 +19,8 @@
 	"linenloom/logic"
 )
 
-// long is a value whose every part can be told from the others.
-func long(n int) string {
+// numberedText is a value whose every part can be told from the others.
+func numberedText(n int) string {
 	var b strings.Builder
 	for b.Len() < n {
 		fmt.Fprintf(&b, "%d,", b.Len())
@@ -29,8 +29,8 @@
 }
 
 // A long value goes on before all of it has come, whole and in order, from a cache and from an origin.
-func TestLongValuesArePassedOn(t *testing.T) {
-	value := long(3 << 20)
+func TestLongValuesAreStreamed(t *testing.T) {
+	value := numberedText(3 << 20)
 	half := make(chan struct{})
 	for name, member := range map[string]func(t *testing.T) (flavor, addr string){
 		"cache": func(t *testing.T) (string, string) {
@@ -80,7 +80,7 @@
 
 // An origin that does not tell the length of a value first sends it in chunks, or up to the end of the connection: it is served once it
 // is whole, and what breaks off is not served.
-func TestValuesOfUntoldLength(t *testing.T) {
+func TestLongValuesOfUnknownLength(t *testing.T) {
 	chunked := func(value string) string {
 		var b strings.Builder
 		b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -90,7 +90,7 @@
 		}
 		return b.String() + "0\r\n\r\n"
 	}
-	short, longer, most := long(1000), long(300<<10), long(resp.MaxLongValue+1)
+	short, longer, most := numberedText(1000), numberedText(300<<10), numberedText(resp.MaxLongValue+1)
 	toEnd := "HTTP/1.1 200 OK\r\n\r\n"
 	for name, c := range map[string]struct {
 		answer, want string // want: none, as it is not whole, or too long
@@ -137,10 +137,10 @@
 }
 
 // Reads that were written behind the first long value of a cache, before anybody could know of it, don't wait for its client.
-func TestReadsBehindALongValue(t *testing.T) {
+func TestReadsPipelinedBehindALongValue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that it has one connection to the cache
-	value := long(3 << 20)
+	value := numberedText(3 << 20)
 	asked, behind := make(chan struct{}), make(chan struct{})
 	p := start(t, cfg, entry("c", listen(t, func(conn net.Conn) {
 		for in := resp.NewReader(conn, 4096); ; {
@@ -210,7 +210,7 @@
 // A member that breaks off in the middle, and a client that leaves there: the client sees that the value is not whole,
 // nothing is tried again, and nothing stays behind.
 func TestLongValueCutOff(t *testing.T) {
-	value := long(1 << 20)
+	value := numberedText(1 << 20)
 	asks := make(chan string, 10)
 	p := start(t, testConfig(), entry("m", listen(t, func(conn net.Conn) {
 		for in := resp.NewReader(conn, 4096); ; {
@@ -246,13 +246,13 @@
 
 // Long values that are written are let in as far as there is room, the first first; those that wait are not refused, and
 // leave others their way.
-func TestLongWritesWaitForRoom(t *testing.T) {
+func TestLongWritesWaitForMemory(t *testing.T) {
 	cfg := testConfig()
 	cfg.MemoryMB = 32 // room for two of them
 	cfg.Settings.Classes[1].Deadline = patience
 	o := origin(t, func(r *http.Request) string { return page("receipt " + r.Header.Get("X-Request-ID")) })
 	p := start(t, cfg, entry("o", o, "origin"), entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
-	value := long(resp.MaxLongValue)
+	value := numberedText(resp.MaxLongValue)
 	const writers = 6
 	var clients [writers]*testClient
 	for i := range clients { // all begin, none ends
@@ -281,7 +281,7 @@
 }
 
 // A crowd that sends half a command each gives its places to clients that ask, and to slow ones that go on.
-func TestStalledCommandsGiveWay(t *testing.T) {
+func TestStalledCommandsAreEvicted(t *testing.T) {
 	cfg := testConfig()
 	cfg.Sockets = 64
 	p := start(t, cfg, entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
@@ -334,10 +334,10 @@
 
 // Where hardly any connection is asked on again, one is closed once it is answered, and its place is free for the next;
 // where they are used again, they are kept.
-func TestConnectionsAskedOnOnce(t *testing.T) {
+func TestConnectionsUsedOnceAreClosed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Sockets = 128
-	run := slowClock(t, &cfg, time.Second) // nobody counts as idle meanwhile
+	run := boundedClock(t, &cfg, time.Second) // nobody counts as idle meanwhile
 	p := start(t, cfg, entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
 	run(p)
 	ask := func(name string) *testClient {
@@ -392,15 +392,15 @@
 	p.eventually("all are kept while it drains", func() bool { return len(p.requests) == 0 && len(p.redis.clients) == open+2*keepEvery })
 }
 
-// plainTaker is a client of a front that takes no long values.
-type plainTaker chan Answer
+// answerTaker is a client of a front that takes no long values.
+type answerTaker chan Answer
 
-func (t plainTaker) Answer(a Answer) { t <- a }
+func (t answerTaker) Answer(a Answer) { t <- a }
 
 // A value that is too long for its client fails at once, and the members that hold it are not held to blame.
 func TestValueTooLongForItsFront(t *testing.T) {
 	var asks atomic.Int64
-	value := long(resp.MaxValue + 1)
+	value := numberedText(resp.MaxValue + 1)
 	member := cache(t, func(asked) string { asks.Add(1); return hit(value) })
 	p := start(t, testConfig(), entry("m", member, "large"), entry("n", member, "large"))
 	c := p.dial()
@@ -411,7 +411,7 @@
 	asks.Store(0)
 	const reads = 12
 	for i := range reads {
-		taker := make(plainTaker, 1)
+		taker := make(answerTaker, 1)
 		p.Do(func() {
 			r := &Request{Taker: taker, Command: Command{Message: upstream.Message{Key: fmt.Appendf(nil, "k%d", i),
 				ReqID: fmt.Appendf(nil, "r%d", i), Attrs: []byte("c=tile-read,d=8000")}}}
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -17,10 +17,10 @@
 	"linenloom/internal/resp"
 )
 
-var manyUsual = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
+var manyKeysLimits = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
 
-// manyFleet is a proxy that takes OBJ.MGET before three caches that all answer alike, and an origin.
-func manyFleet(t *testing.T, l manykeys.Limits, answer func(box int, a asked) string) *testProxy {
+// startManyKeys is a proxy that takes OBJ.MGET before three caches that all answer alike, and an origin.
+func startManyKeys(t *testing.T, l manykeys.Limits, answer func(box int, a asked) string) *testProxy {
 	t.Helper()
 	cfg := testConfig()
 	cfg.ManyKeys = &l
@@ -37,8 +37,8 @@
 	return words(append([]string{"OBJ.MGET", id, attrs}, keys...)...)
 }
 
-// reply reads the reply to OBJ.MGET: what stands at each place; nil and the line, if it is none.
-func (c *testClient) reply() (all []string, line string) {
+// readArray reads the reply to OBJ.MGET: what stands at each place; nil and the line, if it is none.
+func (c *testClient) readArray() (all []string, line string) {
 	c.t.Helper()
 	line = c.answer()
 	var n int
@@ -51,8 +51,8 @@
 	return all, line
 }
 
-// places reads a reply whose keys come as they are had.
-func (c *testClient) places() map[string]string {
+// readStreamedPlaces reads a reply whose keys come as they are had.
+func (c *testClient) readStreamedPlaces() map[string]string {
 	c.t.Helper()
 	var n int
 	fmt.Sscanf(c.answer(), "*%d", &n)
@@ -69,7 +69,7 @@
 
 func TestManyKeysInOneReply(t *testing.T) {
 	var most, now [3]atomic.Int32
-	p := manyFleet(t, manyUsual, func(box int, a asked) string {
+	p := startManyKeys(t, manyKeysLimits, func(box int, a asked) string {
 		if n := now[box].Add(1); n > most[box].Load() {
 			most[box].Store(n)
 		}
@@ -83,19 +83,19 @@
 		keys, want = append(keys, key), append(want, "value of "+key)
 	}
 	c.send(mget("m1", "c=tile-read,d=4000", keys...) + get("after", "g1"))
-	if got, line := c.reply(); !slices.Equal(got, want) {
+	if got, line := c.readArray(); !slices.Equal(got, want) {
 		t.Fatalf("%s: %v", line, got)
 	}
 	if got := c.answer(); got != "value of after" {
 		t.Errorf("the next command: %q", got)
 	}
 	for box := range 3 {
-		if n := most[box].Load(); n > int32(manyUsual.PartSize) {
+		if n := most[box].Load(); n > int32(manyKeysLimits.PartSize) {
 			t.Errorf("cache %d worked on %d keys of one request", box, n)
 		}
 	}
 	c.send(mget("m2", "c=tile-read,d=4000,s=1", keys...))
-	got := c.places()
+	got := c.readStreamedPlaces()
 	for i, w := range want {
 		if got[fmt.Sprint(":", i)] != w {
 			t.Errorf("place %d: %q", i, got[fmt.Sprint(":", i)])
@@ -105,12 +105,12 @@
 }
 
 // What is wrong with the request as a whole is told once, and nothing of it is asked for; the connection goes on.
-func TestFaultyManyKeys(t *testing.T) {
+func TestInvalidManyKeysRequests(t *testing.T) {
 	var asks atomic.Int32
-	p := manyFleet(t, manyUsual, func(_ int, a asked) string { asks.Add(1); return hit("v") })
+	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { asks.Add(1); return hit("v") })
 	c := p.dial()
 	c.send(mget("used", "c=tile-read,d=4000", "a"))
-	c.reply()
+	c.readArray()
 	asks.Store(0)
 	for name, k := range map[string]struct{ send, want string }{
 		"no key":          {mget("f1", "c=tile-read,d=4000"), "-ERR no key"},
@@ -121,7 +121,7 @@
 		"a used id":       {mget("used", "c=tile-read,d=4000", "a"), "-ERR the id is in use"},
 	} {
 		c.send(k.send)
-		if _, line := c.reply(); !strings.HasPrefix(line, k.want) {
+		if _, line := c.readArray(); !strings.HasPrefix(line, k.want) {
 			t.Errorf("%s: %q, want %q", name, line, k.want)
 		}
 	}
@@ -136,12 +136,12 @@
 }
 
 // One cache that stalls marks no key that another can give; what nobody gives in time is marked late, and the others are there.
-func TestManyKeysBeforeAStall(t *testing.T) {
+func TestManyKeysWithAStalledCache(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
 	free := func() { once.Do(func() { close(release) }) }
 	t.Cleanup(free)
-	p := manyFleet(t, manyUsual, func(box int, a asked) string {
+	p := startManyKeys(t, manyKeysLimits, func(box int, a asked) string {
 		if box == 0 || strings.HasPrefix(a.key, "never") {
 			<-release
 		}
@@ -153,12 +153,12 @@
 		keys, want = append(keys, fmt.Sprint("k", i)), append(want, fmt.Sprint("value of k", i))
 	}
 	c.send(mget("m1", "c=tile-read,d=4000", keys...))
-	if got, line := c.reply(); !slices.Equal(got, want) {
+	if got, line := c.readArray(); !slices.Equal(got, want) {
 		t.Errorf("one cache stalls: %s %v", line, got)
 	}
 	c.send(mget("m2", "c=tile-read,d=600", append([]string{"never1", "never2"}, keys...)...))
 	begun := time.Now()
-	got, line := c.reply()
+	got, line := c.readArray()
 	if took := time.Since(begun); took > patience/2 {
 		t.Errorf("the reply took %v", took)
 	}
@@ -175,10 +175,10 @@
 }
 
 // Misses come from the origin; a reply that grows too long marks what it has no room for.
-func TestManyKeysElsewhere(t *testing.T) {
-	l := manyUsual
+func TestManyKeysMissesAndSizeLimit(t *testing.T) {
+	l := manyKeysLimits
 	l.Bytes = 3000
-	p := manyFleet(t, l, func(_ int, a asked) string {
+	p := startManyKeys(t, l, func(_ int, a asked) string {
 		switch {
 		case strings.HasPrefix(a.key, "miss"):
 			return "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
@@ -189,11 +189,11 @@
 	})
 	c := p.dial()
 	c.send(mget("m1", "c=tile-read,d=4000", "miss1", "k1", "miss2"))
-	if got, _ := c.reply(); !slices.Equal(got, []string{"origin's miss1", "value of k1", "origin's miss2"}) {
+	if got, _ := c.readArray(); !slices.Equal(got, []string{"origin's miss1", "value of k1", "origin's miss2"}) {
 		t.Errorf("%q", got)
 	}
 	c.send(mget("m2", "c=tile-read,d=4000", "big1", "big2", "big3", "big4", "big5"))
-	got, _ := c.reply()
+	got, _ := c.readArray()
 	large := 0
 	for _, v := range got {
 		if v == "-LARGE" {
@@ -209,7 +209,7 @@
 
 // All keys of a request at one cache that drains, or that is cold: each is had elsewhere or marked, none waits for that cache, and what a
 // cold one is sent stays within its budget.
-func TestManyKeysAtOneCache(t *testing.T) {
+func TestManyKeysAtDrainingOrColdCache(t *testing.T) {
 	keys := make([]string, 24)
 	for i := range keys {
 		keys[i] = fmt.Sprint("k", i)
@@ -220,7 +220,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.ManyKeys = &manyUsual
+			cfg.ManyKeys = &manyKeysLimits
 			cfg.Settings.SlowStartDuration, cfg.Settings.Instances = time.Hour, 1
 			var asks atomic.Int32
 			only := entry("s-a", cache(t, func(a asked) string { asks.Add(1); return hit("value of " + a.key) }), "large")
@@ -230,7 +230,7 @@
 			<-r.watched
 			c := p.dial()
 			c.send(mget("warm", "c=tile-read,d=4000", keys...))
-			if got, line := c.reply(); len(got) != len(keys) {
+			if got, line := c.readArray(); len(got) != len(keys) {
 				t.Fatalf("%d places, %q", len(got), line)
 			}
 			change(&only)
@@ -238,7 +238,7 @@
 			p.eventually("the list is told", func() bool { return p.revision == 2 })
 			asks.Store(0)
 			c.send(mget("all", "c=tile-read,d=4000", keys...))
-			got, line := c.reply()
+			got, line := c.readArray()
 			if len(got) != len(keys) {
 				t.Fatalf("%d places, %q", len(got), line)
 			}
@@ -259,10 +259,10 @@
 }
 
 // A client that leaves, and a stop, in the midst of it.
-func TestManyKeysCutShort(t *testing.T) {
+func TestManyKeysWhenAClientLeavesAndAtStop(t *testing.T) {
 	release := make(chan struct{})
 	var asks atomic.Int32
-	p := manyFleet(t, manyUsual, func(_ int, a asked) string { asks.Add(1); <-release; return hit("value of " + a.key) })
+	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { asks.Add(1); <-release; return hit("value of " + a.key) })
 	gone, stays := p.dial(), p.dial()
 	keys := make([]string, 4) // of more, with no answer at all, the throttle would turn some away
 	for i := range keys {
@@ -283,7 +283,7 @@
 	})
 	p.stop()
 	close(release)
-	if got, line := stays.reply(); !slices.Equal(got, []string{"value of k0", "value of k1", "value of k2"}) {
+	if got, line := stays.readArray(); !slices.Equal(got, []string{"value of k0", "value of k1", "value of k2"}) {
 		t.Errorf("%s %q", line, got)
 	}
 }
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -22,9 +22,9 @@
 var recordOptions = keeper.Options{Options: ledger.Options{
 	Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAfter: 1000, MaxPending: 32}}
 
-func openRecord(t *testing.T, d *crash.Disk, opt keeper.Options) *keeper.Keeper {
+func openRecord(t *testing.T, disk *crash.Disk, options keeper.Options) *keeper.Keeper {
 	t.Helper()
-	k, err := keeper.Open(d, opt, ledger.WallClock, slog.New(slog.DiscardHandler))
+	k, err := keeper.Open(disk, options, ledger.WallClock, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,27 +32,27 @@
 	return k
 }
 
-// till is an origin that counts how often each order ran.
-type till struct {
-	t      *testing.T
-	mu     sync.Mutex
-	ran    map[string]int
-	answer func(r *http.Request, n int) string // nil: a receipt
-	asked  chan string
+// countingOrigin is an origin that counts how often each order ran.
+type countingOrigin struct {
+	t         *testing.T
+	mu        sync.Mutex
+	runCounts map[string]int
+	answer    func(r *http.Request, n int) string // nil: a receipt
+	requests  chan string
 }
 
-func newTill(t *testing.T) *till {
-	return &till{t: t, ran: map[string]int{}, asked: make(chan string, 100)}
+func newCountingOrigin(t *testing.T) *countingOrigin {
+	return &countingOrigin{t: t, runCounts: map[string]int{}, requests: make(chan string, 100)}
 }
 
-func (o *till) origin() string {
+func (o *countingOrigin) origin() string {
 	return origin(o.t, func(r *http.Request) string {
 		key := r.URL.Path[1:]
 		o.mu.Lock()
-		o.ran[key]++
-		n := o.ran[key]
+		o.runCounts[key]++
+		n := o.runCounts[key]
 		o.mu.Unlock()
-		o.asked <- key
+		o.requests <- key
 		if o.answer != nil {
 			return o.answer(r, n)
 		}
@@ -60,23 +60,23 @@
 	})
 }
 
-func (o *till) runs(key string) int {
+func (o *countingOrigin) runs(key string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ran[key]
+	return o.runCounts[key]
 }
 
-// recording is a proxy before a till and a cache, with a record on a disk.
-func recording(t *testing.T, o *till, d *crash.Disk, set ...func(*Config, *keeper.Options)) *testProxy {
+// startRecording is a proxy before a till and a cache, with a record on a disk.
+func startRecording(t *testing.T, counter *countingOrigin, disk *crash.Disk, set ...func(*Config, *keeper.Options)) *testProxy {
 	t.Helper()
-	cfg, opt := testConfig(), recordOptions
+	cfg, options := testConfig(), recordOptions
 	cfg.Receipts = []string{"resp2"}
 	cfg.Settings.CanRetryAfter, cfg.Settings.MaxRetryAfter = true, 2*time.Second
 	for _, f := range set {
-		f(&cfg, &opt)
+		f(&cfg, &options)
 	}
-	cfg.Record = openRecord(t, d, opt)
-	return start(t, cfg, entry("s-a", cache(t, func(asked) string { return hit("tile") }), "large"), entry("s-o", o.origin(), "origin"))
+	cfg.Record = openRecord(t, disk, options)
+	return start(t, cfg, entry("s-a", cache(t, func(asked) string { return hit("tile") }), "large"), entry("s-o", counter.origin(), "origin"))
 }
 
 func order(key, id, value, more string) string {
@@ -86,7 +86,7 @@
 const notProcessed = "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
 // What a repeat is told, by what became of the order, here and by a process that opens the record after this one.
-func TestWhatARepeatIsTold(t *testing.T) {
+func TestAnswersToRepeatedOrders(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer          func(r *http.Request, n int) string
 		first, repeat   string // how the answers begin
@@ -107,14 +107,14 @@
 		"it is another order": {first: "receipt", repeat: "-ERR the idempotency key", other: "two passes", receiptsAreTold: true, before: 1, runs: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, d := newTill(t), crash.New()
-			o.answer = c.answer
+			counter, disk := newCountingOrigin(t), crash.New()
+			counter.answer = c.answer
 			set := func(cfg *Config, _ *keeper.Options) {
 				if !c.receiptsAreTold {
 					cfg.Receipts = nil
 				}
 			}
-			p := recording(t, o, d, set)
+			p := startRecording(t, counter, disk, set)
 			client := p.dial()
 			tell := func(client *testClient, id, want string, runs int) {
 				t.Helper()
@@ -129,21 +129,21 @@
 				if got := client.answer(); !strings.HasPrefix(got, want) {
 					t.Errorf("order %s: %q, want %q", id, got, want)
 				}
-				if got := o.runs("p"); got != runs {
+				if got := counter.runs("p"); got != runs {
 					t.Errorf("after order %s it has run %d times, want %d", id, got, runs)
 				}
 			}
 			tell(client, "1", c.first, c.before)
 			tell(client, "2", c.repeat, c.runs)
 			p.ended()
-			next := recording(t, o, d, set)
+			next := startRecording(t, counter, disk, set)
 			tell(next.dial(), "3", c.repeat, c.runs)
 		})
 	}
 }
 
 // Repeats that nobody here knows are not run, unless the operator says that they may be; who has no key is not known by its request's id.
-func TestStrangers(t *testing.T) {
+func TestUnknownRetriesOfOrders(t *testing.T) {
 	for name, c := range map[string]struct {
 		run  bool
 		more string
@@ -155,7 +155,7 @@
 		"a repeat without it": {false, ",r=1", "receipt of p"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := recording(t, newTill(t), crash.New(), func(_ *Config, opt *keeper.Options) { opt.RunUnknownRetries = c.run })
+			p := startRecording(t, newCountingOrigin(t), crash.New(), func(_ *Config, opt *keeper.Options) { opt.RunUnknownRetries = c.run })
 			client := p.dial()
 			client.send(order("p", "1", "a pass", c.more))
 			if got := client.answer(); got != c.want {
@@ -166,27 +166,27 @@
 }
 
 // Two askers of one order at once: one has it, the other is told that nothing is promised; it runs once.
-func TestTheSameOrderTwiceAtOnce(t *testing.T) {
-	o := newTill(t)
+func TestTheSameOrderTwiceConcurrently(t *testing.T) {
+	counter := newCountingOrigin(t)
 	free := make(chan struct{})
-	o.answer = func(*http.Request, int) string { <-free; return page("receipt") }
-	p := recording(t, o, crash.New())
+	counter.answer = func(*http.Request, int) string { <-free; return page("receipt") }
+	p := startRecording(t, counter, crash.New())
 	a, b := p.dial(), p.dial()
 	a.send(order("p", "1", "a pass", ",k=a"))
-	<-o.asked
+	<-counter.requests
 	b.send(order("p", "2", "a pass", ",k=a"))
 	if got := b.answer(); got != "-ERR failed" {
 		t.Errorf("the second: %q", got)
 	}
 	close(free)
-	if got := a.answer(); got != "receipt" || o.runs("p") != 1 {
-		t.Errorf("the first: %q, %d runs", got, o.runs("p"))
+	if got := a.answer(); got != "receipt" || counter.runs("p") != 1 {
+		t.Errorf("the first: %q, %d runs", got, counter.runs("p"))
 	}
 }
 
 // A disk that fails at each step of an order: it is refused as never run, or has run once and its client is promised nothing; reads are
 // served throughout, and once the disk is well orders go on by themselves.
-func TestDiskGoesBadWhileServing(t *testing.T) {
+func TestRecordDiskFailsWhileServing(t *testing.T) {
 	bad := errors.New("input/output error")
 	for name, c := range map[string]struct {
 		fails func(ops int) bool // of the changes of the disk, from the order's first on
@@ -201,8 +201,8 @@
 		"at one sync, ended":  {func(n int) bool { return n == 10 }, "-ERR failed", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, d := newTill(t), crash.New()
-			p := recording(t, o, d)
+			counter, disk := newCountingOrigin(t), crash.New()
+			p := startRecording(t, counter, disk)
 			client := p.dial()
 			read := func() {
 				t.Helper()
@@ -211,17 +211,17 @@
 					t.Errorf("a read: %q", got)
 				}
 			}
-			from := d.Operations
+			from := disk.Operations
 			var well atomic.Bool
-			d.Fail = func(op int, what string) error {
+			disk.Fail = func(op int, what string) error {
 				if !well.Load() && c.fails(op-from) {
 					return bad
 				}
 				return nil
 			}
 			client.send(order("p", "1", "a pass", ",k=a"))
-			if got := client.answer(); !strings.HasPrefix(got, c.want) || o.runs("p") != c.runs {
-				t.Errorf("%q after %d runs, want %q after %d", got, o.runs("p"), c.want, c.runs)
+			if got := client.answer(); !strings.HasPrefix(got, c.want) || counter.runs("p") != c.runs {
+				t.Errorf("%q after %d runs, want %q after %d", got, counter.runs("p"), c.want, c.runs)
 			}
 			read()
 			well.Store(true)
@@ -234,7 +234,7 @@
 			if got := client.answer(); c.runs == 0 && got != "receipt of p" || c.runs == 1 && got != "-ERR failed" {
 				t.Errorf("the repeat: %q", got)
 			}
-			if got := o.runs("p"); got != 1 {
+			if got := counter.runs("p"); got != 1 {
 				t.Errorf("it has run %d times", got)
 			}
 		})
@@ -243,21 +243,21 @@
 
 // A disk that takes long: reads are served, orders are refused when their time is over or the line is full, and none of them runs; one that
 // has run and waits for its receipt to be on record is told that nothing is promised, and the record knows better later.
-func TestSlowDisk(t *testing.T) {
-	o, d := newTill(t), crash.New()
+func TestSlowRecordDisk(t *testing.T) {
+	counter, disk := newCountingOrigin(t), crash.New()
 	var on func(*testProxy, time.Duration)
-	p := recording(t, o, d, func(cfg *Config, opt *keeper.Options) { on, opt.MaxPending = handClock(cfg), 4 })
+	p := startRecording(t, counter, disk, func(cfg *Config, opt *keeper.Options) { on, opt.MaxPending = manualClock(cfg), 4 })
 	client := p.dial()
 	stuck, reached := make(chan struct{}), make(chan struct{}, 100)
 	var block atomic.Bool
-	d.Fail = func(int, string) error {
+	disk.Fail = func(int, string) error {
 		if block.Load() {
 			reached <- struct{}{}
 			<-stuck
 		}
 		return nil
 	}
-	o.answer = func(r *http.Request, _ int) string {
+	counter.answer = func(r *http.Request, _ int) string {
 		block.Store(true)
 		return page("receipt of " + r.URL.Path[1:])
 	}
@@ -303,7 +303,7 @@
 		t.Errorf("the repeat: %q", got)
 	}
 	for i := range 6 {
-		if n := o.runs(fmt.Sprint("o", i)); n != 0 {
+		if n := counter.runs(fmt.Sprint("o", i)); n != 0 {
 			t.Errorf("order %d has run %d times", i, n)
 		}
 	}
@@ -311,19 +311,19 @@
 
 // A successor's orders wait until the process before has given up the record, and go then; what they repeat is known.
 func TestRecordIsHandedOver(t *testing.T) {
-	o, d := newTill(t), crash.New()
+	counter, disk := newCountingOrigin(t), crash.New()
 	free := make(chan struct{})
-	o.answer = func(r *http.Request, _ int) string {
+	counter.answer = func(r *http.Request, _ int) string {
 		if r.URL.Path == "/long" {
 			<-free
 		}
 		return page("receipt of " + r.URL.Path[1:])
 	}
-	p := recording(t, o, d)
+	p := startRecording(t, counter, disk)
 	a := p.dial()
 	a.send(order("long", "1", "a pass", ",k=long"))
-	<-o.asked
-	next := recording(t, o, d, func(_ *Config, opt *keeper.Options) { opt.WaitForPredecessor = true })
+	<-counter.requests
+	next := startRecording(t, counter, disk, func(_ *Config, opt *keeper.Options) { opt.WaitForPredecessor = true })
 	b := next.dial()
 	b.send(order("p", "2", "a pass", ",k=p"))
 	next.eventually("it waits", func() bool { return next.recorded == 1 })
@@ -337,14 +337,14 @@
 		t.Errorf("at its successor: %q", got)
 	}
 	b.send(order("long", "3", "a pass", ",k=long,r=1"))
-	if got := b.answer(); got != "receipt of long" || o.runs("long") != 1 {
-		t.Errorf("the repeat: %q, %d runs", got, o.runs("long"))
+	if got := b.answer(); got != "receipt of long" || counter.runs("long") != 1 {
+		t.Errorf("the repeat: %q, %d runs", got, counter.runs("long"))
 	}
 }
 
 // A member that drains while the record is written gets nothing new, and the order goes to another.
-func TestDrainWhileRecorded(t *testing.T) {
-	o, other, d := newTill(t), newTill(t), crash.New()
+func TestDrainWhileOrderIsRecorded(t *testing.T) {
+	o, other, d := newCountingOrigin(t), newCountingOrigin(t), crash.New()
 	cfg := testConfig()
 	cfg.Record = openRecord(t, d, recordOptions)
 	first := entry("o-1", o.origin(), "origin")
@@ -374,14 +374,14 @@
 }
 
 // A client that leaves: what was sent runs, and its receipt is there for it when it comes again.
-func TestClientOfAnOrderLeaves(t *testing.T) {
-	o, d := newTill(t), crash.New()
+func TestOrderRunsOnAfterItsClientLeaves(t *testing.T) {
+	counter, disk := newCountingOrigin(t), crash.New()
 	free := make(chan struct{})
-	o.answer = func(*http.Request, int) string { <-free; return page("receipt") }
-	p := recording(t, o, d)
+	counter.answer = func(*http.Request, int) string { <-free; return page("receipt") }
+	p := startRecording(t, counter, disk)
 	c := p.dial()
 	c.send(order("p", "1", "a pass", ",k=a"))
-	<-o.asked
+	<-counter.requests
 	c.conn.(*net.TCPConn).SetLinger(0)
 	c.conn.Close()
 	p.eventually("its end is seen", func() bool { return len(p.redis.clients) == 0 })
@@ -389,13 +389,13 @@
 	p.eventually("nothing is in hand", func() bool { return p.recorded == 0 && len(p.requests) == 0 && p.held == 0 })
 	again := p.dial()
 	again.send(order("p", "2", "a pass", ",k=a,r=1"))
-	if got := again.answer(); got != "receipt" || o.runs("p") != 1 {
-		t.Errorf("%q, %d runs", got, o.runs("p"))
+	if got := again.answer(); got != "receipt" || counter.runs("p") != 1 {
+		t.Errorf("%q, %d runs", got, counter.runs("p"))
 	}
 }
 
 // A proven caller's token serves one order, over a restart too; a repeat of that order may come by it.
-func TestTokensOverARestart(t *testing.T) {
+func TestOrderTokensSurviveARestart(t *testing.T) {
 	office, d := newOffice(t, "k1"), crash.New()
 	token := office.token("k1", "shop", "j1")
 	for i, at := range []string{"at first", "after a restart"} {
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -72,7 +72,7 @@
 	})
 	p := start(t, cfg, entry("o", o, "origin"))
 	p.Do(func() { p.long.maxWait = time.Hour })
-	value := long(resp.MaxLongValue)
+	value := numberedText(resp.MaxLongValue)
 	for i := range 2 { // both have the room, until the origin answers
 		p.dial().send(putLong(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
 		<-came
--- a/internal/proxy/wall_test.go
+++ b/internal/proxy/wall_test.go
@@ -46,7 +46,7 @@
 func TestSteppedWallMovesNoMember(t *testing.T) {
 	var ahead time.Duration
 	cfg := testConfig()
-	on := handClock(&cfg)
+	on := manualClock(&cfg)
 	cfg.Wall = func() time.Duration { return 24*time.Hour + ahead }
 	m := entry("s-1", "127.0.0.1:1", "large")
 	m.UpSinceMS = float64((23 * time.Hour).Milliseconds())
