--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -13,31 +13,34 @@
 )
 
 const (
-	// followerTimer is the purpose of a follower's timer, among those of the module, which has none of this number.
+	// followerTimer is the kind of the timers of followers and of recorded orders. The decision module
+	// uses no timer of this number.
 	followerTimer = 7
-	// shareBatchSize is how many followers get their answer under the lock at once. Thousands would else hold up everybody.
+	// shareBatchSize is how many followers are answered per hold of the lock. Answering thousands at
+	// once would delay all other requests.
 	shareBatchSize = 64
 )
 
-// JoinCounts counts what became of reads that share attempts, for the rig and tests.
+// JoinCounts counts outcomes of request coalescing, for the lab and tests.
 type JoinCounts struct{ Led, Followed, Shared, LeadsPassed, NotJoined int }
 
-// joinState is a read that leads others or follows one.
+// joinState is the state of a read that leads or follows others.
 type joinState struct {
-	balancerRequest logic.Request // as the Balancer is told of it, once it leads
+	balancerRequest logic.Request // passed to the balancer if it becomes the lead
 	lead            bool
-	body            *Body // the answer that it shares, from when that is there
+	body            *Body // the shared answer, once there is one
 }
 
-// Body is an answer's value that several clients get. It is held once, and counted once, until the last has it.
+// Body is the value of an answer that several clients get. It is stored once, and counts once as held
+// memory, until the last client has it.
 type Body struct {
 	proxy      *Proxy
-	bulk       []byte // as RESP2 writes it; never changed
+	bulk       []byte // in RESP2 format; immutable
 	headLength int
 	references int
 }
 
-// newBody copies a value. It is the caller's, until it releases it.
+// newBody copies a value. The caller holds the first reference and must release it.
 func (p *Proxy) newBody(value []byte) *Body {
 	b := resp.AppendBulkHead(make([]byte, 0, len(value)+16), len(value))
 	head := len(b)
@@ -46,13 +49,13 @@
 	return &Body{proxy: p, bulk: b, headLength: head, references: 1}
 }
 
-// Value is the value itself.
+// Value returns the value.
 func (b *Body) Value() []byte { return b.bulk[b.headLength : len(b.bulk)-2] }
 
-// Retain has the body stay until one more Release, under the host's lock.
+// Retain adds a reference, which a further Release returns. The caller holds the host's lock.
 func (b *Body) Retain() { b.references++ }
 
-// Release lets go of the body, under the host's lock.
+// Release drops a reference, and the body with the last one. The caller holds the host's lock.
 func (b *Body) Release() {
 	if b.references--; b.references == 0 {
 		b.proxy.Hold(-len(b.bulk))
@@ -60,12 +63,14 @@
 	}
 }
 
-// discardingTaker takes the answer of a read that goes on for those who follow it, after its own client has left.
+// discardingTaker discards the answer of a leading read whose client has left while others still follow
+// it.
 type discardingTaker struct{}
 
 func (discardingTaker) Answer(Answer) {}
 
-// join has a read share another's attempt, or be shared. It tells whether it waits; else it makes its own way.
+// join makes a read follow an identical one, or makes it a lead that others can follow. It reports
+// whether the read follows; otherwise the caller hands it to the balancer.
 func (p *Proxy) join(r *Request, balancerRequest logic.Request) (follows bool) {
 	if _, carrier := r.Taker.(Carrier); carrier || r.Only != nil {
 		return false
@@ -90,11 +95,13 @@
 	return false
 }
 
-// answerSlack is how early a request is answered whose time runs out, so that it is in time though events are late. The module takes as long.
+// answerSlack is how long before its deadline a request that runs out of time is answered, so that the
+// answer is in time even if events are late. The decision module uses the same margin.
 func (p *Proxy) answerSlack() time.Duration { return 2*p.cfg.Settings.MaxEventDelay + time.Millisecond }
 
-// sharedAttributes is what a list says beside what may differ between reads that get the same answer: how long they wait, who asks, what it
-// is thought to cost, whether it is asked again.
+// sharedAttributes returns those attributes that have to be equal for reads to share an answer. It
+// omits the deadline, the cost hint, the size and the retry mark, which may differ, and the class and the
+// tenant, which package joining compares.
 func sharedAttributes(attrs []byte) string {
 	var rest []string
 	for name, value := range upstream.Attributes(attrs) {
@@ -108,7 +115,8 @@
 	return strings.Join(rest, ",")
 }
 
-// shareAnswer gives what a lead has got to those who follow it: to some now, to the others in turns that let everybody else in between.
+// shareAnswer gives the answer of a lead to its followers: to a batch at once, and to the others in
+// further batches, between which other requests get the lock.
 func (p *Proxy) shareAnswer(r *Request, value []byte) {
 	ids := p.joins.Complete(r.id)
 	if len(ids) == 0 {
@@ -153,7 +161,8 @@
 	}
 }
 
-// answerFollower gives a follower the answer that is there for it. It gets none by a proof that has been taken away meanwhile.
+// answerFollower answers a follower with the value stored for it. If its proof has been revoked
+// meanwhile, it is rejected instead.
 func (p *Proxy) answerFollower(follower *Request) {
 	body := follower.join.body
 	if body == nil {
@@ -173,7 +182,8 @@
 	p.settle(follower)
 }
 
-// followerTimedOut ends a follower whose time is over. If its answer is there, it gets it.
+// followerTimedOut ends a follower whose deadline has passed. It gets the shared answer if there is
+// one.
 func (p *Proxy) followerTimedOut(id logic.RequestID) {
 	follower := p.requests[id]
 	switch {
@@ -186,15 +196,17 @@
 	}
 }
 
-// leadEnded notes that a read has its final answer, and got none that others could share: the lead passes on.
+// leadEnded notes that a read got a final answer which cannot be shared, so that another one has to
+// lead its followers.
 func (p *Proxy) leadEnded(r *Request) {
 	if r.join != nil && r.join.lead {
 		p.lost = append(p.lost, r.id)
 	}
 }
 
-// passLeads hands over leads that were lost, each by an event of its own. One that is lost at once passes on in the same loop, not in
-// the depth of the one before.
+// passLeads makes a follower the lead of each group that lost its lead, each by an event of its own. A
+// new lead that ends at once is handled by the same loop rather than by recursion. It reports whether
+// there were any new leads.
 func (p *Proxy) passLeads() (passed bool) {
 	for len(p.lost) > 0 {
 		id := p.lost[0]
@@ -205,7 +217,7 @@
 		}
 		passed = true
 		follower := p.requests[next]
-		if follower == nil || follower.done { // it has left without a word; the next
+		if follower == nil || follower.done { // withdrawn or answered; try the next
 			p.lost = append(p.lost, next)
 			continue
 		}
@@ -217,7 +229,8 @@
 	return passed
 }
 
-// stopSharing ends the sharing of a read whose answer can't be: it goes to its client piece by piece. Those who follow it make their own way.
+// stopSharing ends the sharing of a read whose answer is streamed to its client and cannot be shared.
+// Its followers go on independently.
 func (p *Proxy) stopSharing(r *Request) {
 	if r.join == nil || !r.join.lead {
 		return
@@ -231,7 +244,8 @@
 	}
 }
 
-// withdrawJoined takes a read out whose client has left. One that others wait for goes on for them. It tells whether that was all.
+// withdrawJoined withdraws a read whose client has left. A lead with followers continues for them. It
+// reports whether that was all there was to do.
 func (p *Proxy) withdrawJoined(r *Request) bool {
 	switch {
 	case r.join == nil || r.done:
@@ -253,7 +267,7 @@
 	return true
 }
 
-// removeFollower takes a follower out. A lead that has gone on for others after its own client had left ends with the last of them.
+// removeFollower removes a follower. A lead whose own client has left ends with its last follower.
 func (p *Proxy) removeFollower(id logic.RequestID) {
 	lead, alone := p.joins.RemoveFollower(id)
 	if r := p.requests[lead]; alone && r != nil && r.Taker == (discardingTaker{}) {
@@ -261,14 +275,15 @@
 	}
 }
 
-// fenceReads keeps reads that come from now on from sharing what was asked for before a write of the key was answered, or may have run.
+// fenceReads prevents reads that arrive from now on from sharing an attempt that began before a write
+// of the key was answered or may have run.
 func (p *Proxy) fenceReads(r *Request) {
 	if p.joins != nil && r.Write {
 		p.joins.Fence(string(r.Key))
 	}
 }
 
-// JoinCounts counts what became of reads that share attempts.
+// JoinCounts returns the counts of request coalescing.
 func (p *Proxy) JoinCounts() (c JoinCounts) {
 	p.Do(func() { c = p.joined })
 	return c
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -11,34 +11,38 @@
 	"linenloom/internal/upstream"
 )
 
-// Values past resp.MaxValue are long. One that is read goes to the client piece by piece as the member gives it, at the
-// client's pace: what is held of it is a piece on the way in and one on the way out. One that is written is held whole,
-// since it may have to be sent again, but only as many as there is room for: the others are not read until then, which
-// costs their clients nothing, as their time counts from the last byte.
+// Values larger than resp.MaxValue are long. A long value that is read is streamed to the client at the
+// client's pace as the member sends it, so that only one incoming and one outgoing piece are in memory.
+// A long value that is written is held completely, since it may have to be sent again. The memory for
+// these is limited, and further ones are not read until there is memory. This costs their clients
+// nothing, as their deadlines count from the last byte.
 const (
-	// longMemoryShare is the part of the memory for long values that are written, beside bufferShare for everything else.
+	// longMemoryShare is the share of the memory for long values that are written, in addition to
+	// bufferShare.
 	longMemoryShare = 0.25
-	// longPieceBytes is how much of a long value has to come within commandTime. Slower, a client would hold its room for minutes.
+	// longPieceBytes is how much of a long value has to arrive within commandTime. A slower client
+	// would hold its memory for minutes.
 	longPieceBytes = 64 << 10
-	// maxLongValueWait is how long a long value waits for room before it is refused.
+	// maxLongValueWait is how long a long value waits for memory before it is refused.
 	maxLongValueWait = 10 * time.Second
 )
 
-// longValueBudget is what may be held of long values. Who comes first is let in first, so that none waits for ever.
+// longValueBudget limits the memory that long values hold. Reservations are granted in the order of
+// requests, so that none waits forever.
 type longValueBudget struct {
 	usedBytes int
 	waiting   []*budgetReservation
-	maxWait   time.Duration // as maxLongValueWait; tests have it longer
+	maxWait   time.Duration // maxLongValueWait if 0; tests set a longer time
 }
 
-// budgetReservation waits for room.
+// budgetReservation is a reservation of memory that is waiting or granted.
 type budgetReservation struct {
 	bytes   int
-	granted chan struct{} // closed once it is let in
-	done    bool          // let in, or given up
+	granted chan struct{} // closed when the reservation is granted
+	done    bool          // granted or cancelled
 }
 
-// reserve asks for n bytes.
+// reserve requests a reservation of memory.
 func (b *longValueBudget) reserve(bytes, maxBytes int) *budgetReservation {
 	reservation := &budgetReservation{bytes: bytes, granted: make(chan struct{})}
 	b.waiting = append(b.waiting, reservation)
@@ -46,7 +50,7 @@
 	return reservation
 }
 
-// grantWaiting lets in those for whom there is room, and one in any case.
+// grantWaiting grants the reservations that fit, and one in any case if none is in use.
 func (b *longValueBudget) grantWaiting(maxBytes int) {
 	for len(b.waiting) > 0 {
 		next := b.waiting[0]
@@ -60,7 +64,7 @@
 	}
 }
 
-// release gives up the wait, or the room.
+// release cancels a waiting reservation or returns a granted one.
 func (b *longValueBudget) release(reservation *budgetReservation) {
 	if reservation.done {
 		b.usedBytes -= reservation.bytes
@@ -72,12 +76,14 @@
 	}
 }
 
-// ReserveLongValue asks for room for a value that a member sends, which is held until it is whole.
+// ReserveLongValue requests memory for a value of unknown length that a member sends and that is held
+// until it is complete.
 func (h host) ReserveLongValue(bytes int, until time.Duration) upstream.Reservation {
 	return &longValueReservation{budgetReservation: h.long.reserve(bytes, h.maxLongBytes()), proxy: h.Proxy, timeout: until - h.now}
 }
 
-// ReserveLongValueWithin asks, outside the lock, for room for a long value that a front holds, for so long at the most.
+// ReserveLongValueWithin requests memory for a long value that a front end holds, and waits no longer
+// than the given time for it. It is called without the lock.
 func (p *Proxy) ReserveLongValueWithin(bytes int, within time.Duration) (reservation upstream.Reservation) {
 	return p.reserveLongValue(bytes, within, nil)
 }
@@ -89,19 +95,19 @@
 	return reservation
 }
 
-// SetReservedBytes says, before the request is taken, that its value is in the room for long values, with so many bytes. From then on they are given
-// back with the request.
+// SetReservedBytes states that the request's value is held in that many bytes of reserved memory, which
+// are then returned with the request. It is called before the request is submitted.
 func (r *Request) SetReservedBytes(bytes int) { r.long = bytes }
 
-// longValueReservation is a place in the room that is waited for without the lock, for so long at the most.
+// longValueReservation is a budgetReservation that can be waited for without the lock, up to a timeout.
 type longValueReservation struct {
 	*budgetReservation
 	proxy     *Proxy
 	timeout   time.Duration
-	cancelled <-chan struct{} // closed once nobody wants it any more; nil: that is not told
+	cancelled <-chan struct{} // closed when the reservation is no longer needed; may be nil
 }
 
-// Wait waits for the room.
+// Wait waits for the reservation and reports whether it was granted.
 func (r *longValueReservation) Wait() (granted bool) {
 	timer := time.NewTimer(r.timeout)
 	defer timer.Stop()
@@ -118,20 +124,20 @@
 	return granted
 }
 
-// Shrink gives back what the value does not take.
+// Shrink returns the memory that the value does not need.
 func (r *longValueReservation) Shrink(bytes int) {
 	r.proxy.Do(func() { r.proxy.long.usedBytes -= r.bytes - bytes; r.bytes = bytes })
 }
 
-// Release gives the room back.
+// Release returns the memory.
 func (r *longValueReservation) Release() { r.proxy.Do(r.ReleaseLocked) }
 
-// ReleaseLocked is Leave under the lock.
+// ReleaseLocked is Release with the lock held.
 func (r *longValueReservation) ReleaseLocked() { r.proxy.long.release(r.budgetReservation) }
 
 func (p *Proxy) maxLongBytes() int { return int(float64(p.cfg.MemoryMB) * (1 << 20) * longMemoryShare) }
 
-// releaseValue gives back the room of a request's value.
+// releaseValue returns the memory of a request's value.
 func (p *Proxy) releaseValue(r *Request) {
 	if r.long > 0 {
 		p.long.usedBytes -= r.long
@@ -141,7 +147,7 @@
 	r.long, r.Value = 0, nil
 }
 
-// readLongValue reads a long value of a client, once there is room for it.
+// readLongValue reads a long value from a client once there is memory for it.
 func (c *client) readLongValue(cmd *input, length int) error {
 	p := c.p
 	gone := make(chan struct{})
@@ -150,7 +156,7 @@
 	granted := reservation.Wait()
 	c.arrived.NoteUnreadPossible()
 	p.Do(func() { c.waits = nil })
-	if !granted { // it is read over, and refused
+	if !granted { // the value is skipped and the request refused
 		*cmd = input{refused: true}
 		c.limit()
 		return c.in.Skip(length)
@@ -168,7 +174,7 @@
 	return nil
 }
 
-// readPieces reads a long value, which has to keep a least pace.
+// readPieces reads a long value, each piece of which has to arrive within commandTime.
 func (c *client) readPieces(value []byte) error {
 	for len(value) > 0 {
 		piece := value[:min(len(value), longPieceBytes)]
@@ -182,15 +188,15 @@
 	return nil
 }
 
-// errClientGone tells that a client takes nothing any more.
-var errClientGone = errors.New("the client has gone")
+// errClientGone means that a client no longer receives anything.
+var errClientGone = errors.New("the client has disconnected")
 
 var _ upstream.ValueStream = (*owed)(nil)
 
-// Begin begins the answer.
+// Begin writes the head of the answer.
 func (o *owed) Begin(n int) error { return o.writeInTurn(resp.AppendBulkHead(nil, n), false) }
 
-// WritePiece writes a piece.
+// WritePiece writes a piece of the value.
 func (o *owed) WritePiece(piece []byte) error { return o.writeInTurn(piece, false) }
 
 // Finish ends the answer.
@@ -199,7 +205,8 @@
 // Abort closes the connection.
 func (o *owed) Abort() { o.client.p.Do(o.client.close) }
 
-// writeInTurn sends bytes of an answer once its turn has come and the client has taken what was sent before.
+// writeInTurn sends bytes of an answer once the answers before it are complete and the client has
+// received all earlier bytes.
 func (o *owed) writeInTurn(b []byte, last bool) error {
 	c := o.client
 	p := c.p
@@ -225,7 +232,7 @@
 	}
 }
 
-// signalTurn lets the answer go on whose turn it is.
+// signalTurn wakes the answer that waits in writeInTurn.
 func (o *owed) signalTurn() {
 	if o.turn != nil {
 		close(o.turn)
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -11,27 +11,29 @@
 	"linenloom/logic"
 )
 
-// ManyTaker gets what becomes of the keys of one request, under the host's lock; it must not block.
+// ManyTaker receives the outcomes of a request for many keys. Its methods are called under the host's
+// lock and must not block.
 type ManyTaker interface {
-	// KeyDone tells of a key, by its number in the Gather: its value, which is valid during the call, or why there is none. It may come in
-	// the midst of the Balancer's work.
+	// KeyDone reports the outcome of the key with this index in the Gather: its value, which is valid
+	// during the call only, or why there is none. It may be called while the balancer is handling an
+	// event.
 	KeyDone(keyIndex int, outcome manykeys.Outcome, answer Answer, denied error)
-	// AllDone comes once every key has been told of.
+	// AllDone is called once, after KeyDone for every key.
 	AllDone()
 }
 
-// Many is a request for many keys: one reply, and a read of its own for each key.
+// Many is a request for many keys. It has one reply, and a separate read for each key.
 type Many struct {
 	proxy     *Proxy
 	Gather    *manykeys.Gather
 	taker     ManyTaker
-	command   Command // of which each read has a key and an id
+	command   Command // each read has its own key and ID in it
 	proof     *identity.Proof
 	front     string
-	reads     []manyRead // by key
-	idBuffer  []byte     // of the reads
-	group     uint32     // of the reads, to the connections
-	queued    bool       // in the host's list of those to go on with
+	reads     []manyRead // by key index
+	idBuffer  []byte     // holds the IDs of the reads
+	group     uint32     // of the reads, used by the connection pool
+	queued    bool       // in the host's list of requests to advance
 	finished  bool
 	withdrawn bool
 }
@@ -43,17 +45,19 @@
 	keyIndex int
 }
 
-// ErrManyKeysDisabled tells that requests for many keys are not taken here.
+// ErrManyKeysDisabled means that requests for many keys are not enabled.
 var ErrManyKeysDisabled = errors.New("requests for many keys are not taken")
 
-// SubmitMany takes a request for many keys, under the host's lock; most is how many bytes its values may have, beside what is set. What is
-// wrong with all of it is told at once, and nothing is asked for then. It begins once the event is done, as what it does may end some of it at once.
+// SubmitMany accepts a request for many keys, under the host's lock. maxBytes limits the total size of
+// the values, in addition to the configured limit. An error concerns the request as a whole; no key is
+// requested then. The reads start after the current event, as starting them may end some of them at
+// once.
 func (p *Proxy) SubmitMany(c Command, keys []string, proof *identity.Proof, front string, maxBytes int, taker ManyTaker) (*Many, error) {
 	configured := p.cfg.ManyKeys
 	switch {
 	case configured == nil:
 		return nil, ErrManyKeysDisabled
-	case len(keys) > configured.Keys: // before any of them is looked at
+	case len(keys) > configured.Keys: // before any key is examined
 		return nil, fmt.Errorf("%w: %d, and %d are allowed", manykeys.ErrTooMany, len(keys), configured.Keys)
 	case len(keys) == 0:
 		return nil, manykeys.ErrNoKeys
@@ -81,7 +85,7 @@
 		return nil, err
 	}
 	p.ids.add(c.ReqID, p.now)
-	c.Arrived = p.arrivedAt(c.Arrived) // of each of its reads, whenever that is asked for
+	c.Arrived = p.arrivedAt(c.Arrived) // also for reads that start later
 	p.groups = max(1, p.groups+1)
 	m := &Many{proxy: p, Gather: gather, taker: taker, command: c, proof: proof, front: front, group: p.groups, reads: make([]manyRead, gather.Len()),
 		idBuffer: make([]byte, 0, gather.Len()*(len(c.ReqID)+5))}
@@ -96,7 +100,7 @@
 	}
 }
 
-// advance asks for what is to be asked for now, and ends the request once all of it has its mark.
+// advance submits the reads that may start now, and ends the request once every key has an outcome.
 func (m *Many) advance() {
 	m.queued = false
 	if m.withdrawn || m.finished {
@@ -133,7 +137,7 @@
 	}
 }
 
-// Answer takes a key's final answer.
+// Answer handles the final answer to the read of a key.
 func (r *manyRead) Answer(a Answer) {
 	outcome := manykeys.Failed
 	switch {
@@ -149,7 +153,8 @@
 	r.many.completeKey(r.keyIndex, outcome, a, r.denied)
 }
 
-// completeKey notes what became of a key. What follows from it waits until the Balancer has done its work.
+// completeKey stores the outcome of a key. The request is advanced after the balancer has handled the
+// current event.
 func (m *Many) completeKey(keyIndex int, outcome manykeys.Outcome, a Answer, denied error) {
 	if m.withdrawn {
 		return
@@ -158,7 +163,7 @@
 	m.queue()
 }
 
-// Withdraw says that nobody waits for the reply any more: the reads that are out are given up.
+// Withdraw cancels the outstanding reads, as the client no longer waits for the reply.
 func (m *Many) Withdraw() {
 	if m.withdrawn || m.finished {
 		return
@@ -171,11 +176,12 @@
 	}
 }
 
-// advanceMany goes on with requests for many keys whose keys have ended. It tells whether there were any.
+// advanceMany advances the requests for many keys that have new outcomes. It reports whether there were
+// any.
 func (p *Proxy) advanceMany() (advanced bool) {
 	p.ups.Cork()
 	defer p.ups.Uncork()
-	for i := 0; i < len(p.manys); i++ { // it grows while it is gone through
+	for i := 0; i < len(p.manys); i++ { // the list may grow during the loop
 		p.manys[i].advance()
 		p.manys[i] = nil
 		advanced = true
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -11,27 +11,27 @@
 	"linenloom/internal/upstream"
 )
 
-// streamAttribute is the name in a request's list by which a client says that it takes keys as they come.
+// streamAttribute is the attribute by which a client asks to get each key as soon as it is available.
 const streamAttribute = "s"
 
-// maxKeptScratch is how much of the room for replies is kept for the next.
+// maxKeptScratch is the largest reply buffer, in bytes, that is kept for reuse.
 const maxKeptScratch = 1 << 20
 
-// manyReply is the reply to OBJ.MGET (docs/many-keys.md).
+// manyReply is the reply to OBJ.MGET, see docs/many-keys.md.
 type manyReply struct {
 	proxy         *Proxy
 	answer        *owed
 	many          *Many
-	keyTexts      [][]byte // what the reply says of each key
-	unsent        []byte   // what is to be written, where keys are taken as they come
+	keyTexts      [][]byte // RESP2 text for each key, when not streaming
+	unsent        []byte   // text to be written next, when streaming
 	heldBytes     int
 	stream        bool
-	placesWritten int // places told so far, where keys are taken as they come
+	placesWritten int // number of places that have their text, when streaming
 }
 
 var _ ManyTaker = (*manyReply)(nil)
 
-// submitMany hands over a request for many keys that has been read whole.
+// submitMany submits a request for many keys that has been read completely.
 func (c *client) submitMany(cmd input) {
 	o := &owed{client: c}
 	c.pending = append(c.pending, o)
@@ -76,7 +76,7 @@
 	return m, nil
 }
 
-// KeyDone puts what became of a key into RESP2.
+// KeyDone encodes the outcome of a key as RESP2.
 func (m *manyReply) KeyDone(keyIndex int, outcome manykeys.Outcome, a Answer, denied error) {
 	p := m.proxy
 	b := p.scratch[:0]
@@ -97,7 +97,7 @@
 	if cap(p.scratch) < cap(b) && cap(b) <= maxKeptScratch {
 		p.scratch = b[:0]
 	}
-	if !m.stream { // one by one: a single piece that grows costs more
+	if !m.stream { // separate buffers: growing a single one costs more
 		m.keyTexts[keyIndex] = slices.Clone(b)
 		m.addHeld(len(b))
 		return
@@ -115,13 +115,13 @@
 	m.answer.client.flush()
 }
 
-// addHeld counts what is held for the reply.
+// addHeld adds n bytes to the memory that is held for the reply.
 func (m *manyReply) addHeld(n int) {
 	m.heldBytes += n
 	m.proxy.Hold(n)
 }
 
-// AllDone writes the reply, in the order asked, or what is left of one that went out as keys came.
+// AllDone writes the reply in the order of the request, or the rest of a streamed one.
 func (m *manyReply) AllDone() {
 	c, o := m.answer.client, m.answer
 	if m.stream {
@@ -140,14 +140,14 @@
 	}
 }
 
-// takeUnsent takes what is to be written now, and tells whether that is the last of it.
+// takeUnsent returns the text to be written now, and whether it is the last of the reply.
 func (m *manyReply) takeUnsent() (b []byte, last bool) {
 	b, m.unsent = m.unsent, nil
 	m.addHeld(-m.heldBytes)
 	return b, m.placesWritten == len(m.many.Gather.KeyIndexes())
 }
 
-// abandon ends a request whose client has gone.
+// abandon ends a request whose client has disconnected.
 func (m *manyReply) abandon() {
 	m.addHeld(-m.heldBytes)
 	m.keyTexts, m.unsent = nil, nil
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -15,7 +15,8 @@
 	"linenloom/logic"
 )
 
-// Record keeps orders on record (docs/orders.md). Its calls return at once; done is called later, without the lock, once the disk has it.
+// Record stores orders durably, see docs/orders.md. Its methods return at once. They call done later,
+// without the host's lock, when the change is on disk.
 type Record interface {
 	Take(o orders.Order, done func(orders.Verdict, []byte, error))
 	Send(n orders.Name, member string, notRun bool, done func(error))
@@ -23,37 +24,38 @@
 	Close() error
 }
 
-// RecordsOrders tells whether orders are kept on record.
+// RecordsOrders reports whether orders are recorded.
 func (p *Proxy) RecordsOrders() bool { return p.cfg.Record != nil }
 
-// recordRetryDelay is about when an order that could not be recorded may come again.
+// recordRetryDelay is the mean delay after which a client may retry an order that could not be
+// recorded.
 const recordRetryDelay = time.Second
 
-// The phases of a recorded order here.
+// The phases of a recorded order in this process.
 const (
-	orderTaking     = iota // the record is asked
-	orderInProgress        // the Balancer has it
-	orderEnding            // its end is on its way to the disk
+	orderTaking     = iota // waiting for the record's verdict
+	orderInProgress        // handed to the balancer
+	orderEnding            // its end is being written to disk
 	orderSettled           // nothing more is to be recorded
 )
 
-// recordedOrder is what the host keeps of an order that is on record. All of it is under the host's lock.
+// recordedOrder is the host's state of an order that is on record. The host's lock guards all fields.
 type recordedOrder struct {
 	name            orders.Name
-	balancerRequest logic.Request // as the Balancer is told of it, once it is taken
+	balancerRequest logic.Request // passed to the balancer once the record accepts the order
 	phase           int
-	// What the record says, or will be told with the next change.
-	sent          bool // it may have run
-	notRun        bool // it was sent, and has surely not run
-	answered      bool // it has run, and was answered
+	// What the record contains, or will contain after the next change.
+	sent          bool // recorded as sent to a member, so it may have run
+	notRun        bool // it was sent, but is known not to have run
+	answered      bool // it has run and was answered
 	reportedBy    string
 	receipt       []byte
-	reportReceipt bool     // its client gets the receipt once the disk has it
-	changePending bool     // a change is out; the record takes one at a time of an order
-	queuedChanges []func() // changes, at most one for an attempt and one for the end
+	reportReceipt bool     // the client gets the receipt once it is on disk
+	changePending bool     // a change is being written; the record accepts one at a time per order
+	queuedChanges []func() // at most one per attempt and one for the end
 }
 
-// startChange has f change the record, once the change before is there.
+// startChange calls f to change the record, as soon as the previous change of the order is complete.
 func (c *recordedOrder) startChange(f func()) {
 	if c.changePending {
 		c.queuedChanges = append(c.queuedChanges, f)
@@ -71,7 +73,8 @@
 	}
 }
 
-// takeNotRun tells the record, with the change that is to come, that the order is back unrun.
+// takeNotRun reports whether the next change must tell the record that the order was sent but has not
+// run, and resets that state.
 func (c *recordedOrder) takeNotRun() (notRun bool) {
 	notRun = c.sent && c.notRun
 	if notRun {
@@ -80,7 +83,7 @@
 	return notRun
 }
 
-// recordOrder has an order put on record before the Balancer sees it.
+// recordOrder puts an order on record before the balancer sees it.
 func (p *Proxy) recordOrder(r *Request, balancerRequest logic.Request) {
 	order := orders.Order{Name: orders.Name{Key: string(r.ReqID)}, Digest: r.digest()}
 	for name, value := range upstream.Attributes(r.Attrs) {
@@ -88,7 +91,7 @@
 		case "t":
 			order.Tenant = string(value)
 		case "k":
-			// A request's id is new with every try, and a repeat can't be known by it.
+			// The request ID differs with every retry, so a retry can be recognized by its key only.
 			order.Key, order.Retry = string(value), balancerRequest.Retry
 		}
 	}
@@ -107,7 +110,8 @@
 	})
 }
 
-// digest tells what an order asks for from what another one of its name does.
+// digest returns a hash of the order's content, which tells it from a different order with the same
+// name.
 func (r *Request) digest() (digest [sha256.Size]byte) {
 	hash := sha256.New()
 	for _, part := range [...][]byte{r.Key, r.Value} {
@@ -118,7 +122,7 @@
 	return digest
 }
 
-// handleRecordVerdict goes on with what the record says of an order that has come.
+// handleRecordVerdict continues with a new order according to the record's verdict.
 func (p *Proxy) handleRecordVerdict(r *Request, verdict orders.Verdict, receipt []byte, err error) {
 	order := r.rec
 	if err != nil || verdict != orders.Proceed {
@@ -127,7 +131,7 @@
 		order.phase = orderInProgress
 	}
 	switch {
-	case r.done: // its time is over, or its client has left
+	case r.done: // its deadline has passed, or its client has left
 		if order.phase == orderInProgress {
 			p.recordEnd(r)
 		}
@@ -152,7 +156,9 @@
 	}
 }
 
-// recordRetryAfter is when an order that could not be recorded may come again, as far as the settings let clients be told: not all at one time.
+// recordRetryAfter returns the delay after which a client may retry an order that could not be
+// recorded, or 0 if the settings allow no such hint. The delay is random, so that clients do not retry
+// all at once.
 func (p *Proxy) recordRetryAfter() time.Duration {
 	if s := &p.cfg.Settings; s.CanRetryAfter {
 		return min(recordRetryDelay/2+rand.N(recordRetryDelay), s.MaxRetryAfter*2/3)
@@ -167,14 +173,15 @@
 	return reasons.RecordFault
 }
 
-// settleRecorded notes that nothing more of an order is to be recorded. A process that stops gives the record to the next one then.
+// settleRecorded marks an order as one for which nothing more is to be recorded. A process that stops
+// hands the record to its successor after its last such order.
 func (p *Proxy) settleRecorded(c *recordedOrder) {
 	c.phase = orderSettled
 	p.recorded--
 	p.closeRecord()
 }
 
-// closeRecord closes the record once the proxy takes nothing more and no order is in hand.
+// closeRecord closes the record once the proxy is stopping and no order is in progress.
 func (p *Proxy) closeRecord() {
 	if p.cfg.Record == nil || !p.stopping || p.recorded > 0 || p.recordClosed {
 		return
@@ -182,12 +189,12 @@
 	p.recordClosed = true
 	go func() {
 		if err := p.cfg.Record.Close(); err != nil {
-			p.log.Error("the record of orders", "err", err)
+			p.log.Error("closing the record of orders failed", "err", err)
 		}
 	}()
 }
 
-// sendRecorded sends an attempt of an order once the record says that it may have run.
+// sendRecorded sends an attempt of an order after the record has stored that the order may have run.
 func (p *Proxy) sendRecorded(r *Request, a *attempt, m *member) {
 	order := r.rec
 	a.recording = true
@@ -195,7 +202,7 @@
 	p.schedule(due{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 	address := m.Addr
 	order.startChange(func() {
-		if a.Ended { // it waited for the change before, and is over
+		if a.Ended { // the attempt ended while it waited for the previous change
 			order.changeDone()
 			return
 		}
@@ -205,7 +212,8 @@
 	})
 }
 
-// handleSendRecorded sends an attempt that is on record. Meanwhile its time may be over, its member draining, or its proof taken away.
+// handleSendRecorded sends an attempt whose sending is on record. In the meantime, the attempt may have
+// timed out, its member may have started to drain, or the caller's proof may have been revoked.
 func (p *Proxy) handleSendRecorded(r *Request, a *attempt, err error) {
 	order := r.rec
 	a.recording = false
@@ -213,8 +221,8 @@
 	m := p.members[a.to]
 	switch {
 	case a.Ended:
-	case err != nil: // it can't be sent, here or to anybody else
-		p.log.Warn("an order can't be recorded, and is refused", "err", err)
+	case err != nil: // the order can't be sent to this or any other member
+		p.log.Warn("an attempt could not be recorded; the order is refused", "err", err)
 		p.end(a, logic.StatusMoot, 0)
 		if !r.done {
 			p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Why: refusalReason(err)})
@@ -234,7 +242,7 @@
 	order.changeDone()
 }
 
-// attemptEnded takes in how an attempt of a recorded order has ended.
+// attemptEnded updates the order's state with the outcome of an attempt.
 func (c *recordedOrder) attemptEnded(a *attempt, status logic.Status) {
 	switch {
 	case status == logic.StatusOK:
@@ -249,7 +257,7 @@
 	}
 }
 
-// handleReceipt keeps the receipt of an order, and has its client told once it is on record.
+// handleReceipt stores the receipt of an order. The client gets it once it is on record.
 func (p *Proxy) handleReceipt(r *Request, value []byte) {
 	order := r.rec
 	if order.phase != orderInProgress {
@@ -261,7 +269,7 @@
 	p.recordEnd(r)
 }
 
-// recordEnd has the end of an order put on record.
+// recordEnd puts the end of an order on record.
 func (p *Proxy) recordEnd(r *Request) {
 	order := r.rec
 	order.phase = orderEnding
@@ -277,13 +285,13 @@
 	})
 }
 
-// handleEndRecorded tells the client what it is owed, now that it is on record. What could not be recorded may have run, as far as anybody can tell
-// later.
+// handleEndRecorded answers the client if it still waits for the receipt, now that the end of the order
+// is on record. If the end could not be recorded, the order counts as one that may have run.
 func (p *Proxy) handleEndRecorded(r *Request, err error) {
 	order := r.rec
 	p.settleRecorded(order)
 	if err != nil {
-		p.log.Warn("the end of an order can't be recorded", "err", err)
+		p.log.Warn("the end of an order could not be recorded", "err", err)
 	}
 	if order.reportReceipt {
 		order.reportReceipt = false
@@ -300,7 +308,7 @@
 	p.settle(r)
 }
 
-// handleRecordTimeout answers an order whose time ends while the disk is waited for.
+// handleRecordTimeout answers an order whose deadline passes while it waits for the disk.
 func (p *Proxy) handleRecordTimeout(r *Request) {
 	switch order := r.rec; {
 	case order.reportReceipt:
@@ -313,7 +321,8 @@
 	}
 }
 
-// endRecorded tells whether the host may let go of an order that is over for the Balancer, and has its end recorded.
+// endRecorded starts to record the end of an order that the balancer has finished, unless that has been
+// done. It reports whether the host may remove the request, as no receipt is pending for its client.
 func (p *Proxy) endRecorded(r *Request) bool {
 	if r.rec.phase == orderInProgress {
 		p.recordEnd(r)
@@ -321,7 +330,8 @@
 	return !r.rec.reportReceipt
 }
 
-// withdrawRecorded takes an order out whose client has left, where the Balancer does not have it. It tells whether that was all.
+// withdrawRecorded withdraws an order whose client has left while the balancer does not have it. It
+// reports whether that was all there was to do.
 func (p *Proxy) withdrawRecorded(r *Request) bool {
 	switch order := r.rec; {
 	case order.phase == orderTaking && !r.done:
