--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// followerTimer is the kind of the timers of followers and of recorded orders. The decision module
+	// hostTimer is the kind of the timers of followers and of recorded orders. The decision module
 	// uses no timer of this number.
-	followerTimer = 7
+	hostTimer = 7
 	// shareBatchSize is how many followers are answered per hold of the lock. Answering thousands at
 	// once would delay all other requests.
 	shareBatchSize = 64
@@ -75,7 +75,7 @@
 	if _, carrier := r.Taker.(Carrier); carrier || r.Only != nil {
 		return false
 	}
-	read, ok := p.joins.Limits().NewRead(&balancerRequest, r.effect, string(r.Key), sharedAttributes(r.Attrs))
+	read, ok := p.joins.Limits().NewRead(&balancerRequest, r.effect, string(r.Key), identityAttributes(r.Attrs))
 	if !ok {
 		return false
 	}
@@ -84,7 +84,7 @@
 		r.join = &joinState{balancerRequest: balancerRequest}
 		p.joined.Followed++
 		p.reasons.Add(reasons.Waited, r.class, r.tenant, logic.SharedFetch)
-		p.timers.pushToken(p.now, max(p.now, balancerRequest.Deadline-p.answerSlack()), uint64(r.id)<<3|followerTimer)
+		p.timers.pushToken(p.now, max(p.now, balancerRequest.Deadline-p.answerSlack()), uint64(r.id)<<3|hostTimer)
 		return true
 	case joining.Lead:
 		r.join = &joinState{balancerRequest: balancerRequest, lead: true}
@@ -99,10 +99,10 @@
 // answer is in time even if events are late. The decision module uses the same margin.
 func (p *Proxy) answerSlack() time.Duration { return 2*p.cfg.Settings.MaxEventDelay + time.Millisecond }
 
-// sharedAttributes returns those attributes that have to be equal for reads to share an answer. It
+// identityAttributes returns those attributes that have to be equal for reads to share an answer. It
 // omits the deadline, the cost hint, the size and the retry mark, which may differ, and the class and the
 // tenant, which package joining compares.
-func sharedAttributes(attrs []byte) string {
+func identityAttributes(attrs []byte) string {
 	var rest []string
 	for name, value := range upstream.Attributes(attrs) {
 		switch name {
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -104,7 +104,7 @@
 	}
 	r.rec = &recordedOrder{name: order.Name, balancerRequest: balancerRequest}
 	p.recorded++
-	p.timers.pushToken(p.now, max(p.now, r.deadline-p.answerSlack()), uint64(r.id)<<3|followerTimer)
+	p.timers.pushToken(p.now, max(p.now, r.deadline-p.answerSlack()), uint64(r.id)<<3|hostTimer)
 	p.cfg.Record.Take(order, func(v orders.Verdict, receipt []byte, err error) {
 		p.Do(func() { p.handleRecordVerdict(r, v, receipt, err) })
 	})
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -248,7 +248,7 @@
 }
 
 func (p *Proxy) ringToken(token uint64) {
-	if token&7 == followerTimer {
+	if token&7 == hostTimer {
 		id := logic.RequestID(token >> 3)
 		if r := p.requests[id]; r != nil && r.rec != nil {
 			p.handleRecordTimeout(r)
