--- a/internal/proxy/copies_test.go
+++ b/internal/proxy/copies_test.go
@@ -18,19 +18,21 @@
 	"linenloom/internal/standin"
 )
 
-// transitScenario is a scene: a proxy before two caches, one of which is far away, with relays that count the copies that members have in hand.
+// transitScenario is a proxy in front of two caches, one of which is far away, with relays that count
+// the copies of a request that members have at a time.
 type transitScenario struct {
 	*testProxy
 	t          *testing.T
 	copies     *standin.Copies
 	client     *testClient
-	warmupKeys int // keys that were asked for to warm up
+	warmupKeys int // number of keys requested during warm-up
 }
 
-// invalidAnswer is what no member should send, and ends a connection.
+// invalidAnswer is an answer that no member should send; it ends the connection.
 const invalidAnswer = "\x8fb2\xf4\r\n"
 
-// startRelay is a member behind a relay, with the time that bytes take there and back, and by how much later the first ones of a connection come.
+// startRelay starts a relay in front of a member, with one-way delays and an additional delay of the
+// first bytes of a connection.
 func (s *transitScenario) startRelay(name, to, kind string, there, back, handshake time.Duration) discovery.Member {
 	s.t.Helper()
 	r, err := standin.NewRelay(name, to, kind == "origin", there, back, s.copies)
@@ -42,7 +44,7 @@
 	return entry(name, r.Addr(), kind)
 }
 
-// sendRead sends a read and tells whether it was written to the far member first.
+// sendRead sends a read and reports whether it was written to the far member first.
 func (s *transitScenario) sendRead(key, id string, wait int) (far bool) {
 	s.t.Helper()
 	s.client.send(words("OBJ.GET", key, id, fmt.Sprint("c=tile-read,d=", wait)))
@@ -52,7 +54,8 @@
 	return s.copies.Written("far", id) > 0
 }
 
-// keysOfFarMember asks for keys until so many have their place at the far member, and its answers count as clean.
+// keysOfFarMember requests keys until n of them have been sent to the far member first and its answers
+// count as clean.
 func (s *transitScenario) keysOfFarMember(n, most int) (keys []string) {
 	s.t.Helper()
 	for i := 0; len(keys) < n; i++ {
@@ -78,12 +81,14 @@
 	}
 }
 
-// What happens: a read is written to a member in another zone, and its connection ends right after for something else: noise that comes on it, or
-// another read in front of it. It is sent again at once, to a nearer member. That one comes first; then the first one comes, while the second is
-// in hand: two at a time, which the protocol does not allow.
+// A read is written to a member in another zone, and right afterwards its connection ends for another
+// reason: an invalid answer arrives, or another read in front of it gets one. The retry goes to a
+// nearer member at once and arrives first. Then the first attempt arrives while the second is being
+// processed: two copies at a time, which the protocol forbids.
 //
-// Why: the end of a connection does not call back what has gone out on it, and the next attempt was written without regard to how long ago the one
-// before was. With -debug: "attempt=0 status=error out_ms=1.2", "attempt=1" written in the same event.
+// This happens because the end of a connection does not recall what was sent on it, if the next attempt
+// is written regardless of how long ago the previous one was. The debug log showed "attempt=0
+// status=error out_ms=1.2" and "attempt=1" written in the same event.
 func TestFurtherAttemptsWaitForRequestsInTransit(t *testing.T) {
 	for name, behind := range map[string]bool{"noise before its answer": false, "another's answer is noise": true} {
 		t.Run(name, func(t *testing.T) {
@@ -116,7 +121,7 @@
 			})
 			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 			cfg := testConfig()
-			cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that there is one connection to each cache
+			cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // one connection to each cache
 			scenario.testProxy = start(t, cfg,
 				scenario.startRelay("far", far, "large", 60*time.Millisecond, 40*time.Millisecond, 0),
 				scenario.startRelay("near", near, "large", 0, 0, 0), scenario.startRelay("origin", o, "origin", 0, 0, 0))
@@ -131,7 +136,7 @@
 				t.Fatal("the read was not written to the far member")
 			}
 			spoil <- struct{}{}
-			if behind { // early on, what only stood behind another is sent to the same member again
+			if behind { // a read that was only pipelined behind another one is first retried at the same member
 				scenario.eventually("it is written again", func() bool { return scenario.copies.Written("far", "second") == 2 })
 				spoil <- struct{}{}
 			}
@@ -149,11 +154,13 @@
 	}
 }
 
-// What happens, where the way to a member takes now longer, now less, as by two paths: a read is written on a connection that is slow, and that ends
-// right after for noise. The next attempt is written elsewhere once the least time that an answer has taken is over, and comes first.
+// The transit time to a member varies, as with two network paths. A read is written on a slow
+// connection that ends right afterwards with an invalid answer. The next attempt is written elsewhere
+// after the shortest answer time seen so far, and arrives first.
 //
-// Why: how long a request is under way was taken from the quickest answers. Seen with all tests three times beside each other: "a second copy at b-2
-// (written at 4106.3 ms, came at 4108.7 ms, connection ended at 4107.7 ms), while one is out at o-1 (written at 4108.1 ms, came at 4108.1 ms)".
+// This happens if the transit time is derived from the quickest answers. Seen with all tests running
+// three times in parallel: "a second copy at b-2 (written at 4106.3 ms, came at 4108.7 ms, connection
+// ended at 4107.7 ms), while one is out at o-1 (written at 4108.1 ms, came at 4108.1 ms)".
 func TestFurtherAttemptsWaitWhenTransitTimeVaries(t *testing.T) {
 	t.Parallel()
 	const rounds, slow = 3, 60 * time.Millisecond
@@ -191,7 +198,7 @@
 	})
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
-	cfg.Settings.Instances = pool.CacheConnCapacity // so that there is one connection to each cache
+	cfg.Settings.Instances = pool.CacheConnCapacity // one connection to each cache
 	relay, err := standin.NewRelay("far", far, false, 0, 0, scenario.copies)
 	if err != nil {
 		t.Fatal(err)
@@ -220,11 +227,13 @@
 	scenario.reportViolations()
 }
 
-// What happens: the first read on a connection to a member that is held up for a moment comes there some tens of milliseconds after it was
-// written, when its handshake is through. Its time is up before that; the next attempt is written elsewhere, and is in hand when it comes.
+// The first read on a connection to a member that stalls briefly arrives some tens of milliseconds
+// after it was written, when the handshake is complete. If it has timed out by then, the next attempt
+// is written elsewhere and is being processed when the first one arrives.
 //
-// Why: a time-out took no account of the handshake. Seen in the log (-debug) of rate+silent+leave, seed 941303921715, in each play that broke the
-// rule: "attempt=0 status=timeout waited_ms=116.5 left_at_write_ms=3.5 out_ms=4.3 first_on_connection=true", at a member that answered nothing for 18
+// This happens if the timeout does not account for the handshake. The debug log of rate+silent+leave,
+// seed 941303921715, showed in each failing run "attempt=0 status=timeout waited_ms=116.5
+// left_at_write_ms=3.5 out_ms=4.3 first_on_connection=true", at a member that answered nothing for 18
 // to 45 ms around it.
 func TestFirstReadOnAConnectionWaitsForTheHandshake(t *testing.T) {
 	t.Parallel()
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -20,13 +20,14 @@
 	"linenloom/logic"
 )
 
-// attemptScenario is a way on which attempts come to be written, and how a client asks for what goes that way.
+// attemptScenario is a proxy configuration and a kind of client request, which determine how attempts
+// are written.
 type attemptScenario struct {
 	configure  func(t *testing.T, cfg *Config)
 	newRequest func(rng *rand.Rand, id string) (text string, answers int)
 }
 
-// randomDeadline is a deadline between almost none and that of the class.
+// randomDeadline returns an attribute with a deadline between a few milliseconds and that of the class.
 func randomDeadline(rng *rand.Rand) string { return fmt.Sprint("d=", 20+rng.IntN(580)) }
 
 func randomKey(rng *rand.Rand) string { return fmt.Sprint("k", rng.IntN(500)) }
@@ -47,7 +48,7 @@
 	}
 }
 
-// fewConnections has many requests at once on the few connections to each cache.
+// fewConnections configures few connections to each cache, with many pipelined requests.
 func fewConnections(_ *testing.T, cfg *Config) {
 	cfg.Multiplex, cfg.Settings.Instances = 32, pool.CacheConnCapacity/8
 }
@@ -60,7 +61,7 @@
 	"keyed orders":                 {newRequest: orderRequests("keyed")},
 	"orders on record": {newRequest: orderRequests("pass-order"), configure: func(t *testing.T, cfg *Config) {
 		opt := recordOptions
-		opt.Limits.MaxOrders = 100_000 // however many are asked for until enough have been tried again
+		opt.Limits.MaxOrders = 100_000 // enough for all orders until enough retries have been seen
 		cfg.Record = openRecord(t, crash.New(), opt)
 	}},
 	"reads that share an attempt": {
@@ -75,14 +76,15 @@
 		}},
 }
 
-// unreliable is a member that answers, now and then late, never, with noise, or with the end of the connection.
+// unreliable returns a handler of requests that mostly answers, and sometimes answers late, never
+// answers, sends an invalid answer or closes the connection.
 func unreliable(t *testing.T, answer func() string) func(conn net.Conn, id string) (more bool) {
 	return func(conn net.Conn, id string) bool {
 		switch mood := rand.IntN(60); {
 		case mood < 24:
 			time.Sleep(time.Duration(rand.IntN(150)) * time.Millisecond)
 		case mood == 24:
-			readAll(conn) // to its end
+			readAll(conn) // until the connection is closed
 			return false
 		case mood <= 27:
 			conn.Write([]byte(invalidAnswer))
@@ -135,7 +137,7 @@
 	})
 }
 
-// unreliableMembers are two caches that are far, one that is near, and an origin.
+// unreliableMembers starts three caches at different distances, and an origin.
 func (s *transitScenario) unreliableMembers() (all []discovery.Member) {
 	for i, delay := range []time.Duration{60 * time.Millisecond, 20 * time.Millisecond, 0} {
 		handshake := time.Duration(rand.IntN(80)) * time.Millisecond
@@ -144,7 +146,8 @@
 	return append(all, s.startRelay("origin", unreliableOrigin(s.t), "origin", 10*time.Millisecond, 10*time.Millisecond, 0))
 }
 
-// skipAnswer reads a whole answer, one of many keys too; false: the connection has ended.
+// skipAnswer reads one complete answer, which may be an array. It returns false if the connection has
+// ended.
 func (c *testClient) skipAnswer() bool {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -165,8 +168,9 @@
 	return true
 }
 
-// However a request's attempts come to be written, members have one of them at a time: with time-outs in the midst of the way to the members, which
-// is up to 60 ms long and has a handshake of up to 80 ms, and members that break off, send noise and stay silent.
+// However the attempts of a request come to be written, members have one copy at a time. Attempts time
+// out in transit, which takes up to 60 ms and a handshake of up to 80 ms, and members close
+// connections, send invalid answers and stay silent.
 func TestOneCopyAtATime(t *testing.T) {
 	for name, w := range attemptScenarios {
 		t.Run(name, func(t *testing.T) {
@@ -207,14 +211,14 @@
 							client = &testClient{t: t, conn: conn, in: bufio.NewReader(conn)}
 						}
 						text, answers := w.newRequest(rng, fmt.Sprintf("c%d-%d", i, round))
-						io.WriteString(client.conn, text) // where it fails the connection has ended, which reading finds out
+						io.WriteString(client.conn, text) // a failure means that the connection has ended, which reading detects
 						for range answers {
 							if !client.skipAnswer() {
 								client = nil
 								break
 							}
 						}
-						time.Sleep(time.Millisecond) // where all are refused at once, members get time to answer
+						time.Sleep(time.Millisecond) // gives members time to answer if all requests are refused at once
 					}
 				})
 			}
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -24,14 +24,16 @@
 	"linenloom/logic"
 )
 
-// deadlineChecker checks the deadlines that the members of a proxy are told, on a clock that the test moves.
+// deadlineChecker checks the deadlines sent to the members of a proxy, on a clock that the test
+// advances.
 type deadlineChecker struct {
 	standin.Deadlines
 	t       *testing.T
 	advance func(*testProxy, time.Duration)
 }
 
-// checkDeadlines has a proxy's clock be the test's, and looks at the end whether every member was told of no more than its client had left.
+// checkDeadlines gives a proxy the test's clock. At the end of the test it checks that no member was
+// sent a longer deadline than its client had left.
 func checkDeadlines(t *testing.T, cfg *Config) *deadlineChecker {
 	checker := &deadlineChecker{t: t, advance: manualClock(cfg)}
 	checker.Now = cfg.Clock
@@ -43,7 +45,7 @@
 	return checker
 }
 
-// cache is a cache whose deadlines are checked.
+// cache starts a cache whose received deadlines are checked.
 func (w *deadlineChecker) cache(name string, answer func(asked) string) string {
 	return cache(w.t, func(a asked) string {
 		w.Told(name, a.id, a.attrs)
@@ -51,7 +53,8 @@
 	})
 }
 
-// serve is a cache's side of one connection, whose deadlines are checked: it has everything. Their texts are told, if somebody wants them.
+// serve is the cache side of one connection, which checks received deadlines and has every key. The
+// text of each deadline is sent to the channel unless that is nil.
 func (w *deadlineChecker) serve(name string, conn net.Conn, told chan<- string) {
 	in := resp.NewReader(conn, 4096)
 	for {
@@ -70,7 +73,7 @@
 	}
 }
 
-// origin is an origin whose deadlines are checked.
+// origin starts an origin whose received deadlines are checked.
 func (w *deadlineChecker) origin(answer func(*http.Request) string) string {
 	return origin(w.t, func(r *http.Request) string {
 		w.Told("origin", r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
@@ -78,7 +81,8 @@
 	})
 }
 
-// get and put are commands of a client that waits for so many milliseconds. Their last byte counts as written now.
+// get and put return commands of a client that waits for that many milliseconds. Their last byte counts
+// as written now.
 func (w *deadlineChecker) get(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=tile-read,d=%d", wait)
 	w.Sent(id, attrs)
@@ -91,7 +95,8 @@
 	return words("OBJ.SET", key, id, attrs, "value")
 }
 
-// expectAttempts wants the members to have had so many first attempts, and some further ones.
+// expectAttempts checks the number of first attempts at the members, and whether there were further
+// ones.
 func (w *deadlineChecker) expectAttempts(first int, further bool) {
 	w.t.Helper()
 	if f, more := w.Attempts(); f != first || more > 0 != further {
@@ -99,7 +104,8 @@
 	}
 }
 
-// advanceUntil moves the clock until something has come: attempts time out meanwhile, and others follow. It stands still while bytes are under way.
+// advanceUntil advances the clock until the channel delivers. Attempts time out meanwhile, and others
+// follow. The clock stands still while bytes are in transit.
 func (w *deadlineChecker) advanceUntil(p *testProxy, most time.Duration, what string, came <-chan struct{}) {
 	w.t.Helper()
 	for range most / time.Millisecond {
@@ -114,7 +120,8 @@
 	w.t.Fatalf("never came about: %s", what)
 }
 
-// allArrived tells whether all reads that were written to members have come there. The last byte of a write may be held back until time passes.
+// allArrived reports whether all reads that were written to members have arrived. The last byte of a
+// write may be held back until the clock advances.
 func (w *deadlineChecker) allArrived(p *testProxy) bool {
 	for _, r := range p.requests {
 		sent := 0
@@ -130,7 +137,8 @@
 	return true
 }
 
-// A further attempt tells its server what the client has left by then, however the attempt before it has ended and whichever server is next.
+// A further attempt sends its server the time that the client has left, however the previous attempt
+// ended and whichever server is next.
 func TestFurtherAttemptSendsRemainingDeadline(t *testing.T) {
 	const busyOrigin = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, first := range map[string]string{
@@ -166,7 +174,7 @@
 			client := p.dial()
 			client.send(checker.get("a1", "id", 8000))
 			<-came
-			checker.advance(p, 2500*time.Millisecond) // before the attempt's own time is up
+			checker.advance(p, 2500*time.Millisecond) // less than the timeout of the attempt
 			if first != "" {
 				close(release)
 			} else {
@@ -202,7 +210,7 @@
 	})
 }
 
-// A request in hand keeps the deadline that it came with when the classes change between two of its attempts.
+// A request in progress keeps its deadline when the classes change between two of its attempts.
 func TestDeadlineSurvivesRetune(t *testing.T) {
 	for _, deadline := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -241,7 +249,7 @@
 	}
 }
 
-// awaitAnswer tells once a client has had the answer that it is to have.
+// awaitAnswer returns a channel that is closed after the client's next answer, which has to be want.
 func awaitAnswer(c *testClient, want string) <-chan struct{} {
 	has := make(chan struct{})
 	go func() {
@@ -253,7 +261,8 @@
 	return has
 }
 
-// A client's time runs from its last byte, also for commands that stood unread while others before them were waited for.
+// A client's deadline counts from its last byte, also for commands that were unread while earlier ones
+// were pending.
 func TestUnreadCommandsKeepTheirDeadline(t *testing.T) {
 	const commands = 3 * maxPipeline
 	cfg := leaving(false)
@@ -295,7 +304,8 @@
 	}
 }
 
-// Commands that came while their connection's reader waited are dated by the wait, and those that came after it by themselves.
+// Commands that arrived while their connection's reader was suspended count from the start of that
+// wait, and later ones from their own arrival.
 func TestCommandsSentDuringAWaitKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
@@ -359,7 +369,8 @@
 	}
 }
 
-// A connection may have stood in the listener's line, with a command on it, before the proxy took its first client.
+// A connection may have waited in the listener's queue, with a command on it, before the proxy accepted
+// its first client.
 func TestConnectionsQueuedAtStartKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
@@ -382,7 +393,8 @@
 	checker.expectAttempts(1, false)
 }
 
-// What stood in line while the proxy had no descriptor for it is dated by that, and what comes later by itself.
+// A connection that was queued while the proxy had no descriptor for it counts from the start of that
+// wait, and a later one from its own arrival.
 func TestConnectionsQueuedForADescriptorKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
@@ -394,7 +406,7 @@
 		return hit("value of " + a.key)
 	}), "large"))
 	ask := func(id string) int {
-		p.enter() // so that nobody is taken before the command has come
+		p.enter() // no connection is accepted before the command has arrived
 		client := p.dial()
 		client.send(checker.get("k", id, 15_000))
 		p.leave()
@@ -407,7 +419,7 @@
 		}
 		return ms
 	}
-	ask("first") // from here on connections are taken as they come
+	ask("first") // from here on connections are accepted as they arrive
 	p.redis.awaitAccept(acceptShort, 1)
 	checker.advance(p, 2*time.Second)
 	if ms := ask("in-line"); ms > 13_000 {
@@ -420,17 +432,19 @@
 	}
 }
 
-// Attempts that begin in one event, each held up before its bytes go out, tell their servers what is left when they do go out.
+// Several attempts begin in one event, and each is delayed before its bytes are sent. Each sends the
+// time that is left when it is sent.
 func TestDelayedAttemptsSendRemainingDeadline(t *testing.T) {
 	for name, wait := range map[string]time.Duration{
 		"time enough":           8 * time.Second,
-		"over before the event": 4100 * time.Millisecond, // what would be sent after that is not sent
+		"over before the event": 4100 * time.Millisecond, // the attempts after that are not sent
 	} {
 		t.Run(name, func(t *testing.T) { testDelayedAttempts(t, wait) })
 	}
 }
 
-// testDelayedAttempts has the second attempts of several reads begin in one event, 3.5 s after their clients wrote them.
+// testDelayedAttempts makes the second attempts of several reads begin in one event, 3.5 s after their
+// clients wrote them.
 func testDelayedAttempts(t *testing.T, wait time.Duration) {
 	const reads, pause = 6, 140 * time.Millisecond
 	cfg := testConfig()
@@ -439,7 +453,7 @@
 	var sent atomic.Int32
 	arrived := make(chan struct{}, 100)
 	checker := &deadlineChecker{t: t}
-	var moved atomic.Int64 // by the pauses, beside what the test moves the clock by
+	var moved atomic.Int64 // by the delays, in addition to the test's advances
 	checker.advance = manualClock(&cfg)
 	base := cfg.Clock
 	cfg.Clock = func() time.Duration { return base() + time.Duration(moved.Load()) }
@@ -448,7 +462,7 @@
 		if !holding.Load() {
 			return
 		}
-		if sent.Add(1) > 1 { // what went out before has arrived: no time passes while bytes are under way
+		if sent.Add(1) > 1 { // the previous attempt has arrived: no time passes while bytes are in transit
 			<-arrived
 		}
 		moved.Add(int64(pause))
@@ -474,7 +488,7 @@
 	})
 	t.Cleanup(func() { close(stuck) })
 	p := start(t, cfg, entry("s-1", silent, "large"), entry("o-1", o, "origin"))
-	for i := range reads { // as many connections to the origin
+	for i := range reads { // opens that many connections to the origin
 		p.dial().send(checker.put(fmt.Sprint("o", i), fmt.Sprint("order", i), 8000))
 	}
 	checker.advanceUntil(p, time.Second, "the orders are at the origin", together)
@@ -495,15 +509,15 @@
 		p.dial().send(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), int(wait.Milliseconds())))
 		<-asks
 	}
-	p.Do(func() {}) // the last one's event is over: it has noted when it was written
+	p.Do(func() {}) // waits for the end of the last read's event, which notes when it was written
 	holding.Store(true)
-	moved.Add(int64(3500 * time.Millisecond)) // the first attempts of all have timed out
+	moved.Add(int64(3500 * time.Millisecond)) // the first attempts of all reads have timed out
 	p.Tick()
 	want := reads
 	if left := int((wait - 3500*time.Millisecond) / pause); left < reads {
 		want = left + 1
 	}
-	if n := int(sent.Load()); n != want && n != want+1 { // the last one may end as it begins
+	if n := int(sent.Load()); n != want && n != want+1 { // the last one may expire as it begins
 		t.Fatalf("%d attempts in one event, want %d", n, want)
 	}
 	p.eventually("all are answered", func() bool { return len(p.requests) == 0 })
@@ -513,7 +527,8 @@
 	}
 }
 
-// Reads of one request for many keys have its time, also those that are asked for once others have been answered.
+// All reads of a request for many keys have its deadline, also those that begin after others were
+// answered.
 func TestManyKeysShareOneDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 1
@@ -538,7 +553,8 @@
 	}
 }
 
-// A read that goes on for those who share its answer, after its own client has left, tells what the last of them has left.
+// A read that continues for its followers after its own client has left sends the time that the last of
+// them has left.
 func TestJoinedReadSendsDeadlineOfItsFollowers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 2 // so that the second attempt may take all that is left
@@ -566,14 +582,15 @@
 	p.awaitFollowers(1)
 	lead.conn.Close()
 	p.eventually("the lead's client has left", func() bool { return len(p.redis.clients) == 1 })
-	checker.Sent("lead", "d=4000") // nobody waits for it any longer than the follower does
+	checker.Sent("lead", "d=4000") // as the follower's is now the longest wait
 	checker.advance(p, 2500*time.Millisecond)
 	close(release)
 	checker.advanceUntil(p, 2*time.Second, "the answer", awaitAnswer(follower, "value"))
 	checker.expectAttempts(1, true)
 }
 
-// A process that was held up dates what it reads right afterwards by when it may have come: in the midst of an event, and between two.
+// Requests that are read right after the process was stalled, within an event or between two, count
+// from the earliest time at which they may have arrived.
 func TestRequestsReadAfterAStallKeepTheirDeadline(t *testing.T) {
 	p := &Proxy{cfg: Config{}, started: time.Now().Add(-time.Minute), ups: upstream.New(pool.Config{}, nil)}
 	p.stalls.MaxGap = stallGap
@@ -583,7 +600,7 @@
 	p.wakeAt = p.now
 	p.enter()
 	began := p.began
-	for p.Clock()-began < 20*time.Millisecond { // the event takes its time
+	for p.Clock()-began < 20*time.Millisecond { // simulates a long event
 		time.Sleep(time.Millisecond)
 	}
 	p.leave()
@@ -592,7 +609,7 @@
 		t.Errorf("read right after an event that took long, dated %v after it began", got-began)
 	}
 	last := p.now - time.Second
-	p.now, p.stalls = last, arrival.Stalls{MaxGap: stallGap} // nothing has happened for a second
+	p.now, p.stalls = last, arrival.Stalls{MaxGap: stallGap} // no event for a second
 	p.mu.Unlock()
 	p.enter()
 	if got := p.arrivedAt(p.now); got != last {
@@ -607,8 +624,9 @@
 	p.mu.Unlock()
 }
 
-// Many proxies before members they share, each held up by a seed between choosing a member and writing to it, with reads that miss, fail, are
-// turned away and time out: no member is told of more than is left.
+// Many proxies share members, and each is delayed at random (by a fixed seed) between choosing a member
+// and writing to it. Reads miss, fail, are refused and time out. No member is sent more time than is
+// left.
 func TestManyDelayedProxiesSendRemainingDeadline(t *testing.T) {
 	const proxies, rounds, pauseMost = 24, 12, 150 * time.Millisecond
 	var now atomic.Int64
@@ -634,7 +652,7 @@
 		cfg.Seed, cfg.Clock = uint64(i), clock
 		rng := rand.New(rand.NewPCG(54, uint64(i)<<32))
 		cfg.OnSend = func(logic.RequestID, logic.MemberID) {
-			if pauses.Load() { // only this proxy has anything under way
+			if pauses.Load() { // only this proxy has requests in progress
 				now.Add(1 + rng.Int64N(int64(pauseMost)))
 			}
 		}
@@ -663,7 +681,7 @@
 	}
 }
 
-// What a client says of its deadline, and what its server is told.
+// Which deadlines clients may give, and what their servers are sent.
 func TestDeadlineOfClients(t *testing.T) {
 	for text, want := range map[string]struct {
 		told   int
@@ -671,7 +689,7 @@
 	}{
 		"d=4000":               {told: 4000},
 		"d=4000.75":            {told: 4000},
-		"d=0.25":               {answer: "-BUSY"}, // less than an answer takes: nothing is sent
+		"d=0.25":               {answer: "-BUSY"}, // less than the shortest time to answer: nothing is sent
 		"d=1":                  {answer: "-BUSY"},
 		"d=60000":              {told: 8000}, // the class allows no more
 		"d=86400001":           {answer: "-ERR"},
@@ -687,7 +705,7 @@
 		"d=4000,d=5000":        {answer: "-ERR"},
 		"t=acme":               {answer: "-ERR"},
 		"d=4000,size=7,t=acme": {told: 4000},
-		"d=4000,r=1":           {told: 4000}, // a client's own retry has a deadline of its own
+		"d=4000,r=1":           {told: 4000}, // a client's own retry has its own deadline
 	} {
 		for _, c := range []struct{ name, class string }{{"OBJ.GET", "tile-read"}, {"OBJ.SET", "pass-order"}} {
 			t.Run(c.name+" "+text[:min(len(text), 20)], func(t *testing.T) {
@@ -729,7 +747,7 @@
 				_, after, _ := strings.Cut(list, ",d=")
 				after, rest, _ := strings.Cut(after, ",")
 				got, err := strconv.Atoi(after)
-				if err != nil || got > want.told || got < want.told-200 { // the test lets some time pass
+				if err != nil || got > want.told || got < want.told-200 { // the test's clock advances a little
 					t.Errorf("its server was told %q, want a deadline of %d", list, want.told)
 				}
 				if _, others, _ := strings.Cut(text, ","); rest != others {
@@ -740,5 +758,5 @@
 	}
 }
 
-// manyZeros make a number that no clock holds.
+// manyZeros makes a number that overflows the clock.
 var manyZeros = strings.Repeat("0", 400)
--- a/internal/proxy/follow_test.go
+++ b/internal/proxy/follow_test.go
@@ -11,8 +11,9 @@
 	"linenloom/logic"
 )
 
-// A discovery that the watch is moved to may lag behind the one before, which goes on telling until the first list is there. What it has
-// told by then is not taken back, and no member that drains is called back; once the new one has caught up, its list holds.
+// The new discovery of a Follow may lag behind the old one, which continues to send updates until the
+// first list of the new one has arrived. What it has sent by then is not reverted, and no draining
+// member becomes ready again. Once the new discovery has caught up, its list applies.
 func TestFollowADiscoveryThatLagsBehind(t *testing.T) {
 	node := cache(t, func(a asked) string { return hit("value") })
 	entries := []discovery.Member{entry("s-1", node, "large"), entry("s-2", node, "large")}
@@ -54,7 +55,8 @@
 		p.Do(func() { s = p.members[MemberID("s-1")].state })
 		return s
 	}
-	// The call that was out when the drain came, or the next one, if that has run out of time meanwhile.
+	// Answers the call that was pending when the drain arrived, or the next one if that has timed out
+	// since.
 	answer <- discoveryList(41, true, entries...)
 	wait("it is asked again, as its list is older")
 	if s := state(); s != logic.Draining {
--- a/internal/proxy/givenup_test.go
+++ b/internal/proxy/givenup_test.go
@@ -14,7 +14,7 @@
 	"linenloom/logic"
 )
 
-// manualClock stands still until the test moves it on, a millisecond at a time.
+// manualClock gives the proxy a clock that the test advances, a millisecond at a time.
 func manualClock(cfg *Config) (on func(*testProxy, time.Duration)) {
 	var now atomic.Int64
 	cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
@@ -26,7 +26,8 @@
 	}
 }
 
-// boundedClock lets the module's time pass up to a bound, far before any aim: what needs more of it never comes.
+// boundedClock gives the proxy a clock that runs up to a limit far below any deadline: what needs more
+// time never happens.
 func boundedClock(t *testing.T, cfg *Config, most time.Duration) (run func(p *testProxy)) {
 	var now atomic.Int64
 	cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
@@ -48,7 +49,8 @@
 	}
 }
 
-// What the module has given up is answered at once: the clock stands still long before the request's aim.
+// A request that the decision module gives up is answered at once: the clock stops long before the
+// request's soft deadline.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	failing := func(*http.Request) string { return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n" }
 	for name, c := range map[string]struct {
@@ -64,7 +66,7 @@
 		"an order whose connection broke": {miss, func(t *testing.T) string {
 			return listen(t, func(conn net.Conn) {
 				if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-					io.Copy(io.Discard, r.Body) // to the last byte, which comes alone
+					io.Copy(io.Discard, r.Body) // up to the last byte, which is sent separately
 				}
 			})
 		}, put("p", "1", "a pass"), "-ERR", reasons.Failed, logic.MayHaveRun},
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -18,7 +18,7 @@
 
 var joinLimits = joining.Limits{Followers: 5000, PerTenant: 5000, Groups: 100}
 
-// gatedCache is a cache whose answers wait until they are let out.
+// gatedCache is a cache that sends each answer only when the test supplies it.
 type gatedCache struct {
 	requests chan asked
 	answers  chan string
@@ -48,7 +48,7 @@
 		entry("s-o", origin(t, func(r *http.Request) string { return page("receipt of " + r.URL.Path[1:]) }), "origin"))
 }
 
-// awaitFollowers waits until so many reads follow others.
+// awaitFollowers waits until n reads follow others.
 func (p *testProxy) awaitFollowers(n int) {
 	p.t.Helper()
 	p.eventually(fmt.Sprint(n, " reads follow"), func() bool { _, f := p.joins.Len(); return f == n })
@@ -56,7 +56,8 @@
 
 func getWithin(key, id, d string) string { return words("OBJ.GET", key, id, "c=tile-read,d="+d) }
 
-// Identical reads share one attempt, from one connection or many, and each has its one answer; other keys, tenants and classes do not.
+// Identical reads on one or many connections share one attempt, and each gets one answer. Reads of
+// other keys, tenants and classes do not share it.
 func TestIdenticalReadsAreJoined(t *testing.T) {
 	gated := newGatedCache()
 	p := startJoining(t, joinLimits, gated.answer)
@@ -99,19 +100,20 @@
 	p.eventually("nothing is held", func() bool { return p.held == 0 && len(p.requests) == 0 })
 }
 
-// What becomes of the lead condemns nobody: its client leaves, its time ends, its attempt fails or is spoilt; those who follow are served.
+// Followers are served even if the lead's client leaves, or its deadline passes, or its attempts fail
+// or get a malformed answer.
 func TestFollowersOutliveTheLead(t *testing.T) {
 	for name, end := range map[string]func(gated *gatedCache, lead *testClient){
 		"its client leaves": func(gated *gatedCache, lead *testClient) {
 			lead.conn.Close()
-			time.Sleep(10 * time.Millisecond) // so that the proxy may see it before the answer; either order has to do
+			time.Sleep(10 * time.Millisecond) // usually lets the proxy see it before the answer; both orders have to work
 			gated.answers <- hit("v")
 		},
 		"its time ends": func(gated *gatedCache, lead *testClient) {
 			if got := lead.answer(); !strings.HasPrefix(got, "-BUSY") {
 				lead.t.Errorf("the lead is told %q", got)
 			}
-			for range 200 { // some go to attempts that are over
+			for range 200 { // some of them go to attempts that have ended
 				gated.answers <- hit("v")
 			}
 		},
@@ -146,7 +148,7 @@
 			p.awaitFollowers(followers)
 			end(gated, lead)
 			for i, c := range all {
-				if got := c.answer(); got != "v" && got != "receipt of a" { // the last try is the origin's
+				if got := c.answer(); got != "v" && got != "receipt of a" { // the last attempt goes to the origin
 					t.Fatalf("follower %d: %q", i, got)
 				}
 			}
@@ -158,7 +160,7 @@
 	}
 }
 
-// Where nothing can be had, each follower is told in its own time, and none waits for ever; the cache is not stormed.
+// If no answer comes, each follower is refused at its own deadline, and the cache gets few attempts.
 func TestFollowersOfASilentCache(t *testing.T) {
 	gated := newGatedCache()
 	p := startJoining(t, joinLimits, gated.answer)
@@ -183,7 +185,7 @@
 	p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests) == 0 })
 }
 
-// A read that comes after a write's answer never gets what was asked for before it.
+// A read that arrives after a write was answered never shares an attempt from before the write.
 func TestReadAfterAWriteJoinsNothingOlder(t *testing.T) {
 	gated := newGatedCache()
 	p := startJoining(t, joinLimits, gated.answer)
@@ -204,14 +206,15 @@
 	}
 }
 
-// One tenant's storm holds back nobody else's reads: past its part its reads are ordinary ones.
+// One tenant's identical reads do not delay other tenants' reads: above the tenant's limit, they are
+// handled as ordinary reads.
 func TestJoinLimitPerTenant(t *testing.T) {
 	gated := newGatedCache()
 	l := joinLimits
 	l.PerTenant = 10
 	p := startJoining(t, l, gated.answer)
 	storm := p.dial()
-	for i := range 13 { // one leads, ten follow, two make their own way
+	for i := range 13 { // one leads, ten follow, two are not joined
 		storm.send(words("OBJ.GET", "a", fmt.Sprint("s", i), "c=tile-read,d=4000,t=acme"))
 	}
 	for range 3 {
@@ -239,7 +242,8 @@
 	}
 }
 
-// One value is held once, however many take it, until the slowest has it; a client that takes nothing bounds itself.
+// A shared value is held in memory once until the slowest client has received it. A client that reads
+// nothing does not add to that.
 func TestJoinedValueIsHeldOnce(t *testing.T) {
 	gated := newGatedCache()
 	p := startJoining(t, joinLimits, gated.answer)
@@ -273,7 +277,7 @@
 	p.eventually("nothing is held", func() bool { return p.held == 0 })
 }
 
-// A stop and a storm: all that was taken is answered.
+// All joined reads that were accepted before a stop are answered.
 func TestStopWhileReadsAreJoined(t *testing.T) {
 	gated := newGatedCache()
 	p := startJoining(t, joinLimits, gated.answer)
@@ -298,11 +302,11 @@
 	wg.Wait()
 }
 
-// A thousand followers of different times, and a lead whose attempts stall: when the cache answers at last, all whose time is not over are
-// served, and those whose time was over have been told so.
+// A thousand followers with different deadlines wait for a lead whose attempts stall. Once the cache
+// answers, all whose deadline has not passed are served; the others were refused before.
 func TestThousandFollowersOfAStalledLead(t *testing.T) {
 	gated := newGatedCache()
-	var clock func(*testProxy, time.Duration) // it stands while all come, however long the machine takes for that
+	var clock func(*testProxy, time.Duration) // it stands still until all have arrived, however long the machine takes
 	p := startJoining(t, joinLimits, gated.answer, func(cfg *Config) { clock = manualClock(cfg) })
 	lead := p.dial()
 	lead.send(getWithin("a", "lead", "300"))
@@ -315,7 +319,7 @@
 	var all []one
 	for i := range clients {
 		c := p.dial()
-		wait := 400 // half of them have too little: nothing answers before that is over
+		wait := 400 // half of the clients have deadlines that pass before any answer
 		if i%2 == 0 {
 			wait = 7000
 		}
@@ -349,8 +353,8 @@
 	p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests)+p.held == 0 })
 }
 
-// The cache that a storm's lead is at drains, and other classes come into force, in the midst of it: the attempt that is out is answered, all
-// that follow it are served, and nothing new goes to that cache.
+// While a lead's attempt is outstanding, its cache starts to drain and other classes are set. The
+// attempt is answered, all followers are served, and the cache gets nothing new.
 func TestDrainAndRetuneWhileReadsAreJoined(t *testing.T) {
 	gated := newGatedCache()
 	other := cache(t, func(a asked) string { return hit("other " + a.key) })
@@ -393,15 +397,16 @@
 	}
 }
 
-// A thousand reads follow a lead that is turned away by all that it asks, whose connection is reset in the middle of the value, or that
-// stands in the line of an origin at its limit: each has its one answer, the key is asked for a few times, and nothing is left.
+// A thousand reads follow a lead that all members refuse, or whose connection is reset in the middle of
+// the value, or that waits in the queue of an origin at its limit. Each read gets one answer, the key
+// is requested a few times only, and nothing is left over.
 func TestThousandFollowersOfAFailingLead(t *testing.T) {
 	for name, c := range map[string]struct {
-		lead string // how its answer begins
-		most int32  // attempts for the key, over caches and origin
+		lead string // prefix of its answer
+		most int32  // limit of attempts for the key, at caches and origin
 		box  func(n int32, asked func(), conn net.Conn, k string) (answer string)
 		of   func(n int32, asked func(), free chan struct{}, k string) string
-		fill int // other keys at the origin before
+		fill int // number of other keys requested from the origin before
 	}{
 		"turned away": {lead: "-BUSY", most: 8,
 			box: func(n int32, asked func(), _ net.Conn, _ string) string {
@@ -436,7 +441,7 @@
 		t.Run(name, func(t *testing.T) {
 			var n atomic.Int32
 			begun, free, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
-			// The lead's attempts wait until all that follow it are there.
+			// The lead's attempts wait until all followers are there.
 			asked := func() { begun <- struct{}{}; <-done }
 			once := sync.OnceFunc(asked)
 			count := func(k string) int32 {
@@ -447,7 +452,7 @@
 			}
 			cfg := testConfig()
 			cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinLimits, 5000, 2048
-			run := boundedClock(t, &cfg, 4*time.Second) // it stands while all come, and then stays before their time
+			run := boundedClock(t, &cfg, 4*time.Second) // stands still until all have arrived, and then stays below their deadlines
 			box := listen(t, func(conn net.Conn) {
 				for in := resp.NewReader(conn, 4096); ; {
 					w, err := readCommand(in)
@@ -474,8 +479,8 @@
 			if c.fill == 0 {
 				<-begun
 			} else {
-				// It asks the cache first, or goes straight to the line at the origin where all before it were misses: which of the two
-				// depends on whose answers come first.
+				// It asks the cache first, or goes straight to the queue of the origin if all reads
+				// before it were misses. Which one happens depends on the order of the answers.
 				p.eventually("the lead is in hand", func() bool { return len(p.requests) == c.fill+1 })
 			}
 			const clients, each = 40, 25
@@ -508,7 +513,8 @@
 	}
 }
 
-// A tenant without the right to a key gets nothing of another's attempt for it, also where tenants share attempts.
+// A tenant without access to a key gets nothing from another tenant's attempt for it, even where
+// tenants share attempts.
 func TestJoiningChecksAccessFirst(t *testing.T) {
 	gated := newGatedCache()
 	o := newOffice(t, "k1")
@@ -546,7 +552,7 @@
 	}
 }
 
-// A read that leads others goes on for them when its client leaves, and ends with the last of them.
+// A leading read continues for its followers when its client leaves, and ends with the last of them.
 func TestJoinedReadEndsWithItsLastClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		l := newRoll()
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -76,8 +76,7 @@
 	}
 }
 
-// ReserveLongValue requests memory for a value of unknown length that a member sends and that is held
-// until it is complete.
+// ReserveLongValue requests memory for a value that a member sends and that is held until it is complete.
 func (h host) ReserveLongValue(bytes int, until time.Duration) upstream.Reservation {
 	return &longValueReservation{budgetReservation: h.long.reserve(bytes, h.maxLongBytes()), proxy: h.Proxy, timeout: until - h.now}
 }
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -19,7 +19,7 @@
 	"linenloom/logic"
 )
 
-// numberedText is a value whose every part can be told from the others.
+// numberedText returns a value in which any two parts differ.
 func numberedText(n int) string {
 	var b strings.Builder
 	for b.Len() < n {
@@ -28,7 +28,8 @@
 	return b.String()[:n]
 }
 
-// A long value goes on before all of it has come, whole and in order, from a cache and from an origin.
+// A long value is streamed to the client before all of it has arrived, complete and in order, from a
+// cache and from an origin.
 func TestLongValuesAreStreamed(t *testing.T) {
 	value := numberedText(3 << 20)
 	half := make(chan struct{})
@@ -62,7 +63,7 @@
 				t.Fatalf("%q %v", line, err)
 			}
 			got := make([]byte, len(value)+2)
-			if _, err := io.ReadFull(c.in, got[:1<<19]); err != nil { // the cache gives no more than a third yet
+			if _, err := io.ReadFull(c.in, got[:1<<19]); err != nil { // the cache has sent no more than a third yet
 				t.Fatal(err)
 			}
 			if flavor == "large" {
@@ -78,8 +79,8 @@
 	}
 }
 
-// An origin that does not tell the length of a value first sends it in chunks, or up to the end of the connection: it is served once it
-// is whole, and what breaks off is not served.
+// An origin sends a value of unknown length, in chunks or up to the end of the connection. It is served
+// once it is complete, and a truncated one is not served.
 func TestLongValuesOfUnknownLength(t *testing.T) {
 	chunked := func(value string) string {
 		var b strings.Builder
@@ -93,8 +94,8 @@
 	short, longer, most := numberedText(1000), numberedText(300<<10), numberedText(resp.MaxLongValue+1)
 	toEnd := "HTTP/1.1 200 OK\r\n\r\n"
 	for name, c := range map[string]struct {
-		answer, want string // want: none, as it is not whole, or too long
-		reset        bool   // the connection ends by a reset
+		answer, want string // want "": not served, as it is truncated or too long
+		reset        bool   // the connection ends with a reset
 	}{
 		"short, in chunks":      {chunked(short), short, false},
 		"long, in chunks":       {chunked(longer), longer, false},
@@ -108,14 +109,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.MemoryMB = 32 // room for two of them
+			cfg.MemoryMB = 32 // memory for two of them
 			o := listen(t, func(conn net.Conn) {
 				in := bufio.NewReader(conn)
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
 				io.WriteString(conn, c.answer)
-				if c.reset { // once all has been read: a reset drops what was not
+				if c.reset { // after all has been read, as a reset discards unread data
 					time.Sleep(50 * time.Millisecond)
 					conn.(*net.TCPConn).SetLinger(0)
 				}
@@ -136,10 +137,11 @@
 	}
 }
 
-// Reads that were written behind the first long value of a cache, before anybody could know of it, don't wait for its client.
+// Reads that were pipelined behind the first long value of a cache, when its size was not known, do not
+// wait for the client of that value.
 func TestReadsPipelinedBehindALongValue(t *testing.T) {
 	cfg := testConfig()
-	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that it has one connection to the cache
+	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // one connection to the cache
 	value := numberedText(3 << 20)
 	asked, behind := make(chan struct{}), make(chan struct{})
 	p := start(t, cfg, entry("c", listen(t, func(conn net.Conn) {
@@ -177,7 +179,7 @@
 			c.conn.SetWriteBuffer(64 << 10)
 		}
 	})
-	slow.send(get("long", "l")) // and takes nothing yet
+	slow.send(get("long", "l")) // the client reads nothing yet
 	<-asked
 	go func() {
 		d := p.dial()
@@ -207,8 +209,8 @@
 	p.eventually("nothing is held", func() bool { return p.long.usedBytes == 0 && p.held == 0 && len(p.requests) == 0 })
 }
 
-// A member that breaks off in the middle, and a client that leaves there: the client sees that the value is not whole,
-// nothing is tried again, and nothing stays behind.
+// A member closes the connection in the middle of a long value, or the client does. The client sees
+// that the value is truncated, nothing is retried, and nothing is left over.
 func TestLongValueCutOff(t *testing.T) {
 	value := numberedText(1 << 20)
 	asks := make(chan string, 10)
@@ -244,18 +246,18 @@
 	}
 }
 
-// Long values that are written are let in as far as there is room, the first first; those that wait are not refused, and
-// leave others their way.
+// Long values that are written are accepted as far as there is memory for them, in the order of
+// arrival. Those that wait are not refused, and do not block other requests.
 func TestLongWritesWaitForMemory(t *testing.T) {
 	cfg := testConfig()
-	cfg.MemoryMB = 32 // room for two of them
+	cfg.MemoryMB = 32 // memory for two of them
 	cfg.Settings.Classes[1].Deadline = patience
 	o := origin(t, func(r *http.Request) string { return page("receipt " + r.Header.Get("X-Request-ID")) })
 	p := start(t, cfg, entry("o", o, "origin"), entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
 	value := numberedText(resp.MaxLongValue)
 	const writers = 6
 	var clients [writers]*testClient
-	for i := range clients { // all begin, none ends
+	for i := range clients { // all begin to send, none finishes
 		clients[i] = p.dial()
 		text := put(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
 		clients[i].send(text[:len(text)-resp.MaxLongValue/2])
@@ -280,7 +282,8 @@
 	p.eventually("all room is given back", func() bool { return p.long.usedBytes == 0 && len(p.long.waiting) == 0 && p.held == 0 })
 }
 
-// A crowd that sends half a command each gives its places to clients that ask, and to slow ones that go on.
+// Clients that each sent half a command lose their connections to clients that send whole ones, but
+// slow clients that make progress keep theirs.
 func TestStalledCommandsAreEvicted(t *testing.T) {
 	cfg := testConfig()
 	cfg.Sockets = 64
@@ -304,12 +307,12 @@
 		return n == most
 	})
 	served, sent := 0, 1
-	for ; served < most-1; time.Sleep(20 * time.Millisecond) { // the pace at which the slow client goes on
+	for ; served < most-1; time.Sleep(20 * time.Millisecond) { // the interval at which the slow client sends
 		if sent < len(whole)-1 {
 			slow.send(whole[sent : sent+1])
 			sent++
 		}
-		c := p.dial() // one that comes before anybody has stalled for long is closed, and comes again
+		c := p.dial() // closed if nobody has stalled for long enough yet; the loop tries again
 		c.send(get("k", fmt.Sprint("new", time.Now().UnixNano())))
 		if c.answer() == "v" {
 			served++ // and it keeps its connection
@@ -322,7 +325,7 @@
 		t.Errorf("the slow client: %q", got)
 	}
 	gaveWay := 0
-	for _, c := range halves { // those whose time is up have an error line
+	for _, c := range halves { // those that ran into the command timeout get an error line
 		if c.answer() == "" {
 			gaveWay++
 		}
@@ -332,12 +335,12 @@
 	}
 }
 
-// Where hardly any connection is asked on again, one is closed once it is answered, and its place is free for the next;
-// where they are used again, they are kept.
+// If few connections are used again, a connection is closed after its answer, so that another client
+// gets its place. If they are used again, they are kept.
 func TestConnectionsUsedOnceAreClosed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Sockets = 128
-	run := boundedClock(t, &cfg, time.Second) // nobody counts as idle meanwhile
+	run := boundedClock(t, &cfg, time.Second) // no connection counts as idle meanwhile
 	p := start(t, cfg, entry("c", cache(t, func(asked) string { return hit("v") }), "large"))
 	run(p)
 	ask := func(name string) *testClient {
@@ -349,7 +352,7 @@
 		return c
 	}
 	clients := make([]*testClient, 0, 24)
-	for i := range cap(clients) { // over a third of the room, each of which asks twice
+	for i := range cap(clients) { // more than a third of the limit, each of which sends two commands
 		clients = append(clients, ask(fmt.Sprint("a", i)))
 		clients[i].send(get("k", fmt.Sprint("b", i)))
 		if got := clients[i].answer(); got != "v" {
@@ -358,7 +361,7 @@
 	}
 	p.eventually("all are kept", func() bool { return len(p.redis.clients) == cap(clients) && p.redis.reuse > reuseLeast })
 
-	p.Do(func() { p.redis.reuse = 0 }) // as after many that ask once and stay
+	p.Do(func() { p.redis.reuse = 0 }) // as after many clients that send one command and stay
 	closed := 0
 	const once = 4 * keepEvery
 	for i := range once {
@@ -378,12 +381,12 @@
 	if closed != once-once/keepEvery {
 		t.Errorf("%d of %d are closed, want all but one in %d", closed, once, keepEvery)
 	}
-	clients[0].send(get("k", "d")) // one that has asked again is not
+	clients[0].send(get("k", "d")) // a connection that was used again is kept
 	if got := clients[0].answer(); got != "v" {
 		t.Errorf("%q", got)
 	}
 
-	p.redis.Drain() // from now on nobody makes room for others
+	p.redis.Drain() // from now on no connection is closed to make room
 	open := 0
 	p.Do(func() { open = len(p.redis.clients) })
 	for i := range 2 * keepEvery {
@@ -392,19 +395,19 @@
 	p.eventually("all are kept while it drains", func() bool { return len(p.requests) == 0 && len(p.redis.clients) == open+2*keepEvery })
 }
 
-// answerTaker is a client of a front that takes no long values.
+// answerTaker is a client of a front end that accepts no long values.
 type answerTaker chan Answer
 
 func (t answerTaker) Answer(a Answer) { t <- a }
 
-// A value that is too long for its client fails at once, and the members that hold it are not held to blame.
+// A value that is too long for its client fails at once, and the members that hold it are not blamed.
 func TestValueTooLongForItsFront(t *testing.T) {
 	var asks atomic.Int64
 	value := numberedText(resp.MaxValue + 1)
 	member := cache(t, func(asked) string { asks.Add(1); return hit(value) })
 	p := start(t, testConfig(), entry("m", member, "large"), entry("n", member, "large"))
 	c := p.dial()
-	c.send(get("k", "first")) // once it is answered, the proxy knows its members
+	c.send(get("k", "first")) // the proxy knows its members once this is answered
 	if got := c.answer(); got != value {
 		t.Fatalf("a client that takes it: %d bytes", len(got))
 	}
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -19,7 +19,8 @@
 
 var manyKeysLimits = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
 
-// startManyKeys is a proxy that takes OBJ.MGET before three caches that all answer alike, and an origin.
+// startManyKeys starts a proxy that accepts OBJ.MGET, in front of an origin and three caches that
+// answer alike.
 func startManyKeys(t *testing.T, l manykeys.Limits, answer func(box int, a asked) string) *testProxy {
 	t.Helper()
 	cfg := testConfig()
@@ -37,7 +38,8 @@
 	return words(append([]string{"OBJ.MGET", id, attrs}, keys...)...)
 }
 
-// readArray reads the reply to OBJ.MGET: what stands at each place; nil and the line, if it is none.
+// readArray reads a reply to OBJ.MGET. It returns the elements, or nil and the line if the reply is not
+// an array.
 func (c *testClient) readArray() (all []string, line string) {
 	c.t.Helper()
 	line = c.answer()
@@ -51,7 +53,7 @@
 	return all, line
 }
 
-// readStreamedPlaces reads a reply whose keys come as they are had.
+// readStreamedPlaces reads a reply whose keys arrive in any order. It returns the answer by place.
 func (c *testClient) readStreamedPlaces() map[string]string {
 	c.t.Helper()
 	var n int
@@ -79,7 +81,7 @@
 	c := p.dial()
 	var keys, want []string
 	for i := range 60 {
-		key := fmt.Sprint("k", i%50) // ten stand twice
+		key := fmt.Sprint("k", i%50) // ten keys occur twice
 		keys, want = append(keys, key), append(want, "value of "+key)
 	}
 	c.send(mget("m1", "c=tile-read,d=4000", keys...) + get("after", "g1"))
@@ -104,7 +106,8 @@
 	p.eventually("nothing is held", func() bool { return p.held == 0 && len(p.requests) == 0 })
 }
 
-// What is wrong with the request as a whole is told once, and nothing of it is asked for; the connection goes on.
+// An error of the request as a whole is reported once and no key is requested. The connection stays
+// usable.
 func TestInvalidManyKeysRequests(t *testing.T) {
 	var asks atomic.Int32
 	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { asks.Add(1); return hit("v") })
@@ -135,7 +138,8 @@
 	}
 }
 
-// One cache that stalls marks no key that another can give; what nobody gives in time is marked late, and the others are there.
+// If one cache stalls, keys that others can give are served, and keys that no cache gives in time are
+// marked late.
 func TestManyKeysWithAStalledCache(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
@@ -174,7 +178,7 @@
 	p.eventually("nothing is left", func() bool { return len(p.requests) == 0 && p.held == 0 })
 }
 
-// Misses come from the origin; a reply that grows too long marks what it has no room for.
+// Misses are fetched from the origin. If a reply grows too large, the keys that do not fit are marked.
 func TestManyKeysMissesAndSizeLimit(t *testing.T) {
 	l := manyKeysLimits
 	l.Bytes = 3000
@@ -207,8 +211,8 @@
 	}
 }
 
-// All keys of a request at one cache that drains, or that is cold: each is had elsewhere or marked, none waits for that cache, and what a
-// cold one is sent stays within its budget.
+// All keys of a request are at one cache that drains or is cold. Each key is fetched elsewhere or
+// marked, none waits for that cache, and a cold cache gets no more than its budget.
 func TestManyKeysAtDrainingOrColdCache(t *testing.T) {
 	keys := make([]string, 24)
 	for i := range keys {
@@ -258,13 +262,13 @@
 	}
 }
 
-// A client that leaves, and a stop, in the midst of it.
+// A client leaves, and the proxy stops, while requests for many keys are outstanding.
 func TestManyKeysWhenAClientLeavesAndAtStop(t *testing.T) {
 	release := make(chan struct{})
 	var asks atomic.Int32
 	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { asks.Add(1); <-release; return hit("value of " + a.key) })
 	gone, stays := p.dial(), p.dial()
-	keys := make([]string, 4) // of more, with no answer at all, the throttle would turn some away
+	keys := make([]string, 4) // with more keys and no answers, the throttle would refuse some
 	for i := range keys {
 		keys[i] = fmt.Sprint("k", i)
 	}
@@ -288,7 +292,8 @@
 	}
 }
 
-// Whatever a client sends, what is kept of a command stays within its bounds, and no room is lost.
+// Whatever a client sends, a parsed command stays within its limits, and the accounting of held memory
+// is exact.
 func FuzzCommand(f *testing.F) {
 	for _, s := range []string{get("k", "i"), put("k", "i", "value"), mget("m", "c=tile-read,d=40,s=1", "a", "b", "a"), mget("m", "c=x"),
 		words("OBJ.MGET", "m"), "*70\r\n$8\r\nOBJ.MGET\r\n", "*5\r\n$8\r\nOBJ.MGET\r\n$1\r\nm\r\n$-1\r\n", words("AUTH", "a", "b"), "*-1\r\n", "PING\r\n"} {
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -27,8 +27,7 @@
 // RecordsOrders reports whether orders are recorded.
 func (p *Proxy) RecordsOrders() bool { return p.cfg.Record != nil }
 
-// recordRetryDelay is the mean delay after which a client may retry an order that could not be
-// recorded.
+// recordRetryDelay is about how long a client waits before it retries an order that could not be recorded.
 const recordRetryDelay = time.Second
 
 // The phases of a recorded order in this process.
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -66,7 +66,8 @@
 	return o.runCounts[key]
 }
 
-// startRecording is a proxy before a till and a cache, with a record on a disk.
+// startRecording starts a proxy in front of a counting origin and a cache, with a record on the given
+// disk.
 func startRecording(t *testing.T, counter *countingOrigin, disk *crash.Disk, set ...func(*Config, *keeper.Options)) *testProxy {
 	t.Helper()
 	cfg, options := testConfig(), recordOptions
@@ -85,14 +86,15 @@
 
 const notProcessed = "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// What a repeat is told, by what became of the order, here and by a process that opens the record after this one.
+// A repeated order is answered according to the outcome of the first one, by the same process and by
+// one that opens the record later.
 func TestAnswersToRepeatedOrders(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer          func(r *http.Request, n int) string
-		first, repeat   string // how the answers begin
+		first, repeat   string // prefixes of the answers
 		other           string // value of the repeat; "": the same
 		receiptsAreTold bool
-		before, runs    int // after the first answer, and after the repeats, here and at the next process
+		before, runs    int // runs after the first answer, and after the repeats in this and the next process
 	}{
 		"it has run":                           {first: "receipt", repeat: "receipt of p", receiptsAreTold: true, before: 1, runs: 1},
 		"it has run, and that is all it hears": {first: "receipt", repeat: "-ERR failed", before: 1, runs: 1},
@@ -142,7 +144,8 @@
 	}
 }
 
-// Repeats that nobody here knows are not run, unless the operator says that they may be; who has no key is not known by its request's id.
+// Retries of orders that are not on record are not run, unless the operator allows it. An order without
+// a key can't be recognized by its request ID.
 func TestUnknownRetriesOfOrders(t *testing.T) {
 	for name, c := range map[string]struct {
 		run  bool
@@ -165,7 +168,8 @@
 	}
 }
 
-// Two askers of one order at once: one has it, the other is told that nothing is promised; it runs once.
+// Two clients send the same order at the same time: one gets it run, the other is told that the outcome
+// is unknown. It runs once.
 func TestTheSameOrderTwiceConcurrently(t *testing.T) {
 	counter := newCountingOrigin(t)
 	free := make(chan struct{})
@@ -184,12 +188,13 @@
 	}
 }
 
-// A disk that fails at each step of an order: it is refused as never run, or has run once and its client is promised nothing; reads are
-// served throughout, and once the disk is well orders go on by themselves.
+// The disk fails at each step of an order. The order is refused as never run, or has run once and its
+// client is told that the outcome is unknown. Reads are served throughout, and orders work again as
+// soon as the disk does.
 func TestRecordDiskFailsWhileServing(t *testing.T) {
 	bad := errors.New("input/output error")
 	for name, c := range map[string]struct {
-		fails func(ops int) bool // of the changes of the disk, from the order's first on
+		fails func(ops int) bool // by the number of disk operations since the start of the order
 		want  string
 		runs  int
 	}{
@@ -241,8 +246,9 @@
 	}
 }
 
-// A disk that takes long: reads are served, orders are refused when their time is over or the line is full, and none of them runs; one that
-// has run and waits for its receipt to be on record is told that nothing is promised, and the record knows better later.
+// The disk is slow. Reads are served; orders are refused when their deadline passes or the queue is
+// full, and none of them runs. An order that has run, but whose receipt is not on disk in time, is
+// answered as unknown, and its repeat gets the receipt.
 func TestSlowRecordDisk(t *testing.T) {
 	counter, disk := newCountingOrigin(t), crash.New()
 	var on func(*testProxy, time.Duration)
@@ -262,11 +268,12 @@
 		return page("receipt of " + r.URL.Path[1:])
 	}
 	client.send(order("first", "1", "a pass", ",k=first"))
-	// The clock goes on a little for the module's choice, and far less than the order's time.
+	// The clock advances a little so that the decision module can act, and far less than the order's
+	// deadline.
 	p.eventually("it is taken", func() bool { return p.recorded == 1 })
 	for ticks, waits := 0, true; waits; ticks++ {
 		select {
-		case <-reached: // its receipt is on its way to the disk
+		case <-reached: // its receipt is being written to disk
 			waits = false
 		case <-time.After(time.Millisecond):
 			if ticks < 1000 {
@@ -309,7 +316,8 @@
 	}
 }
 
-// A successor's orders wait until the process before has given up the record, and go then; what they repeat is known.
+// Orders at a successor process wait until the predecessor closes the record, and then run. The
+// successor recognizes repeats of the predecessor's orders.
 func TestRecordIsHandedOver(t *testing.T) {
 	counter, disk := newCountingOrigin(t), crash.New()
 	free := make(chan struct{})
@@ -342,7 +350,8 @@
 	}
 }
 
-// A member that drains while the record is written gets nothing new, and the order goes to another.
+// A member starts to drain while an attempt is being recorded. It gets nothing new, and the order goes
+// to another member.
 func TestDrainWhileOrderIsRecorded(t *testing.T) {
 	o, other, d := newCountingOrigin(t), newCountingOrigin(t), crash.New()
 	cfg := testConfig()
@@ -354,7 +363,7 @@
 	syncs, stuck, reached := 0, make(chan struct{}), make(chan struct{})
 	d.Fail = func(_ int, what string) error {
 		if strings.HasPrefix(what, "sync") {
-			if syncs++; syncs == 4 { // the file's, the folder's, the taking's, the sending's
+			if syncs++; syncs == 4 { // of the file, of the directory, on taking the order, on sending it
 				close(reached)
 				<-stuck
 			}
@@ -373,7 +382,7 @@
 	}
 }
 
-// A client that leaves: what was sent runs, and its receipt is there for it when it comes again.
+// The client leaves after its order was sent. The order runs, and a retry gets its receipt.
 func TestOrderRunsOnAfterItsClientLeaves(t *testing.T) {
 	counter, disk := newCountingOrigin(t), crash.New()
 	free := make(chan struct{})
@@ -394,7 +403,7 @@
 	}
 }
 
-// A proven caller's token serves one order, over a restart too; a repeat of that order may come by it.
+// A token serves one order, across a restart too. A repeat of that order may use the same token.
 func TestOrderTokensSurviveARestart(t *testing.T) {
 	office, d := newOffice(t, "k1"), crash.New()
 	token := office.token("k1", "shop", "j1")
