--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -20,8 +20,7 @@
 	"linenloom/logic"
 )
 
-// attemptScenario is a proxy configuration and a kind of client request, which determine how attempts
-// are written.
+// attemptScenario is a proxy configuration and a kind of client request, which determine how attempts are written.
 type attemptScenario struct {
 	configure  func(t *testing.T, cfg *Config)
 	newRequest func(rng *rand.Rand, id string) (text string, answers int)
@@ -146,8 +145,7 @@
 	return append(all, s.startRelay("origin", unreliableOrigin(s.t), "origin", 10*time.Millisecond, 10*time.Millisecond, 0))
 }
 
-// skipAnswer reads one complete answer, which may be an array. It returns false if the connection has
-// ended.
+// skipAnswer reads one complete answer, which may be an array. It returns false if the connection has ended.
 func (c *testClient) skipAnswer() bool {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -211,7 +209,7 @@
 							client = &testClient{t: t, conn: conn, in: bufio.NewReader(conn)}
 						}
 						text, answers := w.newRequest(rng, fmt.Sprintf("c%d-%d", i, round))
-						io.WriteString(client.conn, text) // a failure means that the connection has ended, which reading detects
+						io.WriteString(client.conn, text) // if it fails, reading detects that the connection has ended
 						for range answers {
 							if !client.skipAnswer() {
 								client = nil
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -24,8 +24,7 @@
 	"linenloom/logic"
 )
 
-// deadlineChecker checks the deadlines sent to the members of a proxy, on a clock that the test
-// advances.
+// deadlineChecker checks the deadlines sent to the members of a proxy, on a clock that the test advances.
 type deadlineChecker struct {
 	standin.Deadlines
 	t       *testing.T
@@ -95,8 +94,7 @@
 	return words("OBJ.SET", key, id, attrs, "value")
 }
 
-// expectAttempts checks the number of first attempts at the members, and whether there were further
-// ones.
+// expectAttempts checks the number of first attempts at the members, and whether there were further ones.
 func (w *deadlineChecker) expectAttempts(first int, further bool) {
 	w.t.Helper()
 	if f, more := w.Attempts(); f != first || more > 0 != further {
@@ -261,8 +259,7 @@
 	return has
 }
 
-// A client's deadline counts from its last byte, also for commands that were unread while earlier ones
-// were pending.
+// A client's deadline counts from its last byte, also for commands that were unread while earlier ones were pending.
 func TestUnreadCommandsKeepTheirDeadline(t *testing.T) {
 	const commands = 3 * maxPipeline
 	cfg := leaving(false)
@@ -527,8 +524,7 @@
 	}
 }
 
-// All reads of a request for many keys have its deadline, also those that begin after others were
-// answered.
+// All reads of a request for many keys have its deadline, also those that begin after others were answered.
 func TestManyKeysShareOneDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 1
@@ -625,8 +621,7 @@
 }
 
 // Many proxies share members, and each is delayed at random (by a fixed seed) between choosing a member
-// and writing to it. Reads miss, fail, are refused and time out. No member is sent more time than is
-// left.
+// and writing to it. Reads miss, fail, are refused and time out. No member is sent more time than is left.
 func TestManyDelayedProxiesSendRemainingDeadline(t *testing.T) {
 	const proxies, rounds, pauseMost = 24, 12, 150 * time.Millisecond
 	var now atomic.Int64
--- a/internal/proxy/follow_test.go
+++ b/internal/proxy/follow_test.go
@@ -55,8 +55,7 @@
 		p.Do(func() { s = p.members[MemberID("s-1")].state })
 		return s
 	}
-	// Answers the call that was pending when the drain arrived, or the next one if that has timed out
-	// since.
+	// Answers the call that was pending when the drain arrived, or the next one if that has timed out since.
 	answer <- discoveryList(41, true, entries...)
 	wait("it is asked again, as its list is older")
 	if s := state(); s != logic.Draining {
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -63,8 +63,7 @@
 	}
 }
 
-// discardingTaker discards the answer of a leading read whose client has left while others still follow
-// it.
+// discardingTaker discards the answer of a leading read whose client has left while others still follow it.
 type discardingTaker struct{}
 
 func (discardingTaker) Answer(Answer) {}
@@ -182,8 +181,7 @@
 	p.settle(follower)
 }
 
-// followerTimedOut ends a follower whose deadline has passed. It gets the shared answer if there is
-// one.
+// followerTimedOut ends a follower whose deadline has passed. It gets the shared answer if there is one.
 func (p *Proxy) followerTimedOut(id logic.RequestID) {
 	follower := p.requests[id]
 	switch {
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -106,7 +106,7 @@
 	for name, end := range map[string]func(gated *gatedCache, lead *testClient){
 		"its client leaves": func(gated *gatedCache, lead *testClient) {
 			lead.conn.Close()
-			time.Sleep(10 * time.Millisecond) // usually lets the proxy see it before the answer; both orders have to work
+			time.Sleep(10 * time.Millisecond) // mostly, the proxy sees it before the answer; either order has to work
 			gated.answers <- hit("v")
 		},
 		"its time ends": func(gated *gatedCache, lead *testClient) {
@@ -452,7 +452,7 @@
 			}
 			cfg := testConfig()
 			cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinLimits, 5000, 2048
-			run := boundedClock(t, &cfg, 4*time.Second) // stands still until all have arrived, and then stays below their deadlines
+			run := boundedClock(t, &cfg, 4*time.Second) // starts once all have arrived; stays below their deadlines
 			box := listen(t, func(conn net.Conn) {
 				for in := resp.NewReader(conn, 4096); ; {
 					w, err := readCommand(in)
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -17,8 +17,7 @@
 // these is limited, and further ones are not read until there is memory. This costs their clients
 // nothing, as their deadlines count from the last byte.
 const (
-	// longMemoryShare is the share of the memory for long values that are written, in addition to
-	// bufferShare.
+	// longMemoryShare is the share of the memory for long values that are written, in addition to bufferShare.
 	longMemoryShare = 0.25
 	// longPieceBytes is how much of a long value has to arrive within commandTime. A slower client
 	// would hold its memory for minutes.
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -15,8 +15,7 @@
 // lock and must not block.
 type ManyTaker interface {
 	// KeyDone reports the outcome of the key with this index in the Gather: its value, which is valid
-	// during the call only, or why there is none. It may be called while the balancer is handling an
-	// event.
+	// during the call only, or why there is none. It may be called while the balancer is handling an event.
 	KeyDone(keyIndex int, outcome manykeys.Outcome, answer Answer, denied error)
 	// AllDone is called once, after KeyDone for every key.
 	AllDone()
@@ -27,7 +26,7 @@
 	proxy     *Proxy
 	Gather    *manykeys.Gather
 	taker     ManyTaker
-	command   Command // each read has its own key and ID in it
+	command   Command // the reads replace the key and the ID
 	proof     *identity.Proof
 	front     string
 	reads     []manyRead // by key index
@@ -50,8 +49,7 @@
 
 // SubmitMany accepts a request for many keys, under the host's lock. maxBytes limits the total size of
 // the values, in addition to the configured limit. An error concerns the request as a whole; no key is
-// requested then. The reads start after the current event, as starting them may end some of them at
-// once.
+// requested then. The reads start after the current event, as starting them may end some of them at once.
 func (p *Proxy) SubmitMany(c Command, keys []string, proof *identity.Proof, front string, maxBytes int, taker ManyTaker) (*Many, error) {
 	configured := p.cfg.ManyKeys
 	switch {
@@ -153,8 +151,7 @@
 	r.many.completeKey(r.keyIndex, outcome, a, r.denied)
 }
 
-// completeKey stores the outcome of a key. The request is advanced after the balancer has handled the
-// current event.
+// completeKey stores the outcome of a key. The request is advanced after the balancer has handled the current event.
 func (m *Many) completeKey(keyIndex int, outcome manykeys.Outcome, a Answer, denied error) {
 	if m.withdrawn {
 		return
@@ -176,8 +173,7 @@
 	}
 }
 
-// advanceMany advances the requests for many keys that have new outcomes. It reports whether there were
-// any.
+// advanceMany advances the requests for many keys that have new outcomes. It reports whether there were any.
 func (p *Proxy) advanceMany() (advanced bool) {
 	p.ups.Cork()
 	defer p.ups.Uncork()
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -19,8 +19,7 @@
 
 var manyKeysLimits = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
 
-// startManyKeys starts a proxy that accepts OBJ.MGET, in front of an origin and three caches that
-// answer alike.
+// startManyKeys starts a proxy that accepts OBJ.MGET, in front of an origin and three caches that answer alike.
 func startManyKeys(t *testing.T, l manykeys.Limits, answer func(box int, a asked) string) *testProxy {
 	t.Helper()
 	cfg := testConfig()
@@ -38,8 +37,7 @@
 	return words(append([]string{"OBJ.MGET", id, attrs}, keys...)...)
 }
 
-// readArray reads a reply to OBJ.MGET. It returns the elements, or nil and the line if the reply is not
-// an array.
+// readArray reads a reply to OBJ.MGET. It returns the elements, or nil and the line if the reply is not an array.
 func (c *testClient) readArray() (all []string, line string) {
 	c.t.Helper()
 	line = c.answer()
@@ -106,8 +104,7 @@
 	p.eventually("nothing is held", func() bool { return p.held == 0 && len(p.requests) == 0 })
 }
 
-// An error of the request as a whole is reported once and no key is requested. The connection stays
-// usable.
+// An error of the request as a whole is reported once and no key is requested. The connection stays usable.
 func TestInvalidManyKeysRequests(t *testing.T) {
 	var asks atomic.Int32
 	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { asks.Add(1); return hit("v") })
@@ -138,8 +135,7 @@
 	}
 }
 
-// If one cache stalls, keys that others can give are served, and keys that no cache gives in time are
-// marked late.
+// If one cache stalls, keys that others can give are served, and keys that no cache gives in time are marked late.
 func TestManyKeysWithAStalledCache(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
@@ -292,8 +288,7 @@
 	}
 }
 
-// Whatever a client sends, a parsed command stays within its limits, and the accounting of held memory
-// is exact.
+// Whatever a client sends, a parsed command stays within its limits, and the accounting of held memory is exact.
 func FuzzCommand(f *testing.F) {
 	for _, s := range []string{get("k", "i"), put("k", "i", "value"), mget("m", "c=tile-read,d=40,s=1", "a", "b", "a"), mget("m", "c=x"),
 		words("OBJ.MGET", "m"), "*70\r\n$8\r\nOBJ.MGET\r\n", "*5\r\n$8\r\nOBJ.MGET\r\n$1\r\nm\r\n$-1\r\n", words("AUTH", "a", "b"), "*-1\r\n", "PING\r\n"} {
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -109,8 +109,7 @@
 	})
 }
 
-// digest returns a hash of the order's content, which tells it from a different order with the same
-// name.
+// digest returns a hash of the order's content, which tells it from a different order with the same name.
 func (r *Request) digest() (digest [sha256.Size]byte) {
 	hash := sha256.New()
 	for _, part := range [...][]byte{r.Key, r.Value} {
@@ -156,8 +155,7 @@
 }
 
 // recordRetryAfter returns the delay after which a client may retry an order that could not be
-// recorded, or 0 if the settings allow no such hint. The delay is random, so that clients do not retry
-// all at once.
+// recorded, or 0 if the settings allow no such hint. The delay is random, so that clients do not retry all at once.
 func (p *Proxy) recordRetryAfter() time.Duration {
 	if s := &p.cfg.Settings; s.CanRetryAfter {
 		return min(recordRetryDelay/2+rand.N(recordRetryDelay), s.MaxRetryAfter*2/3)
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -66,8 +66,7 @@
 	return o.runCounts[key]
 }
 
-// startRecording starts a proxy in front of a counting origin and a cache, with a record on the given
-// disk.
+// startRecording starts a proxy in front of a counting origin and a cache, with a record on the given disk.
 func startRecording(t *testing.T, counter *countingOrigin, disk *crash.Disk, set ...func(*Config, *keeper.Options)) *testProxy {
 	t.Helper()
 	cfg, options := testConfig(), recordOptions
@@ -268,8 +267,7 @@
 		return page("receipt of " + r.URL.Path[1:])
 	}
 	client.send(order("first", "1", "a pass", ",k=first"))
-	// The clock advances a little so that the decision module can act, and far less than the order's
-	// deadline.
+	// The clock advances a little so that the decision module can act, and far less than the order's deadline.
 	p.eventually("it is taken", func() bool { return p.recorded == 1 })
 	for ticks, waits := 0, true; waits; ticks++ {
 		select {
