--- a/internal/proxy/copies_test.go
+++ b/internal/proxy/copies_test.go
@@ -56,11 +56,11 @@
 
 // keysOfFarMember requests keys until n of them have been sent to the far member first and its answers
 // count as clean.
-func (s *transitScenario) keysOfFarMember(n, most int) (keys []string) {
+func (s *transitScenario) keysOfFarMember(n, maxKeys int) (keys []string) {
 	s.t.Helper()
 	for i := 0; len(keys) < n; i++ {
-		if i == most {
-			s.t.Fatalf("of %d keys, %d have their place at the far member", most, len(keys))
+		if i == maxKeys {
+			s.t.Fatalf("of %d keys, %d have their place at the far member", maxKeys, len(keys))
 		}
 		s.warmupKeys++
 		key := fmt.Sprint("w", s.warmupKeys)
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -186,15 +186,15 @@
 				w.configure(t, &cfg)
 			}
 			scenario.testProxy = start(t, cfg, scenario.unreliableMembers()...)
-			const clients, enough, look = 16, 25, 8
+			const clients, minFurther, checkEvery = 16, 25, 8
 			var asking sync.WaitGroup
 			for i := range clients {
 				asking.Go(func() {
 					rng := rand.New(rand.NewPCG(uint64(i), 60))
 					var client *testClient
 					for round, end := 0, time.Now().Add(patience/2); time.Now().Before(end); round++ {
-						if round%look == 0 {
-							if _, further := scenario.copies.Attempts(); further >= enough {
+						if round%checkEvery == 0 {
+							if _, further := scenario.copies.Attempts(); further >= minFurther {
 								return
 							}
 						}
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -54,7 +54,7 @@
 
 // serve is the cache side of one connection, which checks received deadlines and has every key. The
 // text of each deadline is sent to the channel unless that is nil.
-func (w *deadlineChecker) serve(name string, conn net.Conn, told chan<- string) {
+func (w *deadlineChecker) serve(name string, conn net.Conn, deadlines chan<- string) {
 	in := resp.NewReader(conn, 4096)
 	for {
 		command, err := readCommand(in)
@@ -62,9 +62,9 @@
 			return
 		}
 		w.Told(name, command[2], command[3])
-		if told != nil {
+		if deadlines != nil {
 			_, deadline, _ := strings.Cut(command[3], ",d=")
-			told <- deadline
+			deadlines <- deadline
 		}
 		if _, err := io.WriteString(conn, hit("value of "+command[1])); err != nil {
 			return
@@ -104,18 +104,18 @@
 
 // advanceUntil advances the clock until the channel delivers. Attempts time out meanwhile, and others
 // follow. The clock stands still while bytes are in transit.
-func (w *deadlineChecker) advanceUntil(p *testProxy, most time.Duration, what string, came <-chan struct{}) {
+func (w *deadlineChecker) advanceUntil(p *testProxy, limit time.Duration, event string, arrived <-chan struct{}) {
 	w.t.Helper()
-	for range most / time.Millisecond {
+	for range limit / time.Millisecond {
 		p.eventually("what was sent has come", func() bool { return w.allArrived(p) })
 		select {
-		case <-came:
+		case <-arrived:
 			return
 		case <-time.After(200 * time.Microsecond):
 			w.advance(p, time.Millisecond)
 		}
 	}
-	w.t.Fatalf("never came about: %s", what)
+	w.t.Fatalf("never came about: %s", event)
 }
 
 // allArrived reports whether all reads that were written to members have arrived. The last byte of a
@@ -150,14 +150,14 @@
 			t.Parallel()
 			cfg := testConfig()
 			checker := checkDeadlines(t, &cfg)
-			came, next, release := make(chan struct{}, 10), make(chan struct{}, 10), make(chan struct{})
-			var asks atomic.Int32
+			arrived, next, release := make(chan struct{}, 10), make(chan struct{}, 10), make(chan struct{})
+			var requests atomic.Int32
 			answer := func(a asked) string {
-				if asks.Add(1) > 1 {
+				if requests.Add(1) > 1 {
 					next <- struct{}{}
 					return miss
 				}
-				came <- struct{}{}
+				arrived <- struct{}{}
 				<-release
 				return first
 			}
@@ -171,7 +171,7 @@
 			p := start(t, cfg, entry("s-1", checker.cache("s-1", answer), "large"), entry("s-2", checker.cache("s-2", answer), "large"), entry("o-1", o, "origin"))
 			client := p.dial()
 			client.send(checker.get("a1", "id", 8000))
-			<-came
+			<-arrived
 			checker.advance(p, 2500*time.Millisecond) // less than the timeout of the attempt
 			if first != "" {
 				close(release)
@@ -187,11 +187,11 @@
 		t.Parallel()
 		cfg := testConfig()
 		checker := checkDeadlines(t, &cfg)
-		came, release := make(chan struct{}, 10), make(chan struct{})
-		var asks atomic.Int32
+		arrived, release := make(chan struct{}, 10), make(chan struct{})
+		var requests atomic.Int32
 		o := checker.origin(func(*http.Request) string {
-			if asks.Add(1) == 1 {
-				came <- struct{}{}
+			if requests.Add(1) == 1 {
+				arrived <- struct{}{}
 				<-release
 				return busyOrigin
 			}
@@ -200,7 +200,7 @@
 		p := start(t, cfg, entry("o-1", o, "origin"))
 		client := p.dial()
 		client.send(checker.put("a1", "id", 8000))
-		checker.advanceUntil(p, time.Second, "the first attempt", came)
+		checker.advanceUntil(p, time.Second, "the first attempt", arrived)
 		checker.advance(p, 2500*time.Millisecond)
 		close(release)
 		checker.advanceUntil(p, 5*time.Second, "the receipt", awaitAnswer(client, "receipt"))
@@ -214,21 +214,21 @@
 		t.Run(deadline.String(), func(t *testing.T) {
 			cfg := testConfig()
 			checker := checkDeadlines(t, &cfg)
-			came, release := make(chan struct{}, 10), make(chan struct{})
+			arrived, release := make(chan struct{}, 10), make(chan struct{})
 			node := checker.cache("s-1", func(asked) string {
-				came <- struct{}{}
+				arrived <- struct{}{}
 				<-release
 				return miss
 			})
-			told := make(chan string, 1)
+			attributes := make(chan string, 1)
 			o := checker.origin(func(r *http.Request) string {
-				told <- r.Header.Get("X-Attrs")
+				attributes <- r.Header.Get("X-Attrs")
 				return page("value")
 			})
 			p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 			client := p.dial()
 			client.send(checker.get("a1", "id", 8000))
-			<-came
+			<-arrived
 			checker.advance(p, 2*time.Second)
 			classes := slices.Clone(cfg.Settings.Classes)
 			for i := range classes {
@@ -239,7 +239,7 @@
 			}
 			close(release)
 			checker.advanceUntil(p, 5*time.Second, "the answer", awaitAnswer(client, "value"))
-			_, text, _ := strings.Cut(<-told, ",d=")
+			_, text, _ := strings.Cut(<-attributes, ",d=")
 			if ms, err := strconv.Atoi(text); err != nil || ms < 5500 || ms > 6000 {
 				t.Errorf("the origin was told %q, want what is left of 8000 after 2 s", text)
 			}
@@ -249,14 +249,14 @@
 
 // awaitAnswer returns a channel that is closed after the client's next answer, which has to be want.
 func awaitAnswer(c *testClient, want string) <-chan struct{} {
-	has := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		if got := c.answer(); got != want {
 			c.t.Errorf("answered %q, want %q", got, want)
 		}
-		close(has)
+		close(done)
 	}()
-	return has
+	return done
 }
 
 // A client's deadline counts from its last byte, also for commands that were unread while earlier ones were pending.
@@ -265,12 +265,12 @@
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1 // so that an attempt may take all that its client has left
 	checker := checkDeadlines(t, &cfg)
-	d, err := standin.NewDoor()
+	server, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
-	p := start(t, cfg, entry("s-1", d.Addr().String(), "large"))
+	t.Cleanup(func() { server.Close() })
+	p := start(t, cfg, entry("s-1", server.Addr().String(), "large"))
 	var text strings.Builder
 	for i := range commands {
 		text.WriteString(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
@@ -284,7 +284,7 @@
 		return false
 	})
 	checker.advance(p, 5*time.Second)
-	d.Serve(func(conn net.Conn) { checker.serve("s-1", conn, nil) })
+	server.Serve(func(conn net.Conn) { checker.serve("s-1", conn, nil) })
 	all := make(chan struct{})
 	go func() {
 		defer close(all)
@@ -307,13 +307,13 @@
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
 	checker := checkDeadlines(t, &cfg)
-	d, err := standin.NewDoor()
+	server, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
-	told := make(chan string, 10*maxPipeline)
-	p := start(t, cfg, entry("s-1", d.Addr().String(), "large"))
+	t.Cleanup(func() { server.Close() })
+	deadlines := make(chan string, 10*maxPipeline)
+	p := start(t, cfg, entry("s-1", server.Addr().String(), "large"))
 	client := p.dial()
 	send := func(from, to int) {
 		var text strings.Builder
@@ -338,7 +338,7 @@
 		return false
 	})
 	checker.advance(p, 5*time.Second)
-	d.Serve(func(conn net.Conn) { checker.serve("s-1", conn, told) })
+	server.Serve(func(conn net.Conn) { checker.serve("s-1", conn, deadlines) })
 	all := make(chan struct{})
 	go func() {
 		defer close(all)
@@ -347,8 +347,8 @@
 		}
 	}()
 	checker.advanceUntil(p, 9*time.Second, "the answers", all)
-	for len(told) > 0 {
-		<-told
+	for len(deadlines) > 0 {
+		<-deadlines
 	}
 	p.eventually("its reader reads", func() bool {
 		for c := range p.redis.clients {
@@ -361,7 +361,7 @@
 	last := make(chan struct{})
 	go func() { defer close(last); client.answer() }()
 	checker.advanceUntil(p, 9*time.Second, "the last answer", last)
-	if n, err := strconv.Atoi(<-told); err != nil || n < 14_000 {
+	if n, err := strconv.Atoi(<-deadlines); err != nil || n < 14_000 {
 		t.Errorf("a command that came by itself was told %d ms of 15,000, %v", n, err)
 	}
 }
@@ -396,10 +396,10 @@
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
 	checker := checkDeadlines(t, &cfg)
-	told := make(chan string, 10)
+	deadlines := make(chan string, 10)
 	p := start(t, cfg, entry("s-1", checker.cache("s-1", func(a asked) string {
 		_, deadline, _ := strings.Cut(a.attrs, ",d=")
-		told <- deadline
+		deadlines <- deadline
 		return hit("value of " + a.key)
 	}), "large"))
 	ask := func(id string) int {
@@ -410,7 +410,7 @@
 		if got := client.answer(); got != "value of k" {
 			t.Fatalf("answered %q", got)
 		}
-		ms, err := strconv.Atoi(<-told)
+		ms, err := strconv.Atoi(<-deadlines)
 		if err != nil {
 			t.Error(err)
 		}
@@ -450,10 +450,10 @@
 	var sent atomic.Int32
 	arrived := make(chan struct{}, 100)
 	checker := &deadlineChecker{t: t}
-	var moved atomic.Int64 // by the delays, in addition to the test's advances
+	var extraDelay atomic.Int64 // by the delays, in addition to the test's advances
 	checker.advance = manualClock(&cfg)
 	base := cfg.Clock
-	cfg.Clock = func() time.Duration { return base() + time.Duration(moved.Load()) }
+	cfg.Clock = func() time.Duration { return base() + time.Duration(extraDelay.Load()) }
 	checker.Now = cfg.Clock
 	cfg.OnSend = func(logic.RequestID, logic.MemberID) {
 		if !holding.Load() {
@@ -462,24 +462,24 @@
 		if sent.Add(1) > 1 { // the previous attempt has arrived: no time passes while bytes are in transit
 			<-arrived
 		}
-		moved.Add(int64(pause))
+		extraDelay.Add(int64(pause))
 	}
 	together := make(chan struct{})
-	var warm atomic.Int32
+	var warmups atomic.Int32
 	o := checker.origin(func(r *http.Request) string {
 		if r.Method != http.MethodPut {
 			arrived <- struct{}{}
 			return page("value")
 		}
-		if warm.Add(1) == reads {
+		if warmups.Add(1) == reads {
 			close(together)
 		}
 		<-together
 		return page("receipt")
 	})
-	stuck, asks := make(chan struct{}), make(chan struct{}, 100)
+	stuck, requests := make(chan struct{}), make(chan struct{}, 100)
 	silent := checker.cache("s-1", func(asked) string {
-		asks <- struct{}{}
+		requests <- struct{}{}
 		<-stuck
 		return miss
 	})
@@ -499,16 +499,16 @@
 				free++
 			}
 		}
-		moved.Add(int64(time.Millisecond))
+		extraDelay.Add(int64(time.Millisecond))
 		return len(p.requests) == 0 && free == reads
 	})
 	for i := range reads {
 		p.dial().send(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), int(wait.Milliseconds())))
-		<-asks
+		<-requests
 	}
 	p.Do(func() {}) // waits for the end of the last read's event, which notes when it was written
 	holding.Store(true)
-	moved.Add(int64(3500 * time.Millisecond)) // the first attempts of all reads have timed out
+	extraDelay.Add(int64(3500 * time.Millisecond)) // the first attempts of all reads have timed out
 	p.Tick()
 	want := reads
 	if left := int((wait - 3500*time.Millisecond) / pause); left < reads {
@@ -530,9 +530,9 @@
 	cfg.Settings.MaxAttempts = 1
 	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Outstanding: 1, PartSize: 1}
 	checker := checkDeadlines(t, &cfg)
-	came, release := make(chan struct{}, 10), make(chan struct{}, 10)
+	arrived, release := make(chan struct{}, 10), make(chan struct{}, 10)
 	p := start(t, cfg, entry("s-1", checker.cache("s-1", func(a asked) string {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		<-release
 		return hit("value of " + a.key)
 	}), "large"))
@@ -540,7 +540,7 @@
 	checker.Sent("many", "c=tile-read,d=8000")
 	client.send(mget("many", "c=tile-read,d=8000", "a", "b", "c"))
 	for range 3 {
-		<-came
+		<-arrived
 		checker.advance(p, 2*time.Second)
 		release <- struct{}{}
 	}
@@ -556,24 +556,24 @@
 	cfg.Settings.MaxAttempts = 2 // so that the second attempt may take all that is left
 	cfg.Joining = &joining.Limits{Followers: 10, PerTenant: 10, Groups: 10}
 	checker := checkDeadlines(t, &cfg)
-	came, release := make(chan struct{}, 10), make(chan struct{})
-	var asks atomic.Int32
-	told := make(chan string, 10)
+	arrived, release := make(chan struct{}, 10), make(chan struct{})
+	var requests atomic.Int32
+	attributes := make(chan string, 10)
 	answer := func(a asked) string {
-		told <- a.attrs
-		if asks.Add(1) == 1 {
-			came <- struct{}{}
+		attributes <- a.attrs
+		if requests.Add(1) == 1 {
+			arrived <- struct{}{}
 			<-release
 			return "-ERR failed\r\n"
 		}
 		return hit("value")
 	}
-	o := checker.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
+	o := checker.origin(func(r *http.Request) string { attributes <- r.Header.Get("X-Attrs"); return page("value") })
 	p := start(t, cfg, entry("s-1", checker.cache("s-1", answer), "large"), entry("o-1", o, "origin"))
 	lead, follower := p.dial(), p.dial()
 	lead.send(checker.get("a", "lead", 8000))
-	<-came
-	<-told
+	<-arrived
+	<-attributes
 	follower.send(checker.get("a", "follower", 4000))
 	p.awaitFollowers(1)
 	lead.conn.Close()
@@ -661,9 +661,9 @@
 			id := fmt.Sprintf("id-%d-%d", round, i)
 			client.send(checker.get(fmt.Sprint("k", round*proxies+i), id, 8000))
 			asked++
-			has := make(chan struct{})
-			go func() { defer close(has); client.answer() }()
-			checker.advanceUntil(p, 8*time.Second, "the answer", has)
+			done := make(chan struct{})
+			go func() { defer close(done); client.answer() }()
+			checker.advanceUntil(p, 8*time.Second, "the answer", done)
 			client.conn.Close()
 		}
 	}
@@ -679,14 +679,14 @@
 // Which deadlines clients may give, and what their servers are sent.
 func TestDeadlineOfClients(t *testing.T) {
 	for text, want := range map[string]struct {
-		told   int
+		sent   int
 		answer string
 	}{
-		"d=4000":               {told: 4000},
-		"d=4000.75":            {told: 4000},
+		"d=4000":               {sent: 4000},
+		"d=4000.75":            {sent: 4000},
 		"d=0.25":               {answer: "-BUSY"}, // less than the shortest time to answer: nothing is sent
 		"d=1":                  {answer: "-BUSY"},
-		"d=60000":              {told: 8000}, // the class allows no more
+		"d=60000":              {sent: 8000}, // the class allows no more
 		"d=86400001":           {answer: "-ERR"},
 		"d=1" + manyZeros:      {answer: "-ERR"},
 		"d=0":                  {answer: "-ERR"},
@@ -699,8 +699,8 @@
 		"d=1.2.3":              {answer: "-ERR"},
 		"d=4000,d=5000":        {answer: "-ERR"},
 		"t=acme":               {answer: "-ERR"},
-		"d=4000,size=7,t=acme": {told: 4000},
-		"d=4000,r=1":           {told: 4000}, // a client's own retry has its own deadline
+		"d=4000,size=7,t=acme": {sent: 4000},
+		"d=4000,r=1":           {sent: 4000}, // a client's own retry has its own deadline
 	} {
 		for _, c := range []struct{ name, class string }{{"OBJ.GET", "tile-read"}, {"OBJ.SET", "pass-order"}} {
 			t.Run(c.name+" "+text[:min(len(text), 20)], func(t *testing.T) {
@@ -708,9 +708,9 @@
 				cfg := testConfig()
 				cfg.Settings.MaxAttempts = 1
 				checker := checkDeadlines(t, &cfg)
-				told := make(chan string, 10)
-				node := checker.cache("s-1", func(a asked) string { told <- a.attrs; return hit("value") })
-				o := checker.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
+				attributes := make(chan string, 10)
+				node := checker.cache("s-1", func(a asked) string { attributes <- a.attrs; return hit("value") })
+				o := checker.origin(func(r *http.Request) string { attributes <- r.Header.Get("X-Attrs"); return page("value") })
 				p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 				attrs := "c=" + c.class + "," + text
 				checker.Sent("id", attrs)
@@ -732,18 +732,18 @@
 					close(answer)
 				}()
 				checker.advanceUntil(p, time.Second, "the answer", answer)
-				if n := len(told); n > 1 || (n == 1) != (want.told > 0) {
+				if n := len(attributes); n > 1 || (n == 1) != (want.sent > 0) {
 					t.Fatalf("its server was asked %d times", n)
 				}
-				if want.told == 0 {
+				if want.sent == 0 {
 					return
 				}
-				list := <-told
+				list := <-attributes
 				_, after, _ := strings.Cut(list, ",d=")
 				after, rest, _ := strings.Cut(after, ",")
 				got, err := strconv.Atoi(after)
-				if err != nil || got > want.told || got < want.told-200 { // the test's clock advances a little
-					t.Errorf("its server was told %q, want a deadline of %d", list, want.told)
+				if err != nil || got > want.sent || got < want.sent-200 { // the test's clock advances a little
+					t.Errorf("its server was told %q, want a deadline of %d", list, want.sent)
 				}
 				if _, others, _ := strings.Cut(text, ","); rest != others {
 					t.Errorf("its server was told %q behind the deadline, want %q", rest, others)
--- a/internal/proxy/givenup_test.go
+++ b/internal/proxy/givenup_test.go
@@ -15,7 +15,7 @@
 )
 
 // manualClock gives the proxy a clock that the test advances, a millisecond at a time.
-func manualClock(cfg *Config) (on func(*testProxy, time.Duration)) {
+func manualClock(cfg *Config) (advance func(*testProxy, time.Duration)) {
 	var now atomic.Int64
 	cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
 	return func(p *testProxy, d time.Duration) {
@@ -28,14 +28,14 @@
 
 // boundedClock gives the proxy a clock that runs up to a limit far below any deadline: what needs more
 // time never happens.
-func boundedClock(t *testing.T, cfg *Config, most time.Duration) (run func(p *testProxy)) {
+func boundedClock(t *testing.T, cfg *Config, limit time.Duration) (run func(p *testProxy)) {
 	var now atomic.Int64
 	cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
 	return func(p *testProxy) {
 		stop, ended := make(chan struct{}), make(chan struct{})
 		go func() {
 			defer close(ended)
-			for range int(most / time.Millisecond) {
+			for range int(limit / time.Millisecond) {
 				select {
 				case <-stop:
 					return
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -35,13 +35,13 @@
 	return <-g.answers
 }
 
-func startJoining(t *testing.T, l joining.Limits, answer func(asked) string, set ...func(*Config)) *testProxy {
+func startJoining(t *testing.T, limits joining.Limits, answer func(asked) string, set ...func(*Config)) *testProxy {
 	t.Helper()
 	cfg := testConfig()
 	for _, f := range set {
 		f(&cfg)
 	}
-	cfg.Joining = &l
+	cfg.Joining = &limits
 	cfg.MostHeld, cfg.Sockets = 5000, 2048
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "acme", Share: 0.5}, {Name: "best", Share: 0.5}}
 	return start(t, cfg, entry("s-a", cache(t, answer), "large"),
@@ -210,9 +210,9 @@
 // handled as ordinary reads.
 func TestJoinLimitPerTenant(t *testing.T) {
 	gated := newGatedCache()
-	l := joinLimits
-	l.PerTenant = 10
-	p := startJoining(t, l, gated.answer)
+	limits := joinLimits
+	limits.PerTenant = 10
+	p := startJoining(t, limits, gated.answer)
 	storm := p.dial()
 	for i := range 13 { // one leads, ten follow, two are not joined
 		storm.send(words("OBJ.GET", "a", fmt.Sprint("s", i), "c=tile-read,d=4000,t=acme"))
@@ -306,8 +306,8 @@
 // answers, all whose deadline has not passed are served; the others were refused before.
 func TestThousandFollowersOfAStalledLead(t *testing.T) {
 	gated := newGatedCache()
-	var clock func(*testProxy, time.Duration) // it stands still until all have arrived, however long the machine takes
-	p := startJoining(t, joinLimits, gated.answer, func(cfg *Config) { clock = manualClock(cfg) })
+	var advance func(*testProxy, time.Duration) // it stands still until all have arrived, however long the machine takes
+	p := startJoining(t, joinLimits, gated.answer, func(cfg *Config) { advance = manualClock(cfg) })
 	lead := p.dial()
 	lead.send(getWithin("a", "lead", "300"))
 	<-gated.requests
@@ -329,7 +329,7 @@
 		all = append(all, one{c, wait})
 	}
 	p.awaitFollowers(clients * each)
-	clock(p, 500*time.Millisecond)
+	advance(p, 500*time.Millisecond)
 	for i := 1; i < clients; i += 2 {
 		for j := range each {
 			if got := all[i].c.answer(); !strings.HasPrefix(got, "-BUSY") {
@@ -402,27 +402,27 @@
 // is requested a few times only, and nothing is left over.
 func TestThousandFollowersOfAFailingLead(t *testing.T) {
 	for name, c := range map[string]struct {
-		lead string // prefix of its answer
-		most int32  // limit of attempts for the key, at caches and origin
-		box  func(n int32, asked func(), conn net.Conn, k string) (answer string)
-		of   func(n int32, asked func(), free chan struct{}, k string) string
-		fill int // number of other keys requested from the origin before
+		lead         string // prefix of its answer
+		maxAttempts  int32  // limit of attempts for the key, at caches and origin
+		answerCache  func(n int32, asked func(), conn net.Conn, k string) (answer string)
+		answerOrigin func(n int32, asked func(), free chan struct{}, k string) string
+		otherKeys    int // number of other keys requested from the origin before
 	}{
-		"turned away": {lead: "-BUSY", most: 8,
-			box: func(n int32, asked func(), _ net.Conn, _ string) string {
+		"turned away": {lead: "-BUSY", maxAttempts: 8,
+			answerCache: func(n int32, asked func(), _ net.Conn, _ string) string {
 				if asked(); n <= 4 {
 					return "-BUSY\r\n"
 				}
 				return hit("v")
 			},
-			of: func(n int32, _ func(), _ chan struct{}, _ string) string {
+			answerOrigin: func(n int32, _ func(), _ chan struct{}, _ string) string {
 				if n <= 4 {
 					return "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 				}
 				return page("v")
 			}},
-		"reset half way": {lead: "v", most: 4,
-			box: func(n int32, asked func(), conn net.Conn, _ string) string {
+		"reset half way": {lead: "v", maxAttempts: 4,
+			answerCache: func(n int32, asked func(), conn net.Conn, _ string) string {
 				if asked(); n > 1 {
 					return hit("v")
 				}
@@ -430,19 +430,19 @@
 				conn.(*net.TCPConn).SetLinger(0)
 				return ""
 			},
-			of: func(int32, func(), chan struct{}, string) string { return page("v") }},
-		"an origin at its limit": {lead: "v", most: 4, fill: 30,
-			box: func(_ int32, _ func(), _ net.Conn, k string) string { return miss },
-			of: func(_ int32, asked func(), free chan struct{}, k string) string {
+			answerOrigin: func(int32, func(), chan struct{}, string) string { return page("v") }},
+		"an origin at its limit": {lead: "v", maxAttempts: 4, otherKeys: 30,
+			answerCache: func(_ int32, _ func(), _ net.Conn, k string) string { return miss },
+			answerOrigin: func(_ int32, asked func(), free chan struct{}, k string) string {
 				<-free
 				return page("v")
 			}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var n atomic.Int32
-			begun, free, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
+			started, free, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 			// The lead's attempts wait until all followers are there.
-			asked := func() { begun <- struct{}{}; <-done }
+			asked := func() { started <- struct{}{}; <-done }
 			once := sync.OnceFunc(asked)
 			count := func(k string) int32 {
 				if k == "a" {
@@ -453,35 +453,35 @@
 			cfg := testConfig()
 			cfg.Joining, cfg.MostHeld, cfg.Sockets = &joinLimits, 5000, 2048
 			run := boundedClock(t, &cfg, 4*time.Second) // starts once all have arrived; stays below their deadlines
-			box := listen(t, func(conn net.Conn) {
+			cacheAddress := listen(t, func(conn net.Conn) {
 				for in := resp.NewReader(conn, 4096); ; {
 					w, err := readCommand(in)
 					if err != nil {
 						return
 					}
-					text := c.box(count(w[1]), once, conn, w[1])
+					text := c.answerCache(count(w[1]), once, conn, w[1])
 					if text == "" {
 						return
 					}
 					io.WriteString(conn, text)
 				}
 			})
-			p := start(t, cfg, entry("s-a", box, "large"), entry("s-o", origin(t, func(r *http.Request) string {
-				return c.of(count(r.URL.Path[1:]), once, free, r.URL.Path[1:])
+			p := start(t, cfg, entry("s-a", cacheAddress, "large"), entry("s-o", origin(t, func(r *http.Request) string {
+				return c.answerOrigin(count(r.URL.Path[1:]), once, free, r.URL.Path[1:])
 			}), "origin"))
 			filler := p.dial()
-			for i := range c.fill {
+			for i := range c.otherKeys {
 				filler.send(get(fmt.Sprint("f", i), fmt.Sprint("f", i)))
 			}
-			p.eventually("the origin has what it takes", func() bool { return len(p.requests) == c.fill })
+			p.eventually("the origin has what it takes", func() bool { return len(p.requests) == c.otherKeys })
 			lead := p.dial()
 			lead.send(get("a", "lead"))
-			if c.fill == 0 {
-				<-begun
+			if c.otherKeys == 0 {
+				<-started
 			} else {
 				// It asks the cache first, or goes straight to the queue of the origin if all reads
 				// before it were misses. Which one happens depends on the order of the answers.
-				p.eventually("the lead is in hand", func() bool { return len(p.requests) == c.fill+1 })
+				p.eventually("the lead is in hand", func() bool { return len(p.requests) == c.otherKeys+1 })
 			}
 			const clients, each = 40, 25
 			var all []*testClient
@@ -505,7 +505,7 @@
 					}
 				}
 			}
-			if got := n.Load(); got > c.most {
+			if got := n.Load(); got > c.maxAttempts {
 				t.Errorf("%d attempts for %d reads of one key", got, clients*each)
 			}
 			p.eventually("nothing is left", func() bool { n, f := p.joins.Len(); return n+f+len(p.requests)+p.held == 0 })
@@ -555,8 +555,8 @@
 // A leading read continues for its followers when its client leaves, and ends with the last of them.
 func TestJoinedReadEndsWithItsLastClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		l := newRoll()
-		door, open := shut(t, l, "large")
+		roll := newRoll()
+		door, open := shut(t, roll, "large")
 		cfg := leaving(cancel)
 		cfg.Joining = &joinLimits
 		p := start(t, cfg, entry("s-1", door, "large"))
@@ -581,7 +581,7 @@
 		if got := next.answer(); got != "value of a1" {
 			t.Errorf("answered %q", got)
 		}
-		if got := l.asked(t, 1); got[0] != "next" {
+		if got := roll.asked(t, 1); got[0] != "next" {
 			t.Errorf("the member was asked under %v", got)
 		}
 	}
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -91,7 +91,7 @@
 		}
 		return b.String() + "0\r\n\r\n"
 	}
-	short, longer, most := numberedText(1000), numberedText(300<<10), numberedText(resp.MaxLongValue+1)
+	short, longer, tooLong := numberedText(1000), numberedText(300<<10), numberedText(resp.MaxLongValue+1)
 	toEnd := "HTTP/1.1 200 OK\r\n\r\n"
 	for name, c := range map[string]struct {
 		answer, want string // want "": not served, as it is truncated or too long
@@ -104,8 +104,8 @@
 		"short, to a reset":     {toEnd + short, "", true},
 		"long, to a reset":      {toEnd + longer, "", true},
 		"chunks that break off": {chunked(longer)[:200<<10], "", false},
-		"too long, in chunks":   {chunked(most), "", false},
-		"too long, to the end":  {toEnd + most, "", false},
+		"too long, in chunks":   {chunked(tooLong), "", false},
+		"too long, to the end":  {toEnd + tooLong, "", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
@@ -213,14 +213,14 @@
 // that the value is truncated, nothing is retried, and nothing is left over.
 func TestLongValueCutOff(t *testing.T) {
 	value := numberedText(1 << 20)
-	asks := make(chan string, 10)
+	requests := make(chan string, 10)
 	p := start(t, testConfig(), entry("m", listen(t, func(conn net.Conn) {
 		for in := resp.NewReader(conn, 4096); ; {
 			w, err := readCommand(in)
 			if err != nil {
 				return
 			}
-			asks <- w[1]
+			requests <- w[1]
 			if w[1] == "cut" {
 				fmt.Fprintf(conn, "*3\r\n$%d\r\n%s", len(value), value[:200<<10])
 				return
@@ -241,7 +241,7 @@
 	}
 	d.conn.Close()
 	p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 && p.held == 0 })
-	if n := len(asks); n != 2 {
+	if n := len(requests); n != 2 {
 		t.Errorf("%d requests to the cache, want 2", n)
 	}
 }
@@ -291,9 +291,9 @@
 	slow := p.dial()
 	whole := get("k", "slow")
 	slow.send(whole[:1])
-	most := p.redis.maxClients()
+	maxClients := p.redis.maxClients()
 	var halves []*testClient
-	for i := range most - 1 {
+	for i := range maxClients - 1 {
 		halves = append(halves, p.dial())
 		halves[i].send(get("k", fmt.Sprint("half", i))[:20])
 	}
@@ -304,10 +304,10 @@
 				n++
 			}
 		}
-		return n == most
+		return n == maxClients
 	})
 	served, sent := 0, 1
-	for ; served < most-1; time.Sleep(20 * time.Millisecond) { // the interval at which the slow client sends
+	for ; served < maxClients-1; time.Sleep(20 * time.Millisecond) { // the interval at which the slow client sends
 		if sent < len(whole)-1 {
 			slow.send(whole[sent : sent+1])
 			sent++
@@ -402,16 +402,16 @@
 
 // A value that is too long for its client fails at once, and the members that hold it are not blamed.
 func TestValueTooLongForItsFront(t *testing.T) {
-	var asks atomic.Int64
+	var requests atomic.Int64
 	value := numberedText(resp.MaxValue + 1)
-	member := cache(t, func(asked) string { asks.Add(1); return hit(value) })
+	member := cache(t, func(asked) string { requests.Add(1); return hit(value) })
 	p := start(t, testConfig(), entry("m", member, "large"), entry("n", member, "large"))
 	c := p.dial()
 	c.send(get("k", "first")) // the proxy knows its members once this is answered
 	if got := c.answer(); got != value {
 		t.Fatalf("a client that takes it: %d bytes", len(got))
 	}
-	asks.Store(0)
+	requests.Store(0)
 	const reads = 12
 	for i := range reads {
 		taker := make(answerTaker, 1)
@@ -426,7 +426,7 @@
 			t.Fatalf("read %d: %v, %v", i, a.Kind, a.Why)
 		}
 	}
-	if n := asks.Load(); n != reads {
+	if n := requests.Load(); n != reads {
 		t.Errorf("%d attempts at %d reads", n, reads)
 	}
 	c.send(get("k", "last"))
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -20,13 +20,13 @@
 var manyKeysLimits = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
 
 // startManyKeys starts a proxy that accepts OBJ.MGET, in front of an origin and three caches that answer alike.
-func startManyKeys(t *testing.T, l manykeys.Limits, answer func(box int, a asked) string) *testProxy {
+func startManyKeys(t *testing.T, limits manykeys.Limits, answer func(cacheIndex int, a asked) string) *testProxy {
 	t.Helper()
 	cfg := testConfig()
-	cfg.ManyKeys = &l
+	cfg.ManyKeys = &limits
 	members := []string{}
-	for box := range 3 {
-		members = append(members, cache(t, func(a asked) string { return answer(box, a) }))
+	for cacheIndex := range 3 {
+		members = append(members, cache(t, func(a asked) string { return answer(cacheIndex, a) }))
 	}
 	o := origin(t, func(r *http.Request) string { return page("origin's " + r.URL.Path[1:]) })
 	return start(t, cfg, entry("s-a", members[0], "large"), entry("s-b", members[1], "large"), entry("s-c", members[2], "large"),
@@ -68,12 +68,12 @@
 }
 
 func TestManyKeysInOneReply(t *testing.T) {
-	var most, now [3]atomic.Int32
-	p := startManyKeys(t, manyKeysLimits, func(box int, a asked) string {
-		if n := now[box].Add(1); n > most[box].Load() {
-			most[box].Store(n)
+	var maxOutstanding, outstanding [3]atomic.Int32
+	p := startManyKeys(t, manyKeysLimits, func(cacheIndex int, a asked) string {
+		if n := outstanding[cacheIndex].Add(1); n > maxOutstanding[cacheIndex].Load() {
+			maxOutstanding[cacheIndex].Store(n)
 		}
-		defer now[box].Add(-1)
+		defer outstanding[cacheIndex].Add(-1)
 		return hit("value of " + a.key)
 	})
 	c := p.dial()
@@ -89,9 +89,9 @@
 	if got := c.answer(); got != "value of after" {
 		t.Errorf("the next command: %q", got)
 	}
-	for box := range 3 {
-		if n := most[box].Load(); n > int32(manyKeysLimits.PartSize) {
-			t.Errorf("cache %d worked on %d keys of one request", box, n)
+	for cacheIndex := range 3 {
+		if n := maxOutstanding[cacheIndex].Load(); n > int32(manyKeysLimits.PartSize) {
+			t.Errorf("cache %d worked on %d keys of one request", cacheIndex, n)
 		}
 	}
 	c.send(mget("m2", "c=tile-read,d=4000,s=1", keys...))
@@ -106,12 +106,12 @@
 
 // An error of the request as a whole is reported once and no key is requested. The connection stays usable.
 func TestInvalidManyKeysRequests(t *testing.T) {
-	var asks atomic.Int32
-	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { asks.Add(1); return hit("v") })
+	var requests atomic.Int32
+	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { requests.Add(1); return hit("v") })
 	c := p.dial()
 	c.send(mget("used", "c=tile-read,d=4000", "a"))
 	c.readArray()
-	asks.Store(0)
+	requests.Store(0)
 	for name, k := range map[string]struct{ send, want string }{
 		"no key":          {mget("f1", "c=tile-read,d=4000"), "-ERR no key"},
 		"10,000 keys":     {mget("f2", "c=tile-read,d=4000", make([]string, 10_000)...), "-ERR too many keys: 10000"},
@@ -125,7 +125,7 @@
 			t.Errorf("%s: %q, want %q", name, line, k.want)
 		}
 	}
-	if n := asks.Load(); n > 0 {
+	if n := requests.Load(); n > 0 {
 		t.Errorf("%d keys were asked for", n)
 	}
 	bare := start(t, testConfig()).dial()
@@ -141,8 +141,8 @@
 	var once sync.Once
 	free := func() { once.Do(func() { close(release) }) }
 	t.Cleanup(free)
-	p := startManyKeys(t, manyKeysLimits, func(box int, a asked) string {
-		if box == 0 || strings.HasPrefix(a.key, "never") {
+	p := startManyKeys(t, manyKeysLimits, func(cacheIndex int, a asked) string {
+		if cacheIndex == 0 || strings.HasPrefix(a.key, "never") {
 			<-release
 		}
 		return hit("value of " + a.key)
@@ -157,9 +157,9 @@
 		t.Errorf("one cache stalls: %s %v", line, got)
 	}
 	c.send(mget("m2", "c=tile-read,d=600", append([]string{"never1", "never2"}, keys...)...))
-	begun := time.Now()
+	startedAt := time.Now()
 	got, line := c.readArray()
-	if took := time.Since(begun); took > patience/2 {
+	if took := time.Since(startedAt); took > patience/2 {
 		t.Errorf("the reply took %v", took)
 	}
 	for i, v := range got {
@@ -176,9 +176,9 @@
 
 // Misses are fetched from the origin. If a reply grows too large, the keys that do not fit are marked.
 func TestManyKeysMissesAndSizeLimit(t *testing.T) {
-	l := manyKeysLimits
-	l.Bytes = 3000
-	p := startManyKeys(t, l, func(_ int, a asked) string {
+	limits := manyKeysLimits
+	limits.Bytes = 3000
+	p := startManyKeys(t, limits, func(_ int, a asked) string {
 		switch {
 		case strings.HasPrefix(a.key, "miss"):
 			return "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
@@ -222,8 +222,8 @@
 			cfg := testConfig()
 			cfg.ManyKeys = &manyKeysLimits
 			cfg.Settings.SlowStartDuration, cfg.Settings.Instances = time.Hour, 1
-			var asks atomic.Int32
-			only := entry("s-a", cache(t, func(a asked) string { asks.Add(1); return hit("value of " + a.key) }), "large")
+			var requests atomic.Int32
+			only := entry("s-a", cache(t, func(a asked) string { requests.Add(1); return hit("value of " + a.key) }), "large")
 			origin := entry("s-o", origin(t, func(r *http.Request) string { return page("origin's " + r.URL.Path[1:]) }), "origin")
 			r := newRegistry(t, discoveryList(1, true, only, origin))
 			p := startAt(t, cfg, r)
@@ -236,7 +236,7 @@
 			change(&only)
 			r.tell(discoveryList(2, false, only))
 			p.eventually("the list is told", func() bool { return p.revision == 2 })
-			asks.Store(0)
+			requests.Store(0)
 			c.send(mget("all", "c=tile-read,d=4000", keys...))
 			got, line := c.readArray()
 			if len(got) != len(keys) {
@@ -250,7 +250,7 @@
 					t.Errorf("%s: %q", keys[i], v)
 				}
 			}
-			if n := asks.Load(); n != served || name == "draining" && n > 0 || name == "cold" && n == int32(len(keys)) {
+			if n := requests.Load(); n != served || name == "draining" && n > 0 || name == "cold" && n == int32(len(keys)) {
 				t.Errorf("the cache is asked for %d keys, %d served by it", n, served)
 			}
 			p.eventually("nothing is left", func() bool { return len(p.requests) == 0 && p.held == 0 })
@@ -261,8 +261,8 @@
 // A client leaves, and the proxy stops, while requests for many keys are outstanding.
 func TestManyKeysWhenAClientLeavesAndAtStop(t *testing.T) {
 	release := make(chan struct{})
-	var asks atomic.Int32
-	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { asks.Add(1); <-release; return hit("value of " + a.key) })
+	var requests atomic.Int32
+	p := startManyKeys(t, manyKeysLimits, func(_ int, a asked) string { requests.Add(1); <-release; return hit("value of " + a.key) })
 	gone, stays := p.dial(), p.dial()
 	keys := make([]string, 4) // with more keys and no answers, the throttle would refuse some
 	for i := range keys {
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -89,35 +89,35 @@
 // one that opens the record later.
 func TestAnswersToRepeatedOrders(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer          func(r *http.Request, n int) string
-		first, repeat   string // prefixes of the answers
-		other           string // value of the repeat; "": the same
-		receiptsAreTold bool
-		before, runs    int // runs after the first answer, and after the repeats in this and the next process
+		answer        func(r *http.Request, n int) string
+		first, repeat string // prefixes of the answers
+		other         string // value of the repeat; "": the same
+		sendReceipts  bool
+		before, runs  int // runs after the first answer, and after the repeats in this and the next process
 	}{
-		"it has run":                           {first: "receipt", repeat: "receipt of p", receiptsAreTold: true, before: 1, runs: 1},
+		"it has run":                           {first: "receipt", repeat: "receipt of p", sendReceipts: true, before: 1, runs: 1},
 		"it has run, and that is all it hears": {first: "receipt", repeat: "-ERR failed", before: 1, runs: 1},
 		"it may have run": {answer: func(*http.Request, int) string { return "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" },
-			first: "-ERR failed", repeat: "-ERR failed", receiptsAreTold: true, before: 1, runs: 1},
+			first: "-ERR failed", repeat: "-ERR failed", sendReceipts: true, before: 1, runs: 1},
 		"it never ran": {answer: func(_ *http.Request, n int) string {
 			if n <= 4 {
 				return notProcessed
 			}
 			return page("receipt of p")
-		}, first: "-BUSY", repeat: "receipt of p", receiptsAreTold: true, before: 4, runs: 5},
-		"it is another order": {first: "receipt", repeat: "-ERR the idempotency key", other: "two passes", receiptsAreTold: true, before: 1, runs: 1},
+		}, first: "-BUSY", repeat: "receipt of p", sendReceipts: true, before: 4, runs: 5},
+		"it is another order": {first: "receipt", repeat: "-ERR the idempotency key", other: "two passes", sendReceipts: true, before: 1, runs: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			counter, disk := newCountingOrigin(t), crash.New()
 			counter.answer = c.answer
 			set := func(cfg *Config, _ *keeper.Options) {
-				if !c.receiptsAreTold {
+				if !c.sendReceipts {
 					cfg.Receipts = nil
 				}
 			}
 			p := startRecording(t, counter, disk, set)
 			client := p.dial()
-			tell := func(client *testClient, id, want string, runs int) {
+			check := func(client *testClient, id, want string, runs int) {
 				t.Helper()
 				value, more := "a pass", ",t=acme,k=key-1"
 				if id != "1" {
@@ -134,11 +134,11 @@
 					t.Errorf("after order %s it has run %d times, want %d", id, got, runs)
 				}
 			}
-			tell(client, "1", c.first, c.before)
-			tell(client, "2", c.repeat, c.runs)
+			check(client, "1", c.first, c.before)
+			check(client, "2", c.repeat, c.runs)
 			p.ended()
 			next := startRecording(t, counter, disk, set)
-			tell(next.dial(), "3", c.repeat, c.runs)
+			check(next.dial(), "3", c.repeat, c.runs)
 		})
 	}
 }
@@ -250,8 +250,8 @@
 // answered as unknown, and its repeat gets the receipt.
 func TestSlowRecordDisk(t *testing.T) {
 	counter, disk := newCountingOrigin(t), crash.New()
-	var on func(*testProxy, time.Duration)
-	p := startRecording(t, counter, disk, func(cfg *Config, opt *keeper.Options) { on, opt.MaxPending = manualClock(cfg), 4 })
+	var advance func(*testProxy, time.Duration)
+	p := startRecording(t, counter, disk, func(cfg *Config, opt *keeper.Options) { advance, opt.MaxPending = manualClock(cfg), 4 })
 	client := p.dial()
 	stuck, reached := make(chan struct{}), make(chan struct{}, 100)
 	var block atomic.Bool
@@ -275,7 +275,7 @@
 			waits = false
 		case <-time.After(time.Millisecond):
 			if ticks < 1000 {
-				on(p, time.Millisecond)
+				advance(p, time.Millisecond)
 			}
 		}
 	}
@@ -291,7 +291,7 @@
 	if got := reader.answer(); got != "tile" {
 		t.Errorf("a read: %q", got)
 	}
-	on(p, 4*time.Second)
+	advance(p, 4*time.Second)
 	if got := client.answer(); got != "-ERR failed" {
 		t.Errorf("what has run and is not on record: %q", got)
 	}
@@ -351,15 +351,15 @@
 // A member starts to drain while an attempt is being recorded. It gets nothing new, and the order goes
 // to another member.
 func TestDrainWhileOrderIsRecorded(t *testing.T) {
-	o, other, d := newCountingOrigin(t), newCountingOrigin(t), crash.New()
+	draining, other, disk := newCountingOrigin(t), newCountingOrigin(t), crash.New()
 	cfg := testConfig()
-	cfg.Record = openRecord(t, d, recordOptions)
-	first := entry("o-1", o.origin(), "origin")
+	cfg.Record = openRecord(t, disk, recordOptions)
+	first := entry("o-1", draining.origin(), "origin")
 	r := newRegistry(t, discoveryList(1, true, first))
 	p := startAt(t, cfg, r)
 	<-r.watched
 	syncs, stuck, reached := 0, make(chan struct{}), make(chan struct{})
-	d.Fail = func(_ int, what string) error {
+	disk.Fail = func(_ int, what string) error {
 		if strings.HasPrefix(what, "sync") {
 			if syncs++; syncs == 4 { // of the file, of the directory, on taking the order, on sending it
 				close(reached)
@@ -375,8 +375,8 @@
 	r.tell(discoveryList(2, false, first, entry("o-2", other.origin(), "origin")))
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
 	close(stuck)
-	if got := c.answer(); got != "receipt of p" || o.runs("p") != 0 || other.runs("p") != 1 {
-		t.Errorf("%q; %d runs at the member that drains, %d at the other", got, o.runs("p"), other.runs("p"))
+	if got := c.answer(); got != "receipt of p" || draining.runs("p") != 0 || other.runs("p") != 1 {
+		t.Errorf("%q; %d runs at the member that drains, %d at the other", got, draining.runs("p"), other.runs("p"))
 	}
 }
 
@@ -403,11 +403,11 @@
 
 // A token serves one order, across a restart too. A repeat of that order may use the same token.
 func TestOrderTokensSurviveARestart(t *testing.T) {
-	office, d := newOffice(t, "k1"), crash.New()
+	office, disk := newOffice(t, "k1"), crash.New()
 	token := office.token("k1", "shop", "j1")
 	for i, at := range []string{"at first", "after a restart"} {
 		p, _, _ := guarded(t, office, func(cfg *Config) {
-			cfg.Record, cfg.Receipts = openRecord(t, d, recordOptions), []string{"resp2"}
+			cfg.Record, cfg.Receipts = openRecord(t, disk, recordOptions), []string{"resp2"}
 		})
 		c := p.dial()
 		for _, a := range []struct{ key, more, want string }{
