--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -235,9 +235,9 @@
 	}
 	for _, id := range p.joins.MarkUnshareable(r.id) {
 		if follower := p.requests[id]; follower != nil && !follower.done {
-			lr := follower.join.balancerRequest
+			balancerRequest := follower.join.balancerRequest
 			follower.join = nil
-			p.bal.Request(p.now, lr)
+			p.bal.Request(p.now, balancerRequest)
 		}
 	}
 }
