--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -97,8 +97,8 @@
 			p.cfg.ZoneMeter.OriginRefused(p.now)
 		}
 		r.Taker.Answer(a)
-		p.fence(r)
-		p.joinEnded(r)
+		p.fenceReads(r)
+		p.leadEnded(r)
 		p.releaseIfOver(r)
 	}
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -71,7 +71,7 @@
 				})
 				cfg := testConfig()
 				cfg.Settings.MaxAttempts = 1
-				advance := handClock(&cfg)
+				advance := manualClock(&cfg)
 				p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 				client := p.dial()
 				client.send(c.ask)
@@ -164,7 +164,7 @@
 		}
 	})
 	cfg := testConfig()
-	advance := handClock(&cfg)
+	advance := manualClock(&cfg)
 	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
 	client := p.dial()
 	client.send(getCommand("a1", "first"))
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -24,35 +24,37 @@
 	"linenloom/logic"
 )
 
-// deadlineWatch checks the deadlines that the members of a proxy are told, on a clock that the test moves.
-type deadlineWatch struct {
+// deadlineChecker checks the deadlines sent to the members of a proxy, on a clock that the test advances.
+type deadlineChecker struct {
 	standin.Deadlines
 	t       *testing.T
 	advance func(*testProxy, time.Duration)
 }
 
-// watchDeadlines has a proxy's clock be the test's, and looks at the end whether every member was told of no more than its client had left.
-func watchDeadlines(t *testing.T, cfg *Config) *deadlineWatch {
-	w := &deadlineWatch{t: t, advance: handClock(cfg)}
-	w.Now = cfg.Clock
+// checkDeadlines gives a proxy the test's clock. At the end of the test it checks that no member was
+// sent a longer deadline than its client had left.
+func checkDeadlines(t *testing.T, cfg *Config) *deadlineChecker {
+	checker := &deadlineChecker{t: t, advance: manualClock(cfg)}
+	checker.Now = cfg.Clock
 	t.Cleanup(func() {
-		for _, v := range w.Violations() {
+		for _, v := range checker.Violations() {
 			t.Error(v)
 		}
 	})
-	return w
+	return checker
 }
 
-// cache is a cache whose deadlines are checked.
-func (w *deadlineWatch) cache(name string, answer func(memberCommand) string) string {
+// cache starts a cache whose received deadlines are checked.
+func (w *deadlineChecker) cache(name string, answer func(memberCommand) string) string {
 	return startCache(w.t, func(a memberCommand) string {
 		w.Told(name, a.id, a.attrs)
 		return answer(a)
 	})
 }
 
-// serve is a cache's side of one connection, whose deadlines are checked: it has everything. Their texts are told, if somebody wants them.
-func (w *deadlineWatch) serve(name string, conn net.Conn, told chan<- string) {
+// serve is the cache side of one connection, which checks received deadlines and has every key. The
+// text of each deadline is sent to the channel unless that is nil.
+func (w *deadlineChecker) serve(name string, conn net.Conn, deadlines chan<- string) {
 	in := resp.NewReader(conn, 4096)
 	for {
 		command, err := readCommand(in)
@@ -60,9 +62,9 @@
 			return
 		}
 		w.Told(name, command[2], command[3])
-		if told != nil {
+		if deadlines != nil {
 			_, deadline, _ := strings.Cut(command[3], ",d=")
-			told <- deadline
+			deadlines <- deadline
 		}
 		if _, err := io.WriteString(conn, hitReply("value of "+command[1])); err != nil {
 			return
@@ -70,52 +72,55 @@
 	}
 }
 
-// origin is an origin whose deadlines are checked.
-func (w *deadlineWatch) origin(answer func(*http.Request) string) string {
+// origin starts an origin whose received deadlines are checked.
+func (w *deadlineChecker) origin(answer func(*http.Request) string) string {
 	return startOrigin(w.t, func(r *http.Request) string {
 		w.Told("origin", r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
 		return answer(r)
 	})
 }
 
-// get and put are commands of a client that waits for so many milliseconds. Their last byte counts as written now.
-func (w *deadlineWatch) get(key, id string, wait int) string {
+// get and put return commands of a client that waits for that many milliseconds. Their last byte counts
+// as written now.
+func (w *deadlineChecker) get(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=tile-read,d=%d", wait)
 	w.Sent(id, attrs)
 	return respCommand("OBJ.GET", key, id, attrs)
 }
 
-func (w *deadlineWatch) put(key, id string, wait int) string {
+func (w *deadlineChecker) put(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=pass-order,d=%d", wait)
 	w.Sent(id, attrs)
 	return respCommand("OBJ.SET", key, id, attrs, "value")
 }
 
-// wantAttempts wants the members to have had so many first attempts, and some further ones.
-func (w *deadlineWatch) wantAttempts(first int, further bool) {
+// expectAttempts checks the number of first attempts at the members, and whether there were further ones.
+func (w *deadlineChecker) expectAttempts(first int, further bool) {
 	w.t.Helper()
 	if f, more := w.Attempts(); f != first || more > 0 != further {
 		w.t.Errorf("%d first attempts and %d further ones; want %d, and further ones: %v", f, more, first, further)
 	}
 }
 
-// passing moves the clock until something has come: attempts time out meanwhile, and others follow. It stands still while bytes are under way.
-func (w *deadlineWatch) passing(p *testProxy, most time.Duration, what string, came <-chan struct{}) {
+// advanceUntil advances the clock until the channel delivers. Attempts time out meanwhile, and others
+// follow. The clock stands still while bytes are in transit.
+func (w *deadlineChecker) advanceUntil(p *testProxy, limit time.Duration, event string, arrived <-chan struct{}) {
 	w.t.Helper()
-	for range most / time.Millisecond {
-		p.eventually("what was sent has come", func() bool { return w.allCame(p) })
+	for range limit / time.Millisecond {
+		p.eventually("what was sent has come", func() bool { return w.allArrived(p) })
 		select {
-		case <-came:
+		case <-arrived:
 			return
 		case <-time.After(200 * time.Microsecond):
 			w.advance(p, time.Millisecond)
 		}
 	}
-	w.t.Fatalf("never came about: %s", what)
+	w.t.Fatalf("never came about: %s", event)
 }
 
-// allCame tells whether all reads that were written to members have come there. The last byte of a write may be held back until time passes.
-func (w *deadlineWatch) allCame(p *testProxy) bool {
+// allArrived reports whether all reads that were written to members have arrived. The last byte of a
+// write may be held back until the clock advances.
+func (w *deadlineChecker) allArrived(p *testProxy) bool {
 	for _, r := range p.requests {
 		sent := 0
 		for _, a := range r.attempts {
@@ -130,8 +135,9 @@
 	return true
 }
 
-// A further attempt tells its server what the client has left by then, however the attempt before it has ended and whichever server is next.
-func TestFurtherAttemptTellsWhatIsLeft(t *testing.T) {
+// A further attempt sends its server the time that the client has left, however the previous attempt
+// ended and whichever server is next.
+func TestFurtherAttemptSendsRemainingDeadline(t *testing.T) {
 	const busyOrigin = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, first := range map[string]string{
 		"missed":      missReply,
@@ -143,49 +149,49 @@
 		t.Run("a read, "+name, func(t *testing.T) {
 			t.Parallel()
 			cfg := testConfig()
-			w := watchDeadlines(t, &cfg)
-			came, next, release := make(chan struct{}, 10), make(chan struct{}, 10), make(chan struct{})
-			var asks atomic.Int32
+			checker := checkDeadlines(t, &cfg)
+			arrived, next, release := make(chan struct{}, 10), make(chan struct{}, 10), make(chan struct{})
+			var requests atomic.Int32
 			answer := func(a memberCommand) string {
-				if asks.Add(1) > 1 {
+				if requests.Add(1) > 1 {
 					next <- struct{}{}
 					return missReply
 				}
-				came <- struct{}{}
+				arrived <- struct{}{}
 				<-release
 				return first
 			}
-			o := w.origin(func(r *http.Request) string {
+			o := checker.origin(func(r *http.Request) string {
 				select {
 				case next <- struct{}{}:
 				default:
 				}
 				return httpOK("value")
 			})
-			p := startProxy(t, cfg, listEntry("s-1", w.cache("s-1", answer), "large"), listEntry("s-2", w.cache("s-2", answer), "large"), listEntry("o-1", o, "origin"))
+			p := startProxy(t, cfg, listEntry("s-1", checker.cache("s-1", answer), "large"), listEntry("s-2", checker.cache("s-2", answer), "large"), listEntry("o-1", o, "origin"))
 			client := p.dial()
-			client.send(w.get("a1", "id", 8000))
-			<-came
-			w.advance(p, 2500*time.Millisecond) // before the attempt's own time is up
+			client.send(checker.get("a1", "id", 8000))
+			<-arrived
+			checker.advance(p, 2500*time.Millisecond) // less than the timeout of the attempt
 			if first != "" {
 				close(release)
 			} else {
 				defer close(release)
 			}
-			w.passing(p, 5*time.Second, "another attempt", next)
-			w.passing(p, 5*time.Second, "the answer", answered(client, "value"))
-			w.wantAttempts(1, true)
+			checker.advanceUntil(p, 5*time.Second, "another attempt", next)
+			checker.advanceUntil(p, 5*time.Second, "the answer", awaitAnswer(client, "value"))
+			checker.expectAttempts(1, true)
 		})
 	}
 	t.Run("an order, turned away", func(t *testing.T) {
 		t.Parallel()
 		cfg := testConfig()
-		w := watchDeadlines(t, &cfg)
-		came, release := make(chan struct{}, 10), make(chan struct{})
-		var asks atomic.Int32
-		o := w.origin(func(*http.Request) string {
-			if asks.Add(1) == 1 {
-				came <- struct{}{}
+		checker := checkDeadlines(t, &cfg)
+		arrived, release := make(chan struct{}, 10), make(chan struct{})
+		var requests atomic.Int32
+		o := checker.origin(func(*http.Request) string {
+			if requests.Add(1) == 1 {
+				arrived <- struct{}{}
 				<-release
 				return busyOrigin
 			}
@@ -193,37 +199,37 @@
 		})
 		p := startProxy(t, cfg, listEntry("o-1", o, "origin"))
 		client := p.dial()
-		client.send(w.put("a1", "id", 8000))
-		w.passing(p, time.Second, "the first attempt", came)
-		w.advance(p, 2500*time.Millisecond)
+		client.send(checker.put("a1", "id", 8000))
+		checker.advanceUntil(p, time.Second, "the first attempt", arrived)
+		checker.advance(p, 2500*time.Millisecond)
 		close(release)
-		w.passing(p, 5*time.Second, "the receipt", answered(client, "receipt"))
-		w.wantAttempts(1, true)
+		checker.advanceUntil(p, 5*time.Second, "the receipt", awaitAnswer(client, "receipt"))
+		checker.expectAttempts(1, true)
 	})
 }
 
-// A request in hand keeps the deadline that it came with when the classes change between two of its attempts.
-func TestDeadlineOutlivesItsClass(t *testing.T) {
+// A request in progress keeps its deadline when the classes change between two of its attempts.
+func TestDeadlineSurvivesRetune(t *testing.T) {
 	for _, deadline := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			cfg := testConfig()
-			w := watchDeadlines(t, &cfg)
-			came, release := make(chan struct{}, 10), make(chan struct{})
-			node := w.cache("s-1", func(memberCommand) string {
-				came <- struct{}{}
+			checker := checkDeadlines(t, &cfg)
+			arrived, release := make(chan struct{}, 10), make(chan struct{})
+			node := checker.cache("s-1", func(memberCommand) string {
+				arrived <- struct{}{}
 				<-release
 				return missReply
 			})
-			told := make(chan string, 1)
-			o := w.origin(func(r *http.Request) string {
-				told <- r.Header.Get("X-Attrs")
+			attributes := make(chan string, 1)
+			o := checker.origin(func(r *http.Request) string {
+				attributes <- r.Header.Get("X-Attrs")
 				return httpOK("value")
 			})
 			p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 			client := p.dial()
-			client.send(w.get("a1", "id", 8000))
-			<-came
-			w.advance(p, 2*time.Second)
+			client.send(checker.get("a1", "id", 8000))
+			<-arrived
+			checker.advance(p, 2*time.Second)
 			classes := slices.Clone(cfg.Settings.Classes)
 			for i := range classes {
 				classes[i].Deadline = deadline
@@ -232,8 +238,8 @@
 				t.Fatal(err)
 			}
 			close(release)
-			w.passing(p, 5*time.Second, "the answer", answered(client, "value"))
-			_, text, _ := strings.Cut(<-told, ",d=")
+			checker.advanceUntil(p, 5*time.Second, "the answer", awaitAnswer(client, "value"))
+			_, text, _ := strings.Cut(<-attributes, ",d=")
 			if ms, err := strconv.Atoi(text); err != nil || ms < 5500 || ms > 6000 {
 				t.Errorf("the origin was told %q, want what is left of 8000 after 2 s", text)
 			}
@@ -241,33 +247,33 @@
 	}
 }
 
-// answered tells once a client has had the answer that it is to have.
-func answered(c *testClient, want string) <-chan struct{} {
-	has := make(chan struct{})
+// awaitAnswer returns a channel that is closed after the client's next answer, which has to be want.
+func awaitAnswer(c *testClient, want string) <-chan struct{} {
+	done := make(chan struct{})
 	go func() {
 		if got := c.answer(); got != want {
 			c.t.Errorf("answered %q, want %q", got, want)
 		}
-		close(has)
+		close(done)
 	}()
-	return has
+	return done
 }
 
-// A client's time runs from its last byte, also for commands that stood unread while others before them were waited for.
-func TestUnreadCommandsKeepTheirTime(t *testing.T) {
+// A client's deadline counts from its last byte, also for commands that were unread while earlier ones were pending.
+func TestUnreadCommandsKeepTheirDeadline(t *testing.T) {
 	const commands = 3 * maxPipeline
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1 // so that an attempt may take all that its client has left
-	w := watchDeadlines(t, &cfg)
-	d, err := standin.NewDoor()
+	checker := checkDeadlines(t, &cfg)
+	server, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
-	p := startProxy(t, cfg, listEntry("s-1", d.Addr().String(), "large"))
+	t.Cleanup(func() { server.Close() })
+	p := startProxy(t, cfg, listEntry("s-1", server.Addr().String(), "large"))
 	var text strings.Builder
 	for i := range commands {
-		text.WriteString(w.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
+		text.WriteString(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
 	}
 	client := p.dial()
 	client.send(text.String())
@@ -277,8 +283,8 @@
 		}
 		return false
 	})
-	w.advance(p, 5*time.Second)
-	d.Serve(func(conn net.Conn) { w.serve("s-1", conn, nil) })
+	checker.advance(p, 5*time.Second)
+	server.Serve(func(conn net.Conn) { checker.serve("s-1", conn, nil) })
 	all := make(chan struct{})
 	go func() {
 		defer close(all)
@@ -289,29 +295,30 @@
 			}
 		}
 	}()
-	w.passing(p, 9*time.Second, "the answers", all)
-	if first, _ := w.Attempts(); first <= maxPipeline {
+	checker.advanceUntil(p, 9*time.Second, "the answers", all)
+	if first, _ := checker.Attempts(); first <= maxPipeline {
 		t.Errorf("only %d commands were sent on: none that stood unread", first)
 	}
 }
 
-// Commands that came while their connection's reader waited are dated by the wait, and those that came after it by themselves.
-func TestCommandsSentDuringAWaitKeepTheirTime(t *testing.T) {
+// Commands that arrived while their connection's reader was suspended count from the start of that
+// wait, and later ones from their own arrival.
+func TestCommandsSentDuringAWaitKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
-	w := watchDeadlines(t, &cfg)
-	d, err := standin.NewDoor()
+	checker := checkDeadlines(t, &cfg)
+	server, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
-	told := make(chan string, 10*maxPipeline)
-	p := startProxy(t, cfg, listEntry("s-1", d.Addr().String(), "large"))
+	t.Cleanup(func() { server.Close() })
+	deadlines := make(chan string, 10*maxPipeline)
+	p := startProxy(t, cfg, listEntry("s-1", server.Addr().String(), "large"))
 	client := p.dial()
 	send := func(from, to int) {
 		var text strings.Builder
 		for i := from; i < to; i++ {
-			text.WriteString(w.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
+			text.WriteString(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), 15_000))
 		}
 		client.send(text.String())
 	}
@@ -330,8 +337,8 @@
 		}
 		return false
 	})
-	w.advance(p, 5*time.Second)
-	d.Serve(func(conn net.Conn) { w.serve("s-1", conn, told) })
+	checker.advance(p, 5*time.Second)
+	server.Serve(func(conn net.Conn) { checker.serve("s-1", conn, deadlines) })
 	all := make(chan struct{})
 	go func() {
 		defer close(all)
@@ -339,9 +346,9 @@
 			client.answer()
 		}
 	}()
-	w.passing(p, 9*time.Second, "the answers", all)
-	for len(told) > 0 {
-		<-told
+	checker.advanceUntil(p, 9*time.Second, "the answers", all)
+	for len(deadlines) > 0 {
+		<-deadlines
 	}
 	p.eventually("its reader reads", func() bool {
 		for c := range p.redis.clients {
@@ -349,137 +356,141 @@
 		}
 		return false
 	})
-	w.advance(p, 3*time.Second)
+	checker.advance(p, 3*time.Second)
 	send(maxPipeline+during, maxPipeline+during+1)
 	last := make(chan struct{})
 	go func() { defer close(last); client.answer() }()
-	w.passing(p, 9*time.Second, "the last answer", last)
-	if n, err := strconv.Atoi(<-told); err != nil || n < 14_000 {
+	checker.advanceUntil(p, 9*time.Second, "the last answer", last)
+	if n, err := strconv.Atoi(<-deadlines); err != nil || n < 14_000 {
 		t.Errorf("a command that came by itself was told %d ms of 15,000, %v", n, err)
 	}
 }
 
-// A connection may have stood in the listener's line, with a command on it, before the proxy took its first client.
-func TestConnectionsInLineAtTheStartKeepTheirTime(t *testing.T) {
+// A connection may have waited in the listener's queue, with a command on it, before the proxy accepted
+// its first client.
+func TestConnectionsQueuedAtStartKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
-	w := watchDeadlines(t, &cfg)
+	checker := checkDeadlines(t, &cfg)
 	var p *testProxy
 	ready, begin := make(chan struct{}), make(chan struct{})
 	cfg.BeforeServing = func() {
 		close(ready)
 		<-begin
 	}
-	p = startProxy(t, cfg, listEntry("s-1", w.cache("s-1", func(a memberCommand) string { return hitReply("value of " + a.key) }), "large"))
+	p = startProxy(t, cfg, listEntry("s-1", checker.cache("s-1", func(a memberCommand) string { return hitReply("value of " + a.key) }), "large"))
 	<-ready
 	client := p.dial()
-	client.send(w.get("k", "id", 15_000))
-	w.advance(p, 2*time.Second)
+	client.send(checker.get("k", "id", 15_000))
+	checker.advance(p, 2*time.Second)
 	close(begin)
 	if got := client.answer(); got != "value of k" {
 		t.Errorf("answered %q", got)
 	}
-	w.wantAttempts(1, false)
+	checker.expectAttempts(1, false)
 }
 
-// What stood in line while the proxy had no descriptor for it is dated by that, and what comes later by itself.
-func TestConnectionsInLineForADescriptorKeepTheirTime(t *testing.T) {
+// A connection that was queued while the proxy had no descriptor for it counts from the start of that
+// wait, and a later one from its own arrival.
+func TestConnectionsQueuedForADescriptorKeepTheirDeadline(t *testing.T) {
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
-	w := watchDeadlines(t, &cfg)
-	told := make(chan string, 10)
-	p := startProxy(t, cfg, listEntry("s-1", w.cache("s-1", func(a memberCommand) string {
+	checker := checkDeadlines(t, &cfg)
+	deadlines := make(chan string, 10)
+	p := startProxy(t, cfg, listEntry("s-1", checker.cache("s-1", func(a memberCommand) string {
 		_, deadline, _ := strings.Cut(a.attrs, ",d=")
-		told <- deadline
+		deadlines <- deadline
 		return hitReply("value of " + a.key)
 	}), "large"))
 	ask := func(id string) int {
-		p.beginEvent() // so that nobody is taken before the command has come
+		p.beginEvent() // no connection is accepted before the command has arrived
 		client := p.dial()
-		client.send(w.get("k", id, 15_000))
+		client.send(checker.get("k", id, 15_000))
 		p.endEvent()
 		if got := client.answer(); got != "value of k" {
 			t.Fatalf("answered %q", got)
 		}
-		ms, err := strconv.Atoi(<-told)
+		ms, err := strconv.Atoi(<-deadlines)
 		if err != nil {
 			t.Error(err)
 		}
 		return ms
 	}
-	ask("first") // from here on connections are taken as they come
+	ask("first") // from here on connections are accepted as they arrive
 	p.redis.awaitAccept(acceptShort, 1)
-	w.advance(p, 2*time.Second)
+	checker.advance(p, 2*time.Second)
 	if ms := ask("in-line"); ms > 13_000 {
 		t.Errorf("what may have stood in line for 2 s was told %d ms of 15,000", ms)
 	}
 	p.eventually("the line is empty", func() bool { return p.redis.waited == 0 })
-	w.advance(p, 2*time.Second)
+	checker.advance(p, 2*time.Second)
 	if ms := ask("later"); ms < 14_500 {
 		t.Errorf("what came by itself was told %d ms of 15,000", ms)
 	}
 }
 
-// Attempts that begin in one event, each held up before its bytes go out, tell their servers what is left when they do go out.
-func TestHeldUpAttemptsTellWhatIsLeft(t *testing.T) {
+// Several attempts begin in one event, and each is delayed before its bytes are sent. Each sends the
+// time that is left when it is sent.
+func TestDelayedAttemptsSendRemainingDeadline(t *testing.T) {
 	for name, wait := range map[string]time.Duration{
 		"time enough":           8 * time.Second,
-		"over before the event": 4100 * time.Millisecond, // what would be sent after that is not sent
+		"over before the event": 4100 * time.Millisecond, // the attempts after that are not sent
 	} {
-		t.Run(name, func(t *testing.T) { heldUpAttempts(t, wait) })
+		t.Run(name, func(t *testing.T) { testDelayedAttempts(t, wait) })
 	}
 }
 
-// heldUpAttempts has the second attempts of several reads begin in one event, 3.5 s after their clients wrote them.
-func heldUpAttempts(t *testing.T, wait time.Duration) {
+// testDelayedAttempts makes the second attempts of several reads begin in one event, 3.5 s after their
+// clients wrote them.
+func testDelayedAttempts(t *testing.T, wait time.Duration) {
 	const reads, pause = 6, 140 * time.Millisecond
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 2 // so that the second attempt goes to the origin
 	var holding atomic.Bool
 	var sent atomic.Int32
 	arrived := make(chan struct{}, 100)
-	w := &deadlineWatch{t: t}
-	var moved atomic.Int64 // by the pauses, beside what the test moves the clock by
-	w.advance = handClock(&cfg)
+	checker := &deadlineChecker{t: t}
+	var extraDelay atomic.Int64 // by the delays, in addition to the test's advances
+	checker.advance = manualClock(&cfg)
 	base := cfg.Clock
-	cfg.Clock = func() time.Duration { return base() + time.Duration(moved.Load()) }
-	w.Now = cfg.Clock
+	cfg.Clock = func() time.Duration { return base() + time.Duration(extraDelay.Load()) }
+	checker.Now = cfg.Clock
 	cfg.OnSend = func(logic.RequestID, logic.MemberID) {
 		if !holding.Load() {
 			return
 		}
-		if sent.Add(1) > 1 { // what went out before has arrived: no time passes while bytes are under way
+		if sent.Add(1) > 1 { // the previous attempt has arrived: no time passes while bytes are in transit
 			<-arrived
 		}
-		moved.Add(int64(pause))
+		extraDelay.Add(int64(pause))
 	}
 	together := make(chan struct{})
-	var warm atomic.Int32
-	o := w.origin(func(r *http.Request) string {
+	var warmups atomic.Int32
+	o := checker.origin(func(r *http.Request) string {
 		if r.Method != http.MethodPut {
 			arrived <- struct{}{}
 			return httpOK("value")
 		}
-		if warm.Add(1) == reads {
+		if warmups.Add(1) == reads {
 			close(together)
 		}
 		<-together
 		return httpOK("receipt")
 	})
-	stuck, asks := make(chan struct{}), make(chan struct{}, 100)
-	silent := w.cache("s-1", func(memberCommand) string {
-		asks <- struct{}{}
+	stuck, requests := make(chan struct{}), make(chan struct{}, 100)
+	silent := checker.cache("s-1", func(memberCommand) string {
+		requests <- struct{}{}
 		<-stuck
 		return missReply
 	})
 	t.Cleanup(func() { close(stuck) })
 	p := startProxy(t, cfg, listEntry("s-1", silent, "large"), listEntry("o-1", o, "origin"))
-	for i := range reads { // as many connections to the origin
-		p.dial().send(w.put(fmt.Sprint("o", i), fmt.Sprint("order", i), 8000))
+	for i := range reads { // opens that many connections to the origin
+		p.dial().send(checker.put(fmt.Sprint("o", i), fmt.Sprint("order", i), 8000))
 	}
-	w.passing(p, time.Second, "the orders are at the origin", together)
+	checker.advanceUntil(p, time.Second, "the orders are at the origin", together)
 	for range 20 {
-		w.advance(p, time.Millisecond)
+		checker.advance(p, time.Millisecond)
 	}
 	p.eventually("the connections are free", func() bool {
 		free := 0
@@ -488,93 +499,95 @@
 				free++
 			}
 		}
-		moved.Add(int64(time.Millisecond))
+		extraDelay.Add(int64(time.Millisecond))
 		return len(p.requests) == 0 && free == reads
 	})
 	for i := range reads {
-		p.dial().send(w.get(fmt.Sprint("k", i), fmt.Sprint("id", i), int(wait.Milliseconds())))
-		<-asks
+		p.dial().send(checker.get(fmt.Sprint("k", i), fmt.Sprint("id", i), int(wait.Milliseconds())))
+		<-requests
 	}
-	p.Do(func() {}) // the last one's event is over: it has noted when it was written
+	p.Do(func() {}) // waits for the end of the last read's event, which notes when it was written
 	holding.Store(true)
-	moved.Add(int64(3500 * time.Millisecond)) // the first attempts of all have timed out
+	extraDelay.Add(int64(3500 * time.Millisecond)) // the first attempts of all reads have timed out
 	p.Tick()
 	want := reads
 	if left := int((wait - 3500*time.Millisecond) / pause); left < reads {
 		want = left + 1
 	}
-	if n := int(sent.Load()); n != want && n != want+1 { // the last one may end as it begins
+	if n := int(sent.Load()); n != want && n != want+1 { // the last one may expire as it begins
 		t.Fatalf("%d attempts in one event, want %d", n, want)
 	}
 	p.eventually("all are answered", func() bool { return len(p.requests) == 0 })
-	w.wantAttempts(2*reads, true)
-	for _, v := range w.Violations() {
+	checker.expectAttempts(2*reads, true)
+	for _, v := range checker.Violations() {
 		t.Error(v)
 	}
 }
 
-// Reads of one request for many keys have its time, also those that are asked for once others have been answered.
+// All reads of a request for many keys have its deadline, also those that begin after others were answered.
 func TestManyKeysShareOneDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 1
 	cfg.ManyKeys = &manykeys.Limits{Keys: 10, Bytes: 100_000, Outstanding: 1, PartSize: 1}
-	w := watchDeadlines(t, &cfg)
-	came, release := make(chan struct{}, 10), make(chan struct{}, 10)
-	p := startProxy(t, cfg, listEntry("s-1", w.cache("s-1", func(a memberCommand) string {
-		came <- struct{}{}
+	checker := checkDeadlines(t, &cfg)
+	arrived, release := make(chan struct{}, 10), make(chan struct{}, 10)
+	p := startProxy(t, cfg, listEntry("s-1", checker.cache("s-1", func(a memberCommand) string {
+		arrived <- struct{}{}
 		<-release
 		return hitReply("value of " + a.key)
 	}), "large"))
 	client := p.dial()
-	w.Sent("many", "c=tile-read,d=8000")
+	checker.Sent("many", "c=tile-read,d=8000")
 	client.send(mget("many", "c=tile-read,d=8000", "a", "b", "c"))
 	for range 3 {
-		<-came
-		w.advance(p, 2*time.Second)
+		<-arrived
+		checker.advance(p, 2*time.Second)
 		release <- struct{}{}
 	}
-	if got, line := client.reply(); !slices.Equal(got, []string{"value of a", "value of b", "value of c"}) {
+	if got, line := client.readArray(); !slices.Equal(got, []string{"value of a", "value of b", "value of c"}) {
 		t.Errorf("%s %q", line, got)
 	}
 }
 
-// A read that goes on for those who share its answer, after its own client has left, tells what the last of them has left.
-func TestJoinedReadTellsWhatItsFollowersHaveLeft(t *testing.T) {
+// A read that continues for its followers after its own client has left sends the time that the last of
+// them has left.
+func TestJoinedReadSendsDeadlineOfItsFollowers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.MaxAttempts = 2 // so that the second attempt may take all that is left
 	cfg.Joining = &joining.Limits{Followers: 10, PerTenant: 10, Groups: 10}
-	w := watchDeadlines(t, &cfg)
-	came, release := make(chan struct{}, 10), make(chan struct{})
-	var asks atomic.Int32
-	told := make(chan string, 10)
+	checker := checkDeadlines(t, &cfg)
+	arrived, release := make(chan struct{}, 10), make(chan struct{})
+	var requests atomic.Int32
+	attributes := make(chan string, 10)
 	answer := func(a memberCommand) string {
-		told <- a.attrs
-		if asks.Add(1) == 1 {
-			came <- struct{}{}
+		attributes <- a.attrs
+		if requests.Add(1) == 1 {
+			arrived <- struct{}{}
 			<-release
 			return "-ERR failed\r\n"
 		}
 		return hitReply("value")
 	}
-	o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return httpOK("value") })
-	p := startProxy(t, cfg, listEntry("s-1", w.cache("s-1", answer), "large"), listEntry("o-1", o, "origin"))
+	o := checker.origin(func(r *http.Request) string { attributes <- r.Header.Get("X-Attrs"); return httpOK("value") })
+	p := startProxy(t, cfg, listEntry("s-1", checker.cache("s-1", answer), "large"), listEntry("o-1", o, "origin"))
 	lead, follower := p.dial(), p.dial()
-	lead.send(w.get("a", "lead", 8000))
-	<-came
-	<-told
-	follower.send(w.get("a", "follower", 4000))
-	p.followed(1)
+	lead.send(checker.get("a", "lead", 8000))
+	<-arrived
+	<-attributes
+	follower.send(checker.get("a", "follower", 4000))
+	p.awaitFollowers(1)
 	lead.conn.Close()
 	p.eventually("the lead's client has left", func() bool { return len(p.redis.clients) == 1 })
-	w.Sent("lead", "d=4000") // nobody waits for it any longer than the follower does
-	w.advance(p, 2500*time.Millisecond)
+	checker.Sent("lead", "d=4000") // as the follower's is now the longest wait
+	checker.advance(p, 2500*time.Millisecond)
 	close(release)
-	w.passing(p, 2*time.Second, "the answer", answered(follower, "value"))
-	w.wantAttempts(1, true)
+	checker.advanceUntil(p, 2*time.Second, "the answer", awaitAnswer(follower, "value"))
+	checker.expectAttempts(1, true)
 }
 
-// A process that was held up dates what it reads right afterwards by when it may have come: in the midst of an event, and between two.
-func TestStallsDateRequests(t *testing.T) {
+// Requests that are read right after the process was stalled, within an event or between two, count
+// from the earliest time at which they may have arrived.
+func TestRequestsReadAfterAStallKeepTheirDeadline(t *testing.T) {
 	p := &Proxy{cfg: Config{}, started: time.Now().Add(-time.Minute), upstreams: upstream.New(pool.Config{}, nil)}
 	p.stalls.MaxGap = maxEventGap
 	p.timers = newTimerWheel(time.Millisecond, p.Clock())
@@ -583,7 +596,7 @@
 	p.wakeAt = p.now
 	p.beginEvent()
 	began := p.eventBegan
-	for p.Clock()-began < 20*time.Millisecond { // the event takes its time
+	for p.Clock()-began < 20*time.Millisecond { // simulates a long event
 		time.Sleep(time.Millisecond)
 	}
 	p.endEvent()
@@ -592,7 +605,7 @@
 		t.Errorf("read right after an event that took long, dated %v after it began", got-began)
 	}
 	last := p.now - time.Second
-	p.now, p.stalls = last, arrival.Stalls{MaxGap: maxEventGap} // nothing has happened for a second
+	p.now, p.stalls = last, arrival.Stalls{MaxGap: maxEventGap} // no event for a second
 	p.mu.Unlock()
 	p.beginEvent()
 	if got := p.arrivedAt(p.now); got != last {
@@ -607,22 +620,22 @@
 	p.mu.Unlock()
 }
 
-// Many proxies before members they share, each held up by a seed between choosing a member and writing to it, with reads that miss, fail, are
-// turned away and time out: no member is told of more than is left.
-func TestManyHeldUpProxiesTellWhatIsLeft(t *testing.T) {
+// Many proxies share members, and each is delayed at random (by a fixed seed) between choosing a member
+// and writing to it. Reads miss, fail, are refused and time out. No member is sent more time than is left.
+func TestManyDelayedProxiesSendRemainingDeadline(t *testing.T) {
 	const proxies, rounds, pauseMost = 24, 12, 150 * time.Millisecond
 	var now atomic.Int64
 	clock := func() time.Duration { return time.Duration(now.Load()) }
-	w := &deadlineWatch{t: t, Deadlines: standin.Deadlines{Now: clock}}
+	checker := &deadlineChecker{t: t, Deadlines: standin.Deadlines{Now: clock}}
 	var seed atomic.Uint64
 	answers := []string{missReply, "-ERR failed\r\n", "-BUSY\r\n", hitReply("value"), missReply}
 	answer := func(memberCommand) string {
 		return answers[rand.New(rand.NewPCG(54, seed.Add(1))).IntN(len(answers))]
 	}
-	members := []discovery.Member{listEntry("s-1", w.cache("s-1", answer), "large"), listEntry("s-2", w.cache("s-2", answer), "large"),
-		listEntry("o-1", w.origin(func(*http.Request) string { return httpOK("value") }), "origin")}
+	members := []discovery.Member{listEntry("s-1", checker.cache("s-1", answer), "large"), listEntry("s-2", checker.cache("s-2", answer), "large"),
+		listEntry("o-1", checker.origin(func(*http.Request) string { return httpOK("value") }), "origin")}
 	var all []*testProxy
-	w.advance = func(_ *testProxy, d time.Duration) {
+	checker.advance = func(_ *testProxy, d time.Duration) {
 		now.Add(int64(d))
 		for _, p := range all {
 			p.Tick()
@@ -634,7 +647,7 @@
 		cfg.Seed, cfg.Clock = uint64(i), clock
 		rng := rand.New(rand.NewPCG(54, uint64(i)<<32))
 		cfg.OnSend = func(logic.RequestID, logic.MemberID) {
-			if pauses.Load() { // only this proxy has anything under way
+			if pauses.Load() { // only this proxy has requests in progress
 				now.Add(1 + rng.Int64N(int64(pauseMost)))
 			}
 		}
@@ -646,34 +659,34 @@
 		for i, p := range all {
 			client := p.dial()
 			id := fmt.Sprintf("id-%d-%d", round, i)
-			client.send(w.get(fmt.Sprint("k", round*proxies+i), id, 8000))
+			client.send(checker.get(fmt.Sprint("k", round*proxies+i), id, 8000))
 			asked++
-			has := make(chan struct{})
-			go func() { defer close(has); client.answer() }()
-			w.passing(p, 8*time.Second, "the answer", has)
+			done := make(chan struct{})
+			go func() { defer close(done); client.answer() }()
+			checker.advanceUntil(p, 8*time.Second, "the answer", done)
 			client.conn.Close()
 		}
 	}
-	first, further := w.Attempts()
+	first, further := checker.Attempts()
 	if first > asked || first < asked/2 || further == 0 {
 		t.Errorf("%d first attempts and %d further ones of %d reads", first, further, asked)
 	}
-	for _, v := range w.Violations() {
+	for _, v := range checker.Violations() {
 		t.Error(v)
 	}
 }
 
-// What a client says of its deadline, and what its server is told.
-func TestDeadlineThatClientsGive(t *testing.T) {
+// Which deadlines clients may give, and what their servers are sent.
+func TestDeadlineOfClients(t *testing.T) {
 	for text, want := range map[string]struct {
-		told   int
+		sent   int
 		answer string
 	}{
-		"d=4000":               {told: 4000},
-		"d=4000.75":            {told: 4000},
-		"d=0.25":               {answer: "-BUSY"}, // less than an answer takes: nothing is sent
+		"d=4000":               {sent: 4000},
+		"d=4000.75":            {sent: 4000},
+		"d=0.25":               {answer: "-BUSY"}, // less than the shortest time to answer: nothing is sent
 		"d=1":                  {answer: "-BUSY"},
-		"d=60000":              {told: 8000}, // the class allows no more
+		"d=60000":              {sent: 8000}, // the class allows no more
 		"d=86400001":           {answer: "-ERR"},
 		"d=1" + manyZeros:      {answer: "-ERR"},
 		"d=0":                  {answer: "-ERR"},
@@ -686,21 +699,21 @@
 		"d=1.2.3":              {answer: "-ERR"},
 		"d=4000,d=5000":        {answer: "-ERR"},
 		"t=acme":               {answer: "-ERR"},
-		"d=4000,size=7,t=acme": {told: 4000},
-		"d=4000,r=1":           {told: 4000}, // a client's own retry has a deadline of its own
+		"d=4000,size=7,t=acme": {sent: 4000},
+		"d=4000,r=1":           {sent: 4000}, // a client's own retry has its own deadline
 	} {
 		for _, c := range []struct{ name, class string }{{"OBJ.GET", "tile-read"}, {"OBJ.SET", "pass-order"}} {
 			t.Run(c.name+" "+text[:min(len(text), 20)], func(t *testing.T) {
 				t.Parallel()
 				cfg := testConfig()
 				cfg.Settings.MaxAttempts = 1
-				w := watchDeadlines(t, &cfg)
-				told := make(chan string, 10)
-				node := w.cache("s-1", func(a memberCommand) string { told <- a.attrs; return hitReply("value") })
-				o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return httpOK("value") })
+				checker := checkDeadlines(t, &cfg)
+				attributes := make(chan string, 10)
+				node := checker.cache("s-1", func(a memberCommand) string { attributes <- a.attrs; return hitReply("value") })
+				o := checker.origin(func(r *http.Request) string { attributes <- r.Header.Get("X-Attrs"); return httpOK("value") })
 				p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 				attrs := "c=" + c.class + "," + text
-				w.Sent("id", attrs)
+				checker.Sent("id", attrs)
 				client := p.dial()
 				command := []string{c.name, "a1", "id", attrs}
 				if c.name == "OBJ.SET" {
@@ -718,19 +731,19 @@
 					}
 					close(answer)
 				}()
-				w.passing(p, time.Second, "the answer", answer)
-				if n := len(told); n > 1 || (n == 1) != (want.told > 0) {
+				checker.advanceUntil(p, time.Second, "the answer", answer)
+				if n := len(attributes); n > 1 || (n == 1) != (want.sent > 0) {
 					t.Fatalf("its server was asked %d times", n)
 				}
-				if want.told == 0 {
+				if want.sent == 0 {
 					return
 				}
-				list := <-told
+				list := <-attributes
 				_, after, _ := strings.Cut(list, ",d=")
 				after, rest, _ := strings.Cut(after, ",")
 				got, err := strconv.Atoi(after)
-				if err != nil || got > want.told || got < want.told-200 { // the test lets some time pass
-					t.Errorf("its server was told %q, want a deadline of %d", list, want.told)
+				if err != nil || got > want.sent || got < want.sent-200 { // the test's clock advances a little
+					t.Errorf("its server was told %q, want a deadline of %d", list, want.sent)
 				}
 				if _, others, _ := strings.Cut(text, ","); rest != others {
 					t.Errorf("its server was told %q behind the deadline, want %q", rest, others)
@@ -740,5 +753,5 @@
 	}
 }
 
-// manyZeros make a number that no clock holds.
+// manyZeros makes a number that overflows the clock.
 var manyZeros = strings.Repeat("0", 400)
--- a/internal/proxy/givenup_test.go
+++ b/internal/proxy/givenup_test.go
@@ -14,8 +14,8 @@
 	"linenloom/logic"
 )
 
-// handClock stands still until the test moves it on, a millisecond at a time.
-func handClock(cfg *Config) (on func(*testProxy, time.Duration)) {
+// manualClock gives the proxy a clock that the test advances, a millisecond at a time.
+func manualClock(cfg *Config) (advance func(*testProxy, time.Duration)) {
 	var now atomic.Int64
 	cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
 	return func(p *testProxy, d time.Duration) {
@@ -26,15 +26,16 @@
 	}
 }
 
-// slowClock lets the module's time pass up to a bound, far before any aim: what needs more of it never comes.
-func slowClock(t *testing.T, cfg *Config, most time.Duration) (run func(p *testProxy)) {
+// boundedClock gives the proxy a clock that runs up to a limit far below any deadline: what needs more
+// time never happens.
+func boundedClock(t *testing.T, cfg *Config, limit time.Duration) (run func(p *testProxy)) {
 	var now atomic.Int64
 	cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
 	return func(p *testProxy) {
 		stop, ended := make(chan struct{}), make(chan struct{})
 		go func() {
 			defer close(ended)
-			for range int(most / time.Millisecond) {
+			for range int(limit / time.Millisecond) {
 				select {
 				case <-stop:
 					return
@@ -48,7 +49,8 @@
 	}
 }
 
-// What the module has given up is answered at once: the clock stands still long before the request's aim.
+// A request that the decision module gives up is answered at once: the clock stops long before the
+// request's soft deadline.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	failing := func(*http.Request) string { return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n" }
 	for name, c := range map[string]struct {
@@ -64,7 +66,7 @@
 		"an order whose connection broke": {missReply, func(t *testing.T) string {
 			return serveConns(t, func(conn net.Conn) {
 				if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-					io.Copy(io.Discard, r.Body) // to the last byte, which comes alone
+					io.Copy(io.Discard, r.Body) // up to the last byte, which is sent separately
 				}
 			})
 		}, setCommand("p", "1", "a pass"), "-ERR", reasons.Failed, logic.MayHaveRun},
@@ -80,7 +82,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
-			run := slowClock(t, &cfg, time.Second)
+			run := boundedClock(t, &cfg, time.Second)
 			answer := func(memberCommand) string { return c.cache }
 			p := startProxy(t, cfg, listEntry("a", startCache(t, answer), "large"), listEntry("b", startCache(t, answer), "large"),
 				listEntry("c", startCache(t, answer), "large"), listEntry("d", startCache(t, answer), "large"), listEntry("o", c.origin(t), "origin"))
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -13,89 +13,95 @@
 )
 
 const (
-	// tickJoin is the purpose of a follower's timer, among those of the module, which has none of this number.
-	tickJoin = 7
-	// shareAtOnce is how many followers get their answer under the lock at once. Thousands would else hold up everybody.
-	shareAtOnce = 64
+	// hostTimer is the kind of the timers of followers and of recorded orders. The decision module
+	// uses no timer of this number.
+	hostTimer = 7
+	// shareBatchSize is how many followers are answered per hold of the lock. Answering thousands at
+	// once would delay all other requests.
+	shareBatchSize = 64
 )
 
-// Joined counts what became of reads that share attempts, for the rig and tests.
-type Joined struct{ Led, Followed, Shared, Passed, Apart int }
+// JoinCounts counts outcomes of request coalescing, for the lab and tests.
+type JoinCounts struct{ Led, Followed, Shared, LeadsPassed, NotJoined int }
 
-// joined is a read that leads others or follows one.
-type joined struct {
-	lr   logic.Request // as the Balancer is told of it, once it leads
-	lead bool
-	body *Body // the answer that it shares, from when that is there
+// joinState is the state of a read that leads or follows others.
+type joinState struct {
+	balancerRequest logic.Request // passed to the balancer if it becomes the lead
+	lead            bool
+	body            *Body // the shared answer, once there is one
 }
 
-// Body is an answer's value that several clients get. It is held once, and counted once, until the last has it.
+// Body is the value of an answer that several clients get. It is stored once, and counts once as held
+// memory, until the last client has it.
 type Body struct {
-	p    *Proxy
-	bulk []byte // as RESP2 writes it; never changed
-	head int
-	refs int
+	proxy      *Proxy
+	bulk       []byte // in RESP2 format; immutable
+	headLength int
+	references int
 }
 
-// newBody copies a value. It is the caller's, until it releases it.
+// newBody copies a value. The caller holds the first reference and must release it.
 func (p *Proxy) newBody(value []byte) *Body {
 	b := resp.AppendBulkHead(make([]byte, 0, len(value)+16), len(value))
 	head := len(b)
 	b = append(append(b, value...), "\r\n"...)
 	p.Hold(len(b))
-	return &Body{p: p, bulk: b, head: head, refs: 1}
+	return &Body{proxy: p, bulk: b, headLength: head, references: 1}
 }
 
-// Value is the value itself.
-func (b *Body) Value() []byte { return b.bulk[b.head : len(b.bulk)-2] }
+// Value returns the value.
+func (b *Body) Value() []byte { return b.bulk[b.headLength : len(b.bulk)-2] }
 
-// Keep has the body stay until one more Release, under the host's lock.
-func (b *Body) Keep() { b.refs++ }
+// Retain adds a reference, which a further Release returns. The caller holds the host's lock.
+func (b *Body) Retain() { b.references++ }
 
-// Release lets go of the body, under the host's lock.
+// Release drops a reference, and the body with the last one. The caller holds the host's lock.
 func (b *Body) Release() {
-	if b.refs--; b.refs == 0 {
-		b.p.Hold(-len(b.bulk))
+	if b.references--; b.references == 0 {
+		b.proxy.Hold(-len(b.bulk))
 		b.bulk = b.bulk[:0:0]
 	}
 }
 
-// nobody takes the answer of a read that goes on for those who follow it, after its own client has left.
-type nobody struct{}
+// discardingTaker discards the answer of a leading read whose client has left while others still follow it.
+type discardingTaker struct{}
 
-func (nobody) Answer(Answer) {}
+func (discardingTaker) Answer(Answer) {}
 
-// join has a read share another's attempt, or be shared. It tells whether it waits; else it makes its own way.
-func (p *Proxy) join(r *Request, lr logic.Request) (follows bool) {
-	if _, own := r.Taker.(Carrier); own || r.Only != nil {
+// join makes a read follow an identical one, or makes it a lead that others can follow. It reports
+// whether the read follows; otherwise the caller hands it to the balancer.
+func (p *Proxy) join(r *Request, balancerRequest logic.Request) (follows bool) {
+	if _, carrier := r.Taker.(Carrier); carrier || r.Only != nil {
 		return false
 	}
-	read, ok := p.joinTable.Limits().NewRead(&lr, r.effect, string(r.Key), namesOf(r.Attrs))
+	read, ok := p.joinTable.Limits().NewRead(&balancerRequest, r.effect, string(r.Key), identityAttributes(r.Attrs))
 	if !ok {
 		return false
 	}
 	switch p.joinTable.Join(read) {
 	case joining.Follow:
-		r.join = &joined{lr: lr}
+		r.join = &joinState{balancerRequest: balancerRequest}
 		p.joinStats.Followed++
 		p.reasons.Add(reasons.Waited, r.class, r.tenant, logic.SharedFetch)
-		p.timers.addToken(p.now, max(p.now, lr.Deadline-p.answerSlack()), uint64(r.id)<<3|tickJoin)
+		p.timers.addToken(p.now, max(p.now, balancerRequest.Deadline-p.answerSlack()), uint64(r.id)<<3|hostTimer)
 		return true
 	case joining.Lead:
-		r.join = &joined{lr: lr, lead: true}
+		r.join = &joinState{balancerRequest: balancerRequest, lead: true}
 		p.joinStats.Led++
 	default:
-		p.joinStats.Apart++
+		p.joinStats.NotJoined++
 	}
 	return false
 }
 
-// answerSlack is how early a request is answered whose time runs out, so that it is in time though events are late. The module takes as long.
+// answerSlack is how long before its deadline a request that runs out of time is answered, so that the
+// answer is in time even if events are late. The decision module uses the same margin.
 func (p *Proxy) answerSlack() time.Duration { return 2*p.cfg.Settings.MaxEventDelay + time.Millisecond }
 
-// namesOf is what a list says beside what may differ between reads that get the same answer: how long they wait, who asks, what it
-// is thought to cost, whether it is asked again.
-func namesOf(attrs []byte) string {
+// identityAttributes returns those attributes that have to be equal for reads to share an answer. It
+// omits the deadline, the cost hint, the size and the retry mark, which may differ, and the class and the
+// tenant, which package joining compares.
+func identityAttributes(attrs []byte) string {
 	var rest []string
 	for name, value := range upstream.Attributes(attrs) {
 		switch name {
@@ -108,33 +114,34 @@
 	return strings.Join(rest, ",")
 }
 
-// share gives what a lead has got to those who follow it: to some now, to the others in turns that let everybody else in between.
-func (p *Proxy) share(r *Request, value []byte) {
+// shareAnswer gives the answer of a lead to its followers: to a batch at once, and to the others in
+// further batches, between which other requests get the lock.
+func (p *Proxy) shareAnswer(r *Request, value []byte) {
 	ids := p.joinTable.Complete(r.id)
 	if len(ids) == 0 {
 		return
 	}
 	body := p.newBody(value)
 	for _, id := range ids {
-		if f := p.requests[id]; f != nil && !f.done {
-			f.join.body = body
-			body.Keep()
+		if follower := p.requests[id]; follower != nil && !follower.done {
+			follower.join.body = body
+			body.Retain()
 		}
 	}
 	body.Release()
 	p.pendingShares = append(p.pendingShares, ids...)
-	p.shareSome()
+	p.shareBatch()
 	if len(p.pendingShares) > 0 && !p.sharing {
 		p.sharing = true
-		go p.shareRest()
+		go p.shareRemaining()
 	}
 }
 
-func (p *Proxy) shareSome() {
-	n := min(len(p.pendingShares), shareAtOnce)
+func (p *Proxy) shareBatch() {
+	n := min(len(p.pendingShares), shareBatchSize)
 	for _, id := range p.pendingShares[:n] {
-		if f := p.requests[id]; f != nil {
-			p.shareWith(f)
+		if follower := p.requests[id]; follower != nil {
+			p.answerFollower(follower)
 		}
 	}
 	if p.pendingShares = p.pendingShares[n:]; len(p.pendingShares) == 0 {
@@ -142,10 +149,10 @@
 	}
 }
 
-func (p *Proxy) shareRest() {
+func (p *Proxy) shareRemaining() {
 	for more := true; more; {
 		p.Do(func() {
-			p.shareSome()
+			p.shareBatch()
 			if more = len(p.pendingShares) > 0; !more {
 				p.sharing = false
 			}
@@ -153,49 +160,52 @@
 	}
 }
 
-// shareWith gives a follower the answer that is there for it. It gets none by a proof that has been taken away meanwhile.
-func (p *Proxy) shareWith(f *Request) {
-	body := f.join.body
+// answerFollower answers a follower with the value stored for it. If its proof has been revoked
+// meanwhile, it is rejected instead.
+func (p *Proxy) answerFollower(follower *Request) {
+	body := follower.join.body
 	if body == nil {
 		return
 	}
-	f.join.body = nil
-	if !f.done {
-		f.done = true
+	follower.join.body = nil
+	if !follower.done {
+		follower.done = true
 		p.joinStats.Shared++
-		if p.proven(f) {
-			f.Taker.Answer(Answer{Kind: Served, Value: body.Value(), Body: body})
+		if p.proven(follower) {
+			follower.Taker.Answer(Answer{Kind: Served, Value: body.Value(), Body: body})
 		} else {
-			f.Taker.Answer(Answer{Kind: Failed, Why: logic.Rejected})
+			follower.Taker.Answer(Answer{Kind: Failed, Why: logic.Rejected})
 		}
 	}
 	body.Release()
-	p.releaseIfOver(f)
+	p.releaseIfOver(follower)
 }
 
-// joinLate ends a follower whose time is over. If its answer is there, it gets it.
-func (p *Proxy) joinLate(id logic.RequestID) {
-	f := p.requests[id]
+// followerTimedOut ends a follower whose deadline has passed. It gets the shared answer if there is one.
+func (p *Proxy) followerTimedOut(id logic.RequestID) {
+	follower := p.requests[id]
 	switch {
-	case f == nil || f.join == nil || f.join.lead || f.done:
-	case f.join.body != nil:
-		p.shareWith(f)
+	case follower == nil || follower.join == nil || follower.join.lead || follower.done:
+	case follower.join.body != nil:
+		p.answerFollower(follower)
 	default:
-		p.joinLeft(id)
+		p.removeFollower(id)
 		p.finishRequest(id, Answer{Kind: Refused, Why: logic.OutOfTime})
 	}
 }
 
-// joinEnded notes that a read has its final answer, and got none that others could share: the lead passes on.
-func (p *Proxy) joinEnded(r *Request) {
+// leadEnded notes that a read got a final answer which cannot be shared, so that another one has to
+// lead its followers.
+func (p *Proxy) leadEnded(r *Request) {
 	if r.join != nil && r.join.lead {
 		p.lostLeads = append(p.lostLeads, r.id)
 	}
 }
 
-// passLeads hands over leads that were lost, each by an event of its own. One that is lost at once passes on in the same loop, not in
-// the depth of the one before.
-func (p *Proxy) passLeads() (some bool) {
+// passLeads makes a follower the lead of each group that lost its lead, each by an event of its own. A
+// new lead that ends at once is handled by the same loop rather than by recursion. It reports whether
+// there were any new leads.
+func (p *Proxy) passLeads() (passed bool) {
 	for len(p.lostLeads) > 0 {
 		id := p.lostLeads[0]
 		p.lostLeads = p.lostLeads[1:]
@@ -203,44 +213,46 @@
 		if !ok {
 			continue
 		}
-		some = true
-		f := p.requests[next]
-		if f == nil || f.done { // it has left without a word; the next
+		passed = true
+		follower := p.requests[next]
+		if follower == nil || follower.done { // withdrawn or answered; try the next
 			p.lostLeads = append(p.lostLeads, next)
 			continue
 		}
-		p.joinStats.Passed++
-		f.join.lead = true
-		p.balancer.Request(p.now, f.join.lr)
+		p.joinStats.LeadsPassed++
+		follower.join.lead = true
+		p.balancer.Request(p.now, follower.join.balancerRequest)
 	}
 	p.lostLeads = nil
-	return some
+	return passed
 }
 
-// joinApart ends the sharing of a read whose answer can't be: it goes to its client piece by piece. Those who follow it make their own way.
-func (p *Proxy) joinApart(r *Request) {
+// stopSharing ends the sharing of a read whose answer is streamed to its client and cannot be shared.
+// Its followers go on independently.
+func (p *Proxy) stopSharing(r *Request) {
 	if r.join == nil || !r.join.lead {
 		return
 	}
 	for _, id := range p.joinTable.MarkUnshareable(r.id) {
-		if f := p.requests[id]; f != nil && !f.done {
-			lr := f.join.lr
-			f.join = nil
-			p.balancer.Request(p.now, lr)
+		if follower := p.requests[id]; follower != nil && !follower.done {
+			balancerRequest := follower.join.balancerRequest
+			follower.join = nil
+			p.balancer.Request(p.now, balancerRequest)
 		}
 	}
 }
 
-// withdrawJoined takes a read out whose client has left. One that others wait for goes on for them. It tells whether that was all.
+// withdrawJoined withdraws a read whose client has left. A lead with followers continues for them. It
+// reports whether that was all there was to do.
 func (p *Proxy) withdrawJoined(r *Request) bool {
 	switch {
 	case r.join == nil || r.done:
 		return false
 	case r.join.lead && p.joinTable.FollowerCount(r.id) > 0:
-		r.Taker = nobody{}
+		r.Taker = discardingTaker{}
 		return true
 	case r.join.lead:
-		p.joinEnded(r)
+		p.leadEnded(r)
 		return false
 	}
 	if r.join.body != nil {
@@ -248,28 +260,29 @@
 		r.join.body = nil
 	}
 	r.done = true
-	p.joinLeft(r.id)
+	p.removeFollower(r.id)
 	p.releaseIfOver(r)
 	return true
 }
 
-// joinLeft takes a follower out. A lead that has gone on for others after its own client had left ends with the last of them.
-func (p *Proxy) joinLeft(id logic.RequestID) {
+// removeFollower removes a follower. A lead whose own client has left ends with its last follower.
+func (p *Proxy) removeFollower(id logic.RequestID) {
 	lead, alone := p.joinTable.RemoveFollower(id)
-	if r := p.requests[lead]; alone && r != nil && r.Taker == (nobody{}) {
+	if r := p.requests[lead]; alone && r != nil && r.Taker == (discardingTaker{}) {
 		p.Withdraw(r)
 	}
 }
 
-// fence keeps reads that come from now on from sharing what was asked for before a write of the key was answered, or may have run.
-func (p *Proxy) fence(r *Request) {
+// fenceReads prevents reads that arrive from now on from sharing an attempt that began before a write
+// of the key was answered or may have run.
+func (p *Proxy) fenceReads(r *Request) {
 	if p.joinTable != nil && r.Write {
 		p.joinTable.Fence(string(r.Key))
 	}
 }
 
-// JoinedReads counts what became of reads that share attempts.
-func (p *Proxy) JoinedReads() (c Joined) {
+// JoinCounts returns the counts of request coalescing.
+func (p *Proxy) JoinCounts() (c JoinCounts) {
 	p.Do(func() { c = p.joinStats })
 	return c
 }
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -16,53 +16,54 @@
 	"linenloom/logic"
 )
 
-var joinAll = joining.Limits{Followers: 5000, PerTenant: 5000, Groups: 100}
+var joinLimits = joining.Limits{Followers: 5000, PerTenant: 5000, Groups: 100}
 
-// gate is a cache whose answers wait until they are let out.
-type gate struct {
-	asks chan memberCommand
-	out  chan string
-	n    atomic.Int32
+// gatedCache is a cache that sends each answer only when the test supplies it.
+type gatedCache struct {
+	requests chan memberCommand
+	answers  chan string
+	attempts atomic.Int32
 }
 
-func newGate() *gate {
-	return &gate{asks: make(chan memberCommand, 5000), out: make(chan string, 5000)}
+func newGatedCache() *gatedCache {
+	return &gatedCache{requests: make(chan memberCommand, 5000), answers: make(chan string, 5000)}
 }
 
-func (g *gate) answer(a memberCommand) string {
-	g.n.Add(1)
-	g.asks <- a
-	return <-g.out
+func (g *gatedCache) answer(a memberCommand) string {
+	g.attempts.Add(1)
+	g.requests <- a
+	return <-g.answers
 }
 
-func joiningProxy(t *testing.T, l joining.Limits, answer func(memberCommand) string, set ...func(*Config)) *testProxy {
+func startJoining(t *testing.T, limits joining.Limits, answer func(memberCommand) string, set ...func(*Config)) *testProxy {
 	t.Helper()
 	cfg := testConfig()
 	for _, f := range set {
 		f(&cfg)
 	}
-	cfg.Joining = &l
+	cfg.Joining = &limits
 	cfg.MaxRequests, cfg.Descriptors = 5000, 2048
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "acme", Share: 0.5}, {Name: "best", Share: 0.5}}
 	return startProxy(t, cfg, listEntry("s-a", startCache(t, answer), "large"),
 		listEntry("s-o", startOrigin(t, func(r *http.Request) string { return httpOK("receipt of " + r.URL.Path[1:]) }), "origin"))
 }
 
-// followed waits until so many reads follow others.
-func (p *testProxy) followed(n int) {
+// awaitFollowers waits until n reads follow others.
+func (p *testProxy) awaitFollowers(n int) {
 	p.t.Helper()
 	p.eventually(fmt.Sprint(n, " reads follow"), func() bool { _, f := p.joinTable.Len(); return f == n })
 }
 
-func ahead(key, id, d string) string { return respCommand("OBJ.GET", key, id, "c=tile-read,d="+d) }
+func getWithin(key, id, d string) string { return respCommand("OBJ.GET", key, id, "c=tile-read,d="+d) }
 
-// Identical reads share one attempt, from one connection or many, and each has its one answer; other keys, tenants and classes do not.
-func TestIdenticalReadsShareAnAttempt(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+// Identical reads on one or many connections share one attempt, and each gets one answer. Reads of
+// other keys, tenants and classes do not share it.
+func TestIdenticalReadsAreJoined(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	lead := p.dial()
 	lead.send(getCommand("a", "lead"))
-	<-g.asks
+	<-gated.requests
 	const clients, each = 20, 10
 	var all []*testClient
 	for i := range clients {
@@ -72,13 +73,13 @@
 			c.send(getCommand("a", fmt.Sprintf("f%d-%d", i, j)))
 		}
 	}
-	p.followed(clients * each)
+	p.awaitFollowers(clients * each)
 	other := p.dial()
 	other.send(respCommand("OBJ.GET", "a", "other", "c=tile-read,d=4000,t=best"))
-	<-g.asks
+	<-gated.requests
 	value := strings.Repeat("v", 40_000)
-	g.out <- hitReply(value)
-	g.out <- hitReply("its own")
+	gated.answers <- hitReply(value)
+	gated.answers <- hitReply("its own")
 	for _, c := range append(all, lead) {
 		n := each
 		if c == lead {
@@ -93,64 +94,65 @@
 	if got := other.answer(); got != "its own" {
 		t.Errorf("another tenant's: %.20q", got)
 	}
-	if n := g.n.Load(); n != 2 {
+	if n := gated.attempts.Load(); n != 2 {
 		t.Errorf("%d attempts", n)
 	}
 	p.eventually("nothing is held", func() bool { return p.bufferedBytes == 0 && len(p.requests) == 0 })
 }
 
-// What becomes of the lead condemns nobody: its client leaves, its time ends, its attempt fails or is spoilt; those who follow are served.
-func TestLeadCondemnsNobody(t *testing.T) {
-	for name, end := range map[string]func(g *gate, lead *testClient){
-		"its client leaves": func(g *gate, lead *testClient) {
+// Followers are served even if the lead's client leaves, or its deadline passes, or its attempts fail
+// or get a malformed answer.
+func TestFollowersOutliveTheLead(t *testing.T) {
+	for name, end := range map[string]func(gated *gatedCache, lead *testClient){
+		"its client leaves": func(gated *gatedCache, lead *testClient) {
 			lead.conn.Close()
-			time.Sleep(10 * time.Millisecond) // so that the proxy may see it before the answer; either order has to do
-			g.out <- hitReply("v")
+			time.Sleep(10 * time.Millisecond) // mostly, the proxy sees it before the answer; either order has to work
+			gated.answers <- hitReply("v")
 		},
-		"its time ends": func(g *gate, lead *testClient) {
+		"its time ends": func(gated *gatedCache, lead *testClient) {
 			if got := lead.answer(); !strings.HasPrefix(got, "-BUSY") {
 				lead.t.Errorf("the lead is told %q", got)
 			}
-			for range 200 { // some go to attempts that are over
-				g.out <- hitReply("v")
+			for range 200 { // some of them go to attempts that have ended
+				gated.answers <- hitReply("v")
 			}
 		},
-		"its attempts fail": func(g *gate, lead *testClient) {
+		"its attempts fail": func(gated *gatedCache, lead *testClient) {
 			for range 4 {
-				g.out <- "-ERR failed\r\n"
+				gated.answers <- "-ERR failed\r\n"
 			}
 			for range 200 {
-				g.out <- hitReply("v")
+				gated.answers <- hitReply("v")
 			}
 		},
-		"its answer is spoilt": func(g *gate, lead *testClient) {
-			g.out <- "*3\r\n$6\r\nspo"
+		"its answer is spoilt": func(gated *gatedCache, lead *testClient) {
+			gated.answers <- "*3\r\n$6\r\nspo"
 			for range 200 {
-				g.out <- hitReply("v")
+				gated.answers <- hitReply("v")
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newGate()
-			p := joiningProxy(t, joinAll, g.answer)
+			gated := newGatedCache()
+			p := startJoining(t, joinLimits, gated.answer)
 			lead := p.dial()
-			lead.send(ahead("a", "lead", "150"))
-			<-g.asks
+			lead.send(getWithin("a", "lead", "150"))
+			<-gated.requests
 			const followers = 50
 			var all []*testClient
 			for i := range followers {
 				c := p.dial()
-				c.send(ahead("a", fmt.Sprint("f", i), fmt.Sprint(3000+i*20)))
+				c.send(getWithin("a", fmt.Sprint("f", i), fmt.Sprint(3000+i*20)))
 				all = append(all, c)
 			}
-			p.followed(followers)
-			end(g, lead)
+			p.awaitFollowers(followers)
+			end(gated, lead)
 			for i, c := range all {
-				if got := c.answer(); got != "v" && got != "receipt of a" { // the last try is the origin's
+				if got := c.answer(); got != "v" && got != "receipt of a" { // the last attempt goes to the origin
 					t.Fatalf("follower %d: %q", i, got)
 				}
 			}
-			if n := g.n.Load(); n > 8 {
+			if n := gated.attempts.Load(); n > 8 {
 				t.Errorf("%d attempts for %d followers", n, followers)
 			}
 			p.eventually("nothing is left", func() bool { n, f := p.joinTable.Len(); return n+f+len(p.requests)+p.bufferedBytes == 0 })
@@ -158,17 +160,17 @@
 	}
 }
 
-// Where nothing can be had, each follower is told in its own time, and none waits for ever; the cache is not stormed.
-func TestFollowersOfWhatNeverComes(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+// If no answer comes, each follower is refused at its own deadline, and the cache gets few attempts.
+func TestFollowersOfASilentCache(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	var all []*testClient
 	for i := range 40 {
 		c := p.dial()
-		c.send(ahead("a", fmt.Sprint("f", i), fmt.Sprint(100+i*5)))
+		c.send(getWithin("a", fmt.Sprint("f", i), fmt.Sprint(100+i*5)))
 		all = append(all, c)
 		if i == 0 {
-			<-g.asks
+			<-gated.requests
 		}
 	}
 	for i, c := range all {
@@ -176,56 +178,57 @@
 			t.Errorf("follower %d: %q", i, got)
 		}
 	}
-	if n := g.n.Load(); n > 20 {
+	if n := gated.attempts.Load(); n > 20 {
 		t.Errorf("%d attempts", n)
 	}
-	close(g.out)
+	close(gated.answers)
 	p.eventually("nothing is left", func() bool { n, f := p.joinTable.Len(); return n+f+len(p.requests) == 0 })
 }
 
-// A read that comes after a write's answer never gets what was asked for before it.
-func TestReadAfterAWriteSharesNothingOlder(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+// A read that arrives after a write was answered never shares an attempt from before the write.
+func TestReadAfterAWriteJoinsNothingOlder(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	before := p.dial()
 	before.send(getCommand("a", "before"))
-	<-g.asks
+	<-gated.requests
 	c := p.dial()
 	c.send(setCommand("a", "w", "new"))
 	if got := c.answer(); got != "receipt of a" {
 		t.Fatal(got)
 	}
 	c.send(getCommand("a", "after"))
-	<-g.asks // an attempt of its own
-	g.out <- hitReply("old")
-	g.out <- hitReply("new")
+	<-gated.requests // an attempt of its own
+	gated.answers <- hitReply("old")
+	gated.answers <- hitReply("new")
 	if got, first := c.answer(), before.answer(); got == first {
 		t.Errorf("both reads got %q", got)
 	}
 }
 
-// One tenant's storm holds back nobody else's reads: past its part its reads are ordinary ones.
-func TestStormOfOneTenant(t *testing.T) {
-	g := newGate()
-	l := joinAll
-	l.PerTenant = 10
-	p := joiningProxy(t, l, g.answer)
+// One tenant's identical reads do not delay other tenants' reads: above the tenant's limit, they are
+// handled as ordinary reads.
+func TestJoinLimitPerTenant(t *testing.T) {
+	gated := newGatedCache()
+	limits := joinLimits
+	limits.PerTenant = 10
+	p := startJoining(t, limits, gated.answer)
 	storm := p.dial()
-	for i := range 13 { // one leads, ten follow, two make their own way
+	for i := range 13 { // one leads, ten follow, two are not joined
 		storm.send(respCommand("OBJ.GET", "a", fmt.Sprint("s", i), "c=tile-read,d=4000,t=acme"))
 	}
 	for range 3 {
-		<-g.asks
+		<-gated.requests
 	}
-	p.followed(10)
+	p.awaitFollowers(10)
 	c := p.dial()
 	for i := range 5 {
 		c.send(respCommand("OBJ.GET", "b", fmt.Sprint("b", i), "c=tile-read,d=4000,t=best"))
 	}
-	<-g.asks
-	p.followed(14)
+	<-gated.requests
+	p.awaitFollowers(14)
 	for range 4 {
-		g.out <- hitReply("v")
+		gated.answers <- hitReply("v")
 	}
 	for range 13 {
 		if got := storm.answer(); got != "v" {
@@ -239,13 +242,14 @@
 	}
 }
 
-// One value is held once, however many take it, until the slowest has it; a client that takes nothing bounds itself.
-func TestSharedValueIsHeldOnce(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+// A shared value is held in memory once until the slowest client has received it. A client that reads
+// nothing does not add to that.
+func TestJoinedValueIsHeldOnce(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	lead := p.dial()
 	lead.send(getCommand("a", "lead"))
-	<-g.asks
+	<-gated.requests
 	slow, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -256,9 +260,9 @@
 	for i := range wanted {
 		fmt.Fprint(slow, getCommand("a", fmt.Sprint("slow", i)))
 	}
-	p.followed(wanted)
+	p.awaitFollowers(wanted)
 	value := strings.Repeat("v", resp.MaxValue)
-	g.out <- hitReply(value)
+	gated.answers <- hitReply(value)
 	if got := lead.answer(); got != value {
 		t.Fatalf("%d bytes", len(got))
 	}
@@ -273,21 +277,21 @@
 	p.eventually("nothing is held", func() bool { return p.bufferedBytes == 0 })
 }
 
-// A stop and a storm: all that was taken is answered.
-func TestStopInAStorm(t *testing.T) {
-	g := newGate()
-	p := joiningProxy(t, joinAll, g.answer)
+// All joined reads that were accepted before a stop are answered.
+func TestStopWhileReadsAreJoined(t *testing.T) {
+	gated := newGatedCache()
+	p := startJoining(t, joinLimits, gated.answer)
 	var all []*testClient
 	for i := range 100 {
 		c := p.dial()
 		c.send(getCommand("a", fmt.Sprint("r", i)))
 		all = append(all, c)
 	}
-	<-g.asks
-	p.followed(99)
+	<-gated.requests
+	p.awaitFollowers(99)
 	var wg sync.WaitGroup
 	p.stop()
-	g.out <- hitReply("v")
+	gated.answers <- hitReply("v")
 	for i, c := range all {
 		wg.Go(func() {
 			if got := c.answer(); got != "v" {
@@ -298,15 +302,15 @@
 	wg.Wait()
 }
 
-// A thousand followers of different times, and a lead whose attempts stall: when the cache answers at last, all whose time is not over are
-// served, and those whose time was over have been told so.
-func TestThousandFollowersOfAStall(t *testing.T) {
-	g := newGate()
-	var clock func(*testProxy, time.Duration) // it stands while all come, however long the machine takes for that
-	p := joiningProxy(t, joinAll, g.answer, func(cfg *Config) { clock = handClock(cfg) })
+// A thousand followers with different deadlines wait for a lead whose attempts stall. Once the cache
+// answers, all whose deadline has not passed are served; the others were refused before.
+func TestThousandFollowersOfAStalledLead(t *testing.T) {
+	gated := newGatedCache()
+	var advance func(*testProxy, time.Duration) // it stands still until all have arrived, however long the machine takes
+	p := startJoining(t, joinLimits, gated.answer, func(cfg *Config) { advance = manualClock(cfg) })
 	lead := p.dial()
-	lead.send(ahead("a", "lead", "300"))
-	<-g.asks
+	lead.send(getWithin("a", "lead", "300"))
+	<-gated.requests
 	const clients, each = 40, 25
 	type one struct {
 		c    *testClient
@@ -315,17 +319,17 @@
 	var all []one
 	for i := range clients {
 		c := p.dial()
-		wait := 400 // half of them have too little: nothing answers before that is over
+		wait := 400 // half of the clients have deadlines that pass before any answer
 		if i%2 == 0 {
 			wait = 7000
 		}
 		for j := range each {
-			c.send(ahead("a", fmt.Sprintf("f%d-%d", i, j), fmt.Sprint(wait+j)))
+			c.send(getWithin("a", fmt.Sprintf("f%d-%d", i, j), fmt.Sprint(wait+j)))
 		}
 		all = append(all, one{c, wait})
 	}
-	p.followed(clients * each)
-	clock(p, 500*time.Millisecond)
+	p.awaitFollowers(clients * each)
+	advance(p, 500*time.Millisecond)
 	for i := 1; i < clients; i += 2 {
 		for j := range each {
 			if got := all[i].c.answer(); !strings.HasPrefix(got, "-BUSY") {
@@ -334,7 +338,7 @@
 		}
 	}
 	for range 100 {
-		g.out <- hitReply("v")
+		gated.answers <- hitReply("v")
 	}
 	for i := 0; i < clients; i += 2 {
 		for j := range each {
@@ -343,20 +347,20 @@
 			}
 		}
 	}
-	if n := g.n.Load(); n > 12 {
+	if n := gated.attempts.Load(); n > 12 {
 		t.Errorf("%d attempts for %d reads", n, clients*each)
 	}
 	p.eventually("nothing is left", func() bool { n, f := p.joinTable.Len(); return n+f+len(p.requests)+p.bufferedBytes == 0 })
 }
 
-// The cache that a storm's lead is at drains, and other classes come into force, in the midst of it: the attempt that is out is answered, all
-// that follow it are served, and nothing new goes to that cache.
-func TestDrainAndRetuneInAStorm(t *testing.T) {
-	g := newGate()
+// While a lead's attempt is outstanding, its cache starts to drain and other classes are set. The
+// attempt is answered, all followers are served, and the cache gets nothing new.
+func TestDrainAndRetuneWhileReadsAreJoined(t *testing.T) {
+	gated := newGatedCache()
 	other := startCache(t, func(a memberCommand) string { return hitReply("other " + a.key) })
 	cfg := testConfig()
-	cfg.Joining, cfg.MaxRequests, cfg.Descriptors = &joinAll, 5000, 2048
-	first := listEntry("s-a", startCache(t, g.answer), "large")
+	cfg.Joining, cfg.MaxRequests, cfg.Descriptors = &joinLimits, 5000, 2048
+	first := listEntry("s-a", startCache(t, gated.answer), "large")
 	r := newFakeDiscovery(t, discoveryList(1, true, first, listEntry("o-1", startOrigin(t, func(*http.Request) string { return httpOK("o") }), "origin")))
 	p := startProxyAt(t, cfg, r)
 	<-r.watchBegan
@@ -365,10 +369,10 @@
 		c := p.dial()
 		c.send(getCommand("a", fmt.Sprint("r", i)))
 		if all = append(all, c); i == 0 {
-			<-g.asks
+			<-gated.requests
 		}
 	}
-	p.followed(59)
+	p.awaitFollowers(59)
 	first.Phase = "terminating"
 	r.publish(discoveryList(2, false, first, listEntry("s-b", other, "large")))
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
@@ -382,42 +386,43 @@
 	if got := after.answer(); got != "other b" {
 		t.Errorf("another key: %q", got)
 	}
-	g.out <- hitReply("v")
+	gated.answers <- hitReply("v")
 	for i, c := range all {
 		if got := c.answer(); got != "v" {
 			t.Fatalf("read %d: %q", i, got)
 		}
 	}
-	if n := g.n.Load(); n != 1 {
+	if n := gated.attempts.Load(); n != 1 {
 		t.Errorf("the draining cache was asked %d times", n)
 	}
 }
 
-// A thousand reads follow a lead that is turned away by all that it asks, whose connection is reset in the middle of the value, or that
-// stands in the line of an origin at its limit: each has its one answer, the key is asked for a few times, and nothing is left.
-func TestThousandFollowers(t *testing.T) {
+// A thousand reads follow a lead that all members refuse, or whose connection is reset in the middle of
+// the value, or that waits in the queue of an origin at its limit. Each read gets one answer, the key
+// is requested a few times only, and nothing is left over.
+func TestThousandFollowersOfAFailingLead(t *testing.T) {
 	for name, c := range map[string]struct {
-		lead string // how its answer begins
-		most int32  // attempts for the key, over caches and origin
-		box  func(n int32, asked func(), conn net.Conn, k string) (answer string)
-		of   func(n int32, asked func(), free chan struct{}, k string) string
-		fill int // other keys at the origin before
+		lead         string // prefix of its answer
+		maxAttempts  int32  // limit of attempts for the key, at caches and origin
+		answerCache  func(n int32, asked func(), conn net.Conn, k string) (answer string)
+		answerOrigin func(n int32, asked func(), free chan struct{}, k string) string
+		otherKeys    int // number of other keys requested from the origin before
 	}{
-		"turned away": {lead: "-BUSY", most: 8,
-			box: func(n int32, asked func(), _ net.Conn, _ string) string {
+		"turned away": {lead: "-BUSY", maxAttempts: 8,
+			answerCache: func(n int32, asked func(), _ net.Conn, _ string) string {
 				if asked(); n <= 4 {
 					return "-BUSY\r\n"
 				}
 				return hitReply("v")
 			},
-			of: func(n int32, _ func(), _ chan struct{}, _ string) string {
+			answerOrigin: func(n int32, _ func(), _ chan struct{}, _ string) string {
 				if n <= 4 {
 					return "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 				}
 				return httpOK("v")
 			}},
-		"reset half way": {lead: "v", most: 4,
-			box: func(n int32, asked func(), conn net.Conn, _ string) string {
+		"reset half way": {lead: "v", maxAttempts: 4,
+			answerCache: func(n int32, asked func(), conn net.Conn, _ string) string {
 				if asked(); n > 1 {
 					return hitReply("v")
 				}
@@ -425,19 +430,19 @@
 				conn.(*net.TCPConn).SetLinger(0)
 				return ""
 			},
-			of: func(int32, func(), chan struct{}, string) string { return httpOK("v") }},
-		"an origin at its limit": {lead: "v", most: 4, fill: 30,
-			box: func(_ int32, _ func(), _ net.Conn, k string) string { return missReply },
-			of: func(_ int32, asked func(), free chan struct{}, k string) string {
+			answerOrigin: func(int32, func(), chan struct{}, string) string { return httpOK("v") }},
+		"an origin at its limit": {lead: "v", maxAttempts: 4, otherKeys: 30,
+			answerCache: func(_ int32, _ func(), _ net.Conn, k string) string { return missReply },
+			answerOrigin: func(_ int32, asked func(), free chan struct{}, k string) string {
 				<-free
 				return httpOK("v")
 			}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var n atomic.Int32
-			begun, free, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
-			// The lead's attempts wait until all that follow it are there.
-			asked := func() { begun <- struct{}{}; <-done }
+			started, free, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
+			// The lead's attempts wait until all followers are there.
+			asked := func() { started <- struct{}{}; <-done }
 			once := sync.OnceFunc(asked)
 			count := func(k string) int32 {
 				if k == "a" {
@@ -446,37 +451,37 @@
 				return 0
 			}
 			cfg := testConfig()
-			cfg.Joining, cfg.MaxRequests, cfg.Descriptors = &joinAll, 5000, 2048
-			run := slowClock(t, &cfg, 4*time.Second) // it stands while all come, and then stays before their time
-			box := serveConns(t, func(conn net.Conn) {
+			cfg.Joining, cfg.MaxRequests, cfg.Descriptors = &joinLimits, 5000, 2048
+			run := boundedClock(t, &cfg, 4*time.Second) // starts once all have arrived; stays below their deadlines
+			cacheAddress := serveConns(t, func(conn net.Conn) {
 				for in := resp.NewReader(conn, 4096); ; {
 					w, err := readCommand(in)
 					if err != nil {
 						return
 					}
-					text := c.box(count(w[1]), once, conn, w[1])
+					text := c.answerCache(count(w[1]), once, conn, w[1])
 					if text == "" {
 						return
 					}
 					io.WriteString(conn, text)
 				}
 			})
-			p := startProxy(t, cfg, listEntry("s-a", box, "large"), listEntry("s-o", startOrigin(t, func(r *http.Request) string {
-				return c.of(count(r.URL.Path[1:]), once, free, r.URL.Path[1:])
+			p := startProxy(t, cfg, listEntry("s-a", cacheAddress, "large"), listEntry("s-o", startOrigin(t, func(r *http.Request) string {
+				return c.answerOrigin(count(r.URL.Path[1:]), once, free, r.URL.Path[1:])
 			}), "origin"))
 			filler := p.dial()
-			for i := range c.fill {
+			for i := range c.otherKeys {
 				filler.send(getCommand(fmt.Sprint("f", i), fmt.Sprint("f", i)))
 			}
-			p.eventually("the origin has what it takes", func() bool { return len(p.requests) == c.fill })
+			p.eventually("the origin has what it takes", func() bool { return len(p.requests) == c.otherKeys })
 			lead := p.dial()
 			lead.send(getCommand("a", "lead"))
-			if c.fill == 0 {
-				<-begun
+			if c.otherKeys == 0 {
+				<-started
 			} else {
-				// It asks the cache first, or goes straight to the line at the origin where all before it were misses: which of the two
-				// depends on whose answers come first.
-				p.eventually("the lead is in hand", func() bool { return len(p.requests) == c.fill+1 })
+				// It asks the cache first, or goes straight to the queue of the origin if all reads
+				// before it were misses. Which one happens depends on the order of the answers.
+				p.eventually("the lead is in hand", func() bool { return len(p.requests) == c.otherKeys+1 })
 			}
 			const clients, each = 40, 25
 			var all []*testClient
@@ -486,7 +491,7 @@
 					all[i].send(getCommand("a", fmt.Sprintf("r%d-%d", i, j)))
 				}
 			}
-			p.followed(clients * each)
+			p.awaitFollowers(clients * each)
 			close(done)
 			close(free)
 			run(p)
@@ -500,7 +505,7 @@
 					}
 				}
 			}
-			if got := n.Load(); got > c.most {
+			if got := n.Load(); got > c.maxAttempts {
 				t.Errorf("%d attempts for %d reads of one key", got, clients*each)
 			}
 			p.eventually("nothing is left", func() bool { n, f := p.joinTable.Len(); return n+f+len(p.requests)+p.bufferedBytes == 0 })
@@ -508,13 +513,14 @@
 	}
 }
 
-// A tenant without the right to a key gets nothing of another's attempt for it, also where tenants share attempts.
-func TestJoiningAsksForTheRightFirst(t *testing.T) {
-	g := newGate()
+// A tenant without access to a key gets nothing from another tenant's attempt for it, even where
+// tenants share attempts.
+func TestJoiningChecksAccessFirst(t *testing.T) {
+	gated := newGatedCache()
 	o := newOffice(t, "k1")
-	shared := joinAll
+	shared := joinLimits
 	shared.AcrossTenants = true
-	p, _, _ := guarded(t, o, func(cfg *Config) { cfg.Joining = &shared }, g.answer)
+	p, _, _ := guarded(t, o, func(cfg *Config) { cfg.Joining = &shared }, gated.answer)
 	proven := func(tenant string) *testClient {
 		c := p.dial()
 		c.send(respCommand("AUTH", o.token("k1", tenant, "")))
@@ -525,34 +531,34 @@
 	}
 	shop, kiosk, other := proven("shop"), proven("kiosk"), proven("shop")
 	shop.send(getCommand("orders/1", "r1"))
-	<-g.asks
+	<-gated.requests
 	kiosk.send(getCommand("orders/1", "r2"))
 	if got := kiosk.answer(); !strings.HasPrefix(got, "-NOPERM") {
 		t.Errorf("without the right: %q", got)
 	}
 	other.send(getCommand("orders/1", "r3"))
-	p.followed(1)
-	g.out <- hitReply("secret")
+	p.awaitFollowers(1)
+	gated.answers <- hitReply("secret")
 	for _, c := range []*testClient{shop, other} {
 		if got := c.answer(); got != "secret" {
 			t.Errorf("%q", got)
 		}
 	}
 	kiosk.send(getCommand("map/1", "r4"))
-	<-g.asks
-	g.out <- hitReply("map")
+	<-gated.requests
+	gated.answers <- hitReply("map")
 	if got := kiosk.answer(); got != "map" {
 		t.Errorf("what it may read: %q", got)
 	}
 }
 
-// A read that leads others goes on for them when its client leaves, and ends with the last of them.
-func TestAllOfAJoinedReadLeave(t *testing.T) {
+// A leading read continues for its followers when its client leaves, and ends with the last of them.
+func TestJoinedReadEndsWithItsLastClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		l := newRoll()
-		door, open := shut(t, l, "large")
+		roll := newRoll()
+		door, open := shut(t, roll, "large")
 		cfg := leaving(cancel)
-		cfg.Joining = &joinAll
+		cfg.Joining = &joinLimits
 		p := startProxy(t, cfg, listEntry("s-1", door, "large"))
 		var clients []*testClient
 		for i := range 3 {
@@ -575,7 +581,7 @@
 		if got := next.answer(); got != "value of a1" {
 			t.Errorf("answered %q", got)
 		}
-		if got := l.asked(t, 1); got[0] != "next" {
+		if got := roll.asked(t, 1); got[0] != "next" {
 			t.Errorf("the member was asked under %v", got)
 		}
 	}
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -138,7 +138,7 @@
 func (p *testProxy) gone() {
 	p.t.Helper()
 	p.eventually("nothing is in hand", func() bool {
-		return len(p.requests) == 0 && len(p.redis.clients) == 0 && p.bufferedBytes == 0 && p.longValues.used == 0
+		return len(p.requests) == 0 && len(p.redis.clients) == 0 && p.bufferedBytes == 0 && p.longValues.usedBytes == 0
 	})
 }
 
@@ -185,10 +185,10 @@
 				}
 				cfg := leaving(cancel)
 				if c.many {
-					cfg.ManyKeys = &manyUsual
+					cfg.ManyKeys = &manyKeysLimits
 				}
 				if strings.Contains(name, "join") {
-					cfg.Joining = &joinAll
+					cfg.Joining = &joinLimits
 				}
 				p := startProxy(t, cfg, members...)
 				client := p.dial()
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -11,165 +11,171 @@
 	"linenloom/internal/upstream"
 )
 
-// Values past resp.MaxValue are long. One that is read goes to the client piece by piece as the member gives it, at the
-// client's pace: what is held of it is a piece on the way in and one on the way out. One that is written is held whole,
-// since it may have to be sent again, but only as many as there is room for: the others are not read until then, which
-// costs their clients nothing, as their time counts from the last byte.
+// Values larger than resp.MaxValue are long. A long value that is read is streamed to the client at the
+// client's pace as the member sends it, so that only one incoming and one outgoing piece are in memory.
+// A long value that is written is held completely, since it may have to be sent again. The memory for
+// these is limited, and further ones are not read until there is memory. This costs their clients
+// nothing, as their deadlines count from the last byte.
 const (
-	// longShare is the part of the memory for long values that are written, beside bufferMemoryShare for everything else.
-	longShare = 0.25
-	// longStep is how much of a long value has to come within commandTime. Slower, a client would hold its room for minutes.
-	longStep = 64 << 10
-	// longestWait is how long a long value waits for room before it is refused.
-	longestWait = 10 * time.Second
+	// longMemoryShare is the share of the memory for long values that are written, in addition to bufferMemoryShare.
+	longMemoryShare = 0.25
+	// longPieceBytes is how much of a long value has to arrive within commandTime. A slower client
+	// would hold its memory for minutes.
+	longPieceBytes = 64 << 10
+	// maxLongValueWait is how long a long value waits for memory before it is refused.
+	maxLongValueWait = 10 * time.Second
 )
 
-// room is what may be held of long values. Who comes first is let in first, so that none waits for ever.
-type room struct {
-	used    int
-	waiting []*place
-	longest time.Duration // as longestWait; tests have it longer
+// longValueBudget limits the memory that long values hold. Reservations are granted in the order of
+// requests, so that none waits forever.
+type longValueBudget struct {
+	usedBytes int
+	waiting   []*budgetReservation
+	maxWait   time.Duration // maxLongValueWait if 0; tests set a longer time
 }
 
-// place waits for room.
-type place struct {
-	n    int
-	let  chan struct{} // closed once it is let in
-	done bool          // let in, or given up
+// budgetReservation is a reservation of memory that is waiting or granted.
+type budgetReservation struct {
+	bytes   int
+	granted chan struct{} // closed when the reservation is granted
+	done    bool          // granted or cancelled
 }
 
-// enter asks for n bytes.
-func (r *room) enter(n, most int) *place {
-	w := &place{n: n, let: make(chan struct{})}
-	r.waiting = append(r.waiting, w)
-	r.grant(most)
-	return w
+// reserve requests a reservation of memory.
+func (b *longValueBudget) reserve(bytes, maxBytes int) *budgetReservation {
+	reservation := &budgetReservation{bytes: bytes, granted: make(chan struct{})}
+	b.waiting = append(b.waiting, reservation)
+	b.grantWaiting(maxBytes)
+	return reservation
 }
 
-// grant lets in those for whom there is room, and one in any case.
-func (r *room) grant(most int) {
-	for len(r.waiting) > 0 {
-		w := r.waiting[0]
-		if r.used > 0 && r.used+w.n > most {
+// grantWaiting grants the reservations that fit, and one in any case if none is in use.
+func (b *longValueBudget) grantWaiting(maxBytes int) {
+	for len(b.waiting) > 0 {
+		next := b.waiting[0]
+		if b.usedBytes > 0 && b.usedBytes+next.bytes > maxBytes {
 			return
 		}
-		r.waiting = r.waiting[1:]
-		r.used += w.n
-		w.done = true
-		close(w.let)
+		b.waiting = b.waiting[1:]
+		b.usedBytes += next.bytes
+		next.done = true
+		close(next.granted)
 	}
 }
 
-// leave gives up the wait, or the room.
-func (r *room) leave(w *place) {
-	if w.done {
-		r.used -= w.n
+// release cancels a waiting reservation or returns a granted one.
+func (b *longValueBudget) release(reservation *budgetReservation) {
+	if reservation.done {
+		b.usedBytes -= reservation.bytes
 		return
 	}
-	w.done = true
-	if i := slices.Index(r.waiting, w); i >= 0 {
-		r.waiting = slices.Delete(r.waiting, i, i+1)
+	reservation.done = true
+	if i := slices.Index(b.waiting, reservation); i >= 0 {
+		b.waiting = slices.Delete(b.waiting, i, i+1)
 	}
 }
 
-// ReserveLongValue asks for room for a value that a member sends, which is held until it is whole.
-func (h host) ReserveLongValue(n int, until time.Duration) upstream.Reservation {
-	return &heldPlace{place: h.longValues.enter(n, h.longMax()), p: h.Proxy, left: until - h.now}
+// ReserveLongValue requests memory for a value that a member sends and that is held until it is complete.
+func (h host) ReserveLongValue(bytes int, until time.Duration) upstream.Reservation {
+	return &longValueReservation{budgetReservation: h.longValues.reserve(bytes, h.maxLongBytes()), proxy: h.Proxy, timeout: until - h.now}
 }
 
-// LongRoom asks, outside the lock, for room for a long value that a front holds, for so long at the most.
-func (p *Proxy) LongRoom(n int, within time.Duration) (place upstream.Reservation) {
-	return p.longRoom(n, within, nil)
+// ReserveLongValueWithin requests memory for a long value that a front end holds, and waits no longer
+// than the given time for it. It is called without the lock.
+func (p *Proxy) ReserveLongValueWithin(bytes int, within time.Duration) (reservation upstream.Reservation) {
+	return p.reserveLongValue(bytes, within, nil)
 }
 
-func (p *Proxy) longRoom(n int, within time.Duration, gone <-chan struct{}) (w *heldPlace) {
-	p.Do(func() { w = &heldPlace{place: p.longValues.enter(n, p.longMax()), p: p, left: within, gone: gone} })
-	return w
+func (p *Proxy) reserveLongValue(bytes int, within time.Duration, cancelled <-chan struct{}) (reservation *longValueReservation) {
+	p.Do(func() {
+		reservation = &longValueReservation{budgetReservation: p.longValues.reserve(bytes, p.maxLongBytes()), proxy: p, timeout: within, cancelled: cancelled}
+	})
+	return reservation
 }
 
-// InRoom says, before the request is taken, that its value is in the room for long values, with so many bytes. From then on they are given
-// back with the request.
-func (r *Request) InRoom(n int) { r.long = n }
+// SetReservedBytes states that the request's value is held in that many bytes of reserved memory, which
+// are then returned with the request. It is called before the request is submitted.
+func (r *Request) SetReservedBytes(bytes int) { r.long = bytes }
 
-// heldPlace is a place in the room that is waited for without the lock, for so long at the most.
-type heldPlace struct {
-	*place
-	p    *Proxy
-	left time.Duration
-	gone <-chan struct{} // closed once nobody wants it any more; nil: that is not told
+// longValueReservation is a budgetReservation that can be waited for without the lock, up to a timeout.
+type longValueReservation struct {
+	*budgetReservation
+	proxy     *Proxy
+	timeout   time.Duration
+	cancelled <-chan struct{} // closed when the reservation is no longer needed; may be nil
 }
 
-// Wait waits for the room.
-func (w *heldPlace) Wait() (let bool) {
-	late := time.NewTimer(w.left)
-	defer late.Stop()
+// Wait waits for the reservation and reports whether it was granted.
+func (r *longValueReservation) Wait() (granted bool) {
+	timer := time.NewTimer(r.timeout)
+	defer timer.Stop()
 	select {
-	case <-w.let:
-	case <-late.C:
-	case <-w.gone:
+	case <-r.granted:
+	case <-timer.C:
+	case <-r.cancelled:
 	}
-	w.p.Do(func() {
-		if let = w.done; !let {
-			w.ReleaseLocked()
+	r.proxy.Do(func() {
+		if granted = r.done; !granted {
+			r.ReleaseLocked()
 		}
 	})
-	return let
+	return granted
 }
 
-// Shrink gives back what the value does not take.
-func (w *heldPlace) Shrink(n int) {
-	w.p.Do(func() { w.p.longValues.used -= w.n - n; w.n = n })
+// Shrink returns the memory that the value does not need.
+func (r *longValueReservation) Shrink(bytes int) {
+	r.proxy.Do(func() { r.proxy.longValues.usedBytes -= r.bytes - bytes; r.bytes = bytes })
 }
 
-// Release gives the room back.
-func (w *heldPlace) Release() { w.p.Do(w.ReleaseLocked) }
+// Release returns the memory.
+func (r *longValueReservation) Release() { r.proxy.Do(r.ReleaseLocked) }
 
-// ReleaseLocked is Leave under the lock.
-func (w *heldPlace) ReleaseLocked() { w.p.longValues.leave(w.place) }
+// ReleaseLocked is Release with the lock held.
+func (r *longValueReservation) ReleaseLocked() { r.proxy.longValues.release(r.budgetReservation) }
 
-func (p *Proxy) longMax() int { return int(float64(p.cfg.MemoryMB) * (1 << 20) * longShare) }
+func (p *Proxy) maxLongBytes() int { return int(float64(p.cfg.MemoryMB) * (1 << 20) * longMemoryShare) }
 
-// letGo gives back the room of a request's value.
-func (p *Proxy) letGo(r *Request) {
+// releaseValue returns the memory of a request's value.
+func (p *Proxy) releaseValue(r *Request) {
 	if r.long > 0 {
-		p.longValues.used -= r.long
+		p.longValues.usedBytes -= r.long
 	} else {
 		p.bufferedBytes -= cap(r.Value)
 	}
 	r.long, r.Value = 0, nil
 }
 
-// longValue reads a long value of a client, once there is room for it.
-func (c *client) longValue(cmd *input, n int) error {
+// readLongValue reads a long value from a client once there is memory for it.
+func (c *client) readLongValue(cmd *input, length int) error {
 	p := c.p
 	gone := make(chan struct{})
 	p.Do(func() { c.waits = gone })
-	w := p.longRoom(n, cmp.Or(p.longValues.longest, longestWait), gone)
-	let := w.Wait()
+	reservation := p.reserveLongValue(length, cmp.Or(p.longValues.maxWait, maxLongValueWait), gone)
+	granted := reservation.Wait()
 	c.arrived.NoteUnreadPossible()
 	p.Do(func() { c.waits = nil })
-	if !let { // it is read over, and refused
+	if !granted { // the value is skipped and the request refused
 		*cmd = input{refused: true}
 		c.limit()
-		return c.in.Skip(n)
+		return c.in.Skip(length)
 	}
-	value := make([]byte, n)
-	err := c.pieces(value)
+	value := make([]byte, length)
+	err := c.readPieces(value)
 	if err == nil {
 		err = c.in.LineEnd()
 	}
 	if err != nil {
-		w.Release()
+		reservation.Release()
 		return err
 	}
-	cmd.Value, cmd.long = value, n
+	cmd.Value, cmd.long = value, length
 	return nil
 }
 
-// pieces reads a long value, which has to keep a least pace.
-func (c *client) pieces(value []byte) error {
+// readPieces reads a long value, each piece of which has to arrive within commandTime.
+func (c *client) readPieces(value []byte) error {
 	for len(value) > 0 {
-		piece := value[:min(len(value), longStep)]
+		piece := value[:min(len(value), longPieceBytes)]
 		c.limit()
 		if _, err := io.ReadFull(c.in, piece); err != nil {
 			return err
@@ -180,32 +186,33 @@
 	return nil
 }
 
-// errGone tells that a client takes nothing any more.
-var errGone = errors.New("the client has gone")
+// errClientGone means that a client no longer receives anything.
+var errClientGone = errors.New("the client has disconnected")
 
 var _ upstream.ValueStream = (*owed)(nil)
 
-// Begin begins the answer.
-func (o *owed) Begin(n int) error { return o.write(resp.AppendBulkHead(nil, n), false) }
+// Begin writes the head of the answer.
+func (o *owed) Begin(n int) error { return o.writeInTurn(resp.AppendBulkHead(nil, n), false) }
 
-// WritePiece writes a piece.
-func (o *owed) WritePiece(piece []byte) error { return o.write(piece, false) }
+// WritePiece writes a piece of the value.
+func (o *owed) WritePiece(piece []byte) error { return o.writeInTurn(piece, false) }
 
 // Finish ends the answer.
-func (o *owed) Finish() error { return o.write([]byte("\r\n"), true) }
+func (o *owed) Finish() error { return o.writeInTurn([]byte("\r\n"), true) }
 
 // Abort closes the connection.
 func (o *owed) Abort() { o.client.p.Do(o.client.close) }
 
-// write sends bytes of an answer once its turn has come and the client has taken what was sent before.
-func (o *owed) write(b []byte, last bool) error {
+// writeInTurn sends bytes of an answer once the answers before it are complete and the client has
+// received all earlier bytes.
+func (o *owed) writeInTurn(b []byte, last bool) error {
 	c := o.client
 	p := c.p
 	for {
 		p.beginEvent()
 		if c.closed || c.w.Failed() || !slices.Contains(c.pending, o) {
 			p.endEvent()
-			return errGone
+			return errClientGone
 		}
 		if c.pending[0] == o && !c.w.Busy() {
 			c.w.Send(b, false)
@@ -223,8 +230,8 @@
 	}
 }
 
-// wakeTurn lets the answer go on whose turn it is.
-func (o *owed) wakeTurn() {
+// signalTurn wakes the answer that waits in writeInTurn.
+func (o *owed) signalTurn() {
 	if o.turn != nil {
 		close(o.turn)
 		o.turn = nil
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -19,8 +19,8 @@
 	"linenloom/logic"
 )
 
-// long is a value whose every part can be told from the others.
-func long(n int) string {
+// numberedText returns a value in which any two parts differ.
+func numberedText(n int) string {
 	var b strings.Builder
 	for b.Len() < n {
 		fmt.Fprintf(&b, "%d,", b.Len())
@@ -28,9 +28,10 @@
 	return b.String()[:n]
 }
 
-// A long value goes on before all of it has come, whole and in order, from a cache and from an origin.
-func TestLongValuesArePassedOn(t *testing.T) {
-	value := long(3 << 20)
+// A long value is streamed to the client before all of it has arrived, complete and in order, from a
+// cache and from an origin.
+func TestLongValuesAreStreamed(t *testing.T) {
+	value := numberedText(3 << 20)
 	half := make(chan struct{})
 	for name, member := range map[string]func(t *testing.T) (flavor, addr string){
 		"cache": func(t *testing.T) (string, string) {
@@ -62,7 +63,7 @@
 				t.Fatalf("%q %v", line, err)
 			}
 			got := make([]byte, len(value)+2)
-			if _, err := io.ReadFull(c.in, got[:1<<19]); err != nil { // the cache gives no more than a third yet
+			if _, err := io.ReadFull(c.in, got[:1<<19]); err != nil { // the cache has sent no more than a third yet
 				t.Fatal(err)
 			}
 			if flavor == "large" {
@@ -78,9 +79,9 @@
 	}
 }
 
-// An origin that does not tell the length of a value first sends it in chunks, or up to the end of the connection: it is served once it
-// is whole, and what breaks off is not served.
-func TestValuesOfUntoldLength(t *testing.T) {
+// An origin sends a value of unknown length, in chunks or up to the end of the connection. It is served
+// once it is complete, and a truncated one is not served.
+func TestLongValuesOfUnknownLength(t *testing.T) {
 	chunked := func(value string) string {
 		var b strings.Builder
 		b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -90,11 +91,11 @@
 		}
 		return b.String() + "0\r\n\r\n"
 	}
-	short, longer, most := long(1000), long(300<<10), long(resp.MaxLongValue+1)
+	short, longer, tooLong := numberedText(1000), numberedText(300<<10), numberedText(resp.MaxLongValue+1)
 	toEnd := "HTTP/1.1 200 OK\r\n\r\n"
 	for name, c := range map[string]struct {
-		answer, want string // want: none, as it is not whole, or too long
-		reset        bool   // the connection ends by a reset
+		answer, want string // want "": not served, as it is truncated or too long
+		reset        bool   // the connection ends with a reset
 	}{
 		"short, in chunks":      {chunked(short), short, false},
 		"long, in chunks":       {chunked(longer), longer, false},
@@ -103,19 +104,19 @@
 		"short, to a reset":     {toEnd + short, "", true},
 		"long, to a reset":      {toEnd + longer, "", true},
 		"chunks that break off": {chunked(longer)[:200<<10], "", false},
-		"too long, in chunks":   {chunked(most), "", false},
-		"too long, to the end":  {toEnd + most, "", false},
+		"too long, in chunks":   {chunked(tooLong), "", false},
+		"too long, to the end":  {toEnd + tooLong, "", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.MemoryMB = 32 // room for two of them
+			cfg.MemoryMB = 32 // memory for two of them
 			o := serveConns(t, func(conn net.Conn) {
 				in := bufio.NewReader(conn)
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
 				io.WriteString(conn, c.answer)
-				if c.reset { // once all has been read: a reset drops what was not
+				if c.reset { // after all has been read, as a reset discards unread data
 					time.Sleep(50 * time.Millisecond)
 					conn.(*net.TCPConn).SetLinger(0)
 				}
@@ -131,16 +132,19 @@
 					t.Errorf("client %d: %d bytes, %.60q", i, len(got), got)
 				}
 			}
-			p.eventually("nothing is held", func() bool { return p.longValues.used == 0 && len(p.longValues.waiting) == 0 && p.bufferedBytes == 0 })
+			p.eventually("nothing is held", func() bool {
+				return p.longValues.usedBytes == 0 && len(p.longValues.waiting) == 0 && p.bufferedBytes == 0
+			})
 		})
 	}
 }
 
-// Reads that were written behind the first long value of a cache, before anybody could know of it, don't wait for its client.
-func TestReadsBehindALongValue(t *testing.T) {
+// Reads that were pipelined behind the first long value of a cache, when its size was not known, do not
+// wait for the client of that value.
+func TestReadsPipelinedBehindALongValue(t *testing.T) {
 	cfg := testConfig()
-	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that it has one connection to the cache
-	value := long(3 << 20)
+	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // one connection to the cache
+	value := numberedText(3 << 20)
 	asked, behind := make(chan struct{}), make(chan struct{})
 	p := startProxy(t, cfg, listEntry("c", serveConns(t, func(conn net.Conn) {
 		for in := resp.NewReader(conn, 4096); ; {
@@ -177,7 +181,7 @@
 			c.conn.SetWriteBuffer(64 << 10)
 		}
 	})
-	slow.send(getCommand("long", "l")) // and takes nothing yet
+	slow.send(getCommand("long", "l")) // the client reads nothing yet
 	<-asked
 	go func() {
 		d := p.dial()
@@ -204,21 +208,21 @@
 	if got := slow.answer(); got != value {
 		t.Errorf("the long value: %d bytes", len(got))
 	}
-	p.eventually("nothing is held", func() bool { return p.longValues.used == 0 && p.bufferedBytes == 0 && len(p.requests) == 0 })
+	p.eventually("nothing is held", func() bool { return p.longValues.usedBytes == 0 && p.bufferedBytes == 0 && len(p.requests) == 0 })
 }
 
-// A member that breaks off in the middle, and a client that leaves there: the client sees that the value is not whole,
-// nothing is tried again, and nothing stays behind.
+// A member closes the connection in the middle of a long value, or the client does. The client sees
+// that the value is truncated, nothing is retried, and nothing is left over.
 func TestLongValueCutOff(t *testing.T) {
-	value := long(1 << 20)
-	asks := make(chan string, 10)
+	value := numberedText(1 << 20)
+	requests := make(chan string, 10)
 	p := startProxy(t, testConfig(), listEntry("m", serveConns(t, func(conn net.Conn) {
 		for in := resp.NewReader(conn, 4096); ; {
 			w, err := readCommand(in)
 			if err != nil {
 				return
 			}
-			asks <- w[1]
+			requests <- w[1]
 			if w[1] == "cut" {
 				fmt.Fprintf(conn, "*3\r\n$%d\r\n%s", len(value), value[:200<<10])
 				return
@@ -239,29 +243,29 @@
 	}
 	d.conn.Close()
 	p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 && p.bufferedBytes == 0 })
-	if n := len(asks); n != 2 {
+	if n := len(requests); n != 2 {
 		t.Errorf("%d requests to the cache, want 2", n)
 	}
 }
 
-// Long values that are written are let in as far as there is room, the first first; those that wait are not refused, and
-// leave others their way.
-func TestLongWritesWaitForRoom(t *testing.T) {
+// Long values that are written are accepted as far as there is memory for them, in the order of
+// arrival. Those that wait are not refused, and do not block other requests.
+func TestLongWritesWaitForMemory(t *testing.T) {
 	cfg := testConfig()
-	cfg.MemoryMB = 32 // room for two of them
+	cfg.MemoryMB = 32 // memory for two of them
 	cfg.Settings.Classes[1].Deadline = testTimeout
 	o := startOrigin(t, func(r *http.Request) string { return httpOK("receipt " + r.Header.Get("X-Request-ID")) })
 	p := startProxy(t, cfg, listEntry("o", o, "origin"), listEntry("c", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
-	value := long(resp.MaxLongValue)
+	value := numberedText(resp.MaxLongValue)
 	const writers = 6
 	var clients [writers]*testClient
-	for i := range clients { // all begin, none ends
+	for i := range clients { // all begin to send, none finishes
 		clients[i] = p.dial()
 		text := setCommand(fmt.Sprint("k", i), fmt.Sprint("w", i), value)
 		clients[i].send(text[:len(text)-resp.MaxLongValue/2])
 	}
 	p.eventually("some are let in, the others wait", func() bool {
-		return p.longValues.used == 2*resp.MaxLongValue && len(p.longValues.waiting) == writers-2
+		return p.longValues.usedBytes == 2*resp.MaxLongValue && len(p.longValues.waiting) == writers-2
 	})
 	reader := p.dial()
 	reader.send(getCommand("k", "r1"))
@@ -277,20 +281,23 @@
 			t.Errorf("writer %d: %.60q", i, got)
 		}
 	}
-	p.eventually("all room is given back", func() bool { return p.longValues.used == 0 && len(p.longValues.waiting) == 0 && p.bufferedBytes == 0 })
+	p.eventually("all room is given back", func() bool {
+		return p.longValues.usedBytes == 0 && len(p.longValues.waiting) == 0 && p.bufferedBytes == 0
+	})
 }
 
-// A crowd that sends half a command each gives its places to clients that ask, and to slow ones that go on.
-func TestStalledCommandsGiveWay(t *testing.T) {
+// Clients that each sent half a command lose their connections to clients that send whole ones, but
+// slow clients that make progress keep theirs.
+func TestStalledCommandsAreEvicted(t *testing.T) {
 	cfg := testConfig()
 	cfg.Descriptors = 64
 	p := startProxy(t, cfg, listEntry("c", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	slow := p.dial()
 	whole := getCommand("k", "slow")
 	slow.send(whole[:1])
-	most := p.redis.maxClients()
+	maxClients := p.redis.maxClients()
 	var halves []*testClient
-	for i := range most - 1 {
+	for i := range maxClients - 1 {
 		halves = append(halves, p.dial())
 		halves[i].send(getCommand("k", fmt.Sprint("half", i))[:20])
 	}
@@ -301,15 +308,15 @@
 				n++
 			}
 		}
-		return n == most
+		return n == maxClients
 	})
 	served, sent := 0, 1
-	for ; served < most-1; time.Sleep(20 * time.Millisecond) { // the pace at which the slow client goes on
+	for ; served < maxClients-1; time.Sleep(20 * time.Millisecond) { // the interval at which the slow client sends
 		if sent < len(whole)-1 {
 			slow.send(whole[sent : sent+1])
 			sent++
 		}
-		c := p.dial() // one that comes before anybody has stalled for long is closed, and comes again
+		c := p.dial() // closed if nobody has stalled for long enough yet; the loop tries again
 		c.send(getCommand("k", fmt.Sprint("new", time.Now().UnixNano())))
 		if c.answer() == "v" {
 			served++ // and it keeps its connection
@@ -322,7 +329,7 @@
 		t.Errorf("the slow client: %q", got)
 	}
 	gaveWay := 0
-	for _, c := range halves { // those whose time is up have an error line
+	for _, c := range halves { // those that ran into the command timeout get an error line
 		if c.answer() == "" {
 			gaveWay++
 		}
@@ -332,12 +339,12 @@
 	}
 }
 
-// Where hardly any connection is asked on again, one is closed once it is answered, and its place is free for the next;
-// where they are used again, they are kept.
-func TestConnectionsAskedOnOnce(t *testing.T) {
+// If few connections are used again, a connection is closed after its answer, so that another client
+// gets its place. If they are used again, they are kept.
+func TestConnectionsUsedOnceAreClosed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Descriptors = 128
-	run := slowClock(t, &cfg, time.Second) // nobody counts as idle meanwhile
+	run := boundedClock(t, &cfg, time.Second) // no connection counts as idle meanwhile
 	p := startProxy(t, cfg, listEntry("c", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	run(p)
 	ask := func(name string) *testClient {
@@ -349,7 +356,7 @@
 		return c
 	}
 	clients := make([]*testClient, 0, 24)
-	for i := range cap(clients) { // over a third of the room, each of which asks twice
+	for i := range cap(clients) { // more than a third of the limit, each of which sends two commands
 		clients = append(clients, ask(fmt.Sprint("a", i)))
 		clients[i].send(getCommand("k", fmt.Sprint("b", i)))
 		if got := clients[i].answer(); got != "v" {
@@ -358,7 +365,7 @@
 	}
 	p.eventually("all are kept", func() bool { return len(p.redis.clients) == cap(clients) && p.redis.reuse > reuseLeast })
 
-	p.Do(func() { p.redis.reuse = 0 }) // as after many that ask once and stay
+	p.Do(func() { p.redis.reuse = 0 }) // as after many clients that send one command and stay
 	closed := 0
 	const once = 4 * keepEvery
 	for i := range once {
@@ -378,12 +385,12 @@
 	if closed != once-once/keepEvery {
 		t.Errorf("%d of %d are closed, want all but one in %d", closed, once, keepEvery)
 	}
-	clients[0].send(getCommand("k", "d")) // one that has asked again is not
+	clients[0].send(getCommand("k", "d")) // a connection that was used again is kept
 	if got := clients[0].answer(); got != "v" {
 		t.Errorf("%q", got)
 	}
 
-	p.redis.Drain() // from now on nobody makes room for others
+	p.redis.Drain() // from now on no connection is closed to make room
 	open := 0
 	p.Do(func() { open = len(p.redis.clients) })
 	for i := range 2 * keepEvery {
@@ -392,26 +399,26 @@
 	p.eventually("all are kept while it drains", func() bool { return len(p.requests) == 0 && len(p.redis.clients) == open+2*keepEvery })
 }
 
-// plainTaker is a client of a front that takes no long values.
-type plainTaker chan Answer
+// answerTaker is a client of a front end that accepts no long values.
+type answerTaker chan Answer
 
-func (t plainTaker) Answer(a Answer) { t <- a }
+func (t answerTaker) Answer(a Answer) { t <- a }
 
-// A value that is too long for its client fails at once, and the members that hold it are not held to blame.
+// A value that is too long for its client fails at once, and the members that hold it are not blamed.
 func TestValueTooLongForItsFront(t *testing.T) {
-	var asks atomic.Int64
-	value := long(resp.MaxValue + 1)
-	member := startCache(t, func(memberCommand) string { asks.Add(1); return hitReply(value) })
+	var requests atomic.Int64
+	value := numberedText(resp.MaxValue + 1)
+	member := startCache(t, func(memberCommand) string { requests.Add(1); return hitReply(value) })
 	p := startProxy(t, testConfig(), listEntry("m", member, "large"), listEntry("n", member, "large"))
 	c := p.dial()
-	c.send(getCommand("k", "first")) // once it is answered, the proxy knows its members
+	c.send(getCommand("k", "first")) // the proxy knows its members once this is answered
 	if got := c.answer(); got != value {
 		t.Fatalf("a client that takes it: %d bytes", len(got))
 	}
-	asks.Store(0)
+	requests.Store(0)
 	const reads = 12
 	for i := range reads {
-		taker := make(plainTaker, 1)
+		taker := make(answerTaker, 1)
 		p.Do(func() {
 			r := &Request{Taker: taker, Command: Command{Message: upstream.Message{Key: fmt.Appendf(nil, "k%d", i),
 				ReqID: fmt.Appendf(nil, "r%d", i), Attrs: []byte("c=tile-read,d=8000")}}}
@@ -423,7 +430,7 @@
 			t.Fatalf("read %d: %v, %v", i, a.Kind, a.Why)
 		}
 	}
-	if n := asks.Load(); n != reads {
+	if n := requests.Load(); n != reads {
 		t.Errorf("%d attempts at %d reads", n, reads)
 	}
 	c.send(getCommand("k", "last"))
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -17,16 +17,16 @@
 	"linenloom/internal/resp"
 )
 
-var manyUsual = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
+var manyKeysLimits = manykeys.Limits{Keys: 100, Bytes: 200_000, Outstanding: 16, PartSize: 4}
 
-// manyFleet is a proxy that takes OBJ.MGET before three caches that all answer alike, and an origin.
-func manyFleet(t *testing.T, l manykeys.Limits, answer func(box int, a memberCommand) string) *testProxy {
+// startManyKeys starts a proxy that accepts OBJ.MGET, in front of an origin and three caches that answer alike.
+func startManyKeys(t *testing.T, limits manykeys.Limits, answer func(cacheIndex int, a memberCommand) string) *testProxy {
 	t.Helper()
 	cfg := testConfig()
-	cfg.ManyKeys = &l
+	cfg.ManyKeys = &limits
 	members := []string{}
-	for box := range 3 {
-		members = append(members, startCache(t, func(a memberCommand) string { return answer(box, a) }))
+	for cacheIndex := range 3 {
+		members = append(members, startCache(t, func(a memberCommand) string { return answer(cacheIndex, a) }))
 	}
 	o := startOrigin(t, func(r *http.Request) string { return httpOK("origin's " + r.URL.Path[1:]) })
 	return startProxy(t, cfg, listEntry("s-a", members[0], "large"), listEntry("s-b", members[1], "large"), listEntry("s-c", members[2], "large"),
@@ -37,8 +37,8 @@
 	return respCommand(append([]string{"OBJ.MGET", id, attrs}, keys...)...)
 }
 
-// reply reads the reply to OBJ.MGET: what stands at each place; nil and the line, if it is none.
-func (c *testClient) reply() (all []string, line string) {
+// readArray reads a reply to OBJ.MGET. It returns the elements, or nil and the line if the reply is not an array.
+func (c *testClient) readArray() (all []string, line string) {
 	c.t.Helper()
 	line = c.answer()
 	var n int
@@ -51,8 +51,8 @@
 	return all, line
 }
 
-// places reads a reply whose keys come as they are had.
-func (c *testClient) places() map[string]string {
+// readStreamedPlaces reads a reply whose keys arrive in any order. It returns the answer by place.
+func (c *testClient) readStreamedPlaces() map[string]string {
 	c.t.Helper()
 	var n int
 	fmt.Sscanf(c.answer(), "*%d", &n)
@@ -68,34 +68,34 @@
 }
 
 func TestManyKeysInOneReply(t *testing.T) {
-	var most, now [3]atomic.Int32
-	p := manyFleet(t, manyUsual, func(box int, a memberCommand) string {
-		if n := now[box].Add(1); n > most[box].Load() {
-			most[box].Store(n)
+	var maxOutstanding, outstanding [3]atomic.Int32
+	p := startManyKeys(t, manyKeysLimits, func(cacheIndex int, a memberCommand) string {
+		if n := outstanding[cacheIndex].Add(1); n > maxOutstanding[cacheIndex].Load() {
+			maxOutstanding[cacheIndex].Store(n)
 		}
-		defer now[box].Add(-1)
+		defer outstanding[cacheIndex].Add(-1)
 		return hitReply("value of " + a.key)
 	})
 	c := p.dial()
 	var keys, want []string
 	for i := range 60 {
-		key := fmt.Sprint("k", i%50) // ten stand twice
+		key := fmt.Sprint("k", i%50) // ten keys occur twice
 		keys, want = append(keys, key), append(want, "value of "+key)
 	}
 	c.send(mget("m1", "c=tile-read,d=4000", keys...) + getCommand("after", "g1"))
-	if got, line := c.reply(); !slices.Equal(got, want) {
+	if got, line := c.readArray(); !slices.Equal(got, want) {
 		t.Fatalf("%s: %v", line, got)
 	}
 	if got := c.answer(); got != "value of after" {
 		t.Errorf("the next command: %q", got)
 	}
-	for box := range 3 {
-		if n := most[box].Load(); n > int32(manyUsual.PartSize) {
-			t.Errorf("cache %d worked on %d keys of one request", box, n)
+	for cacheIndex := range 3 {
+		if n := maxOutstanding[cacheIndex].Load(); n > int32(manyKeysLimits.PartSize) {
+			t.Errorf("cache %d worked on %d keys of one request", cacheIndex, n)
 		}
 	}
 	c.send(mget("m2", "c=tile-read,d=4000,s=1", keys...))
-	got := c.places()
+	got := c.readStreamedPlaces()
 	for i, w := range want {
 		if got[fmt.Sprint(":", i)] != w {
 			t.Errorf("place %d: %q", i, got[fmt.Sprint(":", i)])
@@ -104,14 +104,14 @@
 	p.eventually("nothing is held", func() bool { return p.bufferedBytes == 0 && len(p.requests) == 0 })
 }
 
-// What is wrong with the request as a whole is told once, and nothing of it is asked for; the connection goes on.
-func TestFaultyManyKeys(t *testing.T) {
-	var asks atomic.Int32
-	p := manyFleet(t, manyUsual, func(_ int, a memberCommand) string { asks.Add(1); return hitReply("v") })
+// An error of the request as a whole is reported once and no key is requested. The connection stays usable.
+func TestInvalidManyKeysRequests(t *testing.T) {
+	var requests atomic.Int32
+	p := startManyKeys(t, manyKeysLimits, func(_ int, a memberCommand) string { requests.Add(1); return hitReply("v") })
 	c := p.dial()
 	c.send(mget("used", "c=tile-read,d=4000", "a"))
-	c.reply()
-	asks.Store(0)
+	c.readArray()
+	requests.Store(0)
 	for name, k := range map[string]struct{ send, want string }{
 		"no key":          {mget("f1", "c=tile-read,d=4000"), "-ERR no key"},
 		"10,000 keys":     {mget("f2", "c=tile-read,d=4000", make([]string, 10_000)...), "-ERR too many keys: 10000"},
@@ -121,11 +121,11 @@
 		"a used id":       {mget("used", "c=tile-read,d=4000", "a"), "-ERR the id is in use"},
 	} {
 		c.send(k.send)
-		if _, line := c.reply(); !strings.HasPrefix(line, k.want) {
+		if _, line := c.readArray(); !strings.HasPrefix(line, k.want) {
 			t.Errorf("%s: %q, want %q", name, line, k.want)
 		}
 	}
-	if n := asks.Load(); n > 0 {
+	if n := requests.Load(); n > 0 {
 		t.Errorf("%d keys were asked for", n)
 	}
 	bare := startProxy(t, testConfig()).dial()
@@ -135,14 +135,14 @@
 	}
 }
 
-// One cache that stalls marks no key that another can give; what nobody gives in time is marked late, and the others are there.
-func TestManyKeysBeforeAStall(t *testing.T) {
+// If one cache stalls, keys that others can give are served, and keys that no cache gives in time are marked late.
+func TestManyKeysWithAStalledCache(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
 	free := func() { once.Do(func() { close(release) }) }
 	t.Cleanup(free)
-	p := manyFleet(t, manyUsual, func(box int, a memberCommand) string {
-		if box == 0 || strings.HasPrefix(a.key, "never") {
+	p := startManyKeys(t, manyKeysLimits, func(cacheIndex int, a memberCommand) string {
+		if cacheIndex == 0 || strings.HasPrefix(a.key, "never") {
 			<-release
 		}
 		return hitReply("value of " + a.key)
@@ -153,13 +153,13 @@
 		keys, want = append(keys, fmt.Sprint("k", i)), append(want, fmt.Sprint("value of k", i))
 	}
 	c.send(mget("m1", "c=tile-read,d=4000", keys...))
-	if got, line := c.reply(); !slices.Equal(got, want) {
+	if got, line := c.readArray(); !slices.Equal(got, want) {
 		t.Errorf("one cache stalls: %s %v", line, got)
 	}
 	c.send(mget("m2", "c=tile-read,d=600", append([]string{"never1", "never2"}, keys...)...))
-	begun := time.Now()
-	got, line := c.reply()
-	if took := time.Since(begun); took > testTimeout/2 {
+	startedAt := time.Now()
+	got, line := c.readArray()
+	if took := time.Since(startedAt); took > testTimeout/2 {
 		t.Errorf("the reply took %v", took)
 	}
 	for i, v := range got {
@@ -174,11 +174,11 @@
 	p.eventually("nothing is left", func() bool { return len(p.requests) == 0 && p.bufferedBytes == 0 })
 }
 
-// Misses come from the origin; a reply that grows too long marks what it has no room for.
-func TestManyKeysElsewhere(t *testing.T) {
-	l := manyUsual
-	l.Bytes = 3000
-	p := manyFleet(t, l, func(_ int, a memberCommand) string {
+// Misses are fetched from the origin. If a reply grows too large, the keys that do not fit are marked.
+func TestManyKeysMissesAndSizeLimit(t *testing.T) {
+	limits := manyKeysLimits
+	limits.Bytes = 3000
+	p := startManyKeys(t, limits, func(_ int, a memberCommand) string {
 		switch {
 		case strings.HasPrefix(a.key, "miss"):
 			return "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
@@ -189,11 +189,11 @@
 	})
 	c := p.dial()
 	c.send(mget("m1", "c=tile-read,d=4000", "miss1", "k1", "miss2"))
-	if got, _ := c.reply(); !slices.Equal(got, []string{"origin's miss1", "value of k1", "origin's miss2"}) {
+	if got, _ := c.readArray(); !slices.Equal(got, []string{"origin's miss1", "value of k1", "origin's miss2"}) {
 		t.Errorf("%q", got)
 	}
 	c.send(mget("m2", "c=tile-read,d=4000", "big1", "big2", "big3", "big4", "big5"))
-	got, _ := c.reply()
+	got, _ := c.readArray()
 	large := 0
 	for _, v := range got {
 		if v == "-LARGE" {
@@ -207,9 +207,9 @@
 	}
 }
 
-// All keys of a request at one cache that drains, or that is cold: each is had elsewhere or marked, none waits for that cache, and what a
-// cold one is sent stays within its budget.
-func TestManyKeysAtOneCache(t *testing.T) {
+// All keys of a request are at one cache that drains or is cold. Each key is fetched elsewhere or
+// marked, none waits for that cache, and a cold cache gets no more than its budget.
+func TestManyKeysAtDrainingOrColdCache(t *testing.T) {
 	keys := make([]string, 24)
 	for i := range keys {
 		keys[i] = fmt.Sprint("k", i)
@@ -220,25 +220,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.ManyKeys = &manyUsual
+			cfg.ManyKeys = &manyKeysLimits
 			cfg.Settings.SlowStartDuration, cfg.Settings.Instances = time.Hour, 1
-			var asks atomic.Int32
-			only := listEntry("s-a", startCache(t, func(a memberCommand) string { asks.Add(1); return hitReply("value of " + a.key) }), "large")
+			var requests atomic.Int32
+			only := listEntry("s-a", startCache(t, func(a memberCommand) string { requests.Add(1); return hitReply("value of " + a.key) }), "large")
 			origin := listEntry("s-o", startOrigin(t, func(r *http.Request) string { return httpOK("origin's " + r.URL.Path[1:]) }), "origin")
 			r := newFakeDiscovery(t, discoveryList(1, true, only, origin))
 			p := startProxyAt(t, cfg, r)
 			<-r.watchBegan
 			c := p.dial()
 			c.send(mget("warm", "c=tile-read,d=4000", keys...))
-			if got, line := c.reply(); len(got) != len(keys) {
+			if got, line := c.readArray(); len(got) != len(keys) {
 				t.Fatalf("%d places, %q", len(got), line)
 			}
 			change(&only)
 			r.publish(discoveryList(2, false, only))
 			p.eventually("the list is told", func() bool { return p.revision == 2 })
-			asks.Store(0)
+			requests.Store(0)
 			c.send(mget("all", "c=tile-read,d=4000", keys...))
-			got, line := c.reply()
+			got, line := c.readArray()
 			if len(got) != len(keys) {
 				t.Fatalf("%d places, %q", len(got), line)
 			}
@@ -250,7 +250,7 @@
 					t.Errorf("%s: %q", keys[i], v)
 				}
 			}
-			if n := asks.Load(); n != served || name == "draining" && n > 0 || name == "cold" && n == int32(len(keys)) {
+			if n := requests.Load(); n != served || name == "draining" && n > 0 || name == "cold" && n == int32(len(keys)) {
 				t.Errorf("the cache is asked for %d keys, %d served by it", n, served)
 			}
 			p.eventually("nothing is left", func() bool { return len(p.requests) == 0 && p.bufferedBytes == 0 })
@@ -258,13 +258,13 @@
 	}
 }
 
-// A client that leaves, and a stop, in the midst of it.
-func TestManyKeysCutShort(t *testing.T) {
+// A client leaves, and the proxy stops, while requests for many keys are outstanding.
+func TestManyKeysWhenAClientLeavesAndAtStop(t *testing.T) {
 	release := make(chan struct{})
-	var asks atomic.Int32
-	p := manyFleet(t, manyUsual, func(_ int, a memberCommand) string { asks.Add(1); <-release; return hitReply("value of " + a.key) })
+	var requests atomic.Int32
+	p := startManyKeys(t, manyKeysLimits, func(_ int, a memberCommand) string { requests.Add(1); <-release; return hitReply("value of " + a.key) })
 	gone, stays := p.dial(), p.dial()
-	keys := make([]string, 4) // of more, with no answer at all, the throttle would turn some away
+	keys := make([]string, 4) // with more keys and no answers, the throttle would refuse some
 	for i := range keys {
 		keys[i] = fmt.Sprint("k", i)
 	}
@@ -283,12 +283,12 @@
 	})
 	p.stop()
 	close(release)
-	if got, line := stays.reply(); !slices.Equal(got, []string{"value of k0", "value of k1", "value of k2"}) {
+	if got, line := stays.readArray(); !slices.Equal(got, []string{"value of k0", "value of k1", "value of k2"}) {
 		t.Errorf("%s %q", line, got)
 	}
 }
 
-// Whatever a client sends, what is kept of a command stays within its bounds, and no room is lost.
+// Whatever a client sends, a parsed command stays within its limits, and the accounting of held memory is exact.
 func FuzzCommand(f *testing.F) {
 	for _, s := range []string{getCommand("k", "i"), setCommand("k", "i", "value"), mget("m", "c=tile-read,d=40,s=1", "a", "b", "a"), mget("m", "c=x"),
 		respCommand("OBJ.MGET", "m"), "*70\r\n$8\r\nOBJ.MGET\r\n", "*5\r\n$8\r\nOBJ.MGET\r\n$1\r\nm\r\n$-1\r\n", respCommand("AUTH", "a", "b"), "*-1\r\n", "PING\r\n"} {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -112,7 +112,7 @@
 	lostLeads        []logic.RequestID // leading reads without an answer, whose lead is to be passed on
 	pendingShares    []logic.RequestID // followers whose answer is available
 	sharing          bool              // a goroutine delivers the pending shares
-	joinStats        Joined
+	joinStats        JoinCounts
 	openOrders       int // recorded orders in progress
 	recordClosed     bool
 	pendingMany      []*Many // multi-key requests that can continue
@@ -132,7 +132,7 @@
 	startWatch         func(w *watch, fetchFirst bool) // nil while Run is not active
 	revision           int64                           // of the applied list
 	bufferedBytes      int                             // bodies and unsent answers, without long values
-	longValues         room                            // memory for long values
+	longValues         longValueBudget                 // memory for long values
 	maxBufferedBytes   int
 	scratch            []byte
 	reasons            *reasons.Counts
@@ -293,7 +293,7 @@
 func (p *Proxy) endEvent() {
 	p.DeliverOutcomes()
 	p.armTimer()
-	p.longValues.grant(p.longMax())
+	p.longValues.grantWaiting(p.maxLongBytes())
 	if p.cfg.Clock == nil {
 		p.stalls.NoteEvent(p.eventBegan, p.Clock())
 	}
@@ -307,7 +307,7 @@
 			p.balancer.Outcome(p.now, p.outcomes[i])
 		}
 		p.outcomes = p.outcomes[:0]
-		if p.lostLeads != nil && p.passLeads() || len(p.pendingMany) > 0 && p.manyOn() {
+		if p.lostLeads != nil && p.passLeads() || len(p.pendingMany) > 0 && p.advanceMany() {
 			continue
 		}
 		return
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -22,9 +22,9 @@
 var recordOptions = keeper.Options{Options: ledger.Options{
 	Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1000, MaxReceiptBytes: 1 << 20}, SegmentSize: 64 << 10, CompactAfter: 1000, MaxPending: 32}}
 
-func openRecord(t *testing.T, d *crash.Disk, opt keeper.Options) *keeper.Keeper {
+func openRecord(t *testing.T, disk *crash.Disk, options keeper.Options) *keeper.Keeper {
 	t.Helper()
-	k, err := keeper.Open(d, opt, ledger.WallClock, slog.New(slog.DiscardHandler))
+	k, err := keeper.Open(disk, options, ledger.WallClock, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,27 +32,27 @@
 	return k
 }
 
-// till is an origin that counts how often each order ran.
-type till struct {
-	t      *testing.T
-	mu     sync.Mutex
-	ran    map[string]int
-	answer func(r *http.Request, n int) string // nil: a receipt
-	asked  chan string
+// countingOrigin is an origin that counts how often each order ran.
+type countingOrigin struct {
+	t         *testing.T
+	mu        sync.Mutex
+	runCounts map[string]int
+	answer    func(r *http.Request, n int) string // nil: a receipt
+	requests  chan string
 }
 
-func newTill(t *testing.T) *till {
-	return &till{t: t, ran: map[string]int{}, asked: make(chan string, 100)}
+func newCountingOrigin(t *testing.T) *countingOrigin {
+	return &countingOrigin{t: t, runCounts: map[string]int{}, requests: make(chan string, 100)}
 }
 
-func (o *till) origin() string {
+func (o *countingOrigin) origin() string {
 	return startOrigin(o.t, func(r *http.Request) string {
 		key := r.URL.Path[1:]
 		o.mu.Lock()
-		o.ran[key]++
-		n := o.ran[key]
+		o.runCounts[key]++
+		n := o.runCounts[key]
 		o.mu.Unlock()
-		o.asked <- key
+		o.requests <- key
 		if o.answer != nil {
 			return o.answer(r, n)
 		}
@@ -60,23 +60,23 @@
 	})
 }
 
-func (o *till) runs(key string) int {
+func (o *countingOrigin) runs(key string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ran[key]
+	return o.runCounts[key]
 }
 
-// recording is a proxy before a till and a cache, with a record on a disk.
-func recording(t *testing.T, o *till, d *crash.Disk, set ...func(*Config, *keeper.Options)) *testProxy {
+// startRecording starts a proxy in front of a counting origin and a cache, with a record on the given disk.
+func startRecording(t *testing.T, counter *countingOrigin, disk *crash.Disk, set ...func(*Config, *keeper.Options)) *testProxy {
 	t.Helper()
-	cfg, opt := testConfig(), recordOptions
+	cfg, options := testConfig(), recordOptions
 	cfg.ReceiptFronts = []string{"resp2"}
 	cfg.Settings.CanRetryAfter, cfg.Settings.MaxRetryAfter = true, 2*time.Second
 	for _, f := range set {
-		f(&cfg, &opt)
+		f(&cfg, &options)
 	}
-	cfg.Record = openRecord(t, d, opt)
-	return startProxy(t, cfg, listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("tile") }), "large"), listEntry("s-o", o.origin(), "origin"))
+	cfg.Record = openRecord(t, disk, options)
+	return startProxy(t, cfg, listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("tile") }), "large"), listEntry("s-o", counter.origin(), "origin"))
 }
 
 func order(key, id, value, more string) string {
@@ -85,38 +85,39 @@
 
 const notProcessed = "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// What a repeat is told, by what became of the order, here and by a process that opens the record after this one.
-func TestWhatARepeatIsTold(t *testing.T) {
+// A repeated order is answered according to the outcome of the first one, by the same process and by
+// one that opens the record later.
+func TestAnswersToRepeatedOrders(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer          func(r *http.Request, n int) string
-		first, repeat   string // how the answers begin
-		other           string // value of the repeat; "": the same
-		receiptsAreTold bool
-		before, runs    int // after the first answer, and after the repeats, here and at the next process
+		answer        func(r *http.Request, n int) string
+		first, repeat string // prefixes of the answers
+		other         string // value of the repeat; "": the same
+		sendReceipts  bool
+		before, runs  int // runs after the first answer, and after the repeats in this and the next process
 	}{
-		"it has run":                           {first: "receipt", repeat: "receipt of p", receiptsAreTold: true, before: 1, runs: 1},
+		"it has run":                           {first: "receipt", repeat: "receipt of p", sendReceipts: true, before: 1, runs: 1},
 		"it has run, and that is all it hears": {first: "receipt", repeat: "-ERR failed", before: 1, runs: 1},
 		"it may have run": {answer: func(*http.Request, int) string { return "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" },
-			first: "-ERR failed", repeat: "-ERR failed", receiptsAreTold: true, before: 1, runs: 1},
+			first: "-ERR failed", repeat: "-ERR failed", sendReceipts: true, before: 1, runs: 1},
 		"it never ran": {answer: func(_ *http.Request, n int) string {
 			if n <= 4 {
 				return notProcessed
 			}
 			return httpOK("receipt of p")
-		}, first: "-BUSY", repeat: "receipt of p", receiptsAreTold: true, before: 4, runs: 5},
-		"it is another order": {first: "receipt", repeat: "-ERR the idempotency key", other: "two passes", receiptsAreTold: true, before: 1, runs: 1},
+		}, first: "-BUSY", repeat: "receipt of p", sendReceipts: true, before: 4, runs: 5},
+		"it is another order": {first: "receipt", repeat: "-ERR the idempotency key", other: "two passes", sendReceipts: true, before: 1, runs: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, d := newTill(t), crash.New()
-			o.answer = c.answer
+			counter, disk := newCountingOrigin(t), crash.New()
+			counter.answer = c.answer
 			set := func(cfg *Config, _ *keeper.Options) {
-				if !c.receiptsAreTold {
+				if !c.sendReceipts {
 					cfg.ReceiptFronts = nil
 				}
 			}
-			p := recording(t, o, d, set)
+			p := startRecording(t, counter, disk, set)
 			client := p.dial()
-			tell := func(client *testClient, id, want string, runs int) {
+			check := func(client *testClient, id, want string, runs int) {
 				t.Helper()
 				value, more := "a pass", ",t=acme,k=key-1"
 				if id != "1" {
@@ -129,21 +130,22 @@
 				if got := client.answer(); !strings.HasPrefix(got, want) {
 					t.Errorf("order %s: %q, want %q", id, got, want)
 				}
-				if got := o.runs("p"); got != runs {
+				if got := counter.runs("p"); got != runs {
 					t.Errorf("after order %s it has run %d times, want %d", id, got, runs)
 				}
 			}
-			tell(client, "1", c.first, c.before)
-			tell(client, "2", c.repeat, c.runs)
+			check(client, "1", c.first, c.before)
+			check(client, "2", c.repeat, c.runs)
 			p.stopAndWait()
-			next := recording(t, o, d, set)
-			tell(next.dial(), "3", c.repeat, c.runs)
+			next := startRecording(t, counter, disk, set)
+			check(next.dial(), "3", c.repeat, c.runs)
 		})
 	}
 }
 
-// Repeats that nobody here knows are not run, unless the operator says that they may be; who has no key is not known by its request's id.
-func TestStrangers(t *testing.T) {
+// Retries of orders that are not on record are not run, unless the operator allows it. An order without
+// a key can't be recognized by its request ID.
+func TestUnknownRetriesOfOrders(t *testing.T) {
 	for name, c := range map[string]struct {
 		run  bool
 		more string
@@ -155,7 +157,7 @@
 		"a repeat without it": {false, ",r=1", "receipt of p"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := recording(t, newTill(t), crash.New(), func(_ *Config, opt *keeper.Options) { opt.RunUnknownRetries = c.run })
+			p := startRecording(t, newCountingOrigin(t), crash.New(), func(_ *Config, opt *keeper.Options) { opt.RunUnknownRetries = c.run })
 			client := p.dial()
 			client.send(order("p", "1", "a pass", c.more))
 			if got := client.answer(); got != c.want {
@@ -165,31 +167,33 @@
 	}
 }
 
-// Two askers of one order at once: one has it, the other is told that nothing is promised; it runs once.
-func TestTheSameOrderTwiceAtOnce(t *testing.T) {
-	o := newTill(t)
+// Two clients send the same order at the same time: one gets it run, the other is told that the outcome
+// is unknown. It runs once.
+func TestTheSameOrderTwiceConcurrently(t *testing.T) {
+	counter := newCountingOrigin(t)
 	free := make(chan struct{})
-	o.answer = func(*http.Request, int) string { <-free; return httpOK("receipt") }
-	p := recording(t, o, crash.New())
+	counter.answer = func(*http.Request, int) string { <-free; return httpOK("receipt") }
+	p := startRecording(t, counter, crash.New())
 	a, b := p.dial(), p.dial()
 	a.send(order("p", "1", "a pass", ",k=a"))
-	<-o.asked
+	<-counter.requests
 	b.send(order("p", "2", "a pass", ",k=a"))
 	if got := b.answer(); got != "-ERR failed" {
 		t.Errorf("the second: %q", got)
 	}
 	close(free)
-	if got := a.answer(); got != "receipt" || o.runs("p") != 1 {
-		t.Errorf("the first: %q, %d runs", got, o.runs("p"))
+	if got := a.answer(); got != "receipt" || counter.runs("p") != 1 {
+		t.Errorf("the first: %q, %d runs", got, counter.runs("p"))
 	}
 }
 
-// A disk that fails at each step of an order: it is refused as never run, or has run once and its client is promised nothing; reads are
-// served throughout, and once the disk is well orders go on by themselves.
-func TestDiskGoesBadWhileServing(t *testing.T) {
+// The disk fails at each step of an order. The order is refused as never run, or has run once and its
+// client is told that the outcome is unknown. Reads are served throughout, and orders work again as
+// soon as the disk does.
+func TestRecordDiskFailsWhileServing(t *testing.T) {
 	bad := errors.New("input/output error")
 	for name, c := range map[string]struct {
-		fails func(ops int) bool // of the changes of the disk, from the order's first on
+		fails func(ops int) bool // by the number of disk operations since the start of the order
 		want  string
 		runs  int
 	}{
@@ -201,8 +205,8 @@
 		"at one sync, ended":  {func(n int) bool { return n == 10 }, "-ERR failed", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, d := newTill(t), crash.New()
-			p := recording(t, o, d)
+			counter, disk := newCountingOrigin(t), crash.New()
+			p := startRecording(t, counter, disk)
 			client := p.dial()
 			read := func() {
 				t.Helper()
@@ -211,17 +215,17 @@
 					t.Errorf("a read: %q", got)
 				}
 			}
-			from := d.Operations
+			from := disk.Operations
 			var well atomic.Bool
-			d.Fail = func(op int, what string) error {
+			disk.Fail = func(op int, what string) error {
 				if !well.Load() && c.fails(op-from) {
 					return bad
 				}
 				return nil
 			}
 			client.send(order("p", "1", "a pass", ",k=a"))
-			if got := client.answer(); !strings.HasPrefix(got, c.want) || o.runs("p") != c.runs {
-				t.Errorf("%q after %d runs, want %q after %d", got, o.runs("p"), c.want, c.runs)
+			if got := client.answer(); !strings.HasPrefix(got, c.want) || counter.runs("p") != c.runs {
+				t.Errorf("%q after %d runs, want %q after %d", got, counter.runs("p"), c.want, c.runs)
 			}
 			read()
 			well.Store(true)
@@ -234,43 +238,44 @@
 			if got := client.answer(); c.runs == 0 && got != "receipt of p" || c.runs == 1 && got != "-ERR failed" {
 				t.Errorf("the repeat: %q", got)
 			}
-			if got := o.runs("p"); got != 1 {
+			if got := counter.runs("p"); got != 1 {
 				t.Errorf("it has run %d times", got)
 			}
 		})
 	}
 }
 
-// A disk that takes long: reads are served, orders are refused when their time is over or the line is full, and none of them runs; one that
-// has run and waits for its receipt to be on record is told that nothing is promised, and the record knows better later.
-func TestSlowDisk(t *testing.T) {
-	o, d := newTill(t), crash.New()
-	var on func(*testProxy, time.Duration)
-	p := recording(t, o, d, func(cfg *Config, opt *keeper.Options) { on, opt.MaxPending = handClock(cfg), 4 })
+// The disk is slow. Reads are served; orders are refused when their deadline passes or the queue is
+// full, and none of them runs. An order that has run, but whose receipt is not on disk in time, is
+// answered as unknown, and its repeat gets the receipt.
+func TestSlowRecordDisk(t *testing.T) {
+	counter, disk := newCountingOrigin(t), crash.New()
+	var advance func(*testProxy, time.Duration)
+	p := startRecording(t, counter, disk, func(cfg *Config, opt *keeper.Options) { advance, opt.MaxPending = manualClock(cfg), 4 })
 	client := p.dial()
 	stuck, reached := make(chan struct{}), make(chan struct{}, 100)
 	var block atomic.Bool
-	d.Fail = func(int, string) error {
+	disk.Fail = func(int, string) error {
 		if block.Load() {
 			reached <- struct{}{}
 			<-stuck
 		}
 		return nil
 	}
-	o.answer = func(r *http.Request, _ int) string {
+	counter.answer = func(r *http.Request, _ int) string {
 		block.Store(true)
 		return httpOK("receipt of " + r.URL.Path[1:])
 	}
 	client.send(order("first", "1", "a pass", ",k=first"))
-	// The clock goes on a little for the module's choice, and far less than the order's time.
+	// The clock advances a little so that the decision module can act, and far less than the order's deadline.
 	p.eventually("it is taken", func() bool { return p.openOrders == 1 })
 	for ticks, waits := 0, true; waits; ticks++ {
 		select {
-		case <-reached: // its receipt is on its way to the disk
+		case <-reached: // its receipt is being written to disk
 			waits = false
 		case <-time.After(time.Millisecond):
 			if ticks < 1000 {
-				on(p, time.Millisecond)
+				advance(p, time.Millisecond)
 			}
 		}
 	}
@@ -286,7 +291,7 @@
 	if got := reader.answer(); got != "tile" {
 		t.Errorf("a read: %q", got)
 	}
-	on(p, 4*time.Second)
+	advance(p, 4*time.Second)
 	if got := client.answer(); got != "-ERR failed" {
 		t.Errorf("what has run and is not on record: %q", got)
 	}
@@ -303,27 +308,28 @@
 		t.Errorf("the repeat: %q", got)
 	}
 	for i := range 6 {
-		if n := o.runs(fmt.Sprint("o", i)); n != 0 {
+		if n := counter.runs(fmt.Sprint("o", i)); n != 0 {
 			t.Errorf("order %d has run %d times", i, n)
 		}
 	}
 }
 
-// A successor's orders wait until the process before has given up the record, and go then; what they repeat is known.
+// Orders at a successor process wait until the predecessor closes the record, and then run. The
+// successor recognizes repeats of the predecessor's orders.
 func TestRecordIsHandedOver(t *testing.T) {
-	o, d := newTill(t), crash.New()
+	counter, disk := newCountingOrigin(t), crash.New()
 	free := make(chan struct{})
-	o.answer = func(r *http.Request, _ int) string {
+	counter.answer = func(r *http.Request, _ int) string {
 		if r.URL.Path == "/long" {
 			<-free
 		}
 		return httpOK("receipt of " + r.URL.Path[1:])
 	}
-	p := recording(t, o, d)
+	p := startRecording(t, counter, disk)
 	a := p.dial()
 	a.send(order("long", "1", "a pass", ",k=long"))
-	<-o.asked
-	next := recording(t, o, d, func(_ *Config, opt *keeper.Options) { opt.WaitForPredecessor = true })
+	<-counter.requests
+	next := startRecording(t, counter, disk, func(_ *Config, opt *keeper.Options) { opt.WaitForPredecessor = true })
 	b := next.dial()
 	b.send(order("p", "2", "a pass", ",k=p"))
 	next.eventually("it waits", func() bool { return next.openOrders == 1 })
@@ -337,24 +343,25 @@
 		t.Errorf("at its successor: %q", got)
 	}
 	b.send(order("long", "3", "a pass", ",k=long,r=1"))
-	if got := b.answer(); got != "receipt of long" || o.runs("long") != 1 {
-		t.Errorf("the repeat: %q, %d runs", got, o.runs("long"))
+	if got := b.answer(); got != "receipt of long" || counter.runs("long") != 1 {
+		t.Errorf("the repeat: %q, %d runs", got, counter.runs("long"))
 	}
 }
 
-// A member that drains while the record is written gets nothing new, and the order goes to another.
-func TestDrainWhileRecorded(t *testing.T) {
-	o, other, d := newTill(t), newTill(t), crash.New()
+// A member starts to drain while an attempt is being recorded. It gets nothing new, and the order goes
+// to another member.
+func TestDrainWhileOrderIsRecorded(t *testing.T) {
+	draining, other, disk := newCountingOrigin(t), newCountingOrigin(t), crash.New()
 	cfg := testConfig()
-	cfg.Record = openRecord(t, d, recordOptions)
-	first := listEntry("o-1", o.origin(), "origin")
+	cfg.Record = openRecord(t, disk, recordOptions)
+	first := listEntry("o-1", draining.origin(), "origin")
 	r := newFakeDiscovery(t, discoveryList(1, true, first))
 	p := startProxyAt(t, cfg, r)
 	<-r.watchBegan
 	syncs, stuck, reached := 0, make(chan struct{}), make(chan struct{})
-	d.Fail = func(_ int, what string) error {
+	disk.Fail = func(_ int, what string) error {
 		if strings.HasPrefix(what, "sync") {
-			if syncs++; syncs == 4 { // the file's, the folder's, the taking's, the sending's
+			if syncs++; syncs == 4 { // of the file, of the directory, on taking the order, on sending it
 				close(reached)
 				<-stuck
 			}
@@ -368,20 +375,20 @@
 	r.publish(discoveryList(2, false, first, listEntry("o-2", other.origin(), "origin")))
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
 	close(stuck)
-	if got := c.answer(); got != "receipt of p" || o.runs("p") != 0 || other.runs("p") != 1 {
-		t.Errorf("%q; %d runs at the member that drains, %d at the other", got, o.runs("p"), other.runs("p"))
+	if got := c.answer(); got != "receipt of p" || draining.runs("p") != 0 || other.runs("p") != 1 {
+		t.Errorf("%q; %d runs at the member that drains, %d at the other", got, draining.runs("p"), other.runs("p"))
 	}
 }
 
-// A client that leaves: what was sent runs, and its receipt is there for it when it comes again.
-func TestClientOfAnOrderLeaves(t *testing.T) {
-	o, d := newTill(t), crash.New()
+// The client leaves after its order was sent. The order runs, and a retry gets its receipt.
+func TestOrderRunsOnAfterItsClientLeaves(t *testing.T) {
+	counter, disk := newCountingOrigin(t), crash.New()
 	free := make(chan struct{})
-	o.answer = func(*http.Request, int) string { <-free; return httpOK("receipt") }
-	p := recording(t, o, d)
+	counter.answer = func(*http.Request, int) string { <-free; return httpOK("receipt") }
+	p := startRecording(t, counter, disk)
 	c := p.dial()
 	c.send(order("p", "1", "a pass", ",k=a"))
-	<-o.asked
+	<-counter.requests
 	c.conn.(*net.TCPConn).SetLinger(0)
 	c.conn.Close()
 	p.eventually("its end is seen", func() bool { return len(p.redis.clients) == 0 })
@@ -389,18 +396,18 @@
 	p.eventually("nothing is in hand", func() bool { return p.openOrders == 0 && len(p.requests) == 0 && p.bufferedBytes == 0 })
 	again := p.dial()
 	again.send(order("p", "2", "a pass", ",k=a,r=1"))
-	if got := again.answer(); got != "receipt" || o.runs("p") != 1 {
-		t.Errorf("%q, %d runs", got, o.runs("p"))
+	if got := again.answer(); got != "receipt" || counter.runs("p") != 1 {
+		t.Errorf("%q, %d runs", got, counter.runs("p"))
 	}
 }
 
-// A proven caller's token serves one order, over a restart too; a repeat of that order may come by it.
-func TestTokensOverARestart(t *testing.T) {
-	office, d := newOffice(t, "k1"), crash.New()
+// A token serves one order, across a restart too. A repeat of that order may use the same token.
+func TestOrderTokensSurviveARestart(t *testing.T) {
+	office, disk := newOffice(t, "k1"), crash.New()
 	token := office.token("k1", "shop", "j1")
 	for i, at := range []string{"at first", "after a restart"} {
 		p, _, _ := guarded(t, office, func(cfg *Config) {
-			cfg.Record, cfg.ReceiptFronts = openRecord(t, d, recordOptions), []string{"resp2"}
+			cfg.Record, cfg.ReceiptFronts = openRecord(t, disk, recordOptions), []string{"resp2"}
 		})
 		c := p.dial()
 		for _, a := range []struct{ key, more, want string }{
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -40,13 +40,13 @@
 // Served passes the value of the first valid answer to the client.
 func (a *attempt) Served(value []byte) {
 	if r := a.request; r.rec != nil {
-		r.p.receipted(r, value)
+		r.p.handleReceipt(r, value)
 	} else if !r.done {
 		r.done = true
 		r.Taker.Answer(Answer{Kind: Served, Value: value})
-		r.p.fence(r)
+		r.p.fenceReads(r)
 		if r.join != nil {
-			r.p.share(r, value)
+			r.p.shareAnswer(r, value)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 		return nil
 	}
 	r.done = true
-	p.fence(r)
-	p.joinApart(r)
+	p.fenceReads(r)
+	p.stopSharing(r)
 	p.balancer.StreamStarted(p.now, r.id, int(a.index))
 	return to
 }
@@ -90,7 +90,7 @@
 // that client has left and others share the answer, the latest of their deadlines. Every deadline that is sent to a
 // member or caller is derived from it.
 func (r *Request) currentDeadline() time.Duration {
-	if r.join != nil && r.Taker == (nobody{}) {
+	if r.join != nil && r.Taker == (discardingTaker{}) {
 		return min(r.deadline, r.p.joinTable.LatestDeadline(r.id))
 	}
 	return r.deadline
@@ -181,9 +181,9 @@
 	if r.done && r.out > 0 {
 		p.recallUnsent(r)
 	}
-	if r.done && r.out == 0 && p.requests[r.id] == r && (r.rec == nil || p.recordOver(r)) {
+	if r.done && r.out == 0 && p.requests[r.id] == r && (r.rec == nil || p.endRecorded(r)) {
 		delete(p.requests, r.id)
-		p.letGo(r)
+		p.releaseValue(r)
 		for _, a := range r.attempts { // timers may still refer to them
 			a.request, a.Message = nil, nil
 		}
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -250,12 +250,12 @@
 }
 
 func (p *Proxy) runToken(token uint64) {
-	if token&7 == tickJoin {
+	if token&7 == hostTimer {
 		id := logic.RequestID(token >> 3)
 		if r := p.requests[id]; r != nil && r.rec != nil {
-			p.recordLate(r)
+			p.handleRecordTimeout(r)
 		} else {
-			p.joinLate(id)
+			p.followerTimedOut(id)
 		}
 		return
 	}
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -71,8 +71,8 @@
 		return httpOK("receipt")
 	})
 	p := startProxy(t, cfg, listEntry("o", o, "origin"))
-	p.Do(func() { p.longValues.longest = time.Hour })
-	value := long(resp.MaxLongValue)
+	p.Do(func() { p.longValues.maxWait = time.Hour })
+	value := numberedText(resp.MaxLongValue)
 	for i := range 2 { // both have the room, until the origin answers
 		p.dial().send(putLong(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
 		<-came
@@ -88,9 +88,9 @@
 	for _, c := range writers {
 		c.conn.Close()
 	}
-	p.eventually("their places are free", func() bool { return len(p.longValues.waiting) == 0 && p.longValues.used == 2*resp.MaxLongValue })
+	p.eventually("their places are free", func() bool { return len(p.longValues.waiting) == 0 && p.longValues.usedBytes == 2*resp.MaxLongValue })
 	close(release)
-	p.eventually("nothing is held", func() bool { return p.longValues.used == 0 && p.bufferedBytes == 0 })
+	p.eventually("nothing is held", func() bool { return p.longValues.usedBytes == 0 && p.bufferedBytes == 0 })
 }
 
 // A client that is gone before its connection is accepted has asked for nothing, though a connection to a member is free.
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -256,7 +256,7 @@
 	var excess *attempt
 	var requests []*Request // one for each attempt: nothing is sent for a finished request
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
-		r := &Request{p: p.Proxy, Taker: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
+		r := &Request{p: p.Proxy, Taker: discardingTaker{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
 		excess = &attempt{request: r, memberID: m.id}
 		excess.ExpiresAt = p.now + testTimeout
 		r.attempts, r.out = append(r.attempts, excess), r.out+1
--- a/internal/proxy/wall_test.go
+++ b/internal/proxy/wall_test.go
@@ -47,7 +47,7 @@
 func TestWallClockStepDoesNotRestartMembers(t *testing.T) {
 	var wallOffset time.Duration
 	cfg := testConfig()
-	advance := handClock(&cfg)
+	advance := manualClock(&cfg)
 	cfg.WallClock = func() time.Duration { return 24*time.Hour + wallOffset }
 	m := listEntry("s-1", "127.0.0.1:1", "large")
 	m.UpSinceMS = float64((23 * time.Hour).Milliseconds())
