--- a/cmd/linenproc/main_test.go
+++ b/cmd/linenproc/main_test.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	c.Retries, c.RetryFailed = 4, clientWaits/2
+	c.Retries, c.RetryFailedFor = 4, clientWaits/2
 	p.t.Cleanup(c.Close)
 	return c
 }
@@ -207,7 +207,7 @@
 	switch {
 	case res.Status == 200:
 		l.served.Add(1)
-	case res.Status == 500 || res.Passed:
+	case res.Status == 500 || res.PassedThrough:
 		l.processorFailed.Add(1)
 	case res.Status == 502:
 		l.failed.Add(1)
--- a/cmd/linenproc/orders_test.go
+++ b/cmd/linenproc/orders_test.go
@@ -75,7 +75,7 @@
 						res := c.Do(ctx, caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass"),
 							Headers: map[string]string{"x-request-id": "r" + key, "x-tenant": "kiosk", "idempotency-key": key}})
 						cancel()
-						if res.Status == 200 && !res.Passed {
+						if res.Status == 200 && !res.PassedThrough {
 							served.Add(1)
 							mu.Lock()
 							receipts[key] = string(res.Body)
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -207,7 +207,7 @@
 	if err := file.CheckClasses(logic.ClassNames(settings.Settings.Classes)); err != nil {
 		return err
 	}
-	var gate *callers.Gate
+	var gate *callers.Authenticator
 	if file.Identity != nil {
 		if gate, err = callers.New(file.Identity, log); err != nil {
 			return err
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -22,7 +22,7 @@
 type reloader struct {
 	p       *proxy.Proxy
 	extproc Front
-	gate    *callers.Gate // nil: callers are not proven
+	gate    *callers.Authenticator // nil: callers are not proven
 	log     *slog.Logger
 
 	mu      sync.Mutex
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -21,71 +21,71 @@
 	"linenloom/internal/operator"
 )
 
-// lookEvery is how often the key file is looked at. A key that is retired by its file is refused so long after the file was
+// reloadInterval is how often the key file is looked at. A key that is retired by its file is refused so long after the file was
 // replaced at the most; one that is retired by its own moment, from that moment on.
-const lookEvery = time.Second
-
-const maxFile = 256 << 10
-
-// Gate tells who callers are and what they may do.
-type Gate struct {
-	file string
-	name string
-	log  *slog.Logger
-	now  func() time.Time
-
-	keys   atomic.Pointer[identity.Keys] // in force
-	mu     sync.Mutex                    // of the verifier: a check takes some 100 us
-	verify *identity.Verifier            // nil: no tokens are taken
-	doors  *doors                        // nil: listeners speak plainly
-
-	rights  sync.Mutex // of what follows: held for a look only
-	policy  *identity.Policy
-	replays identity.Replays
-	sources identity.Sources
-
-	rules []identity.CertRule // under files, like what follows
-	files sync.Mutex          // of what follows
-	text  []byte              // of the keys in force
-	fault string              // as last logged
+const reloadInterval = time.Second
+
+const maxFileBytes = 256 << 10
+
+// Authenticator tells who callers are and what they may do.
+type Authenticator struct {
+	keyFile   string
+	tokenName string
+	log       *slog.Logger
+	now       func() time.Time
+
+	keys        atomic.Pointer[identity.Keys] // in force
+	verifierMu  sync.Mutex                    // of the verifier: a check takes some 100 us
+	verifier    *identity.Verifier            // nil: no tokens are taken
+	listenerTLS *tlsState                     // nil: listeners speak plainly
+
+	rightsMu sync.Mutex // of what follows: held for a look only
+	policy   *identity.Policy
+	replays  identity.Replays
+	sources  identity.Sources
+
+	rules     []identity.CertRule // under files, like what follows
+	filesMu   sync.Mutex          // of what follows
+	keyText   []byte              // of the keys in force
+	lastFault string              // as last logged
 }
 
 // New reads the keys. Without a set that can be read it does not begin.
-func New(cfg *operator.Identity, log *slog.Logger) (*Gate, error) {
-	g := &Gate{file: cfg.Keys, name: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
+func New(cfg *operator.Identity, log *slog.Logger) (*Authenticator, error) {
+	g := &Authenticator{keyFile: cfg.Keys, tokenName: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
 		replays: identity.Replays{Most: cfg.Replays}, sources: identity.Sources{Most: cfg.Suspects}, rules: cfg.Rules()}
 	if cfg.TLS.Set() {
 		var err error
-		if g.doors, err = newDoors(cfg, log, g.now); err != nil {
+		if g.listenerTLS, err = newTLSState(cfg, log, g.now); err != nil {
 			return nil, err
 		}
 	}
 	if !cfg.ByTokens() {
 		return g, nil
 	}
-	text, err := read(g.file)
+	text, err := readFile(g.keyFile)
 	if err != nil {
 		return nil, err
 	}
 	keys, err := identity.ParseKeys(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", g.file, err)
+		return nil, fmt.Errorf("%s: %w", g.keyFile, err)
 	}
-	g.text = text
+	g.keyText = text
 	g.keys.Store(keys)
-	g.verify = identity.NewVerifier(cfg.Terms(), keys)
+	g.verifier = identity.NewVerifier(cfg.Terms(), keys)
 	g.log.Info("callers are proven by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
 	return g, nil
 }
 
-func read(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("key file: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
-	if err == nil && len(text) > maxFile {
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(text) > maxFileBytes {
 		err = errors.New("too long")
 	}
 	if err != nil {
@@ -95,37 +95,37 @@
 }
 
 // Run looks at the key file until the context ends.
-func (g *Gate) Run(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+func (g *Authenticator) Run(ctx context.Context) {
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			g.Look()
+			g.ReloadFiles()
 		}
 	}
 }
 
-// Look reads the key file, and puts it in force if it has changed and can be read.
-func (g *Gate) Look() {
-	g.files.Lock()
-	defer g.files.Unlock()
-	if g.doors != nil {
-		g.doors.look(g.rules)
+// ReloadFiles reads the key file, and puts it in force if it has changed and can be read.
+func (g *Authenticator) ReloadFiles() {
+	g.filesMu.Lock()
+	defer g.filesMu.Unlock()
+	if g.listenerTLS != nil {
+		g.listenerTLS.reload(g.rules)
 	}
-	if g.verify != nil {
-		g.lookKeys()
+	if g.verifier != nil {
+		g.reloadKeys()
 	}
 }
 
-func (g *Gate) lookKeys() {
-	text, err := read(g.file)
-	if err == nil && bytes.Equal(text, g.text) {
-		if g.fault != "" {
-			g.log.Info("key file is as it was before the fault", "file", g.file)
-			g.fault = ""
+func (g *Authenticator) reloadKeys() {
+	text, err := readFile(g.keyFile)
+	if err == nil && bytes.Equal(text, g.keyText) {
+		if g.lastFault != "" {
+			g.log.Info("key file is as it was before the fault", "file", g.keyFile)
+			g.lastFault = ""
 		}
 		return
 	}
@@ -134,81 +134,81 @@
 		keys, err = identity.ParseKeys(text)
 	}
 	if err != nil {
-		if g.fault != err.Error() { // once for each fault, not every second
-			g.log.Error("key file can't be used, the old keys stay in force", "file", g.file, "err", err)
+		if g.lastFault != err.Error() { // once for each fault, not every second
+			g.log.Error("key file can't be used, the old keys stay in force", "file", g.keyFile, "err", err)
 		}
-		g.fault = err.Error()
+		g.lastFault = err.Error()
 		return
 	}
 	// From here on no proof by a key that is not in the set holds; the verifier follows.
 	g.keys.Store(keys)
-	g.mu.Lock()
-	g.verify.SetKeys(keys)
-	g.mu.Unlock()
-	g.text, g.fault = text, ""
+	g.verifierMu.Lock()
+	g.verifier.SetKeys(keys)
+	g.verifierMu.Unlock()
+	g.keyText, g.lastFault = text, ""
 	var ids []string
 	for _, k := range keys.List {
 		ids = append(ids, k.ID+" "+k.Phase(g.now()).String())
 	}
-	g.log.Info("keys in force", "file", g.file, "keys", ids)
+	g.log.Info("keys in force", "file", g.keyFile, "keys", ids)
 }
 
 // Reload takes over the tenants' rights, and looks at the key file.
-func (g *Gate) Reload(cfg *operator.Identity) {
-	g.rights.Lock()
+func (g *Authenticator) Reload(cfg *operator.Identity) {
+	g.rightsMu.Lock()
 	g.policy = identity.NewPolicy(cfg.Rights(), g.policy)
-	g.rights.Unlock()
-	g.files.Lock()
-	if g.rules = cfg.Rules(); g.doors != nil {
-		g.doors.rule(g.rules)
+	g.rightsMu.Unlock()
+	g.filesMu.Lock()
+	if g.rules = cfg.Rules(); g.listenerTLS != nil {
+		g.listenerTLS.setRules(g.rules)
 	}
-	g.files.Unlock()
-	g.Look()
+	g.filesMu.Unlock()
+	g.ReloadFiles()
 }
 
 // Name is the name of a token in a request's list.
-func (g *Gate) Name() string { return g.name }
+func (g *Authenticator) Name() string { return g.tokenName }
 
 // Prove tells what a token proves that came from an address. It may take some 100 us, and must not be called under a lock that others
 // wait for. Suspect tells that its connection has shown a bad one before; so may others from its address have.
-func (g *Gate) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
-	if g.verify == nil {
+func (g *Authenticator) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
+	if g.verifier == nil {
 		return nil, &identity.Error{Why: identity.Forbidden, What: "no tokens are taken here"}
 	}
 	if !suspect {
-		g.rights.Lock()
+		g.rightsMu.Lock()
 		suspect = g.sources.Suspect(g.now(), from)
-		g.rights.Unlock()
+		g.rightsMu.Unlock()
 	}
-	g.mu.Lock()
-	p, err := g.verify.Check(g.now(), token, suspect)
-	g.mu.Unlock()
+	g.verifierMu.Lock()
+	p, err := g.verifier.Check(g.now(), token, suspect)
+	g.verifierMu.Unlock()
 	if identity.WhyOf(err) == identity.Forged { // what else is wrong with a token is found out before its signature is checked
-		g.rights.Lock()
+		g.rightsMu.Lock()
 		g.sources.Bad(g.now(), from)
-		g.rights.Unlock()
+		g.rightsMu.Unlock()
 	}
 	return p, err
 }
 
 // Holds tells whether a proof still holds. It waits for nothing.
-func (g *Gate) Holds(p *identity.Proof) error {
-	if p.ByCertificate() && g.doors != nil {
-		return g.doors.certs.Load().Holds(g.now(), p)
+func (g *Authenticator) Holds(p *identity.Proof) error {
+	if p.ByCertificate() && g.listenerTLS != nil {
+		return g.listenerTLS.certs.Load().Holds(g.now(), p)
 	}
 	return g.keys.Load().Holds(g.now(), p)
 }
 
 // May tells whether the bearer of a proof may make a request now. An order uses its token's id.
-func (g *Gate) May(p *identity.Proof, a identity.Ask) error {
+func (g *Authenticator) May(p *identity.Proof, a identity.Ask) error {
 	if p == nil {
 		return &identity.Error{Why: identity.Unproven}
 	}
 	if err := g.Holds(p); err != nil {
 		return err
 	}
-	g.rights.Lock()
-	defer g.rights.Unlock()
+	g.rightsMu.Lock()
+	defer g.rightsMu.Unlock()
 	if err := g.policy.May(g.now(), p.Tenant, a); err != nil {
 		return err
 	}
@@ -219,8 +219,8 @@
 }
 
 // Release gives back the id of a token whose order has surely not run.
-func (g *Gate) Release(p *identity.Proof) {
-	g.rights.Lock()
-	defer g.rights.Unlock()
+func (g *Authenticator) Release(p *identity.Proof) {
+	g.rightsMu.Lock()
+	defer g.rightsMu.Unlock()
 	g.replays.Release(p)
 }
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -21,8 +21,8 @@
 	"linenloom/internal/operator"
 )
 
-// keySet is a set with one new key of that id, and a token by it.
-func keySet(t *testing.T, id string) (text []byte, token string) {
+// newKeySet is a set with one new key of that id, and a token by it.
+func newKeySet(t *testing.T, id string) (text []byte, token string) {
 	t.Helper()
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return text, token
 }
 
-func settings(file string) *operator.Identity {
+func testSettings(file string) *operator.Identity {
 	return &operator.Identity{Keys: file, Issuer: "i", Audience: "a", TenantClaim: "tenant", Name: "tk", MaxLife: operator.Duration(time.Hour),
 		Known: 8, ChecksPerS: 100, Replays: 8, Tenants: []operator.Tenant{{Name: "shop"}}}
 }
@@ -55,7 +55,7 @@
 // what is wrong, and no token is ever logged.
 func TestKeyFileFaults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.json")
-	text, token := keySet(t, "k1")
+	text, token := newKeySet(t, "k1")
 	write := func(b []byte) {
 		t.Helper()
 		if err := os.WriteFile(file, b, 0o600); err != nil {
@@ -64,14 +64,14 @@
 	}
 	write(text)
 	var log bytes.Buffer
-	g, err := New(settings(file), slog.New(slog.NewTextHandler(&log, nil)))
+	g, err := New(testSettings(file), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(){
 		"emptied":   func() { write(nil) },
 		"cut":       func() { write(text[:len(text)/2]) },
-		"too long":  func() { write(make([]byte, maxFile+1)) },
+		"too long":  func() { write(make([]byte, maxFileBytes+1)) },
 		"removed":   func() { os.Remove(file) },
 		"a folder":  func() { os.Remove(file); os.Mkdir(file, 0o700) },
 		"no JSON":   func() { os.Remove(file); write([]byte("keys: []")) },
@@ -81,7 +81,7 @@
 		log.Reset()
 		spoil()
 		for range 3 {
-			g.Look()
+			g.ReloadFiles()
 		}
 		if _, err := g.Prove([]byte(token), netip.Addr{}, false); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -91,13 +91,13 @@
 		}
 		os.RemoveAll(file)
 		write(text)
-		if g.Look(); strings.Contains(log.String(), token) {
+		if g.ReloadFiles(); strings.Contains(log.String(), token) {
 			t.Errorf("%s: the token is logged", name)
 		}
 	}
-	other, newToken := keySet(t, "k1") // another key under the same id
+	other, newToken := newKeySet(t, "k1") // another key under the same id
 	write(other)
-	g.Look()
+	g.ReloadFiles()
 	if _, err := g.Prove([]byte(token), netip.Addr{}, false); identity.WhyOf(err) != identity.Retired {
 		t.Errorf("by the key before: %v", err)
 	}
@@ -107,21 +107,21 @@
 }
 
 // Without keys that can be read there is nothing to begin with.
-func TestNoKeysNoGate(t *testing.T) {
-	_, err := New(settings(filepath.Join(t.TempDir(), "none")), slog.New(slog.DiscardHandler))
+func TestNewFailsWithoutReadableKeys(t *testing.T) {
+	_, err := New(testSettings(filepath.Join(t.TempDir(), "none")), slog.New(slog.DiscardHandler))
 	if !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("%v", err)
 	}
 }
 
 // An order uses its token's id, keeps it over a reload of the rights, and has it back if it surely has not run.
-func TestOrdersUseTheirToken(t *testing.T) {
+func TestOrderConsumesItsToken(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.json")
-	text, token := keySet(t, "k1")
+	text, token := newKeySet(t, "k1")
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(settings(file), slog.New(slog.DiscardHandler))
+	g, err := New(testSettings(file), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,9 +135,9 @@
 		case 2:
 			g.Release(p)
 		case 3:
-			g.Reload(settings(file))
+			g.Reload(testSettings(file))
 		case 4:
-			none := settings(file)
+			none := testSettings(file)
 			none.Tenants[0].Name = "else"
 			g.Reload(none)
 		}
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -16,32 +16,32 @@
 	"linenloom/internal/operator"
 )
 
-// errTooMany ends a handshake before anything is computed for it.
-var errTooMany = errors.New("too many handshakes")
+// errTooManyHandshakes ends a handshake before anything is computed for it.
+var errTooManyHandshakes = errors.New("too many handshakes")
 
-// doors is what listeners need to speak TLS: their certificate, the roots of their callers', and what those prove. All of it is read
+// tlsState is what listeners need to speak TLS: their certificate, the roots of their callers', and what those prove. All of it is read
 // again together: connections that stand keep what they were made with, and are ended by what Holds says of their proof.
-type doors struct {
+type tlsState struct {
 	files  operator.TLS
 	log    *slog.Logger
 	now    func() time.Time
 	config atomic.Pointer[tls.Config]     // for new connections
 	certs  atomic.Pointer[identity.Certs] // what certificates prove
 
-	mu         sync.Mutex // of handshakes
-	handshakes *identity.Budget
+	handshakesMu sync.Mutex // of handshakes
+	handshakes   *identity.Budget
 
 	// Under the Gate's files.
-	texts [3][]byte // of cert, key and roots in force
-	roots []*x509.Certificate
-	fault string
+	contents  [3][]byte // of cert, key and roots in force
+	roots     []*x509.Certificate
+	lastFault string
 }
 
-func newDoors(cfg *operator.Identity, log *slog.Logger, now func() time.Time) (*doors, error) {
-	d := &doors{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
-	texts, err := d.read()
+func newTLSState(cfg *operator.Identity, log *slog.Logger, now func() time.Time) (*tlsState, error) {
+	d := &tlsState{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
+	texts, err := d.readFiles()
 	if err == nil {
-		err = d.put(texts, cfg.Rules())
+		err = d.apply(texts, cfg.Rules())
 	}
 	if err != nil {
 		return nil, err
@@ -51,24 +51,24 @@
 	return d, nil
 }
 
-func (d *doors) fronts() []string {
+func (d *tlsState) fronts() []string {
 	if len(d.files.Fronts) > 0 {
 		return d.files.Fronts
 	}
 	return []string{"resp2", "extproc"}
 }
 
-func (d *doors) read() (texts [3][]byte, err error) {
+func (d *tlsState) readFiles() (texts [3][]byte, err error) {
 	for i, path := range []string{d.files.Cert, d.files.Key, d.files.Roots} {
-		if texts[i], err = read(path); err != nil {
+		if texts[i], err = readFile(path); err != nil {
 			return texts, err
 		}
 	}
 	return texts, nil
 }
 
-// put puts certificate, key and roots in force, all or none.
-func (d *doors) put(texts [3][]byte, rules []identity.CertRule) error {
+// apply puts certificate, key and roots in force, all or none.
+func (d *tlsState) apply(texts [3][]byte, rules []identity.CertRule) error {
 	own, err := tls.X509KeyPair(texts[0], texts[1])
 	if err != nil {
 		return fmt.Errorf("%s and %s: %w", d.files.Cert, d.files.Key, err)
@@ -92,43 +92,45 @@
 		// A session taken up again brings the chains of its first handshake along, which the roots of today might not allow.
 		SessionTicketsDisabled: true,
 	})
-	d.texts, d.roots = texts, roots
+	d.contents, d.roots = texts, roots
 	return nil
 }
 
-// rule puts other rules in force, with the roots as they are.
-func (d *doors) rule(rules []identity.CertRule) { d.certs.Store(identity.NewCerts(rules, d.roots)) }
+// setRules puts other rules in force, with the roots as they are.
+func (d *tlsState) setRules(rules []identity.CertRule) {
+	d.certs.Store(identity.NewCerts(rules, d.roots))
+}
 
-// look reads the files, and puts them in force if they have changed and fit together.
-func (d *doors) look(rules []identity.CertRule) {
-	texts, err := d.read()
-	same := err == nil && slices.EqualFunc(texts[:], d.texts[:], bytes.Equal)
+// reload reads the files, and puts them in force if they have changed and fit together.
+func (d *tlsState) reload(rules []identity.CertRule) {
+	texts, err := d.readFiles()
+	same := err == nil && slices.EqualFunc(texts[:], d.contents[:], bytes.Equal)
 	if err == nil && !same {
-		err = d.put(texts, rules)
+		err = d.apply(texts, rules)
 	}
 	switch {
 	case err != nil:
-		if d.fault != err.Error() {
+		if d.lastFault != err.Error() {
 			d.log.Error("TLS files can't be used, the old ones stay in force", "err", err)
 		}
-		d.fault = err.Error()
+		d.lastFault = err.Error()
 	case !same:
-		d.fault = ""
+		d.lastFault = ""
 		d.log.Info("TLS files in force", "roots", len(d.roots))
-	case d.fault != "":
-		d.fault = ""
+	case d.lastFault != "":
+		d.lastFault = ""
 		d.log.Info("TLS files are as they were before the fault")
 	}
 }
 
 // serverConfig is for a listener. What is in force is looked up with each handshake.
-func (d *doors) serverConfig(alpn bool) *tls.Config {
+func (d *tlsState) serverConfig(alpn bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		d.mu.Lock()
+		d.handshakesMu.Lock()
 		ok := d.handshakes.Take(d.now())
-		d.mu.Unlock()
+		d.handshakesMu.Unlock()
 		if !ok {
-			return nil, errTooMany
+			return nil, errTooManyHandshakes
 		}
 		c := d.config.Load()
 		if !alpn {
@@ -140,17 +142,17 @@
 }
 
 // TLS is the configuration of a front's listener; nil: it speaks plainly.
-func (g *Gate) TLS(front string) *tls.Config {
-	if g.doors == nil || !slices.Contains(g.doors.fronts(), front) {
+func (g *Authenticator) TLS(front string) *tls.Config {
+	if g.listenerTLS == nil || !slices.Contains(g.listenerTLS.fronts(), front) {
 		return nil
 	}
-	return g.doors.serverConfig(front == "extproc")
+	return g.listenerTLS.serverConfig(front == "extproc")
 }
 
 // Certificate tells what the certificate proves that a handshake has verified. A caller without one may still bring a token.
-func (g *Gate) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
-	if g.doors == nil {
+func (g *Authenticator) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
+	if g.listenerTLS == nil {
 		return nil, &identity.Error{Why: identity.Unproven}
 	}
-	return g.doors.certs.Load().Check(g.now(), s.VerifiedChains)
+	return g.listenerTLS.certs.Load().Check(g.now(), s.VerifiedChains)
 }
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -19,36 +19,36 @@
 	"linenloom/internal/standin"
 )
 
-// authority is an installation's certificates, with two roots.
-type authority struct {
+// testAuthority is an installation's certificates, with two roots.
+type testAuthority struct {
 	*standin.Authority
 	t *testing.T
 }
 
-func newAuthority(t *testing.T) *authority {
+func newAuthority(t *testing.T) *testAuthority {
 	t.Helper()
 	a, err := standin.NewAuthority(t.TempDir(), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &authority{a, t}
+	return &testAuthority{a, t}
 }
 
-func (a *authority) write(name string, text []byte) {
+func (a *testAuthority) write(name string, text []byte) {
 	a.t.Helper()
 	if err := a.Put(name, text); err != nil {
 		a.t.Fatal(err)
 	}
 }
 
-func (a *authority) settings() *operator.Identity {
+func (a *testAuthority) settings() *operator.Identity {
 	return &operator.Identity{Tenants: []operator.Tenant{{Name: "kiosk"}, {Name: "shop"}}, Replays: 8, Suspects: 8,
 		TLS:          operator.TLS{Cert: a.Path("cert.pem"), Key: a.Path("key.pem"), Roots: a.Path("roots.pem"), Client: "asked", Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}}}
 }
 
-// shake makes a handshake as a caller by a root, with a certificate of this name, and tells what the listener makes of it.
-func (a *authority) shake(g *Gate, root int, name string) (*identity.Proof, *x509.Certificate, error) {
+// handshake makes a handshake as a caller by a root, with a certificate of this name, and tells what the listener makes of it.
+func (a *testAuthority) handshake(g *Authenticator, root int, name string) (*identity.Proof, *x509.Certificate, error) {
 	a.t.Helper()
 	near, far := net.Pipe()
 	defer near.Close()
@@ -81,21 +81,21 @@
 
 // A caller's certificate proves its tenant as long as its root is in force; the listener's own and the roots change while it stands, and
 // files that don't fit together change nothing.
-func TestDoors(t *testing.T) {
+func TestListenerCertificatesReload(t *testing.T) {
 	a := newAuthority(t)
 	var log bytes.Buffer
 	g, err := New(a.settings(), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, first, err := a.shake(g, 0, "kiosk.example")
+	p, first, err := a.handshake(g, 0, "kiosk.example")
 	if err != nil || p.Tenant != "kiosk" || g.Holds(p) != nil {
 		t.Fatalf("%+v, %v", p, err)
 	}
-	if _, _, err := a.shake(g, 0, ""); identity.WhyOf(err) != identity.Unproven {
+	if _, _, err := a.handshake(g, 0, ""); identity.WhyOf(err) != identity.Unproven {
 		t.Errorf("no certificate: %v", err)
 	}
-	if _, _, err := a.shake(g, 1, "kiosk.example"); err == nil || identity.WhyOf(err) != 0 {
+	if _, _, err := a.handshake(g, 1, "kiosk.example"); err == nil || identity.WhyOf(err) != 0 {
 		t.Errorf("an unknown root: %v", err)
 	}
 	if _, err := g.Prove([]byte("any"), netip.Addr{}, false); identity.WhyOf(err) != identity.Forbidden {
@@ -116,37 +116,37 @@
 		key, _ := os.ReadFile(a.Path("key.pem"))
 		log.Reset()
 		spoil()
-		g.Look()
-		g.Look()
+		g.ReloadFiles()
+		g.ReloadFiles()
 		if n := strings.Count(log.String(), "level=ERROR"); n != 1 {
 			t.Errorf("%s: logged %d times: %s", name, n, &log)
 		}
-		if _, seen, err := a.shake(g, 0, "kiosk.example"); err != nil || !seen.Equal(first) || g.Holds(p) != nil {
+		if _, seen, err := a.handshake(g, 0, "kiosk.example"); err != nil || !seen.Equal(first) || g.Holds(p) != nil {
 			t.Errorf("%s: what was in force is not: %v", name, err)
 		}
 		a.write("cert.pem", cert)
 		a.write("key.pem", key)
 		a.write("roots.pem", standin.PEM(a.Roots[0].Cert))
-		g.Look()
+		g.ReloadFiles()
 	}
 	// The listener's own changes.
 	own, err := a.Renew()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Look()
-	if _, seen, err := a.shake(g, 0, "kiosk.example"); err != nil || !seen.Equal(own.Cert) {
+	g.ReloadFiles()
+	if _, seen, err := a.handshake(g, 0, "kiosk.example"); err != nil || !seen.Equal(own.Cert) {
 		t.Errorf("the new certificate is not shown: %v", err)
 	}
 	// Both roots, then the next alone.
 	a.write("roots.pem", standin.PEM(a.Roots[0].Cert, a.Roots[1].Cert))
-	g.Look()
-	q, _, err := a.shake(g, 1, "kiosk.example")
+	g.ReloadFiles()
+	q, _, err := a.handshake(g, 1, "kiosk.example")
 	if err != nil || g.Holds(p) != nil || g.Holds(q) != nil {
 		t.Fatalf("both roots in force: %v, %v", err, g.Holds(p))
 	}
 	a.write("roots.pem", standin.PEM(a.Roots[1].Cert))
-	g.Look()
+	g.ReloadFiles()
 	if why := identity.WhyOf(g.Holds(p)); why != identity.Retired || g.Holds(q) != nil {
 		t.Errorf("the old root is gone: %v, %v", why, g.Holds(q))
 	}
@@ -172,15 +172,15 @@
 		t.Fatal(err)
 	}
 	at := time.Now()
-	g.doors.now = func() time.Time { return at }
+	g.listenerTLS.now = func() time.Time { return at }
 	if g.TLS("extproc") != nil {
 		t.Error("a front that is not named speaks TLS")
 	}
 	good := 0
 	for range 10 {
-		if _, _, err := a.shake(g, 0, "kiosk.example"); err == nil {
+		if _, _, err := a.handshake(g, 0, "kiosk.example"); err == nil {
 			good++
-		} else if !strings.Contains(err.Error(), errTooMany.Error()) {
+		} else if !strings.Contains(err.Error(), errTooManyHandshakes.Error()) {
 			t.Error(err)
 		}
 	}
@@ -188,20 +188,20 @@
 		t.Errorf("%d handshakes at once, 3 a second are allowed", good)
 	}
 	at = at.Add(time.Second)
-	if _, _, err := a.shake(g, 0, ""); err == nil {
+	if _, _, err := a.handshake(g, 0, ""); err == nil {
 		t.Error("no certificate where one is required")
 	}
 }
 
 // An address that has shown a forged token stays with the open half of the checks, on whatever connection it comes next.
-func TestAddressesThatShowBadTokens(t *testing.T) {
+func TestAddressThatSentForgedTokens(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.json")
-	text, good := keySet(t, "k1")
-	_, forged := keySet(t, "k1")
+	text, good := newKeySet(t, "k1")
+	_, forged := newKeySet(t, "k1")
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg := settings(file)
+	cfg := testSettings(file)
 	cfg.ChecksPerS, cfg.Suspects, cfg.Known = 4, 2, 0
 	g, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/extproc/caller/caller.go
+++ b/internal/extproc/caller/caller.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	mostAnswer = 8 << 20  // of a message that is taken
-	mostChunk  = 60 << 10 // of a body that is sent on as it comes
+	maxResponseBytes = 8 << 20  // of a message that is taken
+	maxChunkBytes    = 60 << 10 // of a body that is sent on as it comes
 )
 
 // Caller is the stand-in.
@@ -44,20 +44,20 @@
 	// ResponseMode is NONE or FULL_DUPLEX_STREAMED.
 	ResponseMode filterv3.ProcessingMode_BodySendMode
 	Trailers     bool // in full duplex, bodies end with trailers
-	Chunk        int  // in full duplex, the length of a body's parts; 0: some thousand bytes
+	ChunkBytes   int  // in full duplex, the length of a body's parts; 0: some thousand bytes
 	// Subset, if not nil, is the hint of the members that the processor may name.
 	Subset []string
-	// FallBack: where a member can't be reached, the next one named is tried.
-	FallBack          bool
+	// UseFallbacks: where a member can't be reached, the next one named is tried.
+	UseFallbacks      bool
 	AllowModeOverride bool
 	Retries           int // further attempts, where the processor marks a response for one
-	// RetryFailed is for how long the caller's own retry policy repeats, after 5 ms each, what ended because the
+	// RetryFailedFor is for how long the caller's own retry policy repeats, after 5 ms each, what ended because the
 	// processor failed, orders too: it knows no better.
-	RetryFailed time.Duration
-	// TryTimeout is how long the caller waits for a member in mode route before it gives the try up; 0: for as long as its client.
-	TryTimeout time.Duration
-	// SendAfter is called in mode route between the pick and the send.
-	SendAfter func(addr string)
+	RetryFailedFor time.Duration
+	// AttemptTimeout is how long the caller waits for a member in mode route before it gives the try up; 0: for as long as its client.
+	AttemptTimeout time.Duration
+	// BeforeSend is called in mode route between the pick and the send.
+	BeforeSend func(addr string)
 
 	conns  []*grpc.ClientConn
 	client *http.Client
@@ -78,7 +78,7 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 	for _, t := range targets {
 		conn, err := grpc.NewClient(t, grpc.WithTransportCredentials(creds),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostAnswer)),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)),
 			grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 				Backoff: backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.5, MaxDelay: 100 * time.Millisecond}}))
 		if err != nil {
@@ -109,13 +109,13 @@
 
 // Result is what the client gets.
 type Result struct {
-	Status   int
-	Headers  map[string]string
-	Body     []byte
-	Attempts int      // calls of the processor
-	Members  []string // in mode route, where it was sent
-	Passed   bool     // it went on untouched
-	Err      error    // why the processor had no part in the answer, if it had none
+	Status        int
+	Headers       map[string]string
+	Body          []byte
+	Attempts      int      // calls of the processor
+	Members       []string // in mode route, where it was sent
+	PassedThrough bool     // it went on untouched
+	Err           error    // why the processor had no part in the answer, if it had none
 }
 
 // ServeHTTP takes a client's request.
@@ -149,7 +149,7 @@
 		switch {
 		case marked && marks < c.Retries:
 			marks++
-		case res.Err != nil && !res.Passed && time.Since(begun) < c.RetryFailed && ctx.Err() == nil:
+		case res.Err != nil && !res.PassedThrough && time.Since(begun) < c.RetryFailedFor && ctx.Err() == nil:
 			time.Sleep(5 * time.Millisecond)
 		default:
 			delete(res.Headers, retryHeader)
@@ -159,17 +159,17 @@
 }
 
 const (
-	retryHeader = "x-linenloom-retry"
-	destination = "x-gateway-destination-endpoint"
+	retryHeader       = "x-linenloom-retry"
+	destinationHeader = "x-gateway-destination-endpoint"
 )
 
 // ErrTimeout tells that the processor did not answer a message in time.
 var ErrTimeout = errors.New("caller: the processor's time for a message is over")
 
-// failed is what the client gets where the processor fails: the request goes on untouched, or ends with 500.
-func (c *Caller) failed(err error) Result {
+// failureResult is what the client gets where the processor fails: the request goes on untouched, or ends with 500.
+func (c *Caller) failureResult(err error) Result {
 	if c.FailureModeAllow {
-		return Result{Status: 204, Passed: true, Err: err}
+		return Result{Status: 204, PassedThrough: true, Err: err}
 	}
 	return Result{Status: 500, Err: err}
 }
@@ -178,9 +178,9 @@
 func (c *Caller) exchange(ctx context.Context, q Request, attempt int) Result {
 	var res Result
 	for _, conn := range c.conns {
-		x := &exchange{c: c, q: q, attempt: attempt}
+		x := &exchange{caller: c, request: q, attempt: attempt}
 		res = x.run(ctx, conn)
-		if status.Code(res.Err) != codes.Unavailable || x.began {
+		if status.Code(res.Err) != codes.Unavailable || x.accepted {
 			break
 		}
 	}
@@ -188,44 +188,44 @@
 }
 
 type exchange struct {
-	c       *Caller
-	q       Request
-	attempt int
-	stream  extprocv3.ExternalProcessor_ProcessClient
-	in      chan received
-	sending sync.WaitGroup // of bodies, in full duplex
-	mode    filterv3.ProcessingMode_BodySendMode
-	skip    bool   // the response's headers are not wanted
-	began   bool   // the processor has taken the call: its response headers have come
-	served  string // the member that has answered
-	headers map[string]string
-	removed map[string]bool
+	caller              *Caller
+	request             Request
+	attempt             int
+	stream              extprocv3.ExternalProcessor_ProcessClient
+	responses           chan received
+	sending             sync.WaitGroup // of bodies, in full duplex
+	bodyMode            filterv3.ProcessingMode_BodySendMode
+	skipResponseHeaders bool   // the response's headers are not wanted
+	accepted            bool   // the processor has taken the call: its response headers have come
+	servedAddr          string // the member that has answered
+	headers             map[string]string
+	removed             map[string]bool
 }
 
 type received struct {
-	m   *extprocv3.ProcessingResponse
-	err error
+	response *extprocv3.ProcessingResponse
+	err      error
 }
 
-// immediate is a processor's answer that ends the exchange.
-type immediate struct{ r *extprocv3.ImmediateResponse }
+// immediateResponse is a processor's answer that ends the exchange.
+type immediateResponse struct{ response *extprocv3.ImmediateResponse }
 
-func (immediate) Error() string { return "an immediate response" }
+func (immediateResponse) Error() string { return "an immediate response" }
 
 func (x *exchange) run(ctx context.Context, conn *grpc.ClientConn) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var err error
 	if x.stream, err = extprocv3.NewExternalProcessorClient(conn).Process(ctx); err != nil {
-		return x.c.failed(err)
+		return x.caller.failureResult(err)
 	}
-	x.in, x.mode = make(chan received), x.c.BodyMode
+	x.responses, x.bodyMode = make(chan received), x.caller.BodyMode
 	x.headers, x.removed = map[string]string{}, map[string]bool{}
 	go func() {
 		for {
 			m, err := x.stream.Recv()
 			select {
-			case x.in <- received{m, err}:
+			case x.responses <- received{m, err}:
 			case <-ctx.Done():
 				return
 			}
@@ -234,27 +234,27 @@
 			}
 		}
 	}()
-	res, err := x.talk(ctx)
-	var now immediate
+	res, err := x.process(ctx)
+	var now immediateResponse
 	switch {
 	case errors.As(err, &now):
-		res = Result{Status: int(now.r.GetStatus().GetCode()), Body: now.r.GetBody(), Headers: map[string]string{}, Members: res.Members}
-		for _, h := range now.r.GetHeaders().GetSetHeaders() {
+		res = Result{Status: int(now.response.GetStatus().GetCode()), Body: now.response.GetBody(), Headers: map[string]string{}, Members: res.Members}
+		for _, h := range now.response.GetHeaders().GetSetHeaders() {
 			res.Headers[h.GetHeader().GetKey()] = string(h.GetHeader().GetRawValue())
 		}
 	case err != nil:
 		members := res.Members
-		res = x.c.failed(err)
+		res = x.caller.failureResult(err)
 		res.Members = members
 	}
-	if err != nil && (x.mode == fullDuplex || x.c.ResponseMode == fullDuplex) {
+	if err != nil && (x.bodyMode == fullDuplex || x.caller.ResponseMode == fullDuplex) {
 		cancel() // the body's sending may stand still
 	}
 	x.sending.Wait()
 	x.stream.CloseSend()
-	if status.Code(err) == codes.Unavailable && !x.began {
+	if status.Code(err) == codes.Unavailable && !x.accepted {
 		md, _ := x.stream.Header() // it does not wait, as the stream has ended
-		x.began = md != nil
+		x.accepted = md != nil
 	}
 	return res
 }
@@ -267,81 +267,81 @@
 	return m
 }
 
-func (x *exchange) talk(ctx context.Context) (res Result, err error) {
-	pairs := map[string]string{":method": x.q.Method, ":path": x.q.Path, ":scheme": "http", ":authority": "tiles",
+func (x *exchange) process(ctx context.Context) (res Result, err error) {
+	pairs := map[string]string{":method": x.request.Method, ":path": x.request.Path, ":scheme": "http", ":authority": "tiles",
 		"x-envoy-attempt-count": strconv.Itoa(x.attempt)}
-	for name, value := range x.q.Headers {
+	for name, value := range x.request.Headers {
 		pairs[name] = value
 	}
-	bare := len(x.q.Body) == 0
-	config := &extprocv3.ProtocolConfiguration{RequestBodyMode: x.mode, ResponseBodyMode: x.c.ResponseMode}
+	bare := len(x.request.Body) == 0
+	config := &extprocv3.ProtocolConfiguration{RequestBodyMode: x.bodyMode, ResponseBodyMode: x.caller.ResponseMode}
 	first := &extprocv3.ProcessingRequest{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
 		RequestHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: bare}}}
-	if x.c.Subset != nil {
-		first.MetadataContext = metadata("envoy.lb.subset_hint", destination+"-subset", x.c.Subset)
+	if x.caller.Subset != nil {
+		first.MetadataContext = metadata("envoy.lb.subset_hint", destinationHeader+"-subset", x.caller.Subset)
 	}
-	if x.mode == fullDuplex || x.c.ResponseMode == fullDuplex {
-		return x.duplex(ctx, first)
+	if x.bodyMode == fullDuplex || x.caller.ResponseMode == fullDuplex {
+		return x.processDuplex(ctx, first)
 	}
-	m, err := x.ask(ctx, first)
+	m, err := x.roundTrip(ctx, first)
 	if err != nil {
 		return res, err
 	}
-	x.apply(m.GetRequestHeaders().GetResponse())
-	if o := m.GetModeOverride(); o != nil && x.c.AllowModeOverride {
-		x.mode, x.skip = o.GetRequestBodyMode(), o.GetResponseHeaderMode() == filterv3.ProcessingMode_SKIP
+	x.applyHeaders(m.GetRequestHeaders().GetResponse())
+	if o := m.GetModeOverride(); o != nil && x.caller.AllowModeOverride {
+		x.bodyMode, x.skipResponseHeaders = o.GetRequestBodyMode(), o.GetResponseHeaderMode() == filterv3.ProcessingMode_SKIP
 	}
-	if !bare && x.mode != filterv3.ProcessingMode_NONE {
-		if err := x.body(ctx); err != nil {
+	if !bare && x.bodyMode != filterv3.ProcessingMode_NONE {
+		if err := x.sendBuffered(ctx); err != nil {
 			return res, err
 		}
 	}
-	addr := x.headers[destination]
+	addr := x.headers[destinationHeader]
 	if addr == "" {
-		return Result{Status: 204, Passed: true}, nil // to the caller's own upstream, which has no part here
+		return Result{Status: 204, PassedThrough: true}, nil // to the caller's own upstream, which has no part here
 	}
-	if x.c.SendAfter != nil {
-		x.c.SendAfter(addr)
+	if x.caller.BeforeSend != nil {
+		x.caller.BeforeSend(addr)
 	}
-	res, attributes := x.send(ctx, addr)
+	res, attributes := x.sendToMembers(ctx, addr)
 	res.Members = []string{addr}
-	if x.skip {
+	if x.skipResponseHeaders {
 		return res, nil
 	}
 	pairs = map[string]string{":status": strconv.Itoa(res.Status)}
 	for name, value := range res.Headers {
 		pairs[name] = value
 	}
-	m, err = x.ask(ctx, &extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(), Request: &extprocv3.ProcessingRequest_ResponseHeaders{
+	m, err = x.roundTrip(ctx, &extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(), Request: &extprocv3.ProcessingRequest_ResponseHeaders{
 		ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: len(res.Body) == 0}}})
 	if err != nil {
 		return res, err
 	}
 	x.headers = res.Headers
-	x.apply(m.GetResponseHeaders().GetResponse())
+	x.applyHeaders(m.GetResponseHeaders().GetResponse())
 	return res, nil
 }
 
-// body sends the body as the mode says.
-func (x *exchange) body(ctx context.Context) error {
-	chunk := len(x.q.Body)
-	if x.mode == filterv3.ProcessingMode_STREAMED {
-		chunk = min(max(1, (chunk+2)/3), mostChunk)
+// sendBuffered sends the body as the mode says.
+func (x *exchange) sendBuffered(ctx context.Context) error {
+	chunk := len(x.request.Body)
+	if x.bodyMode == filterv3.ProcessingMode_STREAMED {
+		chunk = min(max(1, (chunk+2)/3), maxChunkBytes)
 	}
-	for rest := x.q.Body; len(rest) > 0; {
+	for rest := x.request.Body; len(rest) > 0; {
 		part := rest[:min(chunk, len(rest))]
 		rest = rest[len(part):]
-		m, err := x.ask(ctx, &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
+		m, err := x.roundTrip(ctx, &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 			RequestBody: &extprocv3.HttpBody{Body: part, EndOfStream: len(rest) == 0}}})
 		if err != nil {
 			return err
 		}
-		x.apply(m.GetRequestBody().GetResponse())
+		x.applyHeaders(m.GetRequestBody().GetResponse())
 	}
 	return nil
 }
 
-func (x *exchange) apply(r *extprocv3.CommonResponse) {
+func (x *exchange) applyHeaders(r *extprocv3.CommonResponse) {
 	for _, name := range r.GetHeaderMutation().GetRemoveHeaders() {
 		delete(x.headers, name)
 		x.removed[name] = true
@@ -351,9 +351,9 @@
 	}
 }
 
-// ask sends a message and waits for its answer, for as long as the processor may take.
-func (x *exchange) ask(ctx context.Context, m *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
-	timer := time.NewTimer(x.c.MessageTimeout)
+// roundTrip sends a message and waits for its answer, for as long as the processor may take.
+func (x *exchange) roundTrip(ctx context.Context, m *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
+	timer := time.NewTimer(x.caller.MessageTimeout)
 	defer timer.Stop()
 	extended := false
 	if err := x.stream.Send(m); err != nil && !errors.Is(err, io.EOF) {
@@ -361,26 +361,26 @@
 	}
 	for {
 		select {
-		case r := <-x.in:
+		case r := <-x.responses:
 			if r.err != nil {
 				return nil, r.err
 			}
-			x.began = true
-			if o := r.m.GetOverrideMessageTimeout(); o != nil {
-				if d := o.AsDuration(); !extended && d >= time.Millisecond && d <= x.c.MaxMessageTimeout {
+			x.accepted = true
+			if o := r.response.GetOverrideMessageTimeout(); o != nil {
+				if d := o.AsDuration(); !extended && d >= time.Millisecond && d <= x.caller.MaxMessageTimeout {
 					extended = true
-					x.c.Overrides.Add(1)
+					x.caller.Overrides.Add(1)
 					timer.Reset(d)
 				}
 				continue
 			}
-			if now := r.m.GetImmediateResponse(); now != nil {
-				return nil, immediate{now}
+			if now := r.response.GetImmediateResponse(); now != nil {
+				return nil, immediateResponse{now}
 			}
-			if err := x.fits(m, r.m); err != nil {
+			if err := x.checkResponseType(m, r.response); err != nil {
 				return nil, err
 			}
-			return r.m, nil
+			return r.response, nil
 		case <-timer.C:
 			return nil, ErrTimeout
 		case <-ctx.Done():
@@ -389,8 +389,8 @@
 	}
 }
 
-// fits tells whether a response answers the message; an answer to another is a fault that ends the stream.
-func (x *exchange) fits(q *extprocv3.ProcessingRequest, r *extprocv3.ProcessingResponse) error {
+// checkResponseType tells whether a response answers the message; an answer to another is a fault that ends the stream.
+func (x *exchange) checkResponseType(q *extprocv3.ProcessingRequest, r *extprocv3.ProcessingResponse) error {
 	ok := false
 	switch q.GetRequest().(type) {
 	case *extprocv3.ProcessingRequest_RequestHeaders:
@@ -406,12 +406,12 @@
 	return nil
 }
 
-// send makes the attempt at the members named, the next one where one can't be reached and the caller falls back.
-func (x *exchange) send(ctx context.Context, named string) (res Result, attributes map[string]*structpb.Struct) {
+// sendToMembers makes the attempt at the members named, the next one where one can't be reached and the caller falls back.
+func (x *exchange) sendToMembers(ctx context.Context, named string) (res Result, attributes map[string]*structpb.Struct) {
 	for addr := range strings.SplitSeq(named, ",") {
-		x.served = addr
-		res, attributes = x.sendTo(ctx, addr)
-		if !x.c.FallBack || res.Status != 503 || len(res.Headers) > 0 {
+		x.servedAddr = addr
+		res, attributes = x.sendToMember(ctx, addr)
+		if !x.caller.UseFallbacks || res.Status != 503 || len(res.Headers) > 0 {
 			break
 		}
 	}
@@ -420,10 +420,10 @@
 
 // servedBy is the metadata by which a gateway tells who has served.
 func (x *exchange) servedBy() *corev3.Metadata {
-	if !x.c.FallBack {
+	if !x.caller.UseFallbacks {
 		return nil
 	}
-	return metadata("envoy.lb", destination+"-served", []string{x.served})
+	return metadata("envoy.lb", destinationHeader+"-served", []string{x.servedAddr})
 }
 
 func metadata(namespace, key string, values []string) *corev3.Metadata {
@@ -439,23 +439,23 @@
 		namespace: {Fields: map[string]*structpb.Value{key: v}}}}
 }
 
-// sendTo makes the attempt at one member, and says like a proxy why there is no response where there is none.
-func (x *exchange) sendTo(ctx context.Context, addr string) (Result, map[string]*structpb.Struct) {
+// sendToMember makes the attempt at one member, and says like a proxy why there is no response where there is none.
+func (x *exchange) sendToMember(ctx context.Context, addr string) (Result, map[string]*structpb.Struct) {
 	whole := ctx
-	if x.c.TryTimeout > 0 {
+	if x.caller.AttemptTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, x.c.TryTimeout)
+		ctx, cancel = context.WithTimeout(ctx, x.caller.AttemptTimeout)
 		defer cancel()
 	}
-	r, err := http.NewRequestWithContext(ctx, x.q.Method, "http://"+addr+"/"+x.q.Path[strings.LastIndexByte(x.q.Path, '/')+1:], bytes.NewReader(x.q.Body))
+	r, err := http.NewRequestWithContext(ctx, x.request.Method, "http://"+addr+"/"+x.request.Path[strings.LastIndexByte(x.request.Path, '/')+1:], bytes.NewReader(x.request.Body))
 	if err != nil {
 		return Result{Status: 500, Err: err}, nil
 	}
-	for name, value := range x.q.Headers {
+	for name, value := range x.request.Headers {
 		r.Header.Set(name, value)
 	}
 	r.GetBody = nil // net/http must not send it again by itself
-	answer, err := x.c.client.Do(r)
+	answer, err := x.caller.client.Do(r)
 	if err != nil {
 		details := "upstream_reset_before_response_started{connection_termination}"
 		switch {
--- a/internal/extproc/caller/duplex.go
+++ b/internal/extproc/caller/duplex.go
@@ -16,22 +16,22 @@
 // SetFullDuplex has bodies sent in full duplex, both ways.
 func (c *Caller) SetFullDuplex() { c.BodyMode, c.ResponseMode = fullDuplex, fullDuplex }
 
-// duplexChunk is how long the parts of a body are unless Caller.Chunk says: odd, so that parts and messages don't fall
+// defaultChunkBytes is how long the parts of a body are unless Caller.Chunk says: odd, so that parts and messages don't fall
 // together.
-const duplexChunk = 4093
+const defaultChunkBytes = 4093
 
-// duplex makes an exchange as a gateway does in full duplex: it sends body and trailers as they come and waits for no
+// processDuplex makes an exchange as a gateway does in full duplex: it sends body and trailers as they come and waits for no
 // answer, takes what comes back in order, and passes on only what came back. It sets no time for a message.
-func (x *exchange) duplex(ctx context.Context, first *extprocv3.ProcessingRequest) (res Result, err error) {
+func (x *exchange) processDuplex(ctx context.Context, first *extprocv3.ProcessingRequest) (res Result, err error) {
 	if err := x.stream.Send(first); err != nil && !errors.Is(err, io.EOF) {
 		return res, err
 	}
-	body := x.q.Body
-	if x.mode != fullDuplex {
+	body := x.request.Body
+	if x.bodyMode != fullDuplex {
 		body = nil
 	}
-	x.sending.Go(func() { x.sendBody(body, false) })
-	m, err := x.next(ctx)
+	x.sending.Go(func() { x.sendDuplexBody(body, false) })
+	m, err := x.receive(ctx)
 	if err != nil {
 		return res, err
 	}
@@ -41,27 +41,27 @@
 	if m.GetModeOverride() != nil {
 		return res, errors.New("caller: a mode override in full duplex")
 	}
-	x.apply(m.GetRequestHeaders().GetResponse())
+	x.applyHeaders(m.GetRequestHeaders().GetResponse())
 	if len(body) > 0 {
-		if x.q.Body, err = x.takeBody(ctx, false); err != nil {
+		if x.request.Body, err = x.receiveBody(ctx, false); err != nil {
 			return res, err
 		}
 	}
 	x.sending.Wait()
-	named := x.headers[destination]
+	named := x.headers[destinationHeader]
 	if named == "" {
-		return Result{Status: 204, Passed: true, Body: x.q.Body}, nil
+		return Result{Status: 204, PassedThrough: true, Body: x.request.Body}, nil
 	}
-	if x.c.SendAfter != nil {
-		x.c.SendAfter(named)
+	if x.caller.BeforeSend != nil {
+		x.caller.BeforeSend(named)
 	}
-	res, attributes := x.send(ctx, named)
-	res.Members = []string{x.served}
+	res, attributes := x.sendToMembers(ctx, named)
+	res.Members = []string{x.servedAddr}
 	pairs := map[string]string{":status": strconv.Itoa(res.Status)}
 	for name, value := range res.Headers {
 		pairs[name] = value
 	}
-	streamed := x.c.ResponseMode == fullDuplex && len(res.Body) > 0
+	streamed := x.caller.ResponseMode == fullDuplex && len(res.Body) > 0
 	err = x.stream.Send(&extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(),
 		Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: !streamed}}})
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -69,35 +69,35 @@
 	}
 	if streamed {
 		body := res.Body
-		x.sending.Go(func() { x.sendBody(body, true) })
+		x.sending.Go(func() { x.sendDuplexBody(body, true) })
 	}
-	if m, err = x.next(ctx); err != nil {
+	if m, err = x.receive(ctx); err != nil {
 		return res, err
 	}
 	if m.GetResponseHeaders() == nil {
 		return res, fmt.Errorf("caller: %T answers response headers", m.GetResponse())
 	}
 	x.headers = res.Headers
-	x.apply(m.GetResponseHeaders().GetResponse())
+	x.applyHeaders(m.GetResponseHeaders().GetResponse())
 	if streamed {
-		res.Body, err = x.takeBody(ctx, true)
+		res.Body, err = x.receiveBody(ctx, true)
 	}
 	return res, err
 }
 
-// sendBody sends a body in parts, and trailers behind it.
-func (x *exchange) sendBody(body []byte, response bool) {
+// sendDuplexBody sends a body in parts, and trailers behind it.
+func (x *exchange) sendDuplexBody(body []byte, response bool) {
 	if len(body) == 0 {
 		return
 	}
-	chunk := duplexChunk
-	if x.c.Chunk > 0 {
-		chunk = x.c.Chunk
+	chunk := defaultChunkBytes
+	if x.caller.ChunkBytes > 0 {
+		chunk = x.caller.ChunkBytes
 	}
 	for len(body) > 0 {
 		part := body[:min(len(body), chunk)]
 		body = body[len(part):]
-		b := &extprocv3.HttpBody{Body: part, EndOfStream: len(body) == 0 && !x.c.Trailers}
+		b := &extprocv3.HttpBody{Body: part, EndOfStream: len(body) == 0 && !x.caller.Trailers}
 		m := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{RequestBody: b}}
 		if response {
 			m.Request = &extprocv3.ProcessingRequest_ResponseBody{ResponseBody: b}
@@ -106,7 +106,7 @@
 			return
 		}
 	}
-	if x.c.Trailers {
+	if x.caller.Trailers {
 		t := &extprocv3.HttpTrailers{Trailers: headerMap(map[string]string{"x-sum": "1"})}
 		m := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestTrailers{RequestTrailers: t}}
 		if response {
@@ -116,10 +116,10 @@
 	}
 }
 
-// takeBody takes what comes back of a body, to its end.
-func (x *exchange) takeBody(ctx context.Context, response bool) (body []byte, err error) {
+// receiveBody takes what comes back of a body, to its end.
+func (x *exchange) receiveBody(ctx context.Context, response bool) (body []byte, err error) {
 	for {
-		m, err := x.next(ctx)
+		m, err := x.receive(ctx)
 		if err != nil {
 			return body, err
 		}
@@ -127,7 +127,7 @@
 		if response {
 			b, trailers = m.GetResponseBody(), m.GetResponseTrailers()
 		}
-		if trailers != nil && x.c.Trailers {
+		if trailers != nil && x.caller.Trailers {
 			return body, nil
 		}
 		part := b.GetResponse().GetBodyMutation().GetStreamedResponse()
@@ -136,7 +136,7 @@
 		}
 		body = append(body, part.GetBody()...)
 		if part.GetEndOfStream() {
-			if x.c.Trailers {
+			if x.caller.Trailers {
 				return body, errors.New("caller: the body's end is told before its trailers have come")
 			}
 			return body, nil
@@ -144,18 +144,18 @@
 	}
 }
 
-// next waits for what the processor says next.
-func (x *exchange) next(ctx context.Context) (*extprocv3.ProcessingResponse, error) {
+// receive waits for what the processor says next.
+func (x *exchange) receive(ctx context.Context) (*extprocv3.ProcessingResponse, error) {
 	select {
-	case r := <-x.in:
+	case r := <-x.responses:
 		if r.err != nil {
 			return nil, r.err
 		}
-		x.began = true
-		if now := r.m.GetImmediateResponse(); now != nil {
-			return nil, immediate{now}
+		x.accepted = true
+		if now := r.response.GetImmediateResponse(); now != nil {
+			return nil, immediateResponse{now}
 		}
-		return r.m, nil
+		return r.response, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/extproc/calls.go
+++ b/internal/extproc/calls.go
@@ -10,169 +10,169 @@
 
 // The decisions.
 const (
-	Fresh    Decision = iota // nothing is known that stands against it: a new request for the module
-	Continue                 // it comes for the module's next attempt of a request in hand
-	Replace                  // the caller has given its earlier call up, and repeating it is harmless
-	InUse                    // another caller's request in hand has the id
-	MayRun                   // an earlier attempt may have run, and the request must not run twice
-	Crowded                  // no room to remember one more request; it never ran
+	DecisionNew        Decision = iota // nothing is known that stands against it: a new request for the module
+	DecisionContinue                   // it comes for the module's next attempt of a request in hand
+	DecisionReplace                    // the caller has given its earlier call up, and repeating it is harmless
+	DecisionInUse                      // another caller's request in hand has the id
+	DecisionMayHaveRun                 // an earlier attempt may have run, and the request must not run twice
+	DecisionTableFull                  // no room to remember one more request; it never ran
 )
 
 // Entry is what is known of a request id.
 type Entry struct {
-	ID     string
-	Unsafe bool // it must not run twice
-	// Returning: the module has named the next attempt, or is about to, and the caller is expected back.
-	Returning bool
-	Over      bool
-	Ran       bool // once over: an attempt may have run
-	Again     bool // the id has been used before, by a request that ended and never ran
-	Attempt   int  // the caller's count with the latest call; 0: not told
-	Until     time.Duration
-	Owner     any // the server's own
-	at        *list.Element
+	ID      string
+	RunOnce bool // it must not run twice
+	// AwaitingCaller: the module has named the next attempt, or is about to, and the caller is expected back.
+	AwaitingCaller bool
+	Ended          bool
+	MayHaveRun     bool // once over: an attempt may have run
+	Reused         bool // the id has been used before, by a request that ended and never ran
+	Attempt        int  // the caller's count with the latest call; 0: not told
+	ExpiresAt      time.Duration
+	Owner          any // the server's own
+	element        *list.Element
 }
 
-// Calls remembers request ids: those in hand, and for a while those that are over and may have run although they
+// CallTable remembers request ids: those in hand, and for a while those that are over and may have run although they
 // must not run twice. It is bounded: when it is full, further requests are Crowded rather than forgotten ones run again.
-type Calls struct {
-	most     int
-	remember time.Duration
-	byID     map[string]*Entry
-	over     *list.List          // that may have run, by end
-	harmless *list.List          // that never ran, by end: let go of when there is no room
-	back     map[*Entry]struct{} // whose callers are expected back
+type CallTable struct {
+	maxEntries int
+	retention  time.Duration
+	byID       map[string]*Entry
+	mayHaveRun *list.List          // that may have run, by end
+	neverRan   *list.List          // that never ran, by end: let go of when there is no room
+	awaiting   map[*Entry]struct{} // whose callers are expected back
 }
 
-// NewCalls makes a table of so many entries at most.
-func NewCalls(most int, remember time.Duration) *Calls {
-	return &Calls{most: most, remember: remember, byID: map[string]*Entry{}, over: list.New(),
-		harmless: list.New(), back: map[*Entry]struct{}{}}
+// NewCallTable makes a table of so many entries at most.
+func NewCallTable(most int, remember time.Duration) *CallTable {
+	return &CallTable{maxEntries: most, retention: remember, byID: map[string]*Entry{}, mayHaveRun: list.New(),
+		neverRan: list.New(), awaiting: map[*Entry]struct{}{}}
 }
 
 // Len is the number of entries.
-func (c *Calls) Len() int { return len(c.byID) }
+func (c *CallTable) Len() int { return len(c.byID) }
 
-// SetRemember changes how long ended requests are known from now on.
-func (c *Calls) SetRemember(d time.Duration) { c.remember = d }
+// SetRetention changes how long ended requests are known from now on.
+func (c *CallTable) SetRetention(d time.Duration) { c.retention = d }
 
 // Begin takes a call. attempt is the caller's count of attempts, 1 for the first; 0 if it does not tell. The entry is
 // the new one for Fresh and Replace, and the one that stands for Continue; for the others there is none to use. For
 // Replace, replaced is what the caller has given up. Of an order onRecord, the record knows what has become of those before: it is Fresh
 // unless one is in hand.
-func (c *Calls) Begin(id string, attempt int, unsafe, onRecord bool, now time.Duration) (e, replaced *Entry, d Decision) {
-	c.expire(now)
+func (c *CallTable) Begin(id string, attempt int, unsafe, onRecord bool, now time.Duration) (e, replaced *Entry, d Decision) {
+	c.removeExpired(now)
 	old, again := c.byID[id], false
 	switch {
 	case old == nil && unsafe && attempt > 1 && !onRecord:
 		// Whoever had the attempts before (a processor that was killed, or another one) can't be asked any more.
-		return nil, nil, MayRun
+		return nil, nil, DecisionMayHaveRun
 	case old == nil:
-		d = Fresh
-	case old.Over && old.Ran && (unsafe || old.Unsafe) && !onRecord:
-		return nil, nil, MayRun
-	case old.Over:
-		c.forget(old)
-		again, d = true, Fresh
-	case old.Returning && (attempt == 0 || attempt > old.Attempt):
-		old.Returning, old.Attempt = false, max(attempt, old.Attempt+1)
-		delete(c.back, old)
-		return old, nil, Continue
+		d = DecisionNew
+	case old.Ended && old.MayHaveRun && (unsafe || old.RunOnce) && !onRecord:
+		return nil, nil, DecisionMayHaveRun
+	case old.Ended:
+		c.remove(old)
+		again, d = true, DecisionNew
+	case old.AwaitingCaller && (attempt == 0 || attempt > old.Attempt):
+		old.AwaitingCaller, old.Attempt = false, max(attempt, old.Attempt+1)
+		delete(c.awaiting, old)
+		return old, nil, DecisionContinue
 	case attempt > old.Attempt && attempt > 1 && old.Attempt > 0:
 		// The caller has given the call before up by itself, and the end of its stream has yet to be seen.
-		if unsafe || old.Unsafe {
-			return nil, nil, MayRun
+		if unsafe || old.RunOnce {
+			return nil, nil, DecisionMayHaveRun
 		}
-		replaced, d = old, Replace
+		replaced, d = old, DecisionReplace
 		delete(c.byID, id)
-		delete(c.back, old)
+		delete(c.awaiting, old)
 	default:
-		return nil, nil, InUse
+		return nil, nil, DecisionInUse
 	}
-	if f := c.harmless.Front(); f != nil && len(c.byID) >= c.most {
-		c.forget(f.Value.(*Entry))
+	if f := c.neverRan.Front(); f != nil && len(c.byID) >= c.maxEntries {
+		c.remove(f.Value.(*Entry))
 	}
-	if len(c.byID) >= c.most {
+	if len(c.byID) >= c.maxEntries {
 		if replaced != nil {
 			c.byID[id] = replaced
 		}
-		return nil, nil, Crowded
+		return nil, nil, DecisionTableFull
 	}
-	e = &Entry{ID: id, Unsafe: unsafe, Attempt: max(1, attempt), Again: again}
+	e = &Entry{ID: id, RunOnce: unsafe, Attempt: max(1, attempt), Reused: again}
 	c.byID[id] = e
 	return e, replaced, d
 }
 
 // MayHaveRun tells whether an earlier attempt of a request that must not run twice may have run, for a call that is
 // answered without Begin.
-func (c *Calls) MayHaveRun(id string, attempt int, now time.Duration) bool {
-	c.expire(now)
+func (c *CallTable) MayHaveRun(id string, attempt int, now time.Duration) bool {
+	c.removeExpired(now)
 	old := c.byID[id]
 	switch {
 	case old == nil:
 		return attempt > 1
-	case old.Over:
-		return old.Ran
+	case old.Ended:
+		return old.MayHaveRun
 	}
-	return !old.Returning
+	return !old.AwaitingCaller
 }
 
-// Return notes that the caller is expected back until the given time.
-func (c *Calls) Return(e *Entry, until time.Duration) {
-	if !e.Over && c.byID[e.ID] == e {
-		e.Returning, e.Until = true, until
-		c.back[e] = struct{}{}
+// AwaitCaller notes that the caller is expected back until the given time.
+func (c *CallTable) AwaitCaller(e *Entry, until time.Duration) {
+	if !e.Ended && c.byID[e.ID] == e {
+		e.AwaitingCaller, e.ExpiresAt = true, until
+		c.awaiting[e] = struct{}{}
 	}
 }
 
 // End notes that a request is over and whether an attempt of it may have run.
-func (c *Calls) End(e *Entry, ran bool, now time.Duration) {
-	if e.Over {
+func (c *CallTable) End(e *Entry, ran bool, now time.Duration) {
+	if e.Ended {
 		return
 	}
-	e.Over, e.Returning, e.Ran, e.Owner = true, false, ran, nil
-	delete(c.back, e)
+	e.Ended, e.AwaitingCaller, e.MayHaveRun, e.Owner = true, false, ran, nil
+	delete(c.awaiting, e)
 	if c.byID[e.ID] != e {
 		return // it was replaced
 	}
-	if !e.Unsafe {
+	if !e.RunOnce {
 		delete(c.byID, e.ID) // running it again is harmless
 		return
 	}
-	e.Until = now + c.remember
+	e.ExpiresAt = now + c.retention
 	if ran {
-		e.at = c.over.PushBack(e)
+		e.element = c.mayHaveRun.PushBack(e)
 	} else {
-		e.at = c.harmless.PushBack(e)
+		e.element = c.neverRan.PushBack(e)
 	}
 }
 
-// Late returns the requests whose callers have not come back in time.
-func (c *Calls) Late(now time.Duration) (late []*Entry) {
-	for e := range c.back {
-		if now >= e.Until {
+// Overdue returns the requests whose callers have not come back in time.
+func (c *CallTable) Overdue(now time.Duration) (late []*Entry) {
+	for e := range c.awaiting {
+		if now >= e.ExpiresAt {
 			late = append(late, e)
 		}
 	}
 	return late
 }
 
-func (c *Calls) expire(now time.Duration) {
-	for _, l := range []*list.List{c.over, c.harmless} {
-		for f := l.Front(); f != nil && f.Value.(*Entry).Until <= now; f = l.Front() {
-			c.forget(f.Value.(*Entry))
+func (c *CallTable) removeExpired(now time.Duration) {
+	for _, l := range []*list.List{c.mayHaveRun, c.neverRan} {
+		for f := l.Front(); f != nil && f.Value.(*Entry).ExpiresAt <= now; f = l.Front() {
+			c.remove(f.Value.(*Entry))
 		}
 	}
 }
 
-func (c *Calls) forget(e *Entry) {
-	if e.at != nil {
-		if e.Ran {
-			c.over.Remove(e.at)
+func (c *CallTable) remove(e *Entry) {
+	if e.element != nil {
+		if e.MayHaveRun {
+			c.mayHaveRun.Remove(e.element)
 		} else {
-			c.harmless.Remove(e.at)
+			c.neverRan.Remove(e.element)
 		}
-		e.at = nil
+		e.element = nil
 	}
 	delete(c.byID, e.ID)
 }
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -12,7 +12,7 @@
 	"linenloom/logic"
 )
 
-func mapping(t testing.TB) *Mapping {
+func testMapping(t testing.TB) *Mapping {
 	t.Helper()
 	m, err := NewMapping([]operator.MapEntry{
 		{Methods: []string{"GET", "HEAD"}, Path: "/tiles/{z}/{x}/{y}", Key: "{z}-{x}-{y}", Class: "tile-read"},
@@ -27,7 +27,7 @@
 }
 
 func TestMatch(t *testing.T) {
-	m := mapping(t)
+	m := testMapping(t)
 	for _, c := range []struct {
 		method, path, key string // key "": no match
 		write             bool
@@ -60,7 +60,7 @@
 	for _, s := range []string{"/tiles/k", "/tiles/1/2/3?x", "//", "/static/%2e%2e/x", "/tiles/%", "*"} {
 		f.Add("GET", s)
 	}
-	m := mapping(f)
+	m := testMapping(f)
 	f.Fuzz(func(t *testing.T, method, path string) {
 		if target, ok := m.Match(method, path); ok && (target.Key == "" || target.Class == "" || !strings.HasPrefix(path, "/")) {
 			t.Errorf("%q %q: %+v", method, path, target)
@@ -77,17 +77,17 @@
 	}{
 		{h, "250", 250 * time.Millisecond, false, false},
 		{h, "0.5", 500 * time.Microsecond, false, false},
-		{h, "0", mostLeft, false, false}, // Envoy's word for a route without time-out
+		{h, "0", maxTimeLeft, false, false}, // Envoy's word for a route without time-out
 		{"x-time-left", "0", 0, true, false},
 		{h, "-3", 0, true, false},
 		{h, "", 0, false, true},
 		{h, "ten", 0, false, true},
 		{h, "NaN", 0, false, true},
 		{h, "Inf", 0, false, true},
-		{h, "1e300", mostLeft, false, false},
+		{h, "1e300", maxTimeLeft, false, false},
 		{"grpc-timeout", "250m", 250 * time.Millisecond, false, false},
 		{"grpc-timeout", "2S", 2 * time.Second, false, false},
-		{"grpc-timeout", "99999999H", mostLeft, false, false},
+		{"grpc-timeout", "99999999H", maxTimeLeft, false, false},
 		{"grpc-timeout", "0n", 0, true, false},
 		{"grpc-timeout", "-1S", 0, true, false},
 		{"grpc-timeout", "123456789n", 0, false, true},
@@ -97,7 +97,7 @@
 		{"grpc-timeout", "--1S", 0, false, true},
 	} {
 		got, err := TimeLeft(c.name, c.value)
-		if spent := errors.Is(err, ErrSpent); got != c.want || spent != c.spent || (err != nil && !spent) != c.bad {
+		if spent := errors.Is(err, ErrExpired); got != c.want || spent != c.spent || (err != nil && !spent) != c.bad {
 			t.Errorf("%s: %s: %v, %v", c.name, c.value, got, err)
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	f.Fuzz(func(t *testing.T, name, value string) {
 		got, err := TimeLeft(name, value)
-		if err == nil && (got < 0 || got > mostLeft) || err != nil && (got != 0 || len(err.Error()) > 400+len(name)) {
+		if err == nil && (got < 0 || got > maxTimeLeft) || err != nil && (got != 0 || len(err.Error()) > 400+len(name)) {
 			t.Errorf("%q %q: %v, %v", name, value, got, err)
 		}
 	})
@@ -121,7 +121,7 @@
 	f.Add([]byte{1, 2, 2 + 16, 4, 5, 6})
 	f.Add([]byte{4, 1})
 	f.Fuzz(func(t *testing.T, messages []byte) {
-		var o Order
+		var o MessageOrder
 		var seen [7]int
 		ended := map[bool]bool{}
 		for _, b := range messages {
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestOrderTakesWhatCallersSend(t *testing.T) {
+func TestMessageOrderAcceptsCallerSequences(t *testing.T) {
 	type step struct {
 		m   Message
 		end bool
@@ -161,7 +161,7 @@
 		"an early response":      {{RequestHeaders, false}, {RequestBody, false}, {ResponseHeaders, false}, {RequestBody, true}, {ResponseBody, true}},
 		"phases that are spared": {{RequestHeaders, false}, {ResponseHeaders, false}},
 	} {
-		var o Order
+		var o MessageOrder
 		for _, s := range steps {
 			if err := o.Next(s.m, s.end); err != nil {
 				t.Errorf("%s: %v", name, err)
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestVerdict(t *testing.T) {
+func TestResponseOutcome(t *testing.T) {
 	for _, c := range []struct {
 		r    Response
 		want logic.Status
@@ -195,7 +195,7 @@
 		{Response{Status: 504, Details: "upstream_per_try_timeout"}, logic.StatusTimeout},
 	} {
 		c.r.MissStatus = 404
-		if got := c.r.Verdict(); got != c.want {
+		if got := c.r.Outcome(); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.r, got, c.want)
 		}
 	}
@@ -203,11 +203,11 @@
 
 // The table against a model that remembers everything: a request that must not run twice is let through again only if
 // all before it never ran, whatever calls come; and the table keeps its bound.
-func TestCallsAgainstAModel(t *testing.T) {
+func TestCallTableAgainstModel(t *testing.T) {
 	const most, remember = 8, 50 * time.Millisecond
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		c := NewCalls(most, remember)
+		c := NewCallTable(most, remember)
 		type state struct {
 			e      *Entry
 			ran    bool          // an attempt of an unsafe request may have run
@@ -228,37 +228,37 @@
 				attempt := rng.IntN(4)
 				e, replaced, d := c.Begin(id, attempt, true, false, now)
 				switch d {
-				case Fresh:
+				case DecisionNew:
 					if m.e != nil {
 						t.Fatalf("seed %d step %d: fresh while in hand", seed, step)
 					}
 					if m.ran && now < m.ranEnd+remember {
 						t.Fatalf("seed %d step %d: fresh although it may have run", seed, step)
 					}
-					if attempt > 1 && !e.Again {
+					if attempt > 1 && !e.Reused {
 						t.Fatalf("seed %d step %d: a repeat of something unknown was let through", seed, step)
 					}
 					m.e, m.ran = e, false
-				case Continue:
+				case DecisionContinue:
 					if e != m.e || m.e == nil {
 						t.Fatalf("seed %d step %d: continues another request", seed, step)
 					}
-				case Replace:
+				case DecisionReplace:
 					t.Fatalf("seed %d step %d: %v was replaced", seed, step, replaced)
 				default:
 					if e != nil {
 						t.Fatalf("seed %d step %d: an entry with %v", seed, step, d)
 					}
 				}
-			case op == 2 && m.e != nil && !m.e.Returning:
-				c.Return(m.e, now+5*time.Millisecond)
+			case op == 2 && m.e != nil && !m.e.AwaitingCaller:
+				c.AwaitCaller(m.e, now+5*time.Millisecond)
 			case op == 3 && m.e != nil:
 				ran := rng.IntN(2) == 0
 				c.End(m.e, ran, now)
 				m.e, m.ran, m.ranEnd = nil, ran, now
 			case op == 4:
-				for _, e := range c.Late(now) {
-					if !e.Returning || e.Until > now {
+				for _, e := range c.Overdue(now) {
+					if !e.AwaitingCaller || e.ExpiresAt > now {
 						t.Fatalf("seed %d step %d: %+v is not late", seed, step, e)
 					}
 					c.End(e, false, now)
@@ -274,48 +274,48 @@
 				c.End(m.e, false, now)
 			}
 		}
-		c.expire(now + time.Hour)
-		if c.Len() != 0 || len(c.back) != 0 || c.over.Len() != 0 || c.harmless.Len() != 0 {
+		c.removeExpired(now + time.Hour)
+		if c.Len() != 0 || len(c.awaiting) != 0 || c.mayHaveRun.Len() != 0 || c.neverRan.Len() != 0 {
 			t.Fatalf("seed %d: %d entries are left", seed, c.Len())
 		}
 	}
 }
 
-func TestFullTableForgetsOnlyWhatIsHarmless(t *testing.T) {
-	c := NewCalls(2, time.Minute)
+func TestFullTableRemovesOnlyEntriesThatNeverRan(t *testing.T) {
+	c := NewCallTable(2, time.Minute)
 	for i, ran := range []bool{true, false} {
 		e, _, d := c.Begin(fmt.Sprint(i), 1, true, false, 0)
-		if d != Fresh {
+		if d != DecisionNew {
 			t.Fatal(d)
 		}
 		c.End(e, ran, 0)
 	}
-	if _, _, d := c.Begin("2", 1, true, false, 0); d != Fresh {
+	if _, _, d := c.Begin("2", 1, true, false, 0); d != DecisionNew {
 		t.Errorf("%v with one that never ran to let go of", d)
 	}
-	if _, _, d := c.Begin("3", 1, true, false, 0); d != Crowded {
+	if _, _, d := c.Begin("3", 1, true, false, 0); d != DecisionTableFull {
 		t.Errorf("%v with no room", d)
 	}
-	if _, _, d := c.Begin("0", 1, true, false, 0); d != MayRun {
+	if _, _, d := c.Begin("0", 1, true, false, 0); d != DecisionMayHaveRun {
 		t.Errorf("%v for what may have run", d)
 	}
 }
 
-func TestReadsAreReplaced(t *testing.T) {
-	c := NewCalls(4, time.Minute)
+func TestRepeatedReadReplacesEarlierCall(t *testing.T) {
+	c := NewCallTable(4, time.Minute)
 	first, _, _ := c.Begin("r", 1, false, false, 0)
-	if _, _, d := c.Begin("r", 1, false, false, 0); d != InUse {
+	if _, _, d := c.Begin("r", 1, false, false, 0); d != DecisionInUse {
 		t.Errorf("the same id at once: %v", d)
 	}
-	if _, _, d := c.Begin("r", 0, false, false, 0); d != InUse {
+	if _, _, d := c.Begin("r", 0, false, false, 0); d != DecisionInUse {
 		t.Errorf("the same id at once, without a count: %v", d)
 	}
 	second, replaced, d := c.Begin("r", 2, false, false, 0)
-	if d != Replace || replaced != first {
+	if d != DecisionReplace || replaced != first {
 		t.Errorf("the caller's repeat: %v", d)
 	}
 	c.End(first, true, 0)
-	if _, _, d := c.Begin("r", 2, false, false, 0); d != InUse {
+	if _, _, d := c.Begin("r", 2, false, false, 0); d != DecisionInUse {
 		t.Errorf("after the end of what was replaced: %v", d)
 	}
 	c.End(second, true, 0)
--- a/internal/extproc/mapping.go
+++ b/internal/extproc/mapping.go
@@ -30,19 +30,19 @@
 type Mapping struct{ rules []rule }
 
 type rule struct {
-	many     bool
-	methods  []string
-	segments []string // plain, or {name}
-	rest     bool     // the last one takes the rest
-	class    string
-	key      []part
-	write    bool
+	many        bool
+	methods     []string
+	segments    []string // plain, or {name}
+	matchesRest bool     // the last one takes the rest
+	class       string
+	key         []keyPart
+	write       bool
 }
 
-// part is plain text, or the value of a segment if at >= 0.
-type part struct {
-	text string
-	at   int
+// keyPart is plain text, or the value of a segment if at >= 0.
+type keyPart struct {
+	text    string
+	segment int
 }
 
 // NewMapping compiles the entries of a file that has been checked.
@@ -56,13 +56,13 @@
 			if name, ok := operator.Segment(s); ok {
 				name, rest := strings.CutSuffix(name, "...")
 				at[name] = i
-				r.rest = rest
+				r.matchesRest = rest
 			}
 		}
 		for key := e.Key; key != ""; {
 			text, after, found := strings.Cut(key, "{")
 			if text != "" {
-				r.key = append(r.key, part{text: text, at: -1})
+				r.key = append(r.key, keyPart{text: text, segment: -1})
 			}
 			if !found {
 				break
@@ -72,7 +72,7 @@
 			if !ok {
 				return nil, fmt.Errorf("map entry %s: the path has no {%s}", e.Path, name)
 			}
-			r.key = append(r.key, part{at: i})
+			r.key = append(r.key, keyPart{segment: i})
 			key = rest
 		}
 		m.rules = append(m.rules, r)
@@ -91,7 +91,7 @@
 	for i := range m.rules {
 		r := &m.rules[i]
 		values := room[:0]
-		if !r.takes(method) {
+		if !r.hasMethod(method) {
 			continue
 		}
 		values, ok := r.match(path[1:], values)
@@ -99,13 +99,13 @@
 			continue
 		}
 		t := Target{Class: r.class, Write: r.write, Many: r.many}
-		if len(r.key) == 1 && r.key[0].at >= 0 {
-			t.Key = values[r.key[0].at]
+		if len(r.key) == 1 && r.key[0].segment >= 0 {
+			t.Key = values[r.key[0].segment]
 		} else {
 			var b strings.Builder
 			for _, p := range r.key {
-				if p.at >= 0 {
-					p.text = values[p.at]
+				if p.segment >= 0 {
+					p.text = values[p.segment]
 				}
 				b.WriteString(p.text)
 			}
@@ -116,7 +116,7 @@
 	return Target{}, false
 }
 
-func (r *rule) takes(method string) bool {
+func (r *rule) hasMethod(method string) bool {
 	for _, m := range r.methods {
 		if m == method {
 			return true
@@ -130,7 +130,7 @@
 	for i, want := range r.segments {
 		last := i == len(r.segments)-1
 		segment, rest, more := strings.Cut(path, "/")
-		if last && r.rest {
+		if last && r.matchesRest {
 			segment, more = path, false
 		}
 		if more == last { // too many segments, or too few
@@ -151,11 +151,11 @@
 	return values, true
 }
 
-// ErrSpent tells that a request's time was over before it came.
-var ErrSpent = errors.New("the time for the request is over")
+// ErrExpired tells that a request's time was over before it came.
+var ErrExpired = errors.New("the time for the request is over")
 
 // TimeLeft reads how long the client still waits from one header's value: whole or broken milliseconds, or, in
-// grpc-timeout, up to eight digits and a unit (gRPC over HTTP/2, "Requests"). A time of zero or less is ErrSpent; any
+// grpc-timeout, up to eight digits and a unit (gRPC over HTTP/2, "Requests"). A time of zero or less is ErrExpired; any
 // other error means that the value can't be read. Envoy's x-envoy-expected-rq-timeout-ms is 0 where the route has no
 // time-out, so there it bounds nothing, and a negative one, which Envoy never sends, is spent.
 func TimeLeft(name, value string) (time.Duration, error) {
@@ -165,21 +165,21 @@
 	ms, err := strconv.ParseFloat(value, 64)
 	switch {
 	case err != nil || math.IsNaN(ms) || math.IsInf(ms, 0):
-		return 0, fmt.Errorf("%s: %q is no number of milliseconds", name, cut(value))
+		return 0, fmt.Errorf("%s: %q is no number of milliseconds", name, truncate(value))
 	case ms == 0 && name == "x-envoy-expected-rq-timeout-ms":
-		return mostLeft, nil
+		return maxTimeLeft, nil
 	case ms <= 0:
-		return 0, ErrSpent
+		return 0, ErrExpired
 	}
-	return clamp(ms * float64(time.Millisecond)), nil
+	return clampDuration(ms * float64(time.Millisecond)), nil
 }
 
-// mostLeft bounds times: more than a day is as good as no bound.
-const mostLeft = 24 * time.Hour
+// maxTimeLeft bounds times: more than a day is as good as no bound.
+const maxTimeLeft = 24 * time.Hour
 
-func clamp(ns float64) time.Duration {
-	if ns > float64(mostLeft) {
-		return mostLeft
+func clampDuration(ns float64) time.Duration {
+	if ns > float64(maxTimeLeft) {
+		return maxTimeLeft
 	}
 	return time.Duration(ns)
 }
@@ -193,14 +193,14 @@
 	if n >= 2 && n <= 9 && strings.Trim(value[:n-1], "0123456789") == "" && units[value[n-1]] > 0 {
 		count, err := strconv.ParseUint(value[:n-1], 10, 64)
 		if err == nil && (count == 0 || negative) {
-			return 0, ErrSpent
+			return 0, ErrExpired
 		}
 		if err == nil {
-			return clamp(float64(count) * float64(units[value[n-1]])), nil
+			return clampDuration(float64(count) * float64(units[value[n-1]])), nil
 		}
 	}
-	return 0, fmt.Errorf("grpc-timeout: %q is not up to eight digits and one of H, M, S, m, u, n", cut(given))
+	return 0, fmt.Errorf("grpc-timeout: %q is not up to eight digits and one of H, M, S, m, u, n", truncate(given))
 }
 
-// cut bounds a text of the caller's that goes into a message.
-func cut(text string) string { return text[:min(len(text), 40)] }
+// truncate bounds a text of the caller's that goes into a message.
+func truncate(text string) string { return text[:min(len(text), 40)] }
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -272,7 +272,7 @@
 		return err
 	}
 	s.went(m)
-	v := r.Verdict()
+	v := r.Outcome()
 	if v == logic.StatusOK {
 		s.delivering, s.note = true, note
 		if s.answerMode == filterv3.ProcessingMode_NONE || m.GetResponseHeaders().GetEndOfStream() {
@@ -285,7 +285,7 @@
 	s.f.p.Do(func() {
 		if a := c.attempt; a != nil && !a.Ended() && a.Given() {
 			r.Origin = a.Origin
-			v = r.Verdict()
+			v = r.Outcome()
 			a.End(v, note)
 			s.f.p.Tell()
 		}
@@ -299,7 +299,7 @@
 		default:
 			again = true
 			c.stream = nil
-			s.f.calls.Return(c.entry, s.f.p.Now()+s.cfg.ReturnWithin.D())
+			s.f.calls.AwaitCaller(c.entry, s.f.p.Now()+s.cfg.ReturnWithin.D())
 		}
 	})
 	switch {
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -50,7 +50,7 @@
 					cfg.Known.Members[i] = see(m)
 				}
 			})
-			r.c.Retries, r.c.TryTimeout = 4, 50*time.Millisecond
+			r.c.Retries, r.c.AttemptTimeout = 4, 50*time.Millisecond
 			for i := range 12 {
 				key := fmt.Sprint("k", i)
 				fleet.Fill(key)
--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -70,10 +70,10 @@
 	r := newRig(t, newFleet(t, 1), file("route", `unmapped = "pass"`), nil).duplexed(true)
 	body := bytes.Repeat([]byte("0123456789a"), 100_000)
 	for _, chunk := range []int{0, 200_001, mostChunk, mostChunk + 1} { // longer parts come back cut
-		r.c.Chunk = chunk
+		r.c.ChunkBytes = chunk
 		res := r.do(caller.Request{Method: "POST", Path: "/else", Body: body})
-		if !res.Passed || res.Err != nil || !bytes.Equal(res.Body, body) {
-			t.Errorf("parts of %d: passed %v, %d bytes, %v; want %d", chunk, res.Passed, len(res.Body), res.Err, len(body))
+		if !res.PassedThrough || res.Err != nil || !bytes.Equal(res.Body, body) {
+			t.Errorf("parts of %d: passed %v, %d bytes, %v; want %d", chunk, res.PassedThrough, len(res.Body), res.Err, len(body))
 		}
 	}
 	r.quiet()
@@ -235,9 +235,9 @@
 	fleet.Fill("a", "b", "c", "d")
 	r := newRig(t, fleet, file("route", "fallbacks = 2"), nil)
 	r.eventually("the list is known", func() bool { return r.p.Load().Ready == 5 })
-	r.c.FallBack = true
+	r.c.UseFallbacks = true
 	var named string
-	r.c.SendAfter = func(n string) { named = n }
+	r.c.BeforeSend = func(n string) { named = n }
 	r.want(r.do(order("o", "w1")), 200, "receipt of o")
 	if bytes.Count([]byte(named), []byte(",")) != 0 {
 		t.Errorf("an order was given spares: %q", named)
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -92,7 +92,7 @@
 	if err := a.Publish(a.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
-	gate.Look()
+	gate.ReloadFiles()
 	wait("the idle connection is closed, the other is not", func() bool { return conns() == 2 })
 	if res := kiosk.Do(ctx, read("warm", "r5")); res.Status == 200 {
 		t.Error("a stream is taken on a connection whose root is gone")
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -81,7 +81,7 @@
 	health *health.Server
 
 	// Under the host's lock.
-	calls        *extproc.Calls
+	calls        *extproc.CallTable
 	streams      map[*stream]struct{}
 	conns        int
 	made         uint32 // ids made here
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	f.cfg.Store(c)
-	f.calls = extproc.NewCalls(mostCalls, c.Remember.D())
+	f.calls = extproc.NewCallTable(mostCalls, c.Remember.D())
 	if f.listen, err = bind(c.Listen); err != nil {
 		return nil, fmt.Errorf("extproc.listen: %w", err)
 	}
@@ -189,7 +189,7 @@
 		return err
 	}
 	f.cfg.Store(c)
-	f.p.Do(func() { f.calls.SetRemember(c.Remember.D()) })
+	f.p.Do(func() { f.calls.SetRetention(c.Remember.D()) })
 	return nil
 }
 
@@ -246,7 +246,7 @@
 			s.kick()
 		}
 	}
-	for _, e := range f.calls.Late(now) {
+	for _, e := range f.calls.Overdue(now) {
 		e.Owner.(*call).abandon()
 	}
 }
@@ -510,7 +510,7 @@
 
 // left is told that a stream has ended.
 func (c *call) left(s *stream) {
-	if c.stream == s && !c.entry.Returning {
+	if c.stream == s && !c.entry.AwaitingCaller {
 		c.stream = nil
 		c.abandon()
 	}
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -309,7 +309,7 @@
 	fleet := newFleet(t, 1)
 	q := caller.Request{Method: "GET", Path: "/else", Headers: map[string]string{"x-gateway-destination-endpoint": "127.0.0.1:1"}}
 	r := newRig(t, fleet, file("route", `unmapped = "pass"`), nil)
-	if res := r.do(q); !res.Passed || res.Err != nil || len(res.Members) > 0 {
+	if res := r.do(q); !res.PassedThrough || res.Err != nil || len(res.Members) > 0 {
 		t.Errorf("%+v, want it passed on", res)
 	}
 	r.quiet()
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -33,7 +33,7 @@
 	in    chan received
 	want  chan struct{} // of one token: the next message is wanted
 	over  chan struct{} // closed when Process returns
-	order extproc.Order
+	order extproc.MessageOrder
 
 	bodyMode     filterv3.ProcessingMode_BodySendMode // of the request, where the caller tells
 	answerMode   filterv3.ProcessingMode_BodySendMode // of the response
@@ -138,7 +138,7 @@
 // it; more may come, and needs nothing.
 func (s *stream) allSaid() bool {
 	if s.passed {
-		return s.order.RequestOver() && (s.answerMode != fullDuplex || s.order.ResponseOver())
+		return s.order.RequestComplete() && (s.answerMode != fullDuplex || s.order.ResponseComplete())
 	}
 	return s.delivered
 }
@@ -150,7 +150,7 @@
 	switch {
 	case idle:
 		return nil // all has been said
-	case !s.order.Begun():
+	case !s.order.RequestStarted():
 		return status.Error(codes.Unavailable, "no message came; nothing ran")
 	}
 	return status.Error(codes.DeadlineExceeded, "the stream has stood for too long")
@@ -319,7 +319,7 @@
 				continue
 			}
 			left, err := extproc.TimeLeft(name, valueOf(v))
-			if err != nil && !errors.Is(err, extproc.ErrSpent) {
+			if err != nil && !errors.Is(err, extproc.ErrExpired) {
 				return err
 			}
 			if !h.hasLeft || left < h.left {
@@ -389,7 +389,7 @@
 	if ran {
 		return s.fail("an earlier attempt may have run, and the time for the request is over")
 	}
-	return s.immediate(503, []byte(extproc.ErrSpent.Error()+"; it never ran"), "")
+	return s.immediate(503, []byte(extproc.ErrExpired.Error()+"; it never ran"), "")
 }
 
 // unsafe tells whether the request must not run twice.
@@ -485,7 +485,7 @@
 			RequestBody: &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{
 				BodyMutation: &extprocv3.BodyMutation{Mutation: &extprocv3.BodyMutation_ClearBody{ClearBody: true}}}}}})
 	}
-	if s.call != nil && s.told && s.bodyMode == filterv3.ProcessingMode_BUFFERED && !s.order.Answered() {
+	if s.call != nil && s.told && s.bodyMode == filterv3.ProcessingMode_BUFFERED && !s.order.ResponseStarted() {
 		// Only now does the caller send. The member may have begun to drain while the body came.
 		return s.again(ctx, m)
 	}
@@ -549,11 +549,11 @@
 		}
 		s.due = now + max(0, time.Until(s.deadline)) + overdue
 		switch d {
-		case extproc.Fresh, extproc.Replace:
+		case extproc.DecisionNew, extproc.DecisionReplace:
 			c := &call{f: f, entry: entry, stream: s, ended: make(chan struct{}, 1)}
 			entry.Owner, s.call = c, c
 			fault = s.submit(c, id)
-		case extproc.Continue:
+		case extproc.DecisionContinue:
 			f.counts.Returned++
 			s.call = entry.Owner.(*call)
 			s.call.stream = s
@@ -564,7 +564,7 @@
 		}
 	})
 	switch {
-	case errors.Is(fault, extproc.ErrSpent):
+	case errors.Is(fault, extproc.ErrExpired):
 		s.why = logic.OutOfTime
 		return s.refuse(0)
 	case errors.Is(fault, proxy.ErrStopping):
@@ -579,11 +579,11 @@
 		return s.denied(fault)
 	case fault != nil:
 		return s.immediate(400, []byte(fault.Error()), "")
-	case d == extproc.InUse:
+	case d == extproc.DecisionInUse:
 		return s.immediate(409, []byte("the request id belongs to another request in hand"), "")
-	case d == extproc.MayRun:
+	case d == extproc.DecisionMayHaveRun:
 		return s.fail("an earlier attempt may have run, and the request must not run twice")
-	case d == extproc.Crowded:
+	case d == extproc.DecisionTableFull:
 		s.why = reasons.HostFull
 		return s.refuse(0)
 	}
@@ -622,7 +622,7 @@
 	}
 	if left <= 0 {
 		s.drop(c)
-		return extproc.ErrSpent
+		return extproc.ErrExpired
 	}
 	attrs := make([]byte, 0, 64)
 	attrs = append(append(attrs, "c="...), s.target.Class...)
@@ -650,7 +650,7 @@
 		return s.submitMany(c)
 	}
 	err := s.f.p.Submit(&c.req)
-	if errors.Is(err, proxy.ErrInUse) && (!c.entry.Unsafe || c.entry.Again) {
+	if errors.Is(err, proxy.ErrInUse) && (!c.entry.RunOnce || c.entry.Reused) {
 		// A caller may ask again under the same id where that is harmless; members want one of its own for each.
 		s.f.made++
 		c.req.ReqID = fmt.Appendf(nil, "%s.%x", id, s.f.made)
@@ -781,7 +781,7 @@
 		s.call.abandon()
 	})
 	s.why = logic.OutOfTime
-	if ran && s.call.entry.Unsafe {
+	if ran && s.call.entry.RunOnce {
 		return s.fail("the time for the request is over")
 	}
 	return s.refuse(0)
--- a/internal/extproc/verdict.go
+++ b/internal/extproc/verdict.go
@@ -16,9 +16,9 @@
 	MissStatus   int    // the status by which a cache tells that it lacks the key
 }
 
-// Verdict names the outcome of the attempt. Where a response could stand for an attempt that ran and for one that did
+// Outcome names the outcome of the attempt. Where a response could stand for an attempt that ran and for one that did
 // not, it counts as one that may have run.
-func (r Response) Verdict() logic.Status {
+func (r Response) Outcome() logic.Status {
 	local := r.Details != "" && r.Details != "via_upstream"
 	switch {
 	case r.Overloaded:
--- a/internal/lab/extproc.go
+++ b/internal/lab/extproc.go
@@ -190,7 +190,7 @@
 				}
 				defer c.Close()
 				const deadline = 2 * time.Second
-				c.Retries, c.RetryFailed = 4, deadline/2
+				c.Retries, c.RetryFailedFor = 4, deadline/2
 				if duplex {
 					c.SetFullDuplex()
 				}
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -206,11 +206,11 @@
 // ask makes one request by one front.
 func (h *Host) ask(rc *redisClient, byRedis bool, mode, key, id string, write bool) (string, error) {
 	// The last byte of an order is held back for 2 ms; the clock has to move while it is.
-	h.Caller.SendAfter = nil
+	h.Caller.BeforeSend = nil
 	held := make(chan error, 1)
 	switch {
 	case write && mode == "route" && !byRedis:
-		h.Caller.SendAfter = func(string) { h.advance(10 * time.Millisecond) }
+		h.Caller.BeforeSend = func(string) { h.advance(10 * time.Millisecond) }
 		held <- nil
 	case write:
 		go func() {
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -75,7 +75,7 @@
 }
 
 // guarded is a proxy whose callers are proven; the kiosk may only read, and of map/ only.
-func guarded(t *testing.T, o *office, more ...any) (p *testProxy, g *callers.Gate, seen func() []string) {
+func guarded(t *testing.T, o *office, more ...any) (p *testProxy, g *callers.Authenticator, seen func() []string) {
 	t.Helper()
 	var mu sync.Mutex
 	var attrs []string
@@ -186,7 +186,7 @@
 	for round := 1; round <= 5; round++ {
 		now, next := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
 		o.publish(now, next)
-		g.Look()
+		g.ReloadFiles()
 		held := o.token(now, "shop", "")
 		try(old, "", "v")
 		try(old, ",tk="+held, "v")
@@ -195,16 +195,16 @@
 			if err := os.WriteFile(o.file, []byte(bad), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			g.Look()
+			g.ReloadFiles()
 			try(old, ",tk="+held, "v")
 		}
 		if err := os.Remove(o.file); err != nil {
 			t.Fatal(err)
 		}
-		g.Look()
+		g.ReloadFiles()
 		try(old, "", "v")
 		o.publish(next)
-		g.Look()
+		g.ReloadFiles()
 		try(old, "", "-WRONGPASS its key is retired")
 		try(old, ",tk="+held, "-WRONGPASS its key is retired")
 		old = p.dial()
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -23,7 +23,7 @@
 type door struct {
 	*testProxy
 	*standin.Authority
-	gate *callers.Gate
+	gate *callers.Authenticator
 	seen chan string // lists that members were sent
 }
 
@@ -151,7 +151,7 @@
 	if err := d.Publish(d.Roots...); err != nil {
 		t.Fatal(err)
 	}
-	d.gate.Look()
+	d.gate.ReloadFiles()
 	stays := d.enter(1, "kiosk.example")
 	for i, c := range []*testClient{idle, inHand, stays} {
 		c.send(get("a", fmt.Sprint("r", i)))
@@ -165,7 +165,7 @@
 	if err := d.Publish(d.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
-	d.gate.Look()
+	d.gate.ReloadFiles()
 	if got := idle.answer(); got != "" {
 		t.Errorf("on the idle one: %q", got)
 	}
