--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// immediate is the final answer to the caller's client. Nothing more is said on the stream.
-func (s *stream) immediate(code int, text []byte, contentType string, headers ...*corev3.HeaderValueOption) error {
+// sendImmediate is the final answer to the caller's client. Nothing more is said on the stream.
+func (s *stream) sendImmediate(code int, text []byte, contentType string, headers ...*corev3.HeaderValueOption) error {
 	if contentType == "" {
 		contentType = "text/plain"
 	}
@@ -35,17 +35,17 @@
 	if details == "" {
 		details = "turned_away"
 	}
-	if s.why != logic.NoReason {
-		details += "{" + reasons.Name(s.why) + "}"
+	if s.reason != logic.NoReason {
+		details += "{" + reasons.Name(s.reason) + "}"
 	}
-	s.f.p.Do(func() {
+	s.front.host.Do(func() {
 		switch code {
 		case 200:
-			s.f.counts.Served++
+			s.front.counts.Served++
 		case 502:
-			s.f.counts.Failed++
+			s.front.counts.Failed++
 		default:
-			s.f.counts.Refused++
+			s.front.counts.Refused++
 		}
 		if s.call != nil {
 			s.call.settle()
@@ -61,81 +61,83 @@
 	if err != nil {
 		return err
 	}
-	return errOver
+	return errStreamDone
 }
 
-// refuse says that trying again is harmless, and when. HTTP has whole seconds for that (RFC 9110 section 10.2.3); where
+// sendRefused says that trying again is harmless, and when. HTTP has whole seconds for that (RFC 9110 section 10.2.3); where
 // the module names no time, the shortest stands. What is shed for want of capacity has a status of its own, as the
 // Gateway API's endpoint pickers have it; where there is nobody to go to it is 503.
-func (s *stream) refuse(after time.Duration) error {
+func (s *stream) sendRefused(after time.Duration) error {
 	code := 503
-	switch s.why {
+	switch s.reason {
 	case logic.NoRoom, logic.NoConnection, logic.ColdBudget, logic.Throttled, logic.RetryBudget, logic.OriginLine, reasons.HostFull:
-		code = s.cfg.ShedStatus
+		code = s.config.ShedStatus
 	}
 	seconds := max(1, int((after+time.Second-1)/time.Second))
-	return s.immediate(code, []byte("refused: the request never ran\n"), "", setHeader("retry-after", strconv.Itoa(seconds)))
+	return s.sendImmediate(code, []byte("refused: the request never ran\n"), "", setHeader("retry-after", strconv.Itoa(seconds)))
 }
 
-// fail promises nothing.
-func (s *stream) fail(why string) error { return s.immediate(502, []byte("failed: "+why+"\n"), "") }
+// sendFailed promises nothing.
+func (s *stream) sendFailed(why string) error {
+	return s.sendImmediate(502, []byte("failed: "+why+"\n"), "")
+}
 
-func (s *stream) tooLong(most int) error {
-	return s.immediate(413, []byte("the body is over "+strconv.Itoa(most)+" bytes\n"), "")
+func (s *stream) sendTooLong(most int) error {
+	return s.sendImmediate(413, []byte("the body is over "+strconv.Itoa(most)+" bytes\n"), "")
 }
 
-// answer passes the host's final answer on.
-func (s *stream) answer(a *proxy.Answer) error {
-	s.why = a.Why
+// sendAnswer passes the host's final answer on.
+func (s *stream) sendAnswer(a *proxy.Answer) error {
+	s.reason = a.Why
 	switch a.Kind {
 	case proxy.Served:
 		if s.target.Many {
-			return s.immediate(200, a.Value, "application/json")
+			return s.sendImmediate(200, a.Value, "application/json")
 		}
-		return s.immediate(200, a.Value, s.cfg.ContentType)
+		return s.sendImmediate(200, a.Value, s.config.ContentType)
 	case proxy.Refused:
-		return s.refuse(a.RetryAfter)
+		return s.sendRefused(a.RetryAfter)
 	}
-	if err := s.call.req.Denied(); err != nil {
-		return s.denied(err)
+	if err := s.call.request.Denied(); err != nil {
+		return s.sendDenied(err)
 	}
 	switch a.Why {
 	case reasons.OrderInHand:
-		return s.immediate(409, []byte("an order of this key is in hand\n"), "")
+		return s.sendImmediate(409, []byte("an order of this key is in hand\n"), "")
 	case reasons.OtherOrder:
-		return s.immediate(422, []byte("the idempotency key stands for another order\n"), "")
+		return s.sendImmediate(422, []byte("the idempotency key stands for another order\n"), "")
 	case reasons.OrderHasRun:
-		return s.fail("the order has run, and its receipt is not told again here")
+		return s.sendFailed("the order has run, and its receipt is not told again here")
 	case reasons.OrderUnknown:
-		return s.fail("an earlier attempt may have run: look it up; it is not sent again")
+		return s.sendFailed("an earlier attempt may have run: look it up; it is not sent again")
 	case reasons.RecordFault, reasons.RecordBehind:
-		return s.fail("the order may have run, and could not be recorded in time")
+		return s.sendFailed("the order may have run, and could not be recorded in time")
 	}
-	return s.fail("the request may have run")
+	return s.sendFailed("the request may have run")
 }
 
-// sendTo names the member to the caller.
-func (s *stream) sendTo(d decided, body bool) error {
+// sendMember names the member to the caller.
+func (s *stream) sendMember(d decision, body bool) error {
 	kind := inHeaders
 	switch {
 	case body:
 		kind = inBody
-	case s.duplex():
+	case s.usesDuplex():
 		kind = inDuplex
 	}
-	if s.cfg.Headers.TryTimeout != "" {
-		return s.send(name(s.cfg, d.addr, d.left, kind))
+	if s.config.Headers.TryTimeout != "" {
+		return s.send(memberMessage(s.config, d.addrs, d.timeLeft, kind))
 	}
-	r, err := s.cfg.names.of(s.cfg, d.addr, kind)
+	r, err := s.config.memberMessages.get(s.config, d.addrs, kind)
 	if err != nil {
 		return err
 	}
 	return s.send(r)
 }
 
-// name names the member in the header and the metadata that the Gateway API's endpoint pickers use, and asks for no more
+// memberMessage names the member in the header and the metadata that the Gateway API's endpoint pickers use, and asks for no more
 // phases than are needed.
-func name(c *config, addr string, left time.Duration, kind int) *extprocv3.ProcessingResponse {
+func memberMessage(c *config, addr string, left time.Duration, kind int) *extprocv3.ProcessingResponse {
 	h := &c.Headers
 	set := make([]*corev3.HeaderValueOption, 1, 2)
 	set[0] = setHeader(h.Destination, addr)
@@ -143,7 +145,7 @@
 		set = append(set, setHeader(h.TryTimeout, strconv.FormatInt(max(1, left.Milliseconds()), 10)))
 	}
 	common := &extprocv3.CommonResponse{HeaderMutation: &extprocv3.HeaderMutation{SetHeaders: set}}
-	if c.proven { // the caller sends the request itself, and its token is nothing for a member
+	if c.authenticates { // the caller sends the request itself, and its token is nothing for a member
 		common.HeaderMutation.RemoveHeaders = []string{authorization}
 	}
 	r := &extprocv3.ProcessingResponse{DynamicMetadata: &structpb.Struct{Fields: map[string]*structpb.Value{
@@ -167,9 +169,9 @@
 	return r
 }
 
-// encoded makes a message of another's bytes, which are written as they are. A few messages make up most of what is
+// preEncode makes a message of another's bytes, which are written as they are. A few messages make up most of what is
 // said, and to write the metadata's maps anew for each costs as much as the rest of a call.
-func encoded(r *extprocv3.ProcessingResponse) (*extprocv3.ProcessingResponse, error) {
+func preEncode(r *extprocv3.ProcessingResponse) (*extprocv3.ProcessingResponse, error) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 	if err != nil {
 		return nil, err
@@ -179,8 +181,8 @@
 	return e, nil
 }
 
-// mostNames bounds names; members come and go, and the addresses of those gone are forgotten with all others.
-const mostNames = 4096
+// maxCachedMessages bounds names; members come and go, and the addresses of those gone are forgotten with all others.
+const maxCachedMessages = 4096
 
 // The kinds of message that names a member: the answer to the request's headers, to its body, and to its headers where
 // bodies go through here.
@@ -188,38 +190,38 @@
 	inHeaders = iota
 	inBody
 	inDuplex
-	kinds
+	kindCount
 )
 
-// names keeps the messages that name members.
-type names struct {
+// messageCache keeps the messages that name members.
+type messageCache struct {
 	mu     sync.RWMutex
-	byAddr [kinds]map[string]*extprocv3.ProcessingResponse
+	byAddr [kindCount]map[string]*extprocv3.ProcessingResponse
 }
 
-func (n *names) of(c *config, addr string, k int) (*extprocv3.ProcessingResponse, error) {
+func (n *messageCache) get(c *config, addr string, k int) (*extprocv3.ProcessingResponse, error) {
 	n.mu.RLock()
 	r := n.byAddr[k][addr]
 	n.mu.RUnlock()
 	if r != nil {
 		return r, nil
 	}
-	r, err := encoded(name(c, addr, 0, k))
+	r, err := preEncode(memberMessage(c, addr, 0, k))
 	if err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.byAddr[k] == nil || len(n.byAddr[k]) >= mostNames {
+	if n.byAddr[k] == nil || len(n.byAddr[k]) >= maxCachedMessages {
 		n.byAddr[k] = map[string]*extprocv3.ProcessingResponse{}
 	}
 	n.byAddr[k][addr] = r
 	return r, nil
 }
 
-// responseGoesOn lets a response through, marked for another attempt or with such a mark taken off: a member must not be
+// responseMessage lets a response through, marked for another attempt or with such a mark taken off: a member must not be
 // able to have the caller ask again.
-func responseGoesOn(c *operator.ExtProc, again bool) *extprocv3.ProcessingResponse {
+func responseMessage(c *operator.ExtProc, again bool) *extprocv3.ProcessingResponse {
 	mutation := &extprocv3.HeaderMutation{}
 	if again {
 		mutation.SetHeaders = []*corev3.HeaderValueOption{setHeader(c.Headers.Retry, "1")}
@@ -230,30 +232,30 @@
 		ResponseHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}}
 }
 
-// attributes is the name under which callers send attributes.
-const attributes = "envoy.filters.http.ext_proc"
+// attributesNamespace is the name under which callers send attributes.
+const attributesNamespace = "envoy.filters.http.ext_proc"
 
-// response reads what the response's headers tell of the attempt.
-func (s *stream) response(m *extprocv3.ProcessingRequest) (r extproc.Response, note int, err error) {
-	r.MissStatus = s.cfg.MissStatus
+// readResponse reads what the response's headers tell of the attempt.
+func (s *stream) readResponse(m *extprocv3.ProcessingRequest) (r extproc.Response, note int, err error) {
+	r.MissStatus = s.config.MissStatus
 	for _, v := range m.GetResponseHeaders().GetHeaders().GetHeaders() {
 		switch v.GetKey() {
 		case ":status":
-			if r.Status, err = strconv.Atoi(valueOf(v)); err != nil || r.Status < 100 || r.Status > 599 {
+			if r.Status, err = strconv.Atoi(headerValue(v)); err != nil || r.Status < 100 || r.Status > 599 {
 				return r, 0, s.invalid(":status is no status")
 			}
 		case "x-not-processed":
-			r.NotProcessed = valueOf(v) == "1"
+			r.NotProcessed = headerValue(v) == "1"
 		case "x-envoy-overloaded":
 			r.Overloaded = true
 		case "x-cache":
-			note = map[string]int{"hit": logic.NoteHit, "miss": logic.NoteMiss, "pending": logic.NoteFetched}[valueOf(v)]
+			note = map[string]int{"hit": logic.NoteHit, "miss": logic.NoteMiss, "pending": logic.NoteFetched}[headerValue(v)]
 		}
 	}
 	if r.Status == 0 {
 		return r, 0, s.invalid("response headers without :status")
 	}
-	r.Details = m.GetAttributes()[attributes].GetFields()["response.code_details"].GetStringValue()
+	r.Details = m.GetAttributes()[attributesNamespace].GetFields()["response.code_details"].GetStringValue()
 	return r, note, nil
 }
 
@@ -262,83 +264,83 @@
 func (s *stream) responseHeaders(m *extprocv3.ProcessingRequest) error {
 	c := s.call
 	switch {
-	case s.passed || c != nil && c.settled:
-		return s.continueResponse()
-	case c == nil || !s.route():
+	case s.passThrough || c != nil && c.settled:
+		return s.sendResponseContinue()
+	case c == nil || !s.routeMode():
 		return s.invalid("response headers before the request was answered")
 	}
-	r, note, err := s.response(m)
+	r, note, err := s.readResponse(m)
 	if err != nil {
 		return err
 	}
-	s.went(m)
+	s.recordServedMember(m)
 	v := r.Outcome()
 	if v == logic.StatusOK {
-		s.delivering, s.note = true, note
-		if s.answerMode == filterv3.ProcessingMode_NONE || m.GetResponseHeaders().GetEndOfStream() {
-			s.deliver()
+		s.delivering, s.outcomeNote = true, note
+		if s.responseMode == filterv3.ProcessingMode_NONE || m.GetResponseHeaders().GetEndOfStream() {
+			s.markServed()
 		}
-		return s.continueResponse()
+		return s.sendResponseContinue()
 	}
 	var final *proxy.Answer
 	var again bool
-	s.f.p.Do(func() {
+	s.front.host.Do(func() {
 		if a := c.attempt; a != nil && !a.Ended() && a.Given() {
 			r.Origin = a.Origin
 			v = r.Outcome()
 			a.End(v, note)
-			s.f.p.Tell()
+			s.front.host.Tell()
 		}
 		switch {
 		case v == logic.StatusRejected:
 			c.settle() // the member finds fault with the request itself, and says best with what
-		case c.final != nil:
-			final = c.final
-		case s.head.id == "": // it could not be known when it comes back
+		case c.finalAnswer != nil:
+			final = c.finalAnswer
+		case s.head.requestID == "": // it could not be known when it comes back
 			c.abandon()
 		default:
 			again = true
 			c.stream = nil
-			s.f.calls.AwaitCaller(c.entry, s.f.p.Now()+s.cfg.ReturnWithin.D())
+			s.front.calls.AwaitCaller(c.entry, s.front.host.Now()+s.config.ReturnWithin.D())
 		}
 	})
 	switch {
 	case final != nil:
-		return s.answer(final)
+		return s.sendAnswer(final)
 	case again:
-		return s.send(s.cfg.again)
+		return s.send(s.config.retryMessage)
 	}
-	return s.continueResponse()
+	return s.sendResponseContinue()
 }
 
-// continueResponse lets a response go on.
-func (s *stream) continueResponse() error {
-	if s.passed {
+// sendResponseContinue lets a response go on.
+func (s *stream) sendResponseContinue() error {
+	if s.passThrough {
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
 			ResponseHeaders: &extprocv3.HeadersResponse{}}})
 	}
-	return s.send(s.cfg.going)
+	return s.send(s.config.continueMessage)
 }
 
-// deliver ends the attempt whose answer the caller has: the request is served.
-func (s *stream) deliver() {
+// markServed ends the attempt whose answer the caller has: the request is served.
+func (s *stream) markServed() {
 	s.delivering = false
-	s.f.p.Do(func() {
+	s.front.host.Do(func() {
 		c := s.call
 		if c.settled {
 			return
 		}
 		if c.attempt != nil && c.attempt.Given() {
-			if s.elsewhere {
+			if s.servedElsewhere {
 				c.attempt.DeliverElsewhere()
 			} else {
-				c.attempt.Deliver(s.note)
+				c.attempt.Deliver(s.outcomeNote)
 			}
 		}
-		s.f.counts.Served++
+		s.front.counts.Served++
 		c.settle()
 		s.delivered = true
-		s.idle = s.out == nil // else the end of the body has yet to go back
-		s.due = s.f.p.Now() + firstMessage
+		s.idle = s.outbox == nil // else the end of the body has yet to go back
+		s.expiresAt = s.front.host.Now() + firstMessageTimeout
 	})
 }
--- a/internal/extproc/server/bench_test.go
+++ b/internal/extproc/server/bench_test.go
@@ -17,30 +17,30 @@
 	"linenloom/internal/standin"
 )
 
-// script is a caller's end of a stream without gRPC: what it asks is given, what it is told is dropped.
-type script struct {
+// scriptedStream is a caller's end of a stream without gRPC: what it asks is given, what it is told is dropped.
+type scriptedStream struct {
 	grpc.ServerStream
-	ctx  context.Context
-	asks []*extprocv3.ProcessingRequest
-	turn chan struct{} // of one token: the next may be asked
+	ctx      context.Context
+	requests []*extprocv3.ProcessingRequest
+	readNext chan struct{} // of one token: the next may be asked
 }
 
-func (s *script) Context() context.Context { return s.ctx }
+func (s *scriptedStream) Context() context.Context { return s.ctx }
 
-func (s *script) Recv() (*extprocv3.ProcessingRequest, error) {
-	<-s.turn
-	if len(s.asks) == 0 {
+func (s *scriptedStream) Recv() (*extprocv3.ProcessingRequest, error) {
+	<-s.readNext
+	if len(s.requests) == 0 {
 		return nil, io.EOF
 	}
-	m := s.asks[0]
-	s.asks = s.asks[1:]
+	m := s.requests[0]
+	s.requests = s.requests[1:]
 	return m, nil
 }
 
-func (s *script) SendHeader(metadata.MD) error { return nil }
+func (s *scriptedStream) SendHeader(metadata.MD) error { return nil }
 
-func (s *script) Send(*extprocv3.ProcessingResponse) error {
-	s.turn <- struct{}{}
+func (s *scriptedStream) Send(*extprocv3.ProcessingResponse) error {
+	s.readNext <- struct{}{}
 	return nil
 }
 
@@ -55,7 +55,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	op, err := operator.Parse("bench", []byte(file("route", "")))
+	op, err := operator.Parse("bench", []byte(operatorFile("route", "")))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -77,11 +77,11 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		s := &script{ctx: context.Background(), turn: make(chan struct{}, 2)}
-		s.asks = []*extprocv3.ProcessingRequest{{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
+		s := &scriptedStream{ctx: context.Background(), readNext: make(chan struct{}, 2)}
+		s.requests = []*extprocv3.ProcessingRequest{{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
 			RequestHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: headerMap(":method", "GET",
 				":path", "/tiles/k", "x-request-id", fmt.Sprint(i), "x-envoy-attempt-count", "1")}}}, response}
-		s.turn <- struct{}{}
+		s.readNext <- struct{}{}
 		if err := f.Process(s); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -14,7 +14,7 @@
 // What happens, in mode route: the caller gives a try up while it is under way to a member that is far, and asks for another one; that is made at a
 // member that is near. The first one comes while the near one has the second in hand. A caller keeps connections and opens new ones as it likes, so
 // the first message on one counts as well: it comes later by a handshake.
-func TestRouteHasOneCopyAtATime(t *testing.T) {
+func TestRouteModeHasOneCopyAtATime(t *testing.T) {
 	for name, handshake := range map[string]time.Duration{"on connections that stand": 0, "on new connections": 90 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -39,7 +39,7 @@
 			for _, b := range fleet.Boxes {
 				b.SetService(45*time.Millisecond, 0)
 			}
-			r := newRig(t, fleet, file("route", ""), func(cfg *proxy.Config) {
+			r := newHarness(t, fleet, operatorFile("route", ""), func(cfg *proxy.Config) {
 				see := func(m discovery.Member) discovery.Member { m.HostPort = at[m.ID]; return m }
 				view, err := fleet.Registry.View(see)
 				if err != nil {
@@ -50,11 +50,11 @@
 					cfg.Known.Members[i] = see(m)
 				}
 			})
-			r.c.Retries, r.c.AttemptTimeout = 4, 50*time.Millisecond
+			r.caller.Retries, r.caller.AttemptTimeout = 4, 50*time.Millisecond
 			for i := range 12 {
 				key := fmt.Sprint("k", i)
 				fleet.Fill(key)
-				r.do(read(key, "id"+key))
+				r.do(readRequest(key, "id"+key))
 			}
 			all, further := copies.Attempts()
 			if further == 0 {
--- a/internal/extproc/server/givenup_test.go
+++ b/internal/extproc/server/givenup_test.go
@@ -12,7 +12,7 @@
 
 // An order that may have run and can't be tried again is answered on its outcome, in both modes: no response is marked
 // for an attempt that nobody will make, and the module's clock has not come near the order's aim.
-func TestGivenUpOrderNeedsNoFurtherRound(t *testing.T) {
+func TestUnrepeatableOrderIsAnsweredAtOnce(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		for name, fault := range map[string]func(*standin.Fleet){
 			"500":   func(f *standin.Fleet) { f.Origin.SetFault(standin.Failing) },
@@ -22,11 +22,11 @@
 				fleet := newFleet(t, 3)
 				fault(fleet)
 				var now atomic.Int64
-				r := newRig(t, fleet, file(mode, ""), func(c *proxy.Config) {
+				r := newHarness(t, fleet, operatorFile(mode, ""), func(c *proxy.Config) {
 					c.Clock = func() time.Duration { return time.Duration(now.Load()) }
 				})
-				r.c.Retries = 5
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				r.caller.Retries = 5
+				ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 				defer cancel()
 				ended := make(chan struct{})
 				go func() {
@@ -37,14 +37,14 @@
 							return
 						case <-time.After(time.Millisecond):
 							now.Add(int64(time.Millisecond))
-							r.p.Tick()
+							r.host.Tick()
 						}
 					}
 				}()
-				res := r.c.Do(ctx, order("p", "1"))
+				res := r.caller.Do(ctx, orderRequest("p", "1"))
 				cancel()
 				<-ended
-				r.want(res, 502, "may have run")
+				r.expect(res, 502, "may have run")
 				if res.Attempts != 1 || fleet.Origin.Executions()["p"] != 1 {
 					t.Errorf("%d calls of the processor, %d executions, want 1 and 1", res.Attempts, fleet.Origin.Executions()["p"])
 				}
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -21,9 +21,9 @@
 )
 
 // start makes a request in the background; the result comes on the channel.
-func (r *rig) start(ctx context.Context, q caller.Request) <-chan caller.Result {
+func (r *harness) start(ctx context.Context, q caller.Request) <-chan caller.Result {
 	out := make(chan caller.Result, 1)
-	go func() { out <- r.c.Do(ctx, q) }()
+	go func() { out <- r.caller.Do(ctx, q) }()
 	return out
 }
 
@@ -31,47 +31,47 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("never came about: %s", what)
 	}
 	return v
 }
 
 // An order that the caller repeats by itself, after it has left a call whose attempt may have run, fails.
-func TestOrderRepeatedByTheCaller(t *testing.T) {
+func TestOrderRepeatedByCaller(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newRig(t, fleet, file(mode, ""), nil)
+			r := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			fleet.Origin.SetFault(standin.Stall)
 			ctx, leave := context.WithCancel(context.Background())
-			first := r.start(ctx, order("o1", "w1"))
+			first := r.start(ctx, orderRequest("o1", "w1"))
 			r.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
 			// While the first is in hand: the same id from elsewhere, and the caller's own repeat.
-			r.want(r.do(order("o1", "w1")), 409, "in hand")
-			q := order("o1", "w1")
+			r.expect(r.do(orderRequest("o1", "w1")), 409, "in hand")
+			q := orderRequest("o1", "w1")
 			q.Headers["x-envoy-attempt-count"] = "2"
-			r.want(r.do(q), 502, "may have run")
+			r.expect(r.do(q), 502, "may have run")
 			leave()
 			await(t, first, "the first call ends")
-			r.eventually("its stream has ended", func() bool { return r.f.Counts().Streams == 0 })
-			r.want(r.do(q), 502, "may have run")
-			r.want(r.do(order("o1", "w1")), 502, "may have run")
+			r.eventually("its stream has ended", func() bool { return r.front.Counts().Streams == 0 })
+			r.expect(r.do(q), 502, "may have run")
+			r.expect(r.do(orderRequest("o1", "w1")), 502, "may have run")
 			// A processor that does not know the id can't tell what the attempts before did.
-			q = order("o2", "w2")
+			q = orderRequest("o2", "w2")
 			q.Headers["x-envoy-attempt-count"] = "3"
-			r.want(r.do(q), 502, "may have run")
+			r.expect(r.do(q), 502, "may have run")
 			// Nor can one be called refused whose time is over.
 			q.Headers["grpc-timeout"] = "0m"
-			r.want(r.do(q), 502, "may have run")
-			q = order("o3", "w3")
+			r.expect(r.do(q), 502, "may have run")
+			q = orderRequest("o3", "w3")
 			q.Headers["grpc-timeout"] = "0m"
-			r.want(r.do(q), 503, "never ran")
+			r.expect(r.do(q), 503, "never ran")
 			if n := fleet.Origin.Began(); n != 1 {
 				t.Errorf("the origin saw %d orders, want 1", n)
 			}
 			fleet.Origin.Close() // so that the attempt ends
-			r.quiet()
+			r.waitIdle()
 		})
 	}
 }
@@ -79,11 +79,11 @@
 // An order that was refused has never run: its repeat is served.
 func TestRefusedOrderMayBeRepeated(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newRig(t, fleet, file("answer", ""), nil)
+	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	fleet.Origin.SetFault(standin.Busy)
-	r.want(r.do(order("o1", "w1")), 503, "never ran")
+	r.expect(r.do(orderRequest("o1", "w1")), 503, "never ran")
 	fleet.Origin.SetFault(standin.Healthy)
-	q := order("o1", "w1")
+	q := orderRequest("o1", "w1")
 	q.Headers["x-envoy-attempt-count"] = "2"
 	r.eventually("the origin is used again", func() bool {
 		q.Headers["x-request-id"] = "w1"
@@ -92,57 +92,57 @@
 	if n := fleet.Origin.Executions()["o1"]; n != 1 {
 		t.Errorf("%d executions", n)
 	}
-	r.quiet()
+	r.waitIdle()
 }
 
 // A read that the caller has given up and asks for again is served; the call before is let go of.
-func TestReadRepeatedByTheCaller(t *testing.T) {
+func TestReadRepeatedByCaller(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newRig(t, fleet, file("answer", ""), nil)
+	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	fleet.Fill("k")
 	fleet.Boxes[0].SetFault(standin.Stall)
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
-	first := r.start(ctx, read("k", "r1"))
+	first := r.start(ctx, readRequest("k", "r1"))
 	r.eventually("the read is at the box", func() bool { return fleet.Boxes[0].Began() == 1 })
-	r.want(r.do(read("k", "r1")), 409, "in hand") // another caller's
+	r.expect(r.do(readRequest("k", "r1")), 409, "in hand") // another caller's
 	fleet.Boxes[0].SetFault(standin.Healthy)
-	q := read("k", "r1")
+	q := readRequest("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	r.want(r.do(q), 200, "value of k")
+	r.expect(r.do(q), 200, "value of k")
 	leave()
 	await(t, first, "the first call ends")
 	fleet.Boxes[0].Close()
-	r.quiet()
+	r.waitIdle()
 }
 
 // Whatever becomes of a caller, nothing stays in hand.
-func TestCallersThatVanish(t *testing.T) {
+func TestCallersThatDisconnect(t *testing.T) {
 	const vanish = 10 // what the module lets out to two boxes that it knows nothing of
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 2)
-			r := newRig(t, fleet, file(mode, ""), nil)
+			r := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			for _, b := range fleet.Boxes {
 				b.SetFault(standin.Stall)
 			}
 			ctx, leave := context.WithCancel(context.Background())
 			var calls []<-chan caller.Result
 			for i := range vanish {
-				calls = append(calls, r.start(ctx, read(fmt.Sprint("k", i), fmt.Sprint("r", i))))
+				calls = append(calls, r.start(ctx, readRequest(fmt.Sprint("k", i), fmt.Sprint("r", i))))
 			}
-			r.eventually("all are in hand", func() bool { return r.f.Counts().Taken == vanish && r.f.Counts().Calls == vanish })
+			r.eventually("all are in hand", func() bool { return r.front.Counts().Accepted == vanish && r.front.Counts().Calls == vanish })
 			leave()
 			for _, c := range calls {
 				await(t, c, "a call ends")
 			}
 			// At once, and not only when their time is up: the boxes still hold what they were sent.
-			r.eventually("all are given up", func() bool { return r.f.Counts().Abandoned == vanish })
+			r.eventually("all are given up", func() bool { return r.front.Counts().Abandoned == vanish })
 			for _, b := range fleet.Boxes {
 				b.Close()
 			}
-			r.quiet()
-			for _, row := range r.p.Reasons().Rows() {
+			r.waitIdle()
+			for _, row := range r.host.Reasons().Rows() {
 				if row.Outcome != reasons.Waited {
 					t.Errorf("%d requests that nobody waited for were %v: %s", row.Count, row.Outcome, reasons.Name(row.Reason))
 				}
@@ -151,13 +151,13 @@
 	}
 	// In mode route, a caller that is asked to come again and does not.
 	fleet := newFleet(t, 2)
-	r := newRig(t, fleet, file("route", ""), nil)
-	r.c.Retries = 0
-	if res := r.do(read("cold", "r1")); res.Status != 404 {
+	r := newHarness(t, fleet, operatorFile("route", ""), nil)
+	r.caller.Retries = 0
+	if res := r.do(readRequest("cold", "r1")); res.Status != 404 {
 		t.Errorf("%+v, want the box's miss", res)
 	}
-	r.quiet()
-	if c := r.f.Counts(); c.Abandoned != 1 || c.Calls != 0 {
+	r.waitIdle()
+	if c := r.front.Counts(); c.Abandoned != 1 || c.Calls != 0 {
 		t.Errorf("%+v, want one call given up and none known", c)
 	}
 }
@@ -167,8 +167,8 @@
 	const most = 8
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("answer", fmt.Sprintf("max_streams = %d", most)), nil)
-	client := extprocv3.NewExternalProcessorClient(r.c.Conn(0))
+	r := newHarness(t, fleet, operatorFile("answer", fmt.Sprintf("max_streams = %d", most)), nil)
+	client := extprocv3.NewExternalProcessorClient(r.caller.Conn(0))
 	ended := make(chan codes.Code, 2000)
 	for range 2000 {
 		go func() {
@@ -184,22 +184,22 @@
 	if code := await(t, ended, "one is turned away"); code != codes.Unavailable {
 		t.Errorf("the first to end ended with %v", code)
 	}
-	if c := r.f.Counts(); c.Streams > most {
+	if c := r.front.Counts(); c.Streams > most {
 		t.Errorf("%d streams, %d at most", c.Streams, most)
 	}
 	r.eventually("all have ended", func() bool {
-		c := r.f.Counts()
-		return c.Streams == 0 && c.Taken+c.Unavailable == 2000
+		c := r.front.Counts()
+		return c.Streams == 0 && c.Accepted+c.Unavailable == 2000
 	})
-	r.want(r.do(read("k", "r1")), 200, "value of k")
-	r.quiet()
+	r.expect(r.do(readRequest("k", "r1")), 200, "value of k")
+	r.waitIdle()
 }
 
 // A body without end is cut off at the longest value.
 func TestEndlessBody(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newRig(t, fleet, file("answer", ""), nil)
-	s, err := extprocv3.NewExternalProcessorClient(r.c.Conn(0)).Process(context.Background())
+	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
+	s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 			break
 		}
 	}
-	r.quiet()
+	r.waitIdle()
 	if fleet.Origin.Began() != 0 {
 		t.Error("an order without end reached the origin")
 	}
@@ -234,14 +234,14 @@
 func TestDrainBetweenPickAndSend(t *testing.T) {
 	fleet := newFleet(t, 2)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("route", `
+	r := newHarness(t, fleet, operatorFile("route", `
 [[extproc.map]]
 methods = ["POST"]
 path = "/tiles/{key}"
 class = "tile-read"
 `), nil)
-	r.eventually("the list is known", func() bool { return r.p.Load().Ready == 3 })
-	s, err := extprocv3.NewExternalProcessorClient(r.c.Conn(0)).Process(context.Background())
+	r.eventually("the list is known", func() bool { return r.host.Load().Ready == 3 })
+	s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +270,7 @@
 		t.Errorf("metadata %v, want %s", meta, first)
 	}
 	fleet.Drain(fleet.Boxes[i])
-	r.eventually("the drain is known", func() bool { return r.p.Load().Ready == 2 })
+	r.eventually("the drain is known", func() bool { return r.host.Load().Ready == 2 })
 	s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: []byte("q"), EndOfStream: true}}})
 	if m, err = s.Recv(); err != nil {
@@ -285,19 +285,19 @@
 		t.Fatal(err)
 	}
 	s.CloseSend()
-	r.quiet()
+	r.waitIdle()
 }
 
 // The same between two calls: what the module has named and the caller has not fetched yet is named anew.
-func TestDrainBeforeTheCallerComesBack(t *testing.T) {
+func TestDrainBeforeCallerRetries(t *testing.T) {
 	fleet := newFleet(t, 3)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("route", `return_within = "10s"`), nil)
-	r.eventually("the list is known", func() bool { return r.p.Load().Ready == 4 })
+	r := newHarness(t, fleet, operatorFile("route", `return_within = "10s"`), nil)
+	r.eventually("the list is known", func() bool { return r.host.Load().Ready == 4 })
 	for _, b := range fleet.Boxes {
 		b.SetFault(standin.Busy)
 	}
-	res := r.do(read("k", "r1"))
+	res := r.do(readRequest("k", "r1"))
 	if res.Status != 503 || len(r.sent()) != 2 {
 		t.Fatalf("%+v after %d choices, want a box's 503 and the next choice made", res, len(r.sent()))
 	}
@@ -308,15 +308,15 @@
 			fleet.Drain(b)
 		}
 	}
-	r.eventually("the drain is known", func() bool { return r.p.Load().Ready == 3 })
-	q := read("k", "r1")
+	r.eventually("the drain is known", func() bool { return r.host.Load().Ready == 3 })
+	q := readRequest("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
 	res = r.do(q)
-	r.want(res, 200, "value of k")
+	r.expect(res, 200, "value of k")
 	if last := r.sent()[len(r.sent())-1]; last == next {
 		t.Error("sent to the member that drains")
 	}
-	r.quiet()
+	r.waitIdle()
 }
 
 // SIGTERM under load, as the host sees it: streams in hand are answered, later ones go to a second processor.
@@ -325,8 +325,8 @@
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 4)
 			fleet.Fill("k0", "k1", "k2", "k3", "k4", "k5", "k6", "k7")
-			a := newRig(t, fleet, file(mode, ""), nil)
-			b := newRig(t, fleet, file(mode, ""), nil)
+			a := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			b := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			c := dial(t, a, b)
 			c.Retries = 4
 			var g sync.WaitGroup
@@ -340,11 +340,11 @@
 							return
 						default:
 						}
-						q := read(fmt.Sprint("k", i%8), fmt.Sprintf("r%d-%d", w, i))
+						q := readRequest(fmt.Sprint("k", i%8), fmt.Sprintf("r%d-%d", w, i))
 						if i%10 == 9 {
-							q = order(fmt.Sprintf("o%d-%d", w, i), fmt.Sprintf("w%d-%d", w, i))
+							q = orderRequest(fmt.Sprintf("o%d-%d", w, i), fmt.Sprintf("w%d-%d", w, i))
 						}
-						ctx, cancel := context.WithTimeout(context.Background(), patience)
+						ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 						if res := c.Do(ctx, q); res.Status == 200 || res.Status == 503 || res.Status == 429 {
 							n.Add(1)
 						} else if bad.Add(1) < 5 {
@@ -354,10 +354,10 @@
 					}
 				})
 			}
-			a.eventually("the first serves", func() bool { return a.f.Counts().Taken > 100 })
-			a.end()
-			before := b.f.Counts().Taken
-			b.eventually("the second serves", func() bool { return b.f.Counts().Taken > before+100 })
+			a.eventually("the first serves", func() bool { return a.front.Counts().Accepted > 100 })
+			a.stopAndWait()
+			before := b.front.Counts().Accepted
+			b.eventually("the second serves", func() bool { return b.front.Counts().Accepted > before+100 })
 			close(stop)
 			g.Wait()
 			for key, ran := range fleet.Origin.Executions() {
@@ -365,7 +365,7 @@
 					t.Errorf("order %s ran %d times", key, ran)
 				}
 			}
-			b.quiet()
+			b.waitIdle()
 		})
 	}
 }
--- a/internal/extproc/server/identity.go
+++ b/internal/extproc/server/identity.go
@@ -9,12 +9,12 @@
 // authorization is the header that a token comes in (RFC 6750, section 2.1).
 const authorization = "authorization"
 
-// identify proves who a call is from, where callers are proven. The tenant is the proven one, whatever the headers say, and so is the
+// authenticate proves who a call is from, where callers are proven. The tenant is the proven one, whatever the headers say, and so is the
 // tenant's part in the request's id: nobody takes up, repeats or blocks another's call by naming its id. The token goes no further:
 // where the caller makes the exchange itself, it is told to take the header out (name). A call that comes back for its next attempt
 // has to bring a token that holds too; the attempt goes by the proof that the request was taken by.
-func (s *stream) identify() error {
-	by := s.f.p.Callers()
+func (s *stream) authenticate() error {
+	by := s.front.host.Callers()
 	if by == nil {
 		return nil
 	}
@@ -22,7 +22,7 @@
 	scheme, token, _ := strings.Cut(h.authorization, " ")
 	given := h.authorization != ""
 	h.authorization, h.tenant = "", ""
-	p := s.byCertificate()
+	p := s.certificateProof()
 	switch {
 	case !given && p != nil: // a token wins over the connection's certificate; a header that is none does not leave it in force
 	case !strings.EqualFold(scheme, "Bearer") || token == "":
@@ -31,29 +31,29 @@
 		// Callers share connections, so none can be told from another by the bad tokens that it has shown: all go by the half of
 		// the checks that is open to everybody.
 		var err error
-		if p, err = by.Prove([]byte(token), s.from(), true); err != nil {
+		if p, err = by.Prove([]byte(token), s.remoteIP(), true); err != nil {
 			return err
 		}
 	}
 	s.proof, h.tenant = p, p.Tenant
-	if h.id != "" {
-		h.id = p.Tenant + "/" + h.id
+	if h.requestID != "" {
+		h.requestID = p.Tenant + "/" + h.requestID
 	}
 	return nil
 }
 
-// denied answers a caller that is turned away (RFC 6750, section 3.1; RFC 6585, section 4). Only what was not looked at may come
+// sendDenied answers a caller that is turned away (RFC 6750, section 3.1; RFC 6585, section 4). Only what was not looked at may come
 // again as it is.
-func (s *stream) denied(err error) error {
+func (s *stream) sendDenied(err error) error {
 	switch identity.WhyOf(err) {
 	case identity.Overload:
-		return s.immediate(503, []byte(err.Error()), "", setHeader("retry-after", "1"))
+		return s.sendImmediate(503, []byte(err.Error()), "", setHeader("retry-after", "1"))
 	case identity.Rate:
-		return s.immediate(429, []byte(err.Error()), "")
+		return s.sendImmediate(429, []byte(err.Error()), "")
 	case identity.Right, identity.Replayed:
-		return s.immediate(403, []byte(err.Error()), "")
+		return s.sendImmediate(403, []byte(err.Error()), "")
 	case identity.Unproven:
-		return s.immediate(401, []byte(err.Error()), "", setHeader("www-authenticate", "Bearer"))
+		return s.sendImmediate(401, []byte(err.Error()), "", setHeader("www-authenticate", "Bearer"))
 	}
-	return s.immediate(401, []byte(err.Error()), "", setHeader("www-authenticate", `Bearer error="invalid_token"`))
+	return s.sendImmediate(401, []byte(err.Error()), "", setHeader("www-authenticate", `Bearer error="invalid_token"`))
 }
--- a/internal/extproc/server/leave_test.go
+++ b/internal/extproc/server/leave_test.go
@@ -12,7 +12,7 @@
 
 // A caller that leaves while its order waits for a connection to the origin has had none: it is not sent once the connection is up, and
 // the caller's repeat is a new order.
-func TestCallerLeavesBeforeTheConnectionIsUp(t *testing.T) {
+func TestCallerDisconnectsBeforeOriginConnects(t *testing.T) {
 	fleet := newFleet(t, 1)
 	door, err := standin.NewDoor()
 	if err != nil {
@@ -21,13 +21,13 @@
 	t.Cleanup(func() { door.Close() })
 	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
-	r := newRig(t, fleet, file("answer", ""), nil)
+	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	ctx, leave := context.WithCancel(context.Background())
-	left := r.start(ctx, order("o1", "left"))
-	r.eventually("it is in hand", func() bool { return r.p.Load().Attempts == 1 })
+	left := r.start(ctx, orderRequest("o1", "left"))
+	r.eventually("it is in hand", func() bool { return r.host.Load().Attempts == 1 })
 	leave()
 	await(t, left, "the call ends")
-	r.eventually("nothing is in hand", func() bool { l := r.p.Load(); return l.Requests == 0 && l.Attempts == 0 })
+	r.eventually("nothing is in hand", func() bool { l := r.host.Load(); return l.Requests == 0 && l.Attempts == 0 })
 	asked := make(chan string, 10)
 	door.Serve(func(conn net.Conn) {
 		standin.AnswerAsOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
@@ -35,9 +35,9 @@
 			return "receipt"
 		})
 	})
-	q := order("o1", "left")
+	q := orderRequest("o1", "left")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	r.want(r.do(q), 200, "receipt")
+	r.expect(r.do(q), 200, "receipt")
 	await(t, asked, "the repeat comes")
 	if n := len(asked); n != 0 {
 		t.Errorf("%d orders too many came to the origin", n)
--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// manyBytes is how many bytes the values of a reply may have here: it is put together under the host's lock.
-	manyBytes = 512 << 10
-	// mostKeyText is how long the keys may be together.
-	mostKeyText = 64 << 10
+	// maxReplyBytes is how many bytes the values of a reply may have here: it is put together under the host's lock.
+	maxReplyBytes = 512 << 10
+	// maxKeyBytes is how long the keys may be together.
+	maxKeyBytes = 64 << 10
 )
 
 // manyCall gathers the reply to a call for many keys (docs/many-keys.md).
 type manyCall struct {
-	c    *call
-	many *proxy.Many
-	keys []told
-	held int
+	call      *call
+	many      *proxy.Many
+	keys      []keyResult
+	heldBytes int
 }
 
-// told is what the reply says of a key: its value, in base64 as JSON has it, or its mark.
-type told struct {
+// keyResult is what the reply says of a key: its value, in base64 as JSON has it, or its mark.
+type keyResult struct {
 	Key        string `json:"key"`
 	Value      []byte `json:"value"`
 	Mark       string `json:"mark,omitempty"`
@@ -37,22 +37,22 @@
 
 // submitMany hands a call for many keys to the host, under its lock.
 func (s *stream) submitMany(c *call) error {
-	m := &manyCall{c: c}
-	command := c.req.Command
+	m := &manyCall{call: c}
+	command := c.request.Command
 	command.Key = nil
-	many, err := s.f.p.SubmitMany(command, strings.Split(s.target.Key, ","), s.proof, "extproc", manyBytes, m)
+	many, err := s.front.host.SubmitMany(command, strings.Split(s.target.Key, ","), s.proof, "extproc", maxReplyBytes, m)
 	if err != nil {
-		s.drop(c)
+		s.discardCall(c)
 		return err
 	}
 	m.many, c.many = many, m
-	m.keys = make([]told, many.Gather.Len())
+	m.keys = make([]keyResult, many.Gather.Len())
 	return nil
 }
 
 // Told takes what became of a key.
 func (m *manyCall) Told(k int, mark manykeys.Outcome, a proxy.Answer, _ error) {
-	t := told{Key: m.many.Gather.Key(k)}
+	t := keyResult{Key: m.many.Gather.Key(k)}
 	switch mark {
 	case manykeys.Served:
 		t.Value = slices.Clone(a.Value)
@@ -70,32 +70,32 @@
 // Over gives the call its one answer, in the order asked.
 func (m *manyCall) Over() {
 	var reply struct {
-		Keys []told `json:"keys"`
+		Keys []keyResult `json:"keys"`
 	}
 	for _, k := range m.many.Gather.KeyIndexes() {
 		reply.Keys = append(reply.Keys, m.keys[k])
 	}
 	body, err := json.Marshal(reply)
-	m.release()
+	m.releaseValues()
 	if err != nil { // nothing of it can't be written as JSON
-		m.c.Answer(proxy.Answer{Kind: proxy.Failed})
+		m.call.Answer(proxy.Answer{Kind: proxy.Failed})
 		return
 	}
-	m.c.Answer(proxy.Answer{Kind: proxy.Served, Value: body})
+	m.call.Answer(proxy.Answer{Kind: proxy.Served, Value: body})
 }
 
 func (m *manyCall) hold(n int) {
-	m.held += n
-	m.c.f.p.Hold(n)
+	m.heldBytes += n
+	m.call.front.host.Hold(n)
 }
 
-func (m *manyCall) release() {
-	m.hold(-m.held)
+func (m *manyCall) releaseValues() {
+	m.hold(-m.heldBytes)
 	m.keys = nil
 }
 
-// leave gives up what is out.
-func (m *manyCall) leave() {
-	m.release()
+// withdraw gives up what is out.
+func (m *manyCall) withdraw() {
+	m.releaseValues()
 	m.many.Withdraw()
 }
--- a/internal/extproc/server/many_test.go
+++ b/internal/extproc/server/many_test.go
@@ -26,27 +26,27 @@
 
 // A call for many keys has one answer, in the order asked; a caller without the right to some is told so of each, and what is wrong
 // with the whole is told once.
-func TestManyKeysOfACall(t *testing.T) {
+func TestManyKeysCall(t *testing.T) {
 	fleet := newFleet(t, 3)
 	var keys []string
 	for i := range 12 {
 		keys = append(keys, fmt.Sprint("k", i))
 	}
 	fleet.Fill(keys...)
-	n := newProvers()
+	n := newFakeCallers()
 	n.policy = identity.NewPolicy([]identity.Rights{{Tenant: "kiosk", Prefixes: []string{"k1"}}, {Tenant: "shop"}}, nil)
-	r := newRig(t, fleet, file("answer", "")+manyMap, func(c *proxy.Config) {
+	r := newHarness(t, fleet, operatorFile("answer", "")+manyMap, func(c *proxy.Config) {
 		c.ManyKeys = &manykeys.Limits{Keys: 20, Bytes: 1 << 20, Outstanding: 8, PartSize: 2}
 		c.Callers = n
 	})
 	get := func(as, id string, keys ...string) caller.Result {
-		return r.c.Do(context.Background(), by(as, caller.Request{Method: "GET", Path: "/mountain/" + strings.Join(keys, ","),
+		return r.caller.Do(context.Background(), withToken(as, caller.Request{Method: "GET", Path: "/mountain/" + strings.Join(keys, ","),
 			Headers: map[string]string{"x-request-id": id}}))
 	}
-	read := func(res caller.Result) (all []told) {
+	read := func(res caller.Result) (all []keyResult) {
 		t.Helper()
 		var reply struct {
-			Keys []told `json:"keys"`
+			Keys []keyResult `json:"keys"`
 		}
 		if err := json.Unmarshal(res.Body, &reply); err != nil || res.Status != 200 || res.Headers["content-type"] != "application/json" {
 			t.Fatalf("%d %v %v: %v: %s", res.Status, res.Err, res.Headers, err, res.Body)
@@ -81,23 +81,23 @@
 			t.Errorf("%s: %d %s", name, c.res.Status, c.res.Body)
 		}
 	}
-	r.p.Do(func() {
-		if c := r.f.calls.Len(); c > 0 {
+	r.host.Do(func() {
+		if c := r.front.calls.Len(); c > 0 {
 			t.Logf("%d calls are remembered", c)
 		}
 	})
-	if load := r.p.Load(); load.Requests+load.Held > 0 {
+	if load := r.host.Load(); load.Requests+load.Held > 0 {
 		t.Errorf("%+v is left", load)
 	}
 }
 
 // What an entry for many keys can't be is told by line.
-func TestManyKeysEntries(t *testing.T) {
+func TestManyKeysEntryErrors(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"route":        {file("route", "") + manyMap, "in mode route"},
-		"a write":      {strings.Replace(file("answer", "")+manyMap, "many = true", "many = true\nwrite = true", 1), "a write has one key"},
-		"not set":      {strings.Replace(file("answer", "")+manyMap, "[many_keys]", "", 1), "no [many_keys]"},
-		"out of range": {file("answer", "") + manyMap + "keys = 0\n", "many_keys.keys is 0"},
+		"route":        {operatorFile("route", "") + manyMap, "in mode route"},
+		"a write":      {strings.Replace(operatorFile("answer", "")+manyMap, "many = true", "many = true\nwrite = true", 1), "a write has one key"},
+		"not set":      {strings.Replace(operatorFile("answer", "")+manyMap, "[many_keys]", "", 1), "no [many_keys]"},
+		"out of range": {operatorFile("answer", "") + manyMap + "keys = 0\n", "many_keys.keys is 0"},
 	} {
 		if _, err := operator.Parse("f", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
--- a/internal/extproc/server/record_test.go
+++ b/internal/extproc/server/record_test.go
@@ -17,7 +17,7 @@
 )
 
 // What a caller that repeats an order by its key is told, in each mode, at the processor that had it and at the one after a restart.
-func TestRepeatsOnRecord(t *testing.T) {
+func TestRepeatedOrdersWithRecord(t *testing.T) {
 	for name, c := range map[string]struct {
 		mode   string
 		fault  standin.Fault
@@ -36,8 +36,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet, d := newFleet(t, 1), crash.New()
-			open := func() *rig {
-				return newRig(t, fleet, file(c.mode, ""), func(cfg *proxy.Config) {
+			open := func() *harness {
+				return newHarness(t, fleet, operatorFile(c.mode, ""), func(cfg *proxy.Config) {
 					k, err := keeper.Open(d, keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20},
 						SegmentSize: 64 << 10, CompactAfter: 100, MaxPending: 10}}, ledger.WallClock, slog.New(slog.DiscardHandler))
 					if err != nil {
@@ -47,7 +47,7 @@
 				})
 			}
 			q := func(id string) caller.Request {
-				q := order("o1", id)
+				q := orderRequest("o1", id)
 				q.Headers["idempotency-key"] = "key-1"
 				return q
 			}
@@ -76,7 +76,7 @@
 					t.Errorf("repeat %d: it has run %d times, %d before", i, n, ran)
 				}
 				if i == 0 {
-					r.end()
+					r.stopAndWait()
 					r = open()
 				}
 			}
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -17,7 +17,7 @@
 
 // Callers of the processor are proven by the certificate of their connection where they bring no token. Roots change while connections
 // stand: one whose root is gone takes no further stream, and is closed with the end of its last.
-func TestCertificatesOfCallers(t *testing.T) {
+func TestCallerCertificates(t *testing.T) {
 	a, err := standin.NewAuthority(t.TempDir(), 2)
 	if err == nil {
 		err = a.Publish(a.Roots...)
@@ -34,18 +34,18 @@
 	}
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
-	r := newRig(t, fleet, file("answer", ""), func(c *proxy.Config) { c.Callers = gate })
+	r := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = gate })
 	enter := func(root int, name string) *caller.Caller {
 		t.Helper()
 		cfg, err := a.Config(a.Roots[root], name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := caller.DialTLS(cfg, r.f.Addr().String())
+		c, err := caller.DialTLS(cfg, r.front.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.MessageTimeout = patience
+		c.MessageTimeout = testTimeout
 		t.Cleanup(c.Close)
 		return c
 	}
@@ -57,12 +57,12 @@
 		q    caller.Request
 		code int
 	}{
-		{kiosk, read("warm", "r1"), 200},
-		{kiosk, as("shop", order("o1", "w1")), 403},
-		{shop, order("o2", "w2"), 200},
-		{nobody, read("warm", "r2"), 401},
-		{stays, read("warm", "r3"), 200},
-		{kiosk, by("any", read("warm", "r4")), 401}, // a token wins, and none are taken here
+		{kiosk, readRequest("warm", "r1"), 200},
+		{kiosk, as("shop", orderRequest("o1", "w1")), 403},
+		{shop, orderRequest("o2", "w2"), 200},
+		{nobody, readRequest("warm", "r2"), 401},
+		{stays, readRequest("warm", "r3"), 200},
+		{kiosk, withToken("any", readRequest("warm", "r4")), 401}, // a token wins, and none are taken here
 	} {
 		if res := c.by.Do(ctx, c.q); res.Status != c.code || res.Err != nil {
 			t.Errorf("%d: %d, %v; want %d", i, res.Status, res.Err, c.code)
@@ -74,18 +74,18 @@
 		t.Fatal(err)
 	}
 	conns := func() (n int) {
-		r.p.Do(func() { n = len(r.f.proven) })
+		r.host.Do(func() { n = len(r.front.certConns) })
 		return n
 	}
 	wait := func(what string, ok func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("never came about: %s", what)
 			}
 		}
 	}
-	wait("the stream is there", func() bool { return r.f.Counts().Streams == 1 })
+	wait("the stream is there", func() bool { return r.front.Counts().Streams == 1 })
 	if n := conns(); n != 3 {
 		t.Fatalf("%d proven connections", n)
 	}
@@ -94,7 +94,7 @@
 	}
 	gate.ReloadFiles()
 	wait("the idle connection is closed, the other is not", func() bool { return conns() == 2 })
-	if res := kiosk.Do(ctx, read("warm", "r5")); res.Status == 200 {
+	if res := kiosk.Do(ctx, readRequest("warm", "r5")); res.Status == 200 {
 		t.Error("a stream is taken on a connection whose root is gone")
 	}
 	if n := conns(); n != 2 {
@@ -107,10 +107,10 @@
 		_, err = stream.Recv()
 	}
 	wait("the connection is closed with its last stream", func() bool { return conns() == 1 })
-	if res := shop.Do(ctx, order("o3", "w3")); res.Status == 200 {
+	if res := shop.Do(ctx, orderRequest("o3", "w3")); res.Status == 200 {
 		t.Error("a certificate whose root is gone gets in again")
 	}
-	if res := stays.Do(ctx, read("warm", "r6")); res.Status != 200 {
+	if res := stays.Do(ctx, readRequest("warm", "r6")); res.Status != 200 {
 		t.Errorf("the other: %d, %v", res.Status, res.Err)
 	}
 }
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -36,72 +36,72 @@
 )
 
 const (
-	// maxMessage bounds one message. A body that is over resp.MaxValue but under this is told 413; what is longer ends
+	// maxMessageBytes bounds one message. A body that is over resp.MaxValue but under this is told 413; what is longer ends
 	// its stream before it is read into memory.
-	maxMessage = 256 << 10
-	maxHeaders = 16 << 10 // of the gRPC call itself
-	// streamCost is what a stream holds beside bodies: its goroutines, buffers and tables.
-	streamCost = 12 << 10
+	maxMessageBytes = 256 << 10
+	maxHeaderBytes  = 16 << 10 // of the gRPC call itself
+	// streamMemory is what a stream holds beside bodies: its goroutines, buffers and tables.
+	streamMemory = 12 << 10
 	// streamWindow is what a caller may send on a stream before we read it, by HTTP/2's flow control.
 	streamWindow = 64 << 10
-	// mostConns is how many connections callers may hold. A caller needs one or two, each for many streams.
-	mostConns = 64
-	// firstMessage is how long a stream may stand without its first message; it is one exchange's, so a caller opens
+	// maxConns is how many connections callers may hold. A caller needs one or two, each for many streams.
+	maxConns = 64
+	// firstMessageTimeout is how long a stream may stand without its first message; it is one exchange's, so a caller opens
 	// it when it has something to say.
-	firstMessage = 2500 * time.Millisecond
-	// passedFor is how long a stream may stand whose request is none of ours.
-	passedFor = 5 * time.Minute
-	// overdue is how long past its request's time a stream may stand.
-	overdue = time.Second
-	// keptGoroutines are kept for further streams, and as many again that read.
-	keptGoroutines = 32
-	// mostCalls is how many request ids are remembered, in hand or over.
-	mostCalls = 16384
+	firstMessageTimeout = 2500 * time.Millisecond
+	// passThroughTimeout is how long a stream may stand whose request is none of ours.
+	passThroughTimeout = 5 * time.Minute
+	// overdueGrace is how long past its request's time a stream may stand.
+	overdueGrace = time.Second
+	// idleGoroutines are kept for further streams, and as many again that read.
+	idleGoroutines = 32
+	// maxCalls is how many request ids are remembered, in hand or over.
+	maxCalls = 16384
 )
 
 // config is what a reload replaces.
 type config struct {
 	*operator.ExtProc
-	mapping *extproc.Mapping
-	classes map[string]*logic.Class
-	names   names
-	proven  bool                          // callers are, by a token in a header
-	going   *extprocv3.ProcessingResponse // the response goes on as it is
-	again   *extprocv3.ProcessingResponse // marked for another attempt
+	mapping         *extproc.Mapping
+	classes         map[string]*logic.Class
+	memberMessages  messageCache
+	authenticates   bool                          // callers are, by a token in a header
+	continueMessage *extprocv3.ProcessingResponse // the response goes on as it is
+	retryMessage    *extprocv3.ProcessingResponse // marked for another attempt
 }
 
 // Front is the external processor's front.
 type Front struct {
 	extprocv3.UnimplementedExternalProcessorServer
-	p      *proxy.Proxy
+	host   *proxy.Proxy
 	log    *slog.Logger
-	cfg    atomic.Pointer[config]
+	config atomic.Pointer[config]
 	listen net.Listener
 	grpc   *grpc.Server
 	health *health.Server
 
 	// Under the host's lock.
-	calls        *extproc.CallTable
-	streams      map[*stream]struct{}
-	conns        int
-	made         uint32 // ids made here
-	counts       Counts
-	stuckStreams []stuckStream
-	proven       map[*counted]struct{} // connections with a certificate that proves something
-	proofsAt     time.Duration         // when these are looked at again
-
-	readers chan *stream  // to readers that have nothing to read
-	resting atomic.Int32  // of them
-	quit    chan struct{} // closed at the end
+	calls          *extproc.CallTable
+	streams        map[*stream]struct{}
+	conns          int
+	generatedIDs   uint32 // ids made here
+	counts         Counts
+	stuckStreams   []stuckStream
+	certConns      map[*countedConn]struct{} // connections with a certificate that proves something
+	nextProofCheck time.Duration             // when these are looked at again
+
+	idleReaders     chan *stream  // to readers that have nothing to read
+	idleReaderCount atomic.Int32  // of them
+	quit            chan struct{} // closed at the end
 }
 
 // Counts tells what the front has done and holds.
 type Counts struct {
-	Streams, Calls, Conns       int // in hand
-	Taken, Unavailable, Faulty  int // streams, since the start
-	Served, Refused, Failed     int // final answers, since the start
-	Routed, Returned, Abandoned int // attempts given, calls that came back, calls that were given up
-	FellBack, Elsewhere         int // steps to spare members, responses of members that were not named
+	Streams, Calls, Conns          int // in hand
+	Accepted, Unavailable, Invalid int // streams, since the start
+	Served, Refused, Failed        int // final answers, since the start
+	Routed, Continued, Abandoned   int // attempts given, calls that came back, calls that were given up
+	FellBack, ServedElsewhere      int // steps to spare members, responses of members that were not named
 }
 
 var _ proxy.Front = (*Front)(nil)
@@ -109,33 +109,33 @@
 // New makes the front and binds its address. The file has been checked; what it says of classes is checked here,
 // against the settings.
 func New(p *proxy.Proxy, file *operator.File, log *slog.Logger) (*Front, error) {
-	f := &Front{p: p, log: log.With("front", "extproc"), streams: map[*stream]struct{}{}, proven: map[*counted]struct{}{},
-		readers: make(chan *stream), quit: make(chan struct{})}
+	f := &Front{host: p, log: log.With("front", "extproc"), streams: map[*stream]struct{}{}, certConns: map[*countedConn]struct{}{},
+		idleReaders: make(chan *stream), quit: make(chan struct{})}
 	c, err := f.compile(file)
 	if err != nil {
 		return nil, err
 	}
-	f.cfg.Store(c)
-	f.calls = extproc.NewCallTable(mostCalls, c.Remember.D())
+	f.config.Store(c)
+	f.calls = extproc.NewCallTable(maxCalls, c.Remember.D())
 	if f.listen, err = bind(c.Listen); err != nil {
 		return nil, fmt.Errorf("extproc.listen: %w", err)
 	}
 	more := []grpc.ServerOption{}
 	if by := p.Callers(); by != nil {
 		if cfg := by.TLS("extproc"); cfg != nil {
-			more = append(more, grpc.Creds(doorCreds{credentials.NewTLS(cfg), f}))
+			more = append(more, grpc.Creds(certificateCreds{credentials.NewTLS(cfg), f}))
 		}
 	}
 	f.grpc = grpc.NewServer(append(more,
-		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxHeaderListSize(maxHeaders),
+		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxHeaderListSize(maxHeaderBytes),
 		// Twice the bound, so that a stream over it is told so, and doesn't wait at the caller.
 		grpc.MaxConcurrentStreams(uint32(2*c.MaxStreams)),
-		grpc.ConnectionTimeout(firstMessage),
+		grpc.ConnectionTimeout(firstMessageTimeout),
 		// Fixed, so that what callers may send ahead of us is bounded, and can be counted.
 		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(4*streamWindow),
 		// Reading and writing protobuf takes deep stacks. A goroutine that has grown one serves the next stream too; when
 		// all are taken, a stream gets a new one.
-		grpc.NumStreamWorkers(keptGoroutines),
+		grpc.NumStreamWorkers(idleGoroutines),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
 	)...)
 	extprocv3.RegisterExternalProcessorServer(f.grpc, f)
@@ -145,8 +145,8 @@
 }
 
 func (f *Front) compile(file *operator.File) (*config, error) {
-	c := &config{ExtProc: file.ExtProc, classes: map[string]*logic.Class{}, proven: f.p.Callers() != nil}
-	classes := f.p.Classes()
+	c := &config{ExtProc: file.ExtProc, classes: map[string]*logic.Class{}, authenticates: f.host.Callers() != nil}
+	classes := f.host.Classes()
 	for i, class := range classes {
 		c.classes[class.Name] = &classes[i]
 	}
@@ -157,8 +157,8 @@
 	if c.mapping, err = extproc.NewMapping(c.Map); err != nil {
 		return nil, err
 	}
-	if c.going, err = encoded(responseGoesOn(c.ExtProc, false)); err == nil {
-		c.again, err = encoded(responseGoesOn(c.ExtProc, true))
+	if c.continueMessage, err = preEncode(responseMessage(c.ExtProc, false)); err == nil {
+		c.retryMessage, err = preEncode(responseMessage(c.ExtProc, true))
 	}
 	return c, err
 }
@@ -188,14 +188,14 @@
 	if err != nil {
 		return err
 	}
-	f.cfg.Store(c)
-	f.p.Do(func() { f.calls.SetRetention(c.Remember.D()) })
+	f.config.Store(c)
+	f.host.Do(func() { f.calls.SetRetention(c.Remember.D()) })
 	return nil
 }
 
 // Counts tells what the front has done and holds.
 func (f *Front) Counts() (c Counts) {
-	f.p.Do(func() {
+	f.host.Do(func() {
 		c = f.counts
 		c.Streams, c.Calls, c.Conns = len(f.streams), f.calls.Len(), f.conns
 	})
@@ -204,9 +204,9 @@
 
 // Serve takes calls until StopTaking or Close.
 func (f *Front) Serve() error {
-	f.log.Info("extproc listens", "addr", f.Addr().String(), "mode", f.cfg.Load().Mode)
+	f.log.Info("extproc listens", "addr", f.Addr().String(), "mode", f.config.Load().Mode)
 	defer close(f.quit)
-	err := f.grpc.Serve(&bounded{Listener: f.listen, f: f})
+	err := f.grpc.Serve(&boundedListener{Listener: f.listen, front: f})
 	if errors.Is(err, grpc.ErrServerStopped) {
 		return nil
 	}
@@ -224,8 +224,8 @@
 func (f *Front) Owes() bool {
 	owed := false
 	for s := range f.streams {
-		if s.idle && (s.out == nil || s.out.in.Load() == 0) {
-			s.kick()
+		if s.idle && (s.outbox == nil || s.outbox.pending.Load() == 0) {
+			s.endByForce()
 		} else {
 			owed = true
 		}
@@ -238,12 +238,12 @@
 
 // Sweep ends streams that stand for too long, and calls whose caller has not come back.
 func (f *Front) Sweep() {
-	now := f.p.Now()
-	f.sweepStuck(now)
-	f.sweepProofs(now)
+	now := f.host.Now()
+	f.releaseStuckStreams(now)
+	f.checkProofs(now)
 	for s := range f.streams {
-		if now >= s.due {
-			s.kick()
+		if now >= s.expiresAt {
+			s.endByForce()
 		}
 	}
 	for _, e := range f.calls.Overdue(now) {
@@ -257,61 +257,61 @@
 // Close ends what is still open. gRPC gives descriptors back under the host's lock, which the caller holds.
 func (f *Front) Close() { go f.grpc.Stop() }
 
-// bounded counts connections, and closes those that there is no room for.
-type bounded struct {
+// boundedListener counts connections, and closes those that there is no room for.
+type boundedListener struct {
 	net.Listener
-	f *Front
+	front *Front
 }
 
-func (l *bounded) Accept() (net.Conn, error) {
+func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		room := false
-		l.f.p.Do(func() {
-			if room = l.f.conns < mostConns && l.f.p.Room(); room {
-				l.f.conns++
-				l.f.p.Descriptors(1)
+		l.front.host.Do(func() {
+			if room = l.front.conns < maxConns && l.front.host.Room(); room {
+				l.front.conns++
+				l.front.host.Descriptors(1)
 			}
 		})
 		if room {
-			return &counted{Conn: conn, f: l.f}, nil
+			return &countedConn{Conn: conn, front: l.front}, nil
 		}
 		conn.Close()
 	}
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
-	f      *Front
-	once   sync.Once
-	stuck  int // streams that have ended with something not taken, lately; under the host's lock
-	closed bool
+	front        *Front
+	once         sync.Once
+	stuckStreams int // streams that have ended with something not taken, lately; under the host's lock
+	closed       bool
 
 	// Under the host's lock.
-	cert    *identity.Proof // what its certificate proves; nil: nothing
+	proof   *identity.Proof // what its certificate proves; nil: nothing
 	streams int             // on it now, where that is counted
-	ending  bool            // nothing new is taken on it
+	closing bool            // nothing new is taken on it
 }
 
 // remoteAddr lets a stream find its connection, which gRPC does not tell; unix sockets have no addresses to go by.
 type remoteAddr struct {
 	net.Addr
-	conn *counted
+	conn *countedConn
 }
 
-func (c *counted) RemoteAddr() net.Addr { return remoteAddr{c.Conn.RemoteAddr(), c} }
+func (c *countedConn) RemoteAddr() net.Addr { return remoteAddr{c.Conn.RemoteAddr(), c} }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() {
-		c.f.p.Do(func() {
+		c.front.host.Do(func() {
 			c.closed = true
-			delete(c.f.proven, c)
-			c.f.conns--
-			c.f.p.Descriptors(-1)
+			delete(c.front.certConns, c)
+			c.front.conns--
+			c.front.host.Descriptors(-1)
 		})
 	})
 	return err
@@ -319,90 +319,90 @@
 
 // Process is one exchange of a caller's.
 func (f *Front) Process(rpc extprocv3.ExternalProcessor_ProcessServer) error {
-	s := &stream{f: f, rpc: rpc, cfg: f.cfg.Load(), kicked: make(chan struct{}), in: make(chan received), want: make(chan struct{}, 1), over: make(chan struct{})}
-	if s.cfg.proven {
+	s := &stream{front: f, rpc: rpc, config: f.config.Load(), forceEnd: make(chan struct{}), messages: make(chan received), readNext: make(chan struct{}, 1), done: make(chan struct{})}
+	if s.config.authenticates {
 		s.conn = connOf(rpc.Context())
 	}
-	if !f.open(s) {
+	if !f.admitStream(s) {
 		// gRPC's UNAVAILABLE: the call never ran, and can be made elsewhere.
 		return status.Error(codes.Unavailable, "no room for the stream; nothing ran")
 	}
-	defer f.closed(s)
-	defer close(s.over)
+	defer f.releaseStream(s)
+	defer close(s.done)
 	select {
-	case f.readers <- s:
+	case f.idleReaders <- s:
 	default:
-		go f.read(s)
+		go f.readStreams(s)
 	}
 	err := s.run(rpc.Context())
-	if s.out != nil {
-		err = s.out.end(s, err)
+	if s.outbox != nil {
+		err = s.outbox.closeAndWait(s, err)
 	}
 	if status.Code(err) == codes.InvalidArgument {
-		f.p.Do(func() { f.counts.Faulty++ })
+		f.host.Do(func() { f.counts.Invalid++ })
 		f.log.Warn("stream ended", "err", err)
 	}
 	return err
 }
 
-// read reads for a stream, and then for others. Streams end while a Recv is out, and a stream's end ends that.
-func (f *Front) read(s *stream) {
+// readStreams reads for a stream, and then for others. Streams end while a Recv is out, and a stream's end ends that.
+func (f *Front) readStreams(s *stream) {
 	for {
 		s.read()
-		if f.resting.Add(1) > keptGoroutines {
-			f.resting.Add(-1)
+		if f.idleReaderCount.Add(1) > idleGoroutines {
+			f.idleReaderCount.Add(-1)
 			return
 		}
 		select {
-		case s = <-f.readers:
-			f.resting.Add(-1)
+		case s = <-f.idleReaders:
+			f.idleReaderCount.Add(-1)
 		case <-f.quit:
 			return
 		}
 	}
 }
 
-func (f *Front) open(s *stream) (ok bool) {
-	f.p.Do(func() {
-		if len(f.streams) >= s.cfg.MaxStreams || f.p.Stopping() || s.conn != nil && s.conn.ending {
+func (f *Front) admitStream(s *stream) (ok bool) {
+	f.host.Do(func() {
+		if len(f.streams) >= s.config.MaxStreams || f.host.Stopping() || s.conn != nil && s.conn.closing {
 			f.counts.Unavailable++
 			return
 		}
-		if f.p.Hold(streamCost) {
-			f.p.Hold(-streamCost)
+		if f.host.Hold(streamMemory) {
+			f.host.Hold(-streamMemory)
 			f.counts.Unavailable++
 			return
 		}
 		ok = true
-		f.counts.Taken++
+		f.counts.Accepted++
 		f.streams[s] = struct{}{}
 		if s.conn != nil {
 			s.conn.streams++
 		}
-		s.due = f.p.Now() + firstMessage
+		s.expiresAt = f.host.Now() + firstMessageTimeout
 	})
 	return ok
 }
 
-func (f *Front) closed(s *stream) {
-	f.p.Do(func() {
+func (f *Front) releaseStream(s *stream) {
+	f.host.Do(func() {
 		delete(f.streams, s)
 		if s.conn != nil {
 			s.conn.streams--
-			s.conn.left()
+			s.conn.closeIfUnused()
 		}
-		if s.place == nil {
-			f.p.Hold(-cap(s.body))
+		if s.reservation == nil {
+			f.host.Hold(-cap(s.body))
 		} else {
-			s.place.ReleaseLocked()
-			s.place = nil
+			s.reservation.ReleaseLocked()
+			s.reservation = nil
 		}
-		f.p.Hold(-streamCost - s.window)
+		f.host.Hold(-streamMemory - s.heldWindow)
 		s.body = nil
 		if s.call != nil {
-			s.call.left(s)
+			s.call.streamEnded(s)
 			if s.call.stream == s || s.call.stream == nil {
-				s.call.forget()
+				s.call.releaseAnswer()
 			}
 		}
 	})
@@ -410,27 +410,27 @@
 
 // call is a request in the host's hands. It outlives a stream in mode route, where the caller comes back on another.
 type call struct {
-	f       *Front
-	req     proxy.Request
-	entry   *extproc.Entry
-	many    *manyCall // it is for many keys
-	stream  *stream
-	attempt *proxy.Attempt       // the latest that the host has named; mode route
-	named   string               // the addresses that the caller was given for it
-	final   *proxy.Answer        // the final answer, its value copied
-	place   upstream.Reservation // of a long value, which is not counted as held
-	value   []byte               // that is not whole yet
-	settled bool                 // the caller has the answer, or nobody waits for one
-	ended   chan struct{}        // of one token: something has been decided
+	front        *Front
+	request      proxy.Request
+	entry        *extproc.Entry
+	many         *manyCall // it is for many keys
+	stream       *stream
+	attempt      *proxy.Attempt       // the latest that the host has named; mode route
+	namedAddrs   string               // the addresses that the caller was given for it
+	finalAnswer  *proxy.Answer        // the final answer, its value copied
+	reservation  upstream.Reservation // of a long value, which is not counted as held
+	partialValue []byte               // that is not whole yet
+	settled      bool                 // the caller has the answer, or nobody waits for one
+	decided      chan struct{}        // of one token: something has been decided
 }
 
-// routed is a call whose attempts the caller makes.
-type routed struct{ *call }
+// routedCall is a call whose attempts the caller makes.
+type routedCall struct{ *call }
 
-var _ proxy.Carrier = routed{}
+var _ proxy.Carrier = routedCall{}
 
 // Carry takes the member of the next attempt.
-func (c routed) Carry(a *proxy.Attempt) {
+func (c routedCall) Carry(a *proxy.Attempt) {
 	c.attempt = a
 	c.notify()
 }
@@ -442,15 +442,15 @@
 		a.Body.Keep()
 	case a.Value != nil:
 		a.Value = append([]byte(nil), a.Value...)
-		c.f.p.Hold(len(a.Value))
+		c.front.host.Hold(len(a.Value))
 	}
-	c.final = &a
+	c.finalAnswer = &a
 	c.notify()
 }
 
 func (c *call) notify() {
 	select {
-	case c.ended <- struct{}{}:
+	case c.decided <- struct{}{}:
 	default:
 	}
 }
@@ -461,10 +461,10 @@
 		return
 	}
 	c.settled = true
-	c.f.p.Withdraw(&c.req)
-	ran := c.req.MayHaveRun() // what had yet to be sent has been taken back
+	c.front.host.Withdraw(&c.request)
+	ran := c.request.MayHaveRun() // what had yet to be sent has been taken back
 	if c.many != nil {
-		c.many.leave()
+		c.many.withdraw()
 	}
 	if c.attempt != nil && !c.attempt.Ended() {
 		s := logic.StatusConnectFailed
@@ -473,43 +473,43 @@
 		}
 		c.attempt.End(s, 0)
 	}
-	c.f.calls.End(c.entry, ran, c.f.p.Now())
+	c.front.calls.End(c.entry, ran, c.front.host.Now())
 }
 
 // abandon ends a call for which nobody waits any more.
 func (c *call) abandon() {
 	if !c.settled {
-		c.f.counts.Abandoned++
+		c.front.counts.Abandoned++
 		c.settle()
-		c.forget()
+		c.releaseAnswer()
 	}
 }
 
-// forget lets go of the final answer's value, once it is written or nobody wants it.
-func (c *call) forget() {
+// releaseAnswer lets go of the final answer's value, once it is written or nobody wants it.
+func (c *call) releaseAnswer() {
 	switch {
-	case c.final == nil:
-	case c.final.Body != nil:
-		c.final.Body.Release()
-		c.final.Body, c.final.Value = nil, nil
-	case c.place != nil:
-		c.place.ReleaseLocked()
-		c.final.Value, c.place = nil, nil
+	case c.finalAnswer == nil:
+	case c.finalAnswer.Body != nil:
+		c.finalAnswer.Body.Release()
+		c.finalAnswer.Body, c.finalAnswer.Value = nil, nil
+	case c.reservation != nil:
+		c.reservation.ReleaseLocked()
+		c.finalAnswer.Value, c.reservation = nil, nil
 	default:
-		c.f.p.Hold(-len(c.final.Value))
-		c.final.Value = nil
+		c.front.host.Hold(-len(c.finalAnswer.Value))
+		c.finalAnswer.Value = nil
 	}
 }
 
-// narrow takes the members that the caller allows from now on.
-func (c *call) narrow(only []string) {
-	if !slices.Equal(only, c.req.Only) || (only == nil) != (c.req.Only == nil) {
-		c.f.p.Narrow(&c.req, only)
+// restrictMembers takes the members that the caller allows from now on.
+func (c *call) restrictMembers(only []string) {
+	if !slices.Equal(only, c.request.Only) || (only == nil) != (c.request.Only == nil) {
+		c.front.host.Narrow(&c.request, only)
 	}
 }
 
-// left is told that a stream has ended.
-func (c *call) left(s *stream) {
+// streamEnded is told that a stream has ended.
+func (c *call) streamEnded(s *stream) {
 	if c.stream == s && !c.entry.AwaitingCaller {
 		c.stream = nil
 		c.abandon()
@@ -517,10 +517,10 @@
 }
 
 const (
-	// maxBody is the longest body of a request that comes in one message, and maxLong of one that comes in pieces, which are not read
+	// maxBodyBytes is the longest body of a request that comes in one message, and maxLongBodyBytes of one that comes in pieces, which are not read
 	// before there is room for them.
-	maxBody = resp.MaxValue
-	maxLong = resp.MaxLongValue
-	// maxText bounds what a request tells beside it, as on the RESP2 front.
-	maxText = 2 << 10
+	maxBodyBytes     = resp.MaxValue
+	maxLongBodyBytes = resp.MaxLongValue
+	// maxTextBytes bounds what a request tells beside it, as on the RESP2 front.
+	maxTextBytes = 2 << 10
 )
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -26,11 +26,11 @@
 	"linenloom/logic"
 )
 
-// patience bounds every wait; only a test that fails waits as long.
-const patience = 20 * time.Second
+// testTimeout bounds every wait; only a test that fails waits as long.
+const testTimeout = 20 * time.Second
 
-// file is the operator's file of the tests, but for the mode and what a test adds to [extproc].
-func file(mode, more string) string {
+// operatorFile is the operator's file of the tests, but for the mode and what a test adds to [extproc].
+func operatorFile(mode, more string) string {
 	return fmt.Sprintf(`
 [extproc]
 listen = "127.0.0.1:0"
@@ -49,17 +49,17 @@
 `, mode, more)
 }
 
-// rig is a host with both fronts before a fleet of stand-ins.
-type rig struct {
-	t     *testing.T
-	p     *proxy.Proxy
-	f     *Front
-	fleet *standin.Fleet
-	c     *caller.Caller
-	stop  context.CancelFunc
-	done  chan error
-	mu    sync.Mutex
-	sends []logic.MemberID
+// harness is a host with both fronts before a fleet of stand-ins.
+type harness struct {
+	t      *testing.T
+	host   *proxy.Proxy
+	front  *Front
+	fleet  *standin.Fleet
+	caller *caller.Caller
+	stop   context.CancelFunc
+	done   chan error
+	mu     sync.Mutex
+	sentTo []logic.MemberID
 }
 
 // hostConfig is a host's configuration before a fleet.
@@ -87,13 +87,13 @@
 	return fleet
 }
 
-func newRig(t *testing.T, fleet *standin.Fleet, text string, edit func(*proxy.Config)) *rig {
+func newHarness(t *testing.T, fleet *standin.Fleet, text string, edit func(*proxy.Config)) *harness {
 	t.Helper()
-	r := &rig{t: t, fleet: fleet, done: make(chan error, 1)}
+	r := &harness{t: t, fleet: fleet, done: make(chan error, 1)}
 	cfg := hostConfig(t, fleet)
 	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) {
 		r.mu.Lock()
-		r.sends = append(r.sends, m)
+		r.sentTo = append(r.sentTo, m)
 		r.mu.Unlock()
 	}
 	if edit != nil {
@@ -101,42 +101,42 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	var err error
-	if r.p, err = proxy.New(cfg, log); err != nil {
+	if r.host, err = proxy.New(cfg, log); err != nil {
 		t.Fatal(err)
 	}
 	op, err := operator.Parse("test.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.f, err = New(r.p, op, log); err != nil {
+	if r.front, err = New(r.host, op, log); err != nil {
 		t.Fatal(err)
 	}
-	r.p.AddFront(r.f)
+	r.host.AddFront(r.front)
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
-	go func() { r.done <- r.p.Run(ctx) }()
-	t.Cleanup(r.end)
-	r.c = dial(t, r)
+	go func() { r.done <- r.host.Run(ctx) }()
+	t.Cleanup(r.stopAndWait)
+	r.caller = dial(t, r)
 	return r
 }
 
 // dial makes a caller of the rigs' fronts.
-func dial(t *testing.T, rigs ...*rig) *caller.Caller {
+func dial(t *testing.T, rigs ...*harness) *caller.Caller {
 	t.Helper()
 	var targets []string
 	for _, r := range rigs {
-		targets = append(targets, r.f.Addr().String())
+		targets = append(targets, r.front.Addr().String())
 	}
 	c, err := caller.Dial(targets...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.MessageTimeout = patience
+	c.MessageTimeout = testTimeout
 	t.Cleanup(c.Close)
 	return c
 }
 
-func (r *rig) end() {
+func (r *harness) stopAndWait() {
 	r.t.Helper()
 	r.stop()
 	select {
@@ -145,52 +145,52 @@
 			r.t.Errorf("Run: %v", err)
 		}
 		r.done <- nil
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Error("the proxy did not end")
 	}
 }
 
-func (r *rig) eventually(what string, ok func() bool) {
+func (r *harness) eventually(what string, ok func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	r.t.Fatalf("never came about: %s (%+v, %+v)", what, r.p.Load(), r.f.Counts())
+	r.t.Fatalf("never came about: %s (%+v, %+v)", what, r.host.Load(), r.front.Counts())
 }
 
-// quiet waits until nothing is in hand any more, on either side of the seam.
-func (r *rig) quiet() {
+// waitIdle waits until nothing is in hand any more, on either side of the seam.
+func (r *harness) waitIdle() {
 	r.t.Helper()
 	r.eventually("nothing is in hand", func() bool {
-		l, c := r.p.Load(), r.f.Counts()
+		l, c := r.host.Load(), r.front.Counts()
 		return l.Requests == 0 && l.Attempts == 0 && c.Streams == 0 && l.Held == 0
 	})
 }
 
-func (r *rig) sent() []logic.MemberID {
+func (r *harness) sent() []logic.MemberID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]logic.MemberID(nil), r.sends...)
+	return append([]logic.MemberID(nil), r.sentTo...)
 }
 
-func read(key, id string) caller.Request {
+func readRequest(key, id string) caller.Request {
 	return caller.Request{Method: "GET", Path: "/tiles/" + key, Headers: map[string]string{"x-request-id": id}}
 }
 
-func order(key, id string) caller.Request {
+func orderRequest(key, id string) caller.Request {
 	return caller.Request{Method: "PUT", Path: "/orders/" + key, Headers: map[string]string{"x-request-id": id}, Body: []byte("one pass, adult")}
 }
 
-func (r *rig) do(q caller.Request) caller.Result {
+func (r *harness) do(q caller.Request) caller.Result {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return r.c.Do(ctx, q)
+	return r.caller.Do(ctx, q)
 }
 
-func (r *rig) want(res caller.Result, code int, body string) {
+func (r *harness) expect(res caller.Result, code int, body string) {
 	r.t.Helper()
 	if res.Status != code || !strings.Contains(string(res.Body), body) || res.Err != nil {
 		r.t.Errorf("answered %d %q (%v), want %d %q", res.Status, res.Body, res.Err, code, body)
@@ -207,45 +207,45 @@
 			}
 			t.Run(fmt.Sprintf("%s override %v", name, override), func(t *testing.T) {
 				fleet := newFleet(t, 2)
-				r := newRig(t, fleet, file("answer", ""), nil)
-				r.c.BodyMode, r.c.AllowModeOverride = mode, override
+				r := newHarness(t, fleet, operatorFile("answer", ""), nil)
+				r.caller.BodyMode, r.caller.AllowModeOverride = mode, override
 				fleet.Fill("warm")
-				r.want(r.do(read("warm", "r1")), 200, "value of warm ")
-				r.want(r.do(read("cold", "r2")), 200, "value of cold ")
+				r.expect(r.do(readRequest("warm", "r1")), 200, "value of warm ")
+				r.expect(r.do(readRequest("cold", "r2")), 200, "value of cold ")
 				if n := fleet.Origin.Fetches(); n != 1 {
 					t.Errorf("%d fetches, want one for the miss", n)
 				}
-				r.want(r.do(order("o1", "w1")), 200, "receipt of o1")
+				r.expect(r.do(orderRequest("o1", "w1")), 200, "receipt of o1")
 				if ran := fleet.Origin.Executions(); !maps.Equal(ran, map[string]int{"o1": 1}) {
 					t.Errorf("executions %v", ran)
 				}
-				r.quiet()
+				r.waitIdle()
 			})
 		}
 	}
 }
 
-func TestRouteNamesMembersUntilItIsServed(t *testing.T) {
+func TestRouteModeNamesMembersUntilServed(t *testing.T) {
 	fleet := newFleet(t, 2)
-	r := newRig(t, fleet, file("route", ""), nil)
-	r.c.Retries = 4
+	r := newHarness(t, fleet, operatorFile("route", ""), nil)
+	r.caller.Retries = 4
 	fleet.Fill("warm")
-	res := r.do(read("warm", "r1"))
-	r.want(res, 200, "value of warm ")
+	res := r.do(readRequest("warm", "r1"))
+	r.expect(res, 200, "value of warm ")
 	if res.Attempts != 1 {
 		t.Errorf("%d calls for a hit", res.Attempts)
 	}
-	res = r.do(read("cold", "r2"))
-	r.want(res, 200, "value of cold ")
+	res = r.do(readRequest("cold", "r2"))
+	r.expect(res, 200, "value of cold ")
 	if len(res.Members) < 2 || res.Members[len(res.Members)-1] != fleet.Origin.Addr() {
 		t.Errorf("a miss went to %v, want the origin (%s) last", res.Members, fleet.Origin.Addr())
 	}
-	res = r.do(order("o1", "w1"))
-	r.want(res, 200, "receipt of o1")
+	res = r.do(orderRequest("o1", "w1"))
+	r.expect(res, 200, "receipt of o1")
 	if ran := fleet.Origin.Executions(); ran["o1"] != 1 {
 		t.Errorf("executions %v", ran)
 	}
-	r.quiet()
+	r.waitIdle()
 }
 
 // What the client hears is the module's answer, in HTTP's words.
@@ -253,23 +253,23 @@
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newRig(t, fleet, file(mode, ""), nil)
-			r.c.Retries = 4
+			r := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			r.caller.Retries = 4
 			fleet.Origin.SetResetAfterRun(true)
-			res := r.do(order("o1", "w1"))
-			r.want(res, 502, "failed")
+			res := r.do(orderRequest("o1", "w1"))
+			r.expect(res, 502, "failed")
 			if ran := fleet.Origin.Executions(); ran["o1"] != 1 {
 				t.Errorf("executions %v", ran)
 			}
 			fleet.Origin.SetResetAfterRun(false)
 			fleet.Origin.SetFault(standin.Busy)
 			fleet.Boxes[0].SetFault(standin.Busy)
-			res = r.do(read("k", "r1"))
-			r.want(res, 503, "refused")
+			res = r.do(readRequest("k", "r1"))
+			r.expect(res, 503, "refused")
 			if res.Headers["retry-after"] == "" {
 				t.Errorf("refused without a time: %v", res.Headers)
 			}
-			r.quiet()
+			r.waitIdle()
 		})
 	}
 }
@@ -277,7 +277,7 @@
 func TestTimeLeft(t *testing.T) {
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("answer", ""), nil)
+	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	for i, c := range []struct {
 		headers map[string]string
 		code    int
@@ -297,25 +297,25 @@
 		{map[string]string{"content-length": "lots"}, 400, "content-length"},
 		{map[string]string{"x-tenant": "a,d=9"}, 400, "x-tenant"},
 	} {
-		q := read("k", fmt.Sprintf("r%d", i))
+		q := readRequest("k", fmt.Sprintf("r%d", i))
 		maps.Copy(q.Headers, c.headers)
-		r.want(r.do(q), c.code, c.body)
+		r.expect(r.do(q), c.code, c.body)
 	}
-	r.want(r.do(read("a%20b", "sp")), 400, "spaces")
-	r.quiet()
+	r.expect(r.do(readRequest("a%20b", "sp")), 400, "spaces")
+	r.waitIdle()
 }
 
 func TestUnmapped(t *testing.T) {
 	fleet := newFleet(t, 1)
 	q := caller.Request{Method: "GET", Path: "/else", Headers: map[string]string{"x-gateway-destination-endpoint": "127.0.0.1:1"}}
-	r := newRig(t, fleet, file("route", `unmapped = "pass"`), nil)
+	r := newHarness(t, fleet, operatorFile("route", `unmapped = "pass"`), nil)
 	if res := r.do(q); !res.PassedThrough || res.Err != nil || len(res.Members) > 0 {
 		t.Errorf("%+v, want it passed on", res)
 	}
-	r.quiet()
-	r = newRig(t, fleet, file("route", `unmapped = "refuse"`), nil)
-	r.want(r.do(q), 404, "nothing is served")
-	r.quiet()
+	r.waitIdle()
+	r = newHarness(t, fleet, operatorFile("route", `unmapped = "refuse"`), nil)
+	r.expect(r.do(q), 404, "nothing is served")
+	r.waitIdle()
 }
 
 func TestLongBodies(t *testing.T) {
@@ -324,43 +324,43 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newRig(t, fleet, file("answer", ""), nil)
-			r.c.BodyMode, r.c.AllowModeOverride = mode, false
-			q := order("o1", "w1")
-			q.Body = bytes.Repeat([]byte("x"), maxBody)
-			r.want(r.do(q), 200, "receipt of o1")
+			r := newHarness(t, fleet, operatorFile("answer", ""), nil)
+			r.caller.BodyMode, r.caller.AllowModeOverride = mode, false
+			q := orderRequest("o1", "w1")
+			q.Body = bytes.Repeat([]byte("x"), maxBodyBytes)
+			r.expect(r.do(q), 200, "receipt of o1")
 			want := map[string]int{"o1": 1}
-			q = order("o2", "w2")
-			q.Body = bytes.Repeat([]byte("x"), maxBody+1)
+			q = orderRequest("o2", "w2")
+			q.Body = bytes.Repeat([]byte("x"), maxBodyBytes+1)
 			if mode == filterv3.ProcessingMode_BUFFERED {
-				r.want(r.do(q), 413, "over")
+				r.expect(r.do(q), 413, "over")
 			} else { // in pieces, as long as a long value may be
-				r.want(r.do(q), 200, "receipt of o2")
-				q = order("o4", "w4")
-				q.Body = bytes.Repeat([]byte("x"), maxLong)
-				r.want(r.do(q), 200, "receipt of o4")
-				q = order("o5", "w5")
-				q.Body = bytes.Repeat([]byte("x"), maxLong+1)
-				r.want(r.do(q), 413, "over")
+				r.expect(r.do(q), 200, "receipt of o2")
+				q = orderRequest("o4", "w4")
+				q.Body = bytes.Repeat([]byte("x"), maxLongBodyBytes)
+				r.expect(r.do(q), 200, "receipt of o4")
+				q = orderRequest("o5", "w5")
+				q.Body = bytes.Repeat([]byte("x"), maxLongBodyBytes+1)
+				r.expect(r.do(q), 413, "over")
 				want["o2"], want["o4"] = 1, 1
 			}
-			q = order("o3", "w3")
+			q = orderRequest("o3", "w3")
 			q.Headers["content-length"] = "9000000000"
-			r.want(r.do(q), 413, "over")
+			r.expect(r.do(q), 413, "over")
 			if ran := fleet.Origin.Executions(); !maps.Equal(ran, want) {
 				t.Errorf("executions %v", ran)
 			}
-			r.quiet()
+			r.waitIdle()
 		})
 	}
 }
 
-// talk opens a stream and sends messages as they are; it returns the status that the stream ends with.
-func (r *rig) talk(messages ...*extprocv3.ProcessingRequest) (answers []*extprocv3.ProcessingResponse, code codes.Code) {
+// exchange opens a stream and sends messages as they are; it returns the status that the stream ends with.
+func (r *harness) exchange(messages ...*extprocv3.ProcessingRequest) (answers []*extprocv3.ProcessingResponse, code codes.Code) {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	s, err := extprocv3.NewExternalProcessorClient(r.c.Conn(0)).Process(ctx)
+	s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(ctx)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -382,7 +382,7 @@
 	}
 }
 
-func TestFaultyStreamsEndAlone(t *testing.T) {
+func TestInvalidStreamsEndAlone(t *testing.T) {
 	headers := func(end bool, pairs ...string) *extprocv3.ProcessingRequest {
 		return &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{
 			RequestHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs...), EndOfStream: end}}}
@@ -397,7 +397,7 @@
 	body := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{RequestBody: &extprocv3.HttpBody{Body: []byte("x")}}}
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("route", ""), nil)
+	r := newHarness(t, fleet, operatorFile("route", ""), nil)
 	for name, messages := range map[string][]*extprocv3.ProcessingRequest{
 		"a response first":        {response(":status", "200")},
 		"a body first":            {body},
@@ -408,34 +408,34 @@
 		"a response without code": {get("c1"), response("x", "y")},
 		"a status that is none":   {get("d1"), response(":status", "ok")},
 	} {
-		if _, code := r.talk(messages...); code != codes.InvalidArgument {
+		if _, code := r.exchange(messages...); code != codes.InvalidArgument {
 			t.Errorf("%s: %v, want InvalidArgument", name, code)
 		}
 	}
 	config := &extprocv3.ProtocolConfiguration{RequestBodyMode: filterv3.ProcessingMode_GRPC}
 	m := get("e1")
 	m.ProtocolConfig = config
-	if _, code := r.talk(m); code != codes.Unimplemented {
+	if _, code := r.exchange(m); code != codes.Unimplemented {
 		t.Errorf("a mode that is not spoken: %v", code)
 	}
 	m = get("f1")
 	m.ObservabilityMode = true
 	before := len(r.sent())
-	if answers, code := r.talk(m, response(":status", "200")); len(answers) > 0 || code != codes.OK {
+	if answers, code := r.exchange(m, response(":status", "200")); len(answers) > 0 || code != codes.OK {
 		t.Errorf("an observed stream got %v, %v", answers, code)
 	}
 	if len(r.sent()) != before {
 		t.Error("an observed request reached the module")
 	}
-	r.want(r.do(read("k", "g1")), 200, "value of k")
-	r.quiet()
+	r.expect(r.do(readRequest("k", "g1")), 200, "value of k")
+	r.waitIdle()
 }
 
 // Long values are answered whole, up to the longest, however many are asked for at once.
 func TestLongAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		size, code int
-	}{"long": {300 << 10, 200}, "the longest": {maxLong, 200}, "too long": {maxLong + 1, 429}} {
+	}{"long": {300 << 10, 200}, "the longest": {maxLongBodyBytes, 200}, "too long": {maxLongBodyBytes + 1, 429}} {
 		t.Run(name, func(t *testing.T) {
 			fleet, err := standin.NewFleet(2, c.size)
 			if err != nil {
@@ -443,22 +443,22 @@
 			}
 			t.Cleanup(fleet.Close)
 			fleet.Fill("k")
-			r := newRig(t, fleet, strings.Replace(file("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) { // as long as the machine may take for all of them
+			r := newHarness(t, fleet, strings.Replace(operatorFile("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) { // as long as the machine may take for all of them
 				for i := range cfg.Settings.Classes {
-					cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = patience, patience
+					cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = testTimeout, testTimeout
 				}
 			})
 			var clients sync.WaitGroup
 			for i := range 12 { // more than there is room for at once
 				clients.Go(func() {
-					res := r.do(read("k", fmt.Sprint("r", i)))
+					res := r.do(readRequest("k", fmt.Sprint("r", i)))
 					if res.Status != c.code || c.code == 200 && !bytes.Equal(res.Body, standin.Value("k", c.size)) {
 						t.Errorf("status %d, %d bytes, %v", res.Status, len(res.Body), res.Err)
 					}
 				})
 			}
 			clients.Wait()
-			r.quiet()
+			r.waitIdle()
 		})
 	}
 }
