--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,7 +1,9 @@
-// Package callers puts package identity to work in a process: it reads the key file, looks whether it has changed, and answers for
-// many connections at once. What it answers is decided by package identity.
+// Package callers runs package identity in a process: it loads the key file, reloads it when it changes,
+// and authenticates and authorizes callers of many connections concurrently. The decisions are those of
+// package identity.
 //
-// It never logs a token, and never goes on with half a key file: a set that can't be read leaves the one before in force.
+// Tokens are never logged, and a key file is applied completely or not at all: if it cannot be read, the
+// previous keys stay in force.
 package callers
 
 import (
@@ -21,13 +23,14 @@
 	"linenloom/internal/operator"
 )
 
-// reloadInterval is how often the key file is looked at. A key that is retired by its file is refused so long after the file was
-// replaced at the most; one that is retired by its own moment, from that moment on.
+// reloadInterval is how often the key file is checked. A key that is removed from the file is refused at
+// most this long after the file was replaced; a key that is retired by its own time is refused from that
+// time on.
 const reloadInterval = time.Second
 
 const maxFileBytes = 256 << 10
 
-// Authenticator tells who callers are and what they may do.
+// Authenticator authenticates callers and decides what they may do.
 type Authenticator struct {
 	keyFile   string
 	tokenName string
@@ -35,22 +38,22 @@
 	now       func() time.Time
 
 	keys        atomic.Pointer[identity.Keys] // in force
-	verifierMu  sync.Mutex                    // of the verifier: a check takes some 100 us
-	verifier    *identity.Verifier            // nil: no tokens are taken
-	listenerTLS *tlsState                     // nil: listeners speak plainly
+	verifierMu  sync.Mutex                    // guards verifier; a check takes about 100 us
+	verifier    *identity.Verifier            // nil: tokens are not accepted
+	listenerTLS *tlsState                     // nil: listeners use no TLS
 
-	rightsMu sync.Mutex // of what follows: held for a look only
+	rightsMu sync.Mutex // guards policy, replays and sources; held only for look-ups
 	policy   *identity.Policy
 	replays  identity.Replays
 	sources  identity.Sources
 
-	rules     []identity.CertRule // under files, like what follows
-	filesMu   sync.Mutex          // of what follows
-	keyText   []byte              // of the keys in force
-	lastFault string              // as last logged
+	rules     []identity.CertRule // guarded by filesMu, like keyText and lastFault
+	filesMu   sync.Mutex          // guards the fields below and rules
+	keyText   []byte              // contents of the key file in force
+	lastFault string              // the error logged last
 }
 
-// New reads the keys. Without a set that can be read it does not begin.
+// New loads the keys. It fails if they cannot be read.
 func New(cfg *operator.Identity, log *slog.Logger) (*Authenticator, error) {
 	g := &Authenticator{keyFile: cfg.Keys, tokenName: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
 		replays: identity.Replays{Most: cfg.Replays}, sources: identity.Sources{Most: cfg.Suspects}, rules: cfg.Rules()}
@@ -94,7 +97,7 @@
 	return text, nil
 }
 
-// Run looks at the key file until the context ends.
+// Run checks the key file periodically until the context ends.
 func (g *Authenticator) Run(ctx context.Context) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
@@ -108,7 +111,7 @@
 	}
 }
 
-// ReloadFiles reads the key file, and puts it in force if it has changed and can be read.
+// ReloadFiles reads the key file and the TLS files, and applies those that have changed and are valid.
 func (g *Authenticator) ReloadFiles() {
 	g.filesMu.Lock()
 	defer g.filesMu.Unlock()
@@ -134,13 +137,13 @@
 		keys, err = identity.ParseKeys(text)
 	}
 	if err != nil {
-		if g.lastFault != err.Error() { // once for each fault, not every second
+		if g.lastFault != err.Error() { // logged once for each error, not every second
 			g.log.Error("key file can't be used, the old keys stay in force", "file", g.keyFile, "err", err)
 		}
 		g.lastFault = err.Error()
 		return
 	}
-	// From here on no proof by a key that is not in the set holds; the verifier follows.
+	// From here on no proof by a key outside the new set is valid; the verifier is updated afterwards.
 	g.keys.Store(keys)
 	g.verifierMu.Lock()
 	g.verifier.SetKeys(keys)
@@ -153,7 +156,7 @@
 	g.log.Info("keys in force", "file", g.keyFile, "keys", ids)
 }
 
-// Reload takes over the tenants' rights, and looks at the key file.
+// Reload applies the tenants' rights and checks the files.
 func (g *Authenticator) Reload(cfg *operator.Identity) {
 	g.rightsMu.Lock()
 	g.policy = identity.NewPolicy(cfg.Rights(), g.policy)
@@ -166,11 +169,12 @@
 	g.ReloadFiles()
 }
 
-// Name is the name of a token in a request's list.
+// Name returns the attribute name under which requests carry a token.
 func (g *Authenticator) Name() string { return g.tokenName }
 
-// Prove tells what a token proves that came from an address. It may take some 100 us, and must not be called under a lock that others
-// wait for. Suspect tells that its connection has shown a bad one before; so may others from its address have.
+// Prove verifies a token that came from an address. It may take about 100 us and must not be called under a
+// contended lock. suspect says that the token's connection has sent an invalid token before; the address
+// may be known for one too.
 func (g *Authenticator) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
 	if g.verifier == nil {
 		return nil, &identity.Error{Why: identity.Forbidden, What: "no tokens are taken here"}
@@ -183,7 +187,7 @@
 	g.verifierMu.Lock()
 	p, err := g.verifier.Check(g.now(), token, suspect)
 	g.verifierMu.Unlock()
-	if identity.WhyOf(err) == identity.Forged { // what else is wrong with a token is found out before its signature is checked
+	if identity.WhyOf(err) == identity.Forged { // all other errors are found before the signature is checked
 		g.rightsMu.Lock()
 		g.sources.Bad(g.now(), from)
 		g.rightsMu.Unlock()
@@ -191,7 +195,7 @@
 	return p, err
 }
 
-// Holds tells whether a proof still holds. It waits for nothing.
+// Holds reports whether a proof is still valid. It does not block.
 func (g *Authenticator) Holds(p *identity.Proof) error {
 	if p.ByCertificate() && g.listenerTLS != nil {
 		return g.listenerTLS.certs.Load().Holds(g.now(), p)
@@ -199,7 +203,7 @@
 	return g.keys.Load().Holds(g.now(), p)
 }
 
-// May tells whether the bearer of a proof may make a request now. An order uses its token's id.
+// May reports whether the holder of a proof may make a request now. An order consumes its token's id.
 func (g *Authenticator) May(p *identity.Proof, a identity.Ask) error {
 	if p == nil {
 		return &identity.Error{Why: identity.Unproven}
@@ -218,7 +222,7 @@
 	return nil
 }
 
-// Release gives back the id of a token whose order has surely not run.
+// Release makes the id of a token usable again if its order is known not to have run.
 func (g *Authenticator) Release(p *identity.Proof) {
 	g.rightsMu.Lock()
 	defer g.rightsMu.Unlock()
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -16,22 +16,23 @@
 	"linenloom/internal/operator"
 )
 
-// errTooManyHandshakes ends a handshake before anything is computed for it.
+// errTooManyHandshakes ends a handshake before any cryptographic work.
 var errTooManyHandshakes = errors.New("too many handshakes")
 
-// tlsState is what listeners need to speak TLS: their certificate, the roots of their callers', and what those prove. All of it is read
-// again together: connections that stand keep what they were made with, and are ended by what Holds says of their proof.
+// tlsState holds the TLS settings of listeners: their certificate, the roots for client certificates, and
+// the rules for what those prove. All files are reloaded together. Open connections keep the settings that
+// they were made with, and are closed when Holds rejects their proof.
 type tlsState struct {
 	files  operator.TLS
 	log    *slog.Logger
 	now    func() time.Time
 	config atomic.Pointer[tls.Config]     // for new connections
-	certs  atomic.Pointer[identity.Certs] // what certificates prove
+	certs  atomic.Pointer[identity.Certs] // decides what client certificates prove
 
-	handshakesMu sync.Mutex // of handshakes
+	handshakesMu sync.Mutex // guards handshakes
 	handshakes   *identity.Budget
 
-	// Under the Gate's files.
+	// Guarded by Authenticator.filesMu.
 	contents  [3][]byte // of cert, key and roots in force
 	roots     []*x509.Certificate
 	lastFault string
@@ -67,7 +68,7 @@
 	return texts, nil
 }
 
-// apply puts certificate, key and roots in force, all or none.
+// apply puts the certificate, key and roots in force, either all or none.
 func (d *tlsState) apply(texts [3][]byte, rules []identity.CertRule) error {
 	own, err := tls.X509KeyPair(texts[0], texts[1])
 	if err != nil {
@@ -89,19 +90,20 @@
 	d.config.Store(&tls.Config{
 		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{own}, ClientAuth: ask, ClientCAs: pool, Time: d.now,
 		NextProtos: []string{"h2"},
-		// A session taken up again brings the chains of its first handshake along, which the roots of today might not allow.
+		// A resumed session brings the certificate chains of its first handshake, which the current roots
+		// might not allow.
 		SessionTicketsDisabled: true,
 	})
 	d.contents, d.roots = texts, roots
 	return nil
 }
 
-// setRules puts other rules in force, with the roots as they are.
+// setRules replaces the rules and keeps the roots.
 func (d *tlsState) setRules(rules []identity.CertRule) {
 	d.certs.Store(identity.NewCerts(rules, d.roots))
 }
 
-// reload reads the files, and puts them in force if they have changed and fit together.
+// reload reads the files and applies them if they have changed and are valid together.
 func (d *tlsState) reload(rules []identity.CertRule) {
 	texts, err := d.readFiles()
 	same := err == nil && slices.EqualFunc(texts[:], d.contents[:], bytes.Equal)
@@ -123,7 +125,8 @@
 	}
 }
 
-// serverConfig is for a listener. What is in force is looked up with each handshake.
+// serverConfig returns the configuration of a listener. The settings in force are looked up for each
+// handshake.
 func (d *tlsState) serverConfig(alpn bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		d.handshakesMu.Lock()
@@ -141,7 +144,7 @@
 	}}
 }
 
-// TLS is the configuration of a front's listener; nil: it speaks plainly.
+// TLS returns the configuration of a front end's listener, or nil if it uses no TLS.
 func (g *Authenticator) TLS(front string) *tls.Config {
 	if g.listenerTLS == nil || !slices.Contains(g.listenerTLS.fronts(), front) {
 		return nil
@@ -149,7 +152,8 @@
 	return g.listenerTLS.serverConfig(front == "extproc")
 }
 
-// Certificate tells what the certificate proves that a handshake has verified. A caller without one may still bring a token.
+// Certificate returns what the client certificate of a handshake proves. A caller without one may still
+// send a token.
 func (g *Authenticator) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
 	if g.listenerTLS == nil {
 		return nil, &identity.Error{Why: identity.Unproven}
--- a/internal/extproc/caller/caller.go
+++ b/internal/extproc/caller/caller.go
@@ -1,7 +1,8 @@
-// Package caller is a stand-in for a proxy that we don't run and that calls an external processor for every request.
-// It follows the published protocol of Envoy's ext_proc filter as a caller does: a stream for each exchange, a timeout
-// for each message, one extension of it, failure_mode_allow, body modes and mode_override. It serves plain HTTP to
-// clients, and in mode route sends to the member that the processor names. For tests and the rig only.
+// Package caller simulates a proxy that calls an external processor for every request. It follows the
+// published protocol of Envoy's ext_proc filter from the caller's side: a stream for each exchange, a
+// timeout for each message with one extension, failure_mode_allow, body modes and mode_override. It serves
+// plain HTTP to clients, and in route mode sends requests to the member that the processor names. For tests
+// and the test harness only.
 package caller
 
 import (
@@ -31,32 +32,33 @@
 )
 
 const (
-	maxResponseBytes = 8 << 20  // of a message that is taken
-	maxChunkBytes    = 60 << 10 // of a body that is sent on as it comes
+	maxResponseBytes = 8 << 20  // limit of a received message
+	maxChunkBytes    = 60 << 10 // limit of a body part in streamed mode
 )
 
-// Caller is the stand-in.
+// Caller is the simulated proxy.
 type Caller struct {
 	MessageTimeout    time.Duration
-	MaxMessageTimeout time.Duration // what a processor may ask for; 0: nothing
+	MaxMessageTimeout time.Duration // limit of an extension by the processor; 0: none
 	FailureModeAllow  bool
 	BodyMode          filterv3.ProcessingMode_BodySendMode
 	// ResponseMode is NONE or FULL_DUPLEX_STREAMED.
 	ResponseMode filterv3.ProcessingMode_BodySendMode
-	Trailers     bool // in full duplex, bodies end with trailers
-	ChunkBytes   int  // in full duplex, the length of a body's parts; 0: some thousand bytes
+	Trailers     bool // full duplex: bodies end with trailers
+	ChunkBytes   int  // full duplex: length of a body part; 0: defaultChunkBytes
 	// Subset, if not nil, is the hint of the members that the processor may name.
 	Subset []string
-	// UseFallbacks: where a member can't be reached, the next one named is tried.
+	// UseFallbacks makes the caller try the next member named if one is unreachable.
 	UseFallbacks      bool
 	AllowModeOverride bool
-	Retries           int // further attempts, where the processor marks a response for one
-	// RetryFailedFor is for how long the caller's own retry policy repeats, after 5 ms each, what ended because the
-	// processor failed, orders too: it knows no better.
+	Retries           int // maximum number of further attempts for responses that the processor marks
+	// RetryFailedFor is how long the caller's own retry policy repeats requests that ended because the
+	// processor failed, at intervals of 5 ms. It repeats orders too, as it cannot distinguish them.
 	RetryFailedFor time.Duration
-	// AttemptTimeout is how long the caller waits for a member in mode route before it gives the try up; 0: for as long as its client.
+	// AttemptTimeout is how long the caller waits for a member in route mode before it abandons the
+	// attempt; 0: as long as its client waits.
 	AttemptTimeout time.Duration
-	// BeforeSend is called in mode route between the pick and the send.
+	// BeforeSend is called in route mode after the pick, before the request is sent.
 	BeforeSend func(addr string)
 
 	conns  []*grpc.ClientConn
@@ -65,7 +67,8 @@
 	Overrides atomic.Int64
 }
 
-// Dial makes a caller that prefers the first target and goes to the next where one says that a call never ran there.
+// Dial creates a caller that prefers the first target and tries the next one if a target reports that a
+// call never ran.
 func Dial(targets ...string) (*Caller, error) { return dial(insecure.NewCredentials(), targets) }
 
 // DialTLS is Dial over TLS.
@@ -89,10 +92,10 @@
 	return c, nil
 }
 
-// Conn is the connection to a target.
+// Conn returns the connection to a target.
 func (c *Caller) Conn(i int) *grpc.ClientConn { return c.conns[i] }
 
-// Close ends the connections.
+// Close closes the connections.
 func (c *Caller) Close() {
 	for _, conn := range c.conns {
 		conn.Close()
@@ -107,18 +110,18 @@
 	Body         []byte
 }
 
-// Result is what the client gets.
+// Result is the client's response, with details for tests.
 type Result struct {
 	Status        int
 	Headers       map[string]string
 	Body          []byte
 	Attempts      int      // calls of the processor
-	Members       []string // in mode route, where it was sent
-	PassedThrough bool     // it went on untouched
-	Err           error    // why the processor had no part in the answer, if it had none
+	Members       []string // route mode: where the request was sent
+	PassedThrough bool     // the request was passed on without an answer of the processor
+	Err           error    // why the processor did not take part, if so
 }
 
-// ServeHTTP takes a client's request.
+// ServeHTTP serves a client's request.
 func (c *Caller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -137,7 +140,7 @@
 	w.Write(res.Body)
 }
 
-// Do makes a client's request: an exchange, and further ones as the processor marks them.
+// Do makes a client's request: an exchange, and further ones for responses that the processor marks.
 func (c *Caller) Do(ctx context.Context, q Request) Result {
 	var members []string
 	begun := time.Now()
@@ -163,10 +166,11 @@
 	destinationHeader = "x-gateway-destination-endpoint"
 )
 
-// ErrTimeout tells that the processor did not answer a message in time.
+// ErrTimeout means that the processor did not answer a message in time.
 var ErrTimeout = errors.New("caller: the processor's time for a message is over")
 
-// failureResult is what the client gets where the processor fails: the request goes on untouched, or ends with 500.
+// failureResult is the client's result if the processor fails: the request is passed on, or answered with
+// 500.
 func (c *Caller) failureResult(err error) Result {
 	if c.FailureModeAllow {
 		return Result{Status: 204, PassedThrough: true, Err: err}
@@ -174,7 +178,8 @@
 	return Result{Status: 500, Err: err}
 }
 
-// exchange makes one call. It is offered to the next target only where the one before says that it never ran.
+// exchange makes one call. It tries the next target only if the previous one reports that the call never
+// ran.
 func (c *Caller) exchange(ctx context.Context, q Request, attempt int) Result {
 	var res Result
 	for _, conn := range c.conns {
@@ -193,11 +198,11 @@
 	attempt             int
 	stream              extprocv3.ExternalProcessor_ProcessClient
 	responses           chan received
-	sending             sync.WaitGroup // of bodies, in full duplex
+	sending             sync.WaitGroup // tracks sending of bodies in full duplex
 	bodyMode            filterv3.ProcessingMode_BodySendMode
-	skipResponseHeaders bool   // the response's headers are not wanted
-	accepted            bool   // the processor has taken the call: its response headers have come
-	servedAddr          string // the member that has answered
+	skipResponseHeaders bool   // mode_override skips the response headers
+	accepted            bool   // the processor has accepted the call: its response headers have arrived
+	servedAddr          string // the member that answered
 	headers             map[string]string
 	removed             map[string]bool
 }
@@ -207,7 +212,7 @@
 	err      error
 }
 
-// immediateResponse is a processor's answer that ends the exchange.
+// immediateResponse is an immediate response of the processor, which ends the exchange.
 type immediateResponse struct{ response *extprocv3.ImmediateResponse }
 
 func (immediateResponse) Error() string { return "an immediate response" }
@@ -248,12 +253,12 @@
 		res.Members = members
 	}
 	if err != nil && (x.bodyMode == fullDuplex || x.caller.ResponseMode == fullDuplex) {
-		cancel() // the body's sending may stand still
+		cancel() // sending the body may be blocked
 	}
 	x.sending.Wait()
 	x.stream.CloseSend()
 	if status.Code(err) == codes.Unavailable && !x.accepted {
-		md, _ := x.stream.Header() // it does not wait, as the stream has ended
+		md, _ := x.stream.Header() // does not block, as the stream has ended
 		x.accepted = md != nil
 	}
 	return res
@@ -298,7 +303,7 @@
 	}
 	addr := x.headers[destinationHeader]
 	if addr == "" {
-		return Result{Status: 204, PassedThrough: true}, nil // to the caller's own upstream, which has no part here
+		return Result{Status: 204, PassedThrough: true}, nil // passed on to the caller's own upstream, which is not simulated
 	}
 	if x.caller.BeforeSend != nil {
 		x.caller.BeforeSend(addr)
@@ -322,7 +327,7 @@
 	return res, nil
 }
 
-// sendBuffered sends the body as the mode says.
+// sendBuffered sends the body in one piece, or in parts in streamed mode.
 func (x *exchange) sendBuffered(ctx context.Context) error {
 	chunk := len(x.request.Body)
 	if x.bodyMode == filterv3.ProcessingMode_STREAMED {
@@ -351,7 +356,7 @@
 	}
 }
 
-// roundTrip sends a message and waits for its answer, for as long as the processor may take.
+// roundTrip sends a message and waits for its answer up to the message timeout.
 func (x *exchange) roundTrip(ctx context.Context, m *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
 	timer := time.NewTimer(x.caller.MessageTimeout)
 	defer timer.Stop()
@@ -389,7 +394,8 @@
 	}
 }
 
-// checkResponseType tells whether a response answers the message; an answer to another is a fault that ends the stream.
+// checkResponseType returns an error if the response belongs to another kind of message, which ends the
+// stream.
 func (x *exchange) checkResponseType(q *extprocv3.ProcessingRequest, r *extprocv3.ProcessingResponse) error {
 	ok := false
 	switch q.GetRequest().(type) {
@@ -406,7 +412,8 @@
 	return nil
 }
 
-// sendToMembers makes the attempt at the members named, the next one where one can't be reached and the caller falls back.
+// sendToMembers makes the attempt at the first member named. With UseFallbacks it tries the next one if a
+// member is unreachable.
 func (x *exchange) sendToMembers(ctx context.Context, named string) (res Result, attributes map[string]*structpb.Struct) {
 	for addr := range strings.SplitSeq(named, ",") {
 		x.servedAddr = addr
@@ -418,7 +425,7 @@
 	return res, attributes
 }
 
-// servedBy is the metadata by which a gateway tells who has served.
+// servedBy returns the metadata by which a gateway reports the member that served.
 func (x *exchange) servedBy() *corev3.Metadata {
 	if !x.caller.UseFallbacks {
 		return nil
@@ -439,7 +446,7 @@
 		namespace: {Fields: map[string]*structpb.Value{key: v}}}}
 }
 
-// sendToMember makes the attempt at one member, and says like a proxy why there is no response where there is none.
+// sendToMember makes the attempt at one member. Without a response it reports the reason as Envoy does.
 func (x *exchange) sendToMember(ctx context.Context, addr string) (Result, map[string]*structpb.Struct) {
 	whole := ctx
 	if x.caller.AttemptTimeout > 0 {
@@ -454,7 +461,7 @@
 	for name, value := range x.request.Headers {
 		r.Header.Set(name, value)
 	}
-	r.GetBody = nil // net/http must not send it again by itself
+	r.GetBody = nil // prevents net/http from repeating the request
 	answer, err := x.caller.client.Do(r)
 	if err != nil {
 		details := "upstream_reset_before_response_started{connection_termination}"
@@ -478,7 +485,7 @@
 	return res, codeDetails("via_upstream")
 }
 
-// codeDetails is the attribute response.code_details, as a caller sends it that is told to.
+// codeDetails returns the attribute response.code_details as a caller sends it.
 func codeDetails(text string) map[string]*structpb.Struct {
 	return map[string]*structpb.Struct{"envoy.filters.http.ext_proc": {Fields: map[string]*structpb.Value{
 		"response.code_details": structpb.NewStringValue(text)}}}
--- a/internal/extproc/caller/duplex.go
+++ b/internal/extproc/caller/duplex.go
@@ -13,15 +13,16 @@
 
 const fullDuplex = filterv3.ProcessingMode_FULL_DUPLEX_STREAMED
 
-// SetFullDuplex has bodies sent in full duplex, both ways.
+// SetFullDuplex sets full duplex as the body mode of requests and responses.
 func (c *Caller) SetFullDuplex() { c.BodyMode, c.ResponseMode = fullDuplex, fullDuplex }
 
-// defaultChunkBytes is how long the parts of a body are unless Caller.Chunk says: odd, so that parts and messages don't fall
-// together.
+// defaultChunkBytes is the length of a body part if Caller.ChunkBytes is 0. It is odd, so that parts do not
+// align with messages.
 const defaultChunkBytes = 4093
 
-// processDuplex makes an exchange as a gateway does in full duplex: it sends body and trailers as they come and waits for no
-// answer, takes what comes back in order, and passes on only what came back. It sets no time for a message.
+// processDuplex makes an exchange as a gateway does in full duplex: it sends body and trailers without
+// waiting for answers, receives what is sent back in order, and passes on only that. It has no timeout for
+// messages.
 func (x *exchange) processDuplex(ctx context.Context, first *extprocv3.ProcessingRequest) (res Result, err error) {
 	if err := x.stream.Send(first); err != nil && !errors.Is(err, io.EOF) {
 		return res, err
@@ -85,7 +86,7 @@
 	return res, err
 }
 
-// sendDuplexBody sends a body in parts, and trailers behind it.
+// sendDuplexBody sends a body in parts, followed by trailers if configured.
 func (x *exchange) sendDuplexBody(body []byte, response bool) {
 	if len(body) == 0 {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// receiveBody takes what comes back of a body, to its end.
+// receiveBody receives a body that is sent back, to its end.
 func (x *exchange) receiveBody(ctx context.Context, response bool) (body []byte, err error) {
 	for {
 		m, err := x.receive(ctx)
@@ -144,7 +145,7 @@
 	}
 }
 
-// receive waits for what the processor says next.
+// receive waits for the processor's next response.
 func (x *exchange) receive(ctx context.Context) (*extprocv3.ProcessingResponse, error) {
 	select {
 	case r := <-x.responses:
--- a/internal/extproc/calls.go
+++ b/internal/extproc/calls.go
@@ -5,67 +5,71 @@
 	"time"
 )
 
-// Decision says what a call with a request id is to the calls before it.
+// Decision says how a call relates to earlier calls with its request id.
 type Decision uint8
 
 // The decisions.
 const (
-	DecisionNew        Decision = iota // nothing is known that stands against it: a new request for the module
-	DecisionContinue                   // it comes for the module's next attempt of a request in hand
-	DecisionReplace                    // the caller has given its earlier call up, and repeating it is harmless
-	DecisionInUse                      // another caller's request in hand has the id
+	DecisionNew        Decision = iota // no earlier call stands against it: a new request for the routing module
+	DecisionContinue                   // it asks for the next attempt of a request in progress
+	DecisionReplace                    // the caller has abandoned its earlier call, and repeating the request is harmless
+	DecisionInUse                      // another caller's request in progress has the id
 	DecisionMayHaveRun                 // an earlier attempt may have run, and the request must not run twice
-	DecisionTableFull                  // no room to remember one more request; it never ran
+	DecisionTableFull                  // no capacity for another entry; the request never ran
 )
 
-// Entry is what is known of a request id.
+// Entry is the state of a request id.
 type Entry struct {
 	ID      string
-	RunOnce bool // it must not run twice
-	// AwaitingCaller: the module has named the next attempt, or is about to, and the caller is expected back.
+	RunOnce bool // the request must not run twice
+	// AwaitingCaller means that the next attempt has been named, or is about to be, and the caller is
+	// expected to return for it.
 	AwaitingCaller bool
 	Ended          bool
-	MayHaveRun     bool // once over: an attempt may have run
-	Reused         bool // the id has been used before, by a request that ended and never ran
-	Attempt        int  // the caller's count with the latest call; 0: not told
+	MayHaveRun     bool // set at the end: an attempt may have run
+	Reused         bool // the id was used before by a request that ended without running
+	Attempt        int  // the caller's attempt count of the latest call; at least 1
 	ExpiresAt      time.Duration
-	Owner          any // the server's own
+	Owner          any // set by package server
 	element        *list.Element
 }
 
-// CallTable remembers request ids: those in hand, and for a while those that are over and may have run although they
-// must not run twice. It is bounded: when it is full, further requests are Crowded rather than forgotten ones run again.
+// CallTable remembers request ids: those of requests in progress and, for a retention time, those of ended
+// requests that must not run twice. Its size is limited; when it is full, further requests get
+// DecisionTableFull, as forgetting a request would allow it to run again.
 type CallTable struct {
 	maxEntries int
 	retention  time.Duration
 	byID       map[string]*Entry
-	mayHaveRun *list.List          // that may have run, by end
-	neverRan   *list.List          // that never ran, by end: let go of when there is no room
-	awaiting   map[*Entry]struct{} // whose callers are expected back
+	mayHaveRun *list.List          // ended entries that may have run, in order of their end
+	neverRan   *list.List          // ended entries that never ran, in order of their end; removed when the table is full
+	awaiting   map[*Entry]struct{} // entries whose callers are expected to return
 }
 
-// NewCallTable makes a table of so many entries at most.
+// NewCallTable creates a table of at most this many entries.
 func NewCallTable(most int, remember time.Duration) *CallTable {
 	return &CallTable{maxEntries: most, retention: remember, byID: map[string]*Entry{}, mayHaveRun: list.New(),
 		neverRan: list.New(), awaiting: map[*Entry]struct{}{}}
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (c *CallTable) Len() int { return len(c.byID) }
 
-// SetRetention changes how long ended requests are known from now on.
+// SetRetention changes the retention time of requests that end from now on.
 func (c *CallTable) SetRetention(d time.Duration) { c.retention = d }
 
-// Begin takes a call. attempt is the caller's count of attempts, 1 for the first; 0 if it does not tell. The entry is
-// the new one for Fresh and Replace, and the one that stands for Continue; for the others there is none to use. For
-// Replace, replaced is what the caller has given up. Of an order onRecord, the record knows what has become of those before: it is Fresh
-// unless one is in hand.
+// Begin registers a call. attempt is the caller's attempt count, starting at 1, or 0 if it sends none. The
+// entry is a new one for DecisionNew and DecisionReplace, the existing one for DecisionContinue, and nil
+// otherwise. For DecisionReplace, replaced is the entry of the abandoned call. For an order onRecord the
+// record knows the result of earlier attempts, so that the decision is DecisionNew unless a call with the
+// id is in progress.
 func (c *CallTable) Begin(id string, attempt int, unsafe, onRecord bool, now time.Duration) (e, replaced *Entry, d Decision) {
 	c.removeExpired(now)
 	old, again := c.byID[id], false
 	switch {
 	case old == nil && unsafe && attempt > 1 && !onRecord:
-		// Whoever had the attempts before (a processor that was killed, or another one) can't be asked any more.
+		// An earlier attempt went to another processor, or to one that was killed, and its result is
+		// unknown.
 		return nil, nil, DecisionMayHaveRun
 	case old == nil:
 		d = DecisionNew
@@ -79,7 +83,7 @@
 		delete(c.awaiting, old)
 		return old, nil, DecisionContinue
 	case attempt > old.Attempt && attempt > 1 && old.Attempt > 0:
-		// The caller has given the call before up by itself, and the end of its stream has yet to be seen.
+		// The caller has abandoned the earlier call, whose stream has not ended here yet.
 		if unsafe || old.RunOnce {
 			return nil, nil, DecisionMayHaveRun
 		}
@@ -103,8 +107,8 @@
 	return e, replaced, d
 }
 
-// MayHaveRun tells whether an earlier attempt of a request that must not run twice may have run, for a call that is
-// answered without Begin.
+// MayHaveRun reports whether an earlier attempt of a request that must not run twice may have run. It is
+// for calls that are answered without Begin.
 func (c *CallTable) MayHaveRun(id string, attempt int, now time.Duration) bool {
 	c.removeExpired(now)
 	old := c.byID[id]
@@ -117,7 +121,7 @@
 	return !old.AwaitingCaller
 }
 
-// AwaitCaller notes that the caller is expected back until the given time.
+// AwaitCaller marks the entry: its caller is expected to return before the given time.
 func (c *CallTable) AwaitCaller(e *Entry, until time.Duration) {
 	if !e.Ended && c.byID[e.ID] == e {
 		e.AwaitingCaller, e.ExpiresAt = true, until
@@ -125,7 +129,7 @@
 	}
 }
 
-// End notes that a request is over and whether an attempt of it may have run.
+// End marks a request as ended and records whether an attempt of it may have run.
 func (c *CallTable) End(e *Entry, ran bool, now time.Duration) {
 	if e.Ended {
 		return
@@ -133,7 +137,7 @@
 	e.Ended, e.AwaitingCaller, e.MayHaveRun, e.Owner = true, false, ran, nil
 	delete(c.awaiting, e)
 	if c.byID[e.ID] != e {
-		return // it was replaced
+		return // the entry was replaced
 	}
 	if !e.RunOnce {
 		delete(c.byID, e.ID) // running it again is harmless
@@ -147,7 +151,7 @@
 	}
 }
 
-// Overdue returns the requests whose callers have not come back in time.
+// Overdue returns the entries whose callers have not returned in time.
 func (c *CallTable) Overdue(now time.Duration) (late []*Entry) {
 	for e := range c.awaiting {
 		if now >= e.ExpiresAt {
--- a/internal/extproc/mapping.go
+++ b/internal/extproc/mapping.go
@@ -1,9 +1,10 @@
-// Package extproc holds what the external processor has to decide beside the routing module: which class and key
-// a request has, how long its client still waits, what a response says of the attempt behind it, which messages may
-// follow one another, and whether a call with a known request id continues, repeats or contradicts an earlier one.
+// Package extproc makes the external processor's decisions other than routing: which class and key a
+// request has, how long its client still waits, which outcome of an attempt a response stands for, which
+// messages may follow one another, and whether a call with a known request id continues, repeats or
+// contradicts an earlier one.
 //
-// It never opens a socket, reads a clock, starts a goroutine or picks a member: the package server does the first
-// three and the module in logic the last. Its types are not safe for concurrent use.
+// The package opens no sockets, reads no clock, starts no goroutines and picks no members: package server
+// does the first three and package logic the last. Its types are not safe for concurrent use.
 package extproc
 
 import (
@@ -18,34 +19,34 @@
 	"linenloom/internal/operator"
 )
 
-// Target is what a request maps to.
+// Target is the class and key that a request maps to.
 type Target struct {
 	Class string
 	Key   string
 	Write bool
-	Many  bool // the key is several, with commas between
+	Many  bool // Key holds several keys, separated by commas
 }
 
-// Mapping maps methods and paths to classes and keys, in the order of the operator's file.
+// Mapping maps methods and paths to classes and keys. Its rules apply in the order of the operator's file.
 type Mapping struct{ rules []rule }
 
 type rule struct {
 	many        bool
 	methods     []string
-	segments    []string // plain, or {name}
-	matchesRest bool     // the last one takes the rest
+	segments    []string // literal, or {name}
+	matchesRest bool     // the last segment matches the rest of the path
 	class       string
 	key         []keyPart
 	write       bool
 }
 
-// keyPart is plain text, or the value of a segment if at >= 0.
+// keyPart is literal text, or the value of a path segment if segment >= 0.
 type keyPart struct {
 	text    string
 	segment int
 }
 
-// NewMapping compiles the entries of a file that has been checked.
+// NewMapping compiles the map entries of a validated file.
 func NewMapping(entries []operator.MapEntry) (*Mapping, error) {
 	m := &Mapping{}
 	for _, e := range entries {
@@ -80,7 +81,7 @@
 	return m, nil
 }
 
-// Match finds the first entry that fits. The path may carry a query, which has no part in the match or the key.
+// Match returns the target of the first matching rule. A query in the path is ignored.
 func (m *Mapping) Match(method, path string) (Target, bool) {
 	path, _, _ = strings.Cut(path, "?")
 	path, _, _ = strings.Cut(path, "#")
@@ -125,7 +126,7 @@
 	return false
 }
 
-// match splits the path into as many segments as the rule has. A variable's segment is not empty.
+// match splits the path into as many segments as the rule has. The segment of a variable must not be empty.
 func (r *rule) match(path string, values []string) ([]string, bool) {
 	for i, want := range r.segments {
 		last := i == len(r.segments)-1
@@ -151,13 +152,14 @@
 	return values, true
 }
 
-// ErrExpired tells that a request's time was over before it came.
+// ErrExpired means that a request's time was over before it arrived.
 var ErrExpired = errors.New("the time for the request is over")
 
-// TimeLeft reads how long the client still waits from one header's value: whole or broken milliseconds, or, in
-// grpc-timeout, up to eight digits and a unit (gRPC over HTTP/2, "Requests"). A time of zero or less is ErrExpired; any
-// other error means that the value can't be read. Envoy's x-envoy-expected-rq-timeout-ms is 0 where the route has no
-// time-out, so there it bounds nothing, and a negative one, which Envoy never sends, is spent.
+// TimeLeft parses the value of a header that says how long the client still waits: milliseconds, with or
+// without a fraction, or for grpc-timeout up to eight digits and a unit (gRPC over HTTP/2, "Requests"). It
+// returns ErrExpired for a time of zero or less and another error for an invalid value. Envoy sets
+// x-envoy-expected-rq-timeout-ms to 0 for a route without a timeout, so 0 in that header means no limit; a
+// negative value, which Envoy never sends, is expired.
 func TimeLeft(name, value string) (time.Duration, error) {
 	if name == "grpc-timeout" {
 		return grpcTimeout(value)
@@ -174,7 +176,7 @@
 	return clampDuration(ms * float64(time.Millisecond)), nil
 }
 
-// maxTimeLeft bounds times: more than a day is as good as no bound.
+// maxTimeLeft limits times: more than a day is equivalent to no limit.
 const maxTimeLeft = 24 * time.Hour
 
 func clampDuration(ns float64) time.Duration {
@@ -202,5 +204,5 @@
 	return 0, fmt.Errorf("grpc-timeout: %q is not up to eight digits and one of H, M, S, m, u, n", truncate(given))
 }
 
-// truncate bounds a text of the caller's that goes into a message.
+// truncate limits a caller's text that becomes part of an error message.
 func truncate(text string) string { return text[:min(len(text), 40)] }
--- a/internal/extproc/order.go
+++ b/internal/extproc/order.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Message is a kind of message that a caller sends on a stream, in the order of an HTTP exchange.
+// Message is the kind of a message that a caller sends on a stream. The values are in the order of an HTTP
+// exchange.
 type Message uint8
 
-// The messages of envoy.service.ext_proc.v3.ProcessingRequest.
+// The kinds of envoy.service.ext_proc.v3.ProcessingRequest.
 const (
 	RequestHeaders Message = iota + 1
 	RequestBody
@@ -20,16 +21,17 @@
 		"response body", "response trailers"}[m]
 }
 
-// MessageOrder checks the order of a stream's messages. A stream is one HTTP exchange; the caller may leave phases out, as
-// its processing mode says, but never goes back. The request's headers always come first: without them there is no
-// request that a body or a response could belong to. The response may overtake the rest of the request's body.
+// MessageOrder checks the order of a stream's messages. A stream is one HTTP exchange; the caller may skip
+// phases, depending on its processing mode, but never goes back to an earlier one. The request's headers
+// always come first, as a body or a response belongs to no request without them. The response may start
+// before the rest of the request's body.
 type MessageOrder struct {
-	lastRequest, lastResponse Message // the last of each side
+	lastRequest, lastResponse Message // the latest kind of each direction
 	requestComplete           bool
 	responseComplete          bool
 }
 
-// Next takes the next message, with whether it says to be the last of its side.
+// Next checks the next message; end is whether it is marked as the last of its direction.
 func (o *MessageOrder) Next(m Message, end bool) error {
 	side, over := &o.lastRequest, &o.requestComplete
 	if m >= ResponseHeaders {
@@ -51,14 +53,14 @@
 	return nil
 }
 
-// RequestComplete tells whether the request has come whole.
+// RequestComplete reports whether the whole request has been received.
 func (o *MessageOrder) RequestComplete() bool { return o.requestComplete }
 
-// ResponseComplete tells whether the response has come whole.
+// ResponseComplete reports whether the whole response has been received.
 func (o *MessageOrder) ResponseComplete() bool { return o.responseComplete }
 
-// ResponseStarted tells whether the response has begun.
+// ResponseStarted reports whether the response has started.
 func (o *MessageOrder) ResponseStarted() bool { return o.lastResponse > 0 }
 
-// RequestStarted tells whether the request has begun.
+// RequestStarted reports whether the request has started.
 func (o *MessageOrder) RequestStarted() bool { return o.lastRequest > 0 }
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// sendImmediate is the final answer to the caller's client. Nothing more is said on the stream.
+// sendImmediate sends the final answer to the caller's client, after which nothing is sent on the stream.
 func (s *stream) sendImmediate(code int, text []byte, contentType string, headers ...*corev3.HeaderValueOption) error {
 	if contentType == "" {
 		contentType = "text/plain"
@@ -64,9 +64,10 @@
 	return errStreamDone
 }
 
-// sendRefused says that trying again is harmless, and when. HTTP has whole seconds for that (RFC 9110 section 10.2.3); where
-// the module names no time, the shortest stands. What is shed for want of capacity has a status of its own, as the
-// Gateway API's endpoint pickers have it; where there is nobody to go to it is 503.
+// sendRefused answers that the request never ran and may be retried after a delay. HTTP gives the delay in
+// whole seconds (RFC 9110 section 10.2.3); without a delay from the routing module it is the minimum.
+// Requests shed for lack of capacity have a status of their own, as with the Gateway API's endpoint
+// pickers; if no member is available the status is 503.
 func (s *stream) sendRefused(after time.Duration) error {
 	code := 503
 	switch s.reason {
@@ -77,7 +78,7 @@
 	return s.sendImmediate(code, []byte("refused: the request never ran\n"), "", setHeader("retry-after", strconv.Itoa(seconds)))
 }
 
-// sendFailed promises nothing.
+// sendFailed answers that the request failed and may have run.
 func (s *stream) sendFailed(why string) error {
 	return s.sendImmediate(502, []byte("failed: "+why+"\n"), "")
 }
@@ -86,7 +87,7 @@
 	return s.sendImmediate(413, []byte("the body is over "+strconv.Itoa(most)+" bytes\n"), "")
 }
 
-// sendAnswer passes the host's final answer on.
+// sendAnswer sends the host's final answer.
 func (s *stream) sendAnswer(a *proxy.Answer) error {
 	s.reason = a.Why
 	switch a.Kind {
@@ -116,7 +117,7 @@
 	return s.sendFailed("the request may have run")
 }
 
-// sendMember names the member to the caller.
+// sendMember sends the member's address to the caller.
 func (s *stream) sendMember(d decision, body bool) error {
 	kind := inHeaders
 	switch {
@@ -135,8 +136,8 @@
 	return s.send(r)
 }
 
-// memberMessage names the member in the header and the metadata that the Gateway API's endpoint pickers use, and asks for no more
-// phases than are needed.
+// memberMessage names the member in the header and the metadata that the Gateway API's endpoint pickers
+// use, and requests only the phases that are needed.
 func memberMessage(c *config, addr string, left time.Duration, kind int) *extprocv3.ProcessingResponse {
 	h := &c.Headers
 	set := make([]*corev3.HeaderValueOption, 1, 2)
@@ -145,7 +146,7 @@
 		set = append(set, setHeader(h.TryTimeout, strconv.FormatInt(max(1, left.Milliseconds()), 10)))
 	}
 	common := &extprocv3.CommonResponse{HeaderMutation: &extprocv3.HeaderMutation{SetHeaders: set}}
-	if c.authenticates { // the caller sends the request itself, and its token is nothing for a member
+	if c.authenticates { // the caller sends the request itself, and members must not see its token
 		common.HeaderMutation.RemoveHeaders = []string{authorization}
 	}
 	r := &extprocv3.ProcessingResponse{DynamicMetadata: &structpb.Struct{Fields: map[string]*structpb.Value{
@@ -159,9 +160,10 @@
 	}
 	r.Response = &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{Response: common}}
 	if kind == inDuplex {
-		return r // which takes no override
+		return r // no mode override in full duplex
 	}
-	// The sooner the caller sends after the pick, the less can have changed: no body, and of the response its head.
+	// Skipping the body and all of the response but its headers lets the caller send soon after the pick,
+	// before the member's state changes.
 	r.ModeOverride = &filterv3.ProcessingMode{
 		ResponseHeaderMode: filterv3.ProcessingMode_SEND, RequestTrailerMode: filterv3.ProcessingMode_SKIP,
 		ResponseTrailerMode: filterv3.ProcessingMode_SKIP,
@@ -169,8 +171,9 @@
 	return r
 }
 
-// preEncode makes a message of another's bytes, which are written as they are. A few messages make up most of what is
-// said, and to write the metadata's maps anew for each costs as much as the rest of a call.
+// preEncode returns a message that holds the encoded bytes of another one as unknown fields, which are
+// written as they are. Few distinct messages make up most of the traffic, and encoding the metadata's maps
+// each time costs as much as the rest of a call.
 func preEncode(r *extprocv3.ProcessingResponse) (*extprocv3.ProcessingResponse, error) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 	if err != nil {
@@ -181,11 +184,12 @@
 	return e, nil
 }
 
-// maxCachedMessages bounds names; members come and go, and the addresses of those gone are forgotten with all others.
+// maxCachedMessages bounds the cache for each kind. When it is reached, all entries are dropped, including
+// those of members that no longer exist.
 const maxCachedMessages = 4096
 
-// The kinds of message that names a member: the answer to the request's headers, to its body, and to its headers where
-// bodies go through here.
+// The kinds of messages that name a member: the answer to the request's headers, to its body, and to its
+// headers in full duplex.
 const (
 	inHeaders = iota
 	inBody
@@ -193,7 +197,7 @@
 	kindCount
 )
 
-// messageCache keeps the messages that name members.
+// messageCache caches encoded messages that name members.
 type messageCache struct {
 	mu     sync.RWMutex
 	byAddr [kindCount]map[string]*extprocv3.ProcessingResponse
@@ -219,8 +223,8 @@
 	return r, nil
 }
 
-// responseMessage lets a response through, marked for another attempt or with such a mark taken off: a member must not be
-// able to have the caller ask again.
+// responseMessage lets a response through, either marked for another attempt or with such a mark removed: a
+// member must not be able to make the caller retry.
 func responseMessage(c *operator.ExtProc, again bool) *extprocv3.ProcessingResponse {
 	mutation := &extprocv3.HeaderMutation{}
 	if again {
@@ -232,10 +236,10 @@
 		ResponseHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}}
 }
 
-// attributesNamespace is the name under which callers send attributes.
+// attributesNamespace is the namespace under which callers send attributes.
 const attributesNamespace = "envoy.filters.http.ext_proc"
 
-// readResponse reads what the response's headers tell of the attempt.
+// readResponse reads the attempt's result from the response's headers.
 func (s *stream) readResponse(m *extprocv3.ProcessingRequest) (r extproc.Response, note int, err error) {
 	r.MissStatus = s.config.MissStatus
 	for _, v := range m.GetResponseHeaders().GetHeaders().GetHeaders() {
@@ -259,8 +263,8 @@
 	return r, note, nil
 }
 
-// responseHeaders makes an outcome of the response in mode route, and passes it on, marks it for another attempt, or
-// puts the final answer in its place.
+// responseHeaders reports the attempt's outcome in route mode. It then lets the response through, marks it
+// for another attempt, or replaces it by the final answer.
 func (s *stream) responseHeaders(m *extprocv3.ProcessingRequest) error {
 	c := s.call
 	switch {
@@ -293,10 +297,10 @@
 		}
 		switch {
 		case v == logic.StatusRejected:
-			c.settle() // the member finds fault with the request itself, and says best with what
+			c.settle() // the member rejects the request itself, and its response explains why
 		case c.finalAnswer != nil:
 			final = c.finalAnswer
-		case s.head.requestID == "": // it could not be known when it comes back
+		case s.head.requestID == "": // without an id the caller's return could not be recognized
 			c.abandon()
 		default:
 			again = true
@@ -313,7 +317,7 @@
 	return s.sendResponseContinue()
 }
 
-// sendResponseContinue lets a response go on.
+// sendResponseContinue lets a response through.
 func (s *stream) sendResponseContinue() error {
 	if s.passThrough {
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
@@ -322,7 +326,7 @@
 	return s.send(s.config.continueMessage)
 }
 
-// markServed ends the attempt whose answer the caller has: the request is served.
+// markServed ends the attempt successfully: the caller has received the response.
 func (s *stream) markServed() {
 	s.delivering = false
 	s.front.host.Do(func() {
@@ -340,7 +344,7 @@
 		s.front.counts.Served++
 		c.settle()
 		s.delivered = true
-		s.idle = s.outbox == nil // else the end of the body has yet to go back
+		s.idle = s.outbox == nil // otherwise the end of the body has still to be sent
 		s.expiresAt = s.front.host.Now() + firstMessageTimeout
 	})
 }
--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -12,28 +12,28 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// maxChunkBytes is the longest part of a body that is passed on in one message: what the protocol recommends.
+// maxChunkBytes is the maximum length of a body part in one message, as the protocol recommends.
 const maxChunkBytes = 64 << 10
 
-// outbox says things to a caller that may not take them. In full duplex a body goes through here part by part; while
-// the caller does not take what is said, the stream reads nothing more, so that the caller's own end stands still by
-// HTTP/2's flow control, and a stream that stands for too long can still be ended.
+// outbox queues responses for a caller that may not read them. In full duplex, bodies pass through this
+// stream in parts. While the caller does not read, the stream receives nothing more, so HTTP/2 flow control
+// stops the caller's sending side, and an overdue stream can still be ended.
 type outbox struct {
 	queue   chan outboxMessage
-	stopped chan struct{} // closed when the sender has ended
-	err     error         // why, before that
-	pending atomic.Int32  // messages that are not said yet
-	written chan struct{} // of one token: one has been said
+	stopped chan struct{} // closed when run has returned
+	err     error         // error of Send; read after stopped is closed
+	pending atomic.Int32  // messages that are not written yet
+	written chan struct{} // capacity 1: signals that a message has been written
 }
 
-// outboxMessage is a message and the bytes of a body in it, which count as held until it is written.
+// outboxMessage is a message and the number of body bytes in it, which count as held until it is written.
 type outboxMessage struct {
 	response  *extprocv3.ProcessingResponse
 	heldBytes int
 }
 
-// prepareDuplex makes a stream ready to have bodies go through it: what the caller may send ahead counts as held from now on.
-// end tells that the request has no body.
+// prepareDuplex prepares a stream for relaying bodies: from now on the data that the caller may send ahead
+// counts as held. end means that the request has no body.
 func (s *stream) prepareDuplex(end bool) error {
 	if !(s.bodyMode == fullDuplex && !end) && s.responseMode != fullDuplex {
 		return nil
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// run says what is in the outbox until that is closed, and gives back what it could not say.
+// run sends queued messages until the queue is closed, and releases their held bytes also where sending
+// fails.
 func (o *outbox) run(s *stream) {
 	defer close(o.stopped)
 	for m := range o.queue {
@@ -70,7 +71,7 @@
 	}
 }
 
-// enqueue hands a message over, with n held bytes in it.
+// enqueue queues a message that holds n counted bytes.
 func (o *outbox) enqueue(s *stream, r *extprocv3.ProcessingResponse, n int) error {
 	o.pending.Add(1)
 	select {
@@ -86,7 +87,7 @@
 	return s.notReadStatus()
 }
 
-// flush waits until all is said.
+// flush waits until all messages are written.
 func (o *outbox) flush(s *stream) error {
 	for o.pending.Load() > 0 {
 		select {
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// notReadStatus is the status of a stream that ends with something to be said.
+// notReadStatus returns the status of a stream that ends with unsent messages.
 func (s *stream) notReadStatus() error {
 	if err := s.rpc.Context().Err(); err != nil {
 		return status.FromContextError(err).Err()
@@ -108,7 +109,8 @@
 	return status.Error(codes.DeadlineExceeded, "the caller does not take what it is told")
 }
 
-// closeAndWait waits until all is said, but no longer than the stream may stand.
+// closeAndWait closes the queue and waits until all messages are written, at most until the stream is ended
+// as overdue.
 func (o *outbox) closeAndWait(s *stream, err error) error {
 	close(o.queue)
 	select {
@@ -125,9 +127,10 @@
 	return err
 }
 
-// What is on its way to a caller that takes nothing stays in the transport, behind the stream's window, after the stream has
-// ended here, and grpc-go has no way to reset a stream from this side. So it counts as held for as long as a caller may
-// take to reset it, and a caller whose connection has too many such streams at once loses the connection.
+// Data for a caller that does not read stays in the transport, up to the stream's window, after the stream
+// has ended here, and grpc-go offers no way to reset a stream from the server. The window therefore counts
+// as held for as long as the caller may take to reset the stream, and a connection with too many such
+// streams at once is closed.
 const (
 	stuckHoldTime   = 30 * time.Second
 	maxStuckStreams = 64
@@ -156,7 +159,8 @@
 	}
 }
 
-// releaseStuckStreams lets go of streams that have been stuck for long, under the lock.
+// releaseStuckStreams releases the memory counted for stuck streams whose hold time is over. The host's
+// lock must be held.
 func (f *Front) releaseStuckStreams(now time.Duration) {
 	for len(f.stuckStreams) > 0 && (f.stuckStreams[0].releaseAt <= now || f.stuckStreams[0].conn.closed) {
 		f.stuckStreams[0].conn.stuckStreams--
@@ -165,8 +169,8 @@
 	}
 }
 
-// relayBody passes a part of a body on as it came. Where the memory for bodies is used up, no further part is taken in until
-// this one is written.
+// relayBody sends a body part back unchanged. If the memory for bodies is used up, no further part is
+// received until this one is written.
 func (s *stream) relayBody(m *extprocv3.HttpBody, response bool) error {
 	for rest, last := m.GetBody(), false; !last; {
 		part := rest[:min(len(rest), maxChunkBytes)]
@@ -193,18 +197,18 @@
 	return nil
 }
 
-// The metadata by which a gateway and an endpoint picker speak beside the headers (Gateway API Inference Extension,
-// endpoint picker protocol).
+// Metadata that a gateway and an endpoint picker exchange in addition to headers (Gateway API Inference
+// Extension, endpoint picker protocol).
 const (
 	subsetNamespace = "envoy.lb.subset_hint"
 	subsetKey       = "x-gateway-destination-endpoint-subset"
 	servedNamespace = "envoy.lb"
 	servedKey       = "x-gateway-destination-endpoint-served"
-	// maxSubset bounds a hint; a longer one is cut, which narrows it further.
+	// maxSubset limits a subset hint; a longer one is truncated, which restricts it further.
 	maxSubset = 1024
 )
 
-// allowedEndpoints reads the members that the caller allows: nil where it says nothing, empty where it allows none.
+// allowedEndpoints returns the members that the caller allows: nil without a hint, empty if it allows none.
 func allowedEndpoints(m *extprocv3.ProcessingRequest) []string {
 	v, ok := m.GetMetadataContext().GetFilterMetadata()[subsetNamespace].GetFields()[subsetKey]
 	if !ok {
@@ -214,7 +218,7 @@
 	return only[:min(len(only), maxSubset)]
 }
 
-// parseEndpoints reads addresses from a list, or from a text with commas. Never nil.
+// parseEndpoints reads addresses from a list or from comma-separated text. The result is never nil.
 func parseEndpoints(v *structpb.Value) []string {
 	only := []string{}
 	texts := []string{v.GetStringValue()}
@@ -238,7 +242,8 @@
 	return only
 }
 
-// recordServedMember takes who the caller says has really served, if it says so: one of the spares, or somebody else.
+// recordServedMember records the member that served the request, if the caller reports one: a fallback or
+// one that was not named.
 func (s *stream) recordServedMember(m *extprocv3.ProcessingRequest) {
 	v, ok := m.GetMetadataContext().GetFilterMetadata()[servedNamespace].GetFields()[servedKey]
 	if !ok {
--- a/internal/extproc/server/identity.go
+++ b/internal/extproc/server/identity.go
@@ -6,13 +6,14 @@
 	"linenloom/internal/identity"
 )
 
-// authorization is the header that a token comes in (RFC 6750, section 2.1).
+// authorization is the header that carries a token (RFC 6750, section 2.1).
 const authorization = "authorization"
 
-// authenticate proves who a call is from, where callers are proven. The tenant is the proven one, whatever the headers say, and so is the
-// tenant's part in the request's id: nobody takes up, repeats or blocks another's call by naming its id. The token goes no further:
-// where the caller makes the exchange itself, it is told to take the header out (name). A call that comes back for its next attempt
-// has to bring a token that holds too; the attempt goes by the proof that the request was taken by.
+// authenticate proves a caller's identity, if callers are authenticated. The tenant is the proven one,
+// whatever the headers say, and it prefixes the request id, so that no caller can continue, repeat or block
+// another tenant's call by using its id. The token is not passed on: a caller that makes the exchange
+// itself is told to remove the header (memberMessage). A call that returns for its next attempt must carry
+// a valid token too; the attempt uses the proof of the original request.
 func (s *stream) authenticate() error {
 	by := s.front.host.Callers()
 	if by == nil {
@@ -24,12 +25,12 @@
 	h.authorization, h.tenant = "", ""
 	p := s.certificateProof()
 	switch {
-	case !given && p != nil: // a token wins over the connection's certificate; a header that is none does not leave it in force
+	case !given && p != nil: // an Authorization header takes precedence over the certificate, even without a valid token
 	case !strings.EqualFold(scheme, "Bearer") || token == "":
 		return &identity.Error{Why: identity.Unproven}
 	default:
-		// Callers share connections, so none can be told from another by the bad tokens that it has shown: all go by the half of
-		// the checks that is open to everybody.
+		// Callers share connections, so an earlier bad token cannot be attributed to one of them: all use
+		// the half of the signature checks that is open to everyone.
 		var err error
 		if p, err = by.Prove([]byte(token), s.remoteIP(), true); err != nil {
 			return err
@@ -42,8 +43,8 @@
 	return nil
 }
 
-// sendDenied answers a caller that is turned away (RFC 6750, section 3.1; RFC 6585, section 4). Only what was not looked at may come
-// again as it is.
+// sendDenied answers a caller that is denied (RFC 6750, section 3.1; RFC 6585, section 4). Only a request
+// whose token was not checked is told to retry unchanged.
 func (s *stream) sendDenied(err error) error {
 	switch identity.WhyOf(err) {
 	case identity.Overload:
--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -9,11 +9,12 @@
 	"linenloom/internal/upstream"
 )
 
-// Long values, in mode answer: an answer is one message, so a value is held whole, in the room that the host has for long values, until
-// the caller has it. A body comes in pieces, and is not read on before there is room for all of it; in one message it would be in memory
-// before anybody could say so, and stays within maxBodyBytes.
+// Long values in answer mode: an answer is one message, so a value is held completely until the caller has
+// it, in the memory that the host reserves for long values. A body in several messages is read only after
+// memory for all of it has been reserved. A body in one message would be in memory before it could be
+// refused, so it is limited to maxBodyBytes.
 
-// bufferedValue is a call whose exchange is made here.
+// bufferedValue is a call whose exchange this process makes.
 type bufferedValue struct{ *call }
 
 var _ upstream.ValueStream = bufferedValue{}
@@ -23,7 +24,7 @@
 	errCallEnded  = errors.New("nobody waits for the value")
 )
 
-// Begin waits for room.
+// Begin waits for a reservation.
 func (w bufferedValue) Begin(n int) (err error) {
 	var left time.Duration
 	w.front.host.Do(func() {
@@ -47,7 +48,7 @@
 	return err
 }
 
-// WritePiece takes a piece.
+// WritePiece appends a piece.
 func (w bufferedValue) WritePiece(piece []byte) (err error) {
 	w.front.host.Do(func() {
 		if w.settled || w.partialValue == nil {
@@ -60,7 +61,7 @@
 	return err
 }
 
-// Finish makes the value the answer.
+// Finish makes the value the final answer.
 func (w bufferedValue) Finish() error {
 	w.front.host.Do(func() {
 		if w.settled || w.partialValue == nil {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// Abort fails the call: its caller has been told nothing yet.
+// Abort fails the call. Nothing of the value has been sent to the caller.
 func (w bufferedValue) Abort() {
 	w.front.host.Do(w.releasePartial)
 	w.setAnswer(proxy.Answer{Kind: proxy.Failed})
@@ -89,7 +90,7 @@
 	})
 }
 
-// releasePartial lets go of a value that is not whole, under the lock.
+// releasePartial releases an incomplete value. The host's lock must be held.
 func (w bufferedValue) releasePartial() {
 	if w.partialValue != nil {
 		w.partialValue = nil
@@ -98,7 +99,7 @@
 	}
 }
 
-// appendLongBody takes a piece of a body that is over maxBodyBytes, once there is room for all of it.
+// appendLongBody appends a piece of a body over maxBodyBytes, after reserving memory for all of it.
 func (s *stream) appendLongBody(piece []byte) (room bool) {
 	if s.reservation == nil {
 		n := maxLongBodyBytes
@@ -111,12 +112,12 @@
 		}
 		value := append(make([]byte, 0, n), s.body...)
 		s.front.host.Do(func() {
-			s.front.host.Hold(-cap(s.body)) // it is in the room now
+			s.front.host.Hold(-cap(s.body)) // the reservation covers it now
 			s.body, s.reservation = value, place
 		})
 	}
-	if len(s.body)+len(piece) > cap(s.body) { // what there is room for
-		return false // more than it said
+	if len(s.body)+len(piece) > cap(s.body) { // the reserved size
+		return false // longer than its content-length
 	}
 	s.body = append(s.body, piece...)
 	return true
--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxReplyBytes is how many bytes the values of a reply may have here: it is put together under the host's lock.
+	// maxReplyBytes limits the values of a reply, which is assembled under the host's lock.
 	maxReplyBytes = 512 << 10
-	// maxKeyBytes is how long the keys may be together.
+	// maxKeyBytes limits the total length of the keys.
 	maxKeyBytes = 64 << 10
 )
 
-// manyCall gathers the reply to a call for many keys (docs/many-keys.md).
+// manyCall assembles the reply to a call for many keys (docs/many-keys.md).
 type manyCall struct {
 	call      *call
 	many      *proxy.Many
@@ -25,7 +25,7 @@
 	heldBytes int
 }
 
-// keyResult is what the reply says of a key: its value, in base64 as JSON has it, or its mark.
+// keyResult is a key's entry in the reply: its value, in base64 as JSON encodes it, or its mark.
 type keyResult struct {
 	Key        string `json:"key"`
 	Value      []byte `json:"value"`
@@ -35,7 +35,7 @@
 
 var _ proxy.ManyTaker = (*manyCall)(nil)
 
-// submitMany hands a call for many keys to the host, under its lock.
+// submitMany submits a call for many keys to the host. The host's lock must be held.
 func (s *stream) submitMany(c *call) error {
 	m := &manyCall{call: c}
 	command := c.request.Command
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// Told takes what became of a key.
+// Told receives the result for a key.
 func (m *manyCall) Told(k int, mark manykeys.Outcome, a proxy.Answer, _ error) {
 	t := keyResult{Key: m.many.Gather.Key(k)}
 	switch mark {
@@ -67,7 +67,7 @@
 	m.keys[k] = t
 }
 
-// Over gives the call its one answer, in the order asked.
+// Over sends the call's single answer, with the keys in the order asked.
 func (m *manyCall) Over() {
 	var reply struct {
 		Keys []keyResult `json:"keys"`
@@ -77,7 +77,7 @@
 	}
 	body, err := json.Marshal(reply)
 	m.releaseValues()
-	if err != nil { // nothing of it can't be written as JSON
+	if err != nil { // not expected: all of the reply can be encoded
 		m.call.Answer(proxy.Answer{Kind: proxy.Failed})
 		return
 	}
@@ -94,7 +94,7 @@
 	m.keys = nil
 }
 
-// withdraw gives up what is out.
+// withdraw releases the values and cancels outstanding keys.
 func (m *manyCall) withdraw() {
 	m.releaseValues()
 	m.many.Withdraw()
--- a/internal/extproc/server/secure.go
+++ b/internal/extproc/server/secure.go
@@ -13,10 +13,10 @@
 	"linenloom/internal/proxy"
 )
 
-// proofCheckInterval is how often it is looked whether the certificates of standing connections still prove what they did.
+// proofCheckInterval is how often the certificates of open connections are checked again.
 const proofCheckInterval = 250 * time.Millisecond
 
-// certificateCreds is TLS whose handshakes leave with the connection what the caller's certificate proves.
+// certificateCreds is TLS that records in the connection what the client's certificate proves.
 type certificateCreds struct {
 	credentials.TransportCredentials
 	front *Front
@@ -32,7 +32,7 @@
 	if !counts || !secure {
 		return conn, info, nil
 	}
-	// One that proves nothing here is none: a token may still do.
+	// A certificate that proves nothing here is ignored; a token can still authenticate the caller.
 	if proof, err := d.front.host.Callers().Certificate(&t.State); err == nil {
 		d.front.host.Do(func() {
 			if c.proof = proof; !c.closed {
@@ -47,7 +47,7 @@
 	return certificateCreds{d.TransportCredentials.Clone(), d.front}
 }
 
-// connOf is the connection that a stream came by; nil, if that can't be told.
+// connOf returns the connection that carries a stream, or nil if it is unknown.
 func connOf(ctx context.Context) *countedConn {
 	if from, ok := peer.FromContext(ctx); ok {
 		if a, ok := from.Addr.(remoteAddr); ok {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// remoteIP is the address that a stream came from; the zero one, where that can't be told.
+// remoteIP returns the address that a stream came from, or the zero address if it is unknown.
 func (s *stream) remoteIP() netip.Addr {
 	if s.conn == nil {
 		return netip.Addr{}
@@ -65,7 +65,7 @@
 	return proxy.AddrOf(s.conn.Conn)
 }
 
-// certificateProof is what the certificate proves of the connection that a stream came by; nil, if nothing.
+// certificateProof returns what the connection's certificate proves, or nil.
 func (s *stream) certificateProof() (p *identity.Proof) {
 	if s.conn != nil {
 		s.front.host.Do(func() { p = s.conn.proof })
@@ -73,8 +73,8 @@
 	return p
 }
 
-// checkProofs ends, under the host's lock, connections whose certificate no longer proves what it did: no stream is taken on them
-// from now on, and each is closed with the end of its last one.
+// checkProofs closes connections whose certificate no longer proves what it did: they accept no new
+// streams, and each is closed after its last one. The host's lock must be held.
 func (f *Front) checkProofs(now time.Duration) {
 	if len(f.certConns) == 0 || now < f.nextProofCheck {
 		return
@@ -89,9 +89,9 @@
 	}
 }
 
-// closeIfUnused closes, under the host's lock, a connection that is to end and carries no stream.
+// closeIfUnused closes a closing connection that carries no stream. The host's lock must be held.
 func (c *countedConn) closeIfUnused() {
 	if c.closing && c.streams == 0 {
-		go c.Close() // it takes the lock
+		go c.Close() // Close takes the host's lock
 	}
 }
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -1,9 +1,10 @@
-// Package server is the front by which other proxies call this program for every request, as an external processor:
-// envoy.service.ext_proc.v3.ExternalProcessor over gRPC (docs/extproc.md).
+// Package server implements the ext_proc front end: other proxies call this process for every request as an
+// external processor, envoy.service.ext_proc.v3.ExternalProcessor over gRPC (docs/extproc.md).
 //
-// It speaks the protocol, counts what it holds and carries out what the host decides; it never picks a member, never
-// tries anything again by itself and keeps no values. Every stream is one HTTP exchange of a caller's. All state
-// beside a stream's own is guarded by the host's one lock, under which nothing blocks.
+// The package implements the protocol, counts the memory that it holds and carries out what the host
+// (proxy.Proxy) decides. It never picks a member, never retries by itself and stores no values. Each stream
+// is one HTTP exchange of a caller. All state other than a stream's own is guarded by the host's single
+// lock, under which nothing blocks.
 package server
 
 import (
@@ -36,41 +37,42 @@
 )
 
 const (
-	// maxMessageBytes bounds one message. A body that is over resp.MaxValue but under this is told 413; what is longer ends
-	// its stream before it is read into memory.
+	// maxMessageBytes limits one message. A body over resp.MaxValue and under this limit is answered with
+	// 413; a longer message ends its stream before it is read into memory.
 	maxMessageBytes = 256 << 10
-	maxHeaderBytes  = 16 << 10 // of the gRPC call itself
-	// streamMemory is what a stream holds beside bodies: its goroutines, buffers and tables.
+	maxHeaderBytes  = 16 << 10 // headers of the gRPC call itself
+	// streamMemory is the memory of a stream without bodies: its goroutines, buffers and tables.
 	streamMemory = 12 << 10
-	// streamWindow is what a caller may send on a stream before we read it, by HTTP/2's flow control.
+	// streamWindow is HTTP/2's flow-control window: what a caller may send on a stream before it is read.
 	streamWindow = 64 << 10
-	// maxConns is how many connections callers may hold. A caller needs one or two, each for many streams.
+	// maxConns limits the callers' connections. A caller needs one or two, each for many streams.
 	maxConns = 64
-	// firstMessageTimeout is how long a stream may stand without its first message; it is one exchange's, so a caller opens
-	// it when it has something to say.
+	// firstMessageTimeout limits how long a stream may stay open without its first message. A stream is one
+	// exchange, so a caller opens it when it has a message to send.
 	firstMessageTimeout = 2500 * time.Millisecond
-	// passThroughTimeout is how long a stream may stand whose request is none of ours.
+	// passThroughTimeout limits a stream whose request matches no map entry.
 	passThroughTimeout = 5 * time.Minute
-	// overdueGrace is how long past its request's time a stream may stand.
+	// overdueGrace is how long a stream may stay open after its request's deadline.
 	overdueGrace = time.Second
-	// idleGoroutines are kept for further streams, and as many again that read.
+	// idleGoroutines is the number of goroutines kept for further streams, and also of those kept for
+	// reading.
 	idleGoroutines = 32
-	// maxCalls is how many request ids are remembered, in hand or over.
+	// maxCalls limits the request ids that are remembered, of requests in progress and ended ones.
 	maxCalls = 16384
 )
 
-// config is what a reload replaces.
+// config is the part of the state that a reload replaces.
 type config struct {
 	*operator.ExtProc
 	mapping         *extproc.Mapping
 	classes         map[string]*logic.Class
 	memberMessages  messageCache
-	authenticates   bool                          // callers are, by a token in a header
-	continueMessage *extprocv3.ProcessingResponse // the response goes on as it is
-	retryMessage    *extprocv3.ProcessingResponse // marked for another attempt
+	authenticates   bool                          // callers are authenticated by a token in a header
+	continueMessage *extprocv3.ProcessingResponse // lets a response through unchanged
+	retryMessage    *extprocv3.ProcessingResponse // lets a response through, marked for another attempt
 }
 
-// Front is the external processor's front.
+// Front is the ext_proc front end.
 type Front struct {
 	extprocv3.UnimplementedExternalProcessorServer
 	host   *proxy.Proxy
@@ -80,34 +82,34 @@
 	grpc   *grpc.Server
 	health *health.Server
 
-	// Under the host's lock.
+	// Guarded by the host's lock.
 	calls          *extproc.CallTable
 	streams        map[*stream]struct{}
 	conns          int
-	generatedIDs   uint32 // ids made here
+	generatedIDs   uint32 // number of request ids generated here
 	counts         Counts
 	stuckStreams   []stuckStream
-	certConns      map[*countedConn]struct{} // connections with a certificate that proves something
-	nextProofCheck time.Duration             // when these are looked at again
+	certConns      map[*countedConn]struct{} // connections authenticated by a certificate
+	nextProofCheck time.Duration             // when checkProofs checks them again
 
-	idleReaders     chan *stream  // to readers that have nothing to read
-	idleReaderCount atomic.Int32  // of them
-	quit            chan struct{} // closed at the end
+	idleReaders     chan *stream  // hands streams to idle reader goroutines
+	idleReaderCount atomic.Int32  // number of idle reader goroutines
+	quit            chan struct{} // closed when Serve returns
 }
 
-// Counts tells what the front has done and holds.
+// Counts holds the front end's counters and gauges.
 type Counts struct {
-	Streams, Calls, Conns          int // in hand
-	Accepted, Unavailable, Invalid int // streams, since the start
-	Served, Refused, Failed        int // final answers, since the start
-	Routed, Continued, Abandoned   int // attempts given, calls that came back, calls that were given up
-	FellBack, ServedElsewhere      int // steps to spare members, responses of members that were not named
+	Streams, Calls, Conns          int // current
+	Accepted, Unavailable, Invalid int // streams since the start
+	Served, Refused, Failed        int // final answers since the start
+	Routed, Continued, Abandoned   int // attempts given to callers, calls continued, calls abandoned
+	FellBack, ServedElsewhere      int // fallback steps, responses of members that were not named
 }
 
 var _ proxy.Front = (*Front)(nil)
 
-// New makes the front and binds its address. The file has been checked; what it says of classes is checked here,
-// against the settings.
+// New creates the front end and binds its address. The file has already been validated, except for its
+// class names, which are checked here against the settings.
 func New(p *proxy.Proxy, file *operator.File, log *slog.Logger) (*Front, error) {
 	f := &Front{host: p, log: log.With("front", "extproc"), streams: map[*stream]struct{}{}, certConns: map[*countedConn]struct{}{},
 		idleReaders: make(chan *stream), quit: make(chan struct{})}
@@ -128,13 +130,14 @@
 	}
 	f.grpc = grpc.NewServer(append(more,
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxHeaderListSize(maxHeaderBytes),
-		// Twice the bound, so that a stream over it is told so, and doesn't wait at the caller.
+		// Twice max_streams, so that an excess stream is refused with a status and does not wait at the
+		// caller.
 		grpc.MaxConcurrentStreams(uint32(2*c.MaxStreams)),
 		grpc.ConnectionTimeout(firstMessageTimeout),
-		// Fixed, so that what callers may send ahead of us is bounded, and can be counted.
+		// Fixed windows, so that the data that callers may send ahead is bounded and can be counted.
 		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(4*streamWindow),
-		// Reading and writing protobuf takes deep stacks. A goroutine that has grown one serves the next stream too; when
-		// all are taken, a stream gets a new one.
+		// Encoding and decoding protobuf needs deep stacks. A worker goroutine whose stack has grown serves
+		// further streams; if all workers are busy, a stream gets a new goroutine.
 		grpc.NumStreamWorkers(idleGoroutines),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
 	)...)
@@ -163,7 +166,8 @@
 	return c, err
 }
 
-// bind listens. A unix socket that a dead process has left is removed; one that is in use is an error.
+// bind listens on an address. It removes a unix socket left behind by a dead process and fails for one that
+// is in use.
 func bind(a operator.Address) (net.Listener, error) {
 	network, addr := a.Network()
 	if network == "unix" {
@@ -179,10 +183,10 @@
 	return net.Listen(network, addr)
 }
 
-// Addr is where the front listens.
+// Addr returns the listener's address.
 func (f *Front) Addr() net.Addr { return f.listen.Addr() }
 
-// Reload takes over what a checked file says now, as far as a running front can.
+// Reload applies a validated file, as far as a running front end can.
 func (f *Front) Reload(file *operator.File) error {
 	c, err := f.compile(file)
 	if err != nil {
@@ -193,7 +197,7 @@
 	return nil
 }
 
-// Counts tells what the front has done and holds.
+// Counts returns the current counters and gauges.
 func (f *Front) Counts() (c Counts) {
 	f.host.Do(func() {
 		c = f.counts
@@ -202,7 +206,7 @@
 	return c
 }
 
-// Serve takes calls until StopTaking or Close.
+// Serve accepts calls until StopTaking or Close.
 func (f *Front) Serve() error {
 	f.log.Info("extproc listens", "addr", f.Addr().String(), "mode", f.config.Load().Mode)
 	defer close(f.quit)
@@ -213,14 +217,16 @@
 	return err
 }
 
-// Drain says in the health service that callers should look elsewhere; streams are still taken.
+// Drain sets the health service to not serving, so that callers prefer another processor; streams are still
+// accepted.
 func (f *Front) Drain() { f.health.Shutdown() }
 
-// StopTaking sends callers away: what they open from now on goes elsewhere, by HTTP/2's GOAWAY, and never ran here.
+// StopTaking refuses new streams with HTTP/2's GOAWAY, so callers know that these never ran and use another
+// processor.
 func (f *Front) StopTaking() { go f.grpc.GracefulStop() }
 
-// Owes tells whether a stream still waits for something. One whose exchange is over is ended; one that has said nothing
-// yet may have its first message on the way, and is waited for as long as any.
+// Owes reports whether a stream still waits for an answer. It ends streams whose exchange is over. A stream
+// without messages may have its first one in transit and is waited for like any other.
 func (f *Front) Owes() bool {
 	owed := false
 	for s := range f.streams {
@@ -233,10 +239,10 @@
 	return owed
 }
 
-// End has nothing to add: a stream ends with its answer, and callers know by GOAWAY that the others never ran.
+// End does nothing: a stream ends with its answer, and GOAWAY tells callers that all others never ran.
 func (f *Front) End() {}
 
-// Sweep ends streams that stand for too long, and calls whose caller has not come back.
+// Sweep ends overdue streams and calls whose caller has not returned in time.
 func (f *Front) Sweep() {
 	now := f.host.Now()
 	f.releaseStuckStreams(now)
@@ -251,13 +257,14 @@
 	}
 }
 
-// MakeRoom has nothing to give up: a caller's connection carries many streams.
+// MakeRoom returns false: closing a connection would end its many streams.
 func (f *Front) MakeRoom() bool { return false }
 
-// Close ends what is still open. gRPC gives descriptors back under the host's lock, which the caller holds.
+// Close closes the listener and all connections. It runs in a goroutine of its own, as closing connections
+// takes the host's lock, which the caller of Close holds.
 func (f *Front) Close() { go f.grpc.Stop() }
 
-// boundedListener counts connections, and closes those that there is no room for.
+// boundedListener counts connections and closes those over the limit.
 type boundedListener struct {
 	net.Listener
 	front *Front
@@ -287,16 +294,17 @@
 	net.Conn
 	front        *Front
 	once         sync.Once
-	stuckStreams int // streams that have ended with something not taken, lately; under the host's lock
+	stuckStreams int // streams that recently ended with unread responses; guarded by the host's lock
 	closed       bool
 
-	// Under the host's lock.
-	proof   *identity.Proof // what its certificate proves; nil: nothing
-	streams int             // on it now, where that is counted
-	closing bool            // nothing new is taken on it
+	// Guarded by the host's lock.
+	proof   *identity.Proof // what the client certificate proves; nil: nothing
+	streams int             // open streams, counted where callers are authenticated
+	closing bool            // no new streams are accepted
 }
 
-// remoteAddr lets a stream find its connection, which gRPC does not tell; unix sockets have no addresses to go by.
+// remoteAddr lets a stream find its connection, which gRPC does not expose; unix sockets have no distinct
+// addresses to look it up by.
 type remoteAddr struct {
 	net.Addr
 	conn *countedConn
@@ -317,14 +325,14 @@
 	return err
 }
 
-// Process is one exchange of a caller's.
+// Process serves one exchange of a caller.
 func (f *Front) Process(rpc extprocv3.ExternalProcessor_ProcessServer) error {
 	s := &stream{front: f, rpc: rpc, config: f.config.Load(), forceEnd: make(chan struct{}), messages: make(chan received), readNext: make(chan struct{}, 1), done: make(chan struct{})}
 	if s.config.authenticates {
 		s.conn = connOf(rpc.Context())
 	}
 	if !f.admitStream(s) {
-		// gRPC's UNAVAILABLE: the call never ran, and can be made elsewhere.
+		// With gRPC's UNAVAILABLE the call has not run and can be made elsewhere.
 		return status.Error(codes.Unavailable, "no room for the stream; nothing ran")
 	}
 	defer f.releaseStream(s)
@@ -345,7 +353,8 @@
 	return err
 }
 
-// readStreams reads for a stream, and then for others. Streams end while a Recv is out, and a stream's end ends that.
+// readStreams reads messages for a stream and then for further ones. A stream may end during its Recv call,
+// which then returns.
 func (f *Front) readStreams(s *stream) {
 	for {
 		s.read()
@@ -408,20 +417,21 @@
 	})
 }
 
-// call is a request in the host's hands. It outlives a stream in mode route, where the caller comes back on another.
+// call is a request submitted to the host. In route mode it outlives its stream, as the caller returns on
+// another one.
 type call struct {
 	front        *Front
 	request      proxy.Request
 	entry        *extproc.Entry
-	many         *manyCall // it is for many keys
+	many         *manyCall // set if the call is for many keys
 	stream       *stream
-	attempt      *proxy.Attempt       // the latest that the host has named; mode route
-	namedAddrs   string               // the addresses that the caller was given for it
-	finalAnswer  *proxy.Answer        // the final answer, its value copied
-	reservation  upstream.Reservation // of a long value, which is not counted as held
-	partialValue []byte               // that is not whole yet
-	settled      bool                 // the caller has the answer, or nobody waits for one
-	decided      chan struct{}        // of one token: something has been decided
+	attempt      *proxy.Attempt       // route mode: the latest attempt named by the host
+	namedAddrs   string               // addresses given to the caller for the attempt
+	finalAnswer  *proxy.Answer        // its value is a copy
+	reservation  upstream.Reservation // for a long value, which does not count as held
+	partialValue []byte               // a value that is still incomplete
+	settled      bool                 // the caller has its answer or no longer waits for one
+	decided      chan struct{}        // capacity 1: signals a decision
 }
 
 // routedCall is a call whose attempts the caller makes.
@@ -429,13 +439,13 @@
 
 var _ proxy.Carrier = routedCall{}
 
-// Carry takes the member of the next attempt.
+// Carry receives the member for the next attempt.
 func (c routedCall) Carry(a *proxy.Attempt) {
 	c.attempt = a
 	c.notify()
 }
 
-// Answer takes the final answer.
+// Answer receives the final answer.
 func (c *call) Answer(a proxy.Answer) {
 	switch {
 	case a.Body != nil:
@@ -455,14 +465,14 @@
 	}
 }
 
-// settle notes that the call is over for its caller.
+// settle marks the call as ended for its caller.
 func (c *call) settle() {
 	if c.settled {
 		return
 	}
 	c.settled = true
 	c.front.host.Withdraw(&c.request)
-	ran := c.request.MayHaveRun() // what had yet to be sent has been taken back
+	ran := c.request.MayHaveRun() // after Withdraw, which takes back what has not been sent
 	if c.many != nil {
 		c.many.withdraw()
 	}
@@ -476,7 +486,7 @@
 	c.front.calls.End(c.entry, ran, c.front.host.Now())
 }
 
-// abandon ends a call for which nobody waits any more.
+// abandon ends a call whose caller no longer waits.
 func (c *call) abandon() {
 	if !c.settled {
 		c.front.counts.Abandoned++
@@ -485,7 +495,7 @@
 	}
 }
 
-// releaseAnswer lets go of the final answer's value, once it is written or nobody wants it.
+// releaseAnswer releases the final answer's value once it has been sent or is no longer needed.
 func (c *call) releaseAnswer() {
 	switch {
 	case c.finalAnswer == nil:
@@ -501,14 +511,14 @@
 	}
 }
 
-// restrictMembers takes the members that the caller allows from now on.
+// restrictMembers applies the set of members that the caller allows from now on.
 func (c *call) restrictMembers(only []string) {
 	if !slices.Equal(only, c.request.Only) || (only == nil) != (c.request.Only == nil) {
 		c.front.host.Narrow(&c.request, only)
 	}
 }
 
-// streamEnded is told that a stream has ended.
+// streamEnded abandons the call if its stream has ended and the caller is not expected to return.
 func (c *call) streamEnded(s *stream) {
 	if c.stream == s && !c.entry.AwaitingCaller {
 		c.stream = nil
@@ -517,10 +527,10 @@
 }
 
 const (
-	// maxBodyBytes is the longest body of a request that comes in one message, and maxLongBodyBytes of one that comes in pieces, which are not read
-	// before there is room for them.
+	// maxBodyBytes limits a request body in one message, maxLongBodyBytes one in several messages, which
+	// are read only after memory has been reserved.
 	maxBodyBytes     = resp.MaxValue
 	maxLongBodyBytes = resp.MaxLongValue
-	// maxTextBytes bounds what a request tells beside it, as on the RESP2 front.
+	// maxTextBytes limits the other texts of a request, as on the RESP2 front end.
 	maxTextBytes = 2 << 10
 )
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -24,45 +24,46 @@
 	"linenloom/logic"
 )
 
-// stream is one exchange. Its fields belong to the goroutine of Process, but for those named under the host's lock.
+// stream is one HTTP exchange of a caller. Its fields belong to the goroutine of Process, except those
+// listed under the host's lock.
 type stream struct {
 	front        *Front
 	rpc          extprocv3.ExternalProcessor_ProcessServer
 	config       *config
-	conn         *countedConn // it came by; nil, where callers are not proven
+	conn         *countedConn // the connection that carries the stream; nil where callers are not authenticated
 	messages     chan received
-	readNext     chan struct{} // of one token: the next message is wanted
+	readNext     chan struct{} // capacity 1: signals read to receive the next message
 	done         chan struct{} // closed when Process returns
 	messageOrder extproc.MessageOrder
 
-	bodyMode         filterv3.ProcessingMode_BodySendMode // of the request, where the caller tells
+	bodyMode         filterv3.ProcessingMode_BodySendMode // of the request, if the caller reports it
 	responseMode     filterv3.ProcessingMode_BodySendMode // of the response
-	modesKnown       bool                                 // the caller has told its modes
-	observing        bool                                 // the caller takes no responses
-	passThrough      bool                                 // the request is none of ours
+	modesKnown       bool                                 // the caller has reported its body modes
+	observing        bool                                 // observability mode: the caller accepts no responses
+	passThrough      bool                                 // the request matches no map entry and is passed on
 	head             requestHead
 	target           extproc.Target
-	deadline         time.Time // the client's, less the margin
-	collecting       bool      // a write's body is still to come
+	deadline         time.Time // the client's deadline less the margin
+	collecting       bool      // the body of a write is still being received
 	bodyLen          int
-	delivering       bool // the response has begun well, and its end is still to come
-	outcomeNote      int  // on its outcome
+	delivering       bool // a successful response has started and is not complete
+	outcomeNote      int  // cache note for the attempt's outcome
 	proof            *identity.Proof
-	servedElsewhere  bool // who answered is none of those that were named
+	servedElsewhere  bool // the response came from a member that was not named
 	responseBodySeen bool
-	overrideSent     bool // for the message in hand
+	overrideSent     bool // override_message_timeout was sent for the current message
 	messageAt        time.Time
-	reason           logic.Reason // of the final answer
-	outbox           *outbox      // what is to be said, where bodies go through here
-	delivered        bool         // the response has come whole
+	reason           logic.Reason // reason of the final answer
+	outbox           *outbox      // responses to send, if bodies pass through this stream
+	delivered        bool         // the response is complete
 
-	// Under the host's lock.
+	// Guarded by the host's lock.
 	call        *call
 	body        []byte
-	reservation upstream.Reservation // in the room for long values, of a body over maxBodyBytes; nil: it is counted as held
-	heldWindow  int                  // held for what the caller may have sent ahead
-	expiresAt   time.Duration        // when it has stood for too long
-	idle        bool                 // all has been said; more may come, and needs nothing
+	reservation upstream.Reservation // capacity for a body over maxBodyBytes; nil: the body counts as held
+	heldWindow  int                  // bytes held for what the caller may send ahead
+	expiresAt   time.Duration        // when the stream is ended as overdue
+	idle        bool                 // everything has been sent; further messages need no answer
 	forceEnded  bool
 	forceEnd    chan struct{}
 }
@@ -72,7 +73,7 @@
 	err     error
 }
 
-// endByForce ends the stream; under the host's lock.
+// endByForce ends the stream. The host's lock must be held.
 func (s *stream) endByForce() {
 	if !s.forceEnded {
 		s.forceEnded = true
@@ -80,8 +81,9 @@
 	}
 }
 
-// read hands messages over one at a time, each when it is wanted; what comes ahead waits in the connection's window. To wait
-// for one that nobody wants, on a call that is over with its first, would cost a wake-up for each.
+// read passes on one message at a time, each when run asks for it; later messages wait in the stream's
+// flow-control window. Blocking in Recv for a message that is not needed would cost an extra wake-up for
+// each call that ends after its first message.
 func (s *stream) read() {
 	for {
 		m, err := s.rpc.Recv()
@@ -101,7 +103,7 @@
 	}
 }
 
-// errStreamDone ends a stream on which everything has been said.
+// errStreamDone ends a stream on which everything has been sent.
 var errStreamDone = errors.New("over")
 
 func (s *stream) run(ctx context.Context) error {
@@ -111,7 +113,7 @@
 		}
 		var r received
 		select {
-		case r = <-s.messages: // the call's end comes this way too
+		case r = <-s.messages: // also delivers the end of the call
 		case <-s.forceEnd:
 			return s.forceEndStatus()
 		}
@@ -134,8 +136,8 @@
 	}
 }
 
-// fullyRelayed tells whether a stream that bodies go through has passed on the last of them, so that a drain need not wait for
-// it; more may come, and needs nothing.
+// fullyRelayed reports whether a stream that relays bodies has relayed the last of them, so that a drain
+// need not wait for it. Further messages may arrive and need no answer.
 func (s *stream) fullyRelayed() bool {
 	if s.passThrough {
 		return s.messageOrder.RequestComplete() && (s.responseMode != fullDuplex || s.messageOrder.ResponseComplete())
@@ -143,21 +145,21 @@
 	return s.delivered
 }
 
-// forceEndStatus is the status of a stream that the front ends.
+// forceEndStatus returns the status of a stream that the front end ends.
 func (s *stream) forceEndStatus() error {
 	idle := false
 	s.front.host.Do(func() { idle = s.idle })
 	switch {
 	case idle:
-		return nil // all has been said
+		return nil // everything has been sent
 	case !s.messageOrder.RequestStarted():
 		return status.Error(codes.Unavailable, "no message came; nothing ran")
 	}
 	return status.Error(codes.DeadlineExceeded, "the stream has stood for too long")
 }
 
-// closedByCaller takes a clean end by the caller. Where the rest of a good response was to come but none of it did, the caller
-// has gone by mode_override and sends no more.
+// closedByCaller handles a clean end of the stream by the caller. If a successful response was still
+// incomplete and no part of its body arrived, the caller followed mode_override and sends no more.
 func (s *stream) closedByCaller() {
 	if s.delivering && !s.responseBodySeen {
 		s.markServed()
@@ -186,7 +188,7 @@
 	}
 	if s.observing = s.observing || m.GetObservabilityMode(); s.observing {
 		s.front.host.Do(func() { s.idle, s.expiresAt = true, s.front.host.Now()+passThroughTimeout })
-		return nil // the caller goes on by itself; a choice made here would book load that nobody sends
+		return nil // the caller proceeds without an answer; choosing a member here would count load that is never sent
 	}
 	switch kind {
 	case extproc.RequestHeaders:
@@ -221,7 +223,8 @@
 
 const fullDuplex = filterv3.ProcessingMode_FULL_DUPLEX_STREAMED
 
-// supportedBodyMode tells whether a body mode is spoken here. GRPC would have us count a caller's messages, not bytes.
+// supportedBodyMode reports whether a body mode is supported. GRPC is not: it would require counting the
+// caller's messages instead of bytes.
 func supportedBodyMode(m filterv3.ProcessingMode_BodySendMode) bool {
 	return m >= filterv3.ProcessingMode_NONE && m <= fullDuplex
 }
@@ -244,7 +247,7 @@
 	return 0, false
 }
 
-// send says something to the caller, after all that has been said before.
+// send sends a response to the caller after all earlier ones.
 func (s *stream) send(r *extprocv3.ProcessingResponse) error {
 	if s.outbox != nil {
 		return s.outbox.enqueue(s, r, 0)
@@ -254,7 +257,7 @@
 
 func (s *stream) routeMode() bool { return s.config.Mode == "route" }
 
-// requestHead is what the request's headers tell.
+// requestHead holds the values read from the request's headers.
 type requestHead struct {
 	method, path, requestID, tenant, idempotencyKey string
 	attempt                                         int
@@ -262,8 +265,8 @@
 	hasTimeLeft                                     bool
 	contentLength                                   int
 	hasDestination                                  bool
-	allowedMembers                                  []string // the members that the caller allows; nil: all
-	authorization                                   string   // until it has been looked at
+	allowedMembers                                  []string // members that the caller allows; nil: all
+	authorization                                   string   // cleared once it has been checked
 }
 
 func headerValue(h *corev3.HeaderValue) string {
@@ -273,14 +276,16 @@
 	return h.GetValue()
 }
 
-// readHead reads the headers. An error that is no status is the client's, and gets an answer of its own.
+// readHead reads the request's headers. An error without a gRPC status is the client's fault and is
+// answered with an immediate response.
 func (s *stream) readHead(headers []*corev3.HeaderValue) error {
 	h, c := &s.head, &s.config.Headers
 	for i, v := range headers {
 		name := v.GetKey()
 		switch name {
 		case c.RequestID, c.Tenant, c.Key, c.Attempt, authorization:
-			// Which of two would count could be chosen by whoever adds one (RFC 9110 section 5.3: not a list, so only one).
+			// With two different values, whoever adds a header could choose which one counts (RFC 9110
+			// section 5.3: the field is no list, so only one is allowed).
 			for _, w := range headers[:i] {
 				if w.GetKey() == name && headerValue(w) != headerValue(v) {
 					return fmt.Errorf("%s is there more than once", name)
@@ -350,7 +355,7 @@
 		if err := s.prepareDuplex(m.GetEndOfStream()); err != nil {
 			return err
 		}
-		// Bodies that go through here are waited for at a drain.
+		// A drain waits for bodies that are relayed on this stream.
 		s.front.host.Do(func() { s.idle, s.expiresAt = s.outbox == nil, s.front.host.Now()+passThroughTimeout })
 		return s.sendPassThrough()
 	}
@@ -380,7 +385,8 @@
 	return s.startRequest(ctx, false)
 }
 
-// sendExpired answers a request whose time is over. It has never run, unless an attempt that came before has.
+// sendExpired answers a request whose deadline has passed. The request has not run unless an earlier
+// attempt may have.
 func (s *stream) sendExpired(class *logic.Class) error {
 	ran := false
 	if s.runOnce(class) {
@@ -392,13 +398,13 @@
 	return s.sendImmediate(503, []byte(extproc.ErrExpired.Error()+"; it never ran"), "")
 }
 
-// runOnce tells whether the request must not run twice.
+// runOnce reports whether the request must not run twice.
 func (s *stream) runOnce(class *logic.Class) bool {
 	return class.Effect == logic.AtMostOnce || class.Effect == logic.DeduplicatedByKey && s.head.idempotencyKey == ""
 }
 
-// sendPassThrough lets a request go on that is none of ours, and spares its further phases. In mode route the header that names
-// a member is not the client's to set.
+// sendPassThrough lets a request through that matches no map entry and skips its further phases. In route
+// mode it removes the header that names a member, which clients must not set.
 func (s *stream) sendPassThrough() error {
 	common := &extprocv3.CommonResponse{}
 	if s.routeMode() && s.head.hasDestination {
@@ -415,16 +421,17 @@
 	return s.send(r)
 }
 
-// usesDuplex tells whether a body goes through here in full duplex; no mode can be overridden then.
+// usesDuplex reports whether a body passes through this stream in full duplex, where no mode can be
+// overridden.
 func (s *stream) usesDuplex() bool { return s.bodyMode == fullDuplex || s.responseMode == fullDuplex }
 
-// startCollecting asks for a write's body, in one piece where the caller can.
+// startCollecting requests the body of a write, in one piece if the caller supports that.
 func (s *stream) startCollecting() error {
 	s.collecting = true
 	s.front.host.Do(func() { s.expiresAt = s.front.host.Now() + time.Until(s.deadline) + overdueGrace })
 	if s.bodyMode == fullDuplex {
-		// It sends the body anyway, and nothing goes on before the headers are answered: which never happens, as the
-		// exchange is made here.
+		// The caller sends the body anyway, and forwards nothing before the headers are answered. They
+		// never are, as this process makes the exchange.
 		return s.acceptCall()
 	}
 	r := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{
@@ -438,7 +445,8 @@
 	return s.send(r)
 }
 
-// maxBodyLen is how long the request's body may be. What comes in one message is in memory before anybody can say that there is no room.
+// maxBodyLen returns the limit of the request's body. A body in a single message is in memory before it can
+// be refused, so it has the lower limit.
 func (s *stream) maxBodyLen() int {
 	if s.routeMode() || !s.target.Write || !s.modesKnown || s.bodyMode != fullDuplex && s.bodyMode != filterv3.ProcessingMode_STREAMED {
 		return maxBodyBytes
@@ -446,9 +454,10 @@
 	return maxLongBodyBytes
 }
 
-// acceptCall tells the caller, by the call's response headers, that its call is taken: a caller that offers a call to another
-// processor where one is UNAVAILABLE does so only until then (Envoy, grpc_service.retry_policy), and an order that was in
-// the hands of one that is killed must not be. A caller that has sent a body after our answer knows already.
+// acceptCall sends the call's response headers, which tell the caller that the call is accepted. Envoy
+// offers a call that fails with UNAVAILABLE to another processor only before these headers
+// (grpc_service.retry_policy); an order that a killed processor had accepted must not be offered again. A
+// caller that sends a body after a response of ours has received the headers already.
 func (s *stream) acceptCall() error { return s.rpc.SendHeader(nil) }
 
 func (s *stream) requestBody(ctx context.Context, m *extprocv3.HttpBody) error {
@@ -479,20 +488,21 @@
 		case s.bodyMode == fullDuplex:
 			return nil
 		}
-		// Streamed: the caller has sent the headers on already. What the order says must not follow them, as the
-		// exchange is made here.
+		// In streamed mode the caller has already sent the headers on. The body must not follow them, as
+		// this process makes the exchange.
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{
 			RequestBody: &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{
 				BodyMutation: &extprocv3.BodyMutation{Mutation: &extprocv3.BodyMutation_ClearBody{ClearBody: true}}}}}})
 	}
 	if s.call != nil && s.modesKnown && s.bodyMode == filterv3.ProcessingMode_BUFFERED && !s.messageOrder.ResponseStarted() {
-		// Only now does the caller send. The member may have begun to drain while the body came.
+		// The caller sends the request only now. The member may have started to drain while the body
+		// arrived.
 		return s.confirmMember(ctx, m)
 	}
 	return s.sendBodyContinue(m)
 }
 
-// sendBodyContinue lets a part of the request's body go on as it came.
+// sendBodyContinue lets a part of the request's body through unchanged.
 func (s *stream) sendBodyContinue(m *extprocv3.HttpBody) error {
 	if s.bodyMode == fullDuplex {
 		return s.relayBody(m, false)
@@ -501,7 +511,8 @@
 		RequestBody: &extprocv3.BodyResponse{}}})
 }
 
-// confirmMember makes sure of the member that the request's headers were answered with, and names another if it has gone.
+// confirmMember checks that the member named in the answer to the request's headers is still usable, and
+// names another one if not.
 func (s *stream) confirmMember(ctx context.Context, m *extprocv3.HttpBody) error {
 	stands := true
 	s.front.host.Do(func() {
@@ -515,7 +526,7 @@
 	return s.awaitDecision(ctx, decision{}, true)
 }
 
-// bodyComplete hands over a write whose body has come whole.
+// bodyComplete submits a write whose body has been received completely.
 func (s *stream) bodyComplete(ctx context.Context) error {
 	s.collecting = false
 	if s.reservation != nil {
@@ -524,8 +535,8 @@
 	return s.startRequest(ctx, true)
 }
 
-// startRequest finds out what the call is to those before it, hands over a new request or takes up one in hand, and answers
-// with what is decided.
+// startRequest relates the call to earlier calls with its request id, submits a new request or continues a
+// known one, and sends what is decided.
 func (s *stream) startRequest(ctx context.Context, body bool) error {
 	f, h := s.front, &s.head
 	class := s.config.classes[s.target.Class]
@@ -590,13 +601,13 @@
 	return s.awaitDecision(ctx, first, body)
 }
 
-// newID makes an id that no other process makes, for a request whose caller has none.
+// newID returns an id that no other process generates, for a request whose caller sent none.
 func (f *Front) newID() string {
 	f.generatedIDs++
 	return fmt.Sprintf("x%x-%x", f.host.Now(), f.generatedIDs)
 }
 
-// submit hands a new request to the host, under its lock.
+// submit submits a new request to the host. The host's lock must be held.
 func (s *stream) submit(c *call, id string) error {
 	h := &s.head
 	c.request.Arrived = s.front.host.Clock()
@@ -651,7 +662,7 @@
 	}
 	err := s.front.host.Submit(&c.request)
 	if errors.Is(err, proxy.ErrInUse) && (!c.entry.RunOnce || c.entry.Reused) {
-		// A caller may ask again under the same id where that is harmless; members want one of its own for each.
+		// A caller may repeat a harmless request under the same id; members need a distinct id for each.
 		s.front.generatedIDs++
 		c.request.ReqID = fmt.Appendf(nil, "%s.%x", id, s.front.generatedIDs)
 		err = s.front.host.Submit(&c.request)
@@ -660,21 +671,22 @@
 		s.discardCall(c)
 		return err
 	}
-	s.body, s.reservation = nil, nil // the host counts it now
+	s.body, s.reservation = nil, nil // counted by the host from now on
 	return nil
 }
 
-// discardCall forgets a call that was never taken.
+// discardCall removes a call that was not accepted.
 func (s *stream) discardCall(c *call) {
 	c.settled = true
 	s.front.calls.End(c.entry, false, s.front.host.Now())
 	s.call = nil
 }
 
-// maxWait is how long the caller waits for the answer to the message in hand, with what it lets us ask for.
+// maxWait returns how long the caller waits for the answer to the current message, including the extension
+// that it grants.
 func (s *stream) maxWait() time.Duration {
 	if s.bodyMode == fullDuplex {
-		return time.Until(s.deadline) // the caller sets no time for a message then (ext_proc.proto, message_timeout)
+		return time.Until(s.deadline) // the caller sets no message_timeout then (ext_proc.proto)
 	}
 	most := s.config.MessageTimeout.D()
 	if ask := s.config.MaxMessageTimeout.D(); ask > 0 {
@@ -683,16 +695,16 @@
 	return most - s.config.Margin.D() - time.Since(s.messageAt)
 }
 
-// decision is what has come of a wait.
+// decision is the result of waiting for the host.
 type decision struct {
-	addrs    string // of the member, and those of spares behind commas
+	addrs    string // the member's address, followed by comma-separated fallbacks
 	timeLeft time.Duration
 	final    *proxy.Answer
 }
 
-// awaitDecision waits until the host has named a member or given the final answer, and passes that on. It asks the caller for
-// more time before its patience ends, and gives the request up in time where the caller has none to give.
-// d is what is decided already.
+// awaitDecision waits until the host has named a member or given the final answer, and sends it. It extends
+// the caller's message timeout before that expires, and ends the request in time if no extension is
+// possible. d is the decision if there is one already.
 func (s *stream) awaitDecision(ctx context.Context, d decision, body bool) error {
 	var timer *time.Timer
 	for {
@@ -728,7 +740,7 @@
 	}
 }
 
-// checkDecision tells what is decided, under the host's lock.
+// checkDecision returns what has been decided so far. The host's lock must be held.
 func (s *stream) checkDecision() (d decision) {
 	c := s.call
 	if c.finalAnswer != nil {
@@ -748,12 +760,13 @@
 	return d
 }
 
-// canExtend tells whether more time can be asked for; a caller takes that once for a message.
+// canExtend reports whether the message timeout can be extended; a caller accepts one extension for each
+// message.
 func (s *stream) canExtend() bool {
 	return !s.overrideSent && s.config.MaxMessageTimeout > 0 && s.bodyMode != fullDuplex
 }
 
-// nextWait is how long until the caller's patience has to be seen to.
+// nextWait returns how long to wait before the caller's message timeout needs attention.
 func (s *stream) nextWait() time.Duration {
 	if s.canExtend() {
 		return s.config.MessageTimeout.D()/2 - time.Since(s.messageAt)
@@ -762,18 +775,20 @@
 	if !s.overrideSent && s.bodyMode != fullDuplex {
 		wait = s.config.MessageTimeout.D() - s.config.Margin.D() - time.Since(s.messageAt)
 	}
-	// The host ends a request at its deadline by itself, a tick later at most; this is for one that it can't.
+	// The host ends a request at its deadline, at most one tick late; this bound covers requests that it
+	// cannot end.
 	return min(wait, time.Until(s.deadline)+s.config.Margin.D()/2)
 }
 
-// extendTimeout sends override_message_timeout. The caller ignores what is over its bound, so never more is asked for.
+// extendTimeout sends override_message_timeout. The caller ignores a value over its maximum, so the request
+// never exceeds it.
 func (s *stream) extendTimeout() error {
 	s.overrideSent = true
 	ask := min(s.config.MaxMessageTimeout.D(), time.Until(s.deadline)+s.config.Margin.D())
 	return s.send(&extprocv3.ProcessingResponse{OverrideMessageTimeout: durationpb.New(max(ask, time.Millisecond))})
 }
 
-// endTimedOut ends a request because the caller waits no longer.
+// endTimedOut ends a request because the caller's message timeout is about to expire.
 func (s *stream) endTimedOut() error {
 	ran := false
 	s.front.host.Do(func() {
--- a/internal/extproc/verdict.go
+++ b/internal/extproc/verdict.go
@@ -6,18 +6,18 @@
 	"linenloom/logic"
 )
 
-// Response is what a caller tells of the response to an attempt that it made.
+// Response holds what a caller reports about the response to its attempt.
 type Response struct {
 	Status       int
-	NotProcessed bool   // the member says that the request never ran (X-Not-Processed: 1)
-	Overloaded   bool   // the caller itself turned the attempt away (x-envoy-overloaded)
-	Details      string // response.code_details, where the caller sends it as an attribute
+	NotProcessed bool   // the member reports that the request never ran (X-Not-Processed: 1)
+	Overloaded   bool   // the caller itself rejected the attempt (x-envoy-overloaded)
+	Details      string // response.code_details, if the caller sends the attribute
 	Origin       bool   // the attempt went to the origin
-	MissStatus   int    // the status by which a cache tells that it lacks the key
+	MissStatus   int    // the status that means a cache does not have the key
 }
 
-// Outcome names the outcome of the attempt. Where a response could stand for an attempt that ran and for one that did
-// not, it counts as one that may have run.
+// Outcome returns the status of the attempt. A response that is possible both for an attempt that ran and
+// for one that did not counts as one that may have run.
 func (r Response) Outcome() logic.Status {
 	local := r.Details != "" && r.Details != "via_upstream"
 	switch {
@@ -27,7 +27,8 @@
 		strings.Contains(r.Details, "cluster_not_found")):
 		return logic.StatusNoConn
 	case local && strings.Contains(r.Details, "connection_failure"):
-		// "upstream_reset_before_response_started{remote_connection_failure...}": the connection never came up.
+		// "upstream_reset_before_response_started{remote_connection_failure...}": the connection was never
+		// established.
 		return logic.StatusConnectFailed
 	case local && strings.Contains(r.Details, "timeout"):
 		return logic.StatusTimeout
