--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -77,7 +77,7 @@
 	g.keyText = text
 	g.keys.Store(keys)
 	g.verifier = identity.NewVerifier(cfg.Terms(), keys)
-	g.log.Info("callers are proven by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
+	g.log.Info("callers are authenticated by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
 	return g, nil
 }
 
@@ -127,7 +127,7 @@
 	text, err := readFile(g.keyFile)
 	if err == nil && bytes.Equal(text, g.keyText) {
 		if g.lastFault != "" {
-			g.log.Info("key file is as it was before the fault", "file", g.keyFile)
+			g.log.Info("key file has its earlier contents again", "file", g.keyFile)
 			g.lastFault = ""
 		}
 		return
@@ -138,7 +138,7 @@
 	}
 	if err != nil {
 		if g.lastFault != err.Error() { // logged once for each error, not every second
-			g.log.Error("key file can't be used, the old keys stay in force", "file", g.keyFile, "err", err)
+			g.log.Error("key file is unusable, the old keys stay in force", "file", g.keyFile, "err", err)
 		}
 		g.lastFault = err.Error()
 		return
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -21,7 +21,7 @@
 	"linenloom/internal/operator"
 )
 
-// newKeySet is a set with one new key of that id, and a token by it.
+// newKeySet returns a key set with one new key of this id, and a token signed by it.
 func newKeySet(t *testing.T, id string) (text []byte, token string) {
 	t.Helper()
 	public, private, err := ed25519.GenerateKey(rand.Reader)
@@ -51,8 +51,8 @@
 		Known: 8, ChecksPerS: 100, Replays: 8, Tenants: []operator.Tenant{{Name: "shop"}}}
 }
 
-// Whatever becomes of the key file, the keys in force stay until another set can be read; each fault is logged once, with the file and
-// what is wrong, and no token is ever logged.
+// Whatever happens to the key file, the keys in force stay until another set can be read. Each error is
+// logged once, with the file and the reason, and no token is ever logged.
 func TestKeyFileFaults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.json")
 	text, token := newKeySet(t, "k1")
@@ -106,7 +106,7 @@
 	}
 }
 
-// Without keys that can be read there is nothing to begin with.
+// Without readable keys New fails.
 func TestNewFailsWithoutReadableKeys(t *testing.T) {
 	_, err := New(testSettings(filepath.Join(t.TempDir(), "none")), slog.New(slog.DiscardHandler))
 	if !errors.Is(err, fs.ErrNotExist) {
@@ -114,7 +114,8 @@
 	}
 }
 
-// An order uses its token's id, keeps it over a reload of the rights, and has it back if it surely has not run.
+// An order consumes its token's id, keeps it over a reload of the rights, and gives it back if it is known
+// not to have run.
 func TestOrderConsumesItsToken(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.json")
 	text, token := newKeySet(t, "k1")
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	log.Info("listeners speak TLS", "fronts", d.fronts(), "client_certificates", d.files.Client, "roots", len(d.roots),
+	log.Info("listeners use TLS", "fronts", d.fronts(), "client_certificates", d.files.Client, "roots", len(d.roots),
 		"rules", len(cfg.Certificates))
 	return d, nil
 }
@@ -113,7 +113,7 @@
 	switch {
 	case err != nil:
 		if d.lastFault != err.Error() {
-			d.log.Error("TLS files can't be used, the old ones stay in force", "err", err)
+			d.log.Error("TLS files are unusable, the old ones stay in force", "err", err)
 		}
 		d.lastFault = err.Error()
 	case !same:
@@ -121,7 +121,7 @@
 		d.log.Info("TLS files in force", "roots", len(d.roots))
 	case d.lastFault != "":
 		d.lastFault = ""
-		d.log.Info("TLS files are as they were before the fault")
+		d.log.Info("TLS files have their earlier contents again")
 	}
 }
 
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -47,7 +47,8 @@
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}}}
 }
 
-// handshake makes a handshake as a caller by a root, with a certificate of this name, and tells what the listener makes of it.
+// handshake makes a handshake as a client with a certificate of this name issued by a root, and returns
+// what the listener takes as proven and the listener's certificate.
 func (a *testAuthority) handshake(g *Authenticator, root int, name string) (*identity.Proof, *x509.Certificate, error) {
 	a.t.Helper()
 	near, far := net.Pipe()
@@ -64,7 +65,7 @@
 		} else {
 			seen <- nil
 		}
-		io.Copy(io.Discard, c) // a server's refusal of the certificate comes after the client's own part is over
+		io.Copy(io.Discard, c) // the server may refuse the certificate after the client's part of the handshake
 		near.Close()
 	}()
 	s := tls.Server(far, g.TLS("resp2"))
@@ -79,8 +80,9 @@
 	return p, <-seen, err
 }
 
-// A caller's certificate proves its tenant as long as its root is in force; the listener's own and the roots change while it stands, and
-// files that don't fit together change nothing.
+// A client certificate proves its tenant as long as its root is in force. The listener's own certificate
+// and the roots are replaced while the listener is open, and files that are invalid together change
+// nothing.
 func TestListenerCertificatesReload(t *testing.T) {
 	a := newAuthority(t)
 	var log bytes.Buffer
@@ -129,7 +131,7 @@
 		a.write("roots.pem", standin.PEM(a.Roots[0].Cert))
 		g.ReloadFiles()
 	}
-	// The listener's own changes.
+	// The listener's own certificate is replaced.
 	own, err := a.Renew()
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +140,7 @@
 	if _, seen, err := a.handshake(g, 0, "kiosk.example"); err != nil || !seen.Equal(own.Cert) {
 		t.Errorf("the new certificate is not shown: %v", err)
 	}
-	// Both roots, then the next alone.
+	// Both roots are in force, then only the second.
 	a.write("roots.pem", standin.PEM(a.Roots[0].Cert, a.Roots[1].Cert))
 	g.ReloadFiles()
 	q, _, err := a.handshake(g, 1, "kiosk.example")
@@ -153,7 +155,7 @@
 	if err := g.May(p, identity.Ask{Class: "tile-read", Front: "resp2"}); identity.WhyOf(err) != identity.Retired {
 		t.Errorf("by a root that is gone: %v", err)
 	}
-	// Other rules.
+	// The rules change.
 	cfg := a.settings()
 	cfg.Certificates[0].Tenant = "shop"
 	g.Reload(cfg)
@@ -162,7 +164,8 @@
 	}
 }
 
-// Past so many handshakes a second nothing is computed for one; the front that is not named speaks plainly.
+// Handshakes over the limit for a second are refused before any cryptographic work; a front end that is not
+// named uses no TLS.
 func TestHandshakesAreBounded(t *testing.T) {
 	a := newAuthority(t)
 	cfg := a.settings()
@@ -193,7 +196,8 @@
 	}
 }
 
-// An address that has shown a forged token stays with the open half of the checks, on whatever connection it comes next.
+// An address that has sent a forged token uses the open half of the signature checks, on any further
+// connection.
 func TestAddressThatSentForgedTokens(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.json")
 	text, good := newKeySet(t, "k1")
@@ -219,7 +223,7 @@
 	if _, err := g.Prove([]byte(good), well, false); err != nil {
 		t.Errorf("from a clean one: %v", err)
 	}
-	for i := range 4 { // others make it forgotten, no more are remembered
+	for i := range 4 { // further addresses displace it, as the number remembered is limited
 		g.sources.Bad(at, netip.AddrFrom4([4]byte{198, 51, 100, byte(i)}))
 	}
 	if g.sources.Len() != 2 || g.sources.Suspect(at, bad) {
--- a/internal/extproc/caller/caller.go
+++ b/internal/extproc/caller/caller.go
@@ -167,7 +167,7 @@
 )
 
 // ErrTimeout means that the processor did not answer a message in time.
-var ErrTimeout = errors.New("caller: the processor's time for a message is over")
+var ErrTimeout = errors.New("caller: the processor did not answer a message in time")
 
 // failureResult is the client's result if the processor fails: the request is passed on, or answered with
 // 500.
@@ -215,7 +215,7 @@
 // immediateResponse is an immediate response of the processor, which ends the exchange.
 type immediateResponse struct{ response *extprocv3.ImmediateResponse }
 
-func (immediateResponse) Error() string { return "an immediate response" }
+func (immediateResponse) Error() string { return "immediate response" }
 
 func (x *exchange) run(ctx context.Context, conn *grpc.ClientConn) Result {
 	ctx, cancel := context.WithCancel(ctx)
@@ -407,7 +407,7 @@
 		ok = r.GetResponseHeaders() != nil
 	}
 	if !ok {
-		return fmt.Errorf("caller: %T answers %T", r.GetResponse(), q.GetRequest())
+		return fmt.Errorf("caller: %T in response to %T", r.GetResponse(), q.GetRequest())
 	}
 	return nil
 }
--- a/internal/extproc/caller/duplex.go
+++ b/internal/extproc/caller/duplex.go
@@ -37,10 +37,10 @@
 		return res, err
 	}
 	if m.GetRequestHeaders() == nil {
-		return res, fmt.Errorf("caller: %T answers request headers", m.GetResponse())
+		return res, fmt.Errorf("caller: %T in response to request headers", m.GetResponse())
 	}
 	if m.GetModeOverride() != nil {
-		return res, errors.New("caller: a mode override in full duplex")
+		return res, errors.New("caller: mode override in full duplex")
 	}
 	x.applyHeaders(m.GetRequestHeaders().GetResponse())
 	if len(body) > 0 {
@@ -76,7 +76,7 @@
 		return res, err
 	}
 	if m.GetResponseHeaders() == nil {
-		return res, fmt.Errorf("caller: %T answers response headers", m.GetResponse())
+		return res, fmt.Errorf("caller: %T in response to response headers", m.GetResponse())
 	}
 	x.headers = res.Headers
 	x.applyHeaders(m.GetResponseHeaders().GetResponse())
@@ -133,12 +133,12 @@
 		}
 		part := b.GetResponse().GetBodyMutation().GetStreamedResponse()
 		if part == nil {
-			return body, fmt.Errorf("caller: %T in place of a streamed body", m.GetResponse())
+			return body, fmt.Errorf("caller: %T instead of a streamed body", m.GetResponse())
 		}
 		body = append(body, part.GetBody()...)
 		if part.GetEndOfStream() {
 			if x.caller.Trailers {
-				return body, errors.New("caller: the body's end is told before its trailers have come")
+				return body, errors.New("caller: end of body before its trailers")
 			}
 			return body, nil
 		}
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -77,7 +77,7 @@
 	}{
 		{h, "250", 250 * time.Millisecond, false, false},
 		{h, "0.5", 500 * time.Microsecond, false, false},
-		{h, "0", maxTimeLeft, false, false}, // Envoy's word for a route without time-out
+		{h, "0", maxTimeLeft, false, false}, // Envoy sends 0 for a route without a timeout
 		{"x-time-left", "0", 0, true, false},
 		{h, "-3", 0, true, false},
 		{h, "", 0, false, true},
@@ -116,7 +116,7 @@
 	})
 }
 
-// Whatever comes, what Order lets through is a sequence that an HTTP exchange can have.
+// Any sequence that MessageOrder accepts is one that an HTTP exchange can have.
 func FuzzOrder(f *testing.F) {
 	f.Add([]byte{1, 2, 2 + 16, 4, 5, 6})
 	f.Add([]byte{4, 1})
@@ -184,7 +184,7 @@
 		{Response{Status: 503}, logic.StatusError}, // it may have run
 		{Response{Status: 503, NotProcessed: true}, logic.StatusFull},
 		{Response{Status: 504, NotProcessed: true}, logic.StatusFull},
-		{Response{Status: 500, NotProcessed: true}, logic.StatusError}, // not one of the statuses that say so
+		{Response{Status: 500, NotProcessed: true}, logic.StatusError}, // not one of the statuses for which the header counts
 		{Response{Status: 500}, logic.StatusError},
 		{Response{Status: 503, Overloaded: true}, logic.StatusNoConn},
 		{Response{Status: 503, Details: "via_upstream"}, logic.StatusError},
@@ -201,8 +201,9 @@
 	}
 }
 
-// The table against a model that remembers everything: a request that must not run twice is let through again only if
-// all before it never ran, whatever calls come; and the table keeps its bound.
+// Compares the table with a model that remembers everything, under random calls: a request that must not
+// run twice is accepted again only if none of its earlier attempts may have run, and the table stays within
+// its limit.
 func TestCallTableAgainstModel(t *testing.T) {
 	const most, remember = 8, 50 * time.Millisecond
 	for seed := range uint64(200) {
@@ -210,8 +211,8 @@
 		c := NewCallTable(most, remember)
 		type state struct {
 			e      *Entry
-			ran    bool          // an attempt of an unsafe request may have run
-			ranEnd time.Duration // when that was over
+			ran    bool          // an attempt that must not be repeated may have run
+			ranEnd time.Duration // when that attempt ended
 		}
 		model := map[string]*state{}
 		now := time.Duration(0)
--- a/internal/extproc/server/bench_test.go
+++ b/internal/extproc/server/bench_test.go
@@ -17,12 +17,13 @@
 	"linenloom/internal/standin"
 )
 
-// scriptedStream is a caller's end of a stream without gRPC: what it asks is given, what it is told is dropped.
+// scriptedStream is the caller's side of a stream without gRPC: it sends the given requests and drops the
+// responses.
 type scriptedStream struct {
 	grpc.ServerStream
 	ctx      context.Context
 	requests []*extprocv3.ProcessingRequest
-	readNext chan struct{} // of one token: the next may be asked
+	readNext chan struct{} // signals that the next request may be read
 }
 
 func (s *scriptedStream) Context() context.Context { return s.ctx }
@@ -44,7 +45,8 @@
 	return nil
 }
 
-// BenchmarkRoute is what a call in mode route costs beside gRPC: the front, the host and the module.
+// BenchmarkRoute measures a call in route mode without gRPC: the front end, the host and the routing
+// module.
 func BenchmarkRoute(b *testing.B) {
 	fleet, err := standin.NewFleet(8, 64)
 	if err != nil {
--- a/internal/extproc/server/cold_test.go
+++ b/internal/extproc/server/cold_test.go
@@ -13,11 +13,11 @@
 	"linenloom/internal/standin"
 )
 
-// A cold box gets no more than its budget from the clients of both fronts together. It is the only box left, and falls over
-// at the platform's multiple: two budgets, one for each front, would push it over.
+// A cold box gets no more than its budget from the clients of both front ends together. It is the only box
+// left and becomes overloaded at the platform's multiple: one budget for each front end would overload it.
 func TestColdBudgetIsSharedByFronts(t *testing.T) {
 	for name, c := range map[string]struct {
-		multiple float64 // the module's, in place of the platform's 4
+		multiple float64 // overload multiple of the routing module; the platform's is 4
 		fell     bool
 	}{"one budget": {4, false}, "as much as two": {8, true}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -11,9 +11,10 @@
 	"linenloom/internal/standin"
 )
 
-// What happens, in mode route: the caller gives a try up while it is under way to a member that is far, and asks for another one; that is made at a
-// member that is near. The first one comes while the near one has the second in hand. A caller keeps connections and opens new ones as it likes, so
-// the first message on one counts as well: it comes later by a handshake.
+// In route mode a caller abandons an attempt that is in transit to a distant member and requests another
+// one, at a near member. The first attempt then arrives while the near member processes the second. This
+// also holds for the first message on a new connection, which arrives later by a handshake: a caller opens
+// connections as it likes.
 func TestRouteModeHasOneCopyAtATime(t *testing.T) {
 	for name, handshake := range map[string]time.Duration{"on connections that stand": 0, "on new connections": 90 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/extproc/server/deadline_test.go
+++ b/internal/extproc/server/deadline_test.go
@@ -9,14 +9,15 @@
 	"linenloom/internal/standin"
 )
 
-// A further attempt for a caller of the external processor tells the origin what the caller has left by then, not what it gave.
+// A further attempt for an ext_proc caller sends the origin the time that the caller has left by then, not
+// the time that it had at first.
 func TestFurtherAttemptSendsRemainingTime(t *testing.T) {
 	var now atomic.Int64
 	clock := func() time.Duration { return time.Duration(now.Load()) }
 	deadlines := &standin.Deadlines{Now: clock}
 	fleet := newFleet(t, 1)
 	fleet.SetDeadlines(deadlines)
-	fleet.Boxes[0].OnRead(func(string) { now.Add(int64(600 * time.Millisecond)) }) // it lacks the key, and takes its time to say so
+	fleet.Boxes[0].OnRead(func(string) { now.Add(int64(600 * time.Millisecond)) }) // a slow miss
 	r := newHarness(t, fleet, operatorFile("answer", ""), func(cfg *proxy.Config) { cfg.Clock = clock })
 	q := readRequest("k", "r1")
 	q.Headers["x-envoy-expected-rq-timeout-ms"] = "2500"
--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -154,7 +154,7 @@
 		over = c.stuckStreams > maxStuckStreams
 	})
 	if over {
-		f.log.Warn("a caller takes nothing it is told, on too many streams: its connection is closed", "caller", c.RemoteAddr().String())
+		f.log.Warn("closing a connection: its caller reads no responses on too many streams", "caller", c.RemoteAddr().String())
 		c.Close()
 	}
 }
--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -16,7 +16,7 @@
 	"linenloom/internal/standin"
 )
 
-// useFullDuplex has a rig's caller send bodies in full duplex, both ways.
+// useFullDuplex makes the harness's caller send bodies in full duplex in both directions.
 func (r *harness) useFullDuplex(trailers bool) *harness {
 	r.caller.SetFullDuplex()
 	r.caller.Trailers = trailers
@@ -65,11 +65,11 @@
 	}
 }
 
-// What is none of ours goes through whole, at any length.
+// A request that matches no map entry passes through unchanged, with a body of any length.
 func TestFullDuplexPassThrough(t *testing.T) {
 	r := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil).useFullDuplex(true)
 	body := bytes.Repeat([]byte("0123456789a"), 100_000)
-	for _, chunk := range []int{0, 200_001, maxChunkBytes, maxChunkBytes + 1} { // longer parts come back cut
+	for _, chunk := range []int{0, 200_001, maxChunkBytes, maxChunkBytes + 1} { // longer parts are sent back in several parts
 		r.caller.ChunkBytes = chunk
 		res := r.do(caller.Request{Method: "POST", Path: "/else", Body: body})
 		if !res.PassedThrough || res.Err != nil || !bytes.Equal(res.Body, body) {
@@ -79,7 +79,7 @@
 	r.waitIdle()
 }
 
-// openDuplex opens a stream in full duplex with a request that is passed on, and body to come.
+// openDuplex opens a stream in full duplex with a pass-through request whose body follows.
 func (r *harness) openDuplex(ctx context.Context) extprocv3.ExternalProcessor_ProcessClient {
 	r.t.Helper()
 	s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(ctx)
@@ -101,8 +101,8 @@
 		RequestBody: &extprocv3.HttpBody{Body: make([]byte, n)}}}
 }
 
-// A caller that sends and does not take what comes back is stood still, not stored: what is held stays within a few
-// parts, and the stream ends by its time though a message to the caller can't be written.
+// A caller that sends and does not read responses is blocked, not buffered: only a few parts are held, and
+// the stream ends when it is overdue although a message to the caller cannot be written.
 func TestCallerThatDoesNotRead(t *testing.T) {
 	r := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -115,8 +115,8 @@
 		}
 		sent <- int(parts.Load())
 	}()
-	// The caller's library takes in a window of its own, and the transports some more; then everything stands still, with thirteen parts on their
-	// way. A part that only waits for its turn is not stuck yet.
+	// The caller's library buffers a window of its own, and the transports some more; then everything
+	// blocks, with thirteen parts in transit. A part that only waits for its turn is not stuck yet.
 	stuck := func() bool {
 		l := r.host.Load()
 		return parts.Load() >= 10 && l.Held > streamMemory+streamWindow+2*32<<10
@@ -127,12 +127,12 @@
 	}
 	r.front.host.Do(func() {
 		for s := range r.front.streams {
-			s.expiresAt = 0 // its time is over
+			s.expiresAt = 0 // the stream is overdue
 		}
 	})
 	r.eventually("the stream has ended here", func() bool { return r.front.Counts().Streams == 0 })
 	r.eventually("only what the transport may have counts as held", func() bool { return r.host.Load().Held == streamWindow })
-	cancel() // the caller resets it
+	cancel() // the caller resets the stream
 	if n := await(t, sent, "the caller's sending ends"); n > 64 {
 		t.Errorf("%d parts of 32 KiB were taken in", n)
 	}
@@ -140,7 +140,7 @@
 	r.waitIdle()
 }
 
-// A body whose end never comes ends with its request's time, and what it held is given back.
+// A stream whose body never ends is ended with its request's deadline, and its held memory is released.
 func TestDuplexBodyThatNeverEnds(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
@@ -171,7 +171,8 @@
 	}
 }
 
-// Streams whose bodies may be sent ahead count for their windows, so that a crowd of them is turned away, not stored.
+// The flow-control windows of duplex streams count as held memory, so that excess streams are refused
+// instead of buffered.
 func TestDuplexStreamsAreBoundedByMemory(t *testing.T) {
 	r := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"
 max_streams = 1024`), func(c *proxy.Config) { c.MemoryMB = 32 }) // 8 MB for bodies
@@ -216,20 +217,20 @@
 				r.caller.Subset = none
 				r.expect(r.do(readRequest("a", fmt.Sprint("n", i))), 503, "refused")
 			}
-			r.caller.Subset = []string{only.Addr()} // and not the origin, where orders go
+			r.caller.Subset = []string{only.Addr()} // the origin, where orders go, is not included
 			r.expect(r.do(orderRequest("o", "w1")), 503, "refused")
 			if len(r.sent()) != sent {
 				t.Error("something was sent though nobody may take it")
 			}
-			r.caller.Subset = []string{"127.0.0.1"} // every port of a host
+			r.caller.Subset = []string{"127.0.0.1"} // all ports of a host
 			r.expect(r.do(orderRequest("o", "w2")), 200, "receipt of o")
 			r.waitIdle()
 		})
 	}
 }
 
-// Reads are given spare members, to which a caller goes on by itself; who served is learnt from what it says. Orders are
-// given none.
+// Reads get fallback members, which a caller tries by itself; the member that served is taken from what the
+// caller reports. Orders get no fallbacks.
 func TestFallbacks(t *testing.T) {
 	fleet := newFleet(t, 4)
 	fleet.Fill("a", "b", "c", "d")
@@ -246,7 +247,7 @@
 	if bytes.Count([]byte(named), []byte(",")) != 2 {
 		t.Fatalf("a read was given %q, want three members", named)
 	}
-	// The first of them dies.
+	// The first member named fails.
 	first := bytes.Split([]byte(named), []byte(","))[0]
 	for _, b := range fleet.Boxes {
 		if b.Addr() == string(first) {
@@ -264,7 +265,7 @@
 	r.waitIdle()
 }
 
-// Two headers that name the request differently would let whoever adds one choose.
+// Two headers that identify the request differently would let whoever adds one choose.
 func TestDoubleHeaders(t *testing.T) {
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
@@ -288,8 +289,8 @@
 	r.waitIdle()
 }
 
-// What comes when the processor takes nothing any more, or when no time is left, is not shed for want of capacity, and the
-// details say which it is.
+// A request that arrives while the processor is stopping, or with no time left, does not get the status of
+// requests shed for lack of capacity, and the details contain the reason.
 func TestRefusalReasonsInDetails(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -329,7 +330,7 @@
 	}
 }
 
-// What is shed has a status of its own; what has nobody to go to has not.
+// A request shed for lack of capacity has the configured status; a request without a usable member has 503.
 func TestShedStatus(t *testing.T) {
 	for status, more := range map[int]string{429: "", 503: "shed_status = 503"} {
 		fleet := newFleet(t, 1)
@@ -344,7 +345,7 @@
 	}
 }
 
-// A planned stop waits for bodies that go through here, and ends the streams once all has been passed on.
+// A planned stop waits for relayed bodies and ends their streams once everything has been relayed.
 func TestDrainCompletesBodies(t *testing.T) {
 	r := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/extproc/server/givenup_test.go
+++ b/internal/extproc/server/givenup_test.go
@@ -10,8 +10,9 @@
 	"linenloom/internal/standin"
 )
 
-// An order that may have run and can't be tried again is answered on its outcome, in both modes: no response is marked
-// for an attempt that nobody will make, and the module's clock has not come near the order's aim.
+// An order that may have run and cannot be repeated is answered as soon as its outcome is known, in both
+// modes: no response is marked for an attempt that nobody will make, and the routing module's clock is not
+// near the order's soft deadline.
 func TestUnrepeatableOrderIsAnsweredAtOnce(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		for name, fault := range map[string]func(*standin.Fleet){
@@ -31,7 +32,7 @@
 				ended := make(chan struct{})
 				go func() {
 					defer close(ended)
-					for range 500 { // of the aim's 1,500 ms
+					for range 500 { // of the soft deadline's 1,500 ms
 						select {
 						case <-ctx.Done():
 							return
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -20,7 +20,7 @@
 	"linenloom/internal/standin"
 )
 
-// start makes a request in the background; the result comes on the channel.
+// start makes a request in the background and sends the result on the channel.
 func (r *harness) start(ctx context.Context, q caller.Request) <-chan caller.Result {
 	out := make(chan caller.Result, 1)
 	go func() { out <- r.caller.Do(ctx, q) }()
@@ -37,7 +37,7 @@
 	return v
 }
 
-// An order that the caller repeats by itself, after it has left a call whose attempt may have run, fails.
+// An order fails if the caller repeats it by itself after leaving a call whose attempt may have run.
 func TestOrderRepeatedByCaller(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
@@ -47,7 +47,7 @@
 			ctx, leave := context.WithCancel(context.Background())
 			first := r.start(ctx, orderRequest("o1", "w1"))
 			r.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
-			// While the first is in hand: the same id from elsewhere, and the caller's own repeat.
+			// While the first is in progress: the same id from another caller, and the caller's own repeat.
 			r.expect(r.do(orderRequest("o1", "w1")), 409, "in hand")
 			q := orderRequest("o1", "w1")
 			q.Headers["x-envoy-attempt-count"] = "2"
@@ -57,11 +57,11 @@
 			r.eventually("its stream has ended", func() bool { return r.front.Counts().Streams == 0 })
 			r.expect(r.do(q), 502, "may have run")
 			r.expect(r.do(orderRequest("o1", "w1")), 502, "may have run")
-			// A processor that does not know the id can't tell what the attempts before did.
+			// A processor that does not know the id cannot know what the earlier attempts did.
 			q = orderRequest("o2", "w2")
 			q.Headers["x-envoy-attempt-count"] = "3"
 			r.expect(r.do(q), 502, "may have run")
-			// Nor can one be called refused whose time is over.
+			// An expired request cannot be called refused either.
 			q.Headers["grpc-timeout"] = "0m"
 			r.expect(r.do(q), 502, "may have run")
 			q = orderRequest("o3", "w3")
@@ -70,13 +70,13 @@
 			if n := fleet.Origin.Began(); n != 1 {
 				t.Errorf("the origin saw %d orders, want 1", n)
 			}
-			fleet.Origin.Close() // so that the attempt ends
+			fleet.Origin.Close() // ends the attempt
 			r.waitIdle()
 		})
 	}
 }
 
-// An order that was refused has never run: its repeat is served.
+// An order that was refused never ran, so its repeat is served.
 func TestRefusedOrderMayBeRepeated(t *testing.T) {
 	fleet := newFleet(t, 1)
 	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
@@ -95,7 +95,7 @@
 	r.waitIdle()
 }
 
-// A read that the caller has given up and asks for again is served; the call before is let go of.
+// A read that the caller abandons and repeats is served, and the earlier call is dropped.
 func TestReadRepeatedByCaller(t *testing.T) {
 	fleet := newFleet(t, 1)
 	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
@@ -116,9 +116,9 @@
 	r.waitIdle()
 }
 
-// Whatever becomes of a caller, nothing stays in hand.
+// Whatever callers do, no request stays in progress.
 func TestCallersThatDisconnect(t *testing.T) {
-	const vanish = 10 // what the module lets out to two boxes that it knows nothing of
+	const vanish = 10 // what the routing module sends to two unknown boxes
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 2)
@@ -136,7 +136,7 @@
 			for _, c := range calls {
 				await(t, c, "a call ends")
 			}
-			// At once, and not only when their time is up: the boxes still hold what they were sent.
+			// At once, and not only at their deadlines: the boxes still hold the requests.
 			r.eventually("all are given up", func() bool { return r.front.Counts().Abandoned == vanish })
 			for _, b := range fleet.Boxes {
 				b.Close()
@@ -149,7 +149,7 @@
 			}
 		})
 	}
-	// In mode route, a caller that is asked to come again and does not.
+	// In route mode, a caller that is expected to return and does not.
 	fleet := newFleet(t, 2)
 	r := newHarness(t, fleet, operatorFile("route", ""), nil)
 	r.caller.Retries = 0
@@ -162,7 +162,7 @@
 	}
 }
 
-// A crowd of silent streams takes no more than its bound, is told so, and ends by itself.
+// Silent streams are limited to max_streams, are refused with a status beyond that, and end by themselves.
 func TestSilentStreams(t *testing.T) {
 	const most = 8
 	fleet := newFleet(t, 1)
@@ -172,7 +172,7 @@
 	ended := make(chan codes.Code, 2000)
 	for range 2000 {
 		go func() {
-			s, err := client.Process(context.Background()) // waits where the connection holds no more
+			s, err := client.Process(context.Background()) // blocks when the connection has no stream left
 			if err != nil {
 				ended <- status.Code(err)
 				return
@@ -195,7 +195,7 @@
 	r.waitIdle()
 }
 
-// A body without end is cut off at the longest value.
+// A body without an end is refused at the limit of long values.
 func TestEndlessBody(t *testing.T) {
 	fleet := newFleet(t, 1)
 	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
@@ -230,7 +230,7 @@
 	}
 }
 
-// A member that drains between the pick and the caller's send gets nothing more, where the caller still asks.
+// A member that drains between the pick and the caller's send gets no request if the caller still asks.
 func TestDrainBetweenPickAndSend(t *testing.T) {
 	fleet := newFleet(t, 2)
 	fleet.Fill("k")
@@ -288,7 +288,7 @@
 	r.waitIdle()
 }
 
-// The same between two calls: what the module has named and the caller has not fetched yet is named anew.
+// The same between two calls: a member that was named but not fetched by the caller is replaced.
 func TestDrainBeforeCallerRetries(t *testing.T) {
 	fleet := newFleet(t, 3)
 	fleet.Fill("k")
@@ -319,7 +319,7 @@
 	r.waitIdle()
 }
 
-// SIGTERM under load, as the host sees it: streams in hand are answered, later ones go to a second processor.
+// SIGTERM under load, from the host's view: open streams are answered, later ones go to a second processor.
 func TestSecondProcessorTakesOver(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
--- a/internal/extproc/server/helpers_test.go
+++ b/internal/extproc/server/helpers_test.go
@@ -2,7 +2,7 @@
 
 import corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
-// headerMap makes headers of names and values in turn.
+// headerMap makes headers of alternating names and values.
 func headerMap(pairs ...string) *corev3.HeaderMap {
 	m := &corev3.HeaderMap{}
 	for i := 0; i+1 < len(pairs); i += 2 {
--- a/internal/extproc/server/identity_test.go
+++ b/internal/extproc/server/identity_test.go
@@ -12,7 +12,8 @@
 	"linenloom/internal/proxy"
 )
 
-// fakeCallers is Callers by whom each token proves its own text to be; the kiosk may only read, and an order's token is good for one order.
+// fakeCallers implements Callers: each token proves its own text as the tenant. The kiosk may only read,
+// and the token of an order is valid for one order.
 type fakeCallers struct {
 	policy  *identity.Policy
 	replays identity.Replays
@@ -55,8 +56,8 @@
 	return q
 }
 
-// Callers of the processor are proven by their token: the tenant in the headers says nothing, a kiosk places no order in any way, and
-// what turns a caller away is no 503 or 429 that it would try again by.
+// Callers are authenticated by their token: the tenant in the headers is ignored, a kiosk cannot place an
+// order, and a denied caller gets no 503 or 429 that would make it retry.
 func TestCallersAreAuthenticated(t *testing.T) {
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
@@ -79,7 +80,7 @@
 		{as("shop", withToken("kiosk", orderRequest("o1", "w1"))), 403, "to reads only"},
 		{withToken("shop#one", orderRequest("o1", "w1")), 200, "receipt of o1"},
 		{withToken("shop#one", orderRequest("o2", "w2")), 403, "used before"},
-		{withToken("kiosk", readRequest("warm", "w1")), 200, "value of warm"}, // under the id of the shop's order
+		{withToken("kiosk", readRequest("warm", "w1")), 200, "value of warm"}, // the id of the shop's order
 	} {
 		r.expect(r.do(c.q), c.code, c.body)
 	}
@@ -89,7 +90,7 @@
 	r.waitIdle()
 }
 
-// An order that is refused has surely not run: its token is as good as before.
+// An order that was refused has not run, so its token stays usable.
 func TestRefusedOrderKeepsItsToken(t *testing.T) {
 	fleet := newFleet(t, 1)
 	n := newFakeCallers()
@@ -105,7 +106,8 @@
 	})
 }
 
-// In mode route callers are proven on each call, and the message that names a member has the token taken out of what goes there.
+// In route mode callers are authenticated on each call, and the message that names a member removes the
+// token from the request.
 func TestRouteModeRemovesToken(t *testing.T) {
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
@@ -115,7 +117,7 @@
 	r.expect(r.do(withToken("forged", readRequest("warm", "r2"))), 401, "wrong signature")
 	r.expect(r.do(withToken("kiosk", orderRequest("o1", "w1"))), 403, "to reads only")
 	r.expect(r.do(withToken("kiosk", readRequest("warm", "r3"))), 200, "value of warm")
-	res := r.do(withToken("kiosk", readRequest("cold", "r4"))) // a miss: its call comes back for the origin
+	res := r.do(withToken("kiosk", readRequest("cold", "r4"))) // a miss: the call returns for the origin
 	r.expect(res, 200, "value of cold")
 	if len(res.Members) < 2 {
 		t.Errorf("a miss went to %v", res.Members)
--- a/internal/extproc/server/leave_test.go
+++ b/internal/extproc/server/leave_test.go
@@ -10,8 +10,8 @@
 	"linenloom/internal/standin"
 )
 
-// A caller that leaves while its order waits for a connection to the origin has had none: it is not sent once the connection is up, and
-// the caller's repeat is a new order.
+// A caller that disconnects while its order waits for a connection to the origin has had no attempt: the
+// order is not sent once the connection is established, and the caller's repeat is a new order.
 func TestCallerDisconnectsBeforeOriginConnects(t *testing.T) {
 	fleet := newFleet(t, 1)
 	door, err := standin.NewDoor()
--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -20,8 +20,8 @@
 var _ upstream.ValueStream = bufferedValue{}
 
 var (
-	errNoCapacity = errors.New("no room for a long value in time")
-	errCallEnded  = errors.New("nobody waits for the value")
+	errNoCapacity = errors.New("no capacity for a long value in time")
+	errCallEnded  = errors.New("the call for the value has ended")
 )
 
 // Begin waits for a reservation.
--- a/internal/extproc/server/many_test.go
+++ b/internal/extproc/server/many_test.go
@@ -24,8 +24,8 @@
 [many_keys]
 `
 
-// A call for many keys has one answer, in the order asked; a caller without the right to some is told so of each, and what is wrong
-// with the whole is told once.
+// A call for many keys has one answer, in the order asked. Keys that the caller may not read are marked one
+// by one, and an error of the whole call is reported once.
 func TestManyKeysCall(t *testing.T) {
 	fleet := newFleet(t, 3)
 	var keys []string
@@ -91,7 +91,7 @@
 	}
 }
 
-// What an entry for many keys can't be is told by line.
+// An invalid map entry for many keys is reported with its line.
 func TestManyKeysEntryErrors(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"route":        {operatorFile("route", "") + manyMap, "in mode route"},
--- a/internal/extproc/server/record_test.go
+++ b/internal/extproc/server/record_test.go
@@ -16,16 +16,17 @@
 	"linenloom/internal/store/crash"
 )
 
-// What a caller that repeats an order by its key is told, in each mode, at the processor that had it and at the one after a restart.
+// Checks the answers to a caller that repeats an order by its idempotency key, in each mode, from the
+// processor that handled the order and after a restart.
 func TestRepeatedOrdersWithRecord(t *testing.T) {
 	for name, c := range map[string]struct {
 		mode   string
 		fault  standin.Fault
 		first  int
 		repeat int
-		says   string // in the repeat's answer
-		other  bool   // the repeat asks for something else
-		fresh  bool   // nobody knows the order
+		says   string // expected in the repeat's answer
+		other  bool   // the repeat is for a different order
+		fresh  bool   // the order is unknown
 	}{
 		"answer, it has run":      {mode: "answer", first: 200, repeat: 200},
 		"answer, it may have run": {mode: "answer", fault: standin.Failing, first: 502, repeat: 502, says: "look it up"},
--- a/internal/extproc/server/secure.go
+++ b/internal/extproc/server/secure.go
@@ -82,7 +82,7 @@
 	f.nextProofCheck = now + proofCheckInterval
 	for c := range f.certConns {
 		if !c.closing && f.host.Callers().Holds(c.proof) != nil {
-			f.log.Info("a caller's certificate no longer holds", "tenant", c.proof.Tenant, "subject", c.proof.Subject)
+			f.log.Info("client certificate is no longer valid", "tenant", c.proof.Tenant, "subject", c.proof.Subject)
 			c.closing = true
 			c.closeIfUnused()
 		}
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -15,8 +15,9 @@
 	"linenloom/internal/standin"
 )
 
-// Callers of the processor are proven by the certificate of their connection where they bring no token. Roots change while connections
-// stand: one whose root is gone takes no further stream, and is closed with the end of its last.
+// Callers without a token are authenticated by their connection's certificate. Roots change while
+// connections are open: a connection whose root is removed accepts no further stream and is closed after
+// its last one.
 func TestCallerCertificates(t *testing.T) {
 	a, err := standin.NewAuthority(t.TempDir(), 2)
 	if err == nil {
@@ -62,7 +63,7 @@
 		{shop, orderRequest("o2", "w2"), 200},
 		{nobody, readRequest("warm", "r2"), 401},
 		{stays, readRequest("warm", "r3"), 200},
-		{kiosk, withToken("any", readRequest("warm", "r4")), 401}, // a token wins, and none are taken here
+		{kiosk, withToken("any", readRequest("warm", "r4")), 401}, // a token takes precedence, and none are accepted here
 	} {
 		if res := c.by.Do(ctx, c.q); res.Status != c.code || res.Err != nil {
 			t.Errorf("%d: %d, %v; want %d", i, res.Status, res.Err, c.code)
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -348,7 +348,7 @@
 	}
 	if status.Code(err) == codes.InvalidArgument {
 		f.host.Do(func() { f.counts.Invalid++ })
-		f.log.Warn("stream ended", "err", err)
+		f.log.Warn("stream ended with an invalid message", "err", err)
 	}
 	return err
 }
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -26,10 +26,10 @@
 	"linenloom/logic"
 )
 
-// testTimeout bounds every wait; only a test that fails waits as long.
+// testTimeout bounds every wait; only a failing test waits this long.
 const testTimeout = 20 * time.Second
 
-// operatorFile is the operator's file of the tests, but for the mode and what a test adds to [extproc].
+// operatorFile returns an operator's file with the given mode and further settings for [extproc].
 func operatorFile(mode, more string) string {
 	return fmt.Sprintf(`
 [extproc]
@@ -49,7 +49,7 @@
 `, mode, more)
 }
 
-// harness is a host with both fronts before a fleet of stand-ins.
+// harness is a host with both front ends and a simulated fleet.
 type harness struct {
 	t      *testing.T
 	host   *proxy.Proxy
@@ -62,7 +62,7 @@
 	sentTo []logic.MemberID
 }
 
-// hostConfig is a host's configuration before a fleet.
+// hostConfig returns a host's configuration for a fleet.
 func hostConfig(t testing.TB, fleet *standin.Fleet) proxy.Config {
 	t.Helper()
 	text, err := fleet.Config("test", "127.0.0.1:0", "7", 128, 512)
@@ -120,7 +120,7 @@
 	return r
 }
 
-// dial makes a caller of the rigs' fronts.
+// dial creates a caller of the harnesses' front ends.
 func dial(t *testing.T, rigs ...*harness) *caller.Caller {
 	t.Helper()
 	var targets []string
@@ -160,7 +160,7 @@
 	r.t.Fatalf("never came about: %s (%+v, %+v)", what, r.host.Load(), r.front.Counts())
 }
 
-// waitIdle waits until nothing is in hand any more, on either side of the seam.
+// waitIdle waits until neither the host nor the front end has anything in progress.
 func (r *harness) waitIdle() {
 	r.t.Helper()
 	r.eventually("nothing is in hand", func() bool {
@@ -203,7 +203,7 @@
 	} {
 		for _, override := range []bool{true, false} {
 			if !override && name == "none" {
-				continue // the caller would never show the body
+				continue // the caller would never send the body
 			}
 			t.Run(fmt.Sprintf("%s override %v", name, override), func(t *testing.T) {
 				fleet := newFleet(t, 2)
@@ -248,7 +248,7 @@
 	r.waitIdle()
 }
 
-// What the client hears is the module's answer, in HTTP's words.
+// The client gets the routing module's answer as an HTTP status.
 func TestFinalAnswers(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
@@ -283,17 +283,17 @@
 		code    int
 		body    string
 	}{
-		{nil, 200, "value of k"}, // absent: the class's
+		{nil, 200, "value of k"}, // absent: the class's deadline
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "2500"}, 200, "value of k"},
 		{map[string]string{"grpc-timeout": "2S"}, 200, "value of k"},
-		{map[string]string{"x-envoy-expected-rq-timeout-ms": "9"}, 503, "never ran"},  // nearly spent: under the margin
-		{map[string]string{"x-envoy-expected-rq-timeout-ms": "0"}, 200, "value of k"}, // Envoy: the route has no time-out
+		{map[string]string{"x-envoy-expected-rq-timeout-ms": "9"}, 503, "never ran"},  // almost expired: less than the margin
+		{map[string]string{"x-envoy-expected-rq-timeout-ms": "0"}, 200, "value of k"}, // Envoy sends 0 for a route without a timeout
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "-5"}, 503, "never ran"},
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "soon"}, 400, "no number"},
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "NaN"}, 400, "no number"},
 		{map[string]string{"grpc-timeout": "5"}, 400, "grpc-timeout"},
 		{map[string]string{"grpc-timeout": "123456789S"}, 400, "grpc-timeout"},
-		{map[string]string{"grpc-timeout": "0S", "x-envoy-expected-rq-timeout-ms": "0"}, 503, "never ran"}, // the least
+		{map[string]string{"grpc-timeout": "0S", "x-envoy-expected-rq-timeout-ms": "0"}, 503, "never ran"}, // the smallest value counts
 		{map[string]string{"content-length": "lots"}, 400, "content-length"},
 		{map[string]string{"x-tenant": "a,d=9"}, 400, "x-tenant"},
 	} {
@@ -334,7 +334,7 @@
 			q.Body = bytes.Repeat([]byte("x"), maxBodyBytes+1)
 			if mode == filterv3.ProcessingMode_BUFFERED {
 				r.expect(r.do(q), 413, "over")
-			} else { // in pieces, as long as a long value may be
+			} else { // in several messages, up to the limit of long values
 				r.expect(r.do(q), 200, "receipt of o2")
 				q = orderRequest("o4", "w4")
 				q.Body = bytes.Repeat([]byte("x"), maxLongBodyBytes)
@@ -355,7 +355,7 @@
 	}
 }
 
-// exchange opens a stream and sends messages as they are; it returns the status that the stream ends with.
+// exchange opens a stream, sends the messages unchanged and returns the responses and the final status.
 func (r *harness) exchange(messages ...*extprocv3.ProcessingRequest) (answers []*extprocv3.ProcessingResponse, code codes.Code) {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -431,7 +431,7 @@
 	r.waitIdle()
 }
 
-// Long values are answered whole, up to the longest, however many are asked for at once.
+// Long values are answered completely, up to the limit, for any number of concurrent reads.
 func TestLongAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		size, code int
@@ -443,13 +443,13 @@
 			}
 			t.Cleanup(fleet.Close)
 			fleet.Fill("k")
-			r := newHarness(t, fleet, strings.Replace(operatorFile("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) { // as long as the machine may take for all of them
+			r := newHarness(t, fleet, strings.Replace(operatorFile("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) { // enough time for all of them on a slow machine
 				for i := range cfg.Settings.Classes {
 					cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = testTimeout, testTimeout
 				}
 			})
 			var clients sync.WaitGroup
-			for i := range 12 { // more than there is room for at once
+			for i := range 12 { // more than there is capacity for at once
 				clients.Go(func() {
 					res := r.do(readRequest("k", fmt.Sprint("r", i)))
 					if res.Status != c.code || c.code == 200 && !bytes.Equal(res.Body, standin.Value("k", c.size)) {
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -104,7 +104,7 @@
 }
 
 // errStreamDone ends a stream on which everything has been sent.
-var errStreamDone = errors.New("over")
+var errStreamDone = errors.New("stream done")
 
 func (s *stream) run(ctx context.Context) error {
 	for first := true; ; first = false {
