--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -55,30 +55,30 @@
 
 // New loads the keys. It fails if they cannot be read.
 func New(cfg *operator.Identity, log *slog.Logger) (*Authenticator, error) {
-	g := &Authenticator{keyFile: cfg.Keys, tokenName: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
+	authenticator := &Authenticator{keyFile: cfg.Keys, tokenName: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
 		replays: identity.Replays{Most: cfg.Replays}, sources: identity.Sources{Most: cfg.Suspects}, rules: cfg.Rules()}
 	if cfg.TLS.Set() {
 		var err error
-		if g.listenerTLS, err = newTLSState(cfg, log, g.now); err != nil {
+		if authenticator.listenerTLS, err = newTLSState(cfg, log, authenticator.now); err != nil {
 			return nil, err
 		}
 	}
 	if !cfg.ByTokens() {
-		return g, nil
+		return authenticator, nil
 	}
-	text, err := readFile(g.keyFile)
+	text, err := readFile(authenticator.keyFile)
 	if err != nil {
 		return nil, err
 	}
 	keys, err := identity.ParseKeys(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", g.keyFile, err)
+		return nil, fmt.Errorf("%s: %w", authenticator.keyFile, err)
 	}
-	g.keyText = text
-	g.keys.Store(keys)
-	g.verifier = identity.NewVerifier(cfg.Terms(), keys)
-	g.log.Info("callers are authenticated by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
-	return g, nil
+	authenticator.keyText = text
+	authenticator.keys.Store(keys)
+	authenticator.verifier = identity.NewVerifier(cfg.Terms(), keys)
+	authenticator.log.Info("callers are authenticated by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
+	return authenticator, nil
 }
 
 func readFile(path string) ([]byte, error) {
@@ -185,14 +185,14 @@
 		g.rightsMu.Unlock()
 	}
 	g.verifierMu.Lock()
-	p, err := g.verifier.Check(g.now(), token, suspect)
+	proof, err := g.verifier.Check(g.now(), token, suspect)
 	g.verifierMu.Unlock()
 	if identity.WhyOf(err) == identity.Forged { // all other errors are found before the signature is checked
 		g.rightsMu.Lock()
 		g.sources.Bad(g.now(), from)
 		g.rightsMu.Unlock()
 	}
-	return p, err
+	return proof, err
 }
 
 // Holds reports whether a proof is still valid. It does not block.
@@ -204,7 +204,7 @@
 }
 
 // May reports whether the holder of a proof may make a request now. An order consumes its token's id.
-func (g *Authenticator) May(p *identity.Proof, a identity.Ask) error {
+func (g *Authenticator) May(p *identity.Proof, request identity.Ask) error {
 	if p == nil {
 		return &identity.Error{Why: identity.Unproven}
 	}
@@ -213,10 +213,10 @@
 	}
 	g.rightsMu.Lock()
 	defer g.rightsMu.Unlock()
-	if err := g.policy.May(g.now(), p.Tenant, a); err != nil {
+	if err := g.policy.May(g.now(), p.Tenant, request); err != nil {
 		return err
 	}
-	if a.Once {
+	if request.Once {
 		return g.replays.Use(g.now(), p)
 	}
 	return nil
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -64,7 +64,7 @@
 	}
 	write(text)
 	var log bytes.Buffer
-	g, err := New(testSettings(file), slog.New(slog.NewTextHandler(&log, nil)))
+	authenticator, err := New(testSettings(file), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,9 +81,9 @@
 		log.Reset()
 		spoil()
 		for range 3 {
-			g.ReloadFiles()
+			authenticator.ReloadFiles()
 		}
-		if _, err := g.Prove([]byte(token), netip.Addr{}, false); err != nil {
+		if _, err := authenticator.Prove([]byte(token), netip.Addr{}, false); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if got := log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "old keys stay in force") || !strings.Contains(got, file) {
@@ -91,17 +91,17 @@
 		}
 		os.RemoveAll(file)
 		write(text)
-		if g.ReloadFiles(); strings.Contains(log.String(), token) {
+		if authenticator.ReloadFiles(); strings.Contains(log.String(), token) {
 			t.Errorf("%s: the token is logged", name)
 		}
 	}
 	other, newToken := newKeySet(t, "k1") // another key under the same id
 	write(other)
-	g.ReloadFiles()
-	if _, err := g.Prove([]byte(token), netip.Addr{}, false); identity.WhyOf(err) != identity.Retired {
+	authenticator.ReloadFiles()
+	if _, err := authenticator.Prove([]byte(token), netip.Addr{}, false); identity.WhyOf(err) != identity.Retired {
 		t.Errorf("by the key before: %v", err)
 	}
-	if _, err := g.Prove([]byte(newToken), netip.Addr{}, false); err != nil {
+	if _, err := authenticator.Prove([]byte(newToken), netip.Addr{}, false); err != nil {
 		t.Errorf("by the new key: %v", err)
 	}
 }
@@ -122,11 +122,11 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(testSettings(file), slog.New(slog.DiscardHandler))
+	authenticator, err := New(testSettings(file), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := g.Prove([]byte(token), netip.Addr{}, false)
+	proof, err := authenticator.Prove([]byte(token), netip.Addr{}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,19 +134,19 @@
 	for i, want := range []identity.Why{0, identity.Replayed, 0, identity.Replayed, identity.Right} {
 		switch i {
 		case 2:
-			g.Release(p)
+			authenticator.Release(proof)
 		case 3:
-			g.Reload(testSettings(file))
+			authenticator.Reload(testSettings(file))
 		case 4:
 			none := testSettings(file)
 			none.Tenants[0].Name = "else"
-			g.Reload(none)
+			authenticator.Reload(none)
 		}
-		if err := g.May(p, order); identity.WhyOf(err) != want {
+		if err := authenticator.May(proof, order); identity.WhyOf(err) != want {
 			t.Errorf("step %d: %v, want %v", i, err, want)
 		}
 	}
-	if err := g.May(nil, order); identity.WhyOf(err) != identity.Unproven {
+	if err := authenticator.May(nil, order); identity.WhyOf(err) != identity.Unproven {
 		t.Errorf("without a proof: %v", err)
 	}
 }
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -39,17 +39,17 @@
 }
 
 func newTLSState(cfg *operator.Identity, log *slog.Logger, now func() time.Time) (*tlsState, error) {
-	d := &tlsState{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
-	texts, err := d.readFiles()
+	state := &tlsState{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
+	contents, err := state.readFiles()
 	if err == nil {
-		err = d.apply(texts, cfg.Rules())
+		err = state.apply(contents, cfg.Rules())
 	}
 	if err != nil {
 		return nil, err
 	}
-	log.Info("listeners use TLS", "fronts", d.fronts(), "client_certificates", d.files.Client, "roots", len(d.roots),
+	log.Info("listeners use TLS", "fronts", state.fronts(), "client_certificates", state.files.Client, "roots", len(state.roots),
 		"rules", len(cfg.Certificates))
-	return d, nil
+	return state, nil
 }
 
 func (d *tlsState) fronts() []string {
@@ -59,22 +59,22 @@
 	return []string{"resp2", "extproc"}
 }
 
-func (d *tlsState) readFiles() (texts [3][]byte, err error) {
+func (d *tlsState) readFiles() (contents [3][]byte, err error) {
 	for i, path := range []string{d.files.Cert, d.files.Key, d.files.Roots} {
-		if texts[i], err = readFile(path); err != nil {
-			return texts, err
+		if contents[i], err = readFile(path); err != nil {
+			return contents, err
 		}
 	}
-	return texts, nil
+	return contents, nil
 }
 
 // apply puts the certificate, key and roots in force, either all or none.
-func (d *tlsState) apply(texts [3][]byte, rules []identity.CertRule) error {
-	own, err := tls.X509KeyPair(texts[0], texts[1])
+func (d *tlsState) apply(contents [3][]byte, rules []identity.CertRule) error {
+	certificate, err := tls.X509KeyPair(contents[0], contents[1])
 	if err != nil {
 		return fmt.Errorf("%s and %s: %w", d.files.Cert, d.files.Key, err)
 	}
-	roots, err := identity.ParseRoots(texts[2])
+	roots, err := identity.ParseRoots(contents[2])
 	if err != nil {
 		return fmt.Errorf("%s: %w", d.files.Roots, err)
 	}
@@ -82,19 +82,19 @@
 	for _, r := range roots {
 		pool.AddCert(r)
 	}
-	ask := tls.VerifyClientCertIfGiven
+	clientAuth := tls.VerifyClientCertIfGiven
 	if d.files.Client == "required" {
-		ask = tls.RequireAndVerifyClientCert
+		clientAuth = tls.RequireAndVerifyClientCert
 	}
 	d.certs.Store(identity.NewCerts(rules, roots))
 	d.config.Store(&tls.Config{
-		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{own}, ClientAuth: ask, ClientCAs: pool, Time: d.now,
+		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{certificate}, ClientAuth: clientAuth, ClientCAs: pool, Time: d.now,
 		NextProtos: []string{"h2"},
 		// A resumed session brings the certificate chains of its first handshake, which the current roots
 		// might not allow.
 		SessionTicketsDisabled: true,
 	})
-	d.contents, d.roots = texts, roots
+	d.contents, d.roots = contents, roots
 	return nil
 }
 
@@ -105,10 +105,10 @@
 
 // reload reads the files and applies them if they have changed and are valid together.
 func (d *tlsState) reload(rules []identity.CertRule) {
-	texts, err := d.readFiles()
-	same := err == nil && slices.EqualFunc(texts[:], d.contents[:], bytes.Equal)
+	contents, err := d.readFiles()
+	same := err == nil && slices.EqualFunc(contents[:], d.contents[:], bytes.Equal)
 	if err == nil && !same {
-		err = d.apply(texts, rules)
+		err = d.apply(contents, rules)
 	}
 	switch {
 	case err != nil:
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -51,31 +51,31 @@
 // what the listener takes as proven and the listener's certificate.
 func (a *testAuthority) handshake(g *Authenticator, root int, name string) (*identity.Proof, *x509.Certificate, error) {
 	a.t.Helper()
-	near, far := net.Pipe()
-	defer near.Close()
+	clientConn, serverConn := net.Pipe()
+	defer clientConn.Close()
 	cfg, err := a.Config(a.Roots[root], name)
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	seen := make(chan *x509.Certificate, 1)
 	go func() {
-		c := tls.Client(near, cfg)
+		c := tls.Client(clientConn, cfg)
 		if c.Handshake() == nil {
 			seen <- c.ConnectionState().PeerCertificates[0]
 		} else {
 			seen <- nil
 		}
 		io.Copy(io.Discard, c) // the server may refuse the certificate after the client's part of the handshake
-		near.Close()
+		clientConn.Close()
 	}()
-	s := tls.Server(far, g.TLS("resp2"))
-	defer far.Close()
-	if err := s.Handshake(); err != nil {
-		far.Close()
+	server := tls.Server(serverConn, g.TLS("resp2"))
+	defer serverConn.Close()
+	if err := server.Handshake(); err != nil {
+		serverConn.Close()
 		<-seen
 		return nil, nil, err
 	}
-	state := s.ConnectionState()
+	state := server.ConnectionState()
 	p, err := g.Certificate(&state)
 	return p, <-seen, err
 }
@@ -84,82 +84,82 @@
 // and the roots are replaced while the listener is open, and files that are invalid together change
 // nothing.
 func TestListenerCertificatesReload(t *testing.T) {
-	a := newAuthority(t)
+	authority := newAuthority(t)
 	var log bytes.Buffer
-	g, err := New(a.settings(), slog.New(slog.NewTextHandler(&log, nil)))
+	authenticator, err := New(authority.settings(), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, first, err := a.handshake(g, 0, "kiosk.example")
-	if err != nil || p.Tenant != "kiosk" || g.Holds(p) != nil {
-		t.Fatalf("%+v, %v", p, err)
+	proof, first, err := authority.handshake(authenticator, 0, "kiosk.example")
+	if err != nil || proof.Tenant != "kiosk" || authenticator.Holds(proof) != nil {
+		t.Fatalf("%+v, %v", proof, err)
 	}
-	if _, _, err := a.handshake(g, 0, ""); identity.WhyOf(err) != identity.Unproven {
+	if _, _, err := authority.handshake(authenticator, 0, ""); identity.WhyOf(err) != identity.Unproven {
 		t.Errorf("no certificate: %v", err)
 	}
-	if _, _, err := a.handshake(g, 1, "kiosk.example"); err == nil || identity.WhyOf(err) != 0 {
+	if _, _, err := authority.handshake(authenticator, 1, "kiosk.example"); err == nil || identity.WhyOf(err) != 0 {
 		t.Errorf("an unknown root: %v", err)
 	}
-	if _, err := g.Prove([]byte("any"), netip.Addr{}, false); identity.WhyOf(err) != identity.Forbidden {
+	if _, err := authenticator.Prove([]byte("any"), netip.Addr{}, false); identity.WhyOf(err) != identity.Forbidden {
 		t.Errorf("a token where none are taken: %v", err)
 	}
-	spare := newAuthority(t)
-	other, err := os.ReadFile(spare.Path("key.pem"))
+	otherAuthority := newAuthority(t)
+	otherKey, err := os.ReadFile(otherAuthority.Path("key.pem"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(){
-		"the key does not fit": func() { a.write("key.pem", other) },
-		"roots cut short":      func() { a.write("roots.pem", standin.PEM(a.Roots[1].Cert)[:300]) },
-		"roots emptied":        func() { a.write("roots.pem", nil) },
-		"cert removed":         func() { os.Remove(a.Path("cert.pem")) },
+		"the key does not fit": func() { authority.write("key.pem", otherKey) },
+		"roots cut short":      func() { authority.write("roots.pem", standin.PEM(authority.Roots[1].Cert)[:300]) },
+		"roots emptied":        func() { authority.write("roots.pem", nil) },
+		"cert removed":         func() { os.Remove(authority.Path("cert.pem")) },
 	} {
-		cert, _ := os.ReadFile(a.Path("cert.pem"))
-		key, _ := os.ReadFile(a.Path("key.pem"))
+		cert, _ := os.ReadFile(authority.Path("cert.pem"))
+		key, _ := os.ReadFile(authority.Path("key.pem"))
 		log.Reset()
 		spoil()
-		g.ReloadFiles()
-		g.ReloadFiles()
+		authenticator.ReloadFiles()
+		authenticator.ReloadFiles()
 		if n := strings.Count(log.String(), "level=ERROR"); n != 1 {
 			t.Errorf("%s: logged %d times: %s", name, n, &log)
 		}
-		if _, seen, err := a.handshake(g, 0, "kiosk.example"); err != nil || !seen.Equal(first) || g.Holds(p) != nil {
+		if _, seen, err := authority.handshake(authenticator, 0, "kiosk.example"); err != nil || !seen.Equal(first) || authenticator.Holds(proof) != nil {
 			t.Errorf("%s: what was in force is not: %v", name, err)
 		}
-		a.write("cert.pem", cert)
-		a.write("key.pem", key)
-		a.write("roots.pem", standin.PEM(a.Roots[0].Cert))
-		g.ReloadFiles()
+		authority.write("cert.pem", cert)
+		authority.write("key.pem", key)
+		authority.write("roots.pem", standin.PEM(authority.Roots[0].Cert))
+		authenticator.ReloadFiles()
 	}
 	// The listener's own certificate is replaced.
-	own, err := a.Renew()
+	own, err := authority.Renew()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.ReloadFiles()
-	if _, seen, err := a.handshake(g, 0, "kiosk.example"); err != nil || !seen.Equal(own.Cert) {
+	authenticator.ReloadFiles()
+	if _, seen, err := authority.handshake(authenticator, 0, "kiosk.example"); err != nil || !seen.Equal(own.Cert) {
 		t.Errorf("the new certificate is not shown: %v", err)
 	}
 	// Both roots are in force, then only the second.
-	a.write("roots.pem", standin.PEM(a.Roots[0].Cert, a.Roots[1].Cert))
-	g.ReloadFiles()
-	q, _, err := a.handshake(g, 1, "kiosk.example")
-	if err != nil || g.Holds(p) != nil || g.Holds(q) != nil {
-		t.Fatalf("both roots in force: %v, %v", err, g.Holds(p))
-	}
-	a.write("roots.pem", standin.PEM(a.Roots[1].Cert))
-	g.ReloadFiles()
-	if why := identity.WhyOf(g.Holds(p)); why != identity.Retired || g.Holds(q) != nil {
-		t.Errorf("the old root is gone: %v, %v", why, g.Holds(q))
-	}
-	if err := g.May(p, identity.Ask{Class: "tile-read", Front: "resp2"}); identity.WhyOf(err) != identity.Retired {
+	authority.write("roots.pem", standin.PEM(authority.Roots[0].Cert, authority.Roots[1].Cert))
+	authenticator.ReloadFiles()
+	secondProof, _, err := authority.handshake(authenticator, 1, "kiosk.example")
+	if err != nil || authenticator.Holds(proof) != nil || authenticator.Holds(secondProof) != nil {
+		t.Fatalf("both roots in force: %v, %v", err, authenticator.Holds(proof))
+	}
+	authority.write("roots.pem", standin.PEM(authority.Roots[1].Cert))
+	authenticator.ReloadFiles()
+	if why := identity.WhyOf(authenticator.Holds(proof)); why != identity.Retired || authenticator.Holds(secondProof) != nil {
+		t.Errorf("the old root is gone: %v, %v", why, authenticator.Holds(secondProof))
+	}
+	if err := authenticator.May(proof, identity.Ask{Class: "tile-read", Front: "resp2"}); identity.WhyOf(err) != identity.Retired {
 		t.Errorf("by a root that is gone: %v", err)
 	}
 	// The rules change.
-	cfg := a.settings()
+	cfg := authority.settings()
 	cfg.Certificates[0].Tenant = "shop"
-	g.Reload(cfg)
-	if why := identity.WhyOf(g.Holds(q)); why != identity.Retired {
+	authenticator.Reload(cfg)
+	if why := identity.WhyOf(authenticator.Holds(secondProof)); why != identity.Retired {
 		t.Errorf("another tenant's now: %v", why)
 	}
 }
@@ -167,21 +167,21 @@
 // Handshakes over the limit for a second are refused before any cryptographic work; a front end that is not
 // named uses no TLS.
 func TestHandshakesAreBounded(t *testing.T) {
-	a := newAuthority(t)
-	cfg := a.settings()
+	authority := newAuthority(t)
+	cfg := authority.settings()
 	cfg.TLS.Handshakes, cfg.TLS.Fronts, cfg.TLS.Client = 3, []string{"resp2"}, "required"
-	g, err := New(cfg, slog.New(slog.DiscardHandler))
+	authenticator, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := time.Now()
-	g.listenerTLS.now = func() time.Time { return at }
-	if g.TLS("extproc") != nil {
+	now := time.Now()
+	authenticator.listenerTLS.now = func() time.Time { return now }
+	if authenticator.TLS("extproc") != nil {
 		t.Error("a front that is not named speaks TLS")
 	}
 	good := 0
 	for range 10 {
-		if _, _, err := a.handshake(g, 0, "kiosk.example"); err == nil {
+		if _, _, err := authority.handshake(authenticator, 0, "kiosk.example"); err == nil {
 			good++
 		} else if !strings.Contains(err.Error(), errTooManyHandshakes.Error()) {
 			t.Error(err)
@@ -190,8 +190,8 @@
 	if good != 3 {
 		t.Errorf("%d handshakes at once, 3 a second are allowed", good)
 	}
-	at = at.Add(time.Second)
-	if _, _, err := a.handshake(g, 0, ""); err == nil {
+	now = now.Add(time.Second)
+	if _, _, err := authority.handshake(authenticator, 0, ""); err == nil {
 		t.Error("no certificate where one is required")
 	}
 }
@@ -207,31 +207,31 @@
 	}
 	cfg := testSettings(file)
 	cfg.ChecksPerS, cfg.Suspects, cfg.Known = 4, 2, 0
-	g, err := New(cfg, slog.New(slog.DiscardHandler))
+	authenticator, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := time.Now()
-	g.now = func() time.Time { return at }
-	bad, well := netip.MustParseAddr("192.0.2.1"), netip.MustParseAddr("192.0.2.2")
+	now := time.Now()
+	authenticator.now = func() time.Time { return now }
+	bad, clean := netip.MustParseAddr("192.0.2.1"), netip.MustParseAddr("192.0.2.2")
 	for range 8 { // each on a connection of its own
-		g.Prove([]byte(forged), bad, false)
+		authenticator.Prove([]byte(forged), bad, false)
 	}
-	if _, err := g.Prove([]byte(good), bad, false); identity.WhyOf(err) != identity.Overload {
+	if _, err := authenticator.Prove([]byte(good), bad, false); identity.WhyOf(err) != identity.Overload {
 		t.Errorf("from the bad address: %v", err)
 	}
-	if _, err := g.Prove([]byte(good), well, false); err != nil {
+	if _, err := authenticator.Prove([]byte(good), clean, false); err != nil {
 		t.Errorf("from a clean one: %v", err)
 	}
 	for i := range 4 { // further addresses displace it, as the number remembered is limited
-		g.sources.Bad(at, netip.AddrFrom4([4]byte{198, 51, 100, byte(i)}))
+		authenticator.sources.Bad(now, netip.AddrFrom4([4]byte{198, 51, 100, byte(i)}))
 	}
-	if g.sources.Len() != 2 || g.sources.Suspect(at, bad) {
-		t.Errorf("%d addresses are remembered", g.sources.Len())
+	if authenticator.sources.Len() != 2 || authenticator.sources.Suspect(now, bad) {
+		t.Errorf("%d addresses are remembered", authenticator.sources.Len())
 	}
 	one, same, other := netip.MustParseAddr("2001:db8:1:2::1"), netip.MustParseAddr("2001:db8:1:2:ffff::1"), netip.MustParseAddr("2001:db8:1:3::1")
-	g.sources.Bad(at, one)
-	if !g.sources.Suspect(at, same) || g.sources.Suspect(at, other) || g.sources.Suspect(at.Add(31*time.Second), one) {
+	authenticator.sources.Bad(now, one)
+	if !authenticator.sources.Suspect(now, same) || authenticator.sources.Suspect(now, other) || authenticator.sources.Suspect(now.Add(31*time.Second), one) {
 		t.Error("of IPv6, the first 64 bits count, for 30 s")
 	}
 }
--- a/internal/extproc/caller/caller.go
+++ b/internal/extproc/caller/caller.go
@@ -141,18 +141,18 @@
 }
 
 // Do makes a client's request: an exchange, and further ones for responses that the processor marks.
-func (c *Caller) Do(ctx context.Context, q Request) Result {
+func (c *Caller) Do(ctx context.Context, request Request) Result {
 	var members []string
-	begun := time.Now()
+	start := time.Now()
 	for attempt, marks := 1, 0; ; attempt++ {
-		res := c.exchange(ctx, q, attempt)
+		res := c.exchange(ctx, request, attempt)
 		members = append(members, res.Members...)
 		res.Attempts, res.Members = attempt, members
 		_, marked := res.Headers[retryHeader]
 		switch {
 		case marked && marks < c.Retries:
 			marks++
-		case res.Err != nil && !res.PassedThrough && time.Since(begun) < c.RetryFailedFor && ctx.Err() == nil:
+		case res.Err != nil && !res.PassedThrough && time.Since(start) < c.RetryFailedFor && ctx.Err() == nil:
 			time.Sleep(5 * time.Millisecond)
 		default:
 			delete(res.Headers, retryHeader)
@@ -180,10 +180,10 @@
 
 // exchange makes one call. It tries the next target only if the previous one reports that the call never
 // ran.
-func (c *Caller) exchange(ctx context.Context, q Request, attempt int) Result {
+func (c *Caller) exchange(ctx context.Context, request Request, attempt int) Result {
 	var res Result
 	for _, conn := range c.conns {
-		x := &exchange{caller: c, request: q, attempt: attempt}
+		x := &exchange{caller: c, request: request, attempt: attempt}
 		res = x.run(ctx, conn)
 		if status.Code(res.Err) != codes.Unavailable || x.accepted {
 			break
@@ -239,18 +239,18 @@
 			}
 		}
 	}()
-	res, err := x.process(ctx)
+	result, err := x.process(ctx)
 	var now immediateResponse
 	switch {
 	case errors.As(err, &now):
-		res = Result{Status: int(now.response.GetStatus().GetCode()), Body: now.response.GetBody(), Headers: map[string]string{}, Members: res.Members}
+		result = Result{Status: int(now.response.GetStatus().GetCode()), Body: now.response.GetBody(), Headers: map[string]string{}, Members: result.Members}
 		for _, h := range now.response.GetHeaders().GetSetHeaders() {
-			res.Headers[h.GetHeader().GetKey()] = string(h.GetHeader().GetRawValue())
+			result.Headers[h.GetHeader().GetKey()] = string(h.GetHeader().GetRawValue())
 		}
 	case err != nil:
-		members := res.Members
-		res = x.caller.failureResult(err)
-		res.Members = members
+		members := result.Members
+		result = x.caller.failureResult(err)
+		result.Members = members
 	}
 	if err != nil && (x.bodyMode == fullDuplex || x.caller.ResponseMode == fullDuplex) {
 		cancel() // sending the body may be blocked
@@ -261,7 +261,7 @@
 		md, _ := x.stream.Header() // does not block, as the stream has ended
 		x.accepted = md != nil
 	}
-	return res
+	return result
 }
 
 func headerMap(pairs map[string]string) *corev3.HeaderMap {
@@ -272,33 +272,33 @@
 	return m
 }
 
-func (x *exchange) process(ctx context.Context) (res Result, err error) {
+func (x *exchange) process(ctx context.Context) (result Result, err error) {
 	pairs := map[string]string{":method": x.request.Method, ":path": x.request.Path, ":scheme": "http", ":authority": "tiles",
 		"x-envoy-attempt-count": strconv.Itoa(x.attempt)}
 	for name, value := range x.request.Headers {
 		pairs[name] = value
 	}
-	bare := len(x.request.Body) == 0
+	noBody := len(x.request.Body) == 0
 	config := &extprocv3.ProtocolConfiguration{RequestBodyMode: x.bodyMode, ResponseBodyMode: x.caller.ResponseMode}
 	first := &extprocv3.ProcessingRequest{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
-		RequestHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: bare}}}
+		RequestHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: noBody}}}
 	if x.caller.Subset != nil {
 		first.MetadataContext = metadata("envoy.lb.subset_hint", destinationHeader+"-subset", x.caller.Subset)
 	}
 	if x.bodyMode == fullDuplex || x.caller.ResponseMode == fullDuplex {
 		return x.processDuplex(ctx, first)
 	}
-	m, err := x.roundTrip(ctx, first)
+	response, err := x.roundTrip(ctx, first)
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	x.applyHeaders(m.GetRequestHeaders().GetResponse())
-	if o := m.GetModeOverride(); o != nil && x.caller.AllowModeOverride {
+	x.applyHeaders(response.GetRequestHeaders().GetResponse())
+	if o := response.GetModeOverride(); o != nil && x.caller.AllowModeOverride {
 		x.bodyMode, x.skipResponseHeaders = o.GetRequestBodyMode(), o.GetResponseHeaderMode() == filterv3.ProcessingMode_SKIP
 	}
-	if !bare && x.bodyMode != filterv3.ProcessingMode_NONE {
+	if !noBody && x.bodyMode != filterv3.ProcessingMode_NONE {
 		if err := x.sendBuffered(ctx); err != nil {
-			return res, err
+			return result, err
 		}
 	}
 	addr := x.headers[destinationHeader]
@@ -308,23 +308,23 @@
 	if x.caller.BeforeSend != nil {
 		x.caller.BeforeSend(addr)
 	}
-	res, attributes := x.sendToMembers(ctx, addr)
-	res.Members = []string{addr}
+	result, attributes := x.sendToMembers(ctx, addr)
+	result.Members = []string{addr}
 	if x.skipResponseHeaders {
-		return res, nil
+		return result, nil
 	}
-	pairs = map[string]string{":status": strconv.Itoa(res.Status)}
-	for name, value := range res.Headers {
+	pairs = map[string]string{":status": strconv.Itoa(result.Status)}
+	for name, value := range result.Headers {
 		pairs[name] = value
 	}
-	m, err = x.roundTrip(ctx, &extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(), Request: &extprocv3.ProcessingRequest_ResponseHeaders{
-		ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: len(res.Body) == 0}}})
+	response, err = x.roundTrip(ctx, &extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(), Request: &extprocv3.ProcessingRequest_ResponseHeaders{
+		ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: len(result.Body) == 0}}})
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	x.headers = res.Headers
-	x.applyHeaders(m.GetResponseHeaders().GetResponse())
-	return res, nil
+	x.headers = result.Headers
+	x.applyHeaders(response.GetResponseHeaders().GetResponse())
+	return result, nil
 }
 
 // sendBuffered sends the body in one piece, or in parts in streamed mode.
@@ -357,11 +357,11 @@
 }
 
 // roundTrip sends a message and waits for its answer up to the message timeout.
-func (x *exchange) roundTrip(ctx context.Context, m *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
+func (x *exchange) roundTrip(ctx context.Context, message *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
 	timer := time.NewTimer(x.caller.MessageTimeout)
 	defer timer.Stop()
 	extended := false
-	if err := x.stream.Send(m); err != nil && !errors.Is(err, io.EOF) {
+	if err := x.stream.Send(message); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
 	for {
@@ -382,7 +382,7 @@
 			if now := r.response.GetImmediateResponse(); now != nil {
 				return nil, immediateResponse{now}
 			}
-			if err := x.checkResponseType(m, r.response); err != nil {
+			if err := x.checkResponseType(message, r.response); err != nil {
 				return nil, err
 			}
 			return r.response, nil
@@ -396,18 +396,18 @@
 
 // checkResponseType returns an error if the response belongs to another kind of message, which ends the
 // stream.
-func (x *exchange) checkResponseType(q *extprocv3.ProcessingRequest, r *extprocv3.ProcessingResponse) error {
+func (x *exchange) checkResponseType(message *extprocv3.ProcessingRequest, response *extprocv3.ProcessingResponse) error {
 	ok := false
-	switch q.GetRequest().(type) {
+	switch message.GetRequest().(type) {
 	case *extprocv3.ProcessingRequest_RequestHeaders:
-		ok = r.GetRequestHeaders() != nil
+		ok = response.GetRequestHeaders() != nil
 	case *extprocv3.ProcessingRequest_RequestBody:
-		ok = r.GetRequestBody() != nil
+		ok = response.GetRequestBody() != nil
 	case *extprocv3.ProcessingRequest_ResponseHeaders:
-		ok = r.GetResponseHeaders() != nil
+		ok = response.GetResponseHeaders() != nil
 	}
 	if !ok {
-		return fmt.Errorf("caller: %T in response to %T", r.GetResponse(), q.GetRequest())
+		return fmt.Errorf("caller: %T in response to %T", response.GetResponse(), message.GetRequest())
 	}
 	return nil
 }
@@ -448,41 +448,41 @@
 
 // sendToMember makes the attempt at one member. Without a response it reports the reason as Envoy does.
 func (x *exchange) sendToMember(ctx context.Context, addr string) (Result, map[string]*structpb.Struct) {
-	whole := ctx
+	parent := ctx
 	if x.caller.AttemptTimeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, x.caller.AttemptTimeout)
 		defer cancel()
 	}
-	r, err := http.NewRequestWithContext(ctx, x.request.Method, "http://"+addr+"/"+x.request.Path[strings.LastIndexByte(x.request.Path, '/')+1:], bytes.NewReader(x.request.Body))
+	request, err := http.NewRequestWithContext(ctx, x.request.Method, "http://"+addr+"/"+x.request.Path[strings.LastIndexByte(x.request.Path, '/')+1:], bytes.NewReader(x.request.Body))
 	if err != nil {
 		return Result{Status: 500, Err: err}, nil
 	}
 	for name, value := range x.request.Headers {
-		r.Header.Set(name, value)
+		request.Header.Set(name, value)
 	}
-	r.GetBody = nil // prevents net/http from repeating the request
-	answer, err := x.caller.client.Do(r)
+	request.GetBody = nil // prevents net/http from repeating the request
+	response, err := x.caller.client.Do(request)
 	if err != nil {
 		details := "upstream_reset_before_response_started{connection_termination}"
 		switch {
 		case strings.Contains(err.Error(), "connect:"):
 			details = "upstream_reset_before_response_started{remote_connection_failure}"
-		case ctx.Err() != nil && whole.Err() == nil:
+		case ctx.Err() != nil && parent.Err() == nil:
 			return Result{Status: 504, Headers: map[string]string{}}, codeDetails("upstream_per_try_timeout")
 		}
 		return Result{Status: 503, Headers: map[string]string{}}, codeDetails(details)
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return Result{Status: 502, Headers: map[string]string{}}, codeDetails("upstream_reset_after_response_started{connection_termination}")
 	}
-	res := Result{Status: answer.StatusCode, Body: body, Headers: map[string]string{}}
-	for name := range answer.Header {
-		res.Headers[strings.ToLower(name)] = answer.Header.Get(name)
+	result := Result{Status: response.StatusCode, Body: body, Headers: map[string]string{}}
+	for name := range response.Header {
+		result.Headers[strings.ToLower(name)] = response.Header.Get(name)
 	}
-	return res, codeDetails("via_upstream")
+	return result, codeDetails("via_upstream")
 }
 
 // codeDetails returns the attribute response.code_details as a caller sends it.
--- a/internal/extproc/caller/duplex.go
+++ b/internal/extproc/caller/duplex.go
@@ -23,29 +23,29 @@
 // processDuplex makes an exchange as a gateway does in full duplex: it sends body and trailers without
 // waiting for answers, receives what is sent back in order, and passes on only that. It has no timeout for
 // messages.
-func (x *exchange) processDuplex(ctx context.Context, first *extprocv3.ProcessingRequest) (res Result, err error) {
+func (x *exchange) processDuplex(ctx context.Context, first *extprocv3.ProcessingRequest) (result Result, err error) {
 	if err := x.stream.Send(first); err != nil && !errors.Is(err, io.EOF) {
-		return res, err
+		return result, err
 	}
 	body := x.request.Body
 	if x.bodyMode != fullDuplex {
 		body = nil
 	}
 	x.sending.Go(func() { x.sendDuplexBody(body, false) })
-	m, err := x.receive(ctx)
+	response, err := x.receive(ctx)
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	if m.GetRequestHeaders() == nil {
-		return res, fmt.Errorf("caller: %T in response to request headers", m.GetResponse())
+	if response.GetRequestHeaders() == nil {
+		return result, fmt.Errorf("caller: %T in response to request headers", response.GetResponse())
 	}
-	if m.GetModeOverride() != nil {
-		return res, errors.New("caller: mode override in full duplex")
+	if response.GetModeOverride() != nil {
+		return result, errors.New("caller: mode override in full duplex")
 	}
-	x.applyHeaders(m.GetRequestHeaders().GetResponse())
+	x.applyHeaders(response.GetRequestHeaders().GetResponse())
 	if len(body) > 0 {
 		if x.request.Body, err = x.receiveBody(ctx, false); err != nil {
-			return res, err
+			return result, err
 		}
 	}
 	x.sending.Wait()
@@ -56,34 +56,34 @@
 	if x.caller.BeforeSend != nil {
 		x.caller.BeforeSend(named)
 	}
-	res, attributes := x.sendToMembers(ctx, named)
-	res.Members = []string{x.servedAddr}
-	pairs := map[string]string{":status": strconv.Itoa(res.Status)}
-	for name, value := range res.Headers {
+	result, attributes := x.sendToMembers(ctx, named)
+	result.Members = []string{x.servedAddr}
+	pairs := map[string]string{":status": strconv.Itoa(result.Status)}
+	for name, value := range result.Headers {
 		pairs[name] = value
 	}
-	streamed := x.caller.ResponseMode == fullDuplex && len(res.Body) > 0
+	streamed := x.caller.ResponseMode == fullDuplex && len(result.Body) > 0
 	err = x.stream.Send(&extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(),
 		Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: !streamed}}})
 	if err != nil && !errors.Is(err, io.EOF) {
-		return res, err
+		return result, err
 	}
 	if streamed {
-		body := res.Body
+		body := result.Body
 		x.sending.Go(func() { x.sendDuplexBody(body, true) })
 	}
-	if m, err = x.receive(ctx); err != nil {
-		return res, err
+	if response, err = x.receive(ctx); err != nil {
+		return result, err
 	}
-	if m.GetResponseHeaders() == nil {
-		return res, fmt.Errorf("caller: %T in response to response headers", m.GetResponse())
+	if response.GetResponseHeaders() == nil {
+		return result, fmt.Errorf("caller: %T in response to response headers", response.GetResponse())
 	}
-	x.headers = res.Headers
-	x.applyHeaders(m.GetResponseHeaders().GetResponse())
+	x.headers = result.Headers
+	x.applyHeaders(response.GetResponseHeaders().GetResponse())
 	if streamed {
-		res.Body, err = x.receiveBody(ctx, true)
+		result.Body, err = x.receiveBody(ctx, true)
 	}
-	return res, err
+	return result, err
 }
 
 // sendDuplexBody sends a body in parts, followed by trailers if configured.
--- a/internal/extproc/calls.go
+++ b/internal/extproc/calls.go
@@ -47,8 +47,8 @@
 }
 
 // NewCallTable creates a table of at most this many entries.
-func NewCallTable(most int, remember time.Duration) *CallTable {
-	return &CallTable{maxEntries: most, retention: remember, byID: map[string]*Entry{}, mayHaveRun: list.New(),
+func NewCallTable(maxEntries int, retention time.Duration) *CallTable {
+	return &CallTable{maxEntries: maxEntries, retention: retention, byID: map[string]*Entry{}, mayHaveRun: list.New(),
 		neverRan: list.New(), awaiting: map[*Entry]struct{}{}}
 }
 
@@ -63,38 +63,38 @@
 // otherwise. For DecisionReplace, replaced is the entry of the abandoned call. For an order onRecord the
 // record knows the result of earlier attempts, so that the decision is DecisionNew unless a call with the
 // id is in progress.
-func (c *CallTable) Begin(id string, attempt int, unsafe, onRecord bool, now time.Duration) (e, replaced *Entry, d Decision) {
+func (c *CallTable) Begin(id string, attempt int, runOnce, onRecord bool, now time.Duration) (entry, replaced *Entry, decision Decision) {
 	c.removeExpired(now)
-	old, again := c.byID[id], false
+	old, reused := c.byID[id], false
 	switch {
-	case old == nil && unsafe && attempt > 1 && !onRecord:
+	case old == nil && runOnce && attempt > 1 && !onRecord:
 		// An earlier attempt went to another processor, or to one that was killed, and its result is
 		// unknown.
 		return nil, nil, DecisionMayHaveRun
 	case old == nil:
-		d = DecisionNew
-	case old.Ended && old.MayHaveRun && (unsafe || old.RunOnce) && !onRecord:
+		decision = DecisionNew
+	case old.Ended && old.MayHaveRun && (runOnce || old.RunOnce) && !onRecord:
 		return nil, nil, DecisionMayHaveRun
 	case old.Ended:
 		c.remove(old)
-		again, d = true, DecisionNew
+		reused, decision = true, DecisionNew
 	case old.AwaitingCaller && (attempt == 0 || attempt > old.Attempt):
 		old.AwaitingCaller, old.Attempt = false, max(attempt, old.Attempt+1)
 		delete(c.awaiting, old)
 		return old, nil, DecisionContinue
 	case attempt > old.Attempt && attempt > 1 && old.Attempt > 0:
 		// The caller has abandoned the earlier call, whose stream has not ended here yet.
-		if unsafe || old.RunOnce {
+		if runOnce || old.RunOnce {
 			return nil, nil, DecisionMayHaveRun
 		}
-		replaced, d = old, DecisionReplace
+		replaced, decision = old, DecisionReplace
 		delete(c.byID, id)
 		delete(c.awaiting, old)
 	default:
 		return nil, nil, DecisionInUse
 	}
-	if f := c.neverRan.Front(); f != nil && len(c.byID) >= c.maxEntries {
-		c.remove(f.Value.(*Entry))
+	if oldest := c.neverRan.Front(); oldest != nil && len(c.byID) >= c.maxEntries {
+		c.remove(oldest.Value.(*Entry))
 	}
 	if len(c.byID) >= c.maxEntries {
 		if replaced != nil {
@@ -102,9 +102,9 @@
 		}
 		return nil, nil, DecisionTableFull
 	}
-	e = &Entry{ID: id, RunOnce: unsafe, Attempt: max(1, attempt), Reused: again}
-	c.byID[id] = e
-	return e, replaced, d
+	entry = &Entry{ID: id, RunOnce: runOnce, Attempt: max(1, attempt), Reused: reused}
+	c.byID[id] = entry
+	return entry, replaced, decision
 }
 
 // MayHaveRun reports whether an earlier attempt of a request that must not run twice may have run. It is
@@ -130,11 +130,11 @@
 }
 
 // End marks a request as ended and records whether an attempt of it may have run.
-func (c *CallTable) End(e *Entry, ran bool, now time.Duration) {
+func (c *CallTable) End(e *Entry, mayHaveRun bool, now time.Duration) {
 	if e.Ended {
 		return
 	}
-	e.Ended, e.AwaitingCaller, e.MayHaveRun, e.Owner = true, false, ran, nil
+	e.Ended, e.AwaitingCaller, e.MayHaveRun, e.Owner = true, false, mayHaveRun, nil
 	delete(c.awaiting, e)
 	if c.byID[e.ID] != e {
 		return // the entry was replaced
@@ -144,7 +144,7 @@
 		return
 	}
 	e.ExpiresAt = now + c.retention
-	if ran {
+	if mayHaveRun {
 		e.element = c.mayHaveRun.PushBack(e)
 	} else {
 		e.element = c.neverRan.PushBack(e)
@@ -152,13 +152,13 @@
 }
 
 // Overdue returns the entries whose callers have not returned in time.
-func (c *CallTable) Overdue(now time.Duration) (late []*Entry) {
+func (c *CallTable) Overdue(now time.Duration) (overdue []*Entry) {
 	for e := range c.awaiting {
 		if now >= e.ExpiresAt {
-			late = append(late, e)
+			overdue = append(overdue, e)
 		}
 	}
-	return late
+	return overdue
 }
 
 func (c *CallTable) removeExpired(now time.Duration) {
--- a/internal/extproc/mapping.go
+++ b/internal/extproc/mapping.go
@@ -48,37 +48,37 @@
 
 // NewMapping compiles the map entries of a validated file.
 func NewMapping(entries []operator.MapEntry) (*Mapping, error) {
-	m := &Mapping{}
-	for _, e := range entries {
-		r := rule{methods: e.Methods, class: e.Class, write: e.Write, many: e.Many}
-		r.segments = strings.Split(strings.TrimPrefix(e.Path, "/"), "/")
-		at := map[string]int{}
-		for i, s := range r.segments {
+	mapping := &Mapping{}
+	for _, entry := range entries {
+		compiled := rule{methods: entry.Methods, class: entry.Class, write: entry.Write, many: entry.Many}
+		compiled.segments = strings.Split(strings.TrimPrefix(entry.Path, "/"), "/")
+		segmentIndex := map[string]int{}
+		for i, s := range compiled.segments {
 			if name, ok := operator.Segment(s); ok {
 				name, rest := strings.CutSuffix(name, "...")
-				at[name] = i
-				r.matchesRest = rest
+				segmentIndex[name] = i
+				compiled.matchesRest = rest
 			}
 		}
-		for key := e.Key; key != ""; {
+		for key := entry.Key; key != ""; {
 			text, after, found := strings.Cut(key, "{")
 			if text != "" {
-				r.key = append(r.key, keyPart{text: text, segment: -1})
+				compiled.key = append(compiled.key, keyPart{text: text, segment: -1})
 			}
 			if !found {
 				break
 			}
 			name, rest, _ := strings.Cut(after, "}")
-			i, ok := at[name]
+			i, ok := segmentIndex[name]
 			if !ok {
-				return nil, fmt.Errorf("map entry %s: the path has no {%s}", e.Path, name)
+				return nil, fmt.Errorf("map entry %s: the path has no {%s}", entry.Path, name)
 			}
-			r.key = append(r.key, keyPart{segment: i})
+			compiled.key = append(compiled.key, keyPart{segment: i})
 			key = rest
 		}
-		m.rules = append(m.rules, r)
+		mapping.rules = append(mapping.rules, compiled)
 	}
-	return m, nil
+	return mapping, nil
 }
 
 // Match returns the target of the first matching rule. A query in the path is ignored.
@@ -88,31 +88,31 @@
 	if !strings.HasPrefix(path, "/") {
 		return Target{}, false
 	}
-	var room [16]string
+	var buffer [16]string
 	for i := range m.rules {
-		r := &m.rules[i]
-		values := room[:0]
-		if !r.hasMethod(method) {
+		candidate := &m.rules[i]
+		values := buffer[:0]
+		if !candidate.hasMethod(method) {
 			continue
 		}
-		values, ok := r.match(path[1:], values)
+		values, ok := candidate.match(path[1:], values)
 		if !ok {
 			continue
 		}
-		t := Target{Class: r.class, Write: r.write, Many: r.many}
-		if len(r.key) == 1 && r.key[0].segment >= 0 {
-			t.Key = values[r.key[0].segment]
+		target := Target{Class: candidate.class, Write: candidate.write, Many: candidate.many}
+		if len(candidate.key) == 1 && candidate.key[0].segment >= 0 {
+			target.Key = values[candidate.key[0].segment]
 		} else {
 			var b strings.Builder
-			for _, p := range r.key {
+			for _, p := range candidate.key {
 				if p.segment >= 0 {
 					p.text = values[p.segment]
 				}
 				b.WriteString(p.text)
 			}
-			t.Key = b.String()
+			target.Key = b.String()
 		}
-		return t, true
+		return target, true
 	}
 	return Target{}, false
 }
@@ -128,7 +128,7 @@
 
 // match splits the path into as many segments as the rule has. The segment of a variable must not be empty.
 func (r *rule) match(path string, values []string) ([]string, bool) {
-	for i, want := range r.segments {
+	for i, pattern := range r.segments {
 		last := i == len(r.segments)-1
 		segment, rest, more := strings.Cut(path, "/")
 		if last && r.matchesRest {
@@ -137,7 +137,7 @@
 		if more == last { // too many segments, or too few
 			return nil, false
 		}
-		if _, variable := operator.Segment(want); variable && segment == "" || !variable && segment != want {
+		if _, variable := operator.Segment(pattern); variable && segment == "" || !variable && segment != pattern {
 			return nil, false
 		}
 		if strings.Contains(segment, "%") {
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -79,12 +79,12 @@
 }
 
 // sendFailed answers that the request failed and may have run.
-func (s *stream) sendFailed(why string) error {
-	return s.sendImmediate(502, []byte("failed: "+why+"\n"), "")
+func (s *stream) sendFailed(text string) error {
+	return s.sendImmediate(502, []byte("failed: "+text+"\n"), "")
 }
 
-func (s *stream) sendTooLong(most int) error {
-	return s.sendImmediate(413, []byte("the body is over "+strconv.Itoa(most)+" bytes\n"), "")
+func (s *stream) sendTooLong(limit int) error {
+	return s.sendImmediate(413, []byte("the body is over "+strconv.Itoa(limit)+" bytes\n"), "")
 }
 
 // sendAnswer sends the host's final answer.
@@ -138,20 +138,20 @@
 
 // memberMessage names the member in the header and the metadata that the Gateway API's endpoint pickers
 // use, and requests only the phases that are needed.
-func memberMessage(c *config, addr string, left time.Duration, kind int) *extprocv3.ProcessingResponse {
-	h := &c.Headers
+func memberMessage(cfg *config, addr string, timeLeft time.Duration, kind int) *extprocv3.ProcessingResponse {
+	headers := &cfg.Headers
 	set := make([]*corev3.HeaderValueOption, 1, 2)
-	set[0] = setHeader(h.Destination, addr)
-	if h.TryTimeout != "" {
-		set = append(set, setHeader(h.TryTimeout, strconv.FormatInt(max(1, left.Milliseconds()), 10)))
+	set[0] = setHeader(headers.Destination, addr)
+	if headers.TryTimeout != "" {
+		set = append(set, setHeader(headers.TryTimeout, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10)))
 	}
 	common := &extprocv3.CommonResponse{HeaderMutation: &extprocv3.HeaderMutation{SetHeaders: set}}
-	if c.authenticates { // the caller sends the request itself, and members must not see its token
+	if cfg.authenticates { // the caller sends the request itself, and members must not see its token
 		common.HeaderMutation.RemoveHeaders = []string{authorization}
 	}
 	r := &extprocv3.ProcessingResponse{DynamicMetadata: &structpb.Struct{Fields: map[string]*structpb.Value{
 		"envoy.lb": structpb.NewStructValue(&structpb.Struct{Fields: map[string]*structpb.Value{
-			h.Destination: structpb.NewStringValue(addr),
+			headers.Destination: structpb.NewStringValue(addr),
 		}}),
 	}}}
 	if kind == inBody {
@@ -203,34 +203,34 @@
 	byAddr [kindCount]map[string]*extprocv3.ProcessingResponse
 }
 
-func (n *messageCache) get(c *config, addr string, k int) (*extprocv3.ProcessingResponse, error) {
+func (n *messageCache) get(cfg *config, addr string, kind int) (*extprocv3.ProcessingResponse, error) {
 	n.mu.RLock()
-	r := n.byAddr[k][addr]
+	r := n.byAddr[kind][addr]
 	n.mu.RUnlock()
 	if r != nil {
 		return r, nil
 	}
-	r, err := preEncode(memberMessage(c, addr, 0, k))
+	r, err := preEncode(memberMessage(cfg, addr, 0, kind))
 	if err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.byAddr[k] == nil || len(n.byAddr[k]) >= maxCachedMessages {
-		n.byAddr[k] = map[string]*extprocv3.ProcessingResponse{}
+	if n.byAddr[kind] == nil || len(n.byAddr[kind]) >= maxCachedMessages {
+		n.byAddr[kind] = map[string]*extprocv3.ProcessingResponse{}
 	}
-	n.byAddr[k][addr] = r
+	n.byAddr[kind][addr] = r
 	return r, nil
 }
 
 // responseMessage lets a response through, either marked for another attempt or with such a mark removed: a
 // member must not be able to make the caller retry.
-func responseMessage(c *operator.ExtProc, again bool) *extprocv3.ProcessingResponse {
+func responseMessage(cfg *operator.ExtProc, retry bool) *extprocv3.ProcessingResponse {
 	mutation := &extprocv3.HeaderMutation{}
-	if again {
-		mutation.SetHeaders = []*corev3.HeaderValueOption{setHeader(c.Headers.Retry, "1")}
+	if retry {
+		mutation.SetHeaders = []*corev3.HeaderValueOption{setHeader(cfg.Headers.Retry, "1")}
 	} else {
-		mutation.RemoveHeaders = []string{c.Headers.Retry}
+		mutation.RemoveHeaders = []string{cfg.Headers.Retry}
 	}
 	return &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
 		ResponseHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}}
@@ -240,78 +240,78 @@
 const attributesNamespace = "envoy.filters.http.ext_proc"
 
 // readResponse reads the attempt's result from the response's headers.
-func (s *stream) readResponse(m *extprocv3.ProcessingRequest) (r extproc.Response, note int, err error) {
-	r.MissStatus = s.config.MissStatus
-	for _, v := range m.GetResponseHeaders().GetHeaders().GetHeaders() {
-		switch v.GetKey() {
+func (s *stream) readResponse(message *extprocv3.ProcessingRequest) (response extproc.Response, note int, err error) {
+	response.MissStatus = s.config.MissStatus
+	for _, header := range message.GetResponseHeaders().GetHeaders().GetHeaders() {
+		switch header.GetKey() {
 		case ":status":
-			if r.Status, err = strconv.Atoi(headerValue(v)); err != nil || r.Status < 100 || r.Status > 599 {
-				return r, 0, s.invalid(":status is no status")
+			if response.Status, err = strconv.Atoi(headerValue(header)); err != nil || response.Status < 100 || response.Status > 599 {
+				return response, 0, s.invalid(":status is no status")
 			}
 		case "x-not-processed":
-			r.NotProcessed = headerValue(v) == "1"
+			response.NotProcessed = headerValue(header) == "1"
 		case "x-envoy-overloaded":
-			r.Overloaded = true
+			response.Overloaded = true
 		case "x-cache":
-			note = map[string]int{"hit": logic.NoteHit, "miss": logic.NoteMiss, "pending": logic.NoteFetched}[headerValue(v)]
+			note = map[string]int{"hit": logic.NoteHit, "miss": logic.NoteMiss, "pending": logic.NoteFetched}[headerValue(header)]
 		}
 	}
-	if r.Status == 0 {
-		return r, 0, s.invalid("response headers without :status")
+	if response.Status == 0 {
+		return response, 0, s.invalid("response headers without :status")
 	}
-	r.Details = m.GetAttributes()[attributesNamespace].GetFields()["response.code_details"].GetStringValue()
-	return r, note, nil
+	response.Details = message.GetAttributes()[attributesNamespace].GetFields()["response.code_details"].GetStringValue()
+	return response, note, nil
 }
 
 // responseHeaders reports the attempt's outcome in route mode. It then lets the response through, marks it
 // for another attempt, or replaces it by the final answer.
-func (s *stream) responseHeaders(m *extprocv3.ProcessingRequest) error {
-	c := s.call
+func (s *stream) responseHeaders(message *extprocv3.ProcessingRequest) error {
+	call := s.call
 	switch {
-	case s.passThrough || c != nil && c.settled:
+	case s.passThrough || call != nil && call.settled:
 		return s.sendResponseContinue()
-	case c == nil || !s.routeMode():
+	case call == nil || !s.routeMode():
 		return s.invalid("response headers before the request was answered")
 	}
-	r, note, err := s.readResponse(m)
+	response, note, err := s.readResponse(message)
 	if err != nil {
 		return err
 	}
-	s.recordServedMember(m)
-	v := r.Outcome()
-	if v == logic.StatusOK {
+	s.recordServedMember(message)
+	outcome := response.Outcome()
+	if outcome == logic.StatusOK {
 		s.delivering, s.outcomeNote = true, note
-		if s.responseMode == filterv3.ProcessingMode_NONE || m.GetResponseHeaders().GetEndOfStream() {
+		if s.responseMode == filterv3.ProcessingMode_NONE || message.GetResponseHeaders().GetEndOfStream() {
 			s.markServed()
 		}
 		return s.sendResponseContinue()
 	}
 	var final *proxy.Answer
-	var again bool
+	var retry bool
 	s.front.host.Do(func() {
-		if a := c.attempt; a != nil && !a.Ended() && a.Given() {
-			r.Origin = a.Origin
-			v = r.Outcome()
-			a.End(v, note)
+		if a := call.attempt; a != nil && !a.Ended() && a.Given() {
+			response.Origin = a.Origin
+			outcome = response.Outcome()
+			a.End(outcome, note)
 			s.front.host.Tell()
 		}
 		switch {
-		case v == logic.StatusRejected:
-			c.settle() // the member rejects the request itself, and its response explains why
-		case c.finalAnswer != nil:
-			final = c.finalAnswer
+		case outcome == logic.StatusRejected:
+			call.settle() // the member rejects the request itself, and its response explains why
+		case call.finalAnswer != nil:
+			final = call.finalAnswer
 		case s.head.requestID == "": // without an id the caller's return could not be recognized
-			c.abandon()
+			call.abandon()
 		default:
-			again = true
-			c.stream = nil
-			s.front.calls.AwaitCaller(c.entry, s.front.host.Now()+s.config.ReturnWithin.D())
+			retry = true
+			call.stream = nil
+			s.front.calls.AwaitCaller(call.entry, s.front.host.Now()+s.config.ReturnWithin.D())
 		}
 	})
 	switch {
 	case final != nil:
 		return s.sendAnswer(final)
-	case again:
+	case retry:
 		return s.send(s.config.retryMessage)
 	}
 	return s.sendResponseContinue()
@@ -330,19 +330,19 @@
 func (s *stream) markServed() {
 	s.delivering = false
 	s.front.host.Do(func() {
-		c := s.call
-		if c.settled {
+		call := s.call
+		if call.settled {
 			return
 		}
-		if c.attempt != nil && c.attempt.Given() {
+		if call.attempt != nil && call.attempt.Given() {
 			if s.servedElsewhere {
-				c.attempt.DeliverElsewhere()
+				call.attempt.DeliverElsewhere()
 			} else {
-				c.attempt.Deliver(s.outcomeNote)
+				call.attempt.Deliver(s.outcomeNote)
 			}
 		}
 		s.front.counts.Served++
-		c.settle()
+		call.settle()
 		s.delivered = true
 		s.idle = s.outbox == nil // otherwise the end of the body has still to be sent
 		s.expiresAt = s.front.host.Now() + firstMessageTimeout
--- a/internal/extproc/server/cold_test.go
+++ b/internal/extproc/server/cold_test.go
@@ -28,12 +28,12 @@
 			}
 			var now atomic.Int64
 			at := func() time.Time { return time.Unix(0, int64(time.Hour)+now.Load()) }
-			r := newHarness(t, fleet, operatorFile("answer", ""), func(cfg *proxy.Config) {
+			env := newHarness(t, fleet, operatorFile("answer", ""), func(cfg *proxy.Config) {
 				cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
 				cfg.Settings.OverloadMultiple = c.multiple
 			})
-			r.eventually("the list is known", func() bool { return r.host.Load().Ready == 5 })
-			conn, err := net.Dial("tcp", r.host.Addr().String())
+			env.eventually("the list is known", func() bool { return env.host.Load().Ready == 5 })
+			conn, err := net.Dial("tcp", env.host.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -44,11 +44,11 @@
 			served, refused := 0, 0
 			one := func(i int) {
 				now.Add(int64(step))
-				r.host.Tick()
+				env.host.Tick()
 				key, id := keys[i*7%len(keys)], fmt.Sprint("c", i)
 				var answer string
 				if i%2 == 0 {
-					res := r.do(readRequest(key, id))
+					res := env.do(readRequest(key, id))
 					answer = string(res.Body)
 				} else {
 					fmt.Fprintf(conn, "*4\r\n$7\r\nOBJ.GET\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$18\r\nc=tile-read,d=2000\r\n", len(key), key, len(id), id)
@@ -67,7 +67,7 @@
 				} else {
 					refused++
 				}
-				r.eventually("nothing is in hand", func() bool { l := r.host.Load(); return l.Requests == 0 && l.Busy == 0 })
+				env.eventually("nothing is in hand", func() bool { l := env.host.Load(); return l.Requests == 0 && l.Busy == 0 })
 			}
 			for i := range 1500 {
 				one(i)
@@ -85,7 +85,7 @@
 			for _, b := range fleet.Boxes[:4] {
 				fleet.Drain(b)
 			}
-			r.eventually("only the cold box is left", func() bool { return r.host.Load().Ready == 2 })
+			env.eventually("only the cold box is left", func() bool { return env.host.Load().Ready == 2 })
 			served, refused = 0, 0
 			for i := range 750 { // three seconds
 				one(10_000 + i)
@@ -96,7 +96,7 @@
 			if !c.fell && (served < 50 || refused < 50) {
 				t.Errorf("%d served, %d refused: the budget is not what bounds it", served, refused)
 			}
-			r.waitIdle()
+			env.waitIdle()
 		})
 	}
 }
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -40,7 +40,7 @@
 			for _, b := range fleet.Boxes {
 				b.SetService(45*time.Millisecond, 0)
 			}
-			r := newHarness(t, fleet, operatorFile("route", ""), func(cfg *proxy.Config) {
+			env := newHarness(t, fleet, operatorFile("route", ""), func(cfg *proxy.Config) {
 				see := func(m discovery.Member) discovery.Member { m.HostPort = at[m.ID]; return m }
 				view, err := fleet.Registry.View(see)
 				if err != nil {
@@ -51,11 +51,11 @@
 					cfg.Known.Members[i] = see(m)
 				}
 			})
-			r.caller.Retries, r.caller.AttemptTimeout = 4, 50*time.Millisecond
+			env.caller.Retries, env.caller.AttemptTimeout = 4, 50*time.Millisecond
 			for i := range 12 {
 				key := fmt.Sprint("k", i)
 				fleet.Fill(key)
-				r.do(readRequest(key, "id"+key))
+				env.do(readRequest(key, "id"+key))
 			}
 			all, further := copies.Attempts()
 			if further == 0 {
--- a/internal/extproc/server/deadline_test.go
+++ b/internal/extproc/server/deadline_test.go
@@ -18,11 +18,11 @@
 	fleet := newFleet(t, 1)
 	fleet.SetDeadlines(deadlines)
 	fleet.Boxes[0].OnRead(func(string) { now.Add(int64(600 * time.Millisecond)) }) // a slow miss
-	r := newHarness(t, fleet, operatorFile("answer", ""), func(cfg *proxy.Config) { cfg.Clock = clock })
+	env := newHarness(t, fleet, operatorFile("answer", ""), func(cfg *proxy.Config) { cfg.Clock = clock })
 	q := readRequest("k", "r1")
 	q.Headers["x-envoy-expected-rq-timeout-ms"] = "2500"
 	deadlines.Sent("r1", "d=2500")
-	r.expect(r.do(q), 200, "value of k")
+	env.expect(env.do(q), 200, "value of k")
 	if first, further := deadlines.Attempts(); first != 1 || further != 1 {
 		t.Errorf("%d first attempts and %d further ones", first, further)
 	}
--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -38,17 +38,17 @@
 	if !(s.bodyMode == fullDuplex && !end) && s.responseMode != fullDuplex {
 		return nil
 	}
-	over := false
+	full := false
 	s.front.host.Do(func() {
-		over = s.front.host.Hold(streamWindow)
+		full = s.front.host.Hold(streamWindow)
 		s.heldWindow = streamWindow
 	})
-	if over {
+	if full {
 		return status.Error(codes.Unavailable, "no room for the stream; nothing ran")
 	}
-	o := &outbox{queue: make(chan outboxMessage, 1), stopped: make(chan struct{}), written: make(chan struct{}, 1)}
-	s.outbox = o
-	go o.run(s)
+	queue := &outbox{queue: make(chan outboxMessage, 1), stopped: make(chan struct{}), written: make(chan struct{}, 1)}
+	s.outbox = queue
+	go queue.run(s)
 	return nil
 }
 
@@ -142,20 +142,20 @@
 }
 
 func (f *Front) addStuckStream(s *stream) {
-	c := connOf(s.rpc.Context())
-	if c == nil {
+	conn := connOf(s.rpc.Context())
+	if conn == nil {
 		return
 	}
-	over := false
+	tooMany := false
 	f.host.Do(func() {
 		f.host.Hold(streamWindow)
-		f.stuckStreams = append(f.stuckStreams, stuckStream{c, f.host.Now() + stuckHoldTime})
-		c.stuckStreams++
-		over = c.stuckStreams > maxStuckStreams
+		f.stuckStreams = append(f.stuckStreams, stuckStream{conn, f.host.Now() + stuckHoldTime})
+		conn.stuckStreams++
+		tooMany = conn.stuckStreams > maxStuckStreams
 	})
-	if over {
-		f.log.Warn("closing a connection: its caller reads no responses on too many streams", "caller", c.RemoteAddr().String())
-		c.Close()
+	if tooMany {
+		f.log.Warn("closing a connection: its caller reads no responses on too many streams", "caller", conn.RemoteAddr().String())
+		conn.Close()
 	}
 }
 
@@ -171,24 +171,24 @@
 
 // relayBody sends a body part back unchanged. If the memory for bodies is used up, no further part is
 // received until this one is written.
-func (s *stream) relayBody(m *extprocv3.HttpBody, response bool) error {
-	for rest, last := m.GetBody(), false; !last; {
+func (s *stream) relayBody(body *extprocv3.HttpBody, response bool) error {
+	for rest, last := body.GetBody(), false; !last; {
 		part := rest[:min(len(rest), maxChunkBytes)]
 		rest = rest[len(part):]
 		last = len(rest) == 0
-		over := false
-		s.front.host.Do(func() { over = s.front.host.Hold(len(part)) })
+		full := false
+		s.front.host.Do(func() { full = s.front.host.Hold(len(part)) })
 		common := &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{BodyMutation: &extprocv3.BodyMutation{
 			Mutation: &extprocv3.BodyMutation_StreamedResponse{StreamedResponse: &extprocv3.StreamedBodyResponse{
-				Body: part, EndOfStream: last && m.GetEndOfStream()}}}}}
-		r := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{RequestBody: common}}
+				Body: part, EndOfStream: last && body.GetEndOfStream()}}}}}
+		message := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{RequestBody: common}}
 		if response {
-			r.Response = &extprocv3.ProcessingResponse_ResponseBody{ResponseBody: common}
+			message.Response = &extprocv3.ProcessingResponse_ResponseBody{ResponseBody: common}
 		}
-		if err := s.outbox.enqueue(s, r, len(part)); err != nil {
+		if err := s.outbox.enqueue(s, message, len(part)); err != nil {
 			return err
 		}
-		if over {
+		if full {
 			if err := s.outbox.flush(s); err != nil {
 				return err
 			}
@@ -219,10 +219,10 @@
 }
 
 // parseEndpoints reads addresses from a list or from comma-separated text. The result is never nil.
-func parseEndpoints(v *structpb.Value) []string {
-	only := []string{}
-	texts := []string{v.GetStringValue()}
-	if l := v.GetListValue(); l != nil {
+func parseEndpoints(value *structpb.Value) []string {
+	addrs := []string{}
+	texts := []string{value.GetStringValue()}
+	if l := value.GetListValue(); l != nil {
 		texts = texts[:0]
 		for _, e := range l.GetValues() {
 			texts = append(texts, e.GetStringValue())
@@ -235,11 +235,11 @@
 				e = e[1 : len(e)-1] // IPv6 without a port
 			}
 			if e != "" {
-				only = append(only, e)
+				addrs = append(addrs, e)
 			}
 		}
 	}
-	return only
+	return addrs
 }
 
 // recordServedMember records the member that served the request, if the caller reports one: a fallback or
@@ -250,22 +250,22 @@
 		return
 	}
 	s.front.host.Do(func() {
-		c := s.call
-		if c.attempt == nil || c.attempt.Ended() || !c.attempt.Given() {
+		call := s.call
+		if call.attempt == nil || call.attempt.Ended() || !call.attempt.Given() {
 			return
 		}
-		named := strings.Split(c.namedAddrs, ",")
-		at := slices.Index(named, v.GetStringValue())
-		if at < 0 {
+		named := strings.Split(call.namedAddrs, ",")
+		index := slices.Index(named, v.GetStringValue())
+		if index < 0 {
 			s.servedElsewhere = true
 			s.front.counts.ServedElsewhere++
 			return
 		}
-		for _, addr := range named[1 : at+1] {
-			if !c.attempt.Moved(addr) {
+		for _, addr := range named[1 : index+1] {
+			if !call.attempt.Moved(addr) {
 				s.servedElsewhere = true
 			}
 		}
-		s.front.counts.FellBack += at
+		s.front.counts.FellBack += index
 	})
 }
--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -17,10 +17,10 @@
 )
 
 // useFullDuplex makes the harness's caller send bodies in full duplex in both directions.
-func (r *harness) useFullDuplex(trailers bool) *harness {
-	r.caller.SetFullDuplex()
-	r.caller.Trailers = trailers
-	return r
+func (h *harness) useFullDuplex(trailers bool) *harness {
+	h.caller.SetFullDuplex()
+	h.caller.Trailers = trailers
+	return h
 }
 
 func TestFullDuplex(t *testing.T) {
@@ -33,33 +33,33 @@
 				}
 				t.Cleanup(fleet.Close)
 				fleet.Fill("k")
-				r := newHarness(t, fleet, operatorFile(mode, ""), nil).useFullDuplex(trailers)
-				r.caller.Retries = 4
-				res := r.do(readRequest("k", "r1"))
-				r.expect(res, 200, "value of k")
+				env := newHarness(t, fleet, operatorFile(mode, ""), nil).useFullDuplex(trailers)
+				env.caller.Retries = 4
+				res := env.do(readRequest("k", "r1"))
+				env.expect(res, 200, "value of k")
 				if want := standin.Value("k", 40_000); !bytes.Equal(res.Body, want) {
 					t.Errorf("%d bytes of the value came back, want %d", len(res.Body), len(want))
 				}
-				r.expect(r.do(readRequest("missed", "r2")), 200, "value of missed")
+				env.expect(env.do(readRequest("missed", "r2")), 200, "value of missed")
 				q := orderRequest("o1", "w1")
 				q.Body = bytes.Repeat([]byte("x"), maxBodyBytes)
-				r.expect(r.do(q), 200, "receipt of o1")
+				env.expect(env.do(q), 200, "receipt of o1")
 				q = orderRequest("o2", "w2")
 				q.Body = bytes.Repeat([]byte("x"), maxBodyBytes+1)
 				if mode == "answer" {
-					r.expect(r.do(q), 200, "receipt of o2")
+					env.expect(env.do(q), 200, "receipt of o2")
 				}
 				q = orderRequest("o4", "w4")
 				q.Body = bytes.Repeat([]byte("x"), maxLongBodyBytes+1)
-				r.expect(r.do(q), 413, "over")
+				env.expect(env.do(q), 413, "over")
 				fleet.Origin.SetFault(standin.Failing)
-				r.expect(r.do(orderRequest("o3", "w3")), 502, "may have run")
+				env.expect(env.do(orderRequest("o3", "w3")), 502, "may have run")
 				for key, n := range fleet.Origin.Executions() {
 					if n != 1 || key == "o4" {
 						t.Errorf("%s ran %d times", key, n)
 					}
 				}
-				r.waitIdle()
+				env.waitIdle()
 			})
 		}
 	}
@@ -67,31 +67,31 @@
 
 // A request that matches no map entry passes through unchanged, with a body of any length.
 func TestFullDuplexPassThrough(t *testing.T) {
-	r := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil).useFullDuplex(true)
+	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil).useFullDuplex(true)
 	body := bytes.Repeat([]byte("0123456789a"), 100_000)
 	for _, chunk := range []int{0, 200_001, maxChunkBytes, maxChunkBytes + 1} { // longer parts are sent back in several parts
-		r.caller.ChunkBytes = chunk
-		res := r.do(caller.Request{Method: "POST", Path: "/else", Body: body})
+		env.caller.ChunkBytes = chunk
+		res := env.do(caller.Request{Method: "POST", Path: "/else", Body: body})
 		if !res.PassedThrough || res.Err != nil || !bytes.Equal(res.Body, body) {
 			t.Errorf("parts of %d: passed %v, %d bytes, %v; want %d", chunk, res.PassedThrough, len(res.Body), res.Err, len(body))
 		}
 	}
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // openDuplex opens a stream in full duplex with a pass-through request whose body follows.
-func (r *harness) openDuplex(ctx context.Context) extprocv3.ExternalProcessor_ProcessClient {
-	r.t.Helper()
-	s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(ctx)
+func (h *harness) openDuplex(ctx context.Context) extprocv3.ExternalProcessor_ProcessClient {
+	h.t.Helper()
+	s, err := extprocv3.NewExternalProcessorClient(h.caller.Conn(0)).Process(ctx)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	err = s.Send(&extprocv3.ProcessingRequest{
 		ProtocolConfig: &extprocv3.ProtocolConfiguration{RequestBodyMode: fullDuplex},
 		Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: &extprocv3.HttpHeaders{
 			Headers: headerMap(":method", "POST", ":path", "/else")}}})
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return s
 }
@@ -104,10 +104,10 @@
 // A caller that sends and does not read responses is blocked, not buffered: only a few parts are held, and
 // the stream ends when it is overdue although a message to the caller cannot be written.
 func TestCallerThatDoesNotRead(t *testing.T) {
-	r := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil)
+	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	s := r.openDuplex(ctx)
+	s := env.openDuplex(ctx)
 	sent, parts := make(chan int, 1), atomic.Int32{}
 	go func() {
 		for s.Send(bodyPart(32<<10)) == nil {
@@ -118,26 +118,26 @@
 	// The caller's library buffers a window of its own, and the transports some more; then everything
 	// blocks, with thirteen parts in transit. A part that only waits for its turn is not stuck yet.
 	stuck := func() bool {
-		l := r.host.Load()
+		l := env.host.Load()
 		return parts.Load() >= 10 && l.Held > streamMemory+streamWindow+2*32<<10
 	}
-	r.eventually("parts wait to be taken", stuck)
-	if l := r.host.Load(); l.Held > streamMemory+streamWindow+4*maxChunkBytes {
+	env.eventually("parts wait to be taken", stuck)
+	if l := env.host.Load(); l.Held > streamMemory+streamWindow+4*maxChunkBytes {
 		t.Errorf("%d bytes held for one stream", l.Held)
 	}
-	r.front.host.Do(func() {
-		for s := range r.front.streams {
+	env.front.host.Do(func() {
+		for s := range env.front.streams {
 			s.expiresAt = 0 // the stream is overdue
 		}
 	})
-	r.eventually("the stream has ended here", func() bool { return r.front.Counts().Streams == 0 })
-	r.eventually("only what the transport may have counts as held", func() bool { return r.host.Load().Held == streamWindow })
+	env.eventually("the stream has ended here", func() bool { return env.front.Counts().Streams == 0 })
+	env.eventually("only what the transport may have counts as held", func() bool { return env.host.Load().Held == streamWindow })
 	cancel() // the caller resets the stream
 	if n := await(t, sent, "the caller's sending ends"); n > 64 {
 		t.Errorf("%d parts of 32 KiB were taken in", n)
 	}
-	r.caller.Close()
-	r.waitIdle()
+	env.caller.Close()
+	env.waitIdle()
 }
 
 // A stream whose body never ends is ended with its request's deadline, and its held memory is released.
@@ -145,10 +145,10 @@
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(ctx)
+			s, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(ctx)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -157,13 +157,13 @@
 				Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: &extprocv3.HttpHeaders{
 					Headers: headerMap(":method", "PUT", ":path", "/orders/o", "x-request-id", "e1")}}})
 			s.Send(bodyPart(1000))
-			r.eventually("the part has come", func() bool { return r.host.Load().Held >= streamMemory+streamWindow })
+			env.eventually("the part has come", func() bool { return env.host.Load().Held >= streamMemory+streamWindow })
 			for {
 				if _, err := s.Recv(); err != nil {
 					break
 				}
 			}
-			r.waitIdle()
+			env.waitIdle()
 			if n := fleet.Origin.Executions()["o"]; n != 0 {
 				t.Errorf("half an order ran %d times", n)
 			}
@@ -174,17 +174,17 @@
 // The flow-control windows of duplex streams count as held memory, so that excess streams are refused
 // instead of buffered.
 func TestDuplexStreamsAreBoundedByMemory(t *testing.T) {
-	r := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"
+	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"
 max_streams = 1024`), func(c *proxy.Config) { c.MemoryMB = 32 }) // 8 MB for bodies
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	refused := 0
 	for range 200 {
-		s := r.openDuplex(ctx)
+		s := env.openDuplex(ctx)
 		if _, err := s.Recv(); err != nil {
 			refused++
 		}
-		if l := r.host.Load(); l.Held > 8<<20+streamMemory+streamWindow {
+		if l := env.host.Load(); l.Held > 8<<20+streamMemory+streamWindow {
 			t.Fatalf("%d bytes held", l.Held)
 		}
 	}
@@ -192,7 +192,7 @@
 		t.Errorf("%d of 200 streams refused", refused)
 	}
 	cancel()
-	r.waitIdle()
+	env.waitIdle()
 }
 
 func TestSubsetHint(t *testing.T) {
@@ -200,31 +200,31 @@
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 4)
 			fleet.Fill("a", "b", "c", "d", "e", "f", "g", "h")
-			r := newHarness(t, fleet, operatorFile(mode, ""), nil)
-			r.eventually("the list is known", func() bool { return r.host.Load().Ready == 5 })
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			env.eventually("the list is known", func() bool { return env.host.Load().Ready == 5 })
 			only := fleet.Boxes[2]
-			r.caller.Subset = []string{only.Addr()}
+			env.caller.Subset = []string{only.Addr()}
 			for i, key := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-				r.expect(r.do(readRequest(key, fmt.Sprint("s", i))), 200, "value of "+key)
+				env.expect(env.do(readRequest(key, fmt.Sprint("s", i))), 200, "value of "+key)
 			}
-			for _, to := range r.sent() {
+			for _, to := range env.sent() {
 				if to != proxy.MemberID(only.ID) {
 					t.Errorf("sent to %v, which the hint does not name", to)
 				}
 			}
-			sent := len(r.sent())
+			sent := len(env.sent())
 			for i, none := range [][]string{{}, {"10.0.0.1:80"}, {"127.0.0.1:1", ""}} {
-				r.caller.Subset = none
-				r.expect(r.do(readRequest("a", fmt.Sprint("n", i))), 503, "refused")
+				env.caller.Subset = none
+				env.expect(env.do(readRequest("a", fmt.Sprint("n", i))), 503, "refused")
 			}
-			r.caller.Subset = []string{only.Addr()} // the origin, where orders go, is not included
-			r.expect(r.do(orderRequest("o", "w1")), 503, "refused")
-			if len(r.sent()) != sent {
+			env.caller.Subset = []string{only.Addr()} // the origin, where orders go, is not included
+			env.expect(env.do(orderRequest("o", "w1")), 503, "refused")
+			if len(env.sent()) != sent {
 				t.Error("something was sent though nobody may take it")
 			}
-			r.caller.Subset = []string{"127.0.0.1"} // all ports of a host
-			r.expect(r.do(orderRequest("o", "w2")), 200, "receipt of o")
-			r.waitIdle()
+			env.caller.Subset = []string{"127.0.0.1"} // all ports of a host
+			env.expect(env.do(orderRequest("o", "w2")), 200, "receipt of o")
+			env.waitIdle()
 		})
 	}
 }
@@ -234,16 +234,16 @@
 func TestFallbacks(t *testing.T) {
 	fleet := newFleet(t, 4)
 	fleet.Fill("a", "b", "c", "d")
-	r := newHarness(t, fleet, operatorFile("route", "fallbacks = 2"), nil)
-	r.eventually("the list is known", func() bool { return r.host.Load().Ready == 5 })
-	r.caller.UseFallbacks = true
+	env := newHarness(t, fleet, operatorFile("route", "fallbacks = 2"), nil)
+	env.eventually("the list is known", func() bool { return env.host.Load().Ready == 5 })
+	env.caller.UseFallbacks = true
 	var named string
-	r.caller.BeforeSend = func(n string) { named = n }
-	r.expect(r.do(orderRequest("o", "w1")), 200, "receipt of o")
+	env.caller.BeforeSend = func(n string) { named = n }
+	env.expect(env.do(orderRequest("o", "w1")), 200, "receipt of o")
 	if bytes.Count([]byte(named), []byte(",")) != 0 {
 		t.Errorf("an order was given spares: %q", named)
 	}
-	r.expect(r.do(readRequest("a", "r1")), 200, "value of a")
+	env.expect(env.do(readRequest("a", "r1")), 200, "value of a")
 	if bytes.Count([]byte(named), []byte(",")) != 2 {
 		t.Fatalf("a read was given %q, want three members", named)
 	}
@@ -254,22 +254,22 @@
 			b.Close()
 		}
 	}
-	res := r.do(readRequest("a", "r2"))
-	r.expect(res, 200, "value of a")
+	res := env.do(readRequest("a", "r2"))
+	env.expect(res, 200, "value of a")
 	if res.Attempts != 1 || len(res.Members) != 1 || res.Members[0] == string(first) {
 		t.Errorf("%d calls, served by %v", res.Attempts, res.Members)
 	}
-	if c := r.front.Counts(); c.FellBack != 1 || c.ServedElsewhere != 0 {
+	if c := env.front.Counts(); c.FellBack != 1 || c.ServedElsewhere != 0 {
 		t.Errorf("%+v", c)
 	}
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // Two headers that identify the request differently would let whoever adds one choose.
 func TestDoubleHeaders(t *testing.T) {
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	for name, c := range map[string]struct {
 		more []string
 		want int32
@@ -281,12 +281,12 @@
 		m := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{
 			RequestHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: headerMap(append([]string{":method", "GET",
 				":path", "/tiles/k", "x-request-id", "d1"}, c.more...)...)}}}
-		answers, code := r.exchange(m)
+		answers, code := env.exchange(m)
 		if code != codes.OK || len(answers) != 1 || int32(answers[0].GetImmediateResponse().GetStatus().GetCode()) != c.want {
 			t.Errorf("%s: %v, %v", name, answers, code)
 		}
 	}
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // A request that arrives while the processor is stopping, or with no time left, does not get the status of
@@ -303,17 +303,17 @@
 		t.Run(name, func(t *testing.T) {
 			fleet := newFleet(t, 1)
 			fleet.Boxes[0].SetFault(standin.Stall)
-			r := newHarness(t, fleet, c.text, nil)
+			env := newHarness(t, fleet, c.text, nil)
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(ctx)
+			s, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(ctx)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.eventually("the stream is open", func() bool { return r.front.Counts().Streams == 1 })
+			env.eventually("the stream is open", func() bool { return env.front.Counts().Streams == 1 })
 			if c.stop {
-				r.stop()
-				r.eventually("the stop has begun", func() (is bool) { r.host.Do(func() { is = r.host.Stopping() }); return is })
+				env.stop()
+				env.eventually("the stop has begun", func() (is bool) { env.host.Do(func() { is = env.host.Stopping() }); return is })
 			}
 			s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{
 				RequestHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: headerMap(":method", "GET", ":path", "/tiles/k", "x-request-id", "r1")}}})
@@ -325,7 +325,7 @@
 				t.Errorf("%v, want 503 and %s", now, c.want)
 			}
 			fleet.Boxes[0].Close()
-			r.stopAndWait()
+			env.stopAndWait()
 		})
 	}
 }
@@ -334,12 +334,12 @@
 func TestShedStatus(t *testing.T) {
 	for status, more := range map[int]string{429: "", 503: "shed_status = 503"} {
 		fleet := newFleet(t, 1)
-		r := newHarness(t, fleet, operatorFile("answer", more), func(c *proxy.Config) { c.MostHeld = 1 })
+		env := newHarness(t, fleet, operatorFile("answer", more), func(c *proxy.Config) { c.MostHeld = 1 })
 		fleet.Boxes[0].SetFault(standin.Stall)
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
-		held := r.start(ctx, readRequest("a", "h1"))
-		r.eventually("one is in hand", func() bool { return r.host.Load().Requests == 1 })
-		r.expect(r.do(readRequest("b", "h2")), status, "refused")
+		held := env.start(ctx, readRequest("a", "h1"))
+		env.eventually("one is in hand", func() bool { return env.host.Load().Requests == 1 })
+		env.expect(env.do(readRequest("b", "h2")), status, "refused")
 		cancel()
 		await(t, held, "the first")
 	}
@@ -347,13 +347,13 @@
 
 // A planned stop waits for relayed bodies and ends their streams once everything has been relayed.
 func TestDrainCompletesBodies(t *testing.T) {
-	r := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil)
+	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	s := r.openDuplex(ctx)
+	s := env.openDuplex(ctx)
 	s.Send(bodyPart(1000))
-	r.stop()
-	r.eventually("the stop has begun", func() (is bool) { r.host.Do(func() { is = r.host.Stopping() }); return is })
+	env.stop()
+	env.eventually("the stop has begun", func() (is bool) { env.host.Do(func() { is = env.host.Stopping() }); return is })
 	last := bodyPart(1000)
 	last.GetRequestBody().EndOfStream = true
 	if err := s.Send(last); err != nil {
@@ -373,5 +373,5 @@
 	if got != 2000 {
 		t.Errorf("%d bytes came back, want 2000", got)
 	}
-	r.stopAndWait()
+	env.stopAndWait()
 }
--- a/internal/extproc/server/givenup_test.go
+++ b/internal/extproc/server/givenup_test.go
@@ -23,10 +23,10 @@
 				fleet := newFleet(t, 3)
 				fault(fleet)
 				var now atomic.Int64
-				r := newHarness(t, fleet, operatorFile(mode, ""), func(c *proxy.Config) {
+				env := newHarness(t, fleet, operatorFile(mode, ""), func(c *proxy.Config) {
 					c.Clock = func() time.Duration { return time.Duration(now.Load()) }
 				})
-				r.caller.Retries = 5
+				env.caller.Retries = 5
 				ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 				defer cancel()
 				ended := make(chan struct{})
@@ -38,14 +38,14 @@
 							return
 						case <-time.After(time.Millisecond):
 							now.Add(int64(time.Millisecond))
-							r.host.Tick()
+							env.host.Tick()
 						}
 					}
 				}()
-				res := r.caller.Do(ctx, orderRequest("p", "1"))
+				res := env.caller.Do(ctx, orderRequest("p", "1"))
 				cancel()
 				<-ended
-				r.expect(res, 502, "may have run")
+				env.expect(res, 502, "may have run")
 				if res.Attempts != 1 || fleet.Origin.Executions()["p"] != 1 {
 					t.Errorf("%d calls of the processor, %d executions, want 1 and 1", res.Attempts, fleet.Origin.Executions()["p"])
 				}
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -21,9 +21,9 @@
 )
 
 // start makes a request in the background and sends the result on the channel.
-func (r *harness) start(ctx context.Context, q caller.Request) <-chan caller.Result {
+func (h *harness) start(ctx context.Context, q caller.Request) <-chan caller.Result {
 	out := make(chan caller.Result, 1)
-	go func() { out <- r.caller.Do(ctx, q) }()
+	go func() { out <- h.caller.Do(ctx, q) }()
 	return out
 }
 
@@ -42,36 +42,36 @@
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			fleet.Origin.SetFault(standin.Stall)
 			ctx, leave := context.WithCancel(context.Background())
-			first := r.start(ctx, orderRequest("o1", "w1"))
-			r.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
+			first := env.start(ctx, orderRequest("o1", "w1"))
+			env.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
 			// While the first is in progress: the same id from another caller, and the caller's own repeat.
-			r.expect(r.do(orderRequest("o1", "w1")), 409, "in hand")
+			env.expect(env.do(orderRequest("o1", "w1")), 409, "in hand")
 			q := orderRequest("o1", "w1")
 			q.Headers["x-envoy-attempt-count"] = "2"
-			r.expect(r.do(q), 502, "may have run")
+			env.expect(env.do(q), 502, "may have run")
 			leave()
 			await(t, first, "the first call ends")
-			r.eventually("its stream has ended", func() bool { return r.front.Counts().Streams == 0 })
-			r.expect(r.do(q), 502, "may have run")
-			r.expect(r.do(orderRequest("o1", "w1")), 502, "may have run")
+			env.eventually("its stream has ended", func() bool { return env.front.Counts().Streams == 0 })
+			env.expect(env.do(q), 502, "may have run")
+			env.expect(env.do(orderRequest("o1", "w1")), 502, "may have run")
 			// A processor that does not know the id cannot know what the earlier attempts did.
 			q = orderRequest("o2", "w2")
 			q.Headers["x-envoy-attempt-count"] = "3"
-			r.expect(r.do(q), 502, "may have run")
+			env.expect(env.do(q), 502, "may have run")
 			// An expired request cannot be called refused either.
 			q.Headers["grpc-timeout"] = "0m"
-			r.expect(r.do(q), 502, "may have run")
+			env.expect(env.do(q), 502, "may have run")
 			q = orderRequest("o3", "w3")
 			q.Headers["grpc-timeout"] = "0m"
-			r.expect(r.do(q), 503, "never ran")
+			env.expect(env.do(q), 503, "never ran")
 			if n := fleet.Origin.Began(); n != 1 {
 				t.Errorf("the origin saw %d orders, want 1", n)
 			}
 			fleet.Origin.Close() // ends the attempt
-			r.waitIdle()
+			env.waitIdle()
 		})
 	}
 }
@@ -79,41 +79,41 @@
 // An order that was refused never ran, so its repeat is served.
 func TestRefusedOrderMayBeRepeated(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	fleet.Origin.SetFault(standin.Busy)
-	r.expect(r.do(orderRequest("o1", "w1")), 503, "never ran")
+	env.expect(env.do(orderRequest("o1", "w1")), 503, "never ran")
 	fleet.Origin.SetFault(standin.Healthy)
 	q := orderRequest("o1", "w1")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	r.eventually("the origin is used again", func() bool {
+	env.eventually("the origin is used again", func() bool {
 		q.Headers["x-request-id"] = "w1"
-		return r.do(q).Status == 200
+		return env.do(q).Status == 200
 	})
 	if n := fleet.Origin.Executions()["o1"]; n != 1 {
 		t.Errorf("%d executions", n)
 	}
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // A read that the caller abandons and repeats is served, and the earlier call is dropped.
 func TestReadRepeatedByCaller(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	fleet.Fill("k")
 	fleet.Boxes[0].SetFault(standin.Stall)
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
-	first := r.start(ctx, readRequest("k", "r1"))
-	r.eventually("the read is at the box", func() bool { return fleet.Boxes[0].Began() == 1 })
-	r.expect(r.do(readRequest("k", "r1")), 409, "in hand") // another caller's
+	first := env.start(ctx, readRequest("k", "r1"))
+	env.eventually("the read is at the box", func() bool { return fleet.Boxes[0].Began() == 1 })
+	env.expect(env.do(readRequest("k", "r1")), 409, "in hand") // another caller's
 	fleet.Boxes[0].SetFault(standin.Healthy)
 	q := readRequest("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	r.expect(r.do(q), 200, "value of k")
+	env.expect(env.do(q), 200, "value of k")
 	leave()
 	await(t, first, "the first call ends")
 	fleet.Boxes[0].Close()
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // Whatever callers do, no request stays in progress.
@@ -122,27 +122,27 @@
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 2)
-			r := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			for _, b := range fleet.Boxes {
 				b.SetFault(standin.Stall)
 			}
 			ctx, leave := context.WithCancel(context.Background())
 			var calls []<-chan caller.Result
 			for i := range vanish {
-				calls = append(calls, r.start(ctx, readRequest(fmt.Sprint("k", i), fmt.Sprint("r", i))))
+				calls = append(calls, env.start(ctx, readRequest(fmt.Sprint("k", i), fmt.Sprint("r", i))))
 			}
-			r.eventually("all are in hand", func() bool { return r.front.Counts().Accepted == vanish && r.front.Counts().Calls == vanish })
+			env.eventually("all are in hand", func() bool { return env.front.Counts().Accepted == vanish && env.front.Counts().Calls == vanish })
 			leave()
 			for _, c := range calls {
 				await(t, c, "a call ends")
 			}
 			// At once, and not only at their deadlines: the boxes still hold the requests.
-			r.eventually("all are given up", func() bool { return r.front.Counts().Abandoned == vanish })
+			env.eventually("all are given up", func() bool { return env.front.Counts().Abandoned == vanish })
 			for _, b := range fleet.Boxes {
 				b.Close()
 			}
-			r.waitIdle()
-			for _, row := range r.host.Reasons().Rows() {
+			env.waitIdle()
+			for _, row := range env.host.Reasons().Rows() {
 				if row.Outcome != reasons.Waited {
 					t.Errorf("%d requests that nobody waited for were %v: %s", row.Count, row.Outcome, reasons.Name(row.Reason))
 				}
@@ -151,13 +151,13 @@
 	}
 	// In route mode, a caller that is expected to return and does not.
 	fleet := newFleet(t, 2)
-	r := newHarness(t, fleet, operatorFile("route", ""), nil)
-	r.caller.Retries = 0
-	if res := r.do(readRequest("cold", "r1")); res.Status != 404 {
+	env := newHarness(t, fleet, operatorFile("route", ""), nil)
+	env.caller.Retries = 0
+	if res := env.do(readRequest("cold", "r1")); res.Status != 404 {
 		t.Errorf("%+v, want the box's miss", res)
 	}
-	r.waitIdle()
-	if c := r.front.Counts(); c.Abandoned != 1 || c.Calls != 0 {
+	env.waitIdle()
+	if c := env.front.Counts(); c.Abandoned != 1 || c.Calls != 0 {
 		t.Errorf("%+v, want one call given up and none known", c)
 	}
 }
@@ -167,8 +167,8 @@
 	const most = 8
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newHarness(t, fleet, operatorFile("answer", fmt.Sprintf("max_streams = %d", most)), nil)
-	client := extprocv3.NewExternalProcessorClient(r.caller.Conn(0))
+	env := newHarness(t, fleet, operatorFile("answer", fmt.Sprintf("max_streams = %d", most)), nil)
+	client := extprocv3.NewExternalProcessorClient(env.caller.Conn(0))
 	ended := make(chan codes.Code, 2000)
 	for range 2000 {
 		go func() {
@@ -184,22 +184,22 @@
 	if code := await(t, ended, "one is turned away"); code != codes.Unavailable {
 		t.Errorf("the first to end ended with %v", code)
 	}
-	if c := r.front.Counts(); c.Streams > most {
+	if c := env.front.Counts(); c.Streams > most {
 		t.Errorf("%d streams, %d at most", c.Streams, most)
 	}
-	r.eventually("all have ended", func() bool {
-		c := r.front.Counts()
+	env.eventually("all have ended", func() bool {
+		c := env.front.Counts()
 		return c.Streams == 0 && c.Accepted+c.Unavailable == 2000
 	})
-	r.expect(r.do(readRequest("k", "r1")), 200, "value of k")
-	r.waitIdle()
+	env.expect(env.do(readRequest("k", "r1")), 200, "value of k")
+	env.waitIdle()
 }
 
 // A body without an end is refused at the limit of long values.
 func TestEndlessBody(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
-	s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(context.Background())
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
+	s, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 			break
 		}
 	}
-	r.waitIdle()
+	env.waitIdle()
 	if fleet.Origin.Began() != 0 {
 		t.Error("an order without end reached the origin")
 	}
@@ -234,14 +234,14 @@
 func TestDrainBetweenPickAndSend(t *testing.T) {
 	fleet := newFleet(t, 2)
 	fleet.Fill("k")
-	r := newHarness(t, fleet, operatorFile("route", `
+	env := newHarness(t, fleet, operatorFile("route", `
 [[extproc.map]]
 methods = ["POST"]
 path = "/tiles/{key}"
 class = "tile-read"
 `), nil)
-	r.eventually("the list is known", func() bool { return r.host.Load().Ready == 3 })
-	s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(context.Background())
+	env.eventually("the list is known", func() bool { return env.host.Load().Ready == 3 })
+	s, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +270,7 @@
 		t.Errorf("metadata %v, want %s", meta, first)
 	}
 	fleet.Drain(fleet.Boxes[i])
-	r.eventually("the drain is known", func() bool { return r.host.Load().Ready == 2 })
+	env.eventually("the drain is known", func() bool { return env.host.Load().Ready == 2 })
 	s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: []byte("q"), EndOfStream: true}}})
 	if m, err = s.Recv(); err != nil {
@@ -285,38 +285,38 @@
 		t.Fatal(err)
 	}
 	s.CloseSend()
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // The same between two calls: a member that was named but not fetched by the caller is replaced.
 func TestDrainBeforeCallerRetries(t *testing.T) {
 	fleet := newFleet(t, 3)
 	fleet.Fill("k")
-	r := newHarness(t, fleet, operatorFile("route", `return_within = "10s"`), nil)
-	r.eventually("the list is known", func() bool { return r.host.Load().Ready == 4 })
+	env := newHarness(t, fleet, operatorFile("route", `return_within = "10s"`), nil)
+	env.eventually("the list is known", func() bool { return env.host.Load().Ready == 4 })
 	for _, b := range fleet.Boxes {
 		b.SetFault(standin.Busy)
 	}
-	res := r.do(readRequest("k", "r1"))
-	if res.Status != 503 || len(r.sent()) != 2 {
-		t.Fatalf("%+v after %d choices, want a box's 503 and the next choice made", res, len(r.sent()))
+	res := env.do(readRequest("k", "r1"))
+	if res.Status != 503 || len(env.sent()) != 2 {
+		t.Fatalf("%+v after %d choices, want a box's 503 and the next choice made", res, len(env.sent()))
 	}
-	next := r.sent()[1]
+	next := env.sent()[1]
 	for _, b := range fleet.Boxes {
 		b.SetFault(standin.Healthy)
 		if proxy.MemberID(b.ID) == next {
 			fleet.Drain(b)
 		}
 	}
-	r.eventually("the drain is known", func() bool { return r.host.Load().Ready == 3 })
+	env.eventually("the drain is known", func() bool { return env.host.Load().Ready == 3 })
 	q := readRequest("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	res = r.do(q)
-	r.expect(res, 200, "value of k")
-	if last := r.sent()[len(r.sent())-1]; last == next {
+	res = env.do(q)
+	env.expect(res, 200, "value of k")
+	if last := env.sent()[len(env.sent())-1]; last == next {
 		t.Error("sent to the member that drains")
 	}
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // SIGTERM under load, from the host's view: open streams are answered, later ones go to a second processor.
--- a/internal/extproc/server/identity.go
+++ b/internal/extproc/server/identity.go
@@ -15,30 +15,30 @@
 // itself is told to remove the header (memberMessage). A call that returns for its next attempt must carry
 // a valid token too; the attempt uses the proof of the original request.
 func (s *stream) authenticate() error {
-	by := s.front.host.Callers()
-	if by == nil {
+	callers := s.front.host.Callers()
+	if callers == nil {
 		return nil
 	}
-	h := &s.head
-	scheme, token, _ := strings.Cut(h.authorization, " ")
-	given := h.authorization != ""
-	h.authorization, h.tenant = "", ""
-	p := s.certificateProof()
+	head := &s.head
+	scheme, token, _ := strings.Cut(head.authorization, " ")
+	hasHeader := head.authorization != ""
+	head.authorization, head.tenant = "", ""
+	proof := s.certificateProof()
 	switch {
-	case !given && p != nil: // an Authorization header takes precedence over the certificate, even without a valid token
+	case !hasHeader && proof != nil: // an Authorization header takes precedence over the certificate, even without a valid token
 	case !strings.EqualFold(scheme, "Bearer") || token == "":
 		return &identity.Error{Why: identity.Unproven}
 	default:
 		// Callers share connections, so an earlier bad token cannot be attributed to one of them: all use
 		// the half of the signature checks that is open to everyone.
 		var err error
-		if p, err = by.Prove([]byte(token), s.remoteIP(), true); err != nil {
+		if proof, err = callers.Prove([]byte(token), s.remoteIP(), true); err != nil {
 			return err
 		}
 	}
-	s.proof, h.tenant = p, p.Tenant
-	if h.requestID != "" {
-		h.requestID = p.Tenant + "/" + h.requestID
+	s.proof, head.tenant = proof, proof.Tenant
+	if head.requestID != "" {
+		head.requestID = proof.Tenant + "/" + head.requestID
 	}
 	return nil
 }
--- a/internal/extproc/server/identity_test.go
+++ b/internal/extproc/server/identity_test.go
@@ -61,7 +61,7 @@
 func TestCallersAreAuthenticated(t *testing.T) {
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
-	r := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = newFakeCallers() })
+	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = newFakeCallers() })
 	as := func(tenant string, q caller.Request) caller.Request { q.Headers["x-tenant"] = tenant; return q }
 	basic := readRequest("warm", "r0")
 	basic.Headers["authorization"] = "Basic c2hvcDpzaG9w"
@@ -82,24 +82,24 @@
 		{withToken("shop#one", orderRequest("o2", "w2")), 403, "used before"},
 		{withToken("kiosk", readRequest("warm", "w1")), 200, "value of warm"}, // the id of the shop's order
 	} {
-		r.expect(r.do(c.q), c.code, c.body)
+		env.expect(env.do(c.q), c.code, c.body)
 	}
 	if ran := fleet.Origin.Executions(); len(ran) != 1 || ran["o1"] != 1 {
 		t.Errorf("executions %v", ran)
 	}
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // An order that was refused has not run, so its token stays usable.
 func TestRefusedOrderKeepsItsToken(t *testing.T) {
 	fleet := newFleet(t, 1)
 	n := newFakeCallers()
-	r := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = n })
+	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = n })
 	fleet.Origin.Close()
-	if res := r.do(withToken("shop#one", orderRequest("o1", "w1"))); res.Status != 503 && res.Status != 429 {
+	if res := env.do(withToken("shop#one", orderRequest("o1", "w1"))); res.Status != 503 && res.Status != 429 {
 		t.Fatalf("answered %d %q, want a refusal", res.Status, res.Body)
 	}
-	r.host.Do(func() {
+	env.host.Do(func() {
 		if n.replays.Len() != 0 {
 			t.Errorf("%d ids are used by an order that never ran", n.replays.Len())
 		}
@@ -111,20 +111,20 @@
 func TestRouteModeRemovesToken(t *testing.T) {
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
-	r := newHarness(t, fleet, operatorFile("route", ""), func(c *proxy.Config) { c.Callers = newFakeCallers() })
-	r.caller.Retries = 4
-	r.expect(r.do(readRequest("warm", "r1")), 401, "no token")
-	r.expect(r.do(withToken("forged", readRequest("warm", "r2"))), 401, "wrong signature")
-	r.expect(r.do(withToken("kiosk", orderRequest("o1", "w1"))), 403, "to reads only")
-	r.expect(r.do(withToken("kiosk", readRequest("warm", "r3"))), 200, "value of warm")
-	res := r.do(withToken("kiosk", readRequest("cold", "r4"))) // a miss: the call returns for the origin
-	r.expect(res, 200, "value of cold")
+	env := newHarness(t, fleet, operatorFile("route", ""), func(c *proxy.Config) { c.Callers = newFakeCallers() })
+	env.caller.Retries = 4
+	env.expect(env.do(readRequest("warm", "r1")), 401, "no token")
+	env.expect(env.do(withToken("forged", readRequest("warm", "r2"))), 401, "wrong signature")
+	env.expect(env.do(withToken("kiosk", orderRequest("o1", "w1"))), 403, "to reads only")
+	env.expect(env.do(withToken("kiosk", readRequest("warm", "r3"))), 200, "value of warm")
+	res := env.do(withToken("kiosk", readRequest("cold", "r4"))) // a miss: the call returns for the origin
+	env.expect(res, 200, "value of cold")
 	if len(res.Members) < 2 {
 		t.Errorf("a miss went to %v", res.Members)
 	}
-	r.expect(r.do(withToken("shop#one", orderRequest("o1", "w2"))), 200, "receipt of o1")
+	env.expect(env.do(withToken("shop#one", orderRequest("o1", "w2"))), 200, "receipt of o1")
 	for kind := range kindCount {
-		m := memberMessage(r.front.config.Load(), "127.0.0.1:1", time.Second, kind)
+		m := memberMessage(env.front.config.Load(), "127.0.0.1:1", time.Second, kind)
 		common := m.GetRequestHeaders().GetResponse()
 		if kind == inBody {
 			common = m.GetRequestBody().GetResponse()
@@ -133,5 +133,5 @@
 			t.Errorf("message %d takes out %v", kind, got)
 		}
 	}
-	r.waitIdle()
+	env.waitIdle()
 }
--- a/internal/extproc/server/leave_test.go
+++ b/internal/extproc/server/leave_test.go
@@ -21,13 +21,13 @@
 	t.Cleanup(func() { door.Close() })
 	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
-	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	ctx, leave := context.WithCancel(context.Background())
-	left := r.start(ctx, orderRequest("o1", "left"))
-	r.eventually("it is in hand", func() bool { return r.host.Load().Attempts == 1 })
+	left := env.start(ctx, orderRequest("o1", "left"))
+	env.eventually("it is in hand", func() bool { return env.host.Load().Attempts == 1 })
 	leave()
 	await(t, left, "the call ends")
-	r.eventually("nothing is in hand", func() bool { l := r.host.Load(); return l.Requests == 0 && l.Attempts == 0 })
+	env.eventually("nothing is in hand", func() bool { l := env.host.Load(); return l.Requests == 0 && l.Attempts == 0 })
 	asked := make(chan string, 10)
 	door.Serve(func(conn net.Conn) {
 		standin.AnswerAsOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
@@ -37,7 +37,7 @@
 	})
 	q := orderRequest("o1", "left")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	r.expect(r.do(q), 200, "receipt")
+	env.expect(env.do(q), 200, "receipt")
 	await(t, asked, "the repeat comes")
 	if n := len(asked); n != 0 {
 		t.Errorf("%d orders too many came to the origin", n)
--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -25,25 +25,25 @@
 )
 
 // Begin waits for a reservation.
-func (w bufferedValue) Begin(n int) (err error) {
-	var left time.Duration
+func (w bufferedValue) Begin(size int) (err error) {
+	var timeLeft time.Duration
 	w.front.host.Do(func() {
 		if s := w.stream; s != nil && !w.settled {
-			left = time.Until(s.deadline)
+			timeLeft = time.Until(s.deadline)
 		}
 	})
-	place := w.front.host.LongRoom(n, left)
-	if !place.Wait() {
+	reservation := w.front.host.LongRoom(size, timeLeft)
+	if !reservation.Wait() {
 		w.setAnswer(proxy.Answer{Kind: proxy.Refused, Why: reasons.HostFull})
 		return errNoCapacity
 	}
 	w.front.host.Do(func() {
 		if w.settled {
-			place.ReleaseLocked()
+			reservation.ReleaseLocked()
 			err = errCallEnded
 			return
 		}
-		w.reservation, w.partialValue = place, make([]byte, 0, n)
+		w.reservation, w.partialValue = reservation, make([]byte, 0, size)
 	})
 	return err
 }
@@ -100,20 +100,20 @@
 }
 
 // appendLongBody appends a piece of a body over maxBodyBytes, after reserving memory for all of it.
-func (s *stream) appendLongBody(piece []byte) (room bool) {
+func (s *stream) appendLongBody(piece []byte) (ok bool) {
 	if s.reservation == nil {
-		n := maxLongBodyBytes
+		size := maxLongBodyBytes
 		if s.head.contentLength > 0 {
-			n = min(n, s.head.contentLength)
+			size = min(size, s.head.contentLength)
 		}
-		place := s.front.host.LongRoom(n, time.Until(s.deadline))
-		if !place.Wait() {
+		reservation := s.front.host.LongRoom(size, time.Until(s.deadline))
+		if !reservation.Wait() {
 			return false
 		}
-		value := append(make([]byte, 0, n), s.body...)
+		value := append(make([]byte, 0, size), s.body...)
 		s.front.host.Do(func() {
 			s.front.host.Hold(-cap(s.body)) // the reservation covers it now
-			s.body, s.reservation = value, place
+			s.body, s.reservation = value, reservation
 		})
 	}
 	if len(s.body)+len(piece) > cap(s.body) { // the reserved size
--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -51,20 +51,20 @@
 }
 
 // Told receives the result for a key.
-func (m *manyCall) Told(k int, mark manykeys.Outcome, a proxy.Answer, _ error) {
-	t := keyResult{Key: m.many.Gather.Key(k)}
+func (m *manyCall) Told(index int, mark manykeys.Outcome, a proxy.Answer, _ error) {
+	result := keyResult{Key: m.many.Gather.Key(index)}
 	switch mark {
 	case manykeys.Served:
-		t.Value = slices.Clone(a.Value)
-		if t.Value == nil {
-			t.Value = []byte{}
+		result.Value = slices.Clone(a.Value)
+		if result.Value == nil {
+			result.Value = []byte{}
 		}
 		m.hold(len(a.Value))
 	default:
-		t.Mark = mark.String()
-		t.RetryAfter = int64(math.Ceil(float64(a.RetryAfter.Microseconds()) / 1000))
+		result.Mark = mark.String()
+		result.RetryAfter = int64(math.Ceil(float64(a.RetryAfter.Microseconds()) / 1000))
 	}
-	m.keys[k] = t
+	m.keys[index] = result
 }
 
 // Over sends the call's single answer, with the keys in the order asked.
--- a/internal/extproc/server/many_test.go
+++ b/internal/extproc/server/many_test.go
@@ -35,12 +35,12 @@
 	fleet.Fill(keys...)
 	n := newFakeCallers()
 	n.policy = identity.NewPolicy([]identity.Rights{{Tenant: "kiosk", Prefixes: []string{"k1"}}, {Tenant: "shop"}}, nil)
-	r := newHarness(t, fleet, operatorFile("answer", "")+manyMap, func(c *proxy.Config) {
+	env := newHarness(t, fleet, operatorFile("answer", "")+manyMap, func(c *proxy.Config) {
 		c.ManyKeys = &manykeys.Limits{Keys: 20, Bytes: 1 << 20, Outstanding: 8, PartSize: 2}
 		c.Callers = n
 	})
 	get := func(as, id string, keys ...string) caller.Result {
-		return r.caller.Do(context.Background(), withToken(as, caller.Request{Method: "GET", Path: "/mountain/" + strings.Join(keys, ","),
+		return env.caller.Do(context.Background(), withToken(as, caller.Request{Method: "GET", Path: "/mountain/" + strings.Join(keys, ","),
 			Headers: map[string]string{"x-request-id": id}}))
 	}
 	read := func(res caller.Result) (all []keyResult) {
@@ -81,12 +81,12 @@
 			t.Errorf("%s: %d %s", name, c.res.Status, c.res.Body)
 		}
 	}
-	r.host.Do(func() {
-		if c := r.front.calls.Len(); c > 0 {
+	env.host.Do(func() {
+		if c := env.front.calls.Len(); c > 0 {
 			t.Logf("%d calls are remembered", c)
 		}
 	})
-	if load := r.host.Load(); load.Requests+load.Held > 0 {
+	if load := env.host.Load(); load.Requests+load.Held > 0 {
 		t.Errorf("%+v is left", load)
 	}
 }
--- a/internal/extproc/server/record_test.go
+++ b/internal/extproc/server/record_test.go
@@ -52,11 +52,11 @@
 				q.Headers["idempotency-key"] = "key-1"
 				return q
 			}
-			r := open()
+			env := open()
 			fleet.Origin.SetFault(c.fault)
 			var receipt string
 			if !c.fresh {
-				res := r.do(q("w1"))
+				res := env.do(q("w1"))
 				if receipt = string(res.Body); res.Status != c.first {
 					t.Fatalf("the first: %d %q", res.Status, receipt)
 				}
@@ -69,7 +69,7 @@
 				if c.other {
 					again.Body = []byte("two passes")
 				}
-				res := r.do(again)
+				res := env.do(again)
 				if res.Status != c.repeat || !strings.Contains(string(res.Body), c.says) || c.repeat == 200 && string(res.Body) != receipt {
 					t.Errorf("repeat %d: %d %q, want %d %q", i, res.Status, res.Body, c.repeat, c.says)
 				}
@@ -77,8 +77,8 @@
 					t.Errorf("repeat %d: it has run %d times, %d before", i, n, ran)
 				}
 				if i == 0 {
-					r.stopAndWait()
-					r = open()
+					env.stopAndWait()
+					env = open()
 				}
 			}
 		})
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -35,14 +35,14 @@
 	}
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
-	r := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = gate })
+	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = gate })
 	enter := func(root int, name string) *caller.Caller {
 		t.Helper()
 		cfg, err := a.Config(a.Roots[root], name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := caller.DialTLS(cfg, r.front.Addr().String())
+		c, err := caller.DialTLS(cfg, env.front.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	conns := func() (n int) {
-		r.host.Do(func() { n = len(r.front.certConns) })
+		env.host.Do(func() { n = len(env.front.certConns) })
 		return n
 	}
 	wait := func(what string, ok func() bool) {
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	wait("the stream is there", func() bool { return r.front.Counts().Streams == 1 })
+	wait("the stream is there", func() bool { return env.front.Counts().Streams == 1 })
 	if n := conns(); n != 3 {
 		t.Fatalf("%d proven connections", n)
 	}
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -110,29 +110,29 @@
 
 // New creates the front end and binds its address. The file has already been validated, except for its
 // class names, which are checked here against the settings.
-func New(p *proxy.Proxy, file *operator.File, log *slog.Logger) (*Front, error) {
-	f := &Front{host: p, log: log.With("front", "extproc"), streams: map[*stream]struct{}{}, certConns: map[*countedConn]struct{}{},
+func New(host *proxy.Proxy, file *operator.File, log *slog.Logger) (*Front, error) {
+	f := &Front{host: host, log: log.With("front", "extproc"), streams: map[*stream]struct{}{}, certConns: map[*countedConn]struct{}{},
 		idleReaders: make(chan *stream), quit: make(chan struct{})}
-	c, err := f.compile(file)
+	cfg, err := f.compile(file)
 	if err != nil {
 		return nil, err
 	}
-	f.config.Store(c)
-	f.calls = extproc.NewCallTable(maxCalls, c.Remember.D())
-	if f.listen, err = bind(c.Listen); err != nil {
+	f.config.Store(cfg)
+	f.calls = extproc.NewCallTable(maxCalls, cfg.Remember.D())
+	if f.listen, err = bind(cfg.Listen); err != nil {
 		return nil, fmt.Errorf("extproc.listen: %w", err)
 	}
-	more := []grpc.ServerOption{}
-	if by := p.Callers(); by != nil {
-		if cfg := by.TLS("extproc"); cfg != nil {
-			more = append(more, grpc.Creds(certificateCreds{credentials.NewTLS(cfg), f}))
+	options := []grpc.ServerOption{}
+	if callers := host.Callers(); callers != nil {
+		if cfg := callers.TLS("extproc"); cfg != nil {
+			options = append(options, grpc.Creds(certificateCreds{credentials.NewTLS(cfg), f}))
 		}
 	}
-	f.grpc = grpc.NewServer(append(more,
+	f.grpc = grpc.NewServer(append(options,
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxHeaderListSize(maxHeaderBytes),
 		// Twice max_streams, so that an excess stream is refused with a status and does not wait at the
 		// caller.
-		grpc.MaxConcurrentStreams(uint32(2*c.MaxStreams)),
+		grpc.MaxConcurrentStreams(uint32(2*cfg.MaxStreams)),
 		grpc.ConnectionTimeout(firstMessageTimeout),
 		// Fixed windows, so that the data that callers may send ahead is bounded and can be counted.
 		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(4*streamWindow),
@@ -148,22 +148,22 @@
 }
 
 func (f *Front) compile(file *operator.File) (*config, error) {
-	c := &config{ExtProc: file.ExtProc, classes: map[string]*logic.Class{}, authenticates: f.host.Callers() != nil}
+	cfg := &config{ExtProc: file.ExtProc, classes: map[string]*logic.Class{}, authenticates: f.host.Callers() != nil}
 	classes := f.host.Classes()
 	for i, class := range classes {
-		c.classes[class.Name] = &classes[i]
+		cfg.classes[class.Name] = &classes[i]
 	}
 	if err := file.CheckClasses(logic.ClassNames(classes)); err != nil {
 		return nil, err
 	}
 	var err error
-	if c.mapping, err = extproc.NewMapping(c.Map); err != nil {
+	if cfg.mapping, err = extproc.NewMapping(cfg.Map); err != nil {
 		return nil, err
 	}
-	if c.continueMessage, err = preEncode(responseMessage(c.ExtProc, false)); err == nil {
-		c.retryMessage, err = preEncode(responseMessage(c.ExtProc, true))
+	if cfg.continueMessage, err = preEncode(responseMessage(cfg.ExtProc, false)); err == nil {
+		cfg.retryMessage, err = preEncode(responseMessage(cfg.ExtProc, true))
 	}
-	return c, err
+	return cfg, err
 }
 
 // bind listens on an address. It removes a unix socket left behind by a dead process and fails for one that
@@ -276,14 +276,14 @@
 		if err != nil {
 			return nil, err
 		}
-		room := false
+		admitted := false
 		l.front.host.Do(func() {
-			if room = l.front.conns < maxConns && l.front.host.Room(); room {
+			if admitted = l.front.conns < maxConns && l.front.host.Room(); admitted {
 				l.front.conns++
 				l.front.host.Descriptors(1)
 			}
 		})
-		if room {
+		if admitted {
 			return &countedConn{Conn: conn, front: l.front}, nil
 		}
 		conn.Close()
@@ -477,11 +477,11 @@
 		c.many.withdraw()
 	}
 	if c.attempt != nil && !c.attempt.Ended() {
-		s := logic.StatusConnectFailed
+		outcome := logic.StatusConnectFailed
 		if c.attempt.Given() {
-			s = logic.StatusCancelled
+			outcome = logic.StatusCancelled
 		}
-		c.attempt.End(s, 0)
+		c.attempt.End(outcome, 0)
 	}
 	c.front.calls.End(c.entry, ran, c.front.host.Now())
 }
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -89,35 +89,35 @@
 
 func newHarness(t *testing.T, fleet *standin.Fleet, text string, edit func(*proxy.Config)) *harness {
 	t.Helper()
-	r := &harness{t: t, fleet: fleet, done: make(chan error, 1)}
+	env := &harness{t: t, fleet: fleet, done: make(chan error, 1)}
 	cfg := hostConfig(t, fleet)
 	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) {
-		r.mu.Lock()
-		r.sentTo = append(r.sentTo, m)
-		r.mu.Unlock()
+		env.mu.Lock()
+		env.sentTo = append(env.sentTo, m)
+		env.mu.Unlock()
 	}
 	if edit != nil {
 		edit(&cfg)
 	}
 	log := slog.New(slog.DiscardHandler)
 	var err error
-	if r.host, err = proxy.New(cfg, log); err != nil {
+	if env.host, err = proxy.New(cfg, log); err != nil {
 		t.Fatal(err)
 	}
 	op, err := operator.Parse("test.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.front, err = New(r.host, op, log); err != nil {
+	if env.front, err = New(env.host, op, log); err != nil {
 		t.Fatal(err)
 	}
-	r.host.AddFront(r.front)
+	env.host.AddFront(env.front)
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	go func() { r.done <- r.host.Run(ctx) }()
-	t.Cleanup(r.stopAndWait)
-	r.caller = dial(t, r)
-	return r
+	env.stop = stop
+	go func() { env.done <- env.host.Run(ctx) }()
+	t.Cleanup(env.stopAndWait)
+	env.caller = dial(t, env)
+	return env
 }
 
 // dial creates a caller of the harnesses' front ends.
@@ -136,43 +136,43 @@
 	return c
 }
 
-func (r *harness) stopAndWait() {
-	r.t.Helper()
-	r.stop()
+func (h *harness) stopAndWait() {
+	h.t.Helper()
+	h.stop()
 	select {
-	case err := <-r.done:
+	case err := <-h.done:
 		if err != nil {
-			r.t.Errorf("Run: %v", err)
+			h.t.Errorf("Run: %v", err)
 		}
-		r.done <- nil
+		h.done <- nil
 	case <-time.After(testTimeout):
-		r.t.Error("the proxy did not end")
+		h.t.Error("the proxy did not end")
 	}
 }
 
-func (r *harness) eventually(what string, ok func() bool) {
-	r.t.Helper()
+func (h *harness) eventually(what string, ok func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	r.t.Fatalf("never came about: %s (%+v, %+v)", what, r.host.Load(), r.front.Counts())
+	h.t.Fatalf("never came about: %s (%+v, %+v)", what, h.host.Load(), h.front.Counts())
 }
 
 // waitIdle waits until neither the host nor the front end has anything in progress.
-func (r *harness) waitIdle() {
-	r.t.Helper()
-	r.eventually("nothing is in hand", func() bool {
-		l, c := r.host.Load(), r.front.Counts()
+func (h *harness) waitIdle() {
+	h.t.Helper()
+	h.eventually("nothing is in hand", func() bool {
+		l, c := h.host.Load(), h.front.Counts()
 		return l.Requests == 0 && l.Attempts == 0 && c.Streams == 0 && l.Held == 0
 	})
 }
 
-func (r *harness) sent() []logic.MemberID {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]logic.MemberID(nil), r.sentTo...)
+func (h *harness) sent() []logic.MemberID {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]logic.MemberID(nil), h.sentTo...)
 }
 
 func readRequest(key, id string) caller.Request {
@@ -183,17 +183,17 @@
 	return caller.Request{Method: "PUT", Path: "/orders/" + key, Headers: map[string]string{"x-request-id": id}, Body: []byte("one pass, adult")}
 }
 
-func (r *harness) do(q caller.Request) caller.Result {
-	r.t.Helper()
+func (h *harness) do(q caller.Request) caller.Result {
+	h.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return r.caller.Do(ctx, q)
+	return h.caller.Do(ctx, q)
 }
 
-func (r *harness) expect(res caller.Result, code int, body string) {
-	r.t.Helper()
+func (h *harness) expect(res caller.Result, code int, body string) {
+	h.t.Helper()
 	if res.Status != code || !strings.Contains(string(res.Body), body) || res.Err != nil {
-		r.t.Errorf("answered %d %q (%v), want %d %q", res.Status, res.Body, res.Err, code, body)
+		h.t.Errorf("answered %d %q (%v), want %d %q", res.Status, res.Body, res.Err, code, body)
 	}
 }
 
@@ -207,19 +207,19 @@
 			}
 			t.Run(fmt.Sprintf("%s override %v", name, override), func(t *testing.T) {
 				fleet := newFleet(t, 2)
-				r := newHarness(t, fleet, operatorFile("answer", ""), nil)
-				r.caller.BodyMode, r.caller.AllowModeOverride = mode, override
+				env := newHarness(t, fleet, operatorFile("answer", ""), nil)
+				env.caller.BodyMode, env.caller.AllowModeOverride = mode, override
 				fleet.Fill("warm")
-				r.expect(r.do(readRequest("warm", "r1")), 200, "value of warm ")
-				r.expect(r.do(readRequest("cold", "r2")), 200, "value of cold ")
+				env.expect(env.do(readRequest("warm", "r1")), 200, "value of warm ")
+				env.expect(env.do(readRequest("cold", "r2")), 200, "value of cold ")
 				if n := fleet.Origin.Fetches(); n != 1 {
 					t.Errorf("%d fetches, want one for the miss", n)
 				}
-				r.expect(r.do(orderRequest("o1", "w1")), 200, "receipt of o1")
+				env.expect(env.do(orderRequest("o1", "w1")), 200, "receipt of o1")
 				if ran := fleet.Origin.Executions(); !maps.Equal(ran, map[string]int{"o1": 1}) {
 					t.Errorf("executions %v", ran)
 				}
-				r.waitIdle()
+				env.waitIdle()
 			})
 		}
 	}
@@ -227,25 +227,25 @@
 
 func TestRouteModeNamesMembersUntilServed(t *testing.T) {
 	fleet := newFleet(t, 2)
-	r := newHarness(t, fleet, operatorFile("route", ""), nil)
-	r.caller.Retries = 4
+	env := newHarness(t, fleet, operatorFile("route", ""), nil)
+	env.caller.Retries = 4
 	fleet.Fill("warm")
-	res := r.do(readRequest("warm", "r1"))
-	r.expect(res, 200, "value of warm ")
+	res := env.do(readRequest("warm", "r1"))
+	env.expect(res, 200, "value of warm ")
 	if res.Attempts != 1 {
 		t.Errorf("%d calls for a hit", res.Attempts)
 	}
-	res = r.do(readRequest("cold", "r2"))
-	r.expect(res, 200, "value of cold ")
+	res = env.do(readRequest("cold", "r2"))
+	env.expect(res, 200, "value of cold ")
 	if len(res.Members) < 2 || res.Members[len(res.Members)-1] != fleet.Origin.Addr() {
 		t.Errorf("a miss went to %v, want the origin (%s) last", res.Members, fleet.Origin.Addr())
 	}
-	res = r.do(orderRequest("o1", "w1"))
-	r.expect(res, 200, "receipt of o1")
+	res = env.do(orderRequest("o1", "w1"))
+	env.expect(res, 200, "receipt of o1")
 	if ran := fleet.Origin.Executions(); ran["o1"] != 1 {
 		t.Errorf("executions %v", ran)
 	}
-	r.waitIdle()
+	env.waitIdle()
 }
 
 // The client gets the routing module's answer as an HTTP status.
@@ -253,23 +253,23 @@
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newHarness(t, fleet, operatorFile(mode, ""), nil)
-			r.caller.Retries = 4
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			env.caller.Retries = 4
 			fleet.Origin.SetResetAfterRun(true)
-			res := r.do(orderRequest("o1", "w1"))
-			r.expect(res, 502, "failed")
+			res := env.do(orderRequest("o1", "w1"))
+			env.expect(res, 502, "failed")
 			if ran := fleet.Origin.Executions(); ran["o1"] != 1 {
 				t.Errorf("executions %v", ran)
 			}
 			fleet.Origin.SetResetAfterRun(false)
 			fleet.Origin.SetFault(standin.Busy)
 			fleet.Boxes[0].SetFault(standin.Busy)
-			res = r.do(readRequest("k", "r1"))
-			r.expect(res, 503, "refused")
+			res = env.do(readRequest("k", "r1"))
+			env.expect(res, 503, "refused")
 			if res.Headers["retry-after"] == "" {
 				t.Errorf("refused without a time: %v", res.Headers)
 			}
-			r.waitIdle()
+			env.waitIdle()
 		})
 	}
 }
@@ -277,7 +277,7 @@
 func TestTimeLeft(t *testing.T) {
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newHarness(t, fleet, operatorFile("answer", ""), nil)
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	for i, c := range []struct {
 		headers map[string]string
 		code    int
@@ -299,23 +299,23 @@
 	} {
 		q := readRequest("k", fmt.Sprintf("r%d", i))
 		maps.Copy(q.Headers, c.headers)
-		r.expect(r.do(q), c.code, c.body)
+		env.expect(env.do(q), c.code, c.body)
 	}
-	r.expect(r.do(readRequest("a%20b", "sp")), 400, "spaces")
-	r.waitIdle()
+	env.expect(env.do(readRequest("a%20b", "sp")), 400, "spaces")
+	env.waitIdle()
 }
 
 func TestUnmapped(t *testing.T) {
 	fleet := newFleet(t, 1)
 	q := caller.Request{Method: "GET", Path: "/else", Headers: map[string]string{"x-gateway-destination-endpoint": "127.0.0.1:1"}}
-	r := newHarness(t, fleet, operatorFile("route", `unmapped = "pass"`), nil)
-	if res := r.do(q); !res.PassedThrough || res.Err != nil || len(res.Members) > 0 {
+	env := newHarness(t, fleet, operatorFile("route", `unmapped = "pass"`), nil)
+	if res := env.do(q); !res.PassedThrough || res.Err != nil || len(res.Members) > 0 {
 		t.Errorf("%+v, want it passed on", res)
 	}
-	r.waitIdle()
-	r = newHarness(t, fleet, operatorFile("route", `unmapped = "refuse"`), nil)
-	r.expect(r.do(q), 404, "nothing is served")
-	r.waitIdle()
+	env.waitIdle()
+	env = newHarness(t, fleet, operatorFile("route", `unmapped = "refuse"`), nil)
+	env.expect(env.do(q), 404, "nothing is served")
+	env.waitIdle()
 }
 
 func TestLongBodies(t *testing.T) {
@@ -324,45 +324,45 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newHarness(t, fleet, operatorFile("answer", ""), nil)
-			r.caller.BodyMode, r.caller.AllowModeOverride = mode, false
+			env := newHarness(t, fleet, operatorFile("answer", ""), nil)
+			env.caller.BodyMode, env.caller.AllowModeOverride = mode, false
 			q := orderRequest("o1", "w1")
 			q.Body = bytes.Repeat([]byte("x"), maxBodyBytes)
-			r.expect(r.do(q), 200, "receipt of o1")
+			env.expect(env.do(q), 200, "receipt of o1")
 			want := map[string]int{"o1": 1}
 			q = orderRequest("o2", "w2")
 			q.Body = bytes.Repeat([]byte("x"), maxBodyBytes+1)
 			if mode == filterv3.ProcessingMode_BUFFERED {
-				r.expect(r.do(q), 413, "over")
+				env.expect(env.do(q), 413, "over")
 			} else { // in several messages, up to the limit of long values
-				r.expect(r.do(q), 200, "receipt of o2")
+				env.expect(env.do(q), 200, "receipt of o2")
 				q = orderRequest("o4", "w4")
 				q.Body = bytes.Repeat([]byte("x"), maxLongBodyBytes)
-				r.expect(r.do(q), 200, "receipt of o4")
+				env.expect(env.do(q), 200, "receipt of o4")
 				q = orderRequest("o5", "w5")
 				q.Body = bytes.Repeat([]byte("x"), maxLongBodyBytes+1)
-				r.expect(r.do(q), 413, "over")
+				env.expect(env.do(q), 413, "over")
 				want["o2"], want["o4"] = 1, 1
 			}
 			q = orderRequest("o3", "w3")
 			q.Headers["content-length"] = "9000000000"
-			r.expect(r.do(q), 413, "over")
+			env.expect(env.do(q), 413, "over")
 			if ran := fleet.Origin.Executions(); !maps.Equal(ran, want) {
 				t.Errorf("executions %v", ran)
 			}
-			r.waitIdle()
+			env.waitIdle()
 		})
 	}
 }
 
 // exchange opens a stream, sends the messages unchanged and returns the responses and the final status.
-func (r *harness) exchange(messages ...*extprocv3.ProcessingRequest) (answers []*extprocv3.ProcessingResponse, code codes.Code) {
-	r.t.Helper()
+func (h *harness) exchange(messages ...*extprocv3.ProcessingRequest) (answers []*extprocv3.ProcessingResponse, code codes.Code) {
+	h.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	s, err := extprocv3.NewExternalProcessorClient(r.caller.Conn(0)).Process(ctx)
+	s, err := extprocv3.NewExternalProcessorClient(h.caller.Conn(0)).Process(ctx)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	for _, m := range messages {
 		if s.Send(m) != nil {
@@ -397,7 +397,7 @@
 	body := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{RequestBody: &extprocv3.HttpBody{Body: []byte("x")}}}
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newHarness(t, fleet, operatorFile("route", ""), nil)
+	env := newHarness(t, fleet, operatorFile("route", ""), nil)
 	for name, messages := range map[string][]*extprocv3.ProcessingRequest{
 		"a response first":        {response(":status", "200")},
 		"a body first":            {body},
@@ -408,27 +408,27 @@
 		"a response without code": {get("c1"), response("x", "y")},
 		"a status that is none":   {get("d1"), response(":status", "ok")},
 	} {
-		if _, code := r.exchange(messages...); code != codes.InvalidArgument {
+		if _, code := env.exchange(messages...); code != codes.InvalidArgument {
 			t.Errorf("%s: %v, want InvalidArgument", name, code)
 		}
 	}
 	config := &extprocv3.ProtocolConfiguration{RequestBodyMode: filterv3.ProcessingMode_GRPC}
 	m := get("e1")
 	m.ProtocolConfig = config
-	if _, code := r.exchange(m); code != codes.Unimplemented {
+	if _, code := env.exchange(m); code != codes.Unimplemented {
 		t.Errorf("a mode that is not spoken: %v", code)
 	}
 	m = get("f1")
 	m.ObservabilityMode = true
-	before := len(r.sent())
-	if answers, code := r.exchange(m, response(":status", "200")); len(answers) > 0 || code != codes.OK {
+	before := len(env.sent())
+	if answers, code := env.exchange(m, response(":status", "200")); len(answers) > 0 || code != codes.OK {
 		t.Errorf("an observed stream got %v, %v", answers, code)
 	}
-	if len(r.sent()) != before {
+	if len(env.sent()) != before {
 		t.Error("an observed request reached the module")
 	}
-	r.expect(r.do(readRequest("k", "g1")), 200, "value of k")
-	r.waitIdle()
+	env.expect(env.do(readRequest("k", "g1")), 200, "value of k")
+	env.waitIdle()
 }
 
 // Long values are answered completely, up to the limit, for any number of concurrent reads.
@@ -443,7 +443,7 @@
 			}
 			t.Cleanup(fleet.Close)
 			fleet.Fill("k")
-			r := newHarness(t, fleet, strings.Replace(operatorFile("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) { // enough time for all of them on a slow machine
+			env := newHarness(t, fleet, strings.Replace(operatorFile("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) { // enough time for all of them on a slow machine
 				for i := range cfg.Settings.Classes {
 					cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = testTimeout, testTimeout
 				}
@@ -451,14 +451,14 @@
 			var clients sync.WaitGroup
 			for i := range 12 { // more than there is capacity for at once
 				clients.Go(func() {
-					res := r.do(readRequest("k", fmt.Sprint("r", i)))
+					res := env.do(readRequest("k", fmt.Sprint("r", i)))
 					if res.Status != c.code || c.code == 200 && !bytes.Equal(res.Body, standin.Value("k", c.size)) {
 						t.Errorf("status %d, %d bytes, %v", res.Status, len(res.Body), res.Err)
 					}
 				})
 			}
 			clients.Wait()
-			r.waitIdle()
+			env.waitIdle()
 		})
 	}
 }
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -171,31 +171,31 @@
 }
 
 // handle answers one message.
-func (s *stream) handle(ctx context.Context, m *extprocv3.ProcessingRequest) error {
+func (s *stream) handle(ctx context.Context, message *extprocv3.ProcessingRequest) error {
 	s.messageAt, s.overrideSent = time.Now(), false
-	if c := m.GetProtocolConfig(); c != nil && !s.modesKnown {
+	if c := message.GetProtocolConfig(); c != nil && !s.modesKnown {
 		s.modesKnown, s.bodyMode, s.responseMode = true, c.GetRequestBodyMode(), c.GetResponseBodyMode()
 		if !supportedBodyMode(s.bodyMode) || !supportedBodyMode(s.responseMode) {
 			return status.Errorf(codes.Unimplemented, "body modes %v and %v: GRPC is not spoken; all others are", s.bodyMode, s.responseMode)
 		}
 	}
-	kind, end := messageKind(m)
+	kind, end := messageKind(message)
 	if kind == 0 {
 		return s.invalid("a message without a request or response")
 	}
 	if err := s.messageOrder.Next(kind, end); err != nil {
 		return s.invalid("%v", err)
 	}
-	if s.observing = s.observing || m.GetObservabilityMode(); s.observing {
+	if s.observing = s.observing || message.GetObservabilityMode(); s.observing {
 		s.front.host.Do(func() { s.idle, s.expiresAt = true, s.front.host.Now()+passThroughTimeout })
 		return nil // the caller proceeds without an answer; choosing a member here would count load that is never sent
 	}
 	switch kind {
 	case extproc.RequestHeaders:
-		s.head.allowedMembers = allowedEndpoints(m)
-		return s.requestHeaders(ctx, m.GetRequestHeaders())
+		s.head.allowedMembers = allowedEndpoints(message)
+		return s.requestHeaders(ctx, message.GetRequestHeaders())
 	case extproc.RequestBody:
-		return s.requestBody(ctx, m.GetRequestBody())
+		return s.requestBody(ctx, message.GetRequestBody())
 	case extproc.RequestTrailers:
 		if s.collecting {
 			return s.bodyComplete(ctx)
@@ -203,13 +203,13 @@
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestTrailers{
 			RequestTrailers: &extprocv3.TrailersResponse{}}})
 	case extproc.ResponseHeaders:
-		return s.responseHeaders(m)
+		return s.responseHeaders(message)
 	case extproc.ResponseBody:
 		if s.responseBodySeen = true; end && s.delivering {
 			s.markServed()
 		}
 		if s.responseMode == fullDuplex {
-			return s.relayBody(m.GetResponseBody(), true)
+			return s.relayBody(message.GetResponseBody(), true)
 		}
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseBody{
 			ResponseBody: &extprocv3.BodyResponse{}}})
@@ -279,80 +279,80 @@
 // readHead reads the request's headers. An error without a gRPC status is the client's fault and is
 // answered with an immediate response.
 func (s *stream) readHead(headers []*corev3.HeaderValue) error {
-	h, c := &s.head, &s.config.Headers
-	for i, v := range headers {
-		name := v.GetKey()
+	head, names := &s.head, &s.config.Headers
+	for i, header := range headers {
+		name := header.GetKey()
 		switch name {
-		case c.RequestID, c.Tenant, c.Key, c.Attempt, authorization:
+		case names.RequestID, names.Tenant, names.Key, names.Attempt, authorization:
 			// With two different values, whoever adds a header could choose which one counts (RFC 9110
 			// section 5.3: the field is no list, so only one is allowed).
-			for _, w := range headers[:i] {
-				if w.GetKey() == name && headerValue(w) != headerValue(v) {
+			for _, earlier := range headers[:i] {
+				if earlier.GetKey() == name && headerValue(earlier) != headerValue(header) {
 					return fmt.Errorf("%s is there more than once", name)
 				}
 			}
 		}
 		switch name {
 		case ":method":
-			h.method = headerValue(v)
+			head.method = headerValue(header)
 		case ":path":
-			h.path = headerValue(v)
+			head.path = headerValue(header)
 		case "content-length":
-			n, err := strconv.Atoi(headerValue(v))
+			n, err := strconv.Atoi(headerValue(header))
 			if err != nil || n < 0 {
 				return errors.New("content-length is no number")
 			}
-			h.contentLength = n
-		case c.RequestID:
-			h.requestID = headerValue(v)
-		case c.Tenant:
-			h.tenant = headerValue(v)
-		case c.Key:
-			h.idempotencyKey = headerValue(v)
-		case c.Attempt:
-			n, err := strconv.Atoi(headerValue(v))
+			head.contentLength = n
+		case names.RequestID:
+			head.requestID = headerValue(header)
+		case names.Tenant:
+			head.tenant = headerValue(header)
+		case names.Key:
+			head.idempotencyKey = headerValue(header)
+		case names.Attempt:
+			n, err := strconv.Atoi(headerValue(header))
 			if err != nil || n < 0 {
 				return fmt.Errorf("%s is no number", name)
 			}
-			h.attempt = n
+			head.attempt = n
 		case authorization:
-			h.authorization = headerValue(v)
-		case c.Destination:
-			h.hasDestination = true
+			head.authorization = headerValue(header)
+		case names.Destination:
+			head.hasDestination = true
 		default:
-			if !slices.Contains(c.TimeLeft, name) {
+			if !slices.Contains(names.TimeLeft, name) {
 				continue
 			}
-			left, err := extproc.TimeLeft(name, headerValue(v))
+			timeLeft, err := extproc.TimeLeft(name, headerValue(header))
 			if err != nil && !errors.Is(err, extproc.ErrExpired) {
 				return err
 			}
-			if !h.hasTimeLeft || left < h.timeLeft {
-				h.timeLeft, h.hasTimeLeft = left, true
+			if !head.hasTimeLeft || timeLeft < head.timeLeft {
+				head.timeLeft, head.hasTimeLeft = timeLeft, true
 			}
 		}
 	}
-	if h.method == "" || h.path == "" {
+	if head.method == "" || head.path == "" {
 		return s.invalid("request headers without :method or :path")
 	}
 	return nil
 }
 
-func (s *stream) requestHeaders(ctx context.Context, m *extprocv3.HttpHeaders) error {
-	if err := s.readHead(m.GetHeaders().GetHeaders()); err != nil {
+func (s *stream) requestHeaders(ctx context.Context, headers *extprocv3.HttpHeaders) error {
+	if err := s.readHead(headers.GetHeaders().GetHeaders()); err != nil {
 		if status.Code(err) == codes.InvalidArgument {
 			return err
 		}
 		return s.sendImmediate(400, []byte(err.Error()), "")
 	}
-	h := &s.head
-	target, ok := s.config.mapping.Match(h.method, h.path)
+	head := &s.head
+	target, ok := s.config.mapping.Match(head.method, head.path)
 	if !ok {
 		if s.config.Unmapped != "pass" {
 			return s.sendImmediate(404, []byte("nothing is served under this method and path"), "")
 		}
 		s.passThrough = true
-		if err := s.prepareDuplex(m.GetEndOfStream()); err != nil {
+		if err := s.prepareDuplex(headers.GetEndOfStream()); err != nil {
 			return err
 		}
 		// A drain waits for bodies that are relayed on this stream.
@@ -364,22 +364,22 @@
 		return s.sendDenied(err)
 	}
 	class := s.config.classes[target.Class]
-	left := class.Deadline
-	if h.hasTimeLeft {
-		left = min(left, h.timeLeft)
+	timeLeft := class.Deadline
+	if head.hasTimeLeft {
+		timeLeft = min(timeLeft, head.timeLeft)
 	}
-	left -= s.config.Margin.D()
-	if left <= 0 {
+	timeLeft -= s.config.Margin.D()
+	if timeLeft <= 0 {
 		return s.sendExpired(class)
 	}
-	s.deadline = s.messageAt.Add(left)
-	if most := s.maxBodyLen(); h.contentLength > most {
-		return s.sendTooLong(most)
+	s.deadline = s.messageAt.Add(timeLeft)
+	if limit := s.maxBodyLen(); head.contentLength > limit {
+		return s.sendTooLong(limit)
 	}
-	if err := s.prepareDuplex(m.GetEndOfStream()); err != nil {
+	if err := s.prepareDuplex(headers.GetEndOfStream()); err != nil {
 		return err
 	}
-	if target.Write && !s.routeMode() && !m.GetEndOfStream() {
+	if target.Write && !s.routeMode() && !headers.GetEndOfStream() {
 		return s.startCollecting()
 	}
 	return s.startRequest(ctx, false)
@@ -460,30 +460,30 @@
 // caller that sends a body after a response of ours has received the headers already.
 func (s *stream) acceptCall() error { return s.rpc.SendHeader(nil) }
 
-func (s *stream) requestBody(ctx context.Context, m *extprocv3.HttpBody) error {
-	s.bodyLen += len(m.GetBody())
+func (s *stream) requestBody(ctx context.Context, part *extprocv3.HttpBody) error {
+	s.bodyLen += len(part.GetBody())
 	if s.passThrough {
-		return s.sendBodyContinue(m)
+		return s.sendBodyContinue(part)
 	}
-	if most := s.maxBodyLen(); s.bodyLen > most {
-		return s.sendTooLong(most)
+	if limit := s.maxBodyLen(); s.bodyLen > limit {
+		return s.sendTooLong(limit)
 	}
 	if s.collecting {
-		over := false
+		full := false
 		if s.bodyLen > maxBodyBytes {
-			over = !s.appendLongBody(m.GetBody())
+			full = !s.appendLongBody(part.GetBody())
 		} else {
 			s.front.host.Do(func() {
-				was := cap(s.body)
-				s.body = append(s.body, m.GetBody()...)
-				over = s.front.host.Hold(cap(s.body) - was)
+				oldCap := cap(s.body)
+				s.body = append(s.body, part.GetBody()...)
+				full = s.front.host.Hold(cap(s.body) - oldCap)
 			})
 		}
 		switch {
-		case over:
+		case full:
 			s.reason = reasons.HostFull
 			return s.sendRefused(0)
-		case m.GetEndOfStream():
+		case part.GetEndOfStream():
 			return s.bodyComplete(ctx)
 		case s.bodyMode == fullDuplex:
 			return nil
@@ -497,15 +497,15 @@
 	if s.call != nil && s.modesKnown && s.bodyMode == filterv3.ProcessingMode_BUFFERED && !s.messageOrder.ResponseStarted() {
 		// The caller sends the request only now. The member may have started to drain while the body
 		// arrived.
-		return s.confirmMember(ctx, m)
+		return s.confirmMember(ctx, part)
 	}
-	return s.sendBodyContinue(m)
+	return s.sendBodyContinue(part)
 }
 
 // sendBodyContinue lets a part of the request's body through unchanged.
-func (s *stream) sendBodyContinue(m *extprocv3.HttpBody) error {
+func (s *stream) sendBodyContinue(part *extprocv3.HttpBody) error {
 	if s.bodyMode == fullDuplex {
-		return s.relayBody(m, false)
+		return s.relayBody(part, false)
 	}
 	return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{
 		RequestBody: &extprocv3.BodyResponse{}}})
@@ -513,15 +513,15 @@
 
 // confirmMember checks that the member named in the answer to the request's headers is still usable, and
 // names another one if not.
-func (s *stream) confirmMember(ctx context.Context, m *extprocv3.HttpBody) error {
-	stands := true
+func (s *stream) confirmMember(ctx context.Context, part *extprocv3.HttpBody) error {
+	usable := true
 	s.front.host.Do(func() {
 		if c := s.call; c.attempt != nil && !c.settled {
-			stands = c.attempt.Give()
+			usable = c.attempt.Give()
 		}
 	})
-	if stands {
-		return s.sendBodyContinue(m)
+	if usable {
+		return s.sendBodyContinue(part)
 	}
 	return s.awaitDecision(ctx, decision{}, true)
 }
@@ -538,63 +538,63 @@
 // startRequest relates the call to earlier calls with its request id, submits a new request or continues a
 // known one, and sends what is decided.
 func (s *stream) startRequest(ctx context.Context, body bool) error {
-	f, h := s.front, &s.head
+	front, head := s.front, &s.head
 	class := s.config.classes[s.target.Class]
 	if s.runOnce(class) && !s.routeMode() && !body {
 		if err := s.acceptCall(); err != nil {
 			return err
 		}
 	}
-	var d extproc.Decision
-	var fault error
+	var callDecision extproc.Decision
+	var submitErr error
 	var first decision
-	f.host.Do(func() {
-		id := h.requestID
+	front.host.Do(func() {
+		id := head.requestID
 		if id == "" {
-			id = f.newID()
+			id = front.newID()
 		}
-		now := f.host.Now()
-		entry, replaced, decision := f.calls.Begin(id, h.attempt, s.runOnce(class), class.Effect == logic.AtMostOnce && f.host.Records(), now)
-		if d = decision; replaced != nil {
+		now := front.host.Now()
+		entry, replaced, found := front.calls.Begin(id, head.attempt, s.runOnce(class), class.Effect == logic.AtMostOnce && front.host.Records(), now)
+		if callDecision = found; replaced != nil {
 			replaced.Owner.(*call).abandon()
 		}
 		s.expiresAt = now + max(0, time.Until(s.deadline)) + overdueGrace
-		switch d {
+		switch callDecision {
 		case extproc.DecisionNew, extproc.DecisionReplace:
-			c := &call{front: f, entry: entry, stream: s, decided: make(chan struct{}, 1)}
+			c := &call{front: front, entry: entry, stream: s, decided: make(chan struct{}, 1)}
 			entry.Owner, s.call = c, c
-			fault = s.submit(c, id)
+			submitErr = s.submit(c, id)
 		case extproc.DecisionContinue:
-			f.counts.Continued++
+			front.counts.Continued++
 			s.call = entry.Owner.(*call)
 			s.call.stream = s
-			s.call.restrictMembers(h.allowedMembers)
+			s.call.restrictMembers(head.allowedMembers)
 		}
-		if s.call != nil && fault == nil {
+		if s.call != nil && submitErr == nil {
 			first = s.checkDecision()
 		}
 	})
 	switch {
-	case errors.Is(fault, extproc.ErrExpired):
+	case errors.Is(submitErr, extproc.ErrExpired):
 		s.reason = logic.OutOfTime
 		return s.sendRefused(0)
-	case errors.Is(fault, proxy.ErrStopping):
+	case errors.Is(submitErr, proxy.ErrStopping):
 		s.reason = reasons.Stopping
 		return s.sendRefused(0)
-	case errors.Is(fault, proxy.ErrBusy):
+	case errors.Is(submitErr, proxy.ErrBusy):
 		s.reason = reasons.HostFull
 		return s.sendRefused(0)
-	case errors.Is(fault, proxy.ErrInUse):
+	case errors.Is(submitErr, proxy.ErrInUse):
 		return s.sendImmediate(409, []byte("the request id is in use"), "")
-	case identity.WhyOf(fault) != 0:
-		return s.sendDenied(fault)
-	case fault != nil:
-		return s.sendImmediate(400, []byte(fault.Error()), "")
-	case d == extproc.DecisionInUse:
+	case identity.WhyOf(submitErr) != 0:
+		return s.sendDenied(submitErr)
+	case submitErr != nil:
+		return s.sendImmediate(400, []byte(submitErr.Error()), "")
+	case callDecision == extproc.DecisionInUse:
 		return s.sendImmediate(409, []byte("the request id belongs to another request in hand"), "")
-	case d == extproc.DecisionMayHaveRun:
+	case callDecision == extproc.DecisionMayHaveRun:
 		return s.sendFailed("an earlier attempt may have run, and the request must not run twice")
-	case d == extproc.DecisionTableFull:
+	case callDecision == extproc.DecisionTableFull:
 		s.reason = reasons.HostFull
 		return s.sendRefused(0)
 	}
@@ -608,67 +608,67 @@
 }
 
 // submit submits a new request to the host. The host's lock must be held.
-func (s *stream) submit(c *call, id string) error {
-	h := &s.head
-	c.request.Arrived = s.front.host.Clock()
-	left := time.Until(s.deadline)
+func (s *stream) submit(newCall *call, id string) error {
+	head := &s.head
+	newCall.request.Arrived = s.front.host.Clock()
+	timeLeft := time.Until(s.deadline)
 	if !s.routeMode() {
-		left = min(left, s.maxWait())
+		timeLeft = min(timeLeft, s.maxWait())
 	}
 	for _, v := range [...]struct{ name, text string }{
-		{s.config.Headers.Tenant, h.tenant}, {s.config.Headers.Key, h.idempotencyKey},
+		{s.config.Headers.Tenant, head.tenant}, {s.config.Headers.Key, head.idempotencyKey},
 	} {
 		if slices.ContainsFunc([]byte(v.text), func(b byte) bool { return b <= ' ' || b == ',' || b == '=' || b == 0x7f }) {
-			s.discardCall(c)
+			s.discardCall(newCall)
 			return fmt.Errorf("%s must be plain text without commas", v.name)
 		}
 	}
-	most, key := maxTextBytes, len(s.target.Key)
+	limit, keyLen := maxTextBytes, len(s.target.Key)
 	if s.target.Many {
-		most = maxTextBytes + maxKeyBytes
+		limit = maxTextBytes + maxKeyBytes
 	}
-	if key+len(id)+len(h.tenant)+len(h.idempotencyKey) > most {
-		s.discardCall(c)
-		return fmt.Errorf("key, id, tenant and idempotency key together are over %d bytes", most)
+	if keyLen+len(id)+len(head.tenant)+len(head.idempotencyKey) > limit {
+		s.discardCall(newCall)
+		return fmt.Errorf("key, id, tenant and idempotency key together are over %d bytes", limit)
 	}
-	if left <= 0 {
-		s.discardCall(c)
+	if timeLeft <= 0 {
+		s.discardCall(newCall)
 		return extproc.ErrExpired
 	}
 	attrs := make([]byte, 0, 64)
 	attrs = append(append(attrs, "c="...), s.target.Class...)
-	if h.tenant != "" {
-		attrs = append(append(attrs, ",t="...), h.tenant...)
+	if head.tenant != "" {
+		attrs = append(append(attrs, ",t="...), head.tenant...)
 	}
-	attrs = strconv.AppendFloat(append(attrs, ",d="...), float64(left)/float64(time.Millisecond), 'f', 3, 64)
-	if h.idempotencyKey != "" {
-		attrs = append(append(attrs, ",k="...), h.idempotencyKey...)
+	attrs = strconv.AppendFloat(append(attrs, ",d="...), float64(timeLeft)/float64(time.Millisecond), 'f', 3, 64)
+	if head.idempotencyKey != "" {
+		attrs = append(append(attrs, ",k="...), head.idempotencyKey...)
 	}
-	if h.attempt > 1 {
+	if head.attempt > 1 {
 		attrs = append(attrs, ",r=1"...)
 	}
-	c.request.Command = proxy.Command{Only: h.allowedMembers, Again: h.attempt > 1, Arrived: c.request.Arrived, Message: upstream.Message{
+	newCall.request.Command = proxy.Command{Only: head.allowedMembers, Again: head.attempt > 1, Arrived: newCall.request.Arrived, Message: upstream.Message{
 		Write: s.target.Write, Key: []byte(s.target.Key), ReqID: []byte(id), Attrs: attrs, Value: s.body}}
-	c.request.Taker = bufferedValue{c}
+	newCall.request.Taker = bufferedValue{newCall}
 	if s.routeMode() {
-		c.request.Taker = routedCall{c}
+		newCall.request.Taker = routedCall{newCall}
 	}
 	if s.reservation != nil {
-		c.request.InRoom(len(s.body))
+		newCall.request.InRoom(len(s.body))
 	}
-	c.request.By, c.request.Front = s.proof, "extproc"
+	newCall.request.By, newCall.request.Front = s.proof, "extproc"
 	if s.target.Many {
-		return s.submitMany(c)
+		return s.submitMany(newCall)
 	}
-	err := s.front.host.Submit(&c.request)
-	if errors.Is(err, proxy.ErrInUse) && (!c.entry.RunOnce || c.entry.Reused) {
+	err := s.front.host.Submit(&newCall.request)
+	if errors.Is(err, proxy.ErrInUse) && (!newCall.entry.RunOnce || newCall.entry.Reused) {
 		// A caller may repeat a harmless request under the same id; members need a distinct id for each.
 		s.front.generatedIDs++
-		c.request.ReqID = fmt.Appendf(nil, "%s.%x", id, s.front.generatedIDs)
-		err = s.front.host.Submit(&c.request)
+		newCall.request.ReqID = fmt.Appendf(nil, "%s.%x", id, s.front.generatedIDs)
+		err = s.front.host.Submit(&newCall.request)
 	}
 	if err != nil {
-		s.discardCall(c)
+		s.discardCall(newCall)
 		return err
 	}
 	s.body, s.reservation = nil, nil // counted by the host from now on
@@ -688,11 +688,11 @@
 	if s.bodyMode == fullDuplex {
 		return time.Until(s.deadline) // the caller sets no message_timeout then (ext_proc.proto)
 	}
-	most := s.config.MessageTimeout.D()
-	if ask := s.config.MaxMessageTimeout.D(); ask > 0 {
-		most = most/2 + ask
+	wait := s.config.MessageTimeout.D()
+	if extension := s.config.MaxMessageTimeout.D(); extension > 0 {
+		wait = wait/2 + extension
 	}
-	return most - s.config.Margin.D() - time.Since(s.messageAt)
+	return wait - s.config.Margin.D() - time.Since(s.messageAt)
 }
 
 // decision is the result of waiting for the host.
@@ -705,17 +705,17 @@
 // awaitDecision waits until the host has named a member or given the final answer, and sends it. It extends
 // the caller's message timeout before that expires, and ends the request in time if no extension is
 // possible. d is the decision if there is one already.
-func (s *stream) awaitDecision(ctx context.Context, d decision, body bool) error {
+func (s *stream) awaitDecision(ctx context.Context, decided decision, body bool) error {
 	var timer *time.Timer
 	for {
-		if d == (decision{}) {
-			s.front.host.Do(func() { d = s.checkDecision() })
+		if decided == (decision{}) {
+			s.front.host.Do(func() { decided = s.checkDecision() })
 		}
 		switch {
-		case d.final != nil:
-			return s.sendAnswer(d.final)
-		case d.addrs != "":
-			return s.sendMember(d, body)
+		case decided.final != nil:
+			return s.sendAnswer(decided.final)
+		case decided.addrs != "":
+			return s.sendMember(decided, body)
 		}
 		if timer == nil {
 			timer = time.NewTimer(s.nextWait())
@@ -748,14 +748,14 @@
 	}
 	if a := c.attempt; a != nil && !a.Ended() && a.Give() {
 		s.front.counts.Routed++
-		addr := a.Addr
+		addrs := a.Addr
 		if n := s.config.Fallbacks; n > 0 && !c.request.Write {
-			for _, spare := range a.Spares(n) {
-				addr += "," + spare
+			for _, fallback := range a.Spares(n) {
+				addrs += "," + fallback
 			}
 		}
-		c.namedAddrs = addr
-		return decision{addrs: addr, timeLeft: a.Left()}
+		c.namedAddrs = addrs
+		return decision{addrs: addrs, timeLeft: a.Left()}
 	}
 	return d
 }
@@ -784,8 +784,8 @@
 // never exceeds it.
 func (s *stream) extendTimeout() error {
 	s.overrideSent = true
-	ask := min(s.config.MaxMessageTimeout.D(), time.Until(s.deadline)+s.config.Margin.D())
-	return s.send(&extprocv3.ProcessingResponse{OverrideMessageTimeout: durationpb.New(max(ask, time.Millisecond))})
+	extension := min(s.config.MaxMessageTimeout.D(), time.Until(s.deadline)+s.config.Margin.D())
+	return s.send(&extprocv3.ProcessingResponse{OverrideMessageTimeout: durationpb.New(max(extension, time.Millisecond))})
 }
 
 // endTimedOut ends a request because the caller's message timeout is about to expire.
