--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -98,7 +98,7 @@
 }
 
 // Run checks the key file periodically until the context ends.
-func (g *Authenticator) Run(ctx context.Context) {
+func (a *Authenticator) Run(ctx context.Context) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
@@ -106,29 +106,29 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			g.ReloadFiles()
+			a.ReloadFiles()
 		}
 	}
 }
 
 // ReloadFiles reads the key file and the TLS files, and applies those that have changed and are valid.
-func (g *Authenticator) ReloadFiles() {
-	g.filesMu.Lock()
-	defer g.filesMu.Unlock()
-	if g.listenerTLS != nil {
-		g.listenerTLS.reload(g.rules)
+func (a *Authenticator) ReloadFiles() {
+	a.filesMu.Lock()
+	defer a.filesMu.Unlock()
+	if a.listenerTLS != nil {
+		a.listenerTLS.reload(a.rules)
 	}
-	if g.verifier != nil {
-		g.reloadKeys()
+	if a.verifier != nil {
+		a.reloadKeys()
 	}
 }
 
-func (g *Authenticator) reloadKeys() {
-	text, err := readFile(g.keyFile)
-	if err == nil && bytes.Equal(text, g.keyText) {
-		if g.lastFault != "" {
-			g.log.Info("key file has its earlier contents again", "file", g.keyFile)
-			g.lastFault = ""
+func (a *Authenticator) reloadKeys() {
+	text, err := readFile(a.keyFile)
+	if err == nil && bytes.Equal(text, a.keyText) {
+		if a.lastFault != "" {
+			a.log.Info("key file has its earlier contents again", "file", a.keyFile)
+			a.lastFault = ""
 		}
 		return
 	}
@@ -137,94 +137,94 @@
 		keys, err = identity.ParseKeys(text)
 	}
 	if err != nil {
-		if g.lastFault != err.Error() { // logged once for each error, not every second
-			g.log.Error("key file is unusable, the old keys stay in force", "file", g.keyFile, "err", err)
+		if a.lastFault != err.Error() { // logged once for each error, not every second
+			a.log.Error("key file is unusable, the old keys stay in force", "file", a.keyFile, "err", err)
 		}
-		g.lastFault = err.Error()
+		a.lastFault = err.Error()
 		return
 	}
 	// From here on no proof by a key outside the new set is valid; the verifier is updated afterwards.
-	g.keys.Store(keys)
-	g.verifierMu.Lock()
-	g.verifier.SetKeys(keys)
-	g.verifierMu.Unlock()
-	g.keyText, g.lastFault = text, ""
+	a.keys.Store(keys)
+	a.verifierMu.Lock()
+	a.verifier.SetKeys(keys)
+	a.verifierMu.Unlock()
+	a.keyText, a.lastFault = text, ""
 	var ids []string
 	for _, k := range keys.List {
-		ids = append(ids, k.ID+" "+k.Phase(g.now()).String())
+		ids = append(ids, k.ID+" "+k.Phase(a.now()).String())
 	}
-	g.log.Info("keys in force", "file", g.keyFile, "keys", ids)
+	a.log.Info("keys in force", "file", a.keyFile, "keys", ids)
 }
 
 // Reload applies the tenants' rights and checks the files.
-func (g *Authenticator) Reload(cfg *operator.Identity) {
-	g.rightsMu.Lock()
-	g.policy = identity.NewPolicy(cfg.Rights(), g.policy)
-	g.rightsMu.Unlock()
-	g.filesMu.Lock()
-	if g.rules = cfg.Rules(); g.listenerTLS != nil {
-		g.listenerTLS.setRules(g.rules)
-	}
-	g.filesMu.Unlock()
-	g.ReloadFiles()
+func (a *Authenticator) Reload(cfg *operator.Identity) {
+	a.rightsMu.Lock()
+	a.policy = identity.NewPolicy(cfg.Rights(), a.policy)
+	a.rightsMu.Unlock()
+	a.filesMu.Lock()
+	if a.rules = cfg.Rules(); a.listenerTLS != nil {
+		a.listenerTLS.setRules(a.rules)
+	}
+	a.filesMu.Unlock()
+	a.ReloadFiles()
 }
 
 // Name returns the attribute name under which requests carry a token.
-func (g *Authenticator) Name() string { return g.tokenName }
+func (a *Authenticator) Name() string { return a.tokenName }
 
 // Prove verifies a token that came from an address. It may take about 100 us and must not be called under a
 // contended lock. suspect says that the token's connection has sent an invalid token before; the address
 // may be known for one too.
-func (g *Authenticator) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
-	if g.verifier == nil {
+func (a *Authenticator) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
+	if a.verifier == nil {
 		return nil, &identity.Error{Why: identity.Forbidden, What: "no tokens are taken here"}
 	}
 	if !suspect {
-		g.rightsMu.Lock()
-		suspect = g.sources.Suspect(g.now(), from)
-		g.rightsMu.Unlock()
+		a.rightsMu.Lock()
+		suspect = a.sources.Suspect(a.now(), from)
+		a.rightsMu.Unlock()
 	}
-	g.verifierMu.Lock()
-	proof, err := g.verifier.Check(g.now(), token, suspect)
-	g.verifierMu.Unlock()
+	a.verifierMu.Lock()
+	proof, err := a.verifier.Check(a.now(), token, suspect)
+	a.verifierMu.Unlock()
 	if identity.WhyOf(err) == identity.Forged { // all other errors are found before the signature is checked
-		g.rightsMu.Lock()
-		g.sources.Bad(g.now(), from)
-		g.rightsMu.Unlock()
+		a.rightsMu.Lock()
+		a.sources.Bad(a.now(), from)
+		a.rightsMu.Unlock()
 	}
 	return proof, err
 }
 
 // Holds reports whether a proof is still valid. It does not block.
-func (g *Authenticator) Holds(p *identity.Proof) error {
-	if p.ByCertificate() && g.listenerTLS != nil {
-		return g.listenerTLS.certs.Load().Holds(g.now(), p)
+func (a *Authenticator) Holds(p *identity.Proof) error {
+	if p.ByCertificate() && a.listenerTLS != nil {
+		return a.listenerTLS.certs.Load().Holds(a.now(), p)
 	}
-	return g.keys.Load().Holds(g.now(), p)
+	return a.keys.Load().Holds(a.now(), p)
 }
 
 // May reports whether the holder of a proof may make a request now. An order consumes its token's id.
-func (g *Authenticator) May(p *identity.Proof, request identity.Ask) error {
+func (a *Authenticator) May(p *identity.Proof, request identity.Ask) error {
 	if p == nil {
 		return &identity.Error{Why: identity.Unproven}
 	}
-	if err := g.Holds(p); err != nil {
+	if err := a.Holds(p); err != nil {
 		return err
 	}
-	g.rightsMu.Lock()
-	defer g.rightsMu.Unlock()
-	if err := g.policy.May(g.now(), p.Tenant, request); err != nil {
+	a.rightsMu.Lock()
+	defer a.rightsMu.Unlock()
+	if err := a.policy.May(a.now(), p.Tenant, request); err != nil {
 		return err
 	}
 	if request.Once {
-		return g.replays.Use(g.now(), p)
+		return a.replays.Use(a.now(), p)
 	}
 	return nil
 }
 
 // Release makes the id of a token usable again if its order is known not to have run.
-func (g *Authenticator) Release(p *identity.Proof) {
-	g.rightsMu.Lock()
-	defer g.rightsMu.Unlock()
-	g.replays.Release(p)
+func (a *Authenticator) Release(p *identity.Proof) {
+	a.rightsMu.Lock()
+	defer a.rightsMu.Unlock()
+	a.replays.Release(p)
 }
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -145,18 +145,18 @@
 }
 
 // TLS returns the configuration of a front end's listener, or nil if it uses no TLS.
-func (g *Authenticator) TLS(front string) *tls.Config {
-	if g.listenerTLS == nil || !slices.Contains(g.listenerTLS.fronts(), front) {
+func (a *Authenticator) TLS(front string) *tls.Config {
+	if a.listenerTLS == nil || !slices.Contains(a.listenerTLS.fronts(), front) {
 		return nil
 	}
-	return g.listenerTLS.serverConfig(front == "extproc")
+	return a.listenerTLS.serverConfig(front == "extproc")
 }
 
 // Certificate returns what the client certificate of a handshake proves. A caller without one may still
 // send a token.
-func (g *Authenticator) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
-	if g.listenerTLS == nil {
+func (a *Authenticator) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
+	if a.listenerTLS == nil {
 		return nil, &identity.Error{Why: identity.Unproven}
 	}
-	return g.listenerTLS.certs.Load().Check(g.now(), s.VerifiedChains)
+	return a.listenerTLS.certs.Load().Check(a.now(), s.VerifiedChains)
 }
