--- a/internal/extproc/caller/caller.go
+++ b/internal/extproc/caller/caller.go
@@ -303,7 +303,7 @@
 	}
 	addr := x.headers[destinationHeader]
 	if addr == "" {
-		return Result{Status: 204, PassedThrough: true}, nil // passed on to the caller's own upstream, which is not simulated
+		return Result{Status: 204, PassedThrough: true}, nil // to the caller's own upstream, not simulated
 	}
 	if x.caller.BeforeSend != nil {
 		x.caller.BeforeSend(addr)
--- a/internal/extproc/calls.go
+++ b/internal/extproc/calls.go
@@ -12,7 +12,7 @@
 const (
 	DecisionNew        Decision = iota // no earlier call stands against it: a new request for the routing module
 	DecisionContinue                   // it asks for the next attempt of a request in progress
-	DecisionReplace                    // the caller has abandoned its earlier call, and repeating the request is harmless
+	DecisionReplace                    // the caller abandoned its earlier call; repeating is harmless
 	DecisionInUse                      // another caller's request in progress has the id
 	DecisionMayHaveRun                 // an earlier attempt may have run, and the request must not run twice
 	DecisionTableFull                  // no capacity for another entry; the request never ran
@@ -41,8 +41,8 @@
 	maxEntries int
 	retention  time.Duration
 	byID       map[string]*Entry
-	mayHaveRun *list.List          // ended entries that may have run, in order of their end
-	neverRan   *list.List          // ended entries that never ran, in order of their end; removed when the table is full
+	mayHaveRun *list.List          // ended entries that may have run, by end
+	neverRan   *list.List          // ended entries that never ran, by end; removed when the table is full
 	awaiting   map[*Entry]struct{} // entries whose callers are expected to return
 }
 
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -184,7 +184,7 @@
 		{Response{Status: 503}, logic.StatusError}, // it may have run
 		{Response{Status: 503, NotProcessed: true}, logic.StatusFull},
 		{Response{Status: 504, NotProcessed: true}, logic.StatusFull},
-		{Response{Status: 500, NotProcessed: true}, logic.StatusError}, // not one of the statuses for which the header counts
+		{Response{Status: 500, NotProcessed: true}, logic.StatusError}, // only counts with 503 and 504
 		{Response{Status: 500}, logic.StatusError},
 		{Response{Status: 503, Overloaded: true}, logic.StatusNoConn},
 		{Response{Status: 503, Details: "via_upstream"}, logic.StatusError},
--- a/internal/extproc/server/cold_test.go
+++ b/internal/extproc/server/cold_test.go
@@ -13,7 +13,7 @@
 	"linenloom/internal/standin"
 )
 
-// A cold box gets no more than its budget from the clients of both front ends together. It is the only box
+// A cold cache gets no more than its budget from the clients of both front ends together. It is the only cache
 // left and becomes overloaded at the platform's multiple: one budget for each front end would overload it.
 func TestColdBudgetIsSharedByFronts(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -40,7 +40,7 @@
 			defer conn.Close()
 			in := bufio.NewReader(conn)
 			fleet.Fill(keys...)
-			const step = 4 * time.Millisecond // 250 reads a second over four boxes: 62.5 each
+			const step = 4 * time.Millisecond // 250 reads a second over four caches: 62.5 each
 			served, refused := 0, 0
 			one := func(i int) {
 				now.Add(int64(step))
--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -69,7 +69,7 @@
 func TestFullDuplexPassThrough(t *testing.T) {
 	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil).useFullDuplex(true)
 	body := bytes.Repeat([]byte("0123456789a"), 100_000)
-	for _, chunk := range []int{0, 200_001, maxChunkBytes, maxChunkBytes + 1} { // longer parts are sent back in several parts
+	for _, chunk := range []int{0, 200_001, maxChunkBytes, maxChunkBytes + 1} { // longer ones come back in parts
 		env.caller.ChunkBytes = chunk
 		res := env.do(caller.Request{Method: "POST", Path: "/else", Body: body})
 		if !res.PassedThrough || res.Err != nil || !bytes.Equal(res.Body, body) {
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -118,7 +118,7 @@
 
 // Whatever callers do, no request stays in progress.
 func TestCallersThatDisconnect(t *testing.T) {
-	const vanish = 10 // what the routing module sends to two unknown boxes
+	const vanish = 10 // what the routing module sends to two unknown caches
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 2)
@@ -136,7 +136,7 @@
 			for _, c := range calls {
 				await(t, c, "a call ends")
 			}
-			// At once, and not only at their deadlines: the boxes still hold the requests.
+			// At once, and not only at their deadlines: the caches still hold the requests.
 			env.eventually("all are given up", func() bool { return env.front.Counts().Abandoned == vanish })
 			for _, b := range fleet.Boxes {
 				b.Close()
--- a/internal/extproc/server/identity.go
+++ b/internal/extproc/server/identity.go
@@ -25,7 +25,8 @@
 	head.authorization, head.tenant = "", ""
 	proof := s.certificateProof()
 	switch {
-	case !hasHeader && proof != nil: // an Authorization header takes precedence over the certificate, even without a valid token
+	// An Authorization header takes precedence over the certificate, even without a valid token.
+	case !hasHeader && proof != nil:
 	case !strings.EqualFold(scheme, "Bearer") || token == "":
 		return &identity.Error{Why: identity.Unproven}
 	default:
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -63,7 +63,7 @@
 		{shop, orderRequest("o2", "w2"), 200},
 		{nobody, readRequest("warm", "r2"), 401},
 		{stays, readRequest("warm", "r3"), 200},
-		{kiosk, withToken("any", readRequest("warm", "r4")), 401}, // a token takes precedence, and none are accepted here
+		{kiosk, withToken("any", readRequest("warm", "r4")), 401}, // tokens take precedence, none are accepted
 	} {
 		if res := c.by.Do(ctx, c.q); res.Status != c.code || res.Err != nil {
 			t.Errorf("%d: %d, %v; want %d", i, res.Status, res.Err, c.code)
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -286,14 +286,14 @@
 		{nil, 200, "value of k"}, // absent: the class's deadline
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "2500"}, 200, "value of k"},
 		{map[string]string{"grpc-timeout": "2S"}, 200, "value of k"},
-		{map[string]string{"x-envoy-expected-rq-timeout-ms": "9"}, 503, "never ran"},  // almost expired: less than the margin
-		{map[string]string{"x-envoy-expected-rq-timeout-ms": "0"}, 200, "value of k"}, // Envoy sends 0 for a route without a timeout
+		{map[string]string{"x-envoy-expected-rq-timeout-ms": "9"}, 503, "never ran"},  // less than the margin
+		{map[string]string{"x-envoy-expected-rq-timeout-ms": "0"}, 200, "value of k"}, // Envoy: no timeout
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "-5"}, 503, "never ran"},
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "soon"}, 400, "no number"},
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "NaN"}, 400, "no number"},
 		{map[string]string{"grpc-timeout": "5"}, 400, "grpc-timeout"},
 		{map[string]string{"grpc-timeout": "123456789S"}, 400, "grpc-timeout"},
-		{map[string]string{"grpc-timeout": "0S", "x-envoy-expected-rq-timeout-ms": "0"}, 503, "never ran"}, // the smallest value counts
+		{map[string]string{"grpc-timeout": "0S", "x-envoy-expected-rq-timeout-ms": "0"}, 503, "never ran"}, // the minimum
 		{map[string]string{"content-length": "lots"}, 400, "content-length"},
 		{map[string]string{"x-tenant": "a,d=9"}, 400, "x-tenant"},
 	} {
@@ -443,7 +443,8 @@
 			}
 			t.Cleanup(fleet.Close)
 			fleet.Fill("k")
-			env := newHarness(t, fleet, strings.Replace(operatorFile("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) { // enough time for all of them on a slow machine
+			// 20 s are enough time for all of them on a slow machine.
+			env := newHarness(t, fleet, strings.Replace(operatorFile("answer", ""), `"5s"`, `"20s"`, 1), func(cfg *proxy.Config) {
 				for i := range cfg.Settings.Classes {
 					cfg.Settings.Classes[i].SoftDeadline, cfg.Settings.Classes[i].Deadline = testTimeout, testTimeout
 				}
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -51,8 +51,8 @@
 	proof            *identity.Proof
 	servedElsewhere  bool // the response came from a member that was not named
 	responseBodySeen bool
-	overrideSent     bool // override_message_timeout was sent for the current message
-	messageAt        time.Time
+	overrideSent     bool         // override_message_timeout was sent for the current message
+	messageAt        time.Time    // when the current message was received
 	reason           logic.Reason // reason of the final answer
 	outbox           *outbox      // responses to send, if bodies pass through this stream
 	delivered        bool         // the response is complete
