--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(){
+	for name, damage := range map[string]func(){
 		"emptied":   func() { write(nil) },
 		"cut":       func() { write(text[:len(text)/2]) },
 		"too long":  func() { write(make([]byte, maxFileBytes+1)) },
@@ -79,7 +79,7 @@
 		"a private": func() { write([]byte(`{"keys":[{"kty":"oct","kid":"x","k":"AAAA"}]}`)) },
 	} {
 		log.Reset()
-		spoil()
+		damage()
 		for range 3 {
 			authenticator.ReloadFiles()
 		}
@@ -138,9 +138,9 @@
 		case 3:
 			authenticator.Reload(testSettings(file))
 		case 4:
-			none := testSettings(file)
-			none.Tenants[0].Name = "else"
-			authenticator.Reload(none)
+			otherTenant := testSettings(file)
+			otherTenant.Tenants[0].Name = "else"
+			authenticator.Reload(otherTenant)
 		}
 		if err := authenticator.May(proof, order); identity.WhyOf(err) != want {
 			t.Errorf("step %d: %v, want %v", i, err, want)
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(){
+	for name, damage := range map[string]func(){
 		"the key does not fit": func() { authority.write("key.pem", otherKey) },
 		"roots cut short":      func() { authority.write("roots.pem", standin.PEM(authority.Roots[1].Cert)[:300]) },
 		"roots emptied":        func() { authority.write("roots.pem", nil) },
@@ -117,7 +117,7 @@
 		cert, _ := os.ReadFile(authority.Path("cert.pem"))
 		key, _ := os.ReadFile(authority.Path("key.pem"))
 		log.Reset()
-		spoil()
+		damage()
 		authenticator.ReloadFiles()
 		authenticator.ReloadFiles()
 		if n := strings.Count(log.String(), "level=ERROR"); n != 1 {
@@ -132,12 +132,12 @@
 		authenticator.ReloadFiles()
 	}
 	// The listener's own certificate is replaced.
-	own, err := authority.Renew()
+	renewed, err := authority.Renew()
 	if err != nil {
 		t.Fatal(err)
 	}
 	authenticator.ReloadFiles()
-	if _, seen, err := authority.handshake(authenticator, 0, "kiosk.example"); err != nil || !seen.Equal(own.Cert) {
+	if _, seen, err := authority.handshake(authenticator, 0, "kiosk.example"); err != nil || !seen.Equal(renewed.Cert) {
 		t.Errorf("the new certificate is not shown: %v", err)
 	}
 	// Both roots are in force, then only the second.
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -121,12 +121,12 @@
 	f.Add([]byte{1, 2, 2 + 16, 4, 5, 6})
 	f.Add([]byte{4, 1})
 	f.Fuzz(func(t *testing.T, messages []byte) {
-		var o MessageOrder
+		var order MessageOrder
 		var seen [7]int
 		ended := map[bool]bool{}
 		for _, b := range messages {
 			m, end := Message(b%6+1), b&16 > 0
-			if o.Next(m, end) != nil {
+			if order.Next(m, end) != nil {
 				return // the stream ends here
 			}
 			response := m >= ResponseHeaders
@@ -205,10 +205,10 @@
 // run twice is accepted again only if none of its earlier attempts may have run, and the table stays within
 // its limit.
 func TestCallTableAgainstModel(t *testing.T) {
-	const most, remember = 8, 50 * time.Millisecond
+	const maxEntries, retention = 8, 50 * time.Millisecond
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		c := NewCallTable(most, remember)
+		table := NewCallTable(maxEntries, retention)
 		type state struct {
 			e      *Entry
 			ran    bool          // an attempt that must not be repeated may have run
@@ -219,65 +219,65 @@
 		for step := range 300 {
 			now += time.Duration(rng.IntN(4)) * time.Millisecond
 			id := fmt.Sprint(rng.IntN(12))
-			m := model[id]
-			if m == nil {
-				m = &state{}
-				model[id] = m
+			entry := model[id]
+			if entry == nil {
+				entry = &state{}
+				model[id] = entry
 			}
 			switch op := rng.IntN(5); {
 			case op < 2:
 				attempt := rng.IntN(4)
-				e, replaced, d := c.Begin(id, attempt, true, false, now)
-				switch d {
+				e, replaced, decision := table.Begin(id, attempt, true, false, now)
+				switch decision {
 				case DecisionNew:
-					if m.e != nil {
+					if entry.e != nil {
 						t.Fatalf("seed %d step %d: fresh while in hand", seed, step)
 					}
-					if m.ran && now < m.ranEnd+remember {
+					if entry.ran && now < entry.ranEnd+retention {
 						t.Fatalf("seed %d step %d: fresh although it may have run", seed, step)
 					}
 					if attempt > 1 && !e.Reused {
 						t.Fatalf("seed %d step %d: a repeat of something unknown was let through", seed, step)
 					}
-					m.e, m.ran = e, false
+					entry.e, entry.ran = e, false
 				case DecisionContinue:
-					if e != m.e || m.e == nil {
+					if e != entry.e || entry.e == nil {
 						t.Fatalf("seed %d step %d: continues another request", seed, step)
 					}
 				case DecisionReplace:
 					t.Fatalf("seed %d step %d: %v was replaced", seed, step, replaced)
 				default:
 					if e != nil {
-						t.Fatalf("seed %d step %d: an entry with %v", seed, step, d)
+						t.Fatalf("seed %d step %d: an entry with %v", seed, step, decision)
 					}
 				}
-			case op == 2 && m.e != nil && !m.e.AwaitingCaller:
-				c.AwaitCaller(m.e, now+5*time.Millisecond)
-			case op == 3 && m.e != nil:
+			case op == 2 && entry.e != nil && !entry.e.AwaitingCaller:
+				table.AwaitCaller(entry.e, now+5*time.Millisecond)
+			case op == 3 && entry.e != nil:
 				ran := rng.IntN(2) == 0
-				c.End(m.e, ran, now)
-				m.e, m.ran, m.ranEnd = nil, ran, now
+				table.End(entry.e, ran, now)
+				entry.e, entry.ran, entry.ranEnd = nil, ran, now
 			case op == 4:
-				for _, e := range c.Overdue(now) {
+				for _, e := range table.Overdue(now) {
 					if !e.AwaitingCaller || e.ExpiresAt > now {
 						t.Fatalf("seed %d step %d: %+v is not late", seed, step, e)
 					}
-					c.End(e, false, now)
+					table.End(e, false, now)
 					model[e.ID].e, model[e.ID].ran = nil, false
 				}
 			}
-			if c.Len() > most {
-				t.Fatalf("seed %d step %d: %d entries", seed, step, c.Len())
+			if table.Len() > maxEntries {
+				t.Fatalf("seed %d step %d: %d entries", seed, step, table.Len())
 			}
 		}
 		for _, m := range model {
 			if m.e != nil {
-				c.End(m.e, false, now)
+				table.End(m.e, false, now)
 			}
 		}
-		c.removeExpired(now + time.Hour)
-		if c.Len() != 0 || len(c.awaiting) != 0 || c.mayHaveRun.Len() != 0 || c.neverRan.Len() != 0 {
-			t.Fatalf("seed %d: %d entries are left", seed, c.Len())
+		table.removeExpired(now + time.Hour)
+		if table.Len() != 0 || len(table.awaiting) != 0 || table.mayHaveRun.Len() != 0 || table.neverRan.Len() != 0 {
+			t.Fatalf("seed %d: %d entries are left", seed, table.Len())
 		}
 	}
 }
--- a/internal/extproc/server/cold_test.go
+++ b/internal/extproc/server/cold_test.go
@@ -27,7 +27,7 @@
 				keys = append(keys, fmt.Sprint("k", i))
 			}
 			var now atomic.Int64
-			at := func() time.Time { return time.Unix(0, int64(time.Hour)+now.Load()) }
+			wallTime := func() time.Time { return time.Unix(0, int64(time.Hour)+now.Load()) }
 			env := newHarness(t, fleet, operatorFile("answer", ""), func(cfg *proxy.Config) {
 				cfg.Clock = func() time.Duration { return time.Duration(now.Load()) }
 				cfg.Settings.OverloadMultiple = c.multiple
@@ -38,11 +38,11 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			in := bufio.NewReader(conn)
+			reader := bufio.NewReader(conn)
 			fleet.Fill(keys...)
 			const step = 4 * time.Millisecond // 250 reads a second over four caches: 62.5 each
 			served, refused := 0, 0
-			one := func(i int) {
+			readOnce := func(i int) {
 				now.Add(int64(step))
 				env.host.Tick()
 				key, id := keys[i*7%len(keys)], fmt.Sprint("c", i)
@@ -53,11 +53,11 @@
 				} else {
 					fmt.Fprintf(conn, "*4\r\n$7\r\nOBJ.GET\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$18\r\nc=tile-read,d=2000\r\n", len(key), key, len(id), id)
 					conn.SetDeadline(time.Now().Add(testTimeout))
-					if answer, err = in.ReadString('\n'); err != nil {
+					if answer, err = reader.ReadString('\n'); err != nil {
 						t.Fatal(err)
 					}
 					if answer[0] == '$' {
-						if answer, err = in.ReadString('\n'); err != nil {
+						if answer, err = reader.ReadString('\n'); err != nil {
 							t.Fatal(err)
 						}
 					}
@@ -70,17 +70,17 @@
 				env.eventually("nothing is in hand", func() bool { l := env.host.Load(); return l.Requests == 0 && l.Busy == 0 })
 			}
 			for i := range 1500 {
-				one(i)
+				readOnce(i)
 			}
 			if served < 1400 {
 				t.Fatalf("only %d of 1500 served by the warm boxes", served)
 			}
-			cold, err := fleet.Add("s-cold", at())
+			cold, err := fleet.Add("s-cold", wallTime())
 			if err != nil {
 				t.Fatal(err)
 			}
-			cold.SetCold(standin.Cold{Since: at(), From: 0.3, For: 8900 * time.Millisecond, Rate: 62.5, Multiple: 4,
-				After: 1500 * time.Millisecond, Now: at})
+			cold.SetCold(standin.Cold{Since: wallTime(), From: 0.3, For: 8900 * time.Millisecond, Rate: 62.5, Multiple: 4,
+				After: 1500 * time.Millisecond, Now: wallTime})
 			fleet.Fill(keys...)
 			for _, b := range fleet.Boxes[:4] {
 				fleet.Drain(b)
@@ -88,7 +88,7 @@
 			env.eventually("only the cold box is left", func() bool { return env.host.Load().Ready == 2 })
 			served, refused = 0, 0
 			for i := range 750 { // three seconds
-				one(10_000 + i)
+				readOnce(10_000 + i)
 			}
 			if cold.Fell() != c.fell {
 				t.Errorf("fell %v, want %v: %d served, %d refused", cold.Fell(), c.fell, served, refused)
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -20,7 +20,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			fleet, copies := newFleet(t, 2), standin.NewCopies()
-			at := map[string]string{}
+			relayAddrs := map[string]string{}
 			for _, m := range fleet.Registry.List().Members {
 				far := m.ID == fleet.Boxes[0].ID
 				delay := time.Duration(0)
@@ -35,20 +35,20 @@
 				if far {
 					relay.SetHandshake(func() time.Duration { return handshake })
 				}
-				at[m.ID] = relay.Addr()
+				relayAddrs[m.ID] = relay.Addr()
 			}
 			for _, b := range fleet.Boxes {
 				b.SetService(45*time.Millisecond, 0)
 			}
 			env := newHarness(t, fleet, operatorFile("route", ""), func(cfg *proxy.Config) {
-				see := func(m discovery.Member) discovery.Member { m.HostPort = at[m.ID]; return m }
-				view, err := fleet.Registry.View(see)
+				withRelay := func(m discovery.Member) discovery.Member { m.HostPort = relayAddrs[m.ID]; return m }
+				view, err := fleet.Registry.View(withRelay)
 				if err != nil {
 					t.Fatal(err)
 				}
 				cfg.Discovery, cfg.Settings.ConnectTimeout = view, 600*time.Millisecond
 				for i, m := range cfg.Known.Members {
-					cfg.Known.Members[i] = see(m)
+					cfg.Known.Members[i] = withRelay(m)
 				}
 			})
 			env.caller.Retries, env.caller.AttemptTimeout = 4, 50*time.Millisecond
--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -72,17 +72,17 @@
 }
 
 // enqueue queues a message that holds n counted bytes.
-func (o *outbox) enqueue(s *stream, r *extprocv3.ProcessingResponse, n int) error {
+func (o *outbox) enqueue(s *stream, r *extprocv3.ProcessingResponse, heldBytes int) error {
 	o.pending.Add(1)
 	select {
-	case o.queue <- outboxMessage{r, n}:
+	case o.queue <- outboxMessage{r, heldBytes}:
 		return nil
 	case <-s.forceEnd:
 	case <-s.rpc.Context().Done():
 	}
 	o.pending.Add(-1)
-	if n > 0 {
-		s.front.host.Do(func() { s.front.host.Hold(-n) })
+	if heldBytes > 0 {
+		s.front.host.Do(func() { s.front.host.Hold(-heldBytes) })
 	}
 	return s.notReadStatus()
 }
@@ -210,12 +210,12 @@
 
 // allowedEndpoints returns the members that the caller allows: nil without a hint, empty if it allows none.
 func allowedEndpoints(m *extprocv3.ProcessingRequest) []string {
-	v, ok := m.GetMetadataContext().GetFilterMetadata()[subsetNamespace].GetFields()[subsetKey]
+	hint, ok := m.GetMetadataContext().GetFilterMetadata()[subsetNamespace].GetFields()[subsetKey]
 	if !ok {
 		return nil
 	}
-	only := parseEndpoints(v)
-	return only[:min(len(only), maxSubset)]
+	members := parseEndpoints(hint)
+	return members[:min(len(members), maxSubset)]
 }
 
 // parseEndpoints reads addresses from a list or from comma-separated text. The result is never nil.
@@ -245,7 +245,7 @@
 // recordServedMember records the member that served the request, if the caller reports one: a fallback or
 // one that was not named.
 func (s *stream) recordServedMember(m *extprocv3.ProcessingRequest) {
-	v, ok := m.GetMetadataContext().GetFilterMetadata()[servedNamespace].GetFields()[servedKey]
+	served, ok := m.GetMetadataContext().GetFilterMetadata()[servedNamespace].GetFields()[servedKey]
 	if !ok {
 		return
 	}
@@ -255,7 +255,7 @@
 			return
 		}
 		named := strings.Split(call.namedAddrs, ",")
-		index := slices.Index(named, v.GetStringValue())
+		index := slices.Index(named, served.GetStringValue())
 		if index < 0 {
 			s.servedElsewhere = true
 			s.front.counts.ServedElsewhere++
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -44,7 +44,7 @@
 			fleet := newFleet(t, 1)
 			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			fleet.Origin.SetFault(standin.Stall)
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			first := env.start(ctx, orderRequest("o1", "w1"))
 			env.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
 			// While the first is in progress: the same id from another caller, and the caller's own repeat.
@@ -52,7 +52,7 @@
 			q := orderRequest("o1", "w1")
 			q.Headers["x-envoy-attempt-count"] = "2"
 			env.expect(env.do(q), 502, "may have run")
-			leave()
+			disconnect()
 			await(t, first, "the first call ends")
 			env.eventually("its stream has ended", func() bool { return env.front.Counts().Streams == 0 })
 			env.expect(env.do(q), 502, "may have run")
@@ -101,8 +101,8 @@
 	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	fleet.Fill("k")
 	fleet.Boxes[0].SetFault(standin.Stall)
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
+	ctx, disconnect := context.WithCancel(context.Background())
+	defer disconnect()
 	first := env.start(ctx, readRequest("k", "r1"))
 	env.eventually("the read is at the box", func() bool { return fleet.Boxes[0].Began() == 1 })
 	env.expect(env.do(readRequest("k", "r1")), 409, "in hand") // another caller's
@@ -110,7 +110,7 @@
 	q := readRequest("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
 	env.expect(env.do(q), 200, "value of k")
-	leave()
+	disconnect()
 	await(t, first, "the first call ends")
 	fleet.Boxes[0].Close()
 	env.waitIdle()
@@ -118,7 +118,7 @@
 
 // Whatever callers do, no request stays in progress.
 func TestCallersThatDisconnect(t *testing.T) {
-	const vanish = 10 // what the routing module sends to two unknown caches
+	const callCount = 10 // what the routing module sends to two unknown caches
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 2)
@@ -126,18 +126,18 @@
 			for _, b := range fleet.Boxes {
 				b.SetFault(standin.Stall)
 			}
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			var calls []<-chan caller.Result
-			for i := range vanish {
+			for i := range callCount {
 				calls = append(calls, env.start(ctx, readRequest(fmt.Sprint("k", i), fmt.Sprint("r", i))))
 			}
-			env.eventually("all are in hand", func() bool { return env.front.Counts().Accepted == vanish && env.front.Counts().Calls == vanish })
-			leave()
+			env.eventually("all are in hand", func() bool { return env.front.Counts().Accepted == callCount && env.front.Counts().Calls == callCount })
+			disconnect()
 			for _, c := range calls {
 				await(t, c, "a call ends")
 			}
 			// At once, and not only at their deadlines: the caches still hold the requests.
-			env.eventually("all are given up", func() bool { return env.front.Counts().Abandoned == vanish })
+			env.eventually("all are given up", func() bool { return env.front.Counts().Abandoned == callCount })
 			for _, b := range fleet.Boxes {
 				b.Close()
 			}
@@ -164,10 +164,10 @@
 
 // Silent streams are limited to max_streams, are refused with a status beyond that, and end by themselves.
 func TestSilentStreams(t *testing.T) {
-	const most = 8
+	const maxStreams = 8
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	env := newHarness(t, fleet, operatorFile("answer", fmt.Sprintf("max_streams = %d", most)), nil)
+	env := newHarness(t, fleet, operatorFile("answer", fmt.Sprintf("max_streams = %d", maxStreams)), nil)
 	client := extprocv3.NewExternalProcessorClient(env.caller.Conn(0))
 	ended := make(chan codes.Code, 2000)
 	for range 2000 {
@@ -184,8 +184,8 @@
 	if code := await(t, ended, "one is turned away"); code != codes.Unavailable {
 		t.Errorf("the first to end ended with %v", code)
 	}
-	if c := env.front.Counts(); c.Streams > most {
-		t.Errorf("%d streams, %d at most", c.Streams, most)
+	if c := env.front.Counts(); c.Streams > maxStreams {
+		t.Errorf("%d streams, %d at most", c.Streams, maxStreams)
 	}
 	env.eventually("all have ended", func() bool {
 		c := env.front.Counts()
@@ -241,27 +241,27 @@
 class = "tile-read"
 `), nil)
 	env.eventually("the list is known", func() bool { return env.host.Load().Ready == 3 })
-	s, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(context.Background())
+	rpc, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Send(&extprocv3.ProcessingRequest{
+	rpc.Send(&extprocv3.ProcessingRequest{
 		ProtocolConfig: &extprocv3.ProtocolConfiguration{RequestBodyMode: filterv3.ProcessingMode_BUFFERED},
 		Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: &extprocv3.HttpHeaders{
 			Headers: headerMap(":method", "POST", ":path", "/tiles/k", "x-request-id", "r1")}}})
-	named := func(m *extprocv3.CommonResponse) string {
-		for _, h := range m.GetHeaderMutation().GetSetHeaders() {
+	namedMember := func(response *extprocv3.CommonResponse) string {
+		for _, h := range response.GetHeaderMutation().GetSetHeaders() {
 			if h.GetHeader().GetKey() == "x-gateway-destination-endpoint" {
 				return string(h.GetHeader().GetRawValue())
 			}
 		}
 		return ""
 	}
-	m, err := s.Recv()
+	m, err := rpc.Recv()
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := named(m.GetRequestHeaders().GetResponse())
+	first := namedMember(m.GetRequestHeaders().GetResponse())
 	i := slices.IndexFunc(fleet.Boxes, func(b *standin.Box) bool { return b.Addr() == first })
 	if i < 0 {
 		t.Fatalf("%q is no box", first)
@@ -271,20 +271,20 @@
 	}
 	fleet.Drain(fleet.Boxes[i])
 	env.eventually("the drain is known", func() bool { return env.host.Load().Ready == 2 })
-	s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
+	rpc.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: []byte("q"), EndOfStream: true}}})
-	if m, err = s.Recv(); err != nil {
+	if m, err = rpc.Recv(); err != nil {
 		t.Fatal(err)
 	}
-	if second := named(m.GetRequestBody().GetResponse()); second != fleet.Boxes[1-i].Addr() {
+	if second := namedMember(m.GetRequestBody().GetResponse()); second != fleet.Boxes[1-i].Addr() {
 		t.Errorf("sent to %q after the drain of %s", second, first)
 	}
-	s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
+	rpc.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
 		ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(":status", "200"), EndOfStream: true}}})
-	if _, err = s.Recv(); err != nil {
+	if _, err = rpc.Recv(); err != nil {
 		t.Fatal(err)
 	}
-	s.CloseSend()
+	rpc.CloseSend()
 	env.waitIdle()
 }
 
@@ -329,11 +329,11 @@
 			b := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			c := dial(t, a, b)
 			c.Retries = 4
-			var g sync.WaitGroup
-			var n, bad atomic.Int64
+			var clients sync.WaitGroup
+			var succeeded, failed atomic.Int64
 			stop := make(chan struct{})
 			for w := range 8 {
-				g.Go(func() {
+				clients.Go(func() {
 					for i := 0; ; i++ {
 						select {
 						case <-stop:
@@ -346,8 +346,8 @@
 						}
 						ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 						if res := c.Do(ctx, q); res.Status == 200 || res.Status == 503 || res.Status == 429 {
-							n.Add(1)
-						} else if bad.Add(1) < 5 {
+							succeeded.Add(1)
+						} else if failed.Add(1) < 5 {
 							t.Errorf("%s: %d %q %v", q.Path, res.Status, res.Body, res.Err)
 						}
 						cancel()
@@ -359,7 +359,7 @@
 			before := b.front.Counts().Accepted
 			b.eventually("the second serves", func() bool { return b.front.Counts().Accepted > before+100 })
 			close(stop)
-			g.Wait()
+			clients.Wait()
 			for key, ran := range fleet.Origin.Executions() {
 				if ran > 1 {
 					t.Errorf("order %s ran %d times", key, ran)
--- a/internal/extproc/server/identity_test.go
+++ b/internal/extproc/server/identity_test.go
@@ -62,7 +62,7 @@
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
 	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = newFakeCallers() })
-	as := func(tenant string, q caller.Request) caller.Request { q.Headers["x-tenant"] = tenant; return q }
+	withTenant := func(tenant string, q caller.Request) caller.Request { q.Headers["x-tenant"] = tenant; return q }
 	basic := readRequest("warm", "r0")
 	basic.Headers["authorization"] = "Basic c2hvcDpzaG9w"
 	for _, c := range []struct {
@@ -77,7 +77,7 @@
 		{withToken("kiosk", readRequest("warm", "r4")), 200, "value of warm"},
 		{withToken("app", readRequest("warm", "r5")), 403, "not on this front"},
 		{withToken("else", readRequest("warm", "r6")), 403, "no right"},
-		{as("shop", withToken("kiosk", orderRequest("o1", "w1"))), 403, "to reads only"},
+		{withTenant("shop", withToken("kiosk", orderRequest("o1", "w1"))), 403, "to reads only"},
 		{withToken("shop#one", orderRequest("o1", "w1")), 200, "receipt of o1"},
 		{withToken("shop#one", orderRequest("o2", "w2")), 403, "used before"},
 		{withToken("kiosk", readRequest("warm", "w1")), 200, "value of warm"}, // the id of the shop's order
@@ -93,15 +93,15 @@
 // An order that was refused has not run, so its token stays usable.
 func TestRefusedOrderKeepsItsToken(t *testing.T) {
 	fleet := newFleet(t, 1)
-	n := newFakeCallers()
-	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = n })
+	callers := newFakeCallers()
+	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = callers })
 	fleet.Origin.Close()
 	if res := env.do(withToken("shop#one", orderRequest("o1", "w1"))); res.Status != 503 && res.Status != 429 {
 		t.Fatalf("answered %d %q, want a refusal", res.Status, res.Body)
 	}
 	env.host.Do(func() {
-		if n.replays.Len() != 0 {
-			t.Errorf("%d ids are used by an order that never ran", n.replays.Len())
+		if callers.replays.Len() != 0 {
+			t.Errorf("%d ids are used by an order that never ran", callers.replays.Len())
 		}
 	})
 }
--- a/internal/extproc/server/leave_test.go
+++ b/internal/extproc/server/leave_test.go
@@ -14,32 +14,32 @@
 // order is not sent once the connection is established, and the caller's repeat is a new order.
 func TestCallerDisconnectsBeforeOriginConnects(t *testing.T) {
 	fleet := newFleet(t, 1)
-	door, err := standin.NewDoor()
+	listener, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { door.Close() })
-	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
+	t.Cleanup(func() { listener.Close() })
+	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: listener.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
 	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
-	ctx, leave := context.WithCancel(context.Background())
-	left := env.start(ctx, orderRequest("o1", "left"))
+	ctx, disconnect := context.WithCancel(context.Background())
+	result := env.start(ctx, orderRequest("o1", "left"))
 	env.eventually("it is in hand", func() bool { return env.host.Load().Attempts == 1 })
-	leave()
-	await(t, left, "the call ends")
+	disconnect()
+	await(t, result, "the call ends")
 	env.eventually("nothing is in hand", func() bool { l := env.host.Load(); return l.Requests == 0 && l.Attempts == 0 })
-	asked := make(chan string, 10)
-	door.Serve(func(conn net.Conn) {
+	requestIDs := make(chan string, 10)
+	listener.Serve(func(conn net.Conn) {
 		standin.AnswerAsOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
-			asked <- id
+			requestIDs <- id
 			return "receipt"
 		})
 	})
 	q := orderRequest("o1", "left")
 	q.Headers["x-envoy-attempt-count"] = "2"
 	env.expect(env.do(q), 200, "receipt")
-	await(t, asked, "the repeat comes")
-	if n := len(asked); n != 0 {
+	await(t, requestIDs, "the repeat comes")
+	if n := len(requestIDs); n != 0 {
 		t.Errorf("%d orders too many came to the origin", n)
 	}
 }
--- a/internal/extproc/server/many_test.go
+++ b/internal/extproc/server/many_test.go
@@ -33,17 +33,17 @@
 		keys = append(keys, fmt.Sprint("k", i))
 	}
 	fleet.Fill(keys...)
-	n := newFakeCallers()
-	n.policy = identity.NewPolicy([]identity.Rights{{Tenant: "kiosk", Prefixes: []string{"k1"}}, {Tenant: "shop"}}, nil)
+	callers := newFakeCallers()
+	callers.policy = identity.NewPolicy([]identity.Rights{{Tenant: "kiosk", Prefixes: []string{"k1"}}, {Tenant: "shop"}}, nil)
 	env := newHarness(t, fleet, operatorFile("answer", "")+manyMap, func(c *proxy.Config) {
 		c.ManyKeys = &manykeys.Limits{Keys: 20, Bytes: 1 << 20, Outstanding: 8, PartSize: 2}
-		c.Callers = n
+		c.Callers = callers
 	})
 	get := func(as, id string, keys ...string) caller.Result {
 		return env.caller.Do(context.Background(), withToken(as, caller.Request{Method: "GET", Path: "/mountain/" + strings.Join(keys, ","),
 			Headers: map[string]string{"x-request-id": id}}))
 	}
-	read := func(res caller.Result) (all []keyResult) {
+	parseReply := func(res caller.Result) (all []keyResult) {
 		t.Helper()
 		var reply struct {
 			Keys []keyResult `json:"keys"`
@@ -54,7 +54,7 @@
 		return reply.Keys
 	}
 	asked := append(append([]string(nil), keys...), "k3", "fetched")
-	all := read(get("shop", "m1", asked...))
+	all := parseReply(get("shop", "m1", asked...))
 	if len(all) != len(asked) {
 		t.Fatalf("%d keys", len(all))
 	}
@@ -63,7 +63,7 @@
 			t.Errorf("place %d: %s %q %s", i, k.Key, k.Value, k.Mark)
 		}
 	}
-	for i, k := range read(get("kiosk", "m2", keys...)) {
+	for i, k := range parseReply(get("kiosk", "m2", keys...)) {
 		if allowed := strings.HasPrefix(keys[i], "k1"); allowed != (k.Mark == "") || !allowed && (k.Mark != "denied" || k.Value != nil) {
 			t.Errorf("a kiosk's %s: %q %s", k.Key, k.Value, k.Mark)
 		}
--- a/internal/extproc/server/record_test.go
+++ b/internal/extproc/server/record_test.go
@@ -36,10 +36,10 @@
 		"route, nobody knows it":  {mode: "route", repeat: 502, says: "look it up", fresh: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fleet, d := newFleet(t, 1), crash.New()
+			fleet, disk := newFleet(t, 1), crash.New()
 			open := func() *harness {
 				return newHarness(t, fleet, operatorFile(c.mode, ""), func(cfg *proxy.Config) {
-					k, err := keeper.Open(d, keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20},
+					k, err := keeper.Open(disk, keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20},
 						SegmentSize: 64 << 10, CompactAfter: 100, MaxPending: 10}}, ledger.WallClock, slog.New(slog.DiscardHandler))
 					if err != nil {
 						t.Fatal(err)
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -19,15 +19,15 @@
 // connections are open: a connection whose root is removed accepts no further stream and is closed after
 // its last one.
 func TestCallerCertificates(t *testing.T) {
-	a, err := standin.NewAuthority(t.TempDir(), 2)
+	authority, err := standin.NewAuthority(t.TempDir(), 2)
 	if err == nil {
-		err = a.Publish(a.Roots...)
+		err = authority.Publish(authority.Roots...)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate, err := callers.New(&operator.Identity{Replays: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
-		TLS:          operator.TLS{Cert: a.Path("cert.pem"), Key: a.Path("key.pem"), Roots: a.Path("roots.pem"), Client: "asked", Handshakes: 1000},
+	authenticator, err := callers.New(&operator.Identity{Replays: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
+		TLS:          operator.TLS{Cert: authority.Path("cert.pem"), Key: authority.Path("key.pem"), Roots: authority.Path("roots.pem"), Client: "asked", Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}, {DNS: "shop.example", Tenant: "shop"}}},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -35,10 +35,10 @@
 	}
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
-	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = gate })
-	enter := func(root int, name string) *caller.Caller {
+	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = authenticator })
+	dialAs := func(root int, name string) *caller.Caller {
 		t.Helper()
-		cfg, err := a.Config(a.Roots[root], name)
+		cfg, err := authority.Config(authority.Roots[root], name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,18 +51,18 @@
 		return c
 	}
 	ctx := context.Background()
-	kiosk, shop, nobody, stays := enter(0, "kiosk.example"), enter(0, "shop.example"), enter(0, ""), enter(1, "kiosk.example")
-	as := func(tenant string, q caller.Request) caller.Request { q.Headers["x-tenant"] = tenant; return q }
+	kiosk, shop, anonymous, otherRoot := dialAs(0, "kiosk.example"), dialAs(0, "shop.example"), dialAs(0, ""), dialAs(1, "kiosk.example")
+	withTenant := func(tenant string, q caller.Request) caller.Request { q.Headers["x-tenant"] = tenant; return q }
 	for i, c := range []struct {
 		by   *caller.Caller
 		q    caller.Request
 		code int
 	}{
 		{kiosk, readRequest("warm", "r1"), 200},
-		{kiosk, as("shop", orderRequest("o1", "w1")), 403},
+		{kiosk, withTenant("shop", orderRequest("o1", "w1")), 403},
 		{shop, orderRequest("o2", "w2"), 200},
-		{nobody, readRequest("warm", "r2"), 401},
-		{stays, readRequest("warm", "r3"), 200},
+		{anonymous, readRequest("warm", "r2"), 401},
+		{otherRoot, readRequest("warm", "r3"), 200},
 		{kiosk, withToken("any", readRequest("warm", "r4")), 401}, // tokens take precedence, none are accepted
 	} {
 		if res := c.by.Do(ctx, c.q); res.Status != c.code || res.Err != nil {
@@ -90,10 +90,10 @@
 	if n := conns(); n != 3 {
 		t.Fatalf("%d proven connections", n)
 	}
-	if err := a.Publish(a.Roots[1]); err != nil {
+	if err := authority.Publish(authority.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
-	gate.ReloadFiles()
+	authenticator.ReloadFiles()
 	wait("the idle connection is closed, the other is not", func() bool { return conns() == 2 })
 	if res := kiosk.Do(ctx, readRequest("warm", "r5")); res.Status == 200 {
 		t.Error("a stream is taken on a connection whose root is gone")
@@ -111,7 +111,7 @@
 	if res := shop.Do(ctx, orderRequest("o3", "w3")); res.Status == 200 {
 		t.Error("a certificate whose root is gone gets in again")
 	}
-	if res := stays.Do(ctx, readRequest("warm", "r6")); res.Status != 200 {
+	if res := otherRoot.Do(ctx, readRequest("warm", "r6")); res.Status != 200 {
 		t.Errorf("the other: %d, %v", res.Status, res.Err)
 	}
 }
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -111,24 +111,24 @@
 // New creates the front end and binds its address. The file has already been validated, except for its
 // class names, which are checked here against the settings.
 func New(host *proxy.Proxy, file *operator.File, log *slog.Logger) (*Front, error) {
-	f := &Front{host: host, log: log.With("front", "extproc"), streams: map[*stream]struct{}{}, certConns: map[*countedConn]struct{}{},
+	front := &Front{host: host, log: log.With("front", "extproc"), streams: map[*stream]struct{}{}, certConns: map[*countedConn]struct{}{},
 		idleReaders: make(chan *stream), quit: make(chan struct{})}
-	cfg, err := f.compile(file)
+	cfg, err := front.compile(file)
 	if err != nil {
 		return nil, err
 	}
-	f.config.Store(cfg)
-	f.calls = extproc.NewCallTable(maxCalls, cfg.Remember.D())
-	if f.listen, err = bind(cfg.Listen); err != nil {
+	front.config.Store(cfg)
+	front.calls = extproc.NewCallTable(maxCalls, cfg.Remember.D())
+	if front.listen, err = bind(cfg.Listen); err != nil {
 		return nil, fmt.Errorf("extproc.listen: %w", err)
 	}
 	options := []grpc.ServerOption{}
 	if callers := host.Callers(); callers != nil {
 		if cfg := callers.TLS("extproc"); cfg != nil {
-			options = append(options, grpc.Creds(certificateCreds{credentials.NewTLS(cfg), f}))
+			options = append(options, grpc.Creds(certificateCreds{credentials.NewTLS(cfg), front}))
 		}
 	}
-	f.grpc = grpc.NewServer(append(options,
+	front.grpc = grpc.NewServer(append(options,
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxHeaderListSize(maxHeaderBytes),
 		// Twice max_streams, so that an excess stream is refused with a status and does not wait at the
 		// caller.
@@ -141,10 +141,10 @@
 		grpc.NumStreamWorkers(idleGoroutines),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
 	)...)
-	extprocv3.RegisterExternalProcessorServer(f.grpc, f)
-	f.health = health.NewServer()
-	healthv1.RegisterHealthServer(f.grpc, f.health)
-	return f, nil
+	extprocv3.RegisterExternalProcessorServer(front.grpc, front)
+	front.health = health.NewServer()
+	healthv1.RegisterHealthServer(front.grpc, front.health)
+	return front, nil
 }
 
 func (f *Front) compile(file *operator.File) (*config, error) {
@@ -228,15 +228,15 @@
 // Owes reports whether a stream still waits for an answer. It ends streams whose exchange is over. A stream
 // without messages may have its first one in transit and is waited for like any other.
 func (f *Front) Owes() bool {
-	owed := false
+	waiting := false
 	for s := range f.streams {
 		if s.idle && (s.outbox == nil || s.outbox.pending.Load() == 0) {
 			s.endByForce()
 		} else {
-			owed = true
+			waiting = true
 		}
 	}
-	return owed
+	return waiting
 }
 
 // End does nothing: a stream ends with its answer, and GOAWAY tells callers that all others never ran.
@@ -472,7 +472,7 @@
 	}
 	c.settled = true
 	c.front.host.Withdraw(&c.request)
-	ran := c.request.MayHaveRun() // after Withdraw, which takes back what has not been sent
+	mayHaveRun := c.request.MayHaveRun() // after Withdraw, which takes back what has not been sent
 	if c.many != nil {
 		c.many.withdraw()
 	}
@@ -483,7 +483,7 @@
 		}
 		c.attempt.End(outcome, 0)
 	}
-	c.front.calls.End(c.entry, ran, c.front.host.Now())
+	c.front.calls.End(c.entry, mayHaveRun, c.front.host.Now())
 }
 
 // abandon ends a call whose caller no longer waits.
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -104,11 +104,11 @@
 	if env.host, err = proxy.New(cfg, log); err != nil {
 		t.Fatal(err)
 	}
-	op, err := operator.Parse("test.toml", []byte(text))
+	file, err := operator.Parse("test.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if env.front, err = New(env.host, op, log); err != nil {
+	if env.front, err = New(env.host, file, log); err != nil {
 		t.Fatal(err)
 	}
 	env.host.AddFront(env.front)
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -388,11 +388,11 @@
 // sendExpired answers a request whose deadline has passed. The request has not run unless an earlier
 // attempt may have.
 func (s *stream) sendExpired(class *logic.Class) error {
-	ran := false
+	mayHaveRun := false
 	if s.runOnce(class) {
-		s.front.host.Do(func() { ran = s.front.calls.MayHaveRun(s.head.requestID, s.head.attempt, s.front.host.Now()) })
+		s.front.host.Do(func() { mayHaveRun = s.front.calls.MayHaveRun(s.head.requestID, s.head.attempt, s.front.host.Now()) })
 	}
-	if ran {
+	if mayHaveRun {
 		return s.sendFailed("an earlier attempt may have run, and the time for the request is over")
 	}
 	return s.sendImmediate(503, []byte(extproc.ErrExpired.Error()+"; it never ran"), "")
@@ -790,13 +790,13 @@
 
 // endTimedOut ends a request because the caller's message timeout is about to expire.
 func (s *stream) endTimedOut() error {
-	ran := false
+	mayHaveRun := false
 	s.front.host.Do(func() {
-		ran = s.call.request.MayHaveRun()
+		mayHaveRun = s.call.request.MayHaveRun()
 		s.call.abandon()
 	})
 	s.reason = logic.OutOfTime
-	if ran && s.call.entry.RunOnce {
+	if mayHaveRun && s.call.entry.RunOnce {
 		return s.sendFailed("the time for the request is over")
 	}
 	return s.sendRefused(0)
