--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -293,7 +293,8 @@
 		{map[string]string{"x-envoy-expected-rq-timeout-ms": "NaN"}, 400, "no number"},
 		{map[string]string{"grpc-timeout": "5"}, 400, "grpc-timeout"},
 		{map[string]string{"grpc-timeout": "123456789S"}, 400, "grpc-timeout"},
-		{map[string]string{"grpc-timeout": "0S", "x-envoy-expected-rq-timeout-ms": "0"}, 503, "never ran"}, // the minimum
+		// The minimum of both headers counts.
+		{map[string]string{"grpc-timeout": "0S", "x-envoy-expected-rq-timeout-ms": "0"}, 503, "never ran"},
 		{map[string]string{"content-length": "lots"}, 400, "content-length"},
 		{map[string]string{"x-tenant": "a,d=9"}, 400, "x-tenant"},
 	} {
