--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -71,9 +71,9 @@
 func TestTimeLeft(t *testing.T) {
 	const h = "x-envoy-expected-rq-timeout-ms"
 	for _, c := range []struct {
-		name, value string
-		want        time.Duration
-		spent, bad  bool
+		name, value      string
+		want             time.Duration
+		expired, invalid bool
 	}{
 		{h, "250", 250 * time.Millisecond, false, false},
 		{h, "0.5", 500 * time.Microsecond, false, false},
@@ -97,7 +97,7 @@
 		{"grpc-timeout", "--1S", 0, false, true},
 	} {
 		got, err := TimeLeft(c.name, c.value)
-		if spent := errors.Is(err, ErrExpired); got != c.want || spent != c.spent || (err != nil && !spent) != c.bad {
+		if spent := errors.Is(err, ErrExpired); got != c.want || spent != c.expired || (err != nil && !spent) != c.invalid {
 			t.Errorf("%s: %s: %v, %v", c.name, c.value, got, err)
 		}
 	}
@@ -210,9 +210,9 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		table := NewCallTable(maxEntries, retention)
 		type state struct {
-			e      *Entry
-			ran    bool          // an attempt that must not be repeated may have run
-			ranEnd time.Duration // when that attempt ended
+			e          *Entry
+			mayHaveRun bool          // an attempt that must not be repeated may have run
+			endedAt    time.Duration // when that attempt ended
 		}
 		model := map[string]*state{}
 		now := time.Duration(0)
@@ -233,13 +233,13 @@
 					if entry.e != nil {
 						t.Fatalf("seed %d step %d: fresh while in hand", seed, step)
 					}
-					if entry.ran && now < entry.ranEnd+retention {
+					if entry.mayHaveRun && now < entry.endedAt+retention {
 						t.Fatalf("seed %d step %d: fresh although it may have run", seed, step)
 					}
 					if attempt > 1 && !e.Reused {
 						t.Fatalf("seed %d step %d: a repeat of something unknown was let through", seed, step)
 					}
-					entry.e, entry.ran = e, false
+					entry.e, entry.mayHaveRun = e, false
 				case DecisionContinue:
 					if e != entry.e || entry.e == nil {
 						t.Fatalf("seed %d step %d: continues another request", seed, step)
@@ -256,14 +256,14 @@
 			case op == 3 && entry.e != nil:
 				ran := rng.IntN(2) == 0
 				table.End(entry.e, ran, now)
-				entry.e, entry.ran, entry.ranEnd = nil, ran, now
+				entry.e, entry.mayHaveRun, entry.endedAt = nil, ran, now
 			case op == 4:
 				for _, e := range table.Overdue(now) {
 					if !e.AwaitingCaller || e.ExpiresAt > now {
 						t.Fatalf("seed %d step %d: %+v is not late", seed, step, e)
 					}
 					table.End(e, false, now)
-					model[e.ID].e, model[e.ID].ran = nil, false
+					model[e.ID].e, model[e.ID].mayHaveRun = nil, false
 				}
 			}
 			if table.Len() > maxEntries {
--- a/internal/extproc/server/cold_test.go
+++ b/internal/extproc/server/cold_test.go
@@ -17,8 +17,8 @@
 // left and becomes overloaded at the platform's multiple: one budget for each front end would overload it.
 func TestColdBudgetIsSharedByFronts(t *testing.T) {
 	for name, c := range map[string]struct {
-		multiple float64 // overload multiple of the routing module; the platform's is 4
-		fell     bool
+		multiple   float64 // overload multiple of the routing module; the platform's is 4
+		overloaded bool
 	}{"one budget": {4, false}, "as much as two": {8, true}} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newFleet(t, 4)
@@ -90,10 +90,10 @@
 			for i := range 750 { // three seconds
 				readOnce(10_000 + i)
 			}
-			if cold.Fell() != c.fell {
-				t.Errorf("fell %v, want %v: %d served, %d refused", cold.Fell(), c.fell, served, refused)
+			if cold.Fell() != c.overloaded {
+				t.Errorf("fell %v, want %v: %d served, %d refused", cold.Fell(), c.overloaded, served, refused)
 			}
-			if !c.fell && (served < 50 || refused < 50) {
+			if !c.overloaded && (served < 50 || refused < 50) {
 				t.Errorf("%d served, %d refused: the budget is not what bounds it", served, refused)
 			}
 			env.waitIdle()
