--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// enqueue queues a message that holds n counted bytes.
+// enqueue queues a message. heldBytes of its body count as held until it is written.
 func (o *outbox) enqueue(s *stream, r *extprocv3.ProcessingResponse, heldBytes int) error {
 	o.pending.Add(1)
 	select {
