--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,7 +1,9 @@
-// Package callers puts package identity to work in a process: it reads the key file, looks whether it has changed, and answers for
-// many connections at once. What it answers is decided by package identity.
+// Package callers runs package identity in a process: it loads the key file, reloads it when it changes,
+// and authenticates and authorizes callers of many connections concurrently. The decisions are those of
+// package identity.
 //
-// It never logs a token, and never goes on with half a key file: a set that can't be read leaves the one before in force.
+// Tokens are never logged, and a key file is applied completely or not at all: if it cannot be read, the
+// previous keys stay in force.
 package callers
 
 import (
@@ -21,71 +23,72 @@
 	"linenloom/internal/operator"
 )
 
-// lookEvery is how often the key file is looked at. A key that is retired by its file is refused so long after the file was
-// replaced at the most; one that is retired by its own moment, from that moment on.
-const lookEvery = time.Second
-
-const maxFile = 256 << 10
-
-// Gate tells who callers are and what they may do.
-type Gate struct {
-	file string
-	name string
-	log  *slog.Logger
-	now  func() time.Time
-
-	keys   atomic.Pointer[identity.Keys] // in force
-	mu     sync.Mutex                    // of the verifier: a check takes some 100 us
-	verify *identity.Verifier            // nil: no tokens are taken
-	doors  *doors                        // nil: listeners speak plainly
-
-	rights  sync.Mutex // of what follows: held for a look only
-	policy  *identity.Policy
-	replays identity.Replays
-	sources identity.Sources
-
-	rules []identity.CertRule // under files, like what follows
-	files sync.Mutex          // of what follows
-	text  []byte              // of the keys in force
-	fault string              // as last logged
+// reloadInterval is how often the key file is checked. A key that is removed from the file is refused at
+// most this long after the file was replaced; a key that is retired by its own time is refused from that
+// time on.
+const reloadInterval = time.Second
+
+const maxFileBytes = 256 << 10
+
+// Authenticator authenticates callers and decides what they may do.
+type Authenticator struct {
+	keyFile   string
+	tokenName string
+	log       *slog.Logger
+	now       func() time.Time
+
+	keys        atomic.Pointer[identity.Keys] // in force
+	verifierMu  sync.Mutex                    // guards verifier; a check takes about 100 us
+	verifier    *identity.Verifier            // nil: tokens are not accepted
+	listenerTLS *tlsState                     // nil: listeners use no TLS
+
+	rightsMu sync.Mutex // guards policy, replays and sources; held only for look-ups
+	policy   *identity.Policy
+	replays  identity.Replays
+	sources  identity.Sources
+
+	rules     []identity.CertRule // guarded by filesMu, like keyText and lastFault
+	filesMu   sync.Mutex          // guards the fields below and rules
+	keyText   []byte              // contents of the key file in force
+	lastFault string              // the error logged last
 }
 
-// New reads the keys. Without a set that can be read it does not begin.
-func New(cfg *operator.Identity, log *slog.Logger) (*Gate, error) {
-	g := &Gate{file: cfg.Keys, name: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
+// New loads the keys. It fails if they cannot be read.
+func New(cfg *operator.Identity, log *slog.Logger) (*Authenticator, error) {
+	authenticator := &Authenticator{keyFile: cfg.Keys, tokenName: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
 		replays: identity.Replays{Most: cfg.Replays}, sources: identity.Sources{Most: cfg.Suspects}, rules: cfg.Rules()}
 	if cfg.TLS.Set() {
 		var err error
-		if g.doors, err = newDoors(cfg, log, g.now); err != nil {
+		if authenticator.listenerTLS, err = newTLSState(cfg, log, authenticator.now); err != nil {
 			return nil, err
 		}
 	}
 	if !cfg.ByTokens() {
-		return g, nil
+		return authenticator, nil
 	}
-	text, err := read(g.file)
+	text, err := readFile(authenticator.keyFile)
 	if err != nil {
 		return nil, err
 	}
 	keys, err := identity.ParseKeys(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", g.file, err)
+		return nil, fmt.Errorf("%s: %w", authenticator.keyFile, err)
 	}
-	g.text = text
-	g.keys.Store(keys)
-	g.verify = identity.NewVerifier(cfg.Terms(), keys)
-	g.log.Info("callers are proven by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
-	return g, nil
+	authenticator.keyText = text
+	authenticator.keys.Store(keys)
+	authenticator.verifier = identity.NewVerifier(cfg.Terms(), keys)
+	authenticator.log.Info("callers are authenticated by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
+	return authenticator, nil
 }
 
-func read(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("key file: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
-	if err == nil && len(text) > maxFile {
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(text) > maxFileBytes {
 		err = errors.New("too long")
 	}
 	if err != nil {
@@ -94,38 +97,38 @@
 	return text, nil
 }
 
-// Run looks at the key file until the context ends.
-func (g *Gate) Run(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+// Run checks the key file periodically until the context ends.
+func (a *Authenticator) Run(ctx context.Context) {
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			g.Look()
+			a.ReloadFiles()
 		}
 	}
 }
 
-// Look reads the key file, and puts it in force if it has changed and can be read.
-func (g *Gate) Look() {
-	g.files.Lock()
-	defer g.files.Unlock()
-	if g.doors != nil {
-		g.doors.look(g.rules)
+// ReloadFiles reads the key file and the TLS files, and applies those that have changed and are valid.
+func (a *Authenticator) ReloadFiles() {
+	a.filesMu.Lock()
+	defer a.filesMu.Unlock()
+	if a.listenerTLS != nil {
+		a.listenerTLS.reload(a.rules)
 	}
-	if g.verify != nil {
-		g.lookKeys()
+	if a.verifier != nil {
+		a.reloadKeys()
 	}
 }
 
-func (g *Gate) lookKeys() {
-	text, err := read(g.file)
-	if err == nil && bytes.Equal(text, g.text) {
-		if g.fault != "" {
-			g.log.Info("key file is as it was before the fault", "file", g.file)
-			g.fault = ""
+func (a *Authenticator) reloadKeys() {
+	text, err := readFile(a.keyFile)
+	if err == nil && bytes.Equal(text, a.keyText) {
+		if a.lastFault != "" {
+			a.log.Info("key file has its earlier contents again", "file", a.keyFile)
+			a.lastFault = ""
 		}
 		return
 	}
@@ -134,93 +137,94 @@
 		keys, err = identity.ParseKeys(text)
 	}
 	if err != nil {
-		if g.fault != err.Error() { // once for each fault, not every second
-			g.log.Error("key file can't be used, the old keys stay in force", "file", g.file, "err", err)
+		if a.lastFault != err.Error() { // logged once for each error, not every second
+			a.log.Error("key file is unusable, the old keys stay in force", "file", a.keyFile, "err", err)
 		}
-		g.fault = err.Error()
+		a.lastFault = err.Error()
 		return
 	}
-	// From here on no proof by a key that is not in the set holds; the verifier follows.
-	g.keys.Store(keys)
-	g.mu.Lock()
-	g.verify.SetKeys(keys)
-	g.mu.Unlock()
-	g.text, g.fault = text, ""
+	// From here on no proof by a key outside the new set is valid; the verifier is updated afterwards.
+	a.keys.Store(keys)
+	a.verifierMu.Lock()
+	a.verifier.SetKeys(keys)
+	a.verifierMu.Unlock()
+	a.keyText, a.lastFault = text, ""
 	var ids []string
 	for _, k := range keys.List {
-		ids = append(ids, k.ID+" "+k.Phase(g.now()).String())
+		ids = append(ids, k.ID+" "+k.Phase(a.now()).String())
 	}
-	g.log.Info("keys in force", "file", g.file, "keys", ids)
+	a.log.Info("keys in force", "file", a.keyFile, "keys", ids)
 }
 
-// Reload takes over the tenants' rights, and looks at the key file.
-func (g *Gate) Reload(cfg *operator.Identity) {
-	g.rights.Lock()
-	g.policy = identity.NewPolicy(cfg.Rights(), g.policy)
-	g.rights.Unlock()
-	g.files.Lock()
-	if g.rules = cfg.Rules(); g.doors != nil {
-		g.doors.rule(g.rules)
-	}
-	g.files.Unlock()
-	g.Look()
+// Reload applies the tenants' rights and checks the files.
+func (a *Authenticator) Reload(cfg *operator.Identity) {
+	a.rightsMu.Lock()
+	a.policy = identity.NewPolicy(cfg.Rights(), a.policy)
+	a.rightsMu.Unlock()
+	a.filesMu.Lock()
+	if a.rules = cfg.Rules(); a.listenerTLS != nil {
+		a.listenerTLS.setRules(a.rules)
+	}
+	a.filesMu.Unlock()
+	a.ReloadFiles()
 }
 
-// Name is the name of a token in a request's list.
-func (g *Gate) Name() string { return g.name }
+// Name returns the attribute name under which requests carry a token.
+func (a *Authenticator) Name() string { return a.tokenName }
 
-// Prove tells what a token proves that came from an address. It may take some 100 us, and must not be called under a lock that others
-// wait for. Suspect tells that its connection has shown a bad one before; so may others from its address have.
-func (g *Gate) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
-	if g.verify == nil {
+// Prove verifies a token that came from an address. It may take about 100 us and must not be called under a
+// contended lock. suspect says that the token's connection has sent an invalid token before; the address
+// may be known for one too.
+func (a *Authenticator) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
+	if a.verifier == nil {
 		return nil, &identity.Error{Why: identity.Forbidden, What: "no tokens are taken here"}
 	}
 	if !suspect {
-		g.rights.Lock()
-		suspect = g.sources.Suspect(g.now(), from)
-		g.rights.Unlock()
-	}
-	g.mu.Lock()
-	p, err := g.verify.Check(g.now(), token, suspect)
-	g.mu.Unlock()
-	if identity.WhyOf(err) == identity.Forged { // what else is wrong with a token is found out before its signature is checked
-		g.rights.Lock()
-		g.sources.Bad(g.now(), from)
-		g.rights.Unlock()
-	}
-	return p, err
+		a.rightsMu.Lock()
+		suspect = a.sources.Suspect(a.now(), from)
+		a.rightsMu.Unlock()
+	}
+	a.verifierMu.Lock()
+	proof, err := a.verifier.Check(a.now(), token, suspect)
+	a.verifierMu.Unlock()
+	if identity.WhyOf(err) == identity.Forged { // all other errors are found before the signature is checked
+		a.rightsMu.Lock()
+		a.sources.Bad(a.now(), from)
+		a.rightsMu.Unlock()
+	}
+	return proof, err
 }
 
-// Holds tells whether a proof still holds. It waits for nothing.
-func (g *Gate) Holds(p *identity.Proof) error {
-	if p.ByCertificate() && g.doors != nil {
-		return g.doors.certs.Load().Holds(g.now(), p)
+// Holds reports whether a proof is still valid. It does not block.
+func (a *Authenticator) Holds(p *identity.Proof) error {
+	if p.ByCertificate() && a.listenerTLS != nil {
+		return a.listenerTLS.certs.Load().Holds(a.now(), p)
 	}
-	return g.keys.Load().Holds(g.now(), p)
+	return a.keys.Load().Holds(a.now(), p)
 }
 
-// May tells whether the bearer of a proof may make a request now. An order uses its token's id.
-func (g *Gate) May(p *identity.Proof, a identity.Ask) error {
+// May reports whether the holder of a proof may make a request now. An order consumes its token's id.
+func (a *Authenticator) May(p *identity.Proof, request identity.Ask) error {
 	if p == nil {
 		return &identity.Error{Why: identity.Unproven}
 	}
-	if err := g.Holds(p); err != nil {
+	if err := a.Holds(p); err != nil {
 		return err
 	}
-	g.rights.Lock()
-	defer g.rights.Unlock()
-	if err := g.policy.May(g.now(), p.Tenant, a); err != nil {
+	a.rightsMu.Lock()
+	defer a.rightsMu.Unlock()
+	if err := a.policy.May(a.now(), p.Tenant, request); err != nil {
 		return err
 	}
-	if a.Once {
-		return g.replays.Use(g.now(), p)
+	if request.Once {
+		return a.replays.Use(a.now(), p)
 	}
 	return nil
 }
 
-// Release gives back the id of a token whose order has surely not run.
-func (g *Gate) Release(p *identity.Proof) {
-	g.rights.Lock()
-	defer g.rights.Unlock()
-	g.replays.Release(p)
+// Release makes the id of a token usable again if its order is known not to have run.
+func (a *Authenticator) Release(p *identity.Proof) {
+	a.rightsMu.Lock()
+	defer a.rightsMu.Unlock()
+	a.replays.Release(p)
 }
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -21,8 +21,8 @@
 	"linenloom/internal/operator"
 )
 
-// keySet is a set with one new key of that id, and a token by it.
-func keySet(t *testing.T, id string) (text []byte, token string) {
+// newKeySet returns a key set with one new key of this id, and a token signed by it.
+func newKeySet(t *testing.T, id string) (text []byte, token string) {
 	t.Helper()
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -46,16 +46,16 @@
 	return text, token
 }
 
-func settings(file string) *operator.Identity {
+func testSettings(file string) *operator.Identity {
 	return &operator.Identity{Keys: file, Issuer: "i", Audience: "a", TenantClaim: "tenant", Name: "tk", MaxLife: operator.Duration(time.Hour),
 		Known: 8, ChecksPerS: 100, Replays: 8, Tenants: []operator.Tenant{{Name: "shop"}}}
 }
 
-// Whatever becomes of the key file, the keys in force stay until another set can be read; each fault is logged once, with the file and
-// what is wrong, and no token is ever logged.
+// Whatever happens to the key file, the keys in force stay until another set can be read. Each error is
+// logged once, with the file and the reason, and no token is ever logged.
 func TestKeyFileFaults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.json")
-	text, token := keySet(t, "k1")
+	text, token := newKeySet(t, "k1")
 	write := func(b []byte) {
 		t.Helper()
 		if err := os.WriteFile(file, b, 0o600); err != nil {
@@ -64,14 +64,14 @@
 	}
 	write(text)
 	var log bytes.Buffer
-	g, err := New(settings(file), slog.New(slog.NewTextHandler(&log, nil)))
+	authenticator, err := New(testSettings(file), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(){
+	for name, damage := range map[string]func(){
 		"emptied":   func() { write(nil) },
 		"cut":       func() { write(text[:len(text)/2]) },
-		"too long":  func() { write(make([]byte, maxFile+1)) },
+		"too long":  func() { write(make([]byte, maxFileBytes+1)) },
 		"removed":   func() { os.Remove(file) },
 		"a folder":  func() { os.Remove(file); os.Mkdir(file, 0o700) },
 		"no JSON":   func() { os.Remove(file); write([]byte("keys: []")) },
@@ -79,11 +79,11 @@
 		"a private": func() { write([]byte(`{"keys":[{"kty":"oct","kid":"x","k":"AAAA"}]}`)) },
 	} {
 		log.Reset()
-		spoil()
+		damage()
 		for range 3 {
-			g.Look()
+			authenticator.ReloadFiles()
 		}
-		if _, err := g.Prove([]byte(token), netip.Addr{}, false); err != nil {
+		if _, err := authenticator.Prove([]byte(token), netip.Addr{}, false); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if got := log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "old keys stay in force") || !strings.Contains(got, file) {
@@ -91,41 +91,42 @@
 		}
 		os.RemoveAll(file)
 		write(text)
-		if g.Look(); strings.Contains(log.String(), token) {
+		if authenticator.ReloadFiles(); strings.Contains(log.String(), token) {
 			t.Errorf("%s: the token is logged", name)
 		}
 	}
-	other, newToken := keySet(t, "k1") // another key under the same id
+	other, newToken := newKeySet(t, "k1") // another key under the same id
 	write(other)
-	g.Look()
-	if _, err := g.Prove([]byte(token), netip.Addr{}, false); identity.WhyOf(err) != identity.Retired {
+	authenticator.ReloadFiles()
+	if _, err := authenticator.Prove([]byte(token), netip.Addr{}, false); identity.WhyOf(err) != identity.Retired {
 		t.Errorf("by the key before: %v", err)
 	}
-	if _, err := g.Prove([]byte(newToken), netip.Addr{}, false); err != nil {
+	if _, err := authenticator.Prove([]byte(newToken), netip.Addr{}, false); err != nil {
 		t.Errorf("by the new key: %v", err)
 	}
 }
 
-// Without keys that can be read there is nothing to begin with.
-func TestNoKeysNoGate(t *testing.T) {
-	_, err := New(settings(filepath.Join(t.TempDir(), "none")), slog.New(slog.DiscardHandler))
+// Without readable keys New fails.
+func TestNewFailsWithoutReadableKeys(t *testing.T) {
+	_, err := New(testSettings(filepath.Join(t.TempDir(), "none")), slog.New(slog.DiscardHandler))
 	if !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("%v", err)
 	}
 }
 
-// An order uses its token's id, keeps it over a reload of the rights, and has it back if it surely has not run.
-func TestOrdersUseTheirToken(t *testing.T) {
+// An order consumes its token's id, keeps it over a reload of the rights, and gives it back if it is known
+// not to have run.
+func TestOrderConsumesItsToken(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys.json")
-	text, token := keySet(t, "k1")
+	text, token := newKeySet(t, "k1")
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(settings(file), slog.New(slog.DiscardHandler))
+	authenticator, err := New(testSettings(file), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := g.Prove([]byte(token), netip.Addr{}, false)
+	proof, err := authenticator.Prove([]byte(token), netip.Addr{}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,19 +134,19 @@
 	for i, want := range []identity.Why{0, identity.Replayed, 0, identity.Replayed, identity.Right} {
 		switch i {
 		case 2:
-			g.Release(p)
+			authenticator.Release(proof)
 		case 3:
-			g.Reload(settings(file))
+			authenticator.Reload(testSettings(file))
 		case 4:
-			none := settings(file)
-			none.Tenants[0].Name = "else"
-			g.Reload(none)
+			otherTenant := testSettings(file)
+			otherTenant.Tenants[0].Name = "else"
+			authenticator.Reload(otherTenant)
 		}
-		if err := g.May(p, order); identity.WhyOf(err) != want {
+		if err := authenticator.May(proof, order); identity.WhyOf(err) != want {
 			t.Errorf("step %d: %v, want %v", i, err, want)
 		}
 	}
-	if err := g.May(nil, order); identity.WhyOf(err) != identity.Unproven {
+	if err := authenticator.May(nil, order); identity.WhyOf(err) != identity.Unproven {
 		t.Errorf("without a proof: %v", err)
 	}
 }
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -16,64 +16,65 @@
 	"linenloom/internal/operator"
 )
 
-// errTooMany ends a handshake before anything is computed for it.
-var errTooMany = errors.New("too many handshakes")
+// errTooManyHandshakes ends a handshake before any cryptographic work.
+var errTooManyHandshakes = errors.New("too many handshakes")
 
-// doors is what listeners need to speak TLS: their certificate, the roots of their callers', and what those prove. All of it is read
-// again together: connections that stand keep what they were made with, and are ended by what Holds says of their proof.
-type doors struct {
+// tlsState holds the TLS settings of listeners: their certificate, the roots for client certificates, and
+// the rules for what those prove. All files are reloaded together. Open connections keep the settings that
+// they were made with, and are closed when Holds rejects their proof.
+type tlsState struct {
 	files  operator.TLS
 	log    *slog.Logger
 	now    func() time.Time
 	config atomic.Pointer[tls.Config]     // for new connections
-	certs  atomic.Pointer[identity.Certs] // what certificates prove
+	certs  atomic.Pointer[identity.Certs] // decides what client certificates prove
 
-	mu         sync.Mutex // of handshakes
-	handshakes *identity.Budget
+	handshakesMu sync.Mutex // guards handshakes
+	handshakes   *identity.Budget
 
-	// Under the Gate's files.
-	texts [3][]byte // of cert, key and roots in force
-	roots []*x509.Certificate
-	fault string
+	// Guarded by Authenticator.filesMu.
+	contents  [3][]byte // of cert, key and roots in force
+	roots     []*x509.Certificate
+	lastFault string
 }
 
-func newDoors(cfg *operator.Identity, log *slog.Logger, now func() time.Time) (*doors, error) {
-	d := &doors{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
-	texts, err := d.read()
+func newTLSState(cfg *operator.Identity, log *slog.Logger, now func() time.Time) (*tlsState, error) {
+	state := &tlsState{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
+	contents, err := state.readFiles()
 	if err == nil {
-		err = d.put(texts, cfg.Rules())
+		err = state.apply(contents, cfg.Rules())
 	}
 	if err != nil {
 		return nil, err
 	}
-	log.Info("listeners speak TLS", "fronts", d.fronts(), "client_certificates", d.files.Client, "roots", len(d.roots),
+	log.Info("listeners use TLS", "fronts", state.fronts(), "client_certificates", state.files.Client, "roots", len(state.roots),
 		"rules", len(cfg.Certificates))
-	return d, nil
+	return state, nil
 }
 
-func (d *doors) fronts() []string {
+func (d *tlsState) fronts() []string {
 	if len(d.files.Fronts) > 0 {
 		return d.files.Fronts
 	}
 	return []string{"resp2", "extproc"}
 }
 
-func (d *doors) read() (texts [3][]byte, err error) {
+func (d *tlsState) readFiles() (contents [3][]byte, err error) {
 	for i, path := range []string{d.files.Cert, d.files.Key, d.files.Roots} {
-		if texts[i], err = read(path); err != nil {
-			return texts, err
+		if contents[i], err = readFile(path); err != nil {
+			return contents, err
 		}
 	}
-	return texts, nil
+	return contents, nil
 }
 
-// put puts certificate, key and roots in force, all or none.
-func (d *doors) put(texts [3][]byte, rules []identity.CertRule) error {
-	own, err := tls.X509KeyPair(texts[0], texts[1])
+// apply puts the certificate, key and roots in force, either all or none.
+func (d *tlsState) apply(contents [3][]byte, rules []identity.CertRule) error {
+	certificate, err := tls.X509KeyPair(contents[0], contents[1])
 	if err != nil {
 		return fmt.Errorf("%s and %s: %w", d.files.Cert, d.files.Key, err)
 	}
-	roots, err := identity.ParseRoots(texts[2])
+	roots, err := identity.ParseRoots(contents[2])
 	if err != nil {
 		return fmt.Errorf("%s: %w", d.files.Roots, err)
 	}
@@ -81,54 +82,58 @@
 	for _, r := range roots {
 		pool.AddCert(r)
 	}
-	ask := tls.VerifyClientCertIfGiven
+	clientAuth := tls.VerifyClientCertIfGiven
 	if d.files.Client == "required" {
-		ask = tls.RequireAndVerifyClientCert
+		clientAuth = tls.RequireAndVerifyClientCert
 	}
 	d.certs.Store(identity.NewCerts(rules, roots))
 	d.config.Store(&tls.Config{
-		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{own}, ClientAuth: ask, ClientCAs: pool, Time: d.now,
+		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{certificate}, ClientAuth: clientAuth, ClientCAs: pool, Time: d.now,
 		NextProtos: []string{"h2"},
-		// A session taken up again brings the chains of its first handshake along, which the roots of today might not allow.
+		// A resumed session brings the certificate chains of its first handshake, which the current roots
+		// might not allow.
 		SessionTicketsDisabled: true,
 	})
-	d.texts, d.roots = texts, roots
+	d.contents, d.roots = contents, roots
 	return nil
 }
 
-// rule puts other rules in force, with the roots as they are.
-func (d *doors) rule(rules []identity.CertRule) { d.certs.Store(identity.NewCerts(rules, d.roots)) }
+// setRules replaces the rules and keeps the roots.
+func (d *tlsState) setRules(rules []identity.CertRule) {
+	d.certs.Store(identity.NewCerts(rules, d.roots))
+}
 
-// look reads the files, and puts them in force if they have changed and fit together.
-func (d *doors) look(rules []identity.CertRule) {
-	texts, err := d.read()
-	same := err == nil && slices.EqualFunc(texts[:], d.texts[:], bytes.Equal)
+// reload reads the files and applies them if they have changed and are valid together.
+func (d *tlsState) reload(rules []identity.CertRule) {
+	contents, err := d.readFiles()
+	same := err == nil && slices.EqualFunc(contents[:], d.contents[:], bytes.Equal)
 	if err == nil && !same {
-		err = d.put(texts, rules)
+		err = d.apply(contents, rules)
 	}
 	switch {
 	case err != nil:
-		if d.fault != err.Error() {
-			d.log.Error("TLS files can't be used, the old ones stay in force", "err", err)
+		if d.lastFault != err.Error() {
+			d.log.Error("TLS files are unusable, the old ones stay in force", "err", err)
 		}
-		d.fault = err.Error()
+		d.lastFault = err.Error()
 	case !same:
-		d.fault = ""
+		d.lastFault = ""
 		d.log.Info("TLS files in force", "roots", len(d.roots))
-	case d.fault != "":
-		d.fault = ""
-		d.log.Info("TLS files are as they were before the fault")
+	case d.lastFault != "":
+		d.lastFault = ""
+		d.log.Info("TLS files have their earlier contents again")
 	}
 }
 
-// serverConfig is for a listener. What is in force is looked up with each handshake.
-func (d *doors) serverConfig(alpn bool) *tls.Config {
+// serverConfig returns the configuration of a listener. The settings in force are looked up for each
+// handshake.
+func (d *tlsState) serverConfig(alpn bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		d.mu.Lock()
+		d.handshakesMu.Lock()
 		ok := d.handshakes.Take(d.now())
-		d.mu.Unlock()
+		d.handshakesMu.Unlock()
 		if !ok {
-			return nil, errTooMany
+			return nil, errTooManyHandshakes
 		}
 		c := d.config.Load()
 		if !alpn {
@@ -139,18 +144,19 @@
 	}}
 }
 
-// TLS is the configuration of a front's listener; nil: it speaks plainly.
-func (g *Gate) TLS(front string) *tls.Config {
-	if g.doors == nil || !slices.Contains(g.doors.fronts(), front) {
+// TLS returns the configuration of a front end's listener, or nil if it uses no TLS.
+func (a *Authenticator) TLS(front string) *tls.Config {
+	if a.listenerTLS == nil || !slices.Contains(a.listenerTLS.fronts(), front) {
 		return nil
 	}
-	return g.doors.serverConfig(front == "extproc")
+	return a.listenerTLS.serverConfig(front == "extproc")
 }
 
-// Certificate tells what the certificate proves that a handshake has verified. A caller without one may still bring a token.
-func (g *Gate) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
-	if g.doors == nil {
+// Certificate returns what the client certificate of a handshake proves. A caller without one may still
+// send a token.
+func (a *Authenticator) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
+	if a.listenerTLS == nil {
 		return nil, &identity.Error{Why: identity.Unproven}
 	}
-	return g.doors.certs.Load().Check(g.now(), s.VerifiedChains)
+	return a.listenerTLS.certs.Load().Check(a.now(), s.VerifiedChains)
 }
--- a/internal/extproc/caller/caller.go
+++ b/internal/extproc/caller/caller.go
@@ -1,7 +1,8 @@
-// Package caller is a stand-in for a proxy that we don't run and that calls an external processor for every request.
-// It follows the published protocol of Envoy's ext_proc filter as a caller does: a stream for each exchange, a timeout
-// for each message, one extension of it, failure_mode_allow, body modes and mode_override. It serves plain HTTP to
-// clients, and in mode route sends to the member that the processor names. For tests and the rig only.
+// Package caller simulates a proxy that calls an external processor for every request. It follows the
+// published protocol of Envoy's ext_proc filter from the caller's side: a stream for each exchange, a
+// timeout for each message with one extension, failure_mode_allow, body modes and mode_override. It serves
+// plain HTTP to clients, and in route mode sends requests to the member that the processor names. For tests
+// and the test harness only.
 package caller
 
 import (
@@ -31,33 +32,34 @@
 )
 
 const (
-	mostAnswer = 8 << 20  // of a message that is taken
-	mostChunk  = 60 << 10 // of a body that is sent on as it comes
+	maxResponseBytes = 8 << 20  // limit of a received message
+	maxChunkBytes    = 60 << 10 // limit of a body part in streamed mode
 )
 
-// Caller is the stand-in.
+// Caller is the simulated proxy.
 type Caller struct {
 	MessageTimeout    time.Duration
-	MaxMessageTimeout time.Duration // what a processor may ask for; 0: nothing
+	MaxMessageTimeout time.Duration // limit of an extension by the processor; 0: none
 	FailureModeAllow  bool
 	BodyMode          filterv3.ProcessingMode_BodySendMode
 	// ResponseMode is NONE or FULL_DUPLEX_STREAMED.
 	ResponseMode filterv3.ProcessingMode_BodySendMode
-	Trailers     bool // in full duplex, bodies end with trailers
-	Chunk        int  // in full duplex, the length of a body's parts; 0: some thousand bytes
+	Trailers     bool // full duplex: bodies end with trailers
+	ChunkBytes   int  // full duplex: length of a body part; 0: defaultChunkBytes
 	// Subset, if not nil, is the hint of the members that the processor may name.
 	Subset []string
-	// FallBack: where a member can't be reached, the next one named is tried.
-	FallBack          bool
+	// UseFallbacks makes the caller try the next member named if one is unreachable.
+	UseFallbacks      bool
 	AllowModeOverride bool
-	Retries           int // further attempts, where the processor marks a response for one
-	// RetryFailed is for how long the caller's own retry policy repeats, after 5 ms each, what ended because the
-	// processor failed, orders too: it knows no better.
-	RetryFailed time.Duration
-	// TryTimeout is how long the caller waits for a member in mode route before it gives the try up; 0: for as long as its client.
-	TryTimeout time.Duration
-	// SendAfter is called in mode route between the pick and the send.
-	SendAfter func(addr string)
+	Retries           int // maximum number of further attempts for responses that the processor marks
+	// RetryFailedFor is how long the caller's own retry policy repeats requests that ended because the
+	// processor failed, at intervals of 5 ms. It repeats orders too, as it cannot distinguish them.
+	RetryFailedFor time.Duration
+	// AttemptTimeout is how long the caller waits for a member in route mode before it abandons the
+	// attempt; 0: as long as its client waits.
+	AttemptTimeout time.Duration
+	// BeforeSend is called in route mode after the pick, before the request is sent.
+	BeforeSend func(addr string)
 
 	conns  []*grpc.ClientConn
 	client *http.Client
@@ -65,7 +67,8 @@
 	Overrides atomic.Int64
 }
 
-// Dial makes a caller that prefers the first target and goes to the next where one says that a call never ran there.
+// Dial creates a caller that prefers the first target and tries the next one if a target reports that a
+// call never ran.
 func Dial(targets ...string) (*Caller, error) { return dial(insecure.NewCredentials(), targets) }
 
 // DialTLS is Dial over TLS.
@@ -78,7 +81,7 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 	for _, t := range targets {
 		conn, err := grpc.NewClient(t, grpc.WithTransportCredentials(creds),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostAnswer)),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)),
 			grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 				Backoff: backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.5, MaxDelay: 100 * time.Millisecond}}))
 		if err != nil {
@@ -89,10 +92,10 @@
 	return c, nil
 }
 
-// Conn is the connection to a target.
+// Conn returns the connection to a target.
 func (c *Caller) Conn(i int) *grpc.ClientConn { return c.conns[i] }
 
-// Close ends the connections.
+// Close closes the connections.
 func (c *Caller) Close() {
 	for _, conn := range c.conns {
 		conn.Close()
@@ -107,18 +110,18 @@
 	Body         []byte
 }
 
-// Result is what the client gets.
+// Result is the client's response, with details for tests.
 type Result struct {
-	Status   int
-	Headers  map[string]string
-	Body     []byte
-	Attempts int      // calls of the processor
-	Members  []string // in mode route, where it was sent
-	Passed   bool     // it went on untouched
-	Err      error    // why the processor had no part in the answer, if it had none
+	Status        int
+	Headers       map[string]string
+	Body          []byte
+	Attempts      int      // calls of the processor
+	Members       []string // route mode: where the request was sent
+	PassedThrough bool     // the request was passed on without an answer of the processor
+	Err           error    // why the processor did not take part, if so
 }
 
-// ServeHTTP takes a client's request.
+// ServeHTTP serves a client's request.
 func (c *Caller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -137,19 +140,19 @@
 	w.Write(res.Body)
 }
 
-// Do makes a client's request: an exchange, and further ones as the processor marks them.
-func (c *Caller) Do(ctx context.Context, q Request) Result {
+// Do makes a client's request: an exchange, and further ones for responses that the processor marks.
+func (c *Caller) Do(ctx context.Context, request Request) Result {
 	var members []string
-	begun := time.Now()
+	start := time.Now()
 	for attempt, marks := 1, 0; ; attempt++ {
-		res := c.exchange(ctx, q, attempt)
+		res := c.exchange(ctx, request, attempt)
 		members = append(members, res.Members...)
 		res.Attempts, res.Members = attempt, members
 		_, marked := res.Headers[retryHeader]
 		switch {
 		case marked && marks < c.Retries:
 			marks++
-		case res.Err != nil && !res.Passed && time.Since(begun) < c.RetryFailed && ctx.Err() == nil:
+		case res.Err != nil && !res.PassedThrough && time.Since(start) < c.RetryFailedFor && ctx.Err() == nil:
 			time.Sleep(5 * time.Millisecond)
 		default:
 			delete(res.Headers, retryHeader)
@@ -159,28 +162,30 @@
 }
 
 const (
-	retryHeader = "x-linenloom-retry"
-	destination = "x-gateway-destination-endpoint"
+	retryHeader       = "x-linenloom-retry"
+	destinationHeader = "x-gateway-destination-endpoint"
 )
 
-// ErrTimeout tells that the processor did not answer a message in time.
-var ErrTimeout = errors.New("caller: the processor's time for a message is over")
+// ErrTimeout means that the processor did not answer a message in time.
+var ErrTimeout = errors.New("caller: the processor did not answer a message in time")
 
-// failed is what the client gets where the processor fails: the request goes on untouched, or ends with 500.
-func (c *Caller) failed(err error) Result {
+// failureResult is the client's result if the processor fails: the request is passed on, or answered with
+// 500.
+func (c *Caller) failureResult(err error) Result {
 	if c.FailureModeAllow {
-		return Result{Status: 204, Passed: true, Err: err}
+		return Result{Status: 204, PassedThrough: true, Err: err}
 	}
 	return Result{Status: 500, Err: err}
 }
 
-// exchange makes one call. It is offered to the next target only where the one before says that it never ran.
-func (c *Caller) exchange(ctx context.Context, q Request, attempt int) Result {
+// exchange makes one call. It tries the next target only if the previous one reports that the call never
+// ran.
+func (c *Caller) exchange(ctx context.Context, request Request, attempt int) Result {
 	var res Result
 	for _, conn := range c.conns {
-		x := &exchange{c: c, q: q, attempt: attempt}
+		x := &exchange{caller: c, request: request, attempt: attempt}
 		res = x.run(ctx, conn)
-		if status.Code(res.Err) != codes.Unavailable || x.began {
+		if status.Code(res.Err) != codes.Unavailable || x.accepted {
 			break
 		}
 	}
@@ -188,44 +193,44 @@
 }
 
 type exchange struct {
-	c       *Caller
-	q       Request
-	attempt int
-	stream  extprocv3.ExternalProcessor_ProcessClient
-	in      chan received
-	sending sync.WaitGroup // of bodies, in full duplex
-	mode    filterv3.ProcessingMode_BodySendMode
-	skip    bool   // the response's headers are not wanted
-	began   bool   // the processor has taken the call: its response headers have come
-	served  string // the member that has answered
-	headers map[string]string
-	removed map[string]bool
+	caller              *Caller
+	request             Request
+	attempt             int
+	stream              extprocv3.ExternalProcessor_ProcessClient
+	responses           chan received
+	sending             sync.WaitGroup // tracks sending of bodies in full duplex
+	bodyMode            filterv3.ProcessingMode_BodySendMode
+	skipResponseHeaders bool   // mode_override skips the response headers
+	accepted            bool   // the processor has accepted the call: its response headers have arrived
+	servedAddr          string // the member that answered
+	headers             map[string]string
+	removed             map[string]bool
 }
 
 type received struct {
-	m   *extprocv3.ProcessingResponse
-	err error
+	response *extprocv3.ProcessingResponse
+	err      error
 }
 
-// immediate is a processor's answer that ends the exchange.
-type immediate struct{ r *extprocv3.ImmediateResponse }
+// immediateResponse is an immediate response of the processor, which ends the exchange.
+type immediateResponse struct{ response *extprocv3.ImmediateResponse }
 
-func (immediate) Error() string { return "an immediate response" }
+func (immediateResponse) Error() string { return "immediate response" }
 
 func (x *exchange) run(ctx context.Context, conn *grpc.ClientConn) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var err error
 	if x.stream, err = extprocv3.NewExternalProcessorClient(conn).Process(ctx); err != nil {
-		return x.c.failed(err)
+		return x.caller.failureResult(err)
 	}
-	x.in, x.mode = make(chan received), x.c.BodyMode
+	x.responses, x.bodyMode = make(chan received), x.caller.BodyMode
 	x.headers, x.removed = map[string]string{}, map[string]bool{}
 	go func() {
 		for {
 			m, err := x.stream.Recv()
 			select {
-			case x.in <- received{m, err}:
+			case x.responses <- received{m, err}:
 			case <-ctx.Done():
 				return
 			}
@@ -234,29 +239,29 @@
 			}
 		}
 	}()
-	res, err := x.talk(ctx)
-	var now immediate
+	result, err := x.process(ctx)
+	var now immediateResponse
 	switch {
 	case errors.As(err, &now):
-		res = Result{Status: int(now.r.GetStatus().GetCode()), Body: now.r.GetBody(), Headers: map[string]string{}, Members: res.Members}
-		for _, h := range now.r.GetHeaders().GetSetHeaders() {
-			res.Headers[h.GetHeader().GetKey()] = string(h.GetHeader().GetRawValue())
+		result = Result{Status: int(now.response.GetStatus().GetCode()), Body: now.response.GetBody(), Headers: map[string]string{}, Members: result.Members}
+		for _, h := range now.response.GetHeaders().GetSetHeaders() {
+			result.Headers[h.GetHeader().GetKey()] = string(h.GetHeader().GetRawValue())
 		}
 	case err != nil:
-		members := res.Members
-		res = x.c.failed(err)
-		res.Members = members
+		members := result.Members
+		result = x.caller.failureResult(err)
+		result.Members = members
 	}
-	if err != nil && (x.mode == fullDuplex || x.c.ResponseMode == fullDuplex) {
-		cancel() // the body's sending may stand still
+	if err != nil && (x.bodyMode == fullDuplex || x.caller.ResponseMode == fullDuplex) {
+		cancel() // sending the body may be blocked
 	}
 	x.sending.Wait()
 	x.stream.CloseSend()
-	if status.Code(err) == codes.Unavailable && !x.began {
-		md, _ := x.stream.Header() // it does not wait, as the stream has ended
-		x.began = md != nil
+	if status.Code(err) == codes.Unavailable && !x.accepted {
+		md, _ := x.stream.Header() // does not block, as the stream has ended
+		x.accepted = md != nil
 	}
-	return res
+	return result
 }
 
 func headerMap(pairs map[string]string) *corev3.HeaderMap {
@@ -267,81 +272,81 @@
 	return m
 }
 
-func (x *exchange) talk(ctx context.Context) (res Result, err error) {
-	pairs := map[string]string{":method": x.q.Method, ":path": x.q.Path, ":scheme": "http", ":authority": "tiles",
+func (x *exchange) process(ctx context.Context) (result Result, err error) {
+	pairs := map[string]string{":method": x.request.Method, ":path": x.request.Path, ":scheme": "http", ":authority": "tiles",
 		"x-envoy-attempt-count": strconv.Itoa(x.attempt)}
-	for name, value := range x.q.Headers {
+	for name, value := range x.request.Headers {
 		pairs[name] = value
 	}
-	bare := len(x.q.Body) == 0
-	config := &extprocv3.ProtocolConfiguration{RequestBodyMode: x.mode, ResponseBodyMode: x.c.ResponseMode}
+	noBody := len(x.request.Body) == 0
+	config := &extprocv3.ProtocolConfiguration{RequestBodyMode: x.bodyMode, ResponseBodyMode: x.caller.ResponseMode}
 	first := &extprocv3.ProcessingRequest{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
-		RequestHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: bare}}}
-	if x.c.Subset != nil {
-		first.MetadataContext = metadata("envoy.lb.subset_hint", destination+"-subset", x.c.Subset)
+		RequestHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: noBody}}}
+	if x.caller.Subset != nil {
+		first.MetadataContext = metadata("envoy.lb.subset_hint", destinationHeader+"-subset", x.caller.Subset)
 	}
-	if x.mode == fullDuplex || x.c.ResponseMode == fullDuplex {
-		return x.duplex(ctx, first)
+	if x.bodyMode == fullDuplex || x.caller.ResponseMode == fullDuplex {
+		return x.processDuplex(ctx, first)
 	}
-	m, err := x.ask(ctx, first)
+	response, err := x.roundTrip(ctx, first)
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	x.apply(m.GetRequestHeaders().GetResponse())
-	if o := m.GetModeOverride(); o != nil && x.c.AllowModeOverride {
-		x.mode, x.skip = o.GetRequestBodyMode(), o.GetResponseHeaderMode() == filterv3.ProcessingMode_SKIP
+	x.applyHeaders(response.GetRequestHeaders().GetResponse())
+	if o := response.GetModeOverride(); o != nil && x.caller.AllowModeOverride {
+		x.bodyMode, x.skipResponseHeaders = o.GetRequestBodyMode(), o.GetResponseHeaderMode() == filterv3.ProcessingMode_SKIP
 	}
-	if !bare && x.mode != filterv3.ProcessingMode_NONE {
-		if err := x.body(ctx); err != nil {
-			return res, err
+	if !noBody && x.bodyMode != filterv3.ProcessingMode_NONE {
+		if err := x.sendBuffered(ctx); err != nil {
+			return result, err
 		}
 	}
-	addr := x.headers[destination]
+	addr := x.headers[destinationHeader]
 	if addr == "" {
-		return Result{Status: 204, Passed: true}, nil // to the caller's own upstream, which has no part here
+		return Result{Status: 204, PassedThrough: true}, nil // to the caller's own upstream, not simulated
 	}
-	if x.c.SendAfter != nil {
-		x.c.SendAfter(addr)
+	if x.caller.BeforeSend != nil {
+		x.caller.BeforeSend(addr)
 	}
-	res, attributes := x.send(ctx, addr)
-	res.Members = []string{addr}
-	if x.skip {
-		return res, nil
+	result, attributes := x.sendToMembers(ctx, addr)
+	result.Members = []string{addr}
+	if x.skipResponseHeaders {
+		return result, nil
 	}
-	pairs = map[string]string{":status": strconv.Itoa(res.Status)}
-	for name, value := range res.Headers {
+	pairs = map[string]string{":status": strconv.Itoa(result.Status)}
+	for name, value := range result.Headers {
 		pairs[name] = value
 	}
-	m, err = x.ask(ctx, &extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(), Request: &extprocv3.ProcessingRequest_ResponseHeaders{
-		ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: len(res.Body) == 0}}})
+	response, err = x.roundTrip(ctx, &extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(), Request: &extprocv3.ProcessingRequest_ResponseHeaders{
+		ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: len(result.Body) == 0}}})
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	x.headers = res.Headers
-	x.apply(m.GetResponseHeaders().GetResponse())
-	return res, nil
+	x.headers = result.Headers
+	x.applyHeaders(response.GetResponseHeaders().GetResponse())
+	return result, nil
 }
 
-// body sends the body as the mode says.
-func (x *exchange) body(ctx context.Context) error {
-	chunk := len(x.q.Body)
-	if x.mode == filterv3.ProcessingMode_STREAMED {
-		chunk = min(max(1, (chunk+2)/3), mostChunk)
+// sendBuffered sends the body in one piece, or in parts in streamed mode.
+func (x *exchange) sendBuffered(ctx context.Context) error {
+	chunk := len(x.request.Body)
+	if x.bodyMode == filterv3.ProcessingMode_STREAMED {
+		chunk = min(max(1, (chunk+2)/3), maxChunkBytes)
 	}
-	for rest := x.q.Body; len(rest) > 0; {
+	for rest := x.request.Body; len(rest) > 0; {
 		part := rest[:min(chunk, len(rest))]
 		rest = rest[len(part):]
-		m, err := x.ask(ctx, &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
+		m, err := x.roundTrip(ctx, &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 			RequestBody: &extprocv3.HttpBody{Body: part, EndOfStream: len(rest) == 0}}})
 		if err != nil {
 			return err
 		}
-		x.apply(m.GetRequestBody().GetResponse())
+		x.applyHeaders(m.GetRequestBody().GetResponse())
 	}
 	return nil
 }
 
-func (x *exchange) apply(r *extprocv3.CommonResponse) {
+func (x *exchange) applyHeaders(r *extprocv3.CommonResponse) {
 	for _, name := range r.GetHeaderMutation().GetRemoveHeaders() {
 		delete(x.headers, name)
 		x.removed[name] = true
@@ -351,36 +356,36 @@
 	}
 }
 
-// ask sends a message and waits for its answer, for as long as the processor may take.
-func (x *exchange) ask(ctx context.Context, m *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
-	timer := time.NewTimer(x.c.MessageTimeout)
+// roundTrip sends a message and waits for its answer up to the message timeout.
+func (x *exchange) roundTrip(ctx context.Context, message *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
+	timer := time.NewTimer(x.caller.MessageTimeout)
 	defer timer.Stop()
 	extended := false
-	if err := x.stream.Send(m); err != nil && !errors.Is(err, io.EOF) {
+	if err := x.stream.Send(message); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
 	for {
 		select {
-		case r := <-x.in:
+		case r := <-x.responses:
 			if r.err != nil {
 				return nil, r.err
 			}
-			x.began = true
-			if o := r.m.GetOverrideMessageTimeout(); o != nil {
-				if d := o.AsDuration(); !extended && d >= time.Millisecond && d <= x.c.MaxMessageTimeout {
+			x.accepted = true
+			if o := r.response.GetOverrideMessageTimeout(); o != nil {
+				if d := o.AsDuration(); !extended && d >= time.Millisecond && d <= x.caller.MaxMessageTimeout {
 					extended = true
-					x.c.Overrides.Add(1)
+					x.caller.Overrides.Add(1)
 					timer.Reset(d)
 				}
 				continue
 			}
-			if now := r.m.GetImmediateResponse(); now != nil {
-				return nil, immediate{now}
+			if now := r.response.GetImmediateResponse(); now != nil {
+				return nil, immediateResponse{now}
 			}
-			if err := x.fits(m, r.m); err != nil {
+			if err := x.checkResponseType(message, r.response); err != nil {
 				return nil, err
 			}
-			return r.m, nil
+			return r.response, nil
 		case <-timer.C:
 			return nil, ErrTimeout
 		case <-ctx.Done():
@@ -389,41 +394,43 @@
 	}
 }
 
-// fits tells whether a response answers the message; an answer to another is a fault that ends the stream.
-func (x *exchange) fits(q *extprocv3.ProcessingRequest, r *extprocv3.ProcessingResponse) error {
+// checkResponseType returns an error if the response belongs to another kind of message, which ends the
+// stream.
+func (x *exchange) checkResponseType(message *extprocv3.ProcessingRequest, response *extprocv3.ProcessingResponse) error {
 	ok := false
-	switch q.GetRequest().(type) {
+	switch message.GetRequest().(type) {
 	case *extprocv3.ProcessingRequest_RequestHeaders:
-		ok = r.GetRequestHeaders() != nil
+		ok = response.GetRequestHeaders() != nil
 	case *extprocv3.ProcessingRequest_RequestBody:
-		ok = r.GetRequestBody() != nil
+		ok = response.GetRequestBody() != nil
 	case *extprocv3.ProcessingRequest_ResponseHeaders:
-		ok = r.GetResponseHeaders() != nil
+		ok = response.GetResponseHeaders() != nil
 	}
 	if !ok {
-		return fmt.Errorf("caller: %T answers %T", r.GetResponse(), q.GetRequest())
+		return fmt.Errorf("caller: %T in response to %T", response.GetResponse(), message.GetRequest())
 	}
 	return nil
 }
 
-// send makes the attempt at the members named, the next one where one can't be reached and the caller falls back.
-func (x *exchange) send(ctx context.Context, named string) (res Result, attributes map[string]*structpb.Struct) {
+// sendToMembers makes the attempt at the first member named. With UseFallbacks it tries the next one if a
+// member is unreachable.
+func (x *exchange) sendToMembers(ctx context.Context, named string) (res Result, attributes map[string]*structpb.Struct) {
 	for addr := range strings.SplitSeq(named, ",") {
-		x.served = addr
-		res, attributes = x.sendTo(ctx, addr)
-		if !x.c.FallBack || res.Status != 503 || len(res.Headers) > 0 {
+		x.servedAddr = addr
+		res, attributes = x.sendToMember(ctx, addr)
+		if !x.caller.UseFallbacks || res.Status != 503 || len(res.Headers) > 0 {
 			break
 		}
 	}
 	return res, attributes
 }
 
-// servedBy is the metadata by which a gateway tells who has served.
+// servedBy returns the metadata by which a gateway reports the member that served.
 func (x *exchange) servedBy() *corev3.Metadata {
-	if !x.c.FallBack {
+	if !x.caller.UseFallbacks {
 		return nil
 	}
-	return metadata("envoy.lb", destination+"-served", []string{x.served})
+	return metadata("envoy.lb", destinationHeader+"-served", []string{x.servedAddr})
 }
 
 func metadata(namespace, key string, values []string) *corev3.Metadata {
@@ -439,46 +446,46 @@
 		namespace: {Fields: map[string]*structpb.Value{key: v}}}}
 }
 
-// sendTo makes the attempt at one member, and says like a proxy why there is no response where there is none.
-func (x *exchange) sendTo(ctx context.Context, addr string) (Result, map[string]*structpb.Struct) {
-	whole := ctx
-	if x.c.TryTimeout > 0 {
+// sendToMember makes the attempt at one member. Without a response it reports the reason as Envoy does.
+func (x *exchange) sendToMember(ctx context.Context, addr string) (Result, map[string]*structpb.Struct) {
+	parent := ctx
+	if x.caller.AttemptTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, x.c.TryTimeout)
+		ctx, cancel = context.WithTimeout(ctx, x.caller.AttemptTimeout)
 		defer cancel()
 	}
-	r, err := http.NewRequestWithContext(ctx, x.q.Method, "http://"+addr+"/"+x.q.Path[strings.LastIndexByte(x.q.Path, '/')+1:], bytes.NewReader(x.q.Body))
+	request, err := http.NewRequestWithContext(ctx, x.request.Method, "http://"+addr+"/"+x.request.Path[strings.LastIndexByte(x.request.Path, '/')+1:], bytes.NewReader(x.request.Body))
 	if err != nil {
 		return Result{Status: 500, Err: err}, nil
 	}
-	for name, value := range x.q.Headers {
-		r.Header.Set(name, value)
+	for name, value := range x.request.Headers {
+		request.Header.Set(name, value)
 	}
-	r.GetBody = nil // net/http must not send it again by itself
-	answer, err := x.c.client.Do(r)
+	request.GetBody = nil // prevents net/http from repeating the request
+	response, err := x.caller.client.Do(request)
 	if err != nil {
 		details := "upstream_reset_before_response_started{connection_termination}"
 		switch {
 		case strings.Contains(err.Error(), "connect:"):
 			details = "upstream_reset_before_response_started{remote_connection_failure}"
-		case ctx.Err() != nil && whole.Err() == nil:
+		case ctx.Err() != nil && parent.Err() == nil:
 			return Result{Status: 504, Headers: map[string]string{}}, codeDetails("upstream_per_try_timeout")
 		}
 		return Result{Status: 503, Headers: map[string]string{}}, codeDetails(details)
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return Result{Status: 502, Headers: map[string]string{}}, codeDetails("upstream_reset_after_response_started{connection_termination}")
 	}
-	res := Result{Status: answer.StatusCode, Body: body, Headers: map[string]string{}}
-	for name := range answer.Header {
-		res.Headers[strings.ToLower(name)] = answer.Header.Get(name)
+	result := Result{Status: response.StatusCode, Body: body, Headers: map[string]string{}}
+	for name := range response.Header {
+		result.Headers[strings.ToLower(name)] = response.Header.Get(name)
 	}
-	return res, codeDetails("via_upstream")
+	return result, codeDetails("via_upstream")
 }
 
-// codeDetails is the attribute response.code_details, as a caller sends it that is told to.
+// codeDetails returns the attribute response.code_details as a caller sends it.
 func codeDetails(text string) map[string]*structpb.Struct {
 	return map[string]*structpb.Struct{"envoy.filters.http.ext_proc": {Fields: map[string]*structpb.Value{
 		"response.code_details": structpb.NewStringValue(text)}}}
--- a/internal/extproc/caller/duplex.go
+++ b/internal/extproc/caller/duplex.go
@@ -13,91 +13,92 @@
 
 const fullDuplex = filterv3.ProcessingMode_FULL_DUPLEX_STREAMED
 
-// SetFullDuplex has bodies sent in full duplex, both ways.
+// SetFullDuplex sets full duplex as the body mode of requests and responses.
 func (c *Caller) SetFullDuplex() { c.BodyMode, c.ResponseMode = fullDuplex, fullDuplex }
 
-// duplexChunk is how long the parts of a body are unless Caller.Chunk says: odd, so that parts and messages don't fall
-// together.
-const duplexChunk = 4093
+// defaultChunkBytes is the length of a body part if Caller.ChunkBytes is 0. It is odd, so that parts do not
+// align with messages.
+const defaultChunkBytes = 4093
 
-// duplex makes an exchange as a gateway does in full duplex: it sends body and trailers as they come and waits for no
-// answer, takes what comes back in order, and passes on only what came back. It sets no time for a message.
-func (x *exchange) duplex(ctx context.Context, first *extprocv3.ProcessingRequest) (res Result, err error) {
+// processDuplex makes an exchange as a gateway does in full duplex: it sends body and trailers without
+// waiting for answers, receives what is sent back in order, and passes on only that. It has no timeout for
+// messages.
+func (x *exchange) processDuplex(ctx context.Context, first *extprocv3.ProcessingRequest) (result Result, err error) {
 	if err := x.stream.Send(first); err != nil && !errors.Is(err, io.EOF) {
-		return res, err
+		return result, err
 	}
-	body := x.q.Body
-	if x.mode != fullDuplex {
+	body := x.request.Body
+	if x.bodyMode != fullDuplex {
 		body = nil
 	}
-	x.sending.Go(func() { x.sendBody(body, false) })
-	m, err := x.next(ctx)
+	x.sending.Go(func() { x.sendDuplexBody(body, false) })
+	response, err := x.receive(ctx)
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	if m.GetRequestHeaders() == nil {
-		return res, fmt.Errorf("caller: %T answers request headers", m.GetResponse())
+	if response.GetRequestHeaders() == nil {
+		return result, fmt.Errorf("caller: %T in response to request headers", response.GetResponse())
 	}
-	if m.GetModeOverride() != nil {
-		return res, errors.New("caller: a mode override in full duplex")
+	if response.GetModeOverride() != nil {
+		return result, errors.New("caller: mode override in full duplex")
 	}
-	x.apply(m.GetRequestHeaders().GetResponse())
+	x.applyHeaders(response.GetRequestHeaders().GetResponse())
 	if len(body) > 0 {
-		if x.q.Body, err = x.takeBody(ctx, false); err != nil {
-			return res, err
+		if x.request.Body, err = x.receiveBody(ctx, false); err != nil {
+			return result, err
 		}
 	}
 	x.sending.Wait()
-	named := x.headers[destination]
+	named := x.headers[destinationHeader]
 	if named == "" {
-		return Result{Status: 204, Passed: true, Body: x.q.Body}, nil
+		return Result{Status: 204, PassedThrough: true, Body: x.request.Body}, nil
 	}
-	if x.c.SendAfter != nil {
-		x.c.SendAfter(named)
+	if x.caller.BeforeSend != nil {
+		x.caller.BeforeSend(named)
 	}
-	res, attributes := x.send(ctx, named)
-	res.Members = []string{x.served}
-	pairs := map[string]string{":status": strconv.Itoa(res.Status)}
-	for name, value := range res.Headers {
+	result, attributes := x.sendToMembers(ctx, named)
+	result.Members = []string{x.servedAddr}
+	pairs := map[string]string{":status": strconv.Itoa(result.Status)}
+	for name, value := range result.Headers {
 		pairs[name] = value
 	}
-	streamed := x.c.ResponseMode == fullDuplex && len(res.Body) > 0
+	streamed := x.caller.ResponseMode == fullDuplex && len(result.Body) > 0
 	err = x.stream.Send(&extprocv3.ProcessingRequest{Attributes: attributes, MetadataContext: x.servedBy(),
 		Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(pairs), EndOfStream: !streamed}}})
 	if err != nil && !errors.Is(err, io.EOF) {
-		return res, err
+		return result, err
 	}
 	if streamed {
-		body := res.Body
-		x.sending.Go(func() { x.sendBody(body, true) })
+		body := result.Body
+		x.sending.Go(func() { x.sendDuplexBody(body, true) })
 	}
-	if m, err = x.next(ctx); err != nil {
-		return res, err
+	if response, err = x.receive(ctx); err != nil {
+		return result, err
 	}
-	if m.GetResponseHeaders() == nil {
-		return res, fmt.Errorf("caller: %T answers response headers", m.GetResponse())
+	if response.GetResponseHeaders() == nil {
+		return result, fmt.Errorf("caller: %T in response to response headers", response.GetResponse())
 	}
-	x.headers = res.Headers
-	x.apply(m.GetResponseHeaders().GetResponse())
+	x.headers = result.Headers
+	x.applyHeaders(response.GetResponseHeaders().GetResponse())
 	if streamed {
-		res.Body, err = x.takeBody(ctx, true)
+		result.Body, err = x.receiveBody(ctx, true)
 	}
-	return res, err
+	return result, err
 }
 
-// sendBody sends a body in parts, and trailers behind it.
-func (x *exchange) sendBody(body []byte, response bool) {
+// sendDuplexBody sends a body in parts, followed by trailers if configured.
+func (x *exchange) sendDuplexBody(body []byte, response bool) {
 	if len(body) == 0 {
 		return
 	}
-	chunk := duplexChunk
-	if x.c.Chunk > 0 {
-		chunk = x.c.Chunk
+	chunk := defaultChunkBytes
+	if x.caller.ChunkBytes > 0 {
+		chunk = x.caller.ChunkBytes
 	}
 	for len(body) > 0 {
 		part := body[:min(len(body), chunk)]
 		body = body[len(part):]
-		b := &extprocv3.HttpBody{Body: part, EndOfStream: len(body) == 0 && !x.c.Trailers}
+		b := &extprocv3.HttpBody{Body: part, EndOfStream: len(body) == 0 && !x.caller.Trailers}
 		m := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{RequestBody: b}}
 		if response {
 			m.Request = &extprocv3.ProcessingRequest_ResponseBody{ResponseBody: b}
@@ -106,7 +107,7 @@
 			return
 		}
 	}
-	if x.c.Trailers {
+	if x.caller.Trailers {
 		t := &extprocv3.HttpTrailers{Trailers: headerMap(map[string]string{"x-sum": "1"})}
 		m := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestTrailers{RequestTrailers: t}}
 		if response {
@@ -116,10 +117,10 @@
 	}
 }
 
-// takeBody takes what comes back of a body, to its end.
-func (x *exchange) takeBody(ctx context.Context, response bool) (body []byte, err error) {
+// receiveBody receives a body that is sent back, to its end.
+func (x *exchange) receiveBody(ctx context.Context, response bool) (body []byte, err error) {
 	for {
-		m, err := x.next(ctx)
+		m, err := x.receive(ctx)
 		if err != nil {
 			return body, err
 		}
@@ -127,35 +128,35 @@
 		if response {
 			b, trailers = m.GetResponseBody(), m.GetResponseTrailers()
 		}
-		if trailers != nil && x.c.Trailers {
+		if trailers != nil && x.caller.Trailers {
 			return body, nil
 		}
 		part := b.GetResponse().GetBodyMutation().GetStreamedResponse()
 		if part == nil {
-			return body, fmt.Errorf("caller: %T in place of a streamed body", m.GetResponse())
+			return body, fmt.Errorf("caller: %T instead of a streamed body", m.GetResponse())
 		}
 		body = append(body, part.GetBody()...)
 		if part.GetEndOfStream() {
-			if x.c.Trailers {
-				return body, errors.New("caller: the body's end is told before its trailers have come")
+			if x.caller.Trailers {
+				return body, errors.New("caller: end of body before its trailers")
 			}
 			return body, nil
 		}
 	}
 }
 
-// next waits for what the processor says next.
-func (x *exchange) next(ctx context.Context) (*extprocv3.ProcessingResponse, error) {
+// receive waits for the processor's next response.
+func (x *exchange) receive(ctx context.Context) (*extprocv3.ProcessingResponse, error) {
 	select {
-	case r := <-x.in:
+	case r := <-x.responses:
 		if r.err != nil {
 			return nil, r.err
 		}
-		x.began = true
-		if now := r.m.GetImmediateResponse(); now != nil {
-			return nil, immediate{now}
+		x.accepted = true
+		if now := r.response.GetImmediateResponse(); now != nil {
+			return nil, immediateResponse{now}
 		}
-		return r.m, nil
+		return r.response, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/extproc/calls.go
+++ b/internal/extproc/calls.go
@@ -5,174 +5,178 @@
 	"time"
 )
 
-// Decision says what a call with a request id is to the calls before it.
+// Decision says how a call relates to earlier calls with its request id.
 type Decision uint8
 
 // The decisions.
 const (
-	Fresh    Decision = iota // nothing is known that stands against it: a new request for the module
-	Continue                 // it comes for the module's next attempt of a request in hand
-	Replace                  // the caller has given its earlier call up, and repeating it is harmless
-	InUse                    // another caller's request in hand has the id
-	MayRun                   // an earlier attempt may have run, and the request must not run twice
-	Crowded                  // no room to remember one more request; it never ran
+	DecisionNew        Decision = iota // no earlier call stands against it: a new request for the routing module
+	DecisionContinue                   // it asks for the next attempt of a request in progress
+	DecisionReplace                    // the caller abandoned its earlier call; repeating is harmless
+	DecisionInUse                      // another caller's request in progress has the id
+	DecisionMayHaveRun                 // an earlier attempt may have run, and the request must not run twice
+	DecisionTableFull                  // no capacity for another entry; the request never ran
 )
 
-// Entry is what is known of a request id.
+// Entry is the state of a request id.
 type Entry struct {
-	ID     string
-	Unsafe bool // it must not run twice
-	// Returning: the module has named the next attempt, or is about to, and the caller is expected back.
-	Returning bool
-	Over      bool
-	Ran       bool // once over: an attempt may have run
-	Again     bool // the id has been used before, by a request that ended and never ran
-	Attempt   int  // the caller's count with the latest call; 0: not told
-	Until     time.Duration
-	Owner     any // the server's own
-	at        *list.Element
+	ID      string
+	RunOnce bool // the request must not run twice
+	// AwaitingCaller means that the next attempt has been named, or is about to be, and the caller is
+	// expected to return for it.
+	AwaitingCaller bool
+	Ended          bool
+	MayHaveRun     bool // set at the end: an attempt may have run
+	Reused         bool // the id was used before by a request that ended without running
+	Attempt        int  // the caller's attempt count of the latest call; at least 1
+	ExpiresAt      time.Duration
+	Owner          any // set by package server
+	element        *list.Element
 }
 
-// Calls remembers request ids: those in hand, and for a while those that are over and may have run although they
-// must not run twice. It is bounded: when it is full, further requests are Crowded rather than forgotten ones run again.
-type Calls struct {
-	most     int
-	remember time.Duration
-	byID     map[string]*Entry
-	over     *list.List          // that may have run, by end
-	harmless *list.List          // that never ran, by end: let go of when there is no room
-	back     map[*Entry]struct{} // whose callers are expected back
+// CallTable remembers request ids: those of requests in progress and, for a retention time, those of ended
+// requests that must not run twice. Its size is limited; when it is full, further requests get
+// DecisionTableFull, as forgetting a request would allow it to run again.
+type CallTable struct {
+	maxEntries int
+	retention  time.Duration
+	byID       map[string]*Entry
+	mayHaveRun *list.List          // ended entries that may have run, by end
+	neverRan   *list.List          // ended entries that never ran, by end; removed when the table is full
+	awaiting   map[*Entry]struct{} // entries whose callers are expected to return
 }
 
-// NewCalls makes a table of so many entries at most.
-func NewCalls(most int, remember time.Duration) *Calls {
-	return &Calls{most: most, remember: remember, byID: map[string]*Entry{}, over: list.New(),
-		harmless: list.New(), back: map[*Entry]struct{}{}}
+// NewCallTable creates a table of at most this many entries.
+func NewCallTable(maxEntries int, retention time.Duration) *CallTable {
+	return &CallTable{maxEntries: maxEntries, retention: retention, byID: map[string]*Entry{}, mayHaveRun: list.New(),
+		neverRan: list.New(), awaiting: map[*Entry]struct{}{}}
 }
 
-// Len is the number of entries.
-func (c *Calls) Len() int { return len(c.byID) }
+// Len returns the number of entries.
+func (c *CallTable) Len() int { return len(c.byID) }
 
-// SetRemember changes how long ended requests are known from now on.
-func (c *Calls) SetRemember(d time.Duration) { c.remember = d }
+// SetRetention changes the retention time of requests that end from now on.
+func (c *CallTable) SetRetention(d time.Duration) { c.retention = d }
 
-// Begin takes a call. attempt is the caller's count of attempts, 1 for the first; 0 if it does not tell. The entry is
-// the new one for Fresh and Replace, and the one that stands for Continue; for the others there is none to use. For
-// Replace, replaced is what the caller has given up. Of an order onRecord, the record knows what has become of those before: it is Fresh
-// unless one is in hand.
-func (c *Calls) Begin(id string, attempt int, unsafe, onRecord bool, now time.Duration) (e, replaced *Entry, d Decision) {
-	c.expire(now)
-	old, again := c.byID[id], false
+// Begin registers a call. attempt is the caller's attempt count, starting at 1, or 0 if it sends none. The
+// entry is a new one for DecisionNew and DecisionReplace, the existing one for DecisionContinue, and nil
+// otherwise. For DecisionReplace, replaced is the entry of the abandoned call. For an order onRecord the
+// record knows the result of earlier attempts, so that the decision is DecisionNew unless a call with the
+// id is in progress.
+func (c *CallTable) Begin(id string, attempt int, runOnce, onRecord bool, now time.Duration) (entry, replaced *Entry, decision Decision) {
+	c.removeExpired(now)
+	old, reused := c.byID[id], false
 	switch {
-	case old == nil && unsafe && attempt > 1 && !onRecord:
-		// Whoever had the attempts before (a processor that was killed, or another one) can't be asked any more.
-		return nil, nil, MayRun
+	case old == nil && runOnce && attempt > 1 && !onRecord:
+		// An earlier attempt went to another processor, or to one that was killed, and its result is
+		// unknown.
+		return nil, nil, DecisionMayHaveRun
 	case old == nil:
-		d = Fresh
-	case old.Over && old.Ran && (unsafe || old.Unsafe) && !onRecord:
-		return nil, nil, MayRun
-	case old.Over:
-		c.forget(old)
-		again, d = true, Fresh
-	case old.Returning && (attempt == 0 || attempt > old.Attempt):
-		old.Returning, old.Attempt = false, max(attempt, old.Attempt+1)
-		delete(c.back, old)
-		return old, nil, Continue
+		decision = DecisionNew
+	case old.Ended && old.MayHaveRun && (runOnce || old.RunOnce) && !onRecord:
+		return nil, nil, DecisionMayHaveRun
+	case old.Ended:
+		c.remove(old)
+		reused, decision = true, DecisionNew
+	case old.AwaitingCaller && (attempt == 0 || attempt > old.Attempt):
+		old.AwaitingCaller, old.Attempt = false, max(attempt, old.Attempt+1)
+		delete(c.awaiting, old)
+		return old, nil, DecisionContinue
 	case attempt > old.Attempt && attempt > 1 && old.Attempt > 0:
-		// The caller has given the call before up by itself, and the end of its stream has yet to be seen.
-		if unsafe || old.Unsafe {
-			return nil, nil, MayRun
+		// The caller has abandoned the earlier call, whose stream has not ended here yet.
+		if runOnce || old.RunOnce {
+			return nil, nil, DecisionMayHaveRun
 		}
-		replaced, d = old, Replace
+		replaced, decision = old, DecisionReplace
 		delete(c.byID, id)
-		delete(c.back, old)
+		delete(c.awaiting, old)
 	default:
-		return nil, nil, InUse
+		return nil, nil, DecisionInUse
 	}
-	if f := c.harmless.Front(); f != nil && len(c.byID) >= c.most {
-		c.forget(f.Value.(*Entry))
+	if oldest := c.neverRan.Front(); oldest != nil && len(c.byID) >= c.maxEntries {
+		c.remove(oldest.Value.(*Entry))
 	}
-	if len(c.byID) >= c.most {
+	if len(c.byID) >= c.maxEntries {
 		if replaced != nil {
 			c.byID[id] = replaced
 		}
-		return nil, nil, Crowded
+		return nil, nil, DecisionTableFull
 	}
-	e = &Entry{ID: id, Unsafe: unsafe, Attempt: max(1, attempt), Again: again}
-	c.byID[id] = e
-	return e, replaced, d
+	entry = &Entry{ID: id, RunOnce: runOnce, Attempt: max(1, attempt), Reused: reused}
+	c.byID[id] = entry
+	return entry, replaced, decision
 }
 
-// MayHaveRun tells whether an earlier attempt of a request that must not run twice may have run, for a call that is
-// answered without Begin.
-func (c *Calls) MayHaveRun(id string, attempt int, now time.Duration) bool {
-	c.expire(now)
+// MayHaveRun reports whether an earlier attempt of a request that must not run twice may have run. It is
+// for calls that are answered without Begin.
+func (c *CallTable) MayHaveRun(id string, attempt int, now time.Duration) bool {
+	c.removeExpired(now)
 	old := c.byID[id]
 	switch {
 	case old == nil:
 		return attempt > 1
-	case old.Over:
-		return old.Ran
+	case old.Ended:
+		return old.MayHaveRun
 	}
-	return !old.Returning
+	return !old.AwaitingCaller
 }
 
-// Return notes that the caller is expected back until the given time.
-func (c *Calls) Return(e *Entry, until time.Duration) {
-	if !e.Over && c.byID[e.ID] == e {
-		e.Returning, e.Until = true, until
-		c.back[e] = struct{}{}
+// AwaitCaller marks the entry: its caller is expected to return before the given time.
+func (c *CallTable) AwaitCaller(e *Entry, until time.Duration) {
+	if !e.Ended && c.byID[e.ID] == e {
+		e.AwaitingCaller, e.ExpiresAt = true, until
+		c.awaiting[e] = struct{}{}
 	}
 }
 
-// End notes that a request is over and whether an attempt of it may have run.
-func (c *Calls) End(e *Entry, ran bool, now time.Duration) {
-	if e.Over {
+// End marks a request as ended and records whether an attempt of it may have run.
+func (c *CallTable) End(e *Entry, mayHaveRun bool, now time.Duration) {
+	if e.Ended {
 		return
 	}
-	e.Over, e.Returning, e.Ran, e.Owner = true, false, ran, nil
-	delete(c.back, e)
+	e.Ended, e.AwaitingCaller, e.MayHaveRun, e.Owner = true, false, mayHaveRun, nil
+	delete(c.awaiting, e)
 	if c.byID[e.ID] != e {
-		return // it was replaced
+		return // the entry was replaced
 	}
-	if !e.Unsafe {
+	if !e.RunOnce {
 		delete(c.byID, e.ID) // running it again is harmless
 		return
 	}
-	e.Until = now + c.remember
-	if ran {
-		e.at = c.over.PushBack(e)
+	e.ExpiresAt = now + c.retention
+	if mayHaveRun {
+		e.element = c.mayHaveRun.PushBack(e)
 	} else {
-		e.at = c.harmless.PushBack(e)
+		e.element = c.neverRan.PushBack(e)
 	}
 }
 
-// Late returns the requests whose callers have not come back in time.
-func (c *Calls) Late(now time.Duration) (late []*Entry) {
-	for e := range c.back {
-		if now >= e.Until {
-			late = append(late, e)
+// Overdue returns the entries whose callers have not returned in time.
+func (c *CallTable) Overdue(now time.Duration) (overdue []*Entry) {
+	for e := range c.awaiting {
+		if now >= e.ExpiresAt {
+			overdue = append(overdue, e)
 		}
 	}
-	return late
+	return overdue
 }
 
-func (c *Calls) expire(now time.Duration) {
-	for _, l := range []*list.List{c.over, c.harmless} {
-		for f := l.Front(); f != nil && f.Value.(*Entry).Until <= now; f = l.Front() {
-			c.forget(f.Value.(*Entry))
+func (c *CallTable) removeExpired(now time.Duration) {
+	for _, l := range []*list.List{c.mayHaveRun, c.neverRan} {
+		for f := l.Front(); f != nil && f.Value.(*Entry).ExpiresAt <= now; f = l.Front() {
+			c.remove(f.Value.(*Entry))
 		}
 	}
 }
 
-func (c *Calls) forget(e *Entry) {
-	if e.at != nil {
-		if e.Ran {
-			c.over.Remove(e.at)
+func (c *CallTable) remove(e *Entry) {
+	if e.element != nil {
+		if e.MayHaveRun {
+			c.mayHaveRun.Remove(e.element)
 		} else {
-			c.harmless.Remove(e.at)
+			c.neverRan.Remove(e.element)
 		}
-		e.at = nil
+		e.element = nil
 	}
 	delete(c.byID, e.ID)
 }
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -12,7 +12,7 @@
 	"linenloom/logic"
 )
 
-func mapping(t testing.TB) *Mapping {
+func testMapping(t testing.TB) *Mapping {
 	t.Helper()
 	m, err := NewMapping([]operator.MapEntry{
 		{Methods: []string{"GET", "HEAD"}, Path: "/tiles/{z}/{x}/{y}", Key: "{z}-{x}-{y}", Class: "tile-read"},
@@ -27,7 +27,7 @@
 }
 
 func TestMatch(t *testing.T) {
-	m := mapping(t)
+	m := testMapping(t)
 	for _, c := range []struct {
 		method, path, key string // key "": no match
 		write             bool
@@ -60,7 +60,7 @@
 	for _, s := range []string{"/tiles/k", "/tiles/1/2/3?x", "//", "/static/%2e%2e/x", "/tiles/%", "*"} {
 		f.Add("GET", s)
 	}
-	m := mapping(f)
+	m := testMapping(f)
 	f.Fuzz(func(t *testing.T, method, path string) {
 		if target, ok := m.Match(method, path); ok && (target.Key == "" || target.Class == "" || !strings.HasPrefix(path, "/")) {
 			t.Errorf("%q %q: %+v", method, path, target)
@@ -71,23 +71,23 @@
 func TestTimeLeft(t *testing.T) {
 	const h = "x-envoy-expected-rq-timeout-ms"
 	for _, c := range []struct {
-		name, value string
-		want        time.Duration
-		spent, bad  bool
+		name, value      string
+		want             time.Duration
+		expired, invalid bool
 	}{
 		{h, "250", 250 * time.Millisecond, false, false},
 		{h, "0.5", 500 * time.Microsecond, false, false},
-		{h, "0", mostLeft, false, false}, // Envoy's word for a route without time-out
+		{h, "0", maxTimeLeft, false, false}, // Envoy sends 0 for a route without a timeout
 		{"x-time-left", "0", 0, true, false},
 		{h, "-3", 0, true, false},
 		{h, "", 0, false, true},
 		{h, "ten", 0, false, true},
 		{h, "NaN", 0, false, true},
 		{h, "Inf", 0, false, true},
-		{h, "1e300", mostLeft, false, false},
+		{h, "1e300", maxTimeLeft, false, false},
 		{"grpc-timeout", "250m", 250 * time.Millisecond, false, false},
 		{"grpc-timeout", "2S", 2 * time.Second, false, false},
-		{"grpc-timeout", "99999999H", mostLeft, false, false},
+		{"grpc-timeout", "99999999H", maxTimeLeft, false, false},
 		{"grpc-timeout", "0n", 0, true, false},
 		{"grpc-timeout", "-1S", 0, true, false},
 		{"grpc-timeout", "123456789n", 0, false, true},
@@ -97,7 +97,7 @@
 		{"grpc-timeout", "--1S", 0, false, true},
 	} {
 		got, err := TimeLeft(c.name, c.value)
-		if spent := errors.Is(err, ErrSpent); got != c.want || spent != c.spent || (err != nil && !spent) != c.bad {
+		if spent := errors.Is(err, ErrExpired); got != c.want || spent != c.expired || (err != nil && !spent) != c.invalid {
 			t.Errorf("%s: %s: %v, %v", c.name, c.value, got, err)
 		}
 	}
@@ -110,23 +110,23 @@
 	}
 	f.Fuzz(func(t *testing.T, name, value string) {
 		got, err := TimeLeft(name, value)
-		if err == nil && (got < 0 || got > mostLeft) || err != nil && (got != 0 || len(err.Error()) > 400+len(name)) {
+		if err == nil && (got < 0 || got > maxTimeLeft) || err != nil && (got != 0 || len(err.Error()) > 400+len(name)) {
 			t.Errorf("%q %q: %v, %v", name, value, got, err)
 		}
 	})
 }
 
-// Whatever comes, what Order lets through is a sequence that an HTTP exchange can have.
+// Any sequence that MessageOrder accepts is one that an HTTP exchange can have.
 func FuzzOrder(f *testing.F) {
 	f.Add([]byte{1, 2, 2 + 16, 4, 5, 6})
 	f.Add([]byte{4, 1})
 	f.Fuzz(func(t *testing.T, messages []byte) {
-		var o Order
+		var order MessageOrder
 		var seen [7]int
 		ended := map[bool]bool{}
 		for _, b := range messages {
 			m, end := Message(b%6+1), b&16 > 0
-			if o.Next(m, end) != nil {
+			if order.Next(m, end) != nil {
 				return // the stream ends here
 			}
 			response := m >= ResponseHeaders
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestOrderTakesWhatCallersSend(t *testing.T) {
+func TestMessageOrderAcceptsCallerSequences(t *testing.T) {
 	type step struct {
 		m   Message
 		end bool
@@ -161,7 +161,7 @@
 		"an early response":      {{RequestHeaders, false}, {RequestBody, false}, {ResponseHeaders, false}, {RequestBody, true}, {ResponseBody, true}},
 		"phases that are spared": {{RequestHeaders, false}, {ResponseHeaders, false}},
 	} {
-		var o Order
+		var o MessageOrder
 		for _, s := range steps {
 			if err := o.Next(s.m, s.end); err != nil {
 				t.Errorf("%s: %v", name, err)
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestVerdict(t *testing.T) {
+func TestResponseOutcome(t *testing.T) {
 	for _, c := range []struct {
 		r    Response
 		want logic.Status
@@ -184,7 +184,7 @@
 		{Response{Status: 503}, logic.StatusError}, // it may have run
 		{Response{Status: 503, NotProcessed: true}, logic.StatusFull},
 		{Response{Status: 504, NotProcessed: true}, logic.StatusFull},
-		{Response{Status: 500, NotProcessed: true}, logic.StatusError}, // not one of the statuses that say so
+		{Response{Status: 500, NotProcessed: true}, logic.StatusError}, // only counts with 503 and 504
 		{Response{Status: 500}, logic.StatusError},
 		{Response{Status: 503, Overloaded: true}, logic.StatusNoConn},
 		{Response{Status: 503, Details: "via_upstream"}, logic.StatusError},
@@ -195,127 +195,128 @@
 		{Response{Status: 504, Details: "upstream_per_try_timeout"}, logic.StatusTimeout},
 	} {
 		c.r.MissStatus = 404
-		if got := c.r.Verdict(); got != c.want {
+		if got := c.r.Outcome(); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.r, got, c.want)
 		}
 	}
 }
 
-// The table against a model that remembers everything: a request that must not run twice is let through again only if
-// all before it never ran, whatever calls come; and the table keeps its bound.
-func TestCallsAgainstAModel(t *testing.T) {
-	const most, remember = 8, 50 * time.Millisecond
+// Compares the table with a model that remembers everything, under random calls: a request that must not
+// run twice is accepted again only if none of its earlier attempts may have run, and the table stays within
+// its limit.
+func TestCallTableAgainstModel(t *testing.T) {
+	const maxEntries, retention = 8, 50 * time.Millisecond
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		c := NewCalls(most, remember)
+		table := NewCallTable(maxEntries, retention)
 		type state struct {
-			e      *Entry
-			ran    bool          // an attempt of an unsafe request may have run
-			ranEnd time.Duration // when that was over
+			e          *Entry
+			mayHaveRun bool          // an attempt that must not be repeated may have run
+			endedAt    time.Duration // when that attempt ended
 		}
 		model := map[string]*state{}
 		now := time.Duration(0)
 		for step := range 300 {
 			now += time.Duration(rng.IntN(4)) * time.Millisecond
 			id := fmt.Sprint(rng.IntN(12))
-			m := model[id]
-			if m == nil {
-				m = &state{}
-				model[id] = m
+			entry := model[id]
+			if entry == nil {
+				entry = &state{}
+				model[id] = entry
 			}
 			switch op := rng.IntN(5); {
 			case op < 2:
 				attempt := rng.IntN(4)
-				e, replaced, d := c.Begin(id, attempt, true, false, now)
-				switch d {
-				case Fresh:
-					if m.e != nil {
+				e, replaced, decision := table.Begin(id, attempt, true, false, now)
+				switch decision {
+				case DecisionNew:
+					if entry.e != nil {
 						t.Fatalf("seed %d step %d: fresh while in hand", seed, step)
 					}
-					if m.ran && now < m.ranEnd+remember {
+					if entry.mayHaveRun && now < entry.endedAt+retention {
 						t.Fatalf("seed %d step %d: fresh although it may have run", seed, step)
 					}
-					if attempt > 1 && !e.Again {
+					if attempt > 1 && !e.Reused {
 						t.Fatalf("seed %d step %d: a repeat of something unknown was let through", seed, step)
 					}
-					m.e, m.ran = e, false
-				case Continue:
-					if e != m.e || m.e == nil {
+					entry.e, entry.mayHaveRun = e, false
+				case DecisionContinue:
+					if e != entry.e || entry.e == nil {
 						t.Fatalf("seed %d step %d: continues another request", seed, step)
 					}
-				case Replace:
+				case DecisionReplace:
 					t.Fatalf("seed %d step %d: %v was replaced", seed, step, replaced)
 				default:
 					if e != nil {
-						t.Fatalf("seed %d step %d: an entry with %v", seed, step, d)
+						t.Fatalf("seed %d step %d: an entry with %v", seed, step, decision)
 					}
 				}
-			case op == 2 && m.e != nil && !m.e.Returning:
-				c.Return(m.e, now+5*time.Millisecond)
-			case op == 3 && m.e != nil:
+			case op == 2 && entry.e != nil && !entry.e.AwaitingCaller:
+				table.AwaitCaller(entry.e, now+5*time.Millisecond)
+			case op == 3 && entry.e != nil:
 				ran := rng.IntN(2) == 0
-				c.End(m.e, ran, now)
-				m.e, m.ran, m.ranEnd = nil, ran, now
+				table.End(entry.e, ran, now)
+				entry.e, entry.mayHaveRun, entry.endedAt = nil, ran, now
 			case op == 4:
-				for _, e := range c.Late(now) {
-					if !e.Returning || e.Until > now {
+				for _, e := range table.Overdue(now) {
+					if !e.AwaitingCaller || e.ExpiresAt > now {
 						t.Fatalf("seed %d step %d: %+v is not late", seed, step, e)
 					}
-					c.End(e, false, now)
-					model[e.ID].e, model[e.ID].ran = nil, false
+					table.End(e, false, now)
+					model[e.ID].e, model[e.ID].mayHaveRun = nil, false
 				}
 			}
-			if c.Len() > most {
-				t.Fatalf("seed %d step %d: %d entries", seed, step, c.Len())
+			if table.Len() > maxEntries {
+				t.Fatalf("seed %d step %d: %d entries", seed, step, table.Len())
 			}
 		}
 		for _, m := range model {
 			if m.e != nil {
-				c.End(m.e, false, now)
+				table.End(m.e, false, now)
 			}
 		}
-		c.expire(now + time.Hour)
-		if c.Len() != 0 || len(c.back) != 0 || c.over.Len() != 0 || c.harmless.Len() != 0 {
-			t.Fatalf("seed %d: %d entries are left", seed, c.Len())
+		table.removeExpired(now + time.Hour)
+		if table.Len() != 0 || len(table.awaiting) != 0 || table.mayHaveRun.Len() != 0 || table.neverRan.Len() != 0 {
+			t.Fatalf("seed %d: %d entries are left", seed, table.Len())
 		}
 	}
 }
 
-func TestFullTableForgetsOnlyWhatIsHarmless(t *testing.T) {
-	c := NewCalls(2, time.Minute)
+func TestFullTableRemovesOnlyEntriesThatNeverRan(t *testing.T) {
+	c := NewCallTable(2, time.Minute)
 	for i, ran := range []bool{true, false} {
 		e, _, d := c.Begin(fmt.Sprint(i), 1, true, false, 0)
-		if d != Fresh {
+		if d != DecisionNew {
 			t.Fatal(d)
 		}
 		c.End(e, ran, 0)
 	}
-	if _, _, d := c.Begin("2", 1, true, false, 0); d != Fresh {
+	if _, _, d := c.Begin("2", 1, true, false, 0); d != DecisionNew {
 		t.Errorf("%v with one that never ran to let go of", d)
 	}
-	if _, _, d := c.Begin("3", 1, true, false, 0); d != Crowded {
+	if _, _, d := c.Begin("3", 1, true, false, 0); d != DecisionTableFull {
 		t.Errorf("%v with no room", d)
 	}
-	if _, _, d := c.Begin("0", 1, true, false, 0); d != MayRun {
+	if _, _, d := c.Begin("0", 1, true, false, 0); d != DecisionMayHaveRun {
 		t.Errorf("%v for what may have run", d)
 	}
 }
 
-func TestReadsAreReplaced(t *testing.T) {
-	c := NewCalls(4, time.Minute)
+func TestRepeatedReadReplacesEarlierCall(t *testing.T) {
+	c := NewCallTable(4, time.Minute)
 	first, _, _ := c.Begin("r", 1, false, false, 0)
-	if _, _, d := c.Begin("r", 1, false, false, 0); d != InUse {
+	if _, _, d := c.Begin("r", 1, false, false, 0); d != DecisionInUse {
 		t.Errorf("the same id at once: %v", d)
 	}
-	if _, _, d := c.Begin("r", 0, false, false, 0); d != InUse {
+	if _, _, d := c.Begin("r", 0, false, false, 0); d != DecisionInUse {
 		t.Errorf("the same id at once, without a count: %v", d)
 	}
 	second, replaced, d := c.Begin("r", 2, false, false, 0)
-	if d != Replace || replaced != first {
+	if d != DecisionReplace || replaced != first {
 		t.Errorf("the caller's repeat: %v", d)
 	}
 	c.End(first, true, 0)
-	if _, _, d := c.Begin("r", 2, false, false, 0); d != InUse {
+	if _, _, d := c.Begin("r", 2, false, false, 0); d != DecisionInUse {
 		t.Errorf("after the end of what was replaced: %v", d)
 	}
 	c.End(second, true, 0)
--- a/internal/extproc/mapping.go
+++ b/internal/extproc/mapping.go
@@ -1,9 +1,10 @@
-// Package extproc holds what the external processor has to decide beside the routing module: which class and key
-// a request has, how long its client still waits, what a response says of the attempt behind it, which messages may
-// follow one another, and whether a call with a known request id continues, repeats or contradicts an earlier one.
+// Package extproc makes the external processor's decisions other than routing: which class and key a
+// request has, how long its client still waits, which outcome of an attempt a response stands for, which
+// messages may follow one another, and whether a call with a known request id continues, repeats or
+// contradicts an earlier one.
 //
-// It never opens a socket, reads a clock, starts a goroutine or picks a member: the package server does the first
-// three and the module in logic the last. Its types are not safe for concurrent use.
+// The package opens no sockets, reads no clock, starts no goroutines and picks no members: package server
+// does the first three and package logic the last. Its types are not safe for concurrent use.
 package extproc
 
 import (
@@ -18,105 +19,105 @@
 	"linenloom/internal/operator"
 )
 
-// Target is what a request maps to.
+// Target is the class and key that a request maps to.
 type Target struct {
 	Class string
 	Key   string
 	Write bool
-	Many  bool // the key is several, with commas between
+	Many  bool // Key holds several keys, separated by commas
 }
 
-// Mapping maps methods and paths to classes and keys, in the order of the operator's file.
+// Mapping maps methods and paths to classes and keys. Its rules apply in the order of the operator's file.
 type Mapping struct{ rules []rule }
 
 type rule struct {
-	many     bool
-	methods  []string
-	segments []string // plain, or {name}
-	rest     bool     // the last one takes the rest
-	class    string
-	key      []part
-	write    bool
+	many        bool
+	methods     []string
+	segments    []string // literal, or {name}
+	matchesRest bool     // the last segment matches the rest of the path
+	class       string
+	key         []keyPart
+	write       bool
 }
 
-// part is plain text, or the value of a segment if at >= 0.
-type part struct {
-	text string
-	at   int
+// keyPart is literal text, or the value of a path segment if segment >= 0.
+type keyPart struct {
+	text    string
+	segment int
 }
 
-// NewMapping compiles the entries of a file that has been checked.
+// NewMapping compiles the map entries of a validated file.
 func NewMapping(entries []operator.MapEntry) (*Mapping, error) {
-	m := &Mapping{}
-	for _, e := range entries {
-		r := rule{methods: e.Methods, class: e.Class, write: e.Write, many: e.Many}
-		r.segments = strings.Split(strings.TrimPrefix(e.Path, "/"), "/")
-		at := map[string]int{}
-		for i, s := range r.segments {
+	mapping := &Mapping{}
+	for _, entry := range entries {
+		compiled := rule{methods: entry.Methods, class: entry.Class, write: entry.Write, many: entry.Many}
+		compiled.segments = strings.Split(strings.TrimPrefix(entry.Path, "/"), "/")
+		segmentIndex := map[string]int{}
+		for i, s := range compiled.segments {
 			if name, ok := operator.Segment(s); ok {
 				name, rest := strings.CutSuffix(name, "...")
-				at[name] = i
-				r.rest = rest
+				segmentIndex[name] = i
+				compiled.matchesRest = rest
 			}
 		}
-		for key := e.Key; key != ""; {
+		for key := entry.Key; key != ""; {
 			text, after, found := strings.Cut(key, "{")
 			if text != "" {
-				r.key = append(r.key, part{text: text, at: -1})
+				compiled.key = append(compiled.key, keyPart{text: text, segment: -1})
 			}
 			if !found {
 				break
 			}
 			name, rest, _ := strings.Cut(after, "}")
-			i, ok := at[name]
+			i, ok := segmentIndex[name]
 			if !ok {
-				return nil, fmt.Errorf("map entry %s: the path has no {%s}", e.Path, name)
+				return nil, fmt.Errorf("map entry %s: the path has no {%s}", entry.Path, name)
 			}
-			r.key = append(r.key, part{at: i})
+			compiled.key = append(compiled.key, keyPart{segment: i})
 			key = rest
 		}
-		m.rules = append(m.rules, r)
+		mapping.rules = append(mapping.rules, compiled)
 	}
-	return m, nil
+	return mapping, nil
 }
 
-// Match finds the first entry that fits. The path may carry a query, which has no part in the match or the key.
+// Match returns the target of the first matching rule. A query in the path is ignored.
 func (m *Mapping) Match(method, path string) (Target, bool) {
 	path, _, _ = strings.Cut(path, "?")
 	path, _, _ = strings.Cut(path, "#")
 	if !strings.HasPrefix(path, "/") {
 		return Target{}, false
 	}
-	var room [16]string
+	var buffer [16]string
 	for i := range m.rules {
-		r := &m.rules[i]
-		values := room[:0]
-		if !r.takes(method) {
+		candidate := &m.rules[i]
+		values := buffer[:0]
+		if !candidate.hasMethod(method) {
 			continue
 		}
-		values, ok := r.match(path[1:], values)
+		values, ok := candidate.match(path[1:], values)
 		if !ok {
 			continue
 		}
-		t := Target{Class: r.class, Write: r.write, Many: r.many}
-		if len(r.key) == 1 && r.key[0].at >= 0 {
-			t.Key = values[r.key[0].at]
+		target := Target{Class: candidate.class, Write: candidate.write, Many: candidate.many}
+		if len(candidate.key) == 1 && candidate.key[0].segment >= 0 {
+			target.Key = values[candidate.key[0].segment]
 		} else {
 			var b strings.Builder
-			for _, p := range r.key {
-				if p.at >= 0 {
-					p.text = values[p.at]
+			for _, p := range candidate.key {
+				if p.segment >= 0 {
+					p.text = values[p.segment]
 				}
 				b.WriteString(p.text)
 			}
-			t.Key = b.String()
+			target.Key = b.String()
 		}
-		return t, true
+		return target, true
 	}
 	return Target{}, false
 }
 
-func (r *rule) takes(method string) bool {
+func (r *rule) hasMethod(method string) bool {
 	for _, m := range r.methods {
 		if m == method {
 			return true
@@ -125,18 +126,18 @@
 	return false
 }
 
-// match splits the path into as many segments as the rule has. A variable's segment is not empty.
+// match splits the path into as many segments as the rule has. The segment of a variable must not be empty.
 func (r *rule) match(path string, values []string) ([]string, bool) {
-	for i, want := range r.segments {
+	for i, pattern := range r.segments {
 		last := i == len(r.segments)-1
 		segment, rest, more := strings.Cut(path, "/")
-		if last && r.rest {
+		if last && r.matchesRest {
 			segment, more = path, false
 		}
 		if more == last { // too many segments, or too few
 			return nil, false
 		}
-		if _, variable := operator.Segment(want); variable && segment == "" || !variable && segment != want {
+		if _, variable := operator.Segment(pattern); variable && segment == "" || !variable && segment != pattern {
 			return nil, false
 		}
 		if strings.Contains(segment, "%") {
@@ -151,13 +152,14 @@
 	return values, true
 }
 
-// ErrSpent tells that a request's time was over before it came.
-var ErrSpent = errors.New("the time for the request is over")
+// ErrExpired means that a request's time was over before it arrived.
+var ErrExpired = errors.New("the time for the request is over")
 
-// TimeLeft reads how long the client still waits from one header's value: whole or broken milliseconds, or, in
-// grpc-timeout, up to eight digits and a unit (gRPC over HTTP/2, "Requests"). A time of zero or less is ErrSpent; any
-// other error means that the value can't be read. Envoy's x-envoy-expected-rq-timeout-ms is 0 where the route has no
-// time-out, so there it bounds nothing, and a negative one, which Envoy never sends, is spent.
+// TimeLeft parses the value of a header that says how long the client still waits: milliseconds, with or
+// without a fraction, or for grpc-timeout up to eight digits and a unit (gRPC over HTTP/2, "Requests"). It
+// returns ErrExpired for a time of zero or less and another error for an invalid value. Envoy sets
+// x-envoy-expected-rq-timeout-ms to 0 for a route without a timeout, so 0 in that header means no limit; a
+// negative value, which Envoy never sends, is expired.
 func TimeLeft(name, value string) (time.Duration, error) {
 	if name == "grpc-timeout" {
 		return grpcTimeout(value)
@@ -165,21 +167,21 @@
 	ms, err := strconv.ParseFloat(value, 64)
 	switch {
 	case err != nil || math.IsNaN(ms) || math.IsInf(ms, 0):
-		return 0, fmt.Errorf("%s: %q is no number of milliseconds", name, cut(value))
+		return 0, fmt.Errorf("%s: %q is no number of milliseconds", name, truncate(value))
 	case ms == 0 && name == "x-envoy-expected-rq-timeout-ms":
-		return mostLeft, nil
+		return maxTimeLeft, nil
 	case ms <= 0:
-		return 0, ErrSpent
+		return 0, ErrExpired
 	}
-	return clamp(ms * float64(time.Millisecond)), nil
+	return clampDuration(ms * float64(time.Millisecond)), nil
 }
 
-// mostLeft bounds times: more than a day is as good as no bound.
-const mostLeft = 24 * time.Hour
+// maxTimeLeft limits times: more than a day is equivalent to no limit.
+const maxTimeLeft = 24 * time.Hour
 
-func clamp(ns float64) time.Duration {
-	if ns > float64(mostLeft) {
-		return mostLeft
+func clampDuration(ns float64) time.Duration {
+	if ns > float64(maxTimeLeft) {
+		return maxTimeLeft
 	}
 	return time.Duration(ns)
 }
@@ -193,14 +195,14 @@
 	if n >= 2 && n <= 9 && strings.Trim(value[:n-1], "0123456789") == "" && units[value[n-1]] > 0 {
 		count, err := strconv.ParseUint(value[:n-1], 10, 64)
 		if err == nil && (count == 0 || negative) {
-			return 0, ErrSpent
+			return 0, ErrExpired
 		}
 		if err == nil {
-			return clamp(float64(count) * float64(units[value[n-1]])), nil
+			return clampDuration(float64(count) * float64(units[value[n-1]])), nil
 		}
 	}
-	return 0, fmt.Errorf("grpc-timeout: %q is not up to eight digits and one of H, M, S, m, u, n", cut(given))
+	return 0, fmt.Errorf("grpc-timeout: %q is not up to eight digits and one of H, M, S, m, u, n", truncate(given))
 }
 
-// cut bounds a text of the caller's that goes into a message.
-func cut(text string) string { return text[:min(len(text), 40)] }
+// truncate limits a caller's text that becomes part of an error message.
+func truncate(text string) string { return text[:min(len(text), 40)] }
--- a/internal/extproc/order.go
+++ b/internal/extproc/order.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Message is a kind of message that a caller sends on a stream, in the order of an HTTP exchange.
+// Message is the kind of a message that a caller sends on a stream. The values are in the order of an HTTP
+// exchange.
 type Message uint8
 
-// The messages of envoy.service.ext_proc.v3.ProcessingRequest.
+// The kinds of envoy.service.ext_proc.v3.ProcessingRequest.
 const (
 	RequestHeaders Message = iota + 1
 	RequestBody
@@ -20,45 +21,46 @@
 		"response body", "response trailers"}[m]
 }
 
-// Order checks the order of a stream's messages. A stream is one HTTP exchange; the caller may leave phases out, as
-// its processing mode says, but never goes back. The request's headers always come first: without them there is no
-// request that a body or a response could belong to. The response may overtake the rest of the request's body.
-type Order struct {
-	request, response Message // the last of each side
-	requestOver       bool
-	responseOver      bool
+// MessageOrder checks the order of a stream's messages. A stream is one HTTP exchange; the caller may skip
+// phases, depending on its processing mode, but never goes back to an earlier one. The request's headers
+// always come first, as a body or a response belongs to no request without them. The response may start
+// before the rest of the request's body.
+type MessageOrder struct {
+	lastRequest, lastResponse Message // the latest kind of each direction
+	requestComplete           bool
+	responseComplete          bool
 }
 
-// Next takes the next message, with whether it says to be the last of its side.
-func (o *Order) Next(m Message, end bool) error {
-	side, over := &o.request, &o.requestOver
+// Next checks the next message; end is whether it is marked as the last of its direction.
+func (o *MessageOrder) Next(m Message, end bool) error {
+	side, over := &o.lastRequest, &o.requestComplete
 	if m >= ResponseHeaders {
-		side, over = &o.response, &o.responseOver
+		side, over = &o.lastResponse, &o.responseComplete
 	}
 	body := m == RequestBody || m == ResponseBody
 	switch {
-	case o.request == 0 && m != RequestHeaders:
+	case o.lastRequest == 0 && m != RequestHeaders:
 		return fmt.Errorf("%v before request headers", m)
 	case *over:
 		return fmt.Errorf("%v after the end of that side", m)
 	case m < *side || m == *side && !body:
 		return fmt.Errorf("%v after %v", m, *side)
-	case m < ResponseHeaders && o.response > 0 && m != RequestBody && m != RequestTrailers:
-		return fmt.Errorf("%v after %v", m, o.response)
+	case m < ResponseHeaders && o.lastResponse > 0 && m != RequestBody && m != RequestTrailers:
+		return fmt.Errorf("%v after %v", m, o.lastResponse)
 	}
 	*side = m
 	*over = end || m == RequestTrailers || m == ResponseTrailers
 	return nil
 }
 
-// RequestOver tells whether the request has come whole.
-func (o *Order) RequestOver() bool { return o.requestOver }
+// RequestComplete reports whether the whole request has been received.
+func (o *MessageOrder) RequestComplete() bool { return o.requestComplete }
 
-// ResponseOver tells whether the response has come whole.
-func (o *Order) ResponseOver() bool { return o.responseOver }
+// ResponseComplete reports whether the whole response has been received.
+func (o *MessageOrder) ResponseComplete() bool { return o.responseComplete }
 
-// Answered tells whether the response has begun.
-func (o *Order) Answered() bool { return o.response > 0 }
+// ResponseStarted reports whether the response has started.
+func (o *MessageOrder) ResponseStarted() bool { return o.lastResponse > 0 }
 
-// Begun tells whether the request has begun.
-func (o *Order) Begun() bool { return o.request > 0 }
+// RequestStarted reports whether the request has started.
+func (o *MessageOrder) RequestStarted() bool { return o.lastRequest > 0 }
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// immediate is the final answer to the caller's client. Nothing more is said on the stream.
-func (s *stream) immediate(code int, text []byte, contentType string, headers ...*corev3.HeaderValueOption) error {
+// sendImmediate sends the final answer to the caller's client, after which nothing is sent on the stream.
+func (s *stream) sendImmediate(code int, text []byte, contentType string, headers ...*corev3.HeaderValueOption) error {
 	if contentType == "" {
 		contentType = "text/plain"
 	}
@@ -35,17 +35,17 @@
 	if details == "" {
 		details = "turned_away"
 	}
-	if s.why != logic.NoReason {
-		details += "{" + reasons.Name(s.why) + "}"
+	if s.reason != logic.NoReason {
+		details += "{" + reasons.Name(s.reason) + "}"
 	}
-	s.f.p.Do(func() {
+	s.front.host.Do(func() {
 		switch code {
 		case 200:
-			s.f.counts.Served++
+			s.front.counts.Served++
 		case 502:
-			s.f.counts.Failed++
+			s.front.counts.Failed++
 		default:
-			s.f.counts.Refused++
+			s.front.counts.Refused++
 		}
 		if s.call != nil {
 			s.call.settle()
@@ -61,94 +61,97 @@
 	if err != nil {
 		return err
 	}
-	return errOver
+	return errStreamDone
 }
 
-// refuse says that trying again is harmless, and when. HTTP has whole seconds for that (RFC 9110 section 10.2.3); where
-// the module names no time, the shortest stands. What is shed for want of capacity has a status of its own, as the
-// Gateway API's endpoint pickers have it; where there is nobody to go to it is 503.
-func (s *stream) refuse(after time.Duration) error {
+// sendRefused answers that the request never ran and may be retried after a delay. HTTP gives the delay in
+// whole seconds (RFC 9110 section 10.2.3); without a delay from the routing module it is the minimum.
+// Requests shed for lack of capacity have a status of their own, as with the Gateway API's endpoint
+// pickers; if no member is available the status is 503.
+func (s *stream) sendRefused(after time.Duration) error {
 	code := 503
-	switch s.why {
+	switch s.reason {
 	case logic.NoRoom, logic.NoConnection, logic.ColdBudget, logic.Throttled, logic.RetryBudget, logic.OriginLine, reasons.HostFull:
-		code = s.cfg.ShedStatus
+		code = s.config.ShedStatus
 	}
 	seconds := max(1, int((after+time.Second-1)/time.Second))
-	return s.immediate(code, []byte("refused: the request never ran\n"), "", setHeader("retry-after", strconv.Itoa(seconds)))
+	return s.sendImmediate(code, []byte("refused: the request never ran\n"), "", setHeader("retry-after", strconv.Itoa(seconds)))
 }
 
-// fail promises nothing.
-func (s *stream) fail(why string) error { return s.immediate(502, []byte("failed: "+why+"\n"), "") }
+// sendFailed answers that the request failed and may have run.
+func (s *stream) sendFailed(text string) error {
+	return s.sendImmediate(502, []byte("failed: "+text+"\n"), "")
+}
 
-func (s *stream) tooLong(most int) error {
-	return s.immediate(413, []byte("the body is over "+strconv.Itoa(most)+" bytes\n"), "")
+func (s *stream) sendTooLong(limit int) error {
+	return s.sendImmediate(413, []byte("the body is over "+strconv.Itoa(limit)+" bytes\n"), "")
 }
 
-// answer passes the host's final answer on.
-func (s *stream) answer(a *proxy.Answer) error {
-	s.why = a.Why
+// sendAnswer sends the host's final answer.
+func (s *stream) sendAnswer(a *proxy.Answer) error {
+	s.reason = a.Why
 	switch a.Kind {
 	case proxy.Served:
 		if s.target.Many {
-			return s.immediate(200, a.Value, "application/json")
+			return s.sendImmediate(200, a.Value, "application/json")
 		}
-		return s.immediate(200, a.Value, s.cfg.ContentType)
+		return s.sendImmediate(200, a.Value, s.config.ContentType)
 	case proxy.Refused:
-		return s.refuse(a.RetryAfter)
+		return s.sendRefused(a.RetryAfter)
 	}
-	if err := s.call.req.Denied(); err != nil {
-		return s.denied(err)
+	if err := s.call.request.Denied(); err != nil {
+		return s.sendDenied(err)
 	}
 	switch a.Why {
 	case reasons.OrderInHand:
-		return s.immediate(409, []byte("an order of this key is in hand\n"), "")
+		return s.sendImmediate(409, []byte("an order of this key is in hand\n"), "")
 	case reasons.OtherOrder:
-		return s.immediate(422, []byte("the idempotency key stands for another order\n"), "")
+		return s.sendImmediate(422, []byte("the idempotency key stands for another order\n"), "")
 	case reasons.OrderHasRun:
-		return s.fail("the order has run, and its receipt is not told again here")
+		return s.sendFailed("the order has run, and its receipt is not told again here")
 	case reasons.OrderUnknown:
-		return s.fail("an earlier attempt may have run: look it up; it is not sent again")
+		return s.sendFailed("an earlier attempt may have run: look it up; it is not sent again")
 	case reasons.RecordFault, reasons.RecordBehind:
-		return s.fail("the order may have run, and could not be recorded in time")
+		return s.sendFailed("the order may have run, and could not be recorded in time")
 	}
-	return s.fail("the request may have run")
+	return s.sendFailed("the request may have run")
 }
 
-// sendTo names the member to the caller.
-func (s *stream) sendTo(d decided, body bool) error {
+// sendMember sends the member's address to the caller.
+func (s *stream) sendMember(d decision, body bool) error {
 	kind := inHeaders
 	switch {
 	case body:
 		kind = inBody
-	case s.duplex():
+	case s.usesDuplex():
 		kind = inDuplex
 	}
-	if s.cfg.Headers.TryTimeout != "" {
-		return s.send(name(s.cfg, d.addr, d.left, kind))
+	if s.config.Headers.TryTimeout != "" {
+		return s.send(memberMessage(s.config, d.addrs, d.timeLeft, kind))
 	}
-	r, err := s.cfg.names.of(s.cfg, d.addr, kind)
+	r, err := s.config.memberMessages.get(s.config, d.addrs, kind)
 	if err != nil {
 		return err
 	}
 	return s.send(r)
 }
 
-// name names the member in the header and the metadata that the Gateway API's endpoint pickers use, and asks for no more
-// phases than are needed.
-func name(c *config, addr string, left time.Duration, kind int) *extprocv3.ProcessingResponse {
-	h := &c.Headers
+// memberMessage names the member in the header and the metadata that the Gateway API's endpoint pickers
+// use, and requests only the phases that are needed.
+func memberMessage(cfg *config, addr string, timeLeft time.Duration, kind int) *extprocv3.ProcessingResponse {
+	headers := &cfg.Headers
 	set := make([]*corev3.HeaderValueOption, 1, 2)
-	set[0] = setHeader(h.Destination, addr)
-	if h.TryTimeout != "" {
-		set = append(set, setHeader(h.TryTimeout, strconv.FormatInt(max(1, left.Milliseconds()), 10)))
+	set[0] = setHeader(headers.Destination, addr)
+	if headers.TryTimeout != "" {
+		set = append(set, setHeader(headers.TryTimeout, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10)))
 	}
 	common := &extprocv3.CommonResponse{HeaderMutation: &extprocv3.HeaderMutation{SetHeaders: set}}
-	if c.proven { // the caller sends the request itself, and its token is nothing for a member
+	if cfg.authenticates { // the caller sends the request itself, and members must not see its token
 		common.HeaderMutation.RemoveHeaders = []string{authorization}
 	}
 	r := &extprocv3.ProcessingResponse{DynamicMetadata: &structpb.Struct{Fields: map[string]*structpb.Value{
 		"envoy.lb": structpb.NewStructValue(&structpb.Struct{Fields: map[string]*structpb.Value{
-			h.Destination: structpb.NewStringValue(addr),
+			headers.Destination: structpb.NewStringValue(addr),
 		}}),
 	}}}
 	if kind == inBody {
@@ -157,9 +160,10 @@
 	}
 	r.Response = &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{Response: common}}
 	if kind == inDuplex {
-		return r // which takes no override
+		return r // no mode override in full duplex
 	}
-	// The sooner the caller sends after the pick, the less can have changed: no body, and of the response its head.
+	// Skipping the body and all of the response but its headers lets the caller send soon after the pick,
+	// before the member's state changes.
 	r.ModeOverride = &filterv3.ProcessingMode{
 		ResponseHeaderMode: filterv3.ProcessingMode_SEND, RequestTrailerMode: filterv3.ProcessingMode_SKIP,
 		ResponseTrailerMode: filterv3.ProcessingMode_SKIP,
@@ -167,9 +171,10 @@
 	return r
 }
 
-// encoded makes a message of another's bytes, which are written as they are. A few messages make up most of what is
-// said, and to write the metadata's maps anew for each costs as much as the rest of a call.
-func encoded(r *extprocv3.ProcessingResponse) (*extprocv3.ProcessingResponse, error) {
+// preEncode returns a message that holds the encoded bytes of another one as unknown fields, which are
+// written as they are. Few distinct messages make up most of the traffic, and encoding the metadata's maps
+// each time costs as much as the rest of a call.
+func preEncode(r *extprocv3.ProcessingResponse) (*extprocv3.ProcessingResponse, error) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 	if err != nil {
 		return nil, err
@@ -179,166 +184,167 @@
 	return e, nil
 }
 
-// mostNames bounds names; members come and go, and the addresses of those gone are forgotten with all others.
-const mostNames = 4096
+// maxCachedMessages bounds the cache for each kind. When it is reached, all entries are dropped, including
+// those of members that no longer exist.
+const maxCachedMessages = 4096
 
-// The kinds of message that names a member: the answer to the request's headers, to its body, and to its headers where
-// bodies go through here.
+// The kinds of messages that name a member: the answer to the request's headers, to its body, and to its
+// headers in full duplex.
 const (
 	inHeaders = iota
 	inBody
 	inDuplex
-	kinds
+	kindCount
 )
 
-// names keeps the messages that name members.
-type names struct {
+// messageCache caches encoded messages that name members.
+type messageCache struct {
 	mu     sync.RWMutex
-	byAddr [kinds]map[string]*extprocv3.ProcessingResponse
+	byAddr [kindCount]map[string]*extprocv3.ProcessingResponse
 }
 
-func (n *names) of(c *config, addr string, k int) (*extprocv3.ProcessingResponse, error) {
+func (n *messageCache) get(cfg *config, addr string, kind int) (*extprocv3.ProcessingResponse, error) {
 	n.mu.RLock()
-	r := n.byAddr[k][addr]
+	r := n.byAddr[kind][addr]
 	n.mu.RUnlock()
 	if r != nil {
 		return r, nil
 	}
-	r, err := encoded(name(c, addr, 0, k))
+	r, err := preEncode(memberMessage(cfg, addr, 0, kind))
 	if err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.byAddr[k] == nil || len(n.byAddr[k]) >= mostNames {
-		n.byAddr[k] = map[string]*extprocv3.ProcessingResponse{}
+	if n.byAddr[kind] == nil || len(n.byAddr[kind]) >= maxCachedMessages {
+		n.byAddr[kind] = map[string]*extprocv3.ProcessingResponse{}
 	}
-	n.byAddr[k][addr] = r
+	n.byAddr[kind][addr] = r
 	return r, nil
 }
 
-// responseGoesOn lets a response through, marked for another attempt or with such a mark taken off: a member must not be
-// able to have the caller ask again.
-func responseGoesOn(c *operator.ExtProc, again bool) *extprocv3.ProcessingResponse {
+// responseMessage lets a response through, either marked for another attempt or with such a mark removed: a
+// member must not be able to make the caller retry.
+func responseMessage(cfg *operator.ExtProc, retry bool) *extprocv3.ProcessingResponse {
 	mutation := &extprocv3.HeaderMutation{}
-	if again {
-		mutation.SetHeaders = []*corev3.HeaderValueOption{setHeader(c.Headers.Retry, "1")}
+	if retry {
+		mutation.SetHeaders = []*corev3.HeaderValueOption{setHeader(cfg.Headers.Retry, "1")}
 	} else {
-		mutation.RemoveHeaders = []string{c.Headers.Retry}
+		mutation.RemoveHeaders = []string{cfg.Headers.Retry}
 	}
 	return &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
 		ResponseHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}}
 }
 
-// attributes is the name under which callers send attributes.
-const attributes = "envoy.filters.http.ext_proc"
+// attributesNamespace is the namespace under which callers send attributes.
+const attributesNamespace = "envoy.filters.http.ext_proc"
 
-// response reads what the response's headers tell of the attempt.
-func (s *stream) response(m *extprocv3.ProcessingRequest) (r extproc.Response, note int, err error) {
-	r.MissStatus = s.cfg.MissStatus
-	for _, v := range m.GetResponseHeaders().GetHeaders().GetHeaders() {
-		switch v.GetKey() {
+// readResponse reads the attempt's result from the response's headers.
+func (s *stream) readResponse(message *extprocv3.ProcessingRequest) (response extproc.Response, note int, err error) {
+	response.MissStatus = s.config.MissStatus
+	for _, header := range message.GetResponseHeaders().GetHeaders().GetHeaders() {
+		switch header.GetKey() {
 		case ":status":
-			if r.Status, err = strconv.Atoi(valueOf(v)); err != nil || r.Status < 100 || r.Status > 599 {
-				return r, 0, s.invalid(":status is no status")
+			if response.Status, err = strconv.Atoi(headerValue(header)); err != nil || response.Status < 100 || response.Status > 599 {
+				return response, 0, s.invalid(":status is no status")
 			}
 		case "x-not-processed":
-			r.NotProcessed = valueOf(v) == "1"
+			response.NotProcessed = headerValue(header) == "1"
 		case "x-envoy-overloaded":
-			r.Overloaded = true
+			response.Overloaded = true
 		case "x-cache":
-			note = map[string]int{"hit": logic.NoteHit, "miss": logic.NoteMiss, "pending": logic.NoteFetched}[valueOf(v)]
+			note = map[string]int{"hit": logic.NoteHit, "miss": logic.NoteMiss, "pending": logic.NoteFetched}[headerValue(header)]
 		}
 	}
-	if r.Status == 0 {
-		return r, 0, s.invalid("response headers without :status")
+	if response.Status == 0 {
+		return response, 0, s.invalid("response headers without :status")
 	}
-	r.Details = m.GetAttributes()[attributes].GetFields()["response.code_details"].GetStringValue()
-	return r, note, nil
+	response.Details = message.GetAttributes()[attributesNamespace].GetFields()["response.code_details"].GetStringValue()
+	return response, note, nil
 }
 
-// responseHeaders makes an outcome of the response in mode route, and passes it on, marks it for another attempt, or
-// puts the final answer in its place.
-func (s *stream) responseHeaders(m *extprocv3.ProcessingRequest) error {
-	c := s.call
+// responseHeaders reports the attempt's outcome in route mode. It then lets the response through, marks it
+// for another attempt, or replaces it by the final answer.
+func (s *stream) responseHeaders(message *extprocv3.ProcessingRequest) error {
+	call := s.call
 	switch {
-	case s.passed || c != nil && c.settled:
-		return s.continueResponse()
-	case c == nil || !s.route():
+	case s.passThrough || call != nil && call.settled:
+		return s.sendResponseContinue()
+	case call == nil || !s.routeMode():
 		return s.invalid("response headers before the request was answered")
 	}
-	r, note, err := s.response(m)
+	response, note, err := s.readResponse(message)
 	if err != nil {
 		return err
 	}
-	s.went(m)
-	v := r.Verdict()
-	if v == logic.StatusOK {
-		s.delivering, s.note = true, note
-		if s.answerMode == filterv3.ProcessingMode_NONE || m.GetResponseHeaders().GetEndOfStream() {
-			s.deliver()
+	s.recordServedMember(message)
+	outcome := response.Outcome()
+	if outcome == logic.StatusOK {
+		s.delivering, s.outcomeNote = true, note
+		if s.responseMode == filterv3.ProcessingMode_NONE || message.GetResponseHeaders().GetEndOfStream() {
+			s.markServed()
 		}
-		return s.continueResponse()
+		return s.sendResponseContinue()
 	}
 	var final *proxy.Answer
-	var again bool
-	s.f.p.Do(func() {
-		if a := c.attempt; a != nil && !a.Ended() && a.Given() {
-			r.Origin = a.Origin
-			v = r.Verdict()
-			a.End(v, note)
-			s.f.p.DeliverOutcomes()
+	var retry bool
+	s.front.host.Do(func() {
+		if a := call.attempt; a != nil && !a.Ended() && a.Given() {
+			response.Origin = a.Origin
+			outcome = response.Outcome()
+			a.End(outcome, note)
+			s.front.host.DeliverOutcomes()
 		}
 		switch {
-		case v == logic.StatusRejected:
-			c.settle() // the member finds fault with the request itself, and says best with what
-		case c.final != nil:
-			final = c.final
-		case s.head.id == "": // it could not be known when it comes back
-			c.abandon()
+		case outcome == logic.StatusRejected:
+			call.settle() // the member rejects the request itself, and its response explains why
+		case call.finalAnswer != nil:
+			final = call.finalAnswer
+		case s.head.requestID == "": // without an id the caller's return could not be recognized
+			call.abandon()
 		default:
-			again = true
-			c.stream = nil
-			s.f.calls.Return(c.entry, s.f.p.Now()+s.cfg.ReturnWithin.D())
+			retry = true
+			call.stream = nil
+			s.front.calls.AwaitCaller(call.entry, s.front.host.Now()+s.config.ReturnWithin.D())
 		}
 	})
 	switch {
 	case final != nil:
-		return s.answer(final)
-	case again:
-		return s.send(s.cfg.again)
+		return s.sendAnswer(final)
+	case retry:
+		return s.send(s.config.retryMessage)
 	}
-	return s.continueResponse()
+	return s.sendResponseContinue()
 }
 
-// continueResponse lets a response go on.
-func (s *stream) continueResponse() error {
-	if s.passed {
+// sendResponseContinue lets a response through.
+func (s *stream) sendResponseContinue() error {
+	if s.passThrough {
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
 			ResponseHeaders: &extprocv3.HeadersResponse{}}})
 	}
-	return s.send(s.cfg.going)
+	return s.send(s.config.continueMessage)
 }
 
-// deliver ends the attempt whose answer the caller has: the request is served.
-func (s *stream) deliver() {
+// markServed ends the attempt successfully: the caller has received the response.
+func (s *stream) markServed() {
 	s.delivering = false
-	s.f.p.Do(func() {
-		c := s.call
-		if c.settled {
+	s.front.host.Do(func() {
+		call := s.call
+		if call.settled {
 			return
 		}
-		if c.attempt != nil && c.attempt.Given() {
-			if s.elsewhere {
-				c.attempt.DeliverElsewhere()
+		if call.attempt != nil && call.attempt.Given() {
+			if s.servedElsewhere {
+				call.attempt.DeliverElsewhere()
 			} else {
-				c.attempt.Deliver(s.note)
+				call.attempt.Deliver(s.outcomeNote)
 			}
 		}
-		s.f.counts.Served++
-		c.settle()
+		s.front.counts.Served++
+		call.settle()
 		s.delivered = true
-		s.idle = s.out == nil // else the end of the body has yet to go back
-		s.due = s.f.p.Now() + firstMessage
+		s.idle = s.outbox == nil // otherwise the end of the body has still to be sent
+		s.expiresAt = s.front.host.Now() + firstMessageTimeout
 	})
 }
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -11,15 +11,16 @@
 	"linenloom/internal/standin"
 )
 
-// What happens, in mode route: the caller gives a try up while it is under way to a member that is far, and asks for another one; that is made at a
-// member that is near. The first one comes while the near one has the second in hand. A caller keeps connections and opens new ones as it likes, so
-// the first message on one counts as well: it comes later by a handshake.
-func TestRouteHasOneCopyAtATime(t *testing.T) {
+// In route mode a caller abandons an attempt that is in transit to a distant member and requests another
+// one, at a near member. The first attempt then arrives while the near member processes the second. This
+// also holds for the first message on a new connection, which arrives later by a handshake: a caller opens
+// connections as it likes.
+func TestRouteModeHasOneCopyAtATime(t *testing.T) {
 	for name, handshake := range map[string]time.Duration{"on connections that stand": 0, "on new connections": 90 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			fleet, copies := newFleet(t, 2), standin.NewCopies()
-			at := map[string]string{}
+			relayAddrs := map[string]string{}
 			for _, m := range fleet.Registry.List().Members {
 				far := m.ID == fleet.Boxes[0].ID
 				delay := time.Duration(0)
@@ -34,27 +35,27 @@
 				if far {
 					relay.SetHandshake(func() time.Duration { return handshake })
 				}
-				at[m.ID] = relay.Addr()
+				relayAddrs[m.ID] = relay.Addr()
 			}
 			for _, b := range fleet.Boxes {
 				b.SetService(45*time.Millisecond, 0)
 			}
-			r := newRig(t, fleet, file("route", ""), func(cfg *proxy.Config) {
-				see := func(m discovery.Member) discovery.Member { m.HostPort = at[m.ID]; return m }
-				view, err := fleet.Registry.View(see)
+			env := newHarness(t, fleet, operatorFile("route", ""), func(cfg *proxy.Config) {
+				withRelay := func(m discovery.Member) discovery.Member { m.HostPort = relayAddrs[m.ID]; return m }
+				view, err := fleet.Registry.View(withRelay)
 				if err != nil {
 					t.Fatal(err)
 				}
 				cfg.Discovery, cfg.Settings.ConnectTimeout = view, 600*time.Millisecond
 				for i, m := range cfg.InitialList.Members {
-					cfg.InitialList.Members[i] = see(m)
+					cfg.InitialList.Members[i] = withRelay(m)
 				}
 			})
-			r.c.Retries, r.c.TryTimeout = 4, 50*time.Millisecond
+			env.caller.Retries, env.caller.AttemptTimeout = 4, 50*time.Millisecond
 			for i := range 12 {
 				key := fmt.Sprint("k", i)
 				fleet.Fill(key)
-				r.do(read(key, "id"+key))
+				env.do(readRequest(key, "id"+key))
 			}
 			all, further := copies.Attempts()
 			if further == 0 {
--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -12,180 +12,184 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// mostChunk is the longest part of a body that is passed on in one message: what the protocol recommends.
-const mostChunk = 64 << 10
+// maxChunkBytes is the maximum length of a body part in one message, as the protocol recommends.
+const maxChunkBytes = 64 << 10
 
-// outbox says things to a caller that may not take them. In full duplex a body goes through here part by part; while
-// the caller does not take what is said, the stream reads nothing more, so that the caller's own end stands still by
-// HTTP/2's flow control, and a stream that stands for too long can still be ended.
+// outbox queues responses for a caller that may not read them. In full duplex, bodies pass through this
+// stream in parts. While the caller does not read, the stream receives nothing more, so HTTP/2 flow control
+// stops the caller's sending side, and an overdue stream can still be ended.
 type outbox struct {
-	queue chan said
-	ended chan struct{} // closed when the sender has ended
-	err   error         // why, before that
-	in    atomic.Int32  // messages that are not said yet
-	idle  chan struct{} // of one token: one has been said
+	queue   chan outboxMessage
+	stopped chan struct{} // closed when run has returned
+	err     error         // error of Send; read after stopped is closed
+	pending atomic.Int32  // messages that are not written yet
+	written chan struct{} // capacity 1: signals that a message has been written
 }
 
-// said is a message and the bytes of a body in it, which count as held until it is written.
-type said struct {
-	r *extprocv3.ProcessingResponse
-	n int
+// outboxMessage is a message and the number of body bytes in it, which count as held until it is written.
+type outboxMessage struct {
+	response  *extprocv3.ProcessingResponse
+	heldBytes int
 }
 
-// stretch makes a stream ready to have bodies go through it: what the caller may send ahead counts as held from now on.
-// end tells that the request has no body.
-func (s *stream) stretch(end bool) error {
-	if !(s.bodyMode == fullDuplex && !end) && s.answerMode != fullDuplex {
+// prepareDuplex prepares a stream for relaying bodies: from now on the data that the caller may send ahead
+// counts as held. end means that the request has no body.
+func (s *stream) prepareDuplex(end bool) error {
+	if !(s.bodyMode == fullDuplex && !end) && s.responseMode != fullDuplex {
 		return nil
 	}
-	over := false
-	s.f.p.Do(func() {
-		over = s.f.p.Hold(streamWindow)
-		s.window = streamWindow
+	full := false
+	s.front.host.Do(func() {
+		full = s.front.host.Hold(streamWindow)
+		s.heldWindow = streamWindow
 	})
-	if over {
+	if full {
 		return status.Error(codes.Unavailable, "no room for the stream; nothing ran")
 	}
-	o := &outbox{queue: make(chan said, 1), ended: make(chan struct{}), idle: make(chan struct{}, 1)}
-	s.out = o
-	go o.run(s)
+	queue := &outbox{queue: make(chan outboxMessage, 1), stopped: make(chan struct{}), written: make(chan struct{}, 1)}
+	s.outbox = queue
+	go queue.run(s)
 	return nil
 }
 
-// run says what is in the outbox until that is closed, and gives back what it could not say.
+// run sends queued messages until the queue is closed, and releases their held bytes also where sending
+// fails.
 func (o *outbox) run(s *stream) {
-	defer close(o.ended)
+	defer close(o.stopped)
 	for m := range o.queue {
 		if o.err == nil {
-			o.err = s.rpc.Send(m.r)
+			o.err = s.rpc.Send(m.response)
 		}
-		if m.n > 0 {
-			s.f.p.Do(func() { s.f.p.Hold(-m.n) })
+		if m.heldBytes > 0 {
+			s.front.host.Do(func() { s.front.host.Hold(-m.heldBytes) })
 		}
-		o.in.Add(-1)
+		o.pending.Add(-1)
 		select {
-		case o.idle <- struct{}{}:
+		case o.written <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// put hands a message over, with n held bytes in it.
-func (o *outbox) put(s *stream, r *extprocv3.ProcessingResponse, n int) error {
-	o.in.Add(1)
+// enqueue queues a message. heldBytes of its body count as held until it is written.
+func (o *outbox) enqueue(s *stream, r *extprocv3.ProcessingResponse, heldBytes int) error {
+	o.pending.Add(1)
 	select {
-	case o.queue <- said{r, n}:
+	case o.queue <- outboxMessage{r, heldBytes}:
 		return nil
-	case <-s.kicked:
+	case <-s.forceEnd:
 	case <-s.rpc.Context().Done():
 	}
-	o.in.Add(-1)
-	if n > 0 {
-		s.f.p.Do(func() { s.f.p.Hold(-n) })
+	o.pending.Add(-1)
+	if heldBytes > 0 {
+		s.front.host.Do(func() { s.front.host.Hold(-heldBytes) })
 	}
-	return s.notTaken()
+	return s.notReadStatus()
 }
 
-// flush waits until all is said.
+// flush waits until all messages are written.
 func (o *outbox) flush(s *stream) error {
-	for o.in.Load() > 0 {
+	for o.pending.Load() > 0 {
 		select {
-		case <-o.idle:
-		case <-s.kicked:
-			return s.notTaken()
+		case <-o.written:
+		case <-s.forceEnd:
+			return s.notReadStatus()
 		case <-s.rpc.Context().Done():
-			return s.notTaken()
+			return s.notReadStatus()
 		}
 	}
 	return nil
 }
 
-// notTaken is the status of a stream that ends with something to be said.
-func (s *stream) notTaken() error {
+// notReadStatus returns the status of a stream that ends with unsent messages.
+func (s *stream) notReadStatus() error {
 	if err := s.rpc.Context().Err(); err != nil {
 		return status.FromContextError(err).Err()
 	}
 	return status.Error(codes.DeadlineExceeded, "the caller does not take what it is told")
 }
 
-// end waits until all is said, but no longer than the stream may stand.
-func (o *outbox) end(s *stream, err error) error {
+// closeAndWait closes the queue and waits until all messages are written, at most until the stream is ended
+// as overdue.
+func (o *outbox) closeAndWait(s *stream, err error) error {
 	close(o.queue)
 	select {
-	case <-o.ended:
+	case <-o.stopped:
 		if err == nil && o.err != nil {
 			err = o.err
 		}
-	case <-s.kicked:
-		if o.in.Load() > 0 {
-			s.f.stuck(s)
+	case <-s.forceEnd:
+		if o.pending.Load() > 0 {
+			s.front.addStuckStream(s)
 		}
 	case <-s.rpc.Context().Done():
 	}
 	return err
 }
 
-// What is on its way to a caller that takes nothing stays in the transport, behind the stream's window, after the stream has
-// ended here, and grpc-go has no way to reset a stream from this side. So it counts as held for as long as a caller may
-// take to reset it, and a caller whose connection has too many such streams at once loses the connection.
+// Data for a caller that does not read stays in the transport, up to the stream's window, after the stream
+// has ended here, and grpc-go offers no way to reset a stream from the server. The window therefore counts
+// as held for as long as the caller may take to reset the stream, and a connection with too many such
+// streams at once is closed.
 const (
-	stuckFor  = 30 * time.Second
-	mostStuck = 64
+	stuckHoldTime   = 30 * time.Second
+	maxStuckStreams = 64
 )
 
 type stuckStream struct {
-	conn  *counted
-	until time.Duration
+	conn      *countedConn
+	releaseAt time.Duration
 }
 
-func (f *Front) stuck(s *stream) {
-	c := connOf(s.rpc.Context())
-	if c == nil {
+func (f *Front) addStuckStream(s *stream) {
+	conn := connOf(s.rpc.Context())
+	if conn == nil {
 		return
 	}
-	over := false
-	f.p.Do(func() {
-		f.p.Hold(streamWindow)
-		f.stuckStreams = append(f.stuckStreams, stuckStream{c, f.p.Now() + stuckFor})
-		c.stuck++
-		over = c.stuck > mostStuck
+	tooMany := false
+	f.host.Do(func() {
+		f.host.Hold(streamWindow)
+		f.stuckStreams = append(f.stuckStreams, stuckStream{conn, f.host.Now() + stuckHoldTime})
+		conn.stuckStreams++
+		tooMany = conn.stuckStreams > maxStuckStreams
 	})
-	if over {
-		f.log.Warn("a caller takes nothing it is told, on too many streams: its connection is closed", "caller", c.RemoteAddr().String())
-		c.Close()
+	if tooMany {
+		f.log.Warn("closing a connection: its caller reads no responses on too many streams", "caller", conn.RemoteAddr().String())
+		conn.Close()
 	}
 }
 
-// sweepStuck lets go of streams that have been stuck for long, under the lock.
-func (f *Front) sweepStuck(now time.Duration) {
-	for len(f.stuckStreams) > 0 && (f.stuckStreams[0].until <= now || f.stuckStreams[0].conn.closed) {
-		f.stuckStreams[0].conn.stuck--
+// releaseStuckStreams releases the memory counted for stuck streams whose hold time is over. The host's
+// lock must be held.
+func (f *Front) releaseStuckStreams(now time.Duration) {
+	for len(f.stuckStreams) > 0 && (f.stuckStreams[0].releaseAt <= now || f.stuckStreams[0].conn.closed) {
+		f.stuckStreams[0].conn.stuckStreams--
 		f.stuckStreams = f.stuckStreams[1:]
-		f.p.Hold(-streamWindow)
+		f.host.Hold(-streamWindow)
 	}
 }
 
-// echo passes a part of a body on as it came. Where the memory for bodies is used up, no further part is taken in until
-// this one is written.
-func (s *stream) echo(m *extprocv3.HttpBody, response bool) error {
-	for rest, last := m.GetBody(), false; !last; {
-		part := rest[:min(len(rest), mostChunk)]
+// relayBody sends a body part back unchanged. If the memory for bodies is used up, no further part is
+// received until this one is written.
+func (s *stream) relayBody(body *extprocv3.HttpBody, response bool) error {
+	for rest, last := body.GetBody(), false; !last; {
+		part := rest[:min(len(rest), maxChunkBytes)]
 		rest = rest[len(part):]
 		last = len(rest) == 0
-		over := false
-		s.f.p.Do(func() { over = s.f.p.Hold(len(part)) })
+		full := false
+		s.front.host.Do(func() { full = s.front.host.Hold(len(part)) })
 		common := &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{BodyMutation: &extprocv3.BodyMutation{
 			Mutation: &extprocv3.BodyMutation_StreamedResponse{StreamedResponse: &extprocv3.StreamedBodyResponse{
-				Body: part, EndOfStream: last && m.GetEndOfStream()}}}}}
-		r := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{RequestBody: common}}
+				Body: part, EndOfStream: last && body.GetEndOfStream()}}}}}
+		message := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{RequestBody: common}}
 		if response {
-			r.Response = &extprocv3.ProcessingResponse_ResponseBody{ResponseBody: common}
+			message.Response = &extprocv3.ProcessingResponse_ResponseBody{ResponseBody: common}
 		}
-		if err := s.out.put(s, r, len(part)); err != nil {
+		if err := s.outbox.enqueue(s, message, len(part)); err != nil {
 			return err
 		}
-		if over {
-			if err := s.out.flush(s); err != nil {
+		if full {
+			if err := s.outbox.flush(s); err != nil {
 				return err
 			}
 		}
@@ -193,32 +197,32 @@
 	return nil
 }
 
-// The metadata by which a gateway and an endpoint picker speak beside the headers (Gateway API Inference Extension,
-// endpoint picker protocol).
+// Metadata that a gateway and an endpoint picker exchange in addition to headers (Gateway API Inference
+// Extension, endpoint picker protocol).
 const (
 	subsetNamespace = "envoy.lb.subset_hint"
 	subsetKey       = "x-gateway-destination-endpoint-subset"
 	servedNamespace = "envoy.lb"
 	servedKey       = "x-gateway-destination-endpoint-served"
-	// mostSubset bounds a hint; a longer one is cut, which narrows it further.
-	mostSubset = 1024
+	// maxSubset limits a subset hint; a longer one is truncated, which restricts it further.
+	maxSubset = 1024
 )
 
-// subset reads the members that the caller allows: nil where it says nothing, empty where it allows none.
-func subset(m *extprocv3.ProcessingRequest) []string {
-	v, ok := m.GetMetadataContext().GetFilterMetadata()[subsetNamespace].GetFields()[subsetKey]
+// allowedEndpoints returns the members that the caller allows: nil without a hint, empty if it allows none.
+func allowedEndpoints(m *extprocv3.ProcessingRequest) []string {
+	hint, ok := m.GetMetadataContext().GetFilterMetadata()[subsetNamespace].GetFields()[subsetKey]
 	if !ok {
 		return nil
 	}
-	only := endpoints(v)
-	return only[:min(len(only), mostSubset)]
+	members := parseEndpoints(hint)
+	return members[:min(len(members), maxSubset)]
 }
 
-// endpoints reads addresses from a list, or from a text with commas. Never nil.
-func endpoints(v *structpb.Value) []string {
-	only := []string{}
-	texts := []string{v.GetStringValue()}
-	if l := v.GetListValue(); l != nil {
+// parseEndpoints reads addresses from a list or from comma-separated text. The result is never nil.
+func parseEndpoints(value *structpb.Value) []string {
+	addrs := []string{}
+	texts := []string{value.GetStringValue()}
+	if l := value.GetListValue(); l != nil {
 		texts = texts[:0]
 		for _, e := range l.GetValues() {
 			texts = append(texts, e.GetStringValue())
@@ -231,36 +235,37 @@
 				e = e[1 : len(e)-1] // IPv6 without a port
 			}
 			if e != "" {
-				only = append(only, e)
+				addrs = append(addrs, e)
 			}
 		}
 	}
-	return only
+	return addrs
 }
 
-// went takes who the caller says has really served, if it says so: one of the spares, or somebody else.
-func (s *stream) went(m *extprocv3.ProcessingRequest) {
-	v, ok := m.GetMetadataContext().GetFilterMetadata()[servedNamespace].GetFields()[servedKey]
+// recordServedMember records the member that served the request, if the caller reports one: a fallback or
+// one that was not named.
+func (s *stream) recordServedMember(m *extprocv3.ProcessingRequest) {
+	served, ok := m.GetMetadataContext().GetFilterMetadata()[servedNamespace].GetFields()[servedKey]
 	if !ok {
 		return
 	}
-	s.f.p.Do(func() {
-		c := s.call
-		if c.attempt == nil || c.attempt.Ended() || !c.attempt.Given() {
+	s.front.host.Do(func() {
+		call := s.call
+		if call.attempt == nil || call.attempt.Ended() || !call.attempt.Given() {
 			return
 		}
-		named := strings.Split(c.named, ",")
-		at := slices.Index(named, v.GetStringValue())
-		if at < 0 {
-			s.elsewhere = true
-			s.f.counts.Elsewhere++
+		named := strings.Split(call.namedAddrs, ",")
+		index := slices.Index(named, served.GetStringValue())
+		if index < 0 {
+			s.servedElsewhere = true
+			s.front.counts.ServedElsewhere++
 			return
 		}
-		for _, addr := range named[1 : at+1] {
-			if !c.attempt.Moved(addr) {
-				s.elsewhere = true
+		for _, addr := range named[1 : index+1] {
+			if !call.attempt.Moved(addr) {
+				s.servedElsewhere = true
 			}
 		}
-		s.f.counts.FellBack += at
+		s.front.counts.FellBack += index
 	})
 }
--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -16,11 +16,11 @@
 	"linenloom/internal/standin"
 )
 
-// duplexed has a rig's caller send bodies in full duplex, both ways.
-func (r *rig) duplexed(trailers bool) *rig {
-	r.c.SetFullDuplex()
-	r.c.Trailers = trailers
-	return r
+// useFullDuplex makes the harness's caller send bodies in full duplex in both directions.
+func (h *harness) useFullDuplex(trailers bool) *harness {
+	h.caller.SetFullDuplex()
+	h.caller.Trailers = trailers
+	return h
 }
 
 func TestFullDuplex(t *testing.T) {
@@ -33,122 +33,122 @@
 				}
 				t.Cleanup(fleet.Close)
 				fleet.Fill("k")
-				r := newRig(t, fleet, file(mode, ""), nil).duplexed(trailers)
-				r.c.Retries = 4
-				res := r.do(read("k", "r1"))
-				r.want(res, 200, "value of k")
+				env := newHarness(t, fleet, operatorFile(mode, ""), nil).useFullDuplex(trailers)
+				env.caller.Retries = 4
+				res := env.do(readRequest("k", "r1"))
+				env.expect(res, 200, "value of k")
 				if want := standin.Value("k", 40_000); !bytes.Equal(res.Body, want) {
 					t.Errorf("%d bytes of the value came back, want %d", len(res.Body), len(want))
 				}
-				r.want(r.do(read("missed", "r2")), 200, "value of missed")
-				q := order("o1", "w1")
-				q.Body = bytes.Repeat([]byte("x"), maxBody)
-				r.want(r.do(q), 200, "receipt of o1")
-				q = order("o2", "w2")
-				q.Body = bytes.Repeat([]byte("x"), maxBody+1)
+				env.expect(env.do(readRequest("missed", "r2")), 200, "value of missed")
+				q := orderRequest("o1", "w1")
+				q.Body = bytes.Repeat([]byte("x"), maxBodyBytes)
+				env.expect(env.do(q), 200, "receipt of o1")
+				q = orderRequest("o2", "w2")
+				q.Body = bytes.Repeat([]byte("x"), maxBodyBytes+1)
 				if mode == "answer" {
-					r.want(r.do(q), 200, "receipt of o2")
+					env.expect(env.do(q), 200, "receipt of o2")
 				}
-				q = order("o4", "w4")
-				q.Body = bytes.Repeat([]byte("x"), maxLong+1)
-				r.want(r.do(q), 413, "over")
+				q = orderRequest("o4", "w4")
+				q.Body = bytes.Repeat([]byte("x"), maxLongBodyBytes+1)
+				env.expect(env.do(q), 413, "over")
 				fleet.Origin.SetFault(standin.Failing)
-				r.want(r.do(order("o3", "w3")), 502, "may have run")
+				env.expect(env.do(orderRequest("o3", "w3")), 502, "may have run")
 				for key, n := range fleet.Origin.Executions() {
 					if n != 1 || key == "o4" {
 						t.Errorf("%s ran %d times", key, n)
 					}
 				}
-				r.quiet()
+				env.waitIdle()
 			})
 		}
 	}
 }
 
-// What is none of ours goes through whole, at any length.
-func TestFullDuplexOfOthersBodies(t *testing.T) {
-	r := newRig(t, newFleet(t, 1), file("route", `unmapped = "pass"`), nil).duplexed(true)
+// A request that matches no map entry passes through unchanged, with a body of any length.
+func TestFullDuplexPassThrough(t *testing.T) {
+	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil).useFullDuplex(true)
 	body := bytes.Repeat([]byte("0123456789a"), 100_000)
-	for _, chunk := range []int{0, 200_001, mostChunk, mostChunk + 1} { // longer parts come back cut
-		r.c.Chunk = chunk
-		res := r.do(caller.Request{Method: "POST", Path: "/else", Body: body})
-		if !res.Passed || res.Err != nil || !bytes.Equal(res.Body, body) {
-			t.Errorf("parts of %d: passed %v, %d bytes, %v; want %d", chunk, res.Passed, len(res.Body), res.Err, len(body))
+	for _, chunk := range []int{0, 200_001, maxChunkBytes, maxChunkBytes + 1} { // longer ones come back in parts
+		env.caller.ChunkBytes = chunk
+		res := env.do(caller.Request{Method: "POST", Path: "/else", Body: body})
+		if !res.PassedThrough || res.Err != nil || !bytes.Equal(res.Body, body) {
+			t.Errorf("parts of %d: passed %v, %d bytes, %v; want %d", chunk, res.PassedThrough, len(res.Body), res.Err, len(body))
 		}
 	}
-	r.quiet()
+	env.waitIdle()
 }
 
-// open opens a stream in full duplex with a request that is passed on, and body to come.
-func (r *rig) open(ctx context.Context) extprocv3.ExternalProcessor_ProcessClient {
-	r.t.Helper()
-	s, err := extprocv3.NewExternalProcessorClient(r.c.Conn(0)).Process(ctx)
+// openDuplex opens a stream in full duplex with a pass-through request whose body follows.
+func (h *harness) openDuplex(ctx context.Context) extprocv3.ExternalProcessor_ProcessClient {
+	h.t.Helper()
+	s, err := extprocv3.NewExternalProcessorClient(h.caller.Conn(0)).Process(ctx)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	err = s.Send(&extprocv3.ProcessingRequest{
 		ProtocolConfig: &extprocv3.ProtocolConfiguration{RequestBodyMode: fullDuplex},
 		Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: &extprocv3.HttpHeaders{
 			Headers: headerMap(":method", "POST", ":path", "/else")}}})
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return s
 }
 
-func part(n int) *extprocv3.ProcessingRequest {
+func bodyPart(n int) *extprocv3.ProcessingRequest {
 	return &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: make([]byte, n)}}}
 }
 
-// A caller that sends and does not take what comes back is stood still, not stored: what is held stays within a few
-// parts, and the stream ends by its time though a message to the caller can't be written.
-func TestCallerThatTakesNothing(t *testing.T) {
-	r := newRig(t, newFleet(t, 1), file("route", `unmapped = "pass"`), nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// A caller that sends and does not read responses is blocked, not buffered: only a few parts are held, and
+// the stream ends when it is overdue although a message to the caller cannot be written.
+func TestCallerThatDoesNotRead(t *testing.T) {
+	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	s := r.open(ctx)
+	s := env.openDuplex(ctx)
 	sent, parts := make(chan int, 1), atomic.Int32{}
 	go func() {
-		for s.Send(part(32<<10)) == nil {
+		for s.Send(bodyPart(32<<10)) == nil {
 			parts.Add(1)
 		}
 		sent <- int(parts.Load())
 	}()
-	// The caller's library takes in a window of its own, and the transports some more; then everything stands still, with thirteen parts on their
-	// way. A part that only waits for its turn is not stuck yet.
+	// The caller's library buffers a window of its own, and the transports some more; then everything
+	// blocks, with thirteen parts in transit. A part that only waits for its turn is not stuck yet.
 	stuck := func() bool {
-		l := r.p.Load()
-		return parts.Load() >= 10 && l.Held > streamCost+streamWindow+2*32<<10
+		l := env.host.Load()
+		return parts.Load() >= 10 && l.Held > streamMemory+streamWindow+2*32<<10
 	}
-	r.eventually("parts wait to be taken", stuck)
-	if l := r.p.Load(); l.Held > streamCost+streamWindow+4*mostChunk {
+	env.eventually("parts wait to be taken", stuck)
+	if l := env.host.Load(); l.Held > streamMemory+streamWindow+4*maxChunkBytes {
 		t.Errorf("%d bytes held for one stream", l.Held)
 	}
-	r.f.p.Do(func() {
-		for s := range r.f.streams {
-			s.due = 0 // its time is over
+	env.front.host.Do(func() {
+		for s := range env.front.streams {
+			s.expiresAt = 0 // the stream is overdue
 		}
 	})
-	r.eventually("the stream has ended here", func() bool { return r.f.Counts().Streams == 0 })
-	r.eventually("only what the transport may have counts as held", func() bool { return r.p.Load().Held == streamWindow })
-	cancel() // the caller resets it
+	env.eventually("the stream has ended here", func() bool { return env.front.Counts().Streams == 0 })
+	env.eventually("only what the transport may have counts as held", func() bool { return env.host.Load().Held == streamWindow })
+	cancel() // the caller resets the stream
 	if n := await(t, sent, "the caller's sending ends"); n > 64 {
 		t.Errorf("%d parts of 32 KiB were taken in", n)
 	}
-	r.c.Close()
-	r.quiet()
+	env.caller.Close()
+	env.waitIdle()
 }
 
-// A body whose end never comes ends with its request's time, and what it held is given back.
-func TestDuplexEndThatNeverComes(t *testing.T) {
+// A stream whose body never ends is ended with its request's deadline, and its held memory is released.
+func TestDuplexBodyThatNeverEnds(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newRig(t, fleet, file(mode, ""), nil)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			s, err := extprocv3.NewExternalProcessorClient(r.c.Conn(0)).Process(ctx)
+			s, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(ctx)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -156,14 +156,14 @@
 				ProtocolConfig: &extprocv3.ProtocolConfiguration{RequestBodyMode: fullDuplex},
 				Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: &extprocv3.HttpHeaders{
 					Headers: headerMap(":method", "PUT", ":path", "/orders/o", "x-request-id", "e1")}}})
-			s.Send(part(1000))
-			r.eventually("the part has come", func() bool { return r.p.Load().Held >= streamCost+streamWindow })
+			s.Send(bodyPart(1000))
+			env.eventually("the part has come", func() bool { return env.host.Load().Held >= streamMemory+streamWindow })
 			for {
 				if _, err := s.Recv(); err != nil {
 					break
 				}
 			}
-			r.quiet()
+			env.waitIdle()
 			if n := fleet.Origin.Executions()["o"]; n != 0 {
 				t.Errorf("half an order ran %d times", n)
 			}
@@ -171,19 +171,20 @@
 	}
 }
 
-// Streams whose bodies may be sent ahead count for their windows, so that a crowd of them is turned away, not stored.
-func TestCrowdOfDuplexStreams(t *testing.T) {
-	r := newRig(t, newFleet(t, 1), file("route", `unmapped = "pass"
+// The flow-control windows of duplex streams count as held memory, so that excess streams are refused
+// instead of buffered.
+func TestDuplexStreamsAreBoundedByMemory(t *testing.T) {
+	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"
 max_streams = 1024`), func(c *proxy.Config) { c.MemoryMB = 32 }) // 8 MB for bodies
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	refused := 0
 	for range 200 {
-		s := r.open(ctx)
+		s := env.openDuplex(ctx)
 		if _, err := s.Recv(); err != nil {
 			refused++
 		}
-		if l := r.p.Load(); l.Held > 8<<20+streamCost+streamWindow {
+		if l := env.host.Load(); l.Held > 8<<20+streamMemory+streamWindow {
 			t.Fatalf("%d bytes held", l.Held)
 		}
 	}
@@ -191,7 +192,7 @@
 		t.Errorf("%d of 200 streams refused", refused)
 	}
 	cancel()
-	r.quiet()
+	env.waitIdle()
 }
 
 func TestSubsetHint(t *testing.T) {
@@ -199,76 +200,76 @@
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 4)
 			fleet.Fill("a", "b", "c", "d", "e", "f", "g", "h")
-			r := newRig(t, fleet, file(mode, ""), nil)
-			r.eventually("the list is known", func() bool { return r.p.Load().Ready == 5 })
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			env.eventually("the list is known", func() bool { return env.host.Load().Ready == 5 })
 			only := fleet.Boxes[2]
-			r.c.Subset = []string{only.Addr()}
+			env.caller.Subset = []string{only.Addr()}
 			for i, key := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-				r.want(r.do(read(key, fmt.Sprint("s", i))), 200, "value of "+key)
+				env.expect(env.do(readRequest(key, fmt.Sprint("s", i))), 200, "value of "+key)
 			}
-			for _, to := range r.sent() {
+			for _, to := range env.sent() {
 				if to != proxy.MemberID(only.ID) {
 					t.Errorf("sent to %v, which the hint does not name", to)
 				}
 			}
-			sent := len(r.sent())
+			sent := len(env.sent())
 			for i, none := range [][]string{{}, {"10.0.0.1:80"}, {"127.0.0.1:1", ""}} {
-				r.c.Subset = none
-				r.want(r.do(read("a", fmt.Sprint("n", i))), 503, "refused")
+				env.caller.Subset = none
+				env.expect(env.do(readRequest("a", fmt.Sprint("n", i))), 503, "refused")
 			}
-			r.c.Subset = []string{only.Addr()} // and not the origin, where orders go
-			r.want(r.do(order("o", "w1")), 503, "refused")
-			if len(r.sent()) != sent {
+			env.caller.Subset = []string{only.Addr()} // the origin, where orders go, is not included
+			env.expect(env.do(orderRequest("o", "w1")), 503, "refused")
+			if len(env.sent()) != sent {
 				t.Error("something was sent though nobody may take it")
 			}
-			r.c.Subset = []string{"127.0.0.1"} // every port of a host
-			r.want(r.do(order("o", "w2")), 200, "receipt of o")
-			r.quiet()
+			env.caller.Subset = []string{"127.0.0.1"} // all ports of a host
+			env.expect(env.do(orderRequest("o", "w2")), 200, "receipt of o")
+			env.waitIdle()
 		})
 	}
 }
 
-// Reads are given spare members, to which a caller goes on by itself; who served is learnt from what it says. Orders are
-// given none.
+// Reads get fallback members, which a caller tries by itself; the member that served is taken from what the
+// caller reports. Orders get no fallbacks.
 func TestFallbacks(t *testing.T) {
 	fleet := newFleet(t, 4)
 	fleet.Fill("a", "b", "c", "d")
-	r := newRig(t, fleet, file("route", "fallbacks = 2"), nil)
-	r.eventually("the list is known", func() bool { return r.p.Load().Ready == 5 })
-	r.c.FallBack = true
+	env := newHarness(t, fleet, operatorFile("route", "fallbacks = 2"), nil)
+	env.eventually("the list is known", func() bool { return env.host.Load().Ready == 5 })
+	env.caller.UseFallbacks = true
 	var named string
-	r.c.SendAfter = func(n string) { named = n }
-	r.want(r.do(order("o", "w1")), 200, "receipt of o")
+	env.caller.BeforeSend = func(n string) { named = n }
+	env.expect(env.do(orderRequest("o", "w1")), 200, "receipt of o")
 	if bytes.Count([]byte(named), []byte(",")) != 0 {
 		t.Errorf("an order was given spares: %q", named)
 	}
-	r.want(r.do(read("a", "r1")), 200, "value of a")
+	env.expect(env.do(readRequest("a", "r1")), 200, "value of a")
 	if bytes.Count([]byte(named), []byte(",")) != 2 {
 		t.Fatalf("a read was given %q, want three members", named)
 	}
-	// The first of them dies.
+	// The first member named fails.
 	first := bytes.Split([]byte(named), []byte(","))[0]
 	for _, b := range fleet.Boxes {
 		if b.Addr() == string(first) {
 			b.Close()
 		}
 	}
-	res := r.do(read("a", "r2"))
-	r.want(res, 200, "value of a")
+	res := env.do(readRequest("a", "r2"))
+	env.expect(res, 200, "value of a")
 	if res.Attempts != 1 || len(res.Members) != 1 || res.Members[0] == string(first) {
 		t.Errorf("%d calls, served by %v", res.Attempts, res.Members)
 	}
-	if c := r.f.Counts(); c.FellBack != 1 || c.Elsewhere != 0 {
+	if c := env.front.Counts(); c.FellBack != 1 || c.ServedElsewhere != 0 {
 		t.Errorf("%+v", c)
 	}
-	r.quiet()
+	env.waitIdle()
 }
 
-// Two headers that name the request differently would let whoever adds one choose.
+// Two headers that identify the request differently would let whoever adds one choose.
 func TestDoubleHeaders(t *testing.T) {
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("answer", ""), nil)
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	for name, c := range map[string]struct {
 		more []string
 		want int32
@@ -280,39 +281,39 @@
 		m := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{
 			RequestHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: headerMap(append([]string{":method", "GET",
 				":path", "/tiles/k", "x-request-id", "d1"}, c.more...)...)}}}
-		answers, code := r.talk(m)
+		answers, code := env.exchange(m)
 		if code != codes.OK || len(answers) != 1 || int32(answers[0].GetImmediateResponse().GetStatus().GetCode()) != c.want {
 			t.Errorf("%s: %v, %v", name, answers, code)
 		}
 	}
-	r.quiet()
+	env.waitIdle()
 }
 
-// What comes when the processor takes nothing any more, or when no time is left, is not shed for want of capacity, and the
-// details say which it is.
-func TestRefusalsSayWhy(t *testing.T) {
+// A request that arrives while the processor is stopping, or with no time left, does not get the status of
+// requests shed for lack of capacity, and the details contain the reason.
+func TestRefusalReasonsInDetails(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		stop bool
 		want string
 	}{
-		"stopping":     {file("answer", ""), true, "linenloom_refused{stopping}"},
-		"no time left": {strings.Replace(file("answer", ""), `"5s"`, `"20ms"`, 1), false, "linenloom_refused{out_of_time}"},
+		"stopping":     {operatorFile("answer", ""), true, "linenloom_refused{stopping}"},
+		"no time left": {strings.Replace(operatorFile("answer", ""), `"5s"`, `"20ms"`, 1), false, "linenloom_refused{out_of_time}"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newFleet(t, 1)
 			fleet.Boxes[0].SetFault(standin.Stall)
-			r := newRig(t, fleet, c.text, nil)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			env := newHarness(t, fleet, c.text, nil)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			s, err := extprocv3.NewExternalProcessorClient(r.c.Conn(0)).Process(ctx)
+			s, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(ctx)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.eventually("the stream is open", func() bool { return r.f.Counts().Streams == 1 })
+			env.eventually("the stream is open", func() bool { return env.front.Counts().Streams == 1 })
 			if c.stop {
-				r.stop()
-				r.eventually("the stop has begun", func() (is bool) { r.p.Do(func() { is = r.p.Stopping() }); return is })
+				env.stop()
+				env.eventually("the stop has begun", func() (is bool) { env.host.Do(func() { is = env.host.Stopping() }); return is })
 			}
 			s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{
 				RequestHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: headerMap(":method", "GET", ":path", "/tiles/k", "x-request-id", "r1")}}})
@@ -324,36 +325,36 @@
 				t.Errorf("%v, want 503 and %s", now, c.want)
 			}
 			fleet.Boxes[0].Close()
-			r.end()
+			env.stopAndWait()
 		})
 	}
 }
 
-// What is shed has a status of its own; what has nobody to go to has not.
+// A request shed for lack of capacity has the configured status; a request without a usable member has 503.
 func TestShedStatus(t *testing.T) {
 	for status, more := range map[int]string{429: "", 503: "shed_status = 503"} {
 		fleet := newFleet(t, 1)
-		r := newRig(t, fleet, file("answer", more), func(c *proxy.Config) { c.MaxRequests = 1 })
+		env := newHarness(t, fleet, operatorFile("answer", more), func(c *proxy.Config) { c.MaxRequests = 1 })
 		fleet.Boxes[0].SetFault(standin.Stall)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		held := r.start(ctx, read("a", "h1"))
-		r.eventually("one is in hand", func() bool { return r.p.Load().Requests == 1 })
-		r.want(r.do(read("b", "h2")), status, "refused")
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+		held := env.start(ctx, readRequest("a", "h1"))
+		env.eventually("one is in hand", func() bool { return env.host.Load().Requests == 1 })
+		env.expect(env.do(readRequest("b", "h2")), status, "refused")
 		cancel()
 		await(t, held, "the first")
 	}
 }
 
-// A planned stop waits for bodies that go through here, and ends the streams once all has been passed on.
-func TestDrainLeavesBodiesWhole(t *testing.T) {
-	r := newRig(t, newFleet(t, 1), file("route", `unmapped = "pass"`), nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// A planned stop waits for relayed bodies and ends their streams once everything has been relayed.
+func TestDrainCompletesBodies(t *testing.T) {
+	env := newHarness(t, newFleet(t, 1), operatorFile("route", `unmapped = "pass"`), nil)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	s := r.open(ctx)
-	s.Send(part(1000))
-	r.stop()
-	r.eventually("the stop has begun", func() (is bool) { r.p.Do(func() { is = r.p.Stopping() }); return is })
-	last := part(1000)
+	s := env.openDuplex(ctx)
+	s.Send(bodyPart(1000))
+	env.stop()
+	env.eventually("the stop has begun", func() (is bool) { env.host.Do(func() { is = env.host.Stopping() }); return is })
+	last := bodyPart(1000)
 	last.GetRequestBody().EndOfStream = true
 	if err := s.Send(last); err != nil {
 		t.Fatal(err)
@@ -372,5 +373,5 @@
 	if got != 2000 {
 		t.Errorf("%d bytes came back, want 2000", got)
 	}
-	r.end()
+	env.stopAndWait()
 }
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -20,10 +20,10 @@
 	"linenloom/internal/standin"
 )
 
-// start makes a request in the background; the result comes on the channel.
-func (r *rig) start(ctx context.Context, q caller.Request) <-chan caller.Result {
+// start makes a request in the background and sends the result on the channel.
+func (h *harness) start(ctx context.Context, q caller.Request) <-chan caller.Result {
 	out := make(chan caller.Result, 1)
-	go func() { out <- r.c.Do(ctx, q) }()
+	go func() { out <- h.caller.Do(ctx, q) }()
 	return out
 }
 
@@ -31,148 +31,148 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("never came about: %s", what)
 	}
 	return v
 }
 
-// An order that the caller repeats by itself, after it has left a call whose attempt may have run, fails.
-func TestOrderRepeatedByTheCaller(t *testing.T) {
+// An order fails if the caller repeats it by itself after leaving a call whose attempt may have run.
+func TestOrderRepeatedByCaller(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			r := newRig(t, fleet, file(mode, ""), nil)
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			fleet.Origin.SetFault(standin.Stall)
-			ctx, leave := context.WithCancel(context.Background())
-			first := r.start(ctx, order("o1", "w1"))
-			r.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
-			// While the first is in hand: the same id from elsewhere, and the caller's own repeat.
-			r.want(r.do(order("o1", "w1")), 409, "in hand")
-			q := order("o1", "w1")
+			ctx, disconnect := context.WithCancel(context.Background())
+			first := env.start(ctx, orderRequest("o1", "w1"))
+			env.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
+			// While the first is in progress: the same id from another caller, and the caller's own repeat.
+			env.expect(env.do(orderRequest("o1", "w1")), 409, "in hand")
+			q := orderRequest("o1", "w1")
 			q.Headers["x-envoy-attempt-count"] = "2"
-			r.want(r.do(q), 502, "may have run")
-			leave()
+			env.expect(env.do(q), 502, "may have run")
+			disconnect()
 			await(t, first, "the first call ends")
-			r.eventually("its stream has ended", func() bool { return r.f.Counts().Streams == 0 })
-			r.want(r.do(q), 502, "may have run")
-			r.want(r.do(order("o1", "w1")), 502, "may have run")
-			// A processor that does not know the id can't tell what the attempts before did.
-			q = order("o2", "w2")
+			env.eventually("its stream has ended", func() bool { return env.front.Counts().Streams == 0 })
+			env.expect(env.do(q), 502, "may have run")
+			env.expect(env.do(orderRequest("o1", "w1")), 502, "may have run")
+			// A processor that does not know the id cannot know what the earlier attempts did.
+			q = orderRequest("o2", "w2")
 			q.Headers["x-envoy-attempt-count"] = "3"
-			r.want(r.do(q), 502, "may have run")
-			// Nor can one be called refused whose time is over.
+			env.expect(env.do(q), 502, "may have run")
+			// An expired request cannot be called refused either.
 			q.Headers["grpc-timeout"] = "0m"
-			r.want(r.do(q), 502, "may have run")
-			q = order("o3", "w3")
+			env.expect(env.do(q), 502, "may have run")
+			q = orderRequest("o3", "w3")
 			q.Headers["grpc-timeout"] = "0m"
-			r.want(r.do(q), 503, "never ran")
+			env.expect(env.do(q), 503, "never ran")
 			if n := fleet.Origin.Began(); n != 1 {
 				t.Errorf("the origin saw %d orders, want 1", n)
 			}
-			fleet.Origin.Close() // so that the attempt ends
-			r.quiet()
+			fleet.Origin.Close() // ends the attempt
+			env.waitIdle()
 		})
 	}
 }
 
-// An order that was refused has never run: its repeat is served.
+// An order that was refused never ran, so its repeat is served.
 func TestRefusedOrderMayBeRepeated(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newRig(t, fleet, file("answer", ""), nil)
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	fleet.Origin.SetFault(standin.Busy)
-	r.want(r.do(order("o1", "w1")), 503, "never ran")
+	env.expect(env.do(orderRequest("o1", "w1")), 503, "never ran")
 	fleet.Origin.SetFault(standin.Healthy)
-	q := order("o1", "w1")
+	q := orderRequest("o1", "w1")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	r.eventually("the origin is used again", func() bool {
+	env.eventually("the origin is used again", func() bool {
 		q.Headers["x-request-id"] = "w1"
-		return r.do(q).Status == 200
+		return env.do(q).Status == 200
 	})
 	if n := fleet.Origin.Executions()["o1"]; n != 1 {
 		t.Errorf("%d executions", n)
 	}
-	r.quiet()
+	env.waitIdle()
 }
 
-// A read that the caller has given up and asks for again is served; the call before is let go of.
-func TestReadRepeatedByTheCaller(t *testing.T) {
+// A read that the caller abandons and repeats is served, and the earlier call is dropped.
+func TestReadRepeatedByCaller(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newRig(t, fleet, file("answer", ""), nil)
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	fleet.Fill("k")
 	fleet.Boxes[0].SetFault(standin.Stall)
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
-	first := r.start(ctx, read("k", "r1"))
-	r.eventually("the read is at the box", func() bool { return fleet.Boxes[0].Began() == 1 })
-	r.want(r.do(read("k", "r1")), 409, "in hand") // another caller's
+	ctx, disconnect := context.WithCancel(context.Background())
+	defer disconnect()
+	first := env.start(ctx, readRequest("k", "r1"))
+	env.eventually("the read is at the box", func() bool { return fleet.Boxes[0].Began() == 1 })
+	env.expect(env.do(readRequest("k", "r1")), 409, "in hand") // another caller's
 	fleet.Boxes[0].SetFault(standin.Healthy)
-	q := read("k", "r1")
+	q := readRequest("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	r.want(r.do(q), 200, "value of k")
-	leave()
+	env.expect(env.do(q), 200, "value of k")
+	disconnect()
 	await(t, first, "the first call ends")
 	fleet.Boxes[0].Close()
-	r.quiet()
+	env.waitIdle()
 }
 
-// Whatever becomes of a caller, nothing stays in hand.
-func TestCallersThatVanish(t *testing.T) {
-	const vanish = 10 // what the module lets out to two boxes that it knows nothing of
+// Whatever callers do, no request stays in progress.
+func TestCallersThatDisconnect(t *testing.T) {
+	const callCount = 10 // what the routing module sends to two unknown caches
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 2)
-			r := newRig(t, fleet, file(mode, ""), nil)
+			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			for _, b := range fleet.Boxes {
 				b.SetFault(standin.Stall)
 			}
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			var calls []<-chan caller.Result
-			for i := range vanish {
-				calls = append(calls, r.start(ctx, read(fmt.Sprint("k", i), fmt.Sprint("r", i))))
+			for i := range callCount {
+				calls = append(calls, env.start(ctx, readRequest(fmt.Sprint("k", i), fmt.Sprint("r", i))))
 			}
-			r.eventually("all are in hand", func() bool { return r.f.Counts().Taken == vanish && r.f.Counts().Calls == vanish })
-			leave()
+			env.eventually("all are in hand", func() bool { return env.front.Counts().Accepted == callCount && env.front.Counts().Calls == callCount })
+			disconnect()
 			for _, c := range calls {
 				await(t, c, "a call ends")
 			}
-			// At once, and not only when their time is up: the boxes still hold what they were sent.
-			r.eventually("all are given up", func() bool { return r.f.Counts().Abandoned == vanish })
+			// At once, and not only at their deadlines: the caches still hold the requests.
+			env.eventually("all are given up", func() bool { return env.front.Counts().Abandoned == callCount })
 			for _, b := range fleet.Boxes {
 				b.Close()
 			}
-			r.quiet()
-			for _, row := range r.p.Reasons().Rows() {
+			env.waitIdle()
+			for _, row := range env.host.Reasons().Rows() {
 				if row.Outcome != reasons.Waited {
 					t.Errorf("%d requests that nobody waited for were %v: %s", row.Count, row.Outcome, reasons.Name(row.Reason))
 				}
 			}
 		})
 	}
-	// In mode route, a caller that is asked to come again and does not.
+	// In route mode, a caller that is expected to return and does not.
 	fleet := newFleet(t, 2)
-	r := newRig(t, fleet, file("route", ""), nil)
-	r.c.Retries = 0
-	if res := r.do(read("cold", "r1")); res.Status != 404 {
+	env := newHarness(t, fleet, operatorFile("route", ""), nil)
+	env.caller.Retries = 0
+	if res := env.do(readRequest("cold", "r1")); res.Status != 404 {
 		t.Errorf("%+v, want the box's miss", res)
 	}
-	r.quiet()
-	if c := r.f.Counts(); c.Abandoned != 1 || c.Calls != 0 {
+	env.waitIdle()
+	if c := env.front.Counts(); c.Abandoned != 1 || c.Calls != 0 {
 		t.Errorf("%+v, want one call given up and none known", c)
 	}
 }
 
-// A crowd of silent streams takes no more than its bound, is told so, and ends by itself.
+// Silent streams are limited to max_streams, are refused with a status beyond that, and end by themselves.
 func TestSilentStreams(t *testing.T) {
-	const most = 8
+	const maxStreams = 8
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("answer", fmt.Sprintf("max_streams = %d", most)), nil)
-	client := extprocv3.NewExternalProcessorClient(r.c.Conn(0))
+	env := newHarness(t, fleet, operatorFile("answer", fmt.Sprintf("max_streams = %d", maxStreams)), nil)
+	client := extprocv3.NewExternalProcessorClient(env.caller.Conn(0))
 	ended := make(chan codes.Code, 2000)
 	for range 2000 {
 		go func() {
-			s, err := client.Process(context.Background()) // waits where the connection holds no more
+			s, err := client.Process(context.Background()) // blocks when the connection has no stream left
 			if err != nil {
 				ended <- status.Code(err)
 				return
@@ -184,22 +184,22 @@
 	if code := await(t, ended, "one is turned away"); code != codes.Unavailable {
 		t.Errorf("the first to end ended with %v", code)
 	}
-	if c := r.f.Counts(); c.Streams > most {
-		t.Errorf("%d streams, %d at most", c.Streams, most)
+	if c := env.front.Counts(); c.Streams > maxStreams {
+		t.Errorf("%d streams, %d at most", c.Streams, maxStreams)
 	}
-	r.eventually("all have ended", func() bool {
-		c := r.f.Counts()
-		return c.Streams == 0 && c.Taken+c.Unavailable == 2000
+	env.eventually("all have ended", func() bool {
+		c := env.front.Counts()
+		return c.Streams == 0 && c.Accepted+c.Unavailable == 2000
 	})
-	r.want(r.do(read("k", "r1")), 200, "value of k")
-	r.quiet()
+	env.expect(env.do(readRequest("k", "r1")), 200, "value of k")
+	env.waitIdle()
 }
 
-// A body without end is cut off at the longest value.
+// A body without an end is refused at the limit of long values.
 func TestEndlessBody(t *testing.T) {
 	fleet := newFleet(t, 1)
-	r := newRig(t, fleet, file("answer", ""), nil)
-	s, err := extprocv3.NewExternalProcessorClient(r.c.Conn(0)).Process(context.Background())
+	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
+	s, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,44 +224,44 @@
 			break
 		}
 	}
-	r.quiet()
+	env.waitIdle()
 	if fleet.Origin.Began() != 0 {
 		t.Error("an order without end reached the origin")
 	}
 }
 
-// A member that drains between the pick and the caller's send gets nothing more, where the caller still asks.
+// A member that drains between the pick and the caller's send gets no request if the caller still asks.
 func TestDrainBetweenPickAndSend(t *testing.T) {
 	fleet := newFleet(t, 2)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("route", `
+	env := newHarness(t, fleet, operatorFile("route", `
 [[extproc.map]]
 methods = ["POST"]
 path = "/tiles/{key}"
 class = "tile-read"
 `), nil)
-	r.eventually("the list is known", func() bool { return r.p.Load().Ready == 3 })
-	s, err := extprocv3.NewExternalProcessorClient(r.c.Conn(0)).Process(context.Background())
+	env.eventually("the list is known", func() bool { return env.host.Load().Ready == 3 })
+	rpc, err := extprocv3.NewExternalProcessorClient(env.caller.Conn(0)).Process(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Send(&extprocv3.ProcessingRequest{
+	rpc.Send(&extprocv3.ProcessingRequest{
 		ProtocolConfig: &extprocv3.ProtocolConfiguration{RequestBodyMode: filterv3.ProcessingMode_BUFFERED},
 		Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: &extprocv3.HttpHeaders{
 			Headers: headerMap(":method", "POST", ":path", "/tiles/k", "x-request-id", "r1")}}})
-	named := func(m *extprocv3.CommonResponse) string {
-		for _, h := range m.GetHeaderMutation().GetSetHeaders() {
+	namedMember := func(response *extprocv3.CommonResponse) string {
+		for _, h := range response.GetHeaderMutation().GetSetHeaders() {
 			if h.GetHeader().GetKey() == "x-gateway-destination-endpoint" {
 				return string(h.GetHeader().GetRawValue())
 			}
 		}
 		return ""
 	}
-	m, err := s.Recv()
+	m, err := rpc.Recv()
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := named(m.GetRequestHeaders().GetResponse())
+	first := namedMember(m.GetRequestHeaders().GetResponse())
 	i := slices.IndexFunc(fleet.Boxes, func(b *standin.Box) bool { return b.Addr() == first })
 	if i < 0 {
 		t.Fatalf("%q is no box", first)
@@ -270,102 +270,102 @@
 		t.Errorf("metadata %v, want %s", meta, first)
 	}
 	fleet.Drain(fleet.Boxes[i])
-	r.eventually("the drain is known", func() bool { return r.p.Load().Ready == 2 })
-	s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
+	env.eventually("the drain is known", func() bool { return env.host.Load().Ready == 2 })
+	rpc.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: []byte("q"), EndOfStream: true}}})
-	if m, err = s.Recv(); err != nil {
+	if m, err = rpc.Recv(); err != nil {
 		t.Fatal(err)
 	}
-	if second := named(m.GetRequestBody().GetResponse()); second != fleet.Boxes[1-i].Addr() {
+	if second := namedMember(m.GetRequestBody().GetResponse()); second != fleet.Boxes[1-i].Addr() {
 		t.Errorf("sent to %q after the drain of %s", second, first)
 	}
-	s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
+	rpc.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
 		ResponseHeaders: &extprocv3.HttpHeaders{Headers: headerMap(":status", "200"), EndOfStream: true}}})
-	if _, err = s.Recv(); err != nil {
+	if _, err = rpc.Recv(); err != nil {
 		t.Fatal(err)
 	}
-	s.CloseSend()
-	r.quiet()
+	rpc.CloseSend()
+	env.waitIdle()
 }
 
-// The same between two calls: what the module has named and the caller has not fetched yet is named anew.
-func TestDrainBeforeTheCallerComesBack(t *testing.T) {
+// The same between two calls: a member that was named but not fetched by the caller is replaced.
+func TestDrainBeforeCallerRetries(t *testing.T) {
 	fleet := newFleet(t, 3)
 	fleet.Fill("k")
-	r := newRig(t, fleet, file("route", `return_within = "10s"`), nil)
-	r.eventually("the list is known", func() bool { return r.p.Load().Ready == 4 })
+	env := newHarness(t, fleet, operatorFile("route", `return_within = "10s"`), nil)
+	env.eventually("the list is known", func() bool { return env.host.Load().Ready == 4 })
 	for _, b := range fleet.Boxes {
 		b.SetFault(standin.Busy)
 	}
-	res := r.do(read("k", "r1"))
-	if res.Status != 503 || len(r.sent()) != 2 {
-		t.Fatalf("%+v after %d choices, want a box's 503 and the next choice made", res, len(r.sent()))
+	res := env.do(readRequest("k", "r1"))
+	if res.Status != 503 || len(env.sent()) != 2 {
+		t.Fatalf("%+v after %d choices, want a box's 503 and the next choice made", res, len(env.sent()))
 	}
-	next := r.sent()[1]
+	next := env.sent()[1]
 	for _, b := range fleet.Boxes {
 		b.SetFault(standin.Healthy)
 		if proxy.MemberID(b.ID) == next {
 			fleet.Drain(b)
 		}
 	}
-	r.eventually("the drain is known", func() bool { return r.p.Load().Ready == 3 })
-	q := read("k", "r1")
+	env.eventually("the drain is known", func() bool { return env.host.Load().Ready == 3 })
+	q := readRequest("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
-	res = r.do(q)
-	r.want(res, 200, "value of k")
-	if last := r.sent()[len(r.sent())-1]; last == next {
+	res = env.do(q)
+	env.expect(res, 200, "value of k")
+	if last := env.sent()[len(env.sent())-1]; last == next {
 		t.Error("sent to the member that drains")
 	}
-	r.quiet()
+	env.waitIdle()
 }
 
-// SIGTERM under load, as the host sees it: streams in hand are answered, later ones go to a second processor.
+// SIGTERM under load, from the host's view: open streams are answered, later ones go to a second processor.
 func TestSecondProcessorTakesOver(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 4)
 			fleet.Fill("k0", "k1", "k2", "k3", "k4", "k5", "k6", "k7")
-			a := newRig(t, fleet, file(mode, ""), nil)
-			b := newRig(t, fleet, file(mode, ""), nil)
+			a := newHarness(t, fleet, operatorFile(mode, ""), nil)
+			b := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			c := dial(t, a, b)
 			c.Retries = 4
-			var g sync.WaitGroup
-			var n, bad atomic.Int64
+			var clients sync.WaitGroup
+			var succeeded, failed atomic.Int64
 			stop := make(chan struct{})
 			for w := range 8 {
-				g.Go(func() {
+				clients.Go(func() {
 					for i := 0; ; i++ {
 						select {
 						case <-stop:
 							return
 						default:
 						}
-						q := read(fmt.Sprint("k", i%8), fmt.Sprintf("r%d-%d", w, i))
+						q := readRequest(fmt.Sprint("k", i%8), fmt.Sprintf("r%d-%d", w, i))
 						if i%10 == 9 {
-							q = order(fmt.Sprintf("o%d-%d", w, i), fmt.Sprintf("w%d-%d", w, i))
+							q = orderRequest(fmt.Sprintf("o%d-%d", w, i), fmt.Sprintf("w%d-%d", w, i))
 						}
-						ctx, cancel := context.WithTimeout(context.Background(), patience)
+						ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 						if res := c.Do(ctx, q); res.Status == 200 || res.Status == 503 || res.Status == 429 {
-							n.Add(1)
-						} else if bad.Add(1) < 5 {
+							succeeded.Add(1)
+						} else if failed.Add(1) < 5 {
 							t.Errorf("%s: %d %q %v", q.Path, res.Status, res.Body, res.Err)
 						}
 						cancel()
 					}
 				})
 			}
-			a.eventually("the first serves", func() bool { return a.f.Counts().Taken > 100 })
-			a.end()
-			before := b.f.Counts().Taken
-			b.eventually("the second serves", func() bool { return b.f.Counts().Taken > before+100 })
+			a.eventually("the first serves", func() bool { return a.front.Counts().Accepted > 100 })
+			a.stopAndWait()
+			before := b.front.Counts().Accepted
+			b.eventually("the second serves", func() bool { return b.front.Counts().Accepted > before+100 })
 			close(stop)
-			g.Wait()
+			clients.Wait()
 			for key, ran := range fleet.Origin.Executions() {
 				if ran > 1 {
 					t.Errorf("order %s ran %d times", key, ran)
 				}
 			}
-			b.quiet()
+			b.waitIdle()
 		})
 	}
 }
--- a/internal/extproc/server/record_test.go
+++ b/internal/extproc/server/record_test.go
@@ -16,29 +16,30 @@
 	"linenloom/internal/store/crash"
 )
 
-// What a caller that repeats an order by its key is told, in each mode, at the processor that had it and at the one after a restart.
-func TestRepeatsOnRecord(t *testing.T) {
+// Checks the answers to a caller that repeats an order by its idempotency key, in each mode, from the
+// processor that handled the order and after a restart.
+func TestRepeatedOrdersWithRecord(t *testing.T) {
 	for name, c := range map[string]struct {
-		mode   string
-		fault  standin.Fault
-		first  int
-		repeat int
-		says   string // in the repeat's answer
-		other  bool   // the repeat asks for something else
-		fresh  bool   // nobody knows the order
+		mode       string
+		fault      standin.Fault
+		first      int
+		repeat     int
+		repeatText string // expected in the repeat's answer
+		differs    bool   // the repeat is for a different order
+		unknown    bool   // the order is unknown
 	}{
 		"answer, it has run":      {mode: "answer", first: 200, repeat: 200},
-		"answer, it may have run": {mode: "answer", fault: standin.Failing, first: 502, repeat: 502, says: "look it up"},
-		"answer, another order":   {mode: "answer", first: 200, repeat: 422, says: "another order", other: true},
-		"answer, nobody knows it": {mode: "answer", repeat: 502, says: "look it up", fresh: true},
-		"route, it has run":       {mode: "route", first: 200, repeat: 502, says: "has run"},
-		"route, nobody knows it":  {mode: "route", repeat: 502, says: "look it up", fresh: true},
+		"answer, it may have run": {mode: "answer", fault: standin.Failing, first: 502, repeat: 502, repeatText: "look it up"},
+		"answer, another order":   {mode: "answer", first: 200, repeat: 422, repeatText: "another order", differs: true},
+		"answer, nobody knows it": {mode: "answer", repeat: 502, repeatText: "look it up", unknown: true},
+		"route, it has run":       {mode: "route", first: 200, repeat: 502, repeatText: "has run"},
+		"route, nobody knows it":  {mode: "route", repeat: 502, repeatText: "look it up", unknown: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fleet, d := newFleet(t, 1), crash.New()
-			open := func() *rig {
-				return newRig(t, fleet, file(c.mode, ""), func(cfg *proxy.Config) {
-					k, err := keeper.Open(d, keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20},
+			fleet, disk := newFleet(t, 1), crash.New()
+			startHarness := func() *harness {
+				return newHarness(t, fleet, operatorFile(c.mode, ""), func(cfg *proxy.Config) {
+					k, err := keeper.Open(disk, keeper.Options{Options: ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 100, MaxReceiptBytes: 1 << 20},
 						SegmentSize: 64 << 10, CompactAfter: 100, MaxPending: 10}}, ledger.WallClock, slog.New(slog.DiscardHandler))
 					if err != nil {
 						t.Fatal(err)
@@ -47,15 +48,15 @@
 				})
 			}
 			q := func(id string) caller.Request {
-				q := order("o1", id)
+				q := orderRequest("o1", id)
 				q.Headers["idempotency-key"] = "key-1"
 				return q
 			}
-			r := open()
+			env := startHarness()
 			fleet.Origin.SetFault(c.fault)
 			var receipt string
-			if !c.fresh {
-				res := r.do(q("w1"))
+			if !c.unknown {
+				res := env.do(q("w1"))
 				if receipt = string(res.Body); res.Status != c.first {
 					t.Fatalf("the first: %d %q", res.Status, receipt)
 				}
@@ -65,19 +66,19 @@
 			for i := range 2 {
 				again := q(fmt.Sprint("w", 2+i))
 				again.Headers["x-envoy-attempt-count"] = "2"
-				if c.other {
+				if c.differs {
 					again.Body = []byte("two passes")
 				}
-				res := r.do(again)
-				if res.Status != c.repeat || !strings.Contains(string(res.Body), c.says) || c.repeat == 200 && string(res.Body) != receipt {
-					t.Errorf("repeat %d: %d %q, want %d %q", i, res.Status, res.Body, c.repeat, c.says)
+				res := env.do(again)
+				if res.Status != c.repeat || !strings.Contains(string(res.Body), c.repeatText) || c.repeat == 200 && string(res.Body) != receipt {
+					t.Errorf("repeat %d: %d %q, want %d %q", i, res.Status, res.Body, c.repeat, c.repeatText)
 				}
 				if n := fleet.Origin.Executions()["o1"]; n != ran {
 					t.Errorf("repeat %d: it has run %d times, %d before", i, n, ran)
 				}
 				if i == 0 {
-					r.end()
-					r = open()
+					env.stopAndWait()
+					env = startHarness()
 				}
 			}
 		})
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -15,18 +15,19 @@
 	"linenloom/internal/standin"
 )
 
-// Callers of the processor are proven by the certificate of their connection where they bring no token. Roots change while connections
-// stand: one whose root is gone takes no further stream, and is closed with the end of its last.
-func TestCertificatesOfCallers(t *testing.T) {
-	a, err := standin.NewAuthority(t.TempDir(), 2)
+// Callers without a token are authenticated by their connection's certificate. Roots change while
+// connections are open: a connection whose root is removed accepts no further stream and is closed after
+// its last one.
+func TestCallerCertificates(t *testing.T) {
+	authority, err := standin.NewAuthority(t.TempDir(), 2)
 	if err == nil {
-		err = a.Publish(a.Roots...)
+		err = authority.Publish(authority.Roots...)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate, err := callers.New(&operator.Identity{Replays: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
-		TLS:          operator.TLS{Cert: a.Path("cert.pem"), Key: a.Path("key.pem"), Roots: a.Path("roots.pem"), Client: "asked", Handshakes: 1000},
+	authenticator, err := callers.New(&operator.Identity{Replays: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
+		TLS:          operator.TLS{Cert: authority.Path("cert.pem"), Key: authority.Path("key.pem"), Roots: authority.Path("roots.pem"), Client: "asked", Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}, {DNS: "shop.example", Tenant: "shop"}}},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -34,35 +35,35 @@
 	}
 	fleet := newFleet(t, 2)
 	fleet.Fill("warm")
-	r := newRig(t, fleet, file("answer", ""), func(c *proxy.Config) { c.Callers = gate })
-	enter := func(root int, name string) *caller.Caller {
+	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = authenticator })
+	dialAs := func(root int, name string) *caller.Caller {
 		t.Helper()
-		cfg, err := a.Config(a.Roots[root], name)
+		cfg, err := authority.Config(authority.Roots[root], name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := caller.DialTLS(cfg, r.f.Addr().String())
+		c, err := caller.DialTLS(cfg, env.front.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.MessageTimeout = patience
+		c.MessageTimeout = testTimeout
 		t.Cleanup(c.Close)
 		return c
 	}
 	ctx := context.Background()
-	kiosk, shop, nobody, stays := enter(0, "kiosk.example"), enter(0, "shop.example"), enter(0, ""), enter(1, "kiosk.example")
-	as := func(tenant string, q caller.Request) caller.Request { q.Headers["x-tenant"] = tenant; return q }
+	kiosk, shop, anonymous, otherRoot := dialAs(0, "kiosk.example"), dialAs(0, "shop.example"), dialAs(0, ""), dialAs(1, "kiosk.example")
+	withTenant := func(tenant string, q caller.Request) caller.Request { q.Headers["x-tenant"] = tenant; return q }
 	for i, c := range []struct {
 		by   *caller.Caller
 		q    caller.Request
 		code int
 	}{
-		{kiosk, read("warm", "r1"), 200},
-		{kiosk, as("shop", order("o1", "w1")), 403},
-		{shop, order("o2", "w2"), 200},
-		{nobody, read("warm", "r2"), 401},
-		{stays, read("warm", "r3"), 200},
-		{kiosk, by("any", read("warm", "r4")), 401}, // a token wins, and none are taken here
+		{kiosk, readRequest("warm", "r1"), 200},
+		{kiosk, withTenant("shop", orderRequest("o1", "w1")), 403},
+		{shop, orderRequest("o2", "w2"), 200},
+		{anonymous, readRequest("warm", "r2"), 401},
+		{otherRoot, readRequest("warm", "r3"), 200},
+		{kiosk, withToken("any", readRequest("warm", "r4")), 401}, // tokens take precedence, none are accepted
 	} {
 		if res := c.by.Do(ctx, c.q); res.Status != c.code || res.Err != nil {
 			t.Errorf("%d: %d, %v; want %d", i, res.Status, res.Err, c.code)
@@ -74,27 +75,27 @@
 		t.Fatal(err)
 	}
 	conns := func() (n int) {
-		r.p.Do(func() { n = len(r.f.proven) })
+		env.host.Do(func() { n = len(env.front.certConns) })
 		return n
 	}
 	wait := func(what string, ok func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("never came about: %s", what)
 			}
 		}
 	}
-	wait("the stream is there", func() bool { return r.f.Counts().Streams == 1 })
+	wait("the stream is there", func() bool { return env.front.Counts().Streams == 1 })
 	if n := conns(); n != 3 {
 		t.Fatalf("%d proven connections", n)
 	}
-	if err := a.Publish(a.Roots[1]); err != nil {
+	if err := authority.Publish(authority.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
-	gate.Look()
+	authenticator.ReloadFiles()
 	wait("the idle connection is closed, the other is not", func() bool { return conns() == 2 })
-	if res := kiosk.Do(ctx, read("warm", "r5")); res.Status == 200 {
+	if res := kiosk.Do(ctx, readRequest("warm", "r5")); res.Status == 200 {
 		t.Error("a stream is taken on a connection whose root is gone")
 	}
 	if n := conns(); n != 2 {
@@ -107,10 +108,10 @@
 		_, err = stream.Recv()
 	}
 	wait("the connection is closed with its last stream", func() bool { return conns() == 1 })
-	if res := shop.Do(ctx, order("o3", "w3")); res.Status == 200 {
+	if res := shop.Do(ctx, orderRequest("o3", "w3")); res.Status == 200 {
 		t.Error("a certificate whose root is gone gets in again")
 	}
-	if res := stays.Do(ctx, read("warm", "r6")); res.Status != 200 {
+	if res := otherRoot.Do(ctx, readRequest("warm", "r6")); res.Status != 200 {
 		t.Errorf("the other: %d, %v", res.Status, res.Err)
 	}
 }
