--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -24,143 +24,145 @@
 	"linenloom/logic"
 )
 
-// stream is one exchange. Its fields belong to the goroutine of Process, but for those named under the host's lock.
+// stream is one HTTP exchange of a caller. Its fields belong to the goroutine of Process, except those
+// listed under the host's lock.
 type stream struct {
-	f     *Front
-	rpc   extprocv3.ExternalProcessor_ProcessServer
-	cfg   *config
-	conn  *counted // it came by; nil, where callers are not proven
-	in    chan received
-	want  chan struct{} // of one token: the next message is wanted
-	over  chan struct{} // closed when Process returns
-	order extproc.Order
-
-	bodyMode     filterv3.ProcessingMode_BodySendMode // of the request, where the caller tells
-	answerMode   filterv3.ProcessingMode_BodySendMode // of the response
-	told         bool                                 // the caller has told its modes
-	observed     bool                                 // the caller takes no responses
-	passed       bool                                 // the request is none of ours
-	head         head
-	target       extproc.Target
-	deadline     time.Time // the client's, less the margin
-	collecting   bool      // a write's body is still to come
-	bodyLen      int
-	delivering   bool // the response has begun well, and its end is still to come
-	note         int  // on its outcome
-	proof        *identity.Proof
-	elsewhere    bool // who answered is none of those that were named
-	seenBody     bool
-	overrideSent bool // for the message in hand
-	asOf         time.Time
-	why          logic.Reason // of the final answer
-	out          *outbox      // what is to be said, where bodies go through here
-	delivered    bool         // the response has come whole
-
-	// Under the host's lock.
-	call   *call
-	body   []byte
-	place  upstream.Reservation // in the room for long values, of a body over maxBody; nil: it is counted as held
-	window int                  // held for what the caller may have sent ahead
-	due    time.Duration        // when it has stood for too long
-	idle   bool                 // all has been said; more may come, and needs nothing
-	kicks  bool
-	kicked chan struct{}
+	front        *Front
+	rpc          extprocv3.ExternalProcessor_ProcessServer
+	config       *config
+	conn         *countedConn // the connection that carries the stream; nil where callers are not authenticated
+	messages     chan received
+	readNext     chan struct{} // capacity 1: signals read to receive the next message
+	done         chan struct{} // closed when Process returns
+	messageOrder extproc.MessageOrder
+
+	bodyMode         filterv3.ProcessingMode_BodySendMode // of the request, if the caller reports it
+	responseMode     filterv3.ProcessingMode_BodySendMode // of the response
+	modesKnown       bool                                 // the caller has reported its body modes
+	observing        bool                                 // observability mode: the caller accepts no responses
+	passThrough      bool                                 // the request matches no map entry and is passed on
+	head             requestHead
+	target           extproc.Target
+	deadline         time.Time // the client's deadline less the margin
+	collecting       bool      // the body of a write is still being received
+	bodyLen          int
+	delivering       bool // a successful response has started and is not complete
+	outcomeNote      int  // cache note for the attempt's outcome
+	proof            *identity.Proof
+	servedElsewhere  bool // the response came from a member that was not named
+	responseBodySeen bool
+	overrideSent     bool         // override_message_timeout was sent for the current message
+	messageAt        time.Time    // when the current message was received
+	reason           logic.Reason // reason of the final answer
+	outbox           *outbox      // responses to send, if bodies pass through this stream
+	delivered        bool         // the response is complete
+
+	// Guarded by the host's lock.
+	call        *call
+	body        []byte
+	reservation upstream.Reservation // capacity for a body over maxBodyBytes; nil: the body counts as held
+	heldWindow  int                  // bytes held for what the caller may send ahead
+	expiresAt   time.Duration        // when the stream is ended as overdue
+	idle        bool                 // everything has been sent; further messages need no answer
+	forceEnded  bool
+	forceEnd    chan struct{}
 }
 
 type received struct {
-	m   *extprocv3.ProcessingRequest
-	err error
+	message *extprocv3.ProcessingRequest
+	err     error
 }
 
-// kick ends the stream; under the host's lock.
-func (s *stream) kick() {
-	if !s.kicks {
-		s.kicks = true
-		close(s.kicked)
+// endByForce ends the stream. The host's lock must be held.
+func (s *stream) endByForce() {
+	if !s.forceEnded {
+		s.forceEnded = true
+		close(s.forceEnd)
 	}
 }
 
-// read hands messages over one at a time, each when it is wanted; what comes ahead waits in the connection's window. To wait
-// for one that nobody wants, on a call that is over with its first, would cost a wake-up for each.
+// read passes on one message at a time, each when run asks for it; later messages wait in the stream's
+// flow-control window. Blocking in Recv for a message that is not needed would cost an extra wake-up for
+// each call that ends after its first message.
 func (s *stream) read() {
 	for {
 		m, err := s.rpc.Recv()
 		select {
-		case s.in <- received{m, err}:
-		case <-s.over:
+		case s.messages <- received{m, err}:
+		case <-s.done:
 			return
 		}
 		if err != nil {
 			return
 		}
 		select {
-		case <-s.want:
-		case <-s.over:
+		case <-s.readNext:
+		case <-s.done:
 			return
 		}
 	}
 }
 
-// errOver ends a stream on which everything has been said.
-var errOver = errors.New("over")
+// errStreamDone ends a stream on which everything has been sent.
+var errStreamDone = errors.New("stream done")
 
 func (s *stream) run(ctx context.Context) error {
 	for first := true; ; first = false {
 		if !first {
-			s.want <- struct{}{}
+			s.readNext <- struct{}{}
 		}
 		var r received
 		select {
-		case r = <-s.in: // the call's end comes this way too
-		case <-s.kicked:
-			return s.kickedOff()
+		case r = <-s.messages: // also delivers the end of the call
+		case <-s.forceEnd:
+			return s.forceEndStatus()
 		}
 		if errors.Is(r.err, io.EOF) {
-			s.ended()
+			s.closedByCaller()
 			return nil
 		}
 		if r.err != nil {
 			return r.err
 		}
-		if err := s.handle(ctx, r.m); err != nil {
-			if errors.Is(err, errOver) {
+		if err := s.handle(ctx, r.message); err != nil {
+			if errors.Is(err, errStreamDone) {
 				return nil
 			}
 			return err
 		}
-		if s.out != nil && s.allSaid() {
-			s.f.p.Do(func() { s.idle = true })
+		if s.outbox != nil && s.fullyRelayed() {
+			s.front.host.Do(func() { s.idle = true })
 		}
 	}
 }
 
-// allSaid tells whether a stream that bodies go through has passed on the last of them, so that a drain need not wait for
-// it; more may come, and needs nothing.
-func (s *stream) allSaid() bool {
-	if s.passed {
-		return s.order.RequestOver() && (s.answerMode != fullDuplex || s.order.ResponseOver())
+// fullyRelayed reports whether a stream that relays bodies has relayed the last of them, so that a drain
+// need not wait for it. Further messages may arrive and need no answer.
+func (s *stream) fullyRelayed() bool {
+	if s.passThrough {
+		return s.messageOrder.RequestComplete() && (s.responseMode != fullDuplex || s.messageOrder.ResponseComplete())
 	}
 	return s.delivered
 }
 
-// kickedOff is the status of a stream that the front ends.
-func (s *stream) kickedOff() error {
+// forceEndStatus returns the status of a stream that the front end ends.
+func (s *stream) forceEndStatus() error {
 	idle := false
-	s.f.p.Do(func() { idle = s.idle })
+	s.front.host.Do(func() { idle = s.idle })
 	switch {
 	case idle:
-		return nil // all has been said
-	case !s.order.Begun():
+		return nil // everything has been sent
+	case !s.messageOrder.RequestStarted():
 		return status.Error(codes.Unavailable, "no message came; nothing ran")
 	}
 	return status.Error(codes.DeadlineExceeded, "the stream has stood for too long")
 }
 
-// ended takes a clean end by the caller. Where the rest of a good response was to come but none of it did, the caller
-// has gone by mode_override and sends no more.
-func (s *stream) ended() {
-	if s.delivering && !s.seenBody {
-		s.deliver()
+// closedByCaller handles a clean end of the stream by the caller. If a successful response was still
+// incomplete and no part of its body arrived, the caller followed mode_override and sends no more.
+func (s *stream) closedByCaller() {
+	if s.delivering && !s.responseBodySeen {
+		s.markServed()
 	}
 }
 
@@ -169,51 +171,51 @@
 }
 
 // handle answers one message.
-func (s *stream) handle(ctx context.Context, m *extprocv3.ProcessingRequest) error {
-	s.asOf, s.overrideSent = time.Now(), false
-	if c := m.GetProtocolConfig(); c != nil && !s.told {
-		s.told, s.bodyMode, s.answerMode = true, c.GetRequestBodyMode(), c.GetResponseBodyMode()
-		if !spoken(s.bodyMode) || !spoken(s.answerMode) {
-			return status.Errorf(codes.Unimplemented, "body modes %v and %v: GRPC is not spoken; all others are", s.bodyMode, s.answerMode)
+func (s *stream) handle(ctx context.Context, message *extprocv3.ProcessingRequest) error {
+	s.messageAt, s.overrideSent = time.Now(), false
+	if c := message.GetProtocolConfig(); c != nil && !s.modesKnown {
+		s.modesKnown, s.bodyMode, s.responseMode = true, c.GetRequestBodyMode(), c.GetResponseBodyMode()
+		if !supportedBodyMode(s.bodyMode) || !supportedBodyMode(s.responseMode) {
+			return status.Errorf(codes.Unimplemented, "body modes %v and %v: GRPC is not spoken; all others are", s.bodyMode, s.responseMode)
 		}
 	}
-	kind, end := kindOf(m)
+	kind, end := messageKind(message)
 	if kind == 0 {
 		return s.invalid("a message without a request or response")
 	}
-	if err := s.order.Next(kind, end); err != nil {
+	if err := s.messageOrder.Next(kind, end); err != nil {
 		return s.invalid("%v", err)
 	}
-	if s.observed = s.observed || m.GetObservabilityMode(); s.observed {
-		s.f.p.Do(func() { s.idle, s.due = true, s.f.p.Now()+passedFor })
-		return nil // the caller goes on by itself; a choice made here would book load that nobody sends
+	if s.observing = s.observing || message.GetObservabilityMode(); s.observing {
+		s.front.host.Do(func() { s.idle, s.expiresAt = true, s.front.host.Now()+passThroughTimeout })
+		return nil // the caller proceeds without an answer; choosing a member here would count load that is never sent
 	}
 	switch kind {
 	case extproc.RequestHeaders:
-		s.head.only = subset(m)
-		return s.requestHeaders(ctx, m.GetRequestHeaders())
+		s.head.allowedMembers = allowedEndpoints(message)
+		return s.requestHeaders(ctx, message.GetRequestHeaders())
 	case extproc.RequestBody:
-		return s.requestBody(ctx, m.GetRequestBody())
+		return s.requestBody(ctx, message.GetRequestBody())
 	case extproc.RequestTrailers:
 		if s.collecting {
-			return s.collected(ctx)
+			return s.bodyComplete(ctx)
 		}
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestTrailers{
 			RequestTrailers: &extprocv3.TrailersResponse{}}})
 	case extproc.ResponseHeaders:
-		return s.responseHeaders(m)
+		return s.responseHeaders(message)
 	case extproc.ResponseBody:
-		if s.seenBody = true; end && s.delivering {
-			s.deliver()
+		if s.responseBodySeen = true; end && s.delivering {
+			s.markServed()
 		}
-		if s.answerMode == fullDuplex {
-			return s.echo(m.GetResponseBody(), true)
+		if s.responseMode == fullDuplex {
+			return s.relayBody(message.GetResponseBody(), true)
 		}
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseBody{
 			ResponseBody: &extprocv3.BodyResponse{}}})
 	}
 	if s.delivering {
-		s.deliver()
+		s.markServed()
 	}
 	return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseTrailers{
 		ResponseTrailers: &extprocv3.TrailersResponse{}}})
@@ -221,12 +223,13 @@
 
 const fullDuplex = filterv3.ProcessingMode_FULL_DUPLEX_STREAMED
 
-// spoken tells whether a body mode is spoken here. GRPC would have us count a caller's messages, not bytes.
-func spoken(m filterv3.ProcessingMode_BodySendMode) bool {
+// supportedBodyMode reports whether a body mode is supported. GRPC is not: it would require counting the
+// caller's messages instead of bytes.
+func supportedBodyMode(m filterv3.ProcessingMode_BodySendMode) bool {
 	return m >= filterv3.ProcessingMode_NONE && m <= fullDuplex
 }
 
-func kindOf(m *extprocv3.ProcessingRequest) (kind extproc.Message, end bool) {
+func messageKind(m *extprocv3.ProcessingRequest) (kind extproc.Message, end bool) {
 	switch r := m.GetRequest().(type) {
 	case *extprocv3.ProcessingRequest_RequestHeaders:
 		return extproc.RequestHeaders, r.RequestHeaders.GetEndOfStream()
@@ -244,169 +247,172 @@
 	return 0, false
 }
 
-// send says something to the caller, after all that has been said before.
+// send sends a response to the caller after all earlier ones.
 func (s *stream) send(r *extprocv3.ProcessingResponse) error {
-	if s.out != nil {
-		return s.out.put(s, r, 0)
+	if s.outbox != nil {
+		return s.outbox.enqueue(s, r, 0)
 	}
 	return s.rpc.Send(r)
 }
 
-func (s *stream) route() bool { return s.cfg.Mode == "route" }
+func (s *stream) routeMode() bool { return s.config.Mode == "route" }
 
-// head is what the request's headers tell.
-type head struct {
-	method, path, id, tenant, key string
-	attempt                       int
-	left                          time.Duration
-	hasLeft                       bool
-	length                        int
-	destination                   bool
-	only                          []string // the members that the caller allows; nil: all
-	authorization                 string   // until it has been looked at
+// requestHead holds the values read from the request's headers.
+type requestHead struct {
+	method, path, requestID, tenant, idempotencyKey string
+	attempt                                         int
+	timeLeft                                        time.Duration
+	hasTimeLeft                                     bool
+	contentLength                                   int
+	hasDestination                                  bool
+	allowedMembers                                  []string // members that the caller allows; nil: all
+	authorization                                   string   // cleared once it has been checked
 }
 
-func valueOf(h *corev3.HeaderValue) string {
+func headerValue(h *corev3.HeaderValue) string {
 	if raw := h.GetRawValue(); len(raw) > 0 {
 		return string(raw)
 	}
 	return h.GetValue()
 }
 
-// readHead reads the headers. An error that is no status is the client's, and gets an answer of its own.
+// readHead reads the request's headers. An error without a gRPC status is the client's fault and is
+// answered with an immediate response.
 func (s *stream) readHead(headers []*corev3.HeaderValue) error {
-	h, c := &s.head, &s.cfg.Headers
-	for i, v := range headers {
-		name := v.GetKey()
+	head, names := &s.head, &s.config.Headers
+	for i, header := range headers {
+		name := header.GetKey()
 		switch name {
-		case c.RequestID, c.Tenant, c.Key, c.Attempt, authorization:
-			// Which of two would count could be chosen by whoever adds one (RFC 9110 section 5.3: not a list, so only one).
-			for _, w := range headers[:i] {
-				if w.GetKey() == name && valueOf(w) != valueOf(v) {
+		case names.RequestID, names.Tenant, names.Key, names.Attempt, authorization:
+			// With two different values, whoever adds a header could choose which one counts (RFC 9110
+			// section 5.3: the field is no list, so only one is allowed).
+			for _, earlier := range headers[:i] {
+				if earlier.GetKey() == name && headerValue(earlier) != headerValue(header) {
 					return fmt.Errorf("%s is there more than once", name)
 				}
 			}
 		}
 		switch name {
 		case ":method":
-			h.method = valueOf(v)
+			head.method = headerValue(header)
 		case ":path":
-			h.path = valueOf(v)
+			head.path = headerValue(header)
 		case "content-length":
-			n, err := strconv.Atoi(valueOf(v))
+			n, err := strconv.Atoi(headerValue(header))
 			if err != nil || n < 0 {
 				return errors.New("content-length is no number")
 			}
-			h.length = n
-		case c.RequestID:
-			h.id = valueOf(v)
-		case c.Tenant:
-			h.tenant = valueOf(v)
-		case c.Key:
-			h.key = valueOf(v)
-		case c.Attempt:
-			n, err := strconv.Atoi(valueOf(v))
+			head.contentLength = n
+		case names.RequestID:
+			head.requestID = headerValue(header)
+		case names.Tenant:
+			head.tenant = headerValue(header)
+		case names.Key:
+			head.idempotencyKey = headerValue(header)
+		case names.Attempt:
+			n, err := strconv.Atoi(headerValue(header))
 			if err != nil || n < 0 {
 				return fmt.Errorf("%s is no number", name)
 			}
-			h.attempt = n
+			head.attempt = n
 		case authorization:
-			h.authorization = valueOf(v)
-		case c.Destination:
-			h.destination = true
+			head.authorization = headerValue(header)
+		case names.Destination:
+			head.hasDestination = true
 		default:
-			if !slices.Contains(c.TimeLeft, name) {
+			if !slices.Contains(names.TimeLeft, name) {
 				continue
 			}
-			left, err := extproc.TimeLeft(name, valueOf(v))
-			if err != nil && !errors.Is(err, extproc.ErrSpent) {
+			timeLeft, err := extproc.TimeLeft(name, headerValue(header))
+			if err != nil && !errors.Is(err, extproc.ErrExpired) {
 				return err
 			}
-			if !h.hasLeft || left < h.left {
-				h.left, h.hasLeft = left, true
+			if !head.hasTimeLeft || timeLeft < head.timeLeft {
+				head.timeLeft, head.hasTimeLeft = timeLeft, true
 			}
 		}
 	}
-	if h.method == "" || h.path == "" {
+	if head.method == "" || head.path == "" {
 		return s.invalid("request headers without :method or :path")
 	}
 	return nil
 }
 
-func (s *stream) requestHeaders(ctx context.Context, m *extprocv3.HttpHeaders) error {
-	if err := s.readHead(m.GetHeaders().GetHeaders()); err != nil {
+func (s *stream) requestHeaders(ctx context.Context, headers *extprocv3.HttpHeaders) error {
+	if err := s.readHead(headers.GetHeaders().GetHeaders()); err != nil {
 		if status.Code(err) == codes.InvalidArgument {
 			return err
 		}
-		return s.immediate(400, []byte(err.Error()), "")
+		return s.sendImmediate(400, []byte(err.Error()), "")
 	}
-	h := &s.head
-	target, ok := s.cfg.mapping.Match(h.method, h.path)
+	head := &s.head
+	target, ok := s.config.mapping.Match(head.method, head.path)
 	if !ok {
-		if s.cfg.Unmapped != "pass" {
-			return s.immediate(404, []byte("nothing is served under this method and path"), "")
+		if s.config.Unmapped != "pass" {
+			return s.sendImmediate(404, []byte("nothing is served under this method and path"), "")
 		}
-		s.passed = true
-		if err := s.stretch(m.GetEndOfStream()); err != nil {
+		s.passThrough = true
+		if err := s.prepareDuplex(headers.GetEndOfStream()); err != nil {
 			return err
 		}
-		// Bodies that go through here are waited for at a drain.
-		s.f.p.Do(func() { s.idle, s.due = s.out == nil, s.f.p.Now()+passedFor })
-		return s.pass()
+		// A drain waits for bodies that are relayed on this stream.
+		s.front.host.Do(func() { s.idle, s.expiresAt = s.outbox == nil, s.front.host.Now()+passThroughTimeout })
+		return s.sendPassThrough()
 	}
 	s.target = target
-	if err := s.identify(); err != nil {
-		return s.denied(err)
+	if err := s.authenticate(); err != nil {
+		return s.sendDenied(err)
 	}
-	class := s.cfg.classes[target.Class]
-	left := class.Deadline
-	if h.hasLeft {
-		left = min(left, h.left)
+	class := s.config.classes[target.Class]
+	timeLeft := class.Deadline
+	if head.hasTimeLeft {
+		timeLeft = min(timeLeft, head.timeLeft)
 	}
-	left -= s.cfg.Margin.D()
-	if left <= 0 {
-		return s.spent(class)
+	timeLeft -= s.config.Margin.D()
+	if timeLeft <= 0 {
+		return s.sendExpired(class)
 	}
-	s.deadline = s.asOf.Add(left)
-	if most := s.mostBody(); h.length > most {
-		return s.tooLong(most)
+	s.deadline = s.messageAt.Add(timeLeft)
+	if limit := s.maxBodyLen(); head.contentLength > limit {
+		return s.sendTooLong(limit)
 	}
-	if err := s.stretch(m.GetEndOfStream()); err != nil {
+	if err := s.prepareDuplex(headers.GetEndOfStream()); err != nil {
 		return err
 	}
-	if target.Write && !s.route() && !m.GetEndOfStream() {
-		return s.collect()
+	if target.Write && !s.routeMode() && !headers.GetEndOfStream() {
+		return s.startCollecting()
 	}
-	return s.begin(ctx, false)
+	return s.startRequest(ctx, false)
 }
 
-// spent answers a request whose time is over. It has never run, unless an attempt that came before has.
-func (s *stream) spent(class *logic.Class) error {
-	ran := false
-	if s.unsafe(class) {
-		s.f.p.Do(func() { ran = s.f.calls.MayHaveRun(s.head.id, s.head.attempt, s.f.p.Now()) })
+// sendExpired answers a request whose deadline has passed. The request has not run unless an earlier
+// attempt may have.
+func (s *stream) sendExpired(class *logic.Class) error {
+	mayHaveRun := false
+	if s.runOnce(class) {
+		s.front.host.Do(func() { mayHaveRun = s.front.calls.MayHaveRun(s.head.requestID, s.head.attempt, s.front.host.Now()) })
 	}
-	if ran {
-		return s.fail("an earlier attempt may have run, and the time for the request is over")
+	if mayHaveRun {
+		return s.sendFailed("an earlier attempt may have run, and the time for the request is over")
 	}
-	return s.immediate(503, []byte(extproc.ErrSpent.Error()+"; it never ran"), "")
+	return s.sendImmediate(503, []byte(extproc.ErrExpired.Error()+"; it never ran"), "")
 }
 
-// unsafe tells whether the request must not run twice.
-func (s *stream) unsafe(class *logic.Class) bool {
-	return class.Effect == logic.AtMostOnce || class.Effect == logic.DeduplicatedByKey && s.head.key == ""
+// runOnce reports whether the request must not run twice.
+func (s *stream) runOnce(class *logic.Class) bool {
+	return class.Effect == logic.AtMostOnce || class.Effect == logic.DeduplicatedByKey && s.head.idempotencyKey == ""
 }
 
-// pass lets a request go on that is none of ours, and spares its further phases. In mode route the header that names
-// a member is not the client's to set.
-func (s *stream) pass() error {
+// sendPassThrough lets a request through that matches no map entry and skips its further phases. In route
+// mode it removes the header that names a member, which clients must not set.
+func (s *stream) sendPassThrough() error {
 	common := &extprocv3.CommonResponse{}
-	if s.route() && s.head.destination {
-		common.HeaderMutation = &extprocv3.HeaderMutation{RemoveHeaders: []string{s.cfg.Headers.Destination}}
+	if s.routeMode() && s.head.hasDestination {
+		common.HeaderMutation = &extprocv3.HeaderMutation{RemoveHeaders: []string{s.config.Headers.Destination}}
 	}
 	r := &extprocv3.ProcessingResponse{
 		Response: &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{Response: common}}}
-	if !s.duplex() {
+	if !s.usesDuplex() {
 		r.ModeOverride = &filterv3.ProcessingMode{
 			ResponseHeaderMode: filterv3.ProcessingMode_SKIP, RequestTrailerMode: filterv3.ProcessingMode_SKIP,
 			ResponseTrailerMode: filterv3.ProcessingMode_SKIP,
@@ -415,21 +421,22 @@
 	return s.send(r)
 }
 
-// duplex tells whether a body goes through here in full duplex; no mode can be overridden then.
-func (s *stream) duplex() bool { return s.bodyMode == fullDuplex || s.answerMode == fullDuplex }
+// usesDuplex reports whether a body passes through this stream in full duplex, where no mode can be
+// overridden.
+func (s *stream) usesDuplex() bool { return s.bodyMode == fullDuplex || s.responseMode == fullDuplex }
 
-// collect asks for a write's body, in one piece where the caller can.
-func (s *stream) collect() error {
+// startCollecting requests the body of a write, in one piece if the caller supports that.
+func (s *stream) startCollecting() error {
 	s.collecting = true
-	s.f.p.Do(func() { s.due = s.f.p.Now() + time.Until(s.deadline) + overdue })
+	s.front.host.Do(func() { s.expiresAt = s.front.host.Now() + time.Until(s.deadline) + overdueGrace })
 	if s.bodyMode == fullDuplex {
-		// It sends the body anyway, and nothing goes on before the headers are answered: which never happens, as the
-		// exchange is made here.
-		return s.taken()
+		// The caller sends the body anyway, and forwards nothing before the headers are answered. They
+		// never are, as this process makes the exchange.
+		return s.acceptCall()
 	}
 	r := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{
 		RequestHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{}}}}
-	if !s.told || s.bodyMode != filterv3.ProcessingMode_BUFFERED && s.head.length <= maxBody {
+	if !s.modesKnown || s.bodyMode != filterv3.ProcessingMode_BUFFERED && s.head.contentLength <= maxBodyBytes {
 		r.ModeOverride = &filterv3.ProcessingMode{
 			RequestBodyMode: filterv3.ProcessingMode_BUFFERED, ResponseHeaderMode: filterv3.ProcessingMode_SKIP,
 			RequestTrailerMode: filterv3.ProcessingMode_SKIP, ResponseTrailerMode: filterv3.ProcessingMode_SKIP,
@@ -438,351 +445,359 @@
 	return s.send(r)
 }
 
-// mostBody is how long the request's body may be. What comes in one message is in memory before anybody can say that there is no room.
-func (s *stream) mostBody() int {
-	if s.route() || !s.target.Write || !s.told || s.bodyMode != fullDuplex && s.bodyMode != filterv3.ProcessingMode_STREAMED {
-		return maxBody
+// maxBodyLen returns the limit of the request's body. A body in a single message is in memory before it can
+// be refused, so it has the lower limit.
+func (s *stream) maxBodyLen() int {
+	if s.routeMode() || !s.target.Write || !s.modesKnown || s.bodyMode != fullDuplex && s.bodyMode != filterv3.ProcessingMode_STREAMED {
+		return maxBodyBytes
 	}
-	return maxLong
+	return maxLongBodyBytes
 }
 
-// taken tells the caller, by the call's response headers, that its call is taken: a caller that offers a call to another
-// processor where one is UNAVAILABLE does so only until then (Envoy, grpc_service.retry_policy), and an order that was in
-// the hands of one that is killed must not be. A caller that has sent a body after our answer knows already.
-func (s *stream) taken() error { return s.rpc.SendHeader(nil) }
+// acceptCall sends the call's response headers, which tell the caller that the call is accepted. Envoy
+// offers a call that fails with UNAVAILABLE to another processor only before these headers
+// (grpc_service.retry_policy); an order that a killed processor had accepted must not be offered again. A
+// caller that sends a body after a response of ours has received the headers already.
+func (s *stream) acceptCall() error { return s.rpc.SendHeader(nil) }
 
-func (s *stream) requestBody(ctx context.Context, m *extprocv3.HttpBody) error {
-	s.bodyLen += len(m.GetBody())
-	if s.passed {
-		return s.continueBody(m)
+func (s *stream) requestBody(ctx context.Context, part *extprocv3.HttpBody) error {
+	s.bodyLen += len(part.GetBody())
+	if s.passThrough {
+		return s.sendBodyContinue(part)
 	}
-	if most := s.mostBody(); s.bodyLen > most {
-		return s.tooLong(most)
+	if limit := s.maxBodyLen(); s.bodyLen > limit {
+		return s.sendTooLong(limit)
 	}
 	if s.collecting {
-		over := false
-		if s.bodyLen > maxBody {
-			over = !s.longBody(m.GetBody())
+		full := false
+		if s.bodyLen > maxBodyBytes {
+			full = !s.appendLongBody(part.GetBody())
 		} else {
-			s.f.p.Do(func() {
-				was := cap(s.body)
-				s.body = append(s.body, m.GetBody()...)
-				over = s.f.p.Hold(cap(s.body) - was)
+			s.front.host.Do(func() {
+				oldCap := cap(s.body)
+				s.body = append(s.body, part.GetBody()...)
+				full = s.front.host.Hold(cap(s.body) - oldCap)
 			})
 		}
 		switch {
-		case over:
-			s.why = reasons.HostFull
-			return s.refuse(0)
-		case m.GetEndOfStream():
-			return s.collected(ctx)
+		case full:
+			s.reason = reasons.HostFull
+			return s.sendRefused(0)
+		case part.GetEndOfStream():
+			return s.bodyComplete(ctx)
 		case s.bodyMode == fullDuplex:
 			return nil
 		}
-		// Streamed: the caller has sent the headers on already. What the order says must not follow them, as the
-		// exchange is made here.
+		// In streamed mode the caller has already sent the headers on. The body must not follow them, as
+		// this process makes the exchange.
 		return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{
 			RequestBody: &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{
 				BodyMutation: &extprocv3.BodyMutation{Mutation: &extprocv3.BodyMutation_ClearBody{ClearBody: true}}}}}})
 	}
-	if s.call != nil && s.told && s.bodyMode == filterv3.ProcessingMode_BUFFERED && !s.order.Answered() {
-		// Only now does the caller send. The member may have begun to drain while the body came.
-		return s.again(ctx, m)
+	if s.call != nil && s.modesKnown && s.bodyMode == filterv3.ProcessingMode_BUFFERED && !s.messageOrder.ResponseStarted() {
+		// The caller sends the request only now. The member may have started to drain while the body
+		// arrived.
+		return s.confirmMember(ctx, part)
 	}
-	return s.continueBody(m)
+	return s.sendBodyContinue(part)
 }
 
-// continueBody lets a part of the request's body go on as it came.
-func (s *stream) continueBody(m *extprocv3.HttpBody) error {
+// sendBodyContinue lets a part of the request's body through unchanged.
+func (s *stream) sendBodyContinue(part *extprocv3.HttpBody) error {
 	if s.bodyMode == fullDuplex {
-		return s.echo(m, false)
+		return s.relayBody(part, false)
 	}
 	return s.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{
 		RequestBody: &extprocv3.BodyResponse{}}})
 }
 
-// again makes sure of the member that the request's headers were answered with, and names another if it has gone.
-func (s *stream) again(ctx context.Context, m *extprocv3.HttpBody) error {
-	stands := true
-	s.f.p.Do(func() {
+// confirmMember checks that the member named in the answer to the request's headers is still usable, and
+// names another one if not.
+func (s *stream) confirmMember(ctx context.Context, part *extprocv3.HttpBody) error {
+	usable := true
+	s.front.host.Do(func() {
 		if c := s.call; c.attempt != nil && !c.settled {
-			stands = c.attempt.Give()
+			usable = c.attempt.Give()
 		}
 	})
-	if stands {
-		return s.continueBody(m)
+	if usable {
+		return s.sendBodyContinue(part)
 	}
-	return s.await(ctx, decided{}, true)
+	return s.awaitDecision(ctx, decision{}, true)
 }
 
-// collected hands over a write whose body has come whole.
-func (s *stream) collected(ctx context.Context) error {
+// bodyComplete submits a write whose body has been received completely.
+func (s *stream) bodyComplete(ctx context.Context) error {
 	s.collecting = false
-	if s.place != nil {
-		s.place.Shrink(len(s.body))
+	if s.reservation != nil {
+		s.reservation.Shrink(len(s.body))
 	}
-	return s.begin(ctx, true)
+	return s.startRequest(ctx, true)
 }
 
-// begin finds out what the call is to those before it, hands over a new request or takes up one in hand, and answers
-// with what is decided.
-func (s *stream) begin(ctx context.Context, body bool) error {
-	f, h := s.f, &s.head
-	class := s.cfg.classes[s.target.Class]
-	if s.unsafe(class) && !s.route() && !body {
-		if err := s.taken(); err != nil {
+// startRequest relates the call to earlier calls with its request id, submits a new request or continues a
+// known one, and sends what is decided.
+func (s *stream) startRequest(ctx context.Context, body bool) error {
+	front, head := s.front, &s.head
+	class := s.config.classes[s.target.Class]
+	if s.runOnce(class) && !s.routeMode() && !body {
+		if err := s.acceptCall(); err != nil {
 			return err
 		}
 	}
-	var d extproc.Decision
-	var fault error
-	var first decided
-	f.p.Do(func() {
-		id := h.id
+	var callDecision extproc.Decision
+	var submitErr error
+	var first decision
+	front.host.Do(func() {
+		id := head.requestID
 		if id == "" {
-			id = f.newID()
+			id = front.newID()
 		}
-		now := f.p.Now()
-		entry, replaced, decision := f.calls.Begin(id, h.attempt, s.unsafe(class), class.Effect == logic.AtMostOnce && f.p.RecordsOrders(), now)
-		if d = decision; replaced != nil {
+		now := front.host.Now()
+		entry, replaced, found := front.calls.Begin(id, head.attempt, s.runOnce(class), class.Effect == logic.AtMostOnce && front.host.RecordsOrders(), now)
+		if callDecision = found; replaced != nil {
 			replaced.Owner.(*call).abandon()
 		}
-		s.due = now + max(0, time.Until(s.deadline)) + overdue
-		switch d {
-		case extproc.Fresh, extproc.Replace:
-			c := &call{f: f, entry: entry, stream: s, ended: make(chan struct{}, 1)}
+		s.expiresAt = now + max(0, time.Until(s.deadline)) + overdueGrace
+		switch callDecision {
+		case extproc.DecisionNew, extproc.DecisionReplace:
+			c := &call{front: front, entry: entry, stream: s, decided: make(chan struct{}, 1)}
 			entry.Owner, s.call = c, c
-			fault = s.submit(c, id)
-		case extproc.Continue:
-			f.counts.Returned++
+			submitErr = s.submit(c, id)
+		case extproc.DecisionContinue:
+			front.counts.Continued++
 			s.call = entry.Owner.(*call)
 			s.call.stream = s
-			s.call.narrow(h.only)
+			s.call.restrictMembers(head.allowedMembers)
 		}
-		if s.call != nil && fault == nil {
-			first = s.look()
+		if s.call != nil && submitErr == nil {
+			first = s.checkDecision()
 		}
 	})
 	switch {
-	case errors.Is(fault, extproc.ErrSpent):
-		s.why = logic.OutOfTime
-		return s.refuse(0)
-	case errors.Is(fault, proxy.ErrStopping):
-		s.why = reasons.Stopping
-		return s.refuse(0)
-	case errors.Is(fault, proxy.ErrBusy):
-		s.why = reasons.HostFull
-		return s.refuse(0)
-	case errors.Is(fault, proxy.ErrInUse):
-		return s.immediate(409, []byte("the request id is in use"), "")
-	case identity.WhyOf(fault) != 0:
-		return s.denied(fault)
-	case fault != nil:
-		return s.immediate(400, []byte(fault.Error()), "")
-	case d == extproc.InUse:
-		return s.immediate(409, []byte("the request id belongs to another request in hand"), "")
-	case d == extproc.MayRun:
-		return s.fail("an earlier attempt may have run, and the request must not run twice")
-	case d == extproc.Crowded:
-		s.why = reasons.HostFull
-		return s.refuse(0)
-	}
-	return s.await(ctx, first, body)
-}
-
-// newID makes an id that no other process makes, for a request whose caller has none.
+	case errors.Is(submitErr, extproc.ErrExpired):
+		s.reason = logic.OutOfTime
+		return s.sendRefused(0)
+	case errors.Is(submitErr, proxy.ErrStopping):
+		s.reason = reasons.Stopping
+		return s.sendRefused(0)
+	case errors.Is(submitErr, proxy.ErrBusy):
+		s.reason = reasons.HostFull
+		return s.sendRefused(0)
+	case errors.Is(submitErr, proxy.ErrInUse):
+		return s.sendImmediate(409, []byte("the request id is in use"), "")
+	case identity.WhyOf(submitErr) != 0:
+		return s.sendDenied(submitErr)
+	case submitErr != nil:
+		return s.sendImmediate(400, []byte(submitErr.Error()), "")
+	case callDecision == extproc.DecisionInUse:
+		return s.sendImmediate(409, []byte("the request id belongs to another request in hand"), "")
+	case callDecision == extproc.DecisionMayHaveRun:
+		return s.sendFailed("an earlier attempt may have run, and the request must not run twice")
+	case callDecision == extproc.DecisionTableFull:
+		s.reason = reasons.HostFull
+		return s.sendRefused(0)
+	}
+	return s.awaitDecision(ctx, first, body)
+}
+
+// newID returns an id that no other process generates, for a request whose caller sent none.
 func (f *Front) newID() string {
-	f.made++
-	return fmt.Sprintf("x%x-%x", f.p.Now(), f.made)
+	f.generatedIDs++
+	return fmt.Sprintf("x%x-%x", f.host.Now(), f.generatedIDs)
 }
 
-// submit hands a new request to the host, under its lock.
-func (s *stream) submit(c *call, id string) error {
-	h := &s.head
-	c.req.Arrived = s.f.p.Clock()
-	left := time.Until(s.deadline)
-	if !s.route() {
-		left = min(left, s.mostWait())
+// submit submits a new request to the host. The host's lock must be held.
+func (s *stream) submit(newCall *call, id string) error {
+	head := &s.head
+	newCall.request.Arrived = s.front.host.Clock()
+	timeLeft := time.Until(s.deadline)
+	if !s.routeMode() {
+		timeLeft = min(timeLeft, s.maxWait())
 	}
 	for _, v := range [...]struct{ name, text string }{
-		{s.cfg.Headers.Tenant, h.tenant}, {s.cfg.Headers.Key, h.key},
+		{s.config.Headers.Tenant, head.tenant}, {s.config.Headers.Key, head.idempotencyKey},
 	} {
 		if slices.ContainsFunc([]byte(v.text), func(b byte) bool { return b <= ' ' || b == ',' || b == '=' || b == 0x7f }) {
-			s.drop(c)
+			s.discardCall(newCall)
 			return fmt.Errorf("%s must be plain text without commas", v.name)
 		}
 	}
-	most, key := maxText, len(s.target.Key)
+	limit, keyLen := maxTextBytes, len(s.target.Key)
 	if s.target.Many {
-		most = maxText + mostKeyText
+		limit = maxTextBytes + maxKeyBytes
 	}
-	if key+len(id)+len(h.tenant)+len(h.key) > most {
-		s.drop(c)
-		return fmt.Errorf("key, id, tenant and idempotency key together are over %d bytes", most)
+	if keyLen+len(id)+len(head.tenant)+len(head.idempotencyKey) > limit {
+		s.discardCall(newCall)
+		return fmt.Errorf("key, id, tenant and idempotency key together are over %d bytes", limit)
 	}
-	if left <= 0 {
-		s.drop(c)
-		return extproc.ErrSpent
+	if timeLeft <= 0 {
+		s.discardCall(newCall)
+		return extproc.ErrExpired
 	}
 	attrs := make([]byte, 0, 64)
 	attrs = append(append(attrs, "c="...), s.target.Class...)
-	if h.tenant != "" {
-		attrs = append(append(attrs, ",t="...), h.tenant...)
+	if head.tenant != "" {
+		attrs = append(append(attrs, ",t="...), head.tenant...)
 	}
-	attrs = strconv.AppendFloat(append(attrs, ",d="...), float64(left)/float64(time.Millisecond), 'f', 3, 64)
-	if h.key != "" {
-		attrs = append(append(attrs, ",k="...), h.key...)
+	attrs = strconv.AppendFloat(append(attrs, ",d="...), float64(timeLeft)/float64(time.Millisecond), 'f', 3, 64)
+	if head.idempotencyKey != "" {
+		attrs = append(append(attrs, ",k="...), head.idempotencyKey...)
 	}
-	if h.attempt > 1 {
+	if head.attempt > 1 {
 		attrs = append(attrs, ",r=1"...)
 	}
-	c.req.Command = proxy.Command{Only: h.only, Again: h.attempt > 1, Arrived: c.req.Arrived, Message: upstream.Message{
+	newCall.request.Command = proxy.Command{Only: head.allowedMembers, Again: head.attempt > 1, Arrived: newCall.request.Arrived, Message: upstream.Message{
 		Write: s.target.Write, Key: []byte(s.target.Key), ReqID: []byte(id), Attrs: attrs, Value: s.body}}
-	c.req.Taker = whole{c}
-	if s.route() {
-		c.req.Taker = routed{c}
+	newCall.request.Taker = bufferedValue{newCall}
+	if s.routeMode() {
+		newCall.request.Taker = routedCall{newCall}
 	}
-	if s.place != nil {
-		c.req.SetReservedBytes(len(s.body))
+	if s.reservation != nil {
+		newCall.request.SetReservedBytes(len(s.body))
 	}
-	c.req.By, c.req.Front = s.proof, "extproc"
+	newCall.request.By, newCall.request.Front = s.proof, "extproc"
 	if s.target.Many {
-		return s.submitMany(c)
+		return s.submitMany(newCall)
 	}
-	err := s.f.p.Submit(&c.req)
-	if errors.Is(err, proxy.ErrInUse) && (!c.entry.Unsafe || c.entry.Again) {
-		// A caller may ask again under the same id where that is harmless; members want one of its own for each.
-		s.f.made++
-		c.req.ReqID = fmt.Appendf(nil, "%s.%x", id, s.f.made)
-		err = s.f.p.Submit(&c.req)
+	err := s.front.host.Submit(&newCall.request)
+	if errors.Is(err, proxy.ErrInUse) && (!newCall.entry.RunOnce || newCall.entry.Reused) {
+		// A caller may repeat a harmless request under the same id; members need a distinct id for each.
+		s.front.generatedIDs++
+		newCall.request.ReqID = fmt.Appendf(nil, "%s.%x", id, s.front.generatedIDs)
+		err = s.front.host.Submit(&newCall.request)
 	}
 	if err != nil {
-		s.drop(c)
+		s.discardCall(newCall)
 		return err
 	}
-	s.body, s.place = nil, nil // the host counts it now
+	s.body, s.reservation = nil, nil // counted by the host from now on
 	return nil
 }
 
-// drop forgets a call that was never taken.
-func (s *stream) drop(c *call) {
+// discardCall removes a call that was not accepted.
+func (s *stream) discardCall(c *call) {
 	c.settled = true
-	s.f.calls.End(c.entry, false, s.f.p.Now())
+	s.front.calls.End(c.entry, false, s.front.host.Now())
 	s.call = nil
 }
 
-// mostWait is how long the caller waits for the answer to the message in hand, with what it lets us ask for.
-func (s *stream) mostWait() time.Duration {
+// maxWait returns how long the caller waits for the answer to the current message, including the extension
+// that it grants.
+func (s *stream) maxWait() time.Duration {
 	if s.bodyMode == fullDuplex {
-		return time.Until(s.deadline) // the caller sets no time for a message then (ext_proc.proto, message_timeout)
+		return time.Until(s.deadline) // the caller sets no message_timeout then (ext_proc.proto)
 	}
-	most := s.cfg.MessageTimeout.D()
-	if ask := s.cfg.MaxMessageTimeout.D(); ask > 0 {
-		most = most/2 + ask
+	wait := s.config.MessageTimeout.D()
+	if extension := s.config.MaxMessageTimeout.D(); extension > 0 {
+		wait = wait/2 + extension
 	}
-	return most - s.cfg.Margin.D() - time.Since(s.asOf)
+	return wait - s.config.Margin.D() - time.Since(s.messageAt)
 }
 
-// decided is what has come of a wait.
-type decided struct {
-	addr  string // of the member, and those of spares behind commas
-	left  time.Duration
-	final *proxy.Answer
+// decision is the result of waiting for the host.
+type decision struct {
+	addrs    string // the member's address, followed by comma-separated fallbacks
+	timeLeft time.Duration
+	final    *proxy.Answer
 }
 
-// await waits until the host has named a member or given the final answer, and passes that on. It asks the caller for
-// more time before its patience ends, and gives the request up in time where the caller has none to give.
-// d is what is decided already.
-func (s *stream) await(ctx context.Context, d decided, body bool) error {
+// awaitDecision waits until the host has named a member or given the final answer, and sends it. It extends
+// the caller's message timeout before that expires, and ends the request in time if no extension is
+// possible. d is the decision if there is one already.
+func (s *stream) awaitDecision(ctx context.Context, decided decision, body bool) error {
 	var timer *time.Timer
 	for {
-		if d == (decided{}) {
-			s.f.p.Do(func() { d = s.look() })
+		if decided == (decision{}) {
+			s.front.host.Do(func() { decided = s.checkDecision() })
 		}
 		switch {
-		case d.final != nil:
-			return s.answer(d.final)
-		case d.addr != "":
-			return s.sendTo(d, body)
+		case decided.final != nil:
+			return s.sendAnswer(decided.final)
+		case decided.addrs != "":
+			return s.sendMember(decided, body)
 		}
 		if timer == nil {
 			timer = time.NewTimer(s.nextWait())
 			defer timer.Stop()
 		}
 		select {
-		case <-s.call.ended:
+		case <-s.call.decided:
 		case <-ctx.Done():
 			return status.FromContextError(ctx.Err()).Err()
-		case <-s.kicked:
+		case <-s.forceEnd:
 			return status.Error(codes.DeadlineExceeded, "the stream has stood for too long")
 		case <-timer.C:
-			if s.canAsk() {
-				if err := s.askForMore(); err != nil {
+			if s.canExtend() {
+				if err := s.extendTimeout(); err != nil {
 					return err
 				}
 				timer.Reset(s.nextWait())
 				continue
 			}
-			return s.giveUp()
+			return s.endTimedOut()
 		}
 	}
 }
 
-// look tells what is decided, under the host's lock.
-func (s *stream) look() (d decided) {
+// checkDecision returns what has been decided so far. The host's lock must be held.
+func (s *stream) checkDecision() (d decision) {
 	c := s.call
-	if c.final != nil {
-		return decided{final: c.final}
+	if c.finalAnswer != nil {
+		return decision{final: c.finalAnswer}
 	}
 	if a := c.attempt; a != nil && !a.Ended() && a.Give() {
-		s.f.counts.Routed++
-		addr := a.Addr
-		if n := s.cfg.Fallbacks; n > 0 && !c.req.Write {
-			for _, spare := range a.Spares(n) {
-				addr += "," + spare
+		s.front.counts.Routed++
+		addrs := a.Addr
+		if n := s.config.Fallbacks; n > 0 && !c.request.Write {
+			for _, fallback := range a.Spares(n) {
+				addrs += "," + fallback
 			}
 		}
-		c.named = addr
-		return decided{addr: addr, left: a.Left()}
+		c.namedAddrs = addrs
+		return decision{addrs: addrs, timeLeft: a.Left()}
 	}
 	return d
 }
 
-// canAsk tells whether more time can be asked for; a caller takes that once for a message.
-func (s *stream) canAsk() bool {
-	return !s.overrideSent && s.cfg.MaxMessageTimeout > 0 && s.bodyMode != fullDuplex
+// canExtend reports whether the message timeout can be extended; a caller accepts one extension for each
+// message.
+func (s *stream) canExtend() bool {
+	return !s.overrideSent && s.config.MaxMessageTimeout > 0 && s.bodyMode != fullDuplex
 }
 
-// nextWait is how long until the caller's patience has to be seen to.
+// nextWait returns how long to wait before the caller's message timeout needs attention.
 func (s *stream) nextWait() time.Duration {
-	if s.canAsk() {
-		return s.cfg.MessageTimeout.D()/2 - time.Since(s.asOf)
+	if s.canExtend() {
+		return s.config.MessageTimeout.D()/2 - time.Since(s.messageAt)
 	}
-	wait := s.mostWait()
+	wait := s.maxWait()
 	if !s.overrideSent && s.bodyMode != fullDuplex {
-		wait = s.cfg.MessageTimeout.D() - s.cfg.Margin.D() - time.Since(s.asOf)
+		wait = s.config.MessageTimeout.D() - s.config.Margin.D() - time.Since(s.messageAt)
 	}
-	// The host ends a request at its deadline by itself, a tick later at most; this is for one that it can't.
-	return min(wait, time.Until(s.deadline)+s.cfg.Margin.D()/2)
+	// The host ends a request at its deadline, at most one tick late; this bound covers requests that it
+	// cannot end.
+	return min(wait, time.Until(s.deadline)+s.config.Margin.D()/2)
 }
 
-// askForMore sends override_message_timeout. The caller ignores what is over its bound, so never more is asked for.
-func (s *stream) askForMore() error {
+// extendTimeout sends override_message_timeout. The caller ignores a value over its maximum, so the request
+// never exceeds it.
+func (s *stream) extendTimeout() error {
 	s.overrideSent = true
-	ask := min(s.cfg.MaxMessageTimeout.D(), time.Until(s.deadline)+s.cfg.Margin.D())
-	return s.send(&extprocv3.ProcessingResponse{OverrideMessageTimeout: durationpb.New(max(ask, time.Millisecond))})
+	extension := min(s.config.MaxMessageTimeout.D(), time.Until(s.deadline)+s.config.Margin.D())
+	return s.send(&extprocv3.ProcessingResponse{OverrideMessageTimeout: durationpb.New(max(extension, time.Millisecond))})
 }
 
-// giveUp ends a request because the caller waits no longer.
-func (s *stream) giveUp() error {
-	ran := false
-	s.f.p.Do(func() {
-		ran = s.call.req.MayHaveRun()
+// endTimedOut ends a request because the caller's message timeout is about to expire.
+func (s *stream) endTimedOut() error {
+	mayHaveRun := false
+	s.front.host.Do(func() {
+		mayHaveRun = s.call.request.MayHaveRun()
 		s.call.abandon()
 	})
-	s.why = logic.OutOfTime
-	if ran && s.call.entry.Unsafe {
-		return s.fail("the time for the request is over")
+	s.reason = logic.OutOfTime
+	if mayHaveRun && s.call.entry.RunOnce {
+		return s.sendFailed("the time for the request is over")
 	}
-	return s.refuse(0)
+	return s.sendRefused(0)
 }
