--- a/internal/operator/identity.go
+++ b/internal/operator/identity.go
@@ -11,17 +11,17 @@
 
 // Identity has callers proven by signed tokens, and bounds what each tenant may do (docs/identity-operators.md).
 type Identity struct {
-	Keys        string   `toml:"keys"` // the file with the JWK set
+	Keys        string   `toml:"keys" json:"Keys"` // the file with the JWK set
 	Issuer      string   `toml:"issuer"`
 	Audience    string   `toml:"audience"`
 	TenantClaim string   `toml:"tenant_claim"`
-	Name        string   `toml:"name"` // of a token in a request's list of names and values
+	Name        string   `toml:"name" json:"Name"` // of a token in a request's list of names and values
 	Leeway      Duration `toml:"leeway"`
-	MaxLife     Duration `toml:"max_life"`
-	Known       int      `toml:"known"`
-	ChecksPerS  int      `toml:"checks_per_s"`
-	Replays     int      `toml:"replays"`
-	Suspects    int      `toml:"suspects"` // addresses that have shown a bad token lately, remembered at the most
+	MaxLife     Duration `toml:"max_life" json:"MaxLife"`
+	Known       int      `toml:"known" json:"Known"`
+	ChecksPerS  int      `toml:"checks_per_s" json:"ChecksPerS"`
+	Replays     int      `toml:"replays" json:"Replays"`
+	Suspects    int      `toml:"suspects" json:"Suspects"` // addresses that have shown a bad token lately, remembered at the most
 	Tenants     []Tenant `toml:"tenant"`
 
 	TLS          TLS           `toml:"tls"` // its zero value: not set
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -21,13 +21,13 @@
 	Join      []string `toml:"join"`
 	Cluster   string   `toml:"cluster"`
 	KeyFile   string   `toml:"key_file"`
-	Forget    Duration `toml:"forget"` // how long one that was lost without a word counts as there
+	Forget    Duration `toml:"forget" json:"Forget"` // how long one that was lost without a word counts as there
 }
 
 // Zones has them leave a zone that fails together, and return to it together. It needs Instances.
 type Zones struct {
-	Least  float64  `toml:"least"` // of the capacity, which stays in use whatever is seen
-	Region []Region `toml:"region"`
+	Least  float64  `toml:"least" json:"Least"` // of the capacity, which stays in use whatever is seen
+	Region []Region `toml:"region" json:"Region"`
 }
 
 // Region is zones that are left and returned to as one where they fail together.
--- a/internal/operator/joining.go
+++ b/internal/operator/joining.go
@@ -5,8 +5,8 @@
 // Joining has identical reads in flight share one attempt (docs/joining.md). It says that an answer may serve several requests.
 type Joining struct {
 	Followers     int  `toml:"followers"`
-	PerTenant     int  `toml:"followers_per_tenant"`
-	Flights       int  `toml:"flights"`
+	PerTenant     int  `toml:"followers_per_tenant" json:"PerTenant"`
+	Flights       int  `toml:"flights" json:"Flights"`
 	AcrossTenants bool `toml:"across_tenants"`
 }
 
--- a/internal/operator/manykeys.go
+++ b/internal/operator/manykeys.go
@@ -4,10 +4,10 @@
 
 // ManyKeys has OBJ.MGET taken (docs/many-keys.md).
 type ManyKeys struct {
-	Keys  int `toml:"keys"`
-	Bytes int `toml:"bytes"`
-	Out   int `toml:"out"`
-	Part  int `toml:"part"`
+	Keys  int `toml:"keys" json:"Keys"`
+	Bytes int `toml:"bytes" json:"Bytes"`
+	Out   int `toml:"out" json:"Out"`
+	Part  int `toml:"part" json:"Part"`
 }
 
 var manyKeysDefaults = ManyKeys{Keys: 256, Bytes: 4 << 20, Out: 64, Part: 16}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -39,11 +39,11 @@
 	MessageTimeout    Duration `toml:"message_timeout"`
 	MaxMessageTimeout Duration `toml:"max_message_timeout"`
 	// Margin is kept back of every time that the caller gives, for the way back.
-	Margin Duration `toml:"margin"`
+	Margin Duration `toml:"margin" json:"Margin"`
 	// ReturnWithin is how long, in mode route, a caller may take to come back for the next attempt.
-	ReturnWithin Duration `toml:"return_within"`
+	ReturnWithin Duration `toml:"return_within" json:"ReturnWithin"`
 	// Remember is how long an order's request id is known after its end.
-	Remember    Duration `toml:"remember"`
+	Remember    Duration `toml:"remember" json:"Remember"`
 	ContentType string   `toml:"content_type"`
 	MissStatus  int      `toml:"miss_status"`
 	// ShedStatus is the status of what is refused for want of capacity.
@@ -51,7 +51,7 @@
 	// Fallbacks is how many further members are named, in order, for a read in mode route, where the caller goes on to
 	// them by itself; all of that must happen within FallbackWithin of the pick.
 	Fallbacks      int        `toml:"fallbacks"`
-	FallbackWithin Duration   `toml:"fallback_within"`
+	FallbackWithin Duration   `toml:"fallback_within" json:"FallbackWithin"`
 	Headers        Headers    `toml:"headers"`
 	Map            []MapEntry `toml:"map"`
 }
@@ -60,7 +60,7 @@
 type Headers struct {
 	RequestID   string   `toml:"request_id"`
 	Tenant      string   `toml:"tenant"`
-	Key         string   `toml:"idempotency_key"`
+	Key         string   `toml:"idempotency_key" json:"Key"`
 	Attempt     string   `toml:"attempt"`
 	TimeLeft    []string `toml:"time_left"`
 	Destination string   `toml:"destination"`
@@ -75,7 +75,7 @@
 	Class   string   `toml:"class"`
 	Key     string   `toml:"key"`
 	Write   bool     `toml:"write"`
-	Many    bool     `toml:"many"` // the key is several, with commas between
+	Many    bool     `toml:"many" json:"Many"` // the key is several, with commas between
 	Line    int
 }
 
--- a/internal/operator/orders.go
+++ b/internal/operator/orders.go
@@ -11,16 +11,16 @@
 // Orders has orders kept on record on a disk that lasts (docs/orders-operators.md).
 type Orders struct {
 	Dir       string   `toml:"dir"`
-	Most      int      `toml:"most"`
-	MostBytes int      `toml:"most_bytes"` // of receipts, together
-	Keep      Duration `toml:"keep"`       // how long an order that has ended is known, at the least
-	Line      int      `toml:"line"`       // orders that may wait for the disk
-	Segment   int      `toml:"segment"`    // bytes of a file of the log
-	CompactAt int      `toml:"compact_at"`
+	Most      int      `toml:"most" json:"Most"`
+	MostBytes int      `toml:"most_bytes" json:"MostBytes"` // of receipts, together
+	Keep      Duration `toml:"keep" json:"Keep"`            // how long an order that has ended is known, at the least
+	Line      int      `toml:"line" json:"Line"`            // orders that may wait for the disk
+	Segment   int      `toml:"segment" json:"Segment"`      // bytes of a file of the log
+	CompactAt int      `toml:"compact_at" json:"CompactAt"`
 	// Strangers is what becomes of a repeat that nobody here knows of: "look_up" or "run".
-	Strangers string `toml:"strangers"`
+	Strangers string `toml:"strangers" json:"Strangers"`
 	// Receipts are the fronts that answer a repeat with the receipt on record.
-	Receipts []string `toml:"receipts"`
+	Receipts []string `toml:"receipts" json:"Receipts"`
 }
 
 var ordersDefaults = Orders{Most: 100_000, MostBytes: 64 << 20, Keep: Duration(24 * time.Hour), Line: 256, Segment: 4 << 20, CompactAt: 10_000,
