--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -233,7 +233,7 @@
 			return fmt.Errorf("%s: %w", file.Orders.Dir, err)
 		}
 		defer closeRecord(record, log)
-		settings.Record, settings.Receipts = record, file.Orders.Receipts
+		settings.Record, settings.Receipts = record, file.Orders.ReceiptFronts
 	}
 	var others fleet
 	others.prepare(file, &settings)
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -89,10 +89,10 @@
 		return err
 	}
 	in := file.Instances
-	j := Joined{Proxy: p, Log: log, Listen: operator.Addresses(in.Listen), Tell: operator.Addresses(in.Advertise),
-		Call: operator.Addresses(in.Join), Cluster: in.Cluster, Forget: in.Forget.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
+	j := Joined{Proxy: p, Log: log, Listen: operator.ParseAddresses(in.Listen), Tell: operator.ParseAddresses(in.Advertise),
+		Call: operator.ParseAddresses(in.Join), Cluster: in.Cluster, Forget: in.ForgetAfter.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
 		Zone: settings.Settings.Zone, Zones: settings.Zones, Regions: regions, Since: time.Now(), Meter: f.meter}
-	if j.Keys, err = in.Keys(); err != nil {
+	if j.Keys, err = in.ReadKeys(); err != nil {
 		return err
 	}
 	if j.Version.Program, err = programDigest(); err != nil {
@@ -104,7 +104,7 @@
 	log.Info("version", "program", j.Version.Program, "settings", j.Version.Settings)
 	f.version = j.Version
 	if f.meter != nil {
-		c := zones.Config{Number: j.Number, Zones: j.Zones, MinCapacityShare: file.Zones.Least, WarmupTime: settings.Settings.SlowStartDuration, StartedAtMS: j.Since.UnixMilli()}
+		c := zones.Config{Number: j.Number, Zones: j.Zones, MinCapacityShare: file.Zones.MinCapacityShare, WarmupTime: settings.Settings.SlowStartDuration, StartedAtMS: j.Since.UnixMilli()}
 		for _, r := range regions {
 			c.Regions = append(c.Regions, r)
 		}
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -123,10 +123,10 @@
 		r.log.Error("reload failed, the operator's old file stays in force", "err", err)
 		return
 	}
-	fixed, live := r.file.Changed(now)
+	fixed, live := r.file.Diff(now)
 	if len(fixed) > 0 {
 		r.log.Warn("reload: these need a restart, the old ones stay in force", "keys", fixed)
-		now.Keep(r.file)
+		now.KeepRestartKeys(r.file)
 	}
 	if r.extproc != nil && len(live) > 0 {
 		if err := r.extproc.Reload(now); err != nil {
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -52,15 +52,15 @@
 
 // New reads the keys. Without a set that can be read it does not begin.
 func New(cfg *operator.Identity, log *slog.Logger) (*Gate, error) {
-	g := &Gate{file: cfg.Keys, name: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
-		replays: identity.Replays{Most: cfg.Replays}, sources: identity.Sources{Most: cfg.Suspects}, rules: cfg.Rules()}
-	if cfg.TLS.Set() {
+	g := &Gate{file: cfg.KeySetFile, name: cfg.TokenAttribute, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
+		replays: identity.Replays{Most: cfg.MaxReplayIDs}, sources: identity.Sources{Most: cfg.MaxSuspects}, rules: cfg.CertRules()}
+	if cfg.TLS.Enabled() {
 		var err error
 		if g.doors, err = newDoors(cfg, log, g.now); err != nil {
 			return nil, err
 		}
 	}
-	if !cfg.ByTokens() {
+	if !cfg.AcceptsTokens() {
 		return g, nil
 	}
 	text, err := read(g.file)
@@ -73,7 +73,7 @@
 	}
 	g.text = text
 	g.keys.Store(keys)
-	g.verify = identity.NewVerifier(cfg.Terms(), keys)
+	g.verify = identity.NewVerifier(cfg.TokenRequirements(), keys)
 	g.log.Info("callers are proven by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
 	return g, nil
 }
@@ -159,7 +159,7 @@
 	g.policy = identity.NewPolicy(cfg.Rights(), g.policy)
 	g.rights.Unlock()
 	g.files.Lock()
-	if g.rules = cfg.Rules(); g.doors != nil {
+	if g.rules = cfg.CertRules(); g.doors != nil {
 		g.doors.rule(g.rules)
 	}
 	g.files.Unlock()
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -47,8 +47,8 @@
 }
 
 func settings(file string) *operator.Identity {
-	return &operator.Identity{Keys: file, Issuer: "i", Audience: "a", TenantClaim: "tenant", Name: "tk", MaxLife: operator.Duration(time.Hour),
-		Known: 8, ChecksPerS: 100, Replays: 8, Tenants: []operator.Tenant{{Name: "shop"}}}
+	return &operator.Identity{KeySetFile: file, Issuer: "i", Audience: "a", TenantClaim: "tenant", TokenAttribute: "tk", MaxLifetime: operator.Duration(time.Hour),
+		TokenCacheSize: 8, ChecksPerSecond: 100, MaxReplayIDs: 8, Tenants: []operator.Tenant{{Name: "shop"}}}
 }
 
 // Whatever becomes of the key file, the keys in force stay until another set can be read; each fault is logged once, with the file and
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -41,7 +41,7 @@
 	d := &doors{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
 	texts, err := d.read()
 	if err == nil {
-		err = d.put(texts, cfg.Rules())
+		err = d.put(texts, cfg.CertRules())
 	}
 	if err != nil {
 		return nil, err
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -42,7 +42,7 @@
 }
 
 func (a *authority) settings() *operator.Identity {
-	return &operator.Identity{Tenants: []operator.Tenant{{Name: "kiosk"}, {Name: "shop"}}, Replays: 8, Suspects: 8,
+	return &operator.Identity{Tenants: []operator.Tenant{{Name: "kiosk"}, {Name: "shop"}}, MaxReplayIDs: 8, MaxSuspects: 8,
 		TLS:          operator.TLS{Cert: a.Path("cert.pem"), Key: a.Path("key.pem"), Roots: a.Path("roots.pem"), Client: "asked", Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}}}
 }
@@ -202,7 +202,7 @@
 		t.Fatal(err)
 	}
 	cfg := settings(file)
-	cfg.ChecksPerS, cfg.Suspects, cfg.Known = 4, 2, 0
+	cfg.ChecksPerSecond, cfg.MaxSuspects, cfg.TokenCacheSize = 4, 2, 0
 	g, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/extproc/mapping.go
+++ b/internal/extproc/mapping.go
@@ -49,11 +49,11 @@
 func NewMapping(entries []operator.MapEntry) (*Mapping, error) {
 	m := &Mapping{}
 	for _, e := range entries {
-		r := rule{methods: e.Methods, class: e.Class, write: e.Write, many: e.Many}
+		r := rule{methods: e.Methods, class: e.Class, write: e.Write, many: e.MultipleKeys}
 		r.segments = strings.Split(strings.TrimPrefix(e.Path, "/"), "/")
 		at := map[string]int{}
 		for i, s := range r.segments {
-			if name, ok := operator.Segment(s); ok {
+			if name, ok := operator.SegmentVariable(s); ok {
 				name, rest := strings.CutSuffix(name, "...")
 				at[name] = i
 				r.rest = rest
@@ -136,7 +136,7 @@
 		if more == last { // too many segments, or too few
 			return nil, false
 		}
-		if _, variable := operator.Segment(want); variable && segment == "" || !variable && segment != want {
+		if _, variable := operator.SegmentVariable(want); variable && segment == "" || !variable && segment != want {
 			return nil, false
 		}
 		if strings.Contains(segment, "%") {
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -299,7 +299,7 @@
 		default:
 			again = true
 			c.stream = nil
-			s.f.calls.Return(c.entry, s.f.p.Now()+s.cfg.ReturnWithin.D())
+			s.f.calls.Return(c.entry, s.f.p.Now()+s.cfg.ReturnTimeout.D())
 		}
 	})
 	switch {
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate, err := callers.New(&operator.Identity{Replays: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
+	gate, err := callers.New(&operator.Identity{MaxReplayIDs: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
 		TLS:          operator.TLS{Cert: a.Path("cert.pem"), Key: a.Path("key.pem"), Roots: a.Path("roots.pem"), Client: "asked", Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}, {DNS: "shop.example", Tenant: "shop"}}},
 		slog.New(slog.DiscardHandler))
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	f.cfg.Store(c)
-	f.calls = extproc.NewCalls(mostCalls, c.Remember.D())
+	f.calls = extproc.NewCalls(mostCalls, c.OrderRetention.D())
 	if f.listen, err = bind(c.Listen); err != nil {
 		return nil, fmt.Errorf("extproc.listen: %w", err)
 	}
@@ -189,7 +189,7 @@
 		return err
 	}
 	f.cfg.Store(c)
-	f.p.Do(func() { f.calls.SetRemember(c.Remember.D()) })
+	f.p.Do(func() { f.calls.SetRemember(c.OrderRetention.D()) })
 	return nil
 }
 
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -279,7 +279,7 @@
 	for i, v := range headers {
 		name := v.GetKey()
 		switch name {
-		case c.RequestID, c.Tenant, c.Key, c.Attempt, authorization:
+		case c.RequestID, c.Tenant, c.IdempotencyKey, c.Attempt, authorization:
 			// Which of two would count could be chosen by whoever adds one (RFC 9110 section 5.3: not a list, so only one).
 			for _, w := range headers[:i] {
 				if w.GetKey() == name && valueOf(w) != valueOf(v) {
@@ -302,7 +302,7 @@
 			h.id = valueOf(v)
 		case c.Tenant:
 			h.tenant = valueOf(v)
-		case c.Key:
+		case c.IdempotencyKey:
 			h.key = valueOf(v)
 		case c.Attempt:
 			n, err := strconv.Atoi(valueOf(v))
@@ -363,7 +363,7 @@
 	if h.hasLeft {
 		left = min(left, h.left)
 	}
-	left -= s.cfg.Margin.D()
+	left -= s.cfg.ReturnMargin.D()
 	if left <= 0 {
 		return s.spent(class)
 	}
@@ -605,7 +605,7 @@
 		left = min(left, s.mostWait())
 	}
 	for _, v := range [...]struct{ name, text string }{
-		{s.cfg.Headers.Tenant, h.tenant}, {s.cfg.Headers.Key, h.key},
+		{s.cfg.Headers.Tenant, h.tenant}, {s.cfg.Headers.IdempotencyKey, h.key},
 	} {
 		if slices.ContainsFunc([]byte(v.text), func(b byte) bool { return b <= ' ' || b == ',' || b == '=' || b == 0x7f }) {
 			s.drop(c)
@@ -680,7 +680,7 @@
 	if ask := s.cfg.MaxMessageTimeout.D(); ask > 0 {
 		most = most/2 + ask
 	}
-	return most - s.cfg.Margin.D() - time.Since(s.asOf)
+	return most - s.cfg.ReturnMargin.D() - time.Since(s.asOf)
 }
 
 // decided is what has come of a wait.
@@ -760,16 +760,16 @@
 	}
 	wait := s.mostWait()
 	if !s.overrideSent && s.bodyMode != fullDuplex {
-		wait = s.cfg.MessageTimeout.D() - s.cfg.Margin.D() - time.Since(s.asOf)
+		wait = s.cfg.MessageTimeout.D() - s.cfg.ReturnMargin.D() - time.Since(s.asOf)
 	}
 	// The host ends a request at its deadline by itself, a tick later at most; this is for one that it can't.
-	return min(wait, time.Until(s.deadline)+s.cfg.Margin.D()/2)
+	return min(wait, time.Until(s.deadline)+s.cfg.ReturnMargin.D()/2)
 }
 
 // askForMore sends override_message_timeout. The caller ignores what is over its bound, so never more is asked for.
 func (s *stream) askForMore() error {
 	s.overrideSent = true
-	ask := min(s.cfg.MaxMessageTimeout.D(), time.Until(s.deadline)+s.cfg.Margin.D())
+	ask := min(s.cfg.MaxMessageTimeout.D(), time.Until(s.deadline)+s.cfg.ReturnMargin.D())
 	return s.send(&extprocv3.ProcessingResponse{OverrideMessageTimeout: durationpb.New(max(ask, time.Millisecond))})
 }
 
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -17,12 +17,12 @@
 
 // Fault is one thing that is wrong with a file.
 type Fault struct {
-	File string
-	Line int // from 1
-	What string
+	File    string
+	Line    int // from 1
+	Message string
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.What) }
+func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Message) }
 
 // Faults are all that is wrong with a file, by line.
 type Faults []Fault
@@ -35,22 +35,22 @@
 	return strings.Join(lines, "\n")
 }
 
-// doc is a file while it is read. The library's own decoder stops at its first type error and tells no line of
+// decoder is a file while it is read. The library's own decoder stops at its first type error and tells no line of
 // what it has decoded, so its parser is used here and the values are set by hand.
-type doc struct {
-	file   string
-	parser unstable.Parser
-	faults Faults
-	lines  map[string]int // by path: where a table or a key was given
-	elems  map[string]int // elements of arrays of tables so far
+type decoder struct {
+	file          string
+	parser        unstable.Parser
+	faults        Faults
+	lines         map[string]int // by path: where a table or a key was given
+	elementCounts map[string]int // elements of arrays of tables so far
 }
 
-func (d *doc) fault(line int, format string, args ...any) {
+func (d *decoder) fault(line int, format string, args ...any) {
 	d.faults = append(d.faults, Fault{d.file, max(1, line), fmt.Sprintf(format, args...)})
 }
 
-// at finds fault with what stands at a path; with its table, if the path itself was not given.
-func (d *doc) at(path, format string, args ...any) {
+// faultAt finds fault with what stands at a path; with its table, if the path itself was not given.
+func (d *decoder) faultAt(path, format string, args ...any) {
 	line := 0
 	for p := path; line == 0 && p != ""; {
 		line = d.lines[p]
@@ -60,10 +60,10 @@
 	d.fault(line, format, args...)
 }
 
-// given tells whether the file has something at a path.
-func (d *doc) given(path string) bool { return d.lines[path] > 0 }
+// isSet tells whether the file has something at a path.
+func (d *decoder) isSet(path string) bool { return d.lines[path] > 0 }
 
-func (d *doc) err() error {
+func (d *decoder) err() error {
 	if len(d.faults) == 0 {
 		return nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // decode sets into's fields, by their toml tags, from the text. What is wrong is noted; the rest is still read.
-func (d *doc) decode(text []byte, into any) {
+func (d *decoder) decode(text []byte, into any) {
 	var any map[string]any
 	if err := toml.Unmarshal(text, &any); err != nil { // syntax, and keys given twice
 		var at *toml.DecodeError
@@ -84,7 +84,7 @@
 		}
 		return
 	}
-	d.lines, d.elems = map[string]int{}, map[string]int{}
+	d.lines, d.elementCounts = map[string]int{}, map[string]int{}
 	d.parser.Reset(text)
 	root := reflect.ValueOf(into).Elem()
 	table, path := root, ""
@@ -101,7 +101,7 @@
 	}
 }
 
-func (d *doc) line(n *unstable.Node) int {
+func (d *decoder) lineOf(n *unstable.Node) int {
 	if n == nil || n.Raw.Length == 0 {
 		return 0
 	}
@@ -109,66 +109,66 @@
 }
 
 // descend follows a key through the tables that it names; the value is invalid if one is unknown.
-func (d *doc) descend(v reflect.Value, path string, key unstable.Iterator, array bool) (reflect.Value, string) {
+func (d *decoder) descend(v reflect.Value, path string, key unstable.Iterator, array bool) (reflect.Value, string) {
 	for key.Next() {
 		n := key.Node()
 		last := key.IsLast()
-		path = join(path, string(n.Data))
-		f, known := field(v, string(n.Data))
+		path = joinPath(path, string(n.Data))
+		f, known := fieldByKey(v, string(n.Data))
 		if !known {
-			d.fault(d.line(n), "unknown table [%s]%s", path, suggest(v, string(n.Data)))
+			d.fault(d.lineOf(n), "unknown table [%s]%s", path, suggestKey(v, string(n.Data)))
 			return reflect.Value{}, path
 		}
 		if d.lines[path] == 0 {
-			d.lines[path] = d.line(n)
+			d.lines[path] = d.lineOf(n)
 		}
 		switch {
 		case f.Kind() == reflect.Slice && f.Type().Elem().Kind() == reflect.Struct:
 			if last && array {
 				f.Set(reflect.Append(f, reflect.Zero(f.Type().Elem())))
-				d.elems[path]++
+				d.elementCounts[path]++
 			}
 			if f.Len() == 0 {
-				d.fault(d.line(n), "%s is an array of tables: write [[%s]]", path, path)
+				d.fault(d.lineOf(n), "%s is an array of tables: write [[%s]]", path, path)
 				return reflect.Value{}, path
 			}
 			v = f.Index(f.Len() - 1)
 			path = fmt.Sprintf("%s[%d]", path, f.Len()-1)
 			if last {
-				d.lines[path] = d.line(n)
+				d.lines[path] = d.lineOf(n)
 			}
-		case f.Kind() == reflect.Struct && !leaf(f.Type()):
+		case f.Kind() == reflect.Struct && !isLeaf(f.Type()):
 			if last && array {
-				d.fault(d.line(n), "%s is one table: write [%s]", path, path)
+				d.fault(d.lineOf(n), "%s is one table: write [%s]", path, path)
 				return reflect.Value{}, path
 			}
 			v = f
 		default:
-			d.fault(d.line(n), "%s is no table: write %s = ...", path, n.Data)
+			d.fault(d.lineOf(n), "%s is no table: write %s = ...", path, n.Data)
 			return reflect.Value{}, path
 		}
 	}
 	return v, path
 }
 
-func (d *doc) keyValue(v reflect.Value, path string, e *unstable.Node) {
+func (d *decoder) keyValue(v reflect.Value, path string, e *unstable.Node) {
 	key := e.Key()
 	for key.Next() {
 		n := key.Node()
 		name := string(n.Data)
-		line := d.line(n)
-		f, known := field(v, name)
+		line := d.lineOf(n)
+		f, known := fieldByKey(v, name)
 		if !known {
-			d.fault(line, "unknown key %s%s", join(path, name), suggest(v, name))
+			d.fault(line, "unknown key %s%s", joinPath(path, name), suggestKey(v, name))
 			return
 		}
-		path = join(path, name)
+		path = joinPath(path, name)
 		d.lines[path] = line
 		if key.IsLast() {
-			d.set(f, path, line, e.Value())
+			d.setValue(f, path, line, e.Value())
 			return
 		}
-		if f.Kind() != reflect.Struct || leaf(f.Type()) {
+		if f.Kind() != reflect.Struct || isLeaf(f.Type()) {
 			d.fault(line, "%s is no table", path)
 			return
 		}
@@ -176,15 +176,15 @@
 	}
 }
 
-// set gives a field its value.
-func (d *doc) set(f reflect.Value, path string, line int, n *unstable.Node) {
-	if at := d.line(n); at > 0 {
+// setValue gives a field its value.
+func (d *decoder) setValue(f reflect.Value, path string, line int, n *unstable.Node) {
+	if at := d.lineOf(n); at > 0 {
 		line = at
 	}
 	wrong := func(want string) { d.fault(line, "%s must be %s, not %s", path, want, describe(n)) }
-	if u, ok := f.Addr().Interface().(unit); ok {
+	if u, ok := f.Addr().Interface().(stringValue); ok {
 		if n.Kind != unstable.String {
-			wrong(u.want())
+			wrong(u.expected())
 		} else if err := u.parse(string(n.Data)); err != nil {
 			d.fault(line, "%s: %v", path, err)
 		}
@@ -225,7 +225,7 @@
 		f.Set(reflect.MakeSlice(f.Type(), 0, 4))
 		for it, i := n.Children(), 0; it.Next(); i++ {
 			elem := reflect.New(f.Type().Elem()).Elem()
-			d.set(elem, fmt.Sprintf("%s[%d]", path, i), line, it.Node())
+			d.setValue(elem, fmt.Sprintf("%s[%d]", path, i), line, it.Node())
 			f.Set(reflect.Append(f, elem))
 		}
 	case reflect.Struct:
@@ -255,16 +255,18 @@
 	return "a date or time"
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func leaf(t reflect.Type) bool { return reflect.PointerTo(t).Implements(reflect.TypeFor[unit]()) }
+func isLeaf(t reflect.Type) bool {
+	return reflect.PointerTo(t).Implements(reflect.TypeFor[stringValue]())
+}
 
-func field(v reflect.Value, name string) (reflect.Value, bool) {
+func fieldByKey(v reflect.Value, name string) (reflect.Value, bool) {
 	for i := range v.NumField() {
 		if v.Type().Field(i).Tag.Get("toml") == name && name != "" {
 			return v.Field(i), true
@@ -273,12 +275,12 @@
 	return reflect.Value{}, false
 }
 
-// suggest names the known key that is closest to one that is not known.
-func suggest(v reflect.Value, name string) string {
+// suggestKey names the known key that is closest to one that is not known.
+func suggestKey(v reflect.Value, name string) string {
 	best, least := "", 3
 	for i := range v.NumField() {
 		known := v.Type().Field(i).Tag.Get("toml")
-		if n := distance(name, known); known != "" && n < least {
+		if n := editDistance(name, known); known != "" && n < least {
 			best, least = known, n
 		}
 	}
@@ -288,8 +290,8 @@
 	return fmt.Sprintf(" (did you mean %s?)", best)
 }
 
-// distance is the number of letters to add, drop or change.
-func distance(a, b string) int {
+// editDistance is the number of letters to add, drop or change.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
@@ -309,21 +311,21 @@
 	return row[len(b)]
 }
 
-// unit is a value that is written as a string in a form of its own.
-type unit interface {
+// stringValue is a value that is written as a string in a form of its own.
+type stringValue interface {
 	parse(text string) error
-	want() string
+	expected() string
 }
 
 // Duration is a time with its unit, like "200ms".
 type Duration time.Duration
 
-func (d *Duration) want() string { return `a time with its unit, like "200ms"` }
+func (d *Duration) expected() string { return `a time with its unit, like "200ms"` }
 
 func (d *Duration) parse(text string) error {
 	t, err := time.ParseDuration(text)
 	if err != nil || t < 0 {
-		return fmt.Errorf("%q is no %s (ns, us, ms, s, m or h)", text, strings.TrimPrefix(d.want(), "a "))
+		return fmt.Errorf("%q is no %s (ns, us, ms, s, m or h)", text, strings.TrimPrefix(d.expected(), "a "))
 	}
 	*d = Duration(t)
 	return nil
@@ -335,7 +337,7 @@
 // Size is a number of bytes with its unit, like "64KiB".
 type Size int
 
-func (s *Size) want() string { return `a size with its unit, like "64KiB"` }
+func (s *Size) expected() string { return `a size with its unit, like "64KiB"` }
 
 func (s *Size) parse(text string) error {
 	for _, u := range []struct {
@@ -352,13 +354,13 @@
 		}
 		break
 	}
-	return fmt.Errorf("%q is no %s (B, KiB, MiB or GiB)", text, strings.TrimPrefix(s.want(), "a "))
+	return fmt.Errorf("%q is no %s (B, KiB, MiB or GiB)", text, strings.TrimPrefix(s.expected(), "a "))
 }
 
 // Address is where to listen: an IP address and port, or "unix:" and an absolute path.
 type Address string
 
-func (a *Address) want() string { return `an address, like "127.0.0.1:9002" or "unix:/run/x.sock"` }
+func (a *Address) expected() string { return `an address, like "127.0.0.1:9002" or "unix:/run/x.sock"` }
 
 func (a *Address) parse(text string) error {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
@@ -366,7 +368,7 @@
 			return fmt.Errorf("%q: the path of a unix socket is absolute and has at most 100 bytes", text)
 		}
 	} else if _, err := netip.ParseAddrPort(text); err != nil {
-		return fmt.Errorf("%q is no %s (names are not looked up)", text, strings.TrimPrefix(a.want(), "an "))
+		return fmt.Errorf("%q is no %s (names are not looked up)", text, strings.TrimPrefix(a.expected(), "an "))
 	}
 	*a = Address(text)
 	return nil
--- a/internal/operator/identity.go
+++ b/internal/operator/identity.go
@@ -11,18 +11,18 @@
 
 // Identity has callers proven by signed tokens, and bounds what each tenant may do (docs/identity-operators.md).
 type Identity struct {
-	Keys        string   `toml:"keys" json:"Keys"` // the file with the JWK set
-	Issuer      string   `toml:"issuer"`
-	Audience    string   `toml:"audience"`
-	TenantClaim string   `toml:"tenant_claim"`
-	Name        string   `toml:"name" json:"Name"` // of a token in a request's list of names and values
-	Leeway      Duration `toml:"leeway"`
-	MaxLife     Duration `toml:"max_life" json:"MaxLife"`
-	Known       int      `toml:"known" json:"Known"`
-	ChecksPerS  int      `toml:"checks_per_s" json:"ChecksPerS"`
-	Replays     int      `toml:"replays" json:"Replays"`
-	Suspects    int      `toml:"suspects" json:"Suspects"` // addresses that have shown a bad token lately, remembered at the most
-	Tenants     []Tenant `toml:"tenant"`
+	KeySetFile      string   `toml:"keys" json:"Keys"` // the file with the JWK set
+	Issuer          string   `toml:"issuer"`
+	Audience        string   `toml:"audience"`
+	TenantClaim     string   `toml:"tenant_claim"`
+	TokenAttribute  string   `toml:"name" json:"Name"` // of a token in a request's list of names and values
+	Leeway          Duration `toml:"leeway"`
+	MaxLifetime     Duration `toml:"max_life" json:"MaxLife"`
+	TokenCacheSize  int      `toml:"known" json:"Known"`
+	ChecksPerSecond int      `toml:"checks_per_s" json:"ChecksPerS"`
+	MaxReplayIDs    int      `toml:"replays" json:"Replays"`
+	MaxSuspects     int      `toml:"suspects" json:"Suspects"` // addresses that have shown a bad token lately, remembered at the most
+	Tenants         []Tenant `toml:"tenant"`
 
 	TLS          TLS           `toml:"tls"` // its zero value: not set
 	Certificates []Certificate `toml:"certificate"`
@@ -38,8 +38,8 @@
 	Handshakes int      `toml:"handshakes_per_s"`
 }
 
-// Set tells whether the file has it.
-func (t *TLS) Set() bool { return t.Client != "" }
+// Enabled tells whether the file has it.
+func (t *TLS) Enabled() bool { return t.Client != "" }
 
 // Certificate says which tenant a client certificate proves.
 type Certificate struct {
@@ -62,14 +62,14 @@
 	Line     int
 }
 
-var identityDefaults = Identity{TenantClaim: "tenant", Name: "tk", Leeway: Duration(30 * time.Second), MaxLife: Duration(24 * time.Hour),
-	Known: 4096, ChecksPerS: 500, Replays: 65536, Suspects: 4096, TLS: TLS{Client: "asked", Handshakes: 200}}
+var identityDefaults = Identity{TenantClaim: "tenant", TokenAttribute: "tk", Leeway: Duration(30 * time.Second), MaxLifetime: Duration(24 * time.Hour),
+	TokenCacheSize: 4096, ChecksPerSecond: 500, MaxReplayIDs: 65536, MaxSuspects: 4096, TLS: TLS{Client: "asked", Handshakes: 200}}
 
-// ByTokens tells whether callers can be proven by tokens.
-func (i *Identity) ByTokens() bool { return i.Keys != "" }
+// AcceptsTokens tells whether callers can be proven by tokens.
+func (i *Identity) AcceptsTokens() bool { return i.KeySetFile != "" }
 
-// Rules say which tenants client certificates prove, in the deciding module's terms.
-func (i *Identity) Rules() (all []identity.CertRule) {
+// CertRules say which tenants client certificates prove, in the deciding module's terms.
+func (i *Identity) CertRules() (all []identity.CertRule) {
 	for _, c := range i.Certificates {
 		all = append(all, identity.CertRule{URI: c.URI, DNS: c.DNS, Issuer: c.Issuer, Tenant: c.Tenant})
 	}
@@ -85,39 +85,39 @@
 	return all
 }
 
-// Terms are what a token has to fulfil.
-func (i *Identity) Terms() identity.Terms {
+// TokenRequirements are what a token has to fulfil.
+func (i *Identity) TokenRequirements() identity.Terms {
 	return identity.Terms{Issuer: i.Issuer, Audience: i.Audience, TenantClaim: i.TenantClaim, Leeway: i.Leeway.D(),
-		MaxLife: i.MaxLife.D(), CacheSize: i.Known, ChecksPerS: float64(i.ChecksPerS)}
+		MaxLife: i.MaxLifetime.D(), CacheSize: i.TokenCacheSize, ChecksPerS: float64(i.ChecksPerSecond)}
 }
 
-func (d *doc) checkIdentity(e *Identity) {
+func (d *decoder) checkIdentity(e *Identity) {
 	const p = "identity."
 	d.checkTLS(e)
 	for _, name := range []string{"keys", "issuer", "audience"} {
-		if tokens := d.given(p+"keys") || d.given(p+"issuer") || d.given(p+"audience"); !d.given(p+name) && (tokens || !e.TLS.Set()) {
-			d.at("identity", "identity.%s is missing", name)
+		if tokens := d.isSet(p+"keys") || d.isSet(p+"issuer") || d.isSet(p+"audience"); !d.isSet(p+name) && (tokens || !e.TLS.Enabled()) {
+			d.faultAt("identity", "identity.%s is missing", name)
 		}
 	}
-	for name, value := range map[string]string{"keys": e.Keys, "issuer": e.Issuer, "audience": e.Audience, "tenant_claim": e.TenantClaim} {
-		if value == "" && d.given(p+name) || name == "tenant_claim" && value == "" {
-			d.at(p+name, "identity.%s is empty", name)
+	for name, value := range map[string]string{"keys": e.KeySetFile, "issuer": e.Issuer, "audience": e.Audience, "tenant_claim": e.TenantClaim} {
+		if value == "" && d.isSet(p+name) || name == "tenant_claim" && value == "" {
+			d.faultAt(p+name, "identity.%s is empty", name)
 		}
 	}
 	switch {
-	case !listName(e.Name):
-		d.at(p+"name", "identity.name is %q; letters and digits", e.Name)
-	case len(e.Name) == 1 && (e.Name == "c" || e.Name == "t" || e.Name == "d" || e.Name == "k" || e.Name == "r" || e.Name == "h") || e.Name == "size":
-		d.at(p+"name", "identity.name is %q, which means something else in a request's list", e.Name)
+	case !validAttributeName(e.TokenAttribute):
+		d.faultAt(p+"name", "identity.name is %q; letters and digits", e.TokenAttribute)
+	case len(e.TokenAttribute) == 1 && (e.TokenAttribute == "c" || e.TokenAttribute == "t" || e.TokenAttribute == "d" || e.TokenAttribute == "k" || e.TokenAttribute == "r" || e.TokenAttribute == "h") || e.TokenAttribute == "size":
+		d.faultAt(p+"name", "identity.name is %q, which means something else in a request's list", e.TokenAttribute)
 	}
-	d.within(p+"leeway", e.Leeway.D(), 0, 5*time.Minute)
-	d.within(p+"max_life", e.MaxLife.D(), time.Minute, 30*24*time.Hour)
-	d.number(p+"known", e.Known, 0, 1<<20)
-	d.number(p+"checks_per_s", e.ChecksPerS, 2, 1_000_000)
-	d.number(p+"replays", e.Replays, 1, 1<<22)
-	d.number(p+"suspects", e.Suspects, 0, 1<<20)
+	d.checkDuration(p+"leeway", e.Leeway.D(), 0, 5*time.Minute)
+	d.checkDuration(p+"max_life", e.MaxLifetime.D(), time.Minute, 30*24*time.Hour)
+	d.checkInt(p+"known", e.TokenCacheSize, 0, 1<<20)
+	d.checkInt(p+"checks_per_s", e.ChecksPerSecond, 2, 1_000_000)
+	d.checkInt(p+"replays", e.MaxReplayIDs, 1, 1<<22)
+	d.checkInt(p+"suspects", e.MaxSuspects, 0, 1<<20)
 	if len(e.Tenants) == 0 {
-		d.at("identity", "no [[identity.tenant]]: nobody would have a right")
+		d.faultAt("identity", "no [[identity.tenant]]: nobody would have a right")
 	}
 	named := map[string]bool{}
 	for i := range e.Tenants {
@@ -125,38 +125,38 @@
 		t.Line = d.lines[path]
 		switch {
 		case t.Name == "":
-			d.at(path, "%s has no name", path)
-		case !tenantName(t.Name):
-			d.at(path+".name", "%s.name is %q; letters, digits, '-', '_' and '.'", path, t.Name)
+			d.faultAt(path, "%s has no name", path)
+		case !validTenantName(t.Name):
+			d.faultAt(path+".name", "%s.name is %q; letters, digits, '-', '_' and '.'", path, t.Name)
 		case named[t.Name]:
-			d.at(path+".name", "%s.name: %q stands twice", path, t.Name)
+			d.faultAt(path+".name", "%s.name: %q stands twice", path, t.Name)
 		}
 		named[t.Name] = true
 		for _, f := range t.Fronts {
-			d.oneOf(path+".fronts", f, "resp2", "extproc")
+			d.checkOneOf(path+".fronts", f, "resp2", "extproc")
 		}
-		d.number(path+".max_value", t.MaxValue, 0, 4<<20)
-		d.number(path+".rate", t.Rate, 0, 1_000_000)
+		d.checkInt(path+".max_value", t.MaxValue, 0, 4<<20)
+		d.checkInt(path+".rate", t.Rate, 0, 1_000_000)
 	}
 }
 
-func (d *doc) checkTLS(e *Identity) {
+func (d *decoder) checkTLS(e *Identity) {
 	const p = "identity.tls"
-	if !d.given(p) {
+	if !d.isSet(p) {
 		e.TLS = TLS{}
 	} else {
 		for name, value := range map[string]string{"cert": e.TLS.Cert, "key": e.TLS.Key, "roots": e.TLS.Roots} {
 			if value == "" {
-				d.at(p, "%s.%s is missing or empty", p, name)
+				d.faultAt(p, "%s.%s is missing or empty", p, name)
 			}
 		}
-		d.oneOf(p+".client", e.TLS.Client, "asked", "required")
+		d.checkOneOf(p+".client", e.TLS.Client, "asked", "required")
 		for _, f := range e.TLS.Fronts {
-			d.oneOf(p+".fronts", f, "resp2", "extproc")
+			d.checkOneOf(p+".fronts", f, "resp2", "extproc")
 		}
-		d.number(p+".handshakes_per_s", e.TLS.Handshakes, 1, 1_000_000)
-		if len(e.Certificates) == 0 && !d.given("identity.keys") {
-			d.at(p, "no [[identity.certificate]] and no identity.keys: nobody could be proven")
+		d.checkInt(p+".handshakes_per_s", e.TLS.Handshakes, 1, 1_000_000)
+		if len(e.Certificates) == 0 && !d.isSet("identity.keys") {
+			d.faultAt(p, "no [[identity.certificate]] and no identity.keys: nobody could be proven")
 		}
 	}
 	for i := range e.Certificates {
@@ -170,32 +170,32 @@
 		}
 		named := func(t Tenant) bool { return t.Name == c.Tenant }
 		switch {
-		case !d.given(p):
-			d.at(path, "%s, but no [identity.tls] that would ask for certificates", path)
+		case !d.isSet(p):
+			d.faultAt(path, "%s, but no [identity.tls] that would ask for certificates", path)
 		case set != 1:
-			d.at(path, "%s has to have one of uri, dns and issuer, and has %d", path, set)
+			d.faultAt(path, "%s has to have one of uri, dns and issuer, and has %d", path, set)
 		case c.Tenant == "":
-			d.at(path, "%s has no tenant", path)
+			d.faultAt(path, "%s has no tenant", path)
 		case !slices.ContainsFunc(e.Tenants, named):
-			d.at(path+".tenant", "%s.tenant: %q is no [[identity.tenant]]", path, c.Tenant)
+			d.faultAt(path+".tenant", "%s.tenant: %q is no [[identity.tenant]]", path, c.Tenant)
 		case strings.Contains(strings.TrimSuffix(c.URI, "/*"), "*") || strings.Contains(strings.TrimPrefix(c.DNS, "*."), "*"):
-			d.at(path, "%s: a \"*\" can only be a URI's end (\"/*\") or a DNS name's first label (\"*.\")", path)
+			d.faultAt(path, "%s: a \"*\" can only be a URI's end (\"/*\") or a DNS name's first label (\"*.\")", path)
 		}
 	}
 }
 
-func (d *doc) number(path string, value, least, most int) {
+func (d *decoder) checkInt(path string, value, least, most int) {
 	if value < least || value > most {
-		d.at(path, "%s is %d; it can be from %d to %d", path, value, least, most)
+		d.faultAt(path, "%s is %d; it can be from %d to %d", path, value, least, most)
 	}
 }
 
-func listName(s string) bool { return s != "" && len(s) <= 16 && plainWord(s, "") }
+func validAttributeName(s string) bool { return s != "" && len(s) <= 16 && isAlphanumeric(s, "") }
 
-// tenantName tells whether a tenant's name can stand in a request's list as it is.
-func tenantName(s string) bool { return len(s) <= 64 && plainWord(s, "-_.") }
+// validTenantName tells whether a tenant's name can stand in a request's list as it is.
+func validTenantName(s string) bool { return len(s) <= 64 && isAlphanumeric(s, "-_.") }
 
-func plainWord(s, more string) bool {
+func isAlphanumeric(s, more string) bool {
 	for _, r := range s {
 		if !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || len(more) > 0 && (r == '-' || r == '_' || r == '.')) {
 			return false
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -16,18 +16,18 @@
 // Instances has the instances of an installation know of one another (docs/zones-operators.md).
 type Instances struct {
 	// Listen is where the others are heard, over UDP and TCP: the first that is free, since a process that takes over needs another.
-	Listen    []string `toml:"listen"`
-	Advertise []string `toml:"advertise"` // what they are told in place of each
-	Join      []string `toml:"join"`
-	Cluster   string   `toml:"cluster"`
-	KeyFile   string   `toml:"key_file"`
-	Forget    Duration `toml:"forget" json:"Forget"` // how long one that was lost without a word counts as there
+	Listen      []string `toml:"listen"`
+	Advertise   []string `toml:"advertise"` // what they are told in place of each
+	Join        []string `toml:"join"`
+	Cluster     string   `toml:"cluster"`
+	KeyFile     string   `toml:"key_file"`
+	ForgetAfter Duration `toml:"forget" json:"Forget"` // how long one that was lost without a word counts as there
 }
 
 // Zones has them leave a zone that fails together, and return to it together. It needs Instances.
 type Zones struct {
-	Least  float64  `toml:"least" json:"Least"` // of the capacity, which stays in use whatever is seen
-	Region []Region `toml:"region" json:"Region"`
+	MinCapacityShare float64  `toml:"least" json:"Least"` // of the capacity, which stays in use whatever is seen
+	Regions          []Region `toml:"region" json:"Region"`
 }
 
 // Region is zones that are left and returned to as one where they fail together.
@@ -38,16 +38,16 @@
 }
 
 var (
-	instancesDefaults = Instances{Cluster: "linenloom", Forget: Duration(time.Minute)}
-	zonesDefaults     = Zones{Least: zones.DefaultMinCapacityShare}
+	instancesDefaults = Instances{Cluster: "linenloom", ForgetAfter: Duration(time.Minute)}
+	zonesDefaults     = Zones{MinCapacityShare: zones.DefaultMinCapacityShare}
 )
 
-const mostJoin = 256
+const maxJoin = 256
 
-func (d *doc) checkInstances(in *Instances) {
+func (d *decoder) checkInstances(in *Instances) {
 	const p = "instances."
 	if len(in.Listen) == 0 {
-		d.at("instances", "instances.listen is missing")
+		d.faultAt("instances", "instances.listen is missing")
 	}
 	open := false
 	for _, key := range []struct {
@@ -57,49 +57,49 @@
 		for _, text := range key.all {
 			a, err := netip.ParseAddrPort(text)
 			if err != nil || a.Addr().IsUnspecified() {
-				d.at(p+key.name, "%s%s: %q is no address with a port; names are not looked up", p, key.name, text)
+				d.faultAt(p+key.name, "%s%s: %q is no address with a port; names are not looked up", p, key.name, text)
 			} else if key.name == "listen" && !a.Addr().IsLoopback() {
 				open = true
 			}
 		}
 	}
 	if n := len(in.Advertise); n > 0 && n != len(in.Listen) {
-		d.at(p+"advertise", "instances.advertise has %d addresses, and listen %d: one for each", n, len(in.Listen))
+		d.faultAt(p+"advertise", "instances.advertise has %d addresses, and listen %d: one for each", n, len(in.Listen))
 	}
-	if len(in.Join) > mostJoin {
-		d.at(p+"join", "instances.join has %d addresses; it can be up to %d", len(in.Join), mostJoin)
+	if len(in.Join) > maxJoin {
+		d.faultAt(p+"join", "instances.join has %d addresses; it can be up to %d", len(in.Join), maxJoin)
 	}
 	if in.Cluster == "" || len(in.Cluster) > 64 {
-		d.at(p+"cluster", "instances.cluster is a name of 1 to 64 bytes")
+		d.faultAt(p+"cluster", "instances.cluster is a name of 1 to 64 bytes")
 	}
 	if open && in.KeyFile == "" {
-		d.at("instances", "instances.key_file is missing: who can reach %s could take zones out", strings.Join(in.Listen, ", "))
+		d.faultAt("instances", "instances.key_file is missing: who can reach %s could take zones out", strings.Join(in.Listen, ", "))
 	}
-	d.within(p+"forget", in.Forget.D(), 5*time.Second, time.Hour)
+	d.checkDuration(p+"forget", in.ForgetAfter.D(), 5*time.Second, time.Hour)
 }
 
-func (d *doc) checkZones(z *Zones) {
-	if !d.given("instances") {
-		d.at("zones", "[zones], but no [instances]: a proxy alone decides as without it")
+func (d *decoder) checkZones(z *Zones) {
+	if !d.isSet("instances") {
+		d.faultAt("zones", "[zones], but no [instances]: a proxy alone decides as without it")
 	}
-	if !(z.Least > 0 && z.Least < 1) {
-		d.at("zones.least", "zones.least is %v; it can be more than 0 and less than 1", z.Least)
+	if !(z.MinCapacityShare > 0 && z.MinCapacityShare < 1) {
+		d.faultAt("zones.least", "zones.least is %v; it can be more than 0 and less than 1", z.MinCapacityShare)
 	}
 	names, seen := map[string]bool{}, map[string]bool{}
-	for i := range z.Region {
+	for i := range z.Regions {
 		path := fmt.Sprintf("zones.region[%d]", i)
-		r := &z.Region[i]
+		r := &z.Regions[i]
 		r.Line = d.lines[path]
 		if r.Name == "" || names[r.Name] {
-			d.at(path, "%s.name is %q; each region has a name of its own", path, r.Name)
+			d.faultAt(path, "%s.name is %q; each region has a name of its own", path, r.Name)
 		}
 		names[r.Name] = true
 		if len(r.Zones) < 2 {
-			d.at(path, "%s has %d zones; a region has two at least", path, len(r.Zones))
+			d.faultAt(path, "%s has %d zones; a region has two at least", path, len(r.Zones))
 		}
 		for _, zone := range r.Zones {
 			if seen[zone] {
-				d.at(path, "%s.zones: %q stands twice", path, zone)
+				d.faultAt(path, "%s.zones: %q stands twice", path, zone)
 			}
 			seen[zone] = true
 		}
@@ -113,7 +113,7 @@
 		return byName, nil
 	}
 	var faults Faults
-	for _, r := range f.Zones.Region {
+	for _, r := range f.Zones.Regions {
 		if slices.Contains(known, r.Name) {
 			faults = append(faults, Fault{f.Path, r.Line, fmt.Sprintf("region %q has the name of a zone", r.Name)})
 		}
@@ -131,8 +131,8 @@
 	return byName, nil
 }
 
-// Addresses are a key's; they have been checked.
-func Addresses(texts []string) (all []netip.AddrPort) {
+// ParseAddresses are a key's; they have been checked.
+func ParseAddresses(texts []string) (all []netip.AddrPort) {
 	for _, t := range texts {
 		if a, err := netip.ParseAddrPort(t); err == nil {
 			all = append(all, a)
@@ -141,8 +141,8 @@
 	return all
 }
 
-// Keys reads the key file: a key a line, in hexadecimal; the first one encrypts, all are read.
-func (in *Instances) Keys() (keys [][]byte, err error) {
+// ReadKeys reads the key file: a key a line, in hexadecimal; the first one encrypts, all are read.
+func (in *Instances) ReadKeys() (keys [][]byte, err error) {
 	if in.KeyFile == "" {
 		return nil, nil
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -38,49 +38,49 @@
 	// a processor ask for beyond that; 0: nothing.
 	MessageTimeout    Duration `toml:"message_timeout"`
 	MaxMessageTimeout Duration `toml:"max_message_timeout"`
-	// Margin is kept back of every time that the caller gives, for the way back.
-	Margin Duration `toml:"margin" json:"Margin"`
-	// ReturnWithin is how long, in mode route, a caller may take to come back for the next attempt.
-	ReturnWithin Duration `toml:"return_within" json:"ReturnWithin"`
-	// Remember is how long an order's request id is known after its end.
-	Remember    Duration `toml:"remember" json:"Remember"`
-	ContentType string   `toml:"content_type"`
-	MissStatus  int      `toml:"miss_status"`
+	// ReturnMargin is kept back of every time that the caller gives, for the way back.
+	ReturnMargin Duration `toml:"margin" json:"Margin"`
+	// ReturnTimeout is how long, in mode route, a caller may take to come back for the next attempt.
+	ReturnTimeout Duration `toml:"return_within" json:"ReturnWithin"`
+	// OrderRetention is how long an order's request id is known after its end.
+	OrderRetention Duration `toml:"remember" json:"Remember"`
+	ContentType    string   `toml:"content_type"`
+	MissStatus     int      `toml:"miss_status"`
 	// ShedStatus is the status of what is refused for want of capacity.
 	ShedStatus int `toml:"shed_status"`
 	// Fallbacks is how many further members are named, in order, for a read in mode route, where the caller goes on to
-	// them by itself; all of that must happen within FallbackWithin of the pick.
-	Fallbacks      int        `toml:"fallbacks"`
-	FallbackWithin Duration   `toml:"fallback_within" json:"FallbackWithin"`
-	Headers        Headers    `toml:"headers"`
-	Map            []MapEntry `toml:"map"`
+	// them by itself; all of that must happen within FallbackTimeout of the pick.
+	Fallbacks       int        `toml:"fallbacks"`
+	FallbackTimeout Duration   `toml:"fallback_within" json:"FallbackWithin"`
+	Headers         Headers    `toml:"headers"`
+	Map             []MapEntry `toml:"map"`
 }
 
 // Headers names the headers that the processor reads and sets.
 type Headers struct {
-	RequestID   string   `toml:"request_id"`
-	Tenant      string   `toml:"tenant"`
-	Key         string   `toml:"idempotency_key" json:"Key"`
-	Attempt     string   `toml:"attempt"`
-	TimeLeft    []string `toml:"time_left"`
-	Destination string   `toml:"destination"`
-	Retry       string   `toml:"retry"`
-	TryTimeout  string   `toml:"try_timeout"`
+	RequestID      string   `toml:"request_id"`
+	Tenant         string   `toml:"tenant"`
+	IdempotencyKey string   `toml:"idempotency_key" json:"Key"`
+	Attempt        string   `toml:"attempt"`
+	TimeLeft       []string `toml:"time_left"`
+	Destination    string   `toml:"destination"`
+	Retry          string   `toml:"retry"`
+	TryTimeout     string   `toml:"try_timeout"`
 }
 
 // MapEntry maps requests to a class and a key.
 type MapEntry struct {
-	Methods []string `toml:"methods"`
-	Path    string   `toml:"path"`
-	Class   string   `toml:"class"`
-	Key     string   `toml:"key"`
-	Write   bool     `toml:"write"`
-	Many    bool     `toml:"many" json:"Many"` // the key is several, with commas between
-	Line    int
+	Methods      []string `toml:"methods"`
+	Path         string   `toml:"path"`
+	Class        string   `toml:"class"`
+	Key          string   `toml:"key"`
+	Write        bool     `toml:"write"`
+	MultipleKeys bool     `toml:"many" json:"Many"` // the key is several, with commas between
+	Line         int
 }
 
-// root is the file as it stands; Listen tells whether a table is there.
-type root struct {
+// fileTables is the file as it stands; Listen tells whether a table is there.
+type fileTables struct {
 	ExtProc  ExtProc  `toml:"extproc"`
 	Identity Identity `toml:"identity"`
 	Joining  Joining  `toml:"joining"`
@@ -91,14 +91,14 @@
 	Zones     Zones     `toml:"zones"`
 }
 
-func defaults() root {
-	return root{Identity: identityDefaults, Joining: joiningDefaults, ManyKeys: manyKeysDefaults, Orders: ordersDefaults, Instances: instancesDefaults, Zones: zonesDefaults, ExtProc: ExtProc{
+func defaults() fileTables {
+	return fileTables{Identity: identityDefaults, Joining: joiningDefaults, ManyKeys: manyKeysDefaults, Orders: ordersDefaults, Instances: instancesDefaults, Zones: zonesDefaults, ExtProc: ExtProc{
 		Mode: "answer", Unmapped: "refuse", MaxStreams: 256, MessageTimeout: Duration(200 * time.Millisecond),
-		Margin: Duration(10 * time.Millisecond), ReturnWithin: Duration(250 * time.Millisecond),
-		Remember: Duration(30 * time.Second), ContentType: "application/octet-stream", MissStatus: 404,
-		ShedStatus: 429, FallbackWithin: Duration(100 * time.Millisecond),
+		ReturnMargin: Duration(10 * time.Millisecond), ReturnTimeout: Duration(250 * time.Millisecond),
+		OrderRetention: Duration(30 * time.Second), ContentType: "application/octet-stream", MissStatus: 404,
+		ShedStatus: 429, FallbackTimeout: Duration(100 * time.Millisecond),
 		Headers: Headers{
-			RequestID: "x-request-id", Tenant: "x-tenant", Key: "idempotency-key", Attempt: "x-envoy-attempt-count",
+			RequestID: "x-request-id", Tenant: "x-tenant", IdempotencyKey: "idempotency-key", Attempt: "x-envoy-attempt-count",
 			TimeLeft:    []string{"x-envoy-expected-rq-timeout-ms", "grpc-timeout"},
 			Destination: "x-gateway-destination-endpoint", Retry: "x-linenloom-retry",
 		},
@@ -116,73 +116,73 @@
 
 // Parse checks a file's text.
 func Parse(path string, text []byte) (*File, error) {
-	d := &doc{file: path}
+	d := &decoder{file: path}
 	r := defaults()
 	d.decode(text, &r)
 	f := &File{Path: path}
-	f.ExtProc = table(d, "extproc", &r.ExtProc, d.checkExtProc)
-	f.Identity = table(d, "identity", &r.Identity, d.checkIdentity)
-	f.Joining = table(d, "joining", &r.Joining, d.checkJoining)
-	f.ManyKeys = table(d, "many_keys", &r.ManyKeys, d.checkManyKeys)
-	f.Orders = table(d, "orders", &r.Orders, d.checkOrders)
-	f.Instances = table(d, "instances", &r.Instances, d.checkInstances)
-	f.Zones = table(d, "zones", &r.Zones, d.checkZones)
+	f.ExtProc = checkTable(d, "extproc", &r.ExtProc, d.checkExtProc)
+	f.Identity = checkTable(d, "identity", &r.Identity, d.checkIdentity)
+	f.Joining = checkTable(d, "joining", &r.Joining, d.checkJoining)
+	f.ManyKeys = checkTable(d, "many_keys", &r.ManyKeys, d.checkManyKeys)
+	f.Orders = checkTable(d, "orders", &r.Orders, d.checkOrders)
+	f.Instances = checkTable(d, "instances", &r.Instances, d.checkInstances)
+	f.Zones = checkTable(d, "zones", &r.Zones, d.checkZones)
 	return f, d.err()
 }
 
-// table is a table that is there, once it has been checked; else nil.
-func table[T any](d *doc, name string, t *T, check func(*T)) *T {
-	if !d.given(name) {
+// checkTable is a table that is there, once it has been checked; else nil.
+func checkTable[T any](d *decoder, name string, t *T, check func(*T)) *T {
+	if !d.isSet(name) {
 		return nil
 	}
 	check(t)
 	return t
 }
 
-func (d *doc) oneOf(path, value string, allowed ...string) {
+func (d *decoder) checkOneOf(path, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
-		d.at(path, "%s is %q; it can be %s", path, value, strings.Join(allowed, " or "))
+		d.faultAt(path, "%s is %q; it can be %s", path, value, strings.Join(allowed, " or "))
 	}
 }
 
-func (d *doc) within(path string, value, least, most time.Duration) {
+func (d *decoder) checkDuration(path string, value, least, most time.Duration) {
 	if value < least || value > most {
-		d.at(path, "%s is %v; it can be from %v to %v", path, value, least, most)
+		d.faultAt(path, "%s is %v; it can be from %v to %v", path, value, least, most)
 	}
 }
 
-func (d *doc) checkExtProc(e *ExtProc) {
+func (d *decoder) checkExtProc(e *ExtProc) {
 	const p = "extproc."
-	if !d.given("extproc.listen") {
-		d.at("extproc", "extproc.listen is missing")
+	if !d.isSet("extproc.listen") {
+		d.faultAt("extproc", "extproc.listen is missing")
 	}
-	d.oneOf(p+"mode", e.Mode, "answer", "route")
-	d.oneOf(p+"unmapped", e.Unmapped, "pass", "refuse")
+	d.checkOneOf(p+"mode", e.Mode, "answer", "route")
+	d.checkOneOf(p+"unmapped", e.Unmapped, "pass", "refuse")
 	if e.MaxStreams < 1 || e.MaxStreams > 16384 {
-		d.at(p+"max_streams", "extproc.max_streams is %d; it can be from 1 to 16384", e.MaxStreams)
+		d.faultAt(p+"max_streams", "extproc.max_streams is %d; it can be from 1 to 16384", e.MaxStreams)
 	}
-	d.within(p+"message_timeout", e.MessageTimeout.D(), 10*time.Millisecond, time.Minute)
-	d.within(p+"max_message_timeout", e.MaxMessageTimeout.D(), 0, time.Hour)
+	d.checkDuration(p+"message_timeout", e.MessageTimeout.D(), 10*time.Millisecond, time.Minute)
+	d.checkDuration(p+"max_message_timeout", e.MaxMessageTimeout.D(), 0, time.Hour)
 	if m := e.MaxMessageTimeout.D(); m > 0 && m < e.MessageTimeout.D() {
-		d.at(p+"max_message_timeout", "extproc.max_message_timeout is %v, less than message_timeout (%v)", m, e.MessageTimeout.D())
+		d.faultAt(p+"max_message_timeout", "extproc.max_message_timeout is %v, less than message_timeout (%v)", m, e.MessageTimeout.D())
 	}
-	d.within(p+"margin", e.Margin.D(), 0, e.MessageTimeout.D()/2)
-	d.within(p+"return_within", e.ReturnWithin.D(), time.Millisecond, 10*time.Second)
-	d.within(p+"remember", e.Remember.D(), 6*time.Second, time.Hour)
+	d.checkDuration(p+"margin", e.ReturnMargin.D(), 0, e.MessageTimeout.D()/2)
+	d.checkDuration(p+"return_within", e.ReturnTimeout.D(), time.Millisecond, 10*time.Second)
+	d.checkDuration(p+"remember", e.OrderRetention.D(), 6*time.Second, time.Hour)
 	if e.MissStatus < 200 || e.MissStatus > 599 {
-		d.at(p+"miss_status", "extproc.miss_status is %d; it can be from 200 to 599", e.MissStatus)
+		d.faultAt(p+"miss_status", "extproc.miss_status is %d; it can be from 200 to 599", e.MissStatus)
 	}
 	if e.ShedStatus != 429 && e.ShedStatus != 503 {
-		d.at(p+"shed_status", "extproc.shed_status is %d; it can be 429 or 503", e.ShedStatus)
+		d.faultAt(p+"shed_status", "extproc.shed_status is %d; it can be 429 or 503", e.ShedStatus)
 	}
 	if e.Fallbacks < 0 || e.Fallbacks > 3 {
-		d.at(p+"fallbacks", "extproc.fallbacks is %d; it can be from 0 to 3", e.Fallbacks)
+		d.faultAt(p+"fallbacks", "extproc.fallbacks is %d; it can be from 0 to 3", e.Fallbacks)
 	}
 	if e.Fallbacks > 0 && e.Mode == "answer" {
-		d.at(p+"fallbacks", "extproc.fallbacks is for mode route; in mode answer nobody is named")
+		d.faultAt(p+"fallbacks", "extproc.fallbacks is for mode route; in mode answer nobody is named")
 	}
 	// What a caller does later than this could reach a member that has begun to drain meanwhile.
-	d.within(p+"fallback_within", e.FallbackWithin.D(), time.Millisecond, 200*time.Millisecond)
+	d.checkDuration(p+"fallback_within", e.FallbackTimeout.D(), time.Millisecond, 200*time.Millisecond)
 	h := reflect.ValueOf(e.Headers)
 	for i := range h.NumField() {
 		path := p + "headers." + h.Type().Field(i).Tag.Get("toml")
@@ -191,8 +191,8 @@
 			names = []string{h.Field(i).String()}
 		}
 		for _, name := range names {
-			if !headerName(name) && (name != "" || ok) {
-				d.at(path, "%s: %q is no header name (lower case, RFC 9110 section 5.1)", path, name)
+			if !validHeaderName(name) && (name != "" || ok) {
+				d.faultAt(path, "%s: %q is no header name (lower case, RFC 9110 section 5.1)", path, name)
 			}
 		}
 	}
@@ -201,75 +201,75 @@
 		{"attempt", e.Headers.Attempt},
 	} {
 		if must.value == "" {
-			d.at(p+"headers."+must.path, "extproc.headers.%s is empty", must.path)
+			d.faultAt(p+"headers."+must.path, "extproc.headers.%s is empty", must.path)
 		}
 	}
 	if len(e.Map) == 0 {
-		d.at("extproc", "no [[extproc.map]]: nothing would reach a class")
+		d.faultAt("extproc", "no [[extproc.map]]: nothing would reach a class")
 	}
 	for i := range e.Map {
 		path := fmt.Sprintf("extproc.map[%d]", i)
 		d.checkMap(path, &e.Map[i])
-		switch many := e.Map[i].Many; {
+		switch many := e.Map[i].MultipleKeys; {
 		case many && e.Map[i].Write:
-			d.at(path+".many", "%s: a write has one key", path)
+			d.faultAt(path+".many", "%s: a write has one key", path)
 		case many && e.Mode != "answer":
-			d.at(path+".many", "%s.many: in mode route the caller makes the exchange, with one key", path)
-		case many && !d.given("many_keys"):
-			d.at(path+".many", "%s.many, but no [many_keys]", path)
+			d.faultAt(path+".many", "%s.many: in mode route the caller makes the exchange, with one key", path)
+		case many && !d.isSet("many_keys"):
+			d.faultAt(path+".many", "%s.many, but no [many_keys]", path)
 		}
 	}
 }
 
-func (d *doc) checkMap(path string, m *MapEntry) {
+func (d *decoder) checkMap(path string, m *MapEntry) {
 	m.Line = d.lines[path]
 	if len(m.Methods) == 0 {
-		d.at(path, "%s has no methods", path)
+		d.faultAt(path, "%s has no methods", path)
 	}
 	for _, method := range m.Methods {
 		if method == "" || strings.ToUpper(method) != method {
-			d.at(path+".methods", "%s.methods: %q is no method (upper case)", path, method)
+			d.faultAt(path+".methods", "%s.methods: %q is no method (upper case)", path, method)
 		}
 	}
 	if m.Class == "" {
-		d.at(path, "%s has no class", path)
+		d.faultAt(path, "%s has no class", path)
 	}
 	if m.Key == "" {
 		m.Key = "{key}"
 	}
-	vars, err := Template(m.Path)
+	vars, err := ParsePathTemplate(m.Path)
 	if err != nil {
-		d.at(path+".path", "%s.path: %v", path, err)
+		d.faultAt(path+".path", "%s.path: %v", path, err)
 		return
 	}
-	used, err := Variables(m.Key)
+	used, err := ParseVariables(m.Key)
 	if err != nil {
-		d.at(path+".key", "%s.key: %v", path, err)
+		d.faultAt(path+".key", "%s.key: %v", path, err)
 		return
 	}
 	if len(used) == 0 {
-		d.at(path+".key", "%s.key has no {variable}: all requests would share one key", path)
+		d.faultAt(path+".key", "%s.key has no {variable}: all requests would share one key", path)
 	}
 	for _, v := range used {
 		if !slices.Contains(vars, v) {
-			d.at(path+".key", "%s.key uses {%s}, which the path does not have", path, v)
+			d.faultAt(path+".key", "%s.key uses {%s}, which the path does not have", path, v)
 		}
 	}
 }
 
-func headerName(name string) bool {
+func validHeaderName(name string) bool {
 	return name != "" && strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-_.") == ""
 }
 
-// Template reads a path's template and returns its variables. A segment is plain text or a {variable}; the last may
+// ParsePathTemplate reads a path's template and returns its variables. A segment is plain text or a {variable}; the last may
 // be {variable...} and take the rest of the path.
-func Template(path string) (vars []string, err error) {
+func ParsePathTemplate(path string) (vars []string, err error) {
 	if !strings.HasPrefix(path, "/") {
 		return nil, fmt.Errorf("%q does not begin with /", path)
 	}
 	segments := strings.Split(path[1:], "/")
 	for i, s := range segments {
-		name, ok := Segment(s)
+		name, ok := SegmentVariable(s)
 		if !ok {
 			if strings.ContainsAny(s, "{}?#") {
 				return nil, fmt.Errorf("segment %q is neither plain text nor one {variable}", s)
@@ -290,16 +290,16 @@
 	return vars, nil
 }
 
-// Segment tells whether a segment is a variable, and which.
-func Segment(s string) (name string, ok bool) {
+// SegmentVariable tells whether a segment is a variable, and which.
+func SegmentVariable(s string) (name string, ok bool) {
 	if len(s) < 2 || s[0] != '{' || s[len(s)-1] != '}' {
 		return "", false
 	}
 	return s[1 : len(s)-1], true
 }
 
-// Variables returns the {variables} of a text.
-func Variables(text string) (vars []string, err error) {
+// ParseVariables returns the {variables} of a text.
+func ParseVariables(text string) (vars []string, err error) {
 	for rest := text; rest != ""; {
 		i := strings.IndexAny(rest, "{}")
 		if i < 0 {
@@ -315,8 +315,8 @@
 	return vars, nil
 }
 
-// fixed are the keys of each table that can't change while the program runs.
-var fixed = map[string][]string{
+// restartKeys are the keys of each table that can't change while the program runs.
+var restartKeys = map[string][]string{
 	"extproc": {"listen", "mode", "max_streams"},
 	"identity": {"keys", "issuer", "audience", "tenant_claim", "name", "leeway", "max_life", "known", "checks_per_s", "replays",
 		"suspects", "tls"},
@@ -327,26 +327,26 @@
 	"orders":    {"dir", "most", "most_bytes", "keep", "line", "segment", "compact_at", "strangers", "receipts"},
 }
 
-// Changed names what differs from a file that is in force and can't change while the program runs, and what can.
-func (f *File) Changed(now *File) (held, live []string) {
-	c := changes{}
-	changed(&c, "extproc", f.ExtProc, now.ExtProc)
-	changed(&c, "identity", f.Identity, now.Identity)
-	changed(&c, "joining", f.Joining, now.Joining)
-	changed(&c, "many_keys", f.ManyKeys, now.ManyKeys)
-	changed(&c, "instances", f.Instances, now.Instances)
-	changed(&c, "zones", f.Zones, now.Zones)
-	changed(&c, "orders", f.Orders, now.Orders)
-	return c.held, c.live
+// Diff names what differs from a file that is in force and can't change while the program runs, and what can.
+func (f *File) Diff(now *File) (held, live []string) {
+	c := fileChanges{}
+	compareTable(&c, "extproc", f.ExtProc, now.ExtProc)
+	compareTable(&c, "identity", f.Identity, now.Identity)
+	compareTable(&c, "joining", f.Joining, now.Joining)
+	compareTable(&c, "many_keys", f.ManyKeys, now.ManyKeys)
+	compareTable(&c, "instances", f.Instances, now.Instances)
+	compareTable(&c, "zones", f.Zones, now.Zones)
+	compareTable(&c, "orders", f.Orders, now.Orders)
+	return c.restart, c.live
 }
 
-// changes are keys, and tables that are in one file only: those that need a restart, and those that don't.
-type changes struct{ held, live []string }
+// fileChanges are keys, and tables that are in one file only: those that need a restart, and those that don't.
+type fileChanges struct{ restart, live []string }
 
-func changed[T any](c *changes, table string, a, b *T) {
+func compareTable[T any](c *fileChanges, table string, a, b *T) {
 	switch {
 	case (a == nil) != (b == nil):
-		c.held = append(c.held, table)
+		c.restart = append(c.restart, table)
 		return
 	case a == nil:
 		return
@@ -357,32 +357,32 @@
 		if reflect.DeepEqual(va.Field(i).Interface(), vb.Field(i).Interface()) {
 			continue
 		}
-		if slices.Contains(fixed[table], name) {
-			c.held = append(c.held, table+"."+name)
+		if slices.Contains(restartKeys[table], name) {
+			c.restart = append(c.restart, table+"."+name)
 		} else {
 			c.live = append(c.live, table+"."+name)
 		}
 	}
 }
 
-// Keep takes from the file that is in force what can't change while the program runs.
-func (f *File) Keep(old *File) {
-	f.ExtProc = keep("extproc", f.ExtProc, old.ExtProc)
-	f.Identity = keep("identity", f.Identity, old.Identity)
-	f.Joining = keep("joining", f.Joining, old.Joining)
-	f.ManyKeys = keep("many_keys", f.ManyKeys, old.ManyKeys)
-	f.Orders = keep("orders", f.Orders, old.Orders)
-	f.Instances = keep("instances", f.Instances, old.Instances)
-	f.Zones = keep("zones", f.Zones, old.Zones)
+// KeepRestartKeys takes from the file that is in force what can't change while the program runs.
+func (f *File) KeepRestartKeys(old *File) {
+	f.ExtProc = keepRestartKeys("extproc", f.ExtProc, old.ExtProc)
+	f.Identity = keepRestartKeys("identity", f.Identity, old.Identity)
+	f.Joining = keepRestartKeys("joining", f.Joining, old.Joining)
+	f.ManyKeys = keepRestartKeys("many_keys", f.ManyKeys, old.ManyKeys)
+	f.Orders = keepRestartKeys("orders", f.Orders, old.Orders)
+	f.Instances = keepRestartKeys("instances", f.Instances, old.Instances)
+	f.Zones = keepRestartKeys("zones", f.Zones, old.Zones)
 }
 
-func keep[T any](table string, now, old *T) *T {
+func keepRestartKeys[T any](table string, now, old *T) *T {
 	if now == nil || old == nil {
 		return old
 	}
 	vn, vo := reflect.ValueOf(now).Elem(), reflect.ValueOf(old).Elem()
 	for i := range vn.NumField() {
-		if slices.Contains(fixed[table], vn.Type().Field(i).Tag.Get("toml")) {
+		if slices.Contains(restartKeys[table], vn.Type().Field(i).Tag.Get("toml")) {
 			vn.Field(i).Set(vo.Field(i))
 		}
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const good = `[extproc]
+const validFile = `[extproc]
 listen = "unix:/run/x.sock"
 mode = "route"
 max_streams = 1_000
@@ -23,14 +23,14 @@
 class = "tile-read"
 `
 
-func TestGood(t *testing.T) {
-	f, err := Parse("f", []byte(good))
+func TestParse(t *testing.T) {
+	f, err := Parse("f", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := f.ExtProc
 	if e.Listen != "unix:/run/x.sock" || e.MaxStreams != 1000 || e.MessageTimeout.D() != 300*time.Millisecond ||
-		e.Margin.D() != 10*time.Millisecond || e.Headers.TimeLeft[0] != "x-left" || e.Headers.RequestID != "x-request-id" ||
+		e.ReturnMargin.D() != 10*time.Millisecond || e.Headers.TimeLeft[0] != "x-left" || e.Headers.RequestID != "x-request-id" ||
 		e.Map[0].Key != "{key}" || e.Map[0].Line != 8 {
 		t.Errorf("%+v", e)
 	}
@@ -75,7 +75,7 @@
 		{`class = "tile-read"`, `class = "tile-read`, `f:11: `},
 		{`class = "tile-read"`, `write = 1`, `f:11: extproc.map[0].write must be true or false, not 1`},
 	} {
-		_, err := Parse("f", []byte(strings.Replace(good, c.old, c.new, 1)))
+		_, err := Parse("f", []byte(strings.Replace(validFile, c.old, c.new, 1)))
 		var faults Faults
 		if !errors.As(err, &faults) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v\nwant %s", c.new, err, c.want)
@@ -107,14 +107,14 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if keys, err := (&Instances{KeyFile: path}).Keys(); (err == nil && len(keys) == 1) != ok {
+		if keys, err := (&Instances{KeyFile: path}).ReadKeys(); (err == nil && len(keys) == 1) != ok {
 			t.Errorf("%q: %d keys, %v", text, len(keys), err)
 		}
 	}
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
-	text := strings.NewReplacer(`"route"`, `"both"`, `1_000`, `"many"`, `300ms`, `300`, `["GET"]`, `[]`).Replace(good)
+func TestAllFaultsAreReported(t *testing.T) {
+	text := strings.NewReplacer(`"route"`, `"both"`, `1_000`, `"many"`, `300ms`, `300`, `["GET"]`, `[]`).Replace(validFile)
 	_, err := Parse("f", []byte(text))
 	var faults Faults
 	if !errors.As(err, &faults) || len(faults) != 4 {
@@ -127,8 +127,8 @@
 	}
 }
 
-func TestClassesAreTheSettings(t *testing.T) {
-	f, err := Parse("f", []byte(good))
+func TestCheckClasses(t *testing.T) {
+	f, err := Parse("f", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,21 +140,21 @@
 	}
 }
 
-func TestChanged(t *testing.T) {
-	old, _ := Parse("f", []byte(good))
-	now, err := Parse("f", []byte(strings.NewReplacer(`"route"`, `"answer"`, `300ms`, `250ms`).Replace(good)))
+func TestDiff(t *testing.T) {
+	old, _ := Parse("f", []byte(validFile))
+	now, err := Parse("f", []byte(strings.NewReplacer(`"route"`, `"answer"`, `300ms`, `250ms`).Replace(validFile)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fixed, live := old.Changed(now)
+	fixed, live := old.Diff(now)
 	if strings.Join(fixed, " ") != "extproc.mode" || strings.Join(live, " ") != "extproc.message_timeout" {
 		t.Errorf("fixed %v, live %v", fixed, live)
 	}
-	if now.Keep(old); now.ExtProc.Mode != "route" || now.ExtProc.MessageTimeout.D() != 250*time.Millisecond {
+	if now.KeepRestartKeys(old); now.ExtProc.Mode != "route" || now.ExtProc.MessageTimeout.D() != 250*time.Millisecond {
 		t.Errorf("%+v", now.ExtProc)
 	}
 	none, _ := Parse("f", nil)
-	if fixed, _ := old.Changed(none); len(fixed) != 1 || fixed[0] != "extproc" {
+	if fixed, _ := old.Diff(none); len(fixed) != 1 || fixed[0] != "extproc" {
 		t.Errorf("switched off: %v", fixed)
 	}
 }
@@ -203,14 +203,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, err = Parse("instances", fifth); err != nil || f.Instances == nil || f.Zones == nil || f.Zones.Least != zonesDefaults.Least {
+	if f, err = Parse("instances", fifth); err != nil || f.Instances == nil || f.Zones == nil || f.Zones.MinCapacityShare != zonesDefaults.MinCapacityShare {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	if _, err := f.Regions([]string{"kochi-dc", "chennai-dc"}); err == nil || !strings.Contains(err.Error(), `names zone "bengaluru-dc"; the settings have`) {
 		t.Error(err)
 	}
 	text = append(text, fifth...)
-	for _, key := range keys(root{}) {
+	for _, key := range tomlKeys(fileTables{}) {
 		if !strings.Contains(string(text), key+" = ") {
 			t.Errorf("the example does not show %s", key)
 		}
@@ -226,7 +226,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add("[extproc]\nmap = [{path = '/{k}'}]\nheaders = {retry = 'x'}")
 	f.Add("extproc.listen = '1.2.3.4:5'\nextproc = 3")
 	f.Add("[[extproc.map]]\n[extproc.map.x]\n[[extproc]]")
@@ -238,15 +238,15 @@
 		}
 		lines := strings.Count(text, "\n") + 1
 		for _, fault := range faults {
-			if fault.Line < 1 || fault.Line > lines || fault.What == "" {
+			if fault.Line < 1 || fault.Line > lines || fault.Message == "" {
 				t.Errorf("%v in a text of %d lines", fault, lines)
 			}
 		}
 	})
 }
 
-// keys are the names of all keys that hold a value.
-func keys(v any) (names []string) {
+// tomlKeys are the names of all keys that hold a value.
+func tomlKeys(v any) (names []string) {
 	var walk func(t reflect.Type)
 	walk = func(t reflect.Type) {
 		for i := range t.NumField() {
--- a/internal/operator/orders.go
+++ b/internal/operator/orders.go
@@ -10,43 +10,43 @@
 
 // Orders has orders kept on record on a disk that lasts (docs/orders-operators.md).
 type Orders struct {
-	Dir       string   `toml:"dir"`
-	Most      int      `toml:"most" json:"Most"`
-	MostBytes int      `toml:"most_bytes" json:"MostBytes"` // of receipts, together
-	Keep      Duration `toml:"keep" json:"Keep"`            // how long an order that has ended is known, at the least
-	Line      int      `toml:"line" json:"Line"`            // orders that may wait for the disk
-	Segment   int      `toml:"segment" json:"Segment"`      // bytes of a file of the log
-	CompactAt int      `toml:"compact_at" json:"CompactAt"`
-	// Strangers is what becomes of a repeat that nobody here knows of: "look_up" or "run".
-	Strangers string `toml:"strangers" json:"Strangers"`
-	// Receipts are the fronts that answer a repeat with the receipt on record.
-	Receipts []string `toml:"receipts" json:"Receipts"`
+	Dir             string   `toml:"dir"`
+	MaxOrders       int      `toml:"most" json:"Most"`
+	MaxReceiptBytes int      `toml:"most_bytes" json:"MostBytes"` // of receipts, together
+	Retention       Duration `toml:"keep" json:"Keep"`            // how long an order that has ended is known, at the least
+	MaxPending      int      `toml:"line" json:"Line"`            // orders that may wait for the disk
+	SegmentSize     int      `toml:"segment" json:"Segment"`      // bytes of a file of the log
+	CompactAfter    int      `toml:"compact_at" json:"CompactAt"`
+	// UnknownRetries is what becomes of a repeat that nobody here knows of: "look_up" or "run".
+	UnknownRetries string `toml:"strangers" json:"Strangers"`
+	// ReceiptFronts are the fronts that answer a repeat with the receipt on record.
+	ReceiptFronts []string `toml:"receipts" json:"Receipts"`
 }
 
-var ordersDefaults = Orders{Most: 100_000, MostBytes: 64 << 20, Keep: Duration(24 * time.Hour), Line: 256, Segment: 4 << 20, CompactAt: 10_000,
-	Strangers: "look_up", Receipts: []string{"extproc"}}
+var ordersDefaults = Orders{MaxOrders: 100_000, MaxReceiptBytes: 64 << 20, Retention: Duration(24 * time.Hour), MaxPending: 256, SegmentSize: 4 << 20, CompactAfter: 10_000,
+	UnknownRetries: "look_up", ReceiptFronts: []string{"extproc"}}
 
 // Options are the keeper's.
 func (o *Orders) Options(follows bool) keeper.Options {
-	return keeper.Options{WaitForPredecessor: follows, RunUnknownRetries: o.Strangers == "run", Options: ledger.Options{
-		Limits:      orders.Limits{Retention: o.Keep.D(), MaxOrders: o.Most, MaxReceiptBytes: o.MostBytes},
-		SegmentSize: int64(o.Segment), CompactAfter: o.CompactAt, MaxPending: o.Line}}
+	return keeper.Options{WaitForPredecessor: follows, RunUnknownRetries: o.UnknownRetries == "run", Options: ledger.Options{
+		Limits:      orders.Limits{Retention: o.Retention.D(), MaxOrders: o.MaxOrders, MaxReceiptBytes: o.MaxReceiptBytes},
+		SegmentSize: int64(o.SegmentSize), CompactAfter: o.CompactAfter, MaxPending: o.MaxPending}}
 }
 
-func (d *doc) checkOrders(o *Orders) {
+func (d *decoder) checkOrders(o *Orders) {
 	const p = "orders."
 	if o.Dir == "" {
-		d.at("orders", "orders.dir is missing")
+		d.faultAt("orders", "orders.dir is missing")
 	}
-	d.number(p+"most", o.Most, 1, 10_000_000)
-	d.number(p+"most_bytes", o.MostBytes, 1<<10, 1<<36)
+	d.checkInt(p+"most", o.MaxOrders, 1, 10_000_000)
+	d.checkInt(p+"most_bytes", o.MaxReceiptBytes, 1<<10, 1<<36)
 	// Who asks again within a day must be known.
-	d.within(p+"keep", o.Keep.D(), time.Minute, 90*24*time.Hour)
-	d.number(p+"line", o.Line, 1, 1<<16)
-	d.number(p+"segment", o.Segment, 64<<10, 1<<30)
-	d.number(p+"compact_at", o.CompactAt, 100, 100_000_000)
-	d.oneOf(p+"strangers", o.Strangers, "look_up", "run")
-	for _, f := range o.Receipts {
-		d.oneOf(p+"receipts", f, "resp2", "extproc")
+	d.checkDuration(p+"keep", o.Retention.D(), time.Minute, 90*24*time.Hour)
+	d.checkInt(p+"line", o.MaxPending, 1, 1<<16)
+	d.checkInt(p+"segment", o.SegmentSize, 64<<10, 1<<30)
+	d.checkInt(p+"compact_at", o.CompactAfter, 100, 100_000_000)
+	d.checkOneOf(p+"strangers", o.UnknownRetries, "look_up", "run")
+	for _, f := range o.ReceiptFronts {
+		d.checkOneOf(p+"receipts", f, "resp2", "extproc")
 	}
 }
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -86,8 +86,8 @@
 	}
 	cfg := testConfig()
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "kiosk", Share: 0.5}, {Name: "shop", Share: 0.5}}
-	g, err := callers.New(&operator.Identity{Keys: o.file, Issuer: "i", Audience: "a", TenantClaim: "tenant", Name: "tk",
-		MaxLife: operator.Duration(time.Hour), Known: 16, ChecksPerS: 1000, Replays: 16, Tenants: []operator.Tenant{
+	g, err := callers.New(&operator.Identity{KeySetFile: o.file, Issuer: "i", Audience: "a", TenantClaim: "tenant", TokenAttribute: "tk",
+		MaxLifetime: operator.Duration(time.Hour), TokenCacheSize: 16, ChecksPerSecond: 1000, MaxReplayIDs: 16, Tenants: []operator.Tenant{
 			{Name: "kiosk", Classes: []string{"tile-read"}, Prefixes: []string{"map/"}, ReadOnly: true}, {Name: "shop"}}},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	d := &door{Authority: a, seen: make(chan string, 1000)}
-	d.gate, err = callers.New(&operator.Identity{Replays: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
+	d.gate, err = callers.New(&operator.Identity{MaxReplayIDs: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
 		TLS:          operator.TLS{Cert: a.Path("cert.pem"), Key: a.Path("key.pem"), Roots: a.Path("roots.pem"), Client: client, Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}, {DNS: "shop.example", Tenant: "shop"}}},
 		slog.New(slog.DiscardHandler))
