--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -34,15 +34,15 @@
 	log  *slog.Logger
 	now  func() time.Time
 
-	keys   atomic.Pointer[identity.Keys] // in force
-	mu     sync.Mutex                    // of the verifier: a check takes some 100 us
-	verify *identity.Verifier            // nil: no tokens are taken
-	doors  *doors                        // nil: listeners speak plainly
+	keys   atomic.Pointer[identity.KeySet] // in force
+	mu     sync.Mutex                      // of the verifier: a check takes some 100 us
+	verify *identity.Verifier              // nil: no tokens are taken
+	doors  *doors                          // nil: listeners speak plainly
 
 	rights  sync.Mutex // of what follows: held for a look only
 	policy  *identity.Policy
-	replays identity.Replays
-	sources identity.Sources
+	replays identity.ReplayGuard
+	sources identity.SuspectSources
 
 	rules []identity.CertRule // under files, like what follows
 	files sync.Mutex          // of what follows
@@ -53,7 +53,7 @@
 // New reads the keys. Without a set that can be read it does not begin.
 func New(cfg *operator.Identity, log *slog.Logger) (*Gate, error) {
 	g := &Gate{file: cfg.KeySetFile, name: cfg.TokenAttribute, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
-		replays: identity.Replays{Most: cfg.MaxReplayIDs}, sources: identity.Sources{Most: cfg.MaxSuspects}, rules: cfg.CertRules()}
+		replays: identity.ReplayGuard{MaxIDs: cfg.MaxReplayIDs}, sources: identity.SuspectSources{MaxAddresses: cfg.MaxSuspects}, rules: cfg.CertRules()}
 	if cfg.TLS.Enabled() {
 		var err error
 		if g.doors, err = newDoors(cfg, log, g.now); err != nil {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	keys, err := identity.ParseKeys(text)
+	keys, err := identity.ParseKeySet(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", g.file, err)
 	}
@@ -129,9 +129,9 @@
 		}
 		return
 	}
-	var keys *identity.Keys
+	var keys *identity.KeySet
 	if err == nil {
-		keys, err = identity.ParseKeys(text)
+		keys, err = identity.ParseKeySet(text)
 	}
 	if err != nil {
 		if g.fault != err.Error() { // once for each fault, not every second
@@ -173,7 +173,7 @@
 // wait for. Suspect tells that its connection has shown a bad one before; so may others from its address have.
 func (g *Gate) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
 	if g.verify == nil {
-		return nil, &identity.Error{Why: identity.Forbidden, What: "no tokens are taken here"}
+		return nil, &identity.Error{Reason: identity.Forbidden, Detail: "no tokens are taken here"}
 	}
 	if !suspect {
 		g.rights.Lock()
@@ -183,9 +183,9 @@
 	g.mu.Lock()
 	p, err := g.verify.Check(g.now(), token, suspect)
 	g.mu.Unlock()
-	if identity.WhyOf(err) == identity.Forged { // what else is wrong with a token is found out before its signature is checked
+	if identity.ReasonOf(err) == identity.BadSignature { // what else is wrong with a token is found out before its signature is checked
 		g.rights.Lock()
-		g.sources.Bad(g.now(), from)
+		g.sources.RecordForged(g.now(), from)
 		g.rights.Unlock()
 	}
 	return p, err
@@ -194,25 +194,25 @@
 // Holds tells whether a proof still holds. It waits for nothing.
 func (g *Gate) Holds(p *identity.Proof) error {
 	if p.ByCertificate() && g.doors != nil {
-		return g.doors.certs.Load().Holds(g.now(), p)
+		return g.doors.certs.Load().CheckProof(g.now(), p)
 	}
-	return g.keys.Load().Holds(g.now(), p)
+	return g.keys.Load().CheckProof(g.now(), p)
 }
 
 // May tells whether the bearer of a proof may make a request now. An order uses its token's id.
-func (g *Gate) May(p *identity.Proof, a identity.Ask) error {
+func (g *Gate) May(p *identity.Proof, a identity.Request) error {
 	if p == nil {
-		return &identity.Error{Why: identity.Unproven}
+		return &identity.Error{Reason: identity.NoCredentials}
 	}
 	if err := g.Holds(p); err != nil {
 		return err
 	}
 	g.rights.Lock()
 	defer g.rights.Unlock()
-	if err := g.policy.May(g.now(), p.Tenant, a); err != nil {
+	if err := g.policy.Authorize(g.now(), p.Tenant, a); err != nil {
 		return err
 	}
-	if a.Once {
+	if a.AtMostOnce {
 		return g.replays.Use(g.now(), p)
 	}
 	return nil
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -98,7 +98,7 @@
 	other, newToken := keySet(t, "k1") // another key under the same id
 	write(other)
 	g.Look()
-	if _, err := g.Prove([]byte(token), netip.Addr{}, false); identity.WhyOf(err) != identity.Retired {
+	if _, err := g.Prove([]byte(token), netip.Addr{}, false); identity.ReasonOf(err) != identity.KeyRetired {
 		t.Errorf("by the key before: %v", err)
 	}
 	if _, err := g.Prove([]byte(newToken), netip.Addr{}, false); err != nil {
@@ -129,8 +129,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	order := identity.Ask{Class: "order", Write: true, Once: true}
-	for i, want := range []identity.Why{0, identity.Replayed, 0, identity.Replayed, identity.Right} {
+	order := identity.Request{Class: "order", Write: true, AtMostOnce: true}
+	for i, want := range []identity.Reason{0, identity.Replayed, 0, identity.Replayed, identity.NoRight} {
 		switch i {
 		case 2:
 			g.Release(p)
@@ -141,11 +141,11 @@
 			none.Tenants[0].Name = "else"
 			g.Reload(none)
 		}
-		if err := g.May(p, order); identity.WhyOf(err) != want {
+		if err := g.May(p, order); identity.ReasonOf(err) != want {
 			t.Errorf("step %d: %v, want %v", i, err, want)
 		}
 	}
-	if err := g.May(nil, order); identity.WhyOf(err) != identity.Unproven {
+	if err := g.May(nil, order); identity.ReasonOf(err) != identity.NoCredentials {
 		t.Errorf("without a proof: %v", err)
 	}
 }
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -29,7 +29,7 @@
 	certs  atomic.Pointer[identity.Certs] // what certificates prove
 
 	mu         sync.Mutex // of handshakes
-	handshakes *identity.Budget
+	handshakes *identity.RateLimiter
 
 	// Under the Gate's files.
 	texts [3][]byte // of cert, key and roots in force
@@ -38,7 +38,7 @@
 }
 
 func newDoors(cfg *operator.Identity, log *slog.Logger, now func() time.Time) (*doors, error) {
-	d := &doors{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
+	d := &doors{files: cfg.TLS, log: log, now: now, handshakes: identity.NewRateLimiter(float64(cfg.TLS.Handshakes))}
 	texts, err := d.read()
 	if err == nil {
 		err = d.put(texts, cfg.CertRules())
@@ -125,7 +125,7 @@
 func (d *doors) serverConfig(alpn bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		d.mu.Lock()
-		ok := d.handshakes.Take(d.now())
+		ok := d.handshakes.Allow(d.now())
 		d.mu.Unlock()
 		if !ok {
 			return nil, errTooMany
@@ -150,7 +150,7 @@
 // Certificate tells what the certificate proves that a handshake has verified. A caller without one may still bring a token.
 func (g *Gate) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
 	if g.doors == nil {
-		return nil, &identity.Error{Why: identity.Unproven}
+		return nil, &identity.Error{Reason: identity.NoCredentials}
 	}
 	return g.doors.certs.Load().Check(g.now(), s.VerifiedChains)
 }
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -92,13 +92,13 @@
 	if err != nil || p.Tenant != "kiosk" || g.Holds(p) != nil {
 		t.Fatalf("%+v, %v", p, err)
 	}
-	if _, _, err := a.shake(g, 0, ""); identity.WhyOf(err) != identity.Unproven {
+	if _, _, err := a.shake(g, 0, ""); identity.ReasonOf(err) != identity.NoCredentials {
 		t.Errorf("no certificate: %v", err)
 	}
-	if _, _, err := a.shake(g, 1, "kiosk.example"); err == nil || identity.WhyOf(err) != 0 {
+	if _, _, err := a.shake(g, 1, "kiosk.example"); err == nil || identity.ReasonOf(err) != 0 {
 		t.Errorf("an unknown root: %v", err)
 	}
-	if _, err := g.Prove([]byte("any"), netip.Addr{}, false); identity.WhyOf(err) != identity.Forbidden {
+	if _, err := g.Prove([]byte("any"), netip.Addr{}, false); identity.ReasonOf(err) != identity.Forbidden {
 		t.Errorf("a token where none are taken: %v", err)
 	}
 	spare := newAuthority(t)
@@ -147,17 +147,17 @@
 	}
 	a.write("roots.pem", standin.PEM(a.Roots[1].Cert))
 	g.Look()
-	if why := identity.WhyOf(g.Holds(p)); why != identity.Retired || g.Holds(q) != nil {
+	if why := identity.ReasonOf(g.Holds(p)); why != identity.KeyRetired || g.Holds(q) != nil {
 		t.Errorf("the old root is gone: %v, %v", why, g.Holds(q))
 	}
-	if err := g.May(p, identity.Ask{Class: "tile-read", Front: "resp2"}); identity.WhyOf(err) != identity.Retired {
+	if err := g.May(p, identity.Request{Class: "tile-read", Front: "resp2"}); identity.ReasonOf(err) != identity.KeyRetired {
 		t.Errorf("by a root that is gone: %v", err)
 	}
 	// Other rules.
 	cfg := a.settings()
 	cfg.Certificates[0].Tenant = "shop"
 	g.Reload(cfg)
-	if why := identity.WhyOf(g.Holds(q)); why != identity.Retired {
+	if why := identity.ReasonOf(g.Holds(q)); why != identity.KeyRetired {
 		t.Errorf("another tenant's now: %v", why)
 	}
 }
@@ -213,20 +213,20 @@
 	for range 8 { // each on a connection of its own
 		g.Prove([]byte(forged), bad, false)
 	}
-	if _, err := g.Prove([]byte(good), bad, false); identity.WhyOf(err) != identity.Overload {
+	if _, err := g.Prove([]byte(good), bad, false); identity.ReasonOf(err) != identity.Overloaded {
 		t.Errorf("from the bad address: %v", err)
 	}
 	if _, err := g.Prove([]byte(good), well, false); err != nil {
 		t.Errorf("from a clean one: %v", err)
 	}
 	for i := range 4 { // others make it forgotten, no more are remembered
-		g.sources.Bad(at, netip.AddrFrom4([4]byte{198, 51, 100, byte(i)}))
+		g.sources.RecordForged(at, netip.AddrFrom4([4]byte{198, 51, 100, byte(i)}))
 	}
 	if g.sources.Len() != 2 || g.sources.Suspect(at, bad) {
 		t.Errorf("%d addresses are remembered", g.sources.Len())
 	}
 	one, same, other := netip.MustParseAddr("2001:db8:1:2::1"), netip.MustParseAddr("2001:db8:1:2:ffff::1"), netip.MustParseAddr("2001:db8:1:3::1")
-	g.sources.Bad(at, one)
+	g.sources.RecordForged(at, one)
 	if !g.sources.Suspect(at, same) || g.sources.Suspect(at, other) || g.sources.Suspect(at.Add(31*time.Second), one) {
 		t.Error("of IPv6, the first 64 bits count, for 30 s")
 	}
--- a/internal/extproc/server/identity.go
+++ b/internal/extproc/server/identity.go
@@ -26,7 +26,7 @@
 	switch {
 	case !given && p != nil: // a token wins over the connection's certificate; a header that is none does not leave it in force
 	case !strings.EqualFold(scheme, "Bearer") || token == "":
-		return &identity.Error{Why: identity.Unproven}
+		return &identity.Error{Reason: identity.NoCredentials}
 	default:
 		// Callers share connections, so none can be told from another by the bad tokens that it has shown: all go by the half of
 		// the checks that is open to everybody.
@@ -45,14 +45,14 @@
 // denied answers a caller that is turned away (RFC 6750, section 3.1; RFC 6585, section 4). Only what was not looked at may come
 // again as it is.
 func (s *stream) denied(err error) error {
-	switch identity.WhyOf(err) {
-	case identity.Overload:
+	switch identity.ReasonOf(err) {
+	case identity.Overloaded:
 		return s.immediate(503, []byte(err.Error()), "", setHeader("retry-after", "1"))
-	case identity.Rate:
+	case identity.RateLimited:
 		return s.immediate(429, []byte(err.Error()), "")
-	case identity.Right, identity.Replayed:
+	case identity.NoRight, identity.Replayed:
 		return s.immediate(403, []byte(err.Error()), "")
-	case identity.Unproven:
+	case identity.NoCredentials:
 		return s.immediate(401, []byte(err.Error()), "", setHeader("www-authenticate", "Bearer"))
 	}
 	return s.immediate(401, []byte(err.Error()), "", setHeader("www-authenticate", `Bearer error="invalid_token"`))
--- a/internal/extproc/server/identity_test.go
+++ b/internal/extproc/server/identity_test.go
@@ -15,33 +15,33 @@
 // nameProvers is Callers by whom each token proves its own text to be; the kiosk may only read, and an order's token is good for one order.
 type nameProvers struct {
 	policy  *identity.Policy
-	replays identity.Replays
+	replays identity.ReplayGuard
 }
 
 func newProvers() *nameProvers {
 	return &nameProvers{policy: identity.NewPolicy([]identity.Rights{{Tenant: "kiosk", ReadOnly: true}, {Tenant: "shop"},
-		{Tenant: "app", Fronts: []string{"resp2"}}}, nil), replays: identity.Replays{Most: 8}}
+		{Tenant: "app", Fronts: []string{"resp2"}}}, nil), replays: identity.ReplayGuard{MaxIDs: 8}}
 }
 
 func (n *nameProvers) Name() string           { return "tk" }
 func (n *nameProvers) TLS(string) *tls.Config { return nil }
 func (n *nameProvers) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
-	return nil, &identity.Error{Why: identity.Unproven}
+	return nil, &identity.Error{Reason: identity.NoCredentials}
 }
 func (n *nameProvers) Prove(token []byte, _ netip.Addr, _ bool) (*identity.Proof, error) {
 	switch name := string(token); name {
 	case "forged":
-		return nil, &identity.Error{Why: identity.Forged}
+		return nil, &identity.Error{Reason: identity.BadSignature}
 	case "many":
-		return nil, &identity.Error{Why: identity.Overload}
+		return nil, &identity.Error{Reason: identity.Overloaded}
 	default:
 		tenant, id, _ := strings.Cut(name, "#")
-		return &identity.Proof{Tenant: tenant, ID: id, Until: time.Now().Add(time.Hour)}, nil
+		return &identity.Proof{Tenant: tenant, ID: id, ExpiresAt: time.Now().Add(time.Hour)}, nil
 	}
 }
 func (n *nameProvers) Holds(*identity.Proof) error { return nil }
-func (n *nameProvers) May(p *identity.Proof, a identity.Ask) error {
-	if err := n.policy.May(time.Now(), p.Tenant, a); err != nil || !a.Once {
+func (n *nameProvers) May(p *identity.Proof, a identity.Request) error {
+	if err := n.policy.Authorize(time.Now(), p.Tenant, a); err != nil || !a.AtMostOnce {
 		return err
 	}
 	return n.replays.Use(time.Now(), p)
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -575,7 +575,7 @@
 		return s.refuse(0)
 	case errors.Is(fault, proxy.ErrInUse):
 		return s.immediate(409, []byte("the request id is in use"), "")
-	case identity.WhyOf(fault) != 0:
+	case identity.ReasonOf(fault) != 0:
 		return s.denied(fault)
 	case fault != nil:
 		return s.immediate(400, []byte(fault.Error()), "")
--- a/internal/idcmd/idcmd.go
+++ b/internal/idcmd/idcmd.go
@@ -26,7 +26,7 @@
 	"linenloom/internal/identity"
 )
 
-const usageStatus = 2
+const exitUsage = 2
 
 // Token is the command token: sign and inspect.
 func Token(args []string) int { return run("token", args, os.Stdin, os.Stdout, os.Stderr, time.Now) }
@@ -56,11 +56,11 @@
        linenloom keys rotate -keys FILE -private FILE [-alg EdDSA] [-after 1m] [-overlap 1h] [-prune 24h]
                                                  a new key, which counts -after from now; those before it end -overlap later
 `)
-		return usageStatus
+		return exitUsage
 	}
 	switch {
 	case errors.Is(err, flags.ErrUsage), errors.Is(err, flag.ErrHelp):
-		return usageStatus
+		return exitUsage
 	case err != nil:
 		fmt.Fprintf(errs, "linenloom %s %s: %v\n", command, name, err)
 		return 1
@@ -86,7 +86,7 @@
 	if err := jwk.UnmarshalJSON(text); err != nil {
 		return fmt.Errorf("%s: %w", *key, err)
 	}
-	alg, err := algOf(jwk.Key)
+	alg, err := algorithmOf(jwk.Key)
 	if err != nil {
 		return fmt.Errorf("%s: %w", *key, err)
 	}
@@ -104,7 +104,7 @@
 	return err
 }
 
-func algOf(key any) (jose.SignatureAlgorithm, error) {
+func algorithmOf(key any) (jose.SignatureAlgorithm, error) {
 	switch key.(type) {
 	case ed25519.PrivateKey:
 		return jose.EdDSA, nil
@@ -122,13 +122,13 @@
 	if err := flags.Parse(f, errs, args); err != nil {
 		return err
 	}
-	text, err := io.ReadAll(io.LimitReader(in, identity.MaxToken+2))
+	text, err := io.ReadAll(io.LimitReader(in, identity.MaxTokenBytes+2))
 	if err != nil {
 		return err
 	}
 	token := strings.TrimSpace(string(text))
-	if len(token) > identity.MaxToken {
-		return fmt.Errorf("it is longer than %d bytes", identity.MaxToken)
+	if len(token) > identity.MaxTokenBytes {
+		return fmt.Errorf("it is longer than %d bytes", identity.MaxTokenBytes)
 	}
 	t, err := jwt.ParseSigned(token, identity.Algorithms)
 	if err != nil {
@@ -152,7 +152,7 @@
 		fmt.Fprintln(out, "its signature was not checked: -keys is not given")
 		return nil
 	}
-	keys, err := load(*file)
+	keys, err := loadKeySet(*file)
 	if err != nil {
 		return err
 	}
@@ -162,19 +162,19 @@
 		return errors.New("no key of the set has its kid")
 	case t.Claims(k.Public, &c) != nil:
 		return errors.New("its signature is not by the set's key")
-	case k.Phase(now) != identity.Active:
+	case k.Phase(now) != identity.PhaseActive:
 		return fmt.Errorf("its key is %s", k.Phase(now))
 	}
 	fmt.Fprintln(out, "its signature is by a key of the set that is active")
 	return nil
 }
 
-func load(file string) (*identity.Keys, error) {
+func loadKeySet(file string) (*identity.KeySet, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	keys, err := identity.ParseKeys(text)
+	keys, err := identity.ParseKeySet(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -187,7 +187,7 @@
 	if err := flags.Parse(f, errs, args, "keys"); err != nil {
 		return err
 	}
-	keys, err := load(*file)
+	keys, err := loadKeySet(*file)
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 		return t.UTC().Format(time.RFC3339)
 	}
 	for _, k := range keys.List {
-		fmt.Fprintf(out, "%-20s %-6s %-8s from %s until %s\n", k.ID, k.Alg, k.Phase(now), when(k.From), when(k.Until))
+		fmt.Fprintf(out, "%-20s %-6s %-8s from %s until %s\n", k.ID, k.Alg, k.Phase(now), when(k.NotBefore), when(k.NotAfter))
 	}
 	return nil
 }
@@ -223,7 +223,7 @@
 	case err != nil:
 		return err
 	default:
-		if _, err := identity.ParseKeys(text); err != nil {
+		if _, err := identity.ParseKeySet(text); err != nil {
 			return fmt.Errorf("%s: %w", *file, err)
 		}
 		if err := json.Unmarshal(text, &set); err != nil {
@@ -245,7 +245,7 @@
 	}
 	id := fmt.Sprintf("k%s", now.UTC().Format("20060102T150405"))
 	jwk := jose.JSONWebKey{KeyID: id, Use: "sig", Algorithm: *alg}
-	if jwk.Key, err = generate(*alg); err != nil {
+	if jwk.Key, err = generateKey(*alg); err != nil {
 		return err
 	}
 	secret, err := jwk.MarshalJSON()
@@ -267,7 +267,7 @@
 	if text, err = json.MarshalIndent(set, "", "  "); err != nil {
 		return err
 	}
-	if _, err := identity.ParseKeys(text); err != nil { // what would be turned down is not written
+	if _, err := identity.ParseKeySet(text); err != nil { // what would be turned down is not written
 		return err
 	}
 	// The private key first: a public one whose private half is lost helps nobody.
@@ -282,7 +282,7 @@
 		err = e
 	}
 	if err == nil {
-		err = replace(*file, append(text, '\n'))
+		err = replaceFile(*file, append(text, '\n'))
 	}
 	if err != nil {
 		return err
@@ -291,7 +291,7 @@
 	return nil
 }
 
-func generate(alg string) (crypto.Signer, error) {
+func generateKey(alg string) (crypto.Signer, error) {
 	switch alg {
 	case "EdDSA":
 		_, k, err := ed25519.GenerateKey(rand.Reader)
@@ -304,8 +304,8 @@
 	return nil, fmt.Errorf("-alg is %q; it can be EdDSA, ES256 or RS256", alg)
 }
 
-// replace writes a file whole.
-func replace(path string, text []byte) error {
+// replaceFile writes a file whole.
+func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
--- a/internal/identity/certs.go
+++ b/internal/identity/certs.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	maxRoots     = 64
-	maxNames     = 32 // of a certificate, that are looked at
-	mostChains   = 8  // through which a certificate is proven
-	maxRootsText = 1 << 20
+	maxRoots      = 64
+	maxCertNames  = 32 // of a certificate, that are looked at
+	maxChains     = 8  // through which a certificate is proven
+	maxRootsBytes = 1 << 20
 )
 
 // CertRule says which tenant a client certificate proves: by a URI or DNS name among its subject alternative names (RFC 5280,
@@ -42,8 +42,8 @@
 
 // certChain is one way to a root, and until when all of it counts.
 type certChain struct {
-	root        [sha256.Size]byte
-	from, until time.Time
+	root                [sha256.Size]byte
+	notBefore, notAfter time.Time
 }
 
 // NewCerts makes a Certs for the roots in force.
@@ -57,8 +57,8 @@
 
 // ParseRoots reads certificates in PEM (RFC 7468). One fault is enough to turn down all of them.
 func ParseRoots(text []byte) (roots []*x509.Certificate, err error) {
-	if len(text) > maxRootsText {
-		return nil, fmt.Errorf("roots: %d bytes, more than %d", len(text), maxRootsText)
+	if len(text) > maxRootsBytes {
+		return nil, fmt.Errorf("roots: %d bytes, more than %d", len(text), maxRootsBytes)
 	}
 	for rest := text; ; {
 		var block *pem.Block
@@ -91,44 +91,44 @@
 // Check tells what a certificate proves that was verified through these chains, the certificate first and a root last.
 func (c *Certs) Check(now time.Time, chains [][]*x509.Certificate) (*Proof, error) {
 	if len(chains) == 0 || len(chains[0]) == 0 {
-		return nil, deny(Unproven, "no certificate")
+		return nil, deny(NoCredentials, "no certificate")
 	}
 	leaf := chains[0][0]
 	f := &certFacts{dns: leaf.DNSNames, issuer: leaf.Issuer.String()}
 	for _, u := range leaf.URIs {
 		f.uris = append(f.uris, u.String())
 	}
-	if len(f.uris)+len(f.dns) > maxNames {
-		return nil, deny(Forbidden, "its certificate has more than %d names", maxNames)
+	if len(f.uris)+len(f.dns) > maxCertNames {
+		return nil, deny(Forbidden, "its certificate has more than %d names", maxCertNames)
 	}
-	for _, chain := range chains[:min(len(chains), mostChains)] {
-		link := certChain{root: sha256.Sum256(chain[len(chain)-1].Raw), from: leaf.NotBefore, until: leaf.NotAfter}
+	for _, chain := range chains[:min(len(chains), maxChains)] {
+		link := certChain{root: sha256.Sum256(chain[len(chain)-1].Raw), notBefore: leaf.NotBefore, notAfter: leaf.NotAfter}
 		for _, one := range chain {
-			if one.NotAfter.Before(link.until) {
-				link.until = one.NotAfter
+			if one.NotAfter.Before(link.notAfter) {
+				link.notAfter = one.NotAfter
 			}
-			if one.NotBefore.After(link.from) {
-				link.from = one.NotBefore
+			if one.NotBefore.After(link.notBefore) {
+				link.notBefore = one.NotBefore
 			}
 		}
 		f.chains = append(f.chains, link)
 	}
-	tenant, err := c.tenant(f)
+	tenant, err := c.tenantOf(f)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proof{Tenant: tenant, Subject: leaf.Subject.String(), cert: f}
+	p := &Proof{Tenant: tenant, Subject: leaf.Subject.String(), certificate: f}
 	for _, link := range f.chains {
-		if link.until.After(p.Until) {
-			p.Until = link.until
+		if link.notAfter.After(p.ExpiresAt) {
+			p.ExpiresAt = link.notAfter
 		}
 	}
-	return p, c.Holds(now, p)
+	return p, c.CheckProof(now, p)
 }
 
-// tenant is the one that a certificate's names stand for: URIs count before DNS names, and these before the issuer. Names of a
+// tenantOf is the one that a certificate's names stand for: URIs count before DNS names, and these before the issuer. Names of a
 // kind that stand for two tenants prove neither.
-func (c *Certs) tenant(f *certFacts) (string, error) {
+func (c *Certs) tenantOf(f *certFacts) (string, error) {
 	for _, fits := range []func(r *CertRule) bool{
 		func(r *CertRule) bool {
 			return r.URI != "" && slices.ContainsFunc(f.uris, func(s string) bool { return matchURI(r.URI, s) })
@@ -151,39 +151,39 @@
 			return tenant, nil
 		}
 	}
-	return "", deny(Elsewhere, "its certificate names no tenant here")
+	return "", deny(Foreign, "its certificate names no tenant here")
 }
 
-// Holds tells whether a certificate's proof still holds: through one chain at least everything counts now and ends in a root that
+// CheckProof tells whether a certificate's proof still holds: through one chain at least everything counts now and ends in a root that
 // is in force, and its names still stand for the same tenant.
-func (c *Certs) Holds(now time.Time, p *Proof) error {
-	if p.cert == nil {
+func (c *Certs) CheckProof(now time.Time, p *Proof) error {
+	if p.certificate == nil {
 		return deny(Forbidden, "no certificate")
 	}
 	rooted, early := false, false
-	for _, link := range p.cert.chains {
+	for _, link := range p.certificate.chains {
 		switch {
 		case !c.roots[link.root]:
-		case now.Before(link.from):
+		case now.Before(link.notBefore):
 			rooted, early = true, true
-		case now.After(link.until): // RFC 5280, section 4.1.2.5: the last moment counts
+		case now.After(link.notAfter): // RFC 5280, section 4.1.2.5: the last moment counts
 			rooted = true
 		default:
-			if tenant, err := c.tenant(p.cert); err != nil {
+			if tenant, err := c.tenantOf(p.certificate); err != nil {
 				return err
 			} else if tenant != p.Tenant {
-				return deny(Retired, "its certificate stands for another tenant now")
+				return deny(KeyRetired, "its certificate stands for another tenant now")
 			}
 			return nil
 		}
 	}
 	switch {
 	case !rooted:
-		return deny(Retired, "its certificate's root is gone")
+		return deny(KeyRetired, "its certificate's root is gone")
 	case early:
-		return deny(NotYet, "its certificate")
+		return deny(NotYetValid, "its certificate")
 	}
-	return deny(RunOut, "its certificate")
+	return deny(Expired, "its certificate")
 }
 
 // matchURI compares as RFC 3986 leaves it where nothing is known of the scheme: byte by byte.
--- a/internal/identity/certs_test.go
+++ b/internal/identity/certs_test.go
@@ -21,7 +21,7 @@
 	return i
 }
 
-func leaf(t *testing.T, by *standin.Issuer, until time.Time, names ...string) *x509.Certificate {
+func newLeaf(t *testing.T, by *standin.Issuer, until time.Time, names ...string) *x509.Certificate {
 	t.Helper()
 	c, err := by.Caller(certTime.Add(-time.Hour), until, names...)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return c.Cert
 }
 
-func TestCertificateNamesItsTenant(t *testing.T) {
+func TestCertificateTenant(t *testing.T) {
 	later := certTime.Add(time.Hour)
 	root := newIssuer(t, "root", nil, later)
 	kiosks := newIssuer(t, "kiosk issuer", root, later)
@@ -45,39 +45,39 @@
 		by     *standin.Issuer
 		names  string
 		tenant string
-		why    Why
+		why    Reason
 	}{
 		{by: root, names: "spiffe://maps.example/kiosk/7", tenant: "kiosk"},
 		{by: root, names: "spiffe://maps.example/kiosk/7/door", tenant: "kiosk"},
-		{by: root, names: "spiffe://maps.example/kiosk/", why: Elsewhere},
-		{by: root, names: "spiffe://maps.example/kiosk/../shop", why: Elsewhere},
-		{by: root, names: "spiffe://maps.example/kiosk/%2e%2e/shop", why: Elsewhere},
-		{by: root, names: "spiffe://maps.example/kiosks", why: Elsewhere},
+		{by: root, names: "spiffe://maps.example/kiosk/", why: Foreign},
+		{by: root, names: "spiffe://maps.example/kiosk/../shop", why: Foreign},
+		{by: root, names: "spiffe://maps.example/kiosk/%2e%2e/shop", why: Foreign},
+		{by: root, names: "spiffe://maps.example/kiosks", why: Foreign},
 		{by: root, names: "spiffe://maps.example/shop", tenant: "shop"},
-		{by: root, names: "spiffe://maps.example/shop/", why: Elsewhere},
+		{by: root, names: "spiffe://maps.example/shop/", why: Foreign},
 		{by: root, names: "spiffe://maps.example/shop spiffe://maps.example/kiosk/1", why: Forbidden},
 		{by: root, names: "a.Partner.Example", tenant: "partner"},
-		{by: root, names: "a.b.partner.example", why: Elsewhere},
-		{by: root, names: "partner.example", why: Elsewhere},
-		{by: root, names: "*.partner.example", why: Elsewhere},
+		{by: root, names: "a.b.partner.example", why: Foreign},
+		{by: root, names: "partner.example", why: Foreign},
+		{by: root, names: "*.partner.example", why: Foreign},
 		{by: root, names: "shop.example a.partner.example", why: Forbidden},
 		{by: root, names: "shop.example spiffe://maps.example/kiosk/1", tenant: "kiosk"}, // URIs count first
 		{by: kiosks, names: "unknown.example", tenant: "kiosk"},
 		{by: kiosks, names: "shop.example", tenant: "shop"},
-		{by: root, names: "", why: Elsewhere},
-		{by: root, names: strings.Repeat("a.example ", maxNames+1), why: Forbidden},
+		{by: root, names: "", why: Foreign},
+		{by: root, names: strings.Repeat("a.example ", maxCertNames+1), why: Forbidden},
 	} {
-		one := leaf(t, c.by, later, strings.Fields(c.names)...)
+		one := newLeaf(t, c.by, later, strings.Fields(c.names)...)
 		chain := []*x509.Certificate{one, c.by.Cert}
 		if c.by != root {
 			chain = append(chain, root.Cert)
 		}
 		p, err := certs.Check(certTime, [][]*x509.Certificate{chain})
-		if WhyOf(err) != c.why || err == nil && (p.Tenant != c.tenant || !p.ByCertificate()) {
+		if ReasonOf(err) != c.why || err == nil && (p.Tenant != c.tenant || !p.ByCertificate()) {
 			t.Errorf("%q: %+v, %v; want %q, %v", c.names, p, err, c.tenant, c.why)
 		}
 	}
-	if _, err := certs.Check(certTime, nil); WhyOf(err) != Unproven {
+	if _, err := certs.Check(certTime, nil); ReasonOf(err) != NoCredentials {
 		t.Errorf("no certificate: %v", err)
 	}
 }
@@ -93,35 +93,35 @@
 	onlyNext := NewCerts(rules, []*x509.Certificate{next.Cert})
 	renamed := NewCerts([]CertRule{{DNS: "kiosk.example", Tenant: "shop"}}, []*x509.Certificate{old.Cert, next.Cert})
 	dropped := NewCerts(nil, []*x509.Certificate{old.Cert, next.Cert})
-	direct := leaf(t, old, certTime.Add(2*time.Hour), "kiosk.example")
-	between := leaf(t, short, certTime.Add(2*time.Hour), "kiosk.example")
+	direct := newLeaf(t, old, certTime.Add(2*time.Hour), "kiosk.example")
+	between := newLeaf(t, short, certTime.Add(2*time.Hour), "kiosk.example")
 	for _, c := range []struct {
 		name   string
 		chains [][]*x509.Certificate
 		certs  *Certs
 		at     time.Duration
-		why    Why
+		why    Reason
 	}{
 		{"fresh", [][]*x509.Certificate{{direct, old.Cert}}, both, 0, 0},
 		{"its last moment", [][]*x509.Certificate{{direct, old.Cert}}, both, 2 * time.Hour, 0},
-		{"run out", [][]*x509.Certificate{{direct, old.Cert}}, both, 2*time.Hour + time.Second, RunOut},
-		{"before its time", [][]*x509.Certificate{{direct, old.Cert}}, both, -2 * time.Hour, NotYet},
-		{"what signed it has run out", [][]*x509.Certificate{{between, short.Cert, old.Cert}}, both, 90 * time.Minute, RunOut},
-		{"its root is gone", [][]*x509.Certificate{{direct, old.Cert}}, onlyNext, 0, Retired},
+		{"run out", [][]*x509.Certificate{{direct, old.Cert}}, both, 2*time.Hour + time.Second, Expired},
+		{"before its time", [][]*x509.Certificate{{direct, old.Cert}}, both, -2 * time.Hour, NotYetValid},
+		{"what signed it has run out", [][]*x509.Certificate{{between, short.Cert, old.Cert}}, both, 90 * time.Minute, Expired},
+		{"its root is gone", [][]*x509.Certificate{{direct, old.Cert}}, onlyNext, 0, KeyRetired},
 		{"one of two roots is gone", [][]*x509.Certificate{{direct, old.Cert}, {direct, next.Cert}}, onlyNext, 0, 0},
 		{"the longer way counts", [][]*x509.Certificate{{between, short.Cert, old.Cert}, {between, next.Cert}}, both, 90 * time.Minute, 0},
-		{"another tenant's now", [][]*x509.Certificate{{direct, old.Cert}}, renamed, 0, Retired},
-		{"nobody's now", [][]*x509.Certificate{{direct, old.Cert}}, dropped, 0, Elsewhere},
+		{"another tenant's now", [][]*x509.Certificate{{direct, old.Cert}}, renamed, 0, KeyRetired},
+		{"nobody's now", [][]*x509.Certificate{{direct, old.Cert}}, dropped, 0, Foreign},
 	} {
 		p, err := both.Check(certTime, c.chains)
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
-		if err := c.certs.Holds(certTime.Add(c.at), p); WhyOf(err) != c.why {
+		if err := c.certs.CheckProof(certTime.Add(c.at), p); ReasonOf(err) != c.why {
 			t.Errorf("%s: %v, want %v", c.name, err, c.why)
 		}
 	}
-	if err := both.Holds(certTime, &Proof{Tenant: "kiosk"}); err == nil {
+	if err := both.CheckProof(certTime, &Proof{Tenant: "kiosk"}); err == nil {
 		t.Error("a token's proof holds as a certificate's")
 	}
 }
@@ -139,11 +139,11 @@
 		"empty":         {nil, 0, "no certificate"},
 		"noise":         {[]byte("nothing here"), 0, "no certificate"},
 		"cut short":     {good[:len(good)-40], 0, "cut short"},
-		"no root":       {standin.PEM(leaf(t, root, later, "a.example")), 0, "may not sign"},
+		"no root":       {standin.PEM(newLeaf(t, root, later, "a.example")), 0, "may not sign"},
 		"a key":         {pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: []byte{1}}), 0, "PRIVATE KEY"},
 		"broken":        {pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: []byte{1, 2}}), 0, "certificate 1"},
 		"too many":      {[]byte(strings.Repeat(string(standin.PEM(root.Cert)), maxRoots+1)), 0, "more than"},
-		"much too long": {make([]byte, maxRootsText+1), 0, "bytes"},
+		"much too long": {make([]byte, maxRootsBytes+1), 0, "bytes"},
 	} {
 		roots, err := ParseRoots(c.text)
 		if len(roots) != c.roots || (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -11,60 +11,60 @@
 	"fmt"
 )
 
-// Why is the reason for which a caller is turned away.
-type Why uint8
+// Reason is the reason for which a caller is turned away.
+type Reason uint8
 
 // The reasons.
 const (
-	Unproven   Why = iota + 1 // no token, where one is asked for
-	Malformed                 // it can't be read as a token
-	Forbidden                 // an algorithm, header or claim that is not accepted
-	UnknownKey                // no key of the set has its kid
-	NotYet                    // before the token's time, or the key's
-	RunOut                    // past the token's time
-	Retired                   // its key is retired
-	Elsewhere                 // of another issuer, or for another audience
-	Forged                    // the signature is not the key's
-	Overload                  // too many tokens are to be checked; nothing is said of this one
-	Right                     // the tenant has no right to it
-	Rate                      // the tenant has asked too often
-	Replayed                  // an order's token that was used before, or may have been
+	NoCredentials Reason = iota + 1 // no token, where one is asked for
+	Malformed                       // it can't be read as a token
+	Forbidden                       // an algorithm, header or claim that is not accepted
+	UnknownKey                      // no key of the set has its kid
+	NotYetValid                     // before the token's time, or the key's
+	Expired                         // past the token's time
+	KeyRetired                      // its key is retired
+	Foreign                         // of another issuer, or for another audience
+	BadSignature                    // the signature is not the key's
+	Overloaded                      // too many tokens are to be checked; nothing is said of this one
+	NoRight                         // the tenant has no right to it
+	RateLimited                     // the tenant has asked too often
+	Replayed                        // an order's token that was used before, or may have been
 )
 
-var whyText = [...]string{Unproven: "no token", Malformed: "no token of a known form", Forbidden: "not accepted",
-	UnknownKey: "unknown key", NotYet: "not valid yet", RunOut: "run out", Retired: "its key is retired",
-	Elsewhere: "not for here", Forged: "wrong signature", Overload: "too many tokens to check", Right: "no right",
-	Rate: "too often", Replayed: "used before"}
+var reasonText = [...]string{NoCredentials: "no token", Malformed: "no token of a known form", Forbidden: "not accepted",
+	UnknownKey: "unknown key", NotYetValid: "not valid yet", Expired: "run out", KeyRetired: "its key is retired",
+	Foreign: "not for here", BadSignature: "wrong signature", Overloaded: "too many tokens to check", NoRight: "no right",
+	RateLimited: "too often", Replayed: "used before"}
 
-func (w Why) String() string {
-	if int(w) < len(whyText) && whyText[w] != "" {
-		return whyText[w]
+func (w Reason) String() string {
+	if int(w) < len(reasonText) && reasonText[w] != "" {
+		return reasonText[w]
 	}
 	return "unknown"
 }
 
 // Error tells why a caller is turned away, in words that hold nothing of the token but what the file of rights names itself.
 type Error struct {
-	Why  Why
-	What string
+	Reason Reason
+	Detail string
 }
 
 func (e *Error) Error() string {
-	if e.What == "" {
-		return e.Why.String()
+	if e.Detail == "" {
+		return e.Reason.String()
 	}
-	return e.Why.String() + ": " + e.What
+	return e.Reason.String() + ": " + e.Detail
 }
 
-func deny(why Why, format string, args ...any) error {
+func deny(why Reason, format string, args ...any) error {
 	return &Error{why, fmt.Sprintf(format, args...)}
 }
 
-// WhyOf is the reason that an error tells; 0: none of these.
-func WhyOf(err error) Why {
+// ReasonOf is the reason that an error tells; 0: none of these.
+func ReasonOf(err error) Reason {
 	var e *Error
 	if errors.As(err, &e) {
-		return e.Why
+		return e.Reason
 	}
 	return 0
 }
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -21,9 +21,9 @@
 )
 
 var (
-	epoch = time.Unix(1_800_000_000, 0)
-	terms = Terms{Issuer: "issuer", Audience: "tiles", TenantClaim: "tenant", Leeway: 30 * time.Second, MaxLife: time.Hour,
-		CacheSize: 8, ChecksPerS: 1000}
+	epoch            = time.Unix(1_800_000_000, 0)
+	testRequirements = TokenRequirements{Issuer: "issuer", Audience: "tiles", TenantClaim: "tenant", Leeway: 30 * time.Second, MaxLifetime: time.Hour,
+		CacheSize: 8, ChecksPerSecond: 1000}
 )
 
 // signer is a private key with the JWK of its public half.
@@ -60,9 +60,9 @@
 	return strings.TrimSuffix(string(text), "}") + more + "}"
 }
 
-func keySet(t testing.TB, jwks ...string) *Keys {
+func keySet(t testing.TB, jwks ...string) *KeySet {
 	t.Helper()
-	k, err := ParseKeys([]byte(`{"keys":[` + strings.Join(jwks, ",") + `]}`))
+	k, err := ParseKeySet([]byte(`{"keys":[` + strings.Join(jwks, ",") + `]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 	return string(text)
 }
 
-func segment(v string) string { return base64.RawURLEncoding.EncodeToString([]byte(v)) }
+func encodeSegment(v string) string { return base64.RawURLEncoding.EncodeToString([]byte(v)) }
 
 // What a caller may try, and what becomes of it. Only what is signed by a key of the set, in its time, for here, proves anything.
 func TestTokens(t *testing.T) {
@@ -138,12 +138,12 @@
 	at := func(d time.Duration) string { return fmt.Sprint(epoch.Add(d).Unix()) }
 	for name, c := range map[string]struct {
 		token string
-		want  Why
+		want  Reason
 	}{
 		"EdDSA": {good, 0}, "ES256": {ec.sign(t, claims(), nil), 0}, "RS256": {rs.sign(t, claims(), nil), 0},
 		"audiences":                     {ed.sign(t, claims("aud", `["x","tiles"]`), nil), 0},
 		"none":                          {"", Malformed},
-		"alg none":                      {segment(`{"alg":"none","kid":"ed"}`) + "." + cut[1] + ".", Malformed},
+		"alg none":                      {encodeSegment(`{"alg":"none","kid":"ed"}`) + "." + cut[1] + ".", Malformed},
 		"HMAC with the public key":      {hmac(rsText), Malformed},
 		"unknown kid":                   {signer{"who", ed.key, ed.alg}.sign(t, claims(), nil), UnknownKey},
 		"no kid":                        {signer{"", ed.key, ed.alg}.sign(t, claims(), nil), UnknownKey},
@@ -153,28 +153,28 @@
 		"another algorithm's key":       {signer{"ec", ed.key, ed.alg}.sign(t, claims(), nil), Forbidden},
 		"a megabyte":                    {strings.Repeat("a", 1<<20), Malformed},
 		"two parts":                     {cut[0] + "." + cut[1], Malformed},
-		"the wrong key":                 {other.sign(t, claims(), nil), Forged},
-		"another payload":               {cut[0] + "." + segment(claims("tenant", `"else"`)) + "." + cut[2], Forged},
+		"the wrong key":                 {other.sign(t, claims(), nil), BadSignature},
+		"another payload":               {cut[0] + "." + encodeSegment(claims("tenant", `"else"`)) + "." + cut[2], BadSignature},
 		"doubled claims":                {ed.sign(t, `{"tenant":"acme","iss":"issuer","aud":"tiles","exp":`+at(time.Minute)+`,"tenant":"else"}`, nil), Malformed},
 		"a nested tenant":               {ed.sign(t, claims("tenant", `{"name":"acme"}`), nil), Forbidden},
 		"no tenant":                     {ed.sign(t, claims("tenant", `null`), nil), Forbidden},
 		"no JSON":                       {ed.sign(t, "hello", nil), Malformed},
 		"no end":                        {ed.sign(t, claims("exp", "null"), nil), Forbidden},
 		"a long life":                   {ed.sign(t, claims("exp", at(3*time.Hour)), nil), Forbidden},
-		"run out":                       {ed.sign(t, claims("exp", at(-31*time.Second)), nil), RunOut},
+		"run out":                       {ed.sign(t, claims("exp", at(-31*time.Second)), nil), Expired},
 		"run out, by a clock 29 s off":  {ed.sign(t, claims("exp", at(-29*time.Second)), nil), 0},
-		"nbf ahead":                     {ed.sign(t, claims("nbf", at(31*time.Second)), nil), NotYet},
+		"nbf ahead":                     {ed.sign(t, claims("nbf", at(31*time.Second)), nil), NotYetValid},
 		"nbf ahead by a clock 29 s off": {ed.sign(t, claims("nbf", at(29*time.Second)), nil), 0},
-		"another issuer":                {ed.sign(t, claims("iss", `"else"`), nil), Elsewhere},
-		"another audience":              {ed.sign(t, claims("aud", `"else"`), nil), Elsewhere},
-		"a coming key":                  {coming.sign(t, claims(), nil), NotYet},
-		"a retired key":                 {gone.sign(t, claims(), nil), Retired},
+		"another issuer":                {ed.sign(t, claims("iss", `"else"`), nil), Foreign},
+		"another audience":              {ed.sign(t, claims("aud", `"else"`), nil), Foreign},
+		"a coming key":                  {coming.sign(t, claims(), nil), NotYetValid},
+		"a retired key":                 {gone.sign(t, claims(), nil), KeyRetired},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := NewVerifier(terms, keys)
+			v := NewVerifier(testRequirements, keys)
 			for range 2 { // the second time from what is known
 				p, err := v.Check(epoch, []byte(c.token), false)
-				if WhyOf(err) != c.want || (err == nil) != (c.want == 0) {
+				if ReasonOf(err) != c.want || (err == nil) != (c.want == 0) {
 					t.Fatalf("%v, want %v", err, c.want)
 				}
 				if err == nil && p.Tenant != "acme" {
@@ -213,36 +213,36 @@
 		"of another alg":    {`{"keys":[` + ed.jwk(t, `,"alg":"RS256"`) + `]}`, "EdDSA"},
 		"over before it is": {`{"keys":[` + ed.jwk(t, `,"nbf":20,"exp":10`) + `]}`, "after nbf"},
 	} {
-		if _, err := ParseKeys([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseKeySet([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
 	}
 }
 
 // A key's end ends every proof by it, also those known, whether its moment comes, it leaves the set, or another key takes its id.
-func TestAProofEndsWithItsKey(t *testing.T) {
+func TestProofEndsWithItsKey(t *testing.T) {
 	a, b := newSigner(t, "a", jose.EdDSA), newSigner(t, "b", jose.EdDSA)
 	token := []byte(a.sign(t, claims(), nil))
 	for name, c := range map[string]struct {
-		keys *Keys
+		keys *KeySet
 		at   time.Duration
-		want Why
+		want Reason
 	}{
 		"it stays":               {keySet(t, a.jwk(t, ""), b.jwk(t, "")), time.Minute, 0},
-		"its moment comes":       {keySet(t, a.jwk(t, fmt.Sprintf(`,"exp":%d`, epoch.Add(time.Minute).Unix()))), time.Minute, Retired},
+		"its moment comes":       {keySet(t, a.jwk(t, fmt.Sprintf(`,"exp":%d`, epoch.Add(time.Minute).Unix()))), time.Minute, KeyRetired},
 		"just before its moment": {keySet(t, a.jwk(t, fmt.Sprintf(`,"exp":%d`, epoch.Add(time.Minute).Unix()))), time.Minute - 1, 0},
-		"it leaves":              {keySet(t, b.jwk(t, "")), 0, Retired},
-		"another takes its id":   {keySet(t, newSigner(t, "a", jose.EdDSA).jwk(t, "")), 0, Retired},
-		"the token runs out":     {keySet(t, a.jwk(t, "")), 10*time.Minute + 30*time.Second, RunOut},
+		"it leaves":              {keySet(t, b.jwk(t, "")), 0, KeyRetired},
+		"another takes its id":   {keySet(t, newSigner(t, "a", jose.EdDSA).jwk(t, "")), 0, KeyRetired},
+		"the token runs out":     {keySet(t, a.jwk(t, "")), 10*time.Minute + 30*time.Second, Expired},
 	} {
-		v := NewVerifier(terms, keySet(t, a.jwk(t, "")))
+		v := NewVerifier(testRequirements, keySet(t, a.jwk(t, "")))
 		p, err := v.Check(epoch, token, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		v.SetKeys(c.keys)
 		now := epoch.Add(c.at)
-		if err := c.keys.Holds(now, p); WhyOf(err) != c.want {
+		if err := c.keys.CheckProof(now, p); ReasonOf(err) != c.want {
 			t.Errorf("%s: the proof: %v, want %v", name, err, c.want)
 		}
 		if _, err := v.Check(now, token, false); (err == nil) != (c.want == 0) {
@@ -254,8 +254,8 @@
 // Bad tokens cost few checks, however many there are; sources without a bad token keep a share of the checks.
 func TestChecksAreBounded(t *testing.T) {
 	a, forger := newSigner(t, "a", jose.EdDSA), newSigner(t, "a", jose.EdDSA)
-	few := terms
-	few.ChecksPerS = 20
+	few := testRequirements
+	few.ChecksPerSecond = 20
 	v := NewVerifier(few, keySet(t, a.jwk(t, "")))
 	known := []byte(a.sign(t, claims("sub", `"known"`), nil))
 	if _, err := v.Check(epoch, known, false); err != nil {
@@ -265,10 +265,10 @@
 	for i := range 1000 { // in a second, by sources that have shown bad ones
 		now := epoch.Add(time.Duration(i) * time.Millisecond)
 		_, err := v.Check(now, []byte(forger.sign(t, claims("sub", fmt.Sprintf(`"%d"`, i)), nil)), true)
-		switch WhyOf(err) {
-		case Overload:
+		switch ReasonOf(err) {
+		case Overloaded:
 			overloaded++
-		case Forged:
+		case BadSignature:
 		default:
 			t.Fatal(err)
 		}
@@ -285,8 +285,8 @@
 			t.Errorf("a known token: %v", err)
 		}
 	}
-	if v.Known() > few.CacheSize {
-		t.Errorf("%d tokens are known", v.Known())
+	if v.CacheLen() > few.CacheSize {
+		t.Errorf("%d tokens are known", v.CacheLen())
 	}
 }
 
@@ -296,31 +296,31 @@
 		{Tenant: "kiosk", Classes: []string{"read"}, Prefixes: []string{"map/", "run/"}, Fronts: []string{"resp2"}, ReadOnly: true},
 		{Tenant: "shop", MaxValue: 10, Rate: 2},
 	}, nil)
-	ok := Ask{Class: "read", Key: []byte("map/1"), Front: "resp2"}
-	edit := func(f func(*Ask)) Ask { a := ok; f(&a); return a }
+	ok := Request{Class: "read", Key: []byte("map/1"), Front: "resp2"}
+	edit := func(f func(*Request)) Request { a := ok; f(&a); return a }
 	for name, c := range map[string]struct {
 		tenant string
-		ask    Ask
-		want   Why
+		ask    Request
+		want   Reason
 	}{
-		"all":                 {"app", edit(func(a *Ask) { a.Write, a.Size, a.Class = true, 1<<20, "order" }), 0},
-		"a tenant not named":  {"else", ok, Right},
+		"all":                 {"app", edit(func(a *Request) { a.Write, a.ValueSize, a.Class = true, 1<<20, "order" }), 0},
+		"a tenant not named":  {"else", ok, NoRight},
 		"a kiosk's read":      {"kiosk", ok, 0},
-		"a kiosk's order":     {"kiosk", edit(func(a *Ask) { a.Class, a.Write = "order", true }), Right},
-		"a write as a read":   {"kiosk", edit(func(a *Ask) { a.Write = true }), Right},
-		"another prefix":      {"kiosk", edit(func(a *Ask) { a.Key = []byte("order/1") }), Right},
-		"another front":       {"kiosk", edit(func(a *Ask) { a.Front = "extproc" }), Right},
-		"a value in bounds":   {"shop", edit(func(a *Ask) { a.Write, a.Size = true, 10 }), 0},
-		"a value past bounds": {"shop", edit(func(a *Ask) { a.Write, a.Size = true, 11 }), Right},
+		"a kiosk's order":     {"kiosk", edit(func(a *Request) { a.Class, a.Write = "order", true }), NoRight},
+		"a write as a read":   {"kiosk", edit(func(a *Request) { a.Write = true }), NoRight},
+		"another prefix":      {"kiosk", edit(func(a *Request) { a.Key = []byte("order/1") }), NoRight},
+		"another front":       {"kiosk", edit(func(a *Request) { a.Front = "extproc" }), NoRight},
+		"a value in bounds":   {"shop", edit(func(a *Request) { a.Write, a.ValueSize = true, 10 }), 0},
+		"a value past bounds": {"shop", edit(func(a *Request) { a.Write, a.ValueSize = true, 11 }), NoRight},
 	} {
-		if err := p.May(epoch, c.tenant, c.ask); WhyOf(err) != c.want {
+		if err := p.Authorize(epoch, c.tenant, c.ask); ReasonOf(err) != c.want {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
 	}
 	allowed := 0
 	for i := range 100 { // ten seconds
 		now := epoch.Add(10*time.Second + time.Duration(i)*100*time.Millisecond)
-		if p.May(now, "shop", ok) == nil {
+		if p.Authorize(now, "shop", ok) == nil {
 			allowed++
 		}
 		if i == 50 { // a file read again gives no second burst
@@ -334,13 +334,13 @@
 
 // An order's token is good for one order, unless that has surely not run; and no id is forgotten while it may come again.
 func TestReplays(t *testing.T) {
-	r := Replays{Most: 3}
+	r := ReplayGuard{MaxIDs: 3}
 	proof := func(id string, life time.Duration) *Proof {
-		return &Proof{Tenant: "acme", ID: id, Until: epoch.Add(life)}
+		return &Proof{Tenant: "acme", ID: id, ExpiresAt: epoch.Add(life)}
 	}
-	use := func(at time.Duration, p *Proof, want Why) {
+	use := func(at time.Duration, p *Proof, want Reason) {
 		t.Helper()
-		if err := r.Use(epoch.Add(at), p); WhyOf(err) != want {
+		if err := r.Use(epoch.Add(at), p); ReasonOf(err) != want {
 			t.Errorf("%s at %v: %v, want %v", p.ID, at, err, want)
 		}
 	}
@@ -364,11 +364,11 @@
 	a := newSigner(f, "a", jose.EdDSA)
 	keys := keySet(f, a.jwk(f, ""))
 	good := a.sign(f, claims(), nil)
-	for _, s := range []string{good, "", "..", "a.b.c", good[:len(good)-3], "." + good, segment(`{"alg":"none"}`) + ".e30."} {
+	for _, s := range []string{good, "", "..", "a.b.c", good[:len(good)-3], "." + good, encodeSegment(`{"alg":"none"}`) + ".e30."} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, token []byte) {
-		v := NewVerifier(terms, keys)
+		v := NewVerifier(testRequirements, keys)
 		p, err := v.Check(epoch, token, false)
 		if err == nil && (p.Tenant != "acme" || !bytes.Equal(bytes.TrimSpace(token), []byte(good))) {
 			t.Errorf("%q proves %+v", token, p)
@@ -383,7 +383,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		k, err := ParseKeys(text)
+		k, err := ParseKeySet(text)
 		if err == nil && (len(k.List) == 0 || len(k.List) != len(k.ByID)) {
 			t.Errorf("%q: %+v", text, k)
 		}
@@ -396,8 +396,8 @@
 		keys, token := keySet(b, s.jwk(b, "")), []byte(s.sign(b, claims(), nil))
 		for _, size := range []int{0, 8} {
 			b.Run(fmt.Sprintf("%s/seen=%v", alg, size > 0), func(b *testing.B) {
-				t := terms
-				t.CacheSize, t.ChecksPerS = size, 1e12
+				t := testRequirements
+				t.CacheSize, t.ChecksPerSecond = size, 1e12
 				v := NewVerifier(t, keys)
 				for b.Loop() {
 					if _, err := v.Check(epoch, token, false); err != nil {
@@ -425,9 +425,9 @@
 		return float64(m.HeapAlloc)
 	}
 	for b.Loop() {
-		t := terms
-		t.CacheSize, t.ChecksPerS = tokens, 1e12
-		v, r, src := NewVerifier(t, keys), &Replays{Most: ids}, &Sources{Most: sources}
+		t := testRequirements
+		t.CacheSize, t.ChecksPerSecond = tokens, 1e12
+		v, r, src := NewVerifier(t, keys), &ReplayGuard{MaxIDs: ids}, &SuspectSources{MaxAddresses: sources}
 		at := heap()
 		for _, token := range signed {
 			if _, err := v.Check(epoch, token, false); err != nil {
@@ -437,18 +437,18 @@
 		b.ReportMetric(heap()-at, "B/known")
 		at = heap()
 		for i := range ids {
-			if err := r.Use(epoch, &Proof{Tenant: "kiosk", ID: fmt.Sprintf("%032x", i), Until: epoch.Add(time.Hour)}); err != nil {
+			if err := r.Use(epoch, &Proof{Tenant: "kiosk", ID: fmt.Sprintf("%032x", i), ExpiresAt: epoch.Add(time.Hour)}); err != nil {
 				b.Fatal(err)
 			}
 		}
 		b.ReportMetric(heap()-at, "B/replays")
 		at = heap()
 		for i := range sources {
-			src.Bad(epoch, netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}))
+			src.RecordForged(epoch, netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}))
 		}
 		b.ReportMetric(heap()-at, "B/suspects")
-		if v.Known() != tokens || r.Len() != ids || src.Len() != sources {
-			b.Fatalf("%d tokens, %d ids, %d addresses", v.Known(), r.Len(), src.Len())
+		if v.CacheLen() != tokens || r.Len() != ids || src.Len() != sources {
+			b.Fatalf("%d tokens, %d ids, %d addresses", v.CacheLen(), r.Len(), src.Len())
 		}
 	}
 }
--- a/internal/identity/keys.go
+++ b/internal/identity/keys.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxKeys    = 64
-	maxKeyText = 256 << 10
-	maxKeyID   = 64
-	leastRSA   = 2048
-	mostRSA    = 4096 // a check takes four times as long with each doubling
+	maxKeys        = 64
+	maxKeySetBytes = 256 << 10
+	maxKeyIDLen    = 64
+	minRSABits     = 2048
+	maxRSABits     = 4096 // a check takes four times as long with each doubling
 )
 
 // Algorithms are those that are accepted, whatever a token says of itself.
@@ -31,45 +31,45 @@
 
 // The phases of a key: nothing is accepted by it yet; what it has signed is accepted; nothing is accepted any more.
 const (
-	Coming Phase = iota
-	Active
-	Gone
+	PhaseComing Phase = iota
+	PhaseActive
+	PhaseRetired
 )
 
 func (p Phase) String() string { return [...]string{"coming", "active", "retired"}[p] }
 
 // Key is a public key, with the time in which it counts.
 type Key struct {
-	ID     string
-	Alg    jose.SignatureAlgorithm
-	Public any
-	From   time.Time // zero: since ever
-	Until  time.Time // zero: for good
-	print  string    // of the key itself: another key under the same id is another key
+	ID         string
+	Alg        jose.SignatureAlgorithm
+	Public     any
+	NotBefore  time.Time // zero: since ever
+	NotAfter   time.Time // zero: for good
+	thumbprint string    // of the key itself: another key under the same id is another key
 }
 
 // Phase tells where a key stands. Its moments are the operators', and hold without any leeway.
 func (k *Key) Phase(now time.Time) Phase {
 	switch {
-	case !k.Until.IsZero() && !now.Before(k.Until):
-		return Gone
-	case now.Before(k.From):
-		return Coming
+	case !k.NotAfter.IsZero() && !now.Before(k.NotAfter):
+		return PhaseRetired
+	case now.Before(k.NotBefore):
+		return PhaseComing
 	}
-	return Active
+	return PhaseActive
 }
 
-// Keys is a set of keys. It is never changed: another set takes its place.
-type Keys struct {
+// KeySet is a set of keys. It is never changed: another set takes its place.
+type KeySet struct {
 	ByID map[string]*Key
 	List []*Key // in the order of the file
 }
 
-// ParseKeys reads a JWK set (RFC 7517). Beside the standard's members a key may have nbf and exp, in seconds since 1970: when it
+// ParseKeySet reads a JWK set (RFC 7517). Beside the standard's members a key may have nbf and exp, in seconds since 1970: when it
 // begins to count, and from when on it is retired. One fault is enough to turn down the whole set.
-func ParseKeys(text []byte) (*Keys, error) {
-	if len(text) > maxKeyText {
-		return nil, fmt.Errorf("key set: %d bytes, more than %d", len(text), maxKeyText)
+func ParseKeySet(text []byte) (*KeySet, error) {
+	if len(text) > maxKeySetBytes {
+		return nil, fmt.Errorf("key set: %d bytes, more than %d", len(text), maxKeySetBytes)
 	}
 	var set struct {
 		Keys []json.RawMessage `json:"keys"`
@@ -83,7 +83,7 @@
 	if len(set.Keys) > maxKeys {
 		return nil, fmt.Errorf("key set: %d keys, more than %d", len(set.Keys), maxKeys)
 	}
-	ks := &Keys{ByID: map[string]*Key{}}
+	ks := &KeySet{ByID: map[string]*Key{}}
 	for i, raw := range set.Keys {
 		k, err := parseKey(raw)
 		if err != nil {
@@ -111,8 +111,8 @@
 		return nil, err
 	}
 	k := &Key{ID: jwk.KeyID, Public: jwk.Key}
-	if !plainID(k.ID) {
-		return nil, fmt.Errorf("kid %q: 1 to %d letters, digits, '-', '_' or '.'", k.ID, maxKeyID)
+	if !validKeyID(k.ID) {
+		return nil, fmt.Errorf("kid %q: 1 to %d letters, digits, '-', '_' or '.'", k.ID, maxKeyIDLen)
 	}
 	if jwk.Use != "" && jwk.Use != "sig" {
 		return nil, fmt.Errorf("use is %q, not sig", jwk.Use)
@@ -126,8 +126,8 @@
 		}
 		k.Alg = jose.ES256
 	case *rsa.PublicKey:
-		if n := pub.N.BitLen(); n < leastRSA || n > mostRSA {
-			return nil, fmt.Errorf("an RSA key of %d bits; it can have %d to %d", n, leastRSA, mostRSA)
+		if n := pub.N.BitLen(); n < minRSABits || n > maxRSABits {
+			return nil, fmt.Errorf("an RSA key of %d bits; it can have %d to %d", n, minRSABits, maxRSABits)
 		}
 		k.Alg = jose.RS256
 	default:
@@ -137,10 +137,10 @@
 		return nil, fmt.Errorf("alg is %q; a key of this kind makes %s", jwk.Algorithm, k.Alg)
 	}
 	if life.From != nil {
-		k.From = unix(*life.From)
+		k.NotBefore = unixTime(*life.From)
 	}
 	if life.Until != nil {
-		if k.Until = unix(*life.Until); !k.Until.After(k.From) {
+		if k.NotAfter = unixTime(*life.Until); !k.NotAfter.After(k.NotBefore) {
 			return nil, errors.New("exp is not after nbf")
 		}
 	}
@@ -148,14 +148,14 @@
 	if err != nil {
 		return nil, err
 	}
-	k.print = string(print)
+	k.thumbprint = string(print)
 	return k, nil
 }
 
-func unix(s float64) time.Time { return time.UnixMilli(int64(s * 1000)) }
+func unixTime(s float64) time.Time { return time.UnixMilli(int64(s * 1000)) }
 
-// plainID tells whether an id can be printed and compared as it is; nothing is ever opened by it.
-func plainID(id string) bool {
-	return id != "" && len(id) <= maxKeyID &&
+// validKeyID tells whether an id can be printed and compared as it is; nothing is ever opened by it.
+func validKeyID(id string) bool {
+	return id != "" && len(id) <= maxKeyIDLen &&
 		strings.Trim(id, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == ""
 }
--- a/internal/identity/sources.go
+++ b/internal/identity/sources.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// suspectFor is how long an address stays suspect after the latest forged token that came from it.
-const suspectFor = 30 * time.Second
+// suspectDuration is how long an address stays suspect after the latest forged token that came from it.
+const suspectDuration = 30 * time.Second
 
-// Sources remembers which addresses have shown a forged token lately: who brings one on each new connection would else look clean each
+// SuspectSources remembers which addresses have shown a forged token lately: who brings one on each new connection would else look clean each
 // time, and use up the half of the checks that is kept for those who are. Other faults of a token cost no check. It is bounded: where it is full, the address that has shown
 // none for longest is forgotten. Of IPv6 the first 64 bits count, as whoever has one address has all of those. It could do harm
 // behind an address that many share: one of them makes all use the open half.
-type Sources struct {
-	Most  int
-	seen  map[netip.Addr]*list.Element
-	order list.List // of *suspect, the latest in front
+type SuspectSources struct {
+	MaxAddresses int
+	byPrefix     map[netip.Addr]*list.Element
+	recent       list.List // of *suspect, the latest in front
 }
 
 type suspect struct {
-	addr  netip.Addr
-	until time.Time
+	prefix    netip.Addr
+	expiresAt time.Time
 }
 
-func source(a netip.Addr) netip.Addr {
+func sourcePrefix(a netip.Addr) netip.Addr {
 	if a = a.Unmap(); a.Is6() {
 		if p, err := a.WithZone("").Prefix(64); err == nil {
 			return p.Addr()
@@ -34,40 +34,40 @@
 }
 
 // Suspect tells whether an address has shown a forged token lately.
-func (s *Sources) Suspect(now time.Time, a netip.Addr) bool {
-	e := s.seen[source(a)]
-	return e != nil && now.Before(e.Value.(*suspect).until)
+func (s *SuspectSources) Suspect(now time.Time, a netip.Addr) bool {
+	e := s.byPrefix[sourcePrefix(a)]
+	return e != nil && now.Before(e.Value.(*suspect).expiresAt)
 }
 
-// Bad notes that a forged token came from an address.
-func (s *Sources) Bad(now time.Time, a netip.Addr) {
-	if a = source(a); !a.IsValid() || s.Most < 1 {
+// RecordForged notes that a forged token came from an address.
+func (s *SuspectSources) RecordForged(now time.Time, a netip.Addr) {
+	if a = sourcePrefix(a); !a.IsValid() || s.MaxAddresses < 1 {
 		return
 	}
-	if s.seen == nil {
-		s.seen = map[netip.Addr]*list.Element{}
+	if s.byPrefix == nil {
+		s.byPrefix = map[netip.Addr]*list.Element{}
 	}
-	if e := s.seen[a]; e != nil {
-		e.Value.(*suspect).until = now.Add(suspectFor)
-		s.order.MoveToFront(e)
+	if e := s.byPrefix[a]; e != nil {
+		e.Value.(*suspect).expiresAt = now.Add(suspectDuration)
+		s.recent.MoveToFront(e)
 		return
 	}
-	for len(s.seen) >= s.Most {
-		last := s.order.Back()
-		delete(s.seen, last.Value.(*suspect).addr)
-		s.order.Remove(last)
+	for len(s.byPrefix) >= s.MaxAddresses {
+		last := s.recent.Back()
+		delete(s.byPrefix, last.Value.(*suspect).prefix)
+		s.recent.Remove(last)
 	}
-	s.seen[a] = s.order.PushFront(&suspect{a, now.Add(suspectFor)})
+	s.byPrefix[a] = s.recent.PushFront(&suspect{a, now.Add(suspectDuration)})
 }
 
 // Len counts the addresses that are remembered.
-func (s *Sources) Len() int { return len(s.seen) }
+func (s *SuspectSources) Len() int { return len(s.byPrefix) }
 
-// Budget lets so many through a second, and a second's worth at once. It is not safe for concurrent use.
-type Budget struct{ bucket bucket }
+// RateLimiter lets so many through a second, and a second's worth at once. It is not safe for concurrent use.
+type RateLimiter struct{ bucket tokenBucket }
 
-// NewBudget makes a Budget.
-func NewBudget(perS float64) *Budget { return &Budget{bucket{rate: perS}} }
+// NewRateLimiter makes a Budget.
+func NewRateLimiter(perS float64) *RateLimiter { return &RateLimiter{tokenBucket{rate: perS}} }
 
-// Take tells whether one more may pass now.
-func (r *Budget) Take(now time.Time) bool { return r.bucket.take(now) }
+// Allow tells whether one more may pass now.
+func (r *RateLimiter) Allow(now time.Time) bool { return r.bucket.take(now) }
--- a/internal/operator/identity.go
+++ b/internal/operator/identity.go
@@ -86,9 +86,9 @@
 }
 
 // TokenRequirements are what a token has to fulfil.
-func (i *Identity) TokenRequirements() identity.Terms {
-	return identity.Terms{Issuer: i.Issuer, Audience: i.Audience, TenantClaim: i.TenantClaim, Leeway: i.Leeway.D(),
-		MaxLife: i.MaxLifetime.D(), CacheSize: i.TokenCacheSize, ChecksPerS: float64(i.ChecksPerSecond)}
+func (i *Identity) TokenRequirements() identity.TokenRequirements {
+	return identity.TokenRequirements{Issuer: i.Issuer, Audience: i.Audience, TenantClaim: i.TenantClaim, Leeway: i.Leeway.D(),
+		MaxLifetime: i.MaxLifetime.D(), CacheSize: i.TokenCacheSize, ChecksPerSecond: float64(i.ChecksPerSecond)}
 }
 
 func (d *decoder) checkIdentity(e *Identity) {
--- a/internal/proxy/callers.go
+++ b/internal/proxy/callers.go
@@ -20,7 +20,7 @@
 	Certificate(*tls.ConnectionState) (*identity.Proof, error)
 	TLS(front string) *tls.Config // of a front's listener; nil: it speaks plainly
 	Holds(*identity.Proof) error
-	May(*identity.Proof, identity.Ask) error
+	May(*identity.Proof, identity.Request) error
 	Release(*identity.Proof)
 }
 
@@ -40,7 +40,7 @@
 			c.proof = cmd.proof
 		} else {
 			c.proof = nil // who fails to prove another identity does not keep the one before
-			c.suspect = c.suspect || identity.WhyOf(cmd.denied) != identity.Overload
+			c.suspect = c.suspect || identity.ReasonOf(cmd.denied) != identity.Overloaded
 		}
 		cmd.token = nil
 		return
@@ -80,7 +80,7 @@
 	}
 	p, err := by.Prove(token, c.from, c.suspect)
 	if err != nil {
-		c.suspect = c.suspect || identity.WhyOf(err) != identity.Overload
+		c.suspect = c.suspect || identity.ReasonOf(err) != identity.Overloaded
 		return nil, err
 	}
 	c.held, c.heldBy = append(c.held[:0], token...), p
@@ -97,8 +97,8 @@
 	}
 	// Where orders are on record, the record knows which order has used a token, also over a restart, and a repeat of that one may come by it.
 	once := class.Effect == logic.AtMostOnce && p.cfg.Record == nil
-	err := p.cfg.Callers.May(r.By, identity.Ask{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, Once: once,
-		Size: max(len(r.Value), r.long)})
+	err := p.cfg.Callers.May(r.By, identity.Request{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, AtMostOnce: once,
+		ValueSize: max(len(r.Value), r.long)})
 	r.spent = err == nil && once
 	return err
 }
@@ -127,12 +127,12 @@
 		return resp.AppendError(b, "ERR "+err.Error())
 	}
 	first := errNoProof
-	switch e.Why {
-	case identity.Overload:
+	switch e.Reason {
+	case identity.Overloaded:
 		return resp.AppendError(b, "BUSY")
-	case identity.Unproven:
+	case identity.NoCredentials:
 		first = errNoAuth
-	case identity.Right, identity.Rate, identity.Replayed:
+	case identity.NoRight, identity.RateLimited, identity.Replayed:
 		first = errNoPerm
 	}
 	return resp.AppendError(b, string(resp.AppendLine(nil, first+e.Error())))
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -221,16 +221,16 @@
 func (f *fading) Name() string           { return "tk" }
 func (f *fading) TLS(string) *tls.Config { return nil }
 func (f *fading) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
-	return nil, &identity.Error{Why: identity.Unproven}
+	return nil, &identity.Error{Reason: identity.NoCredentials}
 }
 func (f *fading) Prove([]byte, netip.Addr, bool) (*identity.Proof, error) {
 	return &identity.Proof{Tenant: "shop", ID: "one"}, nil
 }
-func (f *fading) May(*identity.Proof, identity.Ask) error { return nil }
-func (f *fading) Release(*identity.Proof)                 { f.released.Add(1) }
+func (f *fading) May(*identity.Proof, identity.Request) error { return nil }
+func (f *fading) Release(*identity.Proof)                     { f.released.Add(1) }
 func (f *fading) Holds(*identity.Proof) error {
 	if f.gone.Load() > 0 {
-		return &identity.Error{Why: identity.Retired}
+		return &identity.Error{Reason: identity.KeyRetired}
 	}
 	return nil
 }
@@ -296,14 +296,14 @@
 
 func (b *busy) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
 	if b.seen.Add(1) > 1 {
-		return nil, &identity.Error{Why: identity.Overload}
+		return nil, &identity.Error{Reason: identity.Overloaded}
 	}
 	return b.fading.Prove(token, from, suspect)
 }
 
-func (b *busy) May(p *identity.Proof, _ identity.Ask) error {
+func (b *busy) May(p *identity.Proof, _ identity.Request) error {
 	if p == nil {
-		return &identity.Error{Why: identity.Unproven}
+		return &identity.Error{Reason: identity.NoCredentials}
 	}
 	return nil
 }
--- a/internal/proxy/command.go
+++ b/internal/proxy/command.go
@@ -32,7 +32,7 @@
 		if cmd.name = strings.ToUpper(string(name)); cmd.name == "AUTH" && c.p.cfg.Callers != nil && (n == 2 || n == 3) {
 			// A user's name, which clients may give in front of it, says nothing: the token names the tenant.
 			for range n - 1 {
-				if cmd.token, err = c.arg(nil, identity.MaxToken); err != nil {
+				if cmd.token, err = c.arg(nil, identity.MaxTokenBytes); err != nil {
 					return cmd, err
 				}
 			}
@@ -59,7 +59,7 @@
 func (c *client) texts(ends []int) (text []byte, err error) {
 	most := maxText
 	if c.p.cfg.Callers != nil {
-		most += identity.MaxToken
+		most += identity.MaxTokenBytes
 	}
 	text = make([]byte, 0, 96)
 	for i := range ends {
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -126,7 +126,7 @@
 	case err == nil:
 	case errors.Is(err, ErrBusy):
 		m.tell(k, manykeys.Refused, Answer{Kind: Refused}, nil)
-	case identity.WhyOf(err) != 0:
+	case identity.ReasonOf(err) != 0:
 		m.tell(k, manykeys.Denied, Answer{Kind: Failed}, err)
 	default:
 		m.tell(k, manykeys.Failed, Answer{Kind: Failed}, err)
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -96,7 +96,7 @@
 	if r.By != nil {
 		o.Tenant = r.By.Tenant
 		if r.By.ID != "" {
-			o.Token, o.TokenExpiry = r.By.ID, time.Duration(r.By.Until.UnixNano())
+			o.Token, o.TokenExpiry = r.By.ID, time.Duration(r.By.ExpiresAt.UnixNano())
 		}
 	}
 	r.rec = &recorded{name: o.Name, lr: lr}
@@ -138,7 +138,7 @@
 	case v == orders.RecordFull:
 		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: reasons.RecordFull})
 	case v == orders.TokenUsed:
-		r.denied = &identity.Error{Why: identity.Replayed}
+		r.denied = &identity.Error{Reason: identity.Replayed}
 		p.conclude(r.id, Answer{Kind: Failed, Why: logic.Rejected})
 	case v == orders.Receipt && slices.Contains(p.cfg.Receipts, r.Front):
 		r.done = true
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -329,7 +329,7 @@
 
 // fault counts a command that could not be carried out, but for those that only came too often.
 func (c *client) fault(err error) {
-	if why := identity.WhyOf(err); why != identity.Rate && why != identity.Overload {
+	if why := identity.ReasonOf(err); why != identity.RateLimited && why != identity.Overloaded {
 		c.faults++
 	}
 }
