--- a/cmd/linenloom/launch_test.go
+++ b/cmd/linenloom/launch_test.go
@@ -10,14 +10,14 @@
 )
 
 // launch starts the program, by the test's binary, and waits until it says that it is ready. The log may be that of processes before it.
-func launch(t *testing.T, log *lines, args []string, env ...string) *exec.Cmd {
+func launch(t *testing.T, log *logCounter, args []string, env ...string) *exec.Cmd {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(self, args...)
-	cmd.Env = append(append(os.Environ(), asProxy+"=1"), env...)
+	cmd.Env = append(append(os.Environ(), asProgram+"=1"), env...)
 	cmd.Stderr = log
 	was := log.count("msg=ready")
 	if err := cmd.Start(); err != nil {
@@ -32,8 +32,8 @@
 	return cmd
 }
 
-// patient has a fleet's settings give requests a minute, and further limits of theirs.
-func patient(fleet *standin.Fleet, limits map[string]any) {
+// extendDeadlines has a fleet's settings give requests a minute, and further limits of theirs.
+func extendDeadlines(fleet *standin.Fleet, limits map[string]any) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
 		c.(map[string]any)["aim_ms"], c.(map[string]any)["deadline_ms"] = 60e3, 60e3
--- a/cmd/linenloom/leave_test.go
+++ b/cmd/linenloom/leave_test.go
@@ -19,13 +19,13 @@
 	"linenloom/internal/standin"
 )
 
-// leftFor is the time that the rule itself gives: a request whose client has left is not sent on so much later.
-const leftFor = 300 * time.Millisecond
+// clientGoneDelay is the time that the rule itself gives: a request whose client has left is not sent on so much later.
+const clientGoneDelay = 300 * time.Millisecond
 
 // An order waits at a process for a connection to the origin; another process takes its place, and it is told to end, which a read at a box
 // that hangs keeps it from for a while. The order's client leaves: it is not sent once the connection is up. The next order goes to the new
 // process.
-func TestClientLeavesThroughAnUpgrade(t *testing.T) {
+func TestClientLeavesDuringUpgrade(t *testing.T) {
 	const patience = 20 * time.Second
 	fleet, err := standin.NewFleet(1, 100)
 	if err != nil {
@@ -40,7 +40,7 @@
 	fleet.Boxes[0].SetFault(standin.Stall)
 	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
-	patient(fleet, map[string]any{"cancel": false, "connect_timeout_ms": 20e3})
+	extendDeadlines(fleet, map[string]any{"cancel": false, "connect_timeout_ms": 20e3})
 	listen, tmp := freeAddr(t), t.TempDir()
 	text, err := fleet.Config("n0", listen, "7", 64, 256)
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 	path := filepath.Join(tmp, "config.json")
 	apptest.Replace(t, path, text)
-	log := &lines{to: t.Output()}
+	log := &logCounter{output: t.Output()}
 	start := func() *exec.Cmd { return launch(t, log, nil, "LB_CONFIG="+path, "TMPDIR="+tmp) }
 	ask := func(text string) net.Conn {
 		conn := dial(t, listen)
@@ -70,7 +70,7 @@
 	start()
 	old.Process.Signal(syscall.SIGTERM)
 	left.Close()
-	time.Sleep(leftFor)
+	time.Sleep(clientGoneDelay)
 	var mu sync.Mutex
 	var asked []string
 	door.Serve(func(conn net.Conn) {
--- a/cmd/linenloom/main.go
+++ b/cmd/linenloom/main.go
@@ -18,10 +18,10 @@
 
 func main() {
 	g := app.Program{
-		Name: "linenloom", Elsewhere: elsewhere,
+		Name: "linenloom", ExecOther: execProcessor,
 		Commands: map[string]func([]string) int{"demo": demo.Run, "token": idcmd.Token, "keys": idcmd.Keys, "orders": ordercmd.Run, "store": storecmd.Run,
 			"members": zonecmd.Members, "zone": zonecmd.Zone},
-		About: `       linenloom demo                  a fleet of stand-ins, traffic, and what becomes of it
+		HelpText: `       linenloom demo                  a fleet of stand-ins, traffic, and what becomes of it
        linenloom token sign|inspect    tokens that prove callers
        linenloom keys list|rotate      the keys that sign them
        linenloom orders list|show|settle|check|compact    the record of orders
@@ -36,19 +36,19 @@
 	}
 }
 
-// processor is the program with the external processor and with membership. It is one of its own, since the libraries that these need
+// processorName is the program with the external processor and with membership. It is one of its own, since the libraries that these need
 // would cost this one megabytes that the platform does not have (docs/extproc.md has the figures).
-const processor = "linenproc"
+const processorName = "linenproc"
 
-// elsewhere becomes the other program, under the same process id.
-func elsewhere(args []string) error {
+// execProcessor becomes the other program, under the same process id.
+func execProcessor(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("[extproc] and [instances] are served by %s: %w", processor, err)
+		return fmt.Errorf("[extproc] and [instances] are served by %s: %w", processorName, err)
 	}
-	path := filepath.Join(filepath.Dir(self), processor)
+	path := filepath.Join(filepath.Dir(self), processorName)
 	if err := syscall.Exec(path, append([]string{path}, args...), os.Environ()); err != nil {
-		return fmt.Errorf("[extproc] and [instances] are served by %s, which should stand beside this program (%s): %w", processor, path, err)
+		return fmt.Errorf("[extproc] and [instances] are served by %s, which should stand beside this program (%s): %w", processorName, path, err)
 	}
 	return nil
 }
--- a/cmd/linenloom/main_test.go
+++ b/cmd/linenloom/main_test.go
@@ -15,11 +15,11 @@
 	"linenloom/internal/app/apptest"
 )
 
-// asProxy makes the test's binary be the program, so that signals reach a process of its own.
-const asProxy = "LINENLOOM_TEST_AS_PROXY"
+// asProgram makes the test's binary be the program, so that signals reach a process of its own.
+const asProgram = "LINENLOOM_TEST_AS_PROXY"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProxy) != "" {
+	if os.Getenv(asProgram) != "" {
 		main()
 		return
 	}
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), asProxy+"=1", "LB_CONFIG="+path, "LB_DISCOVERY="+first)
+	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+path, "LB_DISCOVERY="+first)
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/linenloom/orders_test.go
+++ b/cmd/linenloom/orders_test.go
@@ -42,7 +42,7 @@
 	}
 	start := func() *exec.Cmd {
 		t.Helper()
-		return launch(t, &lines{to: t.Output()}, []string{"-operator", operator}, "LB_CONFIG="+config, "TMPDIR="+tmp)
+		return launch(t, &logCounter{output: t.Output()}, []string{"-operator", operator}, "LB_CONFIG="+config, "TMPDIR="+tmp)
 	}
 	process := start()
 	at := &lab.Orderer{Addr: listen, Name: "o", Wait: 4 * time.Second}
@@ -90,7 +90,7 @@
 	// A folder that somebody else has open, and who is not followed: the program says so and ends.
 	one := start()
 	cmd := exec.Command(self, "-operator", operator)
-	cmd.Env = append(os.Environ(), asProxy+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
+	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
 	said, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(said), "another process has it open") {
 		t.Errorf("a second process: %v, %s", err, said)
--- a/cmd/linenloom/stop_test.go
+++ b/cmd/linenloom/stop_test.go
@@ -19,7 +19,7 @@
 // The program is told to end with an order at an origin that hangs, a read at a cache that hangs and half a command, by its signals in
 // every order that occurs. Each has its answer before the process may be killed, 3 s and 0.7 s after the first, and it ends by itself,
 // well, though the deadlines lie far beyond that.
-func TestSignalsWithRequestsThatHang(t *testing.T) {
+func TestSignalsWithStalledRequests(t *testing.T) {
 	const patience = 20 * time.Second
 	term, hup := os.Signal(syscall.SIGTERM), os.Signal(syscall.SIGHUP)
 	for name, signals := range map[string][]os.Signal{
@@ -38,7 +38,7 @@
 			t.Cleanup(fleet.Close)
 			fleet.Boxes[0].SetFault(standin.Stall)
 			fleet.Origin.SetFault(standin.Stall)
-			patient(fleet, nil)
+			extendDeadlines(fleet, nil)
 			listen := freeAddr(t)
 			text, err := fleet.Config("n0", listen, "7", 64, 256)
 			if err != nil {
@@ -46,7 +46,7 @@
 			}
 			path := filepath.Join(t.TempDir(), "config.json")
 			apptest.Replace(t, path, text)
-			cmd := launch(t, &lines{to: t.Output()}, nil, "LB_CONFIG="+path, "TMPDIR="+t.TempDir())
+			cmd := launch(t, &logCounter{output: t.Output()}, nil, "LB_CONFIG="+path, "TMPDIR="+t.TempDir())
 			conn := dial(t, listen)
 			conn.SetDeadline(time.Now().Add(patience))
 			half := dial(t, listen)
@@ -83,7 +83,7 @@
 // What happens: a signal that comes once the drain is over, and before the process has ended, ends it by its default, and not with status 0: whoever
 // looks after the process takes that for a crash. Nothing is lost by it. Why: signals are let go of (NotifyContext's stop) before the process ends.
 // Seen in the soak of planned restarts: "terminated at 0s, interrupt at 936ms", deadlines of 0.8 s: "the process ended with status -1".
-func TestEndsWellUnderRepeatedSignals(t *testing.T) {
+func TestRepeatedSignalsExitCleanly(t *testing.T) {
 	fleet, err := standin.NewFleet(1, 100)
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	apptest.Replace(t, path, text)
 	for range 5 {
-		cmd := launch(t, &lines{to: t.Output()}, nil, "LB_CONFIG="+path, "TMPDIR="+t.TempDir())
+		cmd := launch(t, &logCounter{output: t.Output()}, nil, "LB_CONFIG="+path, "TMPDIR="+t.TempDir())
 		ended := make(chan error, 1)
 		go func() { ended <- cmd.Wait() }()
 		signals := time.NewTicker(200 * time.Microsecond)
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -48,7 +48,7 @@
 		status, _ := lab.Call(method, addr, path, body)
 		return status
 	}
-	log := &lines{to: t.Output()}
+	log := &logCounter{output: t.Output()}
 	start := func(mgmt string) *exec.Cmd {
 		cmd := launch(t, log, nil, "LB_CONFIG="+path, "LB_MGMT="+mgmt, "TMPDIR="+tmp)
 		for end := time.Now().Add(patience); call("GET", mgmt, "/status", "") != 200; time.Sleep(10 * time.Millisecond) {
@@ -164,21 +164,21 @@
 	}
 }
 
-// lines passes a log on and counts what it says.
-type lines struct {
-	to   io.Writer
-	mu   sync.Mutex
-	text strings.Builder
+// logCounter passes a log on and counts what it says.
+type logCounter struct {
+	output io.Writer
+	mu     sync.Mutex
+	text   strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logCounter) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text.Write(b)
-	return l.to.Write(b)
+	return l.output.Write(b)
 }
 
-func (l *lines) count(what string) int {
+func (l *logCounter) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), what)
--- a/cmd/linenproc/main.go
+++ b/cmd/linenproc/main.go
@@ -17,12 +17,12 @@
 func main() {
 	g := app.Program{
 		Name: "linenproc",
-		About: `This is linenloom with the external processor; docs/extproc-operators.md tells how to set it up.
+		HelpText: `This is linenloom with the external processor; docs/extproc-operators.md tells how to set it up.
 `,
-		ExtProc: func(p *proxy.Proxy, file *operator.File, log *slog.Logger) (app.Front, error) {
+		NewExtProc: func(p *proxy.Proxy, file *operator.File, log *slog.Logger) (app.Front, error) {
 			return server.New(p, file, log)
 		},
-		Instances: func(j app.Joined) (app.Fleet, error) { return instances.New(j) },
+		NewFleet: func(j app.FleetConfig) (app.Fleet, error) { return instances.New(j) },
 	}
 	if status := g.Main(os.Args[1:]); status != 0 {
 		os.Exit(status)
--- a/cmd/linenproc/main_test.go
+++ b/cmd/linenproc/main_test.go
@@ -29,10 +29,10 @@
 	os.Exit(m.Run())
 }
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-// place is a processor's files and, while it runs, its process.
-type place struct {
+// processor is a processor's files and, while it runs, its process.
+type processor struct {
 	t                    *testing.T
 	config, file, socket string
 	cmd                  *exec.Cmd
@@ -40,24 +40,24 @@
 	fleet                *standin.Fleet
 }
 
-func newPlace(t *testing.T, mode string) *place {
+func newProcessor(t *testing.T, mode string) *processor {
 	t.Helper()
 	fleet, err := standin.NewFleet(3, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	return newPlaceBefore(t, mode, fleet)
+	return newProcessorWithFleet(t, mode, fleet)
 }
 
-func newPlaceBefore(t *testing.T, mode string, fleet *standin.Fleet) *place {
+func newProcessorWithFleet(t *testing.T, mode string, fleet *standin.Fleet) *processor {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "lp") // the path of a unix socket is short
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	p := &place{t: t, fleet: fleet, config: filepath.Join(dir, "config.json"), file: filepath.Join(dir, "op.toml"),
+	p := &processor{t: t, fleet: fleet, config: filepath.Join(dir, "config.json"), file: filepath.Join(dir, "op.toml"),
 		socket: filepath.Join(dir, "x.sock")}
 	text, err := fleet.Config("n0", "127.0.0.1:0", "8c1f30d27a5be964", 128, 512)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return p
 }
 
-func (p *place) write(path, text string) {
+func (p *processor) write(path, text string) {
 	p.t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
@@ -90,7 +90,7 @@
 }
 
 // start starts the program and waits until it listens.
-func (p *place) start() {
+func (p *processor) start() {
 	p.t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -121,9 +121,9 @@
 	p.await("extproc listens")
 }
 
-func (p *place) await(text string) {
+func (p *processor) await(text string) {
 	p.t.Helper()
-	limit := time.After(patience)
+	limit := time.After(waitTimeout)
 	for {
 		select {
 		case line, ok := <-p.lines:
@@ -140,7 +140,7 @@
 }
 
 // caller makes a caller of the place, and of others where it is away.
-func (p *place) caller(others ...*place) *caller.Caller {
+func (p *processor) caller(others ...*processor) *caller.Caller {
 	p.t.Helper()
 	targets := []string{"unix://" + p.socket}
 	for _, o := range others {
@@ -150,7 +150,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	c.Retries, c.RetryFailed = 4, clientWaits/2
+	c.Retries, c.RetryFailed = 4, clientTimeout/2
 	p.t.Cleanup(c.Close)
 	return c
 }
@@ -160,15 +160,15 @@
 	served, processorFailed, failed, refused atomic.Int64
 	late                                     atomic.Int64
 	stop                                     chan struct{}
-	g                                        sync.WaitGroup
+	workers                                  sync.WaitGroup
 }
 
-const clientWaits = 3 * time.Second
+const clientTimeout = 3 * time.Second
 
-func load(c *caller.Caller) *clients {
+func startClients(c *caller.Caller) *clients {
 	l := &clients{stop: make(chan struct{})}
 	for w := range 8 {
-		l.g.Go(func() {
+		l.workers.Go(func() {
 			for i := 0; ; i++ {
 				select {
 				case <-l.stop:
@@ -180,7 +180,7 @@
 				if i%2 == 1 {
 					q = caller.Request{Method: "PUT", Path: "/orders/o" + id, Headers: map[string]string{"x-request-id": "w" + id}, Body: []byte("one pass")}
 				}
-				l.ask(c, q)
+				l.send(c, q)
 			}
 		})
 	}
@@ -191,14 +191,14 @@
 func (l *clients) end(t *testing.T) {
 	t.Helper()
 	close(l.stop)
-	l.g.Wait()
+	l.workers.Wait()
 	if n := l.late.Load(); n > 0 {
 		t.Errorf("%d clients waited past their time", n)
 	}
 }
 
-func (l *clients) ask(c *caller.Caller, q caller.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), clientWaits)
+func (l *clients) send(c *caller.Caller, q caller.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	res := c.Do(ctx, q)
 	if ctx.Err() != nil {
@@ -216,9 +216,9 @@
 	}
 }
 
-func (p *place) eventually(what string, ok func() bool) {
+func (p *processor) waitUntil(what string, ok func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
@@ -226,7 +226,7 @@
 	p.t.Fatalf("never came about: %s", what)
 }
 
-func (p *place) onceEach() {
+func (p *processor) checkAtMostOnce() {
 	p.t.Helper()
 	ran := p.fleet.Origin.Executions()
 	if len(ran) == 0 {
@@ -243,26 +243,26 @@
 func TestKilledUnderLoad(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
-			p := newPlace(t, mode)
+			p := newProcessor(t, mode)
 			p.fleet.Origin.SetService(5*time.Millisecond, 0) // most orders in hand at a kill have run
 			p.start()
 			c := p.caller()
 			c.MessageTimeout = time.Second
-			l := load(c)
+			l := startClients(c)
 			for range 3 {
 				before := l.served.Load()
-				p.eventually("it serves", func() bool { return l.served.Load() > before+100 })
+				p.waitUntil("it serves", func() bool { return l.served.Load() > before+100 })
 				p.cmd.Process.Kill()
 				p.cmd.Wait()
 				p.start()
 			}
 			before := l.served.Load()
-			p.eventually("it serves again", func() bool { return l.served.Load() > before+100 })
+			p.waitUntil("it serves again", func() bool { return l.served.Load() > before+100 })
 			l.end(t)
 			if l.failed.Load() == 0 {
 				t.Error("no order met the kill")
 			}
-			p.onceEach()
+			p.checkAtMostOnce()
 		})
 	}
 }
@@ -273,8 +273,8 @@
 	for _, mode := range []string{"answer", "route"} {
 		for _, duplex := range []bool{false, true} {
 			t.Run(fmt.Sprint(mode, "/duplex=", duplex), func(t *testing.T) {
-				a := newPlace(t, mode)
-				b := newPlaceBefore(t, mode, a.fleet)
+				a := newProcessor(t, mode)
+				b := newProcessorWithFleet(t, mode, a.fleet)
 				a.fleet.Origin.SetService(3*time.Millisecond, 0)
 				a.start()
 				b.start()
@@ -283,13 +283,13 @@
 				if duplex {
 					c.SetFullDuplex()
 				}
-				l := load(c)
+				l := startClients(c)
 				serves := func() {
 					before := l.served.Load()
-					a.eventually("they serve", func() bool { return l.served.Load() > before+150 })
+					a.waitUntil("they serve", func() bool { return l.served.Load() > before+150 })
 				}
 				serves()
-				for _, p := range []*place{a, b, a} {
+				for _, p := range []*processor{a, b, a} {
 					p.cmd.Process.Signal(syscall.SIGTERM)
 					if err := p.cmd.Wait(); err != nil {
 						t.Errorf("after SIGTERM it ended with %v", err)
@@ -301,7 +301,7 @@
 				if f, d := l.processorFailed.Load(), l.failed.Load(); f+d > 0 {
 					t.Errorf("SIGTERM cost %d requests their processor and failed %d", f, d)
 				}
-				for _, p := range []*place{a, b, a, b} {
+				for _, p := range []*processor{a, b, a, b} {
 					p.cmd.Process.Kill()
 					p.cmd.Wait()
 					serves()
@@ -313,7 +313,7 @@
 					t.Errorf("%d requests ended with no processor's answer", n)
 				}
 				t.Logf("served %d, refused %d, failed %d", l.served.Load(), l.refused.Load(), l.failed.Load())
-				a.onceEach()
+				a.checkAtMostOnce()
 			})
 		}
 	}
@@ -321,34 +321,34 @@
 
 // Frozen mid-stream: callers go by their message timeout and failure_mode_allow, no client waits past its time, and once
 // it goes on, it serves as before.
-func TestFrozen(t *testing.T) {
+func TestFrozenProcess(t *testing.T) {
 	for _, allow := range []bool{false, true} {
 		t.Run(fmt.Sprintf("failure_mode_allow %v", allow), func(t *testing.T) {
-			p := newPlace(t, "answer")
+			p := newProcessor(t, "answer")
 			p.start()
 			c := p.caller()
 			c.MessageTimeout, c.FailureModeAllow = 200*time.Millisecond, allow
-			l := load(c)
-			p.eventually("it serves", func() bool { return l.served.Load() > 100 })
+			l := startClients(c)
+			p.waitUntil("it serves", func() bool { return l.served.Load() > 100 })
 			p.cmd.Process.Signal(syscall.SIGSTOP)
-			p.eventually("callers give it up", func() bool { return l.processorFailed.Load()+l.failed.Load() >= 16 })
+			p.waitUntil("callers give it up", func() bool { return l.processorFailed.Load()+l.failed.Load() >= 16 })
 			p.cmd.Process.Signal(syscall.SIGCONT)
 			before := l.served.Load()
-			p.eventually("it serves again", func() bool { return l.served.Load() > before+100 })
+			p.waitUntil("it serves again", func() bool { return l.served.Load() > before+100 })
 			l.end(t)
-			p.onceEach()
+			p.checkAtMostOnce()
 		})
 	}
 }
 
 // SIGHUP takes over what can change and says what can't; a faulty file changes nothing and names its line.
 func TestReload(t *testing.T) {
-	p := newPlace(t, "answer")
+	p := newProcessor(t, "answer")
 	p.start()
 	c := p.caller()
-	c.MessageTimeout = patience
+	c.MessageTimeout = waitTimeout
 	status := func(path string) int {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		return c.Do(ctx, caller.Request{Method: "GET", Path: path, Headers: map[string]string{}}).Status
 	}
@@ -381,7 +381,7 @@
 
 // A file at fault is named line by line, with status 2, before anything listens.
 func TestFaultyFileAtTheStart(t *testing.T) {
-	p := newPlace(t, "neither")
+	p := newProcessor(t, "neither")
 	text, _ := os.ReadFile(p.file)
 	p.write(p.file, strings.Replace(string(text), "pass-order", "no-such-class", 1))
 	self, _ := os.Executable()
--- a/cmd/linenproc/orders_test.go
+++ b/cmd/linenproc/orders_test.go
@@ -22,7 +22,7 @@
 	for mode, kills := range map[string]int{"answer": 12, "route": 10} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			p := newPlace(t, mode)
+			p := newProcessor(t, mode)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -71,7 +71,7 @@
 						default:
 						}
 						key := fmt.Sprintf("ext-%d-%d", w, n)
-						ctx, cancel := context.WithTimeout(context.Background(), patience)
+						ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 						res := c.Do(ctx, caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass"),
 							Headers: map[string]string{"x-request-id": "r" + key, "x-tenant": "kiosk", "idempotency-key": key}})
 						cancel()
@@ -87,7 +87,7 @@
 			progress := func() {
 				t.Helper()
 				r, e := at.Served.Load(), served.Load()
-				p.eventually("both fronts serve", func() bool { return at.Served.Load() > r+15 && served.Load() > e+15 })
+				p.waitUntil("both fronts serve", func() bool { return at.Served.Load() > r+15 && served.Load() > e+15 })
 			}
 			for range kills {
 				progress()
@@ -103,7 +103,7 @@
 			if err := p.cmd.Wait(); err != nil {
 				t.Error(err)
 			}
-			p.onceEach()
+			p.checkAtMostOnce()
 			told := at.Told()
 			if mode == "answer" { // in the other one receipts don't come through here
 				for key, receipt := range receipts {
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -28,16 +28,16 @@
 )
 
 const (
-	// collectPercent lets the heap, which is small, grow by this much between collections: on a part of a
-	// core their cost matters more than the memory, which memoryShare bounds.
-	collectPercent = 400
-	memoryShare    = 0.7 // of the memory for the heap; past it the collector runs as often as it must
+	// gcPercent lets the heap, which is small, grow by this much between collections: on a part of a
+	// core their cost matters more than the memory, which heapShare bounds.
+	gcPercent = 400
+	heapShare = 0.7 // of the memory for the heap; past it the collector runs as often as it must
 )
 
 // Exit statuses.
 const (
 	exitFailed = 1
-	exitFaulty = 2 // the command line or the operator's file is at fault; nothing was opened
+	exitUsage  = 2 // the command line or the operator's file is at fault; nothing was opened
 )
 
 // Front is a front that a program adds and that takes over new settings while it runs.
@@ -48,15 +48,15 @@
 
 // Program is a program that hosts a proxy.
 type Program struct {
-	Name  string
-	About string // for -h, after the usage
-	// ExtProc makes the external processor's front. A program without one hands over to Elsewhere.
-	ExtProc   func(*proxy.Proxy, *operator.File, *slog.Logger) (Front, error)
-	Elsewhere func(args []string) error
-	// Instances makes this process one of several that know of one another. A program without it hands over to Elsewhere too.
-	Instances func(Joined) (Fleet, error)
-	// Disk is what lasts, by its folder; nil: the machine's own.
-	Disk func(dir string) disk.FS
+	Name     string
+	HelpText string // for -h, after the usage
+	// NewExtProc makes the external processor's front. A program without one hands over to Elsewhere.
+	NewExtProc func(*proxy.Proxy, *operator.File, *slog.Logger) (Front, error)
+	ExecOther  func(args []string) error
+	// NewFleet makes this process one of several that know of one another. A program without it hands over to Elsewhere too.
+	NewFleet func(FleetConfig) (Fleet, error)
+	// OpenDisk is what lasts, by its folder; nil: the machine's own.
+	OpenDisk func(dir string) disk.FS
 	// Commands are further commands, by name.
 	Commands map[string]func(args []string) int
 }
@@ -74,7 +74,7 @@
 	case "", "check":
 	default:
 		fmt.Fprintf(os.Stderr, "%s: unknown command %q; see %s -h\n", g.Name, command, g.Name)
-		return exitFaulty
+		return exitUsage
 	}
 	flags := flag.NewFlagSet(g.Name, flag.ContinueOnError)
 	path := flags.String("operator", "", "the operator's `FILE`: what is switched on beside the platform's proxy")
@@ -88,26 +88,26 @@
 		if errors.Is(err, flag.ErrHelp) {
 			return 0
 		}
-		return exitFaulty
+		return exitUsage
 	}
 	if flags.NArg() > 0 {
 		fmt.Fprintf(os.Stderr, "%s: unexpected argument %q; see %s -h\n", g.Name, flags.Arg(0), g.Name)
-		return exitFaulty
+		return exitUsage
 	}
 	file := &operator.File{}
 	if *path != "" {
 		var err error
 		if file, err = operator.Load(*path); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return exitFaulty
+			return exitUsage
 		}
 	}
 	if command == "check" {
 		return g.check(*path, file)
 	}
-	if file.ExtProc != nil && g.ExtProc == nil || file.Instances != nil && g.Instances == nil {
+	if file.ExtProc != nil && g.NewExtProc == nil || file.Instances != nil && g.NewFleet == nil {
 		// It does not return where it could start the other program.
-		fmt.Fprintf(os.Stderr, "%s: %v\n", g.Name, g.Elsewhere(args))
+		fmt.Fprintf(os.Stderr, "%s: %v\n", g.Name, g.ExecOther(args))
 		return exitFailed
 	}
 	level := slog.LevelInfo
@@ -118,7 +118,7 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", g.Name, err)
 		var faults operator.Faults
 		if errors.As(err, &faults) {
-			return exitFaulty
+			return exitUsage
 		}
 		return exitFailed
 	}
@@ -128,7 +128,7 @@
 func (g *Program) usage(w io.Writer, flags *flag.FlagSet) {
 	fmt.Fprintf(w, "usage: %s [-operator FILE]        serve, as LB_CONFIG says\n", g.Name)
 	fmt.Fprintf(w, "       %s check -operator FILE    check the operator's file, and open nothing\n", g.Name)
-	fmt.Fprint(w, g.About)
+	fmt.Fprint(w, g.HelpText)
 	flags.PrintDefaults()
 }
 
@@ -136,7 +136,7 @@
 func (g *Program) check(path string, file *operator.File) int {
 	if path == "" {
 		fmt.Fprintf(os.Stderr, "%s check: -operator FILE is missing\n", g.Name)
-		return exitFaulty
+		return exitUsage
 	}
 	against := "not checked against a configuration: LB_CONFIG is not set"
 	if os.Getenv("LB_CONFIG") != "" {
@@ -145,18 +145,18 @@
 			fmt.Fprintln(os.Stderr, "configuration:", err)
 			return exitFailed
 		}
-		settings, err := cfg.proxy()
+		settings, err := cfg.proxyConfig()
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "configuration:", err)
 			return exitFailed
 		}
 		if err := file.CheckClasses(logic.ClassNames(settings.Settings.Classes)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return exitFaulty
+			return exitUsage
 		}
 		if _, err := file.Regions(settings.Zones); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return exitFaulty
+			return exitUsage
 		}
 		against = "its classes are those of LB_CONFIG"
 	}
@@ -164,9 +164,9 @@
 	return 0
 }
 
-// closeWait is how long the end of the process waits for a disk that does not answer. What it has not told is in hand on record, and unknown to
+// recordCloseTimeout is how long the end of the process waits for a disk that does not answer. What it has not told is in hand on record, and unknown to
 // the next process.
-const closeWait = 2 * time.Second
+const recordCloseTimeout = 2 * time.Second
 
 func closeRecord(k *keeper.Keeper, log *slog.Logger) {
 	ended := make(chan error, 1)
@@ -176,7 +176,7 @@
 		if err != nil {
 			log.Error("the record of orders", "err", err)
 		}
-	case <-time.After(closeWait):
+	case <-time.After(recordCloseTimeout):
 		log.Error("the record of orders is not closed: the disk does not answer")
 	}
 }
@@ -192,7 +192,7 @@
 		return fmt.Errorf("configuration: %w", err)
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(heapLimit(cfg.Limits.MemoryMB))
 
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("proxy", cfg.Name)
@@ -200,7 +200,7 @@
 	defer stop()
 	// One more of them, once the drain is over, must not end the process by its default.
 	defer signal.Ignore(syscall.SIGTERM, syscall.SIGINT)
-	settings, err := cfg.proxy()
+	settings, err := cfg.proxyConfig()
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -221,21 +221,21 @@
 	if file.ManyKeys != nil {
 		settings.ManyKeys = file.ManyKeys.Limits()
 	}
-	shared := share(cfg, &settings, log)
+	shared := startSharing(cfg, &settings, log)
 	defer shared.dir.Close()
 	var record *keeper.Keeper
 	if file.Orders != nil {
 		var fs disk.FS = disk.Dir(file.Orders.Dir)
-		if g.Disk != nil {
-			fs = g.Disk(file.Orders.Dir)
+		if g.OpenDisk != nil {
+			fs = g.OpenDisk(file.Orders.Dir)
 		}
-		if record, err = keeper.Open(fs, file.Orders.Options(!shared.first), ledger.WallClock, log); err != nil {
+		if record, err = keeper.Open(fs, file.Orders.Options(!shared.noPredecessor), ledger.WallClock, log); err != nil {
 			return fmt.Errorf("%s: %w", file.Orders.Dir, err)
 		}
 		defer closeRecord(record, log)
 		settings.Record, settings.Receipts = record, file.Orders.ReceiptFronts
 	}
-	var others fleet
+	var others membership
 	others.prepare(file, &settings)
 	p, err := proxy.New(settings, log)
 	if err != nil {
@@ -261,9 +261,9 @@
 	ended := make(chan struct{})
 	defer close(ended)
 	go shared.run(p, ctx.Done(), ended)
-	r := reloader{p: p, cfg: cfg, classes: settings.Settings.Classes, tries: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, others: &others}
+	r := reloader{proxy: p, cfg: cfg, classes: settings.Settings.Classes, maxAttempts: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, membership: &others}
 	if file.ExtProc != nil {
-		if r.extproc, err = g.ExtProc(p, file, log); err != nil {
+		if r.extproc, err = g.NewExtProc(p, file, log); err != nil {
 			return err
 		}
 		p.AddFront(r.extproc)
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -16,9 +16,9 @@
 	"linenloom/internal/wire"
 )
 
-// acceptMore is how long after the stop signal the front may still send new connections: up to 0.4 s, and
+// acceptGrace is how long after the stop signal the front may still send new connections: up to 0.4 s, and
 // some time for those that it has begun.
-const acceptMore = 550 * time.Millisecond
+const acceptGrace = 550 * time.Millisecond
 
 // config is the file that LB_CONFIG names.
 type config struct {
@@ -95,7 +95,7 @@
 	if err := c.check(); err != nil {
 		return proxy.Config{}, err
 	}
-	return c.proxy()
+	return c.proxyConfig()
 }
 
 func (c *config) check() error {
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// proxy is the configuration in the proxy's terms.
-func (c *config) proxy() (proxy.Config, error) {
+// proxyConfig is the configuration in the proxy's terms.
+func (c *config) proxyConfig() (proxy.Config, error) {
 	settings, err := wire.ParseSettings(c.Settings)
 	if err != nil {
 		return proxy.Config{}, err
@@ -145,6 +145,6 @@
 		ConnIdle:  time.Duration(host.Limits.ConnIdleMS * float64(time.Millisecond)),
 		Multiplex: host.Limits.Multiplex, MostHeld: host.Limits.MostHeld,
 		MemoryMB: int(c.Limits.MemoryMB), Sockets: c.Limits.Sockets,
-		Known: c.Known, AcceptMore: acceptMore,
+		Known: c.Known, AcceptMore: acceptGrace,
 	}, nil
 }
--- a/internal/app/config_test.go
+++ b/internal/app/config_test.go
@@ -7,12 +7,12 @@
 	"linenloom/internal/app/apptest"
 )
 
-// base is the test configuration.
-const base = "../../cmd/linenloom/testdata/config.json"
+// baseConfig is the test configuration.
+const baseConfig = "../../cmd/linenloom/testdata/config.json"
 
-func TestEnvironmentHoldsAtTheStartAndTheFileAfterwards(t *testing.T) {
+func TestDiscoveryAddressPrecedence(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	apptest.Replace(t, path, apptest.ConfigWith(t, base, map[string]any{"discovery": "127.0.0.1:10"}))
+	apptest.Replace(t, path, apptest.ConfigWith(t, baseConfig, map[string]any{"discovery": "127.0.0.1:10"}))
 	env := map[string]string{"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.1:20", "LB_LISTEN": "127.0.0.1:30"}
 	getenv := func(name string) string { return env[name] }
 	c, err := loadConfig(getenv)
@@ -29,7 +29,7 @@
 		"no discovery": {"discovery": ""},
 		"few sockets":  {"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 3}},
 	} {
-		apptest.Replace(t, path, apptest.ConfigWith(t, base, fields))
+		apptest.Replace(t, path, apptest.ConfigWith(t, baseConfig, fields))
 		if _, err := reloadConfig(getenv, standing); err == nil {
 			t.Errorf("%s: taken", name)
 		}
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -21,33 +21,33 @@
 	Join()
 	// Run goes on until the context ends, and leaves the others with a word.
 	Run(context.Context)
-	// Runs tells the others that this instance's version is another one now.
-	Runs(Version)
+	// SetVersion tells the others that this instance's version is another one now.
+	SetVersion(Version)
 }
 
-// Joined is what a Fleet is made of.
-type Joined struct {
-	Proxy   *proxy.Proxy
-	Log     *slog.Logger
-	Listen  []netip.AddrPort // the first that is free
-	Tell    []netip.AddrPort // what the others are told in place of each; empty: the same
-	Call    []netip.AddrPort // who is called to join
-	Cluster string
-	Keys    [][]byte // the first encrypts, all are read
-	Forget  time.Duration
-	Name    string
-	Number  int
-	Zone    int
-	Zones   []string
-	Regions map[string][]int
-	Since   time.Time
-	Version Version
-	Machine *zones.Machine // nil: membership only
-	Meter   *zones.Meter
+// FleetConfig is what a Fleet is made of.
+type FleetConfig struct {
+	Proxy       *proxy.Proxy
+	Log         *slog.Logger
+	Listen      []netip.AddrPort // the first that is free
+	Advertise   []netip.AddrPort // what the others are told in place of each; empty: the same
+	JoinAddrs   []netip.AddrPort // who is called to join
+	Cluster     string
+	Keys        [][]byte // the first encrypts, all are read
+	ForgetAfter time.Duration
+	Name        string
+	Number      int
+	Zone        int
+	Zones       []string
+	Regions     map[string][]int
+	StartedAt   time.Time
+	Version     Version
+	Machine     *zones.Machine // nil: membership only
+	Meter       *zones.Meter
 }
 
-// fleet is what run holds of it; Fleet is nil where the operator's file does not ask for it.
-type fleet struct {
+// membership is what run holds of it; Fleet is nil where the operator's file does not ask for it.
+type membership struct {
 	Fleet
 	meter   *zones.Meter
 	version Version
@@ -56,12 +56,12 @@
 }
 
 // prepare has the proxy meter its attempts where zones are decided together, and hear of the others before it takes clients.
-func (f *fleet) prepare(file *operator.File, settings *proxy.Config) {
+func (f *membership) prepare(file *operator.File, settings *proxy.Config) {
 	if file.Instances == nil {
 		return
 	}
 	if file.Zones != nil && len(settings.Zones) > 1 && len(settings.Zones) <= zones.MaxZones {
-		f.meter = zones.NewMeter(len(settings.Zones), shortestAim(settings.Settings.Classes))
+		f.meter = zones.NewMeter(len(settings.Zones), shortestSoftDeadline(settings.Settings.Classes))
 		settings.Meter = f.meter
 	}
 	settings.Before = func() {
@@ -75,12 +75,12 @@
 	}
 }
 
-func shortestAim(classes []logic.Class) time.Duration {
+func shortestSoftDeadline(classes []logic.Class) time.Duration {
 	return slices.MinFunc(classes, func(a, b logic.Class) int { return int(a.SoftDeadline - b.SoftDeadline) }).SoftDeadline
 }
 
 // open makes this process one of the installation's.
-func (f *fleet) open(g *Program, p *proxy.Proxy, cfg *config, settings *proxy.Config, file *operator.File, log *slog.Logger) error {
+func (f *membership) open(g *Program, p *proxy.Proxy, cfg *config, settings *proxy.Config, file *operator.File, log *slog.Logger) error {
 	if file.Instances == nil {
 		return nil
 	}
@@ -89,9 +89,9 @@
 		return err
 	}
 	in := file.Instances
-	j := Joined{Proxy: p, Log: log, Listen: operator.ParseAddresses(in.Listen), Tell: operator.ParseAddresses(in.Advertise),
-		Call: operator.ParseAddresses(in.Join), Cluster: in.Cluster, Forget: in.ForgetAfter.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
-		Zone: settings.Settings.Zone, Zones: settings.Zones, Regions: regions, Since: time.Now(), Meter: f.meter}
+	j := FleetConfig{Proxy: p, Log: log, Listen: operator.ParseAddresses(in.Listen), Advertise: operator.ParseAddresses(in.Advertise),
+		JoinAddrs: operator.ParseAddresses(in.Join), Cluster: in.Cluster, ForgetAfter: in.ForgetAfter.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
+		Zone: settings.Settings.Zone, Zones: settings.Zones, Regions: regions, StartedAt: time.Now(), Meter: f.meter}
 	if j.Keys, err = in.ReadKeys(); err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	log.Info("version", "program", j.Version.Program, "settings", j.Version.Settings)
 	f.version = j.Version
 	if f.meter != nil {
-		c := zones.Config{Number: j.Number, Zones: j.Zones, MinCapacityShare: file.Zones.MinCapacityShare, WarmupTime: settings.Settings.SlowStartDuration, StartedAtMS: j.Since.UnixMilli()}
+		c := zones.Config{Number: j.Number, Zones: j.Zones, MinCapacityShare: file.Zones.MinCapacityShare, WarmupTime: settings.Settings.SlowStartDuration, StartedAtMS: j.StartedAt.UnixMilli()}
 		for _, r := range regions {
 			c.Regions = append(c.Regions, r)
 		}
@@ -113,12 +113,12 @@
 		}
 		j.Machine = zones.New(c, j.Zone)
 	}
-	f.Fleet, err = g.Instances(j)
+	f.Fleet, err = g.NewFleet(j)
 	return err
 }
 
-// reloaded tells the others of other settings.
-func (f *fleet) reloaded(cfg *config, file *operator.File, log *slog.Logger) {
+// updateVersion tells the others of other settings.
+func (f *membership) updateVersion(cfg *config, file *operator.File, log *slog.Logger) {
 	if f.Fleet == nil {
 		return
 	}
@@ -128,12 +128,12 @@
 	} else if settings != f.version.Settings {
 		f.version.Settings = settings
 		log.Info("version", "program", f.version.Program, "settings", settings)
-		f.Runs(f.version)
+		f.SetVersion(f.version)
 	}
 }
 
 // close leaves the others, once nothing is served any more.
-func (f *fleet) close() {
+func (f *membership) close() {
 	if f.stop != nil {
 		f.stop()
 		<-f.done
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -14,24 +14,24 @@
 	"linenloom/logic"
 )
 
-// bothFor is how long after SIGHUP clients may still go by the configuration before. They are told of the new one after
+// transitionTime is how long after SIGHUP clients may still go by the configuration before. They are told of the new one after
 // 1.2 s at the latest; what they have sent by then may be on its way for a while.
-const bothFor = 1500 * time.Millisecond
+const transitionTime = 1500 * time.Millisecond
 
 // reloader takes over what the files say after SIGHUP.
 type reloader struct {
-	p       *proxy.Proxy
+	proxy   *proxy.Proxy
 	extproc Front
 	gate    *callers.Gate // nil: callers are not proven
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	cfg     *config
-	classes []logic.Class // in force
-	tries   int
-	file    *operator.File
-	settle  *time.Timer // ends the time in which both configurations hold
-	others  *fleet      // told of other settings
+	mu              sync.Mutex
+	cfg             *config
+	classes         []logic.Class // in force
+	maxAttempts     int
+	file            *operator.File
+	transitionTimer *time.Timer // ends the time in which both configurations hold
+	membership      *membership // told of other settings
 }
 
 // reload takes over what the configuration file and the operator's file say now, as far as a running proxy can. A
@@ -45,8 +45,8 @@
 	if r.file.Path != "" {
 		r.reloadOperator()
 	}
-	if r.others != nil {
-		r.others.reloaded(r.cfg, r.file, r.log)
+	if r.membership != nil {
+		r.membership.updateVersion(r.cfg, r.file, r.log)
 	}
 }
 
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	now, err := cfg.proxy()
+	now, err := cfg.proxyConfig()
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 			return err
 		}
 	}
-	was, err := r.cfg.proxy()
+	was, err := r.cfg.proxyConfig()
 	if err != nil {
 		return err
 	}
@@ -78,39 +78,39 @@
 	}
 	r.cfg = cfg
 	r.log.Info("reload", "discovery", cfg.Discovery, "classes", logic.ClassNames(now.Settings.Classes), "attempts", now.Settings.MaxAttempts)
-	r.p.Follow(cfg.Discovery)
+	r.proxy.Follow(cfg.Discovery)
 	return nil
 }
 
 // retune moves to other classes: first to what is allowed by both, and to the new ones once no client goes by the old.
 func (r *reloader) retune(classes []logic.Class, tries int) error {
-	both, fewer := retune.Transition(r.classes, classes, r.tries, tries)
-	if err := r.force(both, fewer); err != nil {
+	both, fewer := retune.Transition(r.classes, classes, r.maxAttempts, tries)
+	if err := r.apply(both, fewer); err != nil {
 		return err
 	}
-	if r.settle != nil {
-		r.settle.Stop()
+	if r.transitionTimer != nil {
+		r.transitionTimer.Stop()
 	}
 	var settle *time.Timer
-	settle = time.AfterFunc(bothFor, func() {
+	settle = time.AfterFunc(transitionTime, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.settle != settle { // another configuration has come meanwhile
+		if r.transitionTimer != settle { // another configuration has come meanwhile
 			return
 		}
-		if err := r.force(classes, tries); err != nil {
+		if err := r.apply(classes, tries); err != nil {
 			r.log.Error("retune", "err", err)
 		}
 	})
-	r.settle = settle
+	r.transitionTimer = settle
 	return nil
 }
 
-func (r *reloader) force(classes []logic.Class, tries int) error {
-	if err := r.p.Retune(classes, tries); err != nil {
+func (r *reloader) apply(classes []logic.Class, tries int) error {
+	if err := r.proxy.Retune(classes, tries); err != nil {
 		return err
 	}
-	r.classes, r.tries = classes, tries
+	r.classes, r.maxAttempts = classes, tries
 	if r.extproc != nil {
 		return r.extproc.Reload(r.file)
 	}
--- a/internal/app/reload_test.go
+++ b/internal/app/reload_test.go
@@ -16,16 +16,16 @@
 	"linenloom/logic"
 )
 
-// reloaded is a front that counts how often it takes over new settings.
-type reloaded struct {
+// countingFront is a front that counts how often it takes over new settings.
+type countingFront struct {
 	Front
-	n int
+	reloads int
 }
 
-func (r *reloaded) Reload(*operator.File) error { r.n++; return nil }
+func (r *countingFront) Reload(*operator.File) error { r.reloads++; return nil }
 
-// reloaderOf is a reloader of a proxy that has the configuration at path, and no operator's file.
-func reloaderOf(t *testing.T, path string, text []byte) *reloader {
+// newTestReloader is a reloader of a proxy that has the configuration at path, and no operator's file.
+func newTestReloader(t *testing.T, path string, text []byte) *reloader {
 	t.Helper()
 	t.Setenv("LB_CONFIG", path)
 	t.Setenv("LB_LISTEN", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings, err := cfg.proxy()
+	settings, err := cfg.proxyConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,30 +42,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &reloader{p: p, cfg: cfg, classes: settings.Settings.Classes, tries: settings.Settings.MaxAttempts, file: &operator.File{},
+	return &reloader{proxy: p, cfg: cfg, classes: settings.Settings.Classes, maxAttempts: settings.Settings.MaxAttempts, file: &operator.File{},
 		log: slog.New(slog.DiscardHandler)}
 }
 
 // A file is taken over whole or not at all: its classes in two steps, and nothing of one that lacks something or drops a
 // class that the operator's file names.
-func TestReloadWholeOrNotAtAll(t *testing.T) {
+func TestReloadIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
-	r := reloaderOf(t, path, apptest.ConfigWith(t, base, nil))
-	p, cfg := r.p, r.cfg
+	r := newTestReloader(t, path, apptest.ConfigWith(t, baseConfig, nil))
+	p, cfg := r.proxy, r.cfg
 	operators := filepath.Join(dir, "operator.toml")
 	apptest.Replace(t, operators, []byte("[extproc]\nlisten = \"127.0.0.1:0\"\n[[extproc.map]]\nmethods = [\"GET\"]\npath = \"/{key}\"\nclass = \"tile-read\"\n"))
 	file, err := operator.Load(operators)
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := &reloaded{}
+	front := &countingFront{}
 	r.file, r.extproc = file, front
 
 	// edit writes the configuration with its settings changed.
 	edit := func(change func(settings map[string]any, classes []any) []any) {
 		var c map[string]any
-		if err := json.Unmarshal(apptest.ConfigWith(t, base, map[string]any{"discovery": "127.0.0.1:77"}), &c); err != nil {
+		if err := json.Unmarshal(apptest.ConfigWith(t, baseConfig, map[string]any{"discovery": "127.0.0.1:77"}), &c); err != nil {
 			t.Fatal(err)
 		}
 		s := c["settings"].(map[string]any)
@@ -100,7 +100,7 @@
 		if err := reload(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
-		if r.cfg != cfg || len(p.Classes()) != 2 || front.n != 0 {
+		if r.cfg != cfg || len(p.Classes()) != 2 || front.reloads != 0 {
 			t.Fatalf("%s: something of it was taken over", want)
 		}
 	}
@@ -119,7 +119,7 @@
 	if err := reload(); err != nil {
 		t.Fatal(err)
 	}
-	if r.cfg.Discovery != "127.0.0.1:77" || class("overlay") == nil || front.n != 1 {
+	if r.cfg.Discovery != "127.0.0.1:77" || class("overlay") == nil || front.reloads != 1 {
 		t.Error("the new file is not in force")
 	}
 	if c := class("pass-order"); c.Effect != logic.AtMostOnce {
@@ -133,19 +133,19 @@
 }
 
 // A file that is taken back while both still hold stays taken back: what its time would have brought must not come.
-func TestReloadTakenBack(t *testing.T) {
+func TestReloadReverted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	first := apptest.ConfigWith(t, base, nil)
-	r := reloaderOf(t, path, first)
+	first := apptest.ConfigWith(t, baseConfig, nil)
+	r := newTestReloader(t, path, first)
 	apptest.Replace(t, path, []byte(strings.Replace(string(first), `"repeat":"once"`, `"repeat":"repeatable"`, 1)))
 	r.reload()
-	ends := r.settle
+	ends := r.transitionTimer
 	apptest.Replace(t, path, first)
 	r.reload()
 	if ends == nil || ends.Stop() {
 		t.Error("the file that was taken back still has its time to come")
 	}
-	if r.p.Classes()[1].Effect != logic.AtMostOnce {
+	if r.proxy.Classes()[1].Effect != logic.AtMostOnce {
 		t.Error("an order may run again")
 	}
 }
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	shareEvery = 50 * time.Millisecond
-	// keptBack is what each of two processes leaves of the descriptors for what the other opens between two looks, and
-	// leastSockets and leastMemoryMB are what each has at the least, as nothing can be served with less.
-	keptBack      = 16
-	leastSockets  = 64
-	leastMemoryMB = 14
-	// outsideHeap is what a process takes beside the memory that its runtime counts.
-	outsideHeap = 4 << 20
-	// leaveWait is how long a process that follows another waits for what that one has learnt, from its own start on. It is left
-	// within shareEvery of the moment in which it is seen to be followed.
-	leaveWait = 250 * time.Millisecond
-	leaveLook = 5 * time.Millisecond
-	// mostShare is the part of the memory that either may take: what one holds can't be given back at once.
-	mostShare = 0.6
+	shareInterval = 50 * time.Millisecond
+	// reservedDescriptors is what each of two processes leaves of the descriptors for what the other opens between two looks, and
+	// minSockets and minMemoryMB are what each has at the least, as nothing can be served with less.
+	reservedDescriptors = 16
+	minSockets          = 64
+	minMemoryMB         = 14
+	// nonHeapBytes is what a process takes beside the memory that its runtime counts.
+	nonHeapBytes = 4 << 20
+	// stateTimeout is how long a process that follows another waits for what that one has learnt, from its own start on. It is left
+	// within shareInterval of the moment in which it is seen to be followed.
+	stateTimeout      = 250 * time.Millisecond
+	statePollInterval = 5 * time.Millisecond
+	// maxMemoryShare is the part of the memory that either may take: what one holds can't be given back at once.
+	maxMemoryShare = 0.6
 )
 
-// sharing keeps the limits of a proxy over two processes, while one follows the other.
-type sharing struct {
-	dir   *handover.Dir
-	cfg   *config
-	log   *slog.Logger
-	alone bool
-	began time.Time
-	first bool // nobody served as this process began; never changed
+// limitSharing keeps the limits of a proxy over two processes, while one follows the other.
+type limitSharing struct {
+	dir           *handover.Dir
+	cfg           *config
+	log           *slog.Logger
+	alone         bool
+	startedAt     time.Time
+	noPredecessor bool // nobody served as this process began; never changed
 	// what is in force
-	sockets int
-	memory  float64
+	sockets  int
+	memoryMB float64
 }
 
-// share opens the directory that the processes of a proxy share, and takes what stands there into the settings.
-func share(cfg *config, settings *proxy.Config, log *slog.Logger) *sharing {
-	s := &sharing{cfg: cfg, log: log, began: time.Now(), sockets: cfg.Limits.Sockets, memory: cfg.Limits.MemoryMB}
+// startSharing opens the directory that the processes of a proxy share, and takes what stands there into the settings.
+func startSharing(cfg *config, settings *proxy.Config, log *slog.Logger) *limitSharing {
+	s := &limitSharing{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
 	path := os.Getenv("TMPDIR")
 	if at, err := netip.ParseAddrPort(cfg.Listen); err == nil && at.Port() == 0 {
 		path = "" // nobody can follow at an address that is made up anew
@@ -55,23 +55,23 @@
 	if s.dir, s.alone, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
 		log.Warn("no directory to hand over by: members out of use are forgotten at the end of this process", "err", err)
 	}
-	s.first = s.alone
+	s.noPredecessor = s.alone
 	if settings.Out, _, err = s.dir.Reload(); err != nil {
 		log.Error("the record of members out of use can't be read", "err", err)
 	}
 	if !s.alone {
 		log.Info("following another process")
-		s.keep(nil)
-		settings.Sockets, settings.MemoryMB = s.sockets, int(s.memory)
+		s.shareLimits(nil)
+		settings.Sockets, settings.MemoryMB = s.sockets, int(s.memoryMB)
 	}
 	if s.dir.Persistent() {
-		settings.Inherit = s.inherit
+		settings.Inherit = s.readState
 	}
 	return s
 }
 
-// inherit reads what the process before has learnt. One that still serves is waited for until it has left what it knows now.
-func (s *sharing) inherit() (*inherit.Snapshot, error) {
+// readState reads what the process before has learnt. One that still serves is waited for until it has left what it knows now.
+func (s *limitSharing) readState() (*inherit.Snapshot, error) {
 	for {
 		text, err := s.dir.ReadState(inherit.MaxBytes)
 		if err != nil {
@@ -85,15 +85,15 @@
 			}
 		}
 		// Of an older one its age tells what holds.
-		if s.first || old != nil && old.TakenMS >= s.began.UnixMilli() || time.Since(s.began) >= leaveWait {
+		if s.noPredecessor || old != nil && old.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
 			return old, err
 		}
-		time.Sleep(leaveLook)
+		time.Sleep(statePollInterval)
 	}
 }
 
-// leave writes what this process has learnt.
-func (s *sharing) leave(p *proxy.Proxy) {
+// writeState writes what this process has learnt.
+func (s *limitSharing) writeState(p *proxy.Proxy) {
 	if !s.dir.Persistent() {
 		return
 	}
@@ -107,11 +107,11 @@
 }
 
 // heapLimit is the memory limit of the runtime for a limit of the process.
-func heapLimit(mb float64) int64 { return int64(mb * memoryShare * (1 << 20)) }
+func heapLimit(mb float64) int64 { return int64(mb * heapShare * (1 << 20)) }
 
 // run keeps the limits until the process has nothing left to do.
-func (s *sharing) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
-	tick := time.NewTicker(shareEvery)
+func (s *limitSharing) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
+	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
 	followed := false
 	for {
@@ -120,7 +120,7 @@
 			return
 		case <-stop: // a planned stop begins: another process may take this one's place
 			if stop = nil; s.alone && !followed {
-				s.leave(p)
+				s.writeState(p)
 			}
 		case <-tick.C:
 		}
@@ -135,21 +135,21 @@
 		}
 		was := followed
 		if followed = s.alone && s.dir.HasSuccessor(); followed && !was {
-			s.leave(p)
+			s.writeState(p)
 		}
 		switch {
 		case !s.alone || followed:
-			s.keep(p)
-		case s.sockets != s.cfg.Limits.Sockets || s.memory != s.cfg.Limits.MemoryMB: // alone again
-			s.set(p, s.cfg.Limits.Sockets, s.cfg.Limits.MemoryMB)
+			s.shareLimits(p)
+		case s.sockets != s.cfg.Limits.Sockets || s.memoryMB != s.cfg.Limits.MemoryMB: // alone again
+			s.apply(p, s.cfg.Limits.Sockets, s.cfg.Limits.MemoryMB)
 		}
 	}
 }
 
-// keep leaves the other process what it holds.
-func (s *sharing) keep(p *proxy.Proxy) {
+// shareLimits leaves the other process what it holds.
+func (s *limitSharing) shareLimits(p *proxy.Proxy) {
 	var mine handover.Usage
-	mine.Memory = inUse()
+	mine.Memory = memoryInUse()
 	if p != nil {
 		mine.Descriptors = int64(p.Load().Descriptors)
 	}
@@ -157,20 +157,20 @@
 	if err != nil {
 		s.log.Error("handover", "err", err)
 	}
-	left := s.cfg.Limits.MemoryMB - float64(theirs.Memory+outsideHeap)/(1<<20)
-	s.set(p, max(leastSockets, s.cfg.Limits.Sockets-int(theirs.Descriptors)-keptBack),
-		max(leastMemoryMB, math.Floor(min(s.cfg.Limits.MemoryMB*mostShare, left))))
+	left := s.cfg.Limits.MemoryMB - float64(theirs.Memory+nonHeapBytes)/(1<<20)
+	s.apply(p, max(minSockets, s.cfg.Limits.Sockets-int(theirs.Descriptors)-reservedDescriptors),
+		max(minMemoryMB, math.Floor(min(s.cfg.Limits.MemoryMB*maxMemoryShare, left))))
 }
 
-func (s *sharing) set(p *proxy.Proxy, sockets int, memory float64) {
-	if s.sockets, s.memory = sockets, memory; p != nil {
+func (s *limitSharing) apply(p *proxy.Proxy, sockets int, memory float64) {
+	if s.sockets, s.memoryMB = sockets, memory; p != nil {
 		p.Limit(sockets, int(memory))
 	}
 	debug.SetMemoryLimit(heapLimit(memory))
 }
 
-// inUse is the memory that the runtime has from the system.
-func inUse() int64 {
+// memoryInUse is the memory that the runtime has from the system.
+func memoryInUse() int64 {
 	m := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(m)
 	return int64(m[0].Value.Uint64() - m[1].Value.Uint64())
--- a/internal/app/version.go
+++ b/internal/app/version.go
@@ -18,10 +18,10 @@
 	Settings string `json:"settings"`
 }
 
-// digestLength is how much of a digest names a version: enough that none of a fleet's is another's by chance.
-const digestLength = 6
+// digestBytes is how much of a digest names a version: enough that none of a fleet's is another's by chance.
+const digestBytes = 6
 
-func digest(b []byte) string { return hex.EncodeToString(b[:digestLength]) }
+func hexDigest(b []byte) string { return hex.EncodeToString(b[:digestBytes]) }
 
 // programDigest is that of the file that this process was started from.
 func programDigest() (string, error) {
@@ -34,7 +34,7 @@
 	if _, err := io.Copy(h, f); err != nil {
 		return "", fmt.Errorf("version: %w", err)
 	}
-	return digest(h.Sum(nil)), nil
+	return hexDigest(h.Sum(nil)), nil
 }
 
 // settingsDigest is that of the configuration and the operator's file.
@@ -67,5 +67,5 @@
 		return "", fmt.Errorf("version: %w", err)
 	}
 	sum := sha256.Sum256(text)
-	return digest(sum[:]), nil
+	return hexDigest(sum[:]), nil
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -25,9 +25,9 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProxy) != "" {
-		g := app.Program{Name: "proxy", Instances: func(j app.Joined) (app.Fleet, error) { return instances.New(j) }}
+		g := app.Program{Name: "proxy", NewFleet: func(j app.FleetConfig) (app.Fleet, error) { return instances.New(j) }}
 		if lies := os.Getenv(lyingDisk); lies != "" {
-			g.Disk = func(dir string) disk.FS {
+			g.OpenDisk = func(dir string) disk.FS {
 				fs, err := crash.ParseUnreliable(disk.Dir(dir), lies)
 				if err != nil {
 					panic(err)
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -63,7 +63,7 @@
 
 // Instances is this instance's membership in the installation. It implements app.Fleet.
 type Instances struct {
-	options     app.Joined
+	options     app.FleetConfig
 	proxy       *proxy.Proxy
 	log         *slog.Logger
 	memberlist  *memberlist.Memberlist
@@ -102,9 +102,9 @@
 }
 
 // New starts the membership on the first address that can be bound.
-func New(o app.Joined) (*Instances, error) {
+func New(o app.FleetConfig) (*Instances, error) {
 	i := &Instances{options: o, proxy: o.Proxy, log: o.Log, received: make(chan []byte, inboxSize), known: map[string]*member{},
-		self: meta{Name: o.Name, Number: o.Number, StartedAtMS: o.Since.UnixMilli(), DecidesZones: o.Machine != nil, Version: o.Version}}
+		self: meta{Name: o.Name, Number: o.Number, StartedAtMS: o.StartedAt.UnixMilli(), DecidesZones: o.Machine != nil, Version: o.Version}}
 	if o.Zone >= 0 && o.Zone < len(o.Zones) {
 		i.self.Zone = o.Zones[o.Zone]
 	}
@@ -132,8 +132,8 @@
 	config.Label = i.options.Cluster
 	config.BindAddr, config.BindPort = addr.Addr().String(), int(addr.Port())
 	config.AdvertisePort = config.BindPort
-	if len(i.options.Tell) > at {
-		config.AdvertiseAddr, config.AdvertisePort = i.options.Tell[at].Addr().String(), int(i.options.Tell[at].Port())
+	if len(i.options.Advertise) > at {
+		config.AdvertiseAddr, config.AdvertisePort = i.options.Advertise[at].Addr().String(), int(i.options.Advertise[at].Port())
 	}
 	if len(i.options.Keys) > 0 {
 		ring, err := memberlist.NewKeyring(i.options.Keys, i.options.Keys[0])
@@ -172,7 +172,7 @@
 		alive[fmt.Sprintf("%s:%d", n.Addr, n.Port)] = true
 	}
 	var missing []string
-	for _, a := range i.options.Call {
+	for _, a := range i.options.JoinAddrs {
 		if !alive[a.String()] {
 			missing = append(missing, a.String())
 		}
@@ -225,8 +225,8 @@
 	}
 }
 
-// Runs publishes a changed version.
-func (i *Instances) Runs(v app.Version) {
+// SetVersion publishes a changed version.
+func (i *Instances) SetVersion(v app.Version) {
 	i.mu.Lock()
 	i.self.Version = v
 	i.mu.Unlock()
@@ -289,7 +289,7 @@
 func (i *Instances) otherMembers() []member {
 	all := make([]member, 0, len(i.known))
 	for name, m := range i.known {
-		if !m.lostAt.IsZero() && (m.announcedLeave || time.Since(m.lostAt) > i.options.Forget) {
+		if !m.lostAt.IsZero() && (m.announcedLeave || time.Since(m.lostAt) > i.options.ForgetAfter) {
 			delete(i.known, name)
 			continue
 		}
