--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,5 +1,6 @@
-// Package app is what the programs that host a proxy share: the command line, the configuration, signals and reloads.
-// It decides nothing about requests and knows a front only by what the program hands it.
+// Package app is the common part of the programs that host a proxy: the command line, the configuration,
+// signals and reloads. It makes no decisions about requests and knows a front only through the interfaces
+// that the program provides.
 package app
 
 import (
@@ -28,19 +29,19 @@
 )
 
 const (
-	// gcPercent lets the heap, which is small, grow by this much between collections: on a part of a
-	// core their cost matters more than the memory, which heapShare bounds.
+	// gcPercent is the growth of the heap between two collections. The heap is small, and on a fraction of a
+	// core the cost of collections matters more than the memory, which heapShare bounds.
 	gcPercent = 400
-	heapShare = 0.7 // of the memory for the heap; past it the collector runs as often as it must
+	heapShare = 0.7 // share of the memory for the heap; above it the collector runs as often as necessary
 )
 
 // Exit statuses.
 const (
 	exitFailed = 1
-	exitUsage  = 2 // the command line or the operator's file is at fault; nothing was opened
+	exitUsage  = 2 // the command line or the operator's file is invalid; nothing was opened
 )
 
-// Front is a front that a program adds and that takes over new settings while it runs.
+// Front is a front that a program adds and that can apply new settings while it runs.
 type Front interface {
 	proxy.Front
 	Reload(*operator.File) error
@@ -49,15 +50,15 @@
 // Program is a program that hosts a proxy.
 type Program struct {
 	Name     string
-	HelpText string // for -h, after the usage
-	// NewExtProc makes the external processor's front. A program without one hands over to Elsewhere.
+	HelpText string // shown by -h after the usage
+	// NewExtProc creates the front of the external processor. A program without it calls ExecOther.
 	NewExtProc func(*proxy.Proxy, *operator.File, *slog.Logger) (Front, error)
 	ExecOther  func(args []string) error
-	// NewFleet makes this process one of several that know of one another. A program without it hands over to Elsewhere too.
+	// NewFleet makes this process a member of a group of instances. A program without it calls ExecOther.
 	NewFleet func(FleetConfig) (Fleet, error)
-	// OpenDisk is what lasts, by its folder; nil: the machine's own.
+	// OpenDisk returns the file system of a persistent directory; nil means the machine's own.
 	OpenDisk func(dir string) disk.FS
-	// Commands are further commands, by name.
+	// Commands is further commands by name.
 	Commands map[string]func(args []string) int
 }
 
@@ -77,8 +78,8 @@
 		return exitUsage
 	}
 	flags := flag.NewFlagSet(g.Name, flag.ContinueOnError)
-	path := flags.String("operator", "", "the operator's `FILE`: what is switched on beside the platform's proxy")
-	debugLog := flags.Bool("debug", false, "log how each attempt at a member ended, a line each")
+	path := flags.String("operator", "", "the operator's `FILE`: which enables features beyond the platform's proxy")
+	debugLog := flags.Bool("debug", false, "log the outcome of each attempt at a member, one line per attempt")
 	flags.Usage = func() { g.usage(flags.Output(), flags) }
 	rest := args
 	if command != "" {
@@ -106,7 +107,7 @@
 		return g.check(*path, file)
 	}
 	if file.ExtProc != nil && g.NewExtProc == nil || file.Instances != nil && g.NewFleet == nil {
-		// It does not return where it could start the other program.
+		// ExecOther returns only if it could not start the other program.
 		fmt.Fprintf(os.Stderr, "%s: %v\n", g.Name, g.ExecOther(args))
 		return exitFailed
 	}
@@ -126,13 +127,14 @@
 }
 
 func (g *Program) usage(w io.Writer, flags *flag.FlagSet) {
-	fmt.Fprintf(w, "usage: %s [-operator FILE]        serve, as LB_CONFIG says\n", g.Name)
-	fmt.Fprintf(w, "       %s check -operator FILE    check the operator's file, and open nothing\n", g.Name)
+	fmt.Fprintf(w, "usage: %s [-operator FILE]        serve, as configured by LB_CONFIG\n", g.Name)
+	fmt.Fprintf(w, "       %s check -operator FILE    check the operator's file without opening anything\n", g.Name)
 	fmt.Fprint(w, g.HelpText)
 	flags.PrintDefaults()
 }
 
-// check checks the operator's file. Where LB_CONFIG is set, the classes that the file names must be its classes.
+// check checks the operator's file. If LB_CONFIG is set, the file may name only classes and zones of that
+// configuration.
 func (g *Program) check(path string, file *operator.File) int {
 	if path == "" {
 		fmt.Fprintf(os.Stderr, "%s check: -operator FILE is missing\n", g.Name)
@@ -158,14 +160,15 @@
 			fmt.Fprintln(os.Stderr, err)
 			return exitUsage
 		}
-		against = "its classes are those of LB_CONFIG"
+		against = "classes and zones checked against LB_CONFIG"
 	}
 	fmt.Printf("%s: no fault found (%s)\n", path, against)
 	return 0
 }
 
-// recordCloseTimeout is how long the end of the process waits for a disk that does not answer. What it has not told is in hand on record, and unknown to
-// the next process.
+// recordCloseTimeout is how long the end of the process waits for a disk that does not respond. Orders whose
+// outcome is not written by then stay in progress on record, and the next process does not know their
+// outcome.
 const recordCloseTimeout = 2 * time.Second
 
 func closeRecord(k *keeper.Keeper, log *slog.Logger) {
@@ -174,16 +177,16 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			log.Error("the record of orders", "err", err)
+			log.Error("closing the record of orders failed", "err", err)
 		}
 	case <-time.After(recordCloseTimeout):
-		log.Error("the record of orders is not closed: the disk does not answer")
+		log.Error("the record of orders was not closed: the disk does not respond")
 	}
 }
 
 func (g *Program) run(file *operator.File, level slog.Level) error {
-	// From the start, so that none of these ends the process by its default. A log that nobody reads any more
-	// must not do so either.
+	// The signals are handled from the start, so that none of them ends the process by its default action.
+	// Writing to a log whose reader has gone must not end it either.
 	signal.Ignore(syscall.SIGPIPE)
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -198,7 +201,7 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("proxy", cfg.Name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// One more of them, once the drain is over, must not end the process by its default.
+	// Another signal after the drain must not end the process by its default action.
 	defer signal.Ignore(syscall.SIGTERM, syscall.SIGINT)
 	settings, err := cfg.proxyConfig()
 	if err != nil {
--- a/internal/app/apptest/apptest.go
+++ b/internal/app/apptest/apptest.go
@@ -1,5 +1,6 @@
-// Package apptest is what the tests of the programs and of internal/app share: a configuration with some fields of its
-// own, and files that are replaced as operators replace them. It is no part of any program.
+// Package apptest is shared by the tests of the programs and of internal/app: a configuration with some
+// fields replaced, and files that are replaced the way operators replace them. It is not part of any
+// program.
 package apptest
 
 import (
@@ -8,7 +9,7 @@
 	"testing"
 )
 
-// ConfigWith is the configuration at base with some fields replaced.
+// ConfigWith returns the configuration at base with some fields replaced.
 func ConfigWith(t *testing.T, base string, fields map[string]any) []byte {
 	t.Helper()
 	text, err := os.ReadFile(base)
@@ -28,7 +29,7 @@
 	return text
 }
 
-// Replace puts a file in the place of another in one step.
+// Replace replaces a file atomically.
 func Replace(t *testing.T, path string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -16,8 +16,8 @@
 	"linenloom/internal/wire"
 )
 
-// acceptGrace is how long after the stop signal the front may still send new connections: up to 0.4 s, and
-// some time for those that it has begun.
+// acceptGrace is how long after the stop signal the platform's front end may still send new connections: up
+// to 0.4 s, plus time for the ones that it has started.
 const acceptGrace = 550 * time.Millisecond
 
 // config is the file that LB_CONFIG names.
@@ -25,7 +25,7 @@
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Mgmt      string `json:"mgmt"` // where operators call; empty: nowhere
+	Mgmt      string `json:"mgmt"` // address for operators' calls; empty means none
 	Seed      string `json:"seed"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
@@ -35,10 +35,10 @@
 	Known    discovery.List  `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	text []byte // as it was read
+	text []byte // text as read from the file
 }
 
-// hostSettings are the settings that concern sockets, and so not the Balancer.
+// hostSettings is the settings that concern sockets and are therefore not part of the Balancer's.
 type hostSettings struct {
 	Areas  []string `json:"areas"`
 	Kinds  []string `json:"kinds"`
@@ -49,13 +49,15 @@
 	} `json:"limits"`
 }
 
-// loadConfig reads the configuration. The variables beside LB_CONFIG take precedence over the file.
+// loadConfig reads the configuration at the start. The other LB_ environment variables take precedence over
+// the file.
 func loadConfig(getenv func(string) string) (*config, error) {
 	return readConfig(getenv, getenv("LB_DISCOVERY"), nil)
 }
 
-// reloadConfig reads the configuration again. Now the file's discovery holds: the environment is as old as
-// the process, and the file has been replaced since. It has to have everything that the text in force has.
+// reloadConfig reads the configuration again. The file's discovery address now takes precedence, since the
+// environment dates from the start of the process and the file has been replaced since. The file must have
+// every field of the text in force.
 func reloadConfig(getenv func(string) string, inForce []byte) (*config, error) {
 	return readConfig(getenv, "", inForce)
 }
@@ -86,7 +88,8 @@
 	return &c, c.check()
 }
 
-// ProxyConfig is a configuration's text in the proxy's terms, for programs that bring their own.
+// ProxyConfig converts a configuration's text to the proxy's type, for programs that bring their own
+// configuration.
 func ProxyConfig(text []byte) (proxy.Config, error) {
 	var c config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// proxyConfig is the configuration in the proxy's terms.
+// proxyConfig converts the configuration to the proxy's type.
 func (c *config) proxyConfig() (proxy.Config, error) {
 	settings, err := wire.ParseSettings(c.Settings)
 	if err != nil {
--- a/internal/app/config_test.go
+++ b/internal/app/config_test.go
@@ -7,7 +7,7 @@
 	"linenloom/internal/app/apptest"
 )
 
-// baseConfig is the test configuration.
+// baseConfig is the path of the test configuration.
 const baseConfig = "../../cmd/linenloom/testdata/config.json"
 
 func TestDiscoveryAddressPrecedence(t *testing.T) {
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -14,26 +14,26 @@
 	"linenloom/logic"
 )
 
-// Fleet is this process among the others of its installation.
+// Fleet is the membership of this process in its installation.
 type Fleet interface {
 	mgmt.Instances
-	// Join hears what holds, for a moment at the most.
+	// Join fetches the current state from the others and returns after a short time at the latest.
 	Join()
-	// Run goes on until the context ends, and leaves the others with a word.
+	// Run runs until the context ends and then announces that this instance leaves.
 	Run(context.Context)
-	// SetVersion tells the others that this instance's version is another one now.
+	// SetVersion announces a new version of this instance to the others.
 	SetVersion(Version)
 }
 
-// FleetConfig is what a Fleet is made of.
+// FleetConfig is the configuration of a Fleet.
 type FleetConfig struct {
 	Proxy       *proxy.Proxy
 	Log         *slog.Logger
-	Listen      []netip.AddrPort // the first that is free
-	Advertise   []netip.AddrPort // what the others are told in place of each; empty: the same
-	JoinAddrs   []netip.AddrPort // who is called to join
+	Listen      []netip.AddrPort // the first free address is used
+	Advertise   []netip.AddrPort // for each listen address, the one that is advertised to the others; empty means the same
+	JoinAddrs   []netip.AddrPort // addresses of instances to contact for joining
 	Cluster     string
-	Keys        [][]byte // the first encrypts, all are read
+	Keys        [][]byte // the first key encrypts; all keys decrypt
 	ForgetAfter time.Duration
 	Name        string
 	Number      int
@@ -42,11 +42,12 @@
 	Regions     map[string][]int
 	StartedAt   time.Time
 	Version     Version
-	Machine     *zones.Machine // nil: membership only
+	Machine     *zones.Machine // nil means membership only
 	Meter       *zones.Meter
 }
 
-// membership is what run holds of it; Fleet is nil where the operator's file does not ask for it.
+// membership is the state of the Fleet in a running program. Fleet is nil if the operator's file does not
+// enable it.
 type membership struct {
 	Fleet
 	meter   *zones.Meter
@@ -55,7 +56,8 @@
 	done    chan struct{}
 }
 
-// prepare has the proxy meter its attempts where zones are decided together, and hear of the others before it takes clients.
+// prepare makes the proxy measure its attempts if zones are decided on together, and join the other
+// instances before it accepts clients.
 func (f *membership) prepare(file *operator.File, settings *proxy.Config) {
 	if file.Instances == nil {
 		return
@@ -79,7 +81,7 @@
 	return slices.MinFunc(classes, func(a, b logic.Class) int { return int(a.SoftDeadline - b.SoftDeadline) }).SoftDeadline
 }
 
-// open makes this process one of the installation's.
+// open creates the Fleet.
 func (f *membership) open(g *Program, p *proxy.Proxy, cfg *config, settings *proxy.Config, file *operator.File, log *slog.Logger) error {
 	if file.Instances == nil {
 		return nil
@@ -117,7 +119,7 @@
 	return err
 }
 
-// updateVersion tells the others of other settings.
+// updateVersion announces changed settings to the others.
 func (f *membership) updateVersion(cfg *config, file *operator.File, log *slog.Logger) {
 	if f.Fleet == nil {
 		return
@@ -132,7 +134,7 @@
 	}
 }
 
-// close leaves the others, once nothing is served any more.
+// close leaves the installation, after the last request has been served.
 func (f *membership) close() {
 	if f.stop != nil {
 		f.stop()
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -14,15 +14,16 @@
 	"linenloom/logic"
 )
 
-// transitionTime is how long after SIGHUP clients may still go by the configuration before. They are told of the new one after
-// 1.2 s at the latest; what they have sent by then may be on its way for a while.
+// transitionTime is how long after SIGHUP clients may still use the previous configuration. They are
+// informed of the new one after 1.2 s at the latest; what they sent before may still be in transit for a
+// while.
 const transitionTime = 1500 * time.Millisecond
 
-// reloader takes over what the files say after SIGHUP.
+// reloader applies the files' settings after SIGHUP.
 type reloader struct {
 	proxy   *proxy.Proxy
 	extproc Front
-	gate    *callers.Gate // nil: callers are not proven
+	gate    *callers.Gate // nil means that callers are not identified
 	log     *slog.Logger
 
 	mu              sync.Mutex
@@ -30,12 +31,12 @@
 	classes         []logic.Class // in force
 	maxAttempts     int
 	file            *operator.File
-	transitionTimer *time.Timer // ends the time in which both configurations hold
-	membership      *membership // told of other settings
+	transitionTimer *time.Timer // ends the time in which both configurations apply
+	membership      *membership // is informed of changed settings
 }
 
-// reload takes over what the configuration file and the operator's file say now, as far as a running proxy can. A
-// file that can't be used changes nothing, and does not keep the other from being taken over.
+// reload applies the current configuration file and operator's file as far as a running proxy can. An
+// invalid file changes nothing and does not prevent the other one from being applied.
 func (r *reloader) reload() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// retune moves to other classes: first to what is allowed by both, and to the new ones once no client goes by the old.
+// retune changes the classes in two steps: first to what both configurations allow, and to the new ones once
+// no client uses the old ones.
 func (r *reloader) retune(classes []logic.Class, tries int) error {
 	both, fewer := retune.Transition(r.classes, classes, r.maxAttempts, tries)
 	if err := r.apply(both, fewer); err != nil {
@@ -95,7 +97,7 @@
 	settle = time.AfterFunc(transitionTime, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.transitionTimer != settle { // another configuration has come meanwhile
+		if r.transitionTimer != settle { // another configuration has been loaded in the meantime
 			return
 		}
 		if err := r.apply(classes, tries); err != nil {
@@ -125,7 +127,7 @@
 	}
 	fixed, live := r.file.Diff(now)
 	if len(fixed) > 0 {
-		r.log.Warn("reload: these need a restart, the old ones stay in force", "keys", fixed)
+		r.log.Warn("reload: the changed keys need a restart, the old values stay in force", "keys", fixed)
 		now.KeepRestartKeys(r.file)
 	}
 	if r.extproc != nil && len(live) > 0 {
@@ -142,5 +144,5 @@
 		r.gate.Reload(now.Identity)
 	}
 	r.file = now
-	r.log.Info("reload of the operator's file", "changed", live)
+	r.log.Info("reload of the operator's file is complete", "changed", live)
 }
--- a/internal/app/reload_test.go
+++ b/internal/app/reload_test.go
@@ -16,7 +16,7 @@
 	"linenloom/logic"
 )
 
-// countingFront is a front that counts how often it takes over new settings.
+// countingFront is a front that counts its reloads.
 type countingFront struct {
 	Front
 	reloads int
@@ -24,7 +24,8 @@
 
 func (r *countingFront) Reload(*operator.File) error { r.reloads++; return nil }
 
-// newTestReloader is a reloader of a proxy that has the configuration at path, and no operator's file.
+// newTestReloader returns a reloader of a proxy that has the configuration text at path and no operator's
+// file.
 func newTestReloader(t *testing.T, path string, text []byte) *reloader {
 	t.Helper()
 	t.Setenv("LB_CONFIG", path)
@@ -46,8 +47,8 @@
 		log: slog.New(slog.DiscardHandler)}
 }
 
-// A file is taken over whole or not at all: its classes in two steps, and nothing of one that lacks something or drops a
-// class that the operator's file names.
+// TestReloadIsAtomic checks that a file is applied completely or not at all: the classes of a valid file in
+// two steps, and nothing of a file that lacks a field or drops a class that the operator's file names.
 func TestReloadIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
@@ -62,7 +63,7 @@
 	front := &countingFront{}
 	r.file, r.extproc = file, front
 
-	// edit writes the configuration with its settings changed.
+	// edit writes the configuration with changed settings.
 	edit := func(change func(settings map[string]any, classes []any) []any) {
 		var c map[string]any
 		if err := json.Unmarshal(apptest.ConfigWith(t, baseConfig, map[string]any{"discovery": "127.0.0.1:77"}), &c); err != nil {
@@ -132,7 +133,8 @@
 	}
 }
 
-// A file that is taken back while both still hold stays taken back: what its time would have brought must not come.
+// TestReloadReverted reverts the file during the transition. The pending switch to the reverted classes must
+// not take place.
 func TestReloadReverted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	first := apptest.ConfigWith(t, baseConfig, nil)
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -16,51 +16,54 @@
 
 const (
 	shareInterval = 50 * time.Millisecond
-	// reservedDescriptors is what each of two processes leaves of the descriptors for what the other opens between two looks, and
-	// minSockets and minMemoryMB are what each has at the least, as nothing can be served with less.
+	// reservedDescriptors is the number of descriptors that each of two processes leaves free for what the
+	// other one opens between two updates. minSockets and minMemoryMB are the least that each of them gets,
+	// as it could serve nothing with less.
 	reservedDescriptors = 16
 	minSockets          = 64
 	minMemoryMB         = 14
-	// nonHeapBytes is what a process takes beside the memory that its runtime counts.
+	// nonHeapBytes is the memory of a process that its runtime does not count.
 	nonHeapBytes = 4 << 20
-	// stateTimeout is how long a process that follows another waits for what that one has learnt, from its own start on. It is left
-	// within shareInterval of the moment in which it is seen to be followed.
+	// stateTimeout is how long a successor process waits, from its own start, for the learned state of its
+	// predecessor. The predecessor writes it within shareInterval of noticing the successor.
 	stateTimeout      = 250 * time.Millisecond
 	statePollInterval = 5 * time.Millisecond
-	// maxMemoryShare is the part of the memory that either may take: what one holds can't be given back at once.
+	// maxMemoryShare is the share of the memory that either process may use, as memory in use cannot be
+	// returned at once.
 	maxMemoryShare = 0.6
 )
 
-// limitSharing keeps the limits of a proxy over two processes, while one follows the other.
+// limitSharing divides the limits of a proxy between two processes while one takes over from the other.
 type limitSharing struct {
 	dir           *handover.Dir
 	cfg           *config
 	log           *slog.Logger
 	alone         bool
 	startedAt     time.Time
-	noPredecessor bool // nobody served as this process began; never changed
-	// what is in force
+	noPredecessor bool // no process was serving when this one started; never changes
+	// The limits in force.
 	sockets  int
 	memoryMB float64
 }
 
-// startSharing opens the directory that the processes of a proxy share, and takes what stands there into the settings.
+// startSharing opens the directory that the processes of a proxy share and applies its contents to the
+// settings.
 func startSharing(cfg *config, settings *proxy.Config, log *slog.Logger) *limitSharing {
 	s := &limitSharing{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
 	path := os.Getenv("TMPDIR")
 	if at, err := netip.ParseAddrPort(cfg.Listen); err == nil && at.Port() == 0 {
-		path = "" // nobody can follow at an address that is made up anew
+		path = "" // a random port gives every process another address, so none can be a successor
 	}
 	var err error
 	if s.dir, s.alone, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
-		log.Warn("no directory to hand over by: members out of use are forgotten at the end of this process", "err", err)
+		log.Warn("no handover directory: members out of use are forgotten when this process ends", "err", err)
 	}
 	s.noPredecessor = s.alone
 	if settings.Out, _, err = s.dir.Reload(); err != nil {
-		log.Error("the record of members out of use can't be read", "err", err)
+		log.Error("reading the record of members out of use failed", "err", err)
 	}
 	if !s.alone {
-		log.Info("following another process")
+		log.Info("taking over from a predecessor process")
 		s.shareLimits(nil)
 		settings.Sockets, settings.MemoryMB = s.sockets, int(s.memoryMB)
 	}
@@ -70,21 +73,22 @@
 	return s
 }
 
-// readState reads what the process before has learnt. One that still serves is waited for until it has left what it knows now.
+// readState reads the learned state of the predecessor. If the predecessor still serves, readState waits
+// until it has written its current state.
 func (s *limitSharing) readState() (*inherit.Snapshot, error) {
 	for {
 		text, err := s.dir.ReadState(inherit.MaxBytes)
 		if err != nil {
 			return nil, err
 		}
-		var old *inherit.Snapshot // nil: nothing was left, by a version that leaves nothing, or nothing that can be read
+		var old *inherit.Snapshot // nil if nothing was written, the predecessor's version writes no state, or the state is unreadable
 		if text != nil {
 			var got inherit.Snapshot
 			if got, err = inherit.Decode(text); err == nil {
 				old = &got
 			}
 		}
-		// Of an older one its age tells what holds.
+		// An older state is returned as well; the reader decides by its age how much of it applies.
 		if s.noPredecessor || old != nil && old.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
 			return old, err
 		}
@@ -92,7 +96,7 @@
 	}
 }
 
-// writeState writes what this process has learnt.
+// writeState writes the learned state of this process.
 func (s *limitSharing) writeState(p *proxy.Proxy) {
 	if !s.dir.Persistent() {
 		return
@@ -102,14 +106,14 @@
 		err = s.dir.WriteState(text)
 	}
 	if err != nil {
-		s.log.Error("what has been learnt can't be left", "err", err)
+		s.log.Error("writing the learned state failed", "err", err)
 	}
 }
 
-// heapLimit is the memory limit of the runtime for a limit of the process.
+// heapLimit returns the memory limit of the runtime for a memory limit of the process.
 func heapLimit(mb float64) int64 { return int64(mb * heapShare * (1 << 20)) }
 
-// run keeps the limits until the process has nothing left to do.
+// run updates the limits until the process is done.
 func (s *limitSharing) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
 	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
@@ -118,7 +122,7 @@
 		select {
 		case <-quit:
 			return
-		case <-stop: // a planned stop begins: another process may take this one's place
+		case <-stop: // a planned stop begins: a successor may start
 			if stop = nil; s.alone && !followed {
 				s.writeState(p)
 			}
@@ -130,7 +134,7 @@
 				s.log.Error("handover", "err", err)
 			}
 			if s.alone = alone; alone {
-				s.log.Info("the process before has ended")
+				s.log.Info("the predecessor process has ended")
 			}
 		}
 		was := followed
@@ -140,13 +144,13 @@
 		switch {
 		case !s.alone || followed:
 			s.shareLimits(p)
-		case s.sockets != s.cfg.Limits.Sockets || s.memoryMB != s.cfg.Limits.MemoryMB: // alone again
+		case s.sockets != s.cfg.Limits.Sockets || s.memoryMB != s.cfg.Limits.MemoryMB: // no other process any more
 			s.apply(p, s.cfg.Limits.Sockets, s.cfg.Limits.MemoryMB)
 		}
 	}
 }
 
-// shareLimits leaves the other process what it holds.
+// shareLimits sets the limits to what the other process leaves free.
 func (s *limitSharing) shareLimits(p *proxy.Proxy) {
 	var mine handover.Usage
 	mine.Memory = memoryInUse()
@@ -169,7 +173,7 @@
 	debug.SetMemoryLimit(heapLimit(memory))
 }
 
-// memoryInUse is the memory that the runtime has from the system.
+// memoryInUse returns the memory that the runtime has obtained from the system.
 func memoryInUse() int64 {
 	m := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(m)
--- a/internal/app/version.go
+++ b/internal/app/version.go
@@ -11,21 +11,23 @@
 	"linenloom/internal/operator"
 )
 
-// Version names what an instance runs: two with the same name run the same program with the same settings. What differs from one instance to
-// the next by its nature (its number, zone, addresses and folders) is no part of it.
+// Version identifies what an instance runs: two instances with equal versions run the same program with the
+// same settings. Settings that differ between instances by nature (index, zone, addresses and directories)
+// are excluded.
 type Version struct {
 	Program  string `json:"program"`
 	Settings string `json:"settings"`
 }
 
-// digestBytes is how much of a digest names a version: enough that none of a fleet's is another's by chance.
+// digestBytes is the length of a digest in a version, long enough to make collisions within a fleet
+// improbable.
 const digestBytes = 6
 
 func hexDigest(b []byte) string { return hex.EncodeToString(b[:digestBytes]) }
 
-// programDigest is that of the file that this process was started from.
+// programDigest returns the digest of the file that this process was started from.
 func programDigest() (string, error) {
-	f, err := os.Open("/proc/self/exe") // also where the file has been replaced since
+	f, err := os.Open("/proc/self/exe") // works even if the file has been replaced since
 	if err != nil {
 		return "", fmt.Errorf("version: %w", err)
 	}
@@ -37,7 +39,7 @@
 	return hexDigest(h.Sum(nil)), nil
 }
 
-// settingsDigest is that of the configuration and the operator's file.
+// settingsDigest returns the digest of the configuration and the operator's file.
 func settingsDigest(cfg *config, file *operator.File) (string, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(cfg.Settings, &settings); err != nil {
@@ -62,7 +64,7 @@
 		o.Dir = ""
 		f.Orders = &o
 	}
-	text, err := json.Marshal([]any{settings, cfg.Limits, f}) // the keys of maps are written in order
+	text, err := json.Marshal([]any{settings, cfg.Limits, f}) // the keys of maps are sorted
 	if err != nil {
 		return "", fmt.Errorf("version: %w", err)
 	}
--- a/internal/operator/identity.go
+++ b/internal/operator/identity.go
@@ -9,39 +9,40 @@
 	"linenloom/internal/identity"
 )
 
-// Identity has callers proven by signed tokens, and bounds what each tenant may do (docs/identity-operators.md).
+// Identity requires callers to be identified by signed tokens or client certificates, and limits what each
+// tenant may do (docs/identity-operators.md).
 type Identity struct {
-	KeySetFile      string   `toml:"keys" json:"Keys"` // the file with the JWK set
+	KeySetFile      string   `toml:"keys" json:"Keys"` // path of the JWK set
 	Issuer          string   `toml:"issuer"`
 	Audience        string   `toml:"audience"`
 	TenantClaim     string   `toml:"tenant_claim"`
-	TokenAttribute  string   `toml:"name" json:"Name"` // of a token in a request's list of names and values
+	TokenAttribute  string   `toml:"name" json:"Name"` // the request attribute that carries a token
 	Leeway          Duration `toml:"leeway"`
 	MaxLifetime     Duration `toml:"max_life" json:"MaxLife"`
 	TokenCacheSize  int      `toml:"known" json:"Known"`
 	ChecksPerSecond int      `toml:"checks_per_s" json:"ChecksPerS"`
 	MaxReplayIDs    int      `toml:"replays" json:"Replays"`
-	MaxSuspects     int      `toml:"suspects" json:"Suspects"` // addresses that have shown a bad token lately, remembered at the most
+	MaxSuspects     int      `toml:"suspects" json:"Suspects"` // maximum number of remembered addresses that have recently sent a forged token
 	Tenants         []Tenant `toml:"tenant"`
 
-	TLS          TLS           `toml:"tls"` // its zero value: not set
+	TLS          TLS           `toml:"tls"` // the zero value means not set
 	Certificates []Certificate `toml:"certificate"`
 }
 
-// TLS has listeners speak TLS, and take client certificates.
+// TLS makes listeners use TLS and accept client certificates.
 type TLS struct {
-	Cert       string   `toml:"cert"` // the listeners' own, with those that lead to its root
+	Cert       string   `toml:"cert"` // path of the listeners' certificate chain
 	Key        string   `toml:"key"`
-	Roots      string   `toml:"roots"`  // that client certificates may end in
-	Client     string   `toml:"client"` // asked or required
-	Fronts     []string `toml:"fronts"` // empty: all
+	Roots      string   `toml:"roots"`  // path of the root certificates for client certificates
+	Client     string   `toml:"client"` // "asked" or "required"
+	Fronts     []string `toml:"fronts"` // empty means all
 	Handshakes int      `toml:"handshakes_per_s"`
 }
 
-// Enabled tells whether the file has it.
+// Enabled reports whether the file sets [identity.tls].
 func (t *TLS) Enabled() bool { return t.Client != "" }
 
-// Certificate says which tenant a client certificate proves.
+// Certificate maps client certificates to a tenant.
 type Certificate struct {
 	URI    string `toml:"uri"`
 	DNS    string `toml:"dns"`
@@ -65,10 +66,10 @@
 var identityDefaults = Identity{TenantClaim: "tenant", TokenAttribute: "tk", Leeway: Duration(30 * time.Second), MaxLifetime: Duration(24 * time.Hour),
 	TokenCacheSize: 4096, ChecksPerSecond: 500, MaxReplayIDs: 65536, MaxSuspects: 4096, TLS: TLS{Client: "asked", Handshakes: 200}}
 
-// AcceptsTokens tells whether callers can be proven by tokens.
+// AcceptsTokens reports whether callers can be identified by tokens.
 func (i *Identity) AcceptsTokens() bool { return i.KeySetFile != "" }
 
-// CertRules say which tenants client certificates prove, in the deciding module's terms.
+// CertRules converts the certificates' rules to package identity's type.
 func (i *Identity) CertRules() (all []identity.CertRule) {
 	for _, c := range i.Certificates {
 		all = append(all, identity.CertRule{URI: c.URI, DNS: c.DNS, Issuer: c.Issuer, Tenant: c.Tenant})
@@ -76,7 +77,7 @@
 	return all
 }
 
-// Rights are the tenants' in the deciding module's terms.
+// Rights converts the tenants' rights to package identity's type.
 func (i *Identity) Rights() (all []identity.Rights) {
 	for _, t := range i.Tenants {
 		all = append(all, identity.Rights{Tenant: t.Name, Classes: t.Classes, Prefixes: t.Prefixes, Fronts: t.Fronts,
@@ -85,7 +86,7 @@
 	return all
 }
 
-// TokenRequirements are what a token has to fulfil.
+// TokenRequirements returns the conditions that a token has to meet.
 func (i *Identity) TokenRequirements() identity.TokenRequirements {
 	return identity.TokenRequirements{Issuer: i.Issuer, Audience: i.Audience, TenantClaim: i.TenantClaim, Leeway: i.Leeway.D(),
 		MaxLifetime: i.MaxLifetime.D(), CacheSize: i.TokenCacheSize, ChecksPerSecond: float64(i.ChecksPerSecond)}
@@ -106,9 +107,9 @@
 	}
 	switch {
 	case !validAttributeName(e.TokenAttribute):
-		d.faultAt(p+"name", "identity.name is %q; letters and digits", e.TokenAttribute)
+		d.faultAt(p+"name", "identity.name is %q; it can have up to 16 letters and digits", e.TokenAttribute)
 	case len(e.TokenAttribute) == 1 && (e.TokenAttribute == "c" || e.TokenAttribute == "t" || e.TokenAttribute == "d" || e.TokenAttribute == "k" || e.TokenAttribute == "r" || e.TokenAttribute == "h") || e.TokenAttribute == "size":
-		d.faultAt(p+"name", "identity.name is %q, which means something else in a request's list", e.TokenAttribute)
+		d.faultAt(p+"name", "identity.name is %q, which is already another attribute of a request", e.TokenAttribute)
 	}
 	d.checkDuration(p+"leeway", e.Leeway.D(), 0, 5*time.Minute)
 	d.checkDuration(p+"max_life", e.MaxLifetime.D(), time.Minute, 30*24*time.Hour)
@@ -117,7 +118,7 @@
 	d.checkInt(p+"replays", e.MaxReplayIDs, 1, 1<<22)
 	d.checkInt(p+"suspects", e.MaxSuspects, 0, 1<<20)
 	if len(e.Tenants) == 0 {
-		d.faultAt("identity", "no [[identity.tenant]]: nobody would have a right")
+		d.faultAt("identity", "no [[identity.tenant]]: no caller would have any rights")
 	}
 	named := map[string]bool{}
 	for i := range e.Tenants {
@@ -127,9 +128,9 @@
 		case t.Name == "":
 			d.faultAt(path, "%s has no name", path)
 		case !validTenantName(t.Name):
-			d.faultAt(path+".name", "%s.name is %q; letters, digits, '-', '_' and '.'", path, t.Name)
+			d.faultAt(path+".name", "%s.name is %q; it can have letters, digits, '-', '_' and '.', up to 64", path, t.Name)
 		case named[t.Name]:
-			d.faultAt(path+".name", "%s.name: %q stands twice", path, t.Name)
+			d.faultAt(path+".name", "%s.name: %q is used twice", path, t.Name)
 		}
 		named[t.Name] = true
 		for _, f := range t.Fronts {
@@ -156,7 +157,7 @@
 		}
 		d.checkInt(p+".handshakes_per_s", e.TLS.Handshakes, 1, 1_000_000)
 		if len(e.Certificates) == 0 && !d.isSet("identity.keys") {
-			d.faultAt(p, "no [[identity.certificate]] and no identity.keys: nobody could be proven")
+			d.faultAt(p, "no [[identity.certificate]] and no identity.keys: no caller could be identified")
 		}
 	}
 	for i := range e.Certificates {
@@ -171,9 +172,9 @@
 		named := func(t Tenant) bool { return t.Name == c.Tenant }
 		switch {
 		case !d.isSet(p):
-			d.faultAt(path, "%s, but no [identity.tls] that would ask for certificates", path)
+			d.faultAt(path, "%s, but no [identity.tls] to request certificates", path)
 		case set != 1:
-			d.faultAt(path, "%s has to have one of uri, dns and issuer, and has %d", path, set)
+			d.faultAt(path, "%s has to have one of uri, dns and issuer; it has %d", path, set)
 		case c.Tenant == "":
 			d.faultAt(path, "%s has no tenant", path)
 		case !slices.ContainsFunc(e.Tenants, named):
@@ -192,7 +193,7 @@
 
 func validAttributeName(s string) bool { return s != "" && len(s) <= 16 && isAlphanumeric(s, "") }
 
-// validTenantName tells whether a tenant's name can stand in a request's list as it is.
+// validTenantName reports whether a tenant's name can be an attribute's value in a request without escaping.
 func validTenantName(s string) bool { return len(s) <= 64 && isAlphanumeric(s, "-_.") }
 
 func isAlphanumeric(s, more string) bool {
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -13,24 +13,27 @@
 	"linenloom/internal/zones"
 )
 
-// Instances has the instances of an installation know of one another (docs/zones-operators.md).
+// Instances makes this process a member of its installation, whose instances exchange messages
+// (docs/zones-operators.md).
 type Instances struct {
-	// Listen is where the others are heard, over UDP and TCP: the first that is free, since a process that takes over needs another.
+	// Listen is the addresses for the other instances, over UDP and TCP. The first free one is used, since a
+	// successor process needs a different one than its predecessor.
 	Listen      []string `toml:"listen"`
-	Advertise   []string `toml:"advertise"` // what they are told in place of each
+	Advertise   []string `toml:"advertise"` // for each listen address, the one that is advertised to the others
 	Join        []string `toml:"join"`
 	Cluster     string   `toml:"cluster"`
 	KeyFile     string   `toml:"key_file"`
-	ForgetAfter Duration `toml:"forget" json:"Forget"` // how long one that was lost without a word counts as there
+	ForgetAfter Duration `toml:"forget" json:"Forget"` // how long an instance that is lost without leaving is still counted
 }
 
-// Zones has them leave a zone that fails together, and return to it together. It needs Instances.
+// Zones makes the instances decide together to leave a failing zone and to return to it. It requires
+// Instances.
 type Zones struct {
-	MinCapacityShare float64  `toml:"least" json:"Least"` // of the capacity, which stays in use whatever is seen
+	MinCapacityShare float64  `toml:"least" json:"Least"` // the share of the capacity that always stays in use
 	Regions          []Region `toml:"region" json:"Region"`
 }
 
-// Region is zones that are left and returned to as one where they fail together.
+// Region is a group of zones that are left and returned to together if they fail together.
 type Region struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"zones"`
@@ -73,14 +76,14 @@
 		d.faultAt(p+"cluster", "instances.cluster is a name of 1 to 64 bytes")
 	}
 	if open && in.KeyFile == "" {
-		d.faultAt("instances", "instances.key_file is missing: who can reach %s could take zones out", strings.Join(in.Listen, ", "))
+		d.faultAt("instances", "instances.key_file is missing: anyone who can reach %s could take zones out of use", strings.Join(in.Listen, ", "))
 	}
 	d.checkDuration(p+"forget", in.ForgetAfter.D(), 5*time.Second, time.Hour)
 }
 
 func (d *decoder) checkZones(z *Zones) {
 	if !d.isSet("instances") {
-		d.faultAt("zones", "[zones], but no [instances]: a proxy alone decides as without it")
+		d.faultAt("zones", "[zones], but no [instances]: it has no effect on a single proxy")
 	}
 	if !(z.MinCapacityShare > 0 && z.MinCapacityShare < 1) {
 		d.faultAt("zones.least", "zones.least is %v; it can be more than 0 and less than 1", z.MinCapacityShare)
@@ -91,22 +94,22 @@
 		r := &z.Regions[i]
 		r.Line = d.lines[path]
 		if r.Name == "" || names[r.Name] {
-			d.faultAt(path, "%s.name is %q; each region has a name of its own", path, r.Name)
+			d.faultAt(path, "%s.name is %q; each region needs a name of its own", path, r.Name)
 		}
 		names[r.Name] = true
 		if len(r.Zones) < 2 {
-			d.faultAt(path, "%s has %d zones; a region has two at least", path, len(r.Zones))
+			d.faultAt(path, "%s has %d zones; a region has at least two", path, len(r.Zones))
 		}
 		for _, zone := range r.Zones {
 			if seen[zone] {
-				d.faultAt(path, "%s.zones: %q stands twice", path, zone)
+				d.faultAt(path, "%s.zones: %q is listed twice", path, zone)
 			}
 			seen[zone] = true
 		}
 	}
 }
 
-// Regions are the regions in terms of the configuration's zones, by name.
+// Regions returns the regions by name, with the indexes of their zones in the configuration.
 func (f *File) Regions(known []string) (byName map[string][]int, err error) {
 	byName = map[string][]int{}
 	if f.Zones == nil {
@@ -131,7 +134,7 @@
 	return byName, nil
 }
 
-// ParseAddresses are a key's; they have been checked.
+// ParseAddresses parses the addresses of a key, which have been checked before.
 func ParseAddresses(texts []string) (all []netip.AddrPort) {
 	for _, t := range texts {
 		if a, err := netip.ParseAddrPort(t); err == nil {
@@ -141,7 +144,8 @@
 	return all
 }
 
-// ReadKeys reads the key file: a key a line, in hexadecimal; the first one encrypts, all are read.
+// ReadKeys reads the key file, which has one hexadecimal key per line. The first key encrypts; all keys
+// decrypt.
 func (in *Instances) ReadKeys() (keys [][]byte, err error) {
 	if in.KeyFile == "" {
 		return nil, nil
--- a/internal/operator/joining.go
+++ b/internal/operator/joining.go
@@ -2,7 +2,8 @@
 
 import "linenloom/internal/joining"
 
-// Joining has identical reads in flight share one attempt (docs/joining.md). It says that an answer may serve several requests.
+// Joining lets identical outstanding reads share one attempt (docs/joining.md). Setting it permits one
+// answer to serve several requests.
 type Joining struct {
 	Followers          int  `toml:"followers"`
 	FollowersPerTenant int  `toml:"followers_per_tenant" json:"PerTenant"`
@@ -12,7 +13,7 @@
 
 var joiningDefaults = Joining{Followers: 16384, FollowersPerTenant: 4096, Groups: 4096}
 
-// Limits are in the deciding module's terms.
+// Limits converts the limits to package joining's type.
 func (j *Joining) Limits() *joining.Limits {
 	return &joining.Limits{Followers: j.Followers, PerTenant: j.FollowersPerTenant, Groups: j.Groups, AcrossTenants: j.AcrossTenants}
 }
--- a/internal/operator/manykeys.go
+++ b/internal/operator/manykeys.go
@@ -2,7 +2,7 @@
 
 import "linenloom/internal/manykeys"
 
-// ManyKeys has OBJ.MGET taken (docs/many-keys.md).
+// ManyKeys enables OBJ.MGET (docs/many-keys.md).
 type ManyKeys struct {
 	MaxKeys        int `toml:"keys" json:"Keys"`
 	MaxBytes       int `toml:"bytes" json:"Bytes"`
@@ -12,7 +12,7 @@
 
 var manyKeysDefaults = ManyKeys{MaxKeys: 256, MaxBytes: 4 << 20, MaxOutstanding: 64, PartSize: 16}
 
-// Limits are in the deciding module's terms.
+// Limits converts the limits to package manykeys's type.
 func (m *ManyKeys) Limits() *manykeys.Limits {
 	return &manykeys.Limits{Keys: m.MaxKeys, Bytes: m.MaxBytes, Outstanding: m.MaxOutstanding, PartSize: m.PartSize}
 }
--- a/internal/operator/orders.go
+++ b/internal/operator/orders.go
@@ -8,25 +8,27 @@
 	"linenloom/internal/orders/ledger"
 )
 
-// Orders has orders kept on record on a disk that lasts (docs/orders-operators.md).
+// Orders enables the record of orders, on a persistent disk (docs/orders-operators.md).
 type Orders struct {
 	Dir             string   `toml:"dir"`
 	MaxOrders       int      `toml:"most" json:"Most"`
-	MaxReceiptBytes int      `toml:"most_bytes" json:"MostBytes"` // of receipts, together
-	Retention       Duration `toml:"keep" json:"Keep"`            // how long an order that has ended is known, at the least
+	MaxReceiptBytes int      `toml:"most_bytes" json:"MostBytes"` // total size of the receipts
+	Retention       Duration `toml:"keep" json:"Keep"`            // minimum time that an ended order is remembered
 	MaxPending      int      `toml:"line" json:"Line"`            // orders that may wait for the disk
-	SegmentSize     int      `toml:"segment" json:"Segment"`      // bytes of a file of the log
+	SegmentSize     int      `toml:"segment" json:"Segment"`      // size of a log file in bytes
 	CompactAfter    int      `toml:"compact_at" json:"CompactAt"`
-	// UnknownRetries is what becomes of a repeat that nobody here knows of: "look_up" or "run".
+	// UnknownRetries is what happens to a retry of an order that the record does not have: "look_up" or
+	// "run".
 	UnknownRetries string `toml:"strangers" json:"Strangers"`
-	// ReceiptFronts are the fronts that answer a repeat with the receipt on record.
+	// ReceiptFronts is the fronts that answer a retry with the recorded receipt.
 	ReceiptFronts []string `toml:"receipts" json:"Receipts"`
 }
 
 var ordersDefaults = Orders{MaxOrders: 100_000, MaxReceiptBytes: 64 << 20, Retention: Duration(24 * time.Hour), MaxPending: 256, SegmentSize: 4 << 20, CompactAfter: 10_000,
 	UnknownRetries: "look_up", ReceiptFronts: []string{"extproc"}}
 
-// Options are the keeper's.
+// Options returns the keeper's options. follows reports whether a predecessor process may still hold the
+// record.
 func (o *Orders) Options(follows bool) keeper.Options {
 	return keeper.Options{WaitForPredecessor: follows, RunUnknownRetries: o.UnknownRetries == "run", Options: ledger.Options{
 		Limits:      orders.Limits{Retention: o.Retention.D(), MaxOrders: o.MaxOrders, MaxReceiptBytes: o.MaxReceiptBytes},
@@ -40,7 +42,7 @@
 	}
 	d.checkInt(p+"most", o.MaxOrders, 1, 10_000_000)
 	d.checkInt(p+"most_bytes", o.MaxReceiptBytes, 1<<10, 1<<36)
-	// Who asks again within a day must be known.
+	// Retries within a day have to be recognized; the default covers them.
 	d.checkDuration(p+"keep", o.Retention.D(), time.Minute, 90*24*time.Hour)
 	d.checkInt(p+"line", o.MaxPending, 1, 1<<16)
 	d.checkInt(p+"segment", o.SegmentSize, 64<<10, 1<<30)
