--- a/internal/idcmd/idcmd.go
+++ b/internal/idcmd/idcmd.go
@@ -1,5 +1,6 @@
-// Package idcmd is the commands for signing keys and tokens: what an operator does by hand, and what tests and staging need. It
-// writes key files whole, by rename, so that a process that reads one never sees half of it. It is no part of serving.
+// Package idcmd implements the commands for signing keys and tokens, for operators, tests and staging. It
+// replaces key files atomically by rename, so that a process never reads an incomplete file. It is not used
+// for serving.
 package idcmd
 
 import (
@@ -28,10 +29,10 @@
 
 const exitUsage = 2
 
-// Token is the command token: sign and inspect.
+// Token runs the command token: sign and inspect.
 func Token(args []string) int { return run("token", args, os.Stdin, os.Stdout, os.Stderr, time.Now) }
 
-// Keys is the command keys: list and rotate.
+// Keys runs the command keys: list and rotate.
 func Keys(args []string) int { return run("keys", args, os.Stdin, os.Stdout, os.Stderr, time.Now) }
 
 func run(command string, args []string, in io.Reader, out, errs io.Writer, now func() time.Time) int {
@@ -51,10 +52,10 @@
 		err = rotate(args[1:], out, errs, now())
 	default:
 		fmt.Fprint(errs, `usage: linenloom token sign -key FILE -issuer I -audience A -tenant T [-jti ID] [-for 10m]   a token, on standard output
-       linenloom token inspect [-keys FILE]      what the token on standard input says, and whether a key set accepts it
-       linenloom keys list -keys FILE            the keys of a set, and where each stands
+       linenloom token inspect [-keys FILE]      the claims of the token on standard input, and whether a key set accepts it
+       linenloom keys list -keys FILE            the keys of a set and their phases
        linenloom keys rotate -keys FILE -private FILE [-alg EdDSA] [-after 1m] [-overlap 1h] [-prune 24h]
-                                                 a new key, which counts -after from now; those before it end -overlap later
+                                                 adds a key, active -after from now; the earlier keys end -overlap later
 `)
 		return exitUsage
 	}
@@ -73,8 +74,8 @@
 	key := f.String("key", "", "the private key, a JWK `FILE`")
 	issuer, audience := f.String("issuer", "", "iss"), f.String("audience", "", "aud")
 	tenant, claim := f.String("tenant", "", "the tenant"), f.String("claim", "tenant", "the claim that names it")
-	subject, jti := f.String("subject", "", "sub"), f.String("jti", "", "an id, for an order's token")
-	life := f.Duration("for", 10*time.Minute, "how long it holds")
+	subject, jti := f.String("subject", "", "sub"), f.String("jti", "", "an ID, for an order's token")
+	life := f.Duration("for", 10*time.Minute, "how long the token is valid")
 	if err := flags.Parse(f, errs, args, "key", "issuer", "audience", "tenant"); err != nil {
 		return err
 	}
@@ -113,12 +114,12 @@
 	case *rsa.PrivateKey:
 		return jose.RS256, nil
 	}
-	return "", errors.New("it holds no private key of EdDSA, ES256 or RS256")
+	return "", errors.New("it has no private key for EdDSA, ES256 or RS256")
 }
 
 func inspect(args []string, in io.Reader, out, errs io.Writer, now time.Time) error {
 	f := flag.NewFlagSet("token inspect", flag.ContinueOnError)
-	file := f.String("keys", "", "check it by this key set, a JWK set `FILE`")
+	file := f.String("keys", "", "check the token against this JWK set `FILE`")
 	if err := flags.Parse(f, errs, args); err != nil {
 		return err
 	}
@@ -128,16 +129,16 @@
 	}
 	token := strings.TrimSpace(string(text))
 	if len(token) > identity.MaxTokenBytes {
-		return fmt.Errorf("it is longer than %d bytes", identity.MaxTokenBytes)
+		return fmt.Errorf("the token is longer than %d bytes", identity.MaxTokenBytes)
 	}
 	t, err := jwt.ParseSigned(token, identity.Algorithms)
 	if err != nil {
-		return errors.New("it is no token signed with EdDSA, ES256 or RS256")
+		return errors.New("the input is no token signed with EdDSA, ES256 or RS256")
 	}
 	var c jwt.Claims
 	var all map[string]any
 	if err := t.UnsafeClaimsWithoutVerification(&c, &all); err != nil {
-		return errors.New("its claims can't be read")
+		return errors.New("the token's claims can't be read")
 	}
 	fmt.Fprintf(out, "alg %s, kid %s\n", t.Headers[0].Algorithm, t.Headers[0].KeyID)
 	claims, err := json.MarshalIndent(all, "", "  ")
@@ -146,10 +147,10 @@
 	}
 	fmt.Fprintf(out, "%s\n", claims)
 	if c.Expiry != nil {
-		fmt.Fprintf(out, "runs out %s, in %v\n", c.Expiry.Time().UTC().Format(time.RFC3339), c.Expiry.Time().Sub(now).Round(time.Second))
+		fmt.Fprintf(out, "expires %s, in %v\n", c.Expiry.Time().UTC().Format(time.RFC3339), c.Expiry.Time().Sub(now).Round(time.Second))
 	}
 	if *file == "" {
-		fmt.Fprintln(out, "its signature was not checked: -keys is not given")
+		fmt.Fprintln(out, "the signature was not checked: -keys is not given")
 		return nil
 	}
 	keys, err := loadKeySet(*file)
@@ -159,13 +160,13 @@
 	k := keys.ByID[t.Headers[0].KeyID]
 	switch {
 	case k == nil:
-		return errors.New("no key of the set has its kid")
+		return errors.New("no key of the set has the token's kid")
 	case t.Claims(k.Public, &c) != nil:
-		return errors.New("its signature is not by the set's key")
+		return errors.New("the signature is not by the set's key")
 	case k.Phase(now) != identity.PhaseActive:
 		return fmt.Errorf("its key is %s", k.Phase(now))
 	}
-	fmt.Fprintln(out, "its signature is by a key of the set that is active")
+	fmt.Fprintln(out, "the signature is by an active key of the set")
 	return nil
 }
 
@@ -205,12 +206,12 @@
 
 func rotate(args []string, out, errs io.Writer, now time.Time) error {
 	f := flag.NewFlagSet("keys rotate", flag.ContinueOnError)
-	file := f.String("keys", "", "the JWK set `FILE`; it is made if it is not there")
-	private := f.String("private", "", "where the new private key goes, a `FILE` that is not there yet")
+	file := f.String("keys", "", "the JWK set `FILE`, created if it does not exist")
+	private := f.String("private", "", "the `FILE` for the new private key, which must not exist yet")
 	alg := f.String("alg", "EdDSA", "EdDSA, ES256 or RS256")
-	after := f.Duration("after", time.Minute, "when the new key begins to count: long enough for every process to have read the file")
-	overlap := f.Duration("overlap", time.Hour, "how long the keys before it count after that: as long as their tokens hold")
-	prune := f.Duration("prune", 24*time.Hour, "leave out keys that ended longer ago than this")
+	after := f.Duration("after", time.Minute, "when the new key becomes active: long enough for every process to have read the file")
+	overlap := f.Duration("overlap", time.Hour, "how long the earlier keys stay active after that: as long as their tokens are valid")
+	prune := f.Duration("prune", 24*time.Hour, "remove keys that ended longer ago than this")
 	if err := flags.Parse(f, errs, args, "keys", "private"); err != nil {
 		return err
 	}
@@ -267,10 +268,10 @@
 	if text, err = json.MarshalIndent(set, "", "  "); err != nil {
 		return err
 	}
-	if _, err := identity.ParseKeySet(text); err != nil { // what would be turned down is not written
+	if _, err := identity.ParseKeySet(text); err != nil { // an invalid set is not written
 		return err
 	}
-	// The private key first: a public one whose private half is lost helps nobody.
+	// The private key is written first: a public key is useless if its private key is lost.
 	p, err := os.OpenFile(*private, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
@@ -287,7 +288,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s counts from %s; sign with it from then on\n", id, from.UTC().Format(time.RFC3339))
+	fmt.Fprintf(out, "%s is active from %s; sign with it from then on\n", id, from.UTC().Format(time.RFC3339))
 	return nil
 }
 
@@ -304,7 +305,7 @@
 	return nil, fmt.Errorf("-alg is %q; it can be EdDSA, ES256 or RS256", alg)
 }
 
-// replaceFile writes a file whole.
+// replaceFile replaces a file atomically.
 func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/idcmd/idcmd_test.go
+++ b/internal/idcmd/idcmd_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// A key is made, signs, is rotated away, and ends: the tools and the deciding module agree on each step.
+// TestRotation creates a key, signs with it, rotates it away and lets it end. The commands and package
+// identity have to agree at each step.
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
--- a/internal/identity/certs.go
+++ b/internal/identity/certs.go
@@ -13,40 +13,41 @@
 
 const (
 	maxRoots      = 64
-	maxCertNames  = 32 // of a certificate, that are looked at
-	maxChains     = 8  // through which a certificate is proven
+	maxCertNames  = 32 // names of a certificate that are examined
+	maxChains     = 8  // chains of a certificate that are examined
 	maxRootsBytes = 1 << 20
 )
 
-// CertRule says which tenant a client certificate proves: by a URI or DNS name among its subject alternative names (RFC 5280,
-// section 4.2.1.6), or by its issuer. Exactly one of the three is set. A URI that ends in "/*" stands for all below it, a
-// DNS name that begins with "*." for one label in that place.
+// CertRule maps client certificates to a tenant, by a URI or DNS name among the subject alternative names
+// (RFC 5280, section 4.2.1.6) or by the issuer. Exactly one of the three is set. A URI that ends in "/*"
+// matches everything below it; a DNS name that begins with "*." matches one label in that place.
 type CertRule struct {
 	URI, DNS, Issuer string
 	Tenant           string
 }
 
-// Certs decides what client certificates prove. It is never changed: another one takes its place. That a certificate's chain is
-// whole and signed has been checked before, by the TLS library; which root it ends in is kept, as roots come and go.
+// Certs decides what client certificates prove. It is immutable and is replaced as a whole. The TLS library
+// has already verified a certificate's chain; the root that it ends in is recorded, as roots are added and
+// removed.
 type Certs struct {
 	rules []CertRule
 	roots map[[sha256.Size]byte]bool
 }
 
-// certFacts is what a proof keeps of a certificate.
+// certFacts is the part of a certificate that a proof retains.
 type certFacts struct {
 	uris, dns []string
 	issuer    string
 	chains    []certChain
 }
 
-// certChain is one way to a root, and until when all of it counts.
+// certChain is one chain to a root, with the time in which all its certificates are valid.
 type certChain struct {
 	root                [sha256.Size]byte
 	notBefore, notAfter time.Time
 }
 
-// NewCerts makes a Certs for the roots in force.
+// NewCerts returns a Certs for the rules and roots in force.
 func NewCerts(rules []CertRule, roots []*x509.Certificate) *Certs {
 	c := &Certs{rules: rules, roots: make(map[[sha256.Size]byte]bool, len(roots))}
 	for _, r := range roots {
@@ -55,7 +56,7 @@
 	return c
 }
 
-// ParseRoots reads certificates in PEM (RFC 7468). One fault is enough to turn down all of them.
+// ParseRoots parses PEM certificates (RFC 7468). A single error rejects all of them.
 func ParseRoots(text []byte) (roots []*x509.Certificate, err error) {
 	if len(text) > maxRootsBytes {
 		return nil, fmt.Errorf("roots: %d bytes, more than %d", len(text), maxRootsBytes)
@@ -64,19 +65,19 @@
 		var block *pem.Block
 		if block, rest = pem.Decode(rest); block == nil {
 			if s := strings.TrimSpace(string(rest)); strings.Contains(s, "-----BEGIN") {
-				return nil, fmt.Errorf("roots: what follows certificate %d is cut short", len(roots))
+				return nil, fmt.Errorf("roots: the PEM block after certificate %d is cut short", len(roots))
 			}
 			break
 		}
 		if block.Type != "CERTIFICATE" {
-			return nil, fmt.Errorf("roots: a %q among the certificates", block.Type)
+			return nil, fmt.Errorf("roots: unexpected PEM block %q", block.Type)
 		}
 		r, err := x509.ParseCertificate(block.Bytes)
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("roots: certificate %d: %w", len(roots)+1, err)
 		case !r.IsCA:
-			return nil, fmt.Errorf("roots: certificate %d (%s) may not sign others", len(roots)+1, r.Subject)
+			return nil, fmt.Errorf("roots: certificate %d (%s) may not sign other certificates", len(roots)+1, r.Subject)
 		case len(roots) == maxRoots:
 			return nil, fmt.Errorf("roots: more than %d certificates", maxRoots)
 		}
@@ -88,7 +89,8 @@
 	return roots, nil
 }
 
-// Check tells what a certificate proves that was verified through these chains, the certificate first and a root last.
+// Check returns what a certificate proves. The chains have been verified; each begins with the certificate
+// and ends with a root.
 func (c *Certs) Check(now time.Time, chains [][]*x509.Certificate) (*Proof, error) {
 	if len(chains) == 0 || len(chains[0]) == 0 {
 		return nil, deny(NoCredentials, "no certificate")
@@ -126,8 +128,8 @@
 	return p, c.CheckProof(now, p)
 }
 
-// tenantOf is the one that a certificate's names stand for: URIs count before DNS names, and these before the issuer. Names of a
-// kind that stand for two tenants prove neither.
+// tenantOf returns the tenant of a certificate's names. URIs take precedence over DNS names, and these over
+// the issuer. If names of one kind match two tenants, the certificate proves neither.
 func (c *Certs) tenantOf(f *certFacts) (string, error) {
 	for _, fits := range []func(r *CertRule) bool{
 		func(r *CertRule) bool {
@@ -154,8 +156,8 @@
 	return "", deny(Foreign, "its certificate names no tenant here")
 }
 
-// CheckProof tells whether a certificate's proof still holds: through one chain at least everything counts now and ends in a root that
-// is in force, and its names still stand for the same tenant.
+// CheckProof returns nil if a certificate's proof is still valid: all certificates of at least one chain are
+// valid now, the chain ends in a root that is in force, and the names still match the same tenant.
 func (c *Certs) CheckProof(now time.Time, p *Proof) error {
 	if p.certificate == nil {
 		return deny(Forbidden, "no certificate")
@@ -166,7 +168,7 @@
 		case !c.roots[link.root]:
 		case now.Before(link.notBefore):
 			rooted, early = true, true
-		case now.After(link.notAfter): // RFC 5280, section 4.1.2.5: the last moment counts
+		case now.After(link.notAfter): // RFC 5280, section 4.1.2.5: notAfter is inclusive
 			rooted = true
 		default:
 			if tenant, err := c.tenantOf(p.certificate); err != nil {
@@ -186,7 +188,7 @@
 	return deny(Expired, "its certificate")
 }
 
-// matchURI compares as RFC 3986 leaves it where nothing is known of the scheme: byte by byte.
+// matchURI compares byte by byte, as RFC 3986 requires for an unknown scheme.
 func matchURI(rule, name string) bool {
 	if below, ok := strings.CutSuffix(rule, "*"); ok && strings.HasSuffix(below, "/") {
 		return len(name) > len(below) && strings.HasPrefix(name, below) && !strings.Contains(name, "/../") &&
@@ -195,7 +197,7 @@
 	return rule == name
 }
 
-// matchDNS compares without regard to case (RFC 4343). A certificate that is itself for a wildcard stands for no single caller.
+// matchDNS ignores case (RFC 4343). A certificate for a wildcard name does not identify a single caller.
 func matchDNS(rule, name string) bool {
 	if strings.HasPrefix(name, "*") {
 		return false
--- a/internal/identity/certs_test.go
+++ b/internal/identity/certs_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// A proof holds as long as one way to a root counts: the certificate, those between, and the root itself; and as long as the rules say
-// what they said.
+// TestCertificateProofEnds checks that a proof is valid while all certificates of one chain are valid and
+// the rules still map it to the same tenant.
 func TestCertificateProofEnds(t *testing.T) {
 	later := certTime.Add(24 * time.Hour)
 	old, next := newIssuer(t, "old root", nil, later), newIssuer(t, "next root", nil, later)
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,9 +1,8 @@
-// Package identity decides who a caller is and what it may do: whether a token proves a tenant, for how long a proof holds while
-// keys come and go, and which requests a tenant's rights cover.
+// Package identity decides who a caller is and what it may do: whether a token or certificate proves a
+// tenant, how long the proof is valid while keys change, and which requests a tenant's rights permit.
 //
-// It is free of I/O, clock and goroutines: the time and the text of key sets are handed in. It reads no file, opens no
-// connection, and never puts a token into an error. Limits on what the fleet can take are not its matter; they are the
-// decision module's.
+// It has no I/O, clock or goroutines: the caller provides the time and the text of key sets. It never
+// includes a token in an error. The capacity of the fleet is not its concern but the decision module's.
 package identity
 
 import (
@@ -11,24 +10,24 @@
 	"fmt"
 )
 
-// Reason is the reason for which a caller is turned away.
+// Reason is the reason why a caller is refused.
 type Reason uint8
 
-// The reasons.
+// The reasons of refusals.
 const (
-	NoCredentials Reason = iota + 1 // no token, where one is asked for
-	Malformed                       // it can't be read as a token
-	Forbidden                       // an algorithm, header or claim that is not accepted
-	UnknownKey                      // no key of the set has its kid
-	NotYetValid                     // before the token's time, or the key's
-	Expired                         // past the token's time
-	KeyRetired                      // its key is retired
-	Foreign                         // of another issuer, or for another audience
-	BadSignature                    // the signature is not the key's
-	Overloaded                      // too many tokens are to be checked; nothing is said of this one
-	NoRight                         // the tenant has no right to it
-	RateLimited                     // the tenant has asked too often
-	Replayed                        // an order's token that was used before, or may have been
+	NoCredentials Reason = iota + 1 // no token or certificate, although one is required
+	Malformed                       // not a readable token
+	Forbidden                       // an algorithm, header or claim is not accepted
+	UnknownKey                      // the key set has no key with the token's kid
+	NotYetValid                     // the token or its key is not valid yet
+	Expired                         // the token or certificate has expired
+	KeyRetired                      // the token's key or the certificate's root is retired
+	Foreign                         // from another issuer, for another audience, or naming no known tenant
+	BadSignature                    // the signature does not match the key
+	Overloaded                      // too many tokens to check; this one has not been checked
+	NoRight                         // the tenant has no right to the request
+	RateLimited                     // the tenant exceeds its request rate
+	Replayed                        // the token of an order has been used before, or may have been
 )
 
 var reasonText = [...]string{NoCredentials: "no token", Malformed: "no token of a known form", Forbidden: "not accepted",
@@ -43,7 +42,8 @@
 	return "unknown"
 }
 
-// Error tells why a caller is turned away, in words that hold nothing of the token but what the file of rights names itself.
+// Error is the reason why a caller is refused. Its text has nothing of the token except names that the
+// operator's file defines.
 type Error struct {
 	Reason Reason
 	Detail string
@@ -60,7 +60,7 @@
 	return &Error{why, fmt.Sprintf(format, args...)}
 }
 
-// ReasonOf is the reason that an error tells; 0: none of these.
+// ReasonOf returns the reason in an error, or 0 if there is none.
 func ReasonOf(err error) Reason {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -26,7 +26,7 @@
 		CacheSize: 8, ChecksPerSecond: 1000}
 )
 
-// signer is a private key with the JWK of its public half.
+// signer is a private key, with its ID and algorithm.
 type signer struct {
 	id  string
 	key crypto.Signer
@@ -69,7 +69,7 @@
 	return k
 }
 
-// sign signs a payload as it stands, with further headers.
+// sign signs a payload as it is, with additional headers.
 func (s signer) sign(t testing.TB, payload string, headers map[jose.HeaderKey]any) string {
 	t.Helper()
 	opts := (&jose.SignerOptions{}).WithHeader("kid", s.id)
@@ -107,10 +107,11 @@
 
 func encodeSegment(v string) string { return base64.RawURLEncoding.EncodeToString([]byte(v)) }
 
-// What a caller may try, and what becomes of it. Only what is signed by a key of the set, in its time, for here, proves anything.
+// TestTokens checks valid tokens and attempts at forging one. A token has to be signed by an active key of
+// the set, within its validity period, for this issuer and audience.
 func TestTokens(t *testing.T) {
 	ed, ec, rs := newSigner(t, "ed", jose.EdDSA), newSigner(t, "ec", jose.ES256), newSigner(t, "rs", jose.RS256)
-	other := newSigner(t, "ed", jose.EdDSA) // another key, under an id of the set
+	other := newSigner(t, "ed", jose.EdDSA) // another key under an ID of the set
 	coming, gone := newSigner(t, "coming", jose.EdDSA), newSigner(t, "gone", jose.EdDSA)
 	keys := keySet(t, ed.jwk(t, ""), ec.jwk(t, ""), rs.jwk(t, ""),
 		coming.jwk(t, fmt.Sprintf(`,"nbf":%d`, epoch.Unix()+1)), gone.jwk(t, fmt.Sprintf(`,"exp":%d`, epoch.Unix())))
@@ -172,7 +173,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := NewVerifier(testRequirements, keys)
-			for range 2 { // the second time from what is known
+			for range 2 { // the second time from the cache
 				p, err := v.Check(epoch, []byte(c.token), false)
 				if ReasonOf(err) != c.want || (err == nil) != (c.want == 0) {
 					t.Fatalf("%v, want %v", err, c.want)
@@ -191,7 +192,7 @@
 	}
 }
 
-// A set with one fault is no set.
+// TestKeySets checks that a single error rejects the whole set.
 func TestKeySets(t *testing.T) {
 	ed := newSigner(t, "ed", jose.EdDSA)
 	weak, err := rsa.GenerateKey(rand.Reader, 1024)
@@ -204,7 +205,7 @@
 		"empty":             {"", "unexpected end"},
 		"half":              {`{"keys":[` + ed.jwk(t, "")[:40], "unexpected end"},
 		"no key":            {`{"keys":[]}`, "no key"},
-		"twice":             {`{"keys":[` + ed.jwk(t, "") + "," + ed.jwk(t, "") + `]}`, "stands twice"},
+		"twice":             {`{"keys":[` + ed.jwk(t, "") + "," + ed.jwk(t, "") + `]}`, "is used twice"},
 		"a path for an id":  {`{"keys":[` + signer{"../x", ed.key, ed.alg}.jwk(t, "") + `]}`, "kid"},
 		"a private key":     {`{"keys":[` + string(private) + `]}`, "private"},
 		"a shared key":      {`{"keys":[` + string(shared) + `]}`, "shared"},
@@ -219,7 +220,8 @@
 	}
 }
 
-// A key's end ends every proof by it, also those known, whether its moment comes, it leaves the set, or another key takes its id.
+// TestProofEndsWithItsKey checks that the end of a key ends every proof by it, also of cached tokens: when
+// its exp is reached, it leaves the set, or another key replaces it under the same ID.
 func TestProofEndsWithItsKey(t *testing.T) {
 	a, b := newSigner(t, "a", jose.EdDSA), newSigner(t, "b", jose.EdDSA)
 	token := []byte(a.sign(t, claims(), nil))
@@ -251,7 +253,8 @@
 	}
 }
 
-// Bad tokens cost few checks, however many there are; sources without a bad token keep a share of the checks.
+// TestChecksAreBounded checks that many bad tokens cause few signature checks, and that sources without a
+// bad token keep their share.
 func TestChecksAreBounded(t *testing.T) {
 	a, forger := newSigner(t, "a", jose.EdDSA), newSigner(t, "a", jose.EdDSA)
 	few := testRequirements
@@ -262,7 +265,7 @@
 		t.Fatal(err)
 	}
 	overloaded := 0
-	for i := range 1000 { // in a second, by sources that have shown bad ones
+	for i := range 1000 { // in one second, from suspect sources
 		now := epoch.Add(time.Duration(i) * time.Millisecond)
 		_, err := v.Check(now, []byte(forger.sign(t, claims("sub", fmt.Sprintf(`"%d"`, i)), nil)), true)
 		switch ReasonOf(err) {
@@ -323,7 +326,7 @@
 		if p.Authorize(now, "shop", ok) == nil {
 			allowed++
 		}
-		if i == 50 { // a file read again gives no second burst
+		if i == 50 { // a reload gives no second burst
 			p = NewPolicy([]Rights{{Tenant: "shop", Rate: 2}}, p)
 		}
 	}
@@ -332,7 +335,8 @@
 	}
 }
 
-// An order's token is good for one order, unless that has surely not run; and no id is forgotten while it may come again.
+// TestReplays checks that an order's token is accepted once, unless the order has certainly not run, and
+// that no ID is forgotten before its token expires.
 func TestReplays(t *testing.T) {
 	r := ReplayGuard{MaxIDs: 3}
 	proof := func(id string, life time.Duration) *Proof {
@@ -355,7 +359,7 @@
 	if r.Len() != 3 {
 		t.Errorf("%d are remembered", r.Len())
 	}
-	use(2*time.Minute, proof("d", time.Hour), 0) // a's token has run out
+	use(2*time.Minute, proof("d", time.Hour), 0) // the token of a has expired
 	use(2*time.Minute, proof("b", time.Hour), Replayed)
 	use(2*time.Minute, proof("e", time.Hour), Replayed)
 }
@@ -409,7 +413,8 @@
 	}
 }
 
-// BenchmarkMemory fills what is remembered of callers up to the bounds of the operator's file, and tells what that takes.
+// BenchmarkMemory fills what is remembered of callers up to the default limits of the operator's file and
+// reports its size.
 func BenchmarkMemory(b *testing.B) {
 	const tokens, ids, sources = 4096, 65536, 4096
 	s := newSigner(b, "a", jose.EdDSA)
--- a/internal/identity/keys.go
+++ b/internal/identity/keys.go
@@ -20,16 +20,16 @@
 	maxKeySetBytes = 256 << 10
 	maxKeyIDLen    = 64
 	minRSABits     = 2048
-	maxRSABits     = 4096 // a check takes four times as long with each doubling
+	maxRSABits     = 4096 // the cost of a check quadruples with each doubling
 )
 
-// Algorithms are those that are accepted, whatever a token says of itself.
+// Algorithms is the accepted algorithms, whatever a token's header says.
 var Algorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256}
 
-// Phase is the part of its life that a key is in.
+// Phase is the phase of a key's life.
 type Phase uint8
 
-// The phases of a key: nothing is accepted by it yet; what it has signed is accepted; nothing is accepted any more.
+// The phases of a key: not accepted yet, accepted, and no longer accepted.
 const (
 	PhaseComing Phase = iota
 	PhaseActive
@@ -38,17 +38,17 @@
 
 func (p Phase) String() string { return [...]string{"coming", "active", "retired"}[p] }
 
-// Key is a public key, with the time in which it counts.
+// Key is a public key with its validity period.
 type Key struct {
 	ID         string
 	Alg        jose.SignatureAlgorithm
 	Public     any
-	NotBefore  time.Time // zero: since ever
-	NotAfter   time.Time // zero: for good
-	thumbprint string    // of the key itself: another key under the same id is another key
+	NotBefore  time.Time // zero means always
+	NotAfter   time.Time // zero means forever
+	thumbprint string    // detects another key under the same ID
 }
 
-// Phase tells where a key stands. Its moments are the operators', and hold without any leeway.
+// Phase returns the key's phase. The operators set its limits, which apply without leeway.
 func (k *Key) Phase(now time.Time) Phase {
 	switch {
 	case !k.NotAfter.IsZero() && !now.Before(k.NotAfter):
@@ -59,14 +59,15 @@
 	return PhaseActive
 }
 
-// KeySet is a set of keys. It is never changed: another set takes its place.
+// KeySet is a set of keys. It is immutable and is replaced as a whole.
 type KeySet struct {
 	ByID map[string]*Key
 	List []*Key // in the order of the file
 }
 
-// ParseKeySet reads a JWK set (RFC 7517). Beside the standard's members a key may have nbf and exp, in seconds since 1970: when it
-// begins to count, and from when on it is retired. One fault is enough to turn down the whole set.
+// ParseKeySet parses a JWK set (RFC 7517). In addition to the standard members, a key may have nbf and exp,
+// in seconds since 1970: when it becomes active and when it is retired. A single error rejects the whole
+// set.
 func ParseKeySet(text []byte) (*KeySet, error) {
 	if len(text) > maxKeySetBytes {
 		return nil, fmt.Errorf("key set: %d bytes, more than %d", len(text), maxKeySetBytes)
@@ -78,7 +79,7 @@
 		return nil, fmt.Errorf("key set: %w", err)
 	}
 	if len(set.Keys) == 0 {
-		return nil, errors.New("key set: it has no key")
+		return nil, errors.New("key set: there is no key")
 	}
 	if len(set.Keys) > maxKeys {
 		return nil, fmt.Errorf("key set: %d keys, more than %d", len(set.Keys), maxKeys)
@@ -90,7 +91,7 @@
 			return nil, fmt.Errorf("key set: keys[%d]: %w", i, err)
 		}
 		if ks.ByID[k.ID] != nil {
-			return nil, fmt.Errorf("key set: keys[%d]: kid %q stands twice", i, k.ID)
+			return nil, fmt.Errorf("key set: keys[%d]: kid %q is used twice", i, k.ID)
 		}
 		ks.ByID[k.ID] = k
 		ks.List = append(ks.List, k)
@@ -122,19 +123,19 @@
 		k.Alg = jose.EdDSA
 	case *ecdsa.PublicKey:
 		if pub.Curve != elliptic.P256() {
-			return nil, errors.New("an EC key has to be on P-256")
+			return nil, errors.New("an EC key must be on P-256")
 		}
 		k.Alg = jose.ES256
 	case *rsa.PublicKey:
 		if n := pub.N.BitLen(); n < minRSABits || n > maxRSABits {
-			return nil, fmt.Errorf("an RSA key of %d bits; it can have %d to %d", n, minRSABits, maxRSABits)
+			return nil, fmt.Errorf("an RSA key of %d bits; it must have %d to %d", n, minRSABits, maxRSABits)
 		}
 		k.Alg = jose.RS256
 	default:
-		return nil, errors.New("no public key of EdDSA, ES256 or RS256; private and shared keys have no place here")
+		return nil, errors.New("not a public key for EdDSA, ES256 or RS256; private and shared keys are not allowed")
 	}
 	if jwk.Algorithm != "" && jwk.Algorithm != string(k.Alg) {
-		return nil, fmt.Errorf("alg is %q; a key of this kind makes %s", jwk.Algorithm, k.Alg)
+		return nil, fmt.Errorf("alg is %q; a key of this type requires %s", jwk.Algorithm, k.Alg)
 	}
 	if life.From != nil {
 		k.NotBefore = unixTime(*life.From)
@@ -144,17 +145,18 @@
 			return nil, errors.New("exp is not after nbf")
 		}
 	}
-	print, err := jwk.Thumbprint(crypto.SHA256)
+	thumbprint, err := jwk.Thumbprint(crypto.SHA256)
 	if err != nil {
 		return nil, err
 	}
-	k.thumbprint = string(print)
+	k.thumbprint = string(thumbprint)
 	return k, nil
 }
 
 func unixTime(s float64) time.Time { return time.UnixMilli(int64(s * 1000)) }
 
-// validKeyID tells whether an id can be printed and compared as it is; nothing is ever opened by it.
+// validKeyID reports whether an ID can be printed and compared as it is. IDs are never used as file names or
+// addresses.
 func validKeyID(id string) bool {
 	return id != "" && len(id) <= maxKeyIDLen &&
 		strings.Trim(id, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == ""
--- a/internal/identity/rights.go
+++ b/internal/identity/rights.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Rights are what a tenant may do.
+// Rights is what a tenant may do.
 type Rights struct {
 	Tenant   string
-	Classes  []string // empty: all
-	Prefixes []string // of keys; empty: all
-	Fronts   []string // empty: all
+	Classes  []string // empty means all
+	Prefixes []string // of keys; empty means all
+	Fronts   []string // empty means all
 	ReadOnly bool
-	MaxValue int     // bytes of a write; 0: as long as the program takes
-	Rate     float64 // requests a second, at this process; 0: no bound of its own
+	MaxValue int     // bytes of a written value; 0 means the program's limit
+	Rate     float64 // requests per second at this process; 0 means no limit
 }
 
-// Request is a request, as far as rights go.
+// Request is the part of a request that rights depend on.
 type Request struct {
 	Class      string
 	Key        []byte
 	Front      string
 	Write      bool
-	AtMostOnce bool // it must never run twice: its token's id is used by it
-	ValueSize  int  // of its value
+	AtMostOnce bool // the request uses up its token's ID, as it must never run twice
+	ValueSize  int  // bytes of the value
 }
 
 // Policy is the rights of all tenants. It is not safe for concurrent use.
@@ -38,13 +38,14 @@
 	bucket tokenBucket
 }
 
-// NewPolicy makes a Policy. A tenant that it does not name may do nothing. Of a policy before it, the rates used so far go on.
-func NewPolicy(all []Rights, before *Policy) *Policy {
+// NewPolicy returns a Policy. Tenants without an entry have no rights. The rate limits continue from the
+// previous policy, if there is one.
+func NewPolicy(all []Rights, previous *Policy) *Policy {
 	p := &Policy{tenants: map[string]*tenantRights{}}
 	for _, r := range all {
 		t := &tenantRights{Rights: r, bucket: tokenBucket{rate: r.Rate}}
-		if before != nil {
-			if old := before.tenants[r.Tenant]; old != nil && old.Rate > 0 {
+		if previous != nil {
+			if old := previous.tenants[r.Tenant]; old != nil && old.Rate > 0 {
 				t.bucket.tokens, t.bucket.refilledAt = old.bucket.tokens, old.bucket.refilledAt
 			}
 		}
@@ -53,7 +54,8 @@
 	return p
 }
 
-// Authorize tells whether a tenant may make a request now. The rate is used only by what else is allowed.
+// Authorize returns nil if a tenant may make a request now. Only a request that is otherwise permitted
+// counts toward the rate.
 func (p *Policy) Authorize(now time.Time, tenant string, a Request) error {
 	t := p.tenants[tenant]
 	switch {
--- a/internal/identity/sources.go
+++ b/internal/identity/sources.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// suspectDuration is how long an address stays suspect after the latest forged token that came from it.
+// suspectDuration is how long an address stays suspect after its latest forged token.
 const suspectDuration = 30 * time.Second
 
-// SuspectSources remembers which addresses have shown a forged token lately: who brings one on each new connection would else look clean each
-// time, and use up the half of the checks that is kept for those who are. Other faults of a token cost no check. It is bounded: where it is full, the address that has shown
-// none for longest is forgotten. Of IPv6 the first 64 bits count, as whoever has one address has all of those. It could do harm
-// behind an address that many share: one of them makes all use the open half.
+// SuspectSources remembers addresses that have recently sent a forged token. Otherwise a caller that sends
+// one on each new connection would look clean every time and use up the half of the checks that is reserved
+// for clean callers. Other errors of a token cost no check. The number of addresses is limited: if it is
+// reached, the address without a forged token for the longest time is removed. IPv6 addresses are compared
+// by their first 64 bits, as a caller usually has the whole prefix. Where many callers share an address, one
+// forger limits all of them to the shared half.
 type SuspectSources struct {
 	MaxAddresses int
 	byPrefix     map[netip.Addr]*list.Element
-	recent       list.List // of *suspect, the latest in front
+	recent       list.List // of *suspect, the latest first
 }
 
 type suspect struct {
@@ -33,13 +35,13 @@
 	return a
 }
 
-// Suspect tells whether an address has shown a forged token lately.
+// Suspect reports whether an address has recently sent a forged token.
 func (s *SuspectSources) Suspect(now time.Time, a netip.Addr) bool {
 	e := s.byPrefix[sourcePrefix(a)]
 	return e != nil && now.Before(e.Value.(*suspect).expiresAt)
 }
 
-// RecordForged notes that a forged token came from an address.
+// RecordForged records that an address sent a forged token.
 func (s *SuspectSources) RecordForged(now time.Time, a netip.Addr) {
 	if a = sourcePrefix(a); !a.IsValid() || s.MaxAddresses < 1 {
 		return
@@ -60,14 +62,15 @@
 	s.byPrefix[a] = s.recent.PushFront(&suspect{a, now.Add(suspectDuration)})
 }
 
-// Len counts the addresses that are remembered.
+// Len returns the number of addresses.
 func (s *SuspectSources) Len() int { return len(s.byPrefix) }
 
-// RateLimiter lets so many through a second, and a second's worth at once. It is not safe for concurrent use.
+// RateLimiter permits a number of events per second, with a burst of one second's worth. It is not safe for
+// concurrent use.
 type RateLimiter struct{ bucket tokenBucket }
 
-// NewRateLimiter makes a Budget.
+// NewRateLimiter returns a RateLimiter.
 func NewRateLimiter(perS float64) *RateLimiter { return &RateLimiter{tokenBucket{rate: perS}} }
 
-// Allow tells whether one more may pass now.
+// Allow reports whether another event is permitted now, and counts it.
 func (r *RateLimiter) Allow(now time.Time) bool { return r.bucket.take(now) }
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -9,33 +9,33 @@
 	"github.com/go-jose/go-jose/v4/jwt"
 )
 
-// MaxTokenBytes is the longest token that is looked at, in bytes.
+// MaxTokenBytes is the maximum length of a token.
 const MaxTokenBytes = 4 << 10
 
-// TokenRequirements are what a token has to fulfil.
+// TokenRequirements is the conditions that a token has to meet, and the limits of checking tokens.
 type TokenRequirements struct {
 	Issuer, Audience string
-	TenantClaim      string        // the claim that names the tenant
-	Leeway           time.Duration // by which the issuer's clock may be off, for exp and nbf of tokens
-	MaxLifetime      time.Duration // a token that holds for longer from now on is not accepted
-	CacheSize        int           // tokens that are known again without a check
-	// ChecksPerSecond is how many signatures are checked a second at the most, of all sources. Half of that is kept for sources
-	// that have shown no bad token yet.
+	TenantClaim      string        // claim that names the tenant
+	Leeway           time.Duration // accepted error of the issuer's clock, for exp and nbf of tokens
+	MaxLifetime      time.Duration // maximum remaining lifetime of an accepted token
+	CacheSize        int           // number of checked tokens that are remembered
+	// ChecksPerSecond limits the signature checks per second, for all sources together. Half of them is
+	// reserved for sources that have not sent a bad token.
 	ChecksPerSecond float64
 }
 
-// Proof is what a token or a certificate proves. It is never changed.
+// Proof is what a token or a certificate proves. It is immutable.
 type Proof struct {
 	Tenant        string
 	Subject       string
-	ID            string    // the token's jti; empty: it has none
-	ExpiresAt     time.Time // exp, with the leeway
+	ID            string    // the token's jti, or empty
+	ExpiresAt     time.Time // exp plus the leeway
 	KeyID         string
 	keyThumbprint string // of the key
 	certificate   *certFacts
 }
 
-// ByCertificate tells whether it is a certificate that proves.
+// ByCertificate reports whether the proof is based on a certificate.
 func (p *Proof) ByCertificate() bool { return p.certificate != nil }
 
 // Verifier checks tokens. It is not safe for concurrent use.
@@ -43,10 +43,10 @@
 	requirements   TokenRequirements
 	keys           *KeySet
 	cache          map[[sha256.Size]byte]*list.Element
-	recent         list.List   // of *cachedToken, used last in front
-	sharedChecks   tokenBucket // of signature checks
-	reservedChecks tokenBucket // the half that is kept for sources without a bad token
-	Checks         int         // signatures checked so far
+	recent         list.List   // of *cachedToken, most recently used first
+	sharedChecks   tokenBucket // signature checks for all sources
+	reservedChecks tokenBucket // signature checks for sources that have sent no bad token
+	Checks         int         // number of signature checks so far
 }
 
 type cachedToken struct {
@@ -54,7 +54,7 @@
 	proof *Proof
 }
 
-// tokenBucket lets so many through a second, and a second's worth at once.
+// tokenBucket permits a number of events per second, with a burst of one second's worth.
 type tokenBucket struct {
 	rate, tokens float64
 	refilledAt   time.Time
@@ -71,20 +71,20 @@
 	return true
 }
 
-// NewVerifier makes a Verifier; without keys it accepts nothing.
+// NewVerifier returns a Verifier. Without keys it accepts no token.
 func NewVerifier(t TokenRequirements, keys *KeySet) *Verifier {
 	return &Verifier{requirements: t, keys: keys, cache: map[[sha256.Size]byte]*list.Element{},
 		sharedChecks: tokenBucket{rate: t.ChecksPerSecond / 2}, reservedChecks: tokenBucket{rate: t.ChecksPerSecond / 2}}
 }
 
-// SetKeys puts another set in force. What is known of tokens stays: a proof names its key, and holds only as long as that one
+// SetKeys replaces the key set. Cached tokens stay: a proof names its key and is valid only while that key
 // is in the set and active.
 func (v *Verifier) SetKeys(keys *KeySet) { v.keys = keys }
 
-// Check tells what a token proves. Suspect tells that its source has shown a bad token before.
+// Check returns what a token proves. suspect reports whether the token's source has sent a bad token before.
 //
-// All that costs little comes first: size, form, algorithm, key id, times, issuer, audience. Only a token that would be good if
-// its signature were is checked, within the budget.
+// The cheap checks come first: size, form, algorithm, key ID, times, issuer, audience. The signature is
+// checked last, within the limit, and only if the token is otherwise acceptable.
 func (v *Verifier) Check(now time.Time, token []byte, suspect bool) (*Proof, error) {
 	if len(token) == 0 || len(token) > MaxTokenBytes {
 		return nil, deny(Malformed, "its length is out of range")
@@ -99,7 +99,7 @@
 		return p, nil
 	}
 	tok, err := jwt.ParseSigned(string(token), Algorithms)
-	if err != nil { // its text may hold parts of the token
+	if err != nil { // not passed on, as it may include parts of the token
 		return nil, deny(Malformed, "or its algorithm is none of EdDSA, ES256 and RS256")
 	}
 	head := tok.Headers[0]
@@ -159,8 +159,8 @@
 	return p, nil
 }
 
-// CheckProof tells whether a proof still holds: its token has not run out, and its key is in the set and active. It changes nothing,
-// and may be asked while tokens are checked.
+// CheckProof returns nil if a proof is still valid: its token has not expired, and its key is in the set and
+// active. It changes nothing and may be called while tokens are checked.
 func (k *KeySet) CheckProof(now time.Time, p *Proof) error {
 	if !now.Before(p.ExpiresAt) {
 		return deny(Expired, "")
@@ -193,18 +193,19 @@
 	v.cache[hash] = v.recent.PushFront(&cachedToken{hash, p})
 }
 
-// CacheLen counts the tokens that are known again without a check.
+// CacheLen returns the number of cached tokens.
 func (v *Verifier) CacheLen() int { return len(v.cache) }
 
-// ReplayGuard remembers the ids of orders' tokens, each until its token has run out. It is bounded: where it is full of ids that may
-// still come again, no further order is let in, as forgetting one could let it run twice.
+// ReplayGuard remembers the IDs of orders' tokens until the tokens expire. The number of IDs is limited: if
+// it is reached and no token has expired, further orders are refused, as forgetting an ID could let its
+// order run twice.
 type ReplayGuard struct {
 	MaxIDs     int
 	expiryByID map[string]time.Time
-	nextExpiry time.Time // when the first of those kept may have run out
+	nextExpiry time.Time // lower bound of the earliest expiry
 }
 
-// Use notes a token's id; false: it was used before, or there is no room to remember it.
+// Use records a token's ID. It returns an error if the ID was used before or cannot be remembered.
 func (r *ReplayGuard) Use(now time.Time, p *Proof) error {
 	if p.ID == "" {
 		return nil
@@ -236,12 +237,13 @@
 	return nil
 }
 
-// Release forgets an id whose order has surely not run: its caller may come again with the same token.
+// Release forgets the ID of an order that has certainly not run, so that its caller may retry with the same
+// token.
 func (r *ReplayGuard) Release(p *Proof) {
 	if p.ID != "" {
 		delete(r.expiryByID, p.Tenant+"\x00"+p.ID)
 	}
 }
 
-// Len counts the ids that are remembered.
+// Len returns the number of IDs.
 func (r *ReplayGuard) Len() int { return len(r.expiryByID) }
