--- a/cmd/linenloom/launch_test.go
+++ b/cmd/linenloom/launch_test.go
@@ -9,7 +9,8 @@
 	"linenloom/internal/standin"
 )
 
-// launch starts the program, by the test's binary, and waits until it says that it is ready. The log may be that of processes before it.
+// launch starts the program from the test binary and waits until it logs that it is ready. Earlier processes
+// may have written to the same log.
 func launch(t *testing.T, log *logCounter, args []string, env ...string) *exec.Cmd {
 	t.Helper()
 	self, err := os.Executable()
@@ -32,7 +33,7 @@
 	return cmd
 }
 
-// extendDeadlines has a fleet's settings give requests a minute, and further limits of theirs.
+// extendDeadlines gives a fleet's requests deadlines of one minute, and sets further limits.
 func extendDeadlines(fleet *standin.Fleet, limits map[string]any) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
--- a/cmd/linenloom/leave_test.go
+++ b/cmd/linenloom/leave_test.go
@@ -19,14 +19,15 @@
 	"linenloom/internal/standin"
 )
 
-// clientGoneDelay is the time that the rule itself gives: a request whose client has left is not sent on so much later.
+// clientGoneDelay is the time within which the proxy drops a request whose client has closed its connection.
 const clientGoneDelay = 300 * time.Millisecond
 
-// An order waits at a process for a connection to the origin; another process takes its place, and it is told to end, which a read at a box
-// that hangs keeps it from for a while. The order's client leaves: it is not sent once the connection is up. The next order goes to the new
-// process.
+// TestClientLeavesDuringUpgrade has an order wait for a connection to the origin while a successor process
+// starts and the process is told to end, which a read at a stalled cache delays. The order's client closes
+// its connection: the order must not be sent once the origin is reachable, and the next order has to go to
+// the successor.
 func TestClientLeavesDuringUpgrade(t *testing.T) {
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 	fleet, err := standin.NewFleet(1, 100)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +53,7 @@
 	start := func() *exec.Cmd { return launch(t, log, nil, "LB_CONFIG="+path, "TMPDIR="+tmp) }
 	ask := func(text string) net.Conn {
 		conn := dial(t, listen)
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(waitTimeout))
 		io.WriteString(conn, text)
 		return conn
 	}
@@ -62,7 +63,7 @@
 	old := start()
 	left := ask(order("left"))
 	hangs := ask("*4\r\n$7\r\nOBJ.GET\r\n$2\r\na2\r\n$3\r\nid2\r\n$19\r\nc=tile-read,d=60000\r\n")
-	for end := time.Now().Add(patience); fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the read never came to the box")
 		}
--- a/cmd/linenloom/main.go
+++ b/cmd/linenloom/main.go
@@ -1,5 +1,5 @@
-// Command linenloom is the proxy: it reads its configuration, serves until it is told to stop, and ends
-// once everything it has taken is answered.
+// Command linenloom is the proxy. It reads its configuration, serves until it is told to stop, and ends
+// after the last accepted request has been answered.
 package main
 
 import (
@@ -21,14 +21,14 @@
 		Name: "linenloom", ExecOther: execProcessor,
 		Commands: map[string]func([]string) int{"demo": demo.Run, "token": idcmd.Token, "keys": idcmd.Keys, "orders": ordercmd.Run, "store": storecmd.Run,
 			"members": zonecmd.Members, "zone": zonecmd.Zone},
-		HelpText: `       linenloom demo                  a fleet of stand-ins, traffic, and what becomes of it
-       linenloom token sign|inspect    tokens that prove callers
-       linenloom keys list|rotate      the keys that sign them
+		HelpText: `       linenloom demo                  simulated servers with traffic, and its outcome
+       linenloom token sign|inspect    tokens that identify callers
+       linenloom keys list|rotate      the keys that sign tokens
        linenloom orders list|show|settle|check|compact    the record of orders
-       linenloom members               the instances that know of one another, and what they make of each zone
-       linenloom zone out|hold|auto    take a zone out of use by hand, or give it back
-       linenloom store check|dump|repair    a log of the store
-SIGHUP reads the files again, SIGTERM drains. README.md and docs/ tell the rest.
+       linenloom members               the instances of the installation, and their view of each zone
+       linenloom zone out|hold|auto    take a zone out of use manually, or return it to automatic decisions
+       linenloom store check|dump|repair    inspect or repair a log of the store
+SIGHUP reloads the files, SIGTERM drains. See README.md and docs/ for the rest.
 `,
 	}
 	if status := g.Main(os.Args[1:]); status != 0 {
@@ -36,11 +36,12 @@
 	}
 }
 
-// processorName is the program with the external processor and with membership. It is one of its own, since the libraries that these need
-// would cost this one megabytes that the platform does not have (docs/extproc.md has the figures).
+// processorName is the program with the external processor and membership. It is separate, since the
+// libraries for these would cost linenloom megabytes that the platform does not have (docs/extproc.md has
+// the figures).
 const processorName = "linenproc"
 
-// execProcessor becomes the other program, under the same process id.
+// execProcessor replaces this process by the other program, under the same process ID.
 func execProcessor(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -48,7 +49,7 @@
 	}
 	path := filepath.Join(filepath.Dir(self), processorName)
 	if err := syscall.Exec(path, append([]string{path}, args...), os.Environ()); err != nil {
-		return fmt.Errorf("[extproc] and [instances] are served by %s, which should stand beside this program (%s): %w", processorName, path, err)
+		return fmt.Errorf("[extproc] and [instances] are served by %s, which must be in the same directory as this program (%s): %w", processorName, path, err)
 	}
 	return nil
 }
--- a/cmd/linenloom/main_test.go
+++ b/cmd/linenloom/main_test.go
@@ -15,7 +15,8 @@
 	"linenloom/internal/app/apptest"
 )
 
-// asProgram makes the test's binary be the program, so that signals reach a process of its own.
+// asProgram is the environment variable that makes the test binary run the program, so that signals reach a
+// separate process.
 const asProgram = "LINENLOOM_TEST_AS_PROXY"
 
 func TestMain(m *testing.M) {
@@ -26,9 +27,10 @@
 	os.Exit(m.Run())
 }
 
-// SIGHUP moves the watch, a file that can't be used changes nothing, and SIGTERM still ends the program.
+// TestSignals checks that SIGHUP moves the watch, that an invalid file changes nothing, and that SIGTERM
+// still ends the program.
 func TestSignals(t *testing.T) {
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 	registry := func() (addr string, watched chan struct{}) {
 		watched = make(chan struct{}, 10)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,7 +48,7 @@
 		t.Helper()
 		select {
 		case <-c:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatalf("never came about: %s", what)
 		}
 	}
--- a/cmd/linenloom/orders_test.go
+++ b/cmd/linenloom/orders_test.go
@@ -15,10 +15,11 @@
 	"linenloom/internal/standin"
 )
 
-// Processes with a record of orders follow one another under load, by upgrades, by upgrades whose first process is killed in their midst, and
-// after kills: clients that hold on to their orders hear what has become of each, and none runs twice.
+// TestOrdersOverUpgrades runs processes with a record of orders one after another under load: by upgrades,
+// by upgrades whose predecessor is killed, and after kills. Clients that retry their orders have to learn
+// the outcome of each, and no order may run twice.
 func TestOrdersOverUpgrades(t *testing.T) {
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 	fleet, err := standin.NewFleet(2, 100)
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +51,7 @@
 	progress := func() {
 		t.Helper()
 		from := at.Served.Load()
-		for end := time.Now().Add(patience); at.Served.Load() < from+30; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); at.Served.Load() < from+30; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("no orders are served")
 			}
@@ -87,7 +88,8 @@
 	}
 	t.Logf("%v; %d refused, %d failed, %d broken", states, at.Refused.Load(), at.Failed.Load(), at.Broken.Load())
 
-	// A folder that somebody else has open, and who is not followed: the program says so and ends.
+	// If another process that is not the predecessor has the directory open, the program reports it and
+	// ends.
 	one := start()
 	cmd := exec.Command(self, "-operator", operator)
 	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
--- a/cmd/linenloom/stop_test.go
+++ b/cmd/linenloom/stop_test.go
@@ -16,11 +16,12 @@
 	"linenloom/internal/standin"
 )
 
-// The program is told to end with an order at an origin that hangs, a read at a cache that hangs and half a command, by its signals in
-// every order that occurs. Each has its answer before the process may be killed, 3 s and 0.7 s after the first, and it ends by itself,
-// well, though the deadlines lie far beyond that.
+// TestSignalsWithStalledRequests stops the program while an order is at a stalled origin, a read is at a
+// stalled cache and a command is half received, with its signals in each order that occurs. Each request has
+// to be answered before the process may be killed, which is 3 s and 0.7 s after the first signal, and the
+// program has to exit by itself with status 0, although the deadlines are far later.
 func TestSignalsWithStalledRequests(t *testing.T) {
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 	term, hup := os.Signal(syscall.SIGTERM), os.Signal(syscall.SIGHUP)
 	for name, signals := range map[string][]os.Signal{
 		"ended":                 {term},
@@ -48,12 +49,12 @@
 			apptest.Replace(t, path, text)
 			cmd := launch(t, &logCounter{output: t.Output()}, nil, "LB_CONFIG="+path, "TMPDIR="+t.TempDir())
 			conn := dial(t, listen)
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(waitTimeout))
 			half := dial(t, listen)
 			io.WriteString(conn, "*5\r\n$7\r\nOBJ.SET\r\n$2\r\na1\r\n$3\r\nid1\r\n$20\r\nc=pass-order,d=60000\r\n$5\r\norder\r\n"+
 				"*4\r\n$7\r\nOBJ.GET\r\n$2\r\na2\r\n$3\r\nid2\r\n$19\r\nc=tile-read,d=60000\r\n")
 			io.WriteString(half, "*4\r\n$7\r\nOBJ.GET\r\n$2\r\na3")
-			for end := time.Now().Add(patience); fleet.Origin.Began() == 0 || fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(waitTimeout); fleet.Origin.Began() == 0 || fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the requests never came to the members")
 				}
@@ -80,9 +81,11 @@
 	}
 }
 
-// What happens: a signal that comes once the drain is over, and before the process has ended, ends it by its default, and not with status 0: whoever
-// looks after the process takes that for a crash. Nothing is lost by it. Why: signals are let go of (NotifyContext's stop) before the process ends.
-// Seen in the soak of planned restarts: "terminated at 0s, interrupt at 936ms", deadlines of 0.8 s: "the process ended with status -1".
+// TestRepeatedSignalsExitCleanly guards against a signal after the drain that ends the process by its
+// default action, with a status other than 0, which a supervisor takes for a crash. It happens if signals
+// are released (by the stop function of NotifyContext) before the process has ended. Seen in the soak test
+// of planned restarts, with deadlines of 0.8 s: "terminated at 0s, interrupt at 936ms", "the process ended
+// with status -1".
 func TestRepeatedSignalsExitCleanly(t *testing.T) {
 	fleet, err := standin.NewFleet(1, 100)
 	if err != nil {
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -17,7 +17,7 @@
 	"linenloom/internal/standin"
 )
 
-// freeAddr is a loopback address that nobody listens at.
+// freeAddr returns an unused loopback address.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := standin.FreeAddr()
@@ -27,10 +27,11 @@
 	return addr
 }
 
-// Three processes follow one another at one address, under load and with a box taken out by hand: no request meets a
-// closed door, none is lost, and the box stays out until a call at the last process takes it back.
+// TestUpgrade runs three processes one after another at one address, under load and with a cache taken out
+// of use by an operator. No connection may be refused, no request may be lost, and the cache has to stay out
+// of use until a call at the last process returns it.
 func TestUpgrade(t *testing.T) {
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 	fleet, err := standin.NewFleet(2, 100)
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +52,7 @@
 	log := &logCounter{output: t.Output()}
 	start := func(mgmt string) *exec.Cmd {
 		cmd := launch(t, log, nil, "LB_CONFIG="+path, "LB_MGMT="+mgmt, "TMPDIR="+tmp)
-		for end := time.Now().Add(patience); call("GET", mgmt, "/status", "") != 200; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); call("GET", mgmt, "/status", "") != 200; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the process never says that it serves")
 			}
@@ -76,9 +77,9 @@
 	for i := range 2 {
 		progress()
 		out := fleet.Boxes[0].Began()
-		process.Process.Signal(syscall.SIGHUP) // a reload falls into the upgrade
+		process.Process.Signal(syscall.SIGHUP) // a reload during the upgrade
 		next := start(calls[i+1])
-		for range 200 { // callers who say nothing must not keep the operators out, at either process
+		for range 200 { // idle connections must not block operators' calls at either process
 			for _, at := range calls[i : i+2] {
 				conn, err := net.Dial("tcp", at)
 				if err != nil {
@@ -107,7 +108,7 @@
 		t.Fatalf("exit: %d", got)
 	}
 	back := fleet.Boxes[0].Began()
-	for end := time.Now().Add(patience); fleet.Boxes[0].Began() == back; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); fleet.Boxes[0].Began() == back; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box is back and unused")
 		}
@@ -131,7 +132,7 @@
 	const taken, turned = "taken over from the process before", "is not taken over"
 	logged := func(took, told int) {
 		t.Helper()
-		for end := time.Now().Add(patience); log.count(taken) != took || log.count(turned) != told; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); log.count(taken) != took || log.count(turned) != told; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("taken over %d times, turned down %d times, want %d and %d", log.count(taken), log.count(turned), took, told)
 			}
@@ -139,7 +140,8 @@
 	}
 	logged(2, 0)
 
-	// One that starts after the end finds what was left; what is damaged, or left by another version, is turned down and changes nothing.
+	// A process that starts after the end finds the written state. A damaged state, or one of another
+	// version, is rejected and changes nothing.
 	left, err := filepath.Glob(filepath.Join(tmp, "linenloom-*", "learnt"))
 	if err != nil || len(left) != 1 {
 		t.Fatalf("%v %v", left, err)
@@ -159,12 +161,12 @@
 		}
 		process = start(freeAddr(t))
 		logged(c.took, c.told)
-		process.Process.Kill() // it leaves nothing of its own
+		process.Process.Kill() // a killed process writes no state
 		process.Wait()
 	}
 }
 
-// logCounter passes a log on and counts what it says.
+// logCounter passes a log on and counts texts in it.
 type logCounter struct {
 	output io.Writer
 	mu     sync.Mutex
--- a/cmd/linenproc/main.go
+++ b/cmd/linenproc/main.go
@@ -1,6 +1,6 @@
-// Command linenproc is linenloom with the external processor's front and with membership: the same host, module and RESP2 front in one
-// process, and gRPC and the other instances beside them. linenloom becomes this program by itself when the operator's file sets [extproc]
-// or [instances].
+// Command linenproc is linenloom with the front of the external processor and with membership: the same
+// host, decision module and RESP2 front in one process, plus gRPC and the connections to other instances.
+// linenloom executes this program when the operator's file sets [extproc] or [instances].
 package main
 
 import (
@@ -17,7 +17,7 @@
 func main() {
 	g := app.Program{
 		Name: "linenproc",
-		HelpText: `This is linenloom with the external processor; docs/extproc-operators.md tells how to set it up.
+		HelpText: `This is linenloom with the external processor; see docs/extproc-operators.md for the setup.
 `,
 		NewExtProc: func(p *proxy.Proxy, file *operator.File, log *slog.Logger) (app.Front, error) {
 			return server.New(p, file, log)
--- a/cmd/linenproc/main_test.go
+++ b/cmd/linenproc/main_test.go
@@ -18,7 +18,8 @@
 	"linenloom/internal/standin"
 )
 
-// asProgram makes the test's binary be the program, so that signals reach a process of its own.
+// asProgram is the environment variable that makes the test binary run the program, so that signals reach a
+// separate process.
 const asProgram = "LINENPROC_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -31,7 +32,7 @@
 
 const waitTimeout = 30 * time.Second
 
-// processor is a processor's files and, while it runs, its process.
+// processor is the files of a processor and, while it runs, its process.
 type processor struct {
 	t                    *testing.T
 	config, file, socket string
@@ -52,7 +53,7 @@
 
 func newProcessorWithFleet(t *testing.T, mode string, fleet *standin.Fleet) *processor {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "lp") // the path of a unix socket is short
+	dir, err := os.MkdirTemp("", "lp") // paths of unix sockets are limited to about 100 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +140,7 @@
 	}
 }
 
-// caller makes a caller of the place, and of others where it is away.
+// caller returns a caller of the processor that falls back to the others.
 func (p *processor) caller(others ...*processor) *caller.Caller {
 	p.t.Helper()
 	targets := []string{"unix://" + p.socket}
@@ -155,7 +156,7 @@
 	return c
 }
 
-// clients are eight that ask without end, half of it orders.
+// clients is eight clients that send requests in a loop, half of them orders.
 type clients struct {
 	served, processorFailed, failed, refused atomic.Int64
 	late                                     atomic.Int64
@@ -187,7 +188,7 @@
 	return l
 }
 
-// end ends the clients; none may have waited past its time.
+// end stops the clients and checks that none of them exceeded its timeout.
 func (l *clients) end(t *testing.T) {
 	t.Helper()
 	close(l.stop)
@@ -239,12 +240,13 @@
 	}
 }
 
-// Killed under load and started again: each request has its one answer in time, and no order runs twice.
+// TestKilledUnderLoad kills and restarts the program under load. Each request has to be answered in time,
+// and no order may run twice.
 func TestKilledUnderLoad(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
 			p := newProcessor(t, mode)
-			p.fleet.Origin.SetService(5*time.Millisecond, 0) // most orders in hand at a kill have run
+			p.fleet.Origin.SetService(5*time.Millisecond, 0) // most orders in progress at a kill have run
 			p.start()
 			c := p.caller()
 			c.MessageTimeout = time.Second
@@ -267,8 +269,8 @@
 	}
 }
 
-// Two processors replace one another under load, by SIGTERM and by SIGKILL in turn. By SIGTERM alone nothing is lost, late
-// or failed; a kill costs the orders that were in hand an honest 502, and nothing else.
+// TestRollingReplacement replaces two processors in turn under load, by SIGTERM and then by SIGKILL. SIGTERM
+// must not lose, delay or fail any request; SIGKILL may only fail the orders in progress, with status 502.
 func TestRollingReplacement(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		for _, duplex := range []bool{false, true} {
@@ -319,8 +321,8 @@
 	}
 }
 
-// Frozen mid-stream: callers go by their message timeout and failure_mode_allow, no client waits past its time, and once
-// it goes on, it serves as before.
+// TestFrozenProcess stops the process in the middle of streams. Callers act on their message timeout and
+// failure_mode_allow, no client exceeds its timeout, and after SIGCONT the process serves as before.
 func TestFrozenProcess(t *testing.T) {
 	for _, allow := range []bool{false, true} {
 		t.Run(fmt.Sprintf("failure_mode_allow %v", allow), func(t *testing.T) {
@@ -341,7 +343,8 @@
 	}
 }
 
-// SIGHUP takes over what can change and says what can't; a faulty file changes nothing and names its line.
+// TestReload checks that SIGHUP applies what can change and logs what cannot, and that an invalid file
+// changes nothing and is logged with the line.
 func TestReload(t *testing.T) {
 	p := newProcessor(t, "answer")
 	p.start()
@@ -379,7 +382,8 @@
 	}
 }
 
-// A file at fault is named line by line, with status 2, before anything listens.
+// TestFaultyFileAtTheStart checks that an invalid file is reported by line, with status 2, before anything
+// listens.
 func TestFaultyFileAtTheStart(t *testing.T) {
 	p := newProcessor(t, "neither")
 	text, _ := os.ReadFile(p.file)
--- a/cmd/linenproc/orders_test.go
+++ b/cmd/linenproc/orders_test.go
@@ -16,8 +16,9 @@
 	"linenloom/internal/lab"
 )
 
-// The program with both fronts is killed again and again while clients place orders at both, each until it hears what has become of its order:
-// none runs twice, each receipt that was told is on record, nothing is in hand for ever, and what the record says never ran has not.
+// TestOrdersOverKills repeatedly kills the program with both fronts while clients place orders at both and
+// retry until they learn the outcome. No order may run twice, each receipt that a client got has to be on
+// record, no order may stay in progress, and an order that is recorded as not run must not have run.
 func TestOrdersOverKills(t *testing.T) {
 	for mode, kills := range map[string]int{"answer": 12, "route": 10} {
 		t.Run(mode, func(t *testing.T) {
@@ -59,7 +60,7 @@
 			c.MessageTimeout = time.Second
 			var served atomic.Int64
 			var mu sync.Mutex
-			receipts := map[string]string{} // of the processor's callers
+			receipts := map[string]string{} // of the external processor's callers
 			quit := make(chan struct{})
 			var callers sync.WaitGroup
 			for w := range 6 {
@@ -105,7 +106,7 @@
 			}
 			p.checkAtMostOnce()
 			told := at.Told()
-			if mode == "answer" { // in the other one receipts don't come through here
+			if mode == "answer" { // in mode route, receipts do not pass through the processor
 				for key, receipt := range receipts {
 					told[key] = receipt
 				}
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -30,7 +30,7 @@
 	Proxy       *proxy.Proxy
 	Log         *slog.Logger
 	Listen      []netip.AddrPort // the first free address is used
-	Advertise   []netip.AddrPort // for each listen address, the one that is advertised to the others; empty means the same
+	Advertise   []netip.AddrPort // public address of each listen address; empty means the same
 	JoinAddrs   []netip.AddrPort // addresses of instances to contact for joining
 	Cluster     string
 	Keys        [][]byte // the first key encrypts; all keys decrypt
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		var old *inherit.Snapshot // nil if nothing was written, the predecessor's version writes no state, or the state is unreadable
+		var old *inherit.Snapshot // nil: nothing was written (older versions write no state) or it is unreadable
 		if text != nil {
 			var got inherit.Snapshot
 			if got, err = inherit.Decode(text); err == nil {
--- a/internal/operator/digest_test.go
+++ b/internal/operator/digest_test.go
@@ -62,8 +62,9 @@
 	`"Instances":{"Listen":["127.0.0.1:7"],"Advertise":["10.0.0.1:7"],"Join":["10.0.0.2:7"],"Cluster":"linenloom","KeyFile":"secret","Forget":60000000000},` +
 	`"Zones":{"Least":0.5,"Region":[{"Name":"south","Zones":["a","b"],"Line":43}]}}`
 
-// TestJSONKeysAndOrder pins the JSON of a File. The settings digest hashes it, and processes of different builds compare their
-// digests: a changed key or order would make equal settings look different during an upgrade.
+// TestJSONKeysAndOrder pins the JSON of a File. The settings digest hashes it, and processes of different
+// builds compare their digests: a changed key or order would make equal settings look different during an
+// upgrade.
 func TestJSONKeysAndOrder(t *testing.T) {
 	f, err := Parse("f", []byte(allSections))
 	if err != nil {
--- a/internal/operator/identity.go
+++ b/internal/operator/identity.go
@@ -22,7 +22,7 @@
 	TokenCacheSize  int      `toml:"known" json:"Known"`
 	ChecksPerSecond int      `toml:"checks_per_s" json:"ChecksPerS"`
 	MaxReplayIDs    int      `toml:"replays" json:"Replays"`
-	MaxSuspects     int      `toml:"suspects" json:"Suspects"` // maximum number of remembered addresses that have recently sent a forged token
+	MaxSuspects     int      `toml:"suspects" json:"Suspects"` // remembered addresses with a recent forged token
 	Tenants         []Tenant `toml:"tenant"`
 
 	TLS          TLS           `toml:"tls"` // the zero value means not set
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -19,11 +19,11 @@
 	// Listen is the addresses for the other instances, over UDP and TCP. The first free one is used, since a
 	// successor process needs a different one than its predecessor.
 	Listen      []string `toml:"listen"`
-	Advertise   []string `toml:"advertise"` // for each listen address, the one that is advertised to the others
+	Advertise   []string `toml:"advertise"` // public address of each listen address, told to the others
 	Join        []string `toml:"join"`
 	Cluster     string   `toml:"cluster"`
 	KeyFile     string   `toml:"key_file"`
-	ForgetAfter Duration `toml:"forget" json:"Forget"` // how long an instance that is lost without leaving is still counted
+	ForgetAfter Duration `toml:"forget" json:"Forget"` // how long a lost instance is still counted
 }
 
 // Zones makes the instances decide together to leave a failing zone and to return to it. It requires
