--- a/cmd/linenloom/leave_test.go
+++ b/cmd/linenloom/leave_test.go
@@ -33,13 +33,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	door, err := standin.NewDoor()
+	origin, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { door.Close() })
+	t.Cleanup(func() { origin.Close() })
 	fleet.Boxes[0].SetFault(standin.Stall)
-	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
+	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: origin.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
 	extendDeadlines(fleet, map[string]any{"cancel": false, "connect_timeout_ms": 20e3})
 	listen, tmp := freeAddr(t), t.TempDir()
@@ -51,7 +51,7 @@
 	apptest.Replace(t, path, text)
 	log := &logCounter{output: t.Output()}
 	start := func() *exec.Cmd { return launch(t, log, nil, "LB_CONFIG="+path, "TMPDIR="+tmp) }
-	ask := func(text string) net.Conn {
+	send := func(text string) net.Conn {
 		conn := dial(t, listen)
 		conn.SetDeadline(time.Now().Add(waitTimeout))
 		io.WriteString(conn, text)
@@ -60,40 +60,40 @@
 	order := func(id string) string {
 		return fmt.Sprintf("*5\r\n$7\r\nOBJ.SET\r\n$2\r\na1\r\n$%d\r\n%s\r\n$20\r\nc=pass-order,d=60000\r\n$5\r\norder\r\n", len(id), id)
 	}
-	old := start()
-	left := ask(order("left"))
-	hangs := ask("*4\r\n$7\r\nOBJ.GET\r\n$2\r\na2\r\n$3\r\nid2\r\n$19\r\nc=tile-read,d=60000\r\n")
+	predecessor := start()
+	closedClient := send(order("left"))
+	stalled := send("*4\r\n$7\r\nOBJ.GET\r\n$2\r\na2\r\n$3\r\nid2\r\n$19\r\nc=tile-read,d=60000\r\n")
 	for end := time.Now().Add(waitTimeout); fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the read never came to the box")
 		}
 	}
 	start()
-	old.Process.Signal(syscall.SIGTERM)
-	left.Close()
+	predecessor.Process.Signal(syscall.SIGTERM)
+	closedClient.Close()
 	time.Sleep(clientGoneDelay)
 	var mu sync.Mutex
-	var asked []string
-	door.Serve(func(conn net.Conn) {
+	var received []string
+	origin.Serve(func(conn net.Conn) {
 		standin.AnswerAsOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
 			mu.Lock()
 			defer mu.Unlock()
-			asked = append(asked, id)
+			received = append(received, id)
 			return "receipt"
 		})
 	})
-	if answer, err := bufio.NewReader(hangs).ReadString('\n'); !strings.HasPrefix(answer, "-BUSY") {
+	if answer, err := bufio.NewReader(stalled).ReadString('\n'); !strings.HasPrefix(answer, "-BUSY") {
 		t.Errorf("the read that hangs was answered %q, %v", answer, err)
 	}
-	if err := old.Wait(); err != nil {
+	if err := predecessor.Wait(); err != nil {
 		t.Errorf("the old process ended with %v", err)
 	}
-	if answer, err := bufio.NewReader(ask(order("next"))).ReadString('\n'); !strings.HasPrefix(answer, "$7") {
+	if answer, err := bufio.NewReader(send(order("next"))).ReadString('\n'); !strings.HasPrefix(answer, "$7") {
 		t.Errorf("the next order was answered %q, %v", answer, err)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if !slices.Equal(asked, []string{"next"}) {
-		t.Errorf("the origin was asked for %v", asked)
+	if !slices.Equal(received, []string{"next"}) {
+		t.Errorf("the origin was asked for %v", received)
 	}
 }
--- a/cmd/linenloom/main_test.go
+++ b/cmd/linenloom/main_test.go
@@ -75,9 +75,9 @@
 		"msg=ready": make(chan struct{}, 10), "reload failed": make(chan struct{}, 10),
 		"msg=stopped": make(chan struct{}, 10),
 	}
-	read := make(chan struct{})
+	logClosed := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(logClosed)
 		for in := bufio.NewScanner(out); in.Scan(); {
 			for text, c := range lines {
 				if strings.Contains(in.Text(), text) {
@@ -103,7 +103,7 @@
 
 	cmd.Process.Signal(syscall.SIGTERM)
 	await(lines["msg=stopped"], "the end")
-	<-read
+	<-logClosed
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
--- a/cmd/linenloom/orders_test.go
+++ b/cmd/linenloom/orders_test.go
@@ -46,12 +46,12 @@
 		return launch(t, &logCounter{output: t.Output()}, []string{"-operator", operator}, "LB_CONFIG="+config, "TMPDIR="+tmp)
 	}
 	process := start()
-	at := &lab.Orderer{Addr: listen, Name: "o", Wait: 4 * time.Second}
-	at.Open(12)
+	orderer := &lab.Orderer{Addr: listen, Name: "o", Wait: 4 * time.Second}
+	orderer.Open(12)
 	progress := func() {
 		t.Helper()
-		from := at.Served.Load()
-		for end := time.Now().Add(waitTimeout); at.Served.Load() < from+30; time.Sleep(time.Millisecond) {
+		from := orderer.Served.Load()
+		for end := time.Now().Add(waitTimeout); orderer.Served.Load() < from+30; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("no orders are served")
 			}
@@ -59,17 +59,17 @@
 	}
 	for round := range 12 {
 		progress()
-		switch next := process; round % 3 {
+		switch previous := process; round % 3 {
 		case 0:
 			process = start()
-			next.Process.Signal(syscall.SIGTERM)
-			if err := next.Wait(); err != nil {
+			previous.Process.Signal(syscall.SIGTERM)
+			if err := previous.Wait(); err != nil {
 				t.Errorf("the process that was followed ended with %v", err)
 			}
 		case 1:
 			process = start()
-			next.Process.Kill()
-			next.Wait()
+			previous.Process.Kill()
+			previous.Wait()
 		default:
 			process.Process.Kill()
 			process.Wait()
@@ -77,26 +77,26 @@
 		}
 	}
 	progress()
-	at.Close()
+	orderer.Close()
 	process.Process.Signal(syscall.SIGTERM)
 	if err := process.Wait(); err != nil {
 		t.Error(err)
 	}
-	states, err := lab.CheckOrders(dir, "kiosk", at.Told(), fleet.Origin.Executions())
+	states, err := lab.CheckOrders(dir, "kiosk", orderer.Told(), fleet.Origin.Executions())
 	if err != nil {
 		t.Error(err)
 	}
-	t.Logf("%v; %d refused, %d failed, %d broken", states, at.Refused.Load(), at.Failed.Load(), at.Broken.Load())
+	t.Logf("%v; %d refused, %d failed, %d broken", states, orderer.Refused.Load(), orderer.Failed.Load(), orderer.Broken.Load())
 
 	// If another process that is not the predecessor has the directory open, the program reports it and
 	// ends.
-	one := start()
+	first := start()
 	cmd := exec.Command(self, "-operator", operator)
 	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
-	said, err := cmd.CombinedOutput()
-	if err == nil || !strings.Contains(string(said), "another process has it open") {
-		t.Errorf("a second process: %v, %s", err, said)
+	output, err := cmd.CombinedOutput()
+	if err == nil || !strings.Contains(string(output), "another process has it open") {
+		t.Errorf("a second process: %v, %s", err, output)
 	}
-	one.Process.Signal(syscall.SIGTERM)
-	one.Wait()
+	first.Process.Signal(syscall.SIGTERM)
+	first.Wait()
 }
--- a/cmd/linenloom/stop_test.go
+++ b/cmd/linenloom/stop_test.go
@@ -50,10 +50,10 @@
 			cmd := launch(t, &logCounter{output: t.Output()}, nil, "LB_CONFIG="+path, "TMPDIR="+t.TempDir())
 			conn := dial(t, listen)
 			conn.SetDeadline(time.Now().Add(waitTimeout))
-			half := dial(t, listen)
+			partial := dial(t, listen)
 			io.WriteString(conn, "*5\r\n$7\r\nOBJ.SET\r\n$2\r\na1\r\n$3\r\nid1\r\n$20\r\nc=pass-order,d=60000\r\n$5\r\norder\r\n"+
 				"*4\r\n$7\r\nOBJ.GET\r\n$2\r\na2\r\n$3\r\nid2\r\n$19\r\nc=tile-read,d=60000\r\n")
-			io.WriteString(half, "*4\r\n$7\r\nOBJ.GET\r\n$2\r\na3")
+			io.WriteString(partial, "*4\r\n$7\r\nOBJ.GET\r\n$2\r\na3")
 			for end := time.Now().Add(waitTimeout); fleet.Origin.Began() == 0 || fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the requests never came to the members")
@@ -104,7 +104,7 @@
 		go func() { ended <- cmd.Wait() }()
 		signals := time.NewTicker(200 * time.Microsecond)
 		defer signals.Stop()
-		for over := false; !over; {
+		for done := false; !done; {
 			select {
 			case <-signals.C:
 				cmd.Process.Signal(syscall.SIGTERM)
@@ -112,7 +112,7 @@
 				if err != nil {
 					t.Errorf("the program ended with %v", err)
 				}
-				over = true
+				done = true
 			}
 		}
 	}
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -59,37 +59,37 @@
 		}
 		return cmd
 	}
-	calls := [3]string{freeAddr(t), freeAddr(t), freeAddr(t)}
-	process := start(calls[0])
+	mgmtAddrs := [3]string{freeAddr(t), freeAddr(t), freeAddr(t)}
+	process := start(mgmtAddrs[0])
 
-	d := lab.Door{Addr: listen}
-	d.Open(8, 50, 10)
+	clients := lab.Door{Addr: listen}
+	clients.Open(8, 50, 10)
 	progress := func() {
 		t.Helper()
-		if err := d.Progress(300); err != nil {
+		if err := clients.Progress(300); err != nil {
 			t.Fatal(err)
 		}
 	}
 	progress()
-	if got := call("PUT", calls[0], "/maintenance/enter", "s-1"); got != 200 {
+	if got := call("PUT", mgmtAddrs[0], "/maintenance/enter", "s-1"); got != 200 {
 		t.Fatalf("enter: %d", got)
 	}
 	for i := range 2 {
 		progress()
-		out := fleet.Boxes[0].Began()
+		begunBefore := fleet.Boxes[0].Began()
 		process.Process.Signal(syscall.SIGHUP) // a reload during the upgrade
-		next := start(calls[i+1])
+		next := start(mgmtAddrs[i+1])
 		for range 200 { // idle connections must not block operators' calls at either process
-			for _, at := range calls[i : i+2] {
-				conn, err := net.Dial("tcp", at)
+			for _, addr := range mgmtAddrs[i : i+2] {
+				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer conn.Close()
 			}
 		}
-		for _, at := range calls[i : i+2] {
-			if got := call("GET", at, "/status", ""); got != 200 {
+		for _, addr := range mgmtAddrs[i : i+2] {
+			if got := call("GET", addr, "/status", ""); got != 200 {
 				t.Errorf("among silent callers: %d", got)
 			}
 		}
@@ -99,26 +99,26 @@
 			t.Errorf("the process that was followed ended with %v", err)
 		}
 		progress()
-		if got := fleet.Boxes[0].Began() - out; got > 0 {
+		if got := fleet.Boxes[0].Began() - begunBefore; got > 0 {
 			t.Errorf("upgrade %d: %d requests for a box that is out", i+1, got)
 		}
 		process = next
 	}
-	if got := call("PUT", calls[2], "/maintenance/exit", "s-1"); got != 200 {
+	if got := call("PUT", mgmtAddrs[2], "/maintenance/exit", "s-1"); got != 200 {
 		t.Fatalf("exit: %d", got)
 	}
-	back := fleet.Boxes[0].Began()
-	for end := time.Now().Add(waitTimeout); fleet.Boxes[0].Began() == back; time.Sleep(time.Millisecond) {
+	begunBefore := fleet.Boxes[0].Began()
+	for end := time.Now().Add(waitTimeout); fleet.Boxes[0].Began() == begunBefore; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box is back and unused")
 		}
 	}
-	d.Close()
-	if d.Shut.Load()+d.Broken.Load() > 0 {
-		t.Errorf("%d connections refused, %d broken, of %d requests served", d.Shut.Load(), d.Broken.Load(), d.Served.Load())
+	clients.Close()
+	if clients.Shut.Load()+clients.Broken.Load() > 0 {
+		t.Errorf("%d connections refused, %d broken, of %d requests served", clients.Shut.Load(), clients.Broken.Load(), clients.Served.Load())
 	}
-	if d.Refused.Load()+d.Failed.Load() > 0 {
-		t.Errorf("%d requests refused, %d failed", d.Refused.Load(), d.Failed.Load())
+	if clients.Refused.Load()+clients.Failed.Load() > 0 {
+		t.Errorf("%d requests refused, %d failed", clients.Refused.Load(), clients.Failed.Load())
 	}
 	for key, n := range fleet.Origin.Executions() {
 		if n > 1 {
@@ -129,12 +129,12 @@
 	if err := process.Wait(); err != nil {
 		t.Errorf("the last process ended with %v", err)
 	}
-	const taken, turned = "taken over from the process before", "is not taken over"
-	logged := func(took, told int) {
+	const importedText, rejectedText = "taken over from the process before", "is not taken over"
+	logged := func(imported, rejected int) {
 		t.Helper()
-		for end := time.Now().Add(waitTimeout); log.count(taken) != took || log.count(turned) != told; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); log.count(importedText) != imported || log.count(rejectedText) != rejected; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("taken over %d times, turned down %d times, want %d and %d", log.count(taken), log.count(turned), took, told)
+				t.Fatalf("taken over %d times, turned down %d times, want %d and %d", log.count(importedText), log.count(rejectedText), imported, rejected)
 			}
 		}
 	}
@@ -142,25 +142,25 @@
 
 	// A process that starts after the end finds the written state. A damaged state, or one of another
 	// version, is rejected and changes nothing.
-	left, err := filepath.Glob(filepath.Join(tmp, "linenloom-*", "learnt"))
-	if err != nil || len(left) != 1 {
-		t.Fatalf("%v %v", left, err)
+	stateFiles, err := filepath.Glob(filepath.Join(tmp, "linenloom-*", "learnt"))
+	if err != nil || len(stateFiles) != 1 {
+		t.Fatalf("%v %v", stateFiles, err)
 	}
-	whole, err := os.ReadFile(left[0])
+	state, err := os.ReadFile(stateFiles[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	version := append([]byte(nil), whole...)
+	version := append([]byte(nil), state...)
 	version[5]++
 	for _, c := range []struct {
-		text       []byte
-		took, told int
-	}{{whole, 3, 0}, {whole[:len(whole)/2], 3, 1}, {version, 3, 2}, {nil, 3, 3}} {
-		if err := os.WriteFile(left[0], c.text, 0o600); err != nil {
+		text               []byte
+		imported, rejected int
+	}{{state, 3, 0}, {state[:len(state)/2], 3, 1}, {version, 3, 2}, {nil, 3, 3}} {
+		if err := os.WriteFile(stateFiles[0], c.text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		process = start(freeAddr(t))
-		logged(c.took, c.told)
+		logged(c.imported, c.rejected)
 		process.Process.Kill() // a killed process writes no state
 		process.Wait()
 	}
--- a/cmd/linenproc/main_test.go
+++ b/cmd/linenproc/main_test.go
@@ -167,12 +167,12 @@
 const clientTimeout = 3 * time.Second
 
 func startClients(c *caller.Caller) *clients {
-	l := &clients{stop: make(chan struct{})}
+	started := &clients{stop: make(chan struct{})}
 	for w := range 8 {
-		l.workers.Go(func() {
+		started.workers.Go(func() {
 			for i := 0; ; i++ {
 				select {
-				case <-l.stop:
+				case <-started.stop:
 					return
 				default:
 				}
@@ -181,11 +181,11 @@
 				if i%2 == 1 {
 					q = caller.Request{Method: "PUT", Path: "/orders/o" + id, Headers: map[string]string{"x-request-id": "w" + id}, Body: []byte("one pass")}
 				}
-				l.send(c, q)
+				started.send(c, q)
 			}
 		})
 	}
-	return l
+	return started
 }
 
 // end stops the clients and checks that none of them exceeded its timeout.
@@ -250,18 +250,18 @@
 			p.start()
 			c := p.caller()
 			c.MessageTimeout = time.Second
-			l := startClients(c)
+			running := startClients(c)
 			for range 3 {
-				before := l.served.Load()
-				p.waitUntil("it serves", func() bool { return l.served.Load() > before+100 })
+				before := running.served.Load()
+				p.waitUntil("it serves", func() bool { return running.served.Load() > before+100 })
 				p.cmd.Process.Kill()
 				p.cmd.Wait()
 				p.start()
 			}
-			before := l.served.Load()
-			p.waitUntil("it serves again", func() bool { return l.served.Load() > before+100 })
-			l.end(t)
-			if l.failed.Load() == 0 {
+			before := running.served.Load()
+			p.waitUntil("it serves again", func() bool { return running.served.Load() > before+100 })
+			running.end(t)
+			if running.failed.Load() == 0 {
 				t.Error("no order met the kill")
 			}
 			p.checkAtMostOnce()
@@ -285,36 +285,36 @@
 				if duplex {
 					c.SetFullDuplex()
 				}
-				l := startClients(c)
-				serves := func() {
-					before := l.served.Load()
-					a.waitUntil("they serve", func() bool { return l.served.Load() > before+150 })
+				running := startClients(c)
+				awaitProgress := func() {
+					before := running.served.Load()
+					a.waitUntil("they serve", func() bool { return running.served.Load() > before+150 })
 				}
-				serves()
+				awaitProgress()
 				for _, p := range []*processor{a, b, a} {
 					p.cmd.Process.Signal(syscall.SIGTERM)
 					if err := p.cmd.Wait(); err != nil {
 						t.Errorf("after SIGTERM it ended with %v", err)
 					}
-					serves()
+					awaitProgress()
 					p.start()
-					serves()
+					awaitProgress()
 				}
-				if f, d := l.processorFailed.Load(), l.failed.Load(); f+d > 0 {
+				if f, d := running.processorFailed.Load(), running.failed.Load(); f+d > 0 {
 					t.Errorf("SIGTERM cost %d requests their processor and failed %d", f, d)
 				}
 				for _, p := range []*processor{a, b, a, b} {
 					p.cmd.Process.Kill()
 					p.cmd.Wait()
-					serves()
+					awaitProgress()
 					p.start()
-					serves()
+					awaitProgress()
 				}
-				l.end(t)
-				if n := l.processorFailed.Load(); n > 0 {
+				running.end(t)
+				if n := running.processorFailed.Load(); n > 0 {
 					t.Errorf("%d requests ended with no processor's answer", n)
 				}
-				t.Logf("served %d, refused %d, failed %d", l.served.Load(), l.refused.Load(), l.failed.Load())
+				t.Logf("served %d, refused %d, failed %d", running.served.Load(), running.refused.Load(), running.failed.Load())
 				a.checkAtMostOnce()
 			})
 		}
@@ -330,14 +330,14 @@
 			p.start()
 			c := p.caller()
 			c.MessageTimeout, c.FailureModeAllow = 200*time.Millisecond, allow
-			l := startClients(c)
-			p.waitUntil("it serves", func() bool { return l.served.Load() > 100 })
+			running := startClients(c)
+			p.waitUntil("it serves", func() bool { return running.served.Load() > 100 })
 			p.cmd.Process.Signal(syscall.SIGSTOP)
-			p.waitUntil("callers give it up", func() bool { return l.processorFailed.Load()+l.failed.Load() >= 16 })
+			p.waitUntil("callers give it up", func() bool { return running.processorFailed.Load()+running.failed.Load() >= 16 })
 			p.cmd.Process.Signal(syscall.SIGCONT)
-			before := l.served.Load()
-			p.waitUntil("it serves again", func() bool { return l.served.Load() > before+100 })
-			l.end(t)
+			before := running.served.Load()
+			p.waitUntil("it serves again", func() bool { return running.served.Load() > before+100 })
+			running.end(t)
 			p.checkAtMostOnce()
 		})
 	}
--- a/cmd/linenproc/orders_test.go
+++ b/cmd/linenproc/orders_test.go
@@ -28,9 +28,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			redis := l.Addr().String()
+			respAddr := l.Addr().String()
 			l.Close()
-			text, err := p.fleet.Config("n0", redis, "8c1f30d27a5be964", 128, 512)
+			text, err := p.fleet.Config("n0", respAddr, "8c1f30d27a5be964", 128, 512)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -54,8 +54,8 @@
 			p.fleet.Origin.SetService(3*time.Millisecond, 0)
 			p.start()
 
-			at := &lab.Orderer{Addr: redis, Name: "resp", Wait: 4 * time.Second}
-			at.Open(6)
+			orderer := &lab.Orderer{Addr: respAddr, Name: "resp", Wait: 4 * time.Second}
+			orderer.Open(6)
 			c := p.caller()
 			c.MessageTimeout = time.Second
 			var served atomic.Int64
@@ -87,8 +87,8 @@
 			}
 			progress := func() {
 				t.Helper()
-				r, e := at.Served.Load(), served.Load()
-				p.waitUntil("both fronts serve", func() bool { return at.Served.Load() > r+15 && served.Load() > e+15 })
+				r, e := orderer.Served.Load(), served.Load()
+				p.waitUntil("both fronts serve", func() bool { return orderer.Served.Load() > r+15 && served.Load() > e+15 })
 			}
 			for range kills {
 				progress()
@@ -97,7 +97,7 @@
 				p.start()
 			}
 			progress()
-			at.Close()
+			orderer.Close()
 			close(quit)
 			callers.Wait()
 			p.cmd.Process.Signal(syscall.SIGTERM)
@@ -105,17 +105,17 @@
 				t.Error(err)
 			}
 			p.checkAtMostOnce()
-			told := at.Told()
+			receiptsByKey := orderer.Told()
 			if mode == "answer" { // in mode route, receipts do not pass through the processor
 				for key, receipt := range receipts {
-					told[key] = receipt
+					receiptsByKey[key] = receipt
 				}
 			}
-			states, err := lab.CheckOrders(dir, "kiosk", told, p.fleet.Origin.Executions())
+			states, err := lab.CheckOrders(dir, "kiosk", receiptsByKey, p.fleet.Origin.Executions())
 			if err != nil {
 				t.Error(err)
 			}
-			t.Logf("%v; told %d, of RESP2 %d served, %d refused, %d failed, %d broken", states, len(told), at.Served.Load(), at.Refused.Load(), at.Failed.Load(), at.Broken.Load())
+			t.Logf("%v; told %d, of RESP2 %d served, %d refused, %d failed, %d broken", states, len(receiptsByKey), orderer.Served.Load(), orderer.Refused.Load(), orderer.Failed.Load(), orderer.Broken.Load())
 		})
 	}
 }
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -224,59 +224,59 @@
 	if file.ManyKeys != nil {
 		settings.ManyKeys = file.ManyKeys.Limits()
 	}
-	shared := startSharing(cfg, &settings, log)
-	defer shared.dir.Close()
+	sharing := startSharing(cfg, &settings, log)
+	defer sharing.dir.Close()
 	var record *keeper.Keeper
 	if file.Orders != nil {
 		var fs disk.FS = disk.Dir(file.Orders.Dir)
 		if g.OpenDisk != nil {
 			fs = g.OpenDisk(file.Orders.Dir)
 		}
-		if record, err = keeper.Open(fs, file.Orders.Options(!shared.noPredecessor), ledger.WallClock, log); err != nil {
+		if record, err = keeper.Open(fs, file.Orders.Options(!sharing.noPredecessor), ledger.WallClock, log); err != nil {
 			return fmt.Errorf("%s: %w", file.Orders.Dir, err)
 		}
 		defer closeRecord(record, log)
 		settings.Record, settings.Receipts = record, file.Orders.ReceiptFronts
 	}
-	var others membership
-	others.prepare(file, &settings)
-	p, err := proxy.New(settings, log)
+	var fleet membership
+	fleet.prepare(file, &settings)
+	server, err := proxy.New(settings, log)
 	if err != nil {
 		return err
 	}
-	if err := others.open(g, p, cfg, &settings, file, log); err != nil {
+	if err := fleet.open(g, server, cfg, &settings, file, log); err != nil {
 		return err
 	}
-	defer others.close()
+	defer fleet.close()
 	if cfg.Mgmt != "" {
-		calls, err := mgmt.New(p, cfg.Mgmt, shared.dir, log)
+		calls, err := mgmt.New(server, cfg.Mgmt, sharing.dir, log)
 		if err != nil {
 			return err
 		}
 		if record != nil {
 			calls.HandleOrders(record)
 		}
-		if others.Fleet != nil {
-			calls.HandleInstances(others.Fleet)
+		if fleet.Fleet != nil {
+			calls.HandleInstances(fleet.Fleet)
 		}
-		p.AddFront(calls)
+		server.AddFront(calls)
 	}
 	ended := make(chan struct{})
 	defer close(ended)
-	go shared.run(p, ctx.Done(), ended)
-	r := reloader{proxy: p, cfg: cfg, classes: settings.Settings.Classes, maxAttempts: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, membership: &others}
+	go sharing.run(server, ctx.Done(), ended)
+	settingsReloader := reloader{proxy: server, cfg: cfg, classes: settings.Settings.Classes, maxAttempts: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, membership: &fleet}
 	if file.ExtProc != nil {
-		if r.extproc, err = g.NewExtProc(p, file, log); err != nil {
+		if settingsReloader.extproc, err = g.NewExtProc(server, file, log); err != nil {
 			return err
 		}
-		p.AddFront(r.extproc)
+		server.AddFront(settingsReloader.extproc)
 	}
 	go func() {
 		for range hangup {
-			r.reload()
+			settingsReloader.reload()
 		}
 	}()
-	if err := p.Run(ctx); err != nil {
+	if err := server.Run(ctx); err != nil {
 		return err
 	}
 	log.Info("stopped")
--- a/internal/app/config_test.go
+++ b/internal/app/config_test.go
@@ -19,8 +19,8 @@
 	if err != nil || c.Discovery != "127.0.0.1:20" || c.Listen != "127.0.0.1:30" {
 		t.Errorf("at the start: %+v, %v", c, err)
 	}
-	standing := c.text
-	c, err = reloadConfig(getenv, standing)
+	inForce := c.text
+	c, err = reloadConfig(getenv, inForce)
 	if err != nil || c.Discovery != "127.0.0.1:10" || c.Listen != "127.0.0.1:30" {
 		t.Errorf("afterwards: %+v, %v", c, err)
 	}
@@ -30,12 +30,12 @@
 		"few sockets":  {"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 3}},
 	} {
 		apptest.Replace(t, path, apptest.ConfigWith(t, baseConfig, fields))
-		if _, err := reloadConfig(getenv, standing); err == nil {
+		if _, err := reloadConfig(getenv, inForce); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
 	apptest.Replace(t, path, []byte(`{"discovery":"127.0.0.1:10","known":{"mem`))
-	if _, err := reloadConfig(getenv, standing); err == nil {
+	if _, err := reloadConfig(getenv, inForce); err == nil {
 		t.Error("half a file was taken")
 	}
 }
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -90,32 +90,32 @@
 	if err != nil {
 		return err
 	}
-	in := file.Instances
-	j := FleetConfig{Proxy: p, Log: log, Listen: operator.ParseAddresses(in.Listen), Advertise: operator.ParseAddresses(in.Advertise),
-		JoinAddrs: operator.ParseAddresses(in.Join), Cluster: in.Cluster, ForgetAfter: in.ForgetAfter.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
+	instances := file.Instances
+	fleetConfig := FleetConfig{Proxy: p, Log: log, Listen: operator.ParseAddresses(instances.Listen), Advertise: operator.ParseAddresses(instances.Advertise),
+		JoinAddrs: operator.ParseAddresses(instances.Join), Cluster: instances.Cluster, ForgetAfter: instances.ForgetAfter.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
 		Zone: settings.Settings.Zone, Zones: settings.Zones, Regions: regions, StartedAt: time.Now(), Meter: f.meter}
-	if j.Keys, err = in.ReadKeys(); err != nil {
+	if fleetConfig.Keys, err = instances.ReadKeys(); err != nil {
 		return err
 	}
-	if j.Version.Program, err = programDigest(); err != nil {
+	if fleetConfig.Version.Program, err = programDigest(); err != nil {
 		return err
 	}
-	if j.Version.Settings, err = settingsDigest(cfg, file); err != nil {
+	if fleetConfig.Version.Settings, err = settingsDigest(cfg, file); err != nil {
 		return err
 	}
-	log.Info("version", "program", j.Version.Program, "settings", j.Version.Settings)
-	f.version = j.Version
+	log.Info("version", "program", fleetConfig.Version.Program, "settings", fleetConfig.Version.Settings)
+	f.version = fleetConfig.Version
 	if f.meter != nil {
-		c := zones.Config{Number: j.Number, Zones: j.Zones, MinCapacityShare: file.Zones.MinCapacityShare, WarmupTime: settings.Settings.SlowStartDuration, StartedAtMS: j.StartedAt.UnixMilli()}
+		zonesConfig := zones.Config{Number: fleetConfig.Number, Zones: fleetConfig.Zones, MinCapacityShare: file.Zones.MinCapacityShare, WarmupTime: settings.Settings.SlowStartDuration, StartedAtMS: fleetConfig.StartedAt.UnixMilli()}
 		for _, r := range regions {
-			c.Regions = append(c.Regions, r)
+			zonesConfig.Regions = append(zonesConfig.Regions, r)
 		}
-		if err := c.Check(); err != nil {
+		if err := zonesConfig.Check(); err != nil {
 			return err
 		}
-		j.Machine = zones.New(c, j.Zone)
+		fleetConfig.Machine = zones.New(zonesConfig, fleetConfig.Zone)
 	}
-	f.Fleet, err = g.NewFleet(j)
+	f.Fleet, err = g.NewFleet(fleetConfig)
 	return err
 }
 
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -56,29 +56,29 @@
 	if err != nil {
 		return err
 	}
-	now, err := cfg.proxyConfig()
+	next, err := cfg.proxyConfig()
 	if err != nil {
 		return err
 	}
 	if r.extproc != nil || r.gate != nil {
-		if err := r.file.CheckClasses(logic.ClassNames(now.Settings.Classes)); err != nil {
+		if err := r.file.CheckClasses(logic.ClassNames(next.Settings.Classes)); err != nil {
 			return err
 		}
 	}
-	was, err := r.cfg.proxyConfig()
+	previous, err := r.cfg.proxyConfig()
 	if err != nil {
 		return err
 	}
-	if err := r.retune(now.Settings.Classes, now.Settings.MaxAttempts); err != nil {
+	if err := r.retune(next.Settings.Classes, next.Settings.MaxAttempts); err != nil {
 		return err
 	}
-	fixed := was.Settings
-	fixed.Classes, fixed.MaxAttempts = now.Settings.Classes, now.Settings.MaxAttempts
-	if cfg.Listen != r.cfg.Listen || cfg.Mgmt != r.cfg.Mgmt || cfg.Limits != r.cfg.Limits || !reflect.DeepEqual(fixed, now.Settings) {
+	unchanged := previous.Settings
+	unchanged.Classes, unchanged.MaxAttempts = next.Settings.Classes, next.Settings.MaxAttempts
+	if cfg.Listen != r.cfg.Listen || cfg.Mgmt != r.cfg.Mgmt || cfg.Limits != r.cfg.Limits || !reflect.DeepEqual(unchanged, next.Settings) {
 		r.log.Warn("reload: changes of listen, mgmt, limits and settings other than classes and attempts need a restart")
 	}
 	r.cfg = cfg
-	r.log.Info("reload", "discovery", cfg.Discovery, "classes", logic.ClassNames(now.Settings.Classes), "attempts", now.Settings.MaxAttempts)
+	r.log.Info("reload", "discovery", cfg.Discovery, "classes", logic.ClassNames(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
 	r.proxy.Follow(cfg.Discovery)
 	return nil
 }
@@ -86,25 +86,25 @@
 // retune changes the classes in two steps: first to what both configurations allow, and to the new ones once
 // no client uses the old ones.
 func (r *reloader) retune(classes []logic.Class, tries int) error {
-	both, fewer := retune.Transition(r.classes, classes, r.maxAttempts, tries)
-	if err := r.apply(both, fewer); err != nil {
+	both, minAttempts := retune.Transition(r.classes, classes, r.maxAttempts, tries)
+	if err := r.apply(both, minAttempts); err != nil {
 		return err
 	}
 	if r.transitionTimer != nil {
 		r.transitionTimer.Stop()
 	}
-	var settle *time.Timer
-	settle = time.AfterFunc(transitionTime, func() {
+	var timer *time.Timer
+	timer = time.AfterFunc(transitionTime, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.transitionTimer != settle { // another configuration has been loaded in the meantime
+		if r.transitionTimer != timer { // another configuration has been loaded in the meantime
 			return
 		}
 		if err := r.apply(classes, tries); err != nil {
 			r.log.Error("retune", "err", err)
 		}
 	})
-	r.transitionTimer = settle
+	r.transitionTimer = timer
 	return nil
 }
 
@@ -120,29 +120,29 @@
 }
 
 func (r *reloader) reloadOperator() {
-	now, err := operator.Load(r.file.Path)
+	next, err := operator.Load(r.file.Path)
 	if err != nil {
 		r.log.Error("reload failed, the operator's old file stays in force", "err", err)
 		return
 	}
-	fixed, live := r.file.Diff(now)
-	if len(fixed) > 0 {
-		r.log.Warn("reload: the changed keys need a restart, the old values stay in force", "keys", fixed)
-		now.KeepRestartKeys(r.file)
+	restart, live := r.file.Diff(next)
+	if len(restart) > 0 {
+		r.log.Warn("reload: the changed keys need a restart, the old values stay in force", "keys", restart)
+		next.KeepRestartKeys(r.file)
 	}
 	if r.extproc != nil && len(live) > 0 {
-		if err := r.extproc.Reload(now); err != nil {
+		if err := r.extproc.Reload(next); err != nil {
 			r.log.Error("reload failed, the operator's old file stays in force", "err", err)
 			return
 		}
 	}
 	if r.gate != nil {
-		if err := now.CheckClasses(logic.ClassNames(r.classes)); err != nil {
+		if err := next.CheckClasses(logic.ClassNames(r.classes)); err != nil {
 			r.log.Error("reload failed, the operator's old file stays in force", "err", err)
 			return
 		}
-		r.gate.Reload(now.Identity)
+		r.gate.Reload(next.Identity)
 	}
-	r.file = now
+	r.file = next
 	r.log.Info("reload of the operator's file is complete", "changed", live)
 }
--- a/internal/app/reload_test.go
+++ b/internal/app/reload_test.go
@@ -52,16 +52,16 @@
 func TestReloadIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
-	r := newTestReloader(t, path, apptest.ConfigWith(t, baseConfig, nil))
-	p, cfg := r.proxy, r.cfg
-	operators := filepath.Join(dir, "operator.toml")
-	apptest.Replace(t, operators, []byte("[extproc]\nlisten = \"127.0.0.1:0\"\n[[extproc.map]]\nmethods = [\"GET\"]\npath = \"/{key}\"\nclass = \"tile-read\"\n"))
-	file, err := operator.Load(operators)
+	settingsReloader := newTestReloader(t, path, apptest.ConfigWith(t, baseConfig, nil))
+	p, cfg := settingsReloader.proxy, settingsReloader.cfg
+	operatorFile := filepath.Join(dir, "operator.toml")
+	apptest.Replace(t, operatorFile, []byte("[extproc]\nlisten = \"127.0.0.1:0\"\n[[extproc.map]]\nmethods = [\"GET\"]\npath = \"/{key}\"\nclass = \"tile-read\"\n"))
+	file, err := operator.Load(operatorFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	front := &countingFront{}
-	r.file, r.extproc = file, front
+	settingsReloader.file, settingsReloader.extproc = file, front
 
 	// edit writes the configuration with changed settings.
 	edit := func(change func(settings map[string]any, classes []any) []any) {
@@ -78,9 +78,9 @@
 		apptest.Replace(t, path, text)
 	}
 	reload := func() error {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return r.reloadConfig()
+		settingsReloader.mu.Lock()
+		defer settingsReloader.mu.Unlock()
+		return settingsReloader.reloadConfig()
 	}
 	class := func(name string) *logic.Class {
 		classes := p.Classes()
@@ -101,7 +101,7 @@
 		if err := reload(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
-		if r.cfg != cfg || len(p.Classes()) != 2 || front.reloads != 0 {
+		if settingsReloader.cfg != cfg || len(p.Classes()) != 2 || front.reloads != 0 {
 			t.Fatalf("%s: something of it was taken over", want)
 		}
 	}
@@ -120,7 +120,7 @@
 	if err := reload(); err != nil {
 		t.Fatal(err)
 	}
-	if r.cfg.Discovery != "127.0.0.1:77" || class("overlay") == nil || front.reloads != 1 {
+	if settingsReloader.cfg.Discovery != "127.0.0.1:77" || class("overlay") == nil || front.reloads != 1 {
 		t.Error("the new file is not in force")
 	}
 	if c := class("pass-order"); c.Effect != logic.AtMostOnce {
@@ -141,10 +141,10 @@
 	r := newTestReloader(t, path, first)
 	apptest.Replace(t, path, []byte(strings.Replace(string(first), `"repeat":"once"`, `"repeat":"repeatable"`, 1)))
 	r.reload()
-	ends := r.transitionTimer
+	transition := r.transitionTimer
 	apptest.Replace(t, path, first)
 	r.reload()
-	if ends == nil || ends.Stop() {
+	if transition == nil || transition.Stop() {
 		t.Error("the file that was taken back still has its time to come")
 	}
 	if r.proxy.Classes()[1].Effect != logic.AtMostOnce {
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -51,7 +51,7 @@
 func startSharing(cfg *config, settings *proxy.Config, log *slog.Logger) *limitSharing {
 	s := &limitSharing{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
 	path := os.Getenv("TMPDIR")
-	if at, err := netip.ParseAddrPort(cfg.Listen); err == nil && at.Port() == 0 {
+	if address, err := netip.ParseAddrPort(cfg.Listen); err == nil && address.Port() == 0 {
 		path = "" // a random port gives every process another address, so none can be a successor
 	}
 	var err error
@@ -81,16 +81,16 @@
 		if err != nil {
 			return nil, err
 		}
-		var old *inherit.Snapshot // nil: nothing was written (older versions write no state) or it is unreadable
+		var snapshot *inherit.Snapshot // nil: nothing was written (older versions write no state) or it is unreadable
 		if text != nil {
-			var got inherit.Snapshot
-			if got, err = inherit.Decode(text); err == nil {
-				old = &got
+			var decoded inherit.Snapshot
+			if decoded, err = inherit.Decode(text); err == nil {
+				snapshot = &decoded
 			}
 		}
 		// An older state is returned as well; the reader decides by its age how much of it applies.
-		if s.noPredecessor || old != nil && old.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
-			return old, err
+		if s.noPredecessor || snapshot != nil && snapshot.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
+			return snapshot, err
 		}
 		time.Sleep(statePollInterval)
 	}
@@ -117,13 +117,13 @@
 func (s *limitSharing) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
 	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
-	followed := false
+	hasSuccessor := false
 	for {
 		select {
 		case <-quit:
 			return
 		case <-stop: // a planned stop begins: a successor may start
-			if stop = nil; s.alone && !followed {
+			if stop = nil; s.alone && !hasSuccessor {
 				s.writeState(p)
 			}
 		case <-tick.C:
@@ -137,12 +137,12 @@
 				s.log.Info("the predecessor process has ended")
 			}
 		}
-		was := followed
-		if followed = s.alone && s.dir.HasSuccessor(); followed && !was {
+		hadSuccessor := hasSuccessor
+		if hasSuccessor = s.alone && s.dir.HasSuccessor(); hasSuccessor && !hadSuccessor {
 			s.writeState(p)
 		}
 		switch {
-		case !s.alone || followed:
+		case !s.alone || hasSuccessor:
 			s.shareLimits(p)
 		case s.sockets != s.cfg.Limits.Sockets || s.memoryMB != s.cfg.Limits.MemoryMB: // no other process any more
 			s.apply(p, s.cfg.Limits.Sockets, s.cfg.Limits.MemoryMB)
@@ -161,9 +161,9 @@
 	if err != nil {
 		s.log.Error("handover", "err", err)
 	}
-	left := s.cfg.Limits.MemoryMB - float64(theirs.Memory+nonHeapBytes)/(1<<20)
+	remaining := s.cfg.Limits.MemoryMB - float64(theirs.Memory+nonHeapBytes)/(1<<20)
 	s.apply(p, max(minSockets, s.cfg.Limits.Sockets-int(theirs.Descriptors)-reservedDescriptors),
-		max(minMemoryMB, math.Floor(min(s.cfg.Limits.MemoryMB*maxMemoryShare, left))))
+		max(minMemoryMB, math.Floor(min(s.cfg.Limits.MemoryMB*maxMemoryShare, remaining))))
 }
 
 func (s *limitSharing) apply(p *proxy.Proxy, sockets int, memory float64) {
@@ -175,7 +175,7 @@
 
 // memoryInUse returns the memory that the runtime has obtained from the system.
 func memoryInUse() int64 {
-	m := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
-	metrics.Read(m)
-	return int64(m[0].Value.Uint64() - m[1].Value.Uint64())
+	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	metrics.Read(samples)
+	return int64(samples[0].Value.Uint64() - samples[1].Value.Uint64())
 }
--- a/internal/app/version.go
+++ b/internal/app/version.go
@@ -47,24 +47,24 @@
 	}
 	delete(settings, "self_index")
 	delete(settings, "az")
-	f := *file
-	f.Path = ""
-	if f.Instances != nil {
-		in := *f.Instances
+	hashed := *file
+	hashed.Path = ""
+	if hashed.Instances != nil {
+		in := *hashed.Instances
 		in.Listen, in.Advertise = nil, nil
-		f.Instances = &in
+		hashed.Instances = &in
 	}
-	if f.ExtProc != nil {
-		e := *f.ExtProc
+	if hashed.ExtProc != nil {
+		e := *hashed.ExtProc
 		e.Listen = ""
-		f.ExtProc = &e
+		hashed.ExtProc = &e
 	}
-	if f.Orders != nil {
-		o := *f.Orders
+	if hashed.Orders != nil {
+		o := *hashed.Orders
 		o.Dir = ""
-		f.Orders = &o
+		hashed.Orders = &o
 	}
-	text, err := json.Marshal([]any{settings, cfg.Limits, f}) // the keys of maps are sorted
+	text, err := json.Marshal([]any{settings, cfg.Limits, hashed}) // the keys of maps are sorted
 	if err != nil {
 		return "", fmt.Errorf("version: %w", err)
 	}
--- a/internal/idcmd/idcmd.go
+++ b/internal/idcmd/idcmd.go
@@ -70,13 +70,13 @@
 }
 
 func sign(args []string, out, errs io.Writer, now time.Time) error {
-	f := flag.NewFlagSet("token sign", flag.ContinueOnError)
-	key := f.String("key", "", "the private key, a JWK `FILE`")
-	issuer, audience := f.String("issuer", "", "iss"), f.String("audience", "", "aud")
-	tenant, claim := f.String("tenant", "", "the tenant"), f.String("claim", "tenant", "the claim that names it")
-	subject, jti := f.String("subject", "", "sub"), f.String("jti", "", "an ID, for an order's token")
-	life := f.Duration("for", 10*time.Minute, "how long the token is valid")
-	if err := flags.Parse(f, errs, args, "key", "issuer", "audience", "tenant"); err != nil {
+	flagSet := flag.NewFlagSet("token sign", flag.ContinueOnError)
+	key := flagSet.String("key", "", "the private key, a JWK `FILE`")
+	issuer, audience := flagSet.String("issuer", "", "iss"), flagSet.String("audience", "", "aud")
+	tenant, claim := flagSet.String("tenant", "", "the tenant"), flagSet.String("claim", "tenant", "the claim that names it")
+	subject, jti := flagSet.String("subject", "", "sub"), flagSet.String("jti", "", "an ID, for an order's token")
+	lifetime := flagSet.Duration("for", 10*time.Minute, "how long the token is valid")
+	if err := flags.Parse(flagSet, errs, args, "key", "issuer", "audience", "tenant"); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(*key)
@@ -91,12 +91,12 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", *key, err)
 	}
-	by, err := jose.NewSigner(jose.SigningKey{Algorithm: alg, Key: jwk.Key}, (&jose.SignerOptions{}).WithHeader("kid", jwk.KeyID))
+	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: alg, Key: jwk.Key}, (&jose.SignerOptions{}).WithHeader("kid", jwk.KeyID))
 	if err != nil {
 		return err
 	}
-	token, err := jwt.Signed(by).Claims(jwt.Claims{Issuer: *issuer, Audience: jwt.Audience{*audience}, Subject: *subject, ID: *jti,
-		IssuedAt: jwt.NewNumericDate(now), Expiry: jwt.NewNumericDate(now.Add(*life))}).
+	token, err := jwt.Signed(signer).Claims(jwt.Claims{Issuer: *issuer, Audience: jwt.Audience{*audience}, Subject: *subject, ID: *jti,
+		IssuedAt: jwt.NewNumericDate(now), Expiry: jwt.NewNumericDate(now.Add(*lifetime))}).
 		Claims(map[string]any{*claim: *tenant}).Serialize()
 	if err != nil {
 		return err
@@ -118,9 +118,9 @@
 }
 
 func inspect(args []string, in io.Reader, out, errs io.Writer, now time.Time) error {
-	f := flag.NewFlagSet("token inspect", flag.ContinueOnError)
-	file := f.String("keys", "", "check the token against this JWK set `FILE`")
-	if err := flags.Parse(f, errs, args); err != nil {
+	flagSet := flag.NewFlagSet("token inspect", flag.ContinueOnError)
+	file := flagSet.String("keys", "", "check the token against this JWK set `FILE`")
+	if err := flags.Parse(flagSet, errs, args); err != nil {
 		return err
 	}
 	text, err := io.ReadAll(io.LimitReader(in, identity.MaxTokenBytes+2))
@@ -131,23 +131,23 @@
 	if len(token) > identity.MaxTokenBytes {
 		return fmt.Errorf("the token is longer than %d bytes", identity.MaxTokenBytes)
 	}
-	t, err := jwt.ParseSigned(token, identity.Algorithms)
+	parsed, err := jwt.ParseSigned(token, identity.Algorithms)
 	if err != nil {
 		return errors.New("the input is no token signed with EdDSA, ES256 or RS256")
 	}
-	var c jwt.Claims
-	var all map[string]any
-	if err := t.UnsafeClaimsWithoutVerification(&c, &all); err != nil {
+	var registered jwt.Claims
+	var allClaims map[string]any
+	if err := parsed.UnsafeClaimsWithoutVerification(&registered, &allClaims); err != nil {
 		return errors.New("the token's claims can't be read")
 	}
-	fmt.Fprintf(out, "alg %s, kid %s\n", t.Headers[0].Algorithm, t.Headers[0].KeyID)
-	claims, err := json.MarshalIndent(all, "", "  ")
+	fmt.Fprintf(out, "alg %s, kid %s\n", parsed.Headers[0].Algorithm, parsed.Headers[0].KeyID)
+	claims, err := json.MarshalIndent(allClaims, "", "  ")
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s\n", claims)
-	if c.Expiry != nil {
-		fmt.Fprintf(out, "expires %s, in %v\n", c.Expiry.Time().UTC().Format(time.RFC3339), c.Expiry.Time().Sub(now).Round(time.Second))
+	if registered.Expiry != nil {
+		fmt.Fprintf(out, "expires %s, in %v\n", registered.Expiry.Time().UTC().Format(time.RFC3339), registered.Expiry.Time().Sub(now).Round(time.Second))
 	}
 	if *file == "" {
 		fmt.Fprintln(out, "the signature was not checked: -keys is not given")
@@ -157,11 +157,11 @@
 	if err != nil {
 		return err
 	}
-	k := keys.ByID[t.Headers[0].KeyID]
+	k := keys.ByID[parsed.Headers[0].KeyID]
 	switch {
 	case k == nil:
 		return errors.New("no key of the set has the token's kid")
-	case t.Claims(k.Public, &c) != nil:
+	case parsed.Claims(k.Public, &registered) != nil:
 		return errors.New("the signature is not by the set's key")
 	case k.Phase(now) != identity.PhaseActive:
 		return fmt.Errorf("its key is %s", k.Phase(now))
@@ -183,9 +183,9 @@
 }
 
 func list(args []string, out, errs io.Writer, now time.Time) error {
-	f := flag.NewFlagSet("keys list", flag.ContinueOnError)
-	file := f.String("keys", "", "a JWK set `FILE`")
-	if err := flags.Parse(f, errs, args, "keys"); err != nil {
+	flagSet := flag.NewFlagSet("keys list", flag.ContinueOnError)
+	file := flagSet.String("keys", "", "a JWK set `FILE`")
+	if err := flags.Parse(flagSet, errs, args, "keys"); err != nil {
 		return err
 	}
 	keys, err := loadKeySet(*file)
@@ -205,14 +205,14 @@
 }
 
 func rotate(args []string, out, errs io.Writer, now time.Time) error {
-	f := flag.NewFlagSet("keys rotate", flag.ContinueOnError)
-	file := f.String("keys", "", "the JWK set `FILE`, created if it does not exist")
-	private := f.String("private", "", "the `FILE` for the new private key, which must not exist yet")
-	alg := f.String("alg", "EdDSA", "EdDSA, ES256 or RS256")
-	after := f.Duration("after", time.Minute, "when the new key becomes active: long enough for every process to have read the file")
-	overlap := f.Duration("overlap", time.Hour, "how long the earlier keys stay active after that: as long as their tokens are valid")
-	prune := f.Duration("prune", 24*time.Hour, "remove keys that ended longer ago than this")
-	if err := flags.Parse(f, errs, args, "keys", "private"); err != nil {
+	flagSet := flag.NewFlagSet("keys rotate", flag.ContinueOnError)
+	file := flagSet.String("keys", "", "the JWK set `FILE`, created if it does not exist")
+	private := flagSet.String("private", "", "the `FILE` for the new private key, which must not exist yet")
+	alg := flagSet.String("alg", "EdDSA", "EdDSA, ES256 or RS256")
+	after := flagSet.Duration("after", time.Minute, "when the new key becomes active: long enough for every process to have read the file")
+	overlap := flagSet.Duration("overlap", time.Hour, "how long the earlier keys stay active after that: as long as their tokens are valid")
+	prune := flagSet.Duration("prune", 24*time.Hour, "remove keys that ended longer ago than this")
+	if err := flags.Parse(flagSet, errs, args, "keys", "private"); err != nil {
 		return err
 	}
 	var set struct {
@@ -272,14 +272,14 @@
 		return err
 	}
 	// The private key is written first: a public key is useless if its private key is lost.
-	p, err := os.OpenFile(*private, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	privateFile, err := os.OpenFile(*private, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
 	}
-	if _, err = p.Write(append(secret, '\n')); err == nil {
-		err = p.Sync()
+	if _, err = privateFile.Write(append(secret, '\n')); err == nil {
+		err = privateFile.Sync()
 	}
-	if e := p.Close(); err == nil {
+	if e := privateFile.Close(); err == nil {
 		err = e
 	}
 	if err == nil {
--- a/internal/identity/certs.go
+++ b/internal/identity/certs.go
@@ -96,31 +96,31 @@
 		return nil, deny(NoCredentials, "no certificate")
 	}
 	leaf := chains[0][0]
-	f := &certFacts{dns: leaf.DNSNames, issuer: leaf.Issuer.String()}
+	facts := &certFacts{dns: leaf.DNSNames, issuer: leaf.Issuer.String()}
 	for _, u := range leaf.URIs {
-		f.uris = append(f.uris, u.String())
+		facts.uris = append(facts.uris, u.String())
 	}
-	if len(f.uris)+len(f.dns) > maxCertNames {
+	if len(facts.uris)+len(facts.dns) > maxCertNames {
 		return nil, deny(Forbidden, "its certificate has more than %d names", maxCertNames)
 	}
 	for _, chain := range chains[:min(len(chains), maxChains)] {
 		link := certChain{root: sha256.Sum256(chain[len(chain)-1].Raw), notBefore: leaf.NotBefore, notAfter: leaf.NotAfter}
-		for _, one := range chain {
-			if one.NotAfter.Before(link.notAfter) {
-				link.notAfter = one.NotAfter
+		for _, certificate := range chain {
+			if certificate.NotAfter.Before(link.notAfter) {
+				link.notAfter = certificate.NotAfter
 			}
-			if one.NotBefore.After(link.notBefore) {
-				link.notBefore = one.NotBefore
+			if certificate.NotBefore.After(link.notBefore) {
+				link.notBefore = certificate.NotBefore
 			}
 		}
-		f.chains = append(f.chains, link)
+		facts.chains = append(facts.chains, link)
 	}
-	tenant, err := c.tenantOf(f)
+	tenant, err := c.tenantOf(facts)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proof{Tenant: tenant, Subject: leaf.Subject.String(), certificate: f}
-	for _, link := range f.chains {
+	p := &Proof{Tenant: tenant, Subject: leaf.Subject.String(), certificate: facts}
+	for _, link := range facts.chains {
 		if link.notAfter.After(p.ExpiresAt) {
 			p.ExpiresAt = link.notAfter
 		}
@@ -131,7 +131,7 @@
 // tenantOf returns the tenant of a certificate's names. URIs take precedence over DNS names, and these over
 // the issuer. If names of one kind match two tenants, the certificate proves neither.
 func (c *Certs) tenantOf(f *certFacts) (string, error) {
-	for _, fits := range []func(r *CertRule) bool{
+	for _, matches := range []func(r *CertRule) bool{
 		func(r *CertRule) bool {
 			return r.URI != "" && slices.ContainsFunc(f.uris, func(s string) bool { return matchURI(r.URI, s) })
 		},
@@ -142,7 +142,7 @@
 	} {
 		tenant := ""
 		for i := range c.rules {
-			if r := &c.rules[i]; fits(r) {
+			if r := &c.rules[i]; matches(r) {
 				if tenant != "" && tenant != r.Tenant {
 					return "", deny(Forbidden, "its certificate names more than one tenant")
 				}
@@ -162,14 +162,14 @@
 	if p.certificate == nil {
 		return deny(Forbidden, "no certificate")
 	}
-	rooted, early := false, false
+	rootInForce, notYetValid := false, false
 	for _, link := range p.certificate.chains {
 		switch {
 		case !c.roots[link.root]:
 		case now.Before(link.notBefore):
-			rooted, early = true, true
+			rootInForce, notYetValid = true, true
 		case now.After(link.notAfter): // RFC 5280, section 4.1.2.5: notAfter is inclusive
-			rooted = true
+			rootInForce = true
 		default:
 			if tenant, err := c.tenantOf(p.certificate); err != nil {
 				return err
@@ -180,9 +180,9 @@
 		}
 	}
 	switch {
-	case !rooted:
+	case !rootInForce:
 		return deny(KeyRetired, "its certificate's root is gone")
-	case early:
+	case notYetValid:
 		return deny(NotYetValid, "its certificate")
 	}
 	return deny(Expired, "its certificate")
--- a/internal/identity/certs_test.go
+++ b/internal/identity/certs_test.go
@@ -45,27 +45,27 @@
 		by     *standin.Issuer
 		names  string
 		tenant string
-		why    Reason
+		reason Reason
 	}{
 		{by: root, names: "spiffe://maps.example/kiosk/7", tenant: "kiosk"},
 		{by: root, names: "spiffe://maps.example/kiosk/7/door", tenant: "kiosk"},
-		{by: root, names: "spiffe://maps.example/kiosk/", why: Foreign},
-		{by: root, names: "spiffe://maps.example/kiosk/../shop", why: Foreign},
-		{by: root, names: "spiffe://maps.example/kiosk/%2e%2e/shop", why: Foreign},
-		{by: root, names: "spiffe://maps.example/kiosks", why: Foreign},
+		{by: root, names: "spiffe://maps.example/kiosk/", reason: Foreign},
+		{by: root, names: "spiffe://maps.example/kiosk/../shop", reason: Foreign},
+		{by: root, names: "spiffe://maps.example/kiosk/%2e%2e/shop", reason: Foreign},
+		{by: root, names: "spiffe://maps.example/kiosks", reason: Foreign},
 		{by: root, names: "spiffe://maps.example/shop", tenant: "shop"},
-		{by: root, names: "spiffe://maps.example/shop/", why: Foreign},
-		{by: root, names: "spiffe://maps.example/shop spiffe://maps.example/kiosk/1", why: Forbidden},
+		{by: root, names: "spiffe://maps.example/shop/", reason: Foreign},
+		{by: root, names: "spiffe://maps.example/shop spiffe://maps.example/kiosk/1", reason: Forbidden},
 		{by: root, names: "a.Partner.Example", tenant: "partner"},
-		{by: root, names: "a.b.partner.example", why: Foreign},
-		{by: root, names: "partner.example", why: Foreign},
-		{by: root, names: "*.partner.example", why: Foreign},
-		{by: root, names: "shop.example a.partner.example", why: Forbidden},
+		{by: root, names: "a.b.partner.example", reason: Foreign},
+		{by: root, names: "partner.example", reason: Foreign},
+		{by: root, names: "*.partner.example", reason: Foreign},
+		{by: root, names: "shop.example a.partner.example", reason: Forbidden},
 		{by: root, names: "shop.example spiffe://maps.example/kiosk/1", tenant: "kiosk"}, // URIs count first
 		{by: kiosks, names: "unknown.example", tenant: "kiosk"},
 		{by: kiosks, names: "shop.example", tenant: "shop"},
-		{by: root, names: "", why: Foreign},
-		{by: root, names: strings.Repeat("a.example ", maxCertNames+1), why: Forbidden},
+		{by: root, names: "", reason: Foreign},
+		{by: root, names: strings.Repeat("a.example ", maxCertNames+1), reason: Forbidden},
 	} {
 		one := newLeaf(t, c.by, later, strings.Fields(c.names)...)
 		chain := []*x509.Certificate{one, c.by.Cert}
@@ -73,8 +73,8 @@
 			chain = append(chain, root.Cert)
 		}
 		p, err := certs.Check(certTime, [][]*x509.Certificate{chain})
-		if ReasonOf(err) != c.why || err == nil && (p.Tenant != c.tenant || !p.ByCertificate()) {
-			t.Errorf("%q: %+v, %v; want %q, %v", c.names, p, err, c.tenant, c.why)
+		if ReasonOf(err) != c.reason || err == nil && (p.Tenant != c.tenant || !p.ByCertificate()) {
+			t.Errorf("%q: %+v, %v; want %q, %v", c.names, p, err, c.tenant, c.reason)
 		}
 	}
 	if _, err := certs.Check(certTime, nil); ReasonOf(err) != NoCredentials {
@@ -94,22 +94,22 @@
 	renamed := NewCerts([]CertRule{{DNS: "kiosk.example", Tenant: "shop"}}, []*x509.Certificate{old.Cert, next.Cert})
 	dropped := NewCerts(nil, []*x509.Certificate{old.Cert, next.Cert})
 	direct := newLeaf(t, old, certTime.Add(2*time.Hour), "kiosk.example")
-	between := newLeaf(t, short, certTime.Add(2*time.Hour), "kiosk.example")
+	viaIntermediate := newLeaf(t, short, certTime.Add(2*time.Hour), "kiosk.example")
 	for _, c := range []struct {
 		name   string
 		chains [][]*x509.Certificate
 		certs  *Certs
 		at     time.Duration
-		why    Reason
+		reason Reason
 	}{
 		{"fresh", [][]*x509.Certificate{{direct, old.Cert}}, both, 0, 0},
 		{"its last moment", [][]*x509.Certificate{{direct, old.Cert}}, both, 2 * time.Hour, 0},
 		{"run out", [][]*x509.Certificate{{direct, old.Cert}}, both, 2*time.Hour + time.Second, Expired},
 		{"before its time", [][]*x509.Certificate{{direct, old.Cert}}, both, -2 * time.Hour, NotYetValid},
-		{"what signed it has run out", [][]*x509.Certificate{{between, short.Cert, old.Cert}}, both, 90 * time.Minute, Expired},
+		{"what signed it has run out", [][]*x509.Certificate{{viaIntermediate, short.Cert, old.Cert}}, both, 90 * time.Minute, Expired},
 		{"its root is gone", [][]*x509.Certificate{{direct, old.Cert}}, onlyNext, 0, KeyRetired},
 		{"one of two roots is gone", [][]*x509.Certificate{{direct, old.Cert}, {direct, next.Cert}}, onlyNext, 0, 0},
-		{"the longer way counts", [][]*x509.Certificate{{between, short.Cert, old.Cert}, {between, next.Cert}}, both, 90 * time.Minute, 0},
+		{"the longer way counts", [][]*x509.Certificate{{viaIntermediate, short.Cert, old.Cert}, {viaIntermediate, next.Cert}}, both, 90 * time.Minute, 0},
 		{"another tenant's now", [][]*x509.Certificate{{direct, old.Cert}}, renamed, 0, KeyRetired},
 		{"nobody's now", [][]*x509.Certificate{{direct, old.Cert}}, dropped, 0, Foreign},
 	} {
@@ -117,8 +117,8 @@
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
-		if err := c.certs.CheckProof(certTime.Add(c.at), p); ReasonOf(err) != c.why {
-			t.Errorf("%s: %v, want %v", c.name, err, c.why)
+		if err := c.certs.CheckProof(certTime.Add(c.at), p); ReasonOf(err) != c.reason {
+			t.Errorf("%s: %v, want %v", c.name, err, c.reason)
 		}
 	}
 	if err := both.CheckProof(certTime, &Proof{Tenant: "kiosk"}); err == nil {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -51,13 +51,13 @@
 	return signer{id, key, alg}
 }
 
-func (s signer) jwk(t testing.TB, more string) string {
+func (s signer) jwk(t testing.TB, members string) string {
 	t.Helper()
 	text, err := jose.JSONWebKey{Key: s.key.Public(), KeyID: s.id}.MarshalJSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return strings.TrimSuffix(string(text), "}") + more + "}"
+	return strings.TrimSuffix(string(text), "}") + members + "}"
 }
 
 func keySet(t testing.TB, jwks ...string) *KeySet {
@@ -135,7 +135,7 @@
 		return text
 	}
 	good := ed.sign(t, claims(), nil)
-	cut := strings.Split(good, ".")
+	parts := strings.Split(good, ".")
 	at := func(d time.Duration) string { return fmt.Sprint(epoch.Add(d).Unix()) }
 	for name, c := range map[string]struct {
 		token string
@@ -144,7 +144,7 @@
 		"EdDSA": {good, 0}, "ES256": {ec.sign(t, claims(), nil), 0}, "RS256": {rs.sign(t, claims(), nil), 0},
 		"audiences":                     {ed.sign(t, claims("aud", `["x","tiles"]`), nil), 0},
 		"none":                          {"", Malformed},
-		"alg none":                      {encodeSegment(`{"alg":"none","kid":"ed"}`) + "." + cut[1] + ".", Malformed},
+		"alg none":                      {encodeSegment(`{"alg":"none","kid":"ed"}`) + "." + parts[1] + ".", Malformed},
 		"HMAC with the public key":      {hmac(rsText), Malformed},
 		"unknown kid":                   {signer{"who", ed.key, ed.alg}.sign(t, claims(), nil), UnknownKey},
 		"no kid":                        {signer{"", ed.key, ed.alg}.sign(t, claims(), nil), UnknownKey},
@@ -153,9 +153,9 @@
 		"a pointer to a key":            {ed.sign(t, claims(), map[jose.HeaderKey]any{"jku": "http://127.0.0.1/"}), Forbidden},
 		"another algorithm's key":       {signer{"ec", ed.key, ed.alg}.sign(t, claims(), nil), Forbidden},
 		"a megabyte":                    {strings.Repeat("a", 1<<20), Malformed},
-		"two parts":                     {cut[0] + "." + cut[1], Malformed},
+		"two parts":                     {parts[0] + "." + parts[1], Malformed},
 		"the wrong key":                 {other.sign(t, claims(), nil), BadSignature},
-		"another payload":               {cut[0] + "." + encodeSegment(claims("tenant", `"else"`)) + "." + cut[2], BadSignature},
+		"another payload":               {parts[0] + "." + encodeSegment(claims("tenant", `"else"`)) + "." + parts[2], BadSignature},
 		"doubled claims":                {ed.sign(t, `{"tenant":"acme","iss":"issuer","aud":"tiles","exp":`+at(time.Minute)+`,"tenant":"else"}`, nil), Malformed},
 		"a nested tenant":               {ed.sign(t, claims("tenant", `{"name":"acme"}`), nil), Forbidden},
 		"no tenant":                     {ed.sign(t, claims("tenant", `null`), nil), Forbidden},
@@ -257,9 +257,9 @@
 // bad token keep their share.
 func TestChecksAreBounded(t *testing.T) {
 	a, forger := newSigner(t, "a", jose.EdDSA), newSigner(t, "a", jose.EdDSA)
-	few := testRequirements
-	few.ChecksPerSecond = 20
-	v := NewVerifier(few, keySet(t, a.jwk(t, "")))
+	lowLimit := testRequirements
+	lowLimit.ChecksPerSecond = 20
+	v := NewVerifier(lowLimit, keySet(t, a.jwk(t, "")))
 	known := []byte(a.sign(t, claims("sub", `"known"`), nil))
 	if _, err := v.Check(epoch, known, false); err != nil {
 		t.Fatal(err)
@@ -288,7 +288,7 @@
 			t.Errorf("a known token: %v", err)
 		}
 	}
-	if v.CacheLen() > few.CacheSize {
+	if v.CacheLen() > lowLimit.CacheSize {
 		t.Errorf("%d tokens are known", v.CacheLen())
 	}
 }
--- a/internal/identity/keys.go
+++ b/internal/identity/keys.go
@@ -84,19 +84,19 @@
 	if len(set.Keys) > maxKeys {
 		return nil, fmt.Errorf("key set: %d keys, more than %d", len(set.Keys), maxKeys)
 	}
-	ks := &KeySet{ByID: map[string]*Key{}}
+	parsed := &KeySet{ByID: map[string]*Key{}}
 	for i, raw := range set.Keys {
 		k, err := parseKey(raw)
 		if err != nil {
 			return nil, fmt.Errorf("key set: keys[%d]: %w", i, err)
 		}
-		if ks.ByID[k.ID] != nil {
+		if parsed.ByID[k.ID] != nil {
 			return nil, fmt.Errorf("key set: keys[%d]: kid %q is used twice", i, k.ID)
 		}
-		ks.ByID[k.ID] = k
-		ks.List = append(ks.List, k)
+		parsed.ByID[k.ID] = k
+		parsed.List = append(parsed.List, k)
 	}
-	return ks, nil
+	return parsed, nil
 }
 
 func parseKey(raw []byte) (*Key, error) {
@@ -104,11 +104,11 @@
 	if err := jwk.UnmarshalJSON(raw); err != nil {
 		return nil, err
 	}
-	var life struct {
+	var validity struct {
 		From  *float64 `json:"nbf"`
 		Until *float64 `json:"exp"`
 	}
-	if err := json.Unmarshal(raw, &life); err != nil {
+	if err := json.Unmarshal(raw, &validity); err != nil {
 		return nil, err
 	}
 	k := &Key{ID: jwk.KeyID, Public: jwk.Key}
@@ -118,16 +118,16 @@
 	if jwk.Use != "" && jwk.Use != "sig" {
 		return nil, fmt.Errorf("use is %q, not sig", jwk.Use)
 	}
-	switch pub := jwk.Key.(type) {
+	switch public := jwk.Key.(type) {
 	case ed25519.PublicKey:
 		k.Alg = jose.EdDSA
 	case *ecdsa.PublicKey:
-		if pub.Curve != elliptic.P256() {
+		if public.Curve != elliptic.P256() {
 			return nil, errors.New("an EC key must be on P-256")
 		}
 		k.Alg = jose.ES256
 	case *rsa.PublicKey:
-		if n := pub.N.BitLen(); n < minRSABits || n > maxRSABits {
+		if n := public.N.BitLen(); n < minRSABits || n > maxRSABits {
 			return nil, fmt.Errorf("an RSA key of %d bits; it must have %d to %d", n, minRSABits, maxRSABits)
 		}
 		k.Alg = jose.RS256
@@ -137,11 +137,11 @@
 	if jwk.Algorithm != "" && jwk.Algorithm != string(k.Alg) {
 		return nil, fmt.Errorf("alg is %q; a key of this type requires %s", jwk.Algorithm, k.Alg)
 	}
-	if life.From != nil {
-		k.NotBefore = unixTime(*life.From)
+	if validity.From != nil {
+		k.NotBefore = unixTime(*validity.From)
 	}
-	if life.Until != nil {
-		if k.NotAfter = unixTime(*life.Until); !k.NotAfter.After(k.NotBefore) {
+	if validity.Until != nil {
+		if k.NotAfter = unixTime(*validity.Until); !k.NotAfter.After(k.NotBefore) {
 			return nil, errors.New("exp is not after nbf")
 		}
 	}
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -98,65 +98,65 @@
 		v.recent.MoveToFront(e)
 		return p, nil
 	}
-	tok, err := jwt.ParseSigned(string(token), Algorithms)
+	parsed, err := jwt.ParseSigned(string(token), Algorithms)
 	if err != nil { // not passed on, as it may include parts of the token
 		return nil, deny(Malformed, "or its algorithm is none of EdDSA, ES256 and RS256")
 	}
-	head := tok.Headers[0]
-	if head.JSONWebKey != nil {
+	header := parsed.Headers[0]
+	if header.JSONWebKey != nil {
 		return nil, deny(Forbidden, "it brings a key of its own")
 	}
-	for name := range head.ExtraHeaders {
+	for name := range header.ExtraHeaders {
 		switch name {
 		case "x5u", "x5c", "x5t", "x5t#S256", "jku", "crit":
 			return nil, deny(Forbidden, "it points to a key, or has a critical header")
 		}
 	}
 	var key *Key
-	if v.keys != nil && validKeyID(head.KeyID) {
-		key = v.keys.ByID[head.KeyID]
+	if v.keys != nil && validKeyID(header.KeyID) {
+		key = v.keys.ByID[header.KeyID]
 	}
 	if key == nil {
 		return nil, deny(UnknownKey, "")
 	}
-	if head.Algorithm != string(key.Alg) {
+	if header.Algorithm != string(key.Alg) {
 		return nil, deny(Forbidden, "its key is one for %s", key.Alg)
 	}
-	var c jwt.Claims
-	var more map[string]any
-	if err := tok.UnsafeClaimsWithoutVerification(&c, &more); err != nil {
+	var claims jwt.Claims
+	var allClaims map[string]any
+	if err := parsed.UnsafeClaimsWithoutVerification(&claims, &allClaims); err != nil {
 		return nil, deny(Malformed, "its claims can't be read")
 	}
-	tenant, _ := more[v.requirements.TenantClaim].(string)
-	p := &Proof{Tenant: tenant, Subject: c.Subject, ID: c.ID, KeyID: key.ID, keyThumbprint: key.thumbprint}
+	tenant, _ := allClaims[v.requirements.TenantClaim].(string)
+	proof := &Proof{Tenant: tenant, Subject: claims.Subject, ID: claims.ID, KeyID: key.ID, keyThumbprint: key.thumbprint}
 	switch {
-	case c.Issuer != v.requirements.Issuer:
+	case claims.Issuer != v.requirements.Issuer:
 		return nil, deny(Foreign, "another issuer")
-	case !c.Audience.Contains(v.requirements.Audience):
+	case !claims.Audience.Contains(v.requirements.Audience):
 		return nil, deny(Foreign, "another audience")
 	case tenant == "":
 		return nil, deny(Forbidden, "it names no tenant")
-	case c.Expiry == nil:
+	case claims.Expiry == nil:
 		return nil, deny(Forbidden, "it never runs out")
-	case c.NotBefore != nil && now.Before(c.NotBefore.Time().Add(-v.requirements.Leeway)):
+	case claims.NotBefore != nil && now.Before(claims.NotBefore.Time().Add(-v.requirements.Leeway)):
 		return nil, deny(NotYetValid, "")
 	}
-	p.ExpiresAt = c.Expiry.Time().Add(v.requirements.Leeway)
-	if err := v.keys.CheckProof(now, p); err != nil {
+	proof.ExpiresAt = claims.Expiry.Time().Add(v.requirements.Leeway)
+	if err := v.keys.CheckProof(now, proof); err != nil {
 		return nil, err
 	}
-	if p.ExpiresAt.Sub(now) > v.requirements.MaxLifetime+2*v.requirements.Leeway {
+	if proof.ExpiresAt.Sub(now) > v.requirements.MaxLifetime+2*v.requirements.Leeway {
 		return nil, deny(Forbidden, "it holds for too long")
 	}
 	if !v.sharedChecks.take(now) && (suspect || !v.reservedChecks.take(now)) {
 		return nil, deny(Overloaded, "")
 	}
 	v.Checks++
-	if err := tok.Claims(key.Public, &c); err != nil {
+	if err := parsed.Claims(key.Public, &claims); err != nil {
 		return nil, deny(BadSignature, "")
 	}
-	v.addToCache(hash, p)
-	return p, nil
+	v.addToCache(hash, proof)
+	return proof, nil
 }
 
 // CheckProof returns nil if a proof is still valid: its token has not expired, and its key is in the set and
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -90,13 +90,13 @@
 	root := reflect.ValueOf(into).Elem()
 	table, path := root, ""
 	for d.parser.NextExpression() {
-		e := d.parser.Expression()
-		switch e.Kind {
+		expression := d.parser.Expression()
+		switch expression.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table, path = d.descend(root, "", e.Key(), e.Kind == unstable.ArrayTable)
+			table, path = d.descend(root, "", expression.Key(), expression.Kind == unstable.ArrayTable)
 		case unstable.KeyValue:
 			if table.IsValid() {
-				d.keyValue(table, path, e)
+				d.keyValue(table, path, expression)
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		n := key.Node()
 		last := key.IsLast()
 		path = joinPath(path, string(n.Data))
-		f, known := fieldByKey(v, string(n.Data))
+		target, known := fieldByKey(v, string(n.Data))
 		if !known {
 			d.fault(d.lineOf(n), "unknown table [%s]%s", path, suggestKey(v, string(n.Data)))
 			return reflect.Value{}, path
@@ -125,26 +125,26 @@
 			d.lines[path] = d.lineOf(n)
 		}
 		switch {
-		case f.Kind() == reflect.Slice && f.Type().Elem().Kind() == reflect.Struct:
+		case target.Kind() == reflect.Slice && target.Type().Elem().Kind() == reflect.Struct:
 			if last && array {
-				f.Set(reflect.Append(f, reflect.Zero(f.Type().Elem())))
+				target.Set(reflect.Append(target, reflect.Zero(target.Type().Elem())))
 				d.elementCounts[path]++
 			}
-			if f.Len() == 0 {
+			if target.Len() == 0 {
 				d.fault(d.lineOf(n), "%s is an array of tables: write [[%s]]", path, path)
 				return reflect.Value{}, path
 			}
-			v = f.Index(f.Len() - 1)
-			path = fmt.Sprintf("%s[%d]", path, f.Len()-1)
+			v = target.Index(target.Len() - 1)
+			path = fmt.Sprintf("%s[%d]", path, target.Len()-1)
 			if last {
 				d.lines[path] = d.lineOf(n)
 			}
-		case f.Kind() == reflect.Struct && !isLeaf(f.Type()):
+		case target.Kind() == reflect.Struct && !isLeaf(target.Type()):
 			if last && array {
 				d.fault(d.lineOf(n), "%s is one table: write [%s]", path, path)
 				return reflect.Value{}, path
 			}
-			v = f
+			v = target
 		default:
 			d.fault(d.lineOf(n), "%s is not a table: write %s = ...", path, n.Data)
 			return reflect.Value{}, path
@@ -183,10 +183,10 @@
 	if at := d.lineOf(n); at > 0 {
 		line = at
 	}
-	wrong := func(want string) { d.fault(line, "%s must be %s, not %s", path, want, describe(n)) }
+	wrongType := func(want string) { d.fault(line, "%s must be %s, not %s", path, want, describe(n)) }
 	if u, ok := f.Addr().Interface().(stringValue); ok {
 		if n.Kind != unstable.String {
-			wrong(u.expected())
+			wrongType(u.expected())
 		} else if err := u.parse(string(n.Data)); err != nil {
 			d.fault(line, "%s: %v", path, err)
 		}
@@ -195,33 +195,33 @@
 	switch f.Kind() {
 	case reflect.String:
 		if n.Kind != unstable.String {
-			wrong("a string")
+			wrongType("a string")
 			return
 		}
 		f.SetString(string(n.Data))
 	case reflect.Float64:
 		x, err := strconv.ParseFloat(strings.ReplaceAll(string(n.Data), "_", ""), 64)
 		if n.Kind != unstable.Float && n.Kind != unstable.Integer || err != nil {
-			wrong("a number")
+			wrongType("a number")
 			return
 		}
 		f.SetFloat(x)
 	case reflect.Bool:
 		if n.Kind != unstable.Bool {
-			wrong("true or false")
+			wrongType("true or false")
 			return
 		}
 		f.SetBool(string(n.Data) == "true")
 	case reflect.Int:
 		i, err := strconv.ParseInt(strings.ReplaceAll(string(n.Data), "_", ""), 0, 64)
 		if n.Kind != unstable.Integer || err != nil {
-			wrong("a whole number")
+			wrongType("a whole number")
 			return
 		}
 		f.SetInt(i)
 	case reflect.Slice:
 		if n.Kind != unstable.Array {
-			wrong("a list")
+			wrongType("a list")
 			return
 		}
 		f.Set(reflect.MakeSlice(f.Type(), 0, 4))
@@ -232,7 +232,7 @@
 		}
 	case reflect.Struct:
 		if n.Kind != unstable.InlineTable {
-			wrong("a table")
+			wrongType("a table")
 			return
 		}
 		for it := n.Children(); it.Next(); {
@@ -279,11 +279,11 @@
 
 // suggestKey returns a hint with the known key that is closest to an unknown one, or an empty text.
 func suggestKey(v reflect.Value, name string) string {
-	best, least := "", 3
+	best, bestDistance := "", 3
 	for i := range v.NumField() {
 		known := v.Type().Field(i).Tag.Get("toml")
-		if n := editDistance(name, known); known != "" && n < least {
-			best, least = known, n
+		if n := editDistance(name, known); known != "" && n < bestDistance {
+			best, bestDistance = known, n
 		}
 	}
 	if best == "" {
--- a/internal/operator/identity.go
+++ b/internal/operator/identity.go
@@ -92,37 +92,37 @@
 		MaxLifetime: i.MaxLifetime.D(), CacheSize: i.TokenCacheSize, ChecksPerSecond: float64(i.ChecksPerSecond)}
 }
 
-func (d *decoder) checkIdentity(e *Identity) {
-	const p = "identity."
-	d.checkTLS(e)
+func (d *decoder) checkIdentity(settings *Identity) {
+	const prefix = "identity."
+	d.checkTLS(settings)
 	for _, name := range []string{"keys", "issuer", "audience"} {
-		if tokens := d.isSet(p+"keys") || d.isSet(p+"issuer") || d.isSet(p+"audience"); !d.isSet(p+name) && (tokens || !e.TLS.Enabled()) {
+		if tokens := d.isSet(prefix+"keys") || d.isSet(prefix+"issuer") || d.isSet(prefix+"audience"); !d.isSet(prefix+name) && (tokens || !settings.TLS.Enabled()) {
 			d.faultAt("identity", "identity.%s is missing", name)
 		}
 	}
-	for name, value := range map[string]string{"keys": e.KeySetFile, "issuer": e.Issuer, "audience": e.Audience, "tenant_claim": e.TenantClaim} {
-		if value == "" && d.isSet(p+name) || name == "tenant_claim" && value == "" {
-			d.faultAt(p+name, "identity.%s is empty", name)
+	for name, value := range map[string]string{"keys": settings.KeySetFile, "issuer": settings.Issuer, "audience": settings.Audience, "tenant_claim": settings.TenantClaim} {
+		if value == "" && d.isSet(prefix+name) || name == "tenant_claim" && value == "" {
+			d.faultAt(prefix+name, "identity.%s is empty", name)
 		}
 	}
 	switch {
-	case !validAttributeName(e.TokenAttribute):
-		d.faultAt(p+"name", "identity.name is %q; it can have up to 16 letters and digits", e.TokenAttribute)
-	case len(e.TokenAttribute) == 1 && (e.TokenAttribute == "c" || e.TokenAttribute == "t" || e.TokenAttribute == "d" || e.TokenAttribute == "k" || e.TokenAttribute == "r" || e.TokenAttribute == "h") || e.TokenAttribute == "size":
-		d.faultAt(p+"name", "identity.name is %q, which is already another attribute of a request", e.TokenAttribute)
+	case !validAttributeName(settings.TokenAttribute):
+		d.faultAt(prefix+"name", "identity.name is %q; it can have up to 16 letters and digits", settings.TokenAttribute)
+	case len(settings.TokenAttribute) == 1 && (settings.TokenAttribute == "c" || settings.TokenAttribute == "t" || settings.TokenAttribute == "d" || settings.TokenAttribute == "k" || settings.TokenAttribute == "r" || settings.TokenAttribute == "h") || settings.TokenAttribute == "size":
+		d.faultAt(prefix+"name", "identity.name is %q, which is already another attribute of a request", settings.TokenAttribute)
 	}
-	d.checkDuration(p+"leeway", e.Leeway.D(), 0, 5*time.Minute)
-	d.checkDuration(p+"max_life", e.MaxLifetime.D(), time.Minute, 30*24*time.Hour)
-	d.checkInt(p+"known", e.TokenCacheSize, 0, 1<<20)
-	d.checkInt(p+"checks_per_s", e.ChecksPerSecond, 2, 1_000_000)
-	d.checkInt(p+"replays", e.MaxReplayIDs, 1, 1<<22)
-	d.checkInt(p+"suspects", e.MaxSuspects, 0, 1<<20)
-	if len(e.Tenants) == 0 {
+	d.checkDuration(prefix+"leeway", settings.Leeway.D(), 0, 5*time.Minute)
+	d.checkDuration(prefix+"max_life", settings.MaxLifetime.D(), time.Minute, 30*24*time.Hour)
+	d.checkInt(prefix+"known", settings.TokenCacheSize, 0, 1<<20)
+	d.checkInt(prefix+"checks_per_s", settings.ChecksPerSecond, 2, 1_000_000)
+	d.checkInt(prefix+"replays", settings.MaxReplayIDs, 1, 1<<22)
+	d.checkInt(prefix+"suspects", settings.MaxSuspects, 0, 1<<20)
+	if len(settings.Tenants) == 0 {
 		d.faultAt("identity", "no [[identity.tenant]]: no caller would have any rights")
 	}
 	named := map[string]bool{}
-	for i := range e.Tenants {
-		t, path := &e.Tenants[i], fmt.Sprintf("identity.tenant[%d]", i)
+	for i := range settings.Tenants {
+		t, path := &settings.Tenants[i], fmt.Sprintf("identity.tenant[%d]", i)
 		t.Line = d.lines[path]
 		switch {
 		case t.Name == "":
@@ -141,43 +141,43 @@
 	}
 }
 
-func (d *decoder) checkTLS(e *Identity) {
-	const p = "identity.tls"
-	if !d.isSet(p) {
-		e.TLS = TLS{}
+func (d *decoder) checkTLS(settings *Identity) {
+	const prefix = "identity.tls"
+	if !d.isSet(prefix) {
+		settings.TLS = TLS{}
 	} else {
-		for name, value := range map[string]string{"cert": e.TLS.Cert, "key": e.TLS.Key, "roots": e.TLS.Roots} {
+		for name, value := range map[string]string{"cert": settings.TLS.Cert, "key": settings.TLS.Key, "roots": settings.TLS.Roots} {
 			if value == "" {
-				d.faultAt(p, "%s.%s is missing or empty", p, name)
+				d.faultAt(prefix, "%s.%s is missing or empty", prefix, name)
 			}
 		}
-		d.checkOneOf(p+".client", e.TLS.Client, "asked", "required")
-		for _, f := range e.TLS.Fronts {
-			d.checkOneOf(p+".fronts", f, "resp2", "extproc")
+		d.checkOneOf(prefix+".client", settings.TLS.Client, "asked", "required")
+		for _, f := range settings.TLS.Fronts {
+			d.checkOneOf(prefix+".fronts", f, "resp2", "extproc")
 		}
-		d.checkInt(p+".handshakes_per_s", e.TLS.Handshakes, 1, 1_000_000)
-		if len(e.Certificates) == 0 && !d.isSet("identity.keys") {
-			d.faultAt(p, "no [[identity.certificate]] and no identity.keys: no caller could be identified")
+		d.checkInt(prefix+".handshakes_per_s", settings.TLS.Handshakes, 1, 1_000_000)
+		if len(settings.Certificates) == 0 && !d.isSet("identity.keys") {
+			d.faultAt(prefix, "no [[identity.certificate]] and no identity.keys: no caller could be identified")
 		}
 	}
-	for i := range e.Certificates {
-		c, path := &e.Certificates[i], fmt.Sprintf("identity.certificate[%d]", i)
+	for i := range settings.Certificates {
+		c, path := &settings.Certificates[i], fmt.Sprintf("identity.certificate[%d]", i)
 		c.Line = d.lines[path]
-		set := 0
+		criteria := 0
 		for _, s := range []string{c.URI, c.DNS, c.Issuer} {
 			if s != "" {
-				set++
+				criteria++
 			}
 		}
 		named := func(t Tenant) bool { return t.Name == c.Tenant }
 		switch {
-		case !d.isSet(p):
+		case !d.isSet(prefix):
 			d.faultAt(path, "%s, but no [identity.tls] to request certificates", path)
-		case set != 1:
-			d.faultAt(path, "%s has to have one of uri, dns and issuer; it has %d", path, set)
+		case criteria != 1:
+			d.faultAt(path, "%s has to have one of uri, dns and issuer; it has %d", path, criteria)
 		case c.Tenant == "":
 			d.faultAt(path, "%s has no tenant", path)
-		case !slices.ContainsFunc(e.Tenants, named):
+		case !slices.ContainsFunc(settings.Tenants, named):
 			d.faultAt(path+".tenant", "%s.tenant: %q is no [[identity.tenant]]", path, c.Tenant)
 		case strings.Contains(strings.TrimSuffix(c.URI, "/*"), "*") || strings.Contains(strings.TrimPrefix(c.DNS, "*."), "*"):
 			d.faultAt(path, "%s: a \"*\" can only be a URI's end (\"/*\") or a DNS name's first label (\"*.\")", path)
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -47,38 +47,38 @@
 
 const maxJoin = 256
 
-func (d *decoder) checkInstances(in *Instances) {
-	const p = "instances."
-	if len(in.Listen) == 0 {
+func (d *decoder) checkInstances(settings *Instances) {
+	const prefix = "instances."
+	if len(settings.Listen) == 0 {
 		d.faultAt("instances", "instances.listen is missing")
 	}
-	open := false
+	reachable := false
 	for _, key := range []struct {
 		name string
 		all  []string
-	}{{"listen", in.Listen}, {"advertise", in.Advertise}, {"join", in.Join}} {
+	}{{"listen", settings.Listen}, {"advertise", settings.Advertise}, {"join", settings.Join}} {
 		for _, text := range key.all {
 			a, err := netip.ParseAddrPort(text)
 			if err != nil || a.Addr().IsUnspecified() {
-				d.faultAt(p+key.name, "%s%s: %q is no address with a port; names are not looked up", p, key.name, text)
+				d.faultAt(prefix+key.name, "%s%s: %q is no address with a port; names are not looked up", prefix, key.name, text)
 			} else if key.name == "listen" && !a.Addr().IsLoopback() {
-				open = true
+				reachable = true
 			}
 		}
 	}
-	if n := len(in.Advertise); n > 0 && n != len(in.Listen) {
-		d.faultAt(p+"advertise", "instances.advertise has %d addresses, and listen %d: one for each", n, len(in.Listen))
+	if n := len(settings.Advertise); n > 0 && n != len(settings.Listen) {
+		d.faultAt(prefix+"advertise", "instances.advertise has %d addresses, and listen %d: one for each", n, len(settings.Listen))
 	}
-	if len(in.Join) > maxJoin {
-		d.faultAt(p+"join", "instances.join has %d addresses; it can be up to %d", len(in.Join), maxJoin)
+	if len(settings.Join) > maxJoin {
+		d.faultAt(prefix+"join", "instances.join has %d addresses; it can be up to %d", len(settings.Join), maxJoin)
 	}
-	if in.Cluster == "" || len(in.Cluster) > 64 {
-		d.faultAt(p+"cluster", "instances.cluster is a name of 1 to 64 bytes")
+	if settings.Cluster == "" || len(settings.Cluster) > 64 {
+		d.faultAt(prefix+"cluster", "instances.cluster is a name of 1 to 64 bytes")
 	}
-	if open && in.KeyFile == "" {
-		d.faultAt("instances", "instances.key_file is missing: anyone who can reach %s could take zones out of use", strings.Join(in.Listen, ", "))
+	if reachable && settings.KeyFile == "" {
+		d.faultAt("instances", "instances.key_file is missing: anyone who can reach %s could take zones out of use", strings.Join(settings.Listen, ", "))
 	}
-	d.checkDuration(p+"forget", in.ForgetAfter.D(), 5*time.Second, time.Hour)
+	d.checkDuration(prefix+"forget", settings.ForgetAfter.D(), 5*time.Second, time.Hour)
 }
 
 func (d *decoder) checkZones(z *Zones) {
@@ -121,11 +121,11 @@
 			faults = append(faults, Fault{f.Path, r.Line, fmt.Sprintf("region %q has the name of a zone", r.Name)})
 		}
 		for _, zone := range r.Zones {
-			at := slices.Index(known, zone)
-			if at < 0 {
+			index := slices.Index(known, zone)
+			if index < 0 {
 				faults = append(faults, Fault{f.Path, r.Line, fmt.Sprintf("region %q names zone %q; the settings have %s", r.Name, zone, strings.Join(known, ", "))})
 			}
-			byName[r.Name] = append(byName[r.Name], at)
+			byName[r.Name] = append(byName[r.Name], index)
 		}
 	}
 	if len(faults) > 0 {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -154,44 +154,44 @@
 	}
 }
 
-func (d *decoder) checkExtProc(e *ExtProc) {
-	const p = "extproc."
+func (d *decoder) checkExtProc(extProc *ExtProc) {
+	const prefix = "extproc."
 	if !d.isSet("extproc.listen") {
 		d.faultAt("extproc", "extproc.listen is missing")
 	}
-	d.checkOneOf(p+"mode", e.Mode, "answer", "route")
-	d.checkOneOf(p+"unmapped", e.Unmapped, "pass", "refuse")
-	if e.MaxStreams < 1 || e.MaxStreams > 16384 {
-		d.faultAt(p+"max_streams", "extproc.max_streams is %d; it can be from 1 to 16384", e.MaxStreams)
+	d.checkOneOf(prefix+"mode", extProc.Mode, "answer", "route")
+	d.checkOneOf(prefix+"unmapped", extProc.Unmapped, "pass", "refuse")
+	if extProc.MaxStreams < 1 || extProc.MaxStreams > 16384 {
+		d.faultAt(prefix+"max_streams", "extproc.max_streams is %d; it can be from 1 to 16384", extProc.MaxStreams)
 	}
-	d.checkDuration(p+"message_timeout", e.MessageTimeout.D(), 10*time.Millisecond, time.Minute)
-	d.checkDuration(p+"max_message_timeout", e.MaxMessageTimeout.D(), 0, time.Hour)
-	if m := e.MaxMessageTimeout.D(); m > 0 && m < e.MessageTimeout.D() {
-		d.faultAt(p+"max_message_timeout", "extproc.max_message_timeout is %v, less than message_timeout (%v)", m, e.MessageTimeout.D())
+	d.checkDuration(prefix+"message_timeout", extProc.MessageTimeout.D(), 10*time.Millisecond, time.Minute)
+	d.checkDuration(prefix+"max_message_timeout", extProc.MaxMessageTimeout.D(), 0, time.Hour)
+	if m := extProc.MaxMessageTimeout.D(); m > 0 && m < extProc.MessageTimeout.D() {
+		d.faultAt(prefix+"max_message_timeout", "extproc.max_message_timeout is %v, less than message_timeout (%v)", m, extProc.MessageTimeout.D())
 	}
-	d.checkDuration(p+"margin", e.ReturnMargin.D(), 0, e.MessageTimeout.D()/2)
-	d.checkDuration(p+"return_within", e.ReturnTimeout.D(), time.Millisecond, 10*time.Second)
-	d.checkDuration(p+"remember", e.OrderRetention.D(), 6*time.Second, time.Hour)
-	if e.MissStatus < 200 || e.MissStatus > 599 {
-		d.faultAt(p+"miss_status", "extproc.miss_status is %d; it can be from 200 to 599", e.MissStatus)
+	d.checkDuration(prefix+"margin", extProc.ReturnMargin.D(), 0, extProc.MessageTimeout.D()/2)
+	d.checkDuration(prefix+"return_within", extProc.ReturnTimeout.D(), time.Millisecond, 10*time.Second)
+	d.checkDuration(prefix+"remember", extProc.OrderRetention.D(), 6*time.Second, time.Hour)
+	if extProc.MissStatus < 200 || extProc.MissStatus > 599 {
+		d.faultAt(prefix+"miss_status", "extproc.miss_status is %d; it can be from 200 to 599", extProc.MissStatus)
 	}
-	if e.ShedStatus != 429 && e.ShedStatus != 503 {
-		d.faultAt(p+"shed_status", "extproc.shed_status is %d; it can be 429 or 503", e.ShedStatus)
+	if extProc.ShedStatus != 429 && extProc.ShedStatus != 503 {
+		d.faultAt(prefix+"shed_status", "extproc.shed_status is %d; it can be 429 or 503", extProc.ShedStatus)
 	}
-	if e.Fallbacks < 0 || e.Fallbacks > 3 {
-		d.faultAt(p+"fallbacks", "extproc.fallbacks is %d; it can be from 0 to 3", e.Fallbacks)
+	if extProc.Fallbacks < 0 || extProc.Fallbacks > 3 {
+		d.faultAt(prefix+"fallbacks", "extproc.fallbacks is %d; it can be from 0 to 3", extProc.Fallbacks)
 	}
-	if e.Fallbacks > 0 && e.Mode == "answer" {
-		d.faultAt(p+"fallbacks", "extproc.fallbacks is for mode route; in mode answer no member is named to the caller")
+	if extProc.Fallbacks > 0 && extProc.Mode == "answer" {
+		d.faultAt(prefix+"fallbacks", "extproc.fallbacks is for mode route; in mode answer no member is named to the caller")
 	}
 	// A caller that moves on later than this could reach a member that has started to drain in the meantime.
-	d.checkDuration(p+"fallback_within", e.FallbackTimeout.D(), time.Millisecond, 200*time.Millisecond)
-	h := reflect.ValueOf(e.Headers)
-	for i := range h.NumField() {
-		path := p + "headers." + h.Type().Field(i).Tag.Get("toml")
-		names, ok := h.Field(i).Interface().([]string)
+	d.checkDuration(prefix+"fallback_within", extProc.FallbackTimeout.D(), time.Millisecond, 200*time.Millisecond)
+	headers := reflect.ValueOf(extProc.Headers)
+	for i := range headers.NumField() {
+		path := prefix + "headers." + headers.Type().Field(i).Tag.Get("toml")
+		names, ok := headers.Field(i).Interface().([]string)
 		if !ok {
-			names = []string{h.Field(i).String()}
+			names = []string{headers.Field(i).String()}
 		}
 		for _, name := range names {
 			if !validHeaderName(name) && (name != "" || ok) {
@@ -199,24 +199,24 @@
 			}
 		}
 	}
-	for _, must := range []struct{ path, value string }{
-		{"request_id", e.Headers.RequestID}, {"destination", e.Headers.Destination}, {"retry", e.Headers.Retry},
-		{"attempt", e.Headers.Attempt},
+	for _, required := range []struct{ path, value string }{
+		{"request_id", extProc.Headers.RequestID}, {"destination", extProc.Headers.Destination}, {"retry", extProc.Headers.Retry},
+		{"attempt", extProc.Headers.Attempt},
 	} {
-		if must.value == "" {
-			d.faultAt(p+"headers."+must.path, "extproc.headers.%s is empty", must.path)
+		if required.value == "" {
+			d.faultAt(prefix+"headers."+required.path, "extproc.headers.%s is empty", required.path)
 		}
 	}
-	if len(e.Map) == 0 {
+	if len(extProc.Map) == 0 {
 		d.faultAt("extproc", "no [[extproc.map]]: no request would have a class")
 	}
-	for i := range e.Map {
+	for i := range extProc.Map {
 		path := fmt.Sprintf("extproc.map[%d]", i)
-		d.checkMap(path, &e.Map[i])
-		switch many := e.Map[i].MultipleKeys; {
-		case many && e.Map[i].Write:
+		d.checkMap(path, &extProc.Map[i])
+		switch many := extProc.Map[i].MultipleKeys; {
+		case many && extProc.Map[i].Write:
 			d.faultAt(path+".many", "%s: a write has one key", path)
-		case many && e.Mode != "answer":
+		case many && extProc.Mode != "answer":
 			d.faultAt(path+".many", "%s.many: in mode route the caller makes the exchange, with one key", path)
 		case many && !d.isSet("many_keys"):
 			d.faultAt(path+".many", "%s.many, but no [many_keys]", path)
@@ -224,28 +224,28 @@
 	}
 }
 
-func (d *decoder) checkMap(path string, m *MapEntry) {
-	m.Line = d.lines[path]
-	if len(m.Methods) == 0 {
+func (d *decoder) checkMap(path string, entry *MapEntry) {
+	entry.Line = d.lines[path]
+	if len(entry.Methods) == 0 {
 		d.faultAt(path, "%s has no methods", path)
 	}
-	for _, method := range m.Methods {
+	for _, method := range entry.Methods {
 		if method == "" || strings.ToUpper(method) != method {
 			d.faultAt(path+".methods", "%s.methods: %q is no method (upper case)", path, method)
 		}
 	}
-	if m.Class == "" {
+	if entry.Class == "" {
 		d.faultAt(path, "%s has no class", path)
 	}
-	if m.Key == "" {
-		m.Key = "{key}"
+	if entry.Key == "" {
+		entry.Key = "{key}"
 	}
-	vars, err := ParsePathTemplate(m.Path)
+	vars, err := ParsePathTemplate(entry.Path)
 	if err != nil {
 		d.faultAt(path+".path", "%s.path: %v", path, err)
 		return
 	}
-	used, err := ParseVariables(m.Key)
+	used, err := ParseVariables(entry.Key)
 	if err != nil {
 		d.faultAt(path+".key", "%s.key: %v", path, err)
 		return
--- a/internal/operator/orders.go
+++ b/internal/operator/orders.go
@@ -36,19 +36,19 @@
 }
 
 func (d *decoder) checkOrders(o *Orders) {
-	const p = "orders."
+	const prefix = "orders."
 	if o.Dir == "" {
 		d.faultAt("orders", "orders.dir is missing")
 	}
-	d.checkInt(p+"most", o.MaxOrders, 1, 10_000_000)
-	d.checkInt(p+"most_bytes", o.MaxReceiptBytes, 1<<10, 1<<36)
+	d.checkInt(prefix+"most", o.MaxOrders, 1, 10_000_000)
+	d.checkInt(prefix+"most_bytes", o.MaxReceiptBytes, 1<<10, 1<<36)
 	// Retries within a day have to be recognized; the default covers them.
-	d.checkDuration(p+"keep", o.Retention.D(), time.Minute, 90*24*time.Hour)
-	d.checkInt(p+"line", o.MaxPending, 1, 1<<16)
-	d.checkInt(p+"segment", o.SegmentSize, 64<<10, 1<<30)
-	d.checkInt(p+"compact_at", o.CompactAfter, 100, 100_000_000)
-	d.checkOneOf(p+"strangers", o.UnknownRetries, "look_up", "run")
+	d.checkDuration(prefix+"keep", o.Retention.D(), time.Minute, 90*24*time.Hour)
+	d.checkInt(prefix+"line", o.MaxPending, 1, 1<<16)
+	d.checkInt(prefix+"segment", o.SegmentSize, 64<<10, 1<<30)
+	d.checkInt(prefix+"compact_at", o.CompactAfter, 100, 100_000_000)
+	d.checkOneOf(prefix+"strangers", o.UnknownRetries, "look_up", "run")
 	for _, f := range o.ReceiptFronts {
-		d.checkOneOf(p+"receipts", f, "resp2", "extproc")
+		d.checkOneOf(prefix+"receipts", f, "resp2", "extproc")
 	}
 }
