--- a/cmd/linenloom/launch_test.go
+++ b/cmd/linenloom/launch_test.go
@@ -9,15 +9,16 @@
 	"linenloom/internal/standin"
 )
 
-// launch starts the program, by the test's binary, and waits until it says that it is ready. The log may be that of processes before it.
-func launch(t *testing.T, log *lines, args []string, env ...string) *exec.Cmd {
+// launch starts the program from the test binary and waits until it logs that it is ready. Earlier processes
+// may have written to the same log.
+func launch(t *testing.T, log *logCounter, args []string, env ...string) *exec.Cmd {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(self, args...)
-	cmd.Env = append(append(os.Environ(), asProxy+"=1"), env...)
+	cmd.Env = append(append(os.Environ(), asProgram+"=1"), env...)
 	cmd.Stderr = log
 	was := log.count("msg=ready")
 	if err := cmd.Start(); err != nil {
@@ -32,8 +33,8 @@
 	return cmd
 }
 
-// patient has a fleet's settings give requests a minute, and further limits of theirs.
-func patient(fleet *standin.Fleet, limits map[string]any) {
+// extendDeadlines gives a fleet's requests deadlines of one minute, and sets further limits.
+func extendDeadlines(fleet *standin.Fleet, limits map[string]any) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
 		c.(map[string]any)["aim_ms"], c.(map[string]any)["deadline_ms"] = 60e3, 60e3
--- a/cmd/linenloom/main_test.go
+++ b/cmd/linenloom/main_test.go
@@ -15,20 +15,22 @@
 	"linenloom/internal/app/apptest"
 )
 
-// asProxy makes the test's binary be the program, so that signals reach a process of its own.
-const asProxy = "LINENLOOM_TEST_AS_PROXY"
+// asProgram is the environment variable that makes the test binary run the program, so that signals reach a
+// separate process.
+const asProgram = "LINENLOOM_TEST_AS_PROXY"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProxy) != "" {
+	if os.Getenv(asProgram) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// SIGHUP moves the watch, a file that can't be used changes nothing, and SIGTERM still ends the program.
+// TestSignals checks that SIGHUP moves the watch, that an invalid file changes nothing, and that SIGTERM
+// still ends the program.
 func TestSignals(t *testing.T) {
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 	registry := func() (addr string, watched chan struct{}) {
 		watched = make(chan struct{}, 10)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,7 +48,7 @@
 		t.Helper()
 		select {
 		case <-c:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatalf("never came about: %s", what)
 		}
 	}
@@ -60,7 +62,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), asProxy+"=1", "LB_CONFIG="+path, "LB_DISCOVERY="+first)
+	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+path, "LB_DISCOVERY="+first)
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -73,9 +75,9 @@
 		"msg=ready": make(chan struct{}, 10), "reload failed": make(chan struct{}, 10),
 		"msg=stopped": make(chan struct{}, 10),
 	}
-	read := make(chan struct{})
+	logClosed := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(logClosed)
 		for in := bufio.NewScanner(out); in.Scan(); {
 			for text, c := range lines {
 				if strings.Contains(in.Text(), text) {
@@ -101,7 +103,7 @@
 
 	cmd.Process.Signal(syscall.SIGTERM)
 	await(lines["msg=stopped"], "the end")
-	<-read
+	<-logClosed
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
--- a/cmd/linenloom/orders_test.go
+++ b/cmd/linenloom/orders_test.go
@@ -15,10 +15,11 @@
 	"linenloom/internal/standin"
 )
 
-// Processes with a record of orders follow one another under load, by upgrades, by upgrades whose first process is killed in their midst, and
-// after kills: clients that hold on to their orders hear what has become of each, and none runs twice.
+// TestOrdersOverUpgrades runs processes with a record of orders one after another under load: by upgrades,
+// by upgrades whose predecessor is killed, and after kills. Clients that retry their orders have to learn
+// the outcome of each, and no order may run twice.
 func TestOrdersOverUpgrades(t *testing.T) {
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 	fleet, err := standin.NewFleet(2, 100)
 	if err != nil {
 		t.Fatal(err)
@@ -42,15 +43,15 @@
 	}
 	start := func() *exec.Cmd {
 		t.Helper()
-		return launch(t, &lines{to: t.Output()}, []string{"-operator", operator}, "LB_CONFIG="+config, "TMPDIR="+tmp)
+		return launch(t, &logCounter{output: t.Output()}, []string{"-operator", operator}, "LB_CONFIG="+config, "TMPDIR="+tmp)
 	}
 	process := start()
-	at := &lab.Orderer{Addr: listen, Name: "o", Wait: 4 * time.Second}
-	at.Open(12)
+	orderer := &lab.Orderer{Addr: listen, Name: "o", Wait: 4 * time.Second}
+	orderer.Open(12)
 	progress := func() {
 		t.Helper()
-		from := at.Served.Load()
-		for end := time.Now().Add(patience); at.Served.Load() < from+30; time.Sleep(time.Millisecond) {
+		from := orderer.Served.Load()
+		for end := time.Now().Add(waitTimeout); orderer.Served.Load() < from+30; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("no orders are served")
 			}
@@ -58,17 +59,17 @@
 	}
 	for round := range 12 {
 		progress()
-		switch next := process; round % 3 {
+		switch previous := process; round % 3 {
 		case 0:
 			process = start()
-			next.Process.Signal(syscall.SIGTERM)
-			if err := next.Wait(); err != nil {
+			previous.Process.Signal(syscall.SIGTERM)
+			if err := previous.Wait(); err != nil {
 				t.Errorf("the process that was followed ended with %v", err)
 			}
 		case 1:
 			process = start()
-			next.Process.Kill()
-			next.Wait()
+			previous.Process.Kill()
+			previous.Wait()
 		default:
 			process.Process.Kill()
 			process.Wait()
@@ -76,25 +77,26 @@
 		}
 	}
 	progress()
-	at.Close()
+	orderer.Close()
 	process.Process.Signal(syscall.SIGTERM)
 	if err := process.Wait(); err != nil {
 		t.Error(err)
 	}
-	states, err := lab.CheckOrders(dir, "kiosk", at.Told(), fleet.Origin.Executions())
+	states, err := lab.CheckOrders(dir, "kiosk", orderer.Told(), fleet.Origin.Executions())
 	if err != nil {
 		t.Error(err)
 	}
-	t.Logf("%v; %d refused, %d failed, %d broken", states, at.Refused.Load(), at.Failed.Load(), at.Broken.Load())
+	t.Logf("%v; %d refused, %d failed, %d broken", states, orderer.Refused.Load(), orderer.Failed.Load(), orderer.Broken.Load())
 
-	// A folder that somebody else has open, and who is not followed: the program says so and ends.
-	one := start()
+	// If another process that is not the predecessor has the directory open, the program reports it and
+	// ends.
+	first := start()
 	cmd := exec.Command(self, "-operator", operator)
-	cmd.Env = append(os.Environ(), asProxy+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
-	said, err := cmd.CombinedOutput()
-	if err == nil || !strings.Contains(string(said), "another process has it open") {
-		t.Errorf("a second process: %v, %s", err, said)
+	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
+	output, err := cmd.CombinedOutput()
+	if err == nil || !strings.Contains(string(output), "another process has it open") {
+		t.Errorf("a second process: %v, %s", err, output)
 	}
-	one.Process.Signal(syscall.SIGTERM)
-	one.Wait()
+	first.Process.Signal(syscall.SIGTERM)
+	first.Wait()
 }
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -17,7 +17,7 @@
 	"linenloom/internal/standin"
 )
 
-// freeAddr is a loopback address that nobody listens at.
+// freeAddr returns an unused loopback address.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := standin.FreeAddr()
@@ -27,10 +27,11 @@
 	return addr
 }
 
-// Three processes follow one another at one address, under load and with a box taken out by hand: no request meets a
-// closed door, none is lost, and the box stays out until a call at the last process takes it back.
+// TestUpgrade runs three processes one after another at one address, under load and with a cache taken out
+// of use by an operator. No connection may be refused, no request may be lost, and the cache has to stay out
+// of use until a call at the last process returns it.
 func TestUpgrade(t *testing.T) {
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 	fleet, err := standin.NewFleet(2, 100)
 	if err != nil {
 		t.Fatal(err)
@@ -48,47 +49,47 @@
 		status, _ := lab.Call(method, addr, path, body)
 		return status
 	}
-	log := &lines{to: t.Output()}
+	log := &logCounter{output: t.Output()}
 	start := func(mgmt string) *exec.Cmd {
 		cmd := launch(t, log, nil, "LB_CONFIG="+path, "LB_MGMT="+mgmt, "TMPDIR="+tmp)
-		for end := time.Now().Add(patience); call("GET", mgmt, "/status", "") != 200; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); call("GET", mgmt, "/status", "") != 200; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the process never says that it serves")
 			}
 		}
 		return cmd
 	}
-	calls := [3]string{freeAddr(t), freeAddr(t), freeAddr(t)}
-	process := start(calls[0])
+	mgmtAddrs := [3]string{freeAddr(t), freeAddr(t), freeAddr(t)}
+	process := start(mgmtAddrs[0])
 
-	d := lab.Door{Addr: listen}
-	d.Open(8, 50, 10)
+	clients := lab.Door{Addr: listen}
+	clients.Open(8, 50, 10)
 	progress := func() {
 		t.Helper()
-		if err := d.Progress(300); err != nil {
+		if err := clients.Progress(300); err != nil {
 			t.Fatal(err)
 		}
 	}
 	progress()
-	if got := call("PUT", calls[0], "/maintenance/enter", "s-1"); got != 200 {
+	if got := call("PUT", mgmtAddrs[0], "/maintenance/enter", "s-1"); got != 200 {
 		t.Fatalf("enter: %d", got)
 	}
 	for i := range 2 {
 		progress()
-		out := fleet.Boxes[0].Began()
-		process.Process.Signal(syscall.SIGHUP) // a reload falls into the upgrade
-		next := start(calls[i+1])
-		for range 200 { // callers who say nothing must not keep the operators out, at either process
-			for _, at := range calls[i : i+2] {
-				conn, err := net.Dial("tcp", at)
+		begunBefore := fleet.Boxes[0].Began()
+		process.Process.Signal(syscall.SIGHUP) // a reload during the upgrade
+		next := start(mgmtAddrs[i+1])
+		for range 200 { // idle connections must not block operators' calls at either process
+			for _, addr := range mgmtAddrs[i : i+2] {
+				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer conn.Close()
 			}
 		}
-		for _, at := range calls[i : i+2] {
-			if got := call("GET", at, "/status", ""); got != 200 {
+		for _, addr := range mgmtAddrs[i : i+2] {
+			if got := call("GET", addr, "/status", ""); got != 200 {
 				t.Errorf("among silent callers: %d", got)
 			}
 		}
@@ -98,26 +99,26 @@
 			t.Errorf("the process that was followed ended with %v", err)
 		}
 		progress()
-		if got := fleet.Boxes[0].Began() - out; got > 0 {
+		if got := fleet.Boxes[0].Began() - begunBefore; got > 0 {
 			t.Errorf("upgrade %d: %d requests for a box that is out", i+1, got)
 		}
 		process = next
 	}
-	if got := call("PUT", calls[2], "/maintenance/exit", "s-1"); got != 200 {
+	if got := call("PUT", mgmtAddrs[2], "/maintenance/exit", "s-1"); got != 200 {
 		t.Fatalf("exit: %d", got)
 	}
-	back := fleet.Boxes[0].Began()
-	for end := time.Now().Add(patience); fleet.Boxes[0].Began() == back; time.Sleep(time.Millisecond) {
+	begunBefore := fleet.Boxes[0].Began()
+	for end := time.Now().Add(waitTimeout); fleet.Boxes[0].Began() == begunBefore; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box is back and unused")
 		}
 	}
-	d.Close()
-	if d.Shut.Load()+d.Broken.Load() > 0 {
-		t.Errorf("%d connections refused, %d broken, of %d requests served", d.Shut.Load(), d.Broken.Load(), d.Served.Load())
+	clients.Close()
+	if clients.Shut.Load()+clients.Broken.Load() > 0 {
+		t.Errorf("%d connections refused, %d broken, of %d requests served", clients.Shut.Load(), clients.Broken.Load(), clients.Served.Load())
 	}
-	if d.Refused.Load()+d.Failed.Load() > 0 {
-		t.Errorf("%d requests refused, %d failed", d.Refused.Load(), d.Failed.Load())
+	if clients.Refused.Load()+clients.Failed.Load() > 0 {
+		t.Errorf("%d requests refused, %d failed", clients.Refused.Load(), clients.Failed.Load())
 	}
 	for key, n := range fleet.Origin.Executions() {
 		if n > 1 {
@@ -128,57 +129,58 @@
 	if err := process.Wait(); err != nil {
 		t.Errorf("the last process ended with %v", err)
 	}
-	const taken, turned = "taken over from the process before", "is not taken over"
-	logged := func(took, told int) {
+	const importedText, rejectedText = "taken over from the process before", "is not taken over"
+	logged := func(imported, rejected int) {
 		t.Helper()
-		for end := time.Now().Add(patience); log.count(taken) != took || log.count(turned) != told; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); log.count(importedText) != imported || log.count(rejectedText) != rejected; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("taken over %d times, turned down %d times, want %d and %d", log.count(taken), log.count(turned), took, told)
+				t.Fatalf("taken over %d times, turned down %d times, want %d and %d", log.count(importedText), log.count(rejectedText), imported, rejected)
 			}
 		}
 	}
 	logged(2, 0)
 
-	// One that starts after the end finds what was left; what is damaged, or left by another version, is turned down and changes nothing.
-	left, err := filepath.Glob(filepath.Join(tmp, "linenloom-*", "learnt"))
-	if err != nil || len(left) != 1 {
-		t.Fatalf("%v %v", left, err)
+	// A process that starts after the end finds the written state. A damaged state, or one of another
+	// version, is rejected and changes nothing.
+	stateFiles, err := filepath.Glob(filepath.Join(tmp, "linenloom-*", "learnt"))
+	if err != nil || len(stateFiles) != 1 {
+		t.Fatalf("%v %v", stateFiles, err)
 	}
-	whole, err := os.ReadFile(left[0])
+	state, err := os.ReadFile(stateFiles[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	version := append([]byte(nil), whole...)
+	version := append([]byte(nil), state...)
 	version[5]++
 	for _, c := range []struct {
-		text       []byte
-		took, told int
-	}{{whole, 3, 0}, {whole[:len(whole)/2], 3, 1}, {version, 3, 2}, {nil, 3, 3}} {
-		if err := os.WriteFile(left[0], c.text, 0o600); err != nil {
+		text               []byte
+		imported, rejected int
+	}{{state, 3, 0}, {state[:len(state)/2], 3, 1}, {version, 3, 2}, {nil, 3, 3}} {
+		if err := os.WriteFile(stateFiles[0], c.text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		process = start(freeAddr(t))
-		logged(c.took, c.told)
-		process.Process.Kill() // it leaves nothing of its own
+		logged(c.imported, c.rejected)
+		process.Process.Kill() // a killed process writes no state
 		process.Wait()
 	}
 }
 
-// lines passes a log on and counts what it says.
-type lines struct {
-	to   io.Writer
-	mu   sync.Mutex
-	text strings.Builder
+// logCounter passes a log on and counts texts in it.
+type logCounter struct {
+	output io.Writer
+	mu     sync.Mutex
+	text   strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logCounter) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text.Write(b)
-	return l.to.Write(b)
+	return l.output.Write(b)
 }
 
-func (l *lines) count(what string) int {
+func (l *logCounter) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), what)
--- a/cmd/linenproc/main_test.go
+++ b/cmd/linenproc/main_test.go
@@ -18,7 +18,8 @@
 	"linenloom/internal/standin"
 )
 
-// asProgram makes the test's binary be the program, so that signals reach a process of its own.
+// asProgram is the environment variable that makes the test binary run the program, so that signals reach a
+// separate process.
 const asProgram = "LINENPROC_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -29,10 +30,10 @@
 	os.Exit(m.Run())
 }
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-// place is a processor's files and, while it runs, its process.
-type place struct {
+// processor is the files of a processor and, while it runs, its process.
+type processor struct {
 	t                    *testing.T
 	config, file, socket string
 	cmd                  *exec.Cmd
@@ -40,24 +41,24 @@
 	fleet                *standin.Fleet
 }
 
-func newPlace(t *testing.T, mode string) *place {
+func newProcessor(t *testing.T, mode string) *processor {
 	t.Helper()
 	fleet, err := standin.NewFleet(3, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	return newPlaceBefore(t, mode, fleet)
+	return newProcessorWithFleet(t, mode, fleet)
 }
 
-func newPlaceBefore(t *testing.T, mode string, fleet *standin.Fleet) *place {
+func newProcessorWithFleet(t *testing.T, mode string, fleet *standin.Fleet) *processor {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "lp") // the path of a unix socket is short
+	dir, err := os.MkdirTemp("", "lp") // paths of unix sockets are limited to about 100 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	p := &place{t: t, fleet: fleet, config: filepath.Join(dir, "config.json"), file: filepath.Join(dir, "op.toml"),
+	p := &processor{t: t, fleet: fleet, config: filepath.Join(dir, "config.json"), file: filepath.Join(dir, "op.toml"),
 		socket: filepath.Join(dir, "x.sock")}
 	text, err := fleet.Config("n0", "127.0.0.1:0", "8c1f30d27a5be964", 128, 512)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return p
 }
 
-func (p *place) write(path, text string) {
+func (p *processor) write(path, text string) {
 	p.t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
@@ -90,7 +91,7 @@
 }
 
 // start starts the program and waits until it listens.
-func (p *place) start() {
+func (p *processor) start() {
 	p.t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -121,9 +122,9 @@
 	p.await("extproc listens")
 }
 
-func (p *place) await(text string) {
+func (p *processor) await(text string) {
 	p.t.Helper()
-	limit := time.After(patience)
+	limit := time.After(waitTimeout)
 	for {
 		select {
 		case line, ok := <-p.lines:
@@ -139,8 +140,8 @@
 	}
 }
 
-// caller makes a caller of the place, and of others where it is away.
-func (p *place) caller(others ...*place) *caller.Caller {
+// caller returns a caller of the processor that falls back to the others.
+func (p *processor) caller(others ...*processor) *caller.Caller {
 	p.t.Helper()
 	targets := []string{"unix://" + p.socket}
 	for _, o := range others {
@@ -150,28 +151,28 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	c.Retries, c.RetryFailedFor = 4, clientWaits/2
+	c.Retries, c.RetryFailedFor = 4, clientTimeout/2
 	p.t.Cleanup(c.Close)
 	return c
 }
 
-// clients are eight that ask without end, half of it orders.
+// clients is eight clients that send requests in a loop, half of them orders.
 type clients struct {
 	served, processorFailed, failed, refused atomic.Int64
 	late                                     atomic.Int64
 	stop                                     chan struct{}
-	g                                        sync.WaitGroup
+	workers                                  sync.WaitGroup
 }
 
-const clientWaits = 3 * time.Second
+const clientTimeout = 3 * time.Second
 
-func load(c *caller.Caller) *clients {
-	l := &clients{stop: make(chan struct{})}
+func startClients(c *caller.Caller) *clients {
+	started := &clients{stop: make(chan struct{})}
 	for w := range 8 {
-		l.g.Go(func() {
+		started.workers.Go(func() {
 			for i := 0; ; i++ {
 				select {
-				case <-l.stop:
+				case <-started.stop:
 					return
 				default:
 				}
@@ -180,25 +181,25 @@
 				if i%2 == 1 {
 					q = caller.Request{Method: "PUT", Path: "/orders/o" + id, Headers: map[string]string{"x-request-id": "w" + id}, Body: []byte("one pass")}
 				}
-				l.ask(c, q)
+				started.send(c, q)
 			}
 		})
 	}
-	return l
+	return started
 }
 
-// end ends the clients; none may have waited past its time.
+// end stops the clients and checks that none of them exceeded its timeout.
 func (l *clients) end(t *testing.T) {
 	t.Helper()
 	close(l.stop)
-	l.g.Wait()
+	l.workers.Wait()
 	if n := l.late.Load(); n > 0 {
 		t.Errorf("%d clients waited past their time", n)
 	}
 }
 
-func (l *clients) ask(c *caller.Caller, q caller.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), clientWaits)
+func (l *clients) send(c *caller.Caller, q caller.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	res := c.Do(ctx, q)
 	if ctx.Err() != nil {
@@ -216,9 +217,9 @@
 	}
 }
 
-func (p *place) eventually(what string, ok func() bool) {
+func (p *processor) waitUntil(what string, ok func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
@@ -226,7 +227,7 @@
 	p.t.Fatalf("never came about: %s", what)
 }
 
-func (p *place) onceEach() {
+func (p *processor) checkAtMostOnce() {
 	p.t.Helper()
 	ran := p.fleet.Origin.Executions()
 	if len(ran) == 0 {
@@ -239,42 +240,43 @@
 	}
 }
 
-// Killed under load and started again: each request has its one answer in time, and no order runs twice.
+// TestKilledUnderLoad kills and restarts the program under load. Each request has to be answered in time,
+// and no order may run twice.
 func TestKilledUnderLoad(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		t.Run(mode, func(t *testing.T) {
-			p := newPlace(t, mode)
-			p.fleet.Origin.SetService(5*time.Millisecond, 0) // most orders in hand at a kill have run
+			p := newProcessor(t, mode)
+			p.fleet.Origin.SetService(5*time.Millisecond, 0) // most orders in progress at a kill have run
 			p.start()
 			c := p.caller()
 			c.MessageTimeout = time.Second
-			l := load(c)
+			running := startClients(c)
 			for range 3 {
-				before := l.served.Load()
-				p.eventually("it serves", func() bool { return l.served.Load() > before+100 })
+				before := running.served.Load()
+				p.waitUntil("it serves", func() bool { return running.served.Load() > before+100 })
 				p.cmd.Process.Kill()
 				p.cmd.Wait()
 				p.start()
 			}
-			before := l.served.Load()
-			p.eventually("it serves again", func() bool { return l.served.Load() > before+100 })
-			l.end(t)
-			if l.failed.Load() == 0 {
+			before := running.served.Load()
+			p.waitUntil("it serves again", func() bool { return running.served.Load() > before+100 })
+			running.end(t)
+			if running.failed.Load() == 0 {
 				t.Error("no order met the kill")
 			}
-			p.onceEach()
+			p.checkAtMostOnce()
 		})
 	}
 }
 
-// Two processors replace one another under load, by SIGTERM and by SIGKILL in turn. By SIGTERM alone nothing is lost, late
-// or failed; a kill costs the orders that were in hand an honest 502, and nothing else.
+// TestRollingReplacement replaces two processors in turn under load, by SIGTERM and then by SIGKILL. SIGTERM
+// must not lose, delay or fail any request; SIGKILL may only fail the orders in progress, with status 502.
 func TestRollingReplacement(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
 		for _, duplex := range []bool{false, true} {
 			t.Run(fmt.Sprint(mode, "/duplex=", duplex), func(t *testing.T) {
-				a := newPlace(t, mode)
-				b := newPlaceBefore(t, mode, a.fleet)
+				a := newProcessor(t, mode)
+				b := newProcessorWithFleet(t, mode, a.fleet)
 				a.fleet.Origin.SetService(3*time.Millisecond, 0)
 				a.start()
 				b.start()
@@ -283,72 +285,73 @@
 				if duplex {
 					c.SetFullDuplex()
 				}
-				l := load(c)
-				serves := func() {
-					before := l.served.Load()
-					a.eventually("they serve", func() bool { return l.served.Load() > before+150 })
+				running := startClients(c)
+				awaitProgress := func() {
+					before := running.served.Load()
+					a.waitUntil("they serve", func() bool { return running.served.Load() > before+150 })
 				}
-				serves()
-				for _, p := range []*place{a, b, a} {
+				awaitProgress()
+				for _, p := range []*processor{a, b, a} {
 					p.cmd.Process.Signal(syscall.SIGTERM)
 					if err := p.cmd.Wait(); err != nil {
 						t.Errorf("after SIGTERM it ended with %v", err)
 					}
-					serves()
+					awaitProgress()
 					p.start()
-					serves()
+					awaitProgress()
 				}
-				if f, d := l.processorFailed.Load(), l.failed.Load(); f+d > 0 {
+				if f, d := running.processorFailed.Load(), running.failed.Load(); f+d > 0 {
 					t.Errorf("SIGTERM cost %d requests their processor and failed %d", f, d)
 				}
-				for _, p := range []*place{a, b, a, b} {
+				for _, p := range []*processor{a, b, a, b} {
 					p.cmd.Process.Kill()
 					p.cmd.Wait()
-					serves()
+					awaitProgress()
 					p.start()
-					serves()
+					awaitProgress()
 				}
-				l.end(t)
-				if n := l.processorFailed.Load(); n > 0 {
+				running.end(t)
+				if n := running.processorFailed.Load(); n > 0 {
 					t.Errorf("%d requests ended with no processor's answer", n)
 				}
-				t.Logf("served %d, refused %d, failed %d", l.served.Load(), l.refused.Load(), l.failed.Load())
-				a.onceEach()
+				t.Logf("served %d, refused %d, failed %d", running.served.Load(), running.refused.Load(), running.failed.Load())
+				a.checkAtMostOnce()
 			})
 		}
 	}
 }
 
-// Frozen mid-stream: callers go by their message timeout and failure_mode_allow, no client waits past its time, and once
-// it goes on, it serves as before.
-func TestFrozen(t *testing.T) {
+// TestFrozenProcess stops the process in the middle of streams. Callers act on their message timeout and
+// failure_mode_allow, no client exceeds its timeout, and after SIGCONT the process serves as before.
+func TestFrozenProcess(t *testing.T) {
 	for _, allow := range []bool{false, true} {
 		t.Run(fmt.Sprintf("failure_mode_allow %v", allow), func(t *testing.T) {
-			p := newPlace(t, "answer")
+			p := newProcessor(t, "answer")
 			p.start()
 			c := p.caller()
 			c.MessageTimeout, c.FailureModeAllow = 200*time.Millisecond, allow
-			l := load(c)
-			p.eventually("it serves", func() bool { return l.served.Load() > 100 })
+			running := startClients(c)
+			p.waitUntil("it serves", func() bool { return running.served.Load() > 100 })
 			p.cmd.Process.Signal(syscall.SIGSTOP)
-			p.eventually("callers give it up", func() bool { return l.processorFailed.Load()+l.failed.Load() >= 16 })
+			p.waitUntil("callers give it up", func() bool { return running.processorFailed.Load()+running.failed.Load() >= 16 })
 			p.cmd.Process.Signal(syscall.SIGCONT)
-			before := l.served.Load()
-			p.eventually("it serves again", func() bool { return l.served.Load() > before+100 })
-			l.end(t)
-			p.onceEach()
+			before := running.served.Load()
+			p.waitUntil("it serves again", func() bool { return running.served.Load() > before+100 })
+			running.end(t)
+			p.checkAtMostOnce()
 		})
 	}
 }
 
-// SIGHUP takes over what can change and says what can't; a faulty file changes nothing and names its line.
+// TestReload checks that SIGHUP applies what can change and logs what cannot, and that an invalid file
+// changes nothing and is logged with the line.
 func TestReload(t *testing.T) {
-	p := newPlace(t, "answer")
+	p := newProcessor(t, "answer")
 	p.start()
 	c := p.caller()
-	c.MessageTimeout = patience
+	c.MessageTimeout = waitTimeout
 	status := func(path string) int {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		return c.Do(ctx, caller.Request{Method: "GET", Path: path, Headers: map[string]string{}}).Status
 	}
@@ -379,9 +382,10 @@
 	}
 }
 
-// A file at fault is named line by line, with status 2, before anything listens.
+// TestFaultyFileAtTheStart checks that an invalid file is reported by line, with status 2, before anything
+// listens.
 func TestFaultyFileAtTheStart(t *testing.T) {
-	p := newPlace(t, "neither")
+	p := newProcessor(t, "neither")
 	text, _ := os.ReadFile(p.file)
 	p.write(p.file, strings.Replace(string(text), "pass-order", "no-such-class", 1))
 	self, _ := os.Executable()
--- a/cmd/linenproc/orders_test.go
+++ b/cmd/linenproc/orders_test.go
@@ -16,20 +16,21 @@
 	"linenloom/internal/lab"
 )
 
-// The program with both fronts is killed again and again while clients place orders at both, each until it hears what has become of its order:
-// none runs twice, each receipt that was told is on record, nothing is in hand for ever, and what the record says never ran has not.
+// TestOrdersOverKills repeatedly kills the program with both fronts while clients place orders at both and
+// retry until they learn the outcome. No order may run twice, each receipt that a client got has to be on
+// record, no order may stay in progress, and an order that is recorded as not run must not have run.
 func TestOrdersOverKills(t *testing.T) {
 	for mode, kills := range map[string]int{"answer": 12, "route": 10} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			p := newPlace(t, mode)
+			p := newProcessor(t, mode)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			redis := l.Addr().String()
+			respAddr := l.Addr().String()
 			l.Close()
-			text, err := p.fleet.Config("n0", redis, "8c1f30d27a5be964", 128, 512)
+			text, err := p.fleet.Config("n0", respAddr, "8c1f30d27a5be964", 128, 512)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -53,13 +54,13 @@
 			p.fleet.Origin.SetService(3*time.Millisecond, 0)
 			p.start()
 
-			at := &lab.Orderer{Addr: redis, Name: "resp", Wait: 4 * time.Second}
-			at.Open(6)
+			orderer := &lab.Orderer{Addr: respAddr, Name: "resp", Wait: 4 * time.Second}
+			orderer.Open(6)
 			c := p.caller()
 			c.MessageTimeout = time.Second
 			var served atomic.Int64
 			var mu sync.Mutex
-			receipts := map[string]string{} // of the processor's callers
+			receipts := map[string]string{} // of the external processor's callers
 			quit := make(chan struct{})
 			var callers sync.WaitGroup
 			for w := range 6 {
@@ -71,7 +72,7 @@
 						default:
 						}
 						key := fmt.Sprintf("ext-%d-%d", w, n)
-						ctx, cancel := context.WithTimeout(context.Background(), patience)
+						ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 						res := c.Do(ctx, caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass"),
 							Headers: map[string]string{"x-request-id": "r" + key, "x-tenant": "kiosk", "idempotency-key": key}})
 						cancel()
@@ -86,8 +87,8 @@
 			}
 			progress := func() {
 				t.Helper()
-				r, e := at.Served.Load(), served.Load()
-				p.eventually("both fronts serve", func() bool { return at.Served.Load() > r+15 && served.Load() > e+15 })
+				r, e := orderer.Served.Load(), served.Load()
+				p.waitUntil("both fronts serve", func() bool { return orderer.Served.Load() > r+15 && served.Load() > e+15 })
 			}
 			for range kills {
 				progress()
@@ -96,25 +97,25 @@
 				p.start()
 			}
 			progress()
-			at.Close()
+			orderer.Close()
 			close(quit)
 			callers.Wait()
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			if err := p.cmd.Wait(); err != nil {
 				t.Error(err)
 			}
-			p.onceEach()
-			told := at.Told()
-			if mode == "answer" { // in the other one receipts don't come through here
+			p.checkAtMostOnce()
+			receiptsByKey := orderer.Told()
+			if mode == "answer" { // in mode route, receipts do not pass through the processor
 				for key, receipt := range receipts {
-					told[key] = receipt
+					receiptsByKey[key] = receipt
 				}
 			}
-			states, err := lab.CheckOrders(dir, "kiosk", told, p.fleet.Origin.Executions())
+			states, err := lab.CheckOrders(dir, "kiosk", receiptsByKey, p.fleet.Origin.Executions())
 			if err != nil {
 				t.Error(err)
 			}
-			t.Logf("%v; told %d, of RESP2 %d served, %d refused, %d failed, %d broken", states, len(told), at.Served.Load(), at.Refused.Load(), at.Failed.Load(), at.Broken.Load())
+			t.Logf("%v; told %d, of RESP2 %d served, %d refused, %d failed, %d broken", states, len(receiptsByKey), orderer.Served.Load(), orderer.Refused.Load(), orderer.Failed.Load(), orderer.Broken.Load())
 		})
 	}
 }
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,5 +1,6 @@
-// Package app is what the programs that host a proxy share: the command line, the configuration, signals and reloads.
-// It decides nothing about requests and knows a front only by what the program hands it.
+// Package app is the common part of the programs that host a proxy: the command line, the configuration,
+// signals and reloads. It makes no decisions about requests and knows a front only through the interfaces
+// that the program provides.
 package app
 
 import (
@@ -28,19 +29,19 @@
 )
 
 const (
-	// collectPercent lets the heap, which is small, grow by this much between collections: on a part of a
-	// core their cost matters more than the memory, which memoryShare bounds.
-	collectPercent = 400
-	memoryShare    = 0.7 // of the memory for the heap; past it the collector runs as often as it must
+	// gcPercent is the growth of the heap between two collections. The heap is small, and on a fraction of a
+	// core the cost of collections matters more than the memory, which heapShare bounds.
+	gcPercent = 400
+	heapShare = 0.7 // share of the memory for the heap; above it the collector runs as often as necessary
 )
 
 // Exit statuses.
 const (
 	exitFailed = 1
-	exitFaulty = 2 // the command line or the operator's file is at fault; nothing was opened
+	exitUsage  = 2 // the command line or the operator's file is invalid; nothing was opened
 )
 
-// Front is a front that a program adds and that takes over new settings while it runs.
+// Front is a front that a program adds and that can apply new settings while it runs.
 type Front interface {
 	proxy.Front
 	Reload(*operator.File) error
@@ -48,16 +49,16 @@
 
 // Program is a program that hosts a proxy.
 type Program struct {
-	Name  string
-	About string // for -h, after the usage
-	// ExtProc makes the external processor's front. A program without one hands over to Elsewhere.
-	ExtProc   func(*proxy.Proxy, *operator.File, *slog.Logger) (Front, error)
-	Elsewhere func(args []string) error
-	// Instances makes this process one of several that know of one another. A program without it hands over to Elsewhere too.
-	Instances func(Joined) (Fleet, error)
-	// Disk is what lasts, by its folder; nil: the machine's own.
-	Disk func(dir string) disk.FS
-	// Commands are further commands, by name.
+	Name     string
+	HelpText string // shown by -h after the usage
+	// NewExtProc creates the front of the external processor. A program without it calls ExecOther.
+	NewExtProc func(*proxy.Proxy, *operator.File, *slog.Logger) (Front, error)
+	ExecOther  func(args []string) error
+	// NewFleet makes this process a member of a group of instances. A program without it calls ExecOther.
+	NewFleet func(FleetConfig) (Fleet, error)
+	// OpenDisk returns the file system of a persistent directory; nil means the machine's own.
+	OpenDisk func(dir string) disk.FS
+	// Commands is further commands by name.
 	Commands map[string]func(args []string) int
 }
 
@@ -74,11 +75,11 @@
 	case "", "check":
 	default:
 		fmt.Fprintf(os.Stderr, "%s: unknown command %q; see %s -h\n", g.Name, command, g.Name)
-		return exitFaulty
+		return exitUsage
 	}
 	flags := flag.NewFlagSet(g.Name, flag.ContinueOnError)
-	path := flags.String("operator", "", "the operator's `FILE`: what is switched on beside the platform's proxy")
-	debugLog := flags.Bool("debug", false, "log how each attempt at a member ended, a line each")
+	path := flags.String("operator", "", "the operator's `FILE`: which enables features beyond the platform's proxy")
+	debugLog := flags.Bool("debug", false, "log the outcome of each attempt at a member, one line per attempt")
 	flags.Usage = func() { g.usage(flags.Output(), flags) }
 	rest := args
 	if command != "" {
@@ -88,26 +89,26 @@
 		if errors.Is(err, flag.ErrHelp) {
 			return 0
 		}
-		return exitFaulty
+		return exitUsage
 	}
 	if flags.NArg() > 0 {
 		fmt.Fprintf(os.Stderr, "%s: unexpected argument %q; see %s -h\n", g.Name, flags.Arg(0), g.Name)
-		return exitFaulty
+		return exitUsage
 	}
 	file := &operator.File{}
 	if *path != "" {
 		var err error
 		if file, err = operator.Load(*path); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return exitFaulty
+			return exitUsage
 		}
 	}
 	if command == "check" {
 		return g.check(*path, file)
 	}
-	if file.ExtProc != nil && g.ExtProc == nil || file.Instances != nil && g.Instances == nil {
-		// It does not return where it could start the other program.
-		fmt.Fprintf(os.Stderr, "%s: %v\n", g.Name, g.Elsewhere(args))
+	if file.ExtProc != nil && g.NewExtProc == nil || file.Instances != nil && g.NewFleet == nil {
+		// ExecOther returns only if it could not start the other program.
+		fmt.Fprintf(os.Stderr, "%s: %v\n", g.Name, g.ExecOther(args))
 		return exitFailed
 	}
 	level := slog.LevelInfo
@@ -118,7 +119,7 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", g.Name, err)
 		var faults operator.Faults
 		if errors.As(err, &faults) {
-			return exitFaulty
+			return exitUsage
 		}
 		return exitFailed
 	}
@@ -126,17 +127,18 @@
 }
 
 func (g *Program) usage(w io.Writer, flags *flag.FlagSet) {
-	fmt.Fprintf(w, "usage: %s [-operator FILE]        serve, as LB_CONFIG says\n", g.Name)
-	fmt.Fprintf(w, "       %s check -operator FILE    check the operator's file, and open nothing\n", g.Name)
-	fmt.Fprint(w, g.About)
+	fmt.Fprintf(w, "usage: %s [-operator FILE]        serve, as configured by LB_CONFIG\n", g.Name)
+	fmt.Fprintf(w, "       %s check -operator FILE    check the operator's file without opening anything\n", g.Name)
+	fmt.Fprint(w, g.HelpText)
 	flags.PrintDefaults()
 }
 
-// check checks the operator's file. Where LB_CONFIG is set, the classes that the file names must be its classes.
+// check checks the operator's file. If LB_CONFIG is set, the file may name only classes and zones of that
+// configuration.
 func (g *Program) check(path string, file *operator.File) int {
 	if path == "" {
 		fmt.Fprintf(os.Stderr, "%s check: -operator FILE is missing\n", g.Name)
-		return exitFaulty
+		return exitUsage
 	}
 	against := "not checked against a configuration: LB_CONFIG is not set"
 	if os.Getenv("LB_CONFIG") != "" {
@@ -145,28 +147,29 @@
 			fmt.Fprintln(os.Stderr, "configuration:", err)
 			return exitFailed
 		}
-		settings, err := cfg.proxy()
+		settings, err := cfg.proxyConfig()
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "configuration:", err)
 			return exitFailed
 		}
 		if err := file.CheckClasses(logic.ClassNames(settings.Settings.Classes)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return exitFaulty
+			return exitUsage
 		}
 		if _, err := file.Regions(settings.Zones); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return exitFaulty
+			return exitUsage
 		}
-		against = "its classes are those of LB_CONFIG"
+		against = "classes and zones checked against LB_CONFIG"
 	}
 	fmt.Printf("%s: no fault found (%s)\n", path, against)
 	return 0
 }
 
-// closeWait is how long the end of the process waits for a disk that does not answer. What it has not told is in hand on record, and unknown to
-// the next process.
-const closeWait = 2 * time.Second
+// recordCloseTimeout is how long the end of the process waits for a disk that does not respond. Orders whose
+// outcome is not written by then stay in progress on record, and the next process does not know their
+// outcome.
+const recordCloseTimeout = 2 * time.Second
 
 func closeRecord(k *keeper.Keeper, log *slog.Logger) {
 	ended := make(chan error, 1)
@@ -174,16 +177,16 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			log.Error("the record of orders", "err", err)
+			log.Error("closing the record of orders failed", "err", err)
 		}
-	case <-time.After(closeWait):
-		log.Error("the record of orders is not closed: the disk does not answer")
+	case <-time.After(recordCloseTimeout):
+		log.Error("the record of orders was not closed: the disk does not respond")
 	}
 }
 
 func (g *Program) run(file *operator.File, level slog.Level) error {
-	// From the start, so that none of these ends the process by its default. A log that nobody reads any more
-	// must not do so either.
+	// The signals are handled from the start, so that none of them ends the process by its default action.
+	// Writing to a log whose reader has gone must not end it either.
 	signal.Ignore(syscall.SIGPIPE)
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -192,15 +195,15 @@
 		return fmt.Errorf("configuration: %w", err)
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(heapLimit(cfg.Limits.MemoryMB))
 
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("proxy", cfg.Name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// One more of them, once the drain is over, must not end the process by its default.
+	// Another signal after the drain must not end the process by its default action.
 	defer signal.Ignore(syscall.SIGTERM, syscall.SIGINT)
-	settings, err := cfg.proxy()
+	settings, err := cfg.proxyConfig()
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -221,59 +224,59 @@
 	if file.ManyKeys != nil {
 		settings.ManyKeys = file.ManyKeys.Limits()
 	}
-	shared := share(cfg, &settings, log)
-	defer shared.dir.Close()
+	sharing := startSharing(cfg, &settings, log)
+	defer sharing.dir.Close()
 	var record *keeper.Keeper
 	if file.Orders != nil {
 		var fs disk.FS = disk.Dir(file.Orders.Dir)
-		if g.Disk != nil {
-			fs = g.Disk(file.Orders.Dir)
+		if g.OpenDisk != nil {
+			fs = g.OpenDisk(file.Orders.Dir)
 		}
-		if record, err = keeper.Open(fs, file.Orders.Options(!shared.first), ledger.WallClock, log); err != nil {
+		if record, err = keeper.Open(fs, file.Orders.Options(!sharing.noPredecessor), ledger.WallClock, log); err != nil {
 			return fmt.Errorf("%s: %w", file.Orders.Dir, err)
 		}
 		defer closeRecord(record, log)
-		settings.Record, settings.ReceiptFronts = record, file.Orders.Receipts
+		settings.Record, settings.ReceiptFronts = record, file.Orders.ReceiptFronts
 	}
-	var others fleet
-	others.prepare(file, &settings)
-	p, err := proxy.New(settings, log)
+	var fleet membership
+	fleet.prepare(file, &settings)
+	server, err := proxy.New(settings, log)
 	if err != nil {
 		return err
 	}
-	if err := others.open(g, p, cfg, &settings, file, log); err != nil {
+	if err := fleet.open(g, server, cfg, &settings, file, log); err != nil {
 		return err
 	}
-	defer others.close()
+	defer fleet.close()
 	if cfg.Mgmt != "" {
-		calls, err := mgmt.New(p, cfg.Mgmt, shared.dir, log)
+		calls, err := mgmt.New(server, cfg.Mgmt, sharing.dir, log)
 		if err != nil {
 			return err
 		}
 		if record != nil {
 			calls.HandleOrders(record)
 		}
-		if others.Fleet != nil {
-			calls.HandleInstances(others.Fleet)
+		if fleet.Fleet != nil {
+			calls.HandleInstances(fleet.Fleet)
 		}
-		p.AddFront(calls)
+		server.AddFront(calls)
 	}
 	ended := make(chan struct{})
 	defer close(ended)
-	go shared.run(p, ctx.Done(), ended)
-	r := reloader{p: p, cfg: cfg, classes: settings.Settings.Classes, tries: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, others: &others}
+	go sharing.run(server, ctx.Done(), ended)
+	settingsReloader := reloader{proxy: server, cfg: cfg, classes: settings.Settings.Classes, maxAttempts: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, membership: &fleet}
 	if file.ExtProc != nil {
-		if r.extproc, err = g.ExtProc(p, file, log); err != nil {
+		if settingsReloader.extproc, err = g.NewExtProc(server, file, log); err != nil {
 			return err
 		}
-		p.AddFront(r.extproc)
+		server.AddFront(settingsReloader.extproc)
 	}
 	go func() {
 		for range hangup {
-			r.reload()
+			settingsReloader.reload()
 		}
 	}()
-	if err := p.Run(ctx); err != nil {
+	if err := server.Run(ctx); err != nil {
 		return err
 	}
 	log.Info("stopped")
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -14,40 +14,41 @@
 	"linenloom/logic"
 )
 
-// Fleet is this process among the others of its installation.
+// Fleet is the membership of this process in its installation.
 type Fleet interface {
 	mgmt.Instances
-	// Join hears what holds, for a moment at the most.
+	// Join fetches the current state from the others and returns after a short time at the latest.
 	Join()
-	// Run goes on until the context ends, and leaves the others with a word.
+	// Run runs until the context ends and then announces that this instance leaves.
 	Run(context.Context)
-	// Runs tells the others that this instance's version is another one now.
-	Runs(Version)
+	// SetVersion announces a new version of this instance to the others.
+	SetVersion(Version)
 }
 
-// Joined is what a Fleet is made of.
-type Joined struct {
-	Proxy   *proxy.Proxy
-	Log     *slog.Logger
-	Listen  []netip.AddrPort // the first that is free
-	Tell    []netip.AddrPort // what the others are told in place of each; empty: the same
-	Call    []netip.AddrPort // who is called to join
-	Cluster string
-	Keys    [][]byte // the first encrypts, all are read
-	Forget  time.Duration
-	Name    string
-	Number  int
-	Zone    int
-	Zones   []string
-	Regions map[string][]int
-	Since   time.Time
-	Version Version
-	Machine *zones.Machine // nil: membership only
-	Meter   *zones.Meter
+// FleetConfig is the configuration of a Fleet.
+type FleetConfig struct {
+	Proxy       *proxy.Proxy
+	Log         *slog.Logger
+	Listen      []netip.AddrPort // the first free address is used
+	Advertise   []netip.AddrPort // public address of each listen address; empty means the same
+	JoinAddrs   []netip.AddrPort // addresses of instances to contact for joining
+	Cluster     string
+	Keys        [][]byte // the first key encrypts; all keys decrypt
+	ForgetAfter time.Duration
+	Name        string
+	Number      int
+	Zone        int
+	Zones       []string
+	Regions     map[string][]int
+	StartedAt   time.Time
+	Version     Version
+	Machine     *zones.Machine // nil means membership only
+	Meter       *zones.Meter
 }
 
-// fleet is what run holds of it; Fleet is nil where the operator's file does not ask for it.
-type fleet struct {
+// membership is the state of the Fleet in a running program. Fleet is nil if the operator's file does not
+// enable it.
+type membership struct {
 	Fleet
 	meter   *zones.Meter
 	version Version
@@ -55,13 +56,14 @@
 	done    chan struct{}
 }
 
-// prepare has the proxy meter its attempts where zones are decided together, and hear of the others before it takes clients.
-func (f *fleet) prepare(file *operator.File, settings *proxy.Config) {
+// prepare makes the proxy measure its attempts if zones are decided on together, and join the other
+// instances before it accepts clients.
+func (f *membership) prepare(file *operator.File, settings *proxy.Config) {
 	if file.Instances == nil {
 		return
 	}
 	if file.Zones != nil && len(settings.Zones) > 1 && len(settings.Zones) <= zones.MaxZones {
-		f.meter = zones.NewMeter(len(settings.Zones), shortestAim(settings.Settings.Classes))
+		f.meter = zones.NewMeter(len(settings.Zones), shortestSoftDeadline(settings.Settings.Classes))
 		settings.ZoneMeter = f.meter
 	}
 	settings.BeforeServing = func() {
@@ -75,12 +77,12 @@
 	}
 }
 
-func shortestAim(classes []logic.Class) time.Duration {
+func shortestSoftDeadline(classes []logic.Class) time.Duration {
 	return slices.MinFunc(classes, func(a, b logic.Class) int { return int(a.SoftDeadline - b.SoftDeadline) }).SoftDeadline
 }
 
-// open makes this process one of the installation's.
-func (f *fleet) open(g *Program, p *proxy.Proxy, cfg *config, settings *proxy.Config, file *operator.File, log *slog.Logger) error {
+// open creates the Fleet.
+func (f *membership) open(g *Program, p *proxy.Proxy, cfg *config, settings *proxy.Config, file *operator.File, log *slog.Logger) error {
 	if file.Instances == nil {
 		return nil
 	}
@@ -88,37 +90,37 @@
 	if err != nil {
 		return err
 	}
-	in := file.Instances
-	j := Joined{Proxy: p, Log: log, Listen: operator.Addresses(in.Listen), Tell: operator.Addresses(in.Advertise),
-		Call: operator.Addresses(in.Join), Cluster: in.Cluster, Forget: in.Forget.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
-		Zone: settings.Settings.Zone, Zones: settings.Zones, Regions: regions, Since: time.Now(), Meter: f.meter}
-	if j.Keys, err = in.Keys(); err != nil {
+	instances := file.Instances
+	fleetConfig := FleetConfig{Proxy: p, Log: log, Listen: operator.ParseAddresses(instances.Listen), Advertise: operator.ParseAddresses(instances.Advertise),
+		JoinAddrs: operator.ParseAddresses(instances.Join), Cluster: instances.Cluster, ForgetAfter: instances.ForgetAfter.D(), Name: cfg.Name, Number: settings.Settings.SelfIndex,
+		Zone: settings.Settings.Zone, Zones: settings.Zones, Regions: regions, StartedAt: time.Now(), Meter: f.meter}
+	if fleetConfig.Keys, err = instances.ReadKeys(); err != nil {
 		return err
 	}
-	if j.Version.Program, err = programDigest(); err != nil {
+	if fleetConfig.Version.Program, err = programDigest(); err != nil {
 		return err
 	}
-	if j.Version.Settings, err = settingsDigest(cfg, file); err != nil {
+	if fleetConfig.Version.Settings, err = settingsDigest(cfg, file); err != nil {
 		return err
 	}
-	log.Info("version", "program", j.Version.Program, "settings", j.Version.Settings)
-	f.version = j.Version
+	log.Info("version", "program", fleetConfig.Version.Program, "settings", fleetConfig.Version.Settings)
+	f.version = fleetConfig.Version
 	if f.meter != nil {
-		c := zones.Config{Number: j.Number, Zones: j.Zones, MinCapacityShare: file.Zones.Least, WarmupTime: settings.Settings.SlowStartDuration, StartedAtMS: j.Since.UnixMilli()}
+		zonesConfig := zones.Config{Number: fleetConfig.Number, Zones: fleetConfig.Zones, MinCapacityShare: file.Zones.MinCapacityShare, WarmupTime: settings.Settings.SlowStartDuration, StartedAtMS: fleetConfig.StartedAt.UnixMilli()}
 		for _, r := range regions {
-			c.Regions = append(c.Regions, r)
+			zonesConfig.Regions = append(zonesConfig.Regions, r)
 		}
-		if err := c.Check(); err != nil {
+		if err := zonesConfig.Check(); err != nil {
 			return err
 		}
-		j.Machine = zones.New(c, j.Zone)
+		fleetConfig.Machine = zones.New(zonesConfig, fleetConfig.Zone)
 	}
-	f.Fleet, err = g.Instances(j)
+	f.Fleet, err = g.NewFleet(fleetConfig)
 	return err
 }
 
-// reloaded tells the others of other settings.
-func (f *fleet) reloaded(cfg *config, file *operator.File, log *slog.Logger) {
+// updateVersion announces changed settings to the others.
+func (f *membership) updateVersion(cfg *config, file *operator.File, log *slog.Logger) {
 	if f.Fleet == nil {
 		return
 	}
@@ -128,12 +130,12 @@
 	} else if settings != f.version.Settings {
 		f.version.Settings = settings
 		log.Info("version", "program", f.version.Program, "settings", settings)
-		f.Runs(f.version)
+		f.SetVersion(f.version)
 	}
 }
 
-// close leaves the others, once nothing is served any more.
-func (f *fleet) close() {
+// close leaves the installation, after the last request has been served.
+func (f *membership) close() {
 	if f.stop != nil {
 		f.stop()
 		<-f.done
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -14,28 +14,29 @@
 	"linenloom/logic"
 )
 
-// bothFor is how long after SIGHUP clients may still go by the configuration before. They are told of the new one after
-// 1.2 s at the latest; what they have sent by then may be on its way for a while.
-const bothFor = 1500 * time.Millisecond
+// transitionTime is how long after SIGHUP clients may still use the previous configuration. They are
+// informed of the new one after 1.2 s at the latest; what they sent before may still be in transit for a
+// while.
+const transitionTime = 1500 * time.Millisecond
 
-// reloader takes over what the files say after SIGHUP.
+// reloader applies the files' settings after SIGHUP.
 type reloader struct {
-	p       *proxy.Proxy
+	proxy   *proxy.Proxy
 	extproc Front
-	gate    *callers.Authenticator // nil: callers are not proven
+	gate    *callers.Authenticator // nil means that callers are not identified
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	cfg     *config
-	classes []logic.Class // in force
-	tries   int
-	file    *operator.File
-	settle  *time.Timer // ends the time in which both configurations hold
-	others  *fleet      // told of other settings
+	mu              sync.Mutex
+	cfg             *config
+	classes         []logic.Class // in force
+	maxAttempts     int
+	file            *operator.File
+	transitionTimer *time.Timer // ends the time in which both configurations apply
+	membership      *membership // is informed of changed settings
 }
 
-// reload takes over what the configuration file and the operator's file say now, as far as a running proxy can. A
-// file that can't be used changes nothing, and does not keep the other from being taken over.
+// reload applies the current configuration file and operator's file as far as a running proxy can. An
+// invalid file changes nothing and does not prevent the other one from being applied.
 func (r *reloader) reload() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,8 +46,8 @@
 	if r.file.Path != "" {
 		r.reloadOperator()
 	}
-	if r.others != nil {
-		r.others.reloaded(r.cfg, r.file, r.log)
+	if r.membership != nil {
+		r.membership.updateVersion(r.cfg, r.file, r.log)
 	}
 }
 
@@ -55,62 +56,63 @@
 	if err != nil {
 		return err
 	}
-	now, err := cfg.proxy()
+	next, err := cfg.proxyConfig()
 	if err != nil {
 		return err
 	}
 	if r.extproc != nil || r.gate != nil {
-		if err := r.file.CheckClasses(logic.ClassNames(now.Settings.Classes)); err != nil {
+		if err := r.file.CheckClasses(logic.ClassNames(next.Settings.Classes)); err != nil {
 			return err
 		}
 	}
-	was, err := r.cfg.proxy()
+	previous, err := r.cfg.proxyConfig()
 	if err != nil {
 		return err
 	}
-	if err := r.retune(now.Settings.Classes, now.Settings.MaxAttempts); err != nil {
+	if err := r.retune(next.Settings.Classes, next.Settings.MaxAttempts); err != nil {
 		return err
 	}
-	fixed := was.Settings
-	fixed.Classes, fixed.MaxAttempts = now.Settings.Classes, now.Settings.MaxAttempts
-	if cfg.Listen != r.cfg.Listen || cfg.Mgmt != r.cfg.Mgmt || cfg.Limits != r.cfg.Limits || !reflect.DeepEqual(fixed, now.Settings) {
+	unchanged := previous.Settings
+	unchanged.Classes, unchanged.MaxAttempts = next.Settings.Classes, next.Settings.MaxAttempts
+	if cfg.Listen != r.cfg.Listen || cfg.Mgmt != r.cfg.Mgmt || cfg.Limits != r.cfg.Limits || !reflect.DeepEqual(unchanged, next.Settings) {
 		r.log.Warn("reload: changes of listen, mgmt, limits and settings other than classes and attempts need a restart")
 	}
 	r.cfg = cfg
-	r.log.Info("reload", "discovery", cfg.Discovery, "classes", logic.ClassNames(now.Settings.Classes), "attempts", now.Settings.MaxAttempts)
-	r.p.SetDiscoveryAddr(cfg.Discovery)
+	r.log.Info("reload", "discovery", cfg.Discovery, "classes", logic.ClassNames(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
+	r.proxy.SetDiscoveryAddr(cfg.Discovery)
 	return nil
 }
 
-// retune moves to other classes: first to what is allowed by both, and to the new ones once no client goes by the old.
+// retune changes the classes in two steps: first to what both configurations allow, and to the new ones once
+// no client uses the old ones.
 func (r *reloader) retune(classes []logic.Class, tries int) error {
-	both, fewer := retune.Transition(r.classes, classes, r.tries, tries)
-	if err := r.force(both, fewer); err != nil {
+	both, minAttempts := retune.Transition(r.classes, classes, r.maxAttempts, tries)
+	if err := r.apply(both, minAttempts); err != nil {
 		return err
 	}
-	if r.settle != nil {
-		r.settle.Stop()
+	if r.transitionTimer != nil {
+		r.transitionTimer.Stop()
 	}
-	var settle *time.Timer
-	settle = time.AfterFunc(bothFor, func() {
+	var timer *time.Timer
+	timer = time.AfterFunc(transitionTime, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.settle != settle { // another configuration has come meanwhile
+		if r.transitionTimer != timer { // another configuration has been loaded in the meantime
 			return
 		}
-		if err := r.force(classes, tries); err != nil {
+		if err := r.apply(classes, tries); err != nil {
 			r.log.Error("retune", "err", err)
 		}
 	})
-	r.settle = settle
+	r.transitionTimer = timer
 	return nil
 }
 
-func (r *reloader) force(classes []logic.Class, tries int) error {
-	if err := r.p.Retune(classes, tries); err != nil {
+func (r *reloader) apply(classes []logic.Class, tries int) error {
+	if err := r.proxy.Retune(classes, tries); err != nil {
 		return err
 	}
-	r.classes, r.tries = classes, tries
+	r.classes, r.maxAttempts = classes, tries
 	if r.extproc != nil {
 		return r.extproc.Reload(r.file)
 	}
@@ -118,29 +120,29 @@
 }
 
 func (r *reloader) reloadOperator() {
-	now, err := operator.Load(r.file.Path)
+	next, err := operator.Load(r.file.Path)
 	if err != nil {
 		r.log.Error("reload failed, the operator's old file stays in force", "err", err)
 		return
 	}
-	fixed, live := r.file.Changed(now)
-	if len(fixed) > 0 {
-		r.log.Warn("reload: these need a restart, the old ones stay in force", "keys", fixed)
-		now.Keep(r.file)
+	restart, live := r.file.Diff(next)
+	if len(restart) > 0 {
+		r.log.Warn("reload: the changed keys need a restart, the old values stay in force", "keys", restart)
+		next.KeepRestartKeys(r.file)
 	}
 	if r.extproc != nil && len(live) > 0 {
-		if err := r.extproc.Reload(now); err != nil {
+		if err := r.extproc.Reload(next); err != nil {
 			r.log.Error("reload failed, the operator's old file stays in force", "err", err)
 			return
 		}
 	}
 	if r.gate != nil {
-		if err := now.CheckClasses(logic.ClassNames(r.classes)); err != nil {
+		if err := next.CheckClasses(logic.ClassNames(r.classes)); err != nil {
 			r.log.Error("reload failed, the operator's old file stays in force", "err", err)
 			return
 		}
-		r.gate.Reload(now.Identity)
+		r.gate.Reload(next.Identity)
 	}
-	r.file = now
-	r.log.Info("reload of the operator's file", "changed", live)
+	r.file = next
+	r.log.Info("reload of the operator's file is complete", "changed", live)
 }
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -15,85 +15,89 @@
 )
 
 const (
-	shareEvery = 50 * time.Millisecond
-	// keptBack is what each of two processes leaves of the descriptors for what the other opens between two looks, and
-	// leastSockets and leastMemoryMB are what each has at the least, as nothing can be served with less.
-	keptBack      = 16
-	leastSockets  = 64
-	leastMemoryMB = 14
-	// outsideHeap is what a process takes beside the memory that its runtime counts.
-	outsideHeap = 4 << 20
-	// leaveWait is how long a process that follows another waits for what that one has learnt, from its own start on. It is left
-	// within shareEvery of the moment in which it is seen to be followed.
-	leaveWait = 250 * time.Millisecond
-	leaveLook = 5 * time.Millisecond
-	// mostShare is the part of the memory that either may take: what one holds can't be given back at once.
-	mostShare = 0.6
+	shareInterval = 50 * time.Millisecond
+	// reservedDescriptors is the number of descriptors that each of two processes leaves free for what the
+	// other one opens between two updates. minSockets and minMemoryMB are the least that each of them gets,
+	// as it could serve nothing with less.
+	reservedDescriptors = 16
+	minSockets          = 64
+	minMemoryMB         = 14
+	// nonHeapBytes is the memory of a process that its runtime does not count.
+	nonHeapBytes = 4 << 20
+	// stateTimeout is how long a successor process waits, from its own start, for the learned state of its
+	// predecessor. The predecessor writes it within shareInterval of noticing the successor.
+	stateTimeout      = 250 * time.Millisecond
+	statePollInterval = 5 * time.Millisecond
+	// maxMemoryShare is the share of the memory that either process may use, as memory in use cannot be
+	// returned at once.
+	maxMemoryShare = 0.6
 )
 
-// sharing keeps the limits of a proxy over two processes, while one follows the other.
-type sharing struct {
-	dir   *handover.Dir
-	cfg   *config
-	log   *slog.Logger
-	alone bool
-	began time.Time
-	first bool // nobody served as this process began; never changed
-	// what is in force
-	sockets int
-	memory  float64
+// limitSharing divides the limits of a proxy between two processes while one takes over from the other.
+type limitSharing struct {
+	dir           *handover.Dir
+	cfg           *config
+	log           *slog.Logger
+	alone         bool
+	startedAt     time.Time
+	noPredecessor bool // no process was serving when this one started; never changes
+	// The limits in force.
+	sockets  int
+	memoryMB float64
 }
 
-// share opens the directory that the processes of a proxy share, and takes what stands there into the settings.
-func share(cfg *config, settings *proxy.Config, log *slog.Logger) *sharing {
-	s := &sharing{cfg: cfg, log: log, began: time.Now(), sockets: cfg.Limits.Sockets, memory: cfg.Limits.MemoryMB}
+// startSharing opens the directory that the processes of a proxy share and applies its contents to the
+// settings.
+func startSharing(cfg *config, settings *proxy.Config, log *slog.Logger) *limitSharing {
+	s := &limitSharing{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
 	path := os.Getenv("TMPDIR")
-	if at, err := netip.ParseAddrPort(cfg.Listen); err == nil && at.Port() == 0 {
-		path = "" // nobody can follow at an address that is made up anew
+	if address, err := netip.ParseAddrPort(cfg.Listen); err == nil && address.Port() == 0 {
+		path = "" // a random port gives every process another address, so none can be a successor
 	}
 	var err error
 	if s.dir, s.alone, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
-		log.Warn("no directory to hand over by: members out of use are forgotten at the end of this process", "err", err)
+		log.Warn("no handover directory: members out of use are forgotten when this process ends", "err", err)
 	}
-	s.first = s.alone
+	s.noPredecessor = s.alone
 	if settings.OutOfUse, _, err = s.dir.Reload(); err != nil {
-		log.Error("the record of members out of use can't be read", "err", err)
+		log.Error("reading the record of members out of use failed", "err", err)
 	}
 	if !s.alone {
-		log.Info("following another process")
-		s.keep(nil)
-		settings.Descriptors, settings.MemoryMB = s.sockets, int(s.memory)
+		log.Info("taking over from a predecessor process")
+		s.shareLimits(nil)
+		settings.Descriptors, settings.MemoryMB = s.sockets, int(s.memoryMB)
 	}
 	if s.dir.Persistent() {
-		settings.LoadSnapshot = s.inherit
+		settings.LoadSnapshot = s.readState
 	}
 	return s
 }
 
-// inherit reads what the process before has learnt. One that still serves is waited for until it has left what it knows now.
-func (s *sharing) inherit() (*inherit.Snapshot, error) {
+// readState reads the learned state of the predecessor. If the predecessor still serves, readState waits
+// until it has written its current state.
+func (s *limitSharing) readState() (*inherit.Snapshot, error) {
 	for {
 		text, err := s.dir.ReadState(inherit.MaxBytes)
 		if err != nil {
 			return nil, err
 		}
-		var old *inherit.Snapshot // nil: nothing was left, by a version that leaves nothing, or nothing that can be read
+		var snapshot *inherit.Snapshot // nil: nothing was written (older versions write no state) or it is unreadable
 		if text != nil {
-			var got inherit.Snapshot
-			if got, err = inherit.Decode(text); err == nil {
-				old = &got
+			var decoded inherit.Snapshot
+			if decoded, err = inherit.Decode(text); err == nil {
+				snapshot = &decoded
 			}
 		}
-		// Of an older one its age tells what holds.
-		if s.first || old != nil && old.TakenMS >= s.began.UnixMilli() || time.Since(s.began) >= leaveWait {
-			return old, err
+		// An older state is returned as well; the reader decides by its age how much of it applies.
+		if s.noPredecessor || snapshot != nil && snapshot.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
+			return snapshot, err
 		}
-		time.Sleep(leaveLook)
+		time.Sleep(statePollInterval)
 	}
 }
 
-// leave writes what this process has learnt.
-func (s *sharing) leave(p *proxy.Proxy) {
+// writeState writes the learned state of this process.
+func (s *limitSharing) writeState(p *proxy.Proxy) {
 	if !s.dir.Persistent() {
 		return
 	}
@@ -102,25 +106,25 @@
 		err = s.dir.WriteState(text)
 	}
 	if err != nil {
-		s.log.Error("what has been learnt can't be left", "err", err)
+		s.log.Error("writing the learned state failed", "err", err)
 	}
 }
 
-// heapLimit is the memory limit of the runtime for a limit of the process.
-func heapLimit(mb float64) int64 { return int64(mb * memoryShare * (1 << 20)) }
+// heapLimit returns the memory limit of the runtime for a memory limit of the process.
+func heapLimit(mb float64) int64 { return int64(mb * heapShare * (1 << 20)) }
 
-// run keeps the limits until the process has nothing left to do.
-func (s *sharing) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
-	tick := time.NewTicker(shareEvery)
+// run updates the limits until the process is done.
+func (s *limitSharing) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
+	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
-	followed := false
+	hasSuccessor := false
 	for {
 		select {
 		case <-quit:
 			return
-		case <-stop: // a planned stop begins: another process may take this one's place
-			if stop = nil; s.alone && !followed {
-				s.leave(p)
+		case <-stop: // a planned stop begins: a successor may start
+			if stop = nil; s.alone && !hasSuccessor {
+				s.writeState(p)
 			}
 		case <-tick.C:
 		}
@@ -130,26 +134,26 @@
 				s.log.Error("handover", "err", err)
 			}
 			if s.alone = alone; alone {
-				s.log.Info("the process before has ended")
+				s.log.Info("the predecessor process has ended")
 			}
 		}
-		was := followed
-		if followed = s.alone && s.dir.HasSuccessor(); followed && !was {
-			s.leave(p)
+		hadSuccessor := hasSuccessor
+		if hasSuccessor = s.alone && s.dir.HasSuccessor(); hasSuccessor && !hadSuccessor {
+			s.writeState(p)
 		}
 		switch {
-		case !s.alone || followed:
-			s.keep(p)
-		case s.sockets != s.cfg.Limits.Sockets || s.memory != s.cfg.Limits.MemoryMB: // alone again
-			s.set(p, s.cfg.Limits.Sockets, s.cfg.Limits.MemoryMB)
+		case !s.alone || hasSuccessor:
+			s.shareLimits(p)
+		case s.sockets != s.cfg.Limits.Sockets || s.memoryMB != s.cfg.Limits.MemoryMB: // no other process any more
+			s.apply(p, s.cfg.Limits.Sockets, s.cfg.Limits.MemoryMB)
 		}
 	}
 }
 
-// keep leaves the other process what it holds.
-func (s *sharing) keep(p *proxy.Proxy) {
+// shareLimits sets the limits to what the other process leaves free.
+func (s *limitSharing) shareLimits(p *proxy.Proxy) {
 	var mine handover.Usage
-	mine.Memory = inUse()
+	mine.Memory = memoryInUse()
 	if p != nil {
 		mine.Descriptors = int64(p.Load().Descriptors)
 	}
@@ -157,21 +161,21 @@
 	if err != nil {
 		s.log.Error("handover", "err", err)
 	}
-	left := s.cfg.Limits.MemoryMB - float64(theirs.Memory+outsideHeap)/(1<<20)
-	s.set(p, max(leastSockets, s.cfg.Limits.Sockets-int(theirs.Descriptors)-keptBack),
-		max(leastMemoryMB, math.Floor(min(s.cfg.Limits.MemoryMB*mostShare, left))))
+	remaining := s.cfg.Limits.MemoryMB - float64(theirs.Memory+nonHeapBytes)/(1<<20)
+	s.apply(p, max(minSockets, s.cfg.Limits.Sockets-int(theirs.Descriptors)-reservedDescriptors),
+		max(minMemoryMB, math.Floor(min(s.cfg.Limits.MemoryMB*maxMemoryShare, remaining))))
 }
 
-func (s *sharing) set(p *proxy.Proxy, sockets int, memory float64) {
-	if s.sockets, s.memory = sockets, memory; p != nil {
+func (s *limitSharing) apply(p *proxy.Proxy, sockets int, memory float64) {
+	if s.sockets, s.memoryMB = sockets, memory; p != nil {
 		p.SetLimits(sockets, int(memory))
 	}
 	debug.SetMemoryLimit(heapLimit(memory))
 }
 
-// inUse is the memory that the runtime has from the system.
-func inUse() int64 {
-	m := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
-	metrics.Read(m)
-	return int64(m[0].Value.Uint64() - m[1].Value.Uint64())
+// memoryInUse returns the memory that the runtime has obtained from the system.
+func memoryInUse() int64 {
+	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	metrics.Read(samples)
+	return int64(samples[0].Value.Uint64() - samples[1].Value.Uint64())
 }
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -37,15 +37,15 @@
 	log       *slog.Logger
 	now       func() time.Time
 
-	keys        atomic.Pointer[identity.Keys] // in force
-	verifierMu  sync.Mutex                    // guards verifier; a check takes about 100 us
-	verifier    *identity.Verifier            // nil: tokens are not accepted
-	listenerTLS *tlsState                     // nil: listeners use no TLS
+	keys        atomic.Pointer[identity.KeySet] // in force
+	verifierMu  sync.Mutex                      // guards verifier; a check takes about 100 us
+	verifier    *identity.Verifier              // nil: tokens are not accepted
+	listenerTLS *tlsState                       // nil: listeners use no TLS
 
 	rightsMu sync.Mutex // guards policy, replays and sources; held only for look-ups
 	policy   *identity.Policy
-	replays  identity.Replays
-	sources  identity.Sources
+	replays  identity.ReplayGuard
+	sources  identity.SuspectSources
 
 	rules     []identity.CertRule // guarded by filesMu, like keyText and lastFault
 	filesMu   sync.Mutex          // guards the fields below and rules
@@ -55,28 +55,28 @@
 
 // New loads the keys. It fails if they cannot be read.
 func New(cfg *operator.Identity, log *slog.Logger) (*Authenticator, error) {
-	authenticator := &Authenticator{keyFile: cfg.Keys, tokenName: cfg.Name, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
-		replays: identity.Replays{Most: cfg.Replays}, sources: identity.Sources{Most: cfg.Suspects}, rules: cfg.Rules()}
-	if cfg.TLS.Set() {
+	authenticator := &Authenticator{keyFile: cfg.KeySetFile, tokenName: cfg.TokenAttribute, log: log, now: time.Now, policy: identity.NewPolicy(cfg.Rights(), nil),
+		replays: identity.ReplayGuard{MaxIDs: cfg.MaxReplayIDs}, sources: identity.SuspectSources{MaxAddresses: cfg.MaxSuspects}, rules: cfg.CertRules()}
+	if cfg.TLS.Enabled() {
 		var err error
 		if authenticator.listenerTLS, err = newTLSState(cfg, log, authenticator.now); err != nil {
 			return nil, err
 		}
 	}
-	if !cfg.ByTokens() {
+	if !cfg.AcceptsTokens() {
 		return authenticator, nil
 	}
 	text, err := readFile(authenticator.keyFile)
 	if err != nil {
 		return nil, err
 	}
-	keys, err := identity.ParseKeys(text)
+	keys, err := identity.ParseKeySet(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", authenticator.keyFile, err)
 	}
 	authenticator.keyText = text
 	authenticator.keys.Store(keys)
-	authenticator.verifier = identity.NewVerifier(cfg.Terms(), keys)
+	authenticator.verifier = identity.NewVerifier(cfg.TokenRequirements(), keys)
 	authenticator.log.Info("callers are authenticated by tokens", "keys", len(keys.List), "tenants", len(cfg.Tenants))
 	return authenticator, nil
 }
@@ -132,9 +132,9 @@
 		}
 		return
 	}
-	var keys *identity.Keys
+	var keys *identity.KeySet
 	if err == nil {
-		keys, err = identity.ParseKeys(text)
+		keys, err = identity.ParseKeySet(text)
 	}
 	if err != nil {
 		if a.lastFault != err.Error() { // logged once for each error, not every second
@@ -162,7 +162,7 @@
 	a.policy = identity.NewPolicy(cfg.Rights(), a.policy)
 	a.rightsMu.Unlock()
 	a.filesMu.Lock()
-	if a.rules = cfg.Rules(); a.listenerTLS != nil {
+	if a.rules = cfg.CertRules(); a.listenerTLS != nil {
 		a.listenerTLS.setRules(a.rules)
 	}
 	a.filesMu.Unlock()
@@ -177,7 +177,7 @@
 // may be known for one too.
 func (a *Authenticator) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
 	if a.verifier == nil {
-		return nil, &identity.Error{Why: identity.Forbidden, What: "no tokens are taken here"}
+		return nil, &identity.Error{Reason: identity.Forbidden, Detail: "no tokens are taken here"}
 	}
 	if !suspect {
 		a.rightsMu.Lock()
@@ -187,9 +187,9 @@
 	a.verifierMu.Lock()
 	proof, err := a.verifier.Check(a.now(), token, suspect)
 	a.verifierMu.Unlock()
-	if identity.WhyOf(err) == identity.Forged { // all other errors are found before the signature is checked
+	if identity.ReasonOf(err) == identity.BadSignature { // all other errors are found before the signature is checked
 		a.rightsMu.Lock()
-		a.sources.Bad(a.now(), from)
+		a.sources.RecordForged(a.now(), from)
 		a.rightsMu.Unlock()
 	}
 	return proof, err
@@ -198,25 +198,25 @@
 // Holds reports whether a proof is still valid. It does not block.
 func (a *Authenticator) Holds(p *identity.Proof) error {
 	if p.ByCertificate() && a.listenerTLS != nil {
-		return a.listenerTLS.certs.Load().Holds(a.now(), p)
+		return a.listenerTLS.certs.Load().CheckProof(a.now(), p)
 	}
-	return a.keys.Load().Holds(a.now(), p)
+	return a.keys.Load().CheckProof(a.now(), p)
 }
 
 // May reports whether the holder of a proof may make a request now. An order consumes its token's id.
-func (a *Authenticator) May(p *identity.Proof, request identity.Ask) error {
+func (a *Authenticator) May(p *identity.Proof, request identity.Request) error {
 	if p == nil {
-		return &identity.Error{Why: identity.Unproven}
+		return &identity.Error{Reason: identity.NoCredentials}
 	}
 	if err := a.Holds(p); err != nil {
 		return err
 	}
 	a.rightsMu.Lock()
 	defer a.rightsMu.Unlock()
-	if err := a.policy.May(a.now(), p.Tenant, request); err != nil {
+	if err := a.policy.Authorize(a.now(), p.Tenant, request); err != nil {
 		return err
 	}
-	if request.Once {
+	if request.AtMostOnce {
 		return a.replays.Use(a.now(), p)
 	}
 	return nil
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -47,8 +47,8 @@
 }
 
 func testSettings(file string) *operator.Identity {
-	return &operator.Identity{Keys: file, Issuer: "i", Audience: "a", TenantClaim: "tenant", Name: "tk", MaxLife: operator.Duration(time.Hour),
-		Known: 8, ChecksPerS: 100, Replays: 8, Tenants: []operator.Tenant{{Name: "shop"}}}
+	return &operator.Identity{KeySetFile: file, Issuer: "i", Audience: "a", TenantClaim: "tenant", TokenAttribute: "tk", MaxLifetime: operator.Duration(time.Hour),
+		TokenCacheSize: 8, ChecksPerSecond: 100, MaxReplayIDs: 8, Tenants: []operator.Tenant{{Name: "shop"}}}
 }
 
 // Whatever happens to the key file, the keys in force stay until another set can be read. Each error is
@@ -98,7 +98,7 @@
 	other, newToken := newKeySet(t, "k1") // another key under the same id
 	write(other)
 	authenticator.ReloadFiles()
-	if _, err := authenticator.Prove([]byte(token), netip.Addr{}, false); identity.WhyOf(err) != identity.Retired {
+	if _, err := authenticator.Prove([]byte(token), netip.Addr{}, false); identity.ReasonOf(err) != identity.KeyRetired {
 		t.Errorf("by the key before: %v", err)
 	}
 	if _, err := authenticator.Prove([]byte(newToken), netip.Addr{}, false); err != nil {
@@ -130,8 +130,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	order := identity.Ask{Class: "order", Write: true, Once: true}
-	for i, want := range []identity.Why{0, identity.Replayed, 0, identity.Replayed, identity.Right} {
+	order := identity.Request{Class: "order", Write: true, AtMostOnce: true}
+	for i, want := range []identity.Reason{0, identity.Replayed, 0, identity.Replayed, identity.NoRight} {
 		switch i {
 		case 2:
 			authenticator.Release(proof)
@@ -142,11 +142,11 @@
 			otherTenant.Tenants[0].Name = "else"
 			authenticator.Reload(otherTenant)
 		}
-		if err := authenticator.May(proof, order); identity.WhyOf(err) != want {
+		if err := authenticator.May(proof, order); identity.ReasonOf(err) != want {
 			t.Errorf("step %d: %v, want %v", i, err, want)
 		}
 	}
-	if err := authenticator.May(nil, order); identity.WhyOf(err) != identity.Unproven {
+	if err := authenticator.May(nil, order); identity.ReasonOf(err) != identity.NoCredentials {
 		t.Errorf("without a proof: %v", err)
 	}
 }
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -30,7 +30,7 @@
 	certs  atomic.Pointer[identity.Certs] // decides what client certificates prove
 
 	handshakesMu sync.Mutex // guards handshakes
-	handshakes   *identity.Budget
+	handshakes   *identity.RateLimiter
 
 	// Guarded by Authenticator.filesMu.
 	contents  [3][]byte // of cert, key and roots in force
@@ -39,10 +39,10 @@
 }
 
 func newTLSState(cfg *operator.Identity, log *slog.Logger, now func() time.Time) (*tlsState, error) {
-	state := &tlsState{files: cfg.TLS, log: log, now: now, handshakes: identity.NewBudget(float64(cfg.TLS.Handshakes))}
+	state := &tlsState{files: cfg.TLS, log: log, now: now, handshakes: identity.NewRateLimiter(float64(cfg.TLS.Handshakes))}
 	contents, err := state.readFiles()
 	if err == nil {
-		err = state.apply(contents, cfg.Rules())
+		err = state.apply(contents, cfg.CertRules())
 	}
 	if err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 func (d *tlsState) serverConfig(alpn bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		d.handshakesMu.Lock()
-		ok := d.handshakes.Take(d.now())
+		ok := d.handshakes.Allow(d.now())
 		d.handshakesMu.Unlock()
 		if !ok {
 			return nil, errTooManyHandshakes
@@ -156,7 +156,7 @@
 // send a token.
 func (a *Authenticator) Certificate(s *tls.ConnectionState) (*identity.Proof, error) {
 	if a.listenerTLS == nil {
-		return nil, &identity.Error{Why: identity.Unproven}
+		return nil, &identity.Error{Reason: identity.NoCredentials}
 	}
 	return a.listenerTLS.certs.Load().Check(a.now(), s.VerifiedChains)
 }
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -42,7 +42,7 @@
 }
 
 func (a *testAuthority) settings() *operator.Identity {
-	return &operator.Identity{Tenants: []operator.Tenant{{Name: "kiosk"}, {Name: "shop"}}, Replays: 8, Suspects: 8,
+	return &operator.Identity{Tenants: []operator.Tenant{{Name: "kiosk"}, {Name: "shop"}}, MaxReplayIDs: 8, MaxSuspects: 8,
 		TLS:          operator.TLS{Cert: a.Path("cert.pem"), Key: a.Path("key.pem"), Roots: a.Path("roots.pem"), Client: "asked", Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}}}
 }
@@ -94,13 +94,13 @@
 	if err != nil || proof.Tenant != "kiosk" || authenticator.Holds(proof) != nil {
 		t.Fatalf("%+v, %v", proof, err)
 	}
-	if _, _, err := authority.handshake(authenticator, 0, ""); identity.WhyOf(err) != identity.Unproven {
+	if _, _, err := authority.handshake(authenticator, 0, ""); identity.ReasonOf(err) != identity.NoCredentials {
 		t.Errorf("no certificate: %v", err)
 	}
-	if _, _, err := authority.handshake(authenticator, 1, "kiosk.example"); err == nil || identity.WhyOf(err) != 0 {
+	if _, _, err := authority.handshake(authenticator, 1, "kiosk.example"); err == nil || identity.ReasonOf(err) != 0 {
 		t.Errorf("an unknown root: %v", err)
 	}
-	if _, err := authenticator.Prove([]byte("any"), netip.Addr{}, false); identity.WhyOf(err) != identity.Forbidden {
+	if _, err := authenticator.Prove([]byte("any"), netip.Addr{}, false); identity.ReasonOf(err) != identity.Forbidden {
 		t.Errorf("a token where none are taken: %v", err)
 	}
 	otherAuthority := newAuthority(t)
@@ -149,17 +149,17 @@
 	}
 	authority.write("roots.pem", standin.PEM(authority.Roots[1].Cert))
 	authenticator.ReloadFiles()
-	if why := identity.WhyOf(authenticator.Holds(proof)); why != identity.Retired || authenticator.Holds(secondProof) != nil {
+	if why := identity.ReasonOf(authenticator.Holds(proof)); why != identity.KeyRetired || authenticator.Holds(secondProof) != nil {
 		t.Errorf("the old root is gone: %v, %v", why, authenticator.Holds(secondProof))
 	}
-	if err := authenticator.May(proof, identity.Ask{Class: "tile-read", Front: "resp2"}); identity.WhyOf(err) != identity.Retired {
+	if err := authenticator.May(proof, identity.Request{Class: "tile-read", Front: "resp2"}); identity.ReasonOf(err) != identity.KeyRetired {
 		t.Errorf("by a root that is gone: %v", err)
 	}
 	// The rules change.
 	cfg := authority.settings()
 	cfg.Certificates[0].Tenant = "shop"
 	authenticator.Reload(cfg)
-	if why := identity.WhyOf(authenticator.Holds(secondProof)); why != identity.Retired {
+	if why := identity.ReasonOf(authenticator.Holds(secondProof)); why != identity.KeyRetired {
 		t.Errorf("another tenant's now: %v", why)
 	}
 }
@@ -206,7 +206,7 @@
 		t.Fatal(err)
 	}
 	cfg := testSettings(file)
-	cfg.ChecksPerS, cfg.Suspects, cfg.Known = 4, 2, 0
+	cfg.ChecksPerSecond, cfg.MaxSuspects, cfg.TokenCacheSize = 4, 2, 0
 	authenticator, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -217,20 +217,20 @@
 	for range 8 { // each on a connection of its own
 		authenticator.Prove([]byte(forged), bad, false)
 	}
-	if _, err := authenticator.Prove([]byte(good), bad, false); identity.WhyOf(err) != identity.Overload {
+	if _, err := authenticator.Prove([]byte(good), bad, false); identity.ReasonOf(err) != identity.Overloaded {
 		t.Errorf("from the bad address: %v", err)
 	}
 	if _, err := authenticator.Prove([]byte(good), clean, false); err != nil {
 		t.Errorf("from a clean one: %v", err)
 	}
 	for i := range 4 { // further addresses displace it, as the number remembered is limited
-		authenticator.sources.Bad(now, netip.AddrFrom4([4]byte{198, 51, 100, byte(i)}))
+		authenticator.sources.RecordForged(now, netip.AddrFrom4([4]byte{198, 51, 100, byte(i)}))
 	}
 	if authenticator.sources.Len() != 2 || authenticator.sources.Suspect(now, bad) {
 		t.Errorf("%d addresses are remembered", authenticator.sources.Len())
 	}
 	one, same, other := netip.MustParseAddr("2001:db8:1:2::1"), netip.MustParseAddr("2001:db8:1:2:ffff::1"), netip.MustParseAddr("2001:db8:1:3::1")
-	authenticator.sources.Bad(now, one)
+	authenticator.sources.RecordForged(now, one)
 	if !authenticator.sources.Suspect(now, same) || authenticator.sources.Suspect(now, other) || authenticator.sources.Suspect(now.Add(31*time.Second), one) {
 		t.Error("of IPv6, the first 64 bits count, for 30 s")
 	}
--- a/internal/extproc/mapping.go
+++ b/internal/extproc/mapping.go
@@ -50,11 +50,11 @@
 func NewMapping(entries []operator.MapEntry) (*Mapping, error) {
 	mapping := &Mapping{}
 	for _, entry := range entries {
-		compiled := rule{methods: entry.Methods, class: entry.Class, write: entry.Write, many: entry.Many}
+		compiled := rule{methods: entry.Methods, class: entry.Class, write: entry.Write, many: entry.MultipleKeys}
 		compiled.segments = strings.Split(strings.TrimPrefix(entry.Path, "/"), "/")
 		segmentIndex := map[string]int{}
 		for i, s := range compiled.segments {
-			if name, ok := operator.Segment(s); ok {
+			if name, ok := operator.SegmentVariable(s); ok {
 				name, rest := strings.CutSuffix(name, "...")
 				segmentIndex[name] = i
 				compiled.matchesRest = rest
@@ -137,7 +137,7 @@
 		if more == last { // too many segments, or too few
 			return nil, false
 		}
-		if _, variable := operator.Segment(pattern); variable && segment == "" || !variable && segment != pattern {
+		if _, variable := operator.SegmentVariable(pattern); variable && segment == "" || !variable && segment != pattern {
 			return nil, false
 		}
 		if strings.Contains(segment, "%") {
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -305,7 +305,7 @@
 		default:
 			retry = true
 			call.stream = nil
-			s.front.calls.AwaitCaller(call.entry, s.front.host.Now()+s.config.ReturnWithin.D())
+			s.front.calls.AwaitCaller(call.entry, s.front.host.Now()+s.config.ReturnTimeout.D())
 		}
 	})
 	switch {
--- a/internal/extproc/server/identity.go
+++ b/internal/extproc/server/identity.go
@@ -28,7 +28,7 @@
 	// An Authorization header takes precedence over the certificate, even without a valid token.
 	case !hasHeader && proof != nil:
 	case !strings.EqualFold(scheme, "Bearer") || token == "":
-		return &identity.Error{Why: identity.Unproven}
+		return &identity.Error{Reason: identity.NoCredentials}
 	default:
 		// Callers share connections, so an earlier bad token cannot be attributed to one of them: all use
 		// the half of the signature checks that is open to everyone.
@@ -47,14 +47,14 @@
 // sendDenied answers a caller that is denied (RFC 6750, section 3.1; RFC 6585, section 4). Only a request
 // whose token was not checked is told to retry unchanged.
 func (s *stream) sendDenied(err error) error {
-	switch identity.WhyOf(err) {
-	case identity.Overload:
+	switch identity.ReasonOf(err) {
+	case identity.Overloaded:
 		return s.sendImmediate(503, []byte(err.Error()), "", setHeader("retry-after", "1"))
-	case identity.Rate:
+	case identity.RateLimited:
 		return s.sendImmediate(429, []byte(err.Error()), "")
-	case identity.Right, identity.Replayed:
+	case identity.NoRight, identity.Replayed:
 		return s.sendImmediate(403, []byte(err.Error()), "")
-	case identity.Unproven:
+	case identity.NoCredentials:
 		return s.sendImmediate(401, []byte(err.Error()), "", setHeader("www-authenticate", "Bearer"))
 	}
 	return s.sendImmediate(401, []byte(err.Error()), "", setHeader("www-authenticate", `Bearer error="invalid_token"`))
--- a/internal/extproc/server/identity_test.go
+++ b/internal/extproc/server/identity_test.go
@@ -16,33 +16,33 @@
 // and the token of an order is valid for one order.
 type fakeCallers struct {
 	policy  *identity.Policy
-	replays identity.Replays
+	replays identity.ReplayGuard
 }
 
 func newFakeCallers() *fakeCallers {
 	return &fakeCallers{policy: identity.NewPolicy([]identity.Rights{{Tenant: "kiosk", ReadOnly: true}, {Tenant: "shop"},
-		{Tenant: "app", Fronts: []string{"resp2"}}}, nil), replays: identity.Replays{Most: 8}}
+		{Tenant: "app", Fronts: []string{"resp2"}}}, nil), replays: identity.ReplayGuard{MaxIDs: 8}}
 }
 
 func (n *fakeCallers) Name() string           { return "tk" }
 func (n *fakeCallers) TLS(string) *tls.Config { return nil }
 func (n *fakeCallers) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
-	return nil, &identity.Error{Why: identity.Unproven}
+	return nil, &identity.Error{Reason: identity.NoCredentials}
 }
 func (n *fakeCallers) Prove(token []byte, _ netip.Addr, _ bool) (*identity.Proof, error) {
 	switch name := string(token); name {
 	case "forged":
-		return nil, &identity.Error{Why: identity.Forged}
+		return nil, &identity.Error{Reason: identity.BadSignature}
 	case "many":
-		return nil, &identity.Error{Why: identity.Overload}
+		return nil, &identity.Error{Reason: identity.Overloaded}
 	default:
 		tenant, id, _ := strings.Cut(name, "#")
-		return &identity.Proof{Tenant: tenant, ID: id, Until: time.Now().Add(time.Hour)}, nil
+		return &identity.Proof{Tenant: tenant, ID: id, ExpiresAt: time.Now().Add(time.Hour)}, nil
 	}
 }
 func (n *fakeCallers) Holds(*identity.Proof) error { return nil }
-func (n *fakeCallers) May(p *identity.Proof, a identity.Ask) error {
-	if err := n.policy.May(time.Now(), p.Tenant, a); err != nil || !a.Once {
+func (n *fakeCallers) May(p *identity.Proof, a identity.Request) error {
+	if err := n.policy.Authorize(time.Now(), p.Tenant, a); err != nil || !a.AtMostOnce {
 		return err
 	}
 	return n.replays.Use(time.Now(), p)
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	authenticator, err := callers.New(&operator.Identity{Replays: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
+	authenticator, err := callers.New(&operator.Identity{MaxReplayIDs: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
 		TLS:          operator.TLS{Cert: authority.Path("cert.pem"), Key: authority.Path("key.pem"), Roots: authority.Path("roots.pem"), Client: "asked", Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}, {DNS: "shop.example", Tenant: "shop"}}},
 		slog.New(slog.DiscardHandler))
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	front.config.Store(cfg)
-	front.calls = extproc.NewCallTable(maxCalls, cfg.Remember.D())
+	front.calls = extproc.NewCallTable(maxCalls, cfg.OrderRetention.D())
 	if front.listen, err = bind(cfg.Listen); err != nil {
 		return nil, fmt.Errorf("extproc.listen: %w", err)
 	}
@@ -193,7 +193,7 @@
 		return err
 	}
 	f.config.Store(c)
-	f.host.Do(func() { f.calls.SetRetention(c.Remember.D()) })
+	f.host.Do(func() { f.calls.SetRetention(c.OrderRetention.D()) })
 	return nil
 }
 
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -283,7 +283,7 @@
 	for i, header := range headers {
 		name := header.GetKey()
 		switch name {
-		case names.RequestID, names.Tenant, names.Key, names.Attempt, authorization:
+		case names.RequestID, names.Tenant, names.IdempotencyKey, names.Attempt, authorization:
 			// With two different values, whoever adds a header could choose which one counts (RFC 9110
 			// section 5.3: the field is no list, so only one is allowed).
 			for _, earlier := range headers[:i] {
@@ -307,7 +307,7 @@
 			head.requestID = headerValue(header)
 		case names.Tenant:
 			head.tenant = headerValue(header)
-		case names.Key:
+		case names.IdempotencyKey:
 			head.idempotencyKey = headerValue(header)
 		case names.Attempt:
 			n, err := strconv.Atoi(headerValue(header))
@@ -368,7 +368,7 @@
 	if head.hasTimeLeft {
 		timeLeft = min(timeLeft, head.timeLeft)
 	}
-	timeLeft -= s.config.Margin.D()
+	timeLeft -= s.config.ReturnMargin.D()
 	if timeLeft <= 0 {
 		return s.sendExpired(class)
 	}
@@ -586,7 +586,7 @@
 		return s.sendRefused(0)
 	case errors.Is(submitErr, proxy.ErrInUse):
 		return s.sendImmediate(409, []byte("the request id is in use"), "")
-	case identity.WhyOf(submitErr) != 0:
+	case identity.ReasonOf(submitErr) != 0:
 		return s.sendDenied(submitErr)
 	case submitErr != nil:
 		return s.sendImmediate(400, []byte(submitErr.Error()), "")
@@ -616,7 +616,7 @@
 		timeLeft = min(timeLeft, s.maxWait())
 	}
 	for _, v := range [...]struct{ name, text string }{
-		{s.config.Headers.Tenant, head.tenant}, {s.config.Headers.Key, head.idempotencyKey},
+		{s.config.Headers.Tenant, head.tenant}, {s.config.Headers.IdempotencyKey, head.idempotencyKey},
 	} {
 		if slices.ContainsFunc([]byte(v.text), func(b byte) bool { return b <= ' ' || b == ',' || b == '=' || b == 0x7f }) {
 			s.discardCall(newCall)
@@ -692,7 +692,7 @@
 	if extension := s.config.MaxMessageTimeout.D(); extension > 0 {
 		wait = wait/2 + extension
 	}
-	return wait - s.config.Margin.D() - time.Since(s.messageAt)
+	return wait - s.config.ReturnMargin.D() - time.Since(s.messageAt)
 }
 
 // decision is the result of waiting for the host.
@@ -773,18 +773,18 @@
 	}
 	wait := s.maxWait()
 	if !s.overrideSent && s.bodyMode != fullDuplex {
-		wait = s.config.MessageTimeout.D() - s.config.Margin.D() - time.Since(s.messageAt)
+		wait = s.config.MessageTimeout.D() - s.config.ReturnMargin.D() - time.Since(s.messageAt)
 	}
 	// The host ends a request at its deadline, at most one tick late; this bound covers requests that it
 	// cannot end.
-	return min(wait, time.Until(s.deadline)+s.config.Margin.D()/2)
+	return min(wait, time.Until(s.deadline)+s.config.ReturnMargin.D()/2)
 }
 
 // extendTimeout sends override_message_timeout. The caller ignores a value over its maximum, so the request
 // never exceeds it.
 func (s *stream) extendTimeout() error {
 	s.overrideSent = true
-	extension := min(s.config.MaxMessageTimeout.D(), time.Until(s.deadline)+s.config.Margin.D())
+	extension := min(s.config.MaxMessageTimeout.D(), time.Until(s.deadline)+s.config.ReturnMargin.D())
 	return s.send(&extprocv3.ProcessingResponse{OverrideMessageTimeout: durationpb.New(max(extension, time.Millisecond))})
 }
 
--- a/internal/idcmd/idcmd.go
+++ b/internal/idcmd/idcmd.go
@@ -1,5 +1,6 @@
-// Package idcmd is the commands for signing keys and tokens: what an operator does by hand, and what tests and staging need. It
-// writes key files whole, by rename, so that a process that reads one never sees half of it. It is no part of serving.
+// Package idcmd implements the commands for signing keys and tokens, for operators, tests and staging. It
+// replaces key files atomically by rename, so that a process never reads an incomplete file. It is not used
+// for serving.
 package idcmd
 
 import (
@@ -26,12 +27,12 @@
 	"linenloom/internal/identity"
 )
 
-const usageStatus = 2
+const exitUsage = 2
 
-// Token is the command token: sign and inspect.
+// Token runs the command token: sign and inspect.
 func Token(args []string) int { return run("token", args, os.Stdin, os.Stdout, os.Stderr, time.Now) }
 
-// Keys is the command keys: list and rotate.
+// Keys runs the command keys: list and rotate.
 func Keys(args []string) int { return run("keys", args, os.Stdin, os.Stdout, os.Stderr, time.Now) }
 
 func run(command string, args []string, in io.Reader, out, errs io.Writer, now func() time.Time) int {
@@ -51,16 +52,16 @@
 		err = rotate(args[1:], out, errs, now())
 	default:
 		fmt.Fprint(errs, `usage: linenloom token sign -key FILE -issuer I -audience A -tenant T [-jti ID] [-for 10m]   a token, on standard output
-       linenloom token inspect [-keys FILE]      what the token on standard input says, and whether a key set accepts it
-       linenloom keys list -keys FILE            the keys of a set, and where each stands
+       linenloom token inspect [-keys FILE]      the claims of the token on standard input, and whether a key set accepts it
+       linenloom keys list -keys FILE            the keys of a set and their phases
        linenloom keys rotate -keys FILE -private FILE [-alg EdDSA] [-after 1m] [-overlap 1h] [-prune 24h]
-                                                 a new key, which counts -after from now; those before it end -overlap later
+                                                 adds a key, active -after from now; the earlier keys end -overlap later
 `)
-		return usageStatus
+		return exitUsage
 	}
 	switch {
 	case errors.Is(err, flags.ErrUsage), errors.Is(err, flag.ErrHelp):
-		return usageStatus
+		return exitUsage
 	case err != nil:
 		fmt.Fprintf(errs, "linenloom %s %s: %v\n", command, name, err)
 		return 1
@@ -69,13 +70,13 @@
 }
 
 func sign(args []string, out, errs io.Writer, now time.Time) error {
-	f := flag.NewFlagSet("token sign", flag.ContinueOnError)
-	key := f.String("key", "", "the private key, a JWK `FILE`")
-	issuer, audience := f.String("issuer", "", "iss"), f.String("audience", "", "aud")
-	tenant, claim := f.String("tenant", "", "the tenant"), f.String("claim", "tenant", "the claim that names it")
-	subject, jti := f.String("subject", "", "sub"), f.String("jti", "", "an id, for an order's token")
-	life := f.Duration("for", 10*time.Minute, "how long it holds")
-	if err := flags.Parse(f, errs, args, "key", "issuer", "audience", "tenant"); err != nil {
+	flagSet := flag.NewFlagSet("token sign", flag.ContinueOnError)
+	key := flagSet.String("key", "", "the private key, a JWK `FILE`")
+	issuer, audience := flagSet.String("issuer", "", "iss"), flagSet.String("audience", "", "aud")
+	tenant, claim := flagSet.String("tenant", "", "the tenant"), flagSet.String("claim", "tenant", "the claim that names it")
+	subject, jti := flagSet.String("subject", "", "sub"), flagSet.String("jti", "", "an ID, for an order's token")
+	lifetime := flagSet.Duration("for", 10*time.Minute, "how long the token is valid")
+	if err := flags.Parse(flagSet, errs, args, "key", "issuer", "audience", "tenant"); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(*key)
@@ -86,16 +87,16 @@
 	if err := jwk.UnmarshalJSON(text); err != nil {
 		return fmt.Errorf("%s: %w", *key, err)
 	}
-	alg, err := algOf(jwk.Key)
+	alg, err := algorithmOf(jwk.Key)
 	if err != nil {
 		return fmt.Errorf("%s: %w", *key, err)
 	}
-	by, err := jose.NewSigner(jose.SigningKey{Algorithm: alg, Key: jwk.Key}, (&jose.SignerOptions{}).WithHeader("kid", jwk.KeyID))
+	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: alg, Key: jwk.Key}, (&jose.SignerOptions{}).WithHeader("kid", jwk.KeyID))
 	if err != nil {
 		return err
 	}
-	token, err := jwt.Signed(by).Claims(jwt.Claims{Issuer: *issuer, Audience: jwt.Audience{*audience}, Subject: *subject, ID: *jti,
-		IssuedAt: jwt.NewNumericDate(now), Expiry: jwt.NewNumericDate(now.Add(*life))}).
+	token, err := jwt.Signed(signer).Claims(jwt.Claims{Issuer: *issuer, Audience: jwt.Audience{*audience}, Subject: *subject, ID: *jti,
+		IssuedAt: jwt.NewNumericDate(now), Expiry: jwt.NewNumericDate(now.Add(*lifetime))}).
 		Claims(map[string]any{*claim: *tenant}).Serialize()
 	if err != nil {
 		return err
@@ -104,7 +105,7 @@
 	return err
 }
 
-func algOf(key any) (jose.SignatureAlgorithm, error) {
+func algorithmOf(key any) (jose.SignatureAlgorithm, error) {
 	switch key.(type) {
 	case ed25519.PrivateKey:
 		return jose.EdDSA, nil
@@ -113,68 +114,68 @@
 	case *rsa.PrivateKey:
 		return jose.RS256, nil
 	}
-	return "", errors.New("it holds no private key of EdDSA, ES256 or RS256")
+	return "", errors.New("it has no private key for EdDSA, ES256 or RS256")
 }
 
 func inspect(args []string, in io.Reader, out, errs io.Writer, now time.Time) error {
-	f := flag.NewFlagSet("token inspect", flag.ContinueOnError)
-	file := f.String("keys", "", "check it by this key set, a JWK set `FILE`")
-	if err := flags.Parse(f, errs, args); err != nil {
+	flagSet := flag.NewFlagSet("token inspect", flag.ContinueOnError)
+	file := flagSet.String("keys", "", "check the token against this JWK set `FILE`")
+	if err := flags.Parse(flagSet, errs, args); err != nil {
 		return err
 	}
-	text, err := io.ReadAll(io.LimitReader(in, identity.MaxToken+2))
+	text, err := io.ReadAll(io.LimitReader(in, identity.MaxTokenBytes+2))
 	if err != nil {
 		return err
 	}
 	token := strings.TrimSpace(string(text))
-	if len(token) > identity.MaxToken {
-		return fmt.Errorf("it is longer than %d bytes", identity.MaxToken)
+	if len(token) > identity.MaxTokenBytes {
+		return fmt.Errorf("the token is longer than %d bytes", identity.MaxTokenBytes)
 	}
-	t, err := jwt.ParseSigned(token, identity.Algorithms)
+	parsed, err := jwt.ParseSigned(token, identity.Algorithms)
 	if err != nil {
-		return errors.New("it is no token signed with EdDSA, ES256 or RS256")
+		return errors.New("the input is no token signed with EdDSA, ES256 or RS256")
 	}
-	var c jwt.Claims
-	var all map[string]any
-	if err := t.UnsafeClaimsWithoutVerification(&c, &all); err != nil {
-		return errors.New("its claims can't be read")
+	var registered jwt.Claims
+	var allClaims map[string]any
+	if err := parsed.UnsafeClaimsWithoutVerification(&registered, &allClaims); err != nil {
+		return errors.New("the token's claims can't be read")
 	}
-	fmt.Fprintf(out, "alg %s, kid %s\n", t.Headers[0].Algorithm, t.Headers[0].KeyID)
-	claims, err := json.MarshalIndent(all, "", "  ")
+	fmt.Fprintf(out, "alg %s, kid %s\n", parsed.Headers[0].Algorithm, parsed.Headers[0].KeyID)
+	claims, err := json.MarshalIndent(allClaims, "", "  ")
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s\n", claims)
-	if c.Expiry != nil {
-		fmt.Fprintf(out, "runs out %s, in %v\n", c.Expiry.Time().UTC().Format(time.RFC3339), c.Expiry.Time().Sub(now).Round(time.Second))
+	if registered.Expiry != nil {
+		fmt.Fprintf(out, "expires %s, in %v\n", registered.Expiry.Time().UTC().Format(time.RFC3339), registered.Expiry.Time().Sub(now).Round(time.Second))
 	}
 	if *file == "" {
-		fmt.Fprintln(out, "its signature was not checked: -keys is not given")
+		fmt.Fprintln(out, "the signature was not checked: -keys is not given")
 		return nil
 	}
-	keys, err := load(*file)
+	keys, err := loadKeySet(*file)
 	if err != nil {
 		return err
 	}
-	k := keys.ByID[t.Headers[0].KeyID]
+	k := keys.ByID[parsed.Headers[0].KeyID]
 	switch {
 	case k == nil:
-		return errors.New("no key of the set has its kid")
-	case t.Claims(k.Public, &c) != nil:
-		return errors.New("its signature is not by the set's key")
-	case k.Phase(now) != identity.Active:
+		return errors.New("no key of the set has the token's kid")
+	case parsed.Claims(k.Public, &registered) != nil:
+		return errors.New("the signature is not by the set's key")
+	case k.Phase(now) != identity.PhaseActive:
 		return fmt.Errorf("its key is %s", k.Phase(now))
 	}
-	fmt.Fprintln(out, "its signature is by a key of the set that is active")
+	fmt.Fprintln(out, "the signature is by an active key of the set")
 	return nil
 }
 
-func load(file string) (*identity.Keys, error) {
+func loadKeySet(file string) (*identity.KeySet, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	keys, err := identity.ParseKeys(text)
+	keys, err := identity.ParseKeySet(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -182,12 +183,12 @@
 }
 
 func list(args []string, out, errs io.Writer, now time.Time) error {
-	f := flag.NewFlagSet("keys list", flag.ContinueOnError)
-	file := f.String("keys", "", "a JWK set `FILE`")
-	if err := flags.Parse(f, errs, args, "keys"); err != nil {
+	flagSet := flag.NewFlagSet("keys list", flag.ContinueOnError)
+	file := flagSet.String("keys", "", "a JWK set `FILE`")
+	if err := flags.Parse(flagSet, errs, args, "keys"); err != nil {
 		return err
 	}
-	keys, err := load(*file)
+	keys, err := loadKeySet(*file)
 	if err != nil {
 		return err
 	}
@@ -198,20 +199,20 @@
 		return t.UTC().Format(time.RFC3339)
 	}
 	for _, k := range keys.List {
-		fmt.Fprintf(out, "%-20s %-6s %-8s from %s until %s\n", k.ID, k.Alg, k.Phase(now), when(k.From), when(k.Until))
+		fmt.Fprintf(out, "%-20s %-6s %-8s from %s until %s\n", k.ID, k.Alg, k.Phase(now), when(k.NotBefore), when(k.NotAfter))
 	}
 	return nil
 }
 
 func rotate(args []string, out, errs io.Writer, now time.Time) error {
-	f := flag.NewFlagSet("keys rotate", flag.ContinueOnError)
-	file := f.String("keys", "", "the JWK set `FILE`; it is made if it is not there")
-	private := f.String("private", "", "where the new private key goes, a `FILE` that is not there yet")
-	alg := f.String("alg", "EdDSA", "EdDSA, ES256 or RS256")
-	after := f.Duration("after", time.Minute, "when the new key begins to count: long enough for every process to have read the file")
-	overlap := f.Duration("overlap", time.Hour, "how long the keys before it count after that: as long as their tokens hold")
-	prune := f.Duration("prune", 24*time.Hour, "leave out keys that ended longer ago than this")
-	if err := flags.Parse(f, errs, args, "keys", "private"); err != nil {
+	flagSet := flag.NewFlagSet("keys rotate", flag.ContinueOnError)
+	file := flagSet.String("keys", "", "the JWK set `FILE`, created if it does not exist")
+	private := flagSet.String("private", "", "the `FILE` for the new private key, which must not exist yet")
+	alg := flagSet.String("alg", "EdDSA", "EdDSA, ES256 or RS256")
+	after := flagSet.Duration("after", time.Minute, "when the new key becomes active: long enough for every process to have read the file")
+	overlap := flagSet.Duration("overlap", time.Hour, "how long the earlier keys stay active after that: as long as their tokens are valid")
+	prune := flagSet.Duration("prune", 24*time.Hour, "remove keys that ended longer ago than this")
+	if err := flags.Parse(flagSet, errs, args, "keys", "private"); err != nil {
 		return err
 	}
 	var set struct {
@@ -223,7 +224,7 @@
 	case err != nil:
 		return err
 	default:
-		if _, err := identity.ParseKeys(text); err != nil {
+		if _, err := identity.ParseKeySet(text); err != nil {
 			return fmt.Errorf("%s: %w", *file, err)
 		}
 		if err := json.Unmarshal(text, &set); err != nil {
@@ -245,7 +246,7 @@
 	}
 	id := fmt.Sprintf("k%s", now.UTC().Format("20060102T150405"))
 	jwk := jose.JSONWebKey{KeyID: id, Use: "sig", Algorithm: *alg}
-	if jwk.Key, err = generate(*alg); err != nil {
+	if jwk.Key, err = generateKey(*alg); err != nil {
 		return err
 	}
 	secret, err := jwk.MarshalJSON()
@@ -267,31 +268,31 @@
 	if text, err = json.MarshalIndent(set, "", "  "); err != nil {
 		return err
 	}
-	if _, err := identity.ParseKeys(text); err != nil { // what would be turned down is not written
+	if _, err := identity.ParseKeySet(text); err != nil { // an invalid set is not written
 		return err
 	}
-	// The private key first: a public one whose private half is lost helps nobody.
-	p, err := os.OpenFile(*private, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	// The private key is written first: a public key is useless if its private key is lost.
+	privateFile, err := os.OpenFile(*private, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
 	}
-	if _, err = p.Write(append(secret, '\n')); err == nil {
-		err = p.Sync()
+	if _, err = privateFile.Write(append(secret, '\n')); err == nil {
+		err = privateFile.Sync()
 	}
-	if e := p.Close(); err == nil {
+	if e := privateFile.Close(); err == nil {
 		err = e
 	}
 	if err == nil {
-		err = replace(*file, append(text, '\n'))
+		err = replaceFile(*file, append(text, '\n'))
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s counts from %s; sign with it from then on\n", id, from.UTC().Format(time.RFC3339))
+	fmt.Fprintf(out, "%s is active from %s; sign with it from then on\n", id, from.UTC().Format(time.RFC3339))
 	return nil
 }
 
-func generate(alg string) (crypto.Signer, error) {
+func generateKey(alg string) (crypto.Signer, error) {
 	switch alg {
 	case "EdDSA":
 		_, k, err := ed25519.GenerateKey(rand.Reader)
@@ -304,8 +305,8 @@
 	return nil, fmt.Errorf("-alg is %q; it can be EdDSA, ES256 or RS256", alg)
 }
 
-// replace writes a file whole.
-func replace(path string, text []byte) error {
+// replaceFile replaces a file atomically.
+func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,9 +1,8 @@
-// Package identity decides who a caller is and what it may do: whether a token proves a tenant, for how long a proof holds while
-// keys come and go, and which requests a tenant's rights cover.
+// Package identity decides who a caller is and what it may do: whether a token or certificate proves a
+// tenant, how long the proof is valid while keys change, and which requests a tenant's rights permit.
 //
-// It is free of I/O, clock and goroutines: the time and the text of key sets are handed in. It reads no file, opens no
-// connection, and never puts a token into an error. Limits on what the fleet can take are not its matter; they are the
-// decision module's.
+// It has no I/O, clock or goroutines: the caller provides the time and the text of key sets. It never
+// includes a token in an error. The capacity of the fleet is not its concern but the decision module's.
 package identity
 
 import (
@@ -11,60 +10,61 @@
 	"fmt"
 )
 
-// Why is the reason for which a caller is turned away.
-type Why uint8
+// Reason is the reason why a caller is refused.
+type Reason uint8
 
-// The reasons.
+// The reasons of refusals.
 const (
-	Unproven   Why = iota + 1 // no token, where one is asked for
-	Malformed                 // it can't be read as a token
-	Forbidden                 // an algorithm, header or claim that is not accepted
-	UnknownKey                // no key of the set has its kid
-	NotYet                    // before the token's time, or the key's
-	RunOut                    // past the token's time
-	Retired                   // its key is retired
-	Elsewhere                 // of another issuer, or for another audience
-	Forged                    // the signature is not the key's
-	Overload                  // too many tokens are to be checked; nothing is said of this one
-	Right                     // the tenant has no right to it
-	Rate                      // the tenant has asked too often
-	Replayed                  // an order's token that was used before, or may have been
+	NoCredentials Reason = iota + 1 // no token or certificate, although one is required
+	Malformed                       // not a readable token
+	Forbidden                       // an algorithm, header or claim is not accepted
+	UnknownKey                      // the key set has no key with the token's kid
+	NotYetValid                     // the token or its key is not valid yet
+	Expired                         // the token or certificate has expired
+	KeyRetired                      // the token's key or the certificate's root is retired
+	Foreign                         // from another issuer, for another audience, or naming no known tenant
+	BadSignature                    // the signature does not match the key
+	Overloaded                      // too many tokens to check; this one has not been checked
+	NoRight                         // the tenant has no right to the request
+	RateLimited                     // the tenant exceeds its request rate
+	Replayed                        // the token of an order has been used before, or may have been
 )
 
-var whyText = [...]string{Unproven: "no token", Malformed: "no token of a known form", Forbidden: "not accepted",
-	UnknownKey: "unknown key", NotYet: "not valid yet", RunOut: "run out", Retired: "its key is retired",
-	Elsewhere: "not for here", Forged: "wrong signature", Overload: "too many tokens to check", Right: "no right",
-	Rate: "too often", Replayed: "used before"}
+var reasonText = [...]string{NoCredentials: "no token", Malformed: "no token of a known form", Forbidden: "not accepted",
+	UnknownKey: "unknown key", NotYetValid: "not valid yet", Expired: "run out", KeyRetired: "its key is retired",
+	Foreign: "not for here", BadSignature: "wrong signature", Overloaded: "too many tokens to check", NoRight: "no right",
+	RateLimited: "too often", Replayed: "used before"}
 
-func (w Why) String() string {
-	if int(w) < len(whyText) && whyText[w] != "" {
-		return whyText[w]
+func (w Reason) String() string {
+	if int(w) < len(reasonText) && reasonText[w] != "" {
+		return reasonText[w]
 	}
 	return "unknown"
 }
 
-// Error tells why a caller is turned away, in words that hold nothing of the token but what the file of rights names itself.
+// Error is the reason why a caller is refused. Its text has nothing of the token except names that the
+// operator's file defines.
 type Error struct {
-	Why  Why
-	What string
+	Reason Reason
+	Detail string
 }
 
 func (e *Error) Error() string {
-	if e.What == "" {
-		return e.Why.String()
+	if e.Detail == "" {
+		return e.Reason.String()
 	}
-	return e.Why.String() + ": " + e.What
+	return e.Reason.String() + ": " + e.Detail
 }
 
-func deny(why Why, format string, args ...any) error {
+func deny(why Reason, format string, args ...any) error {
 	return &Error{why, fmt.Sprintf(format, args...)}
 }
 
-// WhyOf is the reason that an error tells; 0: none of these.
-func WhyOf(err error) Why {
+// ReasonOf returns the reason in an error, or 0 if there is none.
+func ReasonOf(err error) Reason {
 	var e *Error
 	if errors.As(err, &e) {
-		return e.Why
+		return e.Reason
 	}
 	return 0
 }
--- a/internal/identity/sources.go
+++ b/internal/identity/sources.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// suspectFor is how long an address stays suspect after the latest forged token that came from it.
-const suspectFor = 30 * time.Second
+// suspectDuration is how long an address stays suspect after its latest forged token.
+const suspectDuration = 30 * time.Second
 
-// Sources remembers which addresses have shown a forged token lately: who brings one on each new connection would else look clean each
-// time, and use up the half of the checks that is kept for those who are. Other faults of a token cost no check. It is bounded: where it is full, the address that has shown
-// none for longest is forgotten. Of IPv6 the first 64 bits count, as whoever has one address has all of those. It could do harm
-// behind an address that many share: one of them makes all use the open half.
-type Sources struct {
-	Most  int
-	seen  map[netip.Addr]*list.Element
-	order list.List // of *suspect, the latest in front
+// SuspectSources remembers addresses that have recently sent a forged token. Otherwise a caller that sends
+// one on each new connection would look clean every time and use up the half of the checks that is reserved
+// for clean callers. Other errors of a token cost no check. The number of addresses is limited: if it is
+// reached, the address without a forged token for the longest time is removed. IPv6 addresses are compared
+// by their first 64 bits, as a caller usually has the whole prefix. Where many callers share an address, one
+// forger limits all of them to the shared half.
+type SuspectSources struct {
+	MaxAddresses int
+	byPrefix     map[netip.Addr]*list.Element
+	recent       list.List // of *suspect, the latest first
 }
 
 type suspect struct {
-	addr  netip.Addr
-	until time.Time
+	prefix    netip.Addr
+	expiresAt time.Time
 }
 
-func source(a netip.Addr) netip.Addr {
+func sourcePrefix(a netip.Addr) netip.Addr {
 	if a = a.Unmap(); a.Is6() {
 		if p, err := a.WithZone("").Prefix(64); err == nil {
 			return p.Addr()
@@ -33,41 +35,42 @@
 	return a
 }
 
-// Suspect tells whether an address has shown a forged token lately.
-func (s *Sources) Suspect(now time.Time, a netip.Addr) bool {
-	e := s.seen[source(a)]
-	return e != nil && now.Before(e.Value.(*suspect).until)
+// Suspect reports whether an address has recently sent a forged token.
+func (s *SuspectSources) Suspect(now time.Time, a netip.Addr) bool {
+	e := s.byPrefix[sourcePrefix(a)]
+	return e != nil && now.Before(e.Value.(*suspect).expiresAt)
 }
 
-// Bad notes that a forged token came from an address.
-func (s *Sources) Bad(now time.Time, a netip.Addr) {
-	if a = source(a); !a.IsValid() || s.Most < 1 {
+// RecordForged records that an address sent a forged token.
+func (s *SuspectSources) RecordForged(now time.Time, a netip.Addr) {
+	if a = sourcePrefix(a); !a.IsValid() || s.MaxAddresses < 1 {
 		return
 	}
-	if s.seen == nil {
-		s.seen = map[netip.Addr]*list.Element{}
+	if s.byPrefix == nil {
+		s.byPrefix = map[netip.Addr]*list.Element{}
 	}
-	if e := s.seen[a]; e != nil {
-		e.Value.(*suspect).until = now.Add(suspectFor)
-		s.order.MoveToFront(e)
+	if e := s.byPrefix[a]; e != nil {
+		e.Value.(*suspect).expiresAt = now.Add(suspectDuration)
+		s.recent.MoveToFront(e)
 		return
 	}
-	for len(s.seen) >= s.Most {
-		last := s.order.Back()
-		delete(s.seen, last.Value.(*suspect).addr)
-		s.order.Remove(last)
+	for len(s.byPrefix) >= s.MaxAddresses {
+		last := s.recent.Back()
+		delete(s.byPrefix, last.Value.(*suspect).prefix)
+		s.recent.Remove(last)
 	}
-	s.seen[a] = s.order.PushFront(&suspect{a, now.Add(suspectFor)})
+	s.byPrefix[a] = s.recent.PushFront(&suspect{a, now.Add(suspectDuration)})
 }
 
-// Len counts the addresses that are remembered.
-func (s *Sources) Len() int { return len(s.seen) }
+// Len returns the number of addresses.
+func (s *SuspectSources) Len() int { return len(s.byPrefix) }
 
-// Budget lets so many through a second, and a second's worth at once. It is not safe for concurrent use.
-type Budget struct{ bucket bucket }
+// RateLimiter permits a number of events per second, with a burst of one second's worth. It is not safe for
+// concurrent use.
+type RateLimiter struct{ bucket tokenBucket }
 
-// NewBudget makes a Budget.
-func NewBudget(perS float64) *Budget { return &Budget{bucket{rate: perS}} }
+// NewRateLimiter returns a RateLimiter.
+func NewRateLimiter(perS float64) *RateLimiter { return &RateLimiter{tokenBucket{rate: perS}} }
 
-// Take tells whether one more may pass now.
-func (r *Budget) Take(now time.Time) bool { return r.bucket.take(now) }
+// Allow reports whether another event is permitted now, and counts it.
+func (r *RateLimiter) Allow(now time.Time) bool { return r.bucket.take(now) }
--- a/internal/operator/identity.go
+++ b/internal/operator/identity.go
@@ -9,39 +9,40 @@
 	"linenloom/internal/identity"
 )
 
-// Identity has callers proven by signed tokens, and bounds what each tenant may do (docs/identity-operators.md).
+// Identity requires callers to be identified by signed tokens or client certificates, and limits what each
+// tenant may do (docs/identity-operators.md).
 type Identity struct {
-	Keys        string   `toml:"keys"` // the file with the JWK set
-	Issuer      string   `toml:"issuer"`
-	Audience    string   `toml:"audience"`
-	TenantClaim string   `toml:"tenant_claim"`
-	Name        string   `toml:"name"` // of a token in a request's list of names and values
-	Leeway      Duration `toml:"leeway"`
-	MaxLife     Duration `toml:"max_life"`
-	Known       int      `toml:"known"`
-	ChecksPerS  int      `toml:"checks_per_s"`
-	Replays     int      `toml:"replays"`
-	Suspects    int      `toml:"suspects"` // addresses that have shown a bad token lately, remembered at the most
-	Tenants     []Tenant `toml:"tenant"`
-
-	TLS          TLS           `toml:"tls"` // its zero value: not set
+	KeySetFile      string   `toml:"keys" json:"Keys"` // path of the JWK set
+	Issuer          string   `toml:"issuer"`
+	Audience        string   `toml:"audience"`
+	TenantClaim     string   `toml:"tenant_claim"`
+	TokenAttribute  string   `toml:"name" json:"Name"` // the request attribute that carries a token
+	Leeway          Duration `toml:"leeway"`
+	MaxLifetime     Duration `toml:"max_life" json:"MaxLife"`
+	TokenCacheSize  int      `toml:"known" json:"Known"`
+	ChecksPerSecond int      `toml:"checks_per_s" json:"ChecksPerS"`
+	MaxReplayIDs    int      `toml:"replays" json:"Replays"`
+	MaxSuspects     int      `toml:"suspects" json:"Suspects"` // remembered addresses with a recent forged token
+	Tenants         []Tenant `toml:"tenant"`
+
+	TLS          TLS           `toml:"tls"` // the zero value means not set
 	Certificates []Certificate `toml:"certificate"`
 }
 
-// TLS has listeners speak TLS, and take client certificates.
+// TLS makes listeners use TLS and accept client certificates.
 type TLS struct {
-	Cert       string   `toml:"cert"` // the listeners' own, with those that lead to its root
+	Cert       string   `toml:"cert"` // path of the listeners' certificate chain
 	Key        string   `toml:"key"`
-	Roots      string   `toml:"roots"`  // that client certificates may end in
-	Client     string   `toml:"client"` // asked or required
-	Fronts     []string `toml:"fronts"` // empty: all
+	Roots      string   `toml:"roots"`  // path of the root certificates for client certificates
+	Client     string   `toml:"client"` // "asked" or "required"
+	Fronts     []string `toml:"fronts"` // empty means all
 	Handshakes int      `toml:"handshakes_per_s"`
 }
 
-// Set tells whether the file has it.
-func (t *TLS) Set() bool { return t.Client != "" }
+// Enabled reports whether the file sets [identity.tls].
+func (t *TLS) Enabled() bool { return t.Client != "" }
 
-// Certificate says which tenant a client certificate proves.
+// Certificate maps client certificates to a tenant.
 type Certificate struct {
 	URI    string `toml:"uri"`
 	DNS    string `toml:"dns"`
@@ -62,21 +63,21 @@
 	Line     int
 }
 
-var identityDefaults = Identity{TenantClaim: "tenant", Name: "tk", Leeway: Duration(30 * time.Second), MaxLife: Duration(24 * time.Hour),
-	Known: 4096, ChecksPerS: 500, Replays: 65536, Suspects: 4096, TLS: TLS{Client: "asked", Handshakes: 200}}
+var identityDefaults = Identity{TenantClaim: "tenant", TokenAttribute: "tk", Leeway: Duration(30 * time.Second), MaxLifetime: Duration(24 * time.Hour),
+	TokenCacheSize: 4096, ChecksPerSecond: 500, MaxReplayIDs: 65536, MaxSuspects: 4096, TLS: TLS{Client: "asked", Handshakes: 200}}
 
-// ByTokens tells whether callers can be proven by tokens.
-func (i *Identity) ByTokens() bool { return i.Keys != "" }
+// AcceptsTokens reports whether callers can be identified by tokens.
+func (i *Identity) AcceptsTokens() bool { return i.KeySetFile != "" }
 
-// Rules say which tenants client certificates prove, in the deciding module's terms.
-func (i *Identity) Rules() (all []identity.CertRule) {
+// CertRules converts the certificates' rules to package identity's type.
+func (i *Identity) CertRules() (all []identity.CertRule) {
 	for _, c := range i.Certificates {
 		all = append(all, identity.CertRule{URI: c.URI, DNS: c.DNS, Issuer: c.Issuer, Tenant: c.Tenant})
 	}
 	return all
 }
 
-// Rights are the tenants' in the deciding module's terms.
+// Rights converts the tenants' rights to package identity's type.
 func (i *Identity) Rights() (all []identity.Rights) {
 	for _, t := range i.Tenants {
 		all = append(all, identity.Rights{Tenant: t.Name, Classes: t.Classes, Prefixes: t.Prefixes, Fronts: t.Fronts,
@@ -85,117 +86,117 @@
 	return all
 }
 
-// Terms are what a token has to fulfil.
-func (i *Identity) Terms() identity.Terms {
-	return identity.Terms{Issuer: i.Issuer, Audience: i.Audience, TenantClaim: i.TenantClaim, Leeway: i.Leeway.D(),
-		MaxLife: i.MaxLife.D(), CacheSize: i.Known, ChecksPerS: float64(i.ChecksPerS)}
+// TokenRequirements returns the conditions that a token has to meet.
+func (i *Identity) TokenRequirements() identity.TokenRequirements {
+	return identity.TokenRequirements{Issuer: i.Issuer, Audience: i.Audience, TenantClaim: i.TenantClaim, Leeway: i.Leeway.D(),
+		MaxLifetime: i.MaxLifetime.D(), CacheSize: i.TokenCacheSize, ChecksPerSecond: float64(i.ChecksPerSecond)}
 }
 
-func (d *doc) checkIdentity(e *Identity) {
-	const p = "identity."
-	d.checkTLS(e)
+func (d *decoder) checkIdentity(settings *Identity) {
+	const prefix = "identity."
+	d.checkTLS(settings)
 	for _, name := range []string{"keys", "issuer", "audience"} {
-		if tokens := d.given(p+"keys") || d.given(p+"issuer") || d.given(p+"audience"); !d.given(p+name) && (tokens || !e.TLS.Set()) {
-			d.at("identity", "identity.%s is missing", name)
+		if tokens := d.isSet(prefix+"keys") || d.isSet(prefix+"issuer") || d.isSet(prefix+"audience"); !d.isSet(prefix+name) && (tokens || !settings.TLS.Enabled()) {
+			d.faultAt("identity", "identity.%s is missing", name)
 		}
 	}
-	for name, value := range map[string]string{"keys": e.Keys, "issuer": e.Issuer, "audience": e.Audience, "tenant_claim": e.TenantClaim} {
-		if value == "" && d.given(p+name) || name == "tenant_claim" && value == "" {
-			d.at(p+name, "identity.%s is empty", name)
+	for name, value := range map[string]string{"keys": settings.KeySetFile, "issuer": settings.Issuer, "audience": settings.Audience, "tenant_claim": settings.TenantClaim} {
+		if value == "" && d.isSet(prefix+name) || name == "tenant_claim" && value == "" {
+			d.faultAt(prefix+name, "identity.%s is empty", name)
 		}
 	}
 	switch {
-	case !listName(e.Name):
-		d.at(p+"name", "identity.name is %q; letters and digits", e.Name)
-	case len(e.Name) == 1 && (e.Name == "c" || e.Name == "t" || e.Name == "d" || e.Name == "k" || e.Name == "r" || e.Name == "h") || e.Name == "size":
-		d.at(p+"name", "identity.name is %q, which means something else in a request's list", e.Name)
+	case !validAttributeName(settings.TokenAttribute):
+		d.faultAt(prefix+"name", "identity.name is %q; it can have up to 16 letters and digits", settings.TokenAttribute)
+	case len(settings.TokenAttribute) == 1 && (settings.TokenAttribute == "c" || settings.TokenAttribute == "t" || settings.TokenAttribute == "d" || settings.TokenAttribute == "k" || settings.TokenAttribute == "r" || settings.TokenAttribute == "h") || settings.TokenAttribute == "size":
+		d.faultAt(prefix+"name", "identity.name is %q, which is already another attribute of a request", settings.TokenAttribute)
 	}
-	d.within(p+"leeway", e.Leeway.D(), 0, 5*time.Minute)
-	d.within(p+"max_life", e.MaxLife.D(), time.Minute, 30*24*time.Hour)
-	d.number(p+"known", e.Known, 0, 1<<20)
-	d.number(p+"checks_per_s", e.ChecksPerS, 2, 1_000_000)
-	d.number(p+"replays", e.Replays, 1, 1<<22)
-	d.number(p+"suspects", e.Suspects, 0, 1<<20)
-	if len(e.Tenants) == 0 {
-		d.at("identity", "no [[identity.tenant]]: nobody would have a right")
+	d.checkDuration(prefix+"leeway", settings.Leeway.D(), 0, 5*time.Minute)
+	d.checkDuration(prefix+"max_life", settings.MaxLifetime.D(), time.Minute, 30*24*time.Hour)
+	d.checkInt(prefix+"known", settings.TokenCacheSize, 0, 1<<20)
+	d.checkInt(prefix+"checks_per_s", settings.ChecksPerSecond, 2, 1_000_000)
+	d.checkInt(prefix+"replays", settings.MaxReplayIDs, 1, 1<<22)
+	d.checkInt(prefix+"suspects", settings.MaxSuspects, 0, 1<<20)
+	if len(settings.Tenants) == 0 {
+		d.faultAt("identity", "no [[identity.tenant]]: no caller would have any rights")
 	}
 	named := map[string]bool{}
-	for i := range e.Tenants {
-		t, path := &e.Tenants[i], fmt.Sprintf("identity.tenant[%d]", i)
+	for i := range settings.Tenants {
+		t, path := &settings.Tenants[i], fmt.Sprintf("identity.tenant[%d]", i)
 		t.Line = d.lines[path]
 		switch {
 		case t.Name == "":
-			d.at(path, "%s has no name", path)
-		case !tenantName(t.Name):
-			d.at(path+".name", "%s.name is %q; letters, digits, '-', '_' and '.'", path, t.Name)
+			d.faultAt(path, "%s has no name", path)
+		case !validTenantName(t.Name):
+			d.faultAt(path+".name", "%s.name is %q; it can have letters, digits, '-', '_' and '.', up to 64", path, t.Name)
 		case named[t.Name]:
-			d.at(path+".name", "%s.name: %q stands twice", path, t.Name)
+			d.faultAt(path+".name", "%s.name: %q is used twice", path, t.Name)
 		}
 		named[t.Name] = true
 		for _, f := range t.Fronts {
-			d.oneOf(path+".fronts", f, "resp2", "extproc")
+			d.checkOneOf(path+".fronts", f, "resp2", "extproc")
 		}
-		d.number(path+".max_value", t.MaxValue, 0, 4<<20)
-		d.number(path+".rate", t.Rate, 0, 1_000_000)
+		d.checkInt(path+".max_value", t.MaxValue, 0, 4<<20)
+		d.checkInt(path+".rate", t.Rate, 0, 1_000_000)
 	}
 }
 
-func (d *doc) checkTLS(e *Identity) {
-	const p = "identity.tls"
-	if !d.given(p) {
-		e.TLS = TLS{}
+func (d *decoder) checkTLS(settings *Identity) {
+	const prefix = "identity.tls"
+	if !d.isSet(prefix) {
+		settings.TLS = TLS{}
 	} else {
-		for name, value := range map[string]string{"cert": e.TLS.Cert, "key": e.TLS.Key, "roots": e.TLS.Roots} {
+		for name, value := range map[string]string{"cert": settings.TLS.Cert, "key": settings.TLS.Key, "roots": settings.TLS.Roots} {
 			if value == "" {
-				d.at(p, "%s.%s is missing or empty", p, name)
+				d.faultAt(prefix, "%s.%s is missing or empty", prefix, name)
 			}
 		}
-		d.oneOf(p+".client", e.TLS.Client, "asked", "required")
-		for _, f := range e.TLS.Fronts {
-			d.oneOf(p+".fronts", f, "resp2", "extproc")
+		d.checkOneOf(prefix+".client", settings.TLS.Client, "asked", "required")
+		for _, f := range settings.TLS.Fronts {
+			d.checkOneOf(prefix+".fronts", f, "resp2", "extproc")
 		}
-		d.number(p+".handshakes_per_s", e.TLS.Handshakes, 1, 1_000_000)
-		if len(e.Certificates) == 0 && !d.given("identity.keys") {
-			d.at(p, "no [[identity.certificate]] and no identity.keys: nobody could be proven")
+		d.checkInt(prefix+".handshakes_per_s", settings.TLS.Handshakes, 1, 1_000_000)
+		if len(settings.Certificates) == 0 && !d.isSet("identity.keys") {
+			d.faultAt(prefix, "no [[identity.certificate]] and no identity.keys: no caller could be identified")
 		}
 	}
-	for i := range e.Certificates {
-		c, path := &e.Certificates[i], fmt.Sprintf("identity.certificate[%d]", i)
+	for i := range settings.Certificates {
+		c, path := &settings.Certificates[i], fmt.Sprintf("identity.certificate[%d]", i)
 		c.Line = d.lines[path]
-		set := 0
+		criteria := 0
 		for _, s := range []string{c.URI, c.DNS, c.Issuer} {
 			if s != "" {
-				set++
+				criteria++
 			}
 		}
 		named := func(t Tenant) bool { return t.Name == c.Tenant }
 		switch {
-		case !d.given(p):
-			d.at(path, "%s, but no [identity.tls] that would ask for certificates", path)
-		case set != 1:
-			d.at(path, "%s has to have one of uri, dns and issuer, and has %d", path, set)
+		case !d.isSet(prefix):
+			d.faultAt(path, "%s, but no [identity.tls] to request certificates", path)
+		case criteria != 1:
+			d.faultAt(path, "%s has to have one of uri, dns and issuer; it has %d", path, criteria)
 		case c.Tenant == "":
-			d.at(path, "%s has no tenant", path)
-		case !slices.ContainsFunc(e.Tenants, named):
-			d.at(path+".tenant", "%s.tenant: %q is no [[identity.tenant]]", path, c.Tenant)
+			d.faultAt(path, "%s has no tenant", path)
+		case !slices.ContainsFunc(settings.Tenants, named):
+			d.faultAt(path+".tenant", "%s.tenant: %q is no [[identity.tenant]]", path, c.Tenant)
 		case strings.Contains(strings.TrimSuffix(c.URI, "/*"), "*") || strings.Contains(strings.TrimPrefix(c.DNS, "*."), "*"):
-			d.at(path, "%s: a \"*\" can only be a URI's end (\"/*\") or a DNS name's first label (\"*.\")", path)
+			d.faultAt(path, "%s: a \"*\" can only be a URI's end (\"/*\") or a DNS name's first label (\"*.\")", path)
 		}
 	}
 }
 
-func (d *doc) number(path string, value, least, most int) {
+func (d *decoder) checkInt(path string, value, least, most int) {
 	if value < least || value > most {
-		d.at(path, "%s is %d; it can be from %d to %d", path, value, least, most)
+		d.faultAt(path, "%s is %d; it can be from %d to %d", path, value, least, most)
 	}
 }
 
-func listName(s string) bool { return s != "" && len(s) <= 16 && plainWord(s, "") }
+func validAttributeName(s string) bool { return s != "" && len(s) <= 16 && isAlphanumeric(s, "") }
 
-// tenantName tells whether a tenant's name can stand in a request's list as it is.
-func tenantName(s string) bool { return len(s) <= 64 && plainWord(s, "-_.") }
+// validTenantName reports whether a tenant's name can be an attribute's value in a request without escaping.
+func validTenantName(s string) bool { return len(s) <= 64 && isAlphanumeric(s, "-_.") }
 
-func plainWord(s, more string) bool {
+func isAlphanumeric(s, more string) bool {
 	for _, r := range s {
 		if !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || len(more) > 0 && (r == '-' || r == '_' || r == '.')) {
 			return false
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -128,7 +128,7 @@
 	case err == nil:
 	case errors.Is(err, ErrBusy):
 		m.completeKey(keyIndex, manykeys.Refused, Answer{Kind: Refused}, nil)
-	case identity.WhyOf(err) != 0:
+	case identity.ReasonOf(err) != 0:
 		m.completeKey(keyIndex, manykeys.Denied, Answer{Kind: Failed}, err)
 	default:
 		m.completeKey(keyIndex, manykeys.Failed, Answer{Kind: Failed}, err)
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -98,7 +98,7 @@
 	if r.By != nil {
 		order.Tenant = r.By.Tenant
 		if r.By.ID != "" {
-			order.Token, order.TokenExpiry = r.By.ID, time.Duration(r.By.Until.UnixNano())
+			order.Token, order.TokenExpiry = r.By.ID, time.Duration(r.By.ExpiresAt.UnixNano())
 		}
 	}
 	r.rec = &recordedOrder{name: order.Name, balancerRequest: balancerRequest}
@@ -140,7 +140,7 @@
 	case verdict == orders.RecordFull:
 		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Why: reasons.RecordFull})
 	case verdict == orders.TokenUsed:
-		r.denied = &identity.Error{Why: identity.Replayed}
+		r.denied = &identity.Error{Reason: identity.Replayed}
 		p.finishRequest(r.id, Answer{Kind: Failed, Why: logic.Rejected})
 	case verdict == orders.Receipt && slices.Contains(p.cfg.ReceiptFronts, r.Front):
 		r.done = true
