--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -107,7 +107,7 @@
 }
 
 func (r *reloader) force(classes []logic.Class, tries int) error {
-	if err := r.p.Retune(classes, tries); err != nil {
+	if err := r.p.UpdateClasses(classes, tries); err != nil {
 		return err
 	}
 	r.classes, r.tries = classes, tries
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -86,7 +86,7 @@
 
 // answer passes the host's final answer on.
 func (s *stream) answer(a *proxy.Answer) error {
-	s.why = a.Why
+	s.why = a.Reason
 	switch a.Kind {
 	case proxy.Served:
 		if s.target.Many {
@@ -99,7 +99,7 @@
 	if err := s.call.req.Denied(); err != nil {
 		return s.denied(err)
 	}
-	switch a.Why {
+	switch a.Reason {
 	case reasons.OrderInHand:
 		return s.immediate(409, []byte("an order of this key is in hand\n"), "")
 	case reasons.OtherOrder:
@@ -283,7 +283,7 @@
 	var final *proxy.Answer
 	var again bool
 	s.f.p.Do(func() {
-		if a := c.attempt; a != nil && !a.Ended() && a.Given() {
+		if a := c.attempt; a != nil && !a.Ended() && a.Announced() {
 			r.Origin = a.Origin
 			v = r.Verdict()
 			a.End(v, note)
@@ -328,11 +328,11 @@
 		if c.settled {
 			return
 		}
-		if c.attempt != nil && c.attempt.Given() {
+		if c.attempt != nil && c.attempt.Announced() {
 			if s.elsewhere {
-				c.attempt.DeliverElsewhere()
+				c.attempt.MarkServedElsewhere()
 			} else {
-				c.attempt.Deliver(s.note)
+				c.attempt.MarkServed(s.note)
 			}
 		}
 		s.f.counts.Served++
--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -33,7 +33,7 @@
 	})
 	place := w.f.p.LongRoom(n, left)
 	if !place.Wait() {
-		w.conclude(proxy.Answer{Kind: proxy.Refused, Why: reasons.HostFull})
+		w.conclude(proxy.Answer{Kind: proxy.Refused, Reason: reasons.HostFull})
 		return errNoRoom
 	}
 	w.f.p.Do(func() {
@@ -111,7 +111,7 @@
 		}
 		value := append(make([]byte, 0, n), s.body...)
 		s.f.p.Do(func() {
-			s.f.p.Hold(-cap(s.body)) // it is in the room now
+			s.f.p.AddHeld(-cap(s.body)) // it is in the room now
 			s.body, s.place = value, place
 		})
 	}
--- a/internal/extproc/server/secure.go
+++ b/internal/extproc/server/secure.go
@@ -62,7 +62,7 @@
 	if s.conn == nil {
 		return netip.Addr{}
 	}
-	return proxy.AddrOf(s.conn.Conn)
+	return proxy.RemoteAddrOf(s.conn.Conn)
 }
 
 // byCertificate is what the certificate proves of the connection that a stream came by; nil, if nothing.
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -216,12 +216,12 @@
 // Drain says in the health service that callers should look elsewhere; streams are still taken.
 func (f *Front) Drain() { f.health.Shutdown() }
 
-// StopTaking sends callers away: what they open from now on goes elsewhere, by HTTP/2's GOAWAY, and never ran here.
-func (f *Front) StopTaking() { go f.grpc.GracefulStop() }
+// StopAccepting sends callers away: what they open from now on goes elsewhere, by HTTP/2's GOAWAY, and never ran here.
+func (f *Front) StopAccepting() { go f.grpc.GracefulStop() }
 
-// Owes tells whether a stream still waits for something. One whose exchange is over is ended; one that has said nothing
+// EndIdle tells whether a stream still waits for something. One whose exchange is over is ended; one that has said nothing
 // yet may have its first message on the way, and is waited for as long as any.
-func (f *Front) Owes() bool {
+func (f *Front) EndIdle() bool {
 	owed := false
 	for s := range f.streams {
 		if s.idle && (s.out == nil || s.out.in.Load() == 0) {
@@ -233,8 +233,8 @@
 	return owed
 }
 
-// End has nothing to add: a stream ends with its answer, and callers know by GOAWAY that the others never ran.
-func (f *Front) End() {}
+// EndAll has nothing to add: a stream ends with its answer, and callers know by GOAWAY that the others never ran.
+func (f *Front) EndAll() {}
 
 // Sweep ends streams that stand for too long, and calls whose caller has not come back.
 func (f *Front) Sweep() {
@@ -251,8 +251,8 @@
 	}
 }
 
-// MakeRoom has nothing to give up: a caller's connection carries many streams.
-func (f *Front) MakeRoom() bool { return false }
+// FreeDescriptor has nothing to give up: a caller's connection carries many streams.
+func (f *Front) FreeDescriptor() bool { return false }
 
 // Close ends what is still open. gRPC gives descriptors back under the host's lock, which the caller holds.
 func (f *Front) Close() { go f.grpc.Stop() }
@@ -271,9 +271,9 @@
 		}
 		room := false
 		l.f.p.Do(func() {
-			if room = l.f.conns < mostConns && l.f.p.Room(); room {
+			if room = l.f.conns < mostConns && l.f.p.EnsureDescriptor(); room {
 				l.f.conns++
-				l.f.p.Descriptors(1)
+				l.f.p.AddDescriptors(1)
 			}
 		})
 		if room {
@@ -311,7 +311,7 @@
 			c.closed = true
 			delete(c.f.proven, c)
 			c.f.conns--
-			c.f.p.Descriptors(-1)
+			c.f.p.AddDescriptors(-1)
 		})
 	})
 	return err
@@ -368,8 +368,8 @@
 			f.counts.Unavailable++
 			return
 		}
-		if f.p.Hold(streamCost) {
-			f.p.Hold(-streamCost)
+		if f.p.AddHeld(streamCost) {
+			f.p.AddHeld(-streamCost)
 			f.counts.Unavailable++
 			return
 		}
@@ -392,12 +392,12 @@
 			s.conn.left()
 		}
 		if s.place == nil {
-			f.p.Hold(-cap(s.body))
+			f.p.AddHeld(-cap(s.body))
 		} else {
 			s.place.ReleaseLocked()
 			s.place = nil
 		}
-		f.p.Hold(-streamCost - s.window)
+		f.p.AddHeld(-streamCost - s.window)
 		s.body = nil
 		if s.call != nil {
 			s.call.left(s)
@@ -427,10 +427,10 @@
 // routed is a call whose attempts the caller makes.
 type routed struct{ *call }
 
-var _ proxy.Carrier = routed{}
+var _ proxy.ExternalSender = routed{}
 
-// Carry takes the member of the next attempt.
-func (c routed) Carry(a *proxy.Attempt) {
+// Assign takes the member of the next attempt.
+func (c routed) Assign(a *proxy.Attempt) {
 	c.attempt = a
 	c.notify()
 }
@@ -442,7 +442,7 @@
 		a.Body.Keep()
 	case a.Value != nil:
 		a.Value = append([]byte(nil), a.Value...)
-		c.f.p.Hold(len(a.Value))
+		c.f.p.AddHeld(len(a.Value))
 	}
 	c.final = &a
 	c.notify()
@@ -461,14 +461,14 @@
 		return
 	}
 	c.settled = true
-	c.f.p.Withdraw(&c.req)
+	c.f.p.Cancel(&c.req)
 	ran := c.req.MayHaveRun() // what had yet to be sent has been taken back
 	if c.many != nil {
 		c.many.leave()
 	}
 	if c.attempt != nil && !c.attempt.Ended() {
 		s := logic.StatusConnectFailed
-		if c.attempt.Given() {
+		if c.attempt.Announced() {
 			s = logic.StatusCancelled
 		}
 		c.attempt.End(s, 0)
@@ -496,15 +496,15 @@
 		c.place.ReleaseLocked()
 		c.final.Value, c.place = nil, nil
 	default:
-		c.f.p.Hold(-len(c.final.Value))
+		c.f.p.AddHeld(-len(c.final.Value))
 		c.final.Value = nil
 	}
 }
 
 // narrow takes the members that the caller allows from now on.
 func (c *call) narrow(only []string) {
-	if !slices.Equal(only, c.req.Only) || (only == nil) != (c.req.Only == nil) {
-		c.f.p.Narrow(&c.req, only)
+	if !slices.Equal(only, c.req.AllowedAddrs) || (only == nil) != (c.req.AllowedAddrs == nil) {
+		c.f.p.RestrictMembers(&c.req, only)
 	}
 }
 
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -467,7 +467,7 @@
 			s.f.p.Do(func() {
 				was := cap(s.body)
 				s.body = append(s.body, m.GetBody()...)
-				over = s.f.p.Hold(cap(s.body) - was)
+				over = s.f.p.AddHeld(cap(s.body) - was)
 			})
 		}
 		switch {
@@ -506,7 +506,7 @@
 	stands := true
 	s.f.p.Do(func() {
 		if c := s.call; c.attempt != nil && !c.settled {
-			stands = c.attempt.Give()
+			stands = c.attempt.Announce()
 		}
 	})
 	if stands {
@@ -573,7 +573,7 @@
 	case errors.Is(fault, proxy.ErrBusy):
 		s.why = reasons.HostFull
 		return s.refuse(0)
-	case errors.Is(fault, proxy.ErrInUse):
+	case errors.Is(fault, proxy.ErrIDInUse):
 		return s.immediate(409, []byte("the request id is in use"), "")
 	case identity.WhyOf(fault) != 0:
 		return s.denied(fault)
@@ -599,7 +599,7 @@
 // submit hands a new request to the host, under its lock.
 func (s *stream) submit(c *call, id string) error {
 	h := &s.head
-	c.req.Arrived = s.f.p.Clock()
+	c.req.ArrivedAt = s.f.p.Clock()
 	left := time.Until(s.deadline)
 	if !s.route() {
 		left = min(left, s.mostWait())
@@ -636,21 +636,21 @@
 	if h.attempt > 1 {
 		attrs = append(attrs, ",r=1"...)
 	}
-	c.req.Command = proxy.Command{Only: h.only, Again: h.attempt > 1, Arrived: c.req.Arrived, Message: upstream.Message{
+	c.req.Command = proxy.Command{AllowedAddrs: h.only, Retry: h.attempt > 1, ArrivedAt: c.req.ArrivedAt, Message: upstream.Message{
 		Write: s.target.Write, Key: []byte(s.target.Key), ReqID: []byte(id), Attrs: attrs, Value: s.body}}
-	c.req.Taker = whole{c}
+	c.req.Responder = whole{c}
 	if s.route() {
-		c.req.Taker = routed{c}
+		c.req.Responder = routed{c}
 	}
 	if s.place != nil {
 		c.req.InRoom(len(s.body))
 	}
-	c.req.By, c.req.Front = s.proof, "extproc"
+	c.req.Proof, c.req.Front = s.proof, "extproc"
 	if s.target.Many {
 		return s.submitMany(c)
 	}
 	err := s.f.p.Submit(&c.req)
-	if errors.Is(err, proxy.ErrInUse) && (!c.entry.Unsafe || c.entry.Again) {
+	if errors.Is(err, proxy.ErrIDInUse) && (!c.entry.Unsafe || c.entry.Again) {
 		// A caller may ask again under the same id where that is harmless; members want one of its own for each.
 		s.f.made++
 		c.req.ReqID = fmt.Appendf(nil, "%s.%x", id, s.f.made)
@@ -734,16 +734,16 @@
 	if c.final != nil {
 		return decided{final: c.final}
 	}
-	if a := c.attempt; a != nil && !a.Ended() && a.Give() {
+	if a := c.attempt; a != nil && !a.Ended() && a.Announce() {
 		s.f.counts.Routed++
 		addr := a.Addr
 		if n := s.cfg.Fallbacks; n > 0 && !c.req.Write {
-			for _, spare := range a.Spares(n) {
+			for _, spare := range a.Fallbacks(n) {
 				addr += "," + spare
 			}
 		}
 		c.named = addr
-		return decided{addr: addr, left: a.Left()}
+		return decided{addr: addr, left: a.TimeLeft()}
 	}
 	return d
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -120,20 +120,20 @@
 // Drain does nothing: operators may call until the end.
 func (f *Front) Drain() {}
 
-// StopTaking does nothing.
-func (f *Front) StopTaking() {}
+// StopAccepting does nothing.
+func (f *Front) StopAccepting() {}
 
-// Owes returns false: no call keeps the process from ending.
-func (f *Front) Owes() bool { return false }
+// EndIdle returns false: no call keeps the process from ending.
+func (f *Front) EndIdle() bool { return false }
 
-// End does nothing.
-func (f *Front) End() {}
+// EndAll does nothing.
+func (f *Front) EndAll() {}
 
 // Sweep does nothing: the timeouts of the HTTP server are enough.
 func (f *Front) Sweep() {}
 
-// MakeRoom closes no connection, as there are few.
-func (f *Front) MakeRoom() bool { return false }
+// FreeDescriptor closes no connection, as there are few.
+func (f *Front) FreeDescriptor() bool { return false }
 
 // Close ends all calls. It does not wait for them: the caller holds the host's lock, which calls may wait
 // for.
@@ -169,7 +169,7 @@
 	}
 	l.front.connections = append(l.front.connections, c)
 	l.front.mu.Unlock()
-	l.front.proxy.Do(func() { l.front.proxy.Descriptors(1) })
+	l.front.proxy.Do(func() { l.front.proxy.AddDescriptors(1) })
 	if oldest != nil {
 		oldest.Close()
 	}
@@ -185,7 +185,7 @@
 		}
 		c.front.mu.Unlock()
 		// In a goroutine, as the caller may hold the host's lock.
-		go c.front.proxy.Do(func() { c.front.proxy.Descriptors(-1) })
+		go c.front.proxy.Do(func() { c.front.proxy.AddDescriptors(-1) })
 	})
 	return c.Conn.Close()
 }
--- a/internal/proxy/accept_test.go
+++ b/internal/proxy/accept_test.go
@@ -15,21 +15,21 @@
 	wrapped := func(err error) error {
 		return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 	}
-	for err, want := range map[error]acceptFault{
-		syscall.ECONNABORTED: acceptAgain, syscall.EINTR: acceptAgain, syscall.EAGAIN: acceptAgain, syscall.EPROTO: acceptAgain,
-		syscall.ENOPROTOOPT: acceptAgain, syscall.EHOSTDOWN: acceptAgain, syscall.ENONET: acceptAgain, syscall.EHOSTUNREACH: acceptAgain,
-		syscall.EOPNOTSUPP: acceptAgain, syscall.ENETUNREACH: acceptAgain, syscall.ETIMEDOUT: acceptAgain, syscall.ECONNRESET: acceptAgain,
-		syscall.EMFILE: acceptShort, syscall.ENFILE: acceptShort,
-		syscall.ENOBUFS: acceptLater, syscall.ENOMEM: acceptLater, syscall.EPERM: acceptLater, syscall.ENOSR: acceptLater, syscall.ENETDOWN: acceptLater,
-		syscall.EBADF: acceptBroken, syscall.EINVAL: acceptBroken, syscall.ENOTSOCK: acceptBroken, syscall.EFAULT: acceptBroken,
-		errors.New("something else"): acceptBroken,
+	for err, want := range map[error]acceptAction{
+		syscall.ECONNABORTED: acceptRetry, syscall.EINTR: acceptRetry, syscall.EAGAIN: acceptRetry, syscall.EPROTO: acceptRetry,
+		syscall.ENOPROTOOPT: acceptRetry, syscall.EHOSTDOWN: acceptRetry, syscall.ENONET: acceptRetry, syscall.EHOSTUNREACH: acceptRetry,
+		syscall.EOPNOTSUPP: acceptRetry, syscall.ENETUNREACH: acceptRetry, syscall.ETIMEDOUT: acceptRetry, syscall.ECONNRESET: acceptRetry,
+		syscall.EMFILE: acceptNoDescriptors, syscall.ENFILE: acceptNoDescriptors,
+		syscall.ENOBUFS: acceptRetryLater, syscall.ENOMEM: acceptRetryLater, syscall.EPERM: acceptRetryLater, syscall.ENOSR: acceptRetryLater, syscall.ENETDOWN: acceptRetryLater,
+		syscall.EBADF: acceptFailed, syscall.EINVAL: acceptFailed, syscall.ENOTSOCK: acceptFailed, syscall.EFAULT: acceptFailed,
+		errors.New("something else"): acceptFailed,
 	} {
-		if got := acceptFaultOf(wrapped(err)); got != want {
+		if got := classifyAcceptError(wrapped(err)); got != want {
 			t.Errorf("%v: %d, want %d", err, got, want)
 		}
 	}
 	for _, err := range []error{net.ErrClosed, fmt.Errorf("accept: %w", os.ErrDeadlineExceeded)} {
-		if got := acceptFaultOf(err); got != acceptOver {
+		if got := classifyAcceptError(err); got != acceptStopped {
 			t.Errorf("%v: %d, want the end", err, got)
 		}
 	}
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -30,12 +30,12 @@
 	if p.cfg.OnSend != nil {
 		p.cfg.OnSend(id, to)
 	}
-	r.out++
+	r.outstanding++
 	if r.done || a.ExpiresAt-p.now < upstream.MinDeadline {
 		p.end(a, logic.StatusMoot, 0)
 		return
 	}
-	if !p.proven(r) {
+	if !p.checkProof(r) {
 		p.end(a, logic.StatusRejected, 0) // never sent, and no member's fault; a further attempt would end alike
 		return
 	}
@@ -44,7 +44,7 @@
 		p.end(a, logic.StatusConnectFailed, 0)
 		return
 	}
-	if r.rec != nil {
+	if r.orderRecord != nil {
 		p.sendRecorded(r, a, m)
 		return
 	}
@@ -56,10 +56,10 @@
 	if p.cfg.Meter != nil && !m.Origin {
 		a.metered = p.cfg.Meter.AttemptStarted(p.now, p.zone(m.listed.Locality), uint64(m.id))
 	}
-	if c, ok := r.Taker.(Carrier); ok {
+	if c, ok := r.Responder.(ExternalSender); ok {
 		a.carried = true
 		p.schedule(due{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
-		c.Carry(&Attempt{p: p, a: a, Addr: m.Addr, Origin: m.Origin})
+		c.Assign(&Attempt{proxy: p, attempt: a, Addr: m.Addr, Origin: m.Origin})
 		return
 	}
 	p.exchange(m, a)
@@ -67,12 +67,12 @@
 
 // Refuse is the final answer that a retry is harmless.
 func (x actions) Refuse(id logic.RequestID, retryAfter time.Duration, why logic.Reason) {
-	x.p.conclude(id, Answer{Kind: Refused, RetryAfter: retryAfter, Why: why})
+	x.p.conclude(id, Answer{Kind: Refused, RetryAfter: retryAfter, Reason: why})
 }
 
 // Fail is the final answer that promises nothing.
 func (x actions) Fail(id logic.RequestID, why logic.Reason) {
-	x.p.conclude(id, Answer{Kind: Failed, Why: why})
+	x.p.conclude(id, Answer{Kind: Failed, Reason: why})
 }
 
 // NotifyWaiting counts a wait.
@@ -89,13 +89,13 @@
 		if a.Kind == Failed {
 			what = reasons.Failed
 		} else {
-			p.unspend(r)
+			p.releaseToken(r)
 		}
-		p.reasons.Add(what, r.class, r.tenant, a.Why)
-		if p.cfg.Meter != nil && a.Why == logic.OriginLine {
+		p.reasons.Add(what, r.class, r.tenant, a.Reason)
+		if p.cfg.Meter != nil && a.Reason == logic.OriginLine {
 			p.cfg.Meter.OriginRefused(p.now)
 		}
-		r.Taker.Answer(a)
+		r.Responder.Answer(a)
 		p.fence(r)
 		p.joinEnded(r)
 		p.settle(r)
@@ -118,7 +118,7 @@
 // ConnectionWait tells how long a connection to a member would be waited for.
 func (x actions) ConnectionWait(id logic.RequestID, to logic.MemberID) time.Duration {
 	if r := x.p.requests[id]; r != nil {
-		if _, own := r.Taker.(Carrier); own {
+		if _, own := r.Responder.(ExternalSender); own {
 			return 0
 		}
 	}
--- a/internal/proxy/answers.go
+++ b/internal/proxy/answers.go
@@ -18,27 +18,27 @@
 	return append(b, "\r\n"...)
 }
 
-// answer gives a request its final answer. It goes out now if it is its turn; the caller may then use the
+// sendAnswer gives a request its final answer. It goes out now if it is its turn; the caller may then use the
 // bytes again.
-func (c *client) answer(o *owed, reply []byte) {
-	if len(c.pending) > 0 && c.pending[0] == o && !c.w.Busy() {
-		c.w.Send(reply, false)
-		c.pop()
+func (c *client) sendAnswer(o *pendingAnswer, reply []byte) {
+	if len(c.pending) > 0 && c.pending[0] == o && !c.sender.Busy() {
+		c.sender.Send(reply, false)
+		c.removeAnswered()
 		c.flush()
 		return
 	}
 	if slices.Contains(c.pending, o) {
 		o.reply = slices.Clone(reply)
-		c.p.held += len(o.reply)
+		c.proxy.held += len(o.reply)
 	}
 }
 
-// answerShared is answer for a value that others get too. A client that takes it slowly holds nothing of its own, and a descriptor.
-func (c *client) answerShared(o *owed, b *Body) {
+// sendSharedAnswer is answer for a value that others get too. A client that takes it slowly holds nothing of its own, and a descriptor.
+func (c *client) sendSharedAnswer(o *pendingAnswer, b *Body) {
 	b.Keep()
-	if len(c.pending) > 0 && c.pending[0] == o && !c.w.Busy() {
-		c.sendShared(b)
-		c.pop()
+	if len(c.pending) > 0 && c.pending[0] == o && !c.sender.Busy() {
+		c.writeShared(b)
+		c.removeAnswered()
 		c.flush()
 		return
 	}
@@ -49,44 +49,44 @@
 	b.Release()
 }
 
-// sendShared writes a shared value, which stays until the kernel has it all.
-func (c *client) sendShared(b *Body) {
-	c.w.SendCounted(b.bulk)
-	if c.w.Busy() {
-		c.bodies = append(c.bodies, b)
+// writeShared writes a shared value, which stays until the kernel has it all.
+func (c *client) writeShared(b *Body) {
+	c.sender.SendCounted(b.bulk)
+	if c.sender.Busy() {
+		c.sendingBodies = append(c.sendingBodies, b)
 		return
 	}
 	b.Release()
 }
 
-// letBodies lets go of shared values that are written, or won't be.
-func (c *client) letBodies() {
-	for _, b := range c.bodies {
+// releaseBodies lets go of shared values that are written, or won't be.
+func (c *client) releaseBodies() {
+	for _, b := range c.sendingBodies {
 		b.Release()
 	}
-	c.bodies = nil
+	c.sendingBodies = nil
 }
 
 // flush writes the answers whose turn has come.
 func (c *client) flush() {
-	for len(c.pending) > 0 && !c.w.Busy() {
+	for len(c.pending) > 0 && !c.sender.Busy() {
 		o := c.pending[0]
 		if o.many != nil && o.many.stream {
 			b, last := o.many.flushed()
 			if len(b) > 0 {
-				c.w.Send(b, true)
+				c.sender.Send(b, true)
 			}
 			if !last {
 				return
 			}
 			o.many = nil
-			c.pop()
+			c.removeAnswered()
 			continue
 		}
 		if o.body != nil {
-			c.sendShared(o.body)
+			c.writeShared(o.body)
 			o.body = nil
-			c.pop()
+			c.removeAnswered()
 			continue
 		}
 		if o.reply == nil {
@@ -94,38 +94,38 @@
 			return
 		}
 		if len(c.pending) == 1 || c.pending[1].reply == nil {
-			c.p.held -= len(o.reply)
-			c.w.Send(o.reply, true)
+			c.proxy.held -= len(o.reply)
+			c.sender.Send(o.reply, true)
 			o.reply = nil
-			c.pop()
+			c.removeAnswered()
 			continue
 		}
-		b := c.p.scratch[:0] // what is due together goes out together
+		b := c.proxy.scratch[:0] // what is due together goes out together
 		for len(c.pending) > 0 && c.pending[0].reply != nil && len(b) < resp.MaxValue {
 			o := c.pending[0]
 			b = append(b, o.reply...)
-			c.p.held -= len(o.reply)
+			c.proxy.held -= len(o.reply)
 			o.reply = nil
-			c.pop()
+			c.removeAnswered()
 		}
-		c.w.Send(b, false)
-		c.p.scratch = b[:0]
+		c.sender.Send(b, false)
+		c.proxy.scratch = b[:0]
 	}
-	if !c.w.Busy() {
-		c.letBodies()
-		c.wake()
+	if !c.sender.Busy() {
+		c.releaseBodies()
+		c.wakeReader()
 	}
 	if c.ended {
-		c.hangUp(false)
+		c.finishSending(false)
 	} else if !c.closed {
-		c.answered()
+		c.endAfterAnswer()
 	}
 }
 
-// pop removes the request that has been answered.
-func (c *client) pop() {
+// removeAnswered removes the request that has been answered.
+func (c *client) removeAnswered() {
 	c.pending = slices.Delete(c.pending, 0, 1)
-	c.f.told++
-	c.active = c.p.now
-	c.wake()
+	c.front.answered++
+	c.lastActive = c.proxy.now
+	c.wakeReader()
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -18,20 +18,20 @@
 func TestDrainDuringTheDial(t *testing.T) {
 	for _, phase := range []string{discovery.PhaseTerminating, discovery.PhaseTerminated} {
 		for name, c := range map[string]struct{ kind, ask, want string }{
-			"a read":   {"large", getLong("a1", "id"), "-BUSY"},
-			"an order": {"origin", putLong("a1", "id", "order"), "-BUSY"},
+			"a read":   {"large", getLongDeadline("a1", "id"), "-BUSY"},
+			"an order": {"origin", putLongDeadline("a1", "id", "order"), "-BUSY"},
 		} {
 			t.Run(name+", "+phase, func(t *testing.T) {
 				t.Parallel()
-				l := newRoll()
-				door, open := shut(t, l, c.kind)
+				l := newRequestLog()
+				door, open := blockedMember(t, l, c.kind)
 				m := entry("s-1", door, c.kind)
 				r := newRegistry(t, discoveryList(1, true, m))
-				p := startAt(t, leaving(false), r)
+				p := startAt(t, noTimeoutConfig(false), r)
 				<-r.watched
 				client := p.dial()
 				client.send(c.ask)
-				p.eventually("it waits for the connection", func() bool { return len(p.at(door).Waiting) == 1 })
+				p.eventually("it waits for the connection", func() bool { return len(p.memberAt(door).Waiting) == 1 })
 				m.Phase = phase
 				r.tell(discoveryList(2, false, m))
 				if got := client.answer(); !strings.HasPrefix(got, c.want) {
@@ -114,20 +114,20 @@
 
 // A stop does not keep what a client has left behind: it is withdrawn then too, also behind commands that were not read.
 func TestClientLeavesDuringAStop(t *testing.T) {
-	l := newRoll()
-	door, open := shut(t, l, "large")
-	p := start(t, leaving(false), entry("s-1", door, "large"))
+	l := newRequestLog()
+	door, open := blockedMember(t, l, "large")
+	p := start(t, noTimeoutConfig(false), entry("s-1", door, "large"))
 	p.Do(func() { p.killMost = time.Hour }) // the stop waits for what is in hand
 	clients := []*testClient{p.dial(), p.dial()}
-	clients[0].send(getLong("a1", "left"))
-	clients[1].send(pipelined(3 * maxPipeline))
+	clients[0].send(getLongDeadline("a1", "left"))
+	clients[1].send(pipelinedReads(3 * maxPipeline))
 	p.eventually("they wait", func() bool { return len(p.requests) >= maxPipeline+1 })
 	p.stop()
 	p.eventually("the stop has begun", func() bool { return p.redis.draining })
 	for _, c := range clients {
 		c.conn.Close()
 	}
-	p.gone()
+	p.awaitNoClients()
 	open()
 	if err := <-p.done; err != nil {
 		t.Error(err)
--- a/internal/proxy/callers.go
+++ b/internal/proxy/callers.go
@@ -26,17 +26,17 @@
 
 // The first words of errors that are no refusals: trying again as it is would be in vain.
 const (
-	errNoAuth  = "NOAUTH "    // no proof
-	errNoProof = "WRONGPASS " // one that does not hold
-	errNoPerm  = "NOPERM "    // no right
+	noAuthPrefix    = "NOAUTH "    // no proof
+	wrongPassPrefix = "WRONGPASS " // one that does not hold
+	noPermPrefix    = "NOPERM "    // no right
 )
 
 // identify proves who a command comes from, without the lock: by the token in its list, else by the connection's. No token goes
 // any further, and the tenant is the proven one, whatever the list says.
-func (c *client) identify(cmd *input) {
-	by := c.p.cfg.Callers
+func (c *client) identify(cmd *parsedCommand) {
+	by := c.proxy.cfg.Callers
 	if cmd.name == "AUTH" {
-		if cmd.proof, cmd.denied = by.Prove(cmd.token, c.from, c.suspect); cmd.denied == nil {
+		if cmd.proof, cmd.denied = by.Prove(cmd.token, c.remoteAddr, c.suspect); cmd.denied == nil {
 			c.proof = cmd.proof
 		} else {
 			c.proof = nil // who fails to prove another identity does not keep the one before
@@ -56,7 +56,7 @@
 		switch n {
 		case name:
 			// Of more than one the last counts; each has to hold.
-			if cmd.proof, err = c.proveAgain(value); err != nil {
+			if cmd.proof, err = c.proveCached(value); err != nil {
 				cmd.denied = err
 			}
 		case "t":
@@ -72,50 +72,50 @@
 	cmd.Attrs = attrs
 }
 
-// proveAgain tells what a token in a list proves. Most callers send the same one with each request: it is known again by itself.
-func (c *client) proveAgain(token []byte) (*identity.Proof, error) {
-	by := c.p.cfg.Callers
-	if c.heldBy != nil && bytes.Equal(token, c.held) {
-		return c.heldBy, by.Holds(c.heldBy)
+// proveCached tells what a token in a list proves. Most callers send the same one with each request: it is known again by itself.
+func (c *client) proveCached(token []byte) (*identity.Proof, error) {
+	by := c.proxy.cfg.Callers
+	if c.lastTokenProof != nil && bytes.Equal(token, c.lastToken) {
+		return c.lastTokenProof, by.Holds(c.lastTokenProof)
 	}
-	p, err := by.Prove(token, c.from, c.suspect)
+	p, err := by.Prove(token, c.remoteAddr, c.suspect)
 	if err != nil {
 		c.suspect = c.suspect || identity.WhyOf(err) != identity.Overload
 		return nil, err
 	}
-	c.held, c.heldBy = append(c.held[:0], token...), p
+	c.lastToken, c.lastTokenProof = append(c.lastToken[:0], token...), p
 	return p, nil
 }
 
 // Callers tells who clients are and what they may do; nil: nobody asks.
 func (p *Proxy) Callers() Callers { return p.cfg.Callers }
 
-// may tells whether who a request is from may make it, where that is asked. An order uses its token's id until it is refused.
-func (p *Proxy) may(r *Request, class *logic.Class) error {
+// authorize tells whether who a request is from may make it, where that is asked. An order uses its token's id until it is refused.
+func (p *Proxy) authorize(r *Request, class *logic.Class) error {
 	if p.cfg.Callers == nil {
 		return nil
 	}
 	// Where orders are on record, the record knows which order has used a token, also over a restart, and a repeat of that one may come by it.
 	once := class.Effect == logic.AtMostOnce && p.cfg.Record == nil
-	err := p.cfg.Callers.May(r.By, identity.Ask{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, Once: once,
-		Size: max(len(r.Value), r.long)})
-	r.spent = err == nil && once
+	err := p.cfg.Callers.May(r.Proof, identity.Ask{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, Once: once,
+		Size: max(len(r.Value), r.longBytes)})
+	r.tokenUsed = err == nil && once
 	return err
 }
 
-// unspend gives the id of an order's token back: the order has surely not run, and may come again by it.
-func (p *Proxy) unspend(r *Request) {
-	if r.spent {
-		r.spent = false
-		p.cfg.Callers.Release(r.By)
+// releaseToken gives the id of an order's token back: the order has surely not run, and may come again by it.
+func (p *Proxy) releaseToken(r *Request) {
+	if r.tokenUsed {
+		r.tokenUsed = false
+		p.cfg.Callers.Release(r.Proof)
 	}
 }
 
-// proven tells whether the proof that a request came with still holds, and notes it if not. An order must not be sent on a proof that
+// checkProof tells whether the proof that a request came with still holds, and notes it if not. An order must not be sent on a proof that
 // has been taken away since, and a read need not be.
-func (p *Proxy) proven(r *Request) bool {
-	if r.By != nil {
-		r.denied = p.cfg.Callers.Holds(r.By)
+func (p *Proxy) checkProof(r *Request) bool {
+	if r.Proof != nil {
+		r.denied = p.cfg.Callers.Holds(r.Proof)
 	}
 	return r.denied == nil
 }
@@ -126,14 +126,14 @@
 	if !errors.As(err, &e) {
 		return resp.AppendError(b, "ERR "+err.Error())
 	}
-	first := errNoProof
+	first := wrongPassPrefix
 	switch e.Why {
 	case identity.Overload:
 		return resp.AppendError(b, "BUSY")
 	case identity.Unproven:
-		first = errNoAuth
+		first = noAuthPrefix
 	case identity.Right, identity.Rate, identity.Replayed:
-		first = errNoPerm
+		first = noPermPrefix
 	}
 	return resp.AppendError(b, string(resp.AppendLine(nil, first+e.Error())))
 }
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -25,21 +25,21 @@
 	"linenloom/logic"
 )
 
-// office signs tokens and keeps the key file of a Gate.
-type office struct {
+// tokenIssuer signs tokens and keeps the key file of a Gate.
+type tokenIssuer struct {
 	t    *testing.T
 	file string
 	keys map[string]ed25519.PrivateKey
 }
 
-func newOffice(t *testing.T, ids ...string) *office {
-	o := &office{t: t, file: filepath.Join(t.TempDir(), "keys.json"), keys: map[string]ed25519.PrivateKey{}}
+func newTokenIssuer(t *testing.T, ids ...string) *tokenIssuer {
+	o := &tokenIssuer{t: t, file: filepath.Join(t.TempDir(), "keys.json"), keys: map[string]ed25519.PrivateKey{}}
 	o.publish(ids...)
 	return o
 }
 
 // publish replaces the key file by one with these keys, making those that are new.
-func (o *office) publish(ids ...string) {
+func (o *tokenIssuer) publish(ids ...string) {
 	o.t.Helper()
 	var set jose.JSONWebKeySet
 	for _, id := range ids {
@@ -60,7 +60,7 @@
 	}
 }
 
-func (o *office) token(key, tenant, jti string) string {
+func (o *tokenIssuer) token(key, tenant, jti string) string {
 	o.t.Helper()
 	by, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: o.keys[key]}, (&jose.SignerOptions{}).WithHeader("kid", key))
 	if err != nil {
@@ -74,8 +74,8 @@
 	return text
 }
 
-// guarded is a proxy whose callers are proven; the kiosk may only read, and of map/ only.
-func guarded(t *testing.T, o *office, more ...any) (p *testProxy, g *callers.Gate, seen func() []string) {
+// startWithCallers is a proxy whose callers are proven; the kiosk may only read, and of map/ only.
+func startWithCallers(t *testing.T, o *tokenIssuer, more ...any) (p *testProxy, g *callers.Gate, seen func() []string) {
 	t.Helper()
 	var mu sync.Mutex
 	var attrs []string
@@ -108,25 +108,25 @@
 	return p, g, func() []string { mu.Lock(); defer mu.Unlock(); return append([]string(nil), attrs...) }
 }
 
-func ask(key, id, attrs string) string { return words("OBJ.GET", key, id, attrs) }
+func getWithAttrs(key, id, attrs string) string { return words("OBJ.GET", key, id, attrs) }
 
 // Who may do what, and what members are told: the proven tenant and no token, whatever a request says of itself.
 func TestCallersAreProven(t *testing.T) {
-	o := newOffice(t, "k1")
-	p, _, seen := guarded(t, o)
+	o := newTokenIssuer(t, "k1")
+	p, _, seen := startWithCallers(t, o)
 	kiosk, shop := o.token("k1", "kiosk", ""), o.token("k1", "shop", "once")
 	for i, c := range []struct {
 		auth, send, want string
 	}{
-		{"", ask("map/1", "r#", "c=tile-read,t=shop,d=4000"), "-NOAUTH"},
-		{kiosk, ask("map/1", "r#", "c=tile-read,t=shop,d=4000"), "v"},
-		{kiosk, ask("orders/1", "r#", "c=tile-read,d=4000"), "-NOPERM"},
+		{"", getWithAttrs("map/1", "r#", "c=tile-read,t=shop,d=4000"), "-NOAUTH"},
+		{kiosk, getWithAttrs("map/1", "r#", "c=tile-read,t=shop,d=4000"), "v"},
+		{kiosk, getWithAttrs("orders/1", "r#", "c=tile-read,d=4000"), "-NOPERM"},
 		{kiosk, words("OBJ.SET", "map/1", "r#", "c=pass-order,t=shop,d=4000", "x"), "-NOPERM"},
 		{kiosk, words("OBJ.SET", "map/1", "r#", "c=tile-read,d=4000", "x"), "-NOPERM"},
 		{kiosk, words("OBJ.SET", "map/1", "r#", "c=pass-order,d=4000,tk="+shop, "x"), "receipt"},
 		{kiosk, words("OBJ.SET", "map/1", "r#", "c=pass-order,d=4000,tk="+shop, "x"), "-NOPERM used before"},
-		{kiosk, ask("map/1", "r#", "c=tile-read,d=4000,tk=a.b.c"), "-WRONGPASS"},
-		{kiosk[:len(kiosk)-8] + "AAAAAAAA", ask("map/1", "r#", "c=tile-read,d=4000"), "-NOAUTH"},
+		{kiosk, getWithAttrs("map/1", "r#", "c=tile-read,d=4000,tk=a.b.c"), "-WRONGPASS"},
+		{kiosk[:len(kiosk)-8] + "AAAAAAAA", getWithAttrs("map/1", "r#", "c=tile-read,d=4000"), "-NOAUTH"},
 	} {
 		cl := p.dial()
 		if c.auth != "" {
@@ -149,13 +149,13 @@
 }
 
 // Requests written before a change of identity keep the one that they were sent under, though all are in the pipeline at once.
-func TestIdentityInAPipeline(t *testing.T) {
-	o := newOffice(t, "k1")
-	p, _, seen := guarded(t, o)
+func TestIdentityChangesInPipeline(t *testing.T) {
+	o := newTokenIssuer(t, "k1")
+	p, _, seen := startWithCallers(t, o)
 	c := p.dial()
-	c.send(words("AUTH", o.token("k1", "kiosk", "")) + ask("map/1", "a", "c=tile-read,d=4000") +
-		words("AUTH", "user", o.token("k1", "shop", "")) + ask("else/1", "b", "c=tile-read,d=4000") +
-		words("AUTH", "nonsense") + ask("map/1", "c", "c=tile-read,d=4000"))
+	c.send(words("AUTH", o.token("k1", "kiosk", "")) + getWithAttrs("map/1", "a", "c=tile-read,d=4000") +
+		words("AUTH", "user", o.token("k1", "shop", "")) + getWithAttrs("else/1", "b", "c=tile-read,d=4000") +
+		words("AUTH", "nonsense") + getWithAttrs("map/1", "c", "c=tile-read,d=4000"))
 	for i, want := range []string{"+OK", "v", "+OK", "v", "-WRONGPASS", "-NOAUTH"} {
 		if got := c.answer(); !strings.HasPrefix(got, want) {
 			t.Errorf("%d: %q, want %q", i, got, want)
@@ -169,8 +169,8 @@
 // Keys change under callers, before and after these use them: whoever has a key that is in force is served, and nobody by one that
 // is not, on connections that stand too. A file that can't be read changes nothing.
 func TestKeysRotateUnderLoad(t *testing.T) {
-	o := newOffice(t, "k1")
-	p, g, _ := guarded(t, o)
+	o := newTokenIssuer(t, "k1")
+	p, g, _ := startWithCallers(t, o)
 	old := p.dial()
 	old.send(words("AUTH", o.token("k1", "shop", "")))
 	old.answer()
@@ -178,7 +178,7 @@
 	try := func(c *testClient, attrs, want string) {
 		t.Helper()
 		n++
-		c.send(ask("map/1", fmt.Sprint("q", n), "c=tile-read,d=4000"+attrs))
+		c.send(getWithAttrs("map/1", fmt.Sprint("q", n), "c=tile-read,d=4000"+attrs))
 		if got := c.answer(); !strings.HasPrefix(got, want) {
 			t.Errorf("request %d: %q, want %q", n, got, want)
 		}
@@ -215,21 +215,21 @@
 	}
 }
 
-// fading is Callers whose proofs hold until it says otherwise.
-type fading struct{ gone, released atomic.Int32 }
+// expiringCallers is Callers whose proofs hold until it says otherwise.
+type expiringCallers struct{ expired, released atomic.Int32 }
 
-func (f *fading) Name() string           { return "tk" }
-func (f *fading) TLS(string) *tls.Config { return nil }
-func (f *fading) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
+func (f *expiringCallers) Name() string           { return "tk" }
+func (f *expiringCallers) TLS(string) *tls.Config { return nil }
+func (f *expiringCallers) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
 	return nil, &identity.Error{Why: identity.Unproven}
 }
-func (f *fading) Prove([]byte, netip.Addr, bool) (*identity.Proof, error) {
+func (f *expiringCallers) Prove([]byte, netip.Addr, bool) (*identity.Proof, error) {
 	return &identity.Proof{Tenant: "shop", ID: "one"}, nil
 }
-func (f *fading) May(*identity.Proof, identity.Ask) error { return nil }
-func (f *fading) Release(*identity.Proof)                 { f.released.Add(1) }
-func (f *fading) Holds(*identity.Proof) error {
-	if f.gone.Load() > 0 {
+func (f *expiringCallers) May(*identity.Proof, identity.Ask) error { return nil }
+func (f *expiringCallers) Release(*identity.Proof)                 { f.released.Add(1) }
+func (f *expiringCallers) Holds(*identity.Proof) error {
+	if f.expired.Load() > 0 {
 		return &identity.Error{Why: identity.Retired}
 	}
 	return nil
@@ -237,19 +237,19 @@
 
 // A proof is asked again before each attempt: one that has been taken away since the order was accepted, or since an attempt that
 // never ran, sends nothing, and the answer is no refusal.
-func TestProofIsAskedBeforeEachAttempt(t *testing.T) {
+func TestProofIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, goneAt := range map[string]int{"before the first": 0, "before the second": 1} {
 		t.Run(name, func(t *testing.T) {
-			f := &fading{}
+			f := &expiringCallers{}
 			var asked atomic.Int32
 			cfg := testConfig()
 			cfg.Callers = f
 			if goneAt == 0 {
-				f.gone.Store(1)
+				f.expired.Store(1)
 			}
 			p := start(t, cfg, entry("s-o", origin(t, func(*http.Request) string {
 				asked.Add(1)
-				f.gone.Store(1)
+				f.expired.Store(1)
 				return "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 			}), "origin"))
 			c := p.dial()
@@ -269,11 +269,11 @@
 // An order that may have run has failed, and is told so, though its proof has been taken away meanwhile: to be told of its proof alone,
 // its client would prove itself anew and place it again.
 func TestOrderThatMayHaveRunIsNotDenied(t *testing.T) {
-	f := &fading{}
+	f := &expiringCallers{}
 	cfg := testConfig()
 	cfg.Callers = f
 	p := start(t, cfg, entry("s-o", origin(t, func(*http.Request) string {
-		f.gone.Store(1)
+		f.expired.Store(1)
 		return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	}), "origin"))
 	c := p.dial()
@@ -288,20 +288,20 @@
 	}
 }
 
-// busy is Callers who have too much to check for any token but the first.
-type busy struct {
-	fading
-	seen atomic.Int32
+// overloadedCallers is Callers who have too much to check for any token but the first.
+type overloadedCallers struct {
+	expiringCallers
+	checks atomic.Int32
 }
 
-func (b *busy) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
-	if b.seen.Add(1) > 1 {
+func (b *overloadedCallers) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
+	if b.checks.Add(1) > 1 {
 		return nil, &identity.Error{Why: identity.Overload}
 	}
-	return b.fading.Prove(token, from, suspect)
+	return b.expiringCallers.Prove(token, from, suspect)
 }
 
-func (b *busy) May(p *identity.Proof, _ identity.Ask) error {
+func (b *overloadedCallers) May(p *identity.Proof, _ identity.Ask) error {
 	if p == nil {
 		return &identity.Error{Why: identity.Unproven}
 	}
@@ -309,9 +309,9 @@
 }
 
 // Who asks to be taken for another, and is not looked at, is not taken for the one before either.
-func TestUncheckedTokenEndsTheIdentityBefore(t *testing.T) {
+func TestUncheckedTokenClearsIdentity(t *testing.T) {
 	cfg := testConfig()
-	cfg.Callers = &busy{}
+	cfg.Callers = &overloadedCallers{}
 	p := start(t, cfg, entry("s-a", cache(t, func(asked) string { return hit("v") }), "large"))
 	c := p.dial()
 	c.send(words("AUTH", "one") + get("k", "id1") + words("AUTH", "two") + get("k", "id2"))
--- a/internal/proxy/command.go
+++ b/internal/proxy/command.go
@@ -8,9 +8,9 @@
 	"linenloom/internal/resp"
 )
 
-// command reads a command. A malformed one leaves no way to tell where the next begins.
-func (c *client) command() (cmd input, err error) {
-	h, err := c.in.Head()
+// readCommand reads a command. A malformed one leaves no way to tell where the next begins.
+func (c *client) readCommand() (cmd parsedCommand, err error) {
+	h, err := c.reader.Head()
 	if err != nil {
 		return cmd, err
 	}
@@ -18,7 +18,7 @@
 		return cmd, fmt.Errorf("a command is an array: %w", resp.ErrProtocol)
 	}
 	n := h.N
-	name, err := c.arg(nil, maxText)
+	name, err := c.readArg(nil, maxTextBytes)
 	if err != nil {
 		return cmd, err
 	}
@@ -26,13 +26,13 @@
 	case n == 4 && string(name) == "OBJ.GET":
 	case n == 5 && string(name) == "OBJ.SET":
 		cmd.Write = true
-	case n >= 3 && string(name) == "OBJ.MGET" && c.p.cfg.ManyKeys != nil:
-		return c.manyCommand(n - 3)
+	case n >= 3 && string(name) == "OBJ.MGET" && c.proxy.cfg.ManyKeys != nil:
+		return c.readManyCommand(n - 3)
 	default:
-		if cmd.name = strings.ToUpper(string(name)); cmd.name == "AUTH" && c.p.cfg.Callers != nil && (n == 2 || n == 3) {
+		if cmd.name = strings.ToUpper(string(name)); cmd.name == "AUTH" && c.proxy.cfg.Callers != nil && (n == 2 || n == 3) {
 			// A user's name, which clients may give in front of it, says nothing: the token names the tenant.
 			for range n - 1 {
-				if cmd.token, err = c.arg(nil, identity.MaxToken); err != nil {
+				if cmd.token, err = c.readArg(nil, identity.MaxToken); err != nil {
 					return cmd, err
 				}
 			}
@@ -41,29 +41,29 @@
 		if strings.HasPrefix(cmd.name, "OBJ.") {
 			cmd.name = "malformed OBJ"
 		}
-		return cmd, c.skip(n - 1)
+		return cmd, c.skipArgs(n - 1)
 	}
 	ends := [3]int{}
-	text, err := c.texts(ends[:])
+	text, err := c.readTexts(ends[:])
 	if err != nil {
 		return cmd, err
 	}
 	cmd.Key, cmd.ReqID, cmd.Attrs = text[:ends[0]], text[ends[0]:ends[1]], text[ends[1]:]
 	if cmd.Write {
-		err = c.value(&cmd)
+		err = c.readValue(&cmd)
 	}
 	return cmd, err
 }
 
-// texts reads the short arguments that a request begins with, one behind the other, and tells where each ends.
-func (c *client) texts(ends []int) (text []byte, err error) {
-	most := maxText
-	if c.p.cfg.Callers != nil {
+// readTexts reads the short arguments that a request begins with, one behind the other, and tells where each ends.
+func (c *client) readTexts(ends []int) (text []byte, err error) {
+	most := maxTextBytes
+	if c.proxy.cfg.Callers != nil {
 		most += identity.MaxToken
 	}
 	text = make([]byte, 0, 96)
 	for i := range ends {
-		if text, err = c.arg(text, most-len(text)); err != nil {
+		if text, err = c.readArg(text, most-len(text)); err != nil {
 			return nil, err
 		}
 		ends[i] = len(text)
@@ -71,22 +71,22 @@
 	return text, nil
 }
 
-// manyCommand reads the rest of OBJ.MGET: an id, a list, and so many keys. Of more than are allowed none is kept.
-func (c *client) manyCommand(keys int) (cmd input, err error) {
-	cmd.many = true
+// readManyCommand reads the rest of OBJ.MGET: an id, a list, and so many keys. Of more than are allowed none is kept.
+func (c *client) readManyCommand(keys int) (cmd parsedCommand, err error) {
+	cmd.multiKey = true
 	ends := [2]int{}
-	text, err := c.texts(ends[:])
+	text, err := c.readTexts(ends[:])
 	if err != nil {
 		return cmd, err
 	}
 	cmd.ReqID, cmd.Attrs = text[:ends[0]:ends[0]], text[ends[0]:ends[1]:ends[1]]
-	if keys > c.p.cfg.ManyKeys.Keys {
-		cmd.tooMany = keys
-		return cmd, c.skip(keys)
+	if keys > c.proxy.cfg.ManyKeys.Keys {
+		cmd.rejectedKeys = keys
+		return cmd, c.skipArgs(keys)
 	}
-	left := mostKeyText
+	left := maxKeyTextBytes
 	for range keys {
-		key, err := c.arg(nil, min(maxText, left))
+		key, err := c.readArg(nil, min(maxTextBytes, left))
 		if err != nil {
 			return cmd, err
 		}
@@ -96,12 +96,12 @@
 	return cmd, nil
 }
 
-// skip reads over so many arguments.
-func (c *client) skip(n int) error {
+// skipArgs reads over so many arguments.
+func (c *client) skipArgs(n int) error {
 	for range n {
-		h, err := c.bulkHead()
+		h, err := c.readBulkHead()
 		if err == nil {
-			err = c.in.Skip(h.N)
+			err = c.reader.Skip(h.N)
 		}
 		if err != nil {
 			return err
@@ -110,40 +110,40 @@
 	return nil
 }
 
-func (c *client) bulkHead() (resp.Head, error) {
-	h, err := c.in.Head()
+func (c *client) readBulkHead() (resp.Head, error) {
+	h, err := c.reader.Head()
 	if err == nil && (h.Kind != '$' || h.N < 0) {
 		err = fmt.Errorf("an argument is a bulk string: %w", resp.ErrProtocol)
 	}
 	return h, err
 }
 
-func (c *client) arg(dst []byte, most int) ([]byte, error) {
-	h, err := c.bulkHead()
+func (c *client) readArg(dst []byte, most int) ([]byte, error) {
+	h, err := c.readBulkHead()
 	if err != nil {
 		return dst, err
 	}
 	if h.N > most {
 		return dst, fmt.Errorf("argument too long: %w", resp.ErrProtocol)
 	}
-	return c.in.Bulk(dst, h.N)
+	return c.reader.Bulk(dst, h.N)
 }
 
-// value reads a value into memory, which it takes from the shared room piece by piece as bytes arrive: a
+// readValue reads a value into memory, which it takes from the shared room piece by piece as bytes arrive: a
 // client that only announces a long value holds none of it. Past the room, the value is read over and the
 // command is refused.
-func (c *client) value(cmd *input) error {
-	h, err := c.bulkHead()
+func (c *client) readValue(cmd *parsedCommand) error {
+	h, err := c.readBulkHead()
 	if err != nil {
 		return err
 	}
-	if c.in.Buffered() < h.N { // the head had as long
-		c.limit()
+	if c.reader.Buffered() < h.N { // the head had as long
+		c.limitCommandTime()
 	}
 	if h.N > resp.MaxValue {
 		return c.longValue(cmd, h.N)
 	}
-	p := c.p
+	p := c.proxy
 	const piece = 4 << 10
 	for len(cmd.Value) < h.N {
 		if len(cmd.Value) == cap(cmd.Value) {
@@ -159,12 +159,12 @@
 			p.mu.Unlock()
 			if over {
 				rest := h.N - len(cmd.Value)
-				*cmd = input{refused: true}
-				return c.in.Skip(rest)
+				*cmd = parsedCommand{refused: true}
+				return c.reader.Skip(rest)
 			}
 			cmd.Value = grown
 		}
-		n, err := c.in.Read(cmd.Value[len(cmd.Value):min(cap(cmd.Value), h.N)])
+		n, err := c.reader.Read(cmd.Value[len(cmd.Value):min(cap(cmd.Value), h.N)])
 		cmd.Value = cmd.Value[:len(cmd.Value)+n]
 		if err == nil && len(cmd.Value) == h.N {
 			break
@@ -176,7 +176,7 @@
 			return err
 		}
 	}
-	if err := c.in.LineEnd(); err != nil { // the length was wrong
+	if err := c.reader.LineEnd(); err != nil { // the length was wrong
 		p.mu.Lock()
 		p.held -= cap(cmd.Value)
 		p.mu.Unlock()
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -228,7 +228,7 @@
 			for i := range classes {
 				classes[i].Deadline = deadline
 			}
-			if err := p.Retune(classes, cfg.Settings.MaxAttempts); err != nil {
+			if err := p.UpdateClasses(classes, cfg.Settings.MaxAttempts); err != nil {
 				t.Fatal(err)
 			}
 			close(release)
@@ -256,7 +256,7 @@
 // A client's time runs from its last byte, also for commands that stood unread while others before them were waited for.
 func TestUnreadCommandsKeepTheirTime(t *testing.T) {
 	const commands = 3 * maxPipeline
-	cfg := leaving(false)
+	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1 // so that an attempt may take all that its client has left
 	w := watchDeadlines(t, &cfg)
 	d, err := standin.NewDoor()
@@ -297,7 +297,7 @@
 
 // Commands that came while their connection's reader waited are dated by the wait, and those that came after it by themselves.
 func TestCommandsSentDuringAWaitKeepTheirTime(t *testing.T) {
-	cfg := leaving(false)
+	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1
 	w := watchDeadlines(t, &cfg)
 	d, err := standin.NewDoor()
@@ -326,7 +326,7 @@
 	send(maxPipeline, maxPipeline+during)
 	p.eventually("the rest has come", func() bool {
 		for c := range p.redis.clients {
-			return !c.quiet()
+			return !c.hasNoInput()
 		}
 		return false
 	})
@@ -361,7 +361,7 @@
 
 // A connection may have stood in the listener's line, with a command on it, before the proxy took its first client.
 func TestConnectionsInLineAtTheStartKeepTheirTime(t *testing.T) {
-	cfg := leaving(false)
+	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1
 	w := watchDeadlines(t, &cfg)
 	var p *testProxy
@@ -384,7 +384,7 @@
 
 // What stood in line while the proxy had no descriptor for it is dated by that, and what comes later by itself.
 func TestConnectionsInLineForADescriptorKeepTheirTime(t *testing.T) {
-	cfg := leaving(false)
+	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1
 	w := watchDeadlines(t, &cfg)
 	told := make(chan string, 10)
@@ -408,12 +408,12 @@
 		return ms
 	}
 	ask("first") // from here on connections are taken as they come
-	p.redis.awaitAccept(acceptShort, 1)
+	p.redis.backOffAccept(acceptNoDescriptors, 1)
 	w.advance(p, 2*time.Second)
 	if ms := ask("in-line"); ms > 13_000 {
 		t.Errorf("what may have stood in line for 2 s was told %d ms of 15,000", ms)
 	}
-	p.eventually("the line is empty", func() bool { return p.redis.waited == 0 })
+	p.eventually("the line is empty", func() bool { return p.redis.queuedSince == 0 })
 	w.advance(p, 2*time.Second)
 	if ms := ask("later"); ms < 14_500 {
 		t.Errorf("what came by itself was told %d ms of 15,000", ms)
@@ -483,7 +483,7 @@
 	}
 	p.eventually("the connections are free", func() bool {
 		free := 0
-		for _, c := range p.at(o).Conns {
+		for _, c := range p.memberAt(o).Conns {
 			if c.Reusable(p.now) {
 				free++
 			}
@@ -588,20 +588,20 @@
 	}
 	p.leave()
 	p.enter()
-	if got := p.arrivedAt(p.now); got != began {
+	if got := p.earliestArrival(p.now); got != began {
 		t.Errorf("read right after an event that took long, dated %v after it began", got-began)
 	}
 	last := p.now - time.Second
 	p.now, p.stalls = last, arrival.Stalls{MaxGap: stallGap} // nothing has happened for a second
 	p.mu.Unlock()
 	p.enter()
-	if got := p.arrivedAt(p.now); got != last {
+	if got := p.earliestArrival(p.now); got != last {
 		t.Errorf("read right after a long pause, dated %v after it began", got-last)
 	}
-	if got := p.arrivedAt(p.now + time.Hour); got != last {
+	if got := p.earliestArrival(p.now + time.Hour); got != last {
 		t.Errorf("what is dated ahead counts as %v after the pause began", got-last)
 	}
-	if got := p.arrivedAt(0); got != p.now {
+	if got := p.earliestArrival(0); got != p.now {
 		t.Errorf("what has no date counts as %v ago", p.now-got)
 	}
 	p.mu.Unlock()
--- a/internal/proxy/effect_test.go
+++ b/internal/proxy/effect_test.go
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := newRoll()
+			l := newRequestLog()
 			node := listen(t, func(conn net.Conn) { // the first that comes is taken whole, and its connection breaks
 				in := resp.NewReader(conn, 4096)
 				for {
@@ -39,7 +39,7 @@
 					if err != nil {
 						return
 					}
-					if l.note(words[2]); len(l.all()) == 1 {
+					if l.add(words[2]); len(l.all()) == 1 {
 						return
 					}
 					conn.Write([]byte(hit("value")))
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -16,24 +16,24 @@
 
 // Front is a way in for requests. It hands them to the Proxy, its host, with Submit, and gets each one's single
 // final answer by the request's Taker. The host knows nothing else of it, and all fronts share one Balancer, one
-// count of held bytes and of descriptors, and one drain. Sweep, MakeRoom, Owes, End and Close are called under the
+// count of held bytes and of descriptors, and one drain. Sweep, FreeDescriptor, Owes, End and Close are called under the
 // host's lock and must not block.
 type Front interface {
-	// Serve takes clients until StopTaking or Close; an error ends the whole proxy.
+	// Serve takes clients until StopAccepting or Close; an error ends the whole proxy.
 	Serve() error
 	// Drain says that a planned stop has begun; clients still come.
 	Drain()
-	// StopTaking ends the way in. What has been taken is still answered.
-	StopTaking()
-	// Owes lets go of clients to whom nothing is owed and tells whether others are left.
-	Owes() bool
-	// End says that everything taken has its answer, and that nothing that comes from now on gets one: clients are told of the end even
+	// StopAccepting ends the way in. What has been taken is still answered.
+	StopAccepting()
+	// EndIdle lets go of clients to whom nothing is owed and tells whether others are left.
+	EndIdle() bool
+	// EndAll says that everything taken has its answer, and that nothing that comes from now on gets one: clients are told of the end even
 	// where they have sent more.
-	End()
+	EndAll()
 	// Sweep is called every 50 ms.
 	Sweep()
-	// MakeRoom gives up a descriptor with which nothing is lost, if there is one.
-	MakeRoom() bool
+	// FreeDescriptor gives up a descriptor with which nothing is lost, if there is one.
+	FreeDescriptor() bool
 	// Close ends what is still open; nothing is owed on it any more.
 	Close()
 }
@@ -44,38 +44,38 @@
 // Command is what a client asks, in the platform's terms, whatever front it came by.
 type Command struct {
 	upstream.Message // the capacity of its value counts as held
-	// Only, if not nil, is the addresses of the members that the client lets the request go to, with or without port.
-	Only []string
-	// Again tells that the client has asked for it before under the same name.
-	Again bool
-	// Arrived is when its last byte came, by Proxy.Clock; its deadline counts from then. 0: when it is submitted.
-	Arrived time.Duration
+	// AllowedAddrs, if not nil, is the addresses of the members that the client lets the request go to, with or without port.
+	AllowedAddrs []string
+	// Retry tells that the client has asked for it before under the same name.
+	Retry bool
+	// ArrivedAt is when its last byte came, by Proxy.Clock; its deadline counts from then. 0: when it is submitted.
+	ArrivedAt time.Duration
 }
 
 // Request is a client's command from its last byte to its answer, and on to the end of its last attempt. The
 // front makes it, fills in the Command and the Taker, and hands it over.
 type Request struct {
 	Command
-	Taker    Taker
-	By       *identity.Proof // whom it is from, where callers are proven
-	Front    string          // that it came by, as rights name it
-	p        *Proxy          // once it is taken
-	id       logic.RequestID
-	class    int // its place in the counts of reasons; below 0: it is dropped since
-	effect   logic.Effect
-	again    bool // its client may ask for it again whatever has become of it
-	long     int  // bytes of the room for long values that its value has; else it is counted as held
-	tenant   int
-	deadline time.Duration
-	attempts []*attempt // by number
-	out      int        // attempts without outcome
-	done     bool       // the final answer is decided, or nobody waits for it
-	ran      bool       // an attempt that has ended may have run
-	spent    bool       // the id of its token is used by it
-	denied   error      // why it was not sent: its proof no longer holds
-	group    uint32     // it is one of several that were asked for at once; 0: of none
-	join     *joined    // it leads other reads or follows one; nil: neither
-	rec      *recorded  // it is an order on record; nil: it is not
+	Responder   Responder
+	Proof       *identity.Proof // whom it is from, where callers are proven
+	Front       string          // that it came by, as rights name it
+	proxy       *Proxy          // once it is taken
+	id          logic.RequestID
+	class       int // its place in the counts of reasons; below 0: it is dropped since
+	effect      logic.Effect
+	retryable   bool // its client may ask for it again whatever has become of it
+	longBytes   int  // bytes of the room for long values that its value has; else it is counted as held
+	tenant      int
+	deadline    time.Duration
+	attempts    []*attempt // by number
+	outstanding int        // attempts without outcome
+	done        bool       // the final answer is decided, or nobody waits for it
+	maybeRan    bool       // an attempt that has ended may have run
+	tokenUsed   bool       // the id of its token is used by it
+	denied      error      // why it was not sent: its proof no longer holds
+	group       uint32     // it is one of several that were asked for at once; 0: of none
+	join        *joined    // it leads other reads or follows one; nil: neither
+	orderRecord *recorded  // it is an order on record; nil: it is not
 }
 
 // Kind is the kind of a final answer.
@@ -94,110 +94,110 @@
 	Value      []byte        // valid during the call only
 	Body       *Body         // what holds the value, if others get it too: whoever keeps it has it kept and released
 	RetryAfter time.Duration // when a refused client should come back; 0: not said
-	Why        logic.Reason  // of a refusal or failure
+	Reason     logic.Reason  // of a refusal or failure
 }
 
-// Taker gets a request's single final answer, under the host's lock; it must not block. One that is an upstream.Passer too
+// Responder gets a request's single final answer, under the host's lock; it must not block. One that is an upstream.Passer too
 // takes long values, piece by piece as they come from a member; such a value is the answer then.
-type Taker interface{ Answer(Answer) }
+type Responder interface{ Answer(Answer) }
 
-// Carrier is a Taker whose client makes the attempts itself, over connections that the host has no part in. The
+// ExternalSender is a Taker whose client makes the attempts itself, over connections that the host has no part in. The
 // front reports how each one ends; the host still ends those whose time is up.
-type Carrier interface {
-	Taker
-	// Carry names the member for the next attempt, under the host's lock.
-	Carry(*Attempt)
+type ExternalSender interface {
+	Responder
+	// Assign names the member for the next attempt, under the host's lock.
+	Assign(*Attempt)
 }
 
 // Attempt is an attempt in the hands of a Carrier. Its methods want the host's lock (see Do).
 type Attempt struct {
-	p      *Proxy
-	a      *attempt
-	Addr   string // of the member
-	Origin bool   // it is an origin
+	proxy   *Proxy
+	attempt *attempt
+	Addr    string // of the member
+	Origin  bool   // it is an origin
 }
 
-// Give notes that the client is being told of the attempt now: from here on it may have run. It tells whether
+// Announce notes that the client is being told of the attempt now: from here on it may have run. It tells whether
 // the attempt still stands; one that has ended, or whose member is no longer ready, must not be given. It may be asked
 // again of an attempt that was given and has surely not been sent yet: if its member has gone, that one never ran.
-func (x *Attempt) Give() bool {
-	if m := x.p.members[x.a.to]; !x.a.Ended && (m == nil || m.state != logic.Ready || m.Addr != x.Addr) {
-		x.p.end(x.a, logic.StatusConnectFailed, 0)
+func (x *Attempt) Announce() bool {
+	if m := x.proxy.members[x.attempt.to]; !x.attempt.Ended && (m == nil || m.state != logic.Ready || m.Addr != x.Addr) {
+		x.proxy.end(x.attempt, logic.StatusConnectFailed, 0)
 	}
-	if x.a.Ended {
+	if x.attempt.Ended {
 		return false
 	}
-	if !x.a.given {
-		x.a.given, x.a.BeganAt = true, x.p.now
+	if !x.attempt.given {
+		x.attempt.given, x.attempt.BeganAt = true, x.proxy.now
 	}
 	return true
 }
 
-// Given tells whether the client has been told of the attempt.
-func (x *Attempt) Given() bool { return x.a.given }
+// Announced tells whether the client has been told of the attempt.
+func (x *Attempt) Announced() bool { return x.attempt.given }
 
 // Ended tells whether the attempt has its outcome.
-func (x *Attempt) Ended() bool { return x.a.Ended }
+func (x *Attempt) Ended() bool { return x.attempt.Ended }
 
-// Left is how long the attempt may still take.
-func (x *Attempt) Left() time.Duration { return x.a.ExpiresAt - x.p.now }
+// TimeLeft is how long the attempt may still take.
+func (x *Attempt) TimeLeft() time.Duration { return x.attempt.ExpiresAt - x.proxy.now }
 
 // End gives the attempt its outcome, with a note as in logic.Outcome; later ones are dropped.
-func (x *Attempt) End(s logic.Status, note int) { x.p.end(x.a, s, note) }
+func (x *Attempt) End(s logic.Status, note int) { x.proxy.end(x.attempt, s, note) }
 
-// Spares names up to most further members that the client may go on to by itself where this one fails it, in order.
-func (x *Attempt) Spares(most int) (addrs []string) {
-	if x.a.Ended {
+// Fallbacks names up to most further members that the client may go on to by itself where this one fails it, in order.
+func (x *Attempt) Fallbacks(most int) (addrs []string) {
+	if x.attempt.Ended {
 		return nil
 	}
-	for _, id := range x.p.bal.Fallbacks(x.a.req.id, most) {
-		if m := x.p.members[id]; m != nil && m.state == logic.Ready {
+	for _, id := range x.proxy.bal.Fallbacks(x.attempt.req.id, most) {
+		if m := x.proxy.members[id]; m != nil && m.state == logic.Ready {
 			addrs = append(addrs, m.Addr)
 		}
 	}
 	return addrs
 }
 
-// Moved notes that the client has gone on by itself to the member at an address. It tells whether there is one.
-func (x *Attempt) Moved(addr string) bool {
-	if x.a.Ended {
+// FallbackUsed notes that the client has gone on by itself to the member at an address. It tells whether there is one.
+func (x *Attempt) FallbackUsed(addr string) bool {
+	if x.attempt.Ended {
 		return false
 	}
-	for id, m := range x.p.members {
+	for id, m := range x.proxy.members {
 		if m.Addr == addr {
-			x.p.bal.FallbackUsed(x.p.now, x.a.req.id, x.a.to, id)
-			x.a.to, x.Addr = id, addr
+			x.proxy.bal.FallbackUsed(x.proxy.now, x.attempt.req.id, x.attempt.to, id)
+			x.attempt.to, x.Addr = id, addr
 			return true
 		}
 	}
 	return false
 }
 
-// DeliverElsewhere ends an attempt that somebody who is no member has served: the request is served, and nothing is
+// MarkServedElsewhere ends an attempt that somebody who is no member has served: the request is served, and nothing is
 // learnt of the member that was named.
-func (x *Attempt) DeliverElsewhere() {
-	if !x.a.Ended {
-		x.a.req.done = true
-		x.p.fence(x.a.req)
-		if c := x.a.req.rec; c != nil {
+func (x *Attempt) MarkServedElsewhere() {
+	if !x.attempt.Ended {
+		x.attempt.req.done = true
+		x.proxy.fence(x.attempt.req)
+		if c := x.attempt.req.orderRecord; c != nil {
 			c.ok, c.by = true, orders.ReportedByCaller
 		}
-		x.p.end(x.a, logic.StatusCancelled, 0)
+		x.proxy.end(x.attempt, logic.StatusCancelled, 0)
 	}
 }
 
-// Deliver ends an attempt whose answer the client has: the request is served, and gets no further answer.
-func (x *Attempt) Deliver(note int) {
-	if !x.a.Ended {
-		x.a.req.done = true
-		x.p.fence(x.a.req)
-		x.p.end(x.a, logic.StatusOK, note)
+// MarkServed ends an attempt whose answer the client has: the request is served, and gets no further answer.
+func (x *Attempt) MarkServed(note int) {
+	if !x.attempt.Ended {
+		x.attempt.req.done = true
+		x.proxy.fence(x.attempt.req)
+		x.proxy.end(x.attempt, logic.StatusOK, note)
 	}
 }
 
 // MayHaveRun tells whether an attempt of the request may have run, or may yet.
 func (r *Request) MayHaveRun() bool {
-	if r.ran {
+	if r.maybeRan {
 		return true
 	}
 	for _, a := range r.attempts {
@@ -217,15 +217,15 @@
 // ErrStopping is the ErrBusy of a proxy that takes nothing any more.
 var ErrStopping = fmt.Errorf("%w: the proxy is stopping", ErrBusy)
 
-// ErrInUse tells that the id belongs to another request.
-var ErrInUse = errors.New("the id is in use")
+// ErrIDInUse tells that the id belongs to another request.
+var ErrIDInUse = errors.New("the id is in use")
 
 // Submit takes a request under the host's lock. An error means that the Balancer has not seen it and never will;
 // one that is not ErrBusy finds fault with the request itself, or with who it is from (identity.WhyOf). The answer may come before Submit returns.
 func (p *Proxy) Submit(r *Request) error {
 	err := p.submit(r)
 	if err != nil {
-		p.unspend(r)
+		p.releaseToken(r)
 	}
 	return err
 }
@@ -233,10 +233,10 @@
 func (p *Proxy) submit(r *Request) error {
 	lr, err := r.describe(&p.cfg.Settings)
 	if err == nil && p.ids.used(r.ReqID, p.now) {
-		err = ErrInUse
+		err = ErrIDInUse
 	}
 	if err == nil {
-		err = p.may(r, &p.cfg.Settings.Classes[lr.Class])
+		err = p.authorize(r, &p.cfg.Settings.Classes[lr.Class])
 	}
 	switch {
 	case err != nil:
@@ -250,15 +250,15 @@
 	}
 	p.ids.add(r.ReqID, p.now)
 	p.nextID++ // after 2^32 it begins anew, long after the request that had the number
-	r.id, r.p = p.nextID, p
+	r.id, r.proxy = p.nextID, p
 	lr.ID = r.id
-	if r.Only != nil {
-		lr.AllowedMembers = p.named(r.Only)
+	if r.AllowedAddrs != nil {
+		lr.AllowedMembers = p.membersByAddr(r.AllowedAddrs)
 	}
 	class := &p.cfg.Settings.Classes[lr.Class]
 	r.class, r.tenant, r.effect = lr.Class, lr.Tenant, class.EffectOf(lr.NoDedupKey)
-	r.again = class.SafeToRetry(r.effect)
-	lr.Deadline += p.arrivedAt(r.Arrived)
+	r.retryable = class.SafeToRetry(r.effect)
+	lr.Deadline += p.earliestArrival(r.ArrivedAt)
 	r.deadline = lr.Deadline
 	p.requests[r.id] = r
 	if p.cfg.Record != nil && r.effect == logic.AtMostOnce {
@@ -271,16 +271,16 @@
 	return nil
 }
 
-// arrivedAt is when the last byte of a request may have come at the earliest, given when it was read; 0: now.
-func (p *Proxy) arrivedAt(read time.Duration) time.Duration {
+// earliestArrival is when the last byte of a request may have come at the earliest, given when it was read; 0: now.
+func (p *Proxy) earliestArrival(read time.Duration) time.Duration {
 	if read == 0 {
 		return p.now
 	}
 	return p.stalls.EarliestArrival(min(read, p.now))
 }
 
-// named finds the members at these addresses; an address without a port is all of its host's. Never nil.
-func (p *Proxy) named(addrs []string) []logic.MemberID {
+// membersByAddr finds the members at these addresses; an address without a port is all of its host's. Never nil.
+func (p *Proxy) membersByAddr(addrs []string) []logic.MemberID {
 	only := []logic.MemberID{}
 	set := make(map[string]struct{}, len(addrs))
 	for _, a := range addrs {
@@ -297,13 +297,13 @@
 	return only
 }
 
-// Narrow changes, within Do, the members that a request in hand may go to; nil: all. An attempt that its client has not
+// RestrictMembers changes, within Do, the members that a request in hand may go to; nil: all. An attempt that its client has not
 // been told of, at a member that is not among them, was never sent.
-func (p *Proxy) Narrow(r *Request, addrs []string) {
-	r.Only = addrs
+func (p *Proxy) RestrictMembers(r *Request, addrs []string) {
+	r.AllowedAddrs = addrs
 	var only []logic.MemberID
 	if addrs != nil {
-		only = p.named(addrs)
+		only = p.membersByAddr(addrs)
 	}
 	if r.join != nil {
 		r.join.lr.AllowedMembers = only
@@ -317,12 +317,12 @@
 	p.Tell()
 }
 
-// Withdraw says that nobody waits for the request any more. What has not been sent for it is not sent; attempts that are out end by themselves.
-func (p *Proxy) Withdraw(r *Request) {
+// Cancel says that nobody waits for the request any more. What has not been sent for it is not sent; attempts that are out end by themselves.
+func (p *Proxy) Cancel(r *Request) {
 	if r.id == 0 {
 		return // it was never taken
 	}
-	if p.joins != nil && p.withdrawJoined(r) || r.rec != nil && p.withdrawRecorded(r) {
+	if p.joins != nil && p.withdrawJoined(r) || r.orderRecord != nil && p.withdrawRecorded(r) {
 		return
 	}
 	if !r.done {
@@ -358,8 +358,8 @@
 	return c // replaced whole, never changed
 }
 
-// Retune takes over other classes and another number of attempts. Requests in hand keep theirs.
-func (p *Proxy) Retune(classes []logic.Class, tryLimit int) error {
+// UpdateClasses takes over other classes and another number of attempts. Requests in hand keep theirs.
+func (p *Proxy) UpdateClasses(classes []logic.Class, tryLimit int) error {
 	p.enter()
 	defer p.leave()
 	if err := p.bal.UpdateClasses(p.now, classes, tryLimit); err != nil {
@@ -367,7 +367,7 @@
 	}
 	was := p.cfg.Settings.Classes
 	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = slices.Clone(classes), tryLimit
-	p.redis.gate.SetClasses(classes)
+	p.redis.shedder.SetClasses(classes)
 	names := logic.ClassNames(classes)
 	p.reasons = p.reasons.ForClasses(names)
 	if p.reasonsTold != nil {
@@ -381,29 +381,29 @@
 	return nil
 }
 
-// Hold counts n bytes, or gives back -n, under the lock. It tells whether the room is overdrawn.
-func (p *Proxy) Hold(n int) (over bool) {
+// AddHeld counts n bytes, or gives back -n, under the lock. It tells whether the room is overdrawn.
+func (p *Proxy) AddHeld(n int) (over bool) {
 	p.held += n
 	return p.held > p.heldMax
 }
 
-// Descriptors counts n descriptors that a front has opened, or -n that it has closed, under the lock.
-func (p *Proxy) Descriptors(n int) { p.frontFDs += n }
+// AddDescriptors counts n descriptors that a front has opened, or -n that it has closed, under the lock.
+func (p *Proxy) AddDescriptors(n int) { p.frontFDs += n }
 
-// Room tells, under the lock, whether a front may open one more descriptor, and makes room if it can.
-func (p *Proxy) Room() bool {
+// EnsureDescriptor tells, under the lock, whether a front may open one more descriptor, and makes room if it can.
+func (p *Proxy) EnsureDescriptor() bool {
 	for p.sockets() >= p.cfg.Sockets-spareSockets {
-		if !p.makeRoom() {
+		if !p.freeDescriptor() {
 			return false
 		}
 	}
 	return true
 }
 
-// makeRoom closes a connection that nothing is lost with.
-func (p *Proxy) makeRoom() bool {
+// freeDescriptor closes a connection that nothing is lost with.
+func (p *Proxy) freeDescriptor() bool {
 	for _, f := range p.fronts {
-		if f.MakeRoom() {
+		if f.FreeDescriptor() {
 			return true
 		}
 	}
@@ -427,7 +427,7 @@
 	p.Do(func() {
 		l = Load{Requests: len(p.requests), Held: p.held, Descriptors: p.sockets()}
 		for _, r := range p.requests {
-			l.Attempts += r.out
+			l.Attempts += r.outstanding
 		}
 		for _, m := range p.members {
 			if m.state == logic.Ready {
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -12,7 +12,7 @@
 )
 
 // Connections that don't live as long as the settings say are found out and not used for so long.
-func TestStaleConnectionsAreFoundOut(t *testing.T) {
+func TestStaleConnectionsAreDetected(t *testing.T) {
 	var broke atomic.Int32
 	node := listen(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -20,7 +20,7 @@
 func (p *Proxy) Learnt() (s inherit.Snapshot) {
 	p.Do(func() {
 		s = inherit.Snapshot{Fleet: p.cfg.fleet(), TakenMS: time.Now().UnixMilli(), Balancer: p.bal.ExportState(p.now),
-			Links: make(map[logic.MemberID]inherit.LinkState), Idle: p.ups.IdleStats(), ReuseShare: p.redis.reuse}
+			Links: make(map[logic.MemberID]inherit.LinkState), Idle: p.ups.IdleStats(), ReuseShare: p.redis.reuseShare}
 		for _, m := range s.Balancer.Members {
 			if known := p.members[m.ID]; known != nil {
 				s.Links[m.ID] = inherit.LinkState{Addr: known.Addr, ConnStats: known.Member.Stats()}
@@ -58,7 +58,7 @@
 				p.members[id].RestoreStats(link.ConnStats)
 			}
 			p.ups.RestoreIdleStats(held.Idle)
-			p.redis.reuse = held.ReuseShare
+			p.redis.reuseShare = held.ReuseShare
 		})
 	}
 	if err != nil {
--- a/internal/proxy/intake_test.go
+++ b/internal/proxy/intake_test.go
@@ -8,29 +8,32 @@
 	"linenloom/internal/sender"
 )
 
-// restingClient is a client that has had an answer and stands idle, with the proxy's side of it.
-func (p *testProxy) restingClient() (client *testClient, side *client) {
+// idleClient is a client that has had an answer and stands idle, with the proxy's side of it.
+func (p *testProxy) idleClient() (client *testClient, side *client) {
 	p.t.Helper()
 	client = p.dial()
 	client.send(get("a1", "first"))
 	client.answer()
 	p.eventually("it stands idle", func() bool {
 		for side = range p.redis.clients {
-			return side.free() && side.quiet()
+			return side.isIdle() && side.hasNoInput()
 		}
 		return false
 	})
 	return client, side
 }
 
-// closers are the ways in which the proxy ends a connection at rest for reasons of its own.
-var closers = map[string]func(c *client){
-	"for its place":           func(c *client) { c.f.dropClient() },
-	"for a crowded place":     func(c *client) { c.active -= clientIdle; c.f.dropClient() },
-	"as it stands idle":       func(c *client) { c.active -= clientIdle; c.f.closeIdleClients() },
-	"as it is hardly reused":  func(c *client) { c.f.reuse, c.f.asked, c.again, c.kept = 0, 1<<20, false, false; c.answered() },
-	"as the proxy ends":       func(c *client) { c.f.ending = c.p.now; c.answered() },
-	"as the proxy still ends": func(c *client) { c.f.ending = c.p.now; c.active -= endGap; c.f.Owes() },
+// closeReasons are the ways in which the proxy ends a connection at rest for reasons of its own.
+var closeReasons = map[string]func(c *client){
+	"for its place":       func(c *client) { c.front.evictClient() },
+	"for a crowded place": func(c *client) { c.lastActive -= clientIdleTimeout; c.front.evictClient() },
+	"as it stands idle":   func(c *client) { c.lastActive -= clientIdleTimeout; c.front.closeIdleClients() },
+	"as it is hardly reused": func(c *client) {
+		c.front.reuseShare, c.front.activeClients, c.reused, c.keepOpen = 0, 1<<20, false, false
+		c.endAfterAnswer()
+	},
+	"as the proxy ends":       func(c *client) { c.front.endingSince = c.proxy.now; c.endAfterAnswer() },
+	"as the proxy still ends": func(c *client) { c.front.endingSince = c.proxy.now; c.lastActive -= drainQuietTime; c.front.EndIdle() },
 }
 
 // What happens: a command has been read from the kernel, and its reader has not come to say so, for want of the core or of the lock; the proxy ends
@@ -38,14 +41,14 @@
 // it next had the lock. Seen in CI, planned restart 4: "request 25-46-1-0 is lost, sent 2.358875122s before the kill, after 73.269739ms: no answer:
 // EOF", in a crowd before few descriptors.
 func TestCommandThatIsBeingReadKeepsItsConnection(t *testing.T) {
-	for name, end := range closers {
+	for name, end := range closeReasons {
 		t.Run(name, func(t *testing.T) {
 			node := cache(t, func(a asked) string { return hit("value of " + a.key) })
 			p := start(t, testConfig(), entry("s-1", node, "large"))
-			client, side := p.restingClient()
+			client, side := p.idleClient()
 			p.Do(func() {
 				client.send(get("a1", "second")) // its reader can't go on while the lock is held
-				for deadline := time.Now().Add(patience); side.w.Peek() != sender.NoData; time.Sleep(time.Millisecond) {
+				for deadline := time.Now().Add(patience); side.sender.Peek() != sender.NoData; time.Sleep(time.Millisecond) {
 					if time.Now().After(deadline) {
 						t.Fatal("the command is never read from the kernel")
 					}
@@ -61,7 +64,7 @@
 
 // A command that nobody has read yet keeps its connection as well: its client would have to send it once more.
 func TestUnreadCommandKeepsItsConnection(t *testing.T) {
-	for name, end := range closers {
+	for name, end := range closeReasons {
 		t.Run(name, func(t *testing.T) {
 			p := start(t, testConfig())
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,12 +86,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				side.ask()
+				side.noteCommand()
 				if _, err := conn.Write([]byte(get("a1", "only"))); err != nil {
 					t.Fatal(err)
 				}
 				end(side)
-				if side.closed || side.hung {
+				if side.closed || side.writeClosed {
 					t.Error("its connection was ended")
 				}
 				side.close()
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -42,7 +42,7 @@
 	b := resp.AppendBulkHead(make([]byte, 0, len(value)+16), len(value))
 	head := len(b)
 	b = append(append(b, value...), "\r\n"...)
-	p.Hold(len(b))
+	p.AddHeld(len(b))
 	return &Body{p: p, bulk: b, head: head, refs: 1}
 }
 
@@ -55,7 +55,7 @@
 // Release lets go of the body, under the host's lock.
 func (b *Body) Release() {
 	if b.refs--; b.refs == 0 {
-		b.p.Hold(-len(b.bulk))
+		b.p.AddHeld(-len(b.bulk))
 		b.bulk = b.bulk[:0:0]
 	}
 }
@@ -67,7 +67,7 @@
 
 // join has a read share another's attempt, or be shared. It tells whether it waits; else it makes its own way.
 func (p *Proxy) join(r *Request, lr logic.Request) (follows bool) {
-	if _, own := r.Taker.(Carrier); own || r.Only != nil {
+	if _, own := r.Responder.(ExternalSender); own || r.AllowedAddrs != nil {
 		return false
 	}
 	read, ok := p.joins.Limits().NewRead(&lr, r.effect, string(r.Key), namesOf(r.Attrs))
@@ -163,10 +163,10 @@
 	if !f.done {
 		f.done = true
 		p.joined.Shared++
-		if p.proven(f) {
-			f.Taker.Answer(Answer{Kind: Served, Value: body.Value(), Body: body})
+		if p.checkProof(f) {
+			f.Responder.Answer(Answer{Kind: Served, Value: body.Value(), Body: body})
 		} else {
-			f.Taker.Answer(Answer{Kind: Failed, Why: logic.Rejected})
+			f.Responder.Answer(Answer{Kind: Failed, Reason: logic.Rejected})
 		}
 	}
 	body.Release()
@@ -182,7 +182,7 @@
 		p.shareWith(f)
 	default:
 		p.joinLeft(id)
-		p.conclude(id, Answer{Kind: Refused, Why: logic.OutOfTime})
+		p.conclude(id, Answer{Kind: Refused, Reason: logic.OutOfTime})
 	}
 }
 
@@ -237,7 +237,7 @@
 	case r.join == nil || r.done:
 		return false
 	case r.join.lead && p.joins.FollowerCount(r.id) > 0:
-		r.Taker = nobody{}
+		r.Responder = nobody{}
 		return true
 	case r.join.lead:
 		p.joinEnded(r)
@@ -256,8 +256,8 @@
 // joinLeft takes a follower out. A lead that has gone on for others after its own client had left ends with the last of them.
 func (p *Proxy) joinLeft(id logic.RequestID) {
 	lead, alone := p.joins.RemoveFollower(id)
-	if r := p.requests[lead]; alone && r != nil && r.Taker == (nobody{}) {
-		p.Withdraw(r)
+	if r := p.requests[lead]; alone && r != nil && r.Responder == (nobody{}) {
+		p.Cancel(r)
 	}
 }
 
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -372,7 +372,7 @@
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
 	classes := append([]logic.Class(nil), cfg.Settings.Classes...)
 	classes[0].SoftDeadline = 4 * time.Second
-	if err := p.Retune(classes, 3); err != nil {
+	if err := p.UpdateClasses(classes, 3); err != nil {
 		t.Fatal(err)
 	}
 	after := p.dial()
@@ -509,10 +509,10 @@
 // A tenant without the right to a key gets nothing of another's attempt for it, also where tenants share attempts.
 func TestJoiningAsksForTheRightFirst(t *testing.T) {
 	g := newGate()
-	o := newOffice(t, "k1")
+	o := newTokenIssuer(t, "k1")
 	shared := joinAll
 	shared.AcrossTenants = true
-	p, _, _ := guarded(t, o, func(cfg *Config) { cfg.Joining = &shared }, g.answer)
+	p, _, _ := startWithCallers(t, o, func(cfg *Config) { cfg.Joining = &shared }, g.answer)
 	proven := func(tenant string) *testClient {
 		c := p.dial()
 		c.send(words("AUTH", o.token("k1", tenant, "")))
@@ -547,15 +547,15 @@
 // A read that leads others goes on for them when its client leaves, and ends with the last of them.
 func TestAllOfAJoinedReadLeave(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		l := newRoll()
-		door, open := shut(t, l, "large")
-		cfg := leaving(cancel)
+		l := newRequestLog()
+		door, open := blockedMember(t, l, "large")
+		cfg := noTimeoutConfig(cancel)
 		cfg.Joining = &joinAll
 		p := start(t, cfg, entry("s-1", door, "large"))
 		var clients []*testClient
 		for i := range 3 {
 			c := p.dial()
-			c.send(getLong("a1", fmt.Sprintf("left%d", i)))
+			c.send(getLongDeadline("a1", fmt.Sprintf("left%d", i)))
 			p.eventually("it is in hand", func() bool { return len(p.requests) == i+1 })
 			clients = append(clients, c)
 		}
@@ -566,14 +566,14 @@
 		}
 		clients[1].conn.Close()
 		clients[2].conn.Close()
-		p.gone()
+		p.awaitNoClients()
 		open()
 		next := p.dial()
 		next.send(get("a1", "next"))
 		if got := next.answer(); got != "value of a1" {
 			t.Errorf("answered %q", got)
 		}
-		if got := l.asked(t, 1); got[0] != "next" {
+		if got := l.awaitRequests(t, 1); got[0] != "next" {
 			t.Errorf("the member was asked under %v", got)
 		}
 	}
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// newest is the place of the listener that joined last, while two processes listen: the kernel numbers the sockets of
+// newestListener is the place of the listener that joined last, while two processes listen: the kernel numbers the sockets of
 // an address in the order in which they came, and closes the gap that one leaves.
-const newest = 1
+const newestListener = 1
 
 // listenShared listens at an address at which another process of this proxy may listen too, and has the kernel give all
 // new connections to whichever process came last. The other's line is then empty when it closes its listener; closed
@@ -39,7 +39,7 @@
 	listener := l.(*net.TCPListener)
 	raw, err := listener.SyscallConn()
 	if err == nil {
-		choice := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newest}}
+		choice := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestListener}}
 		program := unix.SockFprog{Len: uint16(len(choice)), Filter: &choice[0]}
 		if e := raw.Control(func(fd uintptr) {
 			err = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &program)
@@ -53,8 +53,8 @@
 	return listener, nil
 }
 
-// waitingIn tells whether a connection stands in a listener's line, or that can't be known.
-func waitingIn(l *net.TCPListener) (waiting bool) {
+// hasQueuedConns tells whether a connection stands in a listener's line, or that can't be known.
+func hasQueuedConns(l *net.TCPListener) (waiting bool) {
 	waiting = true
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -68,8 +68,8 @@
 	return waiting
 }
 
-// listenedAt tells whether somebody listens at an address already. It binds the address without sharing it, and lets it go.
-func listenedAt(addr string) bool {
+// addrInUse tells whether somebody listens at an address already. It binds the address without sharing it, and lets it go.
+func addrInUse(addr string) bool {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil || at.Port() == 0 {
 		return false
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -18,7 +18,7 @@
 const (
 	// longShare is the part of the memory for long values that are written, beside bufferShare for everything else.
 	longShare = 0.25
-	// longStep is how much of a long value has to come within commandTime. Slower, a client would hold its room for minutes.
+	// longStep is how much of a long value has to come within commandTimeout. Slower, a client would hold its room for minutes.
 	longStep = 64 << 10
 	// longestWait is how long a long value waits for room before it is refused.
 	longestWait = 10 * time.Second
@@ -89,7 +89,7 @@
 
 // InRoom says, before the request is taken, that its value is in the room for long values, with so many bytes. From then on they are given
 // back with the request.
-func (r *Request) InRoom(n int) { r.long = n }
+func (r *Request) InRoom(n int) { r.longBytes = n }
 
 // heldPlace is a place in the room that is waited for without the lock, for so long at the most.
 type heldPlace struct {
@@ -131,38 +131,38 @@
 
 // letGo gives back the room of a request's value.
 func (p *Proxy) letGo(r *Request) {
-	if r.long > 0 {
-		p.long.used -= r.long
+	if r.longBytes > 0 {
+		p.long.used -= r.longBytes
 	} else {
 		p.held -= cap(r.Value)
 	}
-	r.long, r.Value = 0, nil
+	r.longBytes, r.Value = 0, nil
 }
 
 // longValue reads a long value of a client, once there is room for it.
-func (c *client) longValue(cmd *input, n int) error {
-	p := c.p
+func (c *client) longValue(cmd *parsedCommand, n int) error {
+	p := c.proxy
 	gone := make(chan struct{})
-	p.Do(func() { c.waits = gone })
+	p.Do(func() { c.valueWait = gone })
 	w := p.longRoom(n, cmp.Or(p.long.longest, longestWait), gone)
 	let := w.Wait()
-	c.arrived.NoteUnreadPossible()
-	p.Do(func() { c.waits = nil })
+	c.arrival.NoteUnreadPossible()
+	p.Do(func() { c.valueWait = nil })
 	if !let { // it is read over, and refused
-		*cmd = input{refused: true}
-		c.limit()
-		return c.in.Skip(n)
+		*cmd = parsedCommand{refused: true}
+		c.limitCommandTime()
+		return c.reader.Skip(n)
 	}
 	value := make([]byte, n)
 	err := c.pieces(value)
 	if err == nil {
-		err = c.in.LineEnd()
+		err = c.reader.LineEnd()
 	}
 	if err != nil {
 		w.Release()
 		return err
 	}
-	cmd.Value, cmd.long = value, n
+	cmd.Value, cmd.longBytes = value, n
 	return nil
 }
 
@@ -170,63 +170,63 @@
 func (c *client) pieces(value []byte) error {
 	for len(value) > 0 {
 		piece := value[:min(len(value), longStep)]
-		c.limit()
-		if _, err := io.ReadFull(c.in, piece); err != nil {
+		c.limitCommandTime()
+		if _, err := io.ReadFull(c.reader, piece); err != nil {
 			return err
 		}
 		value = value[len(piece):]
 	}
-	c.limit()
+	c.limitCommandTime()
 	return nil
 }
 
 // errGone tells that a client takes nothing any more.
 var errGone = errors.New("the client has gone")
 
-var _ upstream.ValueStream = (*owed)(nil)
+var _ upstream.ValueStream = (*pendingAnswer)(nil)
 
 // Begin begins the answer.
-func (o *owed) Begin(n int) error { return o.write(resp.AppendBulkHead(nil, n), false) }
+func (o *pendingAnswer) Begin(n int) error { return o.write(resp.AppendBulkHead(nil, n), false) }
 
 // WritePiece writes a piece.
-func (o *owed) WritePiece(piece []byte) error { return o.write(piece, false) }
+func (o *pendingAnswer) WritePiece(piece []byte) error { return o.write(piece, false) }
 
 // Finish ends the answer.
-func (o *owed) Finish() error { return o.write([]byte("\r\n"), true) }
+func (o *pendingAnswer) Finish() error { return o.write([]byte("\r\n"), true) }
 
 // Abort closes the connection.
-func (o *owed) Abort() { o.client.p.Do(o.client.close) }
+func (o *pendingAnswer) Abort() { o.client.proxy.Do(o.client.close) }
 
 // write sends bytes of an answer once its turn has come and the client has taken what was sent before.
-func (o *owed) write(b []byte, last bool) error {
+func (o *pendingAnswer) write(b []byte, last bool) error {
 	c := o.client
-	p := c.p
+	p := c.proxy
 	for {
 		p.enter()
-		if c.closed || c.w.Failed() || !slices.Contains(c.pending, o) {
+		if c.closed || c.sender.Failed() || !slices.Contains(c.pending, o) {
 			p.leave()
 			return errGone
 		}
-		if c.pending[0] == o && !c.w.Busy() {
-			c.w.Send(b, false)
+		if c.pending[0] == o && !c.sender.Busy() {
+			c.sender.Send(b, false)
 			if last {
-				c.pop()
+				c.removeAnswered()
 				c.flush()
 			}
 			p.leave()
 			return nil
 		}
 		turn := make(chan struct{})
-		o.turn = turn
+		o.turnReached = turn
 		p.leave()
 		<-turn
 	}
 }
 
 // wakeTurn lets the answer go on whose turn it is.
-func (o *owed) wakeTurn() {
-	if o.turn != nil {
-		close(o.turn)
-		o.turn = nil
+func (o *pendingAnswer) wakeTurn() {
+	if o.turnReached != nil {
+		close(o.turnReached)
+		o.turnReached = nil
 	}
 }
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -297,7 +297,7 @@
 	p.eventually("all are in the middle of a command", func() bool {
 		n := 0
 		for c := range p.redis.clients {
-			if c.mid {
+			if c.midCommand {
 				n++
 			}
 		}
@@ -356,11 +356,11 @@
 			t.Fatalf("the second time: %q", got)
 		}
 	}
-	p.eventually("all are kept", func() bool { return len(p.redis.clients) == cap(clients) && p.redis.reuse > reuseLeast })
+	p.eventually("all are kept", func() bool { return len(p.redis.clients) == cap(clients) && p.redis.reuseShare > minReuseShare })
 
-	p.Do(func() { p.redis.reuse = 0 }) // as after many that ask once and stay
+	p.Do(func() { p.redis.reuseShare = 0 }) // as after many that ask once and stay
 	closed := 0
-	const once = 4 * keepEvery
+	const once = 4 * keepOpenEvery
 	for i := range once {
 		c := ask(fmt.Sprint("c", i))
 		p.eventually("it is settled", func() bool { return len(p.requests) == 0 })
@@ -375,8 +375,8 @@
 			closed++
 		}
 	}
-	if closed != once-once/keepEvery {
-		t.Errorf("%d of %d are closed, want all but one in %d", closed, once, keepEvery)
+	if closed != once-once/keepOpenEvery {
+		t.Errorf("%d of %d are closed, want all but one in %d", closed, once, keepOpenEvery)
 	}
 	clients[0].send(get("k", "d")) // one that has asked again is not
 	if got := clients[0].answer(); got != "v" {
@@ -386,10 +386,10 @@
 	p.redis.Drain() // from now on nobody makes room for others
 	open := 0
 	p.Do(func() { open = len(p.redis.clients) })
-	for i := range 2 * keepEvery {
+	for i := range 2 * keepOpenEvery {
 		ask(fmt.Sprint("e", i))
 	}
-	p.eventually("all are kept while it drains", func() bool { return len(p.requests) == 0 && len(p.redis.clients) == open+2*keepEvery })
+	p.eventually("all are kept while it drains", func() bool { return len(p.requests) == 0 && len(p.redis.clients) == open+2*keepOpenEvery })
 }
 
 // plainTaker is a client of a front that takes no long values.
@@ -413,14 +413,14 @@
 	for i := range reads {
 		taker := make(plainTaker, 1)
 		p.Do(func() {
-			r := &Request{Taker: taker, Command: Command{Message: upstream.Message{Key: fmt.Appendf(nil, "k%d", i),
+			r := &Request{Responder: taker, Command: Command{Message: upstream.Message{Key: fmt.Appendf(nil, "k%d", i),
 				ReqID: fmt.Appendf(nil, "r%d", i), Attrs: []byte("c=tile-read,d=8000")}}}
 			if err := p.Submit(r); err != nil {
 				t.Error(err)
 			}
 		})
-		if a := <-taker; a.Kind != Failed || a.Why != logic.Rejected {
-			t.Fatalf("read %d: %v, %v", i, a.Kind, a.Why)
+		if a := <-taker; a.Kind != Failed || a.Reason != logic.Rejected {
+			t.Fatalf("read %d: %v, %v", i, a.Kind, a.Reason)
 		}
 	}
 	if n := asks.Load(); n != reads {
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -72,7 +72,7 @@
 	case c.Write || p.cfg.Settings.Classes[lr.Class].Effect != logic.Repeatable:
 		return nil, errors.New("requests for many keys are for reads")
 	case p.ids.used(c.ReqID, p.now):
-		return nil, ErrInUse
+		return nil, ErrIDInUse
 	}
 	limits := *l
 	limits.Bytes = min(limits.Bytes, most)
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	p.ids.add(c.ReqID, p.now)
-	c.Arrived = p.arrivedAt(c.Arrived) // of each of its reads, whenever that is asked for
+	c.ArrivedAt = p.earliestArrival(c.ArrivedAt) // of each of its reads, whenever that is asked for
 	p.groups = max(1, p.groups+1)
 	m := &Many{p: p, Gather: g, to: to, command: c, by: by, front: front, group: p.groups, reads: make([]manyRead, g.Len()),
 		ids: make([]byte, 0, g.Len()*(len(c.ReqID)+5))}
@@ -118,9 +118,9 @@
 	s.m, s.k = m, k
 	from := len(m.ids)
 	m.ids = strconv.AppendInt(append(append(m.ids, m.command.ReqID...), '/'), int64(k), 10)
-	s.Command = Command{Only: m.command.Only, Arrived: m.command.Arrived, Message: upstream.Message{Key: []byte(m.Gather.Key(k)), Attrs: m.command.Attrs,
+	s.Command = Command{AllowedAddrs: m.command.AllowedAddrs, ArrivedAt: m.command.ArrivedAt, Message: upstream.Message{Key: []byte(m.Gather.Key(k)), Attrs: m.command.Attrs,
 		ReqID: m.ids[from:len(m.ids):len(m.ids)]}}
-	s.By, s.Front, s.Taker, s.group = m.by, m.front, s, m.group
+	s.Proof, s.Front, s.Responder, s.group = m.by, m.front, s, m.group
 	err := m.p.Submit(&s.Request)
 	switch {
 	case err == nil:
@@ -141,7 +141,7 @@
 		mark = manykeys.Served
 	case s.denied != nil:
 		mark = manykeys.Denied
-	case a.Kind == Refused && (a.Why == logic.OutOfTime || a.Why == logic.OriginLine):
+	case a.Kind == Refused && (a.Reason == logic.OutOfTime || a.Reason == logic.OriginLine):
 		mark = manykeys.Late
 	case a.Kind == Refused:
 		mark = manykeys.Refused
@@ -166,7 +166,7 @@
 	m.withdrew = true
 	for k := range m.reads {
 		if m.reads[k].m != nil {
-			m.p.Withdraw(&m.reads[k].Request)
+			m.p.Cancel(&m.reads[k].Request)
 		}
 	}
 }
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -297,12 +297,12 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		limits := manykeys.Limits{Keys: 8, Bytes: 100, Outstanding: 2, PartSize: 2}
 		p := &Proxy{cfg: Config{ManyKeys: &limits, MemoryMB: 1}, heldMax: 1 << 20}
-		c := &client{p: p, conn: &net.TCPConn{}, stream: &net.TCPConn{}}
-		c.in = resp.NewReader(bytes.NewReader(text), 256)
-		c.in.SetMaxElements(manyElements)
+		c := &client{proxy: p, conn: &net.TCPConn{}, stream: &net.TCPConn{}}
+		c.reader = resp.NewReader(bytes.NewReader(text), 256)
+		c.reader.SetMaxElements(maxManyElements)
 		held := 0
 		for range 20 {
-			cmd, err := c.command()
+			cmd, err := c.readCommand()
 			if err != nil {
 				break
 			}
@@ -310,8 +310,8 @@
 			for _, k := range cmd.keys {
 				total += len(k)
 			}
-			if len(cmd.keys) > limits.Keys || total > mostKeyText || cmd.tooMany > 0 && len(cmd.keys) > 0 || len(cmd.Key)+len(cmd.ReqID)+len(cmd.Attrs) > maxText {
-				t.Fatalf("%d keys of %d bytes, %d too many", len(cmd.keys), total, cmd.tooMany)
+			if len(cmd.keys) > limits.Keys || total > maxKeyTextBytes || cmd.rejectedKeys > 0 && len(cmd.keys) > 0 || len(cmd.Key)+len(cmd.ReqID)+len(cmd.Attrs) > maxTextBytes {
+				t.Fatalf("%d keys of %d bytes, %d too many", len(cmd.keys), total, cmd.rejectedKeys)
 			}
 			held += cap(cmd.Value)
 		}
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -20,7 +20,7 @@
 // manyReply is the reply to OBJ.MGET (docs/many-keys.md).
 type manyReply struct {
 	p      *Proxy
-	o      *owed
+	o      *pendingAnswer
 	many   *Many
 	texts  [][]byte // what the reply says of each key
 	text   []byte   // what is to be written, where keys are taken as they come
@@ -32,19 +32,19 @@
 var _ ManyTaker = (*manyReply)(nil)
 
 // submitMany hands over a request for many keys that has been read whole.
-func (c *client) submitMany(cmd input) {
-	o := &owed{client: c}
+func (c *client) submitMany(cmd parsedCommand) {
+	o := &pendingAnswer{client: c}
 	c.pending = append(c.pending, o)
 	m, err := c.newManyReply(o, &cmd)
 	if err == nil {
 		err = cmd.denied
 	}
 	if err == nil {
-		m.many, err = c.p.SubmitMany(cmd.Command, cmd.keys, cmd.proof, "resp2", math.MaxInt, m)
+		m.many, err = c.proxy.SubmitMany(cmd.Command, cmd.keys, cmd.proof, "resp2", math.MaxInt, m)
 	}
 	if err != nil {
-		c.fault(err)
-		c.answer(o, appendDenied(nil, err))
+		c.countFault(err)
+		c.sendAnswer(o, appendDenied(nil, err))
 		return
 	}
 	o.many = m
@@ -56,11 +56,11 @@
 	}
 }
 
-func (c *client) newManyReply(o *owed, cmd *input) (*manyReply, error) {
-	if cmd.tooMany > 0 {
-		return nil, fmt.Errorf("%w: %d, and %d are allowed", manykeys.ErrTooMany, cmd.tooMany, c.p.cfg.ManyKeys.Keys)
+func (c *client) newManyReply(o *pendingAnswer, cmd *parsedCommand) (*manyReply, error) {
+	if cmd.rejectedKeys > 0 {
+		return nil, fmt.Errorf("%w: %d, and %d are allowed", manykeys.ErrTooMany, cmd.rejectedKeys, c.proxy.cfg.ManyKeys.Keys)
 	}
-	m := &manyReply{p: c.p, o: o}
+	m := &manyReply{p: c.proxy, o: o}
 	attrs := make([]byte, 0, len(cmd.Attrs))
 	for name, value := range upstream.Attributes(cmd.Attrs) {
 		if name == streamName {
@@ -118,7 +118,7 @@
 // hold counts what is held for the reply.
 func (m *manyReply) hold(n int) {
 	m.held += n
-	m.p.Hold(n)
+	m.p.AddHeld(n)
 }
 
 // Over writes the reply, in the order asked, or what is left of one that went out as keys came.
@@ -134,7 +134,7 @@
 	}
 	m.hold(-m.held)
 	m.texts, o.many = nil, nil
-	c.answer(o, b)
+	c.sendAnswer(o, b)
 	if m.p.scratch = b[:0]; cap(b) > mostScratch {
 		m.p.scratch = nil
 	}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -84,7 +84,7 @@
 	waited := &attempt{req: r, sentAt: p.now - time.Second}
 	waited.BeganAt = p.now - 10*time.Millisecond
 	never := &attempt{req: r, sentAt: p.now - time.Second}
-	r.out = 2
+	r.outstanding = 2
 	p.end(waited, logic.StatusOK, 0)
 	p.end(never, logic.StatusNoConn, 0)
 	if got := p.outcomes[0].Elapsed; got != 10*time.Millisecond {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -146,7 +146,7 @@
 		cfg: cfg, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), started: time.Now(),
 		members: map[logic.MemberID]*member{}, requests: map[logic.RequestID]*Request{},
 		ids:     newIDs(),
-		heldMax: heldMax(cfg.MemoryMB), out: cfg.Out, killMost: killMost,
+		heldMax: heldMax(cfg.MemoryMB), out: cfg.Out, killMost: maxKillDeadline,
 	}
 	// The module's clock is monotonic and begins at the wall's time, so that all start times are positive on it.
 	p.offset = time.Duration(p.started.UnixNano())
@@ -179,7 +179,7 @@
 }
 
 // Addr is the address that clients connect to.
-func (p *Proxy) Addr() net.Addr { return p.redis.addr() }
+func (p *Proxy) Addr() net.Addr { return p.redis.listenAddr() }
 
 // Run serves until the context ends and everything taken until then is answered.
 func (p *Proxy) Run(ctx context.Context) error {
@@ -210,7 +210,7 @@
 	if p.cfg.Before != nil {
 		p.cfg.Before()
 	}
-	if err := p.redis.open(); err != nil {
+	if err := p.redis.startListening(); err != nil {
 		stop()
 		p.enter()
 		p.startWatch = nil
@@ -565,5 +565,5 @@
 	if !make {
 		return h.sockets() < h.cfg.Sockets-spareSockets
 	}
-	return h.sockets() < h.cfg.Sockets-spareSockets/2 || h.makeRoom()
+	return h.sockets() < h.cfg.Sockets-spareSockets/2 || h.freeDescriptor()
 }
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -92,14 +92,14 @@
 			o.Key, o.Retry = string(value), lr.Retry
 		}
 	}
-	o.Retry = o.Retry || r.Again
-	if r.By != nil {
-		o.Tenant = r.By.Tenant
-		if r.By.ID != "" {
-			o.Token, o.TokenExpiry = r.By.ID, time.Duration(r.By.Until.UnixNano())
+	o.Retry = o.Retry || r.Retry
+	if r.Proof != nil {
+		o.Tenant = r.Proof.Tenant
+		if r.Proof.ID != "" {
+			o.Token, o.TokenExpiry = r.Proof.ID, time.Duration(r.Proof.Until.UnixNano())
 		}
 	}
-	r.rec = &recorded{name: o.Name, lr: lr}
+	r.orderRecord = &recorded{name: o.Name, lr: lr}
 	p.recorded++
 	p.timers.pushToken(p.now, max(p.now, r.deadline-p.answerSlack()), uint64(r.id)<<3|tickJoin)
 	p.cfg.Record.Take(o, func(v orders.Verdict, receipt []byte, err error) {
@@ -120,7 +120,7 @@
 
 // taken goes on with what the record says of an order that has come.
 func (p *Proxy) taken(r *Request, v orders.Verdict, receipt []byte, err error) {
-	c := r.rec
+	c := r.orderRecord
 	if err != nil || v != orders.Proceed {
 		p.unrecord(c)
 	} else {
@@ -132,20 +132,20 @@
 			p.finish(r)
 		}
 	case err != nil:
-		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
+		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Reason: whyOf(err)})
 	case v == orders.Proceed:
 		p.bal.Request(p.now, c.lr)
 	case v == orders.RecordFull:
-		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: reasons.RecordFull})
+		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Reason: reasons.RecordFull})
 	case v == orders.TokenUsed:
 		r.denied = &identity.Error{Why: identity.Replayed}
-		p.conclude(r.id, Answer{Kind: Failed, Why: logic.Rejected})
+		p.conclude(r.id, Answer{Kind: Failed, Reason: logic.Rejected})
 	case v == orders.Receipt && slices.Contains(p.cfg.Receipts, r.Front):
 		r.done = true
-		r.Taker.Answer(Answer{Kind: Served, Value: receipt})
+		r.Responder.Answer(Answer{Kind: Served, Value: receipt})
 		p.settle(r)
 	default:
-		p.conclude(r.id, Answer{Kind: Failed, Why: map[orders.Verdict]logic.Reason{
+		p.conclude(r.id, Answer{Kind: Failed, Reason: map[orders.Verdict]logic.Reason{
 			orders.InProgress: reasons.OrderInHand, orders.Mismatch: reasons.OtherOrder, orders.OutcomeUnknown: reasons.OrderUnknown,
 			orders.Receipt: reasons.OrderHasRun, orders.ReceiptMissing: reasons.OrderHasRun,
 		}[v]})
@@ -189,9 +189,9 @@
 
 // sendRecorded sends an attempt of an order once the record says that it may have run.
 func (p *Proxy) sendRecorded(r *Request, a *attempt, m *member) {
-	c := r.rec
+	c := r.orderRecord
 	a.recording = true
-	_, a.carried = r.Taker.(Carrier)
+	_, a.carried = r.Responder.(ExternalSender)
 	p.schedule(due{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 	to := m.Addr
 	c.change(func() {
@@ -207,7 +207,7 @@
 
 // onRecord sends an attempt that is on record. Meanwhile its time may be over, its member draining, or its proof taken away.
 func (p *Proxy) onRecord(r *Request, a *attempt, err error) {
-	c := r.rec
+	c := r.orderRecord
 	a.recording = false
 	c.sent, c.returned = err == nil, err == nil
 	m := p.members[a.to]
@@ -217,14 +217,14 @@
 		p.log.Warn("an order can't be recorded, and is refused", "err", err)
 		p.end(a, logic.StatusMoot, 0)
 		if !r.done {
-			p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: whyOf(err)})
+			p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Reason: whyOf(err)})
 			p.bal.RequestCancelled(p.now, r.id)
 		}
 	case r.done || a.ExpiresAt-p.now < upstream.MinDeadline:
 		p.end(a, logic.StatusMoot, 0)
 	case m == nil || m.state != logic.Ready:
 		p.end(a, logic.StatusConnectFailed, 0)
-	case !p.proven(r):
+	case !p.checkProof(r):
 		p.end(a, logic.StatusRejected, 0)
 	default:
 		c.returned = false
@@ -251,19 +251,19 @@
 
 // receipted keeps the receipt of an order, and has its client told once it is on record.
 func (p *Proxy) receipted(r *Request, value []byte) {
-	c := r.rec
+	c := r.orderRecord
 	if c.phase != inHand {
 		return
 	}
 	c.ok, c.receipt, c.owes = true, slices.Clone(value), !r.done
-	p.Hold(len(c.receipt))
+	p.AddHeld(len(c.receipt))
 	r.done = true
 	p.finish(r)
 }
 
 // finish has the end of an order put on record.
 func (p *Proxy) finish(r *Request) {
-	c := r.rec
+	c := r.orderRecord
 	c.phase = ending
 	c.change(func() {
 		s := orders.NeverRan
@@ -280,7 +280,7 @@
 // finished tells the client what it is owed, now that it is on record. What could not be recorded may have run, as far as anybody can tell
 // later.
 func (p *Proxy) finished(r *Request, err error) {
-	c := r.rec
+	c := r.orderRecord
 	p.unrecord(c)
 	if err != nil {
 		p.log.Warn("the end of an order can't be recorded", "err", err)
@@ -288,13 +288,13 @@
 	if c.owes {
 		c.owes = false
 		if err == nil {
-			r.Taker.Answer(Answer{Kind: Served, Value: c.receipt})
+			r.Responder.Answer(Answer{Kind: Served, Value: c.receipt})
 		} else {
 			p.reasons.Add(reasons.Failed, r.class, r.tenant, reasons.RecordFault)
-			r.Taker.Answer(Answer{Kind: Failed, Why: reasons.RecordFault})
+			r.Responder.Answer(Answer{Kind: Failed, Reason: reasons.RecordFault})
 		}
 	}
-	p.Hold(-len(c.receipt))
+	p.AddHeld(-len(c.receipt))
 	c.receipt = nil
 	p.fence(r)
 	p.settle(r)
@@ -302,28 +302,28 @@
 
 // recordLate answers an order whose time ends while the disk is waited for.
 func (p *Proxy) recordLate(r *Request) {
-	switch c := r.rec; {
+	switch c := r.orderRecord; {
 	case c.owes:
 		c.owes = false
 		p.reasons.Add(reasons.Failed, r.class, r.tenant, reasons.RecordBehind)
-		r.Taker.Answer(Answer{Kind: Failed, Why: reasons.RecordBehind})
+		r.Responder.Answer(Answer{Kind: Failed, Reason: reasons.RecordBehind})
 		p.settle(r)
 	case c.phase == taking && !r.done:
-		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Why: reasons.RecordBehind})
+		p.conclude(r.id, Answer{Kind: Refused, RetryAfter: p.recordAgain(), Reason: reasons.RecordBehind})
 	}
 }
 
 // recordOver tells whether the host may let go of an order that is over for the Balancer, and has its end recorded.
 func (p *Proxy) recordOver(r *Request) bool {
-	if r.rec.phase == inHand {
+	if r.orderRecord.phase == inHand {
 		p.finish(r)
 	}
-	return !r.rec.owes
+	return !r.orderRecord.owes
 }
 
 // withdrawRecorded takes an order out whose client has left, where the Balancer does not have it. It tells whether that was all.
 func (p *Proxy) withdrawRecorded(r *Request) bool {
-	switch c := r.rec; {
+	switch c := r.orderRecord; {
 	case c.phase == taking && !r.done:
 		r.done = true
 	case c.owes:
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -396,10 +396,10 @@
 
 // A proven caller's token serves one order, over a restart too; a repeat of that order may come by it.
 func TestTokensOverARestart(t *testing.T) {
-	office, d := newOffice(t, "k1"), crash.New()
+	office, d := newTokenIssuer(t, "k1"), crash.New()
 	token := office.token("k1", "shop", "j1")
 	for i, at := range []string{"at first", "after a restart"} {
-		p, _, _ := guarded(t, office, func(cfg *Config) {
+		p, _, _ := startWithCallers(t, office, func(cfg *Config) {
 			cfg.Record, cfg.Receipts = openRecord(t, d, recordOptions), []string{"resp2"}
 		})
 		c := p.dial()
--- a/internal/proxy/redis_test.go
+++ b/internal/proxy/redis_test.go
@@ -10,7 +10,7 @@
 )
 
 // A command that no client should send gets an error line or a close, never a value, and reaches no member.
-func TestFaultyCommandIsTurnedAway(t *testing.T) {
+func TestFaultyCommandIsRejected(t *testing.T) {
 	var sent atomic.Int32
 	node := cache(t, func(asked) string { sent.Add(1); return hit("value") })
 	p := start(t, testConfig(), entry("s-1", node, "large"))
@@ -54,21 +54,21 @@
 }
 
 // After a run of faulty commands the connection ends, however many more would come.
-func TestFaultyClientIsCutOff(t *testing.T) {
+func TestFaultyClientIsDisconnected(t *testing.T) {
 	p := start(t, testConfig())
 	c := p.dial()
-	c.send(strings.Repeat(words("FLUSHALL"), 10*maxFaults))
+	c.send(strings.Repeat(words("FLUSHALL"), 10*maxFaultyCommands))
 	errors := 0
 	for c.answer() != "" {
 		errors++
 	}
-	if errors < maxFaults || errors > maxFaults+1 {
-		t.Errorf("%d answers, want %d and the end", errors, maxFaults)
+	if errors < maxFaultyCommands || errors > maxFaultyCommands+1 {
+		t.Errorf("%d answers, want %d and the end", errors, maxFaultyCommands)
 	}
 }
 
 // An id belongs to the request that brought it, while that is open and for a time after.
-func TestIDInUseIsTurnedAway(t *testing.T) {
+func TestIDInUseIsRejected(t *testing.T) {
 	asks, release := make(chan asked, 10), make(chan struct{})
 	node := cache(t, func(a asked) string { asks <- a; <-release; return hit("value of " + a.key) })
 	p := start(t, testConfig(), entry("s-1", node, "large"))
@@ -91,7 +91,7 @@
 
 // A crowd that only connects must not take the descriptors, nor the place of those who ask. Making room once
 // closed the same connection over and over, under the lock, for good.
-func TestSilentCrowdLeavesRoom(t *testing.T) {
+func TestSilentClientsDoNotExhaustDescriptors(t *testing.T) {
 	cfg := testConfig()
 	cfg.Sockets = 64
 	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
@@ -121,7 +121,7 @@
 	ask(1000)
 }
 
-func TestHalfACommandEnds(t *testing.T) {
+func TestIncompleteCommandTimesOut(t *testing.T) {
 	p := start(t, testConfig())
 	c := p.dial()
 	c.send("*4\r\n$7\r\nOBJ.GET\r\n$16\r\n26ba")
@@ -134,7 +134,7 @@
 }
 
 // What was taken before the stop is answered; afterwards nothing is taken and Run ends.
-func TestDrainAnswersWhatWasTaken(t *testing.T) {
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	asks, release := make(chan asked, 10), make(chan struct{})
 	node := cache(t, func(a asked) string { asks <- a; <-release; return hit("value of " + a.key) })
 	p := start(t, testConfig(), entry("s-1", node, "large"))
@@ -177,8 +177,8 @@
 	c.answer()
 	p.eventually("the client is known as idle", func() bool {
 		for c := range p.redis.clients {
-			if c.asked && c.free() {
-				c.active -= clientIdle
+			if c.hasRequested && c.isIdle() {
+				c.lastActive -= clientIdleTimeout
 				return true
 			}
 		}
@@ -191,9 +191,9 @@
 }
 
 // A write whose bytes may have gone out is not offered again, nor refused.
-func TestOnceIsNotSentTwice(t *testing.T) {
+func TestAtMostOnceIsNotSentTwice(t *testing.T) {
 	var sent atomic.Int32
-	o := listenOnceThenClose(t, &sent)
+	o := truncatingOrigin(t, &sent)
 	p := start(t, testConfig(), entry("o-1", o, "origin"))
 	c := p.dial()
 	c.send(put("a1", "id1", "order"))
@@ -205,7 +205,7 @@
 	}
 }
 
-func listenOnceThenClose(t *testing.T, sent *atomic.Int32) string {
+func truncatingOrigin(t *testing.T, sent *atomic.Int32) string {
 	return origin(t, func(*http.Request) string { sent.Add(1); return "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nshort" })
 }
 
@@ -230,12 +230,12 @@
 }
 
 // A crowd that asks once and stays must not hold the room that clients have for requests.
-func TestCrowdThatStaysIsClosedSooner(t *testing.T) {
+func TestManyIdleClientsAreClosedSooner(t *testing.T) {
 	cfg := testConfig()
 	cfg.Sockets = 64
 	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
 	p := start(t, cfg, entry("s-1", node, "large"))
-	crowd := make([]*testClient, cfg.Sockets*askedShare/100)
+	crowd := make([]*testClient, cfg.Sockets*activeClientPercent/100)
 	for i := range crowd {
 		crowd[i] = p.dial()
 		crowd[i].send(get("a1", fmt.Sprintf("id%d", i)))
@@ -248,10 +248,10 @@
 			return true // the sweep has begun to close them
 		}
 		for c := range p.redis.clients {
-			if !c.free() {
+			if !c.isIdle() {
 				return false
 			}
-			c.active = p.now - 2*leastIdle // as if they stood idle so long
+			c.lastActive = p.now - 2*minIdleTimeout // as if they stood idle so long
 		}
 		p.redis.closeIdleClients()
 		if n := len(p.redis.clients); n > 0 {
@@ -261,20 +261,20 @@
 	})
 }
 
-func TestIdleAgeFallsWithTheRoomLeft(t *testing.T) {
-	p := &redisFront{p: &Proxy{cfg: Config{Sockets: 400}}}
-	last := p.idleAge(0)
-	if last != clientIdle {
+func TestIdleTimeoutFallsWithCapacityLeft(t *testing.T) {
+	p := &redisFront{proxy: &Proxy{cfg: Config{Sockets: 400}}}
+	last := p.idleTimeout(0)
+	if last != clientIdleTimeout {
 		t.Errorf("%v with nobody there", last)
 	}
 	for asked := 1; asked <= 200; asked++ {
-		age := p.idleAge(asked)
-		if age > last || age < leastIdle {
+		age := p.idleTimeout(asked)
+		if age > last || age < minIdleTimeout {
 			t.Errorf("%v with %d, %v with one less", age, asked, last)
 		}
 		last = age
 	}
-	if last != leastIdle {
+	if last != minIdleTimeout {
 		t.Errorf("%v with all the room taken", last)
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -39,14 +39,14 @@
 
 // Served gives the client the value of the first good answer.
 func (a *attempt) Served(value []byte) {
-	if r := a.req; r.rec != nil {
-		r.p.receipted(r, value)
+	if r := a.req; r.orderRecord != nil {
+		r.proxy.receipted(r, value)
 	} else if !r.done {
 		r.done = true
-		r.Taker.Answer(Answer{Kind: Served, Value: value})
-		r.p.fence(r)
+		r.Responder.Answer(Answer{Kind: Served, Value: value})
+		r.proxy.fence(r)
 		if r.join != nil {
-			r.p.share(r, value)
+			r.proxy.share(r, value)
 		}
 	}
 }
@@ -54,12 +54,12 @@
 // StreamValue binds the request to an attempt that has begun to answer with a long value.
 func (a *attempt) StreamValue(n int) upstream.ValueStream {
 	r := a.req
-	p := r.p
+	p := r.proxy
 	if r.done { // nobody waits for it
 		p.end(a, logic.StatusOK, 0)
 		return nil
 	}
-	to, ok := r.Taker.(upstream.ValueStream)
+	to, ok := r.Responder.(upstream.ValueStream)
 	if !ok {
 		// This client's front takes no long values. The member has done its part, and another would end alike.
 		p.log.Debug("a value is too long for its client", "bytes", n)
@@ -74,19 +74,19 @@
 }
 
 // Done takes the outcome of an exchange.
-func (a *attempt) Done(s logic.Status, note int) { a.req.p.end(a, s, note) }
+func (a *attempt) Done(s logic.Status, note int) { a.req.proxy.end(a, s, note) }
 
 // Deadline is the client's.
 func (a *attempt) Deadline() time.Duration { return a.req.deadlineNow() }
 
 // AnswerBy is when the client is answered at the latest.
-func (a *attempt) AnswerBy() time.Duration { return a.req.deadlineNow() - a.req.p.answerSlack() }
+func (a *attempt) AnswerBy() time.Duration { return a.req.deadlineNow() - a.req.proxy.answerSlack() }
 
 // deadlineNow is until when somebody waits for the request. It is its client's deadline, and where that has left and others share the
 // answer, the latest of theirs. Whatever a member or caller is told of a deadline comes from here.
 func (r *Request) deadlineNow() time.Duration {
-	if r.join != nil && r.Taker == (nobody{}) {
-		return min(r.deadline, r.p.joins.LatestDeadline(r.id))
+	if r.join != nil && r.Responder == (nobody{}) {
+		return min(r.deadline, r.proxy.joins.LatestDeadline(r.id))
 	}
 	return r.deadline
 }
@@ -114,10 +114,10 @@
 	}
 	a.Ended = true
 	r := a.req
-	r.out--
-	r.ran = r.ran || !s.NeverRan()
-	if r.rec != nil {
-		r.rec.attemptEnded(a, s)
+	r.outstanding--
+	r.maybeRan = r.maybeRan || !s.NeverRan()
+	if r.orderRecord != nil {
+		r.orderRecord.attemptEnded(a, s)
 	}
 	// The wait for a connection is this proxy's own: as the member's latency it would cut the member's limit.
 	since := a.sentAt
@@ -172,10 +172,10 @@
 // settle lets go of a request that is over, and first takes back what has not been sent for it. Timers still name its attempts for a
 // while, so its value, which may be large, is let go of here.
 func (p *Proxy) settle(r *Request) {
-	if r.done && r.out > 0 {
+	if r.done && r.outstanding > 0 {
 		p.recall(r)
 	}
-	if r.done && r.out == 0 && p.requests[r.id] == r && (r.rec == nil || p.recordOver(r)) {
+	if r.done && r.outstanding == 0 && p.requests[r.id] == r && (r.orderRecord == nil || p.recordOver(r)) {
 		delete(p.requests, r.id)
 		p.letGo(r)
 		for _, a := range r.attempts { // timers still name them
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -34,7 +34,7 @@
 	if got := d.answer(); got != "-ERR unknown class" {
 		t.Errorf("before: %q", got)
 	}
-	if err := p.Retune(classes, 2); err != nil {
+	if err := p.UpdateClasses(classes, 2); err != nil {
 		t.Fatal(err)
 	}
 	d.send(words("OBJ.SET", "b3", "r3", "c=overlay,d=8000", "x"))
@@ -58,11 +58,11 @@
 		t.Errorf("%d failures counted for what may have run, want 1", n)
 	}
 	for name, bad := range map[string][]logic.Class{"none": nil, "no deadline": {{Name: "x", SoftDeadline: 1}}} {
-		if err := p.Retune(bad, 2); err == nil {
+		if err := p.UpdateClasses(bad, 2); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if err := p.Retune(classes, 0); err == nil {
+	if err := p.UpdateClasses(classes, 0); err == nil {
 		t.Error("no attempts: taken")
 	}
 	if got := p.Classes(); len(got) != 2 || got[0].Name != "overlay" {
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -18,8 +18,8 @@
 	"linenloom/logic"
 )
 
-// crowd has so many clients ask for so many tiles each, one after another, and counts the answers by kind.
-func crowd(t *testing.T, p *testProxy, clients, each int) (served, refused, failed int64) {
+// runClients has so many clients ask for so many tiles each, one after another, and counts the answers by kind.
+func runClients(t *testing.T, p *testProxy, clients, each int) (served, refused, failed int64) {
 	t.Helper()
 	var s, b, f atomic.Int64
 	var g sync.WaitGroup
@@ -48,7 +48,7 @@
 
 // Many clients before few caches that are well: those that find no connection wait, and nobody is refused. One cache of
 // them may be silent, drop connections, or take few of them.
-func TestCrowdIsServedByAHealthyFleet(t *testing.T) {
+func TestManyClientsAreServedByHealthyFleet(t *testing.T) {
 	const caches = 8
 	healthy := func(a asked) string { return hit("value of " + a.key) }
 	for name, odd := range map[string]func(t *testing.T) string{
@@ -84,9 +84,9 @@
 			}
 			p := start(t, cfg, members...)
 			if !fresh {
-				crowd(t, p, 32, 6) // the module learns what the caches take
+				runClients(t, p, 32, 6) // the module learns what the caches take
 			}
-			served, refused, failed := crowd(t, p, clients, each)
+			served, refused, failed := runClients(t, p, clients, each)
 			if served != int64(clients*each) {
 				t.Errorf("%d served, %d refused, %d failed: %v", served, refused, failed, p.Reasons().Attrs())
 			}
@@ -108,7 +108,7 @@
 
 // A crowd of reads that comes before a proxy has heard anything of its caches waits for their first answers: it is not turned
 // away for want of connections.
-func TestCrowdBeforeTheFirstAnswers(t *testing.T) {
+func TestBurstBeforeFirstAnswers(t *testing.T) {
 	const clients = 200
 	release := make(chan struct{})
 	cfg := testConfig()
@@ -171,7 +171,7 @@
 
 // The wheel against a list: whatever is set and however time goes on, all fall due in the tick after their time, once,
 // and what lies far ahead as well; and earliest never tells a time after that of a timer.
-func TestTimersAgainstAList(t *testing.T) {
+func TestTimersAgainstModel(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		tick := time.Duration(1+rng.IntN(5)) * time.Millisecond
@@ -253,8 +253,8 @@
 	}
 }
 
-// lined is a proxy before one cache, with one connection to it on which reads travel together, and an origin.
-func lined(t *testing.T, serve func(conn net.Conn, in *resp.Reader, nth int32)) *testProxy {
+// startPipelined is a proxy before one cache, with one connection to it on which reads travel together, and an origin.
+func startPipelined(t *testing.T, serve func(conn net.Conn, in *resp.Reader, nth int32)) *testProxy {
 	t.Helper()
 	var conns atomic.Int32
 	node := listen(t, func(conn net.Conn) { serve(conn, resp.NewReader(conn, 4096), conns.Add(1)) })
@@ -273,8 +273,8 @@
 	return p
 }
 
-// nextKey reads a command.
-func nextKey(in *resp.Reader) (string, error) {
+// readKey reads a command.
+func readKey(in *resp.Reader) (string, error) {
 	w, err := readCommand(in)
 	if err != nil {
 		return "", err
@@ -282,8 +282,8 @@
 	return w[1], nil
 }
 
-// readTogether has a client ask for so many tiles at once, and wants each of them.
-func (p *testProxy) readTogether(n int) {
+// readPipelined has a client ask for so many tiles at once, and wants each of them.
+func (p *testProxy) readPipelined(n int) {
 	p.t.Helper()
 	c := p.dial()
 	var all strings.Builder
@@ -300,7 +300,7 @@
 
 // With requests outstanding on a connection, an answer that is spoilt, or comes twice, never serves anybody a wrong
 // value, and those behind it get theirs elsewhere.
-func TestSpoiltAnswersWithOthersBehind(t *testing.T) {
+func TestBadAnswersWithPipelinedRequests(t *testing.T) {
 	twice := func(first string) string { return hit("value of "+first) + hit("value of "+first) }
 	for name, spoil := range map[string]func(first string) string{
 		"a second copy":    twice,
@@ -315,9 +315,9 @@
 		for _, outstanding := range []int{1, 2, 32} {
 			t.Run(fmt.Sprintf("%s, %d out", name, outstanding), func(t *testing.T) {
 				var most atomic.Int32
-				p := lined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
+				p := startPipelined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
 					for {
-						key, err := nextKey(in)
+						key, err := readKey(in)
 						if err != nil {
 							return
 						}
@@ -327,7 +327,7 @@
 						}
 						keys := []string{key}
 						for len(keys) < outstanding {
-							if key, err = nextKey(in); err != nil {
+							if key, err = readKey(in); err != nil {
 								return
 							}
 							keys = append(keys, key)
@@ -345,7 +345,7 @@
 						return
 					}
 				})
-				p.readTogether(outstanding)
+				p.readPipelined(outstanding)
 				if n := most.Load(); n != int32(outstanding) {
 					t.Errorf("%d were out together, want %d", n, outstanding)
 				}
@@ -363,13 +363,13 @@
 }
 
 // Answers that come byte by byte are whole all the same, with others outstanding behind them.
-func TestAnswersInPiecesOfOneByte(t *testing.T) {
+func TestAnswersByteByByte(t *testing.T) {
 	for _, outstanding := range []int{1, 2, 32} {
-		p := lined(t, func(conn net.Conn, in *resp.Reader, _ int32) {
+		p := startPipelined(t, func(conn net.Conn, in *resp.Reader, _ int32) {
 			for {
 				var keys []string
 				for len(keys) == 0 || keys[0][0] == 'a' && len(keys) < outstanding {
-					key, err := nextKey(in)
+					key, err := readKey(in)
 					if err != nil {
 						return
 					}
@@ -384,7 +384,7 @@
 				}
 			}
 		})
-		p.readTogether(outstanding)
+		p.readPipelined(outstanding)
 		p.Do(func() {
 			for _, m := range p.members {
 				if m.RequiredCleanAnswers() > 0 {
@@ -396,7 +396,7 @@
 }
 
 // Connections that keep breaking, at all caches: nothing fails, hardly a read is refused, and no cache is left out for it.
-func TestConnectionsThatKeepBreaking(t *testing.T) {
+func TestRepeatedlyBrokenConnections(t *testing.T) {
 	const caches, clients, each = 6, 40, 10
 	for name, answers := range map[string]func(nth int32) int32{
 		"after 1 to 5 answers":          func(nth int32) int32 { return 1 + nth%5 },
@@ -413,7 +413,7 @@
 				node := listen(t, func(conn net.Conn) {
 					in := resp.NewReader(conn, 4096)
 					for left := answers(conns.Add(1)); left > 0; left-- {
-						key, err := nextKey(in)
+						key, err := readKey(in)
 						if err != nil {
 							return
 						}
@@ -424,7 +424,7 @@
 				members = append(members, entry(fmt.Sprint("s-", i), node, "large"))
 			}
 			p := start(t, cfg, members...)
-			served, refused, failed := crowd(t, p, clients, each)
+			served, refused, failed := runClients(t, p, clients, each)
 			if failed > 0 || refused > clients*each/50 {
 				t.Errorf("%d served, %d refused, %d failed: %v", served, refused, failed, p.Reasons().Attrs())
 			}
@@ -439,11 +439,11 @@
 
 // A slow answer in front: those behind it are not judged, get theirs elsewhere, and the cache's latency is that of what
 // it was asked for and not of the line.
-func TestSlowAnswerInFront(t *testing.T) {
+func TestSlowAnswerAheadOfPipelined(t *testing.T) {
 	release := make(chan struct{})
-	p := lined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
+	p := startPipelined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
 		for {
-			key, err := nextKey(in)
+			key, err := readKey(in)
 			if err != nil {
 				return
 			}
@@ -497,15 +497,15 @@
 	g.Wait()
 }
 
-// gated is a proxy before one cache, which holds the read of key "gate" and with it its one connection, and a line of
+// startBlockedCache is a proxy before one cache, which holds the read of key "gate" and with it its one connection, and a line of
 // reads that wait for that.
-func gated(t *testing.T, clients int) (p *testProxy, crowd []*testClient, asked *atomic.Int32, release chan struct{}) {
+func startBlockedCache(t *testing.T, clients int) (p *testProxy, crowd []*testClient, asked *atomic.Int32, release chan struct{}) {
 	t.Helper()
 	asked, release = &atomic.Int32{}, make(chan struct{})
 	node := listen(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
-			key, err := nextKey(in)
+			key, err := readKey(in)
 			if err != nil {
 				return
 			}
@@ -536,12 +536,12 @@
 		c.send(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
 		crowd = append(crowd, c)
 	}
-	p.eventually("there is a line", func() bool { return p.inLine() >= pool.MaxWaiting })
+	p.eventually("there is a line", func() bool { return p.queuedAttempts() >= pool.MaxWaiting })
 	return p, append(crowd, first), asked, release
 }
 
-// inLine counts, under the lock, the attempts that wait for a connection.
-func (p *testProxy) inLine() (n int) {
+// queuedAttempts counts, under the lock, the attempts that wait for a connection.
+func (p *testProxy) queuedAttempts() (n int) {
 	for _, m := range p.members {
 		n += len(m.Waiting)
 	}
@@ -549,8 +549,8 @@
 }
 
 // A stop with a line of reads: each gets its one answer, and the proxy ends.
-func TestLineAtTheStop(t *testing.T) {
-	p, crowd, _, release := gated(t, 8)
+func TestStopWithQueuedReads(t *testing.T) {
+	p, crowd, _, release := startBlockedCache(t, 8)
 	p.stop()
 	p.eventually("no request is taken any more", func() bool { return p.stopping })
 	close(release)
@@ -563,12 +563,12 @@
 }
 
 // Clients that leave the line take their requests with them: the cache is never asked for them.
-func TestClientsLeaveTheLine(t *testing.T) {
-	p, crowd, asked, release := gated(t, pool.MaxWaiting)
+func TestClientsDisconnectWhileQueued(t *testing.T) {
+	p, crowd, asked, release := startBlockedCache(t, pool.MaxWaiting)
 	for _, c := range crowd[:pool.MaxWaiting] {
 		c.conn.Close()
 	}
-	p.eventually("the line is empty", func() bool { return p.inLine() == 0 })
+	p.eventually("the line is empty", func() bool { return p.queuedAttempts() == 0 })
 	close(release)
 	if got := crowd[pool.MaxWaiting].answer(); got != "value of gate" {
 		t.Errorf("the one that stayed was answered %q", got)
@@ -580,14 +580,14 @@
 }
 
 // A member that drains with reads outstanding together answers them, and gets nothing of what waits.
-func TestDrainWithReadsTogether(t *testing.T) {
+func TestMemberDrainWithPipelinedReads(t *testing.T) {
 	const together = 5
 	var asked atomic.Int32
 	release := make(chan struct{})
 	node := listen(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
-			key, err := nextKey(in)
+			key, err := readKey(in)
 			if err != nil {
 				return
 			}
@@ -623,12 +623,12 @@
 				u = m.Conns[0]
 			}
 		}
-		return u != nil && len(u.Pipelined) == together-1 && p.inLine() > 0
+		return u != nil && len(u.Pipelined) == together-1 && p.queuedAttempts() > 0
 	})
 	gone := members[0]
 	gone.Phase = discovery.PhaseTerminating
 	r.tell(discovery.List{Revision: 2, Members: []discovery.Member{gone}})
-	p.eventually("the drain is known", func() bool { return u.Retired && p.inLine() == 0 })
+	p.eventually("the drain is known", func() bool { return u.Retired && p.queuedAttempts() == 0 })
 	close(release)
 	served := 0
 	for i, c := range crowd {
--- a/internal/proxy/shed_test.go
+++ b/internal/proxy/shed_test.go
@@ -13,7 +13,7 @@
 
 // Where the core is used up, reads that have waited too long unread are turned away unseen, in order and with a time to come
 // back, an order among them is not; where it is not used up, nothing is.
-func TestReadsThatWaitedTooLongAreTurnedAway(t *testing.T) {
+func TestReadsThatWaitedTooLongAreShed(t *testing.T) {
 	for name, used := range map[string]float64{"the core is used up": 1, "it has time to spare": 0.5} {
 		t.Run(name, func(t *testing.T) {
 			const reads = 300
@@ -29,8 +29,8 @@
 			cfg.Settings.Instances = 28
 			p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 			short := cfg.Settings.Classes[1].SoftDeadline / 4
-			p.Do(func() { p.redis.used = func(time.Duration) float64 { return used } })
-			p.eventually("the core is looked at", func() bool { return p.redis.gate.Busy() == (used == 1) })
+			p.Do(func() { p.redis.cpuShare = func(time.Duration) float64 { return used } })
+			p.eventually("the core is looked at", func() bool { return p.redis.shedder.Busy() == (used == 1) })
 			c := p.dial()
 			var all strings.Builder
 			for i := range reads {
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -250,7 +250,7 @@
 func (p *Proxy) ringToken(token uint64) {
 	if token&7 == tickJoin {
 		id := logic.RequestID(token >> 3)
-		if r := p.requests[id]; r != nil && r.rec != nil {
+		if r := p.requests[id]; r != nil && r.orderRecord != nil {
 			p.recordLate(r)
 		} else {
 			p.joinLate(id)
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -16,14 +16,14 @@
 )
 
 // The client's end is seen behind commands that were not read yet, as those before them wait: nothing of either is sent on.
-func TestClientLeavesBehindUnreadCommands(t *testing.T) {
-	l := newRoll()
-	door, open := shut(t, l, "large")
-	p := start(t, leaving(false), entry("s-1", door, "large"))
+func TestDisconnectBehindUnreadCommands(t *testing.T) {
+	l := newRequestLog()
+	door, open := blockedMember(t, l, "large")
+	p := start(t, noTimeoutConfig(false), entry("s-1", door, "large"))
 	client := p.dial()
 	var all strings.Builder
 	for i := range 4 * maxPipeline {
-		all.WriteString(getLong(fmt.Sprintf("b%d", i), fmt.Sprintf("left%d", i)))
+		all.WriteString(getLongDeadline(fmt.Sprintf("b%d", i), fmt.Sprintf("left%d", i)))
 	}
 	client.send(all.String())
 	p.eventually("its reader waits", func() bool {
@@ -33,36 +33,36 @@
 		return false
 	})
 	client.conn.Close()
-	p.gone()
+	p.awaitNoClients()
 	open()
-	p.onlyNext(l)
+	p.expectOnlyNext(l)
 }
 
 // What a client asked in front of something that can't be read is withdrawn with its end, though it is cut off for the rest.
-func TestClientLeavesBehindGarbage(t *testing.T) {
+func TestDisconnectBehindMalformedInput(t *testing.T) {
 	for name, rest := range map[string]string{
 		"a little": "*1\r\n!\r\n",
 		"a lot":    "*1\r\n!\r\n" + strings.Repeat("x", 2*lingerBytes),
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newRoll()
-			door, open := shut(t, l, "large")
-			p := start(t, leaving(false), entry("s-1", door, "large"))
+			l := newRequestLog()
+			door, open := blockedMember(t, l, "large")
+			p := start(t, noTimeoutConfig(false), entry("s-1", door, "large"))
 			client := p.dial()
-			client.send(getLong("a1", "left"))
-			p.eventually("it waits for a connection", func() bool { return p.inLine() == 1 })
+			client.send(getLongDeadline("a1", "left"))
+			p.eventually("it waits for a connection", func() bool { return p.queuedAttempts() == 1 })
 			client.send(rest)
 			client.conn.Close()
-			p.gone()
+			p.awaitNoClients()
 			open()
-			p.onlyNext(l)
+			p.expectOnlyNext(l)
 		})
 	}
 }
 
 // A client that leaves while its long value waits for room gives its place in that line back at once.
-func TestClientLeavesTheLineForRoom(t *testing.T) {
-	cfg := leaving(false)
+func TestDisconnectWaitingForMemory(t *testing.T) {
+	cfg := noTimeoutConfig(false)
 	cfg.MemoryMB = 32 // room for two
 	came, release := make(chan struct{}, 10), make(chan struct{})
 	o := origin(t, func(*http.Request) string {
@@ -74,13 +74,13 @@
 	p.Do(func() { p.long.longest = time.Hour })
 	value := long(resp.MaxLongValue)
 	for i := range 2 { // both have the room, until the origin answers
-		p.dial().send(putLong(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
+		p.dial().send(putLongDeadline(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
 		<-came
 	}
 	var writers []*testClient
 	for i := range 2 {
 		c := p.dial()
-		text := putLong(fmt.Sprint("l", i), fmt.Sprint("left", i), value)
+		text := putLongDeadline(fmt.Sprint("l", i), fmt.Sprint("left", i), value)
 		c.send(text[:len(text)-resp.MaxLongValue])
 		writers = append(writers, c)
 		p.eventually("it waits for room", func() bool { return len(p.long.waiting) == i+1 })
@@ -94,23 +94,23 @@
 }
 
 // A client that is gone before its connection is accepted has asked for nothing, though a connection to a member is free.
-func TestClientLeavesBeforeItIsAccepted(t *testing.T) {
-	l := newRoll()
-	node := listen(t, func(conn net.Conn) { noteCache(conn, l, nil) })
-	p := start(t, leaving(false), entry("s-1", node, "large"))
+func TestDisconnectBeforeAccept(t *testing.T) {
+	l := newRequestLog()
+	node := listen(t, func(conn net.Conn) { serveLoggingCache(conn, l, nil) })
+	p := start(t, noTimeoutConfig(false), entry("s-1", node, "large"))
 	first := p.dial()
 	first.send(get("a0", "first"))
 	first.answer()
-	p.eventually("a connection is free", func() bool { return len(p.at(node).Conns) == 1 && p.at(node).Conns[0].Reusable(p.now) })
+	p.eventually("a connection is free", func() bool { return len(p.memberAt(node).Conns) == 1 && p.memberAt(node).Conns[0].Reusable(p.now) })
 	p.enter() // so that nobody is taken in
 	conn, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(conn, getLong("a1", "left"))
+	io.WriteString(conn, getLongDeadline("a1", "left"))
 	conn.Close()
 	p.leave()
-	p.eventually("it has come and gone", func() bool { return p.redis.count == 2 && len(p.redis.clients) == 1 })
+	p.eventually("it has come and gone", func() bool { return p.redis.accepted == 2 && len(p.redis.clients) == 1 })
 	first.send(get("a9", "next"))
 	first.answer()
 	if got := fmt.Sprint(l.all()); got != "[first next]" {
@@ -120,10 +120,10 @@
 
 // A thousand that send and go, some behind others on a connection, leave nothing behind: no place, byte, descriptor or goroutine, and
 // nothing of theirs is sent.
-func TestBurstThatSendsAndGoes(t *testing.T) {
-	l := newRoll()
-	door, open := shut(t, l, "large")
-	cfg := leaving(false)
+func TestBurstThatDisconnects(t *testing.T) {
+	l := newRequestLog()
+	door, open := blockedMember(t, l, "large")
+	cfg := noTimeoutConfig(false)
 	cfg.Sockets = 4096
 	p := start(t, cfg, entry("s-1", door, "large"), entry("o-1", door, "origin"))
 	p.eventually("nobody is there", func() bool { return len(p.redis.clients) == 0 })
@@ -136,15 +136,15 @@
 				t.Error(err)
 				return
 			}
-			text := getLong(fmt.Sprintf("c%d", i), fmt.Sprintf("left%d", i))
+			text := getLongDeadline(fmt.Sprintf("c%d", i), fmt.Sprintf("left%d", i))
 			switch i % 4 {
 			case 1:
-				text = putLong(fmt.Sprintf("c%d", i), fmt.Sprintf("left%d", i), strings.Repeat("x", 500))
+				text = putLongDeadline(fmt.Sprintf("c%d", i), fmt.Sprintf("left%d", i), strings.Repeat("x", 500))
 			case 2:
 				text = text[:len(text)-1] // all but its last byte
 			case 3:
 				for n := range 2 * maxPipeline {
-					text += getLong(fmt.Sprintf("c%d-%d", i, n), fmt.Sprintf("left%d-%d", i, n))
+					text += getLongDeadline(fmt.Sprintf("c%d-%d", i, n), fmt.Sprintf("left%d-%d", i, n))
 				}
 			}
 			io.WriteString(conn, text)
@@ -152,13 +152,13 @@
 		})
 	}
 	all.Wait()
-	p.eventually("all have been accepted", func() bool { return p.redis.count == crowd })
-	p.gone()
-	p.eventually("no descriptor is held for clients", func() bool { return p.frontFDs == 0 && p.inLine() == 0 })
+	p.eventually("all have been accepted", func() bool { return p.redis.accepted == crowd })
+	p.awaitNoClients()
+	p.eventually("no descriptor is held for clients", func() bool { return p.frontFDs == 0 && p.queuedAttempts() == 0 })
 	p.eventually("no goroutine is left of a client", func() bool {
 		stacks := make([]byte, 4<<20)
 		return !bytes.Contains(stacks[:runtime.Stack(stacks, true)], []byte("(*client).serve"))
 	})
 	open()
-	p.onlyNext(l)
+	p.expectOnlyNext(l)
 }
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -255,10 +255,10 @@
 	var over *attempt
 	var all []*Request // one each: nothing is sent for a request that is over
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
-		r := &Request{p: p.Proxy, Taker: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
+		r := &Request{proxy: p.Proxy, Responder: nobody{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
 		over = &attempt{req: r, to: m.id}
 		over.ExpiresAt = p.now + patience
-		r.attempts, r.out = append(r.attempts, over), r.out+1
+		r.attempts, r.outstanding = append(r.attempts, over), r.outstanding+1
 		p.exchange(m, over)
 		all = append(all, r)
 	}
@@ -276,7 +276,7 @@
 		<-asks
 	}
 	p.eventually("those that waited have their answers", func() bool {
-		return !slices.ContainsFunc(all, func(r *Request) bool { return r.out > 0 })
+		return !slices.ContainsFunc(all, func(r *Request) bool { return r.outstanding > 0 })
 	})
 }
 
