--- a/internal/proxy/callers.go
+++ b/internal/proxy/callers.go
@@ -35,9 +35,9 @@
 // else by the connection's proof. Tokens are removed from the list, and the tenant is always the proven
 // one, whatever the list says.
 func (c *client) identify(cmd *parsedCommand) {
-	by := c.proxy.cfg.Callers
+	callers := c.proxy.cfg.Callers
 	if cmd.name == "AUTH" {
-		if cmd.proof, cmd.denied = by.Prove(cmd.token, c.remoteAddr, c.suspect); cmd.denied == nil {
+		if cmd.proof, cmd.denied = callers.Prove(cmd.token, c.remoteAddr, c.suspect); cmd.denied == nil {
 			c.proof = cmd.proof
 		} else {
 			c.proof = nil // a failed attempt to change the identity also ends the previous one
@@ -50,19 +50,19 @@
 		return
 	}
 	cmd.proof = c.proof
-	name := by.Name()
+	tokenName := callers.Name()
 	var err error
 	attrs := make([]byte, 0, len(cmd.Attrs)+32)
-	for n, value := range upstream.Attributes(cmd.Attrs) {
-		switch n {
-		case name:
+	for name, value := range upstream.Attributes(cmd.Attrs) {
+		switch name {
+		case tokenName:
 			// Of several tokens the last one counts; each has to be valid.
 			if cmd.proof, err = c.proveCached(value); err != nil {
 				cmd.denied = err
 			}
 		case "t":
 		default:
-			attrs = append(append(append(append(attrs, n...), '='), value...), ',')
+			attrs = append(append(append(append(attrs, name...), '='), value...), ',')
 		}
 	}
 	if cmd.proof != nil {
@@ -76,11 +76,11 @@
 // proveCached returns what a token in an attribute list proves. Most callers send the same token with each
 // request: the latest token is compared directly.
 func (c *client) proveCached(token []byte) (*identity.Proof, error) {
-	by := c.proxy.cfg.Callers
+	callers := c.proxy.cfg.Callers
 	if c.lastTokenProof != nil && bytes.Equal(token, c.lastToken) {
-		return c.lastTokenProof, by.Holds(c.lastTokenProof)
+		return c.lastTokenProof, callers.Holds(c.lastTokenProof)
 	}
-	p, err := by.Prove(token, c.remoteAddr, c.suspect)
+	p, err := callers.Prove(token, c.remoteAddr, c.suspect)
 	if err != nil {
 		c.suspect = c.suspect || identity.WhyOf(err) != identity.Overload
 		return nil, err
@@ -132,14 +132,14 @@
 	if !errors.As(err, &e) {
 		return resp.AppendError(b, "ERR "+err.Error())
 	}
-	first := wrongPassPrefix
+	prefix := wrongPassPrefix
 	switch e.Why {
 	case identity.Overload:
 		return resp.AppendError(b, "BUSY")
 	case identity.Unproven:
-		first = noAuthPrefix
+		prefix = noAuthPrefix
 	case identity.Right, identity.Rate, identity.Replayed:
-		first = noPermPrefix
+		prefix = noPermPrefix
 	}
-	return resp.AppendError(b, string(resp.AppendLine(nil, first+e.Error())))
+	return resp.AppendError(b, string(resp.AppendLine(nil, prefix+e.Error())))
 }
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -76,7 +76,7 @@
 
 // startWithCallers starts a proxy that authenticates its callers; the kiosk may only read, and only keys
 // under map/.
-func startWithCallers(t *testing.T, o *tokenIssuer, more ...any) (p *testProxy, g *callers.Gate, seen func() []string) {
+func startWithCallers(t *testing.T, issuer *tokenIssuer, more ...any) (proxy *testProxy, gate *callers.Gate, seen func() []string) {
 	t.Helper()
 	var mu sync.Mutex
 	var attrs []string
@@ -87,14 +87,14 @@
 	}
 	cfg := testConfig()
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "kiosk", Share: 0.5}, {Name: "shop", Share: 0.5}}
-	g, err := callers.New(&operator.Identity{Keys: o.file, Issuer: "i", Audience: "a", TenantClaim: "tenant", Name: "tk",
+	gate, err := callers.New(&operator.Identity{Keys: issuer.file, Issuer: "i", Audience: "a", TenantClaim: "tenant", Name: "tk",
 		MaxLife: operator.Duration(time.Hour), Known: 16, ChecksPerS: 1000, Replays: 16, Tenants: []operator.Tenant{
 			{Name: "kiosk", Classes: []string{"tile-read"}, Prefixes: []string{"map/"}, ReadOnly: true}, {Name: "shop"}}},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Callers = g
+	cfg.Callers = gate
 	answer := func(asked) string { return hit("v") }
 	for _, m := range more {
 		switch m := m.(type) {
@@ -104,9 +104,9 @@
 			answer = m
 		}
 	}
-	p = start(t, cfg, entry("s-a", cache(t, func(a asked) string { note(a.attrs); return answer(a) }), "large"),
+	proxy = start(t, cfg, entry("s-a", cache(t, func(a asked) string { note(a.attrs); return answer(a) }), "large"),
 		entry("s-o", origin(t, func(r *http.Request) string { note(r.Header.Get("X-Attrs")); return page("receipt") }), "origin"))
-	return p, g, func() []string { mu.Lock(); defer mu.Unlock(); return append([]string(nil), attrs...) }
+	return proxy, gate, func() []string { mu.Lock(); defer mu.Unlock(); return append([]string(nil), attrs...) }
 }
 
 func getWithAttrs(key, id, attrs string) string { return words("OBJ.GET", key, id, attrs) }
@@ -114,9 +114,9 @@
 // Checks the rights of callers and the attributes that members receive: the proven tenant and no token,
 // whatever the request's own list says.
 func TestCallersAreProven(t *testing.T) {
-	o := newTokenIssuer(t, "k1")
-	p, _, seen := startWithCallers(t, o)
-	kiosk, shop := o.token("k1", "kiosk", ""), o.token("k1", "shop", "once")
+	issuer := newTokenIssuer(t, "k1")
+	p, _, seen := startWithCallers(t, issuer)
+	kiosk, shop := issuer.token("k1", "kiosk", ""), issuer.token("k1", "shop", "once")
 	for i, c := range []struct {
 		auth, send, want string
 	}{
@@ -153,11 +153,11 @@
 // Requests sent before a change of identity keep the identity under which they were sent, though all are
 // pipelined together.
 func TestIdentityChangesInPipeline(t *testing.T) {
-	o := newTokenIssuer(t, "k1")
-	p, _, seen := startWithCallers(t, o)
+	issuer := newTokenIssuer(t, "k1")
+	p, _, seen := startWithCallers(t, issuer)
 	c := p.dial()
-	c.send(words("AUTH", o.token("k1", "kiosk", "")) + getWithAttrs("map/1", "a", "c=tile-read,d=4000") +
-		words("AUTH", "user", o.token("k1", "shop", "")) + getWithAttrs("else/1", "b", "c=tile-read,d=4000") +
+	c.send(words("AUTH", issuer.token("k1", "kiosk", "")) + getWithAttrs("map/1", "a", "c=tile-read,d=4000") +
+		words("AUTH", "user", issuer.token("k1", "shop", "")) + getWithAttrs("else/1", "b", "c=tile-read,d=4000") +
 		words("AUTH", "nonsense") + getWithAttrs("map/1", "c", "c=tile-read,d=4000"))
 	for i, want := range []string{"+OK", "v", "+OK", "v", "-WRONGPASS", "-NOAUTH"} {
 		if got := c.answer(); !strings.HasPrefix(got, want) {
@@ -172,10 +172,10 @@
 // Keys rotate under load, before and after callers use them: a caller with a valid key is served, and none
 // with an invalid one, on open connections too. An unreadable key file changes nothing.
 func TestKeysRotateUnderLoad(t *testing.T) {
-	o := newTokenIssuer(t, "k1")
-	p, g, _ := startWithCallers(t, o)
+	issuer := newTokenIssuer(t, "k1")
+	p, gate, _ := startWithCallers(t, issuer)
 	old := p.dial()
-	old.send(words("AUTH", o.token("k1", "shop", "")))
+	old.send(words("AUTH", issuer.token("k1", "shop", "")))
 	old.answer()
 	n := 0
 	try := func(c *testClient, attrs, want string) {
@@ -188,30 +188,30 @@
 	}
 	for round := 1; round <= 5; round++ {
 		now, next := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
-		o.publish(now, next)
-		g.Look()
-		held := o.token(now, "shop", "")
+		issuer.publish(now, next)
+		gate.Look()
+		held := issuer.token(now, "shop", "")
 		try(old, "", "v")
 		try(old, ",tk="+held, "v")
-		try(old, ",tk="+o.token(next, "kiosk", ""), "v")
+		try(old, ",tk="+issuer.token(next, "kiosk", ""), "v")
 		for _, bad := range []string{"", `{"keys":[`, `{"keys":[]}`} {
-			if err := os.WriteFile(o.file, []byte(bad), 0o600); err != nil {
+			if err := os.WriteFile(issuer.file, []byte(bad), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			g.Look()
+			gate.Look()
 			try(old, ",tk="+held, "v")
 		}
-		if err := os.Remove(o.file); err != nil {
+		if err := os.Remove(issuer.file); err != nil {
 			t.Fatal(err)
 		}
-		g.Look()
+		gate.Look()
 		try(old, "", "v")
-		o.publish(next)
-		g.Look()
+		issuer.publish(next)
+		gate.Look()
 		try(old, "", "-WRONGPASS its key is retired")
 		try(old, ",tk="+held, "-WRONGPASS its key is retired")
 		old = p.dial()
-		old.send(words("AUTH", o.token(next, "shop", "")))
+		old.send(words("AUTH", issuer.token(next, "shop", "")))
 		if got := old.answer(); got != "+OK" {
 			t.Fatal(got)
 		}
@@ -243,16 +243,16 @@
 func TestProofIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, goneAt := range map[string]int{"before the first": 0, "before the second": 1} {
 		t.Run(name, func(t *testing.T) {
-			f := &expiringCallers{}
+			expiring := &expiringCallers{}
 			var asked atomic.Int32
 			cfg := testConfig()
-			cfg.Callers = f
+			cfg.Callers = expiring
 			if goneAt == 0 {
-				f.expired.Store(1)
+				expiring.expired.Store(1)
 			}
 			p := start(t, cfg, entry("s-o", origin(t, func(*http.Request) string {
 				asked.Add(1)
-				f.expired.Store(1)
+				expiring.expired.Store(1)
 				return "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 			}), "origin"))
 			c := p.dial()
@@ -272,11 +272,11 @@
 // An order that may have run is answered as failed, even if its proof has been revoked meanwhile: if it
 // were told only about its proof, its client would authenticate again and repeat the order.
 func TestOrderThatMayHaveRunIsNotDenied(t *testing.T) {
-	f := &expiringCallers{}
+	expiring := &expiringCallers{}
 	cfg := testConfig()
-	cfg.Callers = f
+	cfg.Callers = expiring
 	p := start(t, cfg, entry("s-o", origin(t, func(*http.Request) string {
-		f.expired.Store(1)
+		expiring.expired.Store(1)
 		return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	}), "origin"))
 	c := p.dial()
@@ -286,7 +286,7 @@
 	if got := c.answer(); got != "-ERR failed" {
 		t.Errorf("%q", got)
 	}
-	if n := f.released.Load(); n != 0 {
+	if n := expiring.released.Load(); n != 0 {
 		t.Errorf("its token's id is given back %d times", n)
 	}
 }
--- a/internal/proxy/command.go
+++ b/internal/proxy/command.go
@@ -58,13 +58,13 @@
 // readTexts reads the short arguments at the beginning of a request into one buffer, and sets ends to the
 // end of each.
 func (c *client) readTexts(ends []int) (text []byte, err error) {
-	most := maxTextBytes
+	maxBytes := maxTextBytes
 	if c.proxy.cfg.Callers != nil {
-		most += identity.MaxToken
+		maxBytes += identity.MaxToken
 	}
 	text = make([]byte, 0, 96)
 	for i := range ends {
-		if text, err = c.readArg(text, most-len(text)); err != nil {
+		if text, err = c.readArg(text, maxBytes-len(text)); err != nil {
 			return nil, err
 		}
 		ends[i] = len(text)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -29,7 +29,7 @@
 // drain carries out a planned stop: connections are still accepted for a while, then those that are idle
 // are ended one by one until no answer is owed.
 func (p *Proxy) drain() {
-	told := time.Now()
+	stopRequestedAt := time.Now()
 	for _, f := range p.fronts {
 		f.Drain()
 	}
@@ -52,13 +52,13 @@
 	for _, c := range p.Classes() {
 		longest = max(longest, c.Deadline)
 	}
-	most := max(longest, commandTimeout)
-	by := told.Add(min(longest, p.killMost) + killGrace - endMargin)
-	p.awaitIdle(by)
+	slowClientLimit := max(longest, commandTimeout)
+	answerBy := stopRequestedAt.Add(min(longest, p.killMost) + killGrace - endMargin)
+	p.awaitIdle(answerBy)
 	p.Do(p.endRequests)
 	// What remains are answers in transit to clients that read slowly, and values that have been sent in
 	// part.
-	p.awaitIdle(time.Now().Add(most))
+	p.awaitIdle(time.Now().Add(slowClientLimit))
 	time.Sleep(closeLinger)
 }
 
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -244,42 +244,42 @@
 }
 
 func (p *Proxy) submit(r *Request) error {
-	lr, err := r.describe(&p.cfg.Settings)
+	logicRequest, err := r.describe(&p.cfg.Settings)
 	if err == nil && p.ids.used(r.ReqID, p.now) {
 		err = ErrIDInUse
 	}
 	if err == nil {
-		err = p.authorize(r, &p.cfg.Settings.Classes[lr.Class])
+		err = p.authorize(r, &p.cfg.Settings.Classes[logicRequest.Class])
 	}
 	switch {
 	case err != nil:
 		return err
 	case p.stopping:
-		p.reasons.Add(reasons.Refused, lr.Class, lr.Tenant, reasons.Stopping)
+		p.reasons.Add(reasons.Refused, logicRequest.Class, logicRequest.Tenant, reasons.Stopping)
 		return ErrStopping
 	case len(p.requests) >= p.maxRequests() || p.held > p.heldMax:
-		p.reasons.Add(reasons.Refused, lr.Class, lr.Tenant, reasons.HostFull)
+		p.reasons.Add(reasons.Refused, logicRequest.Class, logicRequest.Tenant, reasons.HostFull)
 		return ErrBusy
 	}
 	p.ids.add(r.ReqID, p.now)
 	p.nextID++ // wraps around after 2^32, long after the request with the same number has ended
 	r.id, r.proxy = p.nextID, p
-	lr.ID = r.id
+	logicRequest.ID = r.id
 	if r.AllowedAddrs != nil {
-		lr.AllowedMembers = p.membersByAddr(r.AllowedAddrs)
+		logicRequest.AllowedMembers = p.membersByAddr(r.AllowedAddrs)
 	}
-	class := &p.cfg.Settings.Classes[lr.Class]
-	r.class, r.tenant, r.effect = lr.Class, lr.Tenant, class.EffectOf(lr.NoDedupKey)
+	class := &p.cfg.Settings.Classes[logicRequest.Class]
+	r.class, r.tenant, r.effect = logicRequest.Class, logicRequest.Tenant, class.EffectOf(logicRequest.NoDedupKey)
 	r.retryable = class.SafeToRetry(r.effect)
-	lr.Deadline += p.earliestArrival(r.ArrivedAt)
-	r.deadline = lr.Deadline
+	logicRequest.Deadline += p.earliestArrival(r.ArrivedAt)
+	r.deadline = logicRequest.Deadline
 	p.requests[r.id] = r
 	if p.cfg.Record != nil && r.effect == logic.AtMostOnce {
-		p.record(r, lr)
+		p.record(r, logicRequest)
 		return nil
 	}
-	if p.joins == nil || !p.join(r, lr) {
-		p.bal.Request(p.now, lr)
+	if p.joins == nil || !p.join(r, logicRequest) {
+		p.bal.Request(p.now, logicRequest)
 	}
 	return nil
 }
@@ -383,7 +383,7 @@
 	if err := p.bal.UpdateClasses(p.now, classes, tryLimit); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	was := p.cfg.Settings.Classes
+	previous := p.cfg.Settings.Classes
 	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = slices.Clone(classes), tryLimit
 	p.redis.shedder.SetClasses(classes)
 	names := logic.ClassNames(classes)
@@ -393,7 +393,7 @@
 	}
 	for _, r := range p.requests {
 		if r.class >= 0 {
-			r.class = slices.Index(names, was[r.class].Name)
+			r.class = slices.Index(names, previous[r.class].Name)
 		}
 	}
 	return nil
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -65,7 +65,7 @@
 
 // blockedMember is a member that does not accept connections until open is called; it then logs its
 // requests and answers as its kind does.
-func blockedMember(t *testing.T, l *requestLog, kind string) (addr string, open func()) {
+func blockedMember(t *testing.T, requests *requestLog, kind string) (addr string, open func()) {
 	t.Helper()
 	d, err := standin.NewDoor()
 	if err != nil {
@@ -75,31 +75,31 @@
 	return d.Addr().String(), func() {
 		d.Serve(func(conn net.Conn) {
 			if kind == "origin" {
-				serveLoggingOrigin(bufio.NewReader(conn), conn, l)
+				serveLoggingOrigin(bufio.NewReader(conn), conn, requests)
 			} else {
-				serveLoggingCache(conn, l, nil)
+				serveLoggingCache(conn, requests, nil)
 			}
 		})
 	}
 }
 
 // serveLoggingOrigin logs requests and answers at once.
-func serveLoggingOrigin(in *bufio.Reader, out io.Writer, l *requestLog) {
+func serveLoggingOrigin(in *bufio.Reader, out io.Writer, requests *requestLog) {
 	standin.AnswerAsOrigin(in, out, func(key, id string) string {
-		l.add(id)
+		requests.add(id)
 		return "value of " + key
 	})
 }
 
 // serveLoggingCache logs requests, waits for hold, unless it is nil, and answers.
-func serveLoggingCache(conn net.Conn, l *requestLog, hold <-chan struct{}) {
+func serveLoggingCache(conn net.Conn, requests *requestLog, hold <-chan struct{}) {
 	in := resp.NewReader(conn, 4096)
 	for {
 		words, err := readCommand(in)
 		if err != nil {
 			return
 		}
-		l.add(words[2])
+		requests.add(words[2])
 		if hold != nil {
 			<-hold
 		}
@@ -148,14 +148,14 @@
 
 // expectOnlyNext sends one further read and requires that the members received nothing else: a request
 // still in the queue would have been sent before it.
-func (p *testProxy) expectOnlyNext(l *requestLog) {
+func (p *testProxy) expectOnlyNext(requests *requestLog) {
 	p.t.Helper()
 	c := p.dial()
 	c.send(get("a9", "next"))
 	if got := c.answer(); got != "value of a9" {
 		p.t.Errorf("the next read was answered %q", got)
 	}
-	for _, id := range l.awaitRequests(p.t, 1) {
+	for _, id := range requests.awaitRequests(p.t, 1) {
 		if id != "next" {
 			p.t.Errorf("a member was asked under %q", id)
 		}
@@ -183,9 +183,9 @@
 		} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
 				t.Parallel()
-				l := newRequestLog()
-				door, open := blockedMember(t, l, c.kind)
-				members := []discovery.Member{entry("s-1", door, c.kind)}
+				requests := newRequestLog()
+				blockedAddr, open := blockedMember(t, requests, c.kind)
+				members := []discovery.Member{entry("s-1", blockedAddr, c.kind)}
 				if c.kind == "origin" {
 					members = append(members, entry("s-2", cache(t, func(asked) string { return miss }), "large"))
 				}
@@ -199,19 +199,19 @@
 				p := start(t, cfg, members...)
 				client := p.dial()
 				client.send(c.ask)
-				p.eventually("it waits for the connection", func() bool { return len(p.memberAt(door).Waiting) > 0 })
+				p.eventually("it waits for the connection", func() bool { return len(p.memberAt(blockedAddr).Waiting) > 0 })
 				client.conn.Close()
 				p.awaitNoClients()
 				open()
-				p.eventually("the connection is up", func() bool { return len(p.memberAt(door).Conns) > 0 })
+				p.eventually("the connection is up", func() bool { return len(p.memberAt(blockedAddr).Conns) > 0 })
 				next := p.dial() // a later request is behind it in every queue
 				if next.send(get("a9", "next")); c.kind == "origin" {
 					next.send(put("a8", "next2", "order"))
 				}
 				next.answer()
-				l.awaitRequests(t, 1)
-				if l.has("left") {
-					t.Errorf("the member was asked under %v", l.all())
+				requests.awaitRequests(t, 1)
+				if requests.has("left") {
+					t.Errorf("the member was asked under %v", requests.all())
 				}
 			})
 		}
@@ -221,13 +221,13 @@
 // A client that disconnects while the last byte of its order is held back has not placed the order.
 func TestDisconnectBeforeLastByte(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		l, begun := newRequestLog(), make(chan struct{}, 10)
+		requests, begun := newRequestLog(), make(chan struct{}, 10)
 		o := listen(t, func(conn net.Conn) {
 			in := bufio.NewReader(conn)
 			if _, err := in.Peek(1); err == nil {
 				begun <- struct{}{}
 			}
-			serveLoggingOrigin(in, conn, l)
+			serveLoggingOrigin(in, conn, requests)
 		})
 		p := start(t, noTimeoutConfig(cancel), entry("o-1", o, "origin"))
 		p.Do(func() { p.ups.SetLastByteDelay(time.Hour) })
@@ -242,7 +242,7 @@
 		if got := next.answer(); got != "value of a2" {
 			t.Errorf("the next order was answered %q", got)
 		}
-		if got := l.awaitRequests(t, 1); l.has("left") {
+		if got := requests.awaitRequests(t, 1); requests.has("left") {
 			t.Errorf("the origin carried out %v", got)
 		}
 	}
@@ -287,39 +287,39 @@
 // Between two attempts: the member of the first has refused the request unprocessed, and the connection to
 // the next is being established.
 func TestDisconnectBetweenAttempts(t *testing.T) {
-	l, turned := newRequestLog(), make(chan struct{}, 10)
-	door, open := blockedMember(t, l, "large")
+	requests, refusals := newRequestLog(), make(chan struct{}, 10)
+	blockedAddr, open := blockedMember(t, requests, "large")
 	full := cache(t, func(asked) string {
-		turned <- struct{}{}
+		refusals <- struct{}{}
 		return "-BUSY\r\n"
 	})
-	p := start(t, noTimeoutConfig(false), entry("s-1", full, "large"), entry("s-2", door, "large"))
+	p := start(t, noTimeoutConfig(false), entry("s-1", full, "large"), entry("s-2", blockedAddr, "large"))
 	client := p.dial()
 	for i := 0; ; i++ { // until the first attempt of one goes to the member that is full
 		client.send(getLongDeadline(fmt.Sprintf("b%d", i), fmt.Sprintf("left%d", i)))
-		p.eventually("it waits for the connection", func() bool { return len(p.memberAt(door).Waiting) == i+1 })
-		if len(turned) > 0 {
+		p.eventually("it waits for the connection", func() bool { return len(p.memberAt(blockedAddr).Waiting) == i+1 })
+		if len(refusals) > 0 {
 			break
 		}
 	}
 	client.conn.Close()
 	p.awaitNoClients()
 	open()
-	p.expectOnlyNext(l)
+	p.expectOnlyNext(requests)
 }
 
 // A queue entry at a full member is freed when its client disconnects, for the next request, and the
 // cancelled request is never sent.
 func TestDisconnectInQueueOfFullMember(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		l, hold := newRequestLog(), make(chan struct{})
-		node := listen(t, func(conn net.Conn) { serveLoggingCache(conn, l, hold) })
+		requests, hold := newRequestLog(), make(chan struct{})
+		node := listen(t, func(conn net.Conn) { serveLoggingCache(conn, requests, hold) })
 		cfg := noTimeoutConfig(cancel)
 		cfg.Multiplex, cfg.Settings.Instances = 1, pool.CacheConnCapacity
 		p := start(t, cfg, entry("s-1", node, "large"))
 		front := p.dial()
 		front.send(get("a1", "front"))
-		l.awaitRequests(t, 1)
+		requests.awaitRequests(t, 1)
 		client := p.dial()
 		client.send(getLongDeadline("a2", "left"))
 		p.eventually("it waits in line", func() bool { return p.queuedAttempts() == 1 })
@@ -334,7 +334,7 @@
 				t.Errorf("answered %q", got)
 			}
 		}
-		if got := fmt.Sprint(l.all()); got != "[front next]" {
+		if got := fmt.Sprint(requests.all()); got != "[front next]" {
 			t.Errorf("cancel %v: the member was asked under %v", cancel, got)
 		}
 	}
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -40,8 +40,8 @@
 	listener := l.(*net.TCPListener)
 	raw, err := listener.SyscallConn()
 	if err == nil {
-		choice := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestListener}}
-		program := unix.SockFprog{Len: uint16(len(choice)), Filter: &choice[0]}
+		filter := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestListener}}
+		program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 		if e := raw.Control(func(fd uintptr) {
 			err = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &program)
 		}); e != nil {
@@ -62,8 +62,8 @@
 		return waiting
 	}
 	raw.Control(func(fd uintptr) { // fails only if the listener is closed
-		look := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(look[:], 0)
+		pollFDs := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(pollFDs[:], 0)
 		waiting = err != nil || n > 0
 	})
 	return waiting
@@ -72,13 +72,13 @@
 // addrInUse reports whether a process already listens at an address. It binds the address without sharing
 // it, and releases it again.
 func addrInUse(addr string) bool {
-	at, err := netip.ParseAddrPort(addr)
-	if err != nil || at.Port() == 0 {
+	addrPort, err := netip.ParseAddrPort(addr)
+	if err != nil || addrPort.Port() == 0 {
 		return false
 	}
-	family, sa := unix.AF_INET6, unix.Sockaddr(&unix.SockaddrInet6{Port: int(at.Port()), Addr: at.Addr().As16()})
-	if at.Addr().Is4() {
-		family, sa = unix.AF_INET, &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
+	family, sa := unix.AF_INET6, unix.Sockaddr(&unix.SockaddrInet6{Port: int(addrPort.Port()), Addr: addrPort.Addr().As16()})
+	if addrPort.Addr().Is4() {
+		family, sa = unix.AF_INET, &unix.SockaddrInet4{Port: int(addrPort.Port()), Addr: addrPort.Addr().As4()}
 	}
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -69,19 +69,19 @@
 // The certificate determines the tenant, and the tenant's rights apply; long values and long pipelines
 // work.
 func TestClientCertificates(t *testing.T) {
-	d := newTLSHarness(t, "asked", func(a asked) string {
+	harness := newTLSHarness(t, "asked", func(a asked) string {
 		size := 5_000
 		if a.key == "map/1" {
 			size = 100_000
 		}
 		return hit(strings.Repeat(a.key[:1], size))
 	})
-	kiosk, shop := d.connect(0, "kiosk.example"), d.connect(0, "shop.example")
+	kiosk, shop := harness.connect(0, "kiosk.example"), harness.connect(0, "shop.example")
 	kiosk.send(words("OBJ.GET", "map/1", "r1", "c=tile-read,t=shop,d=4000"))
 	if got := kiosk.answer(); got != strings.Repeat("m", 100_000) {
 		t.Errorf("%d bytes: %.20q", len(got), got)
 	}
-	if attrs := <-d.memberAttrs; !strings.Contains(attrs, "t=kiosk") || strings.Contains(attrs, "shop") {
+	if attrs := <-harness.memberAttrs; !strings.Contains(attrs, "t=kiosk") || strings.Contains(attrs, "shop") {
 		t.Errorf("the member was told %q", attrs)
 	}
 	kiosk.send(put("orders/1", "w1", "x"))
@@ -93,7 +93,7 @@
 		t.Errorf("a shop's order: %q", got)
 	}
 	for who, name := range map[string]string{"nobody": "", "somebody unknown": "other.example"} {
-		c := d.connect(0, name)
+		c := harness.connect(0, name)
 		c.send(getWithAttrs("map/1", "r-"+name, "c=tile-read,d=4000"))
 		if got := c.answer(); !strings.HasPrefix(got, "-NOAUTH") {
 			t.Errorf("%s: %q", who, got)
@@ -101,7 +101,7 @@
 	}
 	var wg sync.WaitGroup
 	for n := range 4 {
-		c := d.connect(0, "kiosk.example")
+		c := harness.connect(0, "kiosk.example")
 		wg.Go(func() {
 			var b strings.Builder
 			for i := range 40 {
@@ -121,18 +121,18 @@
 
 // A client without TLS, or without a certificate where one is required, gets no answer.
 func TestConnectionsWithoutCertificateAreRefused(t *testing.T) {
-	d := newTLSHarness(t, "required", func(asked) string { return hit("v") })
-	plain := d.dial()
+	harness := newTLSHarness(t, "required", func(asked) string { return hit("v") })
+	plain := harness.dial()
 	plain.send(get("map/1", "r1"))
 	if got := plain.answer(); strings.HasPrefix(got, "v") || strings.HasPrefix(got, "-NO") {
 		t.Errorf("in plain text: %q", got)
 	}
-	bare := d.connect(0, "")
+	bare := harness.connect(0, "")
 	bare.send(get("map/1", "r2"))
 	if got := bare.answer(); got != "" {
 		t.Errorf("without a certificate: %q", got)
 	}
-	c := d.connect(0, "kiosk.example")
+	c := harness.connect(0, "kiosk.example")
 	c.send(get("map/1", "r3"))
 	if got := c.answer(); got != "v" {
 		t.Errorf("with one: %q", got)
@@ -143,31 +143,31 @@
 // pending requests and then a proper end of stream; the others continue.
 func TestConnectionEndsWhenItsRootIsRemoved(t *testing.T) {
 	release := make(chan struct{})
-	d := newTLSHarness(t, "asked", func(a asked) string {
+	harness := newTLSHarness(t, "asked", func(a asked) string {
 		if a.key == "slow" {
 			<-release
 		}
 		return hit("value of " + a.key)
 	})
-	idle, inHand := d.connect(0, "shop.example"), d.connect(0, "kiosk.example")
-	if err := d.Publish(d.Roots...); err != nil {
+	idle, inHand := harness.connect(0, "shop.example"), harness.connect(0, "kiosk.example")
+	if err := harness.Publish(harness.Roots...); err != nil {
 		t.Fatal(err)
 	}
-	d.gate.Look()
-	stays := d.connect(1, "kiosk.example")
+	harness.gate.Look()
+	stays := harness.connect(1, "kiosk.example")
 	for i, c := range []*testClient{idle, inHand, stays} {
 		c.send(get("a", fmt.Sprint("r", i)))
 		if got := c.answer(); got != "value of a" {
 			t.Fatal(got)
 		}
-		<-d.memberAttrs
+		<-harness.memberAttrs
 	}
 	inHand.send(get("slow", "r-slow"))
-	<-d.memberAttrs
-	if err := d.Publish(d.Roots[1]); err != nil {
+	<-harness.memberAttrs
+	if err := harness.Publish(harness.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
-	d.gate.Look()
+	harness.gate.Look()
 	if got := idle.answer(); got != "" {
 		t.Errorf("on the idle one: %q", got)
 	}
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -72,14 +72,14 @@
 		c.pending = append(c.pending, &pendingAnswer{client: c, refusalBatch: true, reply: make([]byte, 0, 256)})
 	}
 	o := c.pending[len(c.pending)-1]
-	was := len(o.reply)
+	previousLen := len(o.reply)
 	after := time.Duration(0)
 	if s := &p.cfg.Settings; s.CanRetryAfter {
 		// Randomized, so that reads that are refused together are not retried together.
 		after = min(waited+rand.N(waited), s.MaxRetryAfter*2/3)
 	}
 	o.reply = appendBusy(o.reply, after)
-	p.held += len(o.reply) - was
+	p.held += len(o.reply) - previousLen
 	if c.corked = true; len(o.reply) >= maxCorkedBytes {
 		c.corked = false
 		c.flush()
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -19,7 +19,7 @@
 // hangs, every accepted request has an answer by then: requests that certainly never ran, or may be
 // repeated, are refused, and for the rest nothing is promised.
 func TestStopWithHangingMembers(t *testing.T) {
-	l := newRequestLog()
+	requests := newRequestLog()
 	hang := func(conn net.Conn) {
 		io.Copy(io.Discard, conn) // until its end
 	}
@@ -35,7 +35,7 @@
 			return
 		}
 		io.Copy(io.Discard, r.Body)
-		l.add(r.Header.Get("X-Request-ID"))
+		requests.add(r.Header.Get("X-Request-ID"))
 		hang(conn)
 	})
 	cfg := noTimeoutConfig(false)
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -18,9 +18,9 @@
 // A client's disconnect is detected behind commands that were not read yet, while the commands before them
 // wait: none of either is sent.
 func TestDisconnectBehindUnreadCommands(t *testing.T) {
-	l := newRequestLog()
-	door, open := blockedMember(t, l, "large")
-	p := start(t, noTimeoutConfig(false), entry("s-1", door, "large"))
+	requests := newRequestLog()
+	blockedAddr, open := blockedMember(t, requests, "large")
+	p := start(t, noTimeoutConfig(false), entry("s-1", blockedAddr, "large"))
 	client := p.dial()
 	var all strings.Builder
 	for i := range 4 * maxPipeline {
@@ -36,7 +36,7 @@
 	client.conn.Close()
 	p.awaitNoClients()
 	open()
-	p.expectOnlyNext(l)
+	p.expectOnlyNext(requests)
 }
 
 // Commands that precede malformed input are cancelled when the client disconnects, although the connection
@@ -47,9 +47,9 @@
 		"a lot":    "*1\r\n!\r\n" + strings.Repeat("x", 2*lingerBytes),
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newRequestLog()
-			door, open := blockedMember(t, l, "large")
-			p := start(t, noTimeoutConfig(false), entry("s-1", door, "large"))
+			requests := newRequestLog()
+			blockedAddr, open := blockedMember(t, requests, "large")
+			p := start(t, noTimeoutConfig(false), entry("s-1", blockedAddr, "large"))
 			client := p.dial()
 			client.send(getLongDeadline("a1", "left"))
 			p.eventually("it waits for a connection", func() bool { return p.queuedAttempts() == 1 })
@@ -57,7 +57,7 @@
 			client.conn.Close()
 			p.awaitNoClients()
 			open()
-			p.expectOnlyNext(l)
+			p.expectOnlyNext(requests)
 		})
 	}
 }
@@ -98,8 +98,8 @@
 // A client that has disconnected before its connection is accepted has no request sent, though a connection
 // to a member is free.
 func TestDisconnectBeforeAccept(t *testing.T) {
-	l := newRequestLog()
-	node := listen(t, func(conn net.Conn) { serveLoggingCache(conn, l, nil) })
+	requests := newRequestLog()
+	node := listen(t, func(conn net.Conn) { serveLoggingCache(conn, requests, nil) })
 	p := start(t, noTimeoutConfig(false), entry("s-1", node, "large"))
 	first := p.dial()
 	first.send(get("a0", "first"))
@@ -116,7 +116,7 @@
 	p.eventually("it has come and gone", func() bool { return p.redis.accepted == 2 && len(p.redis.clients) == 1 })
 	first.send(get("a9", "next"))
 	first.answer()
-	if got := fmt.Sprint(l.all()); got != "[first next]" {
+	if got := fmt.Sprint(requests.all()); got != "[first next]" {
 		t.Errorf("the member was asked under %v", got)
 	}
 }
@@ -124,11 +124,11 @@
 // A thousand clients that send and disconnect, some with several commands on a connection, leave nothing
 // behind: no client entry, byte, descriptor or goroutine, and none of their requests is sent.
 func TestBurstThatDisconnects(t *testing.T) {
-	l := newRequestLog()
-	door, open := blockedMember(t, l, "large")
+	requests := newRequestLog()
+	blockedAddr, open := blockedMember(t, requests, "large")
 	cfg := noTimeoutConfig(false)
 	cfg.Sockets = 4096
-	p := start(t, cfg, entry("s-1", door, "large"), entry("o-1", door, "origin"))
+	p := start(t, cfg, entry("s-1", blockedAddr, "large"), entry("o-1", blockedAddr, "origin"))
 	p.eventually("nobody is there", func() bool { return len(p.redis.clients) == 0 })
 	const crowd = 1000
 	var all sync.WaitGroup
@@ -163,5 +163,5 @@
 		return !bytes.Contains(stacks[:runtime.Stack(stacks, true)], []byte("(*client).serve"))
 	})
 	open()
-	p.expectOnlyNext(l)
+	p.expectOnlyNext(requests)
 }
