--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -40,7 +40,7 @@
 	}
 	over := false
 	s.f.p.Do(func() {
-		over = s.f.p.AddHeld(streamWindow)
+		over = s.f.p.Hold(streamWindow)
 		s.window = streamWindow
 	})
 	if over {
@@ -60,7 +60,7 @@
 			o.err = s.rpc.Send(m.r)
 		}
 		if m.n > 0 {
-			s.f.p.Do(func() { s.f.p.AddHeld(-m.n) })
+			s.f.p.Do(func() { s.f.p.Hold(-m.n) })
 		}
 		o.in.Add(-1)
 		select {
@@ -81,7 +81,7 @@
 	}
 	o.in.Add(-1)
 	if n > 0 {
-		s.f.p.Do(func() { s.f.p.AddHeld(-n) })
+		s.f.p.Do(func() { s.f.p.Hold(-n) })
 	}
 	return s.notTaken()
 }
@@ -145,7 +145,7 @@
 	}
 	over := false
 	f.p.Do(func() {
-		f.p.AddHeld(streamWindow)
+		f.p.Hold(streamWindow)
 		f.stuckStreams = append(f.stuckStreams, stuckStream{c, f.p.Now() + stuckFor})
 		c.stuck++
 		over = c.stuck > mostStuck
@@ -161,7 +161,7 @@
 	for len(f.stuckStreams) > 0 && (f.stuckStreams[0].until <= now || f.stuckStreams[0].conn.closed) {
 		f.stuckStreams[0].conn.stuck--
 		f.stuckStreams = f.stuckStreams[1:]
-		f.p.AddHeld(-streamWindow)
+		f.p.Hold(-streamWindow)
 	}
 }
 
@@ -173,7 +173,7 @@
 		rest = rest[len(part):]
 		last = len(rest) == 0
 		over := false
-		s.f.p.Do(func() { over = s.f.p.AddHeld(len(part)) })
+		s.f.p.Do(func() { over = s.f.p.Hold(len(part)) })
 		common := &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{BodyMutation: &extprocv3.BodyMutation{
 			Mutation: &extprocv3.BodyMutation_StreamedResponse{StreamedResponse: &extprocv3.StreamedBodyResponse{
 				Body: part, EndOfStream: last && m.GetEndOfStream()}}}}}
--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -111,7 +111,7 @@
 		}
 		value := append(make([]byte, 0, n), s.body...)
 		s.f.p.Do(func() {
-			s.f.p.AddHeld(-cap(s.body)) // it is in the room now
+			s.f.p.Hold(-cap(s.body)) // it is in the room now
 			s.body, s.place = value, place
 		})
 	}
--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -86,7 +86,7 @@
 
 func (m *manyCall) hold(n int) {
 	m.held += n
-	m.c.f.p.AddHeld(n)
+	m.c.f.p.Hold(n)
 }
 
 func (m *manyCall) release() {
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -368,8 +368,8 @@
 			f.counts.Unavailable++
 			return
 		}
-		if f.p.AddHeld(streamCost) {
-			f.p.AddHeld(-streamCost)
+		if f.p.Hold(streamCost) {
+			f.p.Hold(-streamCost)
 			f.counts.Unavailable++
 			return
 		}
@@ -392,12 +392,12 @@
 			s.conn.left()
 		}
 		if s.place == nil {
-			f.p.AddHeld(-cap(s.body))
+			f.p.Hold(-cap(s.body))
 		} else {
 			s.place.ReleaseLocked()
 			s.place = nil
 		}
-		f.p.AddHeld(-streamCost - s.window)
+		f.p.Hold(-streamCost - s.window)
 		s.body = nil
 		if s.call != nil {
 			s.call.left(s)
@@ -442,7 +442,7 @@
 		a.Body.Keep()
 	case a.Value != nil:
 		a.Value = append([]byte(nil), a.Value...)
-		c.f.p.AddHeld(len(a.Value))
+		c.f.p.Hold(len(a.Value))
 	}
 	c.final = &a
 	c.notify()
@@ -496,7 +496,7 @@
 		c.place.ReleaseLocked()
 		c.final.Value, c.place = nil, nil
 	default:
-		c.f.p.AddHeld(-len(c.final.Value))
+		c.f.p.Hold(-len(c.final.Value))
 		c.final.Value = nil
 	}
 }
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -467,7 +467,7 @@
 			s.f.p.Do(func() {
 				was := cap(s.body)
 				s.body = append(s.body, m.GetBody()...)
-				over = s.f.p.AddHeld(cap(s.body) - was)
+				over = s.f.p.Hold(cap(s.body) - was)
 			})
 		}
 		switch {
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -399,9 +399,9 @@
 	return nil
 }
 
-// AddHeld adds n, which may be negative, to the bytes held, and reports whether they exceed the limit. It
+// Hold adds n, which may be negative, to the bytes held, and reports whether they exceed the limit. It
 // requires the lock.
-func (p *Proxy) AddHeld(n int) (over bool) {
+func (p *Proxy) Hold(n int) (over bool) {
 	p.held += n
 	return p.held > p.heldMax
 }
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -42,7 +42,7 @@
 	b := resp.AppendBulkHead(make([]byte, 0, len(value)+16), len(value))
 	head := len(b)
 	b = append(append(b, value...), "\r\n"...)
-	p.AddHeld(len(b))
+	p.Hold(len(b))
 	return &Body{p: p, bulk: b, head: head, refs: 1}
 }
 
@@ -55,7 +55,7 @@
 // Release lets go of the body, under the host's lock.
 func (b *Body) Release() {
 	if b.refs--; b.refs == 0 {
-		b.p.AddHeld(-len(b.bulk))
+		b.p.Hold(-len(b.bulk))
 		b.bulk = b.bulk[:0:0]
 	}
 }
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -118,7 +118,7 @@
 // hold counts what is held for the reply.
 func (m *manyReply) hold(n int) {
 	m.held += n
-	m.p.AddHeld(n)
+	m.p.Hold(n)
 }
 
 // Over writes the reply, in the order asked, or what is left of one that went out as keys came.
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -256,7 +256,7 @@
 		return
 	}
 	c.ok, c.receipt, c.owes = true, slices.Clone(value), !r.done
-	p.AddHeld(len(c.receipt))
+	p.Hold(len(c.receipt))
 	r.done = true
 	p.finish(r)
 }
@@ -294,7 +294,7 @@
 			r.Responder.Answer(Answer{Kind: Failed, Reason: reasons.RecordFault})
 		}
 	}
-	p.AddHeld(-len(c.receipt))
+	p.Hold(-len(c.receipt))
 	c.receipt = nil
 	p.fence(r)
 	p.settle(r)
--- a/internal/proxy/redis_test.go
+++ b/internal/proxy/redis_test.go
@@ -107,13 +107,13 @@
 		}
 	}
 	ask(0)
-	crowd := make([]*testClient, 3*cfg.Sockets)
-	for i := range crowd {
-		crowd[i] = p.dial()
+	silent := make([]*testClient, 3*cfg.Sockets)
+	for i := range silent {
+		silent[i] = p.dial()
 		ask(i + 1)
 	}
 	p.eventually("descriptors within the limit", func() bool { return p.sockets() <= cfg.Sockets-spareSockets })
-	for _, c := range crowd { // each connection is closed, though its client sent nothing
+	for _, c := range silent { // each connection is closed, though its client sent nothing
 		if got := c.answer(); got != "" {
 			t.Fatalf("a silent client was told %q", got)
 		}
@@ -236,16 +236,16 @@
 	cfg.Sockets = 64
 	node := cache(t, func(a asked) string { return hit("value of " + a.key) })
 	p := start(t, cfg, entry("s-1", node, "large"))
-	crowd := make([]*testClient, cfg.Sockets*activeClientPercent/100)
-	for i := range crowd {
-		crowd[i] = p.dial()
-		crowd[i].send(get("a1", fmt.Sprintf("id%d", i)))
-		if got := crowd[i].answer(); got != "value of a1" {
+	clients := make([]*testClient, cfg.Sockets*activeClientPercent/100)
+	for i := range clients {
+		clients[i] = p.dial()
+		clients[i].send(get("a1", fmt.Sprintf("id%d", i)))
+		if got := clients[i].answer(); got != "value of a1" {
 			t.Fatalf("client %d was answered %q", i, got)
 		}
 	}
 	p.eventually("all are idle", func() bool {
-		if len(p.redis.clients) < len(crowd) {
+		if len(p.redis.clients) < len(clients) {
 			return true // the sweep has begun to close them
 		}
 		for c := range p.redis.clients {
@@ -256,7 +256,7 @@
 		}
 		p.redis.closeIdleClients()
 		if n := len(p.redis.clients); n > 0 {
-			t.Errorf("%d of %d idle clients hold their places", n, len(crowd))
+			t.Errorf("%d of %d idle clients hold their places", n, len(clients))
 		}
 		return true
 	})
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -52,7 +52,7 @@
 func TestManyClientsAreServedByHealthyFleet(t *testing.T) {
 	const caches = 8
 	healthy := func(a asked) string { return hit("value of " + a.key) }
-	for name, odd := range map[string]func(t *testing.T) string{
+	for name, faultyCache := range map[string]func(t *testing.T) string{
 		"all are well": func(t *testing.T) string { return cache(t, healthy) },
 		"one is silent": func(t *testing.T) string {
 			return listen(t, func(conn net.Conn) { readAll(conn) })
@@ -73,13 +73,13 @@
 			})
 		},
 	} {
-		crowdIsServed := func(t *testing.T, clients, each int, fresh bool) {
+		allAreServed := func(t *testing.T, clients, each int, fresh bool) {
 			cfg := testConfig()
 			cfg.Sockets = 1024
 			cfg.Multiplex = 32
 			cfg.Settings.Classes[0].SoftDeadline = 2 * time.Second
 			o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
-			members := []discovery.Member{entry("s-odd", odd(t), "large"), entry("o-1", o, "origin")}
+			members := []discovery.Member{entry("s-odd", faultyCache(t), "large"), entry("o-1", o, "origin")}
 			for i := range caches - 1 {
 				members = append(members, entry(fmt.Sprint("s-", i), cache(t, healthy), "large"))
 			}
@@ -100,9 +100,9 @@
 				return len(p.requests) == 0 && p.held == 0
 			})
 		}
-		t.Run(name, func(t *testing.T) { crowdIsServed(t, 120, 6, false) })
+		t.Run(name, func(t *testing.T) { allAreServed(t, 120, 6, false) })
 		if name != "one is silent" { // there some reads still run out of time: docs/ROADMAP.md
-			t.Run(name+", at a fresh proxy", func(t *testing.T) { crowdIsServed(t, 300, 4, true) })
+			t.Run(name+", at a fresh proxy", func(t *testing.T) { allAreServed(t, 300, 4, true) })
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		members = append(members, entry(fmt.Sprint("s-", i), cache(t, func(asked) string { <-release; return miss }), "large"))
 	}
 	p := start(t, cfg, members...)
-	var served, turned atomic.Int64
+	var served, refused atomic.Int64
 	var g sync.WaitGroup
 	for i := range clients {
 		c := p.dial()
@@ -130,12 +130,12 @@
 			if c.answer() == fmt.Sprintf("value of a%d", i) {
 				served.Add(1)
 			} else {
-				turned.Add(1)
+				refused.Add(1)
 			}
 		})
 	}
-	p.eventually("all have come", func() bool { return len(p.requests)+int(turned.Load()) == clients })
-	if n := turned.Load(); n > 0 {
+	p.eventually("all have come", func() bool { return len(p.requests)+int(refused.Load()) == clients })
+	if n := refused.Load(); n > 0 {
 		t.Errorf("%d of %d turned away: %v", n, clients, p.Reasons().Attrs())
 	}
 	close(release)
@@ -504,7 +504,7 @@
 
 // startBlockedCache starts a proxy with one cache, which blocks on the read of key "gate" and thereby
 // occupies its only connection, and a queue of reads that wait for that connection.
-func startBlockedCache(t *testing.T, clients int) (p *testProxy, crowd []*testClient, asked *atomic.Int32, release chan struct{}) {
+func startBlockedCache(t *testing.T, clients int) (p *testProxy, queued []*testClient, asked *atomic.Int32, release chan struct{}) {
 	t.Helper()
 	asked, release = &atomic.Int32{}, make(chan struct{})
 	node := listen(t, func(conn net.Conn) {
@@ -539,10 +539,10 @@
 	for i := range clients {
 		c := p.dial()
 		c.send(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
-		crowd = append(crowd, c)
+		queued = append(queued, c)
 	}
 	p.eventually("there is a line", func() bool { return p.queuedAttempts() >= pool.MaxWaiting })
-	return p, append(crowd, first), asked, release
+	return p, append(queued, first), asked, release
 }
 
 // queuedAttempts counts the attempts that wait for a connection. It requires the lock.
@@ -555,11 +555,11 @@
 
 // A stop with queued reads: each gets its one answer, and the proxy ends.
 func TestStopWithQueuedReads(t *testing.T) {
-	p, crowd, _, release := startBlockedCache(t, 8)
+	p, waiting, _, release := startBlockedCache(t, 8)
 	p.stop()
 	p.eventually("no request is taken any more", func() bool { return p.stopping })
 	close(release)
-	for i, c := range crowd {
+	for i, c := range waiting {
 		if got := c.answer(); !strings.HasPrefix(got, "value of ") && !strings.HasPrefix(got, "-BUSY") {
 			t.Errorf("client %d was answered %q", i, got)
 		}
@@ -569,13 +569,13 @@
 
 // Requests of clients that disconnect leave the queue with them: the cache never receives them.
 func TestClientsDisconnectWhileQueued(t *testing.T) {
-	p, crowd, asked, release := startBlockedCache(t, pool.MaxWaiting)
-	for _, c := range crowd[:pool.MaxWaiting] {
+	p, waiting, asked, release := startBlockedCache(t, pool.MaxWaiting)
+	for _, c := range waiting[:pool.MaxWaiting] {
 		c.conn.Close()
 	}
 	p.eventually("the line is empty", func() bool { return p.queuedAttempts() == 0 })
 	close(release)
-	if got := crowd[pool.MaxWaiting].answer(); got != "value of gate" {
+	if got := waiting[pool.MaxWaiting].answer(); got != "value of gate" {
 		t.Errorf("the one that stayed was answered %q", got)
 	}
 	p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 })
@@ -615,11 +615,11 @@
 		c.answer()
 	}
 	p.eventually("the window for more is long", func() bool { p.ups.SetMaxPipelineAge(patience); return true })
-	var crowd []*testClient
+	var readers []*testClient
 	for i := range together + pool.MaxWaiting {
 		c := p.dial()
 		c.send(get(fmt.Sprint("a", i), fmt.Sprint("id", i)))
-		crowd = append(crowd, c)
+		readers = append(readers, c)
 	}
 	var u *pool.Conn[*upstream.Exchange]
 	p.eventually("reads are out together and more wait", func() bool {
@@ -636,7 +636,7 @@
 	p.eventually("the drain is known", func() bool { return u.Retired && p.queuedAttempts() == 0 })
 	close(release)
 	served := 0
-	for i, c := range crowd {
+	for i, c := range readers {
 		switch got := c.answer(); {
 		case got == fmt.Sprint("value of a", i):
 			served++
--- a/internal/proxy/shed_test.go
+++ b/internal/proxy/shed_test.go
@@ -43,13 +43,13 @@
 			ahead.Add(int64(3 * short))
 			p.Tick()
 			close(release)
-			served, turned := 0, 0
+			served, refused := 0, 0
 			for i := range reads {
 				switch got := c.answer(); {
 				case got == fmt.Sprintf("value of a%d", i):
 					served++
 				case strings.HasPrefix(got, "-BUSY "):
-					turned++
+					refused++
 				default:
 					t.Fatalf("read %d was answered %q", i, got)
 				}
@@ -58,8 +58,8 @@
 				t.Errorf("the order was answered %q", got)
 			}
 			counted := int(p.Reasons().Total(reasons.Refused, reasons.Overload))
-			if used < 1 && turned > 0 || used == 1 && (served < maxPipeline || turned < reads/2 || counted != turned) {
-				t.Errorf("%d served, %d turned away, %d counted", served, turned, counted)
+			if used < 1 && refused > 0 || used == 1 && (served < maxPipeline || refused < reads/2 || counted != refused) {
+				t.Errorf("%d served, %d turned away, %d counted", served, refused, counted)
 			}
 			p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 && p.held == 0 })
 		})
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -23,11 +23,11 @@
 	hang := func(conn net.Conn) {
 		io.Copy(io.Discard, conn) // until its end
 	}
-	door, err := standin.NewDoor()
+	blocked, err := standin.NewDoor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { door.Close() })
+	t.Cleanup(func() { blocked.Close() })
 	o := listen(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		r, err := http.ReadRequest(in)
@@ -50,7 +50,7 @@
 		"a read that hangs":                 {o, getLongDeadline("a1", "id"), "-BUSY"},
 		"keyed, within all":                 {o, ask("keyed-all", "id"), "-BUSY"},
 		"keyed, within a zone":              {o, ask("keyed-zone", "id"), "-ERR"},
-		"an order that waits":               {door.Addr().String(), putLongDeadline("a1", "id", "order"), "-BUSY"},
+		"an order that waits":               {blocked.Addr().String(), putLongDeadline("a1", "id", "order"), "-BUSY"},
 		"an order, and more half read":      {o, putLongDeadline("a1", "id", "order") + "*4\r\n$7\r\nOBJ", "-ERR"},
 		"an order, and garbage behind":      {o, putLongDeadline("a1", "id", "order") + "!\r\n", "-ERR"},
 		"an order, and more than is read":   {o, putLongDeadline("a1", "id", "order") + pipelinedReads(3*maxPipeline), "-ERR"},
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -130,9 +130,9 @@
 	cfg.Sockets = 4096
 	p := start(t, cfg, entry("s-1", blockedAddr, "large"), entry("o-1", blockedAddr, "origin"))
 	p.eventually("nobody is there", func() bool { return len(p.redis.clients) == 0 })
-	const crowd = 1000
+	const burst = 1000
 	var all sync.WaitGroup
-	for i := range crowd {
+	for i := range burst {
 		all.Go(func() {
 			conn, err := net.Dial("tcp", p.Addr().String())
 			if err != nil {
@@ -155,7 +155,7 @@
 		})
 	}
 	all.Wait()
-	p.eventually("all have been accepted", func() bool { return p.redis.accepted == crowd })
+	p.eventually("all have been accepted", func() bool { return p.redis.accepted == burst })
 	p.awaitNoClients()
 	p.eventually("no descriptor is held for clients", func() bool { return p.frontFDs == 0 && p.queuedAttempts() == 0 })
 	p.eventually("no goroutine is left of a client", func() bool {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -22,7 +22,7 @@
 type Host interface {
 	Enter()
 	Leave()
-	AddHeld(n int) (over bool) // adds n bytes, or subtracts -n, to the bytes that count as buffered
+	Hold(n int) (over bool) // adds n bytes, or subtracts -n, to the bytes that count as buffered
 }
 
 // Sender is the sending side of a connection. It writes immediately, under the host's lock, what the
@@ -144,7 +144,7 @@
 	}
 	w.queue = append(w.queue, b)
 	w.backlog += len(b)
-	w.host.AddHeld(len(b))
+	w.host.Hold(len(b))
 }
 
 // SendCounted sends bytes that never change and that the caller has already counted as buffered.
@@ -152,7 +152,7 @@
 	was := w.backlog
 	w.Send(b, true)
 	w.countedByCaller += w.backlog - was
-	w.host.AddHeld(was - w.backlog)
+	w.host.Hold(was - w.backlog)
 }
 
 // Fail closes the connection; its reader notices and cleans up.
@@ -174,7 +174,7 @@
 	byCaller := min(n, w.countedByCaller)
 	w.countedByCaller -= byCaller
 	w.backlog -= n
-	w.host.AddHeld(byCaller - n)
+	w.host.Hold(byCaller - n)
 }
 
 // nextPiece removes the next bytes to write from the queue. A peer that receives a long value slowly
