--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -109,7 +109,7 @@
 }
 
 func (r *reloader) apply(classes []logic.Class, tries int) error {
-	if err := r.proxy.Retune(classes, tries); err != nil {
+	if err := r.proxy.UpdateClasses(classes, tries); err != nil {
 		return err
 	}
 	r.classes, r.maxAttempts = classes, tries
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -89,7 +89,7 @@
 
 // sendAnswer sends the host's final answer.
 func (s *stream) sendAnswer(a *proxy.Answer) error {
-	s.reason = a.Why
+	s.reason = a.Reason
 	switch a.Kind {
 	case proxy.Served:
 		if s.target.Many {
@@ -102,7 +102,7 @@
 	if err := s.call.request.Denied(); err != nil {
 		return s.sendDenied(err)
 	}
-	switch a.Why {
+	switch a.Reason {
 	case reasons.OrderInHand:
 		return s.sendImmediate(409, []byte("an order of this key is in hand\n"), "")
 	case reasons.OtherOrder:
@@ -289,7 +289,7 @@
 	var final *proxy.Answer
 	var retry bool
 	s.front.host.Do(func() {
-		if a := call.attempt; a != nil && !a.Ended() && a.Given() {
+		if a := call.attempt; a != nil && !a.Ended() && a.Announced() {
 			response.Origin = a.Origin
 			outcome = response.Outcome()
 			a.End(outcome, note)
@@ -334,11 +334,11 @@
 		if call.settled {
 			return
 		}
-		if call.attempt != nil && call.attempt.Given() {
+		if call.attempt != nil && call.attempt.Announced() {
 			if s.servedElsewhere {
-				call.attempt.DeliverElsewhere()
+				call.attempt.MarkServedElsewhere()
 			} else {
-				call.attempt.Deliver(s.outcomeNote)
+				call.attempt.MarkServed(s.outcomeNote)
 			}
 		}
 		s.front.counts.Served++
--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -251,7 +251,7 @@
 	}
 	s.front.host.Do(func() {
 		call := s.call
-		if call.attempt == nil || call.attempt.Ended() || !call.attempt.Given() {
+		if call.attempt == nil || call.attempt.Ended() || !call.attempt.Announced() {
 			return
 		}
 		named := strings.Split(call.namedAddrs, ",")
@@ -262,7 +262,7 @@
 			return
 		}
 		for _, addr := range named[1 : index+1] {
-			if !call.attempt.Moved(addr) {
+			if !call.attempt.FallbackUsed(addr) {
 				s.servedElsewhere = true
 			}
 		}
--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -34,7 +34,7 @@
 	})
 	reservation := w.front.host.ReserveLongValueWithin(size, timeLeft)
 	if !reservation.Wait() {
-		w.setAnswer(proxy.Answer{Kind: proxy.Refused, Why: reasons.HostFull})
+		w.setAnswer(proxy.Answer{Kind: proxy.Refused, Reason: reasons.HostFull})
 		return errNoCapacity
 	}
 	w.front.host.Do(func() {
--- a/internal/extproc/server/secure.go
+++ b/internal/extproc/server/secure.go
@@ -62,7 +62,7 @@
 	if s.conn == nil {
 		return netip.Addr{}
 	}
-	return proxy.AddrOf(s.conn.Conn)
+	return proxy.RemoteAddrOf(s.conn.Conn)
 }
 
 // certificateProof returns what the connection's certificate proves, or nil.
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -221,13 +221,13 @@
 // accepted.
 func (f *Front) Drain() { f.health.Shutdown() }
 
-// StopTaking refuses new streams with HTTP/2's GOAWAY, so callers know that these never ran and use another
+// StopAccepting refuses new streams with HTTP/2's GOAWAY, so callers know that these never ran and use another
 // processor.
-func (f *Front) StopTaking() { go f.grpc.GracefulStop() }
+func (f *Front) StopAccepting() { go f.grpc.GracefulStop() }
 
-// Owes reports whether a stream still waits for an answer. It ends streams whose exchange is over. A stream
+// EndIdle reports whether a stream still waits for an answer. It ends streams whose exchange is over. A stream
 // without messages may have its first one in transit and is waited for like any other.
-func (f *Front) Owes() bool {
+func (f *Front) EndIdle() bool {
 	waiting := false
 	for s := range f.streams {
 		if s.idle && (s.outbox == nil || s.outbox.pending.Load() == 0) {
@@ -239,8 +239,8 @@
 	return waiting
 }
 
-// End does nothing: a stream ends with its answer, and GOAWAY tells callers that all others never ran.
-func (f *Front) End() {}
+// EndAll does nothing: a stream ends with its answer, and GOAWAY tells callers that all others never ran.
+func (f *Front) EndAll() {}
 
 // Sweep ends overdue streams and calls whose caller has not returned in time.
 func (f *Front) Sweep() {
@@ -257,8 +257,8 @@
 	}
 }
 
-// MakeRoom returns false: closing a connection would end its many streams.
-func (f *Front) MakeRoom() bool { return false }
+// FreeDescriptor returns false: closing a connection would end its many streams.
+func (f *Front) FreeDescriptor() bool { return false }
 
 // Close closes the listener and all connections. It runs in a goroutine of its own, as closing connections
 // takes the host's lock, which the caller of Close holds.
@@ -278,9 +278,9 @@
 		}
 		admitted := false
 		l.front.host.Do(func() {
-			if admitted = l.front.conns < maxConns && l.front.host.Room(); admitted {
+			if admitted = l.front.conns < maxConns && l.front.host.EnsureDescriptor(); admitted {
 				l.front.conns++
-				l.front.host.Descriptors(1)
+				l.front.host.AddDescriptors(1)
 			}
 		})
 		if admitted {
@@ -319,7 +319,7 @@
 			c.closed = true
 			delete(c.front.certConns, c)
 			c.front.conns--
-			c.front.host.Descriptors(-1)
+			c.front.host.AddDescriptors(-1)
 		})
 	})
 	return err
@@ -437,10 +437,10 @@
 // routedCall is a call whose attempts the caller makes.
 type routedCall struct{ *call }
 
-var _ proxy.Carrier = routedCall{}
+var _ proxy.ExternalSender = routedCall{}
 
-// Carry receives the member for the next attempt.
-func (c routedCall) Carry(a *proxy.Attempt) {
+// Assign receives the member for the next attempt.
+func (c routedCall) Assign(a *proxy.Attempt) {
 	c.attempt = a
 	c.notify()
 }
@@ -471,14 +471,14 @@
 		return
 	}
 	c.settled = true
-	c.front.host.Withdraw(&c.request)
+	c.front.host.Cancel(&c.request)
 	mayHaveRun := c.request.MayHaveRun() // after Withdraw, which takes back what has not been sent
 	if c.many != nil {
 		c.many.withdraw()
 	}
 	if c.attempt != nil && !c.attempt.Ended() {
 		outcome := logic.StatusConnectFailed
-		if c.attempt.Given() {
+		if c.attempt.Announced() {
 			outcome = logic.StatusCancelled
 		}
 		c.attempt.End(outcome, 0)
@@ -513,8 +513,8 @@
 
 // restrictMembers applies the set of members that the caller allows from now on.
 func (c *call) restrictMembers(only []string) {
-	if !slices.Equal(only, c.request.Only) || (only == nil) != (c.request.Only == nil) {
-		c.front.host.Narrow(&c.request, only)
+	if !slices.Equal(only, c.request.AllowedAddrs) || (only == nil) != (c.request.AllowedAddrs == nil) {
+		c.front.host.RestrictMembers(&c.request, only)
 	}
 }
 
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -517,7 +517,7 @@
 	usable := true
 	s.front.host.Do(func() {
 		if c := s.call; c.attempt != nil && !c.settled {
-			usable = c.attempt.Give()
+			usable = c.attempt.Announce()
 		}
 	})
 	if usable {
@@ -584,7 +584,7 @@
 	case errors.Is(submitErr, proxy.ErrBusy):
 		s.reason = reasons.HostFull
 		return s.sendRefused(0)
-	case errors.Is(submitErr, proxy.ErrInUse):
+	case errors.Is(submitErr, proxy.ErrIDInUse):
 		return s.sendImmediate(409, []byte("the request id is in use"), "")
 	case identity.ReasonOf(submitErr) != 0:
 		return s.sendDenied(submitErr)
@@ -610,7 +610,7 @@
 // submit submits a new request to the host. The host's lock must be held.
 func (s *stream) submit(newCall *call, id string) error {
 	head := &s.head
-	newCall.request.Arrived = s.front.host.Clock()
+	newCall.request.ArrivedAt = s.front.host.Clock()
 	timeLeft := time.Until(s.deadline)
 	if !s.routeMode() {
 		timeLeft = min(timeLeft, s.maxWait())
@@ -647,21 +647,21 @@
 	if head.attempt > 1 {
 		attrs = append(attrs, ",r=1"...)
 	}
-	newCall.request.Command = proxy.Command{Only: head.allowedMembers, Again: head.attempt > 1, Arrived: newCall.request.Arrived, Message: upstream.Message{
+	newCall.request.Command = proxy.Command{AllowedAddrs: head.allowedMembers, Retry: head.attempt > 1, ArrivedAt: newCall.request.ArrivedAt, Message: upstream.Message{
 		Write: s.target.Write, Key: []byte(s.target.Key), ReqID: []byte(id), Attrs: attrs, Value: s.body}}
-	newCall.request.Taker = bufferedValue{newCall}
+	newCall.request.Responder = bufferedValue{newCall}
 	if s.routeMode() {
-		newCall.request.Taker = routedCall{newCall}
+		newCall.request.Responder = routedCall{newCall}
 	}
 	if s.reservation != nil {
 		newCall.request.SetReservedBytes(len(s.body))
 	}
-	newCall.request.By, newCall.request.Front = s.proof, "extproc"
+	newCall.request.Proof, newCall.request.Front = s.proof, "extproc"
 	if s.target.Many {
 		return s.submitMany(newCall)
 	}
 	err := s.front.host.Submit(&newCall.request)
-	if errors.Is(err, proxy.ErrInUse) && (!newCall.entry.RunOnce || newCall.entry.Reused) {
+	if errors.Is(err, proxy.ErrIDInUse) && (!newCall.entry.RunOnce || newCall.entry.Reused) {
 		// A caller may repeat a harmless request under the same id; members need a distinct id for each.
 		s.front.generatedIDs++
 		newCall.request.ReqID = fmt.Appendf(nil, "%s.%x", id, s.front.generatedIDs)
@@ -746,16 +746,16 @@
 	if c.finalAnswer != nil {
 		return decision{final: c.finalAnswer}
 	}
-	if a := c.attempt; a != nil && !a.Ended() && a.Give() {
+	if a := c.attempt; a != nil && !a.Ended() && a.Announce() {
 		s.front.counts.Routed++
 		addrs := a.Addr
 		if n := s.config.Fallbacks; n > 0 && !c.request.Write {
-			for _, fallback := range a.Spares(n) {
+			for _, fallback := range a.Fallbacks(n) {
 				addrs += "," + fallback
 			}
 		}
 		c.namedAddrs = addrs
-		return decision{addrs: addrs, timeLeft: a.Left()}
+		return decision{addrs: addrs, timeLeft: a.TimeLeft()}
 	}
 	return d
 }
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -30,12 +30,12 @@
 	if p.cfg.OnSend != nil {
 		p.cfg.OnSend(id, to)
 	}
-	r.out++
+	r.outstanding++
 	if r.done || a.ExpiresAt-p.now < upstream.MinDeadline {
 		p.endAttempt(a, logic.StatusMoot, 0)
 		return
 	}
-	if !p.proven(r) {
+	if !p.checkProof(r) {
 		// Not sent, and not the member's fault; another attempt would end the same way.
 		p.endAttempt(a, logic.StatusRejected, 0)
 		return
@@ -45,7 +45,7 @@
 		p.endAttempt(a, logic.StatusConnectFailed, 0)
 		return
 	}
-	if r.rec != nil {
+	if r.orderRecord != nil {
 		p.sendRecorded(r, a, m)
 		return
 	}
@@ -57,10 +57,10 @@
 	if p.cfg.ZoneMeter != nil && !m.Origin {
 		a.meterID = p.cfg.ZoneMeter.AttemptStarted(p.now, p.zoneIndex(m.listed.Locality), uint64(m.id))
 	}
-	if c, ok := r.Taker.(Carrier); ok {
+	if c, ok := r.Responder.(ExternalSender); ok {
 		a.byCarrier = true
 		p.schedule(timerEntry{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
-		c.Carry(&Attempt{p: p, a: a, Addr: m.Addr, Origin: m.Origin})
+		c.Assign(&Attempt{proxy: p, attempt: a, Addr: m.Addr, Origin: m.Origin})
 		return
 	}
 	p.startExchange(m, a)
@@ -68,12 +68,12 @@
 
 // Refuse gives the final answer that the request was refused and may safely be retried.
 func (x actions) Refuse(id logic.RequestID, retryAfter time.Duration, why logic.Reason) {
-	x.p.finishRequest(id, Answer{Kind: Refused, RetryAfter: retryAfter, Why: why})
+	x.p.finishRequest(id, Answer{Kind: Refused, RetryAfter: retryAfter, Reason: why})
 }
 
 // Fail gives the final answer that the request failed and may have run.
 func (x actions) Fail(id logic.RequestID, why logic.Reason) {
-	x.p.finishRequest(id, Answer{Kind: Failed, Why: why})
+	x.p.finishRequest(id, Answer{Kind: Failed, Reason: why})
 }
 
 // NotifyWaiting counts a request that waits.
@@ -90,13 +90,13 @@
 		if a.Kind == Failed {
 			outcome = reasons.Failed
 		} else {
-			p.unspend(r)
+			p.releaseToken(r)
 		}
-		p.reasons.Add(outcome, r.class, r.tenant, a.Why)
-		if p.cfg.ZoneMeter != nil && a.Why == logic.OriginLine {
+		p.reasons.Add(outcome, r.class, r.tenant, a.Reason)
+		if p.cfg.ZoneMeter != nil && a.Reason == logic.OriginLine {
 			p.cfg.ZoneMeter.OriginRefused(p.now)
 		}
-		r.Taker.Answer(a)
+		r.Responder.Answer(a)
 		p.fenceReads(r)
 		p.leadEnded(r)
 		p.releaseIfOver(r)
@@ -119,7 +119,7 @@
 // ConnectionWait returns the expected wait for a connection to a member.
 func (x actions) ConnectionWait(id logic.RequestID, to logic.MemberID) time.Duration {
 	if r := x.p.requests[id]; r != nil {
-		if _, ownConnections := r.Taker.(Carrier); ownConnections {
+		if _, ownConnections := r.Responder.(ExternalSender); ownConnections {
 			return 0
 		}
 	}
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -18,20 +18,20 @@
 func TestAttemptDrainDuringDial(t *testing.T) {
 	for _, phase := range []string{discovery.PhaseTerminating, discovery.PhaseTerminated} {
 		for name, c := range map[string]struct{ kind, ask, want string }{
-			"a read":   {"large", getLong("a1", "id"), "-BUSY"},
-			"an order": {"origin", putLong("a1", "id", "order"), "-BUSY"},
+			"a read":   {"large", getLongDeadline("a1", "id"), "-BUSY"},
+			"an order": {"origin", putLongDeadline("a1", "id", "order"), "-BUSY"},
 		} {
 			t.Run(name+", "+phase, func(t *testing.T) {
 				t.Parallel()
-				l := newRoll()
-				addr, open := shut(t, l, c.kind)
+				l := newRequestLog()
+				addr, open := blockedMember(t, l, c.kind)
 				m := listEntry("s-1", addr, c.kind)
 				r := newFakeDiscovery(t, discoveryList(1, true, m))
-				p := startProxyAt(t, leaving(false), r)
+				p := startProxyAt(t, noTimeoutConfig(false), r)
 				<-r.watchBegan
 				client := p.dial()
 				client.send(c.ask)
-				p.eventually("it waits for the connection", func() bool { return len(p.at(addr).Waiting) == 1 })
+				p.eventually("it waits for the connection", func() bool { return len(p.memberAt(addr).Waiting) == 1 })
 				m.Phase = phase
 				r.publish(discoveryList(2, false, m))
 				if got := client.answer(); !strings.HasPrefix(got, c.want) {
@@ -116,20 +116,20 @@
 
 // Requests of a client that disconnects are withdrawn during a stop too, even if commands behind them were not read.
 func TestAttemptClientDisconnectsDuringStop(t *testing.T) {
-	l := newRoll()
-	addr, open := shut(t, l, "large")
-	p := startProxy(t, leaving(false), listEntry("s-1", addr, "large"))
+	l := newRequestLog()
+	addr, open := blockedMember(t, l, "large")
+	p := startProxy(t, noTimeoutConfig(false), listEntry("s-1", addr, "large"))
 	p.Do(func() { p.maxStopDeadline = time.Hour }) // the stop waits for the requests in progress
 	clients := []*testClient{p.dial(), p.dial()}
-	clients[0].send(getLong("a1", "left"))
-	clients[1].send(pipelined(3 * maxPipeline))
+	clients[0].send(getLongDeadline("a1", "left"))
+	clients[1].send(pipelinedReads(3 * maxPipeline))
 	p.eventually("they wait", func() bool { return len(p.requests) >= maxPipeline+1 })
 	p.stop()
 	p.eventually("the stop has begun", func() bool { return p.redis.draining })
 	for _, c := range clients {
 		c.conn.Close()
 	}
-	p.gone()
+	p.awaitNoClients()
 	open()
 	if err := <-p.done; err != nil {
 		t.Error(err)
--- a/internal/proxy/callers.go
+++ b/internal/proxy/callers.go
@@ -12,34 +12,35 @@
 	"linenloom/logic"
 )
 
-// Callers tells who clients are and what they may do. Prove may take some 100 us and is called without the lock; the others wait
-// for nothing.
+// Callers authenticates and authorizes clients. Prove may take some 100 us and is called without the lock;
+// the other methods do not block.
 type Callers interface {
-	Name() string // of a token in a request's list
+	Name() string // name of the attribute that carries a token in a request's list
 	Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error)
 	Certificate(*tls.ConnectionState) (*identity.Proof, error)
-	TLS(front string) *tls.Config // of a front's listener; nil: it speaks plainly
+	TLS(front string) *tls.Config // configuration of a front's listener; nil: the front does not use TLS
 	Holds(*identity.Proof) error
 	May(*identity.Proof, identity.Request) error
 	Release(*identity.Proof)
 }
 
-// The first words of errors that are no refusals: trying again as it is would be in vain.
+// The first words of errors that are not refusals: an unchanged retry would fail again.
 const (
-	errNoAuth  = "NOAUTH "    // no proof
-	errNoProof = "WRONGPASS " // one that does not hold
-	errNoPerm  = "NOPERM "    // no right
+	noAuthPrefix    = "NOAUTH "    // no proof
+	wrongPassPrefix = "WRONGPASS " // invalid proof
+	noPermPrefix    = "NOPERM "    // no permission
 )
 
-// identify proves who a command comes from, without the lock: by the token in its list, else by the connection's. No token goes
-// any further, and the tenant is the proven one, whatever the list says.
-func (c *client) identify(cmd *input) {
-	by := c.p.cfg.Callers
+// identify authenticates the caller of a command, without the lock: by the token in its attribute list,
+// else by the connection's proof. Tokens are removed from the list, and the tenant is always the proven
+// one, whatever the list says.
+func (c *client) identify(cmd *parsedCommand) {
+	callers := c.proxy.cfg.Callers
 	if cmd.name == "AUTH" {
-		if cmd.proof, cmd.denied = by.Prove(cmd.token, c.from, c.suspect); cmd.denied == nil {
+		if cmd.proof, cmd.denied = callers.Prove(cmd.token, c.remoteAddr, c.suspect); cmd.denied == nil {
 			c.proof = cmd.proof
 		} else {
-			c.proof = nil // who fails to prove another identity does not keep the one before
+			c.proof = nil // a failed attempt to change the identity also ends the previous one
 			c.suspect = c.suspect || identity.ReasonOf(cmd.denied) != identity.Overloaded
 		}
 		cmd.token = nil
@@ -49,19 +50,19 @@
 		return
 	}
 	cmd.proof = c.proof
-	name := by.Name()
+	tokenName := callers.Name()
 	var err error
 	attrs := make([]byte, 0, len(cmd.Attrs)+32)
-	for n, value := range upstream.Attributes(cmd.Attrs) {
-		switch n {
-		case name:
-			// Of more than one the last counts; each has to hold.
-			if cmd.proof, err = c.proveAgain(value); err != nil {
+	for name, value := range upstream.Attributes(cmd.Attrs) {
+		switch name {
+		case tokenName:
+			// Of several tokens the last one counts; each has to be valid.
+			if cmd.proof, err = c.proveCached(value); err != nil {
 				cmd.denied = err
 			}
 		case "t":
 		default:
-			attrs = append(append(append(append(attrs, n...), '='), value...), ',')
+			attrs = append(append(append(append(attrs, name...), '='), value...), ',')
 		}
 	}
 	if cmd.proof != nil {
@@ -72,68 +73,73 @@
 	cmd.Attrs = attrs
 }
 
-// proveAgain tells what a token in a list proves. Most callers send the same one with each request: it is known again by itself.
-func (c *client) proveAgain(token []byte) (*identity.Proof, error) {
-	by := c.p.cfg.Callers
-	if c.heldBy != nil && bytes.Equal(token, c.held) {
-		return c.heldBy, by.Holds(c.heldBy)
+// proveCached returns what a token in an attribute list proves. Most callers send the same token with each
+// request: the latest token is compared directly.
+func (c *client) proveCached(token []byte) (*identity.Proof, error) {
+	callers := c.proxy.cfg.Callers
+	if c.lastTokenProof != nil && bytes.Equal(token, c.lastToken) {
+		return c.lastTokenProof, callers.Holds(c.lastTokenProof)
 	}
-	p, err := by.Prove(token, c.from, c.suspect)
+	p, err := callers.Prove(token, c.remoteAddr, c.suspect)
 	if err != nil {
 		c.suspect = c.suspect || identity.ReasonOf(err) != identity.Overloaded
 		return nil, err
 	}
-	c.held, c.heldBy = append(c.held[:0], token...), p
+	c.lastToken, c.lastTokenProof = append(c.lastToken[:0], token...), p
 	return p, nil
 }
 
-// Callers tells who clients are and what they may do; nil: nobody asks.
+// Callers returns what authenticates and authorizes clients; nil if they are not checked.
 func (p *Proxy) Callers() Callers { return p.cfg.Callers }
 
-// may tells whether who a request is from may make it, where that is asked. An order uses its token's id until it is refused.
-func (p *Proxy) may(r *Request, class *logic.Class) error {
+// authorize returns an error if the caller may not make the request, where callers are checked. An order
+// marks its token's id as used until the order is refused.
+func (p *Proxy) authorize(r *Request, class *logic.Class) error {
 	if p.cfg.Callers == nil {
 		return nil
 	}
-	// Where orders are on record, the record knows which order has used a token, also over a restart, and a repeat of that one may come by it.
+	// With an order record, the record knows which order has used a token, also across a restart, and a
+	// retry of that order may use the token again.
 	once := class.Effect == logic.AtMostOnce && p.cfg.Record == nil
-	err := p.cfg.Callers.May(r.By, identity.Request{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, AtMostOnce: once,
-		ValueSize: max(len(r.Value), r.long)})
-	r.spent = err == nil && once
+	err := p.cfg.Callers.May(r.Proof, identity.Request{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, AtMostOnce: once,
+		ValueSize: max(len(r.Value), r.longBytes)})
+	r.tokenUsed = err == nil && once
 	return err
 }
 
-// unspend gives the id of an order's token back: the order has surely not run, and may come again by it.
-func (p *Proxy) unspend(r *Request) {
-	if r.spent {
-		r.spent = false
-		p.cfg.Callers.Release(r.By)
+// releaseToken gives back the id of an order's token: the order has certainly not run, and may be sent
+// again with it.
+func (p *Proxy) releaseToken(r *Request) {
+	if r.tokenUsed {
+		r.tokenUsed = false
+		p.cfg.Callers.Release(r.Proof)
 	}
 }
 
-// proven tells whether the proof that a request came with still holds, and notes it if not. An order must not be sent on a proof that
-// has been taken away since, and a read need not be.
-func (p *Proxy) proven(r *Request) bool {
-	if r.By != nil {
-		r.denied = p.cfg.Callers.Holds(r.By)
+// checkProof reports whether the proof of a request is still valid, and records the error if not. An order
+// must not be sent on a revoked proof, and a read need not be.
+func (p *Proxy) checkProof(r *Request) bool {
+	if r.Proof != nil {
+		r.denied = p.cfg.Callers.Holds(r.Proof)
 	}
 	return r.denied == nil
 }
 
-// appendDenied puts what turned a caller away into RESP2. Only where nothing was found out about it may it try again as it is.
+// appendDenied appends the RESP2 error for a rejected caller. Only where the caller could not be checked
+// may it retry the command unchanged.
 func appendDenied(b []byte, err error) []byte {
 	var e *identity.Error
 	if !errors.As(err, &e) {
 		return resp.AppendError(b, "ERR "+err.Error())
 	}
-	first := errNoProof
+	prefix := wrongPassPrefix
 	switch e.Reason {
 	case identity.Overloaded:
 		return resp.AppendError(b, "BUSY")
 	case identity.NoCredentials:
-		first = errNoAuth
+		prefix = noAuthPrefix
 	case identity.NoRight, identity.RateLimited, identity.Replayed:
-		first = errNoPerm
+		prefix = noPermPrefix
 	}
-	return resp.AppendError(b, string(resp.AppendLine(nil, first+e.Error())))
+	return resp.AppendError(b, string(resp.AppendLine(nil, prefix+e.Error())))
 }
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -25,21 +25,21 @@
 	"linenloom/logic"
 )
 
-// office signs tokens and keeps the key file of a Gate.
-type office struct {
+// tokenIssuer signs tokens and maintains the key file of a Gate.
+type tokenIssuer struct {
 	t    *testing.T
 	file string
 	keys map[string]ed25519.PrivateKey
 }
 
-func newOffice(t *testing.T, ids ...string) *office {
-	o := &office{t: t, file: filepath.Join(t.TempDir(), "keys.json"), keys: map[string]ed25519.PrivateKey{}}
+func newTokenIssuer(t *testing.T, ids ...string) *tokenIssuer {
+	o := &tokenIssuer{t: t, file: filepath.Join(t.TempDir(), "keys.json"), keys: map[string]ed25519.PrivateKey{}}
 	o.publish(ids...)
 	return o
 }
 
-// publish replaces the key file by one with these keys, making those that are new.
-func (o *office) publish(ids ...string) {
+// publish replaces the key file by one with these keys, and generates those that are new.
+func (o *tokenIssuer) publish(ids ...string) {
 	o.t.Helper()
 	var set jose.JSONWebKeySet
 	for _, id := range ids {
@@ -60,7 +60,7 @@
 	}
 }
 
-func (o *office) token(key, tenant, jti string) string {
+func (o *tokenIssuer) token(key, tenant, jti string) string {
 	o.t.Helper()
 	by, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: o.keys[key]}, (&jose.SignerOptions{}).WithHeader("kid", key))
 	if err != nil {
@@ -74,8 +74,9 @@
 	return text
 }
 
-// guarded is a proxy whose callers are proven; the kiosk may only read, and of map/ only.
-func guarded(t *testing.T, o *office, more ...any) (p *testProxy, g *callers.Authenticator, seen func() []string) {
+// startWithCallers starts a proxy that authenticates its callers; the kiosk may only read, and only keys
+// under map/.
+func startWithCallers(t *testing.T, issuer *tokenIssuer, more ...any) (proxy *testProxy, gate *callers.Authenticator, seen func() []string) {
 	t.Helper()
 	var mu sync.Mutex
 	var attrs []string
@@ -86,14 +87,14 @@
 	}
 	cfg := testConfig()
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "kiosk", Share: 0.5}, {Name: "shop", Share: 0.5}}
-	g, err := callers.New(&operator.Identity{KeySetFile: o.file, Issuer: "i", Audience: "a", TenantClaim: "tenant", TokenAttribute: "tk",
+	gate, err := callers.New(&operator.Identity{KeySetFile: issuer.file, Issuer: "i", Audience: "a", TenantClaim: "tenant", TokenAttribute: "tk",
 		MaxLifetime: operator.Duration(time.Hour), TokenCacheSize: 16, ChecksPerSecond: 1000, MaxReplayIDs: 16, Tenants: []operator.Tenant{
 			{Name: "kiosk", Classes: []string{"tile-read"}, Prefixes: []string{"map/"}, ReadOnly: true}, {Name: "shop"}}},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Callers = g
+	cfg.Callers = gate
 	answer := func(memberCommand) string { return hitReply("v") }
 	for _, m := range more {
 		switch m := m.(type) {
@@ -103,30 +104,31 @@
 			answer = m
 		}
 	}
-	p = startProxy(t, cfg, listEntry("s-a", startCache(t, func(a memberCommand) string { note(a.attrs); return answer(a) }), "large"),
+	proxy = startProxy(t, cfg, listEntry("s-a", startCache(t, func(a memberCommand) string { note(a.attrs); return answer(a) }), "large"),
 		listEntry("s-o", startOrigin(t, func(r *http.Request) string { note(r.Header.Get("X-Attrs")); return httpOK("receipt") }), "origin"))
-	return p, g, func() []string { mu.Lock(); defer mu.Unlock(); return append([]string(nil), attrs...) }
+	return proxy, gate, func() []string { mu.Lock(); defer mu.Unlock(); return append([]string(nil), attrs...) }
 }
 
-func ask(key, id, attrs string) string { return respCommand("OBJ.GET", key, id, attrs) }
+func getWithAttrs(key, id, attrs string) string { return respCommand("OBJ.GET", key, id, attrs) }
 
-// Who may do what, and what members are told: the proven tenant and no token, whatever a request says of itself.
+// Checks the rights of callers and the attributes that members receive: the proven tenant and no token,
+// whatever the request's own list says.
 func TestCallersAreProven(t *testing.T) {
-	o := newOffice(t, "k1")
-	p, _, seen := guarded(t, o)
-	kiosk, shop := o.token("k1", "kiosk", ""), o.token("k1", "shop", "once")
+	issuer := newTokenIssuer(t, "k1")
+	p, _, seen := startWithCallers(t, issuer)
+	kiosk, shop := issuer.token("k1", "kiosk", ""), issuer.token("k1", "shop", "once")
 	for i, c := range []struct {
 		auth, send, want string
 	}{
-		{"", ask("map/1", "r#", "c=tile-read,t=shop,d=4000"), "-NOAUTH"},
-		{kiosk, ask("map/1", "r#", "c=tile-read,t=shop,d=4000"), "v"},
-		{kiosk, ask("orders/1", "r#", "c=tile-read,d=4000"), "-NOPERM"},
+		{"", getWithAttrs("map/1", "r#", "c=tile-read,t=shop,d=4000"), "-NOAUTH"},
+		{kiosk, getWithAttrs("map/1", "r#", "c=tile-read,t=shop,d=4000"), "v"},
+		{kiosk, getWithAttrs("orders/1", "r#", "c=tile-read,d=4000"), "-NOPERM"},
 		{kiosk, respCommand("OBJ.SET", "map/1", "r#", "c=pass-order,t=shop,d=4000", "x"), "-NOPERM"},
 		{kiosk, respCommand("OBJ.SET", "map/1", "r#", "c=tile-read,d=4000", "x"), "-NOPERM"},
 		{kiosk, respCommand("OBJ.SET", "map/1", "r#", "c=pass-order,d=4000,tk="+shop, "x"), "receipt"},
 		{kiosk, respCommand("OBJ.SET", "map/1", "r#", "c=pass-order,d=4000,tk="+shop, "x"), "-NOPERM used before"},
-		{kiosk, ask("map/1", "r#", "c=tile-read,d=4000,tk=a.b.c"), "-WRONGPASS"},
-		{kiosk[:len(kiosk)-8] + "AAAAAAAA", ask("map/1", "r#", "c=tile-read,d=4000"), "-NOAUTH"},
+		{kiosk, getWithAttrs("map/1", "r#", "c=tile-read,d=4000,tk=a.b.c"), "-WRONGPASS"},
+		{kiosk[:len(kiosk)-8] + "AAAAAAAA", getWithAttrs("map/1", "r#", "c=tile-read,d=4000"), "-NOAUTH"},
 	} {
 		cl := p.dial()
 		if c.auth != "" {
@@ -148,14 +150,15 @@
 	}
 }
 
-// Requests written before a change of identity keep the one that they were sent under, though all are in the pipeline at once.
-func TestIdentityInAPipeline(t *testing.T) {
-	o := newOffice(t, "k1")
-	p, _, seen := guarded(t, o)
+// Requests sent before a change of identity keep the identity under which they were sent, though all are
+// pipelined together.
+func TestIdentityChangesInPipeline(t *testing.T) {
+	issuer := newTokenIssuer(t, "k1")
+	p, _, seen := startWithCallers(t, issuer)
 	c := p.dial()
-	c.send(respCommand("AUTH", o.token("k1", "kiosk", "")) + ask("map/1", "a", "c=tile-read,d=4000") +
-		respCommand("AUTH", "user", o.token("k1", "shop", "")) + ask("else/1", "b", "c=tile-read,d=4000") +
-		respCommand("AUTH", "nonsense") + ask("map/1", "c", "c=tile-read,d=4000"))
+	c.send(respCommand("AUTH", issuer.token("k1", "kiosk", "")) + getWithAttrs("map/1", "a", "c=tile-read,d=4000") +
+		respCommand("AUTH", "user", issuer.token("k1", "shop", "")) + getWithAttrs("else/1", "b", "c=tile-read,d=4000") +
+		respCommand("AUTH", "nonsense") + getWithAttrs("map/1", "c", "c=tile-read,d=4000"))
 	for i, want := range []string{"+OK", "v", "+OK", "v", "-WRONGPASS", "-NOAUTH"} {
 		if got := c.answer(); !strings.HasPrefix(got, want) {
 			t.Errorf("%d: %q, want %q", i, got, want)
@@ -166,90 +169,90 @@
 	}
 }
 
-// Keys change under callers, before and after these use them: whoever has a key that is in force is served, and nobody by one that
-// is not, on connections that stand too. A file that can't be read changes nothing.
+// Keys rotate under load, before and after callers use them: a caller with a valid key is served, and none
+// with an invalid one, on open connections too. An unreadable key file changes nothing.
 func TestKeysRotateUnderLoad(t *testing.T) {
-	o := newOffice(t, "k1")
-	p, g, _ := guarded(t, o)
+	issuer := newTokenIssuer(t, "k1")
+	p, gate, _ := startWithCallers(t, issuer)
 	old := p.dial()
-	old.send(respCommand("AUTH", o.token("k1", "shop", "")))
+	old.send(respCommand("AUTH", issuer.token("k1", "shop", "")))
 	old.answer()
 	n := 0
 	try := func(c *testClient, attrs, want string) {
 		t.Helper()
 		n++
-		c.send(ask("map/1", fmt.Sprint("q", n), "c=tile-read,d=4000"+attrs))
+		c.send(getWithAttrs("map/1", fmt.Sprint("q", n), "c=tile-read,d=4000"+attrs))
 		if got := c.answer(); !strings.HasPrefix(got, want) {
 			t.Errorf("request %d: %q, want %q", n, got, want)
 		}
 	}
 	for round := 1; round <= 5; round++ {
 		now, next := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
-		o.publish(now, next)
-		g.ReloadFiles()
-		held := o.token(now, "shop", "")
+		issuer.publish(now, next)
+		gate.ReloadFiles()
+		held := issuer.token(now, "shop", "")
 		try(old, "", "v")
 		try(old, ",tk="+held, "v")
-		try(old, ",tk="+o.token(next, "kiosk", ""), "v")
+		try(old, ",tk="+issuer.token(next, "kiosk", ""), "v")
 		for _, bad := range []string{"", `{"keys":[`, `{"keys":[]}`} {
-			if err := os.WriteFile(o.file, []byte(bad), 0o600); err != nil {
+			if err := os.WriteFile(issuer.file, []byte(bad), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			g.ReloadFiles()
+			gate.ReloadFiles()
 			try(old, ",tk="+held, "v")
 		}
-		if err := os.Remove(o.file); err != nil {
+		if err := os.Remove(issuer.file); err != nil {
 			t.Fatal(err)
 		}
-		g.ReloadFiles()
+		gate.ReloadFiles()
 		try(old, "", "v")
-		o.publish(next)
-		g.ReloadFiles()
+		issuer.publish(next)
+		gate.ReloadFiles()
 		try(old, "", "-WRONGPASS its key is retired")
 		try(old, ",tk="+held, "-WRONGPASS its key is retired")
 		old = p.dial()
-		old.send(respCommand("AUTH", o.token(next, "shop", "")))
+		old.send(respCommand("AUTH", issuer.token(next, "shop", "")))
 		if got := old.answer(); got != "+OK" {
 			t.Fatal(got)
 		}
 	}
 }
 
-// fading is Callers whose proofs hold until it says otherwise.
-type fading struct{ gone, released atomic.Int32 }
+// expiringCallers is a Callers whose proofs are valid until expired is set.
+type expiringCallers struct{ expired, released atomic.Int32 }
 
-func (f *fading) Name() string           { return "tk" }
-func (f *fading) TLS(string) *tls.Config { return nil }
-func (f *fading) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
+func (f *expiringCallers) Name() string           { return "tk" }
+func (f *expiringCallers) TLS(string) *tls.Config { return nil }
+func (f *expiringCallers) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
 	return nil, &identity.Error{Reason: identity.NoCredentials}
 }
-func (f *fading) Prove([]byte, netip.Addr, bool) (*identity.Proof, error) {
+func (f *expiringCallers) Prove([]byte, netip.Addr, bool) (*identity.Proof, error) {
 	return &identity.Proof{Tenant: "shop", ID: "one"}, nil
 }
-func (f *fading) May(*identity.Proof, identity.Request) error { return nil }
-func (f *fading) Release(*identity.Proof)                     { f.released.Add(1) }
-func (f *fading) Holds(*identity.Proof) error {
-	if f.gone.Load() > 0 {
+func (f *expiringCallers) May(*identity.Proof, identity.Request) error { return nil }
+func (f *expiringCallers) Release(*identity.Proof)                     { f.released.Add(1) }
+func (f *expiringCallers) Holds(*identity.Proof) error {
+	if f.expired.Load() > 0 {
 		return &identity.Error{Reason: identity.KeyRetired}
 	}
 	return nil
 }
 
-// A proof is asked again before each attempt: one that has been taken away since the order was accepted, or since an attempt that
-// never ran, sends nothing, and the answer is no refusal.
-func TestProofIsAskedBeforeEachAttempt(t *testing.T) {
+// A proof is checked again before each attempt: if it was revoked after the order was accepted, or after an
+// attempt that never ran, nothing is sent, and the answer is not a refusal.
+func TestProofIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, goneAt := range map[string]int{"before the first": 0, "before the second": 1} {
 		t.Run(name, func(t *testing.T) {
-			f := &fading{}
+			expiring := &expiringCallers{}
 			var asked atomic.Int32
 			cfg := testConfig()
-			cfg.Callers = f
+			cfg.Callers = expiring
 			if goneAt == 0 {
-				f.gone.Store(1)
+				expiring.expired.Store(1)
 			}
 			p := startProxy(t, cfg, listEntry("s-o", startOrigin(t, func(*http.Request) string {
 				asked.Add(1)
-				f.gone.Store(1)
+				expiring.expired.Store(1)
 				return "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 			}), "origin"))
 			c := p.dial()
@@ -266,14 +269,14 @@
 	}
 }
 
-// An order that may have run has failed, and is told so, though its proof has been taken away meanwhile: to be told of its proof alone,
-// its client would prove itself anew and place it again.
+// An order that may have run is answered as failed, even if its proof has been revoked meanwhile: if it
+// were told only about its proof, its client would authenticate again and repeat the order.
 func TestOrderThatMayHaveRunIsNotDenied(t *testing.T) {
-	f := &fading{}
+	expiring := &expiringCallers{}
 	cfg := testConfig()
-	cfg.Callers = f
+	cfg.Callers = expiring
 	p := startProxy(t, cfg, listEntry("s-o", startOrigin(t, func(*http.Request) string {
-		f.gone.Store(1)
+		expiring.expired.Store(1)
 		return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	}), "origin"))
 	c := p.dial()
@@ -283,35 +286,35 @@
 	if got := c.answer(); got != "-ERR failed" {
 		t.Errorf("%q", got)
 	}
-	if n := f.released.Load(); n != 0 {
+	if n := expiring.released.Load(); n != 0 {
 		t.Errorf("its token's id is given back %d times", n)
 	}
 }
 
-// busy is Callers who have too much to check for any token but the first.
-type busy struct {
-	fading
-	seen atomic.Int32
+// overloadedCallers is a Callers that is too busy to check any token but the first.
+type overloadedCallers struct {
+	expiringCallers
+	checks atomic.Int32
 }
 
-func (b *busy) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
-	if b.seen.Add(1) > 1 {
+func (b *overloadedCallers) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
+	if b.checks.Add(1) > 1 {
 		return nil, &identity.Error{Reason: identity.Overloaded}
 	}
-	return b.fading.Prove(token, from, suspect)
+	return b.expiringCallers.Prove(token, from, suspect)
 }
 
-func (b *busy) May(p *identity.Proof, _ identity.Request) error {
+func (b *overloadedCallers) May(p *identity.Proof, _ identity.Request) error {
 	if p == nil {
 		return &identity.Error{Reason: identity.NoCredentials}
 	}
 	return nil
 }
 
-// Who asks to be taken for another, and is not looked at, is not taken for the one before either.
-func TestUncheckedTokenEndsTheIdentityBefore(t *testing.T) {
+// A client that sends a second token, which is not checked, loses the identity of the first.
+func TestUncheckedTokenClearsIdentity(t *testing.T) {
 	cfg := testConfig()
-	cfg.Callers = &busy{}
+	cfg.Callers = &overloadedCallers{}
 	p := startProxy(t, cfg, listEntry("s-a", startCache(t, func(memberCommand) string { return hitReply("v") }), "large"))
 	c := p.dial()
 	c.send(respCommand("AUTH", "one") + getCommand("k", "id1") + respCommand("AUTH", "two") + getCommand("k", "id2"))
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -234,7 +234,7 @@
 			for i := range classes {
 				classes[i].Deadline = deadline
 			}
-			if err := p.Retune(classes, cfg.Settings.MaxAttempts); err != nil {
+			if err := p.UpdateClasses(classes, cfg.Settings.MaxAttempts); err != nil {
 				t.Fatal(err)
 			}
 			close(release)
@@ -262,7 +262,7 @@
 // A client's deadline counts from its last byte, also for commands that were unread while earlier ones were pending.
 func TestUnreadCommandsKeepTheirDeadline(t *testing.T) {
 	const commands = 3 * maxPipeline
-	cfg := leaving(false)
+	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1 // so that an attempt may take all that its client has left
 	checker := checkDeadlines(t, &cfg)
 	server, err := standin.NewDoor()
@@ -304,7 +304,7 @@
 // Commands that arrived while their connection's reader was suspended count from the start of that
 // wait, and later ones from their own arrival.
 func TestCommandsSentDuringAWaitKeepTheirDeadline(t *testing.T) {
-	cfg := leaving(false)
+	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1
 	checker := checkDeadlines(t, &cfg)
 	server, err := standin.NewDoor()
@@ -333,7 +333,7 @@
 	send(maxPipeline, maxPipeline+during)
 	p.eventually("the rest has come", func() bool {
 		for c := range p.redis.clients {
-			return !c.quiet()
+			return !c.hasNoInput()
 		}
 		return false
 	})
@@ -369,7 +369,7 @@
 // A connection may have waited in the listener's queue, with a command on it, before the proxy accepted
 // its first client.
 func TestConnectionsQueuedAtStartKeepTheirDeadline(t *testing.T) {
-	cfg := leaving(false)
+	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1
 	checker := checkDeadlines(t, &cfg)
 	var p *testProxy
@@ -393,7 +393,7 @@
 // A connection that was queued while the proxy had no descriptor for it counts from the start of that
 // wait, and a later one from its own arrival.
 func TestConnectionsQueuedForADescriptorKeepTheirDeadline(t *testing.T) {
-	cfg := leaving(false)
+	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1
 	checker := checkDeadlines(t, &cfg)
 	deadlines := make(chan string, 10)
@@ -417,12 +417,12 @@
 		return ms
 	}
 	ask("first") // from here on connections are accepted as they arrive
-	p.redis.awaitAccept(acceptShort, 1)
+	p.redis.backOffAccept(acceptNoDescriptors, 1)
 	checker.advance(p, 2*time.Second)
 	if ms := ask("in-line"); ms > 13_000 {
 		t.Errorf("what may have stood in line for 2 s was told %d ms of 15,000", ms)
 	}
-	p.eventually("the line is empty", func() bool { return p.redis.waited == 0 })
+	p.eventually("the line is empty", func() bool { return p.redis.queuedSince == 0 })
 	checker.advance(p, 2*time.Second)
 	if ms := ask("later"); ms < 14_500 {
 		t.Errorf("what came by itself was told %d ms of 15,000", ms)
@@ -494,7 +494,7 @@
 	}
 	p.eventually("the connections are free", func() bool {
 		free := 0
-		for _, c := range p.at(o).Conns {
+		for _, c := range p.memberAt(o).Conns {
 			if c.Reusable(p.now) {
 				free++
 			}
@@ -601,20 +601,20 @@
 	}
 	p.endEvent()
 	p.beginEvent()
-	if got := p.arrivedAt(p.now); got != began {
+	if got := p.earliestArrival(p.now); got != began {
 		t.Errorf("read right after an event that took long, dated %v after it began", got-began)
 	}
 	last := p.now - time.Second
 	p.now, p.stalls = last, arrival.Stalls{MaxGap: maxEventGap} // no event for a second
 	p.mu.Unlock()
 	p.beginEvent()
-	if got := p.arrivedAt(p.now); got != last {
+	if got := p.earliestArrival(p.now); got != last {
 		t.Errorf("read right after a long pause, dated %v after it began", got-last)
 	}
-	if got := p.arrivedAt(p.now + time.Hour); got != last {
+	if got := p.earliestArrival(p.now + time.Hour); got != last {
 		t.Errorf("what is dated ahead counts as %v after the pause began", got-last)
 	}
-	if got := p.arrivedAt(0); got != p.now {
+	if got := p.earliestArrival(0); got != p.now {
 		t.Errorf("what has no date counts as %v ago", p.now-got)
 	}
 	p.mu.Unlock()
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,39 +9,41 @@
 )
 
 const (
-	// backlogTime lets accept take what the kernel holds for it before the listener is closed; closing
-	// resets the rest.
-	backlogTime = 50 * time.Millisecond
-	owedEvery   = 10 * time.Millisecond
-	lastTakes   = 100 * time.Millisecond
-	// lingerTime is how long clients have to hear that their connections end. Closed at once, with
-	// something unread, a connection is reset, and the client can lose its last answer.
-	lingerTime = 100 * time.Millisecond
-	// A process that was told to end may be killed once the longest deadline, taken as maxStopDeadline if it is longer, and killMore have passed.
-	// Everything taken has its answer endMargin before that, if it is only that it was refused, or may have run: what is still out then is
-	// at members that hang, and a deadline beyond would never come. It costs those that would have answered that late.
-	killMost  = 3 * time.Second
-	killMore  = 700 * time.Millisecond
-	endMargin = 200 * time.Millisecond
+	// acceptDrainTime lets accept take the connections that the kernel holds before the listener is closed;
+	// closing resets the rest.
+	acceptDrainTime     = 50 * time.Millisecond
+	pendingPollInterval = 10 * time.Millisecond
+	lastRequestsTime    = 100 * time.Millisecond
+	// closeLinger is how long clients have to see the end of their connections. A connection that is closed
+	// at once with unread input is reset, and the client can lose its last answer.
+	closeLinger = 100 * time.Millisecond
+	// A process that was told to stop may be killed once the longest deadline (at most maxKillDeadline) and
+	// killGrace have passed. By endMargin before that, every accepted request has its answer, if only that
+	// it was refused or may have run: requests that are still outstanding then are at hanging members, and
+	// their deadline would come too late. The cost: requests that would have been answered that late.
+	maxKillDeadline = 3 * time.Second
+	killGrace       = 700 * time.Millisecond
+	endMargin       = 200 * time.Millisecond
 )
 
-// drain brings a planned stop to its end: connections go on coming for a while, then those that are idle
-// are ended one by one until nothing is owed.
+// drain carries out a planned stop: connections are still accepted for a while, then those that are idle
+// are ended one by one until no answer is owed.
 func (p *Proxy) drain() {
-	told := time.Now()
+	stopRequestedAt := time.Now()
 	for _, f := range p.fronts {
 		f.Drain()
 	}
 	time.Sleep(p.cfg.AcceptAfterStop)
 	for _, f := range p.fronts {
-		f.StopTaking()
+		f.StopAccepting()
 	}
-	// Connections end where nothing is on its way on them. For a moment what still comes on busy ones is taken: a client
-	// that asks again as soon as it is answered is free only in between.
-	for end := time.Now().Add(lastTakes); time.Now().Before(end) && p.owes(); {
-		time.Sleep(owedEvery / 2)
+	// Connections end when nothing is in transit on them. For a moment, further commands on busy
+	// connections are accepted: a client that sends again as soon as it is answered is idle only in
+	// between.
+	for end := time.Now().Add(lastRequestsTime); time.Now().Before(end) && p.endIdle(); {
+		time.Sleep(pendingPollInterval / 2)
 	}
-	// What comes later is turned away: answered in full, it could take longer than there is time for.
+	// Later commands are refused: answering them in full could take longer than the time left.
 	p.beginEvent()
 	p.stopping = true
 	p.closeRecord()
@@ -50,36 +52,37 @@
 	for _, c := range p.Classes() {
 		longest = max(longest, c.Deadline)
 	}
-	most := max(longest, commandTime)
-	by := told.Add(min(longest, p.maxStopDeadline) + killMore - endMargin)
-	p.owedUntil(by)
-	p.Do(p.endTaken)
-	// What is left are answers on their way to clients that take them slowly, and values of which a part has gone out.
-	p.owedUntil(time.Now().Add(most))
-	time.Sleep(lingerTime)
+	slowClientLimit := max(longest, commandTimeout)
+	answerBy := stopRequestedAt.Add(min(longest, p.maxStopDeadline) + killGrace - endMargin)
+	p.awaitIdle(answerBy)
+	p.Do(p.endRequests)
+	// What remains are answers in transit to clients that read slowly, and values that have been sent in
+	// part.
+	p.awaitIdle(time.Now().Add(slowClientLimit))
+	time.Sleep(closeLinger)
 }
 
-// owedUntil waits until nothing is owed, or for so long.
-func (p *Proxy) owedUntil(end time.Time) {
-	for time.Now().Before(end) && p.owes() {
-		time.Sleep(owedEvery)
+// awaitIdle waits until no answer is owed, or until end.
+func (p *Proxy) awaitIdle(end time.Time) {
+	for time.Now().Before(end) && p.endIdle() {
+		time.Sleep(pendingPollInterval)
 	}
 }
 
-// endTaken gives everything in hand its final answer, and takes nothing more from anybody: what surely has not run, or may be repeated, is
-// refused, and of anything else nothing is promised.
-func (p *Proxy) endTaken() {
+// endRequests gives every accepted request its final answer and stops accepting commands: requests that
+// have certainly not run, or may be repeated, are refused; for all others nothing is promised.
+func (p *Proxy) endRequests() {
 	ids := slices.Sorted(maps.Keys(p.requests))
 	for _, id := range ids {
 		r := p.requests[id]
 		switch {
-		case r == nil: // it ended with one before
-		case r.rec != nil && r.rec.reportReceipt:
+		case r == nil: // it ended together with an earlier one
+		case r.orderRecord != nil && r.orderRecord.reportReceipt:
 			p.handleRecordTimeout(r)
 		case !r.done:
 			p.recallUnsent(r)
-			a := Answer{Kind: Failed, Why: reasons.Stopping}
-			if r.again || !r.MayHaveRun() {
+			a := Answer{Kind: Failed, Reason: reasons.Stopping}
+			if r.retryable || !r.MayHaveRun() {
 				a.Kind = Refused
 			}
 			p.finishRequest(id, a)
@@ -87,16 +90,16 @@
 		}
 	}
 	for _, f := range p.fronts {
-		f.End()
+		f.EndAll()
 	}
 }
 
-// owes tells whether a front still owes an answer.
-func (p *Proxy) owes() (owed bool) {
+// endIdle ends idle connections at all fronts and reports whether any front still owes an answer.
+func (p *Proxy) endIdle() (owed bool) {
 	p.beginEvent()
 	defer p.endEvent()
 	for _, f := range p.fronts {
-		if f.Owes() {
+		if f.EndIdle() {
 			owed = true
 		}
 	}
--- a/internal/proxy/effect_test.go
+++ b/internal/proxy/effect_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := newRoll()
+			l := newRequestLog()
 			// The first request is read completely, then its connection is closed.
 			node := serveConns(t, func(conn net.Conn) {
 				in := resp.NewReader(conn, 4096)
@@ -41,7 +41,7 @@
 					if err != nil {
 						return
 					}
-					if l.note(words[2]); len(l.all()) == 1 {
+					if l.add(words[2]); len(l.all()) == 1 {
 						return
 					}
 					conn.Write([]byte(hitReply("value")))
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -14,74 +14,79 @@
 	"linenloom/logic"
 )
 
-// Front is a way in for requests. It hands them to the Proxy, its host, with Submit, and gets each one's single
-// final answer by the request's Taker. The host knows nothing else of it, and all fronts share one Balancer, one
-// count of held bytes and of descriptors, and one drain. Sweep, MakeRoom, Owes, End and Close are called under the
-// host's lock and must not block.
+// Front accepts requests from clients. It submits them to the Proxy, its host, with Submit, and receives
+// the single final answer of each through the request's Responder. The host knows nothing else about it.
+// All fronts share one Balancer, one count of held bytes, one count of descriptors and one drain. Sweep,
+// FreeDescriptor, EndIdle, EndAll and Close are called under the host's lock and must not block.
 type Front interface {
-	// Serve takes clients until StopTaking or Close; an error ends the whole proxy.
+	// Serve accepts clients until StopAccepting or Close is called; an error ends the whole proxy.
 	Serve() error
-	// Drain says that a planned stop has begun; clients still come.
+	// Drain reports that a planned stop has begun; clients may still connect.
 	Drain()
-	// StopTaking ends the way in. What has been taken is still answered.
-	StopTaking()
-	// Owes lets go of clients to whom nothing is owed and tells whether others are left.
-	Owes() bool
-	// End says that everything taken has its answer, and that nothing that comes from now on gets one: clients are told of the end even
-	// where they have sent more.
-	End()
+	// StopAccepting stops accepting clients. Requests that were accepted are still answered.
+	StopAccepting()
+	// EndIdle ends the connections of clients that are owed no answer and reports whether other clients
+	// remain.
+	EndIdle() bool
+	// EndAll reports that every accepted request has its answer, and that commands that arrive from now on
+	// get none: the front ends all connections, even those whose clients have sent more.
+	EndAll()
 	// Sweep is called every 50 ms.
 	Sweep()
-	// MakeRoom gives up a descriptor with which nothing is lost, if there is one.
-	MakeRoom() bool
-	// Close ends what is still open; nothing is owed on it any more.
+	// FreeDescriptor closes an idle descriptor whose loss harms no request, and reports whether there was
+	// one.
+	FreeDescriptor() bool
+	// Close closes whatever is still open; no answer is owed on it any more.
 	Close()
 }
 
-// AddFront adds a front before Run.
+// AddFront adds a front; it must be called before Run.
 func (p *Proxy) AddFront(f Front) { p.fronts = append(p.fronts, f) }
 
-// Command is what a client asks, in the platform's terms, whatever front it came by.
+// Command is a client's command in the platform's terms, whichever front received it.
 type Command struct {
-	upstream.Message // the capacity of its value counts as held
-	// Only, if not nil, is the addresses of the members that the client lets the request go to, with or without port.
-	Only []string
-	// Again tells that the client has asked for it before under the same name.
-	Again bool
-	// Arrived is when its last byte came, by Proxy.Clock; its deadline counts from then. 0: when it is submitted.
-	Arrived time.Duration
+	upstream.Message // the capacity of Value counts as held
+	// AllowedAddrs, if not nil, lists the addresses, with or without a port, of the members to which the
+	// client allows the request to be sent.
+	AllowedAddrs []string
+	// Retry reports that the client has sent the request before under the same id.
+	Retry bool
+	// ArrivedAt is when the last byte of the command arrived, by Proxy.Clock; the deadline counts from
+	// then. 0 means the time of Submit.
+	ArrivedAt time.Duration
 }
 
-// Request is a client's command from its last byte to its answer, and on to the end of its last attempt. The
-// front makes it, fills in the Command and the Taker, and hands it over.
+// Request is a client's command from its last byte to its answer, and on to the end of its last attempt.
+// The front creates it, fills in the Command and the Responder, and submits it.
 type Request struct {
 	Command
-	Taker    Taker
-	By       *identity.Proof // whom it is from, where callers are proven
-	Front    string          // that it came by, as rights name it
-	p        *Proxy          // once it is taken
-	id       logic.RequestID
-	class    int // its place in the counts of reasons; below 0: it is dropped since
-	effect   logic.Effect
-	again    bool // its client may ask for it again whatever has become of it
-	long     int  // bytes of the room for long values that its value has; else it is counted as held
-	tenant   int
-	deadline time.Duration
-	attempts []*attempt     // by number
-	out      int            // attempts without outcome
-	done     bool           // the final answer is decided, or nobody waits for it
-	ran      bool           // an attempt that has ended may have run
-	spent    bool           // the id of its token is used by it
-	denied   error          // why it was not sent: its proof no longer holds
-	group    uint32         // it is one of several that were asked for at once; 0: of none
-	join     *joinState     // it leads other reads or follows one; nil: neither
-	rec      *recordedOrder // it is an order on record; nil: it is not
+	Responder   Responder
+	Proof       *identity.Proof // of the caller, where callers are authenticated
+	Front       string          // name of the front that received it, as access rules name it
+	proxy       *Proxy          // set once the request is accepted
+	id          logic.RequestID
+	class       int // index of its class in the counts of reasons; below 0: the class has been removed
+	effect      logic.Effect
+	retryable   bool // the client may safely repeat it, whatever became of it
+	longBytes   int  // bytes reserved for its value in the memory for long values; else the value counts as held
+	tenant      int
+	deadline    time.Duration
+	attempts    []*attempt     // by number
+	outstanding int            // attempts without an outcome
+	done        bool           // the final answer is decided, or nobody waits for it
+	maybeRan    bool           // an attempt that has ended may have run
+	tokenUsed   bool           // it uses the id of its token
+	denied      error          // why it was not sent: its proof is no longer valid
+	group       uint32         // shared by requests that were made together by one command; 0: none
+	join        *joinState     // the group of coalesced reads that it leads or follows; nil: none
+	orderRecord *recordedOrder // its entry in the order record; nil: it has none
 }
 
 // Kind is the kind of a final answer.
 type Kind uint8
 
-// The kinds: the value as a member gave it for this request; trying again is harmless; nothing is promised.
+// The kinds of answers: Served has the value that a member gave for this request; after Refused a retry is
+// harmless; after Failed nothing is promised about whether the request ran.
 const (
 	Served Kind = iota
 	Refused
@@ -92,112 +97,118 @@
 type Answer struct {
 	Kind       Kind
 	Value      []byte        // valid during the call only
-	Body       *Body         // what holds the value, if others get it too: whoever keeps it has it kept and released
-	RetryAfter time.Duration // when a refused client should come back; 0: not said
-	Why        logic.Reason  // of a refusal or failure
+	Body       *Body         // the value, if shared with others; a receiver that keeps it calls Keep and Release
+	RetryAfter time.Duration // how long a refused client should wait before it retries; 0: not stated
+	Reason     logic.Reason  // of a refusal or failure
 }
 
-// Taker gets a request's single final answer, under the host's lock; it must not block. One that is an upstream.Passer too
-// takes long values, piece by piece as they come from a member; such a value is the answer then.
-type Taker interface{ Answer(Answer) }
-
-// Carrier is a Taker whose client makes the attempts itself, over connections that the host has no part in. The
-// front reports how each one ends; the host still ends those whose time is up.
-type Carrier interface {
-	Taker
-	// Carry names the member for the next attempt, under the host's lock.
-	Carry(*Attempt)
+// Responder receives a request's single final answer, under the host's lock; it must not block. A Responder
+// that is also an upstream.ValueStream accepts long values in pieces, as they arrive from a member; the
+// streamed value is then the answer.
+type Responder interface{ Answer(Answer) }
+
+// ExternalSender is a Responder whose client makes the attempts itself, over connections that the host does
+// not manage. The front reports how each attempt ends; the host still ends attempts that time out.
+type ExternalSender interface {
+	Responder
+	// Assign names the member for the next attempt, under the host's lock.
+	Assign(*Attempt)
 }
 
-// Attempt is an attempt in the hands of a Carrier. Its methods want the host's lock (see Do).
+// Attempt is an attempt that was assigned to an ExternalSender. Its methods require the host's lock (see
+// Do).
 type Attempt struct {
-	p      *Proxy
-	a      *attempt
-	Addr   string // of the member
-	Origin bool   // it is an origin
+	proxy   *Proxy
+	attempt *attempt
+	Addr    string // of the member
+	Origin  bool   // the member is an origin
 }
 
-// Give notes that the client is being told of the attempt now: from here on it may have run. It tells whether
-// the attempt still stands; one that has ended, or whose member is no longer ready, must not be given. It may be asked
-// again of an attempt that was given and has surely not been sent yet: if its member has gone, that one never ran.
-func (x *Attempt) Give() bool {
-	if m := x.p.members[x.a.memberID]; !x.a.Ended && (m == nil || m.state != logic.Ready || m.Addr != x.Addr) {
-		x.p.endAttempt(x.a, logic.StatusConnectFailed, 0)
+// Announce records that the client is now being told of the attempt: from here on it may have run. It
+// reports whether the attempt still stands; an attempt that has ended, or whose member is no longer ready,
+// must not be sent to the client. Announce may be called again for an attempt that was announced and has
+// certainly not been sent yet: if its member has gone, the attempt never ran.
+func (x *Attempt) Announce() bool {
+	if m := x.proxy.members[x.attempt.memberID]; !x.attempt.Ended && (m == nil || m.state != logic.Ready || m.Addr != x.Addr) {
+		x.proxy.endAttempt(x.attempt, logic.StatusConnectFailed, 0)
 	}
-	if x.a.Ended {
+	if x.attempt.Ended {
 		return false
 	}
-	if !x.a.handedOver {
-		x.a.handedOver, x.a.BeganAt = true, x.p.now
+	if !x.attempt.handedOver {
+		x.attempt.handedOver, x.attempt.BeganAt = true, x.proxy.now
 	}
 	return true
 }
 
-// Given tells whether the client has been told of the attempt.
-func (x *Attempt) Given() bool { return x.a.handedOver }
+// Announced reports whether the client has been told of the attempt.
+func (x *Attempt) Announced() bool { return x.attempt.handedOver }
 
-// Ended tells whether the attempt has its outcome.
-func (x *Attempt) Ended() bool { return x.a.Ended }
+// Ended reports whether the attempt has its outcome.
+func (x *Attempt) Ended() bool { return x.attempt.Ended }
 
-// Left is how long the attempt may still take.
-func (x *Attempt) Left() time.Duration { return x.a.ExpiresAt - x.p.now }
+// TimeLeft returns how long the attempt may still take.
+func (x *Attempt) TimeLeft() time.Duration { return x.attempt.ExpiresAt - x.proxy.now }
 
-// End gives the attempt its outcome, with a note as in logic.Outcome; later ones are dropped.
-func (x *Attempt) End(s logic.Status, note int) { x.p.endAttempt(x.a, s, note) }
+// End gives the attempt its outcome, with a note as in logic.Outcome; later outcomes are ignored.
+func (x *Attempt) End(s logic.Status, note int) { x.proxy.endAttempt(x.attempt, s, note) }
 
-// Spares names up to most further members that the client may go on to by itself where this one fails it, in order.
-func (x *Attempt) Spares(most int) (addrs []string) {
-	if x.a.Ended {
+// Fallbacks returns the addresses of up to most further members, in order, which the client may try by
+// itself if this attempt's member fails.
+func (x *Attempt) Fallbacks(most int) (addrs []string) {
+	if x.attempt.Ended {
 		return nil
 	}
-	for _, id := range x.p.balancer.Fallbacks(x.a.request.id, most) {
-		if m := x.p.members[id]; m != nil && m.state == logic.Ready {
+	for _, id := range x.proxy.balancer.Fallbacks(x.attempt.request.id, most) {
+		if m := x.proxy.members[id]; m != nil && m.state == logic.Ready {
 			addrs = append(addrs, m.Addr)
 		}
 	}
 	return addrs
 }
 
-// Moved notes that the client has gone on by itself to the member at an address. It tells whether there is one.
-func (x *Attempt) Moved(addr string) bool {
-	if x.a.Ended {
+// FallbackUsed records that the client has moved on by itself to the member at addr. It reports whether
+// there is such a member.
+func (x *Attempt) FallbackUsed(addr string) bool {
+	if x.attempt.Ended {
 		return false
 	}
-	for id, m := range x.p.members {
+	for id, m := range x.proxy.members {
 		if m.Addr == addr {
-			x.p.balancer.FallbackUsed(x.p.now, x.a.request.id, x.a.memberID, id)
-			x.a.memberID, x.Addr = id, addr
+			x.proxy.balancer.FallbackUsed(x.proxy.now, x.attempt.request.id, x.attempt.memberID, id)
+			x.attempt.memberID, x.Addr = id, addr
 			return true
 		}
 	}
 	return false
 }
 
-// DeliverElsewhere ends an attempt that somebody who is no member has served: the request is served, and nothing is
-// learnt of the member that was named.
-func (x *Attempt) DeliverElsewhere() {
-	if !x.a.Ended {
-		x.a.request.done = true
-		x.p.fenceReads(x.a.request)
-		if c := x.a.request.rec; c != nil {
+// MarkServedElsewhere ends an attempt that was served by something that is not a member: the request is
+// served, and the outcome says nothing about the member that was assigned.
+func (x *Attempt) MarkServedElsewhere() {
+	if !x.attempt.Ended {
+		x.attempt.request.done = true
+		x.proxy.fenceReads(x.attempt.request)
+		if c := x.attempt.request.orderRecord; c != nil {
 			c.answered, c.reportedBy = true, orders.ReportedByCaller
 		}
-		x.p.endAttempt(x.a, logic.StatusCancelled, 0)
+		x.proxy.endAttempt(x.attempt, logic.StatusCancelled, 0)
 	}
 }
 
-// Deliver ends an attempt whose answer the client has: the request is served, and gets no further answer.
-func (x *Attempt) Deliver(note int) {
-	if !x.a.Ended {
-		x.a.request.done = true
-		x.p.fenceReads(x.a.request)
-		x.p.endAttempt(x.a, logic.StatusOK, note)
+// MarkServed ends an attempt whose answer the client has already received: the request is served, and gets
+// no further answer.
+func (x *Attempt) MarkServed(note int) {
+	if !x.attempt.Ended {
+		x.attempt.request.done = true
+		x.proxy.fenceReads(x.attempt.request)
+		x.proxy.endAttempt(x.attempt, logic.StatusOK, note)
 	}
 }
 
-// MayHaveRun tells whether an attempt of the request may have run, or may yet.
+// MayHaveRun reports whether an attempt of the request may have run, or may still run.
 func (r *Request) MayHaveRun() bool {
-	if r.ran {
+	if r.maybeRan {
 		return true
 	}
 	for _, a := range r.attempts {
@@ -208,79 +219,83 @@
 	return false
 }
 
-// Denied tells why a request was not sent for who it is from; nil: it was not for that.
+// Denied returns the error for which the caller's proof kept the request from being sent; nil if that was
+// not the cause.
 func (r *Request) Denied() error { return r.denied }
 
-// ErrBusy tells that the host can't take a request now; it never ran.
-var ErrBusy = errors.New("no room for the request")
+// ErrBusy reports that the host can't accept a request now; the request never ran.
+var ErrBusy = errors.New("no capacity for the request")
 
-// ErrStopping is the ErrBusy of a proxy that takes nothing any more.
+// ErrStopping is the ErrBusy of a proxy that accepts no further requests.
 var ErrStopping = fmt.Errorf("%w: the proxy is stopping", ErrBusy)
 
-// ErrInUse tells that the id belongs to another request.
-var ErrInUse = errors.New("the id is in use")
+// ErrIDInUse reports that the id belongs to another request.
+var ErrIDInUse = errors.New("the id is in use")
 
-// Submit takes a request under the host's lock. An error means that the Balancer has not seen it and never will;
-// one that is not ErrBusy finds fault with the request itself, or with who it is from (identity.WhyOf). The answer may come before Submit returns.
+// Submit accepts a request, under the host's lock. An error means that the Balancer has not seen the
+// request and never will; any error but ErrBusy is about the request itself or its caller (identity.WhyOf).
+// The answer may be delivered before Submit returns.
 func (p *Proxy) Submit(r *Request) error {
 	err := p.submit(r)
 	if err != nil {
-		p.unspend(r)
+		p.releaseToken(r)
 	}
 	return err
 }
 
 func (p *Proxy) submit(r *Request) error {
-	lr, err := r.parseRequest(&p.cfg.Settings)
+	logicRequest, err := r.parseRequest(&p.cfg.Settings)
 	if err == nil && p.recentIDs.contains(r.ReqID, p.now) {
-		err = ErrInUse
+		err = ErrIDInUse
 	}
 	if err == nil {
-		err = p.may(r, &p.cfg.Settings.Classes[lr.Class])
+		err = p.authorize(r, &p.cfg.Settings.Classes[logicRequest.Class])
 	}
 	switch {
 	case err != nil:
 		return err
 	case p.stopping:
-		p.reasons.Add(reasons.Refused, lr.Class, lr.Tenant, reasons.Stopping)
+		p.reasons.Add(reasons.Refused, logicRequest.Class, logicRequest.Tenant, reasons.Stopping)
 		return ErrStopping
 	case len(p.requests) >= p.maxRequests() || p.bufferedBytes > p.maxBufferedBytes:
-		p.reasons.Add(reasons.Refused, lr.Class, lr.Tenant, reasons.HostFull)
+		p.reasons.Add(reasons.Refused, logicRequest.Class, logicRequest.Tenant, reasons.HostFull)
 		return ErrBusy
 	}
 	p.recentIDs.add(r.ReqID, p.now)
-	p.nextID++ // after 2^32 it begins anew, long after the request that had the number
-	r.id, r.p = p.nextID, p
-	lr.ID = r.id
-	if r.Only != nil {
-		lr.AllowedMembers = p.named(r.Only)
-	}
-	class := &p.cfg.Settings.Classes[lr.Class]
-	r.class, r.tenant, r.effect = lr.Class, lr.Tenant, class.EffectOf(lr.NoDedupKey)
-	r.again = class.SafeToRetry(r.effect)
-	lr.Deadline += p.arrivedAt(r.Arrived)
-	r.deadline = lr.Deadline
+	p.nextID++ // wraps around after 2^32, long after the request with the same number has ended
+	r.id, r.proxy = p.nextID, p
+	logicRequest.ID = r.id
+	if r.AllowedAddrs != nil {
+		logicRequest.AllowedMembers = p.membersByAddr(r.AllowedAddrs)
+	}
+	class := &p.cfg.Settings.Classes[logicRequest.Class]
+	r.class, r.tenant, r.effect = logicRequest.Class, logicRequest.Tenant, class.EffectOf(logicRequest.NoDedupKey)
+	r.retryable = class.SafeToRetry(r.effect)
+	logicRequest.Deadline += p.earliestArrival(r.ArrivedAt)
+	r.deadline = logicRequest.Deadline
 	p.requests[r.id] = r
 	if p.cfg.Record != nil && r.effect == logic.AtMostOnce {
-		p.recordOrder(r, lr)
+		p.recordOrder(r, logicRequest)
 		return nil
 	}
-	if p.joinTable == nil || !p.join(r, lr) {
-		p.balancer.Request(p.now, lr)
+	if p.joinTable == nil || !p.join(r, logicRequest) {
+		p.balancer.Request(p.now, logicRequest)
 	}
 	return nil
 }
 
-// arrivedAt is when the last byte of a request may have come at the earliest, given when it was read; 0: now.
-func (p *Proxy) arrivedAt(read time.Duration) time.Duration {
+// earliestArrival returns the earliest time at which the last byte of a request may have arrived, given
+// when it was read; 0 stands for now.
+func (p *Proxy) earliestArrival(read time.Duration) time.Duration {
 	if read == 0 {
 		return p.now
 	}
 	return p.stalls.EarliestArrival(min(read, p.now))
 }
 
-// named finds the members at these addresses; an address without a port is all of its host's. Never nil.
-func (p *Proxy) named(addrs []string) []logic.MemberID {
+// membersByAddr returns the members at these addresses; an address without a port matches all members of
+// its host. The result is never nil.
+func (p *Proxy) membersByAddr(addrs []string) []logic.MemberID {
 	only := []logic.MemberID{}
 	set := make(map[string]struct{}, len(addrs))
 	for _, a := range addrs {
@@ -297,13 +312,13 @@
 	return only
 }
 
-// Narrow changes, within Do, the members that a request in hand may go to; nil: all. An attempt that its client has not
-// been told of, at a member that is not among them, was never sent.
-func (p *Proxy) Narrow(r *Request, addrs []string) {
-	r.Only = addrs
+// RestrictMembers changes, within Do, the members to which an accepted request may be sent; nil means all.
+// An unannounced attempt at a member that is no longer allowed is ended as never sent.
+func (p *Proxy) RestrictMembers(r *Request, addrs []string) {
+	r.AllowedAddrs = addrs
 	var only []logic.MemberID
 	if addrs != nil {
-		only = p.named(addrs)
+		only = p.membersByAddr(addrs)
 	}
 	if r.join != nil {
 		r.join.balancerRequest.AllowedMembers = only
@@ -317,17 +332,20 @@
 	p.DeliverOutcomes()
 }
 
-// Withdraw says that nobody waits for the request any more. What has not been sent for it is not sent; attempts that are out end by themselves.
-func (p *Proxy) Withdraw(r *Request) {
+// Cancel reports that nobody waits for the request any more. Attempts that have not been sent are dropped;
+// attempts in flight end by themselves.
+func (p *Proxy) Cancel(r *Request) {
 	if r.id == 0 {
-		return // it was never taken
+		return // it was never accepted
 	}
-	if p.joinTable != nil && p.withdrawJoined(r) || r.rec != nil && p.withdrawRecorded(r) {
+	if p.joinTable != nil && p.withdrawJoined(r) || r.orderRecord != nil && p.withdrawRecorded(r) {
 		return
 	}
 	if !r.done {
 		r.done = true
-		p.recallUnsent(r) // before the module calls off what is out: what was never sent is not told as cancelled, which may have run
+		// recall must precede RequestCancelled, which cancels the outstanding attempts: a cancelled attempt may
+		// have run, and one that was never sent must not be reported so.
+		p.recallUnsent(r)
 		p.balancer.RequestCancelled(p.now, r.id)
 	}
 	p.releaseIfOver(r)
@@ -340,34 +358,34 @@
 	f()
 }
 
-// Reasons is a copy of the counts of why requests waited, were refused or failed.
+// Reasons returns a copy of the counts of why requests waited, were refused or failed.
 func (p *Proxy) Reasons() (c *reasons.Counts) {
 	p.Do(func() { c = p.reasons.Clone() })
 	return c
 }
 
-// Now is the host's time, under the lock.
+// Now returns the host's time; it requires the lock.
 func (p *Proxy) Now() time.Duration { return p.now }
 
-// Stopping tells, under the lock, whether no request is taken any more.
+// Stopping reports whether the proxy accepts no further requests; it requires the lock.
 func (p *Proxy) Stopping() bool { return p.stopping }
 
-// Classes are those in force.
+// Classes returns the classes in force.
 func (p *Proxy) Classes() (c []logic.Class) {
 	p.Do(func() { c = p.cfg.Settings.Classes })
-	return c // replaced whole, never changed
+	return c // the slice is replaced as a whole, never modified
 }
 
-// Retune takes over other classes and another number of attempts. Requests in hand keep theirs.
-func (p *Proxy) Retune(classes []logic.Class, tryLimit int) error {
+// UpdateClasses replaces the classes and the maximum number of attempts. Accepted requests keep theirs.
+func (p *Proxy) UpdateClasses(classes []logic.Class, tryLimit int) error {
 	p.beginEvent()
 	defer p.endEvent()
 	if err := p.balancer.UpdateClasses(p.now, classes, tryLimit); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	was := p.cfg.Settings.Classes
+	previous := p.cfg.Settings.Classes
 	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = slices.Clone(classes), tryLimit
-	p.redis.gate.SetClasses(classes)
+	p.redis.shedder.SetClasses(classes)
 	names := logic.ClassNames(classes)
 	p.reasons = p.reasons.ForClasses(names)
 	if p.reasonsLogged != nil {
@@ -375,35 +393,38 @@
 	}
 	for _, r := range p.requests {
 		if r.class >= 0 {
-			r.class = slices.Index(names, was[r.class].Name)
+			r.class = slices.Index(names, previous[r.class].Name)
 		}
 	}
 	return nil
 }
 
-// Hold counts n bytes, or gives back -n, under the lock. It tells whether the room is overdrawn.
+// Hold adds n, which may be negative, to the bytes held, and reports whether they exceed the limit. It
+// requires the lock.
 func (p *Proxy) Hold(n int) (over bool) {
 	p.bufferedBytes += n
 	return p.bufferedBytes > p.maxBufferedBytes
 }
 
-// Descriptors counts n descriptors that a front has opened, or -n that it has closed, under the lock.
-func (p *Proxy) Descriptors(n int) { p.frontDescriptors += n }
+// AddDescriptors adds n, which may be negative, to the descriptors that fronts have open. It requires the
+// lock.
+func (p *Proxy) AddDescriptors(n int) { p.frontDescriptors += n }
 
-// Room tells, under the lock, whether a front may open one more descriptor, and makes room if it can.
-func (p *Proxy) Room() bool {
+// EnsureDescriptor reports whether a front may open one more descriptor, and closes idle connections if
+// need be. It requires the lock.
+func (p *Proxy) EnsureDescriptor() bool {
 	for p.openDescriptors() >= p.cfg.Descriptors-reservedDescriptors {
-		if !p.makeRoom() {
+		if !p.freeDescriptor() {
 			return false
 		}
 	}
 	return true
 }
 
-// makeRoom closes a connection that nothing is lost with.
-func (p *Proxy) makeRoom() bool {
+// freeDescriptor closes a connection whose loss harms no request, and reports whether there was one.
+func (p *Proxy) freeDescriptor() bool {
 	for _, f := range p.fronts {
-		if f.MakeRoom() {
+		if f.FreeDescriptor() {
 			return true
 		}
 	}
@@ -415,19 +436,20 @@
 	return false
 }
 
-// Tick does what has fallen due, for hosts with a Clock of their own.
+// Tick runs the timers that are due, for hosts with a Clock of their own.
 func (p *Proxy) Tick() { p.onTimer() }
 
-// Load counts, for tests and the rig, what the host has in hand, and the members that it takes for ready. Busy are
-// connections to members that carry a request or rest after one.
+// Load counts the host's accepted requests and other load, and the members that it considers ready, for
+// tests and the test harness. Busy counts connections to members that carry a request or are in their
+// cooldown after one.
 type Load struct{ Requests, Attempts, Held, Descriptors, Ready, Busy int }
 
-// Load tells what is in hand now.
+// Load returns the current load.
 func (p *Proxy) Load() (l Load) {
 	p.Do(func() {
 		l = Load{Requests: len(p.requests), Held: p.bufferedBytes, Descriptors: p.openDescriptors()}
 		for _, r := range p.requests {
-			l.Attempts += r.out
+			l.Attempts += r.outstanding
 		}
 		for _, m := range p.members {
 			if m.state == logic.Ready {
--- a/internal/proxy/inherit.go
+++ b/internal/proxy/inherit.go
@@ -20,7 +20,7 @@
 func (p *Proxy) Snapshot() (s inherit.Snapshot) {
 	p.Do(func() {
 		s = inherit.Snapshot{Fleet: p.cfg.fleetHash(), TakenMS: time.Now().UnixMilli(), Balancer: p.balancer.ExportState(p.now),
-			Links: make(map[logic.MemberID]inherit.LinkState), Idle: p.upstreams.IdleStats(), ReuseShare: p.redis.reuse}
+			Links: make(map[logic.MemberID]inherit.LinkState), Idle: p.upstreams.IdleStats(), ReuseShare: p.redis.reuseShare}
 		for _, m := range s.Balancer.Members {
 			if known := p.members[m.ID]; known != nil {
 				s.Links[m.ID] = inherit.LinkState{Addr: known.Addr, ConnStats: known.Member.Stats()}
@@ -58,7 +58,7 @@
 				p.members[id].RestoreStats(link.ConnStats)
 			}
 			p.upstreams.RestoreIdleStats(adjusted.Idle)
-			p.redis.reuse = adjusted.ReuseShare
+			p.redis.reuseShare = adjusted.ReuseShare
 		})
 	}
 	if err != nil {
--- a/internal/proxy/intake.go
+++ b/internal/proxy/intake.go
@@ -7,35 +7,37 @@
 	"syscall"
 )
 
-// intake is the receiving side of a client's connection. It tells at any moment whether something has been read that its reader has not taken up
-// yet: a reader that has bytes may have to wait for the core, or for the host's lock, before it can say so.
-type intake struct {
+// inputConn is the receiving side of a client's connection. It tells at any moment whether input has been
+// read that its reader goroutine has not processed yet: a reader that has input may have to wait for the
+// core, or for the host's lock, before it can report it.
+type inputConn struct {
 	net.Conn
-	raw syscall.RawConn
-	// holds is set before each attempt to read and reset where that finds nothing. Whoever sees that nothing stands unread in the kernel, and
-	// only then that it is not set, knows that nothing has come.
-	holds atomic.Bool
+	rawConn syscall.RawConn
+	// mayHoldData is set before each attempt to read and reset if there was nothing to read. A goroutine
+	// that sees no unread input in the kernel and, after that, finds mayHoldData false knows that no input
+	// has arrived.
+	mayHoldData atomic.Bool
 
-	// The arguments and results of step; a closure for each read would be garbage.
-	buf  []byte
-	n    int
-	err  error
-	step func(fd uintptr) bool
+	// The arguments and results of readStep; a closure for each read would be garbage to collect.
+	buf      []byte
+	n        int
+	err      error
+	readStep func(fd uintptr) bool
 }
 
-func newIntake(conn *net.TCPConn) (*intake, error) {
+func newInputConn(conn *net.TCPConn) (*inputConn, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	t := &intake{Conn: conn, raw: raw}
-	t.step = t.attempt
+	t := &inputConn{Conn: conn, rawConn: raw}
+	t.readStep = t.tryRead
 	return t, nil
 }
 
-// attempt reads once; false: nothing has come yet.
-func (t *intake) attempt(fd uintptr) bool {
-	t.holds.Store(true)
+// tryRead reads once; it returns false if no input has arrived yet.
+func (t *inputConn) tryRead(fd uintptr) bool {
+	t.mayHoldData.Store(true)
 	for {
 		t.n, t.err = syscall.Read(int(fd), t.buf)
 		if t.err != syscall.EINTR {
@@ -43,22 +45,22 @@
 		}
 	}
 	if t.err == syscall.EAGAIN {
-		t.holds.Store(false)
+		t.mayHoldData.Store(false)
 		return false
 	}
 	return true
 }
 
-// Read waits until something comes. It is the reader's alone.
-func (t *intake) Read(b []byte) (int, error) {
+// Read waits for input. Only the reader goroutine calls it.
+func (t *inputConn) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
 	t.buf = b
-	err := t.raw.Read(t.step)
+	err := t.rawConn.Read(t.readStep)
 	t.buf = nil
 	switch {
-	case err != nil: // the connection is closed, or the time for it is over
+	case err != nil: // the connection is closed, or its read deadline has passed
 		return 0, err
 	case t.err != nil:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Source: t.LocalAddr(), Addr: t.RemoteAddr(), Err: t.err}
@@ -68,5 +70,6 @@
 	return t.n, nil
 }
 
-// takenUp notes, under the host's lock, what the reader has taken up; more tells that something was read behind it.
-func (t *intake) takenUp(more bool) { t.holds.Store(more) }
+// noteConsumed records, under the host's lock, that the reader has processed its input; more tells that
+// there is further input after it.
+func (t *inputConn) noteConsumed(more bool) { t.mayHoldData.Store(more) }
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -71,7 +71,7 @@
 // join makes a read follow an identical one, or makes it a lead that others can follow. It reports
 // whether the read follows; otherwise the caller hands it to the balancer.
 func (p *Proxy) join(r *Request, balancerRequest logic.Request) (follows bool) {
-	if _, carrier := r.Taker.(Carrier); carrier || r.Only != nil {
+	if _, carrier := r.Responder.(ExternalSender); carrier || r.AllowedAddrs != nil {
 		return false
 	}
 	read, ok := p.joinTable.Limits().NewRead(&balancerRequest, r.effect, string(r.Key), identityAttributes(r.Attrs))
@@ -171,10 +171,10 @@
 	if !follower.done {
 		follower.done = true
 		p.joinStats.Shared++
-		if p.proven(follower) {
-			follower.Taker.Answer(Answer{Kind: Served, Value: body.Value(), Body: body})
+		if p.checkProof(follower) {
+			follower.Responder.Answer(Answer{Kind: Served, Value: body.Value(), Body: body})
 		} else {
-			follower.Taker.Answer(Answer{Kind: Failed, Why: logic.Rejected})
+			follower.Responder.Answer(Answer{Kind: Failed, Reason: logic.Rejected})
 		}
 	}
 	body.Release()
@@ -190,7 +190,7 @@
 		p.answerFollower(follower)
 	default:
 		p.removeFollower(id)
-		p.finishRequest(id, Answer{Kind: Refused, Why: logic.OutOfTime})
+		p.finishRequest(id, Answer{Kind: Refused, Reason: logic.OutOfTime})
 	}
 }
 
@@ -249,7 +249,7 @@
 	case r.join == nil || r.done:
 		return false
 	case r.join.lead && p.joinTable.FollowerCount(r.id) > 0:
-		r.Taker = discardingTaker{}
+		r.Responder = discardingTaker{}
 		return true
 	case r.join.lead:
 		p.leadEnded(r)
@@ -268,8 +268,8 @@
 // removeFollower removes a follower. A lead whose own client has left ends with its last follower.
 func (p *Proxy) removeFollower(id logic.RequestID) {
 	lead, alone := p.joinTable.RemoveFollower(id)
-	if r := p.requests[lead]; alone && r != nil && r.Taker == (discardingTaker{}) {
-		p.Withdraw(r)
+	if r := p.requests[lead]; alone && r != nil && r.Responder == (discardingTaker{}) {
+		p.Cancel(r)
 	}
 }
 
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -378,7 +378,7 @@
 	p.eventually("the drain is known", func() bool { return p.revision == 2 })
 	classes := append([]logic.Class(nil), cfg.Settings.Classes...)
 	classes[0].SoftDeadline = 4 * time.Second
-	if err := p.Retune(classes, 3); err != nil {
+	if err := p.UpdateClasses(classes, 3); err != nil {
 		t.Fatal(err)
 	}
 	after := p.dial()
@@ -517,10 +517,10 @@
 // tenants share attempts.
 func TestJoiningChecksAccessFirst(t *testing.T) {
 	gated := newGatedCache()
-	o := newOffice(t, "k1")
+	o := newTokenIssuer(t, "k1")
 	shared := joinLimits
 	shared.AcrossTenants = true
-	p, _, _ := guarded(t, o, func(cfg *Config) { cfg.Joining = &shared }, gated.answer)
+	p, _, _ := startWithCallers(t, o, func(cfg *Config) { cfg.Joining = &shared }, gated.answer)
 	proven := func(tenant string) *testClient {
 		c := p.dial()
 		c.send(respCommand("AUTH", o.token("k1", tenant, "")))
@@ -555,15 +555,15 @@
 // A leading read continues for its followers when its client leaves, and ends with the last of them.
 func TestJoinedReadEndsWithItsLastClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		roll := newRoll()
-		door, open := shut(t, roll, "large")
-		cfg := leaving(cancel)
+		roll := newRequestLog()
+		door, open := blockedMember(t, roll, "large")
+		cfg := noTimeoutConfig(cancel)
 		cfg.Joining = &joinLimits
 		p := startProxy(t, cfg, listEntry("s-1", door, "large"))
 		var clients []*testClient
 		for i := range 3 {
 			c := p.dial()
-			c.send(getLong("a1", fmt.Sprintf("left%d", i)))
+			c.send(getLongDeadline("a1", fmt.Sprintf("left%d", i)))
 			p.eventually("it is in hand", func() bool { return len(p.requests) == i+1 })
 			clients = append(clients, c)
 		}
@@ -574,14 +574,14 @@
 		}
 		clients[1].conn.Close()
 		clients[2].conn.Close()
-		p.gone()
+		p.awaitNoClients()
 		open()
 		next := p.dial()
 		next.send(getCommand("a1", "next"))
 		if got := next.answer(); got != "value of a1" {
 			t.Errorf("answered %q", got)
 		}
-		if got := roll.asked(t, 1); got[0] != "next" {
+		if got := roll.awaitRequests(t, 1); got[0] != "next" {
 			t.Errorf("the member was asked under %v", got)
 		}
 	}
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -19,7 +19,7 @@
 const (
 	// longMemoryShare is the share of the memory for long values that are written, in addition to bufferMemoryShare.
 	longMemoryShare = 0.25
-	// longPieceBytes is how much of a long value has to arrive within commandTime. A slower client
+	// longPieceBytes is how much of a long value has to arrive within commandTimeout. A slower client
 	// would hold its memory for minutes.
 	longPieceBytes = 64 << 10
 	// maxLongValueWait is how long a long value waits for memory before it is refused.
@@ -95,7 +95,7 @@
 
 // SetReservedBytes states that the request's value is held in that many bytes of reserved memory, which
 // are then returned with the request. It is called before the request is submitted.
-func (r *Request) SetReservedBytes(bytes int) { r.long = bytes }
+func (r *Request) SetReservedBytes(bytes int) { r.longBytes = bytes }
 
 // longValueReservation is a budgetReservation that can be waited for without the lock, up to a timeout.
 type longValueReservation struct {
@@ -137,103 +137,103 @@
 
 // releaseValue returns the memory of a request's value.
 func (p *Proxy) releaseValue(r *Request) {
-	if r.long > 0 {
-		p.longValues.usedBytes -= r.long
+	if r.longBytes > 0 {
+		p.longValues.usedBytes -= r.longBytes
 	} else {
 		p.bufferedBytes -= cap(r.Value)
 	}
-	r.long, r.Value = 0, nil
+	r.longBytes, r.Value = 0, nil
 }
 
 // readLongValue reads a long value from a client once there is memory for it.
-func (c *client) readLongValue(cmd *input, length int) error {
-	p := c.p
+func (c *client) readLongValue(cmd *parsedCommand, length int) error {
+	p := c.proxy
 	gone := make(chan struct{})
-	p.Do(func() { c.waits = gone })
+	p.Do(func() { c.valueWait = gone })
 	reservation := p.reserveLongValue(length, cmp.Or(p.longValues.maxWait, maxLongValueWait), gone)
 	granted := reservation.Wait()
-	c.arrived.NoteUnreadPossible()
-	p.Do(func() { c.waits = nil })
+	c.arrival.NoteUnreadPossible()
+	p.Do(func() { c.valueWait = nil })
 	if !granted { // the value is skipped and the request refused
-		*cmd = input{refused: true}
-		c.limit()
-		return c.in.Skip(length)
+		*cmd = parsedCommand{refused: true}
+		c.limitCommandTime()
+		return c.reader.Skip(length)
 	}
 	value := make([]byte, length)
 	err := c.readPieces(value)
 	if err == nil {
-		err = c.in.LineEnd()
+		err = c.reader.LineEnd()
 	}
 	if err != nil {
 		reservation.Release()
 		return err
 	}
-	cmd.Value, cmd.long = value, length
+	cmd.Value, cmd.longBytes = value, length
 	return nil
 }
 
-// readPieces reads a long value, each piece of which has to arrive within commandTime.
+// readPieces reads a long value, each piece of which has to arrive within commandTimeout.
 func (c *client) readPieces(value []byte) error {
 	for len(value) > 0 {
 		piece := value[:min(len(value), longPieceBytes)]
-		c.limit()
-		if _, err := io.ReadFull(c.in, piece); err != nil {
+		c.limitCommandTime()
+		if _, err := io.ReadFull(c.reader, piece); err != nil {
 			return err
 		}
 		value = value[len(piece):]
 	}
-	c.limit()
+	c.limitCommandTime()
 	return nil
 }
 
 // errClientGone means that a client no longer receives anything.
 var errClientGone = errors.New("the client has disconnected")
 
-var _ upstream.ValueStream = (*owed)(nil)
+var _ upstream.ValueStream = (*pendingAnswer)(nil)
 
 // Begin writes the head of the answer.
-func (o *owed) Begin(n int) error { return o.writeInTurn(resp.AppendBulkHead(nil, n), false) }
+func (o *pendingAnswer) Begin(n int) error { return o.writeInTurn(resp.AppendBulkHead(nil, n), false) }
 
 // WritePiece writes a piece of the value.
-func (o *owed) WritePiece(piece []byte) error { return o.writeInTurn(piece, false) }
+func (o *pendingAnswer) WritePiece(piece []byte) error { return o.writeInTurn(piece, false) }
 
 // Finish ends the answer.
-func (o *owed) Finish() error { return o.writeInTurn([]byte("\r\n"), true) }
+func (o *pendingAnswer) Finish() error { return o.writeInTurn([]byte("\r\n"), true) }
 
 // Abort closes the connection.
-func (o *owed) Abort() { o.client.p.Do(o.client.close) }
+func (o *pendingAnswer) Abort() { o.client.proxy.Do(o.client.close) }
 
 // writeInTurn sends bytes of an answer once the answers before it are complete and the client has
 // received all earlier bytes.
-func (o *owed) writeInTurn(b []byte, last bool) error {
+func (o *pendingAnswer) writeInTurn(b []byte, last bool) error {
 	c := o.client
-	p := c.p
+	p := c.proxy
 	for {
 		p.beginEvent()
-		if c.closed || c.w.Failed() || !slices.Contains(c.pending, o) {
+		if c.closed || c.sender.Failed() || !slices.Contains(c.pending, o) {
 			p.endEvent()
 			return errClientGone
 		}
-		if c.pending[0] == o && !c.w.Busy() {
-			c.w.Send(b, false)
+		if c.pending[0] == o && !c.sender.Busy() {
+			c.sender.Send(b, false)
 			if last {
-				c.pop()
+				c.removeAnswered()
 				c.flush()
 			}
 			p.endEvent()
 			return nil
 		}
 		turn := make(chan struct{})
-		o.turn = turn
+		o.turnReached = turn
 		p.endEvent()
 		<-turn
 	}
 }
 
 // signalTurn wakes the answer that waits in writeInTurn.
-func (o *owed) signalTurn() {
-	if o.turn != nil {
-		close(o.turn)
-		o.turn = nil
+func (o *pendingAnswer) signalTurn() {
+	if o.turnReached != nil {
+		close(o.turnReached)
+		o.turnReached = nil
 	}
 }
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -304,7 +304,7 @@
 	p.eventually("all are in the middle of a command", func() bool {
 		n := 0
 		for c := range p.redis.clients {
-			if c.mid {
+			if c.midCommand {
 				n++
 			}
 		}
@@ -363,11 +363,11 @@
 			t.Fatalf("the second time: %q", got)
 		}
 	}
-	p.eventually("all are kept", func() bool { return len(p.redis.clients) == cap(clients) && p.redis.reuse > reuseLeast })
+	p.eventually("all are kept", func() bool { return len(p.redis.clients) == cap(clients) && p.redis.reuseShare > minReuseShare })
 
-	p.Do(func() { p.redis.reuse = 0 }) // as after many clients that send one command and stay
+	p.Do(func() { p.redis.reuseShare = 0 }) // as after many clients that send one command and stay
 	closed := 0
-	const once = 4 * keepEvery
+	const once = 4 * keepOpenEvery
 	for i := range once {
 		c := ask(fmt.Sprint("c", i))
 		p.eventually("it is settled", func() bool { return len(p.requests) == 0 })
@@ -382,8 +382,8 @@
 			closed++
 		}
 	}
-	if closed != once-once/keepEvery {
-		t.Errorf("%d of %d are closed, want all but one in %d", closed, once, keepEvery)
+	if closed != once-once/keepOpenEvery {
+		t.Errorf("%d of %d are closed, want all but one in %d", closed, once, keepOpenEvery)
 	}
 	clients[0].send(getCommand("k", "d")) // a connection that was used again is kept
 	if got := clients[0].answer(); got != "v" {
@@ -393,10 +393,10 @@
 	p.redis.Drain() // from now on no connection is closed to make room
 	open := 0
 	p.Do(func() { open = len(p.redis.clients) })
-	for i := range 2 * keepEvery {
+	for i := range 2 * keepOpenEvery {
 		ask(fmt.Sprint("e", i))
 	}
-	p.eventually("all are kept while it drains", func() bool { return len(p.requests) == 0 && len(p.redis.clients) == open+2*keepEvery })
+	p.eventually("all are kept while it drains", func() bool { return len(p.requests) == 0 && len(p.redis.clients) == open+2*keepOpenEvery })
 }
 
 // answerTaker is a client of a front end that accepts no long values.
@@ -420,14 +420,14 @@
 	for i := range reads {
 		taker := make(answerTaker, 1)
 		p.Do(func() {
-			r := &Request{Taker: taker, Command: Command{Message: upstream.Message{Key: fmt.Appendf(nil, "k%d", i),
+			r := &Request{Responder: taker, Command: Command{Message: upstream.Message{Key: fmt.Appendf(nil, "k%d", i),
 				ReqID: fmt.Appendf(nil, "r%d", i), Attrs: []byte("c=tile-read,d=8000")}}}
 			if err := p.Submit(r); err != nil {
 				t.Error(err)
 			}
 		})
-		if a := <-taker; a.Kind != Failed || a.Why != logic.Rejected {
-			t.Fatalf("read %d: %v, %v", i, a.Kind, a.Why)
+		if a := <-taker; a.Kind != Failed || a.Reason != logic.Rejected {
+			t.Fatalf("read %d: %v, %v", i, a.Kind, a.Reason)
 		}
 	}
 	if n := requests.Load(); n != reads {
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -74,7 +74,7 @@
 	case c.Write || p.cfg.Settings.Classes[balancerRequest.Class].Effect != logic.Repeatable:
 		return nil, errors.New("requests for many keys are for reads")
 	case p.recentIDs.contains(c.ReqID, p.now):
-		return nil, ErrInUse
+		return nil, ErrIDInUse
 	}
 	limits := *configured
 	limits.Bytes = min(limits.Bytes, maxBytes)
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	p.recentIDs.add(c.ReqID, p.now)
-	c.Arrived = p.arrivedAt(c.Arrived) // also for reads that start later
+	c.ArrivedAt = p.earliestArrival(c.ArrivedAt) // also for reads that start later
 	p.lastGroup = max(1, p.lastGroup+1)
 	m := &Many{proxy: p, Gather: gather, taker: taker, command: c, proof: proof, front: front, group: p.lastGroup, reads: make([]manyRead, gather.Len()),
 		idBuffer: make([]byte, 0, gather.Len()*(len(c.ReqID)+5))}
@@ -120,9 +120,9 @@
 	read.many, read.keyIndex = m, keyIndex
 	from := len(m.idBuffer)
 	m.idBuffer = strconv.AppendInt(append(append(m.idBuffer, m.command.ReqID...), '/'), int64(keyIndex), 10)
-	read.Command = Command{Only: m.command.Only, Arrived: m.command.Arrived, Message: upstream.Message{Key: []byte(m.Gather.Key(keyIndex)), Attrs: m.command.Attrs,
+	read.Command = Command{AllowedAddrs: m.command.AllowedAddrs, ArrivedAt: m.command.ArrivedAt, Message: upstream.Message{Key: []byte(m.Gather.Key(keyIndex)), Attrs: m.command.Attrs,
 		ReqID: m.idBuffer[from:len(m.idBuffer):len(m.idBuffer)]}}
-	read.By, read.Front, read.Taker, read.group = m.proof, m.front, read, m.group
+	read.Proof, read.Front, read.Responder, read.group = m.proof, m.front, read, m.group
 	err := m.proxy.Submit(&read.Request)
 	switch {
 	case err == nil:
@@ -143,7 +143,7 @@
 		outcome = manykeys.Served
 	case r.denied != nil:
 		outcome = manykeys.Denied
-	case a.Kind == Refused && (a.Why == logic.OutOfTime || a.Why == logic.OriginLine):
+	case a.Kind == Refused && (a.Reason == logic.OutOfTime || a.Reason == logic.OriginLine):
 		outcome = manykeys.Late
 	case a.Kind == Refused:
 		outcome = manykeys.Refused
@@ -168,7 +168,7 @@
 	m.withdrawn = true
 	for k := range m.reads {
 		if m.reads[k].many != nil {
-			m.proxy.Withdraw(&m.reads[k].Request)
+			m.proxy.Cancel(&m.reads[k].Request)
 		}
 	}
 }
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -20,7 +20,7 @@
 // manyReply is the reply to OBJ.MGET, see docs/many-keys.md.
 type manyReply struct {
 	proxy         *Proxy
-	answer        *owed
+	answer        *pendingAnswer
 	many          *Many
 	keyTexts      [][]byte // RESP2 text for each key, when not streaming
 	unsent        []byte   // text to be written next, when streaming
@@ -32,19 +32,19 @@
 var _ ManyTaker = (*manyReply)(nil)
 
 // submitMany submits a request for many keys that has been read completely.
-func (c *client) submitMany(cmd input) {
-	o := &owed{client: c}
+func (c *client) submitMany(cmd parsedCommand) {
+	o := &pendingAnswer{client: c}
 	c.pending = append(c.pending, o)
 	m, err := c.newManyReply(o, &cmd)
 	if err == nil {
 		err = cmd.denied
 	}
 	if err == nil {
-		m.many, err = c.p.SubmitMany(cmd.Command, cmd.keys, cmd.proof, "resp2", math.MaxInt, m)
+		m.many, err = c.proxy.SubmitMany(cmd.Command, cmd.keys, cmd.proof, "resp2", math.MaxInt, m)
 	}
 	if err != nil {
-		c.fault(err)
-		c.answer(o, appendDenied(nil, err))
+		c.countFault(err)
+		c.sendAnswer(o, appendDenied(nil, err))
 		return
 	}
 	o.many = m
@@ -56,11 +56,11 @@
 	}
 }
 
-func (c *client) newManyReply(o *owed, cmd *input) (*manyReply, error) {
-	if cmd.tooMany > 0 {
-		return nil, fmt.Errorf("%w: %d, and %d are allowed", manykeys.ErrTooMany, cmd.tooMany, c.p.cfg.ManyKeys.Keys)
+func (c *client) newManyReply(o *pendingAnswer, cmd *parsedCommand) (*manyReply, error) {
+	if cmd.rejectedKeys > 0 {
+		return nil, fmt.Errorf("%w: %d, and %d are allowed", manykeys.ErrTooMany, cmd.rejectedKeys, c.proxy.cfg.ManyKeys.Keys)
 	}
-	m := &manyReply{proxy: c.p, answer: o}
+	m := &manyReply{proxy: c.proxy, answer: o}
 	attrs := make([]byte, 0, len(cmd.Attrs))
 	for name, value := range upstream.Attributes(cmd.Attrs) {
 		if name == streamAttribute {
@@ -134,7 +134,7 @@
 	}
 	m.addHeld(-m.heldBytes)
 	m.keyTexts, o.many = nil, nil
-	c.answer(o, b)
+	c.sendAnswer(o, b)
 	if m.proxy.scratch = b[:0]; cap(b) > maxKeptScratch {
 		m.proxy.scratch = nil
 	}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -85,7 +85,7 @@
 	waited := &attempt{request: r, startedAt: p.now - time.Second}
 	waited.BeganAt = p.now - 10*time.Millisecond
 	neverWritten := &attempt{request: r, startedAt: p.now - time.Second}
-	r.out = 2
+	r.outstanding = 2
 	p.endAttempt(waited, logic.StatusOK, 0)
 	p.endAttempt(neverWritten, logic.StatusNoConn, 0)
 	if got := p.outcomes[0].Elapsed; got != 10*time.Millisecond {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -150,7 +150,7 @@
 		cfg: cfg, log: log, debugEnabled: log.Enabled(context.Background(), slog.LevelDebug), started: time.Now(),
 		members: map[logic.MemberID]*member{}, requests: map[logic.RequestID]*Request{},
 		recentIDs:        newIDHistory(),
-		maxBufferedBytes: bufferLimit(cfg.MemoryMB), outOfUse: cfg.OutOfUse, maxStopDeadline: killMost,
+		maxBufferedBytes: bufferLimit(cfg.MemoryMB), outOfUse: cfg.OutOfUse, maxStopDeadline: maxKillDeadline,
 	}
 	// The Balancer's clock is monotonic and starts at the wall-clock time, so that all start times are positive.
 	p.clockOffset = time.Duration(p.started.UnixNano())
@@ -183,7 +183,7 @@
 }
 
 // Addr returns the address that clients connect to.
-func (p *Proxy) Addr() net.Addr { return p.redis.addr() }
+func (p *Proxy) Addr() net.Addr { return p.redis.listenAddr() }
 
 // Run serves until the context ends and all requests accepted until then are answered.
 func (p *Proxy) Run(ctx context.Context) error {
@@ -214,7 +214,7 @@
 	if p.cfg.BeforeServing != nil {
 		p.cfg.BeforeServing()
 	}
-	if err := p.redis.open(); err != nil {
+	if err := p.redis.startListening(); err != nil {
 		stop()
 		p.beginEvent()
 		p.startWatch = nil
@@ -575,5 +575,5 @@
 	if !evict {
 		return h.openDescriptors() < h.cfg.Descriptors-reservedDescriptors
 	}
-	return h.openDescriptors() < h.cfg.Descriptors-reservedDescriptors/2 || h.makeRoom()
+	return h.openDescriptors() < h.cfg.Descriptors-reservedDescriptors/2 || h.freeDescriptor()
 }
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -94,14 +94,14 @@
 			order.Key, order.Retry = string(value), balancerRequest.Retry
 		}
 	}
-	order.Retry = order.Retry || r.Again
-	if r.By != nil {
-		order.Tenant = r.By.Tenant
-		if r.By.ID != "" {
-			order.Token, order.TokenExpiry = r.By.ID, time.Duration(r.By.ExpiresAt.UnixNano())
+	order.Retry = order.Retry || r.Retry
+	if r.Proof != nil {
+		order.Tenant = r.Proof.Tenant
+		if r.Proof.ID != "" {
+			order.Token, order.TokenExpiry = r.Proof.ID, time.Duration(r.Proof.ExpiresAt.UnixNano())
 		}
 	}
-	r.rec = &recordedOrder{name: order.Name, balancerRequest: balancerRequest}
+	r.orderRecord = &recordedOrder{name: order.Name, balancerRequest: balancerRequest}
 	p.openOrders++
 	p.timers.addToken(p.now, max(p.now, r.deadline-p.answerSlack()), uint64(r.id)<<3|hostTimer)
 	p.cfg.Record.Take(order, func(v orders.Verdict, receipt []byte, err error) {
@@ -122,7 +122,7 @@
 
 // handleRecordVerdict continues with a new order according to the record's verdict.
 func (p *Proxy) handleRecordVerdict(r *Request, verdict orders.Verdict, receipt []byte, err error) {
-	order := r.rec
+	order := r.orderRecord
 	if err != nil || verdict != orders.Proceed {
 		p.settleRecorded(order)
 	} else {
@@ -134,20 +134,20 @@
 			p.recordEnd(r)
 		}
 	case err != nil:
-		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Why: refusalReason(err)})
+		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Reason: refusalReason(err)})
 	case verdict == orders.Proceed:
 		p.balancer.Request(p.now, order.balancerRequest)
 	case verdict == orders.RecordFull:
-		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Why: reasons.RecordFull})
+		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Reason: reasons.RecordFull})
 	case verdict == orders.TokenUsed:
 		r.denied = &identity.Error{Reason: identity.Replayed}
-		p.finishRequest(r.id, Answer{Kind: Failed, Why: logic.Rejected})
+		p.finishRequest(r.id, Answer{Kind: Failed, Reason: logic.Rejected})
 	case verdict == orders.Receipt && slices.Contains(p.cfg.ReceiptFronts, r.Front):
 		r.done = true
-		r.Taker.Answer(Answer{Kind: Served, Value: receipt})
+		r.Responder.Answer(Answer{Kind: Served, Value: receipt})
 		p.releaseIfOver(r)
 	default:
-		p.finishRequest(r.id, Answer{Kind: Failed, Why: map[orders.Verdict]logic.Reason{
+		p.finishRequest(r.id, Answer{Kind: Failed, Reason: map[orders.Verdict]logic.Reason{
 			orders.InProgress: reasons.OrderInHand, orders.Mismatch: reasons.OtherOrder, orders.OutcomeUnknown: reasons.OrderUnknown,
 			orders.Receipt: reasons.OrderHasRun, orders.ReceiptMissing: reasons.OrderHasRun,
 		}[verdict]})
@@ -193,9 +193,9 @@
 
 // sendRecorded sends an attempt of an order after the record has stored that the order may have run.
 func (p *Proxy) sendRecorded(r *Request, a *attempt, m *member) {
-	order := r.rec
+	order := r.orderRecord
 	a.awaitsRecord = true
-	_, a.byCarrier = r.Taker.(Carrier)
+	_, a.byCarrier = r.Responder.(ExternalSender)
 	p.schedule(timerEntry{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 	address := m.Addr
 	order.startChange(func() {
@@ -212,7 +212,7 @@
 // handleSendRecorded sends an attempt whose sending is on record. In the meantime, the attempt may have
 // timed out, its member may have started to drain, or the caller's proof may have been revoked.
 func (p *Proxy) handleSendRecorded(r *Request, a *attempt, err error) {
-	order := r.rec
+	order := r.orderRecord
 	a.awaitsRecord = false
 	order.sent, order.notRun = err == nil, err == nil
 	m := p.members[a.memberID]
@@ -222,14 +222,14 @@
 		p.log.Warn("an attempt could not be recorded; the order is refused", "err", err)
 		p.endAttempt(a, logic.StatusMoot, 0)
 		if !r.done {
-			p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Why: refusalReason(err)})
+			p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Reason: refusalReason(err)})
 			p.balancer.RequestCancelled(p.now, r.id)
 		}
 	case r.done || a.ExpiresAt-p.now < upstream.MinDeadline:
 		p.endAttempt(a, logic.StatusMoot, 0)
 	case m == nil || m.state != logic.Ready:
 		p.endAttempt(a, logic.StatusConnectFailed, 0)
-	case !p.proven(r):
+	case !p.checkProof(r):
 		p.endAttempt(a, logic.StatusRejected, 0)
 	default:
 		order.notRun = false
@@ -256,7 +256,7 @@
 
 // handleReceipt stores the receipt of an order. The client gets it once it is on record.
 func (p *Proxy) handleReceipt(r *Request, value []byte) {
-	order := r.rec
+	order := r.orderRecord
 	if order.phase != orderInProgress {
 		return
 	}
@@ -268,7 +268,7 @@
 
 // recordEnd puts the end of an order on record.
 func (p *Proxy) recordEnd(r *Request) {
-	order := r.rec
+	order := r.orderRecord
 	order.phase = orderEnding
 	order.startChange(func() {
 		state := orders.NeverRan
@@ -285,7 +285,7 @@
 // handleEndRecorded answers the client if it still waits for the receipt, now that the end of the order
 // is on record. If the end could not be recorded, the order counts as one that may have run.
 func (p *Proxy) handleEndRecorded(r *Request, err error) {
-	order := r.rec
+	order := r.orderRecord
 	p.settleRecorded(order)
 	if err != nil {
 		p.log.Warn("the end of an order could not be recorded", "err", err)
@@ -293,10 +293,10 @@
 	if order.reportReceipt {
 		order.reportReceipt = false
 		if err == nil {
-			r.Taker.Answer(Answer{Kind: Served, Value: order.receipt})
+			r.Responder.Answer(Answer{Kind: Served, Value: order.receipt})
 		} else {
 			p.reasons.Add(reasons.Failed, r.class, r.tenant, reasons.RecordFault)
-			r.Taker.Answer(Answer{Kind: Failed, Why: reasons.RecordFault})
+			r.Responder.Answer(Answer{Kind: Failed, Reason: reasons.RecordFault})
 		}
 	}
 	p.Hold(-len(order.receipt))
@@ -307,30 +307,30 @@
 
 // handleRecordTimeout answers an order whose deadline passes while it waits for the disk.
 func (p *Proxy) handleRecordTimeout(r *Request) {
-	switch order := r.rec; {
+	switch order := r.orderRecord; {
 	case order.reportReceipt:
 		order.reportReceipt = false
 		p.reasons.Add(reasons.Failed, r.class, r.tenant, reasons.RecordBehind)
-		r.Taker.Answer(Answer{Kind: Failed, Why: reasons.RecordBehind})
+		r.Responder.Answer(Answer{Kind: Failed, Reason: reasons.RecordBehind})
 		p.releaseIfOver(r)
 	case order.phase == orderTaking && !r.done:
-		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Why: reasons.RecordBehind})
+		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Reason: reasons.RecordBehind})
 	}
 }
 
 // endRecorded starts to record the end of an order that the balancer has finished, unless that has been
 // done. It reports whether the host may remove the request, as no receipt is pending for its client.
 func (p *Proxy) endRecorded(r *Request) bool {
-	if r.rec.phase == orderInProgress {
+	if r.orderRecord.phase == orderInProgress {
 		p.recordEnd(r)
 	}
-	return !r.rec.reportReceipt
+	return !r.orderRecord.reportReceipt
 }
 
 // withdrawRecorded withdraws an order whose client has left while the balancer does not have it. It
 // reports whether that was all there was to do.
 func (p *Proxy) withdrawRecorded(r *Request) bool {
-	switch order := r.rec; {
+	switch order := r.orderRecord; {
 	case order.phase == orderTaking && !r.done:
 		r.done = true
 	case order.reportReceipt:
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -403,10 +403,10 @@
 
 // A token serves one order, across a restart too. A repeat of that order may use the same token.
 func TestOrderTokensSurviveARestart(t *testing.T) {
-	office, disk := newOffice(t, "k1"), crash.New()
+	office, disk := newTokenIssuer(t, "k1"), crash.New()
 	token := office.token("k1", "shop", "j1")
 	for i, at := range []string{"at first", "after a restart"} {
-		p, _, _ := guarded(t, office, func(cfg *Config) {
+		p, _, _ := startWithCallers(t, office, func(cfg *Config) {
 			cfg.Record, cfg.ReceiptFronts = openRecord(t, disk, recordOptions), []string{"resp2"}
 		})
 		c := p.dial()
--- a/internal/proxy/redis_test.go
+++ b/internal/proxy/redis_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// A command that no client should send gets an error line or a close, never a value, and reaches no member.
-func TestFaultyCommandIsTurnedAway(t *testing.T) {
+// A command that no client should send gets an error line or a close, never a value, and is sent to no
+// member.
+func TestFaultyCommandIsRejected(t *testing.T) {
 	var sent atomic.Int32
 	node := startCache(t, func(memberCommand) string { sent.Add(1); return hitReply("value") })
 	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
@@ -53,22 +54,22 @@
 	p.eventually("no memory held for values", func() bool { return p.bufferedBytes == 0 })
 }
 
-// After a run of faulty commands the connection ends, however many more would come.
-func TestFaultyClientIsCutOff(t *testing.T) {
+// After several faulty commands the connection ends, however many more would follow.
+func TestFaultyClientIsDisconnected(t *testing.T) {
 	p := startProxy(t, testConfig())
 	c := p.dial()
-	c.send(strings.Repeat(respCommand("FLUSHALL"), 10*maxFaults))
+	c.send(strings.Repeat(respCommand("FLUSHALL"), 10*maxFaultyCommands))
 	errors := 0
 	for c.answer() != "" {
 		errors++
 	}
-	if errors < maxFaults || errors > maxFaults+1 {
-		t.Errorf("%d answers, want %d and the end", errors, maxFaults)
+	if errors < maxFaultyCommands || errors > maxFaultyCommands+1 {
+		t.Errorf("%d answers, want %d and the end", errors, maxFaultyCommands)
 	}
 }
 
-// An id belongs to the request that brought it, while that is open and for a time after.
-func TestIDInUseIsTurnedAway(t *testing.T) {
+// An id belongs to the request that used it first, while that request is open and for a time after.
+func TestIDInUseIsRejected(t *testing.T) {
 	asks, release := make(chan memberCommand, 10), make(chan struct{})
 	node := startCache(t, func(a memberCommand) string { asks <- a; <-release; return hitReply("value of " + a.key) })
 	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
@@ -89,9 +90,9 @@
 	}
 }
 
-// A crowd that only connects must not take the descriptors, nor the place of those who ask. Making room once
-// closed the same connection over and over, under the lock, for good.
-func TestSilentCrowdLeavesRoom(t *testing.T) {
+// Many clients that only connect must not exhaust the descriptors, nor displace clients that send commands.
+// An earlier fault closed the same connection over and over while making room, under the lock, without end.
+func TestSilentClientsDoNotExhaustDescriptors(t *testing.T) {
 	cfg := testConfig()
 	cfg.Descriptors = 64
 	node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
@@ -106,22 +107,22 @@
 		}
 	}
 	ask(0)
-	crowd := make([]*testClient, 3*cfg.Descriptors)
-	for i := range crowd {
-		crowd[i] = p.dial()
+	silent := make([]*testClient, 3*cfg.Descriptors)
+	for i := range silent {
+		silent[i] = p.dial()
 		ask(i + 1)
 	}
 	p.eventually("descriptors within the limit", func() bool { return p.openDescriptors() <= cfg.Descriptors-reservedDescriptors })
-	for _, c := range crowd { // each is owed an end, though it said nothing
+	for _, c := range silent { // each connection is closed, though its client sent nothing
 		if got := c.answer(); got != "" {
 			t.Fatalf("a silent client was told %q", got)
 		}
 	}
-	good = p.dial() // it stood idle itself meanwhile
+	good = p.dial() // the first connection was itself idle meanwhile
 	ask(1000)
 }
 
-func TestHalfACommandEnds(t *testing.T) {
+func TestIncompleteCommandTimesOut(t *testing.T) {
 	p := startProxy(t, testConfig())
 	c := p.dial()
 	c.send("*4\r\n$7\r\nOBJ.GET\r\n$16\r\n26ba")
@@ -133,8 +134,8 @@
 	}
 }
 
-// What was taken before the stop is answered; afterwards nothing is taken and Run ends.
-func TestDrainAnswersWhatWasTaken(t *testing.T) {
+// Commands accepted before the stop are answered; afterwards none is accepted and Run returns.
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	asks, release := make(chan memberCommand, 10), make(chan struct{})
 	node := startCache(t, func(a memberCommand) string { asks <- a; <-release; return hitReply("value of " + a.key) })
 	p := startProxy(t, testConfig(), listEntry("s-1", node, "large"))
@@ -151,7 +152,7 @@
 	}
 	p.eventually("no request is taken any more", func() bool { return p.stopping })
 	busy.send(getCommand("a2", "id2"))
-	p.eventually("the second request is read", func() bool { // its answer waits for its turn
+	p.eventually("the second request is read", func() bool { // its answer waits for the first one
 		for c := range p.redis.clients {
 			if len(c.pending) == 2 {
 				return true
@@ -169,7 +170,7 @@
 	p.stopAndWait()
 }
 
-// A connection that stands idle for long is given up.
+// A connection that is idle for too long is closed.
 func TestIdleClientIsClosed(t *testing.T) {
 	p := startProxy(t, testConfig())
 	c := p.dial()
@@ -177,8 +178,8 @@
 	c.answer()
 	p.eventually("the client is known as idle", func() bool {
 		for c := range p.redis.clients {
-			if c.asked && c.free() {
-				c.active -= clientIdle
+			if c.hasRequested && c.isIdle() {
+				c.lastActive -= clientIdleTimeout
 				return true
 			}
 		}
@@ -190,10 +191,10 @@
 	p.eventually("its place is free", func() bool { return len(p.redis.clients) == 0 })
 }
 
-// A write whose bytes may have gone out is not offered again, nor refused.
-func TestOnceIsNotSentTwice(t *testing.T) {
+// A write whose bytes may have been sent is neither sent again nor refused.
+func TestAtMostOnceIsNotSentTwice(t *testing.T) {
 	var sent atomic.Int32
-	o := listenOnceThenClose(t, &sent)
+	o := truncatingOrigin(t, &sent)
 	p := startProxy(t, testConfig(), listEntry("o-1", o, "origin"))
 	c := p.dial()
 	c.send(setCommand("a1", "id1", "order"))
@@ -205,7 +206,7 @@
 	}
 }
 
-func listenOnceThenClose(t *testing.T, sent *atomic.Int32) string {
+func truncatingOrigin(t *testing.T, sent *atomic.Int32) string {
 	return startOrigin(t, func(*http.Request) string { sent.Add(1); return "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nshort" })
 }
 
@@ -229,52 +230,52 @@
 	}
 }
 
-// A crowd that asks once and stays must not hold the room that clients have for requests.
-func TestCrowdThatStaysIsClosedSooner(t *testing.T) {
+// Many clients that send one command and stay connected must not hold the client capacity for requests.
+func TestManyIdleClientsAreClosedSooner(t *testing.T) {
 	cfg := testConfig()
 	cfg.Descriptors = 64
 	node := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
 	p := startProxy(t, cfg, listEntry("s-1", node, "large"))
-	crowd := make([]*testClient, cfg.Descriptors*askedShare/100)
-	for i := range crowd {
-		crowd[i] = p.dial()
-		crowd[i].send(getCommand("a1", fmt.Sprintf("id%d", i)))
-		if got := crowd[i].answer(); got != "value of a1" {
+	clients := make([]*testClient, cfg.Descriptors*activeClientPercent/100)
+	for i := range clients {
+		clients[i] = p.dial()
+		clients[i].send(getCommand("a1", fmt.Sprintf("id%d", i)))
+		if got := clients[i].answer(); got != "value of a1" {
 			t.Fatalf("client %d was answered %q", i, got)
 		}
 	}
 	p.eventually("all are idle", func() bool {
-		if len(p.redis.clients) < len(crowd) {
+		if len(p.redis.clients) < len(clients) {
 			return true // the sweep has begun to close them
 		}
 		for c := range p.redis.clients {
-			if !c.free() {
+			if !c.isIdle() {
 				return false
 			}
-			c.active = p.now - 2*leastIdle // as if they stood idle so long
+			c.lastActive = p.now - 2*minIdleTimeout // as if they had been idle that long
 		}
 		p.redis.closeIdleClients()
 		if n := len(p.redis.clients); n > 0 {
-			t.Errorf("%d of %d idle clients hold their places", n, len(crowd))
+			t.Errorf("%d of %d idle clients hold their places", n, len(clients))
 		}
 		return true
 	})
 }
 
-func TestIdleAgeFallsWithTheRoomLeft(t *testing.T) {
-	p := &redisFront{p: &Proxy{cfg: Config{Descriptors: 400}}}
-	last := p.idleAge(0)
-	if last != clientIdle {
+func TestIdleTimeoutFallsWithCapacityLeft(t *testing.T) {
+	p := &redisFront{proxy: &Proxy{cfg: Config{Descriptors: 400}}}
+	last := p.idleTimeout(0)
+	if last != clientIdleTimeout {
 		t.Errorf("%v with nobody there", last)
 	}
 	for asked := 1; asked <= 200; asked++ {
-		age := p.idleAge(asked)
-		if age > last || age < leastIdle {
+		age := p.idleTimeout(asked)
+		if age > last || age < minIdleTimeout {
 			t.Errorf("%v with %d, %v with one less", age, asked, last)
 		}
 		last = age
 	}
-	if last != leastIdle {
+	if last != minIdleTimeout {
 		t.Errorf("%v with all the room taken", last)
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -39,14 +39,14 @@
 
 // Served passes the value of the first valid answer to the client.
 func (a *attempt) Served(value []byte) {
-	if r := a.request; r.rec != nil {
-		r.p.handleReceipt(r, value)
+	if r := a.request; r.orderRecord != nil {
+		r.proxy.handleReceipt(r, value)
 	} else if !r.done {
 		r.done = true
-		r.Taker.Answer(Answer{Kind: Served, Value: value})
-		r.p.fenceReads(r)
+		r.Responder.Answer(Answer{Kind: Served, Value: value})
+		r.proxy.fenceReads(r)
 		if r.join != nil {
-			r.p.shareAnswer(r, value)
+			r.proxy.shareAnswer(r, value)
 		}
 	}
 }
@@ -55,12 +55,12 @@
 // stream to write the value to, or nil if no client can take the value.
 func (a *attempt) StreamValue(n int) upstream.ValueStream {
 	r := a.request
-	p := r.p
+	p := r.proxy
 	if r.done { // no client waits for the value
 		p.endAttempt(a, logic.StatusOK, 0)
 		return nil
 	}
-	to, ok := r.Taker.(upstream.ValueStream)
+	to, ok := r.Responder.(upstream.ValueStream)
 	if !ok {
 		// This client's front end does not support long values. The member is not at fault, and another member would
 		// return the same.
@@ -76,22 +76,22 @@
 }
 
 // Done ends the attempt with the status of its exchange.
-func (a *attempt) Done(s logic.Status, note int) { a.request.p.endAttempt(a, s, note) }
+func (a *attempt) Done(s logic.Status, note int) { a.request.proxy.endAttempt(a, s, note) }
 
 // Deadline returns the request's current deadline.
 func (a *attempt) Deadline() time.Duration { return a.request.currentDeadline() }
 
 // AnswerBy returns the latest time at which the client is answered.
 func (a *attempt) AnswerBy() time.Duration {
-	return a.request.currentDeadline() - a.request.p.answerSlack()
+	return a.request.currentDeadline() - a.request.proxy.answerSlack()
 }
 
 // currentDeadline returns the time until which a client waits for the request: its own client's deadline, or, if
 // that client has left and others share the answer, the latest of their deadlines. Every deadline that is sent to a
 // member or caller is derived from it.
 func (r *Request) currentDeadline() time.Duration {
-	if r.join != nil && r.Taker == (discardingTaker{}) {
-		return min(r.deadline, r.p.joinTable.LatestDeadline(r.id))
+	if r.join != nil && r.Responder == (discardingTaker{}) {
+		return min(r.deadline, r.proxy.joinTable.LatestDeadline(r.id))
 	}
 	return r.deadline
 }
@@ -119,10 +119,10 @@
 	}
 	a.Ended = true
 	r := a.request
-	r.out--
-	r.ran = r.ran || !s.NeverRan()
-	if r.rec != nil {
-		r.rec.attemptEnded(a, s)
+	r.outstanding--
+	r.maybeRan = r.maybeRan || !s.NeverRan()
+	if r.orderRecord != nil {
+		r.orderRecord.attemptEnded(a, s)
 	}
 	// The wait for a connection is not the member's latency: counted as such, it would reduce the member's limit.
 	since := a.startedAt
@@ -178,10 +178,10 @@
 // releaseIfOver recalls the unsent attempts of a finished request and, once all of its attempts have ended, releases
 // it. Timers keep references to the attempts for a while, so the value, which may be large, is released here.
 func (p *Proxy) releaseIfOver(r *Request) {
-	if r.done && r.out > 0 {
+	if r.done && r.outstanding > 0 {
 		p.recallUnsent(r)
 	}
-	if r.done && r.out == 0 && p.requests[r.id] == r && (r.rec == nil || p.endRecorded(r)) {
+	if r.done && r.outstanding == 0 && p.requests[r.id] == r && (r.orderRecord == nil || p.endRecorded(r)) {
 		delete(p.requests, r.id)
 		p.releaseValue(r)
 		for _, a := range r.attempts { // timers may still refer to them
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -18,8 +18,9 @@
 	"linenloom/logic"
 )
 
-// crowd has so many clients ask for so many tiles each, one after another, and counts the answers by kind.
-func crowd(t *testing.T, p *testProxy, clients, each int) (served, refused, failed int64) {
+// runClients has the given number of clients read each tiles one after another, and counts the answers by
+// kind.
+func runClients(t *testing.T, p *testProxy, clients, each int) (served, refused, failed int64) {
 	t.Helper()
 	var s, b, f atomic.Int64
 	var g sync.WaitGroup
@@ -46,12 +47,12 @@
 	return s.Load(), b.Load(), f.Load()
 }
 
-// Many clients before few caches that are well: those that find no connection wait, and nobody is refused. One cache of
-// them may be silent, drop connections, or take few of them.
-func TestCrowdIsServedByAHealthyFleet(t *testing.T) {
+// Many clients at few healthy caches: reads that find no connection wait, and none is refused. One of the
+// caches may be silent, drop connections, or accept few of them.
+func TestManyClientsAreServedByHealthyFleet(t *testing.T) {
 	const caches = 8
 	healthy := func(a memberCommand) string { return hitReply("value of " + a.key) }
-	for name, odd := range map[string]func(t *testing.T) string{
+	for name, faultyCache := range map[string]func(t *testing.T) string{
 		"all are well": func(t *testing.T) string { return startCache(t, healthy) },
 		"one is silent": func(t *testing.T) string {
 			return serveConns(t, func(conn net.Conn) { readAll(conn) })
@@ -72,21 +73,21 @@
 			})
 		},
 	} {
-		crowdIsServed := func(t *testing.T, clients, each int, fresh bool) {
+		allAreServed := func(t *testing.T, clients, each int, fresh bool) {
 			cfg := testConfig()
 			cfg.Descriptors = 1024
 			cfg.Multiplex = 32
 			cfg.Settings.Classes[0].SoftDeadline = 2 * time.Second
 			o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
-			members := []discovery.Member{listEntry("s-odd", odd(t), "large"), listEntry("o-1", o, "origin")}
+			members := []discovery.Member{listEntry("s-odd", faultyCache(t), "large"), listEntry("o-1", o, "origin")}
 			for i := range caches - 1 {
 				members = append(members, listEntry(fmt.Sprint("s-", i), startCache(t, healthy), "large"))
 			}
 			p := startProxy(t, cfg, members...)
 			if !fresh {
-				crowd(t, p, 32, 6) // the module learns what the caches take
+				runClients(t, p, 32, 6) // lets the balancer learn the capacity of the caches
 			}
-			served, refused, failed := crowd(t, p, clients, each)
+			served, refused, failed := runClients(t, p, clients, each)
 			if served != int64(clients*each) {
 				t.Errorf("%d served, %d refused, %d failed: %v", served, refused, failed, p.Reasons().Attrs())
 			}
@@ -99,16 +100,16 @@
 				return len(p.requests) == 0 && p.bufferedBytes == 0
 			})
 		}
-		t.Run(name, func(t *testing.T) { crowdIsServed(t, 120, 6, false) })
+		t.Run(name, func(t *testing.T) { allAreServed(t, 120, 6, false) })
 		if name != "one is silent" { // there some reads still run out of time: docs/ROADMAP.md
-			t.Run(name+", at a fresh proxy", func(t *testing.T) { crowdIsServed(t, 300, 4, true) })
+			t.Run(name+", at a fresh proxy", func(t *testing.T) { allAreServed(t, 300, 4, true) })
 		}
 	}
 }
 
-// A crowd of reads that comes before a proxy has heard anything of its caches waits for their first answers: it is not turned
-// away for want of connections.
-func TestCrowdBeforeTheFirstAnswers(t *testing.T) {
+// A burst of reads that arrives before a proxy has any answer from its caches waits for their first
+// answers: it is not refused for lack of connections.
+func TestBurstBeforeFirstAnswers(t *testing.T) {
 	const clients = 200
 	release := make(chan struct{})
 	cfg := testConfig()
@@ -120,7 +121,7 @@
 		members = append(members, listEntry(fmt.Sprint("s-", i), startCache(t, func(memberCommand) string { <-release; return missReply }), "large"))
 	}
 	p := startProxy(t, cfg, members...)
-	var served, turned atomic.Int64
+	var served, refused atomic.Int64
 	var g sync.WaitGroup
 	for i := range clients {
 		c := p.dial()
@@ -129,12 +130,12 @@
 			if c.answer() == fmt.Sprintf("value of a%d", i) {
 				served.Add(1)
 			} else {
-				turned.Add(1)
+				refused.Add(1)
 			}
 		})
 	}
-	p.eventually("all have come", func() bool { return len(p.requests)+int(turned.Load()) == clients })
-	if n := turned.Load(); n > 0 {
+	p.eventually("all have come", func() bool { return len(p.requests)+int(refused.Load()) == clients })
+	if n := refused.Load(); n > 0 {
 		t.Errorf("%d of %d turned away: %v", n, clients, p.Reasons().Attrs())
 	}
 	close(release)
@@ -153,7 +154,7 @@
 	}
 }
 
-// serveCache answers commands; one that breaks does so at its first.
+// serveCache answers commands; if breaks is set, it closes the connection at the first one.
 func serveCache(conn net.Conn, answer func(memberCommand) string, breaks bool) {
 	in := resp.NewReader(conn, 4096)
 	for {
@@ -169,9 +170,10 @@
 	}
 }
 
-// The wheel against a list: whatever is set and however time goes on, all fall due in the tick after their time, once,
-// and what lies far ahead as well; and earliest never tells a time after that of a timer.
-func TestTimersAgainstAList(t *testing.T) {
+// Compares the timer wheel with a model: whatever is set and however time advances, every timer runs once,
+// in the tick after its time, also when it is far ahead; and earliest never returns a time after that of a
+// timer.
+func TestTimersAgainstModel(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		tick := time.Duration(1+rng.IntN(5)) * time.Millisecond
@@ -253,14 +255,16 @@
 	}
 }
 
-// lined is a proxy before one cache, with one connection to it on which reads travel together, and an origin.
-func lined(t *testing.T, serve func(conn net.Conn, in *resp.Reader, nth int32)) *testProxy {
+// startPipelined starts a proxy with one cache, to which it has one connection with pipelined reads, and an
+// origin.
+func startPipelined(t *testing.T, serve func(conn net.Conn, in *resp.Reader, nth int32)) *testProxy {
 	t.Helper()
 	var conns atomic.Int32
 	node := serveConns(t, func(conn net.Conn) { serve(conn, resp.NewReader(conn, 4096), conns.Add(1)) })
 	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
 	cfg := testConfig()
-	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity // so that each proxy has one connection to a cache
+	// So that each proxy has one connection to a cache.
+	cfg.Multiplex, cfg.Settings.Instances = 64, pool.CacheConnCapacity
 	p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 	p.eventually("it is set up", func() bool { p.upstreams.SetMaxPipelineAge(testTimeout); return len(p.members) == 2 })
 	c := p.dial()
@@ -273,8 +277,8 @@
 	return p
 }
 
-// nextKey reads a command.
-func nextKey(in *resp.Reader) (string, error) {
+// readKey reads a command and returns its key.
+func readKey(in *resp.Reader) (string, error) {
 	w, err := readCommand(in)
 	if err != nil {
 		return "", err
@@ -282,8 +286,8 @@
 	return w[1], nil
 }
 
-// readTogether has a client ask for so many tiles at once, and wants each of them.
-func (p *testProxy) readTogether(n int) {
+// readPipelined has a client read n tiles at once, and requires each value.
+func (p *testProxy) readPipelined(n int) {
 	p.t.Helper()
 	c := p.dial()
 	var all strings.Builder
@@ -298,9 +302,9 @@
 	}
 }
 
-// With requests outstanding on a connection, an answer that is spoilt, or comes twice, never serves anybody a wrong
-// value, and those behind it get theirs elsewhere.
-func TestSpoiltAnswersWithOthersBehind(t *testing.T) {
+// With requests outstanding on a connection, a malformed or repeated answer never gives any request a wrong
+// value, and the requests behind it are served elsewhere.
+func TestBadAnswersWithPipelinedRequests(t *testing.T) {
 	twice := func(first string) string { return hitReply("value of "+first) + hitReply("value of "+first) }
 	for name, spoil := range map[string]func(first string) string{
 		"a second copy":    twice,
@@ -315,9 +319,9 @@
 		for _, outstanding := range []int{1, 2, 32} {
 			t.Run(fmt.Sprintf("%s, %d out", name, outstanding), func(t *testing.T) {
 				var most atomic.Int32
-				p := lined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
+				p := startPipelined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
 					for {
-						key, err := nextKey(in)
+						key, err := readKey(in)
 						if err != nil {
 							return
 						}
@@ -327,7 +331,7 @@
 						}
 						keys := []string{key}
 						for len(keys) < outstanding {
-							if key, err = nextKey(in); err != nil {
+							if key, err = readKey(in); err != nil {
 								return
 							}
 							keys = append(keys, key)
@@ -345,7 +349,7 @@
 						return
 					}
 				})
-				p.readTogether(outstanding)
+				p.readPipelined(outstanding)
 				if n := most.Load(); n != int32(outstanding) {
 					t.Errorf("%d were out together, want %d", n, outstanding)
 				}
@@ -362,14 +366,14 @@
 	}
 }
 
-// Answers that come byte by byte are whole all the same, with others outstanding behind them.
-func TestAnswersInPiecesOfOneByte(t *testing.T) {
+// Answers that arrive byte by byte are complete all the same, with others outstanding behind them.
+func TestAnswersByteByByte(t *testing.T) {
 	for _, outstanding := range []int{1, 2, 32} {
-		p := lined(t, func(conn net.Conn, in *resp.Reader, _ int32) {
+		p := startPipelined(t, func(conn net.Conn, in *resp.Reader, _ int32) {
 			for {
 				var keys []string
 				for len(keys) == 0 || keys[0][0] == 'a' && len(keys) < outstanding {
-					key, err := nextKey(in)
+					key, err := readKey(in)
 					if err != nil {
 						return
 					}
@@ -384,7 +388,7 @@
 				}
 			}
 		})
-		p.readTogether(outstanding)
+		p.readPipelined(outstanding)
 		p.Do(func() {
 			for _, m := range p.members {
 				if m.RequiredCleanAnswers() > 0 {
@@ -395,8 +399,9 @@
 	}
 }
 
-// Connections that keep breaking, at all caches: nothing fails, hardly a read is refused, and no cache is left out for it.
-func TestConnectionsThatKeepBreaking(t *testing.T) {
+// Connections that keep breaking, at all caches: no read fails, hardly any is refused, and no cache is
+// excluded for it.
+func TestRepeatedlyBrokenConnections(t *testing.T) {
 	const caches, clients, each = 6, 40, 10
 	for name, answers := range map[string]func(nth int32) int32{
 		"after 1 to 5 answers":          func(nth int32) int32 { return 1 + nth%5 },
@@ -413,7 +418,7 @@
 				node := serveConns(t, func(conn net.Conn) {
 					in := resp.NewReader(conn, 4096)
 					for left := answers(conns.Add(1)); left > 0; left-- {
-						key, err := nextKey(in)
+						key, err := readKey(in)
 						if err != nil {
 							return
 						}
@@ -424,7 +429,7 @@
 				members = append(members, listEntry(fmt.Sprint("s-", i), node, "large"))
 			}
 			p := startProxy(t, cfg, members...)
-			served, refused, failed := crowd(t, p, clients, each)
+			served, refused, failed := runClients(t, p, clients, each)
 			if failed > 0 || refused > clients*each/50 {
 				t.Errorf("%d served, %d refused, %d failed: %v", served, refused, failed, p.Reasons().Attrs())
 			}
@@ -437,13 +442,13 @@
 	}
 }
 
-// A slow answer in front: those behind it are not judged, get theirs elsewhere, and the cache's latency is that of what
-// it was asked for and not of the line.
-func TestSlowAnswerInFront(t *testing.T) {
+// A slow answer ahead of pipelined requests: those behind it do not count against the cache and are served
+// elsewhere, and the cache's latency is that of the slow request alone, without the time in the queue.
+func TestSlowAnswerAheadOfPipelined(t *testing.T) {
 	release := make(chan struct{})
-	p := lined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
+	p := startPipelined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
 		for {
-			key, err := nextKey(in)
+			key, err := readKey(in)
 			if err != nil {
 				return
 			}
@@ -482,7 +487,7 @@
 	p.eventually("three are behind", out(3))
 	var ended []logic.Outcome
 	p.beginEvent()
-	p.upstreams.Abandon(u.Pipelined[0], logic.StatusTimeout) // as if its time were up
+	p.upstreams.Abandon(u.Pipelined[0], logic.StatusTimeout) // as if it had timed out
 	ended = append(ended, p.outcomes...)
 	p.endEvent()
 	if len(ended) != 4 {
@@ -497,15 +502,15 @@
 	g.Wait()
 }
 
-// gated is a proxy before one cache, which holds the read of key "gate" and with it its one connection, and a line of
-// reads that wait for that.
-func gated(t *testing.T, clients int) (p *testProxy, crowd []*testClient, asked *atomic.Int32, release chan struct{}) {
+// startBlockedCache starts a proxy with one cache, which blocks on the read of key "gate" and thereby
+// occupies its only connection, and a queue of reads that wait for that connection.
+func startBlockedCache(t *testing.T, clients int) (p *testProxy, queued []*testClient, asked *atomic.Int32, release chan struct{}) {
 	t.Helper()
 	asked, release = &atomic.Int32{}, make(chan struct{})
 	node := serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
-			key, err := nextKey(in)
+			key, err := readKey(in)
 			if err != nil {
 				return
 			}
@@ -534,27 +539,27 @@
 	for i := range clients {
 		c := p.dial()
 		c.send(getCommand(fmt.Sprint("a", i), fmt.Sprint("id", i)))
-		crowd = append(crowd, c)
+		queued = append(queued, c)
 	}
-	p.eventually("there is a line", func() bool { return p.inLine() >= pool.MaxWaiting })
-	return p, append(crowd, first), asked, release
+	p.eventually("there is a line", func() bool { return p.queuedAttempts() >= pool.MaxWaiting })
+	return p, append(queued, first), asked, release
 }
 
-// inLine counts, under the lock, the attempts that wait for a connection.
-func (p *testProxy) inLine() (n int) {
+// queuedAttempts counts the attempts that wait for a connection. It requires the lock.
+func (p *testProxy) queuedAttempts() (n int) {
 	for _, m := range p.members {
 		n += len(m.Waiting)
 	}
 	return n
 }
 
-// A stop with a line of reads: each gets its one answer, and the proxy ends.
-func TestLineAtTheStop(t *testing.T) {
-	p, crowd, _, release := gated(t, 8)
+// A stop with queued reads: each gets its one answer, and the proxy ends.
+func TestStopWithQueuedReads(t *testing.T) {
+	p, waiting, _, release := startBlockedCache(t, 8)
 	p.stop()
 	p.eventually("no request is taken any more", func() bool { return p.stopping })
 	close(release)
-	for i, c := range crowd {
+	for i, c := range waiting {
 		if got := c.answer(); !strings.HasPrefix(got, "value of ") && !strings.HasPrefix(got, "-BUSY") {
 			t.Errorf("client %d was answered %q", i, got)
 		}
@@ -562,15 +567,15 @@
 	p.stopAndWait()
 }
 
-// Clients that leave the line take their requests with them: the cache is never asked for them.
-func TestClientsLeaveTheLine(t *testing.T) {
-	p, crowd, asked, release := gated(t, pool.MaxWaiting)
-	for _, c := range crowd[:pool.MaxWaiting] {
+// Requests of clients that disconnect leave the queue with them: the cache never receives them.
+func TestClientsDisconnectWhileQueued(t *testing.T) {
+	p, waiting, asked, release := startBlockedCache(t, pool.MaxWaiting)
+	for _, c := range waiting[:pool.MaxWaiting] {
 		c.conn.Close()
 	}
-	p.eventually("the line is empty", func() bool { return p.inLine() == 0 })
+	p.eventually("the line is empty", func() bool { return p.queuedAttempts() == 0 })
 	close(release)
-	if got := crowd[pool.MaxWaiting].answer(); got != "value of gate" {
+	if got := waiting[pool.MaxWaiting].answer(); got != "value of gate" {
 		t.Errorf("the one that stayed was answered %q", got)
 	}
 	p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 })
@@ -579,15 +584,15 @@
 	}
 }
 
-// A member that drains with reads outstanding together answers them, and gets nothing of what waits.
-func TestDrainWithReadsTogether(t *testing.T) {
+// A member that drains with pipelined reads outstanding answers them, and receives none of the queued ones.
+func TestMemberDrainWithPipelinedReads(t *testing.T) {
 	const together = 5
 	var asked atomic.Int32
 	release := make(chan struct{})
 	node := serveConns(t, func(conn net.Conn) {
 		in := resp.NewReader(conn, 4096)
 		for {
-			key, err := nextKey(in)
+			key, err := readKey(in)
 			if err != nil {
 				return
 			}
@@ -610,11 +615,11 @@
 		c.answer()
 	}
 	p.eventually("the window for more is long", func() bool { p.upstreams.SetMaxPipelineAge(testTimeout); return true })
-	var crowd []*testClient
+	var readers []*testClient
 	for i := range together + pool.MaxWaiting {
 		c := p.dial()
 		c.send(getCommand(fmt.Sprint("a", i), fmt.Sprint("id", i)))
-		crowd = append(crowd, c)
+		readers = append(readers, c)
 	}
 	var u *pool.Conn[*upstream.Exchange]
 	p.eventually("reads are out together and more wait", func() bool {
@@ -623,15 +628,15 @@
 				u = m.Conns[0]
 			}
 		}
-		return u != nil && len(u.Pipelined) == together-1 && p.inLine() > 0
+		return u != nil && len(u.Pipelined) == together-1 && p.queuedAttempts() > 0
 	})
 	gone := members[0]
 	gone.Phase = discovery.PhaseTerminating
 	r.publish(discovery.List{Revision: 2, Members: []discovery.Member{gone}})
-	p.eventually("the drain is known", func() bool { return u.Retired && p.inLine() == 0 })
+	p.eventually("the drain is known", func() bool { return u.Retired && p.queuedAttempts() == 0 })
 	close(release)
 	served := 0
-	for i, c := range crowd {
+	for i, c := range readers {
 		switch got := c.answer(); {
 		case got == fmt.Sprint("value of a", i):
 			served++
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -19,21 +19,21 @@
 	"linenloom/logic"
 )
 
-// door is a proxy whose RESP2 listener speaks TLS, and the authority behind it, with two roots.
-type door struct {
+// tlsHarness is a proxy whose RESP2 listener uses TLS, with a certificate authority that has two roots.
+type tlsHarness struct {
 	*testProxy
 	*standin.Authority
-	gate *callers.Authenticator
-	seen chan string // lists that members were sent
+	gate        *callers.Authenticator
+	memberAttrs chan string // attribute lists that members received
 }
 
-func newDoor(t *testing.T, client string, answer func(a memberCommand) string) *door {
+func newTLSHarness(t *testing.T, client string, answer func(a memberCommand) string) *tlsHarness {
 	t.Helper()
 	a, err := standin.NewAuthority(t.TempDir(), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &door{Authority: a, seen: make(chan string, 1000)}
+	d := &tlsHarness{Authority: a, memberAttrs: make(chan string, 1000)}
 	d.gate, err = callers.New(&operator.Identity{MaxReplayIDs: 8, Tenants: []operator.Tenant{{Name: "kiosk", ReadOnly: true}, {Name: "shop"}},
 		TLS:          operator.TLS{Cert: a.Path("cert.pem"), Key: a.Path("key.pem"), Roots: a.Path("roots.pem"), Client: client, Handshakes: 1000},
 		Certificates: []operator.Certificate{{DNS: "kiosk.example", Tenant: "kiosk"}, {DNS: "shop.example", Tenant: "shop"}}},
@@ -44,13 +44,14 @@
 	cfg := testConfig()
 	cfg.Settings.Tenants = []logic.Tenant{{Name: "kiosk", Share: 0.5}, {Name: "shop", Share: 0.5}}
 	cfg.Callers = d.gate
-	d.testProxy = startProxy(t, cfg, listEntry("s-a", startCache(t, func(a memberCommand) string { d.seen <- a.attrs; return answer(a) }), "large"),
+	d.testProxy = startProxy(t, cfg, listEntry("s-a", startCache(t, func(a memberCommand) string { d.memberAttrs <- a.attrs; return answer(a) }), "large"),
 		listEntry("s-o", startOrigin(t, func(r *http.Request) string { return httpOK("receipt of " + r.URL.Path[1:]) }), "origin"))
 	return d
 }
 
-// enter connects as a caller by a root whose certificate has this name; none, if it is empty.
-func (d *door) enter(root int, name string) *testClient {
+// connect connects with a certificate for the given name, issued by the given root; without a certificate
+// if the name is empty.
+func (d *tlsHarness) connect(root int, name string) *testClient {
 	d.t.Helper()
 	cfg, err := d.Config(d.Roots[root], name)
 	if err != nil {
@@ -65,21 +66,22 @@
 	return &testClient{t: d.t, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// The certificate names the tenant, and its rights hold; long values and long pipelines pass.
-func TestCertificatesOnTheFront(t *testing.T) {
-	d := newDoor(t, "asked", func(a memberCommand) string {
+// The certificate determines the tenant, and the tenant's rights apply; long values and long pipelines
+// work.
+func TestClientCertificates(t *testing.T) {
+	harness := newTLSHarness(t, "asked", func(a memberCommand) string {
 		size := 5_000
 		if a.key == "map/1" {
 			size = 100_000
 		}
 		return hitReply(strings.Repeat(a.key[:1], size))
 	})
-	kiosk, shop := d.enter(0, "kiosk.example"), d.enter(0, "shop.example")
+	kiosk, shop := harness.connect(0, "kiosk.example"), harness.connect(0, "shop.example")
 	kiosk.send(respCommand("OBJ.GET", "map/1", "r1", "c=tile-read,t=shop,d=4000"))
 	if got := kiosk.answer(); got != strings.Repeat("m", 100_000) {
 		t.Errorf("%d bytes: %.20q", len(got), got)
 	}
-	if attrs := <-d.seen; !strings.Contains(attrs, "t=kiosk") || strings.Contains(attrs, "shop") {
+	if attrs := <-harness.memberAttrs; !strings.Contains(attrs, "t=kiosk") || strings.Contains(attrs, "shop") {
 		t.Errorf("the member was told %q", attrs)
 	}
 	kiosk.send(setCommand("orders/1", "w1", "x"))
@@ -91,15 +93,15 @@
 		t.Errorf("a shop's order: %q", got)
 	}
 	for who, name := range map[string]string{"nobody": "", "somebody unknown": "other.example"} {
-		c := d.enter(0, name)
-		c.send(ask("map/1", "r-"+name, "c=tile-read,d=4000"))
+		c := harness.connect(0, name)
+		c.send(getWithAttrs("map/1", "r-"+name, "c=tile-read,d=4000"))
 		if got := c.answer(); !strings.HasPrefix(got, "-NOAUTH") {
 			t.Errorf("%s: %q", who, got)
 		}
 	}
 	var wg sync.WaitGroup
 	for n := range 4 {
-		c := d.enter(0, "kiosk.example")
+		c := harness.connect(0, "kiosk.example")
 		wg.Go(func() {
 			var b strings.Builder
 			for i := range 40 {
@@ -117,55 +119,55 @@
 	wg.Wait()
 }
 
-// Who speaks plainly, or has no certificate where one is required, gets no answer.
-func TestTheDoorIsShut(t *testing.T) {
-	d := newDoor(t, "required", func(memberCommand) string { return hitReply("v") })
-	plain := d.dial()
+// A client without TLS, or without a certificate where one is required, gets no answer.
+func TestConnectionsWithoutCertificateAreRefused(t *testing.T) {
+	harness := newTLSHarness(t, "required", func(memberCommand) string { return hitReply("v") })
+	plain := harness.dial()
 	plain.send(getCommand("map/1", "r1"))
 	if got := plain.answer(); strings.HasPrefix(got, "v") || strings.HasPrefix(got, "-NO") {
 		t.Errorf("in plain text: %q", got)
 	}
-	bare := d.enter(0, "")
+	bare := harness.connect(0, "")
 	bare.send(getCommand("map/1", "r2"))
 	if got := bare.answer(); got != "" {
 		t.Errorf("without a certificate: %q", got)
 	}
-	c := d.enter(0, "kiosk.example")
+	c := harness.connect(0, "kiosk.example")
 	c.send(getCommand("map/1", "r3"))
 	if got := c.answer(); got != "v" {
 		t.Errorf("with one: %q", got)
 	}
 }
 
-// Roots change while connections stand: those whose root is gone get the answer to what is in hand, and then their end in so many words;
-// the others go on.
-func TestConnectionEndsWithItsRoot(t *testing.T) {
+// Roots change while connections are open: connections whose root was removed get the answers to their
+// pending requests and then a proper end of stream; the others continue.
+func TestConnectionEndsWhenItsRootIsRemoved(t *testing.T) {
 	release := make(chan struct{})
-	d := newDoor(t, "asked", func(a memberCommand) string {
+	harness := newTLSHarness(t, "asked", func(a memberCommand) string {
 		if a.key == "slow" {
 			<-release
 		}
 		return hitReply("value of " + a.key)
 	})
-	idle, inHand := d.enter(0, "shop.example"), d.enter(0, "kiosk.example")
-	if err := d.Publish(d.Roots...); err != nil {
+	idle, inHand := harness.connect(0, "shop.example"), harness.connect(0, "kiosk.example")
+	if err := harness.Publish(harness.Roots...); err != nil {
 		t.Fatal(err)
 	}
-	d.gate.ReloadFiles()
-	stays := d.enter(1, "kiosk.example")
+	harness.gate.ReloadFiles()
+	stays := harness.connect(1, "kiosk.example")
 	for i, c := range []*testClient{idle, inHand, stays} {
 		c.send(getCommand("a", fmt.Sprint("r", i)))
 		if got := c.answer(); got != "value of a" {
 			t.Fatal(got)
 		}
-		<-d.seen
+		<-harness.memberAttrs
 	}
 	inHand.send(getCommand("slow", "r-slow"))
-	<-d.seen
-	if err := d.Publish(d.Roots[1]); err != nil {
+	<-harness.memberAttrs
+	if err := harness.Publish(harness.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
-	d.gate.ReloadFiles()
+	harness.gate.ReloadFiles()
 	if got := idle.answer(); got != "" {
 		t.Errorf("on the idle one: %q", got)
 	}
--- a/internal/proxy/shed_test.go
+++ b/internal/proxy/shed_test.go
@@ -11,13 +11,14 @@
 	"linenloom/internal/reasons"
 )
 
-// Where the core is used up, reads that have waited too long unread are turned away unseen, in order and with a time to come
-// back, an order among them is not; where it is not used up, nothing is.
-func TestReadsThatWaitedTooLongAreTurnedAway(t *testing.T) {
+// Under full use of the core, reads that have waited too long unread are refused without processing, in
+// order and with a time to retry, while an order among them is not refused; with spare capacity, nothing is
+// refused.
+func TestReadsThatWaitedTooLongAreShed(t *testing.T) {
 	for name, used := range map[string]float64{"the core is used up": 1, "it has time to spare": 0.5} {
 		t.Run(name, func(t *testing.T) {
 			const reads = 300
-			var ahead atomic.Int64 // of the system's clock
+			var ahead atomic.Int64 // by which the proxy's clock is ahead
 			begun := time.Now()
 			release := make(chan struct{})
 			node := startCache(t, func(a memberCommand) string { <-release; return hitReply("value of " + a.key) })
@@ -29,8 +30,8 @@
 			cfg.Settings.Instances = 28
 			p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 			short := cfg.Settings.Classes[1].SoftDeadline / 4
-			p.Do(func() { p.redis.used = func(time.Duration) float64 { return used } })
-			p.eventually("the core is looked at", func() bool { return p.redis.gate.Busy() == (used == 1) })
+			p.Do(func() { p.redis.cpuShare = func(time.Duration) float64 { return used } })
+			p.eventually("the core is looked at", func() bool { return p.redis.shedder.Busy() == (used == 1) })
 			c := p.dial()
 			var all strings.Builder
 			for i := range reads {
@@ -42,13 +43,13 @@
 			ahead.Add(int64(3 * short))
 			p.Tick()
 			close(release)
-			served, turned := 0, 0
+			served, refused := 0, 0
 			for i := range reads {
 				switch got := c.answer(); {
 				case got == fmt.Sprintf("value of a%d", i):
 					served++
 				case strings.HasPrefix(got, "-BUSY "):
-					turned++
+					refused++
 				default:
 					t.Fatalf("read %d was answered %q", i, got)
 				}
@@ -57,8 +58,8 @@
 				t.Errorf("the order was answered %q", got)
 			}
 			counted := int(p.Reasons().Total(reasons.Refused, reasons.Overload))
-			if used < 1 && turned > 0 || used == 1 && (served < maxPipeline || turned < reads/2 || counted != turned) {
-				t.Errorf("%d served, %d turned away, %d counted", served, turned, counted)
+			if used < 1 && refused > 0 || used == 1 && (served < maxPipeline || refused < reads/2 || counted != refused) {
+				t.Errorf("%d served, %d turned away, %d counted", served, refused, counted)
 			}
 			p.eventually("nothing is in hand", func() bool { return len(p.requests) == 0 && p.bufferedBytes == 0 })
 		})
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -15,15 +15,16 @@
 	"linenloom/internal/resp"
 )
 
-// The client's end is seen behind commands that were not read yet, as those before them wait: nothing of either is sent on.
-func TestClientLeavesBehindUnreadCommands(t *testing.T) {
-	l := newRoll()
-	door, open := shut(t, l, "large")
-	p := startProxy(t, leaving(false), listEntry("s-1", door, "large"))
+// A client's disconnect is detected behind commands that were not read yet, while the commands before them
+// wait: none of either is sent.
+func TestDisconnectBehindUnreadCommands(t *testing.T) {
+	requests := newRequestLog()
+	blockedAddr, open := blockedMember(t, requests, "large")
+	p := startProxy(t, noTimeoutConfig(false), listEntry("s-1", blockedAddr, "large"))
 	client := p.dial()
 	var all strings.Builder
 	for i := range 4 * maxPipeline {
-		all.WriteString(getLong(fmt.Sprintf("b%d", i), fmt.Sprintf("left%d", i)))
+		all.WriteString(getLongDeadline(fmt.Sprintf("b%d", i), fmt.Sprintf("left%d", i)))
 	}
 	client.send(all.String())
 	p.eventually("its reader waits", func() bool {
@@ -33,37 +34,38 @@
 		return false
 	})
 	client.conn.Close()
-	p.gone()
+	p.awaitNoClients()
 	open()
-	p.onlyNext(l)
+	p.expectOnlyNext(requests)
 }
 
-// What a client asked in front of something that can't be read is withdrawn with its end, though it is cut off for the rest.
-func TestClientLeavesBehindGarbage(t *testing.T) {
+// Commands that precede malformed input are cancelled when the client disconnects, although the connection
+// is being ended for that input.
+func TestDisconnectBehindMalformedInput(t *testing.T) {
 	for name, rest := range map[string]string{
 		"a little": "*1\r\n!\r\n",
 		"a lot":    "*1\r\n!\r\n" + strings.Repeat("x", 2*lingerBytes),
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newRoll()
-			door, open := shut(t, l, "large")
-			p := startProxy(t, leaving(false), listEntry("s-1", door, "large"))
+			requests := newRequestLog()
+			blockedAddr, open := blockedMember(t, requests, "large")
+			p := startProxy(t, noTimeoutConfig(false), listEntry("s-1", blockedAddr, "large"))
 			client := p.dial()
-			client.send(getLong("a1", "left"))
-			p.eventually("it waits for a connection", func() bool { return p.inLine() == 1 })
+			client.send(getLongDeadline("a1", "left"))
+			p.eventually("it waits for a connection", func() bool { return p.queuedAttempts() == 1 })
 			client.send(rest)
 			client.conn.Close()
-			p.gone()
+			p.awaitNoClients()
 			open()
-			p.onlyNext(l)
+			p.expectOnlyNext(requests)
 		})
 	}
 }
 
-// A client that leaves while its long value waits for room gives its place in that line back at once.
-func TestClientLeavesTheLineForRoom(t *testing.T) {
-	cfg := leaving(false)
-	cfg.MemoryMB = 32 // room for two
+// A client that disconnects while its long value waits for memory leaves the queue for it at once.
+func TestDisconnectWaitingForMemory(t *testing.T) {
+	cfg := noTimeoutConfig(false)
+	cfg.MemoryMB = 32 // enough for two values
 	came, release := make(chan struct{}, 10), make(chan struct{})
 	o := startOrigin(t, func(*http.Request) string {
 		came <- struct{}{}
@@ -73,14 +75,14 @@
 	p := startProxy(t, cfg, listEntry("o", o, "origin"))
 	p.Do(func() { p.longValues.maxWait = time.Hour })
 	value := numberedText(resp.MaxLongValue)
-	for i := range 2 { // both have the room, until the origin answers
-		p.dial().send(putLong(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
+	for i := range 2 { // both hold their memory until the origin answers
+		p.dial().send(putLongDeadline(fmt.Sprint("k", i), fmt.Sprint("first", i), value))
 		<-came
 	}
 	var writers []*testClient
 	for i := range 2 {
 		c := p.dial()
-		text := putLong(fmt.Sprint("l", i), fmt.Sprint("left", i), value)
+		text := putLongDeadline(fmt.Sprint("l", i), fmt.Sprint("left", i), value)
 		c.send(text[:len(text)-resp.MaxLongValue])
 		writers = append(writers, c)
 		p.eventually("it waits for room", func() bool { return len(p.longValues.waiting) == i+1 })
@@ -93,58 +95,59 @@
 	p.eventually("nothing is held", func() bool { return p.longValues.usedBytes == 0 && p.bufferedBytes == 0 })
 }
 
-// A client that is gone before its connection is accepted has asked for nothing, though a connection to a member is free.
-func TestClientLeavesBeforeItIsAccepted(t *testing.T) {
-	l := newRoll()
-	node := serveConns(t, func(conn net.Conn) { noteCache(conn, l, nil) })
-	p := startProxy(t, leaving(false), listEntry("s-1", node, "large"))
+// A client that has disconnected before its connection is accepted has no request sent, though a connection
+// to a member is free.
+func TestDisconnectBeforeAccept(t *testing.T) {
+	requests := newRequestLog()
+	node := serveConns(t, func(conn net.Conn) { serveLoggingCache(conn, requests, nil) })
+	p := startProxy(t, noTimeoutConfig(false), listEntry("s-1", node, "large"))
 	first := p.dial()
 	first.send(getCommand("a0", "first"))
 	first.answer()
-	p.eventually("a connection is free", func() bool { return len(p.at(node).Conns) == 1 && p.at(node).Conns[0].Reusable(p.now) })
-	p.beginEvent() // so that nobody is taken in
+	p.eventually("a connection is free", func() bool { return len(p.memberAt(node).Conns) == 1 && p.memberAt(node).Conns[0].Reusable(p.now) })
+	p.beginEvent() // so that no connection is accepted
 	conn, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(conn, getLong("a1", "left"))
+	io.WriteString(conn, getLongDeadline("a1", "left"))
 	conn.Close()
 	p.endEvent()
-	p.eventually("it has come and gone", func() bool { return p.redis.count == 2 && len(p.redis.clients) == 1 })
+	p.eventually("it has come and gone", func() bool { return p.redis.accepted == 2 && len(p.redis.clients) == 1 })
 	first.send(getCommand("a9", "next"))
 	first.answer()
-	if got := fmt.Sprint(l.all()); got != "[first next]" {
+	if got := fmt.Sprint(requests.all()); got != "[first next]" {
 		t.Errorf("the member was asked under %v", got)
 	}
 }
 
-// A thousand that send and go, some behind others on a connection, leave nothing behind: no place, byte, descriptor or goroutine, and
-// nothing of theirs is sent.
-func TestBurstThatSendsAndGoes(t *testing.T) {
-	l := newRoll()
-	door, open := shut(t, l, "large")
-	cfg := leaving(false)
+// A thousand clients that send and disconnect, some with several commands on a connection, leave nothing
+// behind: no client entry, byte, descriptor or goroutine, and none of their requests is sent.
+func TestBurstThatDisconnects(t *testing.T) {
+	requests := newRequestLog()
+	blockedAddr, open := blockedMember(t, requests, "large")
+	cfg := noTimeoutConfig(false)
 	cfg.Descriptors = 4096
-	p := startProxy(t, cfg, listEntry("s-1", door, "large"), listEntry("o-1", door, "origin"))
+	p := startProxy(t, cfg, listEntry("s-1", blockedAddr, "large"), listEntry("o-1", blockedAddr, "origin"))
 	p.eventually("nobody is there", func() bool { return len(p.redis.clients) == 0 })
-	const crowd = 1000
+	const burst = 1000
 	var all sync.WaitGroup
-	for i := range crowd {
+	for i := range burst {
 		all.Go(func() {
 			conn, err := net.Dial("tcp", p.Addr().String())
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			text := getLong(fmt.Sprintf("c%d", i), fmt.Sprintf("left%d", i))
+			text := getLongDeadline(fmt.Sprintf("c%d", i), fmt.Sprintf("left%d", i))
 			switch i % 4 {
 			case 1:
-				text = putLong(fmt.Sprintf("c%d", i), fmt.Sprintf("left%d", i), strings.Repeat("x", 500))
+				text = putLongDeadline(fmt.Sprintf("c%d", i), fmt.Sprintf("left%d", i), strings.Repeat("x", 500))
 			case 2:
 				text = text[:len(text)-1] // all but its last byte
 			case 3:
 				for n := range 2 * maxPipeline {
-					text += getLong(fmt.Sprintf("c%d-%d", i, n), fmt.Sprintf("left%d-%d", i, n))
+					text += getLongDeadline(fmt.Sprintf("c%d-%d", i, n), fmt.Sprintf("left%d-%d", i, n))
 				}
 			}
 			io.WriteString(conn, text)
@@ -152,13 +155,13 @@
 		})
 	}
 	all.Wait()
-	p.eventually("all have been accepted", func() bool { return p.redis.count == crowd })
-	p.gone()
-	p.eventually("no descriptor is held for clients", func() bool { return p.frontDescriptors == 0 && p.inLine() == 0 })
+	p.eventually("all have been accepted", func() bool { return p.redis.accepted == burst })
+	p.awaitNoClients()
+	p.eventually("no descriptor is held for clients", func() bool { return p.frontDescriptors == 0 && p.queuedAttempts() == 0 })
 	p.eventually("no goroutine is left of a client", func() bool {
 		stacks := make([]byte, 4<<20)
 		return !bytes.Contains(stacks[:runtime.Stack(stacks, true)], []byte("(*client).serve"))
 	})
 	open()
-	p.onlyNext(l)
+	p.expectOnlyNext(requests)
 }
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -256,10 +256,10 @@
 	var excess *attempt
 	var requests []*Request // one for each attempt: nothing is sent for a finished request
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
-		r := &Request{p: p.Proxy, Taker: discardingTaker{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
+		r := &Request{proxy: p.Proxy, Responder: discardingTaker{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
 		excess = &attempt{request: r, memberID: m.id}
 		excess.ExpiresAt = p.now + testTimeout
-		r.attempts, r.out = append(r.attempts, excess), r.out+1
+		r.attempts, r.outstanding = append(r.attempts, excess), r.outstanding+1
 		p.startExchange(m, excess)
 		requests = append(requests, r)
 	}
@@ -277,7 +277,7 @@
 		<-commands
 	}
 	p.eventually("those that waited have their answers", func() bool {
-		return !slices.ContainsFunc(requests, func(r *Request) bool { return r.out > 0 })
+		return !slices.ContainsFunc(requests, func(r *Request) bool { return r.outstanding > 0 })
 	})
 }
 
