--- a/cmd/linenlab/main.go
+++ b/cmd/linenlab/main.go
@@ -23,8 +23,8 @@
 	{"operate", "boxes called out and back, retuning, processes that follow one another, under load", lab.Operate},
 	{"explore", "every order of events of small fleets, up to a depth, against the rules", lab.Explore},
 	{"identity", "proven callers: keys and roots that change under load, what a proof and TLS cost, a flood of forged tokens", lab.Identity},
-	{"mountain", "many tiles in one request: what it costs against as many, and a box that stalls", lab.Mountain},
-	{"storm", "thousands of identical reads at once, with joining and without", lab.Storm},
+	{"mountain", "many tiles in one request: what it costs against as many, and a box that stalls", lab.ManyKeys},
+	{"storm", "thousands of identical reads at once, with joining and without", lab.JoinedReads},
 	{"orders", "orders on record through both fronts, beside none, and the program killed under them", lab.Orders},
 	{"store", "the log and the record of orders on this disk, beside bare appends to a file", lab.Store},
 	{"zones", "a zone that fails before many proxies, left and returned to: together, and each by itself", lab.Zones},
@@ -92,7 +92,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	report, err := stage(ctx, scenarios[i].run, &lab.Env{Seconds: *seconds, First: *first, Count: *count})
+	report, err := runScenario(ctx, scenarios[i].run, &lab.Env{Seconds: *seconds, FirstSeed: *first, SeedCount: *count})
 	if report != nil {
 		if err := report.Print(os.Stdout, *asJSON); err != nil {
 			fmt.Fprintln(os.Stderr, "linenlab:", err)
@@ -103,13 +103,13 @@
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "linenlab:", err)
 		return 1
-	case !report.Kept():
+	case !report.AllHold():
 		return 1
 	}
 	return 0
 }
 
-func stage(ctx context.Context, run func(context.Context, *lab.Env) (*lab.Report, error), e *lab.Env) (*lab.Report, error) {
+func runScenario(ctx context.Context, run func(context.Context, *lab.Env) (*lab.Report, error), e *lab.Env) (*lab.Report, error) {
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.Dir, e.Self = dir, self
+	e.Dir, e.Executable = dir, self
 	e.Log = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	e.Log("building")
 	if err := e.Build(ctx); err != nil {
--- a/cmd/linenloom/orders_test.go
+++ b/cmd/linenloom/orders_test.go
@@ -45,8 +45,8 @@
 		return launch(t, &lines{to: t.Output()}, []string{"-operator", operator}, "LB_CONFIG="+config, "TMPDIR="+tmp)
 	}
 	process := start()
-	at := &lab.Orderer{Addr: listen, Name: "o", Wait: 4 * time.Second}
-	at.Open(12)
+	at := &lab.OrderClients{Addr: listen, KeyPrefix: "o", Deadline: 4 * time.Second}
+	at.Start(12)
 	progress := func() {
 		t.Helper()
 		from := at.Served.Load()
@@ -76,16 +76,16 @@
 		}
 	}
 	progress()
-	at.Close()
+	at.Stop()
 	process.Process.Signal(syscall.SIGTERM)
 	if err := process.Wait(); err != nil {
 		t.Error(err)
 	}
-	states, err := lab.CheckOrders(dir, "kiosk", at.Told(), fleet.Origin.Executions())
+	states, err := lab.CheckOrders(dir, "kiosk", at.Receipts(), fleet.Origin.Executions())
 	if err != nil {
 		t.Error(err)
 	}
-	t.Logf("%v; %d refused, %d failed, %d broken", states, at.Refused.Load(), at.Failed.Load(), at.Broken.Load())
+	t.Logf("%v; %d refused, %d failed, %d broken", states, at.Refused.Load(), at.Failed.Load(), at.ConnectionsBroken.Load())
 
 	// A folder that somebody else has open, and who is not followed: the program says so and ends.
 	one := start()
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -61,11 +61,11 @@
 	calls := [3]string{freeAddr(t), freeAddr(t), freeAddr(t)}
 	process := start(calls[0])
 
-	d := lab.Door{Addr: listen}
-	d.Open(8, 50, 10)
+	d := lab.ClientLoad{Addr: listen}
+	d.Start(8, 50, 10)
 	progress := func() {
 		t.Helper()
-		if err := d.Progress(300); err != nil {
+		if err := d.AwaitServed(300); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -112,9 +112,9 @@
 			t.Fatal("the box is back and unused")
 		}
 	}
-	d.Close()
-	if d.Shut.Load()+d.Broken.Load() > 0 {
-		t.Errorf("%d connections refused, %d broken, of %d requests served", d.Shut.Load(), d.Broken.Load(), d.Served.Load())
+	d.Stop()
+	if d.ConnectionsRefused.Load()+d.ConnectionsBroken.Load() > 0 {
+		t.Errorf("%d connections refused, %d broken, of %d requests served", d.ConnectionsRefused.Load(), d.ConnectionsBroken.Load(), d.Served.Load())
 	}
 	if d.Refused.Load()+d.Failed.Load() > 0 {
 		t.Errorf("%d requests refused, %d failed", d.Refused.Load(), d.Failed.Load())
--- a/cmd/linenproc/orders_test.go
+++ b/cmd/linenproc/orders_test.go
@@ -53,8 +53,8 @@
 			p.fleet.Origin.SetService(3*time.Millisecond, 0)
 			p.start()
 
-			at := &lab.Orderer{Addr: redis, Name: "resp", Wait: 4 * time.Second}
-			at.Open(6)
+			at := &lab.OrderClients{Addr: redis, KeyPrefix: "resp", Deadline: 4 * time.Second}
+			at.Start(6)
 			c := p.caller()
 			c.MessageTimeout = time.Second
 			var served atomic.Int64
@@ -96,7 +96,7 @@
 				p.start()
 			}
 			progress()
-			at.Close()
+			at.Stop()
 			close(quit)
 			callers.Wait()
 			p.cmd.Process.Signal(syscall.SIGTERM)
@@ -104,7 +104,7 @@
 				t.Error(err)
 			}
 			p.onceEach()
-			told := at.Told()
+			told := at.Receipts()
 			if mode == "answer" { // in the other one receipts don't come through here
 				for key, receipt := range receipts {
 					told[key] = receipt
@@ -114,7 +114,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			t.Logf("%v; told %d, of RESP2 %d served, %d refused, %d failed, %d broken", states, len(told), at.Served.Load(), at.Refused.Load(), at.Failed.Load(), at.Broken.Load())
+			t.Logf("%v; told %d, of RESP2 %d served, %d refused, %d failed, %d broken", states, len(told), at.Served.Load(), at.Refused.Load(), at.Failed.Load(), at.ConnectionsBroken.Load())
 		})
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -29,11 +29,11 @@
 )
 
 const (
-	boxes     = 6
-	keys      = 400
-	valueSize = 2 << 10
-	aim       = 800 * time.Millisecond
-	deadline  = 3 * time.Second
+	cacheCount    = 6
+	keyCount      = 400
+	valueSize     = 2 << 10
+	latencyTarget = 800 * time.Millisecond
+	deadline      = 3 * time.Second
 )
 
 // counts are what became of the requests of a second.
@@ -58,15 +58,15 @@
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(*seconds)*time.Second)
 		defer cancel()
 	}
-	if err := play(ctx, os.Stdout, *clients); err != nil {
+	if err := runDemo(ctx, os.Stdout, *clients); err != nil {
 		fmt.Fprintln(os.Stderr, "linenloom demo:", err)
 		return 1
 	}
 	return 0
 }
 
-func play(ctx context.Context, out io.Writer, clients int) error {
-	fleet, err := standin.NewFleet(boxes, valueSize)
+func runDemo(ctx context.Context, out io.Writer, clients int) error {
+	fleet, err := standin.NewFleet(cacheCount, valueSize)
 	if err != nil {
 		return err
 	}
@@ -91,14 +91,14 @@
 	done := make(chan error, 1)
 	go func() { done <- p.Run(serving) }()
 
-	fmt.Fprintf(out, "a proxy on %s, %d boxes, one slow origin, %d clients; Ctrl-C ends it\n", p.Addr(), boxes, clients)
+	fmt.Fprintf(out, "a proxy on %s, %d boxes, one slow origin, %d clients; Ctrl-C ends it\n", p.Addr(), cacheCount, clients)
 	fmt.Fprintln(out, "second   asked  served refused    late  failed   fetched  what happens, and why most are refused or fail")
 	var n counts
 	var g sync.WaitGroup
 	traffic, end := context.WithCancel(ctx)
 	defer end()
 	for c := range clients {
-		g.Go(func() { client(traffic, p.Addr().String(), c, &n) })
+		g.Go(func() { runClient(traffic, p.Addr().String(), c, &n) })
 	}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -111,9 +111,9 @@
 		case <-tick.C:
 		}
 		now := fleet.Origin.Fetches()
-		event := happen(fleet, second)
+		event := applyEvent(fleet, second)
 		why := p.Reasons()
-		if most := mostOf(why.Since(told)); most != "" {
+		if most := mostFrequentReason(why.Since(told)); most != "" {
 			event = strings.TrimPrefix(event+"; "+most, "; ")
 		}
 		told = why
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// mostOf names the reason for which most requests were refused or failed.
-func mostOf(c *reasons.Counts) string {
+// mostFrequentReason names the reason for which most requests were refused or failed.
+func mostFrequentReason(c *reasons.Counts) string {
 	var most reasons.Row
 	for _, r := range c.Rows() {
 		if r.Outcome != reasons.Waited && r.Count > most.Count {
@@ -150,8 +150,8 @@
 	return fmt.Sprintf("%s %s: %s %d", most.Class, most.Outcome, reasons.Name(most.Reason), most.Count)
 }
 
-// happen stages the second's event, in rounds of 20 seconds.
-func happen(fleet *standin.Fleet, second int) string {
+// applyEvent stages the second's event, in rounds of 20 seconds.
+func applyEvent(fleet *standin.Fleet, second int) string {
 	round := second / 20
 	switch second % 20 {
 	case 4:
@@ -167,7 +167,7 @@
 		old := fleet.Boxes[1]
 		fleet.Boxes = append(fleet.Boxes[:1], fleet.Boxes[2:]...)
 		fleet.Remove(old)
-		b, err := fleet.Add(fmt.Sprintf("s-%d", boxes+1+round), time.Now())
+		b, err := fleet.Add(fmt.Sprintf("s-%d", cacheCount+1+round), time.Now())
 		if err != nil {
 			return err.Error()
 		}
@@ -183,10 +183,10 @@
 	return ""
 }
 
-// client asks for one tile after another, and for a pass now and then.
-func client(ctx context.Context, addr string, c int, n *counts) {
+// runClient asks for one tile after another, and for a pass now and then.
+func runClient(ctx context.Context, addr string, c int, n *counts) {
 	rng := rand.New(rand.NewPCG(1, uint64(c)))
-	popular := rand.NewZipf(rng, 1.1, 4, keys-1)
+	popular := rand.NewZipf(rng, 1.1, 4, keyCount-1)
 	var conn net.Conn
 	var in *bufio.Reader
 	for i := 0; ctx.Err() == nil; i++ {
@@ -216,7 +216,7 @@
 			n.failed.Add(1)
 		case strings.HasPrefix(line, "-BUSY"):
 			n.refused.Add(1)
-		case time.Since(begun) > aim:
+		case time.Since(begun) > latencyTarget:
 			n.late.Add(1)
 		default:
 			n.served.Add(1)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// screen is what has been printed; a line that matches closes seen.
-type screen struct {
-	mu   sync.Mutex
-	text strings.Builder
-	want *regexp.Regexp
-	seen chan struct{}
-	once sync.Once
+// outputWatcher is what has been printed; a line that matches closes seen.
+type outputWatcher struct {
+	mu      sync.Mutex
+	text    strings.Builder
+	pattern *regexp.Regexp
+	matched chan struct{}
+	once    sync.Once
 }
 
-func (s *screen) Write(b []byte) (int, error) {
+func (s *outputWatcher) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.text.Write(b)
-	if s.want.MatchString(s.text.String()) {
-		s.once.Do(func() { close(s.seen) })
+	if s.pattern.MatchString(s.text.String()) {
+		s.once.Do(func() { close(s.matched) })
 	}
 	return len(b), nil
 }
 
 // It serves, says so, and ends cleanly when it is told to.
-func TestPlay(t *testing.T) {
+func TestRunDemo(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	s := &screen{want: regexp.MustCompile(`(?m)^ +\d+ +\d+ +[1-9]\d* `), seen: make(chan struct{})}
+	s := &outputWatcher{pattern: regexp.MustCompile(`(?m)^ +\d+ +\d+ +[1-9]\d* `), matched: make(chan struct{})}
 	done := make(chan error, 1)
-	go func() { done <- play(ctx, s, 4) }()
+	go func() { done <- runDemo(ctx, s, 4) }()
 	const patience = 20 * time.Second
 	select {
-	case <-s.seen:
+	case <-s.matched:
 	case <-time.After(patience):
 		t.Error("nothing was served")
 	}
--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -11,54 +11,54 @@
 	"linenloom/internal/standin"
 )
 
-// answerRounds is how often each case of the answers scenario is played.
-const answerRounds = 20
+// requestsPerCase is how often each case of the answers scenario is played.
+const requestsPerCase = 20
 
-// mostLate is how long after the last outcome a final answer may come.
-const mostLate = 50 * time.Millisecond
+// maxAnswerDelay is how long after the last outcome a final answer may come.
+const maxAnswerDelay = 50 * time.Millisecond
 
 // answerCase is a way for a request to be given up.
 type answerCase struct {
 	name  string
 	write bool
-	// fault stages it on a fleet that is well.
-	fault func(*standin.Fleet)
-	want  string // what the answer begins with
-	// wait is how long the client waits, where the answer is due by then; 0: until long after.
-	wait time.Duration
-	some bool   // some are served: those don't count
-	only string // the front that it can be staged on; "": all
+	// injectFault stages it on a fleet that is well.
+	injectFault func(*standin.Fleet)
+	wantPrefix  string // what the answer begins with
+	// deadline is how long the client waits, where the answer is due by then; 0: until long after.
+	deadline   time.Duration
+	someServed bool   // some are served: those don't count
+	onlyFronts string // the front that it can be staged on; "": all
 }
 
 var answerCases = []answerCase{
-	{name: "order, the origin answers 500", write: true, fault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Failing) }, want: "-ERR"},
-	{name: "order, the origin resets once it has run", write: true, fault: func(f *standin.Fleet) { f.Origin.SetResetAfterRun(true) }, want: "-ERR"},
-	{name: "order, the origin turns it away each time", write: true, fault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Busy) }, want: "-BUSY"},
-	{name: "read, every box fails", write: false, fault: func(f *standin.Fleet) {
+	{name: "order, the origin answers 500", write: true, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Failing) }, wantPrefix: "-ERR"},
+	{name: "order, the origin resets once it has run", write: true, injectFault: func(f *standin.Fleet) { f.Origin.SetResetAfterRun(true) }, wantPrefix: "-ERR"},
+	{name: "order, the origin turns it away each time", write: true, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Busy) }, wantPrefix: "-BUSY"},
+	{name: "read, every box fails", write: false, injectFault: func(f *standin.Fleet) {
 		for _, b := range f.Boxes {
 			b.SetFault(standin.Failing)
 		}
-	}, want: "-BUSY"},
-	{name: "read, missed, and the origin answers 500", write: false, fault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Failing) }, want: "-BUSY"},
-	{name: "read, every box finds fault with it", fault: func(f *standin.Fleet) {
+	}, wantPrefix: "-BUSY"},
+	{name: "read, missed, and the origin answers 500", write: false, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Failing) }, wantPrefix: "-BUSY"},
+	{name: "read, every box finds fault with it", injectFault: func(f *standin.Fleet) {
 		for _, b := range f.Boxes {
 			b.SetFault(standin.Rejecting)
 		}
-	}, want: "-ERR", only: "RESP2 answer"},
-	{name: "read, every box is cold: the cold budget", fault: func(f *standin.Fleet) {
+	}, wantPrefix: "-ERR", onlyFronts: "RESP2 answer"},
+	{name: "read, every box is cold: the cold budget", injectFault: func(f *standin.Fleet) {
 		for _, m := range f.Registry.List().Members {
 			if m.Flavor == "box" {
 				m.UpSinceMS = float64(time.Now().UnixMilli())
 				f.Registry.Tell(m)
 			}
 		}
-	}, want: "-BUSY", some: true},
-	{name: "read, every box stalls: out of its client's time", fault: func(f *standin.Fleet) {
+	}, wantPrefix: "-BUSY", someServed: true},
+	{name: "read, every box stalls: out of its client's time", injectFault: func(f *standin.Fleet) {
 		for _, b := range f.Boxes {
 			b.SetFault(standin.Stall)
 		}
-	}, want: "-BUSY", wait: 150 * time.Millisecond, only: "RESP2"},
-	{name: "read, missed, and the origin resets", write: false, fault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Reset) }, want: "-BUSY"},
+	}, wantPrefix: "-BUSY", deadline: 150 * time.Millisecond, onlyFronts: "RESP2"},
+	{name: "read, missed, and the origin resets", write: false, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Reset) }, wantPrefix: "-BUSY"},
 }
 
 // Answers is the scenario of requests that are given up: how long after the last outcome the client has its final answer,
@@ -69,34 +69,34 @@
 		e.Log("answers: %s", front)
 		worst := time.Duration(0)
 		for i, c := range answerCases {
-			if c.only != "" && !strings.Contains(c.only, front) {
+			if c.onlyFronts != "" && !strings.Contains(c.onlyFronts, front) {
 				continue
 			}
-			late, err := e.answerTimes(ctx, fmt.Sprint("answers-", front, i), front, c)
+			late, err := e.measureAnswerDelay(ctx, fmt.Sprint("answers-", front, i), front, c)
 			if err != nil {
 				return r, fmt.Errorf("%s: %s: %w", front, c.name, err)
 			}
-			r.Tell(front+": "+c.name+": worst, ms", float64(late)/float64(time.Millisecond))
+			r.AddValue(front+": "+c.name+": worst, ms", float64(late)/float64(time.Millisecond))
 			worst = max(worst, late)
 		}
 		r.AtMost(front+": worst of all, ms after the last outcome", float64(worst)/float64(time.Millisecond),
-			float64(mostLate)/float64(time.Millisecond))
+			float64(maxAnswerDelay)/float64(time.Millisecond))
 	}
-	for _, c := range crowdCases {
+	for _, c := range concurrentCases {
 		e.Log("answers: %s", c.name)
-		late, n, err := c.play(e)
+		late, n, err := c.run(e)
 		if err != nil {
 			return r, fmt.Errorf("%s: %w", c.name, err)
 		}
-		r.Tell(c.name+": reads given up", float64(n))
+		r.AddValue(c.name+": reads given up", float64(n))
 		r.AtMost(c.name+": worst, ms after it was due", float64(late)/float64(time.Millisecond),
-			float64(mostLate)/float64(time.Millisecond))
+			float64(maxAnswerDelay)/float64(time.Millisecond))
 	}
 	return r, ctx.Err()
 }
 
-// answerTimes plays a case and tells the longest time from the last outcome to the final answer.
-func (e *Env) answerTimes(ctx context.Context, name, front string, c answerCase) (worst time.Duration, err error) {
+// measureAnswerDelay plays a case and tells the longest time from the last outcome to the final answer.
+func (e *Env) measureAnswerDelay(ctx context.Context, name, front string, c answerCase) (worst time.Duration, err error) {
 	fleet, err := standin.NewFleet(3, 64)
 	if err != nil {
 		return 0, err
@@ -106,7 +106,7 @@
 	var ask func(key, id string) (string, error)
 	if front == "RESP2" {
 		var addr string
-		if addr, p, err = e.proxy(name, fleet, 64, 512); err != nil {
+		if addr, p, err = e.startProxy(name, fleet, 64, 512); err != nil {
 			return 0, err
 		}
 		rc, err := dialRedis(addr)
@@ -116,20 +116,20 @@
 		defer rc.conn.Close()
 		ask = func(key, id string) (string, error) {
 			if c.write {
-				return rc.ask("OBJ.SET", key, id, "c=pass-order,d=3000", "one pass")
+				return rc.do("OBJ.SET", key, id, "c=pass-order,d=3000", "one pass")
 			}
-			wait := cmp.Or(c.wait, 3*time.Second)
+			wait := cmp.Or(c.deadline, 3*time.Second)
 			if strings.HasPrefix(key, "warm") {
 				wait = 3 * time.Second
 			}
-			return rc.ask("OBJ.GET", key, id, fmt.Sprint("c=tile-read,d=", wait.Milliseconds()))
+			return rc.do("OBJ.GET", key, id, fmt.Sprint("c=tile-read,d=", wait.Milliseconds()))
 		}
 	} else {
 		addr, err := standin.FreeAddr()
 		if err != nil {
 			return 0, err
 		}
-		if p, err = e.processor(name, fleet, "127.0.0.1:0", addr, front, "200ms"); err != nil {
+		if p, err = e.startProcessor(name, fleet, "127.0.0.1:0", addr, front, "200ms"); err != nil {
 			return 0, err
 		}
 		cl, err := caller.Dial(addr)
@@ -137,7 +137,7 @@
 			return 0, err
 		}
 		defer cl.Close()
-		cl.Retries, cl.MessageTimeout = 4, patience
+		cl.Retries, cl.MessageTimeout = 4, waitTimeout
 		ask = func(key, id string) (string, error) {
 			q := caller.Request{Method: "GET", Path: "/tiles/" + key, Headers: map[string]string{"x-request-id": id}}
 			if c.write {
@@ -164,11 +164,11 @@
 	}); err != nil {
 		return 0, err
 	}
-	c.fault(fleet)
+	c.injectFault(fleet)
 	given := 0
-	for i := 0; given < answerRounds; i++ {
-		if i == 10*answerRounds {
-			return 0, fmt.Errorf("only %d of %d answers are %s", given, i, c.want)
+	for i := 0; given < requestsPerCase; i++ {
+		if i == 10*requestsPerCase {
+			return 0, fmt.Errorf("only %d of %d answers are %s", given, i, c.wantPrefix)
 		}
 		// With time between them, as at light load; the retry budget is not what is measured.
 		time.Sleep(20 * time.Millisecond)
@@ -179,18 +179,18 @@
 		if err != nil {
 			return 0, err
 		}
-		if c.some && !strings.HasPrefix(answer, "-") {
+		if c.someServed && !strings.HasPrefix(answer, "-") {
 			continue
 		}
 		given++
-		if !strings.HasPrefix(answer, c.want) {
-			return 0, fmt.Errorf("answered %q, want %s", answer, c.want)
+		if !strings.HasPrefix(answer, c.wantPrefix) {
+			return 0, fmt.Errorf("answered %q, want %s", answer, c.wantPrefix)
 		}
 		if at := fleet.Last(); at.After(last) {
 			last = at
 		}
-		if c.wait > 0 { // boxes that stall never end: it is due when its client gives up
-			last = asked.Add(c.wait)
+		if c.deadline > 0 { // boxes that stall never end: it is due when its client gives up
+			last = asked.Add(c.deadline)
 		}
 		worst = max(worst, heard.Sub(last))
 	}
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -25,38 +25,38 @@
 	words := strings.Fields(what)
 	switch {
 	case len(words) == 2 && words[0] == "bare":
-		return serveBare(words[1], nil)
+		return serveBareProcessor(words[1], nil)
 	case len(words) == 3 && words[0] == "bareanswer":
 		n, err := strconv.Atoi(words[2])
 		if err != nil {
 			return err
 		}
-		return serveBare(words[1], make([]byte, n))
+		return serveBareProcessor(words[1], make([]byte, n))
 	case len(words) == 3 && words[0] == "relay":
 		return serveRelay(words[1], words[2])
 	}
 	return fmt.Errorf("%s=%q: want \"bare ADDR\", \"bareanswer ADDR BYTES\" or \"relay ADDR TARGET\"", ServeVariable, what)
 }
 
-// bare answers every message with one fixed mutation, or the first with a fixed value, which ends the exchange: the least
+// bareProcessor answers every message with one fixed mutation, or the first with a fixed value, which ends the exchange: the least
 // that an external processor can do.
-type bare struct {
+type bareProcessor struct {
 	extprocv3.UnimplementedExternalProcessorServer
 	value []byte
 }
 
-func serveBare(addr string, value []byte) error {
+func serveBareProcessor(addr string, value []byte) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
 	s := grpc.NewServer(grpc.MaxConcurrentStreams(2048), grpc.NumStreamWorkers(32))
-	extprocv3.RegisterExternalProcessorServer(s, bare{value: value})
+	extprocv3.RegisterExternalProcessorServer(s, bareProcessor{value: value})
 	fmt.Fprintln(os.Stderr, "ready", l.Addr())
 	return s.Serve(l)
 }
 
-func (b bare) Process(s extprocv3.ExternalProcessor_ProcessServer) error {
+func (b bareProcessor) Process(s extprocv3.ExternalProcessor_ProcessServer) error {
 	for {
 		m, err := s.Recv()
 		if errors.Is(err, io.EOF) {
@@ -103,13 +103,13 @@
 				return
 			}
 			defer up.Close()
-			go splice(up, conn)
-			splice(conn, up)
+			go copyBytes(up, conn)
+			copyBytes(conn, up)
 		}()
 	}
 }
 
-// splice hides the connections' own ways of copying, which would leave out reads and writes altogether.
-func splice(to, from net.Conn) {
+// copyBytes hides the connections' own ways of copying, which would leave out reads and writes altogether.
+func copyBytes(to, from net.Conn) {
 	io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, 4096))
 }
--- a/internal/lab/claims.go
+++ b/internal/lab/claims.go
@@ -9,10 +9,10 @@
 
 // Claim is one thing that a scenario says of the program, and whether it is kept.
 type Claim struct {
-	Claim  string  `json:"claim"`
-	Figure float64 `json:"figure"`
-	Bound  string  `json:"bound"` // "" for a figure that is only told
-	Kept   bool    `json:"kept"`
+	Name  string  `json:"claim"`
+	Value float64 `json:"figure"`
+	Bound string  `json:"bound"` // "" for a figure that is only told
+	Holds bool    `json:"kept"`
 }
 
 // Report is a scenario's claims, with the figures that stand beside them.
@@ -36,15 +36,15 @@
 	r.Claims = append(r.Claims, Claim{claim, figure, fmt.Sprintf("= %g", want), figure == want})
 }
 
-// Tell adds a figure.
-func (r *Report) Tell(what string, figure float64) {
+// AddValue adds a figure.
+func (r *Report) AddValue(what string, figure float64) {
 	r.Claims = append(r.Claims, Claim{what, figure, "", true})
 }
 
-// Kept tells whether all claims are kept.
-func (r *Report) Kept() bool {
+// AllHold tells whether all claims are kept.
+func (r *Report) AllHold() bool {
 	for _, c := range r.Claims {
-		if !c.Kept {
+		if !c.Holds {
 			return false
 		}
 	}
@@ -65,10 +65,10 @@
 		switch {
 		case c.Bound == "":
 			kept = ""
-		case !c.Kept:
+		case !c.Holds:
 			kept = "NO"
 		}
-		fmt.Fprintf(t, "%s\t%.4g\t%s\t%s\n", c.Claim, c.Figure, c.Bound, kept)
+		fmt.Fprintf(t, "%s\t%.4g\t%s\t%s\n", c.Name, c.Value, c.Bound, kept)
 	}
 	return t.Flush()
 }
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -12,40 +12,40 @@
 	"linenloom/internal/standin"
 )
 
-// crowdCase is a way for many reads at once to be given up. It tells the longest time from when an answer was due, and how
+// concurrentCase is a way for many reads at once to be given up. It tells the longest time from when an answer was due, and how
 // many reads were given up in that way.
-type crowdCase struct {
+type concurrentCase struct {
 	name string
-	play func(*Env) (worst time.Duration, n int, err error)
+	run  func(*Env) (worst time.Duration, n int, err error)
 }
 
-var crowdCases = []crowdCase{
+var concurrentCases = []concurrentCase{
 	{"in line when the origin leaves the list (no_member)", func(e *Env) (time.Duration, int, error) {
-		return e.leaves("line", func(i int) string { return fmt.Sprint("m", i) }, func(f *standin.Fleet) { f.RemoveOrigin() })
+		return e.measureRemoval("line", func(i int) string { return fmt.Sprint("m", i) }, func(f *standin.Fleet) { f.RemoveOrigin() })
 	}},
 	{"waiting for another's fetch when the boxes leave the list (shared_fetch)", func(e *Env) (time.Duration, int, error) {
-		return e.leaves("shared", func(int) string { return "m" }, func(f *standin.Fleet) {
+		return e.measureRemoval("shared", func(int) string { return "m" }, func(f *standin.Fleet) {
 			for _, b := range f.Boxes {
 				f.Remove(b)
 			}
 		})
 	}},
-	{"in line for a slow origin past their aim (origin_line)", (*Env).lineFull},
-	{"no candidate has room (no_room)", (*Env).noRoom},
+	{"in line for a slow origin past their aim (origin_line)", (*Env).measureFullQueue},
+	{"no candidate has room (no_room)", (*Env).measureNoCapacity},
 }
 
-// crowd starts a proxy before a fleet.
-func (e *Env) crowd(name string, boxes int) (*standin.Fleet, *Process, string, error) {
+// startWarmProxy starts a proxy before a fleet.
+func (e *Env) startWarmProxy(name string, boxes int) (*standin.Fleet, *Process, string, error) {
 	fleet, err := standin.NewFleet(boxes, 64)
 	if err != nil {
 		return nil, nil, "", err
 	}
-	addr, p, err := e.proxy(name, fleet, 64, 512)
+	addr, p, err := e.startProxy(name, fleet, 64, 512)
 	if err != nil {
 		fleet.Close()
 		return nil, nil, "", err
 	}
-	if err := warm(fleet, addr, name); err != nil {
+	if err := warmUp(fleet, addr, name); err != nil {
 		p.Kill()
 		fleet.Close()
 		return nil, nil, "", err
@@ -53,19 +53,19 @@
 	return fleet, p, addr, nil
 }
 
-// warm has a few clients read what every box holds, so that the proxy knows its boxes.
-func warm(fleet *standin.Fleet, addr, name string) error {
+// warmUp has a few clients read what every box holds, so that the proxy knows its boxes.
+func warmUp(fleet *standin.Fleet, addr, name string) error {
 	fleet.Fill("warm")
 	for round := range 40 {
-		if _, err := readAll(addr, fmt.Sprint(name, "-warm", round), 8, func(int) string { return "warm" }, func() {}); err != nil {
+		if _, err := readConcurrently(addr, fmt.Sprint(name, "-warm", round), 8, func(int) string { return "warm" }, func() {}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// refusedFor ends a proxy and tells how many reads it says to have refused for a reason.
-func refusedFor(p *Process, reason string) (n int, err error) {
+// stopAndCountRefused ends a proxy and tells how many reads it says to have refused for a reason.
+func stopAndCountRefused(p *Process, reason string) (n int, err error) {
 	if err := p.Stop(); err != nil {
 		return 0, err
 	}
@@ -91,16 +91,16 @@
 	return n, nil
 }
 
-// crowdRead is one read of a crowd.
-type crowdRead struct {
-	asked, heard time.Time
-	answer       string
-	id           string
+// concurrentRead is one read of a crowd.
+type concurrentRead struct {
+	sentAt, answeredAt time.Time
+	answer             string
+	id                 string
 }
 
-// readAll makes reads at once, on a connection each.
-func readAll(addr, name string, n int, key func(int) string, each func()) ([]crowdRead, error) {
-	reads := make([]crowdRead, n)
+// readConcurrently makes reads at once, on a connection each.
+func readConcurrently(addr, name string, n int, key func(int) string, each func()) ([]concurrentRead, error) {
+	reads := make([]concurrentRead, n)
 	errs := make([]error, n)
 	var g sync.WaitGroup
 	for i := range n {
@@ -112,9 +112,9 @@
 			}
 			defer rc.conn.Close()
 			r := &reads[i]
-			r.id, r.asked = fmt.Sprint(name, "-", i), time.Now()
-			r.answer, errs[i] = rc.ask("OBJ.GET", key(i), r.id, "c=tile-read,d=3000")
-			r.heard = time.Now()
+			r.id, r.sentAt = fmt.Sprint(name, "-", i), time.Now()
+			r.answer, errs[i] = rc.do("OBJ.GET", key(i), r.id, "c=tile-read,d=3000")
+			r.answeredAt = time.Now()
 			each()
 		})
 	}
@@ -122,10 +122,10 @@
 	return reads, errors.Join(errs...)
 }
 
-// leaves has reads wait for an origin that stalls, takes what they wait for off the list, and tells how long after that
+// measureRemoval has reads wait for an origin that stalls, takes what they wait for off the list, and tells how long after that
 // the last of those that were not out at the origin had its answer.
-func (e *Env) leaves(name string, key func(int) string, leave func(*standin.Fleet)) (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.crowd(name, 3)
+func (e *Env) measureRemoval(name string, key func(int) string, leave func(*standin.Fleet)) (worst time.Duration, n int, err error) {
+	fleet, p, addr, err := e.startWarmProxy(name, 3)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -135,12 +135,12 @@
 	const crowd = 24
 	var early atomic.Int32 // refused before, for want of room
 	var left atomic.Bool
-	var reads []crowdRead
+	var reads []concurrentRead
 	var failed error
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		reads, failed = readAll(addr, name, crowd, key, func() {
+		reads, failed = readConcurrently(addr, name, crowd, key, func() {
 			if !left.Load() {
 				early.Add(1)
 			}
@@ -167,48 +167,48 @@
 		return 0, 0, failed
 	}
 	// Those that the origin has already are out, and wait on; they are the last to hear.
-	slices.SortFunc(reads, func(a, b crowdRead) int { return a.heard.Compare(b.heard) })
+	slices.SortFunc(reads, func(a, b concurrentRead) int { return a.answeredAt.Compare(b.answeredAt) })
 	if n = crowd - stalled - int(early.Load()); n <= 0 {
 		return 0, 0, fmt.Errorf("no read waited: %d at the origin, %d refused before", stalled, early.Load())
 	}
-	counted, err := refusedFor(p, "no_member")
+	counted, err := stopAndCountRefused(p, "no_member")
 	if err == nil && counted < n {
 		err = fmt.Errorf("%d reads were refused for no_member, want %d", counted, n)
 	}
-	return reads[crowd-stalled-1].heard.Sub(removed), n, err
+	return reads[crowd-stalled-1].answeredAt.Sub(removed), n, err
 }
 
-// lineFull puts more reads in line for a slow origin than it can answer before their aim, and tells how far past it the
+// measureFullQueue puts more reads in line for a slow origin than it can answer before their aim, and tells how far past it the
 // last refusal came. The time between the aim's passing and the answer is what counts; a refusal may well come sooner.
-func (e *Env) lineFull() (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.crowd("full", 3)
+func (e *Env) measureFullQueue() (worst time.Duration, n int, err error) {
+	fleet, p, addr, err := e.startWarmProxy("full", 3)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer fleet.Close()
 	defer p.Kill()
 	fleet.Origin.SetService(300*time.Millisecond, 4)
-	reads, err := readAll(addr, "full", 200, func(i int) string { return fmt.Sprint("m", i) }, func() {})
+	reads, err := readConcurrently(addr, "full", 200, func(i int) string { return fmt.Sprint("m", i) }, func() {})
 	if err != nil {
 		return 0, 0, err
 	}
 	worst = -standin.ReadAim
 	for _, r := range reads {
 		if strings.HasPrefix(r.answer, "-BUSY") {
-			worst = max(worst, r.heard.Sub(r.asked)-standin.ReadAim)
+			worst = max(worst, r.answeredAt.Sub(r.sentAt)-standin.ReadAim)
 		}
 	}
-	n, err = refusedFor(p, "origin_line")
+	n, err = stopAndCountRefused(p, "origin_line")
 	if err == nil && n == 0 {
 		err = fmt.Errorf("no read was refused for the line: %v", p.Reasons())
 	}
 	return worst, n, err
 }
 
-// noRoom has boxes answer so slowly that the limits at them fall, and tells how long after it was asked the slowest of the
+// measureNoCapacity has boxes answer so slowly that the limits at them fall, and tells how long after it was asked the slowest of the
 // reads was refused that no box has heard of.
-func (e *Env) noRoom() (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.crowd("room", 8)
+func (e *Env) measureNoCapacity() (worst time.Duration, n int, err error) {
+	fleet, p, addr, err := e.startWarmProxy("room", 8)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -234,7 +234,7 @@
 	// unheard of by any box as well, and not given up.
 	const falls, measured = 14, 4
 	for round := range falls + measured {
-		reads, err := readAll(addr, fmt.Sprint("room", round), roomReads, func(i int) string { return keys[i] }, func() {})
+		reads, err := readConcurrently(addr, fmt.Sprint("room", round), roomReads, func(i int) string { return keys[i] }, func() {})
 		if err != nil {
 			return 0, 0, err
 		}
@@ -245,12 +245,12 @@
 		for _, r := range reads {
 			if strings.HasPrefix(r.answer, "-BUSY") && !sent[r.id] {
 				n++
-				worst = max(worst, r.heard.Sub(r.asked))
+				worst = max(worst, r.answeredAt.Sub(r.sentAt))
 			}
 		}
 		mu.Unlock()
 	}
-	counted, err := refusedFor(p, "no_room")
+	counted, err := stopAndCountRefused(p, "no_room")
 	if err == nil && (counted == 0 || n == 0) {
 		err = fmt.Errorf("%d reads were refused for no_room, %d of them unsent: %v", counted, n, p.Reasons())
 	}
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -14,53 +14,53 @@
 	"linenloom/internal/standin"
 )
 
-const doorRounds = 4
+const rootRotations = 4
 
-// doorTable is what the operator's file says of an authority.
-func doorTable(a *standin.Authority) string {
+// tlsSettings is what the operator's file says of an authority.
+func tlsSettings(a *standin.Authority) string {
 	return fmt.Sprintf("[identity.tls]\ncert = %q\nkey = %q\nroots = %q\nhandshakes_per_s = 5000\n[[identity.certificate]]\ndns = \"*.acme.example\"\n"+
 		"tenant = \"acme\"\n", a.Path("cert.pem"), a.Path("key.pem"), a.Path("roots.pem"))
 }
 
-const doorName = "one.acme.example"
+const clientDNSName = "one.acme.example"
 
-// dialDoor is dialProven over TLS.
-func dialDoor(addr, name string, cfg *tls.Config) (*proven, error) {
+// dialTLS is dialAuthClient over TLS.
+func dialTLS(addr, name string, cfg *tls.Config) (*authClient, error) {
 	conn, err := tls.Dial("tcp", addr, cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &proven{conn: conn, in: bufio.NewReader(conn), name: name}, nil
+	return &authClient{conn: conn, in: bufio.NewReader(conn), idPrefix: name}, nil
 }
 
-// doors is callers proven by certificates: what TLS costs, and roots that change under load.
-func (e *Env) doors(r *Report, fleet *standin.Fleet, bare string, plain *Process) error {
-	a, err := standin.NewAuthority(e.Dir, doorRounds+1)
+// measureTLS is callers proven by certificates: what TLS costs, and roots that change under load.
+func (e *Env) measureTLS(r *Report, fleet *standin.Fleet, bare string, plain *Process) error {
+	a, err := standin.NewAuthority(e.Dir, rootRotations+1)
 	if err != nil {
 		return err
 	}
-	addr, p, err := e.guarded("doors", fleet, "[identity]\n[[identity.tenant]]\nname = \"acme\"\n"+doorTable(a))
+	addr, p, err := e.startProxyWith("doors", fleet, "[identity]\n[[identity.tenant]]\nname = \"acme\"\n"+tlsSettings(a))
 	if err != nil {
 		return err
 	}
 	defer p.Kill()
-	if err := e.doorCost(r, a, addr, p, bare, plain); err != nil {
+	if err := e.measureTLSCost(r, a, addr, p, bare, plain); err != nil {
 		return err
 	}
-	if err := e.changeRoots(r, a, addr); err != nil {
+	if err := e.rotateRoots(r, a, addr); err != nil {
 		return err
 	}
 	return p.Stop()
 }
 
-// doorCost compares reads over TLS, on connections that stand and on one for each read, with those of a proxy that speaks plainly.
-func (e *Env) doorCost(r *Report, a *standin.Authority, addr string, p *Process, bare string, plain *Process) error {
+// measureTLSCost compares reads over TLS, on connections that stand and on one for each read, with those of a proxy that speaks plainly.
+func (e *Env) measureTLSCost(r *Report, a *standin.Authority, addr string, p *Process, bare string, plain *Process) error {
 	e.Log("identity: what TLS costs")
-	cfg, err := a.Config(a.Roots[0], doorName)
+	cfg, err := a.Config(a.Roots[0], clientDNSName)
 	if err != nil {
 		return err
 	}
-	reads := func(name string, dial func(name string) (*proven, error), each bool) func(int) (func(int) error, func(), error) {
+	reads := func(name string, dial func(name string) (*authClient, error), each bool) func(int) (func(int) error, func(), error) {
 		return func(w int) (func(int) error, func(), error) {
 			name := fmt.Sprintf("%s%d-%d", name, w, time.Now().UnixNano())
 			c, err := dial(name)
@@ -70,13 +70,13 @@
 			return func(i int) error {
 				if each && i > 0 {
 					c.conn.Close()
-					n := c.n
+					n := c.lastID
 					if c, err = dial(name); err != nil {
 						return err
 					}
-					c.n = n
+					c.lastID = n
 				}
-				line, err := c.read((w*7919+i)%scaleKeys, "")
+				line, err := c.read((w*7919+i)%tileKeys, "")
 				if err == nil && line[0] != '$' {
 					err = fmt.Errorf("answered %q", line)
 				}
@@ -84,34 +84,34 @@
 			}, func() { c.conn.Close() }, nil
 		}
 	}
-	open := func(name string) (*proven, error) { return dialProven(bare, name) }
-	secure := func(name string) (*proven, error) { return dialDoor(addr, name, cfg) }
-	var without, with, withoutEach, withEach Rate
+	open := func(name string) (*authClient, error) { return dialAuthClient(bare, name) }
+	secure := func(name string) (*authClient, error) { return dialTLS(addr, name, cfg) }
+	var without, with, withoutEach, withEach ClosedLoopResult
 	const rounds = 4
 	d := time.Duration(e.Seconds) * time.Second / (4 * rounds)
 	for range rounds {
 		for _, part := range []struct {
-			rate *Rate
+			rate *ClosedLoopResult
 			p    *Process
-			dial func(string) (*proven, error)
+			dial func(string) (*authClient, error)
 			each bool
 		}{{&without, plain, open, false}, {&with, p, secure, false}, {&withoutEach, plain, open, true}, {&withEach, p, secure, true}} {
-			got, err := loop(part.p, identityWorkers, d, reads("door", part.dial, part.each))
+			got, err := runClosedLoop(part.p, identityWorkers, d, reads("door", part.dial, part.each))
 			if err != nil {
 				return fmt.Errorf("TLS %v, a connection for each %v: %w", part.p == p, part.each, err)
 			}
 			part.rate.add(got)
 		}
 	}
-	r.Tell("TLS: reads a CPU second, of those in plain text", with.PerCPU()/without.PerCPU())
-	r.Tell("TLS: connections with one read each, of those in plain text, a CPU second", withEach.PerCPU()/withoutEach.PerCPU())
-	r.Tell("TLS: CPU a handshake, us", 1e6/withEach.PerCPU()-1e6/withoutEach.PerCPU())
+	r.AddValue("TLS: reads a CPU second, of those in plain text", with.PerCPU()/without.PerCPU())
+	r.AddValue("TLS: connections with one read each, of those in plain text, a CPU second", withEach.PerCPU()/withoutEach.PerCPU())
+	r.AddValue("TLS: CPU a handshake, us", 1e6/withEach.PerCPU()-1e6/withoutEach.PerCPU())
 	return nil
 }
 
-// changeRoots changes the roots several times while callers go on: each takes the next root's certificate while both count, as long as
+// rotateRoots changes the roots several times while callers go on: each takes the next root's certificate while both count, as long as
 // its connection stands or when it is told of its end. What is asked on a connection is answered, or finds its end before it was read.
-func (e *Env) changeRoots(r *Report, a *standin.Authority, addr string) error {
+func (e *Env) rotateRoots(r *Report, a *standin.Authority, addr string) error {
 	e.Log("identity: roots that change under load")
 	var use, gone atomic.Int32 // the root to come by; those before it don't count
 	var served, refused, told, ends, shut atomic.Int64
@@ -123,12 +123,12 @@
 			fail := func(err error) { failed.CompareAndSwap(nil, &err) }
 			for n := 0; ; n++ {
 				by := use.Load()
-				cfg, err := a.Config(a.Roots[by], doorName)
+				cfg, err := a.Config(a.Roots[by], clientDNSName)
 				if err != nil {
 					fail(err)
 					return
 				}
-				c, err := dialDoor(addr, fmt.Sprintf("roots%d-%d", w, n), cfg)
+				c, err := dialTLS(addr, fmt.Sprintf("roots%d-%d", w, n), cfg)
 				if err != nil {
 					shut.Add(1)
 					fail(err)
@@ -141,7 +141,7 @@
 						return
 					default:
 					}
-					line, err := c.read((w*7919+i)%scaleKeys, "")
+					line, err := c.read((w*7919+i)%tileKeys, "")
 					if err != nil { // the end of the connection; a read is safe to send again
 						ends.Add(1)
 						break
@@ -165,14 +165,14 @@
 	}
 	worst := time.Duration(0)
 	late := int64(0)
-	each := max(3*time.Second, time.Duration(e.Seconds)*time.Second/doorRounds)
-	for round := range doorRounds {
+	each := max(3*time.Second, time.Duration(e.Seconds)*time.Second/rootRotations)
+	for round := range rootRotations {
 		now, next := a.Roots[round], a.Roots[round+1]
-		cfg, err := a.Config(now, doorName)
+		cfg, err := a.Config(now, clientDNSName)
 		if err != nil {
 			return err
 		}
-		old, err := dialDoor(addr, fmt.Sprint("old", round), cfg)
+		old, err := dialTLS(addr, fmt.Sprint("old", round), cfg)
 		if err != nil {
 			return err
 		}
@@ -195,14 +195,14 @@
 			switch {
 			case err != nil:
 				ended = true
-			case time.Since(since) > patience:
+			case time.Since(since) > waitTimeout:
 				return fmt.Errorf("a connection by a root that is gone stands for good, answered %q", line)
 			}
 		}
 		worst = max(worst, time.Since(since))
 		old.conn.Close()
 		for range 10 {
-			if c, err := dialDoor(addr, "late", cfg); err == nil {
+			if c, err := dialTLS(addr, "late", cfg); err == nil {
 				if line, err := c.read(1, ""); err == nil && line[0] == '$' {
 					late++
 				}
@@ -216,9 +216,9 @@
 	if err := failed.Load(); err != nil {
 		return *err
 	}
-	r.Tell("roots: requests served", float64(served.Load()))
-	r.Tell("roots: connections ended", float64(ends.Load()))
-	r.Tell("roots: of these, told by an answer first", float64(told.Load()))
+	r.AddValue("roots: requests served", float64(served.Load()))
+	r.AddValue("roots: connections ended", float64(ends.Load()))
+	r.AddValue("roots: of these, told by an answer first", float64(told.Load()))
 	r.Equal("roots: valid requests turned away", float64(refused.Load()), 0)
 	r.Equal("roots: valid connections turned away", float64(shut.Load()), 0)
 	r.Equal("roots: connections by a root that is gone, once one was ended", float64(late), 0)
@@ -226,19 +226,19 @@
 	return nil
 }
 
-// proofCostAtProcessor compares exchanges with the external processor by a token in each call with those at one that asks nobody.
-func (e *Env) proofCostAtProcessor(ctx context.Context, r *Report, is *issuer, fleet *standin.Fleet) error {
+// measureProcessorTokenCost compares exchanges with the external processor by a token in each call with those at one that asks nobody.
+func (e *Env) measureProcessorTokenCost(ctx context.Context, r *Report, is *issuer, fleet *standin.Fleet) error {
 	e.Log("identity: what a proof costs at the processor")
 	token, err := is.token("")
 	if err != nil {
 		return err
 	}
-	var rates [2]Rate
+	var rates [2]ClosedLoopResult
 	var procs [2]*Process
 	var callers [2]*caller.Caller
 	for k, more := range []string{"", fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\n[[identity.tenant]]\nname = \"acme\"\n", is.file)} {
 		socket := fmt.Sprintf("%s/proof-%d.sock", e.Dir, k)
-		p, err := e.processorWith(fmt.Sprint("proof-", k), fleet, "127.0.0.1:0", OperatorFile("unix:"+socket, "answer", "20s")+more)
+		p, err := e.startProcessorWith(fmt.Sprint("proof-", k), fleet, "127.0.0.1:0", OperatorFile("unix:"+socket, "answer", "20s")+more)
 		if err != nil {
 			return err
 		}
@@ -248,16 +248,16 @@
 			return err
 		}
 		defer c.Close()
-		c.MessageTimeout = patience
+		c.MessageTimeout = waitTimeout
 		procs[k], callers[k] = p, c
 	}
 	const rounds = 4
 	var ids atomic.Int64
 	for range rounds {
 		for k := range procs {
-			got, err := loop(procs[k], identityWorkers, time.Duration(e.Seconds)*time.Second/(2*rounds), func(w int) (func(int) error, func(), error) {
+			got, err := runClosedLoop(procs[k], identityWorkers, time.Duration(e.Seconds)*time.Second/(2*rounds), func(w int) (func(int) error, func(), error) {
 				return func(i int) error {
-					q := caller.Request{Method: "GET", Path: fmt.Sprintf("/tiles/%016x", (w*7919+i)%scaleKeys+1),
+					q := caller.Request{Method: "GET", Path: fmt.Sprintf("/tiles/%016x", (w*7919+i)%tileKeys+1),
 						Headers: map[string]string{"x-request-id": fmt.Sprint("q", ids.Add(1))}}
 					if k == 1 {
 						q.Headers["authorization"] = "Bearer " + token
--- a/internal/lab/explore.go
+++ b/internal/lab/explore.go
@@ -9,11 +9,11 @@
 	"linenloom/internal/explore"
 )
 
-// exploreDepth is how many events in a row are tried in every order, and exploreSteps bounds the work for a scene by the
+// exploreDepth is how many events in a row are tried in every order, and exploreStepsPerSecond bounds the work for a scene by the
 // scenario's seconds.
 const (
-	exploreDepth = 6
-	exploreSteps = 6000 // a second, about what a core gets through
+	exploreDepth          = 6
+	exploreStepsPerSecond = 6000 // a second, about what a core gets through
 )
 
 // Explore is the scenario of the model checker: the scenes of internal/explore, deeper than the tests go.
@@ -32,31 +32,31 @@
 				failed = err
 			}
 			return w
-		}, explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreSteps})
+		}, explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreStepsPerSecond})
 		if failed != nil {
 			return r, fmt.Errorf("%s: %w", name, failed)
 		}
 		for _, f := range found.Faults {
 			e.Log("%s: %v", name, f)
 		}
-		r.Tell(name+": states", float64(found.States))
-		r.Tell(name+": transitions", float64(found.Transitions))
-		r.Tell(name+": depth", float64(found.Deepest))
+		r.AddValue(name+": states", float64(found.States))
+		r.AddValue(name+": transitions", float64(found.Transitions))
+		r.AddValue(name+": depth", float64(found.Deepest))
 		whole := 0.0
 		if found.Whole {
 			whole = 1
 		}
-		r.Tell(name+": every order up to the depth", whole)
+		r.AddValue(name+": every order up to the depth", whole)
 		r.Equal(name+": faults", float64(len(found.Faults)), 0)
 	}
 	e.Log("explore: the fleet's verdict on zones")
 	found := explore.Explore(func() explore.Model { return explore.NewFleet(explore.FleetScene{}) },
-		explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreSteps / 6})
+		explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreStepsPerSecond / 6})
 	for _, f := range found.Faults {
 		e.Log("fleet: %v", f)
 	}
-	r.Tell("three instances, two zones: states", float64(found.States))
-	r.Tell("three instances, two zones: transitions", float64(found.Transitions))
+	r.AddValue("three instances, two zones: states", float64(found.States))
+	r.AddValue("three instances, two zones: transitions", float64(found.Transitions))
 	r.Equal("three instances, two zones: faults", float64(len(found.Faults)), 0)
 	return r, nil
 }
--- a/internal/lab/extproc.go
+++ b/internal/lab/extproc.go
@@ -19,18 +19,18 @@
 	"linenloom/internal/standin"
 )
 
-// boxReader reads a box's answers whole, so that a relay is measured on the same exchanges as the proxy.
-type boxReader struct{ in *bufio.Reader }
+// cacheReader reads a box's answers whole, so that a relay is measured on the same exchanges as the proxy.
+type cacheReader struct{ in *bufio.Reader }
 
-func newBoxReader(conn net.Conn) *boxReader { return &boxReader{bufio.NewReader(conn)} }
+func newCacheReader(conn net.Conn) *cacheReader { return &cacheReader{bufio.NewReader(conn)} }
 
-func (b *boxReader) ask(c *redisClient, key, id string) error {
+func (b *cacheReader) get(c *redisClient, key, id string) error {
 	out := resp.AppendArray(c.buf[:0], 4)
 	for _, w := range []string{"OBJ.GET", key, id, "c=tile-read,d=3000"} {
 		out = resp.AppendBulk(out, w)
 	}
 	c.buf = out
-	c.conn.SetDeadline(time.Now().Add(patience))
+	c.conn.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := c.conn.Write(out); err != nil {
 		return err
 	}
@@ -54,11 +54,11 @@
 	return nil
 }
 
-// keysInLoad is how many keys the loads read; every box holds them all.
-const keysInLoad = 200
+// loadKeys is how many keys the loads read; every box holds them all.
+const loadKeys = 200
 
-// loadedFleet is a fleet whose every box holds the values of so many keys.
-func loadedFleet(boxes, size, held int) (*standin.Fleet, error) {
+// newFilledFleet is a fleet whose every box holds the values of so many keys.
+func newFilledFleet(boxes, size, held int) (*standin.Fleet, error) {
 	fleet, err := standin.NewFleet(boxes, size)
 	if err != nil {
 		return nil, err
@@ -71,21 +71,21 @@
 	return fleet, nil
 }
 
-// processor starts linenproc before a fleet.
-func (e *Env) processor(name string, fleet *standin.Fleet, redis, listen, mode, messageTimeout string) (*Process, error) {
-	return e.processorWith(name, fleet, redis, OperatorFile(listen, mode, messageTimeout))
+// startProcessor starts linenproc before a fleet.
+func (e *Env) startProcessor(name string, fleet *standin.Fleet, redis, listen, mode, messageTimeout string) (*Process, error) {
+	return e.startProcessorWith(name, fleet, redis, OperatorFile(listen, mode, messageTimeout))
 }
 
-func (e *Env) processorWith(name string, fleet *standin.Fleet, redis, operator string) (*Process, error) {
+func (e *Env) startProcessorWith(name string, fleet *standin.Fleet, redis, operator string) (*Process, error) {
 	text, err := fleet.Config(name, redis, "8c1f30d27a5be964", 192, 1024)
 	if err != nil {
 		return nil, err
 	}
-	config, err := e.write(name+".json", text)
+	config, err := e.writeFile(name+".json", text)
 	if err != nil {
 		return nil, err
 	}
-	file, err := e.write(name+".toml", []byte(operator))
+	file, err := e.writeFile(name+".toml", []byte(operator))
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 	for _, part := range []struct {
 		name string
 		run  func(context.Context, *Env, *Report) error
-	}{{"choices", sameChoices}, {"kill", killed}, {"cost", costs}} {
+	}{{"choices", compareChoices}, {"kill", killUnderLoad}, {"cost", measureCosts}} {
 		e.Log("extproc: %s", part.name)
 		if err := part.run(ctx, e, r); err != nil {
 			return r, fmt.Errorf("%s: %w", part.name, err)
@@ -108,7 +108,7 @@
 	return r, nil
 }
 
-func sameChoices(_ context.Context, _ *Env, r *Report) error {
+func compareChoices(_ context.Context, _ *Env, r *Report) error {
 	const requests = 300
 	var g sync.WaitGroup
 	kinds := []struct {
@@ -118,7 +118,7 @@
 		{"answer in full duplex", "answer", false, true}, {"route in full duplex", "route", false, true}}
 	plays, errs := make([]Choices, len(kinds)), make([]error, len(kinds))
 	for i, c := range kinds {
-		g.Go(func() { plays[i], errs[i] = Play(c.mode, c.duplex, requests, func(int) bool { return c.redis }) })
+		g.Go(func() { plays[i], errs[i] = RunChoices(c.mode, c.duplex, requests, func(int) bool { return c.redis }) })
 	}
 	g.Wait()
 	for i, c := range kinds {
@@ -127,16 +127,16 @@
 			return errs[i]
 		}
 		if i == 0 {
-			r.Tell("choices of the module, by RESP2", float64(len(plays[0].Sends)))
+			r.AddValue("choices of the module, by RESP2", float64(len(plays[0].Members)))
 			continue
 		}
-		differ := max(len(plays[i].Sends), len(plays[0].Sends))
-		for k := range min(len(plays[i].Sends), len(plays[0].Sends)) {
-			if plays[i].Sends[k] == plays[0].Sends[k] {
+		differ := max(len(plays[i].Members), len(plays[0].Members))
+		for k := range min(len(plays[i].Members), len(plays[0].Members)) {
+			if plays[i].Members[k] == plays[0].Members[k] {
 				differ--
 			}
 		}
-		if !slices.Equal(plays[i].Ends, plays[0].Ends) {
+		if !slices.Equal(plays[i].Outcomes, plays[0].Outcomes) {
 			differ++
 		}
 		r.Equal("choices by "+name+" that differ", float64(differ), 0)
@@ -144,18 +144,18 @@
 	return nil
 }
 
-// killed sends 500 requests a second through a caller for the scenario's time, in each mode, while the processor is
+// killUnderLoad sends 500 requests a second through a caller for the scenario's time, in each mode, while the processor is
 // killed and started again now and then; once as most callers send bodies, and once in full duplex.
-func killed(ctx context.Context, e *Env, r *Report) error {
+func killUnderLoad(ctx context.Context, e *Env, r *Report) error {
 	for _, duplex := range []bool{false, true} {
-		if err := killedWith(ctx, e, r, duplex); err != nil {
+		if err := killUnderLoadWith(ctx, e, r, duplex); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func killedWith(ctx context.Context, e *Env, r *Report, duplex bool) error {
+func killUnderLoadWith(ctx context.Context, e *Env, r *Report, duplex bool) error {
 	how := ""
 	if duplex {
 		how = " in full duplex"
@@ -172,14 +172,14 @@
 		g.Go(func() {
 			o := &out[k]
 			o.err = func() error {
-				fleet, err := loadedFleet(4, 512, keysInLoad)
+				fleet, err := newFilledFleet(4, 512, loadKeys)
 				if err != nil {
 					return err
 				}
 				defer fleet.Close()
 				fleet.Origin.SetService(5*time.Millisecond, 0)
 				socket := fmt.Sprintf("%s/kill-%s-%v.sock", e.Dir, mode, duplex)
-				p, err := e.processor("kill-"+mode, fleet, "127.0.0.1:0", "unix:"+socket, mode, "200ms")
+				p, err := e.startProcessor("kill-"+mode, fleet, "127.0.0.1:0", "unix:"+socket, mode, "200ms")
 				if err != nil {
 					return err
 				}
@@ -206,7 +206,7 @@
 
 				var requests, answers, late, served, failed, refused atomic.Int64
 				one := func(i int) {
-					method, path, body := "GET", fmt.Sprint("/tiles/k", i%keysInLoad), []byte(nil)
+					method, path, body := "GET", fmt.Sprint("/tiles/k", i%loadKeys), []byte(nil)
 					if i%5 == 4 {
 						method, path, body = "PUT", fmt.Sprint("/orders/o", i), []byte("one pass, adult")
 					}
@@ -267,7 +267,7 @@
 						o.kills++
 						go func() {
 							p.Kill()
-							again, err := e.processor("kill-"+mode, fleet, "127.0.0.1:0", "unix:"+socket, mode, "200ms")
+							again, err := e.startProcessor("kill-"+mode, fleet, "127.0.0.1:0", "unix:"+socket, mode, "200ms")
 							if err == nil {
 								p = again
 							}
@@ -304,22 +304,22 @@
 		if o.err != nil {
 			return fmt.Errorf("%s: %w", mode, o.err)
 		}
-		r.Tell(mode+": requests, at 500 a second", float64(o.requests))
-		r.Tell(mode+": kills with SIGKILL", float64(o.kills))
+		r.AddValue(mode+": requests, at 500 a second", float64(o.requests))
+		r.AddValue(mode+": kills with SIGKILL", float64(o.kills))
 		r.Equal(mode+": answers per request", float64(o.answers)/float64(max(1, o.requests)), 1)
 		r.Equal(mode+": deadlines missed", float64(o.late), 0)
 		r.Equal(mode+": orders that ran twice", float64(o.twice), 0)
 		r.AtLeast(mode+": served, of all", float64(o.served)/float64(max(1, o.requests)), 0.9)
-		r.Tell(mode+": failed", float64(o.failed))
-		r.Tell(mode+": refused", float64(o.refused))
+		r.AddValue(mode+": failed", float64(o.failed))
+		r.AddValue(mode+": refused", float64(o.refused))
 	}
 	return nil
 }
 
-// costs compares what a call costs with the least that a processor in the same library can do, and both fronts with one
+// measureCosts compares what a call costs with the least that a processor in the same library can do, and both fronts with one
 // another and with a relay that only copies bytes. All take turns, so that what else the machine does meets each alike.
-func costs(_ context.Context, e *Env, r *Report) error {
-	fleet, err := loadedFleet(8, 2048, keysInLoad)
+func measureCosts(_ context.Context, e *Env, r *Report) error {
+	fleet, err := newFilledFleet(8, 2048, loadKeys)
 	if err != nil {
 		return err
 	}
@@ -330,51 +330,53 @@
 			return err
 		}
 	}
-	route, err := e.processor("cost-route", fleet, "127.0.0.1:0", addrs[0], "route", "5s")
+	route, err := e.startProcessor("cost-route", fleet, "127.0.0.1:0", addrs[0], "route", "5s")
 	if err != nil {
 		return err
 	}
 	defer route.Kill()
-	answer, err := e.processor("cost-answer", fleet, addrs[1], addrs[2], "answer", "5s")
+	answer, err := e.startProcessor("cost-answer", fleet, addrs[1], addrs[2], "answer", "5s")
 	if err != nil {
 		return err
 	}
 	defer answer.Kill()
-	bare, err := Start("ready", []string{ServeVariable + "=bare " + addrs[3]}, e.Self)
+	bare, err := Start("ready", []string{ServeVariable + "=bare " + addrs[3]}, e.Executable)
 	if err != nil {
 		return err
 	}
 	defer bare.Kill()
-	relay, err := Start("ready", []string{ServeVariable + "=relay " + addrs[4] + " " + fleet.Boxes[0].Addr()}, e.Self)
+	relay, err := Start("ready", []string{ServeVariable + "=relay " + addrs[4] + " " + fleet.Boxes[0].Addr()}, e.Executable)
 	if err != nil {
 		return err
 	}
 	defer relay.Kill()
 
-	bareAnswer, err := Start("ready", []string{ServeVariable + "=bareanswer " + addrs[5] + " 2048"}, e.Self)
+	bareAnswer, err := Start("ready", []string{ServeVariable + "=bareanswer " + addrs[5] + " 2048"}, e.Executable)
 	if err != nil {
 		return err
 	}
 	defer bareAnswer.Kill()
 
 	const workers = 16
-	var rates struct{ bare, route, bareAnswer, answer, redis, relay Rate }
+	var rates struct{ bare, route, bareAnswer, answer, redis, relay ClosedLoopResult }
 	for round := range 4 {
 		for _, m := range []struct {
-			into    *Rate
+			into    *ClosedLoopResult
 			p       *Process
 			addr    string
 			workers int
 			make    func(addr string) (func(int) (func(int) error, func(), error), error)
 		}{
-			{&rates.bare, bare, addrs[3], workers, processorLoad(true)},
-			{&rates.route, route, addrs[0], workers, processorLoad(true)},
-			{&rates.bareAnswer, bareAnswer, addrs[5], 8, processorLoad(false)},
-			{&rates.answer, answer, addrs[2], 8, processorLoad(false)},
+			{&rates.bare, bare, addrs[3], workers, newProcessorWorkers(true)},
+			{&rates.route, route, addrs[0], workers, newProcessorWorkers(true)},
+			{&rates.bareAnswer, bareAnswer, addrs[5], 8, newProcessorWorkers(false)},
+			{&rates.answer, answer, addrs[2], 8, newProcessorWorkers(false)},
 			{&rates.redis, answer, addrs[1], 8, func(a string) (func(int) (func(int) error, func(), error), error) {
-				return readRESP(a, keysInLoad), nil
+				return newRESPWorker(a, loadKeys), nil
+			}},
+			{&rates.relay, relay, addrs[4], 8, func(a string) (func(int) (func(int) error, func(), error), error) {
+				return newCacheWorker(a, loadKeys), nil
 			}},
-			{&rates.relay, relay, addrs[4], 8, func(a string) (func(int) (func(int) error, func(), error), error) { return readBox(a, keysInLoad), nil }},
 		} {
 			load, err := m.make(m.addr)
 			if err != nil {
@@ -384,7 +386,7 @@
 			if round == 0 {
 				d = 200 * time.Millisecond // connections and tables warm up
 			}
-			got, err := loop(m.p, m.workers, d, load)
+			got, err := runClosedLoop(m.p, m.workers, d, load)
 			if err != nil {
 				return fmt.Errorf("%s: %w", strings.TrimPrefix(m.addr, "127.0.0.1"), err)
 			}
@@ -399,25 +401,25 @@
 	// What a call costs over a read is the library's: a processor that answers from memory and asks nobody pays it too.
 	r.AtMost("answer: CPU a request, of a bare answer's and a RESP2 read's together",
 		(1/rates.answer.PerCPU())/(1/rates.bareAnswer.PerCPU()+1/rates.redis.PerCPU()), 1.2)
-	r.Tell("bare answer: requests a second against RESP2's, which no answer can exceed", rates.bareAnswer.PerSecond()/rates.redis.PerSecond())
-	r.Tell("bare answer: CPU us a request", 1e6/rates.bareAnswer.PerCPU())
-	r.Tell("bare processor: CPU us a request", 1e6/rates.bare.PerCPU())
-	r.Tell("route: CPU us a request", 1e6/rates.route.PerCPU())
-	r.Tell("answer: CPU us a request", 1e6/rates.answer.PerCPU())
-	r.Tell("RESP2: CPU us a read", 1e6/rates.redis.PerCPU())
-	r.Tell("RESP2: reads per CPU second against a byte relay", rates.redis.PerCPU()/rates.relay.PerCPU())
-	r.Tell("RESP2: refused, of all", float64(rates.redis.Refused)/float64(max(1, rates.redis.Refused+rates.redis.Done)))
-	r.Tell("answer: refused, of all", float64(rates.answer.Refused)/float64(max(1, rates.answer.Refused+rates.answer.Done)))
+	r.AddValue("bare answer: requests a second against RESP2's, which no answer can exceed", rates.bareAnswer.PerSecond()/rates.redis.PerSecond())
+	r.AddValue("bare answer: CPU us a request", 1e6/rates.bareAnswer.PerCPU())
+	r.AddValue("bare processor: CPU us a request", 1e6/rates.bare.PerCPU())
+	r.AddValue("route: CPU us a request", 1e6/rates.route.PerCPU())
+	r.AddValue("answer: CPU us a request", 1e6/rates.answer.PerCPU())
+	r.AddValue("RESP2: CPU us a read", 1e6/rates.redis.PerCPU())
+	r.AddValue("RESP2: reads per CPU second against a byte relay", rates.redis.PerCPU()/rates.relay.PerCPU())
+	r.AddValue("RESP2: refused, of all", float64(rates.redis.Refused)/float64(max(1, rates.redis.Refused+rates.redis.Served)))
+	r.AddValue("answer: refused, of all", float64(rates.answer.Refused)/float64(max(1, rates.answer.Refused+rates.answer.Served)))
 	return nil
 }
 
-// processorLoad makes workers for an external processor, on four connections.
-func processorLoad(both bool) func(addr string) (func(int) (func(int) error, func(), error), error) {
+// newProcessorWorkers makes workers for an external processor, on four connections.
+func newProcessorWorkers(both bool) func(addr string) (func(int) (func(int) error, func(), error), error) {
 	return func(addr string) (func(int) (func(int) error, func(), error), error) {
 		conns, err := dialProcessor(addr, 4)
 		if err != nil {
 			return nil, err
 		}
-		return callProcessor(conns, keysInLoad, both), nil
+		return newProcessorWorker(conns, loadKeys, both), nil
 	}
 }
--- a/internal/lab/flood.go
+++ b/internal/lab/flood.go
@@ -12,71 +12,71 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Flood is an open loop: reads come at a rate, whatever becomes of those before them, over connections that carry as many as
+// OpenLoop is an open loop: reads come at a rate, whatever becomes of those before them, over connections that carry as many as
 // it takes. A read counts from when it was due to be sent, not from when the connection took it, so that what waits in front
 // of a proxy that is slow to read counts too.
-type Flood struct {
-	Addr     string
-	Tenant   string
-	Conns    int
-	Rate     float64       // reads a second, over all connections; they come at random (Poisson)
-	Patience time.Duration // a read that is not sent by then is not sent any more, and a served one counts as in time
-	Again    bool          // a read that is refused comes again at once, in place of what is due next
-	Keys     int
-	Seed     uint64
+type OpenLoop struct {
+	Addr         string
+	Tenant       string
+	Connections  int
+	Rate         float64       // reads a second, over all connections; they come at random (Poisson)
+	Deadline     time.Duration // a read that is not sent by then is not sent any more, and a served one counts as in time
+	RetryRefused bool          // a read that is refused comes again at once, in place of what is due next
+	Keys         int
+	Seed         uint64
 }
 
-// Flooded is what became of a Flood's reads.
-type Flooded struct {
-	Due, Gone, Refused, InTime, Late int64
-	Took                             time.Duration
-	latency                          *hdrhistogram.Histogram // of those served, in microseconds
+// OpenLoopResult is what became of a Flood's reads.
+type OpenLoopResult struct {
+	Offered, Unsent, Refused, InTime, Late int64
+	Duration                               time.Duration
+	latency                                *hdrhistogram.Histogram // of those served, in microseconds
 }
 
 // Goodput is the reads served in time a second.
-func (f *Flooded) Goodput() float64 { return float64(f.InTime) / f.Took.Seconds() }
+func (f *OpenLoopResult) Goodput() float64 { return float64(f.InTime) / f.Duration.Seconds() }
 
 // Quantile is the latency under which that share of the served reads came.
-func (f *Flooded) Quantile(q float64) time.Duration {
+func (f *OpenLoopResult) Quantile(q float64) time.Duration {
 	return time.Duration(f.latency.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
-func newFlooded() *Flooded {
-	return &Flooded{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
+func newOpenLoopResult() *OpenLoopResult {
+	return &OpenLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
 }
 
-// mostUnanswered is how many reads a connection may have out before nothing more is sent on it: with a proxy that answers
+// maxOutstandingReads is how many reads a connection may have out before nothing more is sent on it: with a proxy that answers
 // nothing, the record of what is out would else grow without bound. What is due meanwhile waits, and counts from when it was.
-const mostUnanswered = 1 << 16
+const maxOutstandingReads = 1 << 16
 
-// floodConn is one connection of a Flood.
-type floodConn struct {
-	f    *Flood
-	conn net.Conn
-	mu   sync.Mutex
-	out  []floodRead // sent and not answered, the oldest first
-	back int         // refused, to come again
-	end  *Flooded
+// openLoopConnection is one connection of a Flood.
+type openLoopConnection struct {
+	load        *OpenLoop
+	conn        net.Conn
+	mu          sync.Mutex
+	outstanding []outstandingRead // sent and not answered, the oldest first
+	retries     int               // refused, to come again
+	result      *OpenLoopResult
 }
 
-type floodRead struct {
+type outstandingRead struct {
 	due time.Time
 	key int
 }
 
 // Run floods for a while, then waits for what is still out.
-func (f *Flood) Run(d time.Duration) (*Flooded, error) {
-	total := newFlooded()
-	errs := make(chan error, 2*f.Conns)
+func (f *OpenLoop) Run(d time.Duration) (*OpenLoopResult, error) {
+	total := newOpenLoopResult()
+	errs := make(chan error, 2*f.Connections)
 	var g sync.WaitGroup
 	var mu sync.Mutex
 	begun := time.Now()
-	for i := range f.Conns {
+	for i := range f.Connections {
 		conn, err := net.Dial("tcp", f.Addr)
 		if err != nil {
 			return nil, err
 		}
-		c := &floodConn{f: f, conn: conn, end: newFlooded()}
+		c := &openLoopConnection{load: f, conn: conn, result: newOpenLoopResult()}
 		rng := rand.New(rand.NewPCG(f.Seed, uint64(i)))
 		sent := make(chan struct{})
 		g.Go(func() {
@@ -92,14 +92,14 @@
 			conn.Close()
 			mu.Lock()
 			defer mu.Unlock()
-			e := c.end
-			total.Due, total.Gone, total.Refused = total.Due+e.Due, total.Gone+e.Gone, total.Refused+e.Refused
+			e := c.result
+			total.Offered, total.Unsent, total.Refused = total.Offered+e.Offered, total.Unsent+e.Unsent, total.Refused+e.Refused
 			total.InTime, total.Late = total.InTime+e.InTime, total.Late+e.Late
 			total.latency.Merge(e.latency)
 		})
 	}
 	g.Wait()
-	total.Took = d
+	total.Duration = d
 	select {
 	case err := <-errs:
 		return nil, err
@@ -108,13 +108,13 @@
 	}
 }
 
-func (c *floodConn) send(rng *rand.Rand, begun time.Time, d time.Duration) error {
-	rate := c.f.Rate / float64(c.f.Conns)
+func (c *openLoopConnection) send(rng *rand.Rand, begun time.Time, d time.Duration) error {
+	rate := c.load.Rate / float64(c.load.Connections)
 	gap := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
 	due := begun.Add(gap())
-	attrs := "c=tile-read,d=" + strconv.FormatInt(c.f.Patience.Milliseconds(), 10)
-	if c.f.Tenant != "" {
-		attrs += ",t=" + c.f.Tenant
+	attrs := "c=tile-read,d=" + strconv.FormatInt(c.load.Deadline.Milliseconds(), 10)
+	if c.load.Tenant != "" {
+		attrs += ",t=" + c.load.Tenant
 	}
 	var b []byte
 	for {
@@ -124,26 +124,26 @@
 		}
 		b = b[:0]
 		c.mu.Lock()
-		for !due.After(now) && len(b) < 32<<10 && len(c.out) < mostUnanswered {
+		for !due.After(now) && len(b) < 32<<10 && len(c.outstanding) < maxOutstandingReads {
 			at := due
-			if c.back > 0 {
-				c.back--
+			if c.retries > 0 {
+				c.retries--
 				at = now
 			} else {
 				due = due.Add(gap())
 			}
-			c.end.Due++
-			if now.Sub(at) > c.f.Patience {
-				c.end.Gone++
+			c.result.Offered++
+			if now.Sub(at) > c.load.Deadline {
+				c.result.Unsent++
 				continue
 			}
-			r := floodRead{at, rng.IntN(c.f.Keys)}
-			c.out = append(c.out, r)
-			b = appendRead(b, r.key, attrs)
+			r := outstandingRead{at, rng.IntN(c.load.Keys)}
+			c.outstanding = append(c.outstanding, r)
+			b = appendTileRead(b, r.key, attrs)
 		}
 		c.mu.Unlock()
 		if len(b) > 0 {
-			c.conn.SetWriteDeadline(time.Now().Add(patience))
+			c.conn.SetWriteDeadline(time.Now().Add(waitTimeout))
 			if _, err := c.conn.Write(b); err != nil {
 				return fmt.Errorf("lab: send: %w", err)
 			}
@@ -157,16 +157,16 @@
 }
 
 // receive takes answers until all that was sent has one.
-func (c *floodConn) receive(sent <-chan struct{}) error {
+func (c *openLoopConnection) receive(sent <-chan struct{}) error {
 	in := bufio.NewReaderSize(c.conn, 32<<10)
 	done := false
 	var want []byte
 	for {
 		c.mu.Lock()
-		left := len(c.out)
-		var r floodRead
+		left := len(c.outstanding)
+		var r outstandingRead
 		if left > 0 {
-			r = c.out[0]
+			r = c.outstanding[0]
 		}
 		c.mu.Unlock()
 		if left == 0 {
@@ -180,28 +180,28 @@
 			}
 			continue
 		}
-		c.conn.SetReadDeadline(time.Now().Add(patience))
-		want = appendStart(want[:0], r.key)
-		err := takeTile(in, want)
+		c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
+		want = appendTilePrefix(want[:0], r.key)
+		err := readTile(in, want)
 		took := time.Since(r.due)
 		if err != nil && err != errRefused {
 			return fmt.Errorf("with %d reads out: %w", left, err)
 		}
 		c.mu.Lock()
-		c.out = c.out[1:]
-		if err == errRefused && c.f.Again && took < c.f.Patience {
-			c.back++
+		c.outstanding = c.outstanding[1:]
+		if err == errRefused && c.load.RetryRefused && took < c.load.Deadline {
+			c.retries++
 		}
 		c.mu.Unlock()
 		switch {
 		case err == errRefused:
-			c.end.Refused++
+			c.result.Refused++
 			continue
-		case took <= c.f.Patience:
-			c.end.InTime++
+		case took <= c.load.Deadline:
+			c.result.InTime++
 		default:
-			c.end.Late++
+			c.result.Late++
 		}
-		c.end.latency.RecordValue(max(1, took.Microseconds()))
+		c.result.latency.RecordValue(max(1, took.Microseconds()))
 	}
 }
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -28,8 +28,8 @@
 	"linenloom/logic"
 )
 
-// patience bounds every wait for something that must come about; only what fails waits as long.
-const patience = cluster.Patience
+// waitTimeout bounds every wait for something that must come about; only what fails waits as long.
+const waitTimeout = cluster.Patience
 
 // OperatorFile is an operator's file that maps /tiles/{key} and /orders/{key}.
 func OperatorFile(listen, mode, messageTimeout string) string {
@@ -56,11 +56,11 @@
 	Front  *server.Front
 	Fleet  *standin.Fleet
 	Caller *caller.Caller
-	now    atomic.Int64
+	clock  atomic.Int64
 	stop   context.CancelFunc
 	done   chan error
 	mu     sync.Mutex
-	sends  []logic.MemberID
+	sentTo []logic.MemberID
 }
 
 // NewHost starts a host before a fleet.
@@ -75,10 +75,10 @@
 		return nil, err
 	}
 	cfg.AcceptMore = 0
-	cfg.Clock = func() time.Duration { return time.Duration(h.now.Load()) }
+	cfg.Clock = func() time.Duration { return time.Duration(h.clock.Load()) }
 	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) {
 		h.mu.Lock()
-		h.sends = append(h.sends, m)
+		h.sentTo = append(h.sentTo, m)
 		h.mu.Unlock()
 	}
 	log := slog.New(slog.DiscardHandler)
@@ -96,7 +96,7 @@
 	if h.Caller, err = caller.Dial(h.Front.Addr().String()); err != nil {
 		return nil, err
 	}
-	h.Caller.MessageTimeout, h.Caller.Retries = patience, 5
+	h.Caller.MessageTimeout, h.Caller.Retries = waitTimeout, 5
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
 	go func() { h.done <- h.Proxy.Run(ctx) }()
@@ -110,8 +110,8 @@
 	return <-h.done
 }
 
-func (h *Host) advance(d time.Duration) {
-	h.now.Add(int64(d))
+func (h *Host) advanceClock(d time.Duration) {
+	h.clock.Add(int64(d))
 	h.Proxy.Tick()
 }
 
@@ -121,12 +121,12 @@
 
 // Choices is what became of a recorded run: the members in the order in which the module chose them, and how each
 // request ended.
-type Choices struct{ Sends, Ends []string }
+type Choices struct{ Members, Outcomes []string }
 
-// Play plays the recorded run of so many requests by one front or the other: reads of Zipf-like keys and some orders, a
+// RunChoices plays the recorded run of so many requests by one front or the other: reads of Zipf-like keys and some orders, a
 // cold box, one that fails for a while, one that is full for a while, and one that drains. One request is in hand at a
 // time and the clock is the run's own, so that the same outcomes come at the same times.
-func Play(mode string, duplex bool, requests int, byRedis func(i int) bool) (c Choices, err error) {
+func RunChoices(mode string, duplex bool, requests int, byRedis func(i int) bool) (c Choices, err error) {
 	fleet, err := standin.NewFleet(6, 64)
 	if err != nil {
 		return c, err
@@ -156,7 +156,7 @@
 	defer rc.conn.Close()
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range requests {
-		h.advance(5 * time.Millisecond)
+		h.advanceClock(5 * time.Millisecond)
 		switch i {
 		case requests / 4:
 			fleet.Boxes[1].SetFault(standin.Failing)
@@ -172,15 +172,15 @@
 			}
 		}
 		key, id, write := fmt.Sprint("k", int(rng.ExpFloat64()*15)%60), fmt.Sprint("id", i), i%20 == 19
-		answer, err := h.ask(rc, byRedis(i), mode, key, id, write)
+		answer, err := h.request(rc, byRedis(i), mode, key, id, write)
 		if err != nil {
 			return c, err
 		}
 		switch {
 		case strings.Contains(answer, " of "+key):
-			c.Ends = append(c.Ends, "served")
+			c.Outcomes = append(c.Outcomes, "served")
 		case strings.HasPrefix(answer, "-BUSY"), strings.HasPrefix(answer, "refused"):
-			c.Ends = append(c.Ends, "refused")
+			c.Outcomes = append(c.Outcomes, "refused")
 		default:
 			return c, fmt.Errorf("request %d was answered %q", i, answer)
 		}
@@ -197,25 +197,25 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, m := range h.sends {
-		c.Sends = append(c.Sends, names[m])
+	for _, m := range h.sentTo {
+		c.Members = append(c.Members, names[m])
 	}
 	return c, nil
 }
 
-// ask makes one request by one front.
-func (h *Host) ask(rc *redisClient, byRedis bool, mode, key, id string, write bool) (string, error) {
+// request makes one request by one front.
+func (h *Host) request(rc *redisClient, byRedis bool, mode, key, id string, write bool) (string, error) {
 	// The last byte of an order is held back for 2 ms; the clock has to move while it is.
 	h.Caller.SendAfter = nil
 	held := make(chan error, 1)
 	switch {
 	case write && mode == "route" && !byRedis:
-		h.Caller.SendAfter = func(string) { h.advance(10 * time.Millisecond) }
+		h.Caller.SendAfter = func(string) { h.advanceClock(10 * time.Millisecond) }
 		held <- nil
 	case write:
 		go func() {
 			err := eventually("the order is out", func() bool { return h.Proxy.Load().Busy > 0 })
-			h.advance(10 * time.Millisecond)
+			h.advanceClock(10 * time.Millisecond)
 			held <- err
 		}()
 	default:
@@ -228,7 +228,7 @@
 			words = []string{"OBJ.SET", key, id, "c=pass-order,d=2000", "one pass"}
 		}
 		var err error
-		if answer, err = rc.ask(words...); err != nil {
+		if answer, err = rc.do(words...); err != nil {
 			return "", err
 		}
 	} else {
@@ -237,7 +237,7 @@
 			q = caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass")}
 		}
 		q.Headers = map[string]string{"x-request-id": id, "x-envoy-expected-rq-timeout-ms": "2010"} // the margin is 10
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		res := h.Caller.Do(ctx, q)
 		cancel()
 		if res.Err != nil {
@@ -263,8 +263,8 @@
 	return &redisClient{conn: conn, in: bufio.NewReader(conn)}, nil
 }
 
-// ended tells whether the other side has ended the connection.
-func (c *redisClient) ended() (yes bool) {
+// closedByPeer tells whether the other side has ended the connection.
+func (c *redisClient) closedByPeer() (yes bool) {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
 		err = raw.Control(func(fd uintptr) { yes = sender.Peek(fd) == sender.EndOfStream })
@@ -272,14 +272,14 @@
 	return yes || err != nil
 }
 
-// ask returns the value, or the error line.
-func (c *redisClient) ask(words ...string) (string, error) {
+// do returns the value, or the error line.
+func (c *redisClient) do(words ...string) (string, error) {
 	b := resp.AppendArray(c.buf[:0], len(words))
 	for _, w := range words {
 		b = resp.AppendBulk(b, w)
 	}
 	c.buf = b
-	c.conn.SetDeadline(time.Now().Add(patience))
+	c.conn.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := c.conn.Write(b); err != nil {
 		return "", err
 	}
--- a/internal/lab/host_test.go
+++ b/internal/lab/host_test.go
@@ -11,7 +11,7 @@
 	const requests = 400
 	play := func(t *testing.T, mode string, byRedis func(int) bool) Choices {
 		t.Helper()
-		c, err := Play(mode, false, requests, byRedis)
+		c, err := RunChoices(mode, false, requests, byRedis)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -19,16 +19,16 @@
 	}
 	want := play(t, "answer", func(int) bool { return true })
 	refused := 0
-	for _, e := range want.Ends {
+	for _, e := range want.Outcomes {
 		if e == "refused" {
 			refused++
 		}
 	}
-	if len(want.Sends) < requests+20 || refused > requests/10 {
-		t.Fatalf("%d choices and %d refusals for %d requests: too little was tried", len(want.Sends), refused, requests)
+	if len(want.Members) < requests+20 || refused > requests/10 {
+		t.Fatalf("%d choices and %d refusals for %d requests: too little was tried", len(want.Members), refused, requests)
 	}
 	for _, s := range []string{"s-cold", "o-1", "s-2", "s-3", "s-4"} {
-		if !slices.Contains(want.Sends, s) {
+		if !slices.Contains(want.Members, s) {
 			t.Fatalf("%s was never chosen", s)
 		}
 	}
@@ -44,16 +44,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			got := play(t, c.mode, c.byRedis)
-			if !slices.Equal(got.Ends, want.Ends) {
+			if !slices.Equal(got.Outcomes, want.Outcomes) {
 				t.Error("what was served and what was refused differs")
 			}
-			if !slices.Equal(got.Sends, want.Sends) {
+			if !slices.Equal(got.Members, want.Members) {
 				i := 0
-				for i < min(len(got.Sends), len(want.Sends)) && got.Sends[i] == want.Sends[i] {
+				for i < min(len(got.Members), len(want.Members)) && got.Members[i] == want.Members[i] {
 					i++
 				}
-				t.Errorf("choices differ from the %dth on: %v, want %v", i, got.Sends[i:min(i+8, len(got.Sends))],
-					want.Sends[i:min(i+8, len(want.Sends))])
+				t.Errorf("choices differ from the %dth on: %v, want %v", i, got.Members[i:min(i+8, len(got.Members))],
+					want.Members[i:min(i+8, len(want.Members))])
 			}
 		})
 	}
--- a/internal/lab/identity.go
+++ b/internal/lab/identity.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	identityWorkers = 16
-	identityRounds  = 6
-	identityRotates = 32 * time.Second // all rounds together, at the least
-	forgers         = 16
+	identityWorkers    = 16
+	keyRotations       = 6
+	minKeyRotationTime = 32 * time.Second // all rounds together, at the least
+	forgerCount        = 16
 )
 
 // issuer signs tokens with the keys of a set that it keeps in a file.
 type issuer struct {
-	file string
-	mu   sync.Mutex
-	keys map[string]ed25519.PrivateKey
-	use  string // the key to sign with
-	n    int
+	file        string
+	mu          sync.Mutex
+	keys        map[string]ed25519.PrivateKey
+	signingKey  string // the key to sign with
+	lastSubject int
 }
 
 // publish replaces the file by one with these keys.
@@ -67,15 +67,15 @@
 func (s *issuer) token(key string) (string, error) {
 	s.mu.Lock()
 	if key == "" {
-		key = s.use
+		key = s.signingKey
 	}
-	s.n++
-	n, private := s.n, s.keys[key]
+	s.lastSubject++
+	n, private := s.lastSubject, s.keys[key]
 	s.mu.Unlock()
-	return signed(key, private, n)
+	return signToken(key, private, n)
 }
 
-func signed(kid string, key ed25519.PrivateKey, n int) (string, error) {
+func signToken(kid string, key ed25519.PrivateKey, n int) (string, error) {
 	by, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, (&jose.SignerOptions{}).WithHeader("kid", kid))
 	if err != nil {
 		return "", err
@@ -87,30 +87,30 @@
 	return sig.CompactSerialize()
 }
 
-// proven is a connection whose requests are read as answers of one line and a value.
-type proven struct {
-	conn net.Conn
-	in   *bufio.Reader
-	buf  []byte
-	n    int
-	name string
+// authClient is a connection whose requests are read as answers of one line and a value.
+type authClient struct {
+	conn     net.Conn
+	in       *bufio.Reader
+	buf      []byte
+	lastID   int
+	idPrefix string
 }
 
-func dialProven(addr, name string) (*proven, error) {
+func dialAuthClient(addr, name string) (*authClient, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &proven{conn: conn, in: bufio.NewReader(conn), name: name}, nil
+	return &authClient{conn: conn, in: bufio.NewReader(conn), idPrefix: name}, nil
 }
 
-// say sends words and returns the answer's first line; a value is read over.
-func (c *proven) say(words ...string) (string, error) {
+// do sends words and returns the answer's first line; a value is read over.
+func (c *authClient) do(words ...string) (string, error) {
 	c.buf = resp.AppendArray(c.buf[:0], len(words))
 	for _, w := range words {
 		c.buf = resp.AppendBulk(c.buf, w)
 	}
-	c.conn.SetDeadline(time.Now().Add(patience))
+	c.conn.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := c.conn.Write(c.buf); err != nil {
 		return "", err
 	}
@@ -128,15 +128,15 @@
 	return line, err
 }
 
-func (c *proven) read(key int, more string) (string, error) {
-	c.n++
-	return c.say("OBJ.GET", fmt.Sprintf("%016x", key+1), fmt.Sprintf("%s-%d", c.name, c.n), "c=tile-read,d=1000"+more)
+func (c *authClient) read(key int, more string) (string, error) {
+	c.lastID++
+	return c.do("OBJ.GET", fmt.Sprintf("%016x", key+1), fmt.Sprintf("%s-%d", c.idPrefix, c.lastID), "c=tile-read,d=1000"+more)
 }
 
 // auth proves who the connection is. On a fast machine more new tokens come than are checked: those that were not looked at come again.
-func (c *proven) auth(token string) error {
-	line, err := c.say("AUTH", token)
-	for end := time.Now().Add(patience); err == nil && strings.HasPrefix(line, "-BUSY") && time.Now().Before(end); line, err = c.say("AUTH", token) {
+func (c *authClient) auth(token string) error {
+	line, err := c.do("AUTH", token)
+	for end := time.Now().Add(waitTimeout); err == nil && strings.HasPrefix(line, "-BUSY") && time.Now().Before(end); line, err = c.do("AUTH", token) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	if err == nil && line != "+OK" {
@@ -152,59 +152,59 @@
 // those who are proven.
 func Identity(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "identity"}
-	fleet, err := loadedFleet(8, 2048, scaleKeys)
+	fleet, err := newFilledFleet(8, 2048, tileKeys)
 	if err != nil {
 		return r, err
 	}
 	defer fleet.Close()
-	is := &issuer{file: filepath.Join(e.Dir, "keys.json"), keys: map[string]ed25519.PrivateKey{}, use: "k0"}
+	is := &issuer{file: filepath.Join(e.Dir, "keys.json"), keys: map[string]ed25519.PrivateKey{}, signingKey: "k0"}
 	if err := is.publish("k0"); err != nil {
 		return r, err
 	}
-	bare, plain, err := e.proxy("identity-off", fleet, 192, 4096)
+	bare, plain, err := e.startProxy("identity-off", fleet, 192, 4096)
 	if err != nil {
 		return r, err
 	}
 	defer plain.Kill()
-	addr, p, err := e.guarded("identity", fleet, fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\nchecks_per_s = 500\n"+
+	addr, p, err := e.startProxyWith("identity", fleet, fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\nchecks_per_s = 500\n"+
 		"[[identity.tenant]]\nname = \"acme\"\n", is.file))
 	if err != nil {
 		return r, err
 	}
 	defer p.Kill()
-	if err := e.rotate(r, is, addr); err != nil {
+	if err := e.rotateKeys(r, is, addr); err != nil {
 		return r, err
 	}
-	if err := e.proofCost(r, is, addr, p, bare, plain); err != nil {
+	if err := e.measureTokenCost(r, is, addr, p, bare, plain); err != nil {
 		return r, err
 	}
-	if err := e.forge(r, is, addr, p); err != nil {
+	if err := e.floodWithForgeries(r, is, addr, p); err != nil {
 		return r, err
 	}
-	if err := e.proofCostAtProcessor(ctx, r, is, fleet); err != nil {
+	if err := e.measureProcessorTokenCost(ctx, r, is, fleet); err != nil {
 		return r, err
 	}
-	if err := e.doors(r, fleet, bare, plain); err != nil {
+	if err := e.measureTLS(r, fleet, bare, plain); err != nil {
 		return r, err
 	}
 	if kb, err := p.Resident(); err == nil {
-		r.Tell("resident, MB", float64(kb)/1024)
+		r.AddValue("resident, MB", float64(kb)/1024)
 	}
 	return r, p.Stop()
 }
 
-// guarded starts a proxy with an operator's file.
-func (e *Env) guarded(name string, fleet *standin.Fleet, operator string) (string, *Process, error) {
-	file, err := e.write(name+".toml", []byte(operator))
+// startProxyWith starts a proxy with an operator's file.
+func (e *Env) startProxyWith(name string, fleet *standin.Fleet, operator string) (string, *Process, error) {
+	file, err := e.writeFile(name+".toml", []byte(operator))
 	if err != nil {
 		return "", nil, err
 	}
-	return e.proxy(name, fleet, 192, 4096, "-operator", file)
+	return e.startProxy(name, fleet, 192, 4096, "-operator", file)
 }
 
-// rotate changes the keys several times while callers, half of them by AUTH and half by a token in each request, go on. A caller signs
+// rotateKeys changes the keys several times while callers, half of them by AUTH and half by a token in each request, go on. A caller signs
 // anew once it is told that its key is retired; only one who has a key of the file then is a valid one.
-func (e *Env) rotate(r *Report, is *issuer, addr string) error {
+func (e *Env) rotateKeys(r *Report, is *issuer, addr string) error {
 	e.Log("identity: keys that change under load")
 	var served, refused, accepted atomic.Int64
 	var failed atomic.Pointer[error]
@@ -213,7 +213,7 @@
 	for w := range identityWorkers {
 		g.Go(func() {
 			fail := func(err error) { failed.CompareAndSwap(nil, &err) }
-			c, err := dialProven(addr, fmt.Sprint("rot", w))
+			c, err := dialAuthClient(addr, fmt.Sprint("rot", w))
 			if err != nil {
 				fail(err)
 				return
@@ -238,7 +238,7 @@
 					return
 				}
 				for range 20 { // the token is new once in so many requests
-					line, err := c.read((w*7919+i)%scaleKeys, more)
+					line, err := c.read((w*7919+i)%tileKeys, more)
 					switch {
 					case err != nil:
 						fail(err)
@@ -254,15 +254,15 @@
 		})
 	}
 	worst := time.Duration(0)
-	each := max(identityRotates, time.Duration(e.Seconds)*time.Second) / identityRounds // the file is looked at every second
-	for round := range identityRounds {
+	each := max(minKeyRotationTime, time.Duration(e.Seconds)*time.Second) / keyRotations // the file is looked at every second
+	for round := range keyRotations {
 		now, next := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
 		if err := is.publish(now, next); err != nil { // before callers use it
 			return err
 		}
 		time.Sleep(each / 2) // longer than a process takes to look
 		is.mu.Lock()
-		is.use = next
+		is.signingKey = next
 		is.mu.Unlock()
 		stale, err := is.token(now)
 		if err != nil {
@@ -270,7 +270,7 @@
 		}
 		time.Sleep(each / 4) // callers have let go of the old key
 		// One that stands idle for long is closed, so each round has a connection of its own.
-		old, err := dialProven(addr, fmt.Sprint("old", round))
+		old, err := dialAuthClient(addr, fmt.Sprint("old", round))
 		if err != nil {
 			return err
 		}
@@ -292,7 +292,7 @@
 			if line[0] != '$' {
 				return fmt.Errorf("a caller whose key is retired is told %q", line)
 			}
-			if time.Since(told) > patience {
+			if time.Since(told) > waitTimeout {
 				return fmt.Errorf("a retired key is accepted for good")
 			}
 		}
@@ -301,9 +301,9 @@
 			if line, err := old.read(1, ",tk="+stale); err != nil || line != "-WRONGPASS its key is retired" && line != "-WRONGPASS unknown key" {
 				accepted.Add(1) // or turned away for something else, which proves nothing
 			}
-			if old.n%12 == 0 { // too many faults end a connection
+			if old.lastID%12 == 0 { // too many faults end a connection
 				old.conn.Close()
-				if old, err = dialProven(addr, fmt.Sprintf("old%d-%d", round, old.n)); err != nil {
+				if old, err = dialAuthClient(addr, fmt.Sprintf("old%d-%d", round, old.lastID)); err != nil {
 					return err
 				}
 			}
@@ -316,36 +316,36 @@
 	if err := failed.Load(); err != nil {
 		return *err
 	}
-	r.Tell("rotation: requests served", float64(served.Load()))
+	r.AddValue("rotation: requests served", float64(served.Load()))
 	r.Equal("rotation: valid requests turned away", float64(refused.Load()), 0)
 	r.Equal("rotation: by a retired key, once one was refused: not turned away for it", float64(accepted.Load()), 0)
 	r.AtMost("rotation: from the file's replacement to the first refusal, ms", float64(worst)/float64(time.Millisecond), 1100)
 	return nil
 }
 
-// proofCost compares a proven caller's reads with those of a proxy that asks nobody.
-func (e *Env) proofCost(r *Report, is *issuer, addr string, p *Process, bare string, plain *Process) error {
+// measureTokenCost compares a proven caller's reads with those of a proxy that asks nobody.
+func (e *Env) measureTokenCost(r *Report, is *issuer, addr string, p *Process, bare string, plain *Process) error {
 	e.Log("identity: what a proof costs")
 	token, err := is.token("")
 	if err != nil {
 		return err
 	}
-	var with, inList, without Rate
+	var with, inList, without ClosedLoopResult
 	const rounds = 4
 	d := time.Duration(e.Seconds) * time.Second / (3 * rounds)
 	reads := func(addr, name, auth, more string) func(int) (func(int) error, func(), error) {
 		return func(w int) (func(int) error, func(), error) {
-			c, err := dialProven(addr, fmt.Sprintf("%s%d-%d", name, w, time.Now().UnixNano()))
+			c, err := dialAuthClient(addr, fmt.Sprintf("%s%d-%d", name, w, time.Now().UnixNano()))
 			if err != nil {
 				return nil, nil, err
 			}
 			if auth != "" {
-				if line, err := c.say("AUTH", auth); err != nil || line != "+OK" {
+				if line, err := c.do("AUTH", auth); err != nil || line != "+OK" {
 					return nil, nil, fmt.Errorf("AUTH: %q, %v", line, err)
 				}
 			}
 			return func(i int) error {
-				line, err := c.read((w*7919+i)%scaleKeys, more)
+				line, err := c.read((w*7919+i)%tileKeys, more)
 				if err == nil && line[0] != '$' {
 					err = fmt.Errorf("answered %q", line)
 				}
@@ -355,42 +355,42 @@
 	}
 	for range rounds { // in turns, as the machine's speed varies
 		for _, part := range []struct {
-			rate       *Rate
+			rate       *ClosedLoopResult
 			p          *Process
 			addr       string
 			auth, more string
 		}{{&without, plain, bare, "", ""}, {&with, p, addr, token, ""}, {&inList, p, addr, "", ",tk=" + token}} {
-			got, err := loop(part.p, identityWorkers, d, reads(part.addr, "cost", part.auth, part.more))
+			got, err := runClosedLoop(part.p, identityWorkers, d, reads(part.addr, "cost", part.auth, part.more))
 			if err != nil {
 				return fmt.Errorf("reads at %s, AUTH %v, in the list %v: %w", part.addr, part.auth != "", part.more != "", err)
 			}
 			part.rate.add(got)
 		}
 	}
-	r.Tell("reads a CPU second without tokens", without.PerCPU())
+	r.AddValue("reads a CPU second without tokens", without.PerCPU())
 	r.AtLeast("by AUTH, a token seen before: reads a CPU second, of that", with.PerCPU()/without.PerCPU(), 0.9)
 	r.AtLeast("by a token in each list, seen before: reads a CPU second, of that", inList.PerCPU()/without.PerCPU(), 0.9)
 	return nil
 }
 
-// forge has callers send forged tokens as fast as they can, each a new one that only its signature gives away, on new connections as
+// floodWithForgeries has callers send forged tokens as fast as they can, each a new one that only its signature gives away, on new connections as
 // they are ended, beside a proven caller's reads.
-func (e *Env) forge(r *Report, is *issuer, addr string, p *Process) error {
+func (e *Env) floodWithForgeries(r *Report, is *issuer, addr string, p *Process) error {
 	e.Log("identity: a flood of forged tokens")
 	token, err := is.token("")
 	if err != nil {
 		return err
 	}
 	good := func(w int) (func(int) error, func(), error) {
-		c, err := dialProven(addr, fmt.Sprintf("good%d-%d", w, time.Now().UnixNano()))
+		c, err := dialAuthClient(addr, fmt.Sprintf("good%d-%d", w, time.Now().UnixNano()))
 		if err != nil {
 			return nil, nil, err
 		}
-		if line, err := c.say("AUTH", token); err != nil || line != "+OK" {
+		if line, err := c.do("AUTH", token); err != nil || line != "+OK" {
 			return nil, nil, fmt.Errorf("AUTH: %q, %v", line, err)
 		}
 		return func(i int) error {
-			line, err := c.read((w*7919+i)%scaleKeys, "")
+			line, err := c.read((w*7919+i)%tileKeys, "")
 			if err == nil && line[0] != '$' {
 				err = errRefused
 			}
@@ -399,7 +399,7 @@
 		}, func() { c.conn.Close() }, nil
 	}
 	d := time.Duration(e.Seconds) * time.Second / 4
-	alone, err := loop(p, identityWorkers, d, good)
+	alone, err := runClosedLoop(p, identityWorkers, d, good)
 	if err != nil {
 		return err
 	}
@@ -413,7 +413,7 @@
 	for w := range 4 {
 		made.Go(func() {
 			for i := w; i < len(forged); i += 4 {
-				forged[i], _ = signed(is.use, key, i)
+				forged[i], _ = signToken(is.signingKey, key, i)
 			}
 		})
 	}
@@ -421,9 +421,9 @@
 	var next, sent, through atomic.Int64
 	stop := make(chan struct{})
 	var g sync.WaitGroup
-	for range forgers {
+	for range forgerCount {
 		g.Go(func() {
-			var c *proven
+			var c *authClient
 			for {
 				select {
 				case <-stop:
@@ -431,13 +431,13 @@
 				default:
 				}
 				if c == nil {
-					if fresh, err := dialProven(addr, "forger"); err == nil {
+					if fresh, err := dialAuthClient(addr, "forger"); err == nil {
 						c = fresh
 					} else {
 						return
 					}
 				}
-				line, err := c.say("AUTH", forged[int(next.Add(1))%len(forged)])
+				line, err := c.do("AUTH", forged[int(next.Add(1))%len(forged)])
 				if err != nil {
 					c.conn.Close()
 					c = nil
@@ -449,17 +449,17 @@
 			}
 		})
 	}
-	beside, err := loop(p, identityWorkers, d, good)
+	beside, err := runClosedLoop(p, identityWorkers, d, good)
 	close(stop)
 	g.Wait()
 	if err != nil {
 		return err
 	}
-	r.Tell("flood: forged tokens a second", float64(sent.Load())/d.Seconds())
+	r.AddValue("flood: forged tokens a second", float64(sent.Load())/d.Seconds())
 	r.Equal("flood: forged tokens accepted", float64(through.Load()), 0)
-	r.AtLeast("flood: a proven caller's reads served, of those alone", float64(beside.Done)/float64(max(1, alone.Done)), 0.9)
+	r.AtLeast("flood: a proven caller's reads served, of those alone", float64(beside.Served)/float64(max(1, alone.Served)), 0.9)
 	r.Equal("flood: a proven caller's reads refused", float64(beside.Refused), 0)
-	r.Tell("p99 alone, ms", float64(alone.Quantile(0.99))/float64(time.Millisecond))
-	r.Tell("p99 beside the flood, ms", float64(beside.Quantile(0.99))/float64(time.Millisecond))
+	r.AddValue("p99 alone, ms", float64(alone.Quantile(0.99))/float64(time.Millisecond))
+	r.AddValue("p99 beside the flood, ms", float64(beside.Quantile(0.99))/float64(time.Millisecond))
 	return nil
 }
--- a/internal/lab/idle.go
+++ b/internal/lab/idle.go
@@ -8,12 +8,12 @@
 // Idle is the scenario of a proxy that nobody asks, before 60 caches: what it takes of the core all the same.
 func Idle(_ context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "idle"}
-	fleet, err := loadedFleet(60, 64, 1)
+	fleet, err := newFilledFleet(60, 64, 1)
 	if err != nil {
 		return r, err
 	}
 	defer fleet.Close()
-	_, p, err := e.proxy("idle", fleet, 64, 384)
+	_, p, err := e.startProxy("idle", fleet, 64, 384)
 	if err != nil {
 		return r, err
 	}
@@ -33,10 +33,10 @@
 	if err != nil {
 		return r, err
 	}
-	r.Tell("CPU until it is ready, ms", float64(started)/float64(time.Millisecond))
+	r.AddValue("CPU until it is ready, ms", float64(started)/float64(time.Millisecond))
 	r.AtMost("CPU a second, idle, ms", float64(after-before)/float64(time.Millisecond)/d.Seconds(), 10)
 	if kb, err := p.Resident(); err == nil {
-		r.Tell("resident, MB", float64(kb)/1024)
+		r.AddValue("resident, MB", float64(kb)/1024)
 	}
 	return r, p.Stop()
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -17,22 +17,22 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// Rate is what a closed loop of workers got through.
-type Rate struct {
-	Done, Refused int
-	Took          time.Duration
-	CPU           time.Duration // of the process under load
-	latencies     []time.Duration
+// ClosedLoopResult is what a closed loop of workers got through.
+type ClosedLoopResult struct {
+	Served, Refused int
+	Duration        time.Duration
+	CPU             time.Duration // of the process under load
+	latencies       []time.Duration
 }
 
 // PerSecond is the requests served a second.
-func (r Rate) PerSecond() float64 { return float64(r.Done) / r.Took.Seconds() }
+func (r ClosedLoopResult) PerSecond() float64 { return float64(r.Served) / r.Duration.Seconds() }
 
 // PerCPU is the requests served per second of the process's processor time.
-func (r Rate) PerCPU() float64 { return float64(r.Done) / max(r.CPU.Seconds(), 0.001) }
+func (r ClosedLoopResult) PerCPU() float64 { return float64(r.Served) / max(r.CPU.Seconds(), 0.001) }
 
 // Quantile is the latency under which that share of the requests was answered.
-func (r Rate) Quantile(q float64) time.Duration {
+func (r ClosedLoopResult) Quantile(q float64) time.Duration {
 	if len(r.latencies) == 0 {
 		return 0
 	}
@@ -41,10 +41,10 @@
 }
 
 // add joins two rounds.
-func (r *Rate) add(o Rate) {
-	r.Done += o.Done
+func (r *ClosedLoopResult) add(o ClosedLoopResult) {
+	r.Served += o.Served
 	r.Refused += o.Refused
-	r.Took += o.Took
+	r.Duration += o.Duration
 	r.CPU += o.CPU
 	r.latencies = append(r.latencies, o.latencies...)
 }
@@ -52,8 +52,8 @@
 // errRefused tells that a request was refused, which ends no worker.
 var errRefused = errors.New("lab: refused")
 
-// loop has so many workers make requests, one after another each, for a time. make returns a worker's own request.
-func loop(p *Process, workers int, d time.Duration, make func(w int) (func(i int) error, func(), error)) (r Rate, err error) {
+// runClosedLoop has so many workers make requests, one after another each, for a time. make returns a worker's own request.
+func runClosedLoop(p *Process, workers int, d time.Duration, make func(w int) (func(i int) error, func(), error)) (r ClosedLoopResult, err error) {
 	before, err := p.CPU()
 	if err != nil {
 		return r, err
@@ -70,13 +70,13 @@
 		}
 		g.Go(func() {
 			defer done()
-			var mine Rate
+			var mine ClosedLoopResult
 			for i := 0; time.Now().Before(end); i++ {
 				at := time.Now()
 				err := one(i)
 				switch {
 				case err == nil:
-					mine.Done++
+					mine.Served++
 					mine.latencies = append(mine.latencies, time.Since(at))
 				case errors.Is(err, errRefused):
 					mine.Refused++
@@ -91,7 +91,7 @@
 		})
 	}
 	g.Wait()
-	r.Took = time.Since(begun)
+	r.Duration = time.Since(begun)
 	if f := failed.Load(); f != nil {
 		return r, *f
 	}
@@ -100,18 +100,18 @@
 	return r, err
 }
 
-// ids makes request ids that no other worker or round makes.
-var ids atomic.Uint64
+// lastRequestID makes request ids that no other worker or round makes.
+var lastRequestID atomic.Uint64
 
-// readRESP is a worker that reads keys over RESP2, from a proxy or straight from a box.
-func readRESP(addr string, keys int) func(int) (func(int) error, func(), error) {
+// newRESPWorker is a worker that reads keys over RESP2, from a proxy or straight from a box.
+func newRESPWorker(addr string, keys int) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		c, err := dialRedis(addr)
 		if err != nil {
 			return nil, nil, err
 		}
 		one := func(i int) error {
-			answer, err := c.ask("OBJ.GET", fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", ids.Add(1)), "c=tile-read,d=3000")
+			answer, err := c.do("OBJ.GET", fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", lastRequestID.Add(1)), "c=tile-read,d=3000")
 			switch {
 			case err != nil:
 				return err
@@ -126,17 +126,17 @@
 	}
 }
 
-// readBox is a worker that reads keys from a box, straight or through a relay: the relay passes the box's array through, which dialRedis does not read.
-func readBox(addr string, keys int) func(int) (func(int) error, func(), error) {
+// newCacheWorker is a worker that reads keys from a box, straight or through a relay: the relay passes the box's array through, which dialRedis does not read.
+func newCacheWorker(addr string, keys int) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return nil, nil, err
 		}
 		c := &redisClient{conn: conn}
-		b := newBoxReader(conn)
+		b := newCacheReader(conn)
 		one := func(i int) error {
-			return b.ask(c, fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", ids.Add(1)))
+			return b.get(c, fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", lastRequestID.Add(1)))
 		}
 		return one, func() { conn.Close() }, nil
 	}
@@ -158,9 +158,9 @@
 	return &corev3.HeaderValue{Key: name, RawValue: []byte(value)}
 }
 
-// callProcessor is a worker that makes calls of an external processor as a caller's data plane does: a stream with the
+// newProcessorWorker is a worker that makes calls of an external processor as a caller's data plane does: a stream with the
 // request's headers and, where both is set, the response's.
-func callProcessor(conns []*grpc.ClientConn, keys int, both bool) func(int) (func(int) error, func(), error) {
+func newProcessorWorker(conns []*grpc.ClientConn, keys int, both bool) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		client := extprocv3.NewExternalProcessorClient(conns[w%len(conns)])
 		config := &extprocv3.ProtocolConfiguration{}
@@ -168,7 +168,7 @@
 			ResponseHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{
 				header(":status", "200"), header("content-type", "application/octet-stream"), header("x-cache", "hit")}}}}}
 		one := func(i int) error {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			s, err := client.Process(ctx)
 			if err != nil {
@@ -177,7 +177,7 @@
 			err = s.Send(&extprocv3.ProcessingRequest{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
 				RequestHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{
 					header(":method", "GET"), header(":path", fmt.Sprint("/tiles/k", (w*31+i)%keys)), header(":authority", "tiles"),
-					header(":scheme", "http"), header("x-request-id", fmt.Sprintf("%x", ids.Add(1))),
+					header(":scheme", "http"), header("x-request-id", fmt.Sprintf("%x", lastRequestID.Add(1))),
 					header("x-envoy-expected-rq-timeout-ms", "3000"), header("x-envoy-attempt-count", "1"),
 					header("user-agent", "kiosk/3.1"), header("accept", "*/*")}}}}})
 			if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/lab/orderer.go
+++ b/internal/lab/orderer.go
@@ -14,51 +14,51 @@
 	"linenloom/internal/store/disk"
 )
 
-// Orderer is clients that place orders by idempotency keys over RESP2 and don't let go: what was refused, or whose connection broke, comes again
+// OrderClients is clients that place orders by idempotency keys over RESP2 and don't let go: what was refused, or whose connection broke, comes again
 // under the same key, marked as a repeat, until somebody says what has become of it.
-type Orderer struct {
-	Addr string
-	Name string // keys begin with it
-	Wait time.Duration
+type OrderClients struct {
+	Addr      string
+	KeyPrefix string // keys begin with it
+	Deadline  time.Duration
 
-	Served, Refused, Failed, Broken atomic.Int64
-	told                            map[string]string
-	took                            []time.Duration // of what was served at the first try
-	mu                              sync.Mutex
-	quit                            chan struct{}
-	clients                         sync.WaitGroup
+	Served, Refused, Failed, ConnectionsBroken atomic.Int64
+	receipts                                   map[string]string
+	firstTryLatencies                          []time.Duration // of what was served at the first try
+	mu                                         sync.Mutex
+	stop                                       chan struct{}
+	clients                                    sync.WaitGroup
 }
 
-// Open starts the clients.
-func (o *Orderer) Open(clients int) {
-	o.quit, o.told = make(chan struct{}), map[string]string{}
+// Start starts the clients.
+func (o *OrderClients) Start(clients int) {
+	o.stop, o.receipts = make(chan struct{}), map[string]string{}
 	for c := range clients {
 		o.clients.Go(func() {
 			var conn *redisClient
 			for n := 0; ; n++ {
 				select {
-				case <-o.quit:
+				case <-o.stop:
 					if conn != nil {
 						conn.conn.Close()
 					}
 					return
 				default:
-					conn = o.place(conn, fmt.Sprintf("%s-%d-%d", o.Name, c, n))
+					conn = o.placeOrder(conn, fmt.Sprintf("%s-%d-%d", o.KeyPrefix, c, n))
 				}
 			}
 		})
 	}
 }
 
-// Close has each client bring its order to an end, and ends them.
-func (o *Orderer) Close() {
-	close(o.quit)
+// Stop has each client bring its order to an end, and ends them.
+func (o *OrderClients) Stop() {
+	close(o.stop)
 	o.clients.Wait()
 }
 
-// place places one order, and gives back a connection that still stands.
-func (o *Orderer) place(conn *redisClient, key string) *redisClient {
-	names := fmt.Sprintf("c=pass-order,t=kiosk,k=%s,d=%d", key, o.Wait.Milliseconds())
+// placeOrder places one order, and gives back a connection that still stands.
+func (o *OrderClients) placeOrder(conn *redisClient, key string) *redisClient {
+	names := fmt.Sprintf("c=pass-order,t=kiosk,k=%s,d=%d", key, o.Deadline.Milliseconds())
 	for try := 0; ; try++ {
 		if conn == nil {
 			var err error
@@ -69,13 +69,13 @@
 			}
 		}
 		begun := time.Now()
-		answer, err := conn.ask("OBJ.SET", key, fmt.Sprint(key, ".", try), names, "one pass")
+		answer, err := conn.do("OBJ.SET", key, fmt.Sprint(key, ".", try), names, "one pass")
 		if !strings.HasSuffix(names, "r=1") {
 			names += ",r=1"
 		}
 		switch {
 		case err != nil:
-			o.Broken.Add(1)
+			o.ConnectionsBroken.Add(1)
 			conn.conn.Close()
 			conn = nil
 		case strings.HasPrefix(answer, "-BUSY"):
@@ -87,8 +87,8 @@
 		default:
 			o.Served.Add(1)
 			o.mu.Lock()
-			if o.told[key] = answer; try == 0 {
-				o.took = append(o.took, time.Since(begun))
+			if o.receipts[key] = answer; try == 0 {
+				o.firstTryLatencies = append(o.firstTryLatencies, time.Since(begun))
 			}
 			o.mu.Unlock()
 			return conn
@@ -96,18 +96,18 @@
 	}
 }
 
-// Told is the receipts that clients have got, by key.
-func (o *Orderer) Told() map[string]string {
+// Receipts is the receipts that clients have got, by key.
+func (o *OrderClients) Receipts() map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return maps.Clone(o.told)
+	return maps.Clone(o.receipts)
 }
 
-// Took is how long orders took that were served at the first try.
-func (o *Orderer) Took() []time.Duration {
+// FirstTryLatencies is how long orders took that were served at the first try.
+func (o *OrderClients) FirstTryLatencies() []time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]time.Duration(nil), o.took...)
+	return append([]time.Duration(nil), o.firstTryLatencies...)
 }
 
 // CheckOrders opens the record in a folder three times and holds it against what clients were told, and what an origin ran, by keys: each receipt
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -16,13 +16,13 @@
 
 // Env is what a scenario has to work with.
 type Env struct {
-	Dir     string // scratch, short enough for the paths of unix sockets
-	Bin     string // the project's programs, built for this run
-	Self    string // the rig's own program
-	Seconds int    // how long the longest part goes on
-	First   uint64 // the first seed of a scenario that is played by seed
-	Count   int    // how many of them
-	Log     func(format string, args ...any)
+	Dir        string // scratch, short enough for the paths of unix sockets
+	Bin        string // the project's programs, built for this run
+	Executable string // the rig's own program
+	Seconds    int    // how long the longest part goes on
+	FirstSeed  uint64 // the first seed of a scenario that is played by seed
+	SeedCount  int    // how many of them
+	Log        func(format string, args ...any)
 }
 
 // ServeVariable makes the rig's own program serve a baseline instead: "bare ADDR" or "relay ADDR TARGET".
@@ -92,8 +92,8 @@
 	return kb, err
 }
 
-// write writes a file into the scratch folder and returns its path.
-func (e *Env) write(name string, text []byte) (string, error) {
+// writeFile writes a file into the scratch folder and returns its path.
+func (e *Env) writeFile(name string, text []byte) (string, error) {
 	path := filepath.Join(e.Dir, name)
 	return path, os.WriteFile(path, text, 0o600)
 }
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -14,7 +14,7 @@
 	r := &Report{Scenario: "restarts"}
 	var kept, broken, disturbed, faults int
 	var all restarts.Result
-	for seed := e.First; seed < e.First+uint64(e.Count); seed++ {
+	for seed := e.FirstSeed; seed < e.FirstSeed+uint64(e.SeedCount); seed++ {
 		if err := ctx.Err(); err != nil {
 			return r, err
 		}
@@ -38,15 +38,15 @@
 		all.Asked, all.Served, all.Refused, all.Failed = all.Asked+played.Asked, all.Served+played.Served, all.Refused+played.Refused, all.Failed+played.Failed
 		all.Attempts, all.Further = all.Attempts+played.Attempts, all.Further+played.Further
 	}
-	name := fmt.Sprintf("seeds %d to %d: ", e.First, e.First+uint64(e.Count)-1)
-	r.Tell(name+"requests", float64(all.Asked))
-	r.Tell(name+"served", float64(all.Served))
-	r.Tell(name+"refused", float64(all.Refused))
-	r.Tell(name+"failed", float64(all.Failed))
-	r.Tell(name+"attempts", float64(all.Attempts))
-	r.Tell(name+"further attempts", float64(all.Further))
-	r.Tell(name+"plays too disturbed for a verdict", float64(disturbed))
-	r.Tell(name+"plays that kept every rule", float64(kept))
+	name := fmt.Sprintf("seeds %d to %d: ", e.FirstSeed, e.FirstSeed+uint64(e.SeedCount)-1)
+	r.AddValue(name+"requests", float64(all.Asked))
+	r.AddValue(name+"served", float64(all.Served))
+	r.AddValue(name+"refused", float64(all.Refused))
+	r.AddValue(name+"failed", float64(all.Failed))
+	r.AddValue(name+"attempts", float64(all.Attempts))
+	r.AddValue(name+"further attempts", float64(all.Further))
+	r.AddValue(name+"plays too disturbed for a verdict", float64(disturbed))
+	r.AddValue(name+"plays that kept every rule", float64(kept))
 	r.Equal(name+"plays that broke one", float64(broken), 0)
 	r.Equal(name+"faults", float64(faults), 0)
 	return r, nil
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	storePayload  = 300 // bytes of a record, as an order's entry has
-	storeSegment  = 4 << 20
-	storeRecords  = 1_000_000 // that are opened
-	storeRounds   = 3         // each way takes its turn so often
-	storeMemoryMB = 64        // that opening may take beside the records' bound
+	storeRecordBytes  = 300 // bytes of a record, as an order's entry has
+	storeSegmentBytes = 4 << 20
+	storeRecords      = 1_000_000 // that are opened
+	storeRounds       = 3         // each way takes its turn so often
+	maxOpenHeapMB     = 64        // that opening may take beside the records' bound
 )
 
-// appended is a file that is appended to and synced without any of the log's care: each by itself, or in groups as the log forms them.
-type appended struct {
-	mu      sync.Mutex
-	file    disk.File
-	alone   bool
-	writing bool
-	waiting []byte
-	done    chan struct{}
-	err     error
+// bareFile is a file that is appended to and synced without any of the log's care: each by itself, or in groups as the log forms them.
+type bareFile struct {
+	mu       sync.Mutex
+	file     disk.File
+	syncEach bool
+	writing  bool
+	pending  []byte
+	done     chan struct{}
+	err      error
 }
 
-func (f *appended) append(b []byte) error {
+func (f *bareFile) append(b []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.alone {
+	if f.syncEach {
 		if _, err := f.file.Write(b); err != nil {
 			return err
 		}
@@ -49,7 +49,7 @@
 	if f.done == nil {
 		f.done = make(chan struct{})
 	}
-	f.waiting = append(f.waiting, b...)
+	f.pending = append(f.pending, b...)
 	done := f.done
 	if f.writing {
 		f.mu.Unlock()
@@ -58,8 +58,8 @@
 		return f.err
 	}
 	for f.writing = true; f.done != nil; {
-		group, told := f.waiting, f.done
-		f.waiting, f.done = nil, nil
+		group, told := f.pending, f.done
+		f.pending, f.done = nil, nil
 		f.mu.Unlock()
 		_, err := f.file.Write(group)
 		if err == nil {
@@ -73,8 +73,8 @@
 	return f.err
 }
 
-// many has so many writers write for a while, and tells how often a second.
-func many(writers int, d time.Duration, write func(writer, n int) error) (float64, error) {
+// measureWrites has so many writers write for a while, and tells how often a second.
+func measureWrites(writers int, d time.Duration, write func(writer, n int) error) (float64, error) {
 	var n atomic.Int64
 	var failed atomic.Pointer[error]
 	var all sync.WaitGroup
@@ -100,7 +100,7 @@
 func Store(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "store"}
 	each := max(500*time.Millisecond, time.Duration(e.Seconds)*time.Second/(12*storeRounds))
-	payload := make([]byte, storePayload)
+	payload := make([]byte, storeRecordBytes)
 	for _, writers := range []int{1, 16, 64} {
 		e.Log("store: %d writers", writers)
 		var sum [4]float64 // alone, grouped, log, orders
@@ -110,7 +110,7 @@
 				if err := os.MkdirAll(string(dir), 0o700); err != nil {
 					return r, err
 				}
-				got, err := storeWay(dir, way, writers, each, payload)
+				got, err := measureStoreMethod(dir, way, writers, each, payload)
 				if err != nil {
 					return r, err
 				}
@@ -124,18 +124,18 @@
 			}
 		}
 		name := fmt.Sprintf("%d writers: ", writers)
-		r.Tell(name+"bare appends a second, synced one by one", sum[0])
-		r.Tell(name+"bare appends a second, synced in groups", sum[1])
+		r.AddValue(name+"bare appends a second, synced one by one", sum[0])
+		r.AddValue(name+"bare appends a second, synced in groups", sum[1])
 		r.AtLeast(name+"records a second by the log, of the grouped", sum[2]/sum[1], 0.8)
 		if writers == 64 {
 			r.AtLeast(name+"records a second by the log, of those synced one by one", sum[2]/sum[0], 10)
 		}
-		r.Tell(name+"orders a second, taken, sent and done", sum[3])
+		r.AddValue(name+"orders a second, taken, sent and done", sum[3])
 	}
-	return r, opening(e, r)
+	return r, measureOpening(e, r)
 }
 
-func storeWay(dir disk.Dir, way, writers int, d time.Duration, payload []byte) (float64, error) {
+func measureStoreMethod(dir disk.Dir, way, writers int, d time.Duration, payload []byte) (float64, error) {
 	switch way {
 	case 0, 1:
 		f, err := dir.Create("bare")
@@ -143,23 +143,23 @@
 			return 0, err
 		}
 		defer f.Close()
-		b := &appended{file: f, alone: way == 0}
-		return many(writers, d, func(int, int) error { return b.append(payload) })
+		b := &bareFile{file: f, syncEach: way == 0}
+		return measureWrites(writers, d, func(int, int) error { return b.append(payload) })
 	case 2:
-		l, err := log.Open(dir, log.Options{SegmentSize: storeSegment}, func(log.Record) error { return nil })
+		l, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error { return nil })
 		if err != nil {
 			return 0, err
 		}
 		defer l.Close()
-		return many(writers, d, func(int, int) error { _, err := l.Append(1, payload); return err })
+		return measureWrites(writers, d, func(int, int) error { _, err := l.Append(1, payload); return err })
 	}
-	l, err := ledger.Open(dir, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: storeSegment, CompactAfter: 1 << 30},
+	l, err := ledger.Open(dir, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: storeSegmentBytes, CompactAfter: 1 << 30},
 		ledger.WallClock)
 	if err != nil {
 		return 0, err
 	}
 	defer l.Close()
-	return many(writers, d, func(w, n int) error {
+	return measureWrites(writers, d, func(w, n int) error {
 		name := orders.Name{Tenant: "kiosk", Key: fmt.Sprintf("%d-%d", w, n)}
 		if v, _, err := l.Take(orders.Order{Name: name}); err != nil || v != orders.Proceed {
 			return fmt.Errorf("%v: %w", v, err)
@@ -171,21 +171,21 @@
 	})
 }
 
-// opening measures how long a log of many records takes to open, beside reading its files once, and what memory that takes.
-func opening(e *Env, r *Report) error {
+// measureOpening measures how long a log of many records takes to open, beside reading its files once, and what memory that takes.
+func measureOpening(e *Env, r *Report) error {
 	e.Log("store: opening %d records", storeRecords)
 	dir := disk.Dir(filepath.Join(e.Dir, "store-open"))
 	if err := os.MkdirAll(string(dir), 0o700); err != nil {
 		return err
 	}
 	defer os.RemoveAll(string(dir))
-	l, err := log.Open(dir, log.Options{SegmentSize: storeSegment}, func(log.Record) error { return nil })
+	l, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error { return nil })
 	if err != nil {
 		return err
 	}
 	var writers sync.WaitGroup
 	var failed atomic.Pointer[error]
-	payload := make([]byte, storePayload)
+	payload := make([]byte, storeRecordBytes)
 	for range 512 { // groups of as many
 		writers.Go(func() {
 			for range storeRecords / 512 {
@@ -229,7 +229,7 @@
 		base := m.HeapAlloc
 		records = 0
 		begun = time.Now()
-		l, err := log.Open(dir, log.Options{SegmentSize: storeSegment}, func(log.Record) error {
+		l, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error {
 			if records++; records%100_000 == 0 {
 				runtime.ReadMemStats(&m)
 				most = max(most, m.HeapAlloc-min(base, m.HeapAlloc))
@@ -245,8 +245,8 @@
 		}
 	}
 	slices.Sort(ratios)
-	r.Tell("records that are opened", float64(records))
+	r.AddValue("records that are opened", float64(records))
 	r.AtMost("opening them, of the time to read the files once", ratios[len(ratios)/2], 3)
-	r.AtMost("heap while opening, MB", float64(most)/(1<<20), storeMemoryMB)
+	r.AtMost("heap while opening, MB", float64(most)/(1<<20), maxOpenHeapMB)
 	return nil
 }
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	stormReads = 5000 // in a storm, over stormTiles tiles that no box holds
-	stormTiles = 5
-	stormEach  = 25 // of a connection
-	stormFetch = 100 * time.Millisecond
-	// stormGrace is what a read's time may exceed the arrival of its tile by, and the read still miss it: the way there and back, and
+	burstReads         = 5000 // in a storm, over burstTiles tiles that no box holds
+	burstTiles         = 5
+	readsPerConnection = 25 // of a connection
+	burstFetchTime     = 100 * time.Millisecond
+	// deliveryGrace is what a read's time may exceed the arrival of its tile by, and the read still miss it: the way there and back, and
 	// the turns in which thousands are answered on one core.
-	stormGrace = 150 * time.Millisecond
+	deliveryGrace = 150 * time.Millisecond
 )
 
-// stormed is what became of one read of a storm.
-type stormed struct {
-	tile   int
-	wait   time.Duration // that it was ready to
-	served bool
-	at     time.Duration // of its answer, since the storm's begin
+// burstResult is what became of one read of a storm.
+type burstResult struct {
+	tile          int
+	deadline      time.Duration // that it was ready to
+	served        bool
+	answeredAfter time.Duration // of its answer, since the storm's begin
 }
 
-// Storm is the scenario of many identical reads at once, with joining and without, and of what joining costs where nothing repeats.
-func Storm(_ context.Context, e *Env) (*Report, error) {
+// JoinedReads is the scenario of many identical reads at once, with joining and without, and of what joining costs where nothing repeats.
+func JoinedReads(_ context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "storm"}
-	fleet, err := loadedFleet(8, 2048, scaleKeys)
+	fleet, err := newFilledFleet(8, 2048, tileKeys)
 	if err != nil {
 		return r, err
 	}
 	defer fleet.Close()
-	fleet.Origin.SetService(stormFetch, 0)
-	fleet.Tenants = overloadTenants
-	bare, plain, err := e.proxy("storm-off", fleet, 192, 4096)
+	fleet.Origin.SetService(burstFetchTime, 0)
+	fleet.Tenants = evenTenants
+	bare, plain, err := e.startProxy("storm-off", fleet, 192, 4096)
 	if err != nil {
 		return r, err
 	}
 	defer plain.Kill()
-	addr, p, err := e.guarded("joining", fleet, "[joining]\nfollowers = 16384\nfollowers_per_tenant = 8192\n")
+	addr, p, err := e.startProxyWith("joining", fleet, "[joining]\nfollowers = 16384\nfollowers_per_tenant = 8192\n")
 	if err != nil {
 		return r, err
 	}
@@ -58,7 +58,7 @@
 		e.Log("storm: %s", part.name)
 		var perTile []float64
 		missed, served, refused := 0, 0, 0
-		alone, _, err := beside(part.addr, 2*time.Second, nil)
+		alone, _, err := readAsOtherTenant(part.addr, 2*time.Second, nil)
 		if err != nil {
 			return r, err
 		}
@@ -66,28 +66,28 @@
 		turned := 0
 		for range rounds {
 			before := fleet.Origin.Fetches()
-			var all []stormed
-			got, n, err := beside(part.addr, time.Second, func() (err error) {
-				all, err = storm(part.addr, tile)
+			var all []burstResult
+			got, n, err := readAsOtherTenant(part.addr, time.Second, func() (err error) {
+				all, err = runBurst(part.addr, tile)
 				return err
 			})
 			if err != nil {
 				return r, err
 			}
 			during, turned = append(during, got...), turned+n
-			perTile = append(perTile, float64(fleet.Origin.Fetches()-before)/stormTiles)
-			tile += stormTiles
+			perTile = append(perTile, float64(fleet.Origin.Fetches()-before)/burstTiles)
+			tile += burstTiles
 			first := map[int]time.Duration{}
 			for _, s := range all {
-				if at, ok := first[s.tile]; s.served && (!ok || s.at < at) {
-					first[s.tile] = s.at
+				if at, ok := first[s.tile]; s.served && (!ok || s.answeredAfter < at) {
+					first[s.tile] = s.answeredAfter
 				}
 			}
 			for _, s := range all {
 				switch at, came := first[s.tile]; {
 				case s.served:
 					served++
-				case came && s.wait > at+stormGrace:
+				case came && s.deadline > at+deliveryGrace:
 					missed++
 					refused++
 				default:
@@ -95,31 +95,31 @@
 				}
 			}
 		}
-		r.Tell(part.name+": reads served", float64(served))
-		r.Tell(part.name+": reads refused", float64(refused))
-		r.Tell(part.name+": another tenant's p99 alone, ms", ms(quantile(alone, 0.99)))
-		r.Tell(part.name+": another tenant's p99 beside a storm, ms", ms(quantile(during, 0.99)))
+		r.AddValue(part.name+": reads served", float64(served))
+		r.AddValue(part.name+": reads refused", float64(refused))
+		r.AddValue(part.name+": another tenant's p99 alone, ms", milliseconds(quantile(alone, 0.99)))
+		r.AddValue(part.name+": another tenant's p99 beside a storm, ms", milliseconds(quantile(during, 0.99)))
 		if part.joined {
 			r.Equal(part.name+": another tenant's reads refused", float64(turned), 0)
 			r.AtMost(part.name+": fetches at the origin a tile", slices.Max(perTile), 1.2)
 			r.Equal(part.name+": reads that could have had their tile in time, and did not", float64(missed), 0)
 		} else {
-			r.Tell(part.name+": another tenant's reads refused", float64(turned))
-			r.Tell(part.name+": fetches at the origin a tile", slices.Max(perTile))
-			r.Tell(part.name+": reads that could have had their tile in time, and did not", float64(missed))
+			r.AddValue(part.name+": another tenant's reads refused", float64(turned))
+			r.AddValue(part.name+": fetches at the origin a tile", slices.Max(perTile))
+			r.AddValue(part.name+": reads that could have had their tile in time, and did not", float64(missed))
 		}
 	}
 	e.Log("storm: the ordinary path")
-	var with, without Rate
+	var with, without ClosedLoopResult
 	const turns = 4
 	d := time.Duration(e.Seconds) * time.Second / (2 * turns)
 	for range turns {
 		for _, part := range []struct {
-			rate *Rate
+			rate *ClosedLoopResult
 			p    *Process
 			addr string
 		}{{&without, plain, bare}, {&with, p, addr}} {
-			got, err := loop(part.p, identityWorkers, d, quickReads(part.addr))
+			got, err := runClosedLoop(part.p, identityWorkers, d, newTileWorker(part.addr))
 			if err != nil {
 				return r, err
 			}
@@ -138,17 +138,17 @@
 	return all[min(len(all)-1, int(q*float64(len(all))))]
 }
 
-// storm sends the reads of a storm at once, and tells what became of each.
-func storm(addr string, tile int) ([]stormed, error) {
-	const conns = stormReads / stormEach
-	all := make([]stormed, stormReads)
+// runBurst sends the reads of a storm at once, and tells what became of each.
+func runBurst(addr string, tile int) ([]burstResult, error) {
+	const conns = burstReads / readsPerConnection
+	all := make([]burstResult, burstReads)
 	errs := make(chan error, conns)
 	var ready, g sync.WaitGroup
 	ready.Add(conns)
 	begin := make(chan struct{})
 	var started time.Time
 	for n := range conns {
-		mine := all[n*stormEach : (n+1)*stormEach]
+		mine := all[n*readsPerConnection : (n+1)*readsPerConnection]
 		g.Go(func() {
 			conn, err := net.Dial("tcp", addr)
 			ready.Done()
@@ -160,24 +160,24 @@
 			rng := rand.New(rand.NewPCG(uint64(n), uint64(tile)))
 			var b []byte
 			for i := range mine {
-				mine[i].tile = tile + (n+i)%stormTiles
-				mine[i].wait = time.Duration(50+rng.IntN(2950)) * time.Millisecond
-				b = appendRead(b, mine[i].tile, fmt.Sprintf("c=tile-read,t=acme,d=%d", mine[i].wait.Milliseconds()))
+				mine[i].tile = tile + (n+i)%burstTiles
+				mine[i].deadline = time.Duration(50+rng.IntN(2950)) * time.Millisecond
+				b = appendTileRead(b, mine[i].tile, fmt.Sprintf("c=tile-read,t=acme,d=%d", mine[i].deadline.Milliseconds()))
 			}
 			<-begin
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(waitTimeout))
 			if _, err := conn.Write(b); err != nil {
 				errs <- err
 				return
 			}
 			in := bufio.NewReader(conn)
 			for i := range mine {
-				err := takeTile(in, appendStart(nil, mine[i].tile))
+				err := readTile(in, appendTilePrefix(nil, mine[i].tile))
 				if err != nil && err != errRefused {
 					errs <- fmt.Errorf("read %d: %w", i, err)
 					return
 				}
-				mine[i].served, mine[i].at = err == nil, time.Since(started)
+				mine[i].served, mine[i].answeredAfter = err == nil, time.Since(started)
 			}
 		})
 	}
@@ -193,8 +193,8 @@
 	}
 }
 
-// beside has another tenant read tiles that boxes hold, at a pace, for a time or as long as do takes, and tells how long each took.
-func beside(addr string, d time.Duration, do func() error) (all []time.Duration, refused int, err error) {
+// readAsOtherTenant has another tenant read tiles that boxes hold, at a pace, for a time or as long as do takes, and tells how long each took.
+func readAsOtherTenant(addr string, d time.Duration, do func() error) (all []time.Duration, refused int, err error) {
 	stop := make(chan struct{})
 	var mu sync.Mutex
 	errs := make(chan error, 9)
@@ -215,15 +215,15 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				key := (w*7919 + i) % scaleKeys
+				key := (w*7919 + i) % tileKeys
 				at := time.Now()
-				conn.SetDeadline(at.Add(patience))
-				b = appendRead(b[:0], key, "c=tile-read,t=rush,d=3000")
+				conn.SetDeadline(at.Add(waitTimeout))
+				b = appendTileRead(b[:0], key, "c=tile-read,t=rush,d=3000")
 				if _, err := conn.Write(b); err != nil {
 					errs <- err
 					return
 				}
-				err := takeTile(in, appendStart(nil, key))
+				err := readTile(in, appendTilePrefix(nil, key))
 				if err != nil && err != errRefused {
 					errs <- fmt.Errorf("another tenant's read: %w", err)
 					return
--- a/internal/lab/successor.go
+++ b/internal/lab/successor.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	crossClients  = 32
-	crossUpgrades = 4
-	crossMost     = 2 // requests an upgrade that meet a connection that ends
+	upgradeClients      = 32
+	upgradeCount        = 4
+	maxClosedPerUpgrade = 2 // requests an upgrade that meet a connection that ends
 
-	heirPairs   = 4
-	heirBoxes   = 8
-	heirKeys    = 3000
-	heirClients = 48
-	heirFirst   = 5 * time.Second
-	heirService = 6 * time.Millisecond
-	heirPlaces  = 4 // at a box
-	heirFetch   = 60 * time.Millisecond
-	heirFetches = 24 // at once at the origin
+	successorPairs            = 4
+	successorCaches           = 8
+	successorKeys             = 3000
+	successorClients          = 48
+	successorMeasureTime      = 5 * time.Second
+	successorCacheTime        = 6 * time.Millisecond
+	successorCacheConcurrency = 4 // at a box
+	successorFetchTime        = 60 * time.Millisecond
+	successorFetchConcurrency = 24 // at once at the origin
 )
 
-// staged is a fleet with a process before it, which others follow or take the place of.
-func staged(e *Env, name string, boxes int) (*operation, func(), error) {
+// startOperation is a fleet with a process before it, which others follow or take the place of.
+func startOperation(e *Env, name string, boxes int) (*operation, func(), error) {
 	fleet, err := standin.NewFleet(boxes, 512)
 	if err != nil {
 		return nil, nil, err
@@ -48,9 +48,9 @@
 	}
 	scratch := *e
 	scratch.Dir = dir
-	o := &operation{e: &scratch, fleet: fleet, door: &Door{Addr: listen}, class: "tile-read"}
+	o := &operation{env: &scratch, fleet: fleet, clients: &ClientLoad{Addr: listen}, class: "tile-read"}
 	if err = o.configure(); err == nil {
-		err = o.start()
+		err = o.startProcess()
 	}
 	if err != nil {
 		fleet.Close()
@@ -59,53 +59,53 @@
 	return o, func() { o.process.Kill(); fleet.Close() }, nil
 }
 
-// crossings counts the requests that meet a connection that ends, at upgrades, for clients that come again at once or soon. They
+// measureUpgradeCloses counts the requests that meet a connection that ends, at upgrades, for clients that come again at once or soon. They
 // look at their connection before they ask: one that does not look meets every end, whenever it comes.
-func crossings(e *Env, r *Report) error {
+func measureUpgradeCloses(e *Env, r *Report) error {
 	for name, gap := range map[string]time.Duration{"at once": -1, "after 1 ms": time.Millisecond, "after 10 ms": 10 * time.Millisecond} {
-		o, end, err := staged(e, "cross", 4)
+		o, end, err := startOperation(e, "cross", 4)
 		if err != nil {
 			return err
 		}
-		o.door.Gap, o.door.Looks = gap, true
-		o.door.Open(crossClients, 200, 0)
-		err = o.door.Progress(1000)
-		for n := 0; n < crossUpgrades && err == nil; n++ {
+		o.clients.Interval, o.clients.ChecksConnection = gap, true
+		o.clients.Start(upgradeClients, 200, 0)
+		err = o.clients.AwaitServed(1000)
+		for n := 0; n < upgradeCount && err == nil; n++ {
 			old := o.process
-			if err = o.start(); err != nil {
+			if err = o.startProcess(); err != nil {
 				break
 			}
 			old.Stop()
-			err = o.door.Progress(1000)
+			err = o.clients.AwaitServed(1000)
 		}
-		o.door.Close()
-		d := o.door
+		o.clients.Stop()
+		d := o.clients
 		end()
 		if err != nil {
 			return err
 		}
-		met := float64(d.Crossed.Load()+d.Broken.Load()+d.Shut.Load()) / crossUpgrades
-		r.AtMost("requests an upgrade that meet an ended connection, clients that ask again "+name, met, crossMost)
+		met := float64(d.ClosedUnread.Load()+d.ConnectionsBroken.Load()+d.ConnectionsRefused.Load()) / upgradeCount
+		r.AtMost("requests an upgrade that meet an ended connection, clients that ask again "+name, met, maxClosedPerUpgrade)
 	}
 	return nil
 }
 
-// served is what became of reads in some time.
-type served struct{ inTime, other, fetches float64 }
+// readCounts is what became of reads in some time.
+type readCounts struct{ inTime, other, originFetches float64 }
 
-// successors compares the first seconds of processes that take another's place, with what that one has learnt and without.
-func successors(ctx context.Context, e *Env, r *Report) error {
-	var sum [2][2]served // by upgrade or restart, with and without
-	for pair := range heirPairs {
+// compareSuccessors compares the first seconds of processes that take another's place, with what that one has learnt and without.
+func compareSuccessors(ctx context.Context, e *Env, r *Report) error {
+	var sum [2][2]readCounts // by upgrade or restart, with and without
+	for pair := range successorPairs {
 		for way, name := range []string{"upgrade", "restart"} {
 			for k := range 2 {
 				with := (k + pair) % 2 // who begins takes turns
-				got, err := firstSeconds(e, name == "upgrade", with == 0, uint64(pair))
+				got, err := measureFirstSeconds(e, name == "upgrade", with == 0, uint64(pair))
 				if err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
 				s := &sum[way][with]
-				s.inTime, s.other, s.fetches = s.inTime+got.inTime, s.other+got.other, s.fetches+got.fetches
+				s.inTime, s.other, s.originFetches = s.inTime+got.inTime, s.other+got.other, s.originFetches+got.originFetches
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
@@ -115,32 +115,32 @@
 	for way, name := range []string{"an upgrade", "a restart"} {
 		with, without := sum[way][0], sum[way][1]
 		r.AtLeast("reads in time in the first 5 s after "+name+", with what was learnt to without", with.inTime/without.inTime, 0.99)
-		r.AtMost("origin fetches of a read in time there, with to without", with.fetches/with.inTime/(without.fetches/without.inTime), 1.1)
-		r.Tell("reads there not in time, with", with.other)
-		r.Tell("reads there not in time, without", without.other)
+		r.AtMost("origin fetches of a read in time there, with to without", with.originFetches/with.inTime/(without.originFetches/without.inTime), 1.1)
+		r.AddValue("reads there not in time, with", with.other)
+		r.AddValue("reads there not in time, without", without.other)
 	}
 	return nil
 }
 
-// firstSeconds plays one start of a process under load: reads that come by a fixed plan, of keys of uneven popularity.
-func firstSeconds(e *Env, upgrade, with bool, seed uint64) (got served, err error) {
-	o, end, err := staged(e, fmt.Sprintf("heir-%t-%t-%d", upgrade, with, seed), heirBoxes)
+// measureFirstSeconds plays one start of a process under load: reads that come by a fixed plan, of keys of uneven popularity.
+func measureFirstSeconds(e *Env, upgrade, with bool, seed uint64) (got readCounts, err error) {
+	o, end, err := startOperation(e, fmt.Sprintf("heir-%t-%t-%d", upgrade, with, seed), successorCaches)
 	if err != nil {
 		return got, err
 	}
 	defer end()
 	for _, b := range o.fleet.Boxes {
-		b.SetService(heirService, heirPlaces)
+		b.SetService(successorCacheTime, successorCacheConcurrency)
 	}
-	o.fleet.Origin.SetService(heirFetch, heirFetches)
+	o.fleet.Origin.SetService(successorFetchTime, successorFetchConcurrency)
 
 	var inTime, other atomic.Int64
 	quit := make(chan struct{})
 	var clients sync.WaitGroup
-	for c := range heirClients {
+	for c := range successorClients {
 		clients.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(c)))
-			zipf := rand.NewZipf(rng, 1.05, 4, heirKeys-1)
+			zipf := rand.NewZipf(rng, 1.05, 4, successorKeys-1)
 			var conn *redisClient
 			for n := 0; ; n++ {
 				select {
@@ -151,19 +151,19 @@
 					return
 				case <-time.After(time.Duration(10+rng.IntN(30)) * time.Millisecond):
 				}
-				if conn != nil && conn.ended() {
+				if conn != nil && conn.closedByPeer() {
 					conn.conn.Close()
 					conn = nil
 				}
 				if conn == nil {
 					var err error
-					if conn, err = dialRedis(o.door.Addr); err != nil {
+					if conn, err = dialRedis(o.clients.Addr); err != nil {
 						conn = nil
 						continue // nobody listens: not what is compared
 					}
 				}
 				begun := time.Now()
-				answer, err := conn.ask("OBJ.GET", fmt.Sprintf("%x", 0x1000+zipf.Uint64()), fmt.Sprintf("%08x%08x", c, n), "c=tile-read,d=3000")
+				answer, err := conn.do("OBJ.GET", fmt.Sprintf("%x", 0x1000+zipf.Uint64()), fmt.Sprintf("%08x%08x", c, n), "c=tile-read,d=3000")
 				if err != nil {
 					conn.conn.Close()
 					conn = nil
@@ -182,7 +182,7 @@
 	}
 	old := o.process
 	if !with { // a folder in the file's place: nothing can be left there, and nothing be read
-		dirs, err := filepath.Glob(filepath.Join(filepath.Dir(o.path), "linenloom-*"))
+		dirs, err := filepath.Glob(filepath.Join(filepath.Dir(o.configPath), "linenloom-*"))
 		if err != nil || len(dirs) != 1 {
 			return got, errors.Join(fmt.Errorf("%d folders to hand over by", len(dirs)), err)
 		}
@@ -193,13 +193,13 @@
 	if !upgrade {
 		old.Stop()
 	}
-	if err := o.start(); err != nil {
+	if err := o.startProcess(); err != nil {
 		return got, err
 	}
 	before, asked, missed := o.fleet.Origin.Fetches(), inTime.Load(), other.Load()
 	if upgrade {
 		old.Stop()
 	}
-	time.Sleep(heirFirst)
-	return served{float64(inTime.Load() - asked), float64(other.Load() - missed), float64(o.fleet.Origin.Fetches() - before)}, nil
+	time.Sleep(successorMeasureTime)
+	return readCounts{float64(inTime.Load() - asked), float64(other.Load() - missed), float64(o.fleet.Origin.Fetches() - before)}, nil
 }
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	zoneReads    = 720 // a second, over all proxies
-	zoneBoxes    = 5
-	zoneBoxRate  = 60 // reads a second that a box can do when it is warm
-	zoneAnswer   = 12 * time.Millisecond
-	zoneOutage   = 6 * time.Second
-	zoneLong     = 40 * time.Second // of the last seed
-	zoneWarm     = 8900 * time.Millisecond
-	zoneBack     = zoneWarm * 3 / 2
-	zoneSeeds    = 6
-	zoneAlone    = 2 // of them are played alone too
-	zoneLanes    = 3 // plays at once
-	zoneOrdinary = 30
+	zoneReadRate       = 720 // a second, over all proxies
+	zoneCaches         = 5
+	warmCacheRate      = 60 // reads a second that a box can do when it is warm
+	zoneServiceTime    = 12 * time.Millisecond
+	zoneOutage         = 6 * time.Second
+	zoneLongOutage     = 40 * time.Second // of the last seed
+	zoneWarmUpTime     = 8900 * time.Millisecond
+	zoneRecoveryTime   = zoneWarmUpTime * 3 / 2
+	zoneSeeds          = 6
+	zoneSeedsAlone     = 2 // of them are played alone too
+	zoneParallelRuns   = 3 // plays at once
+	ordinaryTimeFactor = 30
 )
 
 var labZones = []string{"a", "b", "c"}
 
-// zonePlay is one zone that fails and comes back cold, before so many proxies.
-type zonePlay struct {
-	proxies  int
-	seed     uint64
-	crossing float64
-	slow     bool // forty times, in place of silent
-	together bool
+// zoneRun is one zone that fails and comes back cold, before so many proxies.
+type zoneRun struct {
+	proxies        int
+	seed           uint64
+	crossZoneShare float64
+	slowCaches     bool // forty times, in place of silent
+	together       bool
 
-	left, apart time.Duration // when the last proxy left it, and how long after the first
-	spent       float64       // attempts at it in the first six seconds
-	inTime      float64       // of the reads of the first two seconds
-	fell        int           // boxes pushed over
-	refused     int           // reads, on the return
-	whole       time.Duration // until it had all of its work again
-	breaches    []string
+	lastLeftAfter, leaveSpread time.Duration // when the last proxy left it, and how long after the first
+	attempts                   float64       // attempts at it in the first six seconds
+	inTime                     float64       // of the reads of the first two seconds
+	overloadedCaches           int           // boxes pushed over
+	refusedReads               int           // reads, on the return
+	recoveredAfter             time.Duration // until it had all of its work again
+	violations                 []string
 }
 
-func (z *zonePlay) String() string {
+func (z *zoneRun) String() string {
 	what, table := "silent", "one table"
-	if z.slow {
+	if z.slowCaches {
 		what = "slow"
 	}
-	if z.crossing > 0 {
+	if z.crossZoneShare > 0 {
 		table = "a table by zone"
 	}
 	return fmt.Sprintf("%d proxies, %s, %s", z.proxies, table, what)
@@ -66,8 +66,8 @@
 		return nil, nil, err
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
-	rules["cold_ms"] = float64(zoneWarm.Milliseconds())
-	c, err := cluster.New(cluster.Options{Zones: labZones, Boxes: zoneBoxes, Proxies: proxies, Service: zoneAnswer, Seed: seed, Crossing: crossing,
+	rules["cold_ms"] = float64(zoneWarmUpTime.Milliseconds())
+	c, err := cluster.New(cluster.Options{Zones: labZones, Boxes: zoneCaches, Proxies: proxies, Service: zoneServiceTime, Seed: seed, Crossing: crossing,
 		Origin: 60 * time.Millisecond, OriginPlaces: 24, Together: together, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
 		Set: map[string]any{"rules": rules}})
 	if err != nil {
@@ -81,21 +81,21 @@
 		c.Close()
 		return nil, nil, err
 	}
-	return c, c.Ask(cluster.Load{Reads: zoneReads / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadAim, Grace: 500 * time.Millisecond}), nil
+	return c, c.Ask(cluster.Load{Reads: zoneReadRate / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadAim, Grace: 500 * time.Millisecond}), nil
 }
 
-func (z *zonePlay) run(ctx context.Context, e *Env, name string) error {
-	c, clients, err := e.zoneCluster(name, z.proxies, z.seed, z.crossing, z.together)
+func (z *zoneRun) run(ctx context.Context, e *Env, name string) error {
+	c, clients, err := e.zoneCluster(name, z.proxies, z.seed, z.crossZoneShare, z.together)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	wait(ctx, 4*time.Second)
+	sleep(ctx, 4*time.Second)
 	lost := time.Now()
 	fail := func(on bool) {
 		for _, b := range c.Fleet.In("c") {
-			if z.slow {
-				d := zoneAnswer
+			if z.slowCaches {
+				d := zoneServiceTime
 				if on {
 					d *= 40
 				}
@@ -110,25 +110,25 @@
 	fail(true)
 	outage := zoneOutage
 	if z.seed == zoneSeeds {
-		outage = zoneLong
+		outage = zoneLongOutage
 	}
-	wait(ctx, outage)
+	sleep(ctx, outage)
 	for _, b := range c.Fleet.In("c") { // other processes, with nothing
 		b.Drop()
-		b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: zoneWarm, Rate: zoneBoxRate, Multiple: 4, After: 1500 * time.Millisecond})
+		b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: zoneWarmUpTime, Rate: warmCacheRate, Multiple: 4, After: 1500 * time.Millisecond})
 		for _, p := range c.Proxies {
 			c.Link(p.Name, b.ID).Reset()
 		}
 	}
 	fail(false)
 	back := time.Now()
-	for z.whole = math.MaxInt64; z.together && time.Since(back) < zoneBack && ctx.Err() == nil; wait(ctx, 100*time.Millisecond) {
-		if v, err := c.Proxies[0].View(); err == nil && v.Zones[2].LocalShare == 1 && z.whole == math.MaxInt64 {
-			z.whole = time.Since(back)
+	for z.recoveredAfter = math.MaxInt64; z.together && time.Since(back) < zoneRecoveryTime && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
+		if v, err := c.Proxies[0].View(); err == nil && v.Zones[2].LocalShare == 1 && z.recoveredAfter == math.MaxInt64 {
+			z.recoveredAfter = time.Since(back)
 		}
 	}
 	if !z.together {
-		wait(ctx, zoneBack)
+		sleep(ctx, zoneRecoveryTime)
 	}
 	clients.Stop()
 	z.measure(c, clients, lost, back)
@@ -136,7 +136,7 @@
 }
 
 // measure reads off what has been seen at both ends of the links.
-func (z *zonePlay) measure(c *cluster.Cluster, clients *cluster.Clients, lost, back time.Time) {
+func (z *zoneRun) measure(c *cluster.Cluster, clients *cluster.Clients, lost, back time.Time) {
 	const look = 300 * time.Millisecond // the most that goes there on trial is one read in this time
 	var first, last time.Duration = math.MaxInt64, 0
 	for _, p := range c.Proxies {
@@ -148,24 +148,24 @@
 			at = at.Add(100 * time.Millisecond)
 		}
 		first, last = min(first, at.Sub(lost)), max(last, at.Sub(lost))
-		z.spent += float64(c.Sent(p.Name, "c", lost, lost.Add(zoneOutage)))
+		z.attempts += float64(c.Sent(p.Name, "c", lost, lost.Add(zoneOutage)))
 	}
-	z.left, z.apart = last, last-first
+	z.lastLeftAfter, z.leaveSpread = last, last-first
 	z.inTime, _ = clients.InTime(lost, lost.Add(2*time.Second))
 	for _, a := range clients.Asks(back, time.Now()) {
 		if a.End == cluster.Refused && !a.Order {
-			z.refused++
+			z.refusedReads++
 		}
 	}
 	for _, b := range c.Fleet.Boxes {
 		if b.Fell() {
-			z.fell++
+			z.overloadedCaches++
 		}
 	}
-	z.breaches = clients.Breaches()
+	z.violations = clients.Breaches()
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -175,48 +175,48 @@
 // Zones is the scenario of a zone that fails, before 6 and 24 proxies.
 func Zones(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "zones"}
-	var plays []*zonePlay
+	var plays []*zoneRun
 	for _, n := range []int{6, 24} {
 		for _, crossing := range []float64{0, 0.06} {
 			for _, slow := range []bool{false, true} {
 				for seed := range uint64(zoneSeeds) {
 					for _, together := range []bool{true, false} {
-						if !together && seed >= zoneAlone {
+						if !together && seed >= zoneSeedsAlone {
 							continue
 						}
-						plays = append(plays, &zonePlay{proxies: n, seed: seed + 1, crossing: crossing, slow: slow, together: together})
+						plays = append(plays, &zoneRun{proxies: n, seed: seed + 1, crossZoneShare: crossing, slowCaches: slow, together: together})
 					}
 				}
 			}
 		}
 	}
 	if e.Seconds < zoneSeeds { // a look
-		plays = slices.DeleteFunc(plays, func(z *zonePlay) bool { return z.seed > 1 || z.proxies > 6 })
+		plays = slices.DeleteFunc(plays, func(z *zoneRun) bool { return z.seed > 1 || z.proxies > 6 })
 	}
-	if err := e.inLanes(ctx, len(plays), func(i int) error {
+	if err := e.runParallel(ctx, len(plays), func(i int) error {
 		z := plays[i]
 		if err := z.run(ctx, e, fmt.Sprint("zones", i)); err != nil {
 			return fmt.Errorf("%v: %w", z, err)
 		}
 		e.Log("%v, seed %d, together %v: left %v apart %v, spent %.0f, in time %.3f, refused %d, whole %v, fell %d %v", z, z.seed, z.together,
-			z.left, z.apart, z.spent, z.inTime, z.refused, z.whole.Round(100*time.Millisecond), z.fell, z.breaches)
+			z.lastLeftAfter, z.leaveSpread, z.attempts, z.inTime, z.refusedReads, z.recoveredAfter.Round(100*time.Millisecond), z.overloadedCaches, z.violations)
 		return nil
 	}); err != nil {
 		return r, err
 	}
-	claimZones(r, plays)
+	addZoneClaims(r, plays)
 	for _, n := range []int{6, 24, 50} {
-		if err := e.zoneCost(ctx, r, n); err != nil {
+		if err := e.measureInstanceCost(ctx, r, n); err != nil {
 			return r, err
 		}
 	}
-	return r, e.ordinaryFaults(ctx, r)
+	return r, e.runOrdinaryFaults(ctx, r)
 }
 
-func (e *Env) inLanes(ctx context.Context, n int, do func(i int) error) error {
+func (e *Env) runParallel(ctx context.Context, n int, do func(i int) error) error {
 	var g sync.WaitGroup
 	errs := make(chan error, n)
-	room := make(chan struct{}, zoneLanes)
+	room := make(chan struct{}, zoneParallelRuns)
 	for i := range n {
 		room <- struct{}{}
 		if ctx.Err() != nil || len(errs) > 0 {
@@ -234,8 +234,8 @@
 	return <-errs
 }
 
-func claimZones(r *Report, plays []*zonePlay) {
-	by := map[string][2][]*zonePlay{}
+func addZoneClaims(r *Report, plays []*zoneRun) {
+	by := map[string][2][]*zoneRun{}
 	var names []string
 	for _, z := range plays {
 		name := z.String()
@@ -250,7 +250,7 @@
 		group[at] = append(group[at], z)
 		by[name] = group
 	}
-	worst := func(all []*zonePlay, of func(*zonePlay) float64) (w float64) {
+	worst := func(all []*zoneRun, of func(*zoneRun) float64) (w float64) {
 		for i, z := range all {
 			if x := of(z); i == 0 || x > w {
 				w = x
@@ -258,7 +258,7 @@
 		}
 		return w
 	}
-	mean := func(all []*zonePlay, of func(*zonePlay) float64) (sum float64) {
+	mean := func(all []*zoneRun, of func(*zoneRun) float64) (sum float64) {
 		for _, z := range all {
 			sum += of(z) / float64(len(all))
 		}
@@ -266,25 +266,25 @@
 	}
 	for _, name := range names {
 		alone, all := by[name][0], by[name][1]
-		left := func(z *zonePlay) float64 { return z.left.Seconds() }
+		left := func(z *zoneRun) float64 { return z.lastLeftAfter.Seconds() }
 		r.AtMost(name+": left by all after, s, at the worst", worst(all, left), 1)
-		r.AtMost(name+": the last after the first, s, at the worst", worst(all, func(z *zonePlay) float64 { return z.apart.Seconds() }), 0.3)
-		spent := func(z *zonePlay) float64 { return z.spent }
+		r.AtMost(name+": the last after the first, s, at the worst", worst(all, func(z *zoneRun) float64 { return z.leaveSpread.Seconds() }), 0.3)
+		spent := func(z *zoneRun) float64 { return z.attempts }
 		r.AtMost(name+": attempts spent on it in 6 s, of those alone", mean(all, spent)/max(1, mean(alone, spent)), 1.0/3)
-		r.AtLeast(name+": in time in the first 2 s, at the worst", -worst(all, func(z *zonePlay) float64 { return -z.inTime }), 0.97)
-		r.Equal(name+": boxes pushed over on the return", worst(all, func(z *zonePlay) float64 { return float64(z.fell) }), 0)
-		r.Equal(name+": boxes pushed over on the return, alone", worst(alone, func(z *zonePlay) float64 { return float64(z.fell) }), 0)
-		r.Equal(name+": reads refused on the return, at the worst", worst(all, func(z *zonePlay) float64 { return float64(z.refused) }), 0)
-		r.AtMost(name+": whole again after, s, at the worst", worst(all, func(z *zonePlay) float64 { return z.whole.Seconds() }), zoneBack.Seconds())
-		r.Equal(name+": rules broken", worst(append(slices.Clone(all), alone...), func(z *zonePlay) float64 { return float64(len(z.breaches)) }), 0)
-		r.Tell(name+": attempts spent on it in 6 s, mean", mean(all, spent))
-		r.Tell(name+": alone, left after, s, at the worst", worst(alone, left))
-		r.Tell(name+": alone, in time in the first 2 s, mean", mean(alone, func(z *zonePlay) float64 { return z.inTime }))
+		r.AtLeast(name+": in time in the first 2 s, at the worst", -worst(all, func(z *zoneRun) float64 { return -z.inTime }), 0.97)
+		r.Equal(name+": boxes pushed over on the return", worst(all, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
+		r.Equal(name+": boxes pushed over on the return, alone", worst(alone, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
+		r.Equal(name+": reads refused on the return, at the worst", worst(all, func(z *zoneRun) float64 { return float64(z.refusedReads) }), 0)
+		r.AtMost(name+": whole again after, s, at the worst", worst(all, func(z *zoneRun) float64 { return z.recoveredAfter.Seconds() }), zoneRecoveryTime.Seconds())
+		r.Equal(name+": rules broken", worst(append(slices.Clone(all), alone...), func(z *zoneRun) float64 { return float64(len(z.violations)) }), 0)
+		r.AddValue(name+": attempts spent on it in 6 s, mean", mean(all, spent))
+		r.AddValue(name+": alone, left after, s, at the worst", worst(alone, left))
+		r.AddValue(name+": alone, in time in the first 2 s, mean", mean(alone, func(z *zoneRun) float64 { return z.inTime }))
 	}
 }
 
-// zoneCost is what knowing one another costs each of n instances that nobody asks, and what their reads feel of it.
-func (e *Env) zoneCost(ctx context.Context, r *Report, n int) error {
+// measureInstanceCost is what knowing one another costs each of n instances that nobody asks, and what their reads feel of it.
+func (e *Env) measureInstanceCost(ctx context.Context, r *Report, n int) error {
 	const calm = 8 * time.Second
 	var p99, cpu [2]float64
 	for at, together := range []bool{false, true} {
@@ -292,7 +292,7 @@
 		if err != nil {
 			return err
 		}
-		wait(ctx, 3*time.Second)
+		sleep(ctx, 3*time.Second)
 		used := func() (sum time.Duration) {
 			for _, p := range c.Proxies {
 				d, _ := (&Process{p.Process}).CPU()
@@ -301,10 +301,10 @@
 			return sum
 		}
 		began, before, bytes := time.Now(), used(), c.Gossiped()
-		wait(ctx, calm)
+		sleep(ctx, calm)
 		cpu[at] = float64(used()-before) / float64(time.Millisecond) / float64(n) / calm.Seconds()
 		if together {
-			r.Tell(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(c.Gossiped()-bytes)/float64(n)/calm.Seconds())
+			r.AddValue(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(c.Gossiped()-bytes)/float64(n)/calm.Seconds())
 		}
 		clients.Stop()
 		var took []time.Duration
@@ -315,15 +315,15 @@
 		p99[at] = took[len(took)*99/100].Seconds() * 1000
 		c.Close()
 	}
-	r.Tell(fmt.Sprintf("%d instances: CPU a second of each, ms, apart", n), cpu[0])
-	r.Tell(fmt.Sprintf("%d instances: CPU a second of each, ms, together", n), cpu[1])
-	r.Tell(fmt.Sprintf("%d instances: p99 of reads, ms, apart", n), p99[0])
-	r.Tell(fmt.Sprintf("%d instances: p99 of reads, ms, together", n), p99[1])
+	r.AddValue(fmt.Sprintf("%d instances: CPU a second of each, ms, apart", n), cpu[0])
+	r.AddValue(fmt.Sprintf("%d instances: CPU a second of each, ms, together", n), cpu[1])
+	r.AddValue(fmt.Sprintf("%d instances: p99 of reads, ms, apart", n), p99[0])
+	r.AddValue(fmt.Sprintf("%d instances: p99 of reads, ms, together", n), p99[1])
 	return ctx.Err()
 }
 
-// ordinaryFaults plays what happens every day, for which nobody may leave a zone: boxes that fail one by one, a release, all slower.
-func (e *Env) ordinaryFaults(ctx context.Context, r *Report) error {
+// runOrdinaryFaults plays what happens every day, for which nobody may leave a zone: boxes that fail one by one, a release, all slower.
+func (e *Env) runOrdinaryFaults(ctx context.Context, r *Report) error {
 	c, clients, err := e.zoneCluster("ordinary", 6, 1, 0, true)
 	if err != nil {
 		return err
@@ -331,10 +331,10 @@
 	defer c.Close()
 	began, next := time.Now(), 0
 	var undo func()
-	for time.Since(began) < time.Duration(e.Seconds)*zoneOrdinary*time.Second && ctx.Err() == nil {
+	for time.Since(began) < time.Duration(e.Seconds)*ordinaryTimeFactor*time.Second && ctx.Err() == nil {
 		if undo != nil {
 			undo()
-			wait(ctx, 2*time.Second)
+			sleep(ctx, 2*time.Second)
 		}
 		box := c.Fleet.Boxes[next*7%len(c.Fleet.Boxes)]
 		switch next % 6 {
@@ -343,11 +343,11 @@
 			undo = func() { box.SetFault(standin.Healthy) }
 		case 4: // all slower by as much as the fleet's owners have seen
 			for _, b := range c.Fleet.Boxes {
-				b.SetService(3*zoneAnswer, 0)
+				b.SetService(3*zoneServiceTime, 0)
 			}
 			undo = func() {
 				for _, b := range c.Fleet.Boxes {
-					b.SetService(zoneAnswer, 0)
+					b.SetService(zoneServiceTime, 0)
 				}
 			}
 		case 5: // a zone's boxes start anew, one by one, with nothing
@@ -356,12 +356,12 @@
 				for _, p := range c.Proxies {
 					c.Link(p.Name, b.ID).Reset()
 				}
-				wait(ctx, 500*time.Millisecond)
+				sleep(ctx, 500*time.Millisecond)
 			}
 			undo = nil
 		}
 		next++
-		wait(ctx, 4*time.Second)
+		sleep(ctx, 4*time.Second)
 	}
 	clients.Stop()
 	left := 0
