--- a/cmd/linenlab/main.go
+++ b/cmd/linenlab/main.go
@@ -44,8 +44,8 @@
 }
 
 func run(args []string) int {
-	if what := os.Getenv(lab.ServeVariable); what != "" {
-		fmt.Fprintln(os.Stderr, "linenlab:", lab.Serve(what))
+	if baseline := os.Getenv(lab.ServeVariable); baseline != "" {
+		fmt.Fprintln(os.Stderr, "linenlab:", lab.Serve(baseline))
 		return 1
 	}
 	if len(args) == 0 || args[0] == "-h" || args[0] == "--help" {
@@ -109,21 +109,21 @@
 	return 0
 }
 
-func runScenario(ctx context.Context, run func(context.Context, *lab.Env) (*lab.Report, error), e *lab.Env) (*lab.Report, error) {
+func runScenario(ctx context.Context, run func(context.Context, *lab.Env) (*lab.Report, error), env *lab.Env) (*lab.Report, error) {
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	e.Dir, e.Executable = dir, self
-	e.Log = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
-	e.Log("building")
-	if err := e.Build(ctx); err != nil {
+	env.Dir, env.Executable = dir, executable
+	env.Log = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+	env.Log("building")
+	if err := env.Build(ctx); err != nil {
 		return nil, err
 	}
-	return run(ctx, e)
+	return run(ctx, env)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -79,57 +79,57 @@
 	if err != nil {
 		return err
 	}
-	cfg, err := app.ProxyConfig(text)
+	config, err := app.ProxyConfig(text)
 	if err != nil {
 		return err
 	}
-	p, err := proxy.New(cfg, slog.New(slog.DiscardHandler))
+	lbProxy, err := proxy.New(config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return err
 	}
 	serving, drain := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- p.Run(serving) }()
+	go func() { done <- lbProxy.Run(serving) }()
 
-	fmt.Fprintf(out, "a proxy on %s, %d boxes, one slow origin, %d clients; Ctrl-C ends it\n", p.Addr(), cacheCount, clients)
+	fmt.Fprintf(out, "a proxy on %s, %d boxes, one slow origin, %d clients; Ctrl-C ends it\n", lbProxy.Addr(), cacheCount, clients)
 	fmt.Fprintln(out, "second   asked  served refused    late  failed   fetched  what happens, and why most are refused or fail")
-	var n counts
-	var g sync.WaitGroup
-	traffic, end := context.WithCancel(ctx)
-	defer end()
+	var requests counts
+	var group sync.WaitGroup
+	trafficContext, endTraffic := context.WithCancel(ctx)
+	defer endTraffic()
 	for c := range clients {
-		g.Go(func() { runClient(traffic, p.Addr().String(), c, &n) })
+		group.Go(func() { runClient(trafficContext, lbProxy.Addr().String(), c, &requests) })
 	}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	fetched := 0
-	var told *reasons.Counts
+	fetchedBefore := 0
+	var previous *reasons.Counts
 	for second := 1; ctx.Err() == nil; second++ {
 		select {
 		case <-ctx.Done():
 			continue
 		case <-tick.C:
 		}
-		now := fleet.Origin.Fetches()
+		fetches := fleet.Origin.Fetches()
 		event := applyEvent(fleet, second)
-		why := p.Reasons()
-		if most := mostFrequentReason(why.Since(told)); most != "" {
-			event = strings.TrimPrefix(event+"; "+most, "; ")
+		reasonCounts := lbProxy.Reasons()
+		if mostFrequent := mostFrequentReason(reasonCounts.Since(previous)); mostFrequent != "" {
+			event = strings.TrimPrefix(event+"; "+mostFrequent, "; ")
 		}
-		told = why
-		fmt.Fprintf(out, "%6d %7d %7d %7d %7d %7d %9d  %s\n", second, n.asked.Swap(0), n.served.Swap(0), n.refused.Swap(0),
-			n.late.Swap(0), n.failed.Swap(0), now-fetched, event)
-		fetched = now
+		previous = reasonCounts
+		fmt.Fprintf(out, "%6d %7d %7d %7d %7d %7d %9d  %s\n", second, requests.asked.Swap(0), requests.served.Swap(0), requests.refused.Swap(0),
+			requests.late.Swap(0), requests.failed.Swap(0), fetches-fetchedBefore, event)
+		fetchedBefore = fetches
 	}
 	fmt.Fprintln(out, "\ndraining: what was taken is answered, then the proxy ends")
-	end()
-	g.Wait()
+	endTraffic()
+	group.Wait()
 	drain()
 	if err := <-done; err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "\nwhy requests waited, were refused or failed:")
-	if err := p.Reasons().Print(out); err != nil {
+	if err := lbProxy.Reasons().Print(out); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "\nended")
@@ -138,16 +138,16 @@
 
 // mostFrequentReason names the reason for which most requests were refused or failed.
 func mostFrequentReason(c *reasons.Counts) string {
-	var most reasons.Row
+	var mostFrequent reasons.Row
 	for _, r := range c.Rows() {
-		if r.Outcome != reasons.Waited && r.Count > most.Count {
-			most = r
+		if r.Outcome != reasons.Waited && r.Count > mostFrequent.Count {
+			mostFrequent = r
 		}
 	}
-	if most.Count == 0 {
+	if mostFrequent.Count == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%s %s: %s %d", most.Class, most.Outcome, reasons.Name(most.Reason), most.Count)
+	return fmt.Sprintf("%s %s: %s %d", mostFrequent.Class, mostFrequent.Outcome, reasons.Name(mostFrequent.Reason), mostFrequent.Count)
 }
 
 // applyEvent stages the second's event, in rounds of 20 seconds.
@@ -164,15 +164,15 @@
 		fleet.Drain(fleet.Boxes[1])
 		return fleet.Boxes[1].ID + " drains: it gets nothing new"
 	case 13:
-		old := fleet.Boxes[1]
+		removed := fleet.Boxes[1]
 		fleet.Boxes = append(fleet.Boxes[:1], fleet.Boxes[2:]...)
-		fleet.Remove(old)
-		b, err := fleet.Add(fmt.Sprintf("s-%d", cacheCount+1+round), time.Now())
+		fleet.Remove(removed)
+		replacement, err := fleet.Add(fmt.Sprintf("s-%d", cacheCount+1+round), time.Now())
 		if err != nil {
 			return err.Error()
 		}
-		b.SetService(2*time.Millisecond, 16)
-		return fmt.Sprintf("%s has gone; %s takes its place, cold and empty", old.ID, b.ID)
+		replacement.SetService(2*time.Millisecond, 16)
+		return fmt.Sprintf("%s has gone; %s takes its place, cold and empty", removed.ID, replacement.ID)
 	case 17:
 		fleet.Origin.SetService(400*time.Millisecond, 12)
 		return "the origin slows down"
@@ -184,9 +184,9 @@
 }
 
 // runClient asks for one tile after another, and for a pass now and then.
-func runClient(ctx context.Context, addr string, c int, n *counts) {
-	rng := rand.New(rand.NewPCG(1, uint64(c)))
-	popular := rand.NewZipf(rng, 1.1, 4, keyCount-1)
+func runClient(ctx context.Context, addr string, index int, requests *counts) {
+	rng := rand.New(rand.NewPCG(1, uint64(index)))
+	keyPopularity := rand.NewZipf(rng, 1.1, 4, keyCount-1)
 	var conn net.Conn
 	var in *bufio.Reader
 	for i := 0; ctx.Err() == nil; i++ {
@@ -197,29 +197,29 @@
 			}
 			in = bufio.NewReader(conn)
 		}
-		id, key := fmt.Sprintf("%x-%x", c, i), fmt.Sprint("k", popular.Uint64())
+		id, key := fmt.Sprintf("%x-%x", index, i), fmt.Sprint("k", keyPopularity.Uint64())
 		words := []string{"OBJ.GET", key, id, fmt.Sprintf("c=tile-read,d=%d", deadline.Milliseconds())}
 		if i%40 == 39 {
 			words = []string{"OBJ.SET", "pass-" + id, id, fmt.Sprintf("c=pass-order,d=%d", deadline.Milliseconds()), "one pass"}
 		}
-		b := resp.AppendArray(nil, len(words))
+		command := resp.AppendArray(nil, len(words))
 		for _, w := range words {
-			b = resp.AppendBulk(b, w)
+			command = resp.AppendBulk(command, w)
 		}
-		n.asked.Add(1)
-		begun := time.Now()
-		conn.SetDeadline(begun.Add(deadline))
-		conn.Write(b)
+		requests.asked.Add(1)
+		sentAt := time.Now()
+		conn.SetDeadline(sentAt.Add(deadline))
+		conn.Write(command)
 		line, err := readAnswer(in)
 		switch {
 		case err != nil || strings.HasPrefix(line, "-ERR"):
-			n.failed.Add(1)
+			requests.failed.Add(1)
 		case strings.HasPrefix(line, "-BUSY"):
-			n.refused.Add(1)
-		case time.Since(begun) > latencyTarget:
-			n.late.Add(1)
+			requests.refused.Add(1)
+		case time.Since(sentAt) > latencyTarget:
+			requests.late.Add(1)
 		default:
-			n.served.Add(1)
+			requests.served.Add(1)
 		}
 		if err != nil {
 			conn.Close()
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -18,12 +18,12 @@
 	once    sync.Once
 }
 
-func (s *outputWatcher) Write(b []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.text.Write(b)
-	if s.pattern.MatchString(s.text.String()) {
-		s.once.Do(func() { close(s.matched) })
+func (w *outputWatcher) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.text.Write(b)
+	if w.pattern.MatchString(w.text.String()) {
+		w.once.Do(func() { close(w.matched) })
 	}
 	return len(b), nil
 }
@@ -32,12 +32,12 @@
 func TestRunDemo(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	s := &outputWatcher{pattern: regexp.MustCompile(`(?m)^ +\d+ +\d+ +[1-9]\d* `), matched: make(chan struct{})}
+	watcher := &outputWatcher{pattern: regexp.MustCompile(`(?m)^ +\d+ +\d+ +[1-9]\d* `), matched: make(chan struct{})}
 	done := make(chan error, 1)
-	go func() { done <- runDemo(ctx, s, 4) }()
+	go func() { done <- runDemo(ctx, watcher, 4) }()
 	const patience = 20 * time.Second
 	select {
-	case <-s.matched:
+	case <-watcher.matched:
 	case <-time.After(patience):
 		t.Error("nothing was served")
 	}
@@ -50,7 +50,7 @@
 	case <-time.After(patience):
 		t.Fatal("it did not end")
 	}
-	if out := s.text.String(); !strings.HasSuffix(out, "ended\n") {
+	if out := watcher.text.String(); !strings.HasSuffix(out, "ended\n") {
 		t.Errorf("it ended with %q", out)
 	}
 }
--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -68,131 +68,131 @@
 	for _, front := range []string{"RESP2", "answer", "route"} {
 		e.Log("answers: %s", front)
 		worst := time.Duration(0)
-		for i, c := range answerCases {
-			if c.onlyFronts != "" && !strings.Contains(c.onlyFronts, front) {
+		for i, testCase := range answerCases {
+			if testCase.onlyFronts != "" && !strings.Contains(testCase.onlyFronts, front) {
 				continue
 			}
-			late, err := e.measureAnswerDelay(ctx, fmt.Sprint("answers-", front, i), front, c)
+			delay, err := e.measureAnswerDelay(ctx, fmt.Sprint("answers-", front, i), front, testCase)
 			if err != nil {
-				return r, fmt.Errorf("%s: %s: %w", front, c.name, err)
+				return r, fmt.Errorf("%s: %s: %w", front, testCase.name, err)
 			}
-			r.AddValue(front+": "+c.name+": worst, ms", float64(late)/float64(time.Millisecond))
-			worst = max(worst, late)
+			r.AddValue(front+": "+testCase.name+": worst, ms", float64(delay)/float64(time.Millisecond))
+			worst = max(worst, delay)
 		}
 		r.AtMost(front+": worst of all, ms after the last outcome", float64(worst)/float64(time.Millisecond),
 			float64(maxAnswerDelay)/float64(time.Millisecond))
 	}
-	for _, c := range concurrentCases {
-		e.Log("answers: %s", c.name)
-		late, n, err := c.run(e)
+	for _, testCase := range concurrentCases {
+		e.Log("answers: %s", testCase.name)
+		delay, refused, err := testCase.run(e)
 		if err != nil {
-			return r, fmt.Errorf("%s: %w", c.name, err)
+			return r, fmt.Errorf("%s: %w", testCase.name, err)
 		}
-		r.AddValue(c.name+": reads given up", float64(n))
-		r.AtMost(c.name+": worst, ms after it was due", float64(late)/float64(time.Millisecond),
+		r.AddValue(testCase.name+": reads given up", float64(refused))
+		r.AtMost(testCase.name+": worst, ms after it was due", float64(delay)/float64(time.Millisecond),
 			float64(maxAnswerDelay)/float64(time.Millisecond))
 	}
 	return r, ctx.Err()
 }
 
 // measureAnswerDelay plays a case and tells the longest time from the last outcome to the final answer.
-func (e *Env) measureAnswerDelay(ctx context.Context, name, front string, c answerCase) (worst time.Duration, err error) {
+func (e *Env) measureAnswerDelay(ctx context.Context, name, front string, testCase answerCase) (worst time.Duration, err error) {
 	fleet, err := standin.NewFleet(3, 64)
 	if err != nil {
 		return 0, err
 	}
 	defer fleet.Close()
-	var p *Process
-	var ask func(key, id string) (string, error)
+	var process *Process
+	var request func(key, id string) (string, error)
 	if front == "RESP2" {
 		var addr string
-		if addr, p, err = e.startProxy(name, fleet, 64, 512); err != nil {
+		if addr, process, err = e.startProxy(name, fleet, 64, 512); err != nil {
 			return 0, err
 		}
-		rc, err := dialRedis(addr)
+		redis, err := dialRedis(addr)
 		if err != nil {
 			return 0, err
 		}
-		defer rc.conn.Close()
-		ask = func(key, id string) (string, error) {
-			if c.write {
-				return rc.do("OBJ.SET", key, id, "c=pass-order,d=3000", "one pass")
+		defer redis.conn.Close()
+		request = func(key, id string) (string, error) {
+			if testCase.write {
+				return redis.do("OBJ.SET", key, id, "c=pass-order,d=3000", "one pass")
 			}
-			wait := cmp.Or(c.deadline, 3*time.Second)
+			deadline := cmp.Or(testCase.deadline, 3*time.Second)
 			if strings.HasPrefix(key, "warm") {
-				wait = 3 * time.Second
+				deadline = 3 * time.Second
 			}
-			return rc.do("OBJ.GET", key, id, fmt.Sprint("c=tile-read,d=", wait.Milliseconds()))
+			return redis.do("OBJ.GET", key, id, fmt.Sprint("c=tile-read,d=", deadline.Milliseconds()))
 		}
 	} else {
 		addr, err := standin.FreeAddr()
 		if err != nil {
 			return 0, err
 		}
-		if p, err = e.startProcessor(name, fleet, "127.0.0.1:0", addr, front, "200ms"); err != nil {
+		if process, err = e.startProcessor(name, fleet, "127.0.0.1:0", addr, front, "200ms"); err != nil {
 			return 0, err
 		}
-		cl, err := caller.Dial(addr)
+		processor, err := caller.Dial(addr)
 		if err != nil {
 			return 0, err
 		}
-		defer cl.Close()
-		cl.Retries, cl.MessageTimeout = 4, waitTimeout
-		ask = func(key, id string) (string, error) {
-			q := caller.Request{Method: "GET", Path: "/tiles/" + key, Headers: map[string]string{"x-request-id": id}}
-			if c.write {
-				q.Method, q.Path, q.Body = "PUT", "/orders/"+key, []byte("one pass")
+		defer processor.Close()
+		processor.Retries, processor.MessageTimeout = 4, waitTimeout
+		request = func(key, id string) (string, error) {
+			httpRequest := caller.Request{Method: "GET", Path: "/tiles/" + key, Headers: map[string]string{"x-request-id": id}}
+			if testCase.write {
+				httpRequest.Method, httpRequest.Path, httpRequest.Body = "PUT", "/orders/"+key, []byte("one pass")
 			}
-			res := cl.Do(ctx, q)
+			result := processor.Do(ctx, httpRequest)
 			switch {
-			case res.Err != nil:
-				return "", res.Err
-			case res.Status == 503 || res.Status == 429:
+			case result.Err != nil:
+				return "", result.Err
+			case result.Status == 503 || result.Status == 429:
 				return "-BUSY", nil
-			case res.Status == 502:
+			case result.Status == 502:
 				return "-ERR", nil
 			}
-			return fmt.Sprint(res.Status), nil
+			return fmt.Sprint(result.Status), nil
 		}
 	}
-	defer p.Kill()
-	warmed := 0
+	defer process.Kill()
+	warmUpRequests := 0
 	if err := eventually("one is served", func() bool {
-		warmed++
-		answer, err := ask(fmt.Sprint("warm", warmed), fmt.Sprint(name, "-w", warmed))
+		warmUpRequests++
+		answer, err := request(fmt.Sprint("warm", warmUpRequests), fmt.Sprint(name, "-w", warmUpRequests))
 		return err == nil && !strings.HasPrefix(answer, "-")
 	}); err != nil {
 		return 0, err
 	}
-	c.injectFault(fleet)
-	given := 0
-	for i := 0; given < requestsPerCase; i++ {
+	testCase.injectFault(fleet)
+	givenUp := 0
+	for i := 0; givenUp < requestsPerCase; i++ {
 		if i == 10*requestsPerCase {
-			return 0, fmt.Errorf("only %d of %d answers are %s", given, i, c.wantPrefix)
+			return 0, fmt.Errorf("only %d of %d answers are %s", givenUp, i, testCase.wantPrefix)
 		}
 		// With time between them, as at light load; the retry budget is not what is measured.
 		time.Sleep(20 * time.Millisecond)
-		asked := time.Now()
-		last := asked // its coming counts too, where it is refused unsent
-		answer, err := ask(fmt.Sprint("a", i), fmt.Sprint(name, "-", i))
-		heard := time.Now()
+		sentAt := time.Now()
+		lastOutcome := sentAt // its coming counts too, where it is refused unsent
+		answer, err := request(fmt.Sprint("a", i), fmt.Sprint(name, "-", i))
+		answeredAt := time.Now()
 		if err != nil {
 			return 0, err
 		}
-		if c.someServed && !strings.HasPrefix(answer, "-") {
+		if testCase.someServed && !strings.HasPrefix(answer, "-") {
 			continue
 		}
-		given++
-		if !strings.HasPrefix(answer, c.wantPrefix) {
-			return 0, fmt.Errorf("answered %q, want %s", answer, c.wantPrefix)
+		givenUp++
+		if !strings.HasPrefix(answer, testCase.wantPrefix) {
+			return 0, fmt.Errorf("answered %q, want %s", answer, testCase.wantPrefix)
 		}
-		if at := fleet.Last(); at.After(last) {
-			last = at
+		if at := fleet.Last(); at.After(lastOutcome) {
+			lastOutcome = at
 		}
-		if c.deadline > 0 { // boxes that stall never end: it is due when its client gives up
-			last = asked.Add(c.deadline)
+		if testCase.deadline > 0 { // boxes that stall never end: it is due when its client gives up
+			lastOutcome = sentAt.Add(testCase.deadline)
 		}
-		worst = max(worst, heard.Sub(last))
+		worst = max(worst, answeredAt.Sub(lastOutcome))
 	}
 	return worst, nil
 }
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -35,22 +35,22 @@
 }
 
 // startWarmProxy starts a proxy before a fleet.
-func (e *Env) startWarmProxy(name string, boxes int) (*standin.Fleet, *Process, string, error) {
-	fleet, err := standin.NewFleet(boxes, 64)
+func (e *Env) startWarmProxy(name string, caches int) (*standin.Fleet, *Process, string, error) {
+	fleet, err := standin.NewFleet(caches, 64)
 	if err != nil {
 		return nil, nil, "", err
 	}
-	addr, p, err := e.startProxy(name, fleet, 64, 512)
+	addr, process, err := e.startProxy(name, fleet, 64, 512)
 	if err != nil {
 		fleet.Close()
 		return nil, nil, "", err
 	}
 	if err := warmUp(fleet, addr, name); err != nil {
-		p.Kill()
+		process.Kill()
 		fleet.Close()
 		return nil, nil, "", err
 	}
-	return fleet, p, addr, nil
+	return fleet, process, addr, nil
 }
 
 // warmUp has a few clients read what every box holds, so that the proxy knows its boxes.
@@ -65,11 +65,11 @@
 }
 
 // stopAndCountRefused ends a proxy and tells how many reads it says to have refused for a reason.
-func stopAndCountRefused(p *Process, reason string) (n int, err error) {
-	if err := p.Stop(); err != nil {
+func stopAndCountRefused(process *Process, reason string) (n int, err error) {
+	if err := process.Stop(); err != nil {
 		return 0, err
 	}
-	for _, line := range p.Reasons() {
+	for _, line := range process.Reasons() {
 		_, rest, ok := strings.Cut(line, `refused_tile-read=`)
 		if !ok {
 			continue
@@ -99,94 +99,94 @@
 }
 
 // readConcurrently makes reads at once, on a connection each.
-func readConcurrently(addr, name string, n int, key func(int) string, each func()) ([]concurrentRead, error) {
+func readConcurrently(addr, name string, n int, key func(int) string, onAnswer func()) ([]concurrentRead, error) {
 	reads := make([]concurrentRead, n)
 	errs := make([]error, n)
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range n {
-		g.Go(func() {
-			rc, err := dialRedis(addr)
+		group.Go(func() {
+			client, err := dialRedis(addr)
 			if err != nil {
 				errs[i] = err
 				return
 			}
-			defer rc.conn.Close()
-			r := &reads[i]
-			r.id, r.sentAt = fmt.Sprint(name, "-", i), time.Now()
-			r.answer, errs[i] = rc.do("OBJ.GET", key(i), r.id, "c=tile-read,d=3000")
-			r.answeredAt = time.Now()
-			each()
+			defer client.conn.Close()
+			read := &reads[i]
+			read.id, read.sentAt = fmt.Sprint(name, "-", i), time.Now()
+			read.answer, errs[i] = client.do("OBJ.GET", key(i), read.id, "c=tile-read,d=3000")
+			read.answeredAt = time.Now()
+			onAnswer()
 		})
 	}
-	g.Wait()
+	group.Wait()
 	return reads, errors.Join(errs...)
 }
 
 // measureRemoval has reads wait for an origin that stalls, takes what they wait for off the list, and tells how long after that
 // the last of those that were not out at the origin had its answer.
-func (e *Env) measureRemoval(name string, key func(int) string, leave func(*standin.Fleet)) (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.startWarmProxy(name, 3)
+func (e *Env) measureRemoval(name string, key func(int) string, remove func(*standin.Fleet)) (worst time.Duration, refused int, err error) {
+	fleet, process, addr, err := e.startWarmProxy(name, 3)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer fleet.Close()
-	defer p.Kill()
+	defer process.Kill()
 	fleet.Origin.SetFault(standin.Stall)
 	const crowd = 24
-	var early atomic.Int32 // refused before, for want of room
-	var left atomic.Bool
+	var refusedEarly atomic.Int32 // refused before, for want of room
+	var membersRemoved atomic.Bool
 	var reads []concurrentRead
-	var failed error
+	var readError error
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		reads, failed = readConcurrently(addr, name, crowd, key, func() {
-			if !left.Load() {
-				early.Add(1)
+		reads, readError = readConcurrently(addr, name, crowd, key, func() {
+			if !membersRemoved.Load() {
+				refusedEarly.Add(1)
 			}
 		})
 	}()
-	settled := func() bool {
-		n := int(early.Load())
+	allWaiting := func() bool {
+		n := int(refusedEarly.Load())
 		for _, b := range fleet.Boxes {
 			_, misses := b.Reads()
 			n += misses
 		}
 		return n >= crowd || key(0) == key(1) && fleet.Origin.Began() > 0
 	}
-	if err := eventually("every read waits", settled); err != nil {
+	if err := eventually("every read waits", allWaiting); err != nil {
 		return 0, 0, err
 	}
 	time.Sleep(20 * time.Millisecond) // what has missed comes to the origin, or into line
 	stalled := fleet.Origin.Began()
-	left.Store(true)
-	removed := time.Now()
-	leave(fleet)
+	membersRemoved.Store(true)
+	removedAt := time.Now()
+	remove(fleet)
 	<-done
-	if failed != nil {
-		return 0, 0, failed
+	if readError != nil {
+		return 0, 0, readError
 	}
 	// Those that the origin has already are out, and wait on; they are the last to hear.
 	slices.SortFunc(reads, func(a, b concurrentRead) int { return a.answeredAt.Compare(b.answeredAt) })
-	if n = crowd - stalled - int(early.Load()); n <= 0 {
-		return 0, 0, fmt.Errorf("no read waited: %d at the origin, %d refused before", stalled, early.Load())
+	if refused = crowd - stalled - int(refusedEarly.Load()); refused <= 0 {
+		return 0, 0, fmt.Errorf("no read waited: %d at the origin, %d refused before", stalled, refusedEarly.Load())
 	}
-	counted, err := stopAndCountRefused(p, "no_member")
-	if err == nil && counted < n {
-		err = fmt.Errorf("%d reads were refused for no_member, want %d", counted, n)
+	counted, err := stopAndCountRefused(process, "no_member")
+	if err == nil && counted < refused {
+		err = fmt.Errorf("%d reads were refused for no_member, want %d", counted, refused)
 	}
-	return reads[crowd-stalled-1].answeredAt.Sub(removed), n, err
+	return reads[crowd-stalled-1].answeredAt.Sub(removedAt), refused, err
 }
 
 // measureFullQueue puts more reads in line for a slow origin than it can answer before their aim, and tells how far past it the
 // last refusal came. The time between the aim's passing and the answer is what counts; a refusal may well come sooner.
-func (e *Env) measureFullQueue() (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.startWarmProxy("full", 3)
+func (e *Env) measureFullQueue() (worst time.Duration, refused int, err error) {
+	fleet, process, addr, err := e.startWarmProxy("full", 3)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer fleet.Close()
-	defer p.Kill()
+	defer process.Kill()
 	fleet.Origin.SetService(300*time.Millisecond, 4)
 	reads, err := readConcurrently(addr, "full", 200, func(i int) string { return fmt.Sprint("m", i) }, func() {})
 	if err != nil {
@@ -198,25 +198,25 @@
 			worst = max(worst, r.answeredAt.Sub(r.sentAt)-standin.ReadAim)
 		}
 	}
-	n, err = stopAndCountRefused(p, "origin_line")
-	if err == nil && n == 0 {
-		err = fmt.Errorf("no read was refused for the line: %v", p.Reasons())
+	refused, err = stopAndCountRefused(process, "origin_line")
+	if err == nil && refused == 0 {
+		err = fmt.Errorf("no read was refused for the line: %v", process.Reasons())
 	}
-	return worst, n, err
+	return worst, refused, err
 }
 
 // measureNoCapacity has boxes answer so slowly that the limits at them fall, and tells how long after it was asked the slowest of the
 // reads was refused that no box has heard of.
-func (e *Env) measureNoCapacity() (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.startWarmProxy("room", 8)
+func (e *Env) measureNoCapacity() (worst time.Duration, refused int, err error) {
+	fleet, process, addr, err := e.startWarmProxy("room", 8)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer fleet.Close()
-	defer p.Kill()
+	defer process.Kill()
 	const roomReads = 160
 	var mu sync.Mutex
-	sent := map[string]bool{}
+	sentIDs := map[string]bool{}
 	var keys []string
 	for i := range roomReads {
 		keys = append(keys, fmt.Sprint("k", i))
@@ -226,7 +226,7 @@
 		b.SetService(450*time.Millisecond, 0)
 		b.OnRead(func(id string) {
 			mu.Lock()
-			sent[id] = true
+			sentIDs[id] = true
 			mu.Unlock()
 		})
 	}
@@ -243,16 +243,16 @@
 		}
 		mu.Lock()
 		for _, r := range reads {
-			if strings.HasPrefix(r.answer, "-BUSY") && !sent[r.id] {
-				n++
+			if strings.HasPrefix(r.answer, "-BUSY") && !sentIDs[r.id] {
+				refused++
 				worst = max(worst, r.answeredAt.Sub(r.sentAt))
 			}
 		}
 		mu.Unlock()
 	}
-	counted, err := stopAndCountRefused(p, "no_room")
-	if err == nil && (counted == 0 || n == 0) {
-		err = fmt.Errorf("%d reads were refused for no_room, %d of them unsent: %v", counted, n, p.Reasons())
+	counted, err := stopAndCountRefused(process, "no_room")
+	if err == nil && (counted == 0 || refused == 0) {
+		err = fmt.Errorf("%d reads were refused for no_room, %d of them unsent: %v", counted, refused, process.Reasons())
 	}
-	return worst, n, err
+	return worst, refused, err
 }
--- a/internal/lab/door.go
+++ b/internal/lab/door.go
@@ -63,9 +63,9 @@
 // LongestGap is the longest time between two answers to any client, since it was last asked.
 func (d *ClientLoad) LongestGap() time.Duration { return time.Duration(d.longestGap.Swap(0)) }
 
-func (d *ClientLoad) runClient(c, keys, orderEvery int) {
+func (d *ClientLoad) runClient(client, keys, orderEvery int) {
 	var conn *redisClient
-	for n := c; ; n++ {
+	for sequence := client; ; sequence++ {
 		select {
 		case <-d.stop:
 			if conn != nil {
@@ -78,12 +78,12 @@
 			conn.conn.Close()
 			conn = nil
 		}
-		if conn != nil && c%2 == 0 && n%3 == 0 {
+		if conn != nil && client%2 == 0 && sequence%3 == 0 {
 			conn.conn.Close()
 			conn = nil
 		}
-		words := d.nextCommand(n, keys, orderEvery)
-		for again := false; ; again = true {
+		words := d.nextCommand(sequence, keys, orderEvery)
+		for repeated := false; ; repeated = true {
 			if conn == nil {
 				var err error
 				if conn, err = dialRedis(d.Addr); err != nil {
@@ -91,7 +91,7 @@
 					break
 				}
 			}
-			begun := time.Now()
+			sentAt := time.Now()
 			answer, err := conn.do(words...)
 			if err != nil {
 				conn.conn.Close()
@@ -99,7 +99,7 @@
 				switch {
 				case err == io.EOF && words[0] == "OBJ.SET": // the process may have been killed with it in hand
 					d.addUnanswered(words[1])
-				case err == io.EOF && !again:
+				case err == io.EOF && !repeated:
 					d.ClosedUnread.Add(1)
 					continue
 				default:
@@ -107,7 +107,7 @@
 				}
 				break
 			}
-			d.recordAnswer(answer, time.Since(begun))
+			d.recordAnswer(answer, time.Since(sentAt))
 			break
 		}
 	}
@@ -125,24 +125,24 @@
 	return time.After(d)
 }
 
-func (d *ClientLoad) nextCommand(n, keys, orderEvery int) []string {
+func (d *ClientLoad) nextCommand(sequence, keys, orderEvery int) []string {
 	id := fmt.Sprintf("%016x", d.lastID.Add(1))
-	if orderEvery > 0 && n%orderEvery == 0 {
+	if orderEvery > 0 && sequence%orderEvery == 0 {
 		return []string{"OBJ.SET", fmt.Sprintf("%x", 1<<40+d.lastOrder.Add(1)), id, "c=pass-order,d=3000", "one pass"}
 	}
 	class := "tile-read"
 	if c, ok := d.class.Load().(string); ok {
 		class = c
 	}
-	return []string{"OBJ.GET", fmt.Sprintf("%x", 0x100+n%keys), id, "c=" + class + ",d=3000"}
+	return []string{"OBJ.GET", fmt.Sprintf("%x", 0x100+sequence%keys), id, "c=" + class + ",d=3000"}
 }
 
-func (d *ClientLoad) recordAnswer(answer string, took time.Duration) {
+func (d *ClientLoad) recordAnswer(answer string, latency time.Duration) {
 	now := time.Now().UnixNano()
 	gap := now - d.lastAnswer.Swap(now)
-	for was := d.longestGap.Load(); gap > was && !d.longestGap.CompareAndSwap(was, gap); was = d.longestGap.Load() {
+	for previous := d.longestGap.Load(); gap > previous && !d.longestGap.CompareAndSwap(previous, gap); previous = d.longestGap.Load() {
 	}
-	if took > clientTimeout {
+	if latency > clientTimeout {
 		d.Late.Add(1)
 	}
 	switch {
@@ -171,8 +171,8 @@
 }
 
 // Call makes an operator's call and tells its status (0: nobody answered) and how long it took.
-func Call(method, addr, path, body string) (status int, took time.Duration) {
-	begun := time.Now()
+func Call(method, addr, path, body string) (status int, elapsed time.Duration) {
+	start := time.Now()
 	status, _, _ = mgmt.Call(method, addr, path, body, waitTimeout) // 0 where it fails
-	return status, time.Since(begun)
+	return status, time.Since(start)
 }
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -17,9 +17,9 @@
 const rootRotations = 4
 
 // tlsSettings is what the operator's file says of an authority.
-func tlsSettings(a *standin.Authority) string {
+func tlsSettings(authority *standin.Authority) string {
 	return fmt.Sprintf("[identity.tls]\ncert = %q\nkey = %q\nroots = %q\nhandshakes_per_s = 5000\n[[identity.certificate]]\ndns = \"*.acme.example\"\n"+
-		"tenant = \"acme\"\n", a.Path("cert.pem"), a.Path("key.pem"), a.Path("roots.pem"))
+		"tenant = \"acme\"\n", authority.Path("cert.pem"), authority.Path("key.pem"), authority.Path("roots.pem"))
 }
 
 const clientDNSName = "one.acme.example"
@@ -34,247 +34,247 @@
 }
 
 // measureTLS is callers proven by certificates: what TLS costs, and roots that change under load.
-func (e *Env) measureTLS(r *Report, fleet *standin.Fleet, bare string, plain *Process) error {
-	a, err := standin.NewAuthority(e.Dir, rootRotations+1)
+func (e *Env) measureTLS(r *Report, fleet *standin.Fleet, plainAddr string, plainProcess *Process) error {
+	authority, err := standin.NewAuthority(e.Dir, rootRotations+1)
 	if err != nil {
 		return err
 	}
-	addr, p, err := e.startProxyWith("doors", fleet, "[identity]\n[[identity.tenant]]\nname = \"acme\"\n"+tlsSettings(a))
+	addr, process, err := e.startProxyWith("doors", fleet, "[identity]\n[[identity.tenant]]\nname = \"acme\"\n"+tlsSettings(authority))
 	if err != nil {
 		return err
 	}
-	defer p.Kill()
-	if err := e.measureTLSCost(r, a, addr, p, bare, plain); err != nil {
+	defer process.Kill()
+	if err := e.measureTLSCost(r, authority, addr, process, plainAddr, plainProcess); err != nil {
 		return err
 	}
-	if err := e.rotateRoots(r, a, addr); err != nil {
+	if err := e.rotateRoots(r, authority, addr); err != nil {
 		return err
 	}
-	return p.Stop()
+	return process.Stop()
 }
 
 // measureTLSCost compares reads over TLS, on connections that stand and on one for each read, with those of a proxy that speaks plainly.
-func (e *Env) measureTLSCost(r *Report, a *standin.Authority, addr string, p *Process, bare string, plain *Process) error {
+func (e *Env) measureTLSCost(r *Report, authority *standin.Authority, addr string, process *Process, plainAddr string, plainProcess *Process) error {
 	e.Log("identity: what TLS costs")
-	cfg, err := a.Config(a.Roots[0], clientDNSName)
+	tlsConfig, err := authority.Config(authority.Roots[0], clientDNSName)
 	if err != nil {
 		return err
 	}
-	reads := func(name string, dial func(name string) (*authClient, error), each bool) func(int) (func(int) error, func(), error) {
+	newReads := func(name string, dial func(name string) (*authClient, error), newConnectionPerRead bool) func(int) (func(int) error, func(), error) {
 		return func(w int) (func(int) error, func(), error) {
 			name := fmt.Sprintf("%s%d-%d", name, w, time.Now().UnixNano())
-			c, err := dial(name)
+			client, err := dial(name)
 			if err != nil {
 				return nil, nil, err
 			}
 			return func(i int) error {
-				if each && i > 0 {
-					c.conn.Close()
-					n := c.lastID
-					if c, err = dial(name); err != nil {
+				if newConnectionPerRead && i > 0 {
+					client.conn.Close()
+					lastID := client.lastID
+					if client, err = dial(name); err != nil {
 						return err
 					}
-					c.lastID = n
+					client.lastID = lastID
 				}
-				line, err := c.read((w*7919+i)%tileKeys, "")
+				line, err := client.read((w*7919+i)%tileKeys, "")
 				if err == nil && line[0] != '$' {
 					err = fmt.Errorf("answered %q", line)
 				}
 				return err
-			}, func() { c.conn.Close() }, nil
+			}, func() { client.conn.Close() }, nil
 		}
 	}
-	open := func(name string) (*authClient, error) { return dialAuthClient(bare, name) }
-	secure := func(name string) (*authClient, error) { return dialTLS(addr, name, cfg) }
-	var without, with, withoutEach, withEach ClosedLoopResult
+	dialPlain := func(name string) (*authClient, error) { return dialAuthClient(plainAddr, name) }
+	dialSecure := func(name string) (*authClient, error) { return dialTLS(addr, name, tlsConfig) }
+	var plainReads, tlsReads, plainConnections, tlsConnections ClosedLoopResult
 	const rounds = 4
-	d := time.Duration(e.Seconds) * time.Second / (4 * rounds)
+	duration := time.Duration(e.Seconds) * time.Second / (4 * rounds)
 	for range rounds {
 		for _, part := range []struct {
-			rate *ClosedLoopResult
-			p    *Process
-			dial func(string) (*authClient, error)
-			each bool
-		}{{&without, plain, open, false}, {&with, p, secure, false}, {&withoutEach, plain, open, true}, {&withEach, p, secure, true}} {
-			got, err := runClosedLoop(part.p, identityWorkers, d, reads("door", part.dial, part.each))
+			rate                 *ClosedLoopResult
+			p                    *Process
+			dial                 func(string) (*authClient, error)
+			newConnectionPerRead bool
+		}{{&plainReads, plainProcess, dialPlain, false}, {&tlsReads, process, dialSecure, false}, {&plainConnections, plainProcess, dialPlain, true}, {&tlsConnections, process, dialSecure, true}} {
+			result, err := runClosedLoop(part.p, identityWorkers, duration, newReads("door", part.dial, part.newConnectionPerRead))
 			if err != nil {
-				return fmt.Errorf("TLS %v, a connection for each %v: %w", part.p == p, part.each, err)
+				return fmt.Errorf("TLS %v, a connection for each %v: %w", part.p == process, part.newConnectionPerRead, err)
 			}
-			part.rate.add(got)
+			part.rate.add(result)
 		}
 	}
-	r.AddValue("TLS: reads a CPU second, of those in plain text", with.PerCPU()/without.PerCPU())
-	r.AddValue("TLS: connections with one read each, of those in plain text, a CPU second", withEach.PerCPU()/withoutEach.PerCPU())
-	r.AddValue("TLS: CPU a handshake, us", 1e6/withEach.PerCPU()-1e6/withoutEach.PerCPU())
+	r.AddValue("TLS: reads a CPU second, of those in plain text", tlsReads.PerCPU()/plainReads.PerCPU())
+	r.AddValue("TLS: connections with one read each, of those in plain text, a CPU second", tlsConnections.PerCPU()/plainConnections.PerCPU())
+	r.AddValue("TLS: CPU a handshake, us", 1e6/tlsConnections.PerCPU()-1e6/plainConnections.PerCPU())
 	return nil
 }
 
 // rotateRoots changes the roots several times while callers go on: each takes the next root's certificate while both count, as long as
 // its connection stands or when it is told of its end. What is asked on a connection is answered, or finds its end before it was read.
-func (e *Env) rotateRoots(r *Report, a *standin.Authority, addr string) error {
+func (e *Env) rotateRoots(r *Report, authority *standin.Authority, addr string) error {
 	e.Log("identity: roots that change under load")
-	var use, gone atomic.Int32 // the root to come by; those before it don't count
-	var served, refused, told, ends, shut atomic.Int64
-	var failed atomic.Pointer[error]
+	var usedRoot, firstValidRoot atomic.Int32 // the root to come by; those before it don't count
+	var served, refused, endsAnnounced, connectionsEnded, connectionsRefused atomic.Int64
+	var firstError atomic.Pointer[error]
 	stop := make(chan struct{})
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	for w := range identityWorkers {
-		g.Go(func() {
-			fail := func(err error) { failed.CompareAndSwap(nil, &err) }
+		group.Go(func() {
+			fail := func(err error) { firstError.CompareAndSwap(nil, &err) }
 			for n := 0; ; n++ {
-				by := use.Load()
-				cfg, err := a.Config(a.Roots[by], clientDNSName)
+				root := usedRoot.Load()
+				tlsConfig, err := authority.Config(authority.Roots[root], clientDNSName)
 				if err != nil {
 					fail(err)
 					return
 				}
-				c, err := dialTLS(addr, fmt.Sprintf("roots%d-%d", w, n), cfg)
+				client, err := dialTLS(addr, fmt.Sprintf("roots%d-%d", w, n), tlsConfig)
 				if err != nil {
-					shut.Add(1)
+					connectionsRefused.Add(1)
 					fail(err)
 					return
 				}
 				for i := 0; ; i++ {
 					select {
 					case <-stop:
-						c.conn.Close()
+						client.conn.Close()
 						return
 					default:
 					}
-					line, err := c.read((w*7919+i)%tileKeys, "")
+					line, err := client.read((w*7919+i)%tileKeys, "")
 					if err != nil { // the end of the connection; a read is safe to send again
-						ends.Add(1)
+						connectionsEnded.Add(1)
 						break
 					}
 					if line[0] == '$' {
 						served.Add(1)
 						continue
 					}
-					if strings.HasPrefix(line, "-WRONGPASS") && by < gone.Load() { // told by an answer before the end
-						told.Add(1)
-						ends.Add(1)
+					if strings.HasPrefix(line, "-WRONGPASS") && root < firstValidRoot.Load() { // told by an answer before the end
+						endsAnnounced.Add(1)
+						connectionsEnded.Add(1)
 						break
 					}
 					if !strings.HasPrefix(line, "-BUSY") {
 						refused.Add(1)
 					}
 				}
-				c.conn.Close()
+				client.conn.Close()
 			}
 		})
 	}
-	worst := time.Duration(0)
-	late := int64(0)
-	each := max(3*time.Second, time.Duration(e.Seconds)*time.Second/rootRotations)
+	longestToEnd := time.Duration(0)
+	servedByRemovedRoot := int64(0)
+	roundTime := max(3*time.Second, time.Duration(e.Seconds)*time.Second/rootRotations)
 	for round := range rootRotations {
-		now, next := a.Roots[round], a.Roots[round+1]
-		cfg, err := a.Config(now, clientDNSName)
+		currentRoot, nextRoot := authority.Roots[round], authority.Roots[round+1]
+		tlsConfig, err := authority.Config(currentRoot, clientDNSName)
 		if err != nil {
 			return err
 		}
-		old, err := dialTLS(addr, fmt.Sprint("old", round), cfg)
+		oldClient, err := dialTLS(addr, fmt.Sprint("old", round), tlsConfig)
 		if err != nil {
 			return err
 		}
-		if err := a.Publish(now, next); err != nil {
+		if err := authority.Publish(currentRoot, nextRoot); err != nil {
 			return err
 		}
-		for end := time.Now().Add(each / 2); time.Now().Before(end); time.Sleep(200 * time.Millisecond) { // longer than a process takes to look
-			if _, err := old.read(1, ""); err != nil { // one that stands idle is closed for that, and would be taken for the root's end
+		for end := time.Now().Add(roundTime / 2); time.Now().Before(end); time.Sleep(200 * time.Millisecond) { // longer than a process takes to look
+			if _, err := oldClient.read(1, ""); err != nil { // one that stands idle is closed for that, and would be taken for the root's end
 				return fmt.Errorf("a connection by a root that is in force: %w", err)
 			}
 		}
-		use.Store(int32(round + 1))
-		gone.Store(int32(round + 1))
-		if err := a.Publish(next); err != nil {
+		usedRoot.Store(int32(round + 1))
+		firstValidRoot.Store(int32(round + 1))
+		if err := authority.Publish(nextRoot); err != nil {
 			return err
 		}
-		since := time.Now()
+		removedAt := time.Now()
 		for ended := false; !ended; {
-			line, err := old.read(1, "")
+			line, err := oldClient.read(1, "")
 			switch {
 			case err != nil:
 				ended = true
-			case time.Since(since) > waitTimeout:
+			case time.Since(removedAt) > waitTimeout:
 				return fmt.Errorf("a connection by a root that is gone stands for good, answered %q", line)
 			}
 		}
-		worst = max(worst, time.Since(since))
-		old.conn.Close()
+		longestToEnd = max(longestToEnd, time.Since(removedAt))
+		oldClient.conn.Close()
 		for range 10 {
-			if c, err := dialTLS(addr, "late", cfg); err == nil {
-				if line, err := c.read(1, ""); err == nil && line[0] == '$' {
-					late++
+			if client, err := dialTLS(addr, "late", tlsConfig); err == nil {
+				if line, err := client.read(1, ""); err == nil && line[0] == '$' {
+					servedByRemovedRoot++
 				}
-				c.conn.Close()
+				client.conn.Close()
 			}
 		}
-		time.Sleep(each / 2)
+		time.Sleep(roundTime / 2)
 	}
 	close(stop)
-	g.Wait()
-	if err := failed.Load(); err != nil {
+	group.Wait()
+	if err := firstError.Load(); err != nil {
 		return *err
 	}
 	r.AddValue("roots: requests served", float64(served.Load()))
-	r.AddValue("roots: connections ended", float64(ends.Load()))
-	r.AddValue("roots: of these, told by an answer first", float64(told.Load()))
+	r.AddValue("roots: connections ended", float64(connectionsEnded.Load()))
+	r.AddValue("roots: of these, told by an answer first", float64(endsAnnounced.Load()))
 	r.Equal("roots: valid requests turned away", float64(refused.Load()), 0)
-	r.Equal("roots: valid connections turned away", float64(shut.Load()), 0)
-	r.Equal("roots: connections by a root that is gone, once one was ended", float64(late), 0)
-	r.AtMost("roots: from the file's replacement to a connection's end, ms", float64(worst)/float64(time.Millisecond), 1400)
+	r.Equal("roots: valid connections turned away", float64(connectionsRefused.Load()), 0)
+	r.Equal("roots: connections by a root that is gone, once one was ended", float64(servedByRemovedRoot), 0)
+	r.AtMost("roots: from the file's replacement to a connection's end, ms", float64(longestToEnd)/float64(time.Millisecond), 1400)
 	return nil
 }
 
 // measureProcessorTokenCost compares exchanges with the external processor by a token in each call with those at one that asks nobody.
-func (e *Env) measureProcessorTokenCost(ctx context.Context, r *Report, is *issuer, fleet *standin.Fleet) error {
+func (e *Env) measureProcessorTokenCost(ctx context.Context, r *Report, tokenIssuer *issuer, fleet *standin.Fleet) error {
 	e.Log("identity: what a proof costs at the processor")
-	token, err := is.token("")
+	token, err := tokenIssuer.token("")
 	if err != nil {
 		return err
 	}
-	var rates [2]ClosedLoopResult
-	var procs [2]*Process
+	var results [2]ClosedLoopResult
+	var processes [2]*Process
 	var callers [2]*caller.Caller
-	for k, more := range []string{"", fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\n[[identity.tenant]]\nname = \"acme\"\n", is.file)} {
+	for k, settings := range []string{"", fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\n[[identity.tenant]]\nname = \"acme\"\n", tokenIssuer.file)} {
 		socket := fmt.Sprintf("%s/proof-%d.sock", e.Dir, k)
-		p, err := e.startProcessorWith(fmt.Sprint("proof-", k), fleet, "127.0.0.1:0", OperatorFile("unix:"+socket, "answer", "20s")+more)
+		process, err := e.startProcessorWith(fmt.Sprint("proof-", k), fleet, "127.0.0.1:0", OperatorFile("unix:"+socket, "answer", "20s")+settings)
 		if err != nil {
 			return err
 		}
-		defer p.Kill()
-		c, err := caller.Dial("unix://" + socket)
+		defer process.Kill()
+		processorCaller, err := caller.Dial("unix://" + socket)
 		if err != nil {
 			return err
 		}
-		defer c.Close()
-		c.MessageTimeout = waitTimeout
-		procs[k], callers[k] = p, c
+		defer processorCaller.Close()
+		processorCaller.MessageTimeout = waitTimeout
+		processes[k], callers[k] = process, processorCaller
 	}
 	const rounds = 4
-	var ids atomic.Int64
+	var lastID atomic.Int64
 	for range rounds {
-		for k := range procs {
-			got, err := runClosedLoop(procs[k], identityWorkers, time.Duration(e.Seconds)*time.Second/(2*rounds), func(w int) (func(int) error, func(), error) {
+		for k := range processes {
+			result, err := runClosedLoop(processes[k], identityWorkers, time.Duration(e.Seconds)*time.Second/(2*rounds), func(w int) (func(int) error, func(), error) {
 				return func(i int) error {
-					q := caller.Request{Method: "GET", Path: fmt.Sprintf("/tiles/%016x", (w*7919+i)%tileKeys+1),
-						Headers: map[string]string{"x-request-id": fmt.Sprint("q", ids.Add(1))}}
+					request := caller.Request{Method: "GET", Path: fmt.Sprintf("/tiles/%016x", (w*7919+i)%tileKeys+1),
+						Headers: map[string]string{"x-request-id": fmt.Sprint("q", lastID.Add(1))}}
 					if k == 1 {
-						q.Headers["authorization"] = "Bearer " + token
+						request.Headers["authorization"] = "Bearer " + token
 					}
-					res := callers[k].Do(ctx, q)
-					if res.Err == nil && res.Status != 200 {
-						return fmt.Errorf("status %d: %s", res.Status, res.Body)
+					response := callers[k].Do(ctx, request)
+					if response.Err == nil && response.Status != 200 {
+						return fmt.Errorf("status %d: %s", response.Status, response.Body)
 					}
-					return res.Err
+					return response.Err
 				}, func() {}, nil
 			})
 			if err != nil {
 				return fmt.Errorf("processor %d: %w", k, err)
 			}
-			rates[k].add(got)
+			results[k].add(result)
 		}
 	}
-	r.AtLeast("processor: by a token seen before, exchanges a CPU second of those without", rates[1].PerCPU()/rates[0].PerCPU(), 0.9)
+	r.AtLeast("processor: by a token seen before, exchanges a CPU second of those without", results[1].PerCPU()/results[0].PerCPU(), 0.9)
 	return nil
 }
--- a/internal/lab/explore.go
+++ b/internal/lab/explore.go
@@ -25,38 +25,38 @@
 			return r, err
 		}
 		e.Log("explore: %s", name)
-		var failed error
-		found := explore.Explore(func() explore.Model {
-			w, err := explore.NewWorld(scenes[name])
+		var sceneError error
+		result := explore.Explore(func() explore.Model {
+			world, err := explore.NewWorld(scenes[name])
 			if err != nil {
-				failed = err
+				sceneError = err
 			}
-			return w
+			return world
 		}, explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreStepsPerSecond})
-		if failed != nil {
-			return r, fmt.Errorf("%s: %w", name, failed)
+		if sceneError != nil {
+			return r, fmt.Errorf("%s: %w", name, sceneError)
 		}
-		for _, f := range found.Faults {
+		for _, f := range result.Faults {
 			e.Log("%s: %v", name, f)
 		}
-		r.AddValue(name+": states", float64(found.States))
-		r.AddValue(name+": transitions", float64(found.Transitions))
-		r.AddValue(name+": depth", float64(found.Deepest))
-		whole := 0.0
-		if found.Whole {
-			whole = 1
+		r.AddValue(name+": states", float64(result.States))
+		r.AddValue(name+": transitions", float64(result.Transitions))
+		r.AddValue(name+": depth", float64(result.Deepest))
+		exhaustive := 0.0
+		if result.Whole {
+			exhaustive = 1
 		}
-		r.AddValue(name+": every order up to the depth", whole)
-		r.Equal(name+": faults", float64(len(found.Faults)), 0)
+		r.AddValue(name+": every order up to the depth", exhaustive)
+		r.Equal(name+": faults", float64(len(result.Faults)), 0)
 	}
 	e.Log("explore: the fleet's verdict on zones")
-	found := explore.Explore(func() explore.Model { return explore.NewFleet(explore.FleetScene{}) },
+	result := explore.Explore(func() explore.Model { return explore.NewFleet(explore.FleetScene{}) },
 		explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreStepsPerSecond / 6})
-	for _, f := range found.Faults {
+	for _, f := range result.Faults {
 		e.Log("fleet: %v", f)
 	}
-	r.AddValue("three instances, two zones: states", float64(found.States))
-	r.AddValue("three instances, two zones: transitions", float64(found.Transitions))
-	r.Equal("three instances, two zones: faults", float64(len(found.Faults)), 0)
+	r.AddValue("three instances, two zones: states", float64(result.States))
+	r.AddValue("three instances, two zones: transitions", float64(result.Transitions))
+	r.Equal("three instances, two zones: faults", float64(len(result.Faults)), 0)
 	return r, nil
 }
--- a/internal/lab/extproc.go
+++ b/internal/lab/extproc.go
@@ -116,9 +116,11 @@
 		redis, duplex bool
 	}{{"", "answer", true, false}, {"answer", "answer", false, false}, {"route", "route", false, false},
 		{"answer in full duplex", "answer", false, true}, {"route in full duplex", "route", false, true}}
-	plays, errs := make([]Choices, len(kinds)), make([]error, len(kinds))
+	choices, errs := make([]Choices, len(kinds)), make([]error, len(kinds))
 	for i, c := range kinds {
-		g.Go(func() { plays[i], errs[i] = RunChoices(c.mode, c.duplex, requests, func(int) bool { return c.redis }) })
+		g.Go(func() {
+			choices[i], errs[i] = RunChoices(c.mode, c.duplex, requests, func(int) bool { return c.redis })
+		})
 	}
 	g.Wait()
 	for i, c := range kinds {
@@ -127,16 +129,16 @@
 			return errs[i]
 		}
 		if i == 0 {
-			r.AddValue("choices of the module, by RESP2", float64(len(plays[0].Members)))
+			r.AddValue("choices of the module, by RESP2", float64(len(choices[0].Members)))
 			continue
 		}
-		differ := max(len(plays[i].Members), len(plays[0].Members))
-		for k := range min(len(plays[i].Members), len(plays[0].Members)) {
-			if plays[i].Members[k] == plays[0].Members[k] {
+		differ := max(len(choices[i].Members), len(choices[0].Members))
+		for k := range min(len(choices[i].Members), len(choices[0].Members)) {
+			if choices[i].Members[k] == choices[0].Members[k] {
 				differ--
 			}
 		}
-		if !slices.Equal(plays[i].Outcomes, plays[0].Outcomes) {
+		if !slices.Equal(choices[i].Outcomes, choices[0].Outcomes) {
 			differ++
 		}
 		r.Equal("choices by "+name+" that differ", float64(differ), 0)
@@ -156,9 +158,9 @@
 }
 
 func killUnderLoadWith(ctx context.Context, e *Env, r *Report, duplex bool) error {
-	how := ""
+	suffix := ""
 	if duplex {
-		how = " in full duplex"
+		suffix = " in full duplex"
 	}
 	type outcome struct {
 		requests, answers, late, handKilled, served, failed, refused int64
@@ -170,8 +172,8 @@
 	out := make([]outcome, len(modes))
 	for k, mode := range modes {
 		g.Go(func() {
-			o := &out[k]
-			o.err = func() error {
+			result := &out[k]
+			result.err = func() error {
 				fleet, err := newFilledFleet(4, 512, loadKeys)
 				if err != nil {
 					return err
@@ -179,62 +181,62 @@
 				defer fleet.Close()
 				fleet.Origin.SetService(5*time.Millisecond, 0)
 				socket := fmt.Sprintf("%s/kill-%s-%v.sock", e.Dir, mode, duplex)
-				p, err := e.startProcessor("kill-"+mode, fleet, "127.0.0.1:0", "unix:"+socket, mode, "200ms")
+				process, err := e.startProcessor("kill-"+mode, fleet, "127.0.0.1:0", "unix:"+socket, mode, "200ms")
 				if err != nil {
 					return err
 				}
-				defer func() { p.Kill() }()
-				c, err := caller.Dial("unix://" + socket)
+				defer func() { process.Kill() }()
+				processorCaller, err := caller.Dial("unix://" + socket)
 				if err != nil {
 					return err
 				}
-				defer c.Close()
+				defer processorCaller.Close()
 				const deadline = 2 * time.Second
-				c.Retries, c.RetryFailed = 4, deadline/2
+				processorCaller.Retries, processorCaller.RetryFailed = 4, deadline/2
 				if duplex {
-					c.SetFullDuplex()
+					processorCaller.SetFullDuplex()
 				}
-				l, err := net.Listen("tcp", "127.0.0.1:0")
+				listener, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
 					return err
 				}
-				web := &http.Server{Handler: c}
-				go web.Serve(l)
-				defer web.Close()
+				webServer := &http.Server{Handler: processorCaller}
+				go webServer.Serve(listener)
+				defer webServer.Close()
 				client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 				defer client.CloseIdleConnections()
 
 				var requests, answers, late, served, failed, refused atomic.Int64
-				one := func(i int) {
+				sendRequest := func(i int) {
 					method, path, body := "GET", fmt.Sprint("/tiles/k", i%loadKeys), []byte(nil)
 					if i%5 == 4 {
 						method, path, body = "PUT", fmt.Sprint("/orders/o", i), []byte("one pass, adult")
 					}
 					// The caller keeps the client's time; the margin is for the client's own side of the connection.
-					rctx, cancel := context.WithTimeout(ctx, deadline)
+					requestContext, cancel := context.WithTimeout(ctx, deadline)
 					defer cancel()
-					q, err := http.NewRequestWithContext(rctx, method, "http://"+l.Addr().String()+path, bytes.NewReader(body))
+					request, err := http.NewRequestWithContext(requestContext, method, "http://"+listener.Addr().String()+path, bytes.NewReader(body))
 					if err != nil {
 						return
 					}
-					q.Header.Set("X-Request-Id", fmt.Sprint("q", i))
-					q.Header.Set("X-Envoy-Expected-Rq-Timeout-Ms", fmt.Sprint(deadline.Milliseconds()))
+					request.Header.Set("X-Request-Id", fmt.Sprint("q", i))
+					request.Header.Set("X-Envoy-Expected-Rq-Timeout-Ms", fmt.Sprint(deadline.Milliseconds()))
 					requests.Add(1)
-					res, err := client.Do(q)
+					response, err := client.Do(request)
 					if err != nil {
 						late.Add(1)
 						return
 					}
-					if _, err = io.Copy(io.Discard, res.Body); err != nil {
+					if _, err = io.Copy(io.Discard, response.Body); err != nil {
 						late.Add(1)
 						return
 					}
-					res.Body.Close()
+					response.Body.Close()
 					answers.Add(1)
 					switch {
-					case res.StatusCode == 200:
+					case response.StatusCode == 200:
 						served.Add(1)
-					case res.StatusCode == 503, res.StatusCode == 429:
+					case response.StatusCode == 503, response.StatusCode == 429:
 						refused.Add(1)
 					default:
 						failed.Add(1)
@@ -251,7 +253,7 @@
 				for i := 0; ; i++ {
 					select {
 					case <-tick.C:
-						clients.Go(func() { one(i) })
+						clients.Go(func() { sendRequest(i) })
 						continue
 					case err := <-restarted:
 						if err != nil {
@@ -264,12 +266,12 @@
 							continue
 						}
 						restarting = true
-						o.kills++
+						result.kills++
 						go func() {
-							p.Kill()
-							again, err := e.startProcessor("kill-"+mode, fleet, "127.0.0.1:0", "unix:"+socket, mode, "200ms")
+							process.Kill()
+							restartedProcess, err := e.startProcessor("kill-"+mode, fleet, "127.0.0.1:0", "unix:"+socket, mode, "200ms")
 							if err == nil {
-								p = again
+								process = restartedProcess
 							}
 							restarted <- err
 						}()
@@ -288,30 +290,30 @@
 				clients.Wait()
 				for _, n := range fleet.Origin.Executions() {
 					if n > 1 {
-						o.twice++
+						result.twice++
 					}
 				}
-				o.requests, o.answers, o.late = requests.Load(), answers.Load(), late.Load()
-				o.served, o.failed, o.refused = served.Load(), failed.Load(), refused.Load()
+				result.requests, result.answers, result.late = requests.Load(), answers.Load(), late.Load()
+				result.served, result.failed, result.refused = served.Load(), failed.Load(), refused.Load()
 				return nil
 			}()
 		})
 	}
 	g.Wait()
 	for k, mode := range modes {
-		o := out[k]
-		mode += how
-		if o.err != nil {
-			return fmt.Errorf("%s: %w", mode, o.err)
+		result := out[k]
+		mode += suffix
+		if result.err != nil {
+			return fmt.Errorf("%s: %w", mode, result.err)
 		}
-		r.AddValue(mode+": requests, at 500 a second", float64(o.requests))
-		r.AddValue(mode+": kills with SIGKILL", float64(o.kills))
-		r.Equal(mode+": answers per request", float64(o.answers)/float64(max(1, o.requests)), 1)
-		r.Equal(mode+": deadlines missed", float64(o.late), 0)
-		r.Equal(mode+": orders that ran twice", float64(o.twice), 0)
-		r.AtLeast(mode+": served, of all", float64(o.served)/float64(max(1, o.requests)), 0.9)
-		r.AddValue(mode+": failed", float64(o.failed))
-		r.AddValue(mode+": refused", float64(o.refused))
+		r.AddValue(mode+": requests, at 500 a second", float64(result.requests))
+		r.AddValue(mode+": kills with SIGKILL", float64(result.kills))
+		r.Equal(mode+": answers per request", float64(result.answers)/float64(max(1, result.requests)), 1)
+		r.Equal(mode+": deadlines missed", float64(result.late), 0)
+		r.Equal(mode+": orders that ran twice", float64(result.twice), 0)
+		r.AtLeast(mode+": served, of all", float64(result.served)/float64(max(1, result.requests)), 0.9)
+		r.AddValue(mode+": failed", float64(result.failed))
+		r.AddValue(mode+": refused", float64(result.refused))
 	}
 	return nil
 }
@@ -361,11 +363,11 @@
 	var rates struct{ bare, route, bareAnswer, answer, redis, relay ClosedLoopResult }
 	for round := range 4 {
 		for _, m := range []struct {
-			into    *ClosedLoopResult
+			total   *ClosedLoopResult
 			p       *Process
 			addr    string
 			workers int
-			make    func(addr string) (func(int) (func(int) error, func(), error), error)
+			newLoad func(addr string) (func(int) (func(int) error, func(), error), error)
 		}{
 			{&rates.bare, bare, addrs[3], workers, newProcessorWorkers(true)},
 			{&rates.route, route, addrs[0], workers, newProcessorWorkers(true)},
@@ -378,7 +380,7 @@
 				return newCacheWorker(a, loadKeys), nil
 			}},
 		} {
-			load, err := m.make(m.addr)
+			load, err := m.newLoad(m.addr)
 			if err != nil {
 				return err
 			}
@@ -386,12 +388,12 @@
 			if round == 0 {
 				d = 200 * time.Millisecond // connections and tables warm up
 			}
-			got, err := runClosedLoop(m.p, m.workers, d, load)
+			result, err := runClosedLoop(m.p, m.workers, d, load)
 			if err != nil {
 				return fmt.Errorf("%s: %w", strings.TrimPrefix(m.addr, "127.0.0.1"), err)
 			}
 			if round > 0 {
-				m.into.add(got)
+				m.total.add(result)
 			}
 		}
 	}
--- a/internal/lab/flood.go
+++ b/internal/lab/flood.go
@@ -65,41 +65,41 @@
 }
 
 // Run floods for a while, then waits for what is still out.
-func (f *OpenLoop) Run(d time.Duration) (*OpenLoopResult, error) {
+func (f *OpenLoop) Run(duration time.Duration) (*OpenLoopResult, error) {
 	total := newOpenLoopResult()
 	errs := make(chan error, 2*f.Connections)
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	var mu sync.Mutex
-	begun := time.Now()
+	start := time.Now()
 	for i := range f.Connections {
 		conn, err := net.Dial("tcp", f.Addr)
 		if err != nil {
 			return nil, err
 		}
-		c := &openLoopConnection{load: f, conn: conn, result: newOpenLoopResult()}
+		connection := &openLoopConnection{load: f, conn: conn, result: newOpenLoopResult()}
 		rng := rand.New(rand.NewPCG(f.Seed, uint64(i)))
 		sent := make(chan struct{})
-		g.Go(func() {
+		group.Go(func() {
 			defer close(sent)
-			if err := c.send(rng, begun, d); err != nil {
+			if err := connection.send(rng, start, duration); err != nil {
 				errs <- err
 			}
 		})
-		g.Go(func() {
-			if err := c.receive(sent); err != nil {
+		group.Go(func() {
+			if err := connection.receive(sent); err != nil {
 				errs <- err
 			}
 			conn.Close()
 			mu.Lock()
 			defer mu.Unlock()
-			e := c.result
-			total.Offered, total.Unsent, total.Refused = total.Offered+e.Offered, total.Unsent+e.Unsent, total.Refused+e.Refused
-			total.InTime, total.Late = total.InTime+e.InTime, total.Late+e.Late
-			total.latency.Merge(e.latency)
+			result := connection.result
+			total.Offered, total.Unsent, total.Refused = total.Offered+result.Offered, total.Unsent+result.Unsent, total.Refused+result.Refused
+			total.InTime, total.Late = total.InTime+result.InTime, total.Late+result.Late
+			total.latency.Merge(result.latency)
 		})
 	}
-	g.Wait()
-	total.Duration = d
+	group.Wait()
+	total.Duration = duration
 	select {
 	case err := <-errs:
 		return nil, err
@@ -108,49 +108,49 @@
 	}
 }
 
-func (c *openLoopConnection) send(rng *rand.Rand, begun time.Time, d time.Duration) error {
+func (c *openLoopConnection) send(rng *rand.Rand, start time.Time, duration time.Duration) error {
 	rate := c.load.Rate / float64(c.load.Connections)
-	gap := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
-	due := begun.Add(gap())
+	nextInterval := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
+	due := start.Add(nextInterval())
 	attrs := "c=tile-read,d=" + strconv.FormatInt(c.load.Deadline.Milliseconds(), 10)
 	if c.load.Tenant != "" {
 		attrs += ",t=" + c.load.Tenant
 	}
-	var b []byte
+	var commands []byte
 	for {
 		now := time.Now()
-		if now.Sub(begun) >= d {
+		if now.Sub(start) >= duration {
 			return nil
 		}
-		b = b[:0]
+		commands = commands[:0]
 		c.mu.Lock()
-		for !due.After(now) && len(b) < 32<<10 && len(c.outstanding) < maxOutstandingReads {
-			at := due
+		for !due.After(now) && len(commands) < 32<<10 && len(c.outstanding) < maxOutstandingReads {
+			readDue := due
 			if c.retries > 0 {
 				c.retries--
-				at = now
+				readDue = now
 			} else {
-				due = due.Add(gap())
+				due = due.Add(nextInterval())
 			}
 			c.result.Offered++
-			if now.Sub(at) > c.load.Deadline {
+			if now.Sub(readDue) > c.load.Deadline {
 				c.result.Unsent++
 				continue
 			}
-			r := outstandingRead{at, rng.IntN(c.load.Keys)}
-			c.outstanding = append(c.outstanding, r)
-			b = appendTileRead(b, r.key, attrs)
+			read := outstandingRead{readDue, rng.IntN(c.load.Keys)}
+			c.outstanding = append(c.outstanding, read)
+			commands = appendTileRead(commands, read.key, attrs)
 		}
 		c.mu.Unlock()
-		if len(b) > 0 {
+		if len(commands) > 0 {
 			c.conn.SetWriteDeadline(time.Now().Add(waitTimeout))
-			if _, err := c.conn.Write(b); err != nil {
+			if _, err := c.conn.Write(commands); err != nil {
 				return fmt.Errorf("lab: send: %w", err)
 			}
 		}
 		if wait := time.Until(due); wait > 0 {
 			time.Sleep(max(wait, time.Millisecond)) // what falls due together is sent together, as by a client that is busy
-		} else if len(b) == 0 {
+		} else if len(commands) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -159,37 +159,37 @@
 // receive takes answers until all that was sent has one.
 func (c *openLoopConnection) receive(sent <-chan struct{}) error {
 	in := bufio.NewReaderSize(c.conn, 32<<10)
-	done := false
-	var want []byte
+	allSent := false
+	var prefix []byte
 	for {
 		c.mu.Lock()
-		left := len(c.outstanding)
-		var r outstandingRead
-		if left > 0 {
-			r = c.outstanding[0]
+		outstanding := len(c.outstanding)
+		var oldest outstandingRead
+		if outstanding > 0 {
+			oldest = c.outstanding[0]
 		}
 		c.mu.Unlock()
-		if left == 0 {
-			if done {
+		if outstanding == 0 {
+			if allSent {
 				return nil
 			}
 			select {
 			case <-sent:
-				done = true
+				allSent = true
 			case <-time.After(time.Millisecond):
 			}
 			continue
 		}
 		c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
-		want = appendTilePrefix(want[:0], r.key)
-		err := readTile(in, want)
-		took := time.Since(r.due)
+		prefix = appendTilePrefix(prefix[:0], oldest.key)
+		err := readTile(in, prefix)
+		latency := time.Since(oldest.due)
 		if err != nil && err != errRefused {
-			return fmt.Errorf("with %d reads out: %w", left, err)
+			return fmt.Errorf("with %d reads out: %w", outstanding, err)
 		}
 		c.mu.Lock()
 		c.outstanding = c.outstanding[1:]
-		if err == errRefused && c.load.RetryRefused && took < c.load.Deadline {
+		if err == errRefused && c.load.RetryRefused && latency < c.load.Deadline {
 			c.retries++
 		}
 		c.mu.Unlock()
@@ -197,11 +197,11 @@
 		case err == errRefused:
 			c.result.Refused++
 			continue
-		case took <= c.load.Deadline:
+		case latency <= c.load.Deadline:
 			c.result.InTime++
 		default:
 			c.result.Late++
 		}
-		c.result.latency.RecordValue(max(1, took.Microseconds()))
+		c.result.latency.RecordValue(max(1, latency.Microseconds()))
 	}
 }
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -66,30 +66,30 @@
 // NewHost starts a host before a fleet.
 func NewHost(fleet *standin.Fleet, mode string) (*Host, error) {
 	h := &Host{Fleet: fleet, done: make(chan error, 1)}
-	text, err := fleet.Config("lab", "127.0.0.1:0", "7", 128, 512)
+	configText, err := fleet.Config("lab", "127.0.0.1:0", "7", 128, 512)
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := app.ProxyConfig(text)
+	config, err := app.ProxyConfig(configText)
 	if err != nil {
 		return nil, err
 	}
-	cfg.AcceptMore = 0
-	cfg.Clock = func() time.Duration { return time.Duration(h.clock.Load()) }
-	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) {
+	config.AcceptMore = 0
+	config.Clock = func() time.Duration { return time.Duration(h.clock.Load()) }
+	config.OnSend = func(_ logic.RequestID, m logic.MemberID) {
 		h.mu.Lock()
 		h.sentTo = append(h.sentTo, m)
 		h.mu.Unlock()
 	}
-	log := slog.New(slog.DiscardHandler)
-	if h.Proxy, err = proxy.New(cfg, log); err != nil {
+	logger := slog.New(slog.DiscardHandler)
+	if h.Proxy, err = proxy.New(config, logger); err != nil {
 		return nil, err
 	}
-	file, err := operator.Parse("lab", []byte(OperatorFile("127.0.0.1:0", mode, "20s")))
+	operatorFile, err := operator.Parse("lab", []byte(OperatorFile("127.0.0.1:0", mode, "20s")))
 	if err != nil {
 		return nil, err
 	}
-	if h.Front, err = server.New(h.Proxy, file, log); err != nil {
+	if h.Front, err = server.New(h.Proxy, operatorFile, logger); err != nil {
 		return nil, err
 	}
 	h.Proxy.AddFront(h.Front)
@@ -126,37 +126,37 @@
 // RunChoices plays the recorded run of so many requests by one front or the other: reads of Zipf-like keys and some orders, a
 // cold box, one that fails for a while, one that is full for a while, and one that drains. One request is in hand at a
 // time and the clock is the run's own, so that the same outcomes come at the same times.
-func RunChoices(mode string, duplex bool, requests int, byRedis func(i int) bool) (c Choices, err error) {
+func RunChoices(mode string, duplex bool, requests int, byRedis func(i int) bool) (choices Choices, err error) {
 	fleet, err := standin.NewFleet(6, 64)
 	if err != nil {
-		return c, err
+		return choices, err
 	}
 	defer fleet.Close()
 	if _, err := fleet.Add("s-cold", time.UnixMilli(time.Hour.Milliseconds()-100)); err != nil {
-		return c, err
+		return choices, err
 	}
 	for i := range 40 {
 		fleet.Fill(fmt.Sprint("k", i)) // the others miss at first
 	}
-	h, err := NewHost(fleet, mode)
+	host, err := NewHost(fleet, mode)
 	if err != nil {
-		return c, err
+		return choices, err
 	}
-	defer h.Close()
+	defer host.Close()
 	if duplex {
-		h.Caller.SetFullDuplex()
+		host.Caller.SetFullDuplex()
 	}
-	if err := eventually("the list is known", func() bool { return h.Proxy.Load().Ready == 8 }); err != nil {
-		return c, err
+	if err := eventually("the list is known", func() bool { return host.Proxy.Load().Ready == 8 }); err != nil {
+		return choices, err
 	}
-	rc, err := dialRedis(h.Proxy.Addr().String())
+	redis, err := dialRedis(host.Proxy.Addr().String())
 	if err != nil {
-		return c, err
+		return choices, err
 	}
-	defer rc.conn.Close()
+	defer redis.conn.Close()
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range requests {
-		h.advanceClock(5 * time.Millisecond)
+		host.advanceClock(5 * time.Millisecond)
 		switch i {
 		case requests / 4:
 			fleet.Boxes[1].SetFault(standin.Failing)
@@ -167,59 +167,59 @@
 			fleet.Boxes[2].SetFault(standin.Healthy)
 		case requests * 5 / 8:
 			fleet.Drain(fleet.Boxes[3])
-			if err := eventually("the drain is known", func() bool { return h.Proxy.Load().Ready == 7 }); err != nil {
-				return c, err
+			if err := eventually("the drain is known", func() bool { return host.Proxy.Load().Ready == 7 }); err != nil {
+				return choices, err
 			}
 		}
 		key, id, write := fmt.Sprint("k", int(rng.ExpFloat64()*15)%60), fmt.Sprint("id", i), i%20 == 19
-		answer, err := h.request(rc, byRedis(i), mode, key, id, write)
+		answer, err := host.request(redis, byRedis(i), mode, key, id, write)
 		if err != nil {
-			return c, err
+			return choices, err
 		}
 		switch {
 		case strings.Contains(answer, " of "+key):
-			c.Outcomes = append(c.Outcomes, "served")
+			choices.Outcomes = append(choices.Outcomes, "served")
 		case strings.HasPrefix(answer, "-BUSY"), strings.HasPrefix(answer, "refused"):
-			c.Outcomes = append(c.Outcomes, "refused")
+			choices.Outcomes = append(choices.Outcomes, "refused")
 		default:
-			return c, fmt.Errorf("request %d was answered %q", i, answer)
+			return choices, fmt.Errorf("request %d was answered %q", i, answer)
 		}
 		if err := eventually("nothing is in hand", func() bool {
-			l := h.Proxy.Load()
-			return l.Requests == 0 && l.Busy == 0 && h.Front.Counts().Streams == 0
+			load := host.Proxy.Load()
+			return load.Requests == 0 && load.Busy == 0 && host.Front.Counts().Streams == 0
 		}); err != nil {
-			return c, err
+			return choices, err
 		}
 	}
 	names := map[logic.MemberID]string{proxy.MemberID("o-1"): "o-1"}
 	for _, b := range fleet.Boxes {
 		names[proxy.MemberID(b.ID)] = b.ID
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, m := range h.sentTo {
-		c.Members = append(c.Members, names[m])
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	for _, m := range host.sentTo {
+		choices.Members = append(choices.Members, names[m])
 	}
-	return c, nil
+	return choices, nil
 }
 
 // request makes one request by one front.
-func (h *Host) request(rc *redisClient, byRedis bool, mode, key, id string, write bool) (string, error) {
+func (h *Host) request(redis *redisClient, byRedis bool, mode, key, id string, write bool) (string, error) {
 	// The last byte of an order is held back for 2 ms; the clock has to move while it is.
 	h.Caller.SendAfter = nil
-	held := make(chan error, 1)
+	advanced := make(chan error, 1)
 	switch {
 	case write && mode == "route" && !byRedis:
 		h.Caller.SendAfter = func(string) { h.advanceClock(10 * time.Millisecond) }
-		held <- nil
+		advanced <- nil
 	case write:
 		go func() {
 			err := eventually("the order is out", func() bool { return h.Proxy.Load().Busy > 0 })
 			h.advanceClock(10 * time.Millisecond)
-			held <- err
+			advanced <- err
 		}()
 	default:
-		held <- nil
+		advanced <- nil
 	}
 	var answer string
 	if byRedis {
@@ -228,24 +228,24 @@
 			words = []string{"OBJ.SET", key, id, "c=pass-order,d=2000", "one pass"}
 		}
 		var err error
-		if answer, err = rc.do(words...); err != nil {
+		if answer, err = redis.do(words...); err != nil {
 			return "", err
 		}
 	} else {
-		q := caller.Request{Method: "GET", Path: "/tiles/" + key}
+		httpRequest := caller.Request{Method: "GET", Path: "/tiles/" + key}
 		if write {
-			q = caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass")}
+			httpRequest = caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass")}
 		}
-		q.Headers = map[string]string{"x-request-id": id, "x-envoy-expected-rq-timeout-ms": "2010"} // the margin is 10
+		httpRequest.Headers = map[string]string{"x-request-id": id, "x-envoy-expected-rq-timeout-ms": "2010"} // the margin is 10
 		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
-		res := h.Caller.Do(ctx, q)
+		result := h.Caller.Do(ctx, httpRequest)
 		cancel()
-		if res.Err != nil {
-			return "", res.Err
+		if result.Err != nil {
+			return "", result.Err
 		}
-		answer = string(res.Body)
+		answer = string(result.Body)
 	}
-	return answer, <-held
+	return answer, <-advanced
 }
 
 // redisClient asks one thing at a time over RESP2.
@@ -264,23 +264,23 @@
 }
 
 // closedByPeer tells whether the other side has ended the connection.
-func (c *redisClient) closedByPeer() (yes bool) {
+func (c *redisClient) closedByPeer() (closed bool) {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { yes = sender.Peek(fd) == sender.EndOfStream })
+		err = raw.Control(func(fd uintptr) { closed = sender.Peek(fd) == sender.EndOfStream })
 	}
-	return yes || err != nil
+	return closed || err != nil
 }
 
 // do returns the value, or the error line.
 func (c *redisClient) do(words ...string) (string, error) {
-	b := resp.AppendArray(c.buf[:0], len(words))
+	command := resp.AppendArray(c.buf[:0], len(words))
 	for _, w := range words {
-		b = resp.AppendBulk(b, w)
+		command = resp.AppendBulk(command, w)
 	}
-	c.buf = b
+	c.buf = command
 	c.conn.SetDeadline(time.Now().Add(waitTimeout))
-	if _, err := c.conn.Write(b); err != nil {
+	if _, err := c.conn.Write(command); err != nil {
 		return "", err
 	}
 	line, err := c.in.ReadString('\n')
@@ -297,9 +297,9 @@
 	if _, err := fmt.Sscanf(line, "$%d", &n); err != nil || n < 0 {
 		return "", errors.New("lab: no value")
 	}
-	v := make([]byte, n+2)
-	if _, err := io.ReadFull(c.in, v); err != nil {
+	value := make([]byte, n+2)
+	if _, err := io.ReadFull(c.in, value); err != nil {
 		return "", err
 	}
-	return string(v[:n]), nil
+	return string(value[:n]), nil
 }
--- a/internal/lab/host_test.go
+++ b/internal/lab/host_test.go
@@ -9,18 +9,18 @@
 // they come by, also when both are used at once.
 func TestFrontsGetTheSameChoices(t *testing.T) {
 	const requests = 400
-	play := func(t *testing.T, mode string, byRedis func(int) bool) Choices {
+	runChoices := func(t *testing.T, mode string, byRedis func(int) bool) Choices {
 		t.Helper()
-		c, err := RunChoices(mode, false, requests, byRedis)
+		choices, err := RunChoices(mode, false, requests, byRedis)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c
+		return choices
 	}
-	want := play(t, "answer", func(int) bool { return true })
+	want := runChoices(t, "answer", func(int) bool { return true })
 	refused := 0
-	for _, e := range want.Outcomes {
-		if e == "refused" {
+	for _, outcome := range want.Outcomes {
+		if outcome == "refused" {
 			refused++
 		}
 	}
@@ -32,7 +32,7 @@
 			t.Fatalf("%s was never chosen", s)
 		}
 	}
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		mode    string
 		byRedis func(int) bool
 	}{
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := play(t, c.mode, c.byRedis)
+			got := runChoices(t, testCase.mode, testCase.byRedis)
 			if !slices.Equal(got.Outcomes, want.Outcomes) {
 				t.Error("what was served and what was refused differs")
 			}
--- a/internal/lab/identity.go
+++ b/internal/lab/identity.go
@@ -76,15 +76,15 @@
 }
 
 func signToken(kid string, key ed25519.PrivateKey, n int) (string, error) {
-	by, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, (&jose.SignerOptions{}).WithHeader("kid", kid))
+	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, (&jose.SignerOptions{}).WithHeader("kid", kid))
 	if err != nil {
 		return "", err
 	}
-	sig, err := by.Sign(fmt.Appendf(nil, `{"iss":"lab","aud":"lab","tenant":"acme","sub":"%d","exp":%d}`, n, time.Now().Add(10*time.Minute).Unix()))
+	signature, err := signer.Sign(fmt.Appendf(nil, `{"iss":"lab","aud":"lab","tenant":"acme","sub":"%d","exp":%d}`, n, time.Now().Add(10*time.Minute).Unix()))
 	if err != nil {
 		return "", err
 	}
-	return sig.CompactSerialize()
+	return signature.CompactSerialize()
 }
 
 // authClient is a connection whose requests are read as answers of one line and a value.
@@ -128,9 +128,9 @@
 	return line, err
 }
 
-func (c *authClient) read(key int, more string) (string, error) {
+func (c *authClient) read(key int, attrs string) (string, error) {
 	c.lastID++
-	return c.do("OBJ.GET", fmt.Sprintf("%016x", key+1), fmt.Sprintf("%s-%d", c.idPrefix, c.lastID), "c=tile-read,d=1000"+more)
+	return c.do("OBJ.GET", fmt.Sprintf("%016x", key+1), fmt.Sprintf("%s-%d", c.idPrefix, c.lastID), "c=tile-read,d=1000"+attrs)
 }
 
 // auth proves who the connection is. On a fast machine more new tokens come than are checked: those that were not looked at come again.
@@ -157,40 +157,40 @@
 		return r, err
 	}
 	defer fleet.Close()
-	is := &issuer{file: filepath.Join(e.Dir, "keys.json"), keys: map[string]ed25519.PrivateKey{}, signingKey: "k0"}
-	if err := is.publish("k0"); err != nil {
+	tokenIssuer := &issuer{file: filepath.Join(e.Dir, "keys.json"), keys: map[string]ed25519.PrivateKey{}, signingKey: "k0"}
+	if err := tokenIssuer.publish("k0"); err != nil {
 		return r, err
 	}
-	bare, plain, err := e.startProxy("identity-off", fleet, 192, 4096)
+	plainAddr, plainProcess, err := e.startProxy("identity-off", fleet, 192, 4096)
 	if err != nil {
 		return r, err
 	}
-	defer plain.Kill()
-	addr, p, err := e.startProxyWith("identity", fleet, fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\nchecks_per_s = 500\n"+
-		"[[identity.tenant]]\nname = \"acme\"\n", is.file))
+	defer plainProcess.Kill()
+	addr, process, err := e.startProxyWith("identity", fleet, fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\nchecks_per_s = 500\n"+
+		"[[identity.tenant]]\nname = \"acme\"\n", tokenIssuer.file))
 	if err != nil {
 		return r, err
 	}
-	defer p.Kill()
-	if err := e.rotateKeys(r, is, addr); err != nil {
+	defer process.Kill()
+	if err := e.rotateKeys(r, tokenIssuer, addr); err != nil {
 		return r, err
 	}
-	if err := e.measureTokenCost(r, is, addr, p, bare, plain); err != nil {
+	if err := e.measureTokenCost(r, tokenIssuer, addr, process, plainAddr, plainProcess); err != nil {
 		return r, err
 	}
-	if err := e.floodWithForgeries(r, is, addr, p); err != nil {
+	if err := e.floodWithForgeries(r, tokenIssuer, addr, process); err != nil {
 		return r, err
 	}
-	if err := e.measureProcessorTokenCost(ctx, r, is, fleet); err != nil {
+	if err := e.measureProcessorTokenCost(ctx, r, tokenIssuer, fleet); err != nil {
 		return r, err
 	}
-	if err := e.measureTLS(r, fleet, bare, plain); err != nil {
+	if err := e.measureTLS(r, fleet, plainAddr, plainProcess); err != nil {
 		return r, err
 	}
-	if kb, err := p.Resident(); err == nil {
+	if kb, err := process.Resident(); err == nil {
 		r.AddValue("resident, MB", float64(kb)/1024)
 	}
-	return r, p.Stop()
+	return r, process.Stop()
 }
 
 // startProxyWith starts a proxy with an operator's file.
@@ -204,41 +204,41 @@
 
 // rotateKeys changes the keys several times while callers, half of them by AUTH and half by a token in each request, go on. A caller signs
 // anew once it is told that its key is retired; only one who has a key of the file then is a valid one.
-func (e *Env) rotateKeys(r *Report, is *issuer, addr string) error {
+func (e *Env) rotateKeys(r *Report, tokenIssuer *issuer, addr string) error {
 	e.Log("identity: keys that change under load")
 	var served, refused, accepted atomic.Int64
-	var failed atomic.Pointer[error]
+	var firstError atomic.Pointer[error]
 	stop := make(chan struct{})
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	for w := range identityWorkers {
-		g.Go(func() {
-			fail := func(err error) { failed.CompareAndSwap(nil, &err) }
-			c, err := dialAuthClient(addr, fmt.Sprint("rot", w))
+		group.Go(func() {
+			fail := func(err error) { firstError.CompareAndSwap(nil, &err) }
+			client, err := dialAuthClient(addr, fmt.Sprint("rot", w))
 			if err != nil {
 				fail(err)
 				return
 			}
-			defer c.conn.Close()
+			defer client.conn.Close()
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				more := ""
-				token, err := is.token("")
+				attrs := ""
+				token, err := tokenIssuer.token("")
 				if err != nil {
 					fail(err)
 					return
 				}
 				if w%2 == 0 {
-					more = ",tk=" + token
-				} else if err := c.auth(token); err != nil {
+					attrs = ",tk=" + token
+				} else if err := client.auth(token); err != nil {
 					fail(err)
 					return
 				}
 				for range 20 { // the token is new once in so many requests
-					line, err := c.read((w*7919+i)%tileKeys, more)
+					line, err := client.read((w*7919+i)%tileKeys, attrs)
 					switch {
 					case err != nil:
 						fail(err)
@@ -253,36 +253,36 @@
 			}
 		})
 	}
-	worst := time.Duration(0)
-	each := max(minKeyRotationTime, time.Duration(e.Seconds)*time.Second) / keyRotations // the file is looked at every second
+	longestToRefusal := time.Duration(0)
+	roundTime := max(minKeyRotationTime, time.Duration(e.Seconds)*time.Second) / keyRotations // the file is looked at every second
 	for round := range keyRotations {
-		now, next := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
-		if err := is.publish(now, next); err != nil { // before callers use it
+		currentKey, nextKey := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
+		if err := tokenIssuer.publish(currentKey, nextKey); err != nil { // before callers use it
 			return err
 		}
-		time.Sleep(each / 2) // longer than a process takes to look
-		is.mu.Lock()
-		is.signingKey = next
-		is.mu.Unlock()
-		stale, err := is.token(now)
+		time.Sleep(roundTime / 2) // longer than a process takes to look
+		tokenIssuer.mu.Lock()
+		tokenIssuer.signingKey = nextKey
+		tokenIssuer.mu.Unlock()
+		retiredToken, err := tokenIssuer.token(currentKey)
 		if err != nil {
 			return err
 		}
-		time.Sleep(each / 4) // callers have let go of the old key
+		time.Sleep(roundTime / 4) // callers have let go of the old key
 		// One that stands idle for long is closed, so each round has a connection of its own.
-		old, err := dialAuthClient(addr, fmt.Sprint("old", round))
+		oldClient, err := dialAuthClient(addr, fmt.Sprint("old", round))
 		if err != nil {
 			return err
 		}
-		if err := old.auth(stale); err != nil {
+		if err := oldClient.auth(retiredToken); err != nil {
 			return fmt.Errorf("by a key that is in force: %w", err)
 		}
-		if err := is.publish(next); err != nil {
+		if err := tokenIssuer.publish(nextKey); err != nil {
 			return err
 		}
-		told := time.Now()
+		removedAt := time.Now()
 		for {
-			line, err := old.read(1, "")
+			line, err := oldClient.read(1, "")
 			if err != nil {
 				return err
 			}
@@ -292,65 +292,65 @@
 			if line[0] != '$' {
 				return fmt.Errorf("a caller whose key is retired is told %q", line)
 			}
-			if time.Since(told) > waitTimeout {
+			if time.Since(removedAt) > waitTimeout {
 				return fmt.Errorf("a retired key is accepted for good")
 			}
 		}
-		worst = max(worst, time.Since(told))
+		longestToRefusal = max(longestToRefusal, time.Since(removedAt))
 		for range 50 { // from then on by nobody
-			if line, err := old.read(1, ",tk="+stale); err != nil || line != "-WRONGPASS its key is retired" && line != "-WRONGPASS unknown key" {
+			if line, err := oldClient.read(1, ",tk="+retiredToken); err != nil || line != "-WRONGPASS its key is retired" && line != "-WRONGPASS unknown key" {
 				accepted.Add(1) // or turned away for something else, which proves nothing
 			}
-			if old.lastID%12 == 0 { // too many faults end a connection
-				old.conn.Close()
-				if old, err = dialAuthClient(addr, fmt.Sprintf("old%d-%d", round, old.lastID)); err != nil {
+			if oldClient.lastID%12 == 0 { // too many faults end a connection
+				oldClient.conn.Close()
+				if oldClient, err = dialAuthClient(addr, fmt.Sprintf("old%d-%d", round, oldClient.lastID)); err != nil {
 					return err
 				}
 			}
 		}
-		old.conn.Close()
-		time.Sleep(each / 4)
+		oldClient.conn.Close()
+		time.Sleep(roundTime / 4)
 	}
 	close(stop)
-	g.Wait()
-	if err := failed.Load(); err != nil {
+	group.Wait()
+	if err := firstError.Load(); err != nil {
 		return *err
 	}
 	r.AddValue("rotation: requests served", float64(served.Load()))
 	r.Equal("rotation: valid requests turned away", float64(refused.Load()), 0)
 	r.Equal("rotation: by a retired key, once one was refused: not turned away for it", float64(accepted.Load()), 0)
-	r.AtMost("rotation: from the file's replacement to the first refusal, ms", float64(worst)/float64(time.Millisecond), 1100)
+	r.AtMost("rotation: from the file's replacement to the first refusal, ms", float64(longestToRefusal)/float64(time.Millisecond), 1100)
 	return nil
 }
 
 // measureTokenCost compares a proven caller's reads with those of a proxy that asks nobody.
-func (e *Env) measureTokenCost(r *Report, is *issuer, addr string, p *Process, bare string, plain *Process) error {
+func (e *Env) measureTokenCost(r *Report, tokenIssuer *issuer, addr string, process *Process, plainAddr string, plainProcess *Process) error {
 	e.Log("identity: what a proof costs")
-	token, err := is.token("")
+	token, err := tokenIssuer.token("")
 	if err != nil {
 		return err
 	}
-	var with, inList, without ClosedLoopResult
+	var byAuth, byAttribute, plainReads ClosedLoopResult
 	const rounds = 4
-	d := time.Duration(e.Seconds) * time.Second / (3 * rounds)
-	reads := func(addr, name, auth, more string) func(int) (func(int) error, func(), error) {
+	duration := time.Duration(e.Seconds) * time.Second / (3 * rounds)
+	newReads := func(addr, name, auth, attrs string) func(int) (func(int) error, func(), error) {
 		return func(w int) (func(int) error, func(), error) {
-			c, err := dialAuthClient(addr, fmt.Sprintf("%s%d-%d", name, w, time.Now().UnixNano()))
+			client, err := dialAuthClient(addr, fmt.Sprintf("%s%d-%d", name, w, time.Now().UnixNano()))
 			if err != nil {
 				return nil, nil, err
 			}
 			if auth != "" {
-				if line, err := c.do("AUTH", auth); err != nil || line != "+OK" {
+				if line, err := client.do("AUTH", auth); err != nil || line != "+OK" {
 					return nil, nil, fmt.Errorf("AUTH: %q, %v", line, err)
 				}
 			}
 			return func(i int) error {
-				line, err := c.read((w*7919+i)%tileKeys, more)
+				line, err := client.read((w*7919+i)%tileKeys, attrs)
 				if err == nil && line[0] != '$' {
 					err = fmt.Errorf("answered %q", line)
 				}
 				return err
-			}, func() { c.conn.Close() }, nil
+			}, func() { client.conn.Close() }, nil
 		}
 	}
 	for range rounds { // in turns, as the machine's speed varies
@@ -359,47 +359,47 @@
 			p          *Process
 			addr       string
 			auth, more string
-		}{{&without, plain, bare, "", ""}, {&with, p, addr, token, ""}, {&inList, p, addr, "", ",tk=" + token}} {
-			got, err := runClosedLoop(part.p, identityWorkers, d, reads(part.addr, "cost", part.auth, part.more))
+		}{{&plainReads, plainProcess, plainAddr, "", ""}, {&byAuth, process, addr, token, ""}, {&byAttribute, process, addr, "", ",tk=" + token}} {
+			result, err := runClosedLoop(part.p, identityWorkers, duration, newReads(part.addr, "cost", part.auth, part.more))
 			if err != nil {
 				return fmt.Errorf("reads at %s, AUTH %v, in the list %v: %w", part.addr, part.auth != "", part.more != "", err)
 			}
-			part.rate.add(got)
+			part.rate.add(result)
 		}
 	}
-	r.AddValue("reads a CPU second without tokens", without.PerCPU())
-	r.AtLeast("by AUTH, a token seen before: reads a CPU second, of that", with.PerCPU()/without.PerCPU(), 0.9)
-	r.AtLeast("by a token in each list, seen before: reads a CPU second, of that", inList.PerCPU()/without.PerCPU(), 0.9)
+	r.AddValue("reads a CPU second without tokens", plainReads.PerCPU())
+	r.AtLeast("by AUTH, a token seen before: reads a CPU second, of that", byAuth.PerCPU()/plainReads.PerCPU(), 0.9)
+	r.AtLeast("by a token in each list, seen before: reads a CPU second, of that", byAttribute.PerCPU()/plainReads.PerCPU(), 0.9)
 	return nil
 }
 
 // floodWithForgeries has callers send forged tokens as fast as they can, each a new one that only its signature gives away, on new connections as
 // they are ended, beside a proven caller's reads.
-func (e *Env) floodWithForgeries(r *Report, is *issuer, addr string, p *Process) error {
+func (e *Env) floodWithForgeries(r *Report, tokenIssuer *issuer, addr string, process *Process) error {
 	e.Log("identity: a flood of forged tokens")
-	token, err := is.token("")
+	token, err := tokenIssuer.token("")
 	if err != nil {
 		return err
 	}
-	good := func(w int) (func(int) error, func(), error) {
-		c, err := dialAuthClient(addr, fmt.Sprintf("good%d-%d", w, time.Now().UnixNano()))
+	newValidReads := func(w int) (func(int) error, func(), error) {
+		client, err := dialAuthClient(addr, fmt.Sprintf("good%d-%d", w, time.Now().UnixNano()))
 		if err != nil {
 			return nil, nil, err
 		}
-		if line, err := c.do("AUTH", token); err != nil || line != "+OK" {
+		if line, err := client.do("AUTH", token); err != nil || line != "+OK" {
 			return nil, nil, fmt.Errorf("AUTH: %q, %v", line, err)
 		}
 		return func(i int) error {
-			line, err := c.read((w*7919+i)%tileKeys, "")
+			line, err := client.read((w*7919+i)%tileKeys, "")
 			if err == nil && line[0] != '$' {
 				err = errRefused
 			}
 			time.Sleep(5 * time.Millisecond) // at a pace, not as fast as it can
 			return err
-		}, func() { c.conn.Close() }, nil
+		}, func() { client.conn.Close() }, nil
 	}
-	d := time.Duration(e.Seconds) * time.Second / 4
-	alone, err := runClosedLoop(p, identityWorkers, d, good)
+	duration := time.Duration(e.Seconds) * time.Second / 4
+	alone, err := runClosedLoop(process, identityWorkers, duration, newValidReads)
 	if err != nil {
 		return err
 	}
@@ -409,57 +409,57 @@
 		return err
 	}
 	forged := make([]string, 20000)
-	var made sync.WaitGroup
+	var signing sync.WaitGroup
 	for w := range 4 {
-		made.Go(func() {
+		signing.Go(func() {
 			for i := w; i < len(forged); i += 4 {
-				forged[i], _ = signToken(is.signingKey, key, i)
+				forged[i], _ = signToken(tokenIssuer.signingKey, key, i)
 			}
 		})
 	}
-	made.Wait()
-	var next, sent, through atomic.Int64
+	signing.Wait()
+	var nextForgery, sent, acceptedForgeries atomic.Int64
 	stop := make(chan struct{})
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	for range forgerCount {
-		g.Go(func() {
-			var c *authClient
+		group.Go(func() {
+			var client *authClient
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				if c == nil {
+				if client == nil {
 					if fresh, err := dialAuthClient(addr, "forger"); err == nil {
-						c = fresh
+						client = fresh
 					} else {
 						return
 					}
 				}
-				line, err := c.do("AUTH", forged[int(next.Add(1))%len(forged)])
+				line, err := client.do("AUTH", forged[int(nextForgery.Add(1))%len(forged)])
 				if err != nil {
-					c.conn.Close()
-					c = nil
+					client.conn.Close()
+					client = nil
 					continue
 				}
 				if sent.Add(1); line == "+OK" {
-					through.Add(1)
+					acceptedForgeries.Add(1)
 				}
 			}
 		})
 	}
-	beside, err := runClosedLoop(p, identityWorkers, d, good)
+	duringFlood, err := runClosedLoop(process, identityWorkers, duration, newValidReads)
 	close(stop)
-	g.Wait()
+	group.Wait()
 	if err != nil {
 		return err
 	}
-	r.AddValue("flood: forged tokens a second", float64(sent.Load())/d.Seconds())
-	r.Equal("flood: forged tokens accepted", float64(through.Load()), 0)
-	r.AtLeast("flood: a proven caller's reads served, of those alone", float64(beside.Served)/float64(max(1, alone.Served)), 0.9)
-	r.Equal("flood: a proven caller's reads refused", float64(beside.Refused), 0)
+	r.AddValue("flood: forged tokens a second", float64(sent.Load())/duration.Seconds())
+	r.Equal("flood: forged tokens accepted", float64(acceptedForgeries.Load()), 0)
+	r.AtLeast("flood: a proven caller's reads served, of those alone", float64(duringFlood.Served)/float64(max(1, alone.Served)), 0.9)
+	r.Equal("flood: a proven caller's reads refused", float64(duringFlood.Refused), 0)
 	r.AddValue("p99 alone, ms", float64(alone.Quantile(0.99))/float64(time.Millisecond))
-	r.AddValue("p99 beside the flood, ms", float64(beside.Quantile(0.99))/float64(time.Millisecond))
+	r.AddValue("p99 beside the flood, ms", float64(duringFlood.Quantile(0.99))/float64(time.Millisecond))
 	return nil
 }
--- a/internal/lab/idle.go
+++ b/internal/lab/idle.go
@@ -13,30 +13,30 @@
 		return r, err
 	}
 	defer fleet.Close()
-	_, p, err := e.startProxy("idle", fleet, 64, 384)
+	_, process, err := e.startProxy("idle", fleet, 64, 384)
 	if err != nil {
 		return r, err
 	}
-	defer p.Kill()
-	started, err := p.CPU()
+	defer process.Kill()
+	startupCPU, err := process.CPU()
 	if err != nil {
 		return r, err
 	}
 	time.Sleep(3 * time.Second) // what the start has left to do
 	var before time.Duration
-	if before, err = p.CPU(); err != nil {
+	if before, err = process.CPU(); err != nil {
 		return r, err
 	}
-	d := time.Duration(e.Seconds) * time.Second
-	time.Sleep(d)
-	after, err := p.CPU()
+	duration := time.Duration(e.Seconds) * time.Second
+	time.Sleep(duration)
+	after, err := process.CPU()
 	if err != nil {
 		return r, err
 	}
-	r.AddValue("CPU until it is ready, ms", float64(started)/float64(time.Millisecond))
-	r.AtMost("CPU a second, idle, ms", float64(after-before)/float64(time.Millisecond)/d.Seconds(), 10)
-	if kb, err := p.Resident(); err == nil {
+	r.AddValue("CPU until it is ready, ms", float64(startupCPU)/float64(time.Millisecond))
+	r.AtMost("CPU a second, idle, ms", float64(after-before)/float64(time.Millisecond)/duration.Seconds(), 10)
+	if kb, err := process.Resident(); err == nil {
 		r.AddValue("resident, MB", float64(kb)/1024)
 	}
-	return r, p.Stop()
+	return r, process.Stop()
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -53,51 +53,51 @@
 var errRefused = errors.New("lab: refused")
 
 // runClosedLoop has so many workers make requests, one after another each, for a time. make returns a worker's own request.
-func runClosedLoop(p *Process, workers int, d time.Duration, make func(w int) (func(i int) error, func(), error)) (r ClosedLoopResult, err error) {
-	before, err := p.CPU()
+func runClosedLoop(process *Process, workers int, duration time.Duration, newWorker func(w int) (func(i int) error, func(), error)) (result ClosedLoopResult, err error) {
+	before, err := process.CPU()
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	var mu sync.Mutex
-	var g sync.WaitGroup
-	var failed atomic.Pointer[error]
-	end := time.Now().Add(d)
+	var group sync.WaitGroup
+	var firstError atomic.Pointer[error]
+	end := time.Now().Add(duration)
 	begun := time.Now()
 	for w := range workers {
-		one, done, err := make(w)
+		sendRequest, done, err := newWorker(w)
 		if err != nil {
-			return r, err
+			return result, err
 		}
-		g.Go(func() {
+		group.Go(func() {
 			defer done()
-			var mine ClosedLoopResult
+			var workerResult ClosedLoopResult
 			for i := 0; time.Now().Before(end); i++ {
-				at := time.Now()
-				err := one(i)
+				sentAt := time.Now()
+				err := sendRequest(i)
 				switch {
 				case err == nil:
-					mine.Served++
-					mine.latencies = append(mine.latencies, time.Since(at))
+					workerResult.Served++
+					workerResult.latencies = append(workerResult.latencies, time.Since(sentAt))
 				case errors.Is(err, errRefused):
-					mine.Refused++
+					workerResult.Refused++
 				default:
-					failed.CompareAndSwap(nil, &err)
+					firstError.CompareAndSwap(nil, &err)
 					return
 				}
 			}
 			mu.Lock()
-			r.add(mine)
+			result.add(workerResult)
 			mu.Unlock()
 		})
 	}
-	g.Wait()
-	r.Duration = time.Since(begun)
-	if f := failed.Load(); f != nil {
-		return r, *f
+	group.Wait()
+	result.Duration = time.Since(begun)
+	if f := firstError.Load(); f != nil {
+		return result, *f
 	}
-	after, err := p.CPU()
-	r.CPU = after - before
-	return r, err
+	after, err := process.CPU()
+	result.CPU = after - before
+	return result, err
 }
 
 // lastRequestID makes request ids that no other worker or round makes.
@@ -106,12 +106,12 @@
 // newRESPWorker is a worker that reads keys over RESP2, from a proxy or straight from a box.
 func newRESPWorker(addr string, keys int) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
-		c, err := dialRedis(addr)
+		client, err := dialRedis(addr)
 		if err != nil {
 			return nil, nil, err
 		}
-		one := func(i int) error {
-			answer, err := c.do("OBJ.GET", fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", lastRequestID.Add(1)), "c=tile-read,d=3000")
+		sendRequest := func(i int) error {
+			answer, err := client.do("OBJ.GET", fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", lastRequestID.Add(1)), "c=tile-read,d=3000")
 			switch {
 			case err != nil:
 				return err
@@ -122,7 +122,7 @@
 			}
 			return nil
 		}
-		return one, func() { c.conn.Close() }, nil
+		return sendRequest, func() { client.conn.Close() }, nil
 	}
 }
 
@@ -133,12 +133,12 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		c := &redisClient{conn: conn}
-		b := newCacheReader(conn)
-		one := func(i int) error {
-			return b.get(c, fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", lastRequestID.Add(1)))
+		client := &redisClient{conn: conn}
+		reader := newCacheReader(conn)
+		sendRequest := func(i int) error {
+			return reader.get(client, fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", lastRequestID.Add(1)))
 		}
-		return one, func() { conn.Close() }, nil
+		return sendRequest, func() { conn.Close() }, nil
 	}
 }
 
@@ -160,21 +160,21 @@
 
 // newProcessorWorker is a worker that makes calls of an external processor as a caller's data plane does: a stream with the
 // request's headers and, where both is set, the response's.
-func newProcessorWorker(conns []*grpc.ClientConn, keys int, both bool) func(int) (func(int) error, func(), error) {
+func newProcessorWorker(conns []*grpc.ClientConn, keys int, withResponse bool) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		client := extprocv3.NewExternalProcessorClient(conns[w%len(conns)])
 		config := &extprocv3.ProtocolConfiguration{}
 		response := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
 			ResponseHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{
 				header(":status", "200"), header("content-type", "application/octet-stream"), header("x-cache", "hit")}}}}}
-		one := func(i int) error {
+		sendRequest := func(i int) error {
 			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
-			s, err := client.Process(ctx)
+			stream, err := client.Process(ctx)
 			if err != nil {
 				return err
 			}
-			err = s.Send(&extprocv3.ProcessingRequest{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
+			err = stream.Send(&extprocv3.ProcessingRequest{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
 				RequestHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{
 					header(":method", "GET"), header(":path", fmt.Sprint("/tiles/k", (w*31+i)%keys)), header(":authority", "tiles"),
 					header(":scheme", "http"), header("x-request-id", fmt.Sprintf("%x", lastRequestID.Add(1))),
@@ -183,34 +183,34 @@
 			if err != nil && !errors.Is(err, io.EOF) {
 				return err
 			}
-			m, err := s.Recv()
+			message, err := stream.Recv()
 			if err != nil {
 				return err
 			}
-			if now := m.GetImmediateResponse(); now != nil {
-				switch now.GetStatus().GetCode() {
+			if immediate := message.GetImmediateResponse(); immediate != nil {
+				switch immediate.GetStatus().GetCode() {
 				case 200:
 					return nil
 				case 503, 429:
 					return errRefused
 				}
-				return fmt.Errorf("lab: answered %v", now)
+				return fmt.Errorf("lab: answered %v", immediate)
 			}
-			if !both {
+			if !withResponse {
 				return errors.New("lab: no immediate response")
 			}
-			if err := s.Send(response); err != nil && !errors.Is(err, io.EOF) {
+			if err := stream.Send(response); err != nil && !errors.Is(err, io.EOF) {
 				return err
 			}
-			if _, err := s.Recv(); err != nil {
+			if _, err := stream.Recv(); err != nil {
 				return err
 			}
-			s.CloseSend()
-			if _, err := s.Recv(); !errors.Is(err, io.EOF) {
+			stream.CloseSend()
+			if _, err := stream.Recv(); !errors.Is(err, io.EOF) {
 				return fmt.Errorf("lab: the stream ended with %w", err)
 			}
 			return nil
 		}
-		return one, func() {}, nil
+		return sendRequest, func() {}, nil
 	}
 }
--- a/internal/lab/mountain.go
+++ b/internal/lab/mountain.go
@@ -37,7 +37,7 @@
 }
 
 // readTogether asks for the tiles from first on by one request, and counts those that are marked.
-func (m *manyKeysClient) readTogether(first int) (marks map[string]int, err error) {
+func (m *manyKeysClient) readTogether(first int) (errorCounts map[string]int, err error) {
 	m.command = resp.AppendArray(m.command[:0], 3+keysPerRequest)
 	m.command = resp.AppendBulk(m.command, "OBJ.MGET")
 	m.command = resp.AppendBulk(m.command, strconv.FormatUint(lastRequestID.Add(1), 16))
@@ -54,20 +54,20 @@
 		return nil, fmt.Errorf("lab: answered %q, %w", line, err)
 	}
 	for i := range keysPerRequest {
-		head, err := m.in.Peek(1)
+		firstByte, err := m.in.Peek(1)
 		if err != nil {
 			return nil, err
 		}
-		if head[0] == '-' {
+		if firstByte[0] == '-' {
 			line, err := m.in.ReadString('\n')
 			if err != nil {
 				return nil, err
 			}
-			if marks == nil {
-				marks = map[string]int{}
+			if errorCounts == nil {
+				errorCounts = map[string]int{}
 			}
 			word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
-			marks[word]++
+			errorCounts[word]++
 			continue
 		}
 		m.prefix = appendTilePrefix(m.prefix[:0], (first+i)%tileKeys)
@@ -75,7 +75,7 @@
 			return nil, err
 		}
 	}
-	return marks, nil
+	return errorCounts, nil
 }
 
 // readSingly asks for the same tiles by as many requests, all sent at once.
@@ -106,87 +106,87 @@
 	}
 	defer fleet.Close()
 	fleet.Tenants = evenTenants
-	addr, p, err := e.startProxyWith("many", fleet, "[many_keys]\nkeys = 256\n")
+	addr, process, err := e.startProxyWith("many", fleet, "[many_keys]\nkeys = 256\n")
 	if err != nil {
 		return r, err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	e.Log("mountain: one request against %d", keysPerRequest)
-	clients := func(one bool) func(int) (func(int) error, func(), error) {
+	newClients := func(together bool) func(int) (func(int) error, func(), error) {
 		return func(w int) (func(int) error, func(), error) {
-			m, err := dialManyKeys(addr)
+			client, err := dialManyKeys(addr)
 			if err != nil {
 				return nil, nil, err
 			}
 			return func(i int) error {
 				first := (w*7919 + i*keysPerRequest) % tileKeys
-				if !one {
-					return m.readSingly(first)
+				if !together {
+					return client.readSingly(first)
 				}
-				marks, err := m.readTogether(first)
-				if len(marks) > 0 {
+				errorCounts, err := client.readTogether(first)
+				if len(errorCounts) > 0 {
 					return errRefused
 				}
 				return err
-			}, func() { m.conn.Close() }, nil
+			}, func() { client.conn.Close() }, nil
 		}
 	}
-	var whole, singles ClosedLoopResult
+	var together, singly ClosedLoopResult
 	const rounds = 4
-	d := time.Duration(e.Seconds) * time.Second / (3 * rounds)
+	duration := time.Duration(e.Seconds) * time.Second / (3 * rounds)
 	for range rounds {
 		for _, part := range []struct {
-			rate *ClosedLoopResult
-			one  bool
-		}{{&whole, true}, {&singles, false}} {
-			got, err := runClosedLoop(p, 4, d, clients(part.one))
+			rate     *ClosedLoopResult
+			together bool
+		}{{&together, true}, {&singly, false}} {
+			result, err := runClosedLoop(process, 4, duration, newClients(part.together))
 			if err != nil {
 				return r, err
 			}
-			part.rate.add(got)
+			part.rate.add(result)
 		}
 	}
-	r.AddValue("mountains a second, by one request", whole.PerSecond())
-	r.Equal("of these, with a tile marked", float64(whole.Refused), 0)
-	r.AtMost("CPU a mountain by one request, of that by single pipelined reads", singles.PerCPU()/whole.PerCPU(), 0.5)
-	r.AddValue("p99 by one request, ms", milliseconds(whole.Quantile(0.99)))
-	r.AddValue("p99 by single reads, ms", milliseconds(singles.Quantile(0.99)))
+	r.AddValue("mountains a second, by one request", together.PerSecond())
+	r.Equal("of these, with a tile marked", float64(together.Refused), 0)
+	r.AtMost("CPU a mountain by one request, of that by single pipelined reads", singly.PerCPU()/together.PerCPU(), 0.5)
+	r.AddValue("p99 by one request, ms", milliseconds(together.Quantile(0.99)))
+	r.AddValue("p99 by single reads, ms", milliseconds(singly.Quantile(0.99)))
 
 	e.Log("mountain: one box stalls")
-	box := fleet.Boxes[0]
-	box.SetFault(standin.Stall)
-	m, err := dialManyKeys(addr)
+	cache := fleet.Boxes[0]
+	cache.SetFault(standin.Stall)
+	client, err := dialManyKeys(addr)
 	if err != nil {
 		return r, err
 	}
-	defer m.conn.Close()
-	inTime, all, marked := 0, 0, 0
-	words := map[string]int{}
+	defer client.conn.Close()
+	inTime, requests, failedKeys := 0, 0, 0
+	errorCounts := map[string]int{}
 	var slowest time.Duration
-	for end := time.Now().Add(time.Duration(e.Seconds) * time.Second / 3); time.Now().Before(end); all++ {
-		begun := time.Now()
-		marks, err := m.readTogether(all * keysPerRequest % tileKeys)
+	for end := time.Now().Add(time.Duration(e.Seconds) * time.Second / 3); time.Now().Before(end); requests++ {
+		sentAt := time.Now()
+		replyErrors, err := client.readTogether(requests * keysPerRequest % tileKeys)
 		if err != nil {
 			return r, err
 		}
-		took := time.Since(begun)
-		slowest = max(slowest, took)
-		if took <= manyKeysDeadline+50*time.Millisecond {
+		latency := time.Since(sentAt)
+		slowest = max(slowest, latency)
+		if latency <= manyKeysDeadline+50*time.Millisecond {
 			inTime++
 		}
-		for word, n := range marks {
-			words[word] += n
-			marked += n
+		for word, n := range replyErrors {
+			errorCounts[word] += n
+			failedKeys += n
 		}
 	}
-	box.SetFault(standin.Healthy)
-	r.Equal("a box stalls: replies in time, of all", float64(inTime)/float64(all), 1)
+	cache.SetFault(standin.Healthy)
+	r.Equal("a box stalls: replies in time, of all", float64(inTime)/float64(requests), 1)
 	r.AddValue("a box stalls: the slowest reply, ms", milliseconds(slowest))
-	r.AddValue("a box stalls: tiles asked for", float64(all*keysPerRequest))
-	for _, word := range slices.Sorted(maps.Keys(words)) {
-		r.AddValue("a box stalls: marked "+word, float64(words[word]))
+	r.AddValue("a box stalls: tiles asked for", float64(requests*keysPerRequest))
+	for _, word := range slices.Sorted(maps.Keys(errorCounts)) {
+		r.AddValue("a box stalls: marked "+word, float64(errorCounts[word]))
 	}
 	// Every tile is at every box, so none is out of reach.
-	r.Equal("a box stalls: tiles marked, which others could give", float64(marked), 0)
-	return r, p.Stop()
+	r.Equal("a box stalls: tiles marked, which others could give", float64(failedKeys), 0)
+	return r, process.Stop()
 }
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -36,59 +36,59 @@
 	if err != nil {
 		return r, err
 	}
-	o := &operation{env: e, report: r, fleet: fleet, clients: &ClientLoad{Addr: listen}, class: "tile-read"}
-	if err := o.configure(); err != nil {
+	run := &operation{env: e, report: r, fleet: fleet, clients: &ClientLoad{Addr: listen}, class: "tile-read"}
+	if err := run.configure(); err != nil {
 		return r, err
 	}
-	if err := o.startProcess(); err != nil {
+	if err := run.startProcess(); err != nil {
 		return r, err
 	}
-	defer func() { o.process.Kill() }()
-	o.clients.Start(operateClients, 200, 10)
-	closed := false
+	defer func() { run.process.Kill() }()
+	run.clients.Start(operateClients, 200, 10)
+	clientsStopped := false
 	defer func() {
-		if !closed {
-			o.clients.Stop()
+		if !clientsStopped {
+			run.clients.Stop()
 		}
 	}()
-	if err := o.clients.AwaitServed(500); err != nil {
+	if err := run.clients.AwaitServed(500); err != nil {
 		return r, err
 	}
-	o.clients.LongestGap()
+	run.clients.LongestGap()
 	for round := range operateRounds {
 		e.Log("operate: round %d of %d", round+1, operateRounds)
-		if err := o.runRound(round); err != nil {
+		if err := run.runRound(round); err != nil {
 			return r, fmt.Errorf("round %d: %w", round+1, err)
 		}
 		if ctx.Err() != nil {
 			return r, ctx.Err()
 		}
 	}
-	o.clients.Stop()
-	closed = true
+	run.clients.Stop()
+	clientsStopped = true
 
-	d := o.clients
-	r.AddValue("requests served", float64(d.Served.Load()))
-	r.AddValue("requests that crossed the close of a connection, and went out again", float64(d.ClosedUnread.Load()))
-	r.Equal("connections refused, processes stopped", float64(o.stopped.connectionsRefused), 0)
-	r.Equal("connections broken under a request, processes stopped", float64(o.stopped.connectionsBroken), 0)
-	r.Equal("refused or failed, processes stopped", float64(o.stopped.refusedOrFailed), 0)
-	r.AddValue("connections refused, processes killed", float64(o.killed.connectionsRefused))
-	r.AtMost("connections broken, processes killed: one for each client and kill", float64(o.killed.connectionsBroken), operateClients*operateRounds/2)
-	r.Equal("orders that have run, unanswered, processes stopped", float64(o.unanswered), 0)
-	r.AddValue("orders without an answer, processes killed", float64(o.unresolved))
-	r.Equal("late", float64(d.Late.Load()), 0)
-	twice := 0
+	clients := run.clients
+	r.AddValue("requests served", float64(clients.Served.Load()))
+	r.AddValue("requests that crossed the close of a connection, and went out again", float64(clients.ClosedUnread.Load()))
+	r.Equal("connections refused, processes stopped", float64(run.stopped.connectionsRefused), 0)
+	r.Equal("connections broken under a request, processes stopped", float64(run.stopped.connectionsBroken), 0)
+	r.Equal("refused or failed, processes stopped", float64(run.stopped.refusedOrFailed), 0)
+	r.AddValue("connections refused, processes killed", float64(run.killed.connectionsRefused))
+	r.AtMost("connections broken, processes killed: one for each client and kill", float64(run.killed.connectionsBroken), operateClients*operateRounds/2)
+	r.Equal("orders that have run, unanswered, processes stopped", float64(run.unanswered), 0)
+	r.AddValue("orders without an answer, processes killed", float64(run.unresolved))
+	r.Equal("late", float64(clients.Late.Load()), 0)
+	repeatedOrders := 0
 	for _, n := range fleet.Origin.Executions() {
 		if n > 1 {
-			twice++
+			repeatedOrders++
 		}
 	}
-	r.Equal("orders run twice", float64(twice), 0)
-	r.Equal("requests to a box that is out, 250 ms after the yes", float64(o.afterDrain), 0)
-	r.Equal("calls answered wrongly", float64(o.wrongStatuses), 0)
-	r.AtMost("slowest call, ms", milliseconds(o.slowestCall), 1000)
-	r.AddValue("longest time without an answer to anybody, ms", milliseconds(o.longestGap))
+	r.Equal("orders run twice", float64(repeatedOrders), 0)
+	r.Equal("requests to a box that is out, 250 ms after the yes", float64(run.afterDrain), 0)
+	r.Equal("calls answered wrongly", float64(run.wrongStatuses), 0)
+	r.AtMost("slowest call, ms", milliseconds(run.slowestCall), 1000)
+	r.AddValue("longest time without an answer to anybody, ms", milliseconds(run.longestGap))
 	if err := measureUpgradeCloses(e, r); err != nil {
 		return r, err
 	}
@@ -119,146 +119,146 @@
 
 // configure writes the configuration, with the class of the round beside the usual ones.
 func (o *operation) configure() error {
-	text, err := o.fleet.Config("operate", o.clients.Addr, "8c1f30d27a5be964", 64, 384)
+	configText, err := o.fleet.Config("operate", o.clients.Addr, "8c1f30d27a5be964", 64, 384)
 	if err != nil {
 		return err
 	}
-	var c map[string]any
-	if err := json.Unmarshal(text, &c); err != nil {
+	var config map[string]any
+	if err := json.Unmarshal(configText, &config); err != nil {
 		return err
 	}
-	s := c["settings"].(map[string]any)
+	settings := config["settings"].(map[string]any)
 	// The boxes of a round are not restarted, and would count as cold together: a fleet all cold is not what is measured.
-	s["rules"].(map[string]any)["cold_ms"] = milliseconds(time.Second)
+	settings["rules"].(map[string]any)["cold_ms"] = milliseconds(time.Second)
 	if o.class != "tile-read" {
-		classes := s["classes"].([]any)
-		added := map[string]any{}
+		classes := settings["classes"].([]any)
+		class := map[string]any{}
 		for k, v := range classes[0].(map[string]any) {
-			added[k] = v
+			class[k] = v
 		}
-		added["name"] = o.class
-		s["classes"] = append(classes, added)
+		class["name"] = o.class
+		settings["classes"] = append(classes, class)
 	}
-	if text, err = json.Marshal(c); err != nil {
+	if configText, err = json.Marshal(config); err != nil {
 		return err
 	}
-	o.configPath, err = o.env.writeFile("operate.json", text)
+	o.configPath, err = o.env.writeFile("operate.json", configText)
 	return err
 }
 
 // startProcess starts a process beside the one that serves, and waits until it says yes.
 func (o *operation) startProcess() error {
-	calls, err := standin.FreeAddr()
+	managementAddr, err := standin.FreeAddr()
 	if err != nil {
 		return err
 	}
-	p, err := Start("msg=ready", []string{"LB_CONFIG=" + o.configPath, "LB_MGMT=" + calls, "TMPDIR=" + filepath.Dir(o.configPath)},
+	process, err := Start("msg=ready", []string{"LB_CONFIG=" + o.configPath, "LB_MGMT=" + managementAddr, "TMPDIR=" + filepath.Dir(o.configPath)},
 		filepath.Join(o.env.Bin, "linenloom"))
 	if err != nil {
 		return err
 	}
-	o.process, o.managementAddr = p, calls
+	o.process, o.managementAddr = process, managementAddr
 	return eventually("the process says yes", func() bool {
-		status, _ := Call("GET", calls, "/status", "")
+		status, _ := Call("GET", managementAddr, "/status", "")
 		return status == 200
 	})
 }
 
 // call makes a call that is owed a status.
 func (o *operation) call(method, path, body string, want int) {
-	got, took := Call(method, o.managementAddr, path, body)
-	if got != want {
+	status, elapsed := Call(method, o.managementAddr, path, body)
+	if status != want {
 		o.wrongStatuses++
 	}
-	o.slowestCall = max(o.slowestCall, took)
+	o.slowestCall = max(o.slowestCall, elapsed)
 }
 
-func (o *operation) runRound(n int) error {
+func (o *operation) runRound(round int) error {
 	before := o.currentFaults()
-	box := o.fleet.Boxes[n%len(o.fleet.Boxes)]
-	var silent []net.Conn
+	cache := o.fleet.Boxes[round%len(o.fleet.Boxes)]
+	var silentConns []net.Conn
 	for i := range silentConnections {
 		conn, err := net.Dial("tcp", o.managementAddr)
 		if err != nil {
 			return err
 		}
-		if silent = append(silent, conn); i%2 == 0 {
+		if silentConns = append(silentConns, conn); i%2 == 0 {
 			io.WriteString(conn, "PUT /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 8\r\n\r\ns-")
 		}
 	}
-	o.call("PUT", "/maintenance/enter", box.ID, 200)
-	o.call("PUT", "/maintenance/enter", box.ID, 200)
+	o.call("PUT", "/maintenance/enter", cache.ID, 200)
+	o.call("PUT", "/maintenance/enter", cache.ID, 200)
 	o.call("PUT", "/maintenance/enter", "nobody", 404)
-	for _, c := range silent {
+	for _, c := range silentConns {
 		c.Close()
 	}
 	time.Sleep(drainGrace)
-	out := box.Began()
+	begunAfterGrace := cache.Began()
 
 	// A class comes with the new file; clients name it once it binds.
-	o.class = fmt.Sprint("round-", n)
+	o.class = fmt.Sprint("round-", round)
 	if err := o.configure(); err != nil {
 		return err
 	}
 	o.process.Signal(syscall.SIGHUP)
 	time.Sleep(classEffectiveAfter)
-	named := o.class
-	o.clients.SetClass(named)
+	class := o.class
+	o.clients.SetClass(class)
 	if err := o.clients.AwaitServed(300); err != nil {
 		return err
 	}
 
-	old := o.process
+	predecessor := o.process
 	if err := o.startProcess(); err != nil {
 		return err
 	}
 	if err := o.clients.AwaitServed(300); err != nil {
 		return err
 	}
-	kill := n%2 == 1
+	kill := round%2 == 1
 	if kill {
-		old.Kill()
-	} else if err := old.Stop(); err != nil {
+		predecessor.Kill()
+	} else if err := predecessor.Stop(); err != nil {
 		return fmt.Errorf("the process that was followed: %w", err)
 	}
 	if err := o.clients.AwaitServed(500); err != nil {
 		return err
 	}
-	o.afterDrain += box.Began() - out
-	o.call("PUT", "/maintenance/exit", box.ID, 200)
-	back := box.Began()
-	if err := eventually("the box is used again", func() bool { return box.Began() > back }); err != nil {
+	o.afterDrain += cache.Began() - begunAfterGrace
+	o.call("PUT", "/maintenance/exit", cache.ID, 200)
+	begunAtReturn := cache.Began()
+	if err := eventually("the box is used again", func() bool { return cache.Began() > begunAtReturn }); err != nil {
 		return err
 	}
 	o.clients.SetClass("tile-read") // the next file drops this round's
 	if err := o.clients.AwaitServed(200); err != nil {
 		return err
 	}
-	sum := &o.stopped
+	total := &o.stopped
 	if kill {
-		sum = &o.killed
+		total = &o.killed
 	}
-	left := o.clients.UnansweredOrders()
+	unanswered := o.clients.UnansweredOrders()
 	if kill {
-		o.unresolved += len(left)
+		o.unresolved += len(unanswered)
 	} else {
-		ran := o.fleet.Origin.Executions()
-		for _, key := range left {
-			o.unanswered += ran[key]
+		executions := o.fleet.Origin.Executions()
+		for _, key := range unanswered {
+			o.unanswered += executions[key]
 		}
 	}
 	after := o.currentFaults()
 	if after.refusedOrFailed > before.refusedOrFailed {
-		o.env.Log("operate: turned away or failed: %v; %v", old.Reasons(), o.process.Reasons())
+		o.env.Log("operate: turned away or failed: %v; %v", predecessor.Reasons(), o.process.Reasons())
 	}
-	sum.connectionsRefused += after.connectionsRefused - before.connectionsRefused
-	sum.connectionsBroken += after.connectionsBroken - before.connectionsBroken
-	sum.refusedOrFailed += after.refusedOrFailed - before.refusedOrFailed
+	total.connectionsRefused += after.connectionsRefused - before.connectionsRefused
+	total.connectionsBroken += after.connectionsBroken - before.connectionsBroken
+	total.refusedOrFailed += after.refusedOrFailed - before.refusedOrFailed
 	o.longestGap = max(o.longestGap, o.clients.LongestGap())
 	return nil
 }
 
 func (o *operation) currentFaults() clientFaults {
-	d := o.clients
-	return clientFaults{d.ConnectionsRefused.Load(), d.ConnectionsBroken.Load(), d.Refused.Load() + d.Failed.Load()}
+	clients := o.clients
+	return clientFaults{clients.ConnectionsRefused.Load(), clients.ConnectionsBroken.Load(), clients.Refused.Load() + clients.Failed.Load()}
 }
--- a/internal/lab/orderer.go
+++ b/internal/lab/orderer.go
@@ -58,8 +58,8 @@
 
 // placeOrder places one order, and gives back a connection that still stands.
 func (o *OrderClients) placeOrder(conn *redisClient, key string) *redisClient {
-	names := fmt.Sprintf("c=pass-order,t=kiosk,k=%s,d=%d", key, o.Deadline.Milliseconds())
-	for try := 0; ; try++ {
+	attrs := fmt.Sprintf("c=pass-order,t=kiosk,k=%s,d=%d", key, o.Deadline.Milliseconds())
+	for attempt := 0; ; attempt++ {
 		if conn == nil {
 			var err error
 			if conn, err = dialRedis(o.Addr); err != nil {
@@ -68,10 +68,10 @@
 				continue
 			}
 		}
-		begun := time.Now()
-		answer, err := conn.do("OBJ.SET", key, fmt.Sprint(key, ".", try), names, "one pass")
-		if !strings.HasSuffix(names, "r=1") {
-			names += ",r=1"
+		sentAt := time.Now()
+		answer, err := conn.do("OBJ.SET", key, fmt.Sprint(key, ".", attempt), attrs, "one pass")
+		if !strings.HasSuffix(attrs, "r=1") {
+			attrs += ",r=1"
 		}
 		switch {
 		case err != nil:
@@ -87,8 +87,8 @@
 		default:
 			o.Served.Add(1)
 			o.mu.Lock()
-			if o.receipts[key] = answer; try == 0 {
-				o.firstTryLatencies = append(o.firstTryLatencies, time.Since(begun))
+			if o.receipts[key] = answer; attempt == 0 {
+				o.firstTryLatencies = append(o.firstTryLatencies, time.Since(sentAt))
 			}
 			o.mu.Unlock()
 			return conn
@@ -112,29 +112,29 @@
 
 // CheckOrders opens the record in a folder three times and holds it against what clients were told, and what an origin ran, by keys: each receipt
 // is there, nothing is in hand, nothing has run twice or is said not to have run that has. It counts orders by state.
-func CheckOrders(dir, tenant string, told map[string]string, ran map[string]int) (states map[orders.State]int, err error) {
+func CheckOrders(dir, tenant string, receipts map[string]string, executions map[string]int) (states map[orders.State]int, err error) {
 	var faults []error
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
 	for range 3 {
-		l, err := ledger.Open(disk.Dir(dir), ledger.Unbounded, ledger.WallClock)
+		record, err := ledger.Open(disk.Dir(dir), ledger.Unbounded, ledger.WallClock)
 		if err != nil {
 			return nil, err
 		}
 		states = map[orders.State]int{}
-		for key, receipt := range told {
-			if e, ok := l.Get(orders.Name{Tenant: tenant, Key: key}); !ok || e.State != orders.Done || string(e.Receipt) != receipt {
-				fault("%s: its client has the receipt %q; on record is %v %q", key, receipt, e.State, e.Receipt)
+		for key, receipt := range receipts {
+			if entry, ok := record.Get(orders.Name{Tenant: tenant, Key: key}); !ok || entry.State != orders.Done || string(entry.Receipt) != receipt {
+				fault("%s: its client has the receipt %q; on record is %v %q", key, receipt, entry.State, entry.Receipt)
 			}
 		}
-		l.All(func(e *orders.Entry) bool {
-			states[e.State]++
-			n := ran[e.Key]
-			if e.State < orders.Done || n > 1 || e.State == orders.NeverRan && n > 0 || e.State == orders.Done && n != 1 {
-				fault("%s is %v and has run %d times", e.Key, e.State, n)
+		record.All(func(entry *orders.Entry) bool {
+			states[entry.State]++
+			runs := executions[entry.Key]
+			if entry.State < orders.Done || runs > 1 || entry.State == orders.NeverRan && runs > 0 || entry.State == orders.Done && runs != 1 {
+				fault("%s is %v and has run %d times", entry.Key, entry.State, runs)
 			}
 			return true
 		})
-		if err := l.Close(); err != nil {
+		if err := record.Close(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/orders.go
+++ b/internal/lab/orders.go
@@ -24,8 +24,8 @@
 // Orders is the scenario of orders on record through both fronts, beside the same program without a record and the disk's own syncs.
 func Orders(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "orders"}
-	each := max(time.Second, time.Duration(e.Seconds)*time.Second/(16*ordersRounds))
-	syncs, err := e.measureBareSyncs(each)
+	partTime := max(time.Second, time.Duration(e.Seconds)*time.Second/(16*ordersRounds))
+	syncs, err := e.measureBareSyncs(partTime)
 	if err != nil {
 		return r, err
 	}
@@ -37,28 +37,28 @@
 			}
 			e.Log("orders: %s, %d clients", front, clients)
 			var rate [2]float64
-			var took [2][]time.Duration
+			var latencies [2][]time.Duration
 			for range ordersRounds {
 				for on := range rate {
-					got, times, err := e.measureOrders(ctx, front, clients, on == 1, each)
+					ordersPerSecond, partLatencies, err := e.measureOrders(ctx, front, clients, on == 1, partTime)
 					if err != nil {
 						return r, err
 					}
-					rate[on] += got / ordersRounds
-					took[on] = append(took[on], times...)
+					rate[on] += ordersPerSecond / ordersRounds
+					latencies[on] = append(latencies[on], partLatencies...)
 				}
 			}
 			name := fmt.Sprintf("%s, %d clients: ", front, clients)
 			r.AddValue(name+"orders a second, on record", rate[1])
 			r.AddValue(name+"of those without a record", rate[1]/rate[0])
 			r.AddValue(name+"entries on stable storage for each sync that the disk makes one by one", entriesPerOrder*rate[1]/syncs)
-			for on, what := range []string{"without", "on record"} {
-				r.AddValue(name+what+", p50, ms", milliseconds(quantile(took[on], 0.5)))
-				r.AddValue(name+what+", p99, ms", milliseconds(quantile(took[on], 0.99)))
+			for on, label := range []string{"without", "on record"} {
+				r.AddValue(name+label+", p50, ms", milliseconds(quantile(latencies[on], 0.5)))
+				r.AddValue(name+label+", p99, ms", milliseconds(quantile(latencies[on], 0.99)))
 			}
 		}
 	}
-	if err := e.measureReadsBesideOrders(r, each); err != nil {
+	if err := e.measureReadsBesideOrders(r, partTime); err != nil {
 		return r, err
 	}
 	return r, e.measureOrdersAfterKills(r)
@@ -92,91 +92,91 @@
 
 // startWithRecord starts a program before a fleet, with a record or without.
 func (e *Env) startWithRecord(front string, fleet *standin.Fleet, dir string) (addr string, p *Process, err error) {
-	text := ordersSettings(dir)
+	settings := ordersSettings(dir)
 	if front == "processor" {
 		listen, err := standin.FreeAddr()
 		if err != nil {
 			return "", nil, err
 		}
-		p, err = e.startProcessorWith("orders", fleet, "127.0.0.1:0", OperatorFile(listen, "answer", "2s")+text)
+		p, err = e.startProcessorWith("orders", fleet, "127.0.0.1:0", OperatorFile(listen, "answer", "2s")+settings)
 		return listen, p, err
 	}
-	return e.startProxyWith("orders", fleet, text)
+	return e.startProxyWith("orders", fleet, settings)
 }
 
 // measureOrders has so many clients place orders for a while, and tells how many a second were served, and how long each took.
-func (e *Env) measureOrders(ctx context.Context, front string, clients int, on bool, d time.Duration) (rate float64, took []time.Duration, err error) {
+func (e *Env) measureOrders(ctx context.Context, front string, clients int, withRecord bool, duration time.Duration) (rate float64, latencies []time.Duration, err error) {
 	fleet, err := standin.NewFleet(2, 64)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer fleet.Close()
 	dir := ""
-	if on {
+	if withRecord {
 		if dir, err = e.emptyDir("orders-record"); err != nil {
 			return 0, nil, err
 		}
 		defer os.RemoveAll(dir)
 	}
-	addr, p, err := e.startWithRecord(front, fleet, dir)
+	addr, process, err := e.startWithRecord(front, fleet, dir)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	if front == "processor" {
-		return placeThroughProcessor(ctx, addr, clients, d)
+		return placeThroughProcessor(ctx, addr, clients, duration)
 	}
-	o := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
-	o.Start(clients)
-	time.Sleep(d)
-	served := o.Served.Load()
-	o.Stop()
-	if took = o.FirstTryLatencies(); len(took) == 0 {
-		return 0, nil, fmt.Errorf("no order was served: %d refused, %d failed", o.Refused.Load(), o.Failed.Load())
+	orderClients := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
+	orderClients.Start(clients)
+	time.Sleep(duration)
+	served := orderClients.Served.Load()
+	orderClients.Stop()
+	if latencies = orderClients.FirstTryLatencies(); len(latencies) == 0 {
+		return 0, nil, fmt.Errorf("no order was served: %d refused, %d failed", orderClients.Refused.Load(), orderClients.Failed.Load())
 	}
-	return float64(served) / d.Seconds(), took, nil
+	return float64(served) / duration.Seconds(), latencies, nil
 }
 
 // placeThroughProcessor is placed at the processor.
-func placeThroughProcessor(ctx context.Context, addr string, clients int, d time.Duration) (rate float64, took []time.Duration, err error) {
-	c, err := caller.Dial(addr)
+func placeThroughProcessor(ctx context.Context, addr string, clients int, duration time.Duration) (rate float64, latencies []time.Duration, err error) {
+	processorCaller, err := caller.Dial(addr)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer c.Close()
-	c.MessageTimeout = 3 * time.Second
-	var all sync.WaitGroup
+	defer processorCaller.Close()
+	processorCaller.MessageTimeout = 3 * time.Second
+	var group sync.WaitGroup
 	var mu sync.Mutex
-	var other atomic.Int64
-	begun := time.Now()
+	var notServed atomic.Int64
+	start := time.Now()
 	for w := range clients {
-		all.Go(func() {
-			for n := 0; time.Since(begun) < d; n++ {
+		group.Go(func() {
+			for n := 0; time.Since(start) < duration; n++ {
 				key := fmt.Sprintf("x-%d-%d", w, n)
-				at := time.Now()
-				res := c.Do(ctx, caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass"),
+				sentAt := time.Now()
+				result := processorCaller.Do(ctx, caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass"),
 					Headers: map[string]string{"x-request-id": key, "idempotency-key": key}})
-				if res.Status != 200 {
-					other.Add(1)
+				if result.Status != 200 {
+					notServed.Add(1)
 					continue
 				}
 				mu.Lock()
-				took = append(took, time.Since(at))
+				latencies = append(latencies, time.Since(sentAt))
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	if len(took) == 0 {
-		return 0, nil, fmt.Errorf("no order was served; %d ended otherwise", other.Load())
+	group.Wait()
+	if len(latencies) == 0 {
+		return 0, nil, fmt.Errorf("no order was served; %d ended otherwise", notServed.Load())
 	}
-	return float64(len(took)) / time.Since(begun).Seconds(), took, nil
+	return float64(len(latencies)) / time.Since(start).Seconds(), latencies, nil
 }
 
 // measureReadsBesideOrders holds reads beside orders on record against reads beside orders without.
-func (e *Env) measureReadsBesideOrders(r *Report, d time.Duration) error {
+func (e *Env) measureReadsBesideOrders(r *Report, duration time.Duration) error {
 	var rate [2]float64
-	var pause [2]time.Duration
+	var longestGap [2]time.Duration
 	for range ordersRounds {
 		for on := range rate {
 			fleet, err := standin.NewFleet(2, 64)
@@ -190,33 +190,33 @@
 					return err
 				}
 			}
-			addr, p, err := e.startWithRecord("RESP2", fleet, dir)
+			addr, process, err := e.startWithRecord("RESP2", fleet, dir)
 			if err != nil {
 				return err
 			}
-			o := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
-			o.Start(4)
-			door := ClientLoad{Addr: addr}
-			door.Start(ordersReaders, 64, 0)
-			if err := door.AwaitServed(100); err != nil {
+			orderClients := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
+			orderClients.Start(4)
+			readers := ClientLoad{Addr: addr}
+			readers.Start(ordersReaders, 64, 0)
+			if err := readers.AwaitServed(100); err != nil {
 				return err
 			}
-			from := door.Served.Load()
-			door.LongestGap()
-			time.Sleep(d)
-			rate[on] += float64(door.Served.Load()-from) / d.Seconds() / ordersRounds
-			pause[on] = max(pause[on], door.LongestGap())
-			door.Stop()
-			o.Stop()
-			p.Kill()
-			if n := door.Refused.Load() + door.Failed.Load() + door.Late.Load(); n > 0 {
-				return fmt.Errorf("%d reads beside orders were refused, failed or late", n)
+			servedBefore := readers.Served.Load()
+			readers.LongestGap()
+			time.Sleep(duration)
+			rate[on] += float64(readers.Served.Load()-servedBefore) / duration.Seconds() / ordersRounds
+			longestGap[on] = max(longestGap[on], readers.LongestGap())
+			readers.Stop()
+			orderClients.Stop()
+			process.Kill()
+			if notServed := readers.Refused.Load() + readers.Failed.Load() + readers.Late.Load(); notServed > 0 {
+				return fmt.Errorf("%d reads beside orders were refused, failed or late", notServed)
 			}
 		}
 	}
 	r.AtLeast("reads a second beside orders on record, of those beside orders without", rate[1]/rate[0], 0.9)
-	r.AddValue("the longest time without an answer to a read, beside orders on record, ms", milliseconds(pause[1]))
-	r.AddValue("the same without a record, ms", milliseconds(pause[0]))
+	r.AddValue("the longest time without an answer to a read, beside orders on record, ms", milliseconds(longestGap[1]))
+	r.AddValue("the same without a record, ms", milliseconds(longestGap[0]))
 	return nil
 }
 
@@ -232,43 +232,43 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	addr, p, err := e.startWithRecord("RESP2", fleet, dir)
+	addr, process, err := e.startWithRecord("RESP2", fleet, dir)
 	if err != nil {
 		return err
 	}
-	o := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
-	o.Start(16)
-	var worst, sum time.Duration
+	orderClients := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
+	orderClients.Start(16)
+	var longest, total time.Duration
 	for range ordersKills {
-		from := o.Served.Load()
-		if err := eventually("orders are served", func() bool { return o.Served.Load() > from+500 }); err != nil {
+		servedBefore := orderClients.Served.Load()
+		if err := eventually("orders are served", func() bool { return orderClients.Served.Load() > servedBefore+500 }); err != nil {
 			return err
 		}
-		p.Kill()
-		begun := time.Now()
-		from = o.Served.Load()
-		if p, err = Start("msg=ready", []string{"LB_CONFIG=" + filepath.Join(e.Dir, "orders.json"), "LB_LISTEN=" + addr}, e.Bin+"/linenloom",
+		process.Kill()
+		killedAt := time.Now()
+		servedBefore = orderClients.Served.Load()
+		if process, err = Start("msg=ready", []string{"LB_CONFIG=" + filepath.Join(e.Dir, "orders.json"), "LB_LISTEN=" + addr}, e.Bin+"/linenloom",
 			"-operator", filepath.Join(e.Dir, "orders.toml")); err != nil {
 			return err
 		}
-		if err := eventually("orders are served again", func() bool { return o.Served.Load() > from }); err != nil {
+		if err := eventually("orders are served again", func() bool { return orderClients.Served.Load() > servedBefore }); err != nil {
 			return err
 		}
-		took := time.Since(begun)
-		worst, sum = max(worst, took), sum+took
+		elapsed := time.Since(killedAt)
+		longest, total = max(longest, elapsed), total+elapsed
 	}
-	o.Stop()
-	if err := p.Stop(); err != nil {
+	orderClients.Stop()
+	if err := process.Stop(); err != nil {
 		return err
 	}
-	states, err := CheckOrders(dir, "kiosk", o.Receipts(), fleet.Origin.Executions())
+	states, err := CheckOrders(dir, "kiosk", orderClients.Receipts(), fleet.Origin.Executions())
 	if err != nil {
 		return err
 	}
 	r.AddValue("kills", ordersKills)
-	r.AddValue("from SIGKILL to the first order served again, mean, ms", milliseconds(sum/ordersKills))
-	r.AddValue("the longest, ms", milliseconds(worst))
-	r.AddValue("orders that clients were promised nothing of, for each kill", float64(o.Failed.Load())/ordersKills)
+	r.AddValue("from SIGKILL to the first order served again, mean, ms", milliseconds(total/ordersKills))
+	r.AddValue("the longest, ms", milliseconds(longest))
+	r.AddValue("orders that clients were promised nothing of, for each kill", float64(orderClients.Failed.Load())/ordersKills)
 	for s, n := range states {
 		r.AddValue("orders on record: "+s.String(), float64(n))
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -51,12 +51,12 @@
 }
 
 // Reasons is what the process has said of why requests waited, were refused or failed.
-func (p *Process) Reasons() (all []string) {
+func (p *Process) Reasons() (reasons []string) {
 	for _, l := range p.Lines("msg=reasons ") {
-		_, why, _ := strings.Cut(l, "msg=reasons ")
-		all = append(all, why)
+		_, reason, _ := strings.Cut(l, "msg=reasons ")
+		reasons = append(reasons, reason)
 	}
-	return all
+	return reasons
 }
 
 // CPU is the processor time that the process has used, to a hundredth of a second (proc(5), stat).
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -12,42 +12,42 @@
 // again, and counts as neither kept nor broken if it stays so.
 func Restarts(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "restarts"}
-	var kept, broken, disturbed, faults int
-	var all restarts.Result
+	var passed, failed, disturbed, faults int
+	var total restarts.Result
 	for seed := e.FirstSeed; seed < e.FirstSeed+uint64(e.SeedCount); seed++ {
 		if err := ctx.Err(); err != nil {
 			return r, err
 		}
-		played, err := restarts.Verdict(restarts.Options{Program: filepath.Join(e.Bin, "linenloom"), Dir: e.Dir, Seed: seed},
+		result, err := restarts.Verdict(restarts.Options{Program: filepath.Join(e.Bin, "linenloom"), Dir: e.Dir, Seed: seed},
 			func(r *restarts.Result) { e.Log("%v", r) })
 		if err != nil {
 			return r, err
 		}
-		for _, fault := range played.Faults {
+		for _, fault := range result.Faults {
 			e.Log("seed %d: %s", seed, fault)
 		}
 		switch {
-		case len(played.Faults) > 0:
-			broken++
-		case played.Disturbed():
+		case len(result.Faults) > 0:
+			failed++
+		case result.Disturbed():
 			disturbed++
 		default:
-			kept++
+			passed++
 		}
-		faults += len(played.Faults)
-		all.Asked, all.Served, all.Refused, all.Failed = all.Asked+played.Asked, all.Served+played.Served, all.Refused+played.Refused, all.Failed+played.Failed
-		all.Attempts, all.Further = all.Attempts+played.Attempts, all.Further+played.Further
+		faults += len(result.Faults)
+		total.Asked, total.Served, total.Refused, total.Failed = total.Asked+result.Asked, total.Served+result.Served, total.Refused+result.Refused, total.Failed+result.Failed
+		total.Attempts, total.Further = total.Attempts+result.Attempts, total.Further+result.Further
 	}
 	name := fmt.Sprintf("seeds %d to %d: ", e.FirstSeed, e.FirstSeed+uint64(e.SeedCount)-1)
-	r.AddValue(name+"requests", float64(all.Asked))
-	r.AddValue(name+"served", float64(all.Served))
-	r.AddValue(name+"refused", float64(all.Refused))
-	r.AddValue(name+"failed", float64(all.Failed))
-	r.AddValue(name+"attempts", float64(all.Attempts))
-	r.AddValue(name+"further attempts", float64(all.Further))
+	r.AddValue(name+"requests", float64(total.Asked))
+	r.AddValue(name+"served", float64(total.Served))
+	r.AddValue(name+"refused", float64(total.Refused))
+	r.AddValue(name+"failed", float64(total.Failed))
+	r.AddValue(name+"attempts", float64(total.Attempts))
+	r.AddValue(name+"further attempts", float64(total.Further))
 	r.AddValue(name+"plays too disturbed for a verdict", float64(disturbed))
-	r.AddValue(name+"plays that kept every rule", float64(kept))
-	r.Equal(name+"plays that broke one", float64(broken), 0)
+	r.AddValue(name+"plays that kept every rule", float64(passed))
+	r.Equal(name+"plays that broke one", float64(failed), 0)
 	r.Equal(name+"faults", float64(faults), 0)
 	return r, nil
 }
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -27,33 +27,33 @@
 
 var errWrongValue = errors.New("lab: a client was served another key's value")
 
-func (r *tileReader) read(key int) error {
-	r.command = appendTileRead(r.command[:0], key, "c=tile-read,t=acme,d=3000")
-	r.conn.SetDeadline(time.Now().Add(waitTimeout))
-	if _, err := r.conn.Write(r.command); err != nil {
+func (reader *tileReader) read(key int) error {
+	reader.command = appendTileRead(reader.command[:0], key, "c=tile-read,t=acme,d=3000")
+	reader.conn.SetDeadline(time.Now().Add(waitTimeout))
+	if _, err := reader.conn.Write(reader.command); err != nil {
 		return err
 	}
-	r.prefix = appendTilePrefix(r.prefix[:0], key)
-	return readTile(r.in, r.prefix)
+	reader.prefix = appendTilePrefix(reader.prefix[:0], key)
+	return readTile(reader.in, reader.prefix)
 }
 
 // appendTileRead appends the command that reads the tile of a key, under an id of its own.
-func appendTileRead(b []byte, key int, attrs string) []byte {
-	var text [20]byte
-	b = resp.AppendArray(b, 4)
-	b = resp.AppendBulk(b, "OBJ.GET")
-	b = resp.AppendBulk(b, strconv.AppendInt(append(text[:0], 'k'), int64(key), 10))
-	b = resp.AppendBulk(b, strconv.AppendUint(text[:0], lastRequestID.Add(1), 16))
-	return resp.AppendBulk(b, attrs)
+func appendTileRead(command []byte, key int, attrs string) []byte {
+	var digits [20]byte
+	command = resp.AppendArray(command, 4)
+	command = resp.AppendBulk(command, "OBJ.GET")
+	command = resp.AppendBulk(command, strconv.AppendInt(append(digits[:0], 'k'), int64(key), 10))
+	command = resp.AppendBulk(command, strconv.AppendUint(digits[:0], lastRequestID.Add(1), 16))
+	return resp.AppendBulk(command, attrs)
 }
 
 // appendTilePrefix appends what the tile of a key begins with.
-func appendTilePrefix(b []byte, key int) []byte {
-	return append(strconv.AppendInt(append(b, "value of k"...), int64(key), 10), ' ')
+func appendTilePrefix(prefix []byte, key int) []byte {
+	return append(strconv.AppendInt(append(prefix, "value of k"...), int64(key), 10), ' ')
 }
 
 // readTile reads an answer, which has to be a tile that begins as is wanted; errRefused, if it is a refusal.
-func readTile(in *bufio.Reader, want []byte) error {
+func readTile(in *bufio.Reader, wantPrefix []byte) error {
 	line, err := in.ReadSlice('\n')
 	switch {
 	case err != nil:
@@ -63,18 +63,18 @@
 	case line[0] != '$':
 		return fmt.Errorf("lab: answered %q", line)
 	}
-	n, err := strconv.Atoi(string(bytes.TrimSpace(line[1:])))
-	if err != nil || n < 0 {
+	length, err := strconv.Atoi(string(bytes.TrimSpace(line[1:])))
+	if err != nil || length < 0 {
 		return fmt.Errorf("lab: answered %q", line)
 	}
-	got, err := in.Peek(len(want))
+	prefix, err := in.Peek(len(wantPrefix))
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(got, want) {
-		return fmt.Errorf("%w: %q for %q", errWrongValue, got, want)
+	if !bytes.Equal(prefix, wantPrefix) {
+		return fmt.Errorf("%w: %q for %q", errWrongValue, prefix, wantPrefix)
 	}
-	_, err = in.Discard(n + 2)
+	_, err = in.Discard(length + 2)
 	return err
 }
 
@@ -84,17 +84,17 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		r := &tileReader{conn: conn, in: bufio.NewReaderSize(conn, 4096)}
-		return func(i int) error { return r.read((w*7919 + i) % tileKeys) }, func() { conn.Close() }, nil
+		reader := &tileReader{conn: conn, in: bufio.NewReaderSize(conn, 4096)}
+		return func(i int) error { return reader.read((w*7919 + i) % tileKeys) }, func() { conn.Close() }, nil
 	}
 }
 
 // startProxy starts linenloom before a fleet, on one core, and tells where it listens.
-func (e *Env) startProxy(name string, fleet *standin.Fleet, memoryMB, sockets int, args ...string) (addr string, p *Process, err error) {
+func (e *Env) startProxy(name string, fleet *standin.Fleet, memoryMB, descriptors int, args ...string) (addr string, process *Process, err error) {
 	if addr, err = standin.FreeAddr(); err != nil {
 		return "", nil, err
 	}
-	config, err := fleet.Config(name, addr, "8c1f30d27a5be964", memoryMB, sockets)
+	config, err := fleet.Config(name, addr, "8c1f30d27a5be964", memoryMB, descriptors)
 	if err != nil {
 		return "", nil, err
 	}
@@ -102,8 +102,8 @@
 	if err != nil {
 		return "", nil, err
 	}
-	p, err = Start("msg=ready", []string{"LB_CONFIG=" + path, "LB_LISTEN=" + addr}, e.Bin+"/linenloom", args...)
-	return addr, p, err
+	process, err = Start("msg=ready", []string{"LB_CONFIG=" + path, "LB_LISTEN=" + addr}, e.Bin+"/linenloom", args...)
+	return addr, process, err
 }
 
 // Scale is the scenario of many clients before a healthy fleet: how much is served and refused as they grow, and what a
@@ -115,11 +115,11 @@
 		return r, err
 	}
 	defer fleet.Close()
-	addr, p, err := e.startProxy("scale", fleet, 192, 4096)
+	addr, process, err := e.startProxy("scale", fleet, 192, 4096)
 	if err != nil {
 		return r, err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	relayAddr, err := standin.FreeAddr()
 	if err != nil {
 		return r, err
@@ -130,45 +130,45 @@
 	}
 	defer relay.Kill()
 
-	d := time.Duration(e.Seconds) * time.Second / 10
-	rates := map[int]ClosedLoopResult{}
-	best := 0.0
+	duration := time.Duration(e.Seconds) * time.Second / 10
+	results := map[int]ClosedLoopResult{}
+	bestRate := 0.0
 	for _, clients := range []int{8, 32, 100, 200, 300, 1000} {
 		e.Log("scale: %d clients", clients)
-		rate, err := runClosedLoop(p, clients, d, newTileWorker(addr))
+		result, err := runClosedLoop(process, clients, duration, newTileWorker(addr))
 		if err != nil {
 			return r, fmt.Errorf("%d clients: %w", clients, err)
 		}
-		rates[clients] = rate
+		results[clients] = result
 		if clients <= 300 {
-			best = max(best, rate.PerSecond())
+			bestRate = max(bestRate, result.PerSecond())
 		}
 		name := strconv.Itoa(clients) + " clients: "
-		r.AddValue(name+"served a second", rate.PerSecond())
-		r.Equal(name+"refused", float64(rate.Refused), 0)
-		r.AtMost(name+"p99, ms", float64(rate.Quantile(0.99))/float64(time.Millisecond), 800)
-		r.AddValue(name+"CPU us a served read", 1e6/rate.PerCPU())
-		kb, err := p.Resident()
+		r.AddValue(name+"served a second", result.PerSecond())
+		r.Equal(name+"refused", float64(result.Refused), 0)
+		r.AtMost(name+"p99, ms", float64(result.Quantile(0.99))/float64(time.Millisecond), 800)
+		r.AddValue(name+"CPU us a served read", 1e6/result.PerCPU())
+		kb, err := process.Resident()
 		if err != nil {
 			return r, err
 		}
 		r.AddValue(name+"resident MB", float64(kb)/1024)
 	}
-	r.AtLeast("300 clients: served, of the best up to there", rates[300].PerSecond()/best, 0.9)
+	r.AtLeast("300 clients: served, of the best up to there", results[300].PerSecond()/bestRate, 0.9)
 	for _, clients := range []int{8, 32, 200, 300, 1000} {
-		if err := e.measureFreshStart(r, fleet, clients, d); err != nil {
+		if err := e.measureFreshStart(r, fleet, clients, duration); err != nil {
 			return r, fmt.Errorf("fresh start, %d clients: %w", clients, err)
 		}
 	}
 	if err := e.measureNewConnections(r, fleet); err != nil {
 		return r, fmt.Errorf("ever new clients: %w", err)
 	}
-	byRelay, err := runClosedLoop(relay, 8, d, newCacheWorker(relayAddr, loadKeys))
+	relayResult, err := runClosedLoop(relay, 8, duration, newCacheWorker(relayAddr, loadKeys))
 	if err != nil {
 		return r, err
 	}
-	r.AddValue("relay: CPU us a read", 1e6/byRelay.PerCPU())
-	r.AtMost("CPU a read at 32 clients, against the relay's", byRelay.PerCPU()/rates[32].PerCPU(), 1.5)
+	r.AddValue("relay: CPU us a read", 1e6/relayResult.PerCPU())
+	r.AtMost("CPU a read at 32 clients, against the relay's", relayResult.PerCPU()/results[32].PerCPU(), 1.5)
 	return r, nil
 }
 
@@ -177,65 +177,65 @@
 func (e *Env) measureNewConnections(r *Report, fleet *standin.Fleet) error {
 	const clients = 100
 	e.Log("scale: %d clients, each on a new connection for every read", clients)
-	addr, p, err := e.startProxy("new", fleet, 192, 4096)
+	addr, process, err := e.startProxy("new", fleet, 192, 4096)
 	if err != nil {
 		return err
 	}
-	defer p.Kill()
-	anew := func(w int) (func(int) error, func(), error) {
+	defer process.Kill()
+	newWorker := func(w int) (func(int) error, func(), error) {
 		return func(i int) error {
-			one, done, err := newTileWorker(addr)(w)
+			read, closeConn, err := newTileWorker(addr)(w)
 			if err != nil {
 				return err
 			}
-			defer done()
-			return one(i)
+			defer closeConn()
+			return read(i)
 		}, func() {}, nil
 	}
-	var all ClosedLoopResult
-	var early, late int
+	var total ClosedLoopResult
+	var firstResident, lastResident int
 	for part := range 3 {
-		rate, err := runClosedLoop(p, clients, time.Duration(e.Seconds)*time.Second, anew)
+		result, err := runClosedLoop(process, clients, time.Duration(e.Seconds)*time.Second, newWorker)
 		if err != nil {
 			return err
 		}
-		all.add(rate)
-		if late, err = p.Resident(); err != nil {
+		total.add(result)
+		if lastResident, err = process.Resident(); err != nil {
 			return err
 		}
 		if part == 0 {
-			early = late
+			firstResident = lastResident
 		}
 	}
-	r.AddValue("ever new clients: served a second", all.PerSecond())
-	r.Equal("ever new clients: refused", float64(all.Refused), 0)
-	r.AddValue("ever new clients: resident MB at the end", float64(late)/1024)
-	r.AtMost("ever new clients: resident at the end, of that after a third", float64(late)/float64(early), 1.1)
+	r.AddValue("ever new clients: served a second", total.PerSecond())
+	r.Equal("ever new clients: refused", float64(total.Refused), 0)
+	r.AddValue("ever new clients: resident MB at the end", float64(lastResident)/1024)
+	r.AtMost("ever new clients: resident at the end, of that after a third", float64(lastResident)/float64(firstResident), 1.1)
 	return nil
 }
 
 // measureFreshStart has clients come all at once a second after a proxy has started, when it knows nothing of its members yet.
-func (e *Env) measureFreshStart(r *Report, fleet *standin.Fleet, clients int, d time.Duration) error {
+func (e *Env) measureFreshStart(r *Report, fleet *standin.Fleet, clients int, duration time.Duration) error {
 	e.Log("scale: %d clients at once, a second after the start", clients)
-	addr, p, err := e.startProxy(fmt.Sprint("fresh-", clients), fleet, 192, 4096)
+	addr, process, err := e.startProxy(fmt.Sprint("fresh-", clients), fleet, 192, 4096)
 	if err != nil {
 		return err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	time.Sleep(time.Second)
-	rate, err := runClosedLoop(p, clients, d, newTileWorker(addr))
+	result, err := runClosedLoop(process, clients, duration, newTileWorker(addr))
 	if err != nil {
 		return err
 	}
-	if err := p.Stop(); err != nil {
+	if err := process.Stop(); err != nil {
 		return err
 	}
-	what := fmt.Sprintf("fresh start, %d clients: ", clients)
-	r.AddValue(what+"served a second", rate.PerSecond())
-	r.Equal(what+"refused", float64(rate.Refused), 0)
-	r.AddValue(what+"CPU us a served read", 1e6/rate.PerCPU())
-	for _, why := range p.Reasons() {
-		e.Log("  %s", why)
+	prefix := fmt.Sprintf("fresh start, %d clients: ", clients)
+	r.AddValue(prefix+"served a second", result.PerSecond())
+	r.Equal(prefix+"refused", float64(result.Refused), 0)
+	r.AddValue(prefix+"CPU us a served read", 1e6/result.PerCPU())
+	for _, reason := range process.Reasons() {
+		e.Log("  %s", reason)
 	}
 	return nil
 }
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -37,84 +37,84 @@
 	err      error
 }
 
-func (f *bareFile) append(b []byte) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.syncEach {
-		if _, err := f.file.Write(b); err != nil {
+func (file *bareFile) append(b []byte) error {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	if file.syncEach {
+		if _, err := file.file.Write(b); err != nil {
 			return err
 		}
-		return f.file.Sync()
+		return file.file.Sync()
 	}
-	if f.done == nil {
-		f.done = make(chan struct{})
+	if file.done == nil {
+		file.done = make(chan struct{})
 	}
-	f.pending = append(f.pending, b...)
-	done := f.done
-	if f.writing {
-		f.mu.Unlock()
+	file.pending = append(file.pending, b...)
+	done := file.done
+	if file.writing {
+		file.mu.Unlock()
 		<-done
-		f.mu.Lock()
-		return f.err
+		file.mu.Lock()
+		return file.err
 	}
-	for f.writing = true; f.done != nil; {
-		group, told := f.pending, f.done
-		f.pending, f.done = nil, nil
-		f.mu.Unlock()
-		_, err := f.file.Write(group)
+	for file.writing = true; file.done != nil; {
+		group, groupSynced := file.pending, file.done
+		file.pending, file.done = nil, nil
+		file.mu.Unlock()
+		_, err := file.file.Write(group)
 		if err == nil {
-			err = f.file.Sync()
+			err = file.file.Sync()
 		}
-		f.mu.Lock()
-		f.err = err
-		close(told)
+		file.mu.Lock()
+		file.err = err
+		close(groupSynced)
 	}
-	f.writing = false
-	return f.err
+	file.writing = false
+	return file.err
 }
 
 // measureWrites has so many writers write for a while, and tells how often a second.
-func measureWrites(writers int, d time.Duration, write func(writer, n int) error) (float64, error) {
-	var n atomic.Int64
-	var failed atomic.Pointer[error]
-	var all sync.WaitGroup
-	begun := time.Now()
+func measureWrites(writers int, duration time.Duration, write func(writer, n int) error) (float64, error) {
+	var writes atomic.Int64
+	var firstError atomic.Pointer[error]
+	var group sync.WaitGroup
+	start := time.Now()
 	for w := range writers {
-		all.Go(func() {
-			for i := 0; time.Since(begun) < d && failed.Load() == nil; i++ {
+		group.Go(func() {
+			for i := 0; time.Since(start) < duration && firstError.Load() == nil; i++ {
 				if err := write(w, i); err != nil {
-					failed.Store(&err)
+					firstError.Store(&err)
 				}
-				n.Add(1)
+				writes.Add(1)
 			}
 		})
 	}
-	all.Wait()
-	if err := failed.Load(); err != nil {
+	group.Wait()
+	if err := firstError.Load(); err != nil {
 		return 0, *err
 	}
-	return float64(n.Load()) / time.Since(begun).Seconds(), nil
+	return float64(writes.Load()) / time.Since(start).Seconds(), nil
 }
 
 // Store is the scenario of the log and the record of orders on this machine's disk, beside bare appends to a file.
 func Store(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "store"}
-	each := max(500*time.Millisecond, time.Duration(e.Seconds)*time.Second/(12*storeRounds))
+	partTime := max(500*time.Millisecond, time.Duration(e.Seconds)*time.Second/(12*storeRounds))
 	payload := make([]byte, storeRecordBytes)
 	for _, writers := range []int{1, 16, 64} {
 		e.Log("store: %d writers", writers)
-		var sum [4]float64 // alone, grouped, log, orders
+		var rates [4]float64 // alone, grouped, log, orders
 		for round := range storeRounds {
-			for way := range sum {
-				dir := disk.Dir(filepath.Join(e.Dir, fmt.Sprintf("store-%d-%d-%d", writers, round, way)))
+			for method := range rates {
+				dir := disk.Dir(filepath.Join(e.Dir, fmt.Sprintf("store-%d-%d-%d", writers, round, method)))
 				if err := os.MkdirAll(string(dir), 0o700); err != nil {
 					return r, err
 				}
-				got, err := measureStoreMethod(dir, way, writers, each, payload)
+				rate, err := measureStoreMethod(dir, method, writers, partTime, payload)
 				if err != nil {
 					return r, err
 				}
-				sum[way] += got / storeRounds
+				rates[method] += rate / storeRounds
 				if err := os.RemoveAll(string(dir)); err != nil {
 					return r, err
 				}
@@ -124,50 +124,50 @@
 			}
 		}
 		name := fmt.Sprintf("%d writers: ", writers)
-		r.AddValue(name+"bare appends a second, synced one by one", sum[0])
-		r.AddValue(name+"bare appends a second, synced in groups", sum[1])
-		r.AtLeast(name+"records a second by the log, of the grouped", sum[2]/sum[1], 0.8)
+		r.AddValue(name+"bare appends a second, synced one by one", rates[0])
+		r.AddValue(name+"bare appends a second, synced in groups", rates[1])
+		r.AtLeast(name+"records a second by the log, of the grouped", rates[2]/rates[1], 0.8)
 		if writers == 64 {
-			r.AtLeast(name+"records a second by the log, of those synced one by one", sum[2]/sum[0], 10)
+			r.AtLeast(name+"records a second by the log, of those synced one by one", rates[2]/rates[0], 10)
 		}
-		r.AddValue(name+"orders a second, taken, sent and done", sum[3])
+		r.AddValue(name+"orders a second, taken, sent and done", rates[3])
 	}
 	return r, measureOpening(e, r)
 }
 
-func measureStoreMethod(dir disk.Dir, way, writers int, d time.Duration, payload []byte) (float64, error) {
-	switch way {
+func measureStoreMethod(dir disk.Dir, method, writers int, duration time.Duration, payload []byte) (float64, error) {
+	switch method {
 	case 0, 1:
-		f, err := dir.Create("bare")
+		file, err := dir.Create("bare")
 		if err != nil {
 			return 0, err
 		}
-		defer f.Close()
-		b := &bareFile{file: f, syncEach: way == 0}
-		return measureWrites(writers, d, func(int, int) error { return b.append(payload) })
+		defer file.Close()
+		bare := &bareFile{file: file, syncEach: method == 0}
+		return measureWrites(writers, duration, func(int, int) error { return bare.append(payload) })
 	case 2:
-		l, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error { return nil })
+		recordLog, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error { return nil })
 		if err != nil {
 			return 0, err
 		}
-		defer l.Close()
-		return measureWrites(writers, d, func(int, int) error { _, err := l.Append(1, payload); return err })
+		defer recordLog.Close()
+		return measureWrites(writers, duration, func(int, int) error { _, err := recordLog.Append(1, payload); return err })
 	}
-	l, err := ledger.Open(dir, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: storeSegmentBytes, CompactAfter: 1 << 30},
+	record, err := ledger.Open(dir, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: storeSegmentBytes, CompactAfter: 1 << 30},
 		ledger.WallClock)
 	if err != nil {
 		return 0, err
 	}
-	defer l.Close()
-	return measureWrites(writers, d, func(w, n int) error {
+	defer record.Close()
+	return measureWrites(writers, duration, func(w, n int) error {
 		name := orders.Name{Tenant: "kiosk", Key: fmt.Sprintf("%d-%d", w, n)}
-		if v, _, err := l.Take(orders.Order{Name: name}); err != nil || v != orders.Proceed {
-			return fmt.Errorf("%v: %w", v, err)
+		if verdict, _, err := record.Take(orders.Order{Name: name}); err != nil || verdict != orders.Proceed {
+			return fmt.Errorf("%v: %w", verdict, err)
 		}
-		if err := l.Send(name, "o-1"); err != nil {
+		if err := record.Send(name, "o-1"); err != nil {
 			return err
 		}
-		return l.End(name, orders.Done, payload[:200], "")
+		return record.End(name, orders.Done, payload[:200], "")
 	})
 }
 
@@ -179,74 +179,74 @@
 		return err
 	}
 	defer os.RemoveAll(string(dir))
-	l, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error { return nil })
+	recordLog, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error { return nil })
 	if err != nil {
 		return err
 	}
 	var writers sync.WaitGroup
-	var failed atomic.Pointer[error]
+	var firstError atomic.Pointer[error]
 	payload := make([]byte, storeRecordBytes)
 	for range 512 { // groups of as many
 		writers.Go(func() {
 			for range storeRecords / 512 {
-				if _, err := l.Append(1, payload); err != nil {
-					failed.Store(&err)
+				if _, err := recordLog.Append(1, payload); err != nil {
+					firstError.Store(&err)
 					return
 				}
 			}
 		})
 	}
 	writers.Wait()
-	if err := failed.Load(); err != nil {
+	if err := firstError.Load(); err != nil {
 		return *err
 	}
-	if err := l.Close(); err != nil {
+	if err := recordLog.Close(); err != nil {
 		return err
 	}
 	var ratios []float64
-	records, most := 0, uint64(0)
+	records, maxHeap := 0, uint64(0)
 	for range storeRounds {
-		begun := time.Now()
+		start := time.Now()
 		names, err := dir.List()
 		if err != nil {
 			return err
 		}
-		for _, n := range names {
-			f, err := os.Open(filepath.Join(string(dir), n))
+		for _, name := range names {
+			file, err := os.Open(filepath.Join(string(dir), name))
 			if err != nil {
 				return err
 			}
-			_, err = io.Copy(io.Discard, struct{ io.Reader }{f})
-			f.Close()
+			_, err = io.Copy(io.Discard, struct{ io.Reader }{file})
+			file.Close()
 			if err != nil {
 				return err
 			}
 		}
-		read := time.Since(begun)
+		readTime := time.Since(start)
 		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		base := m.HeapAlloc
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		heapBefore := stats.HeapAlloc
 		records = 0
-		begun = time.Now()
-		l, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error {
+		start = time.Now()
+		opened, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error {
 			if records++; records%100_000 == 0 {
-				runtime.ReadMemStats(&m)
-				most = max(most, m.HeapAlloc-min(base, m.HeapAlloc))
+				runtime.ReadMemStats(&stats)
+				maxHeap = max(maxHeap, stats.HeapAlloc-min(heapBefore, stats.HeapAlloc))
 			}
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		ratios = append(ratios, float64(time.Since(begun))/float64(read))
-		if err := l.Close(); err != nil {
+		ratios = append(ratios, float64(time.Since(start))/float64(readTime))
+		if err := opened.Close(); err != nil {
 			return err
 		}
 	}
 	slices.Sort(ratios)
 	r.AddValue("records that are opened", float64(records))
 	r.AtMost("opening them, of the time to read the files once", ratios[len(ratios)/2], 3)
-	r.AtMost("heap while opening, MB", float64(most)/(1<<20), maxOpenHeapMB)
+	r.AtMost("heap while opening, MB", float64(maxHeap)/(1<<20), maxOpenHeapMB)
 	return nil
 }
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -39,56 +39,56 @@
 	defer fleet.Close()
 	fleet.Origin.SetService(burstFetchTime, 0)
 	fleet.Tenants = evenTenants
-	bare, plain, err := e.startProxy("storm-off", fleet, 192, 4096)
+	plainAddr, plainProcess, err := e.startProxy("storm-off", fleet, 192, 4096)
 	if err != nil {
 		return r, err
 	}
-	defer plain.Kill()
-	addr, p, err := e.startProxyWith("joining", fleet, "[joining]\nfollowers = 16384\nfollowers_per_tenant = 8192\n")
+	defer plainProcess.Kill()
+	addr, process, err := e.startProxyWith("joining", fleet, "[joining]\nfollowers = 16384\nfollowers_per_tenant = 8192\n")
 	if err != nil {
 		return r, err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	tile := 1_000_000
 	rounds := max(2, e.Seconds/4)
 	for _, part := range []struct {
 		name, addr string
 		joined     bool
-	}{{"without joining", bare, false}, {"with joining", addr, true}} {
+	}{{"without joining", plainAddr, false}, {"with joining", addr, true}} {
 		e.Log("storm: %s", part.name)
 		var perTile []float64
-		missed, served, refused := 0, 0, 0
-		alone, _, err := readAsOtherTenant(part.addr, 2*time.Second, nil)
+		missedInTime, served, refused := 0, 0, 0
+		aloneLatencies, _, err := readAsOtherTenant(part.addr, 2*time.Second, nil)
 		if err != nil {
 			return r, err
 		}
-		var during []time.Duration
-		turned := 0
+		var burstLatencies []time.Duration
+		othersRefused := 0
 		for range rounds {
-			before := fleet.Origin.Fetches()
-			var all []burstResult
-			got, n, err := readAsOtherTenant(part.addr, time.Second, func() (err error) {
-				all, err = runBurst(part.addr, tile)
+			fetchesBefore := fleet.Origin.Fetches()
+			var results []burstResult
+			latencies, refusedNow, err := readAsOtherTenant(part.addr, time.Second, func() (err error) {
+				results, err = runBurst(part.addr, tile)
 				return err
 			})
 			if err != nil {
 				return r, err
 			}
-			during, turned = append(during, got...), turned+n
-			perTile = append(perTile, float64(fleet.Origin.Fetches()-before)/burstTiles)
+			burstLatencies, othersRefused = append(burstLatencies, latencies...), othersRefused+refusedNow
+			perTile = append(perTile, float64(fleet.Origin.Fetches()-fetchesBefore)/burstTiles)
 			tile += burstTiles
-			first := map[int]time.Duration{}
-			for _, s := range all {
-				if at, ok := first[s.tile]; s.served && (!ok || s.answeredAfter < at) {
-					first[s.tile] = s.answeredAfter
+			firstAnswer := map[int]time.Duration{}
+			for _, result := range results {
+				if at, ok := firstAnswer[result.tile]; result.served && (!ok || result.answeredAfter < at) {
+					firstAnswer[result.tile] = result.answeredAfter
 				}
 			}
-			for _, s := range all {
-				switch at, came := first[s.tile]; {
-				case s.served:
+			for _, result := range results {
+				switch at, answered := firstAnswer[result.tile]; {
+				case result.served:
 					served++
-				case came && s.deadline > at+deliveryGrace:
-					missed++
+				case answered && result.deadline > at+deliveryGrace:
+					missedInTime++
 					refused++
 				default:
 					refused++
@@ -97,59 +97,59 @@
 		}
 		r.AddValue(part.name+": reads served", float64(served))
 		r.AddValue(part.name+": reads refused", float64(refused))
-		r.AddValue(part.name+": another tenant's p99 alone, ms", milliseconds(quantile(alone, 0.99)))
-		r.AddValue(part.name+": another tenant's p99 beside a storm, ms", milliseconds(quantile(during, 0.99)))
+		r.AddValue(part.name+": another tenant's p99 alone, ms", milliseconds(quantile(aloneLatencies, 0.99)))
+		r.AddValue(part.name+": another tenant's p99 beside a storm, ms", milliseconds(quantile(burstLatencies, 0.99)))
 		if part.joined {
-			r.Equal(part.name+": another tenant's reads refused", float64(turned), 0)
+			r.Equal(part.name+": another tenant's reads refused", float64(othersRefused), 0)
 			r.AtMost(part.name+": fetches at the origin a tile", slices.Max(perTile), 1.2)
-			r.Equal(part.name+": reads that could have had their tile in time, and did not", float64(missed), 0)
+			r.Equal(part.name+": reads that could have had their tile in time, and did not", float64(missedInTime), 0)
 		} else {
-			r.AddValue(part.name+": another tenant's reads refused", float64(turned))
+			r.AddValue(part.name+": another tenant's reads refused", float64(othersRefused))
 			r.AddValue(part.name+": fetches at the origin a tile", slices.Max(perTile))
-			r.AddValue(part.name+": reads that could have had their tile in time, and did not", float64(missed))
+			r.AddValue(part.name+": reads that could have had their tile in time, and did not", float64(missedInTime))
 		}
 	}
 	e.Log("storm: the ordinary path")
-	var with, without ClosedLoopResult
+	var joinedReads, plainReads ClosedLoopResult
 	const turns = 4
-	d := time.Duration(e.Seconds) * time.Second / (2 * turns)
+	duration := time.Duration(e.Seconds) * time.Second / (2 * turns)
 	for range turns {
 		for _, part := range []struct {
 			rate *ClosedLoopResult
 			p    *Process
 			addr string
-		}{{&without, plain, bare}, {&with, p, addr}} {
-			got, err := runClosedLoop(part.p, identityWorkers, d, newTileWorker(part.addr))
+		}{{&plainReads, plainProcess, plainAddr}, {&joinedReads, process, addr}} {
+			result, err := runClosedLoop(part.p, identityWorkers, duration, newTileWorker(part.addr))
 			if err != nil {
 				return r, err
 			}
-			part.rate.add(got)
+			part.rate.add(result)
 		}
 	}
-	r.AtLeast("where nothing repeats: reads a CPU second, of those without joining", with.PerCPU()/without.PerCPU(), 0.95)
-	return r, p.Stop()
+	r.AtLeast("where nothing repeats: reads a CPU second, of those without joining", joinedReads.PerCPU()/plainReads.PerCPU(), 0.95)
+	return r, process.Stop()
 }
 
-func quantile(all []time.Duration, q float64) time.Duration {
-	if len(all) == 0 {
+func quantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(all)
-	return all[min(len(all)-1, int(q*float64(len(all))))]
+	slices.Sort(durations)
+	return durations[min(len(durations)-1, int(q*float64(len(durations))))]
 }
 
 // runBurst sends the reads of a storm at once, and tells what became of each.
-func runBurst(addr string, tile int) ([]burstResult, error) {
+func runBurst(addr string, firstTile int) ([]burstResult, error) {
 	const conns = burstReads / readsPerConnection
-	all := make([]burstResult, burstReads)
+	results := make([]burstResult, burstReads)
 	errs := make(chan error, conns)
-	var ready, g sync.WaitGroup
+	var ready, group sync.WaitGroup
 	ready.Add(conns)
-	begin := make(chan struct{})
-	var started time.Time
-	for n := range conns {
-		mine := all[n*readsPerConnection : (n+1)*readsPerConnection]
-		g.Go(func() {
+	start := make(chan struct{})
+	var startedAt time.Time
+	for c := range conns {
+		own := results[c*readsPerConnection : (c+1)*readsPerConnection]
+		group.Go(func() {
 			conn, err := net.Dial("tcp", addr)
 			ready.Done()
 			if err != nil {
@@ -157,50 +157,50 @@
 				return
 			}
 			defer conn.Close()
-			rng := rand.New(rand.NewPCG(uint64(n), uint64(tile)))
-			var b []byte
-			for i := range mine {
-				mine[i].tile = tile + (n+i)%burstTiles
-				mine[i].deadline = time.Duration(50+rng.IntN(2950)) * time.Millisecond
-				b = appendTileRead(b, mine[i].tile, fmt.Sprintf("c=tile-read,t=acme,d=%d", mine[i].deadline.Milliseconds()))
+			rng := rand.New(rand.NewPCG(uint64(c), uint64(firstTile)))
+			var commands []byte
+			for i := range own {
+				own[i].tile = firstTile + (c+i)%burstTiles
+				own[i].deadline = time.Duration(50+rng.IntN(2950)) * time.Millisecond
+				commands = appendTileRead(commands, own[i].tile, fmt.Sprintf("c=tile-read,t=acme,d=%d", own[i].deadline.Milliseconds()))
 			}
-			<-begin
+			<-start
 			conn.SetDeadline(time.Now().Add(waitTimeout))
-			if _, err := conn.Write(b); err != nil {
+			if _, err := conn.Write(commands); err != nil {
 				errs <- err
 				return
 			}
 			in := bufio.NewReader(conn)
-			for i := range mine {
-				err := readTile(in, appendTilePrefix(nil, mine[i].tile))
+			for i := range own {
+				err := readTile(in, appendTilePrefix(nil, own[i].tile))
 				if err != nil && err != errRefused {
 					errs <- fmt.Errorf("read %d: %w", i, err)
 					return
 				}
-				mine[i].served, mine[i].answeredAfter = err == nil, time.Since(started)
+				own[i].served, own[i].answeredAfter = err == nil, time.Since(startedAt)
 			}
 		})
 	}
 	ready.Wait()
-	started = time.Now()
-	close(begin)
-	g.Wait()
+	startedAt = time.Now()
+	close(start)
+	group.Wait()
 	select {
 	case err := <-errs:
 		return nil, err
 	default:
-		return all, nil
+		return results, nil
 	}
 }
 
 // readAsOtherTenant has another tenant read tiles that boxes hold, at a pace, for a time or as long as do takes, and tells how long each took.
-func readAsOtherTenant(addr string, d time.Duration, do func() error) (all []time.Duration, refused int, err error) {
+func readAsOtherTenant(addr string, duration time.Duration, do func() error) (latencies []time.Duration, refused int, err error) {
 	stop := make(chan struct{})
 	var mu sync.Mutex
 	errs := make(chan error, 9)
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	for w := range 8 {
-		g.Go(func() {
+		group.Go(func() {
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
 				errs <- err
@@ -208,7 +208,7 @@
 			}
 			defer conn.Close()
 			in := bufio.NewReader(conn)
-			var b []byte
+			var command []byte
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
@@ -216,10 +216,10 @@
 				case <-time.After(5 * time.Millisecond):
 				}
 				key := (w*7919 + i) % tileKeys
-				at := time.Now()
-				conn.SetDeadline(at.Add(waitTimeout))
-				b = appendTileRead(b[:0], key, "c=tile-read,t=rush,d=3000")
-				if _, err := conn.Write(b); err != nil {
+				sentAt := time.Now()
+				conn.SetDeadline(sentAt.Add(waitTimeout))
+				command = appendTileRead(command[:0], key, "c=tile-read,t=rush,d=3000")
+				if _, err := conn.Write(command); err != nil {
 					errs <- err
 					return
 				}
@@ -229,7 +229,7 @@
 					return
 				}
 				mu.Lock()
-				if all = append(all, time.Since(at)); err != nil {
+				if latencies = append(latencies, time.Since(sentAt)); err != nil {
 					refused++
 				}
 				mu.Unlock()
@@ -237,15 +237,15 @@
 		})
 	}
 	if do == nil {
-		time.Sleep(d)
+		time.Sleep(duration)
 	} else if err := do(); err != nil {
 		errs <- err
 	}
 	close(stop)
-	g.Wait()
+	group.Wait()
 	select {
 	case err = <-errs:
 	default:
 	}
-	return all, refused, err
+	return latencies, refused, err
 }
--- a/internal/lab/successor.go
+++ b/internal/lab/successor.go
@@ -31,8 +31,8 @@
 )
 
 // startOperation is a fleet with a process before it, which others follow or take the place of.
-func startOperation(e *Env, name string, boxes int) (*operation, func(), error) {
-	fleet, err := standin.NewFleet(boxes, 512)
+func startOperation(e *Env, name string, caches int) (*operation, func(), error) {
+	fleet, err := standin.NewFleet(caches, 512)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -46,46 +46,46 @@
 		fleet.Close()
 		return nil, nil, err
 	}
-	scratch := *e
-	scratch.Dir = dir
-	o := &operation{env: &scratch, fleet: fleet, clients: &ClientLoad{Addr: listen}, class: "tile-read"}
-	if err = o.configure(); err == nil {
-		err = o.startProcess()
+	runEnv := *e
+	runEnv.Dir = dir
+	run := &operation{env: &runEnv, fleet: fleet, clients: &ClientLoad{Addr: listen}, class: "tile-read"}
+	if err = run.configure(); err == nil {
+		err = run.startProcess()
 	}
 	if err != nil {
 		fleet.Close()
 		return nil, nil, err
 	}
-	return o, func() { o.process.Kill(); fleet.Close() }, nil
+	return run, func() { run.process.Kill(); fleet.Close() }, nil
 }
 
 // measureUpgradeCloses counts the requests that meet a connection that ends, at upgrades, for clients that come again at once or soon. They
 // look at their connection before they ask: one that does not look meets every end, whenever it comes.
 func measureUpgradeCloses(e *Env, r *Report) error {
-	for name, gap := range map[string]time.Duration{"at once": -1, "after 1 ms": time.Millisecond, "after 10 ms": 10 * time.Millisecond} {
-		o, end, err := startOperation(e, "cross", 4)
+	for name, interval := range map[string]time.Duration{"at once": -1, "after 1 ms": time.Millisecond, "after 10 ms": 10 * time.Millisecond} {
+		run, closeRun, err := startOperation(e, "cross", 4)
 		if err != nil {
 			return err
 		}
-		o.clients.Interval, o.clients.ChecksConnection = gap, true
-		o.clients.Start(upgradeClients, 200, 0)
-		err = o.clients.AwaitServed(1000)
+		run.clients.Interval, run.clients.ChecksConnection = interval, true
+		run.clients.Start(upgradeClients, 200, 0)
+		err = run.clients.AwaitServed(1000)
 		for n := 0; n < upgradeCount && err == nil; n++ {
-			old := o.process
-			if err = o.startProcess(); err != nil {
+			predecessor := run.process
+			if err = run.startProcess(); err != nil {
 				break
 			}
-			old.Stop()
-			err = o.clients.AwaitServed(1000)
+			predecessor.Stop()
+			err = run.clients.AwaitServed(1000)
 		}
-		o.clients.Stop()
-		d := o.clients
-		end()
+		run.clients.Stop()
+		load := run.clients
+		closeRun()
 		if err != nil {
 			return err
 		}
-		met := float64(d.ClosedUnread.Load()+d.ConnectionsBroken.Load()+d.ConnectionsRefused.Load()) / upgradeCount
-		r.AtMost("requests an upgrade that meet an ended connection, clients that ask again "+name, met, maxClosedPerUpgrade)
+		closed := float64(load.ClosedUnread.Load()+load.ConnectionsBroken.Load()+load.ConnectionsRefused.Load()) / upgradeCount
+		r.AtMost("requests an upgrade that meet an ended connection, clients that ask again "+name, closed, maxClosedPerUpgrade)
 	}
 	return nil
 }
@@ -95,25 +95,25 @@
 
 // compareSuccessors compares the first seconds of processes that take another's place, with what that one has learnt and without.
 func compareSuccessors(ctx context.Context, e *Env, r *Report) error {
-	var sum [2][2]readCounts // by upgrade or restart, with and without
+	var totals [2][2]readCounts // by upgrade or restart, with and without
 	for pair := range successorPairs {
-		for way, name := range []string{"upgrade", "restart"} {
-			for k := range 2 {
-				with := (k + pair) % 2 // who begins takes turns
-				got, err := measureFirstSeconds(e, name == "upgrade", with == 0, uint64(pair))
+		for kind, name := range []string{"upgrade", "restart"} {
+			for turn := range 2 {
+				variant := (turn + pair) % 2 // who begins takes turns
+				counts, err := measureFirstSeconds(e, name == "upgrade", variant == 0, uint64(pair))
 				if err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
-				s := &sum[way][with]
-				s.inTime, s.other, s.originFetches = s.inTime+got.inTime, s.other+got.other, s.originFetches+got.originFetches
+				total := &totals[kind][variant]
+				total.inTime, total.other, total.originFetches = total.inTime+counts.inTime, total.other+counts.other, total.originFetches+counts.originFetches
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
 			}
 		}
 	}
-	for way, name := range []string{"an upgrade", "a restart"} {
-		with, without := sum[way][0], sum[way][1]
+	for kind, name := range []string{"an upgrade", "a restart"} {
+		with, without := totals[kind][0], totals[kind][1]
 		r.AtLeast("reads in time in the first 5 s after "+name+", with what was learnt to without", with.inTime/without.inTime, 0.99)
 		r.AtMost("origin fetches of a read in time there, with to without", with.originFetches/with.inTime/(without.originFetches/without.inTime), 1.1)
 		r.AddValue("reads there not in time, with", with.other)
@@ -123,19 +123,19 @@
 }
 
 // measureFirstSeconds plays one start of a process under load: reads that come by a fixed plan, of keys of uneven popularity.
-func measureFirstSeconds(e *Env, upgrade, with bool, seed uint64) (got readCounts, err error) {
-	o, end, err := startOperation(e, fmt.Sprintf("heir-%t-%t-%d", upgrade, with, seed), successorCaches)
+func measureFirstSeconds(e *Env, upgrade, inheritState bool, seed uint64) (counts readCounts, err error) {
+	run, closeRun, err := startOperation(e, fmt.Sprintf("heir-%t-%t-%d", upgrade, inheritState, seed), successorCaches)
 	if err != nil {
-		return got, err
+		return counts, err
 	}
-	defer end()
-	for _, b := range o.fleet.Boxes {
+	defer closeRun()
+	for _, b := range run.fleet.Boxes {
 		b.SetService(successorCacheTime, successorCacheConcurrency)
 	}
-	o.fleet.Origin.SetService(successorFetchTime, successorFetchConcurrency)
+	run.fleet.Origin.SetService(successorFetchTime, successorFetchConcurrency)
 
-	var inTime, other atomic.Int64
-	quit := make(chan struct{})
+	var inTime, notInTime atomic.Int64
+	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for c := range successorClients {
 		clients.Go(func() {
@@ -144,7 +144,7 @@
 			var conn *redisClient
 			for n := 0; ; n++ {
 				select {
-				case <-quit:
+				case <-stop:
 					if conn != nil {
 						conn.conn.Close()
 					}
@@ -157,49 +157,49 @@
 				}
 				if conn == nil {
 					var err error
-					if conn, err = dialRedis(o.clients.Addr); err != nil {
+					if conn, err = dialRedis(run.clients.Addr); err != nil {
 						conn = nil
 						continue // nobody listens: not what is compared
 					}
 				}
-				begun := time.Now()
+				sentAt := time.Now()
 				answer, err := conn.do("OBJ.GET", fmt.Sprintf("%x", 0x1000+zipf.Uint64()), fmt.Sprintf("%08x%08x", c, n), "c=tile-read,d=3000")
 				if err != nil {
 					conn.conn.Close()
 					conn = nil
 				}
-				if err == nil && len(answer) > 0 && answer[0] != '-' && time.Since(begun) <= standin.ReadAim {
+				if err == nil && len(answer) > 0 && answer[0] != '-' && time.Since(sentAt) <= standin.ReadAim {
 					inTime.Add(1)
 				} else {
-					other.Add(1)
+					notInTime.Add(1)
 				}
 			}
 		})
 	}
-	defer func() { close(quit); clients.Wait() }()
+	defer func() { close(stop); clients.Wait() }()
 	if err := eventually("the fleet is warm", func() bool { return inTime.Load() > 8000 }); err != nil {
-		return got, err
+		return counts, err
 	}
-	old := o.process
-	if !with { // a folder in the file's place: nothing can be left there, and nothing be read
-		dirs, err := filepath.Glob(filepath.Join(filepath.Dir(o.configPath), "linenloom-*"))
-		if err != nil || len(dirs) != 1 {
-			return got, errors.Join(fmt.Errorf("%d folders to hand over by", len(dirs)), err)
+	predecessor := run.process
+	if !inheritState { // a folder in the file's place: nothing can be left there, and nothing be read
+		handoverDirs, err := filepath.Glob(filepath.Join(filepath.Dir(run.configPath), "linenloom-*"))
+		if err != nil || len(handoverDirs) != 1 {
+			return counts, errors.Join(fmt.Errorf("%d folders to hand over by", len(handoverDirs)), err)
 		}
-		if err := os.Mkdir(filepath.Join(dirs[0], "learnt"), 0o700); err != nil {
-			return got, err
+		if err := os.Mkdir(filepath.Join(handoverDirs[0], "learnt"), 0o700); err != nil {
+			return counts, err
 		}
 	}
 	if !upgrade {
-		old.Stop()
+		predecessor.Stop()
 	}
-	if err := o.startProcess(); err != nil {
-		return got, err
+	if err := run.startProcess(); err != nil {
+		return counts, err
 	}
-	before, asked, missed := o.fleet.Origin.Fetches(), inTime.Load(), other.Load()
+	fetchesBefore, inTimeBefore, notInTimeBefore := run.fleet.Origin.Fetches(), inTime.Load(), notInTime.Load()
 	if upgrade {
-		old.Stop()
+		predecessor.Stop()
 	}
 	time.Sleep(successorMeasureTime)
-	return readCounts{float64(inTime.Load() - asked), float64(other.Load() - missed), float64(o.fleet.Origin.Fetches() - before)}, nil
+	return readCounts{float64(inTime.Load() - inTimeBefore), float64(notInTime.Load() - notInTimeBefore), float64(run.fleet.Origin.Fetches() - fetchesBefore)}, nil
 }
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -49,25 +49,25 @@
 }
 
 func (z *zoneRun) String() string {
-	what, table := "silent", "one table"
+	fault, table := "silent", "one table"
 	if z.slowCaches {
-		what = "slow"
+		fault = "slow"
 	}
 	if z.crossZoneShare > 0 {
 		table = "a table by zone"
 	}
-	return fmt.Sprintf("%d proxies, %s, %s", z.proxies, table, what)
+	return fmt.Sprintf("%d proxies, %s, %s", z.proxies, table, fault)
 }
 
 // zoneCluster starts proxies before three zones whose boxes have all keys.
-func (e *Env) zoneCluster(name string, proxies int, seed uint64, crossing float64, together bool) (*cluster.Cluster, *cluster.Clients, error) {
+func (e *Env) zoneCluster(name string, proxies int, seed uint64, crossZoneShare float64, together bool) (*cluster.Cluster, *cluster.Clients, error) {
 	dir := filepath.Join(e.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
 	rules["cold_ms"] = float64(zoneWarmUpTime.Milliseconds())
-	c, err := cluster.New(cluster.Options{Zones: labZones, Boxes: zoneCaches, Proxies: proxies, Service: zoneServiceTime, Seed: seed, Crossing: crossing,
+	testCluster, err := cluster.New(cluster.Options{Zones: labZones, Boxes: zoneCaches, Proxies: proxies, Service: zoneServiceTime, Seed: seed, Crossing: crossZoneShare,
 		Origin: 60 * time.Millisecond, OriginPlaces: 24, Together: together, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
 		Set: map[string]any{"rules": rules}})
 	if err != nil {
@@ -75,89 +75,89 @@
 	}
 	const keys = 600
 	for k := range keys {
-		c.Fleet.Fill(fmt.Sprintf("k%d", k))
+		testCluster.Fleet.Fill(fmt.Sprintf("k%d", k))
 	}
-	if err := c.StartAll(); err != nil {
-		c.Close()
+	if err := testCluster.StartAll(); err != nil {
+		testCluster.Close()
 		return nil, nil, err
 	}
-	return c, c.Ask(cluster.Load{Reads: zoneReadRate / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadAim, Grace: 500 * time.Millisecond}), nil
+	return testCluster, testCluster.Ask(cluster.Load{Reads: zoneReadRate / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadAim, Grace: 500 * time.Millisecond}), nil
 }
 
 func (z *zoneRun) run(ctx context.Context, e *Env, name string) error {
-	c, clients, err := e.zoneCluster(name, z.proxies, z.seed, z.crossZoneShare, z.together)
+	testCluster, clients, err := e.zoneCluster(name, z.proxies, z.seed, z.crossZoneShare, z.together)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer testCluster.Close()
 	sleep(ctx, 4*time.Second)
-	lost := time.Now()
-	fail := func(on bool) {
-		for _, b := range c.Fleet.In("c") {
+	failedAt := time.Now()
+	setFailed := func(on bool) {
+		for _, b := range testCluster.Fleet.In("c") {
 			if z.slowCaches {
-				d := zoneServiceTime
+				serviceTime := zoneServiceTime
 				if on {
-					d *= 40
+					serviceTime *= 40
 				}
-				b.SetService(d, 0)
+				b.SetService(serviceTime, 0)
 				continue
 			}
-			for _, p := range c.Proxies {
-				c.Link(p.Name, b.ID).Both(cluster.Trouble{Cut: on})
+			for _, p := range testCluster.Proxies {
+				testCluster.Link(p.Name, b.ID).Both(cluster.Trouble{Cut: on})
 			}
 		}
 	}
-	fail(true)
+	setFailed(true)
 	outage := zoneOutage
 	if z.seed == zoneSeeds {
 		outage = zoneLongOutage
 	}
 	sleep(ctx, outage)
-	for _, b := range c.Fleet.In("c") { // other processes, with nothing
+	for _, b := range testCluster.Fleet.In("c") { // other processes, with nothing
 		b.Drop()
 		b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: zoneWarmUpTime, Rate: warmCacheRate, Multiple: 4, After: 1500 * time.Millisecond})
-		for _, p := range c.Proxies {
-			c.Link(p.Name, b.ID).Reset()
+		for _, p := range testCluster.Proxies {
+			testCluster.Link(p.Name, b.ID).Reset()
 		}
 	}
-	fail(false)
-	back := time.Now()
-	for z.recoveredAfter = math.MaxInt64; z.together && time.Since(back) < zoneRecoveryTime && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-		if v, err := c.Proxies[0].View(); err == nil && v.Zones[2].LocalShare == 1 && z.recoveredAfter == math.MaxInt64 {
-			z.recoveredAfter = time.Since(back)
+	setFailed(false)
+	recoveredAt := time.Now()
+	for z.recoveredAfter = math.MaxInt64; z.together && time.Since(recoveredAt) < zoneRecoveryTime && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
+		if view, err := testCluster.Proxies[0].View(); err == nil && view.Zones[2].LocalShare == 1 && z.recoveredAfter == math.MaxInt64 {
+			z.recoveredAfter = time.Since(recoveredAt)
 		}
 	}
 	if !z.together {
 		sleep(ctx, zoneRecoveryTime)
 	}
 	clients.Stop()
-	z.measure(c, clients, lost, back)
+	z.measure(testCluster, clients, failedAt, recoveredAt)
 	return ctx.Err()
 }
 
 // measure reads off what has been seen at both ends of the links.
-func (z *zoneRun) measure(c *cluster.Cluster, clients *cluster.Clients, lost, back time.Time) {
+func (z *zoneRun) measure(testCluster *cluster.Cluster, clients *cluster.Clients, failedAt, recoveredAt time.Time) {
 	const look = 300 * time.Millisecond // the most that goes there on trial is one read in this time
 	var first, last time.Duration = math.MaxInt64, 0
-	for _, p := range c.Proxies {
-		if c.Sent(p.Name, "c", lost.Add(-2*time.Second), lost) < 10 {
+	for _, p := range testCluster.Proxies {
+		if testCluster.Sent(p.Name, "c", failedAt.Add(-2*time.Second), failedAt) < 10 {
 			continue // it asks its own zone
 		}
-		at := lost
-		for at.Before(back) && c.Sent(p.Name, "c", at, at.Add(look)) > 2 {
-			at = at.Add(100 * time.Millisecond)
+		leftAt := failedAt
+		for leftAt.Before(recoveredAt) && testCluster.Sent(p.Name, "c", leftAt, leftAt.Add(look)) > 2 {
+			leftAt = leftAt.Add(100 * time.Millisecond)
 		}
-		first, last = min(first, at.Sub(lost)), max(last, at.Sub(lost))
-		z.attempts += float64(c.Sent(p.Name, "c", lost, lost.Add(zoneOutage)))
+		first, last = min(first, leftAt.Sub(failedAt)), max(last, leftAt.Sub(failedAt))
+		z.attempts += float64(testCluster.Sent(p.Name, "c", failedAt, failedAt.Add(zoneOutage)))
 	}
 	z.lastLeftAfter, z.leaveSpread = last, last-first
-	z.inTime, _ = clients.InTime(lost, lost.Add(2*time.Second))
-	for _, a := range clients.Asks(back, time.Now()) {
-		if a.End == cluster.Refused && !a.Order {
+	z.inTime, _ = clients.InTime(failedAt, failedAt.Add(2*time.Second))
+	for _, request := range clients.Asks(recoveredAt, time.Now()) {
+		if request.End == cluster.Refused && !request.Order {
 			z.refusedReads++
 		}
 	}
-	for _, b := range c.Fleet.Boxes {
+	for _, b := range testCluster.Fleet.Boxes {
 		if b.Fell() {
 			z.overloadedCaches++
 		}
@@ -165,46 +165,46 @@
 	z.violations = clients.Breaches()
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
 
 // Zones is the scenario of a zone that fails, before 6 and 24 proxies.
 func Zones(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "zones"}
-	var plays []*zoneRun
+	var runs []*zoneRun
 	for _, n := range []int{6, 24} {
-		for _, crossing := range []float64{0, 0.06} {
+		for _, crossZoneShare := range []float64{0, 0.06} {
 			for _, slow := range []bool{false, true} {
 				for seed := range uint64(zoneSeeds) {
 					for _, together := range []bool{true, false} {
 						if !together && seed >= zoneSeedsAlone {
 							continue
 						}
-						plays = append(plays, &zoneRun{proxies: n, seed: seed + 1, crossZoneShare: crossing, slowCaches: slow, together: together})
+						runs = append(runs, &zoneRun{proxies: n, seed: seed + 1, crossZoneShare: crossZoneShare, slowCaches: slow, together: together})
 					}
 				}
 			}
 		}
 	}
 	if e.Seconds < zoneSeeds { // a look
-		plays = slices.DeleteFunc(plays, func(z *zoneRun) bool { return z.seed > 1 || z.proxies > 6 })
+		runs = slices.DeleteFunc(runs, func(z *zoneRun) bool { return z.seed > 1 || z.proxies > 6 })
 	}
-	if err := e.runParallel(ctx, len(plays), func(i int) error {
-		z := plays[i]
-		if err := z.run(ctx, e, fmt.Sprint("zones", i)); err != nil {
-			return fmt.Errorf("%v: %w", z, err)
+	if err := e.runParallel(ctx, len(runs), func(i int) error {
+		run := runs[i]
+		if err := run.run(ctx, e, fmt.Sprint("zones", i)); err != nil {
+			return fmt.Errorf("%v: %w", run, err)
 		}
-		e.Log("%v, seed %d, together %v: left %v apart %v, spent %.0f, in time %.3f, refused %d, whole %v, fell %d %v", z, z.seed, z.together,
-			z.lastLeftAfter, z.leaveSpread, z.attempts, z.inTime, z.refusedReads, z.recoveredAfter.Round(100*time.Millisecond), z.overloadedCaches, z.violations)
+		e.Log("%v, seed %d, together %v: left %v apart %v, spent %.0f, in time %.3f, refused %d, whole %v, fell %d %v", run, run.seed, run.together,
+			run.lastLeftAfter, run.leaveSpread, run.attempts, run.inTime, run.refusedReads, run.recoveredAfter.Round(100*time.Millisecond), run.overloadedCaches, run.violations)
 		return nil
 	}); err != nil {
 		return r, err
 	}
-	addZoneClaims(r, plays)
+	addZoneClaims(r, runs)
 	for _, n := range []int{6, 24, 50} {
 		if err := e.measureInstanceCost(ctx, r, n); err != nil {
 			return r, err
@@ -213,72 +213,72 @@
 	return r, e.runOrdinaryFaults(ctx, r)
 }
 
-func (e *Env) runParallel(ctx context.Context, n int, do func(i int) error) error {
-	var g sync.WaitGroup
+func (e *Env) runParallel(ctx context.Context, n int, task func(i int) error) error {
+	var group sync.WaitGroup
 	errs := make(chan error, n)
-	room := make(chan struct{}, zoneParallelRuns)
+	slots := make(chan struct{}, zoneParallelRuns)
 	for i := range n {
-		room <- struct{}{}
+		slots <- struct{}{}
 		if ctx.Err() != nil || len(errs) > 0 {
 			break
 		}
-		g.Go(func() {
-			defer func() { <-room }()
-			if err := do(i); err != nil {
+		group.Go(func() {
+			defer func() { <-slots }()
+			if err := task(i); err != nil {
 				errs <- err
 			}
 		})
 	}
-	g.Wait()
+	group.Wait()
 	close(errs)
 	return <-errs
 }
 
-func addZoneClaims(r *Report, plays []*zoneRun) {
-	by := map[string][2][]*zoneRun{}
+func addZoneClaims(r *Report, runs []*zoneRun) {
+	runsByName := map[string][2][]*zoneRun{}
 	var names []string
-	for _, z := range plays {
+	for _, z := range runs {
 		name := z.String()
 		if !slices.Contains(names, name) {
 			names = append(names, name)
 		}
-		group := by[name]
-		at := 0
+		group := runsByName[name]
+		index := 0
 		if z.together {
-			at = 1
+			index = 1
 		}
-		group[at] = append(group[at], z)
-		by[name] = group
+		group[index] = append(group[index], z)
+		runsByName[name] = group
 	}
-	worst := func(all []*zoneRun, of func(*zoneRun) float64) (w float64) {
-		for i, z := range all {
-			if x := of(z); i == 0 || x > w {
-				w = x
+	worst := func(group []*zoneRun, value func(*zoneRun) float64) (maximum float64) {
+		for i, z := range group {
+			if v := value(z); i == 0 || v > maximum {
+				maximum = v
 			}
 		}
-		return w
+		return maximum
 	}
-	mean := func(all []*zoneRun, of func(*zoneRun) float64) (sum float64) {
-		for _, z := range all {
-			sum += of(z) / float64(len(all))
+	mean := func(group []*zoneRun, value func(*zoneRun) float64) (sum float64) {
+		for _, z := range group {
+			sum += value(z) / float64(len(group))
 		}
 		return sum
 	}
 	for _, name := range names {
-		alone, all := by[name][0], by[name][1]
-		left := func(z *zoneRun) float64 { return z.lastLeftAfter.Seconds() }
-		r.AtMost(name+": left by all after, s, at the worst", worst(all, left), 1)
-		r.AtMost(name+": the last after the first, s, at the worst", worst(all, func(z *zoneRun) float64 { return z.leaveSpread.Seconds() }), 0.3)
-		spent := func(z *zoneRun) float64 { return z.attempts }
-		r.AtMost(name+": attempts spent on it in 6 s, of those alone", mean(all, spent)/max(1, mean(alone, spent)), 1.0/3)
-		r.AtLeast(name+": in time in the first 2 s, at the worst", -worst(all, func(z *zoneRun) float64 { return -z.inTime }), 0.97)
-		r.Equal(name+": boxes pushed over on the return", worst(all, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
+		alone, together := runsByName[name][0], runsByName[name][1]
+		lastLeftAfter := func(z *zoneRun) float64 { return z.lastLeftAfter.Seconds() }
+		r.AtMost(name+": left by all after, s, at the worst", worst(together, lastLeftAfter), 1)
+		r.AtMost(name+": the last after the first, s, at the worst", worst(together, func(z *zoneRun) float64 { return z.leaveSpread.Seconds() }), 0.3)
+		attempts := func(z *zoneRun) float64 { return z.attempts }
+		r.AtMost(name+": attempts spent on it in 6 s, of those alone", mean(together, attempts)/max(1, mean(alone, attempts)), 1.0/3)
+		r.AtLeast(name+": in time in the first 2 s, at the worst", -worst(together, func(z *zoneRun) float64 { return -z.inTime }), 0.97)
+		r.Equal(name+": boxes pushed over on the return", worst(together, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
 		r.Equal(name+": boxes pushed over on the return, alone", worst(alone, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
-		r.Equal(name+": reads refused on the return, at the worst", worst(all, func(z *zoneRun) float64 { return float64(z.refusedReads) }), 0)
-		r.AtMost(name+": whole again after, s, at the worst", worst(all, func(z *zoneRun) float64 { return z.recoveredAfter.Seconds() }), zoneRecoveryTime.Seconds())
-		r.Equal(name+": rules broken", worst(append(slices.Clone(all), alone...), func(z *zoneRun) float64 { return float64(len(z.violations)) }), 0)
-		r.AddValue(name+": attempts spent on it in 6 s, mean", mean(all, spent))
-		r.AddValue(name+": alone, left after, s, at the worst", worst(alone, left))
+		r.Equal(name+": reads refused on the return, at the worst", worst(together, func(z *zoneRun) float64 { return float64(z.refusedReads) }), 0)
+		r.AtMost(name+": whole again after, s, at the worst", worst(together, func(z *zoneRun) float64 { return z.recoveredAfter.Seconds() }), zoneRecoveryTime.Seconds())
+		r.Equal(name+": rules broken", worst(append(slices.Clone(together), alone...), func(z *zoneRun) float64 { return float64(len(z.violations)) }), 0)
+		r.AddValue(name+": attempts spent on it in 6 s, mean", mean(together, attempts))
+		r.AddValue(name+": alone, left after, s, at the worst", worst(alone, lastLeftAfter))
 		r.AddValue(name+": alone, in time in the first 2 s, mean", mean(alone, func(z *zoneRun) float64 { return z.inTime }))
 	}
 }
@@ -287,33 +287,33 @@
 func (e *Env) measureInstanceCost(ctx context.Context, r *Report, n int) error {
 	const calm = 8 * time.Second
 	var p99, cpu [2]float64
-	for at, together := range []bool{false, true} {
-		c, clients, err := e.zoneCluster(fmt.Sprint("cost", n, at), n, 1, 0, together)
+	for variant, together := range []bool{false, true} {
+		testCluster, clients, err := e.zoneCluster(fmt.Sprint("cost", n, variant), n, 1, 0, together)
 		if err != nil {
 			return err
 		}
 		sleep(ctx, 3*time.Second)
-		used := func() (sum time.Duration) {
-			for _, p := range c.Proxies {
+		totalCPU := func() (sum time.Duration) {
+			for _, p := range testCluster.Proxies {
 				d, _ := (&Process{p.Process}).CPU()
 				sum += d
 			}
 			return sum
 		}
-		began, before, bytes := time.Now(), used(), c.Gossiped()
+		startedAt, cpuBefore, bytesBefore := time.Now(), totalCPU(), testCluster.Gossiped()
 		sleep(ctx, calm)
-		cpu[at] = float64(used()-before) / float64(time.Millisecond) / float64(n) / calm.Seconds()
+		cpu[variant] = float64(totalCPU()-cpuBefore) / float64(time.Millisecond) / float64(n) / calm.Seconds()
 		if together {
-			r.AddValue(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(c.Gossiped()-bytes)/float64(n)/calm.Seconds())
+			r.AddValue(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(testCluster.Gossiped()-bytesBefore)/float64(n)/calm.Seconds())
 		}
 		clients.Stop()
-		var took []time.Duration
-		for _, a := range clients.Asks(began, time.Now()) {
-			took = append(took, a.Took)
+		var latencies []time.Duration
+		for _, request := range clients.Asks(startedAt, time.Now()) {
+			latencies = append(latencies, request.Took)
 		}
-		slices.Sort(took)
-		p99[at] = took[len(took)*99/100].Seconds() * 1000
-		c.Close()
+		slices.Sort(latencies)
+		p99[variant] = latencies[len(latencies)*99/100].Seconds() * 1000
+		testCluster.Close()
 	}
 	r.AddValue(fmt.Sprintf("%d instances: CPU a second of each, ms, apart", n), cpu[0])
 	r.AddValue(fmt.Sprintf("%d instances: CPU a second of each, ms, together", n), cpu[1])
@@ -324,51 +324,51 @@
 
 // runOrdinaryFaults plays what happens every day, for which nobody may leave a zone: boxes that fail one by one, a release, all slower.
 func (e *Env) runOrdinaryFaults(ctx context.Context, r *Report) error {
-	c, clients, err := e.zoneCluster("ordinary", 6, 1, 0, true)
+	testCluster, clients, err := e.zoneCluster("ordinary", 6, 1, 0, true)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	began, next := time.Now(), 0
+	defer testCluster.Close()
+	startedAt, faults := time.Now(), 0
 	var undo func()
-	for time.Since(began) < time.Duration(e.Seconds)*ordinaryTimeFactor*time.Second && ctx.Err() == nil {
+	for time.Since(startedAt) < time.Duration(e.Seconds)*ordinaryTimeFactor*time.Second && ctx.Err() == nil {
 		if undo != nil {
 			undo()
 			sleep(ctx, 2*time.Second)
 		}
-		box := c.Fleet.Boxes[next*7%len(c.Fleet.Boxes)]
-		switch next % 6 {
+		cache := testCluster.Fleet.Boxes[faults*7%len(testCluster.Fleet.Boxes)]
+		switch faults % 6 {
 		case 0, 1, 2, 3:
-			box.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[next%4])
-			undo = func() { box.SetFault(standin.Healthy) }
+			cache.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[faults%4])
+			undo = func() { cache.SetFault(standin.Healthy) }
 		case 4: // all slower by as much as the fleet's owners have seen
-			for _, b := range c.Fleet.Boxes {
+			for _, b := range testCluster.Fleet.Boxes {
 				b.SetService(3*zoneServiceTime, 0)
 			}
 			undo = func() {
-				for _, b := range c.Fleet.Boxes {
+				for _, b := range testCluster.Fleet.Boxes {
 					b.SetService(zoneServiceTime, 0)
 				}
 			}
 		case 5: // a zone's boxes start anew, one by one, with nothing
-			for _, b := range c.Fleet.In(labZones[next%3]) {
+			for _, b := range testCluster.Fleet.In(labZones[faults%3]) {
 				b.Drop()
-				for _, p := range c.Proxies {
-					c.Link(p.Name, b.ID).Reset()
+				for _, p := range testCluster.Proxies {
+					testCluster.Link(p.Name, b.ID).Reset()
 				}
 				sleep(ctx, 500*time.Millisecond)
 			}
 			undo = nil
 		}
-		next++
+		faults++
 		sleep(ctx, 4*time.Second)
 	}
 	clients.Stop()
-	left := 0
-	for _, p := range c.Proxies {
-		left += len(p.Lines("state=leaving"))
+	zonesLeft := 0
+	for _, p := range testCluster.Proxies {
+		zonesLeft += len(p.Lines("state=leaving"))
 	}
-	r.Equal(fmt.Sprintf("zones left in %v of %d ordinary faults", time.Since(began).Round(time.Second), next), float64(left), 0)
+	r.Equal(fmt.Sprintf("zones left in %v of %d ordinary faults", time.Since(startedAt).Round(time.Second), faults), float64(zonesLeft), 0)
 	r.Equal("rules broken among ordinary faults", float64(len(clients.Breaches())), 0)
 	return ctx.Err()
 }
