--- a/cmd/linenlab/main.go
+++ b/cmd/linenlab/main.go
@@ -1,4 +1,5 @@
-// Command linenlab stages scenarios with real processes on loopback and says which of the project's claims are kept.
+// Command linenlab runs measurement scenarios with real processes on loopback and reports which of the
+// project's claims hold.
 package main
 
 import (
@@ -13,7 +14,7 @@
 	"linenloom/internal/lab"
 )
 
-// scenarios are what can be staged.
+// scenarios are the scenarios that linenlab can run, in the order in which it lists them.
 var scenarios = []struct {
 	name, about string
 	run         func(context.Context, *lab.Env) (*lab.Report, error)
@@ -37,7 +38,7 @@
 func main() { os.Exit(run(os.Args[1:])) }
 
 func usage() {
-	fmt.Fprint(os.Stderr, `usage: linenlab SCENARIO [-json] [-seconds N] [-first SEED -count N]    stage a scenario; status 1 if a claim is not kept
+	fmt.Fprint(os.Stderr, `usage: linenlab SCENARIO [-json] [-seconds N] [-first SEED -count N]    run a scenario; status 1 if a claim does not hold
        linenlab list                             name the scenarios
 Run it in the project's folder: it builds the programs that it measures.
 `)
@@ -83,11 +84,11 @@
 		return 2
 	}
 	if *count < 1 {
-		fmt.Fprintln(os.Stderr, "linenlab: -count is at least 1")
+		fmt.Fprintln(os.Stderr, "linenlab: -count must be at least 1")
 		return 2
 	}
 	if *seconds < 5 || *seconds > 3600 || flags.NArg() > 0 {
-		fmt.Fprintln(os.Stderr, "linenlab: -seconds is from 5 to 3600, and nothing follows the flags")
+		fmt.Fprintln(os.Stderr, "linenlab: -seconds must be from 5 to 3600; no arguments may follow the flags")
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo shows a newcomer what the proxy does: it starts one on an embedded fleet of stand-ins, sends it traffic,
-// lets boxes drain, stall and come back cold, and prints second by second what becomes of the requests. It is never part
-// of serving.
+// Package demo shows newcomers what the proxy does: it starts a proxy in front of a fleet of simulated
+// servers in the same process, sends traffic, lets caches drain, stall and come back cold, and prints the
+// outcomes of the requests second by second. It takes no part in serving.
 package demo
 
 import (
@@ -36,10 +36,10 @@
 	deadline      = 3 * time.Second
 )
 
-// counts are what became of the requests of a second.
+// counts counts the outcomes of the requests of one second.
 type counts struct{ asked, served, refused, late, failed atomic.Int64 }
 
-// Run is the command: it returns the exit status.
+// Run runs the demo command and returns its exit status.
 func Run(args []string) int {
 	flags := flag.NewFlagSet("linenloom demo", flag.ContinueOnError)
 	clients := flags.Int("clients", 12, "clients, each with a connection of its own")
@@ -48,7 +48,7 @@
 	case errors.Is(err, flag.ErrHelp):
 		return 0
 	case err != nil || flags.NArg() > 0 || *clients < 1 || *clients > 200 || *seconds < 0:
-		fmt.Fprintln(os.Stderr, "linenloom demo: -clients is from 1 to 200, -seconds not negative, and nothing follows")
+		fmt.Fprintln(os.Stderr, "linenloom demo: -clients must be from 1 to 200 and -seconds not negative; no other arguments are allowed")
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -91,8 +91,8 @@
 	done := make(chan error, 1)
 	go func() { done <- lbProxy.Run(serving) }()
 
-	fmt.Fprintf(out, "a proxy on %s, %d boxes, one slow origin, %d clients; Ctrl-C ends it\n", lbProxy.Addr(), cacheCount, clients)
-	fmt.Fprintln(out, "second   asked  served refused    late  failed   fetched  what happens, and why most are refused or fail")
+	fmt.Fprintf(out, "a proxy on %s, %d caches, one slow origin, %d clients; press Ctrl-C to end\n", lbProxy.Addr(), cacheCount, clients)
+	fmt.Fprintln(out, "second   asked  served refused    late  failed   fetched  event, and the most frequent reason for refusals or failures")
 	var requests counts
 	var group sync.WaitGroup
 	trafficContext, endTraffic := context.WithCancel(ctx)
@@ -121,7 +121,7 @@
 			requests.late.Swap(0), requests.failed.Swap(0), fetches-fetchedBefore, event)
 		fetchedBefore = fetches
 	}
-	fmt.Fprintln(out, "\ndraining: what was taken is answered, then the proxy ends")
+	fmt.Fprintln(out, "\ndraining: accepted requests are answered, then the proxy stops")
 	endTraffic()
 	group.Wait()
 	drain()
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// mostFrequentReason names the reason for which most requests were refused or failed.
+// mostFrequentReason returns the most frequent reason for which requests were refused or failed.
 func mostFrequentReason(c *reasons.Counts) string {
 	var mostFrequent reasons.Row
 	for _, r := range c.Rows() {
@@ -150,19 +150,19 @@
 	return fmt.Sprintf("%s %s: %s %d", mostFrequent.Class, mostFrequent.Outcome, reasons.Name(mostFrequent.Reason), mostFrequent.Count)
 }
 
-// applyEvent stages the second's event, in rounds of 20 seconds.
+// applyEvent applies the event of the given second, in cycles of 20 seconds, and returns its description.
 func applyEvent(fleet *standin.Fleet, second int) string {
 	round := second / 20
 	switch second % 20 {
 	case 4:
 		fleet.Boxes[0].SetFault(standin.Stall)
-		return fleet.Boxes[0].ID + " stalls: it takes requests and never answers"
+		return fleet.Boxes[0].ID + " stalls: it accepts requests and never answers"
 	case 8:
 		fleet.Boxes[0].SetFault(standin.Healthy)
 		return fleet.Boxes[0].ID + " answers again"
 	case 11:
 		fleet.Drain(fleet.Boxes[1])
-		return fleet.Boxes[1].ID + " drains: it gets nothing new"
+		return fleet.Boxes[1].ID + " drains: it gets no new requests"
 	case 13:
 		removed := fleet.Boxes[1]
 		fleet.Boxes = append(fleet.Boxes[:1], fleet.Boxes[2:]...)
@@ -183,7 +183,7 @@
 	return ""
 }
 
-// runClient asks for one tile after another, and for a pass now and then.
+// runClient reads one tile after another and sends an order now and then.
 func runClient(ctx context.Context, addr string, index int, requests *counts) {
 	rng := rand.New(rand.NewPCG(1, uint64(index)))
 	keyPopularity := rand.NewZipf(rng, 1.1, 4, keyCount-1)
@@ -235,7 +235,7 @@
 	}
 }
 
-// readAnswer reads an answer whole and returns its first line.
+// readAnswer reads a full answer and returns its first line.
 func readAnswer(in *bufio.Reader) (string, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// outputWatcher is what has been printed; a line that matches closes seen.
+// outputWatcher collects the output and closes matched once the output matches the pattern.
 type outputWatcher struct {
 	mu      sync.Mutex
 	text    strings.Builder
@@ -28,7 +28,7 @@
 	return len(b), nil
 }
 
-// It serves, says so, and ends cleanly when it is told to.
+// The demo serves requests, prints their numbers, and ends cleanly when its context is cancelled.
 func TestRunDemo(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -11,23 +11,24 @@
 	"linenloom/internal/standin"
 )
 
-// requestsPerCase is how often each case of the answers scenario is played.
+// requestsPerCase is the number of refused or failed requests measured in each case of the answers scenario.
 const requestsPerCase = 20
 
-// maxAnswerDelay is how long after the last outcome a final answer may come.
+// maxAnswerDelay bounds the time from the last attempt's outcome to the final answer.
 const maxAnswerDelay = 50 * time.Millisecond
 
-// answerCase is a way for a request to be given up.
+// answerCase is one fault that makes the proxy give up a request.
 type answerCase struct {
 	name  string
 	write bool
-	// injectFault stages it on a fleet that is well.
+	// injectFault makes a healthy fleet fail in the way that the case needs.
 	injectFault func(*standin.Fleet)
-	wantPrefix  string // what the answer begins with
-	// deadline is how long the client waits, where the answer is due by then; 0: until long after.
+	wantPrefix  string // start of the expected answer
+	// deadline is the client's deadline if the answer is due only when it expires. 0: a deadline too long to
+	// matter.
 	deadline   time.Duration
-	someServed bool   // some are served: those don't count
-	onlyFronts string // the front that it can be staged on; "": all
+	someServed bool   // the proxy may serve some requests; these are not counted
+	onlyFronts string // names of the front ends that the case applies to; "": all
 }
 
 var answerCases = []answerCase{
@@ -61,8 +62,8 @@
 	{name: "read, missed, and the origin resets", write: false, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Reset) }, wantPrefix: "-BUSY"},
 }
 
-// Answers is the scenario of requests that are given up: how long after the last outcome the client has its final answer,
-// on both fronts, at light load.
+// Answers runs the scenario of requests that the proxy gives up: how long after the outcome of the last
+// attempt the client receives the final answer, through both front ends and at light load.
 func Answers(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "answers"}
 	for _, front := range []string{"RESP2", "answer", "route"} {
@@ -95,7 +96,7 @@
 	return r, ctx.Err()
 }
 
-// measureAnswerDelay plays a case and tells the longest time from the last outcome to the final answer.
+// measureAnswerDelay runs a case and returns the longest time from the last outcome to the final answer.
 func (e *Env) measureAnswerDelay(ctx context.Context, name, front string, testCase answerCase) (worst time.Duration, err error) {
 	fleet, err := standin.NewFleet(3, 64)
 	if err != nil {
@@ -157,7 +158,7 @@
 	}
 	defer process.Kill()
 	warmUpRequests := 0
-	if err := eventually("one is served", func() bool {
+	if err := eventually("a request is served", func() bool {
 		warmUpRequests++
 		answer, err := request(fmt.Sprint("warm", warmUpRequests), fmt.Sprint(name, "-w", warmUpRequests))
 		return err == nil && !strings.HasPrefix(answer, "-")
@@ -168,12 +169,12 @@
 	givenUp := 0
 	for i := 0; givenUp < requestsPerCase; i++ {
 		if i == 10*requestsPerCase {
-			return 0, fmt.Errorf("only %d of %d answers are %s", givenUp, i, testCase.wantPrefix)
+			return 0, fmt.Errorf("only %d of %d answers begin with %s", givenUp, i, testCase.wantPrefix)
 		}
-		// With time between them, as at light load; the retry budget is not what is measured.
+		// Spaced out as at light load, so that the retry budget has no influence on the result.
 		time.Sleep(20 * time.Millisecond)
 		sentAt := time.Now()
-		lastOutcome := sentAt // its coming counts too, where it is refused unsent
+		lastOutcome := sentAt // a request refused before any attempt counts from its sending
 		answer, err := request(fmt.Sprint("a", i), fmt.Sprint(name, "-", i))
 		answeredAt := time.Now()
 		if err != nil {
@@ -184,12 +185,13 @@
 		}
 		givenUp++
 		if !strings.HasPrefix(answer, testCase.wantPrefix) {
-			return 0, fmt.Errorf("answered %q, want %s", answer, testCase.wantPrefix)
+			return 0, fmt.Errorf("answered %q, want prefix %s", answer, testCase.wantPrefix)
 		}
 		if at := fleet.Last(); at.After(lastOutcome) {
 			lastOutcome = at
 		}
-		if testCase.deadline > 0 { // boxes that stall never end: it is due when its client gives up
+		// Attempts at stalled caches have no outcome; the answer is due at the client's deadline.
+		if testCase.deadline > 0 {
 			lastOutcome = sentAt.Add(testCase.deadline)
 		}
 		worst = max(worst, answeredAt.Sub(lastOutcome))
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -17,8 +17,8 @@
 	"google.golang.org/grpc"
 )
 
-// Serve serves a baseline, as ServeVariable says, until the process is ended. It uses one core and lets the heap grow
-// as the proxy does, so that the two differ in what they do and not in how they are set up.
+// Serve runs the baseline that ServeVariable describes until the process ends. It uses one core and the proxy's
+// garbage collector setting, so that only the work done per request differs from the proxy.
 func Serve(spec string) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
@@ -35,11 +35,12 @@
 	case len(fields) == 3 && fields[0] == "relay":
 		return serveRelay(fields[1], fields[2])
 	}
-	return fmt.Errorf("%s=%q: want \"bare ADDR\", \"bareanswer ADDR BYTES\" or \"relay ADDR TARGET\"", ServeVariable, spec)
+	return fmt.Errorf("%s=%q: expected \"bare ADDR\", \"bareanswer ADDR BYTES\" or \"relay ADDR TARGET\"", ServeVariable, spec)
 }
 
-// bareProcessor answers every message with one fixed mutation, or the first with a fixed value, which ends the exchange: the least
-// that an external processor can do.
+// bareProcessor is the cheapest possible external processor: it answers every message with one fixed header
+// mutation or, if value is set, the first message with that value as immediate response, which ends the
+// stream.
 type bareProcessor struct {
 	extprocv3.UnimplementedExternalProcessorServer
 	value []byte
@@ -83,8 +84,8 @@
 	}
 }
 
-// serveRelay joins each connection to one of its own to the target, and copies bytes both ways with reads and writes:
-// the least that a proxy in this language can do on the same sockets.
+// serveRelay opens a connection to the target for each accepted one and copies bytes in both directions with
+// read and write calls: the cheapest possible proxy in Go on the same sockets.
 func serveRelay(addr, target string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -109,7 +110,8 @@
 	}
 }
 
-// copyBytes hides the connections' own ways of copying, which would leave out reads and writes altogether.
+// copyBytes hides the ReadFrom and WriteTo methods of the connections, which would splice in the kernel
+// without read and write calls.
 func copyBytes(to, from net.Conn) {
 	io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, 4096))
 }
--- a/internal/lab/claims.go
+++ b/internal/lab/claims.go
@@ -7,41 +7,41 @@
 	"text/tabwriter"
 )
 
-// Claim is one thing that a scenario says of the program, and whether it is kept.
+// Claim is one statement that a scenario checks about the program, and whether it holds.
 type Claim struct {
 	Name  string  `json:"claim"`
 	Value float64 `json:"figure"`
-	Bound string  `json:"bound"` // "" for a figure that is only told
+	Bound string  `json:"bound"` // "" for a value without a claim
 	Holds bool    `json:"kept"`
 }
 
-// Report is a scenario's claims, with the figures that stand beside them.
+// Report lists the claims of a scenario together with values that carry no claim.
 type Report struct {
 	Scenario string  `json:"scenario"`
 	Claims   []Claim `json:"claims"`
 }
 
-// AtMost, AtLeast and Equal add claims; Tell adds a figure that nothing is claimed of.
+// AtMost claims that the value does not exceed the bound.
 func (r *Report) AtMost(claim string, figure, bound float64) {
 	r.Claims = append(r.Claims, Claim{claim, figure, fmt.Sprintf("<= %g", bound), figure <= bound})
 }
 
-// AtLeast claims that the figure is not under the bound.
+// AtLeast claims that the value is not below the bound.
 func (r *Report) AtLeast(claim string, figure, bound float64) {
 	r.Claims = append(r.Claims, Claim{claim, figure, fmt.Sprintf(">= %g", bound), figure >= bound})
 }
 
-// Equal claims that the figure is exactly that.
+// Equal claims that the value equals want.
 func (r *Report) Equal(claim string, figure, want float64) {
 	r.Claims = append(r.Claims, Claim{claim, figure, fmt.Sprintf("= %g", want), figure == want})
 }
 
-// AddValue adds a figure.
+// AddValue adds a value that is reported without a claim.
 func (r *Report) AddValue(what string, figure float64) {
 	r.Claims = append(r.Claims, Claim{what, figure, "", true})
 }
 
-// AllHold tells whether all claims are kept.
+// AllHold reports whether every claim holds.
 func (r *Report) AllHold() bool {
 	for _, c := range r.Claims {
 		if !c.Holds {
@@ -51,7 +51,7 @@
 	return true
 }
 
-// Print writes the table, or JSON.
+// Print writes the report as a table or as JSON.
 func (r *Report) Print(w io.Writer, asJSON bool) error {
 	if asJSON {
 		e := json.NewEncoder(w)
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -12,8 +12,9 @@
 	"linenloom/internal/standin"
 )
 
-// concurrentCase is a way for many reads at once to be given up. It tells the longest time from when an answer was due, and how
-// many reads were given up in that way.
+// concurrentCase is a situation in which the proxy gives up many concurrent reads. Its run returns the
+// longest delay of an answer past the time when it was due, and the number of reads refused for the reason in
+// question.
 type concurrentCase struct {
 	name string
 	run  func(*Env) (worst time.Duration, n int, err error)
@@ -34,7 +35,7 @@
 	{"no candidate has room (no_room)", (*Env).measureNoCapacity},
 }
 
-// startWarmProxy starts a proxy before a fleet.
+// startWarmProxy starts a proxy in front of a new fleet and warms it up.
 func (e *Env) startWarmProxy(name string, caches int) (*standin.Fleet, *Process, string, error) {
 	fleet, err := standin.NewFleet(caches, 64)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return fleet, process, addr, nil
 }
 
-// warmUp has a few clients read what every box holds, so that the proxy knows its boxes.
+// warmUp reads a key that every cache holds from a few clients, so that the proxy has statistics of its caches.
 func warmUp(fleet *standin.Fleet, addr, name string) error {
 	fleet.Fill("warm")
 	for round := range 40 {
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// stopAndCountRefused ends a proxy and tells how many reads it says to have refused for a reason.
+// stopAndCountRefused stops the proxy and returns the number of reads that its log reports as refused for the
+// reason.
 func stopAndCountRefused(process *Process, reason string) (n int, err error) {
 	if err := process.Stop(); err != nil {
 		return 0, err
@@ -91,14 +93,14 @@
 	return n, nil
 }
 
-// concurrentRead is one read of a crowd.
+// concurrentRead is one of a set of concurrent reads.
 type concurrentRead struct {
 	sentAt, answeredAt time.Time
 	answer             string
 	id                 string
 }
 
-// readConcurrently makes reads at once, on a connection each.
+// readConcurrently sends n reads at the same time, each on its own connection.
 func readConcurrently(addr, name string, n int, key func(int) string, onAnswer func()) ([]concurrentRead, error) {
 	reads := make([]concurrentRead, n)
 	errs := make([]error, n)
@@ -122,8 +124,8 @@
 	return reads, errors.Join(errs...)
 }
 
-// measureRemoval has reads wait for an origin that stalls, takes what they wait for off the list, and tells how long after that
-// the last of those that were not out at the origin had its answer.
+// measureRemoval makes reads wait for a stalled origin, removes the members that they wait for from the list,
+// and returns the time from the removal to the last answer among the reads that the origin had not received.
 func (e *Env) measureRemoval(name string, key func(int) string, remove func(*standin.Fleet)) (worst time.Duration, refused int, err error) {
 	fleet, process, addr, err := e.startWarmProxy(name, 3)
 	if err != nil {
@@ -133,7 +135,7 @@
 	defer process.Kill()
 	fleet.Origin.SetFault(standin.Stall)
 	const crowd = 24
-	var refusedEarly atomic.Int32 // refused before, for want of room
+	var refusedEarly atomic.Int32 // refused before the removal, for lack of capacity
 	var membersRemoved atomic.Bool
 	var reads []concurrentRead
 	var readError error
@@ -154,10 +156,10 @@
 		}
 		return n >= crowd || key(0) == key(1) && fleet.Origin.Began() > 0
 	}
-	if err := eventually("every read waits", allWaiting); err != nil {
+	if err := eventually("all reads are waiting", allWaiting); err != nil {
 		return 0, 0, err
 	}
-	time.Sleep(20 * time.Millisecond) // what has missed comes to the origin, or into line
+	time.Sleep(20 * time.Millisecond) // until reads that missed have reached the origin or its queue
 	stalled := fleet.Origin.Began()
 	membersRemoved.Store(true)
 	removedAt := time.Now()
@@ -166,20 +168,21 @@
 	if readError != nil {
 		return 0, 0, readError
 	}
-	// Those that the origin has already are out, and wait on; they are the last to hear.
+	// Reads that the origin has already received stay outstanding, so they are the last to be answered.
 	slices.SortFunc(reads, func(a, b concurrentRead) int { return a.answeredAt.Compare(b.answeredAt) })
 	if refused = crowd - stalled - int(refusedEarly.Load()); refused <= 0 {
-		return 0, 0, fmt.Errorf("no read waited: %d at the origin, %d refused before", stalled, refusedEarly.Load())
+		return 0, 0, fmt.Errorf("no read was waiting: %d at the origin, %d refused before the removal", stalled, refusedEarly.Load())
 	}
 	counted, err := stopAndCountRefused(process, "no_member")
 	if err == nil && counted < refused {
-		err = fmt.Errorf("%d reads were refused for no_member, want %d", counted, refused)
+		err = fmt.Errorf("%d reads were refused for no_member, want at least %d", counted, refused)
 	}
 	return reads[crowd-stalled-1].answeredAt.Sub(removedAt), refused, err
 }
 
-// measureFullQueue puts more reads in line for a slow origin than it can answer before their aim, and tells how far past it the
-// last refusal came. The time between the aim's passing and the answer is what counts; a refusal may well come sooner.
+// measureFullQueue queues more reads for a slow origin than it can answer within their latency target, and
+// returns how long past that target the last refusal came. A refusal may come earlier; only the time past the
+// target counts.
 func (e *Env) measureFullQueue() (worst time.Duration, refused int, err error) {
 	fleet, process, addr, err := e.startWarmProxy("full", 3)
 	if err != nil {
@@ -200,13 +203,13 @@
 	}
 	refused, err = stopAndCountRefused(process, "origin_line")
 	if err == nil && refused == 0 {
-		err = fmt.Errorf("no read was refused for the line: %v", process.Reasons())
+		err = fmt.Errorf("no read was refused for origin_line: %v", process.Reasons())
 	}
 	return worst, refused, err
 }
 
-// measureNoCapacity has boxes answer so slowly that the limits at them fall, and tells how long after it was asked the slowest of the
-// reads was refused that no box has heard of.
+// measureNoCapacity slows the caches down until their concurrency limits fall, and returns the longest time
+// from sending to refusal among the reads that no cache received.
 func (e *Env) measureNoCapacity() (worst time.Duration, refused int, err error) {
 	fleet, process, addr, err := e.startWarmProxy("room", 8)
 	if err != nil {
@@ -230,8 +233,8 @@
 			mu.Unlock()
 		})
 	}
-	// The limits fall by a fifth a round, and have to be under the connections to a box: else reads wait for one of those,
-	// unheard of by any box as well, and not given up.
+	// The limits fall by a fifth each round and have to get below the number of connections to a cache.
+	// Otherwise reads wait for a connection, which no cache sees either, and are not refused.
 	const falls, measured = 14, 4
 	for round := range falls + measured {
 		reads, err := readConcurrently(addr, fmt.Sprint("room", round), roomReads, func(i int) string { return keys[i] }, func() {})
@@ -252,7 +255,7 @@
 	}
 	counted, err := stopAndCountRefused(process, "no_room")
 	if err == nil && (counted == 0 || refused == 0) {
-		err = fmt.Errorf("%d reads were refused for no_room, %d of them unsent: %v", counted, refused, process.Reasons())
+		err = fmt.Errorf("%d reads were refused for no_room, %d reads refused before any attempt: %v", counted, refused, process.Reasons())
 	}
 	return worst, refused, err
 }
--- a/internal/lab/door.go
+++ b/internal/lab/door.go
@@ -11,29 +11,33 @@
 	"linenloom/internal/mgmt"
 )
 
-// ClientLoad is clients that keep asking at one address, one request after another each, and what they met there. Half of them
-// open a new connection for every third request, the others use theirs for as long as it stays open. A request that
-// crosses the close of a connection between requests goes out once more.
+// ClientLoad is a set of clients that send requests to one address, one at a time each, and counts their
+// outcomes. Half of them open a new connection for every third request, the others keep theirs for as long as
+// it stays open. A request on a connection that the server closed before reading it is sent once more.
 type ClientLoad struct {
 	Addr     string
-	Interval time.Duration // between an answer and a client's next request; 0: a millisecond; below 0: none
-	// ChecksConnection has clients look whether their connection has ended before they ask on it, as pools of connections do.
+	Interval time.Duration // between an answer and the client's next request; 0: a millisecond; below 0: none
+	// ChecksConnection makes clients check that the server has not closed the connection before they send on
+	// it, as connection pools do.
 	ChecksConnection bool
 
-	Served, Refused, Failed                             atomic.Int64
-	Late                                                atomic.Int64 // answers past the time that the client waits
-	ConnectionsRefused, ConnectionsBroken, ClosedUnread atomic.Int64 // connections refused; broken under a request; closed over one that was not read
-	lastAnswer, longestGap                              atomic.Int64 // the latest answer, and the longest time between two, in nanoseconds
-	class                                               atomic.Value // of reads; nil: the usual one
-	lastOrder                                           atomic.Int64
-	mu                                                  sync.Mutex
-	unansweredOrders                                    []string
-	stop                                                chan struct{}
-	clients                                             sync.WaitGroup
-	lastID                                              atomic.Int64
+	Served, Refused, Failed atomic.Int64
+	Late                    atomic.Int64 // answers after clientTimeout
+	// Connections refused, connections broken during a request, and connections closed before the request was
+	// read.
+	ConnectionsRefused, ConnectionsBroken, ClosedUnread atomic.Int64
+	// Time of the latest answer and longest time between two answers, in nanoseconds.
+	lastAnswer, longestGap atomic.Int64
+	class                  atomic.Value // class of the reads; nil: tile-read
+	lastOrder              atomic.Int64
+	mu                     sync.Mutex
+	unansweredOrders       []string
+	stop                   chan struct{}
+	clients                sync.WaitGroup
+	lastID                 atomic.Int64
 }
 
-// clientTimeout is how long its clients wait.
+// clientTimeout is the time after which an answer counts as late.
 const clientTimeout = 3 * time.Second
 
 // Start starts the clients. Every orderEvery-th request is an order; 0: none.
@@ -45,22 +49,23 @@
 	}
 }
 
-// SetClass names the class of the reads from now on.
+// SetClass sets the class of subsequent reads.
 func (d *ClientLoad) SetClass(name string) { d.class.Store(name) }
 
-// Stop ends them.
+// Stop stops the clients and waits for them.
 func (d *ClientLoad) Stop() {
 	close(d.stop)
 	d.clients.Wait()
 }
 
-// AwaitServed waits until so many more are served.
+// AwaitServed waits until n more requests have been served.
 func (d *ClientLoad) AwaitServed(n int64) error {
 	from := d.Served.Load()
 	return eventually("requests are served", func() bool { return d.Served.Load() >= from+n })
 }
 
-// LongestGap is the longest time between two answers to any client, since it was last asked.
+// LongestGap returns the longest time between two consecutive answers to any of the clients since its last
+// call.
 func (d *ClientLoad) LongestGap() time.Duration { return time.Duration(d.longestGap.Swap(0)) }
 
 func (d *ClientLoad) runClient(client, keys, orderEvery int) {
@@ -72,7 +77,7 @@
 				conn.conn.Close()
 			}
 			return
-		case <-intervalTimer(d.Interval): // between requests
+		case <-intervalTimer(d.Interval):
 		}
 		if conn != nil && d.ChecksConnection && conn.closedByPeer() {
 			conn.conn.Close()
@@ -97,7 +102,7 @@
 				conn.conn.Close()
 				conn = nil
 				switch {
-				case err == io.EOF && words[0] == "OBJ.SET": // the process may have been killed with it in hand
+				case err == io.EOF && words[0] == "OBJ.SET": // the process may have been killed after it read the order
 					d.addUnanswered(words[1])
 				case err == io.EOF && !repeated:
 					d.ClosedUnread.Add(1)
@@ -155,14 +160,15 @@
 	}
 }
 
-// addUnanswered notes an order whose connection ended without an answer. It is not sent again.
+// addUnanswered records an order whose connection ended without an answer. It is not sent again.
 func (d *ClientLoad) addUnanswered(key string) {
 	d.mu.Lock()
 	d.unansweredOrders = append(d.unansweredOrders, key)
 	d.mu.Unlock()
 }
 
-// UnansweredOrders is the keys of the orders whose connections ended without an answer, since it was last asked.
+// UnansweredOrders returns the keys of the orders whose connections ended without an answer since its last
+// call.
 func (d *ClientLoad) UnansweredOrders() (keys []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,9 +176,9 @@
 	return keys
 }
 
-// Call makes an operator's call and tells its status (0: nobody answered) and how long it took.
+// Call sends a management request and returns its status, 0 if there was no answer, and the time that it took.
 func Call(method, addr, path, body string) (status int, elapsed time.Duration) {
 	start := time.Now()
-	status, _, _ = mgmt.Call(method, addr, path, body, waitTimeout) // 0 where it fails
+	status, _, _ = mgmt.Call(method, addr, path, body, waitTimeout) // the status is 0 on an error
 	return status, time.Since(start)
 }
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -16,7 +16,7 @@
 
 const rootRotations = 4
 
-// tlsSettings is what the operator's file says of an authority.
+// tlsSettings returns the operator's settings for TLS with certificates of the authority.
 func tlsSettings(authority *standin.Authority) string {
 	return fmt.Sprintf("[identity.tls]\ncert = %q\nkey = %q\nroots = %q\nhandshakes_per_s = 5000\n[[identity.certificate]]\ndns = \"*.acme.example\"\n"+
 		"tenant = \"acme\"\n", authority.Path("cert.pem"), authority.Path("key.pem"), authority.Path("roots.pem"))
@@ -33,7 +33,8 @@
 	return &authClient{conn: conn, in: bufio.NewReader(conn), idPrefix: name}, nil
 }
 
-// measureTLS is callers proven by certificates: what TLS costs, and roots that change under load.
+// measureTLS runs the part with client certificates: the cost of TLS, and root certificates that rotate under
+// load.
 func (e *Env) measureTLS(r *Report, fleet *standin.Fleet, plainAddr string, plainProcess *Process) error {
 	authority, err := standin.NewAuthority(e.Dir, rootRotations+1)
 	if err != nil {
@@ -53,9 +54,10 @@
 	return process.Stop()
 }
 
-// measureTLSCost compares reads over TLS, on connections that stand and on one for each read, with those of a proxy that speaks plainly.
+// measureTLSCost compares reads over TLS with those of a proxy without TLS, both on persistent connections
+// and on a new connection for each read.
 func (e *Env) measureTLSCost(r *Report, authority *standin.Authority, addr string, process *Process, plainAddr string, plainProcess *Process) error {
-	e.Log("identity: what TLS costs")
+	e.Log("identity: cost of TLS")
 	tlsConfig, err := authority.Config(authority.Roots[0], clientDNSName)
 	if err != nil {
 		return err
@@ -98,7 +100,7 @@
 		}{{&plainReads, plainProcess, dialPlain, false}, {&tlsReads, process, dialSecure, false}, {&plainConnections, plainProcess, dialPlain, true}, {&tlsConnections, process, dialSecure, true}} {
 			result, err := runClosedLoop(part.p, identityWorkers, duration, newReads("door", part.dial, part.newConnectionPerRead))
 			if err != nil {
-				return fmt.Errorf("TLS %v, a connection for each %v: %w", part.p == process, part.newConnectionPerRead, err)
+				return fmt.Errorf("reads with TLS %v, a new connection for each %v: %w", part.p == process, part.newConnectionPerRead, err)
 			}
 			part.rate.add(result)
 		}
@@ -109,11 +111,12 @@
 	return nil
 }
 
-// rotateRoots changes the roots several times while callers go on: each takes the next root's certificate while both count, as long as
-// its connection stands or when it is told of its end. What is asked on a connection is answered, or finds its end before it was read.
+// rotateRoots replaces the root certificate several times under load. Clients switch to a certificate of the
+// next root while both roots are valid; a connection lasts until it is closed or an answer announces its end.
+// Every request is either answered or sees the end of the connection before the proxy has read it.
 func (e *Env) rotateRoots(r *Report, authority *standin.Authority, addr string) error {
-	e.Log("identity: roots that change under load")
-	var usedRoot, firstValidRoot atomic.Int32 // the root to come by; those before it don't count
+	e.Log("identity: rotation of roots under load")
+	var usedRoot, firstValidRoot atomic.Int32 // the root that new clients use, and the first one that is valid
 	var served, refused, endsAnnounced, connectionsEnded, connectionsRefused atomic.Int64
 	var firstError atomic.Pointer[error]
 	stop := make(chan struct{})
@@ -142,7 +145,7 @@
 					default:
 					}
 					line, err := client.read((w*7919+i)%tileKeys, "")
-					if err != nil { // the end of the connection; a read is safe to send again
+					if err != nil { // the connection was closed; a read can safely be sent again
 						connectionsEnded.Add(1)
 						break
 					}
@@ -150,7 +153,8 @@
 						served.Add(1)
 						continue
 					}
-					if strings.HasPrefix(line, "-WRONGPASS") && root < firstValidRoot.Load() { // told by an answer before the end
+					// Announced by an answer before the close.
+					if strings.HasPrefix(line, "-WRONGPASS") && root < firstValidRoot.Load() {
 						endsAnnounced.Add(1)
 						connectionsEnded.Add(1)
 						break
@@ -179,9 +183,12 @@
 		if err := authority.Publish(currentRoot, nextRoot); err != nil {
 			return err
 		}
-		for end := time.Now().Add(roundTime / 2); time.Now().Before(end); time.Sleep(200 * time.Millisecond) { // longer than a process takes to look
-			if _, err := oldClient.read(1, ""); err != nil { // one that stands idle is closed for that, and would be taken for the root's end
-				return fmt.Errorf("a connection by a root that is in force: %w", err)
+		// Longer than the process's interval for checking the files.
+		for end := time.Now().Add(roundTime / 2); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+			// The reads keep the connection from being closed as idle, which would look like the removal of
+			// its root.
+			if _, err := oldClient.read(1, ""); err != nil {
+				return fmt.Errorf("a connection with a certificate of a valid root: %w", err)
 			}
 		}
 		usedRoot.Store(int32(round + 1))
@@ -196,7 +203,7 @@
 			case err != nil:
 				ended = true
 			case time.Since(removedAt) > waitTimeout:
-				return fmt.Errorf("a connection by a root that is gone stands for good, answered %q", line)
+				return fmt.Errorf("a connection with a certificate of a removed root stays open, last answer %q", line)
 			}
 		}
 		longestToEnd = max(longestToEnd, time.Since(removedAt))
@@ -226,9 +233,10 @@
 	return nil
 }
 
-// measureProcessorTokenCost compares exchanges with the external processor by a token in each call with those at one that asks nobody.
+// measureProcessorTokenCost compares exchanges with the external processor that carry a token with exchanges
+// at a processor without authentication.
 func (e *Env) measureProcessorTokenCost(ctx context.Context, r *Report, tokenIssuer *issuer, fleet *standin.Fleet) error {
-	e.Log("identity: what a proof costs at the processor")
+	e.Log("identity: cost of a token at the external processor")
 	token, err := tokenIssuer.token("")
 	if err != nil {
 		return err
--- a/internal/lab/explore.go
+++ b/internal/lab/explore.go
@@ -9,14 +9,14 @@
 	"linenloom/internal/explore"
 )
 
-// exploreDepth is how many events in a row are tried in every order, and exploreStepsPerSecond bounds the work for a scene by the
-// scenario's seconds.
+// exploreDepth is the number of consecutive events that are tried in every order. exploreStepsPerSecond times
+// the seconds of the scenario bounds the work for a scene.
 const (
 	exploreDepth          = 6
-	exploreStepsPerSecond = 6000 // a second, about what a core gets through
+	exploreStepsPerSecond = 6000 // about what one core processes
 )
 
-// Explore is the scenario of the model checker: the scenes of internal/explore, deeper than the tests go.
+// Explore runs the model checker on the scenes of internal/explore, to a greater depth than the tests.
 func Explore(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "explore"}
 	scenes := explore.Scenes()
@@ -49,7 +49,7 @@
 		r.AddValue(name+": every order up to the depth", exhaustive)
 		r.Equal(name+": faults", float64(len(result.Faults)), 0)
 	}
-	e.Log("explore: the fleet's verdict on zones")
+	e.Log("explore: agreement of instances on zones")
 	result := explore.Explore(func() explore.Model { return explore.NewFleet(explore.FleetScene{}) },
 		explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreStepsPerSecond / 6})
 	for _, f := range result.Faults {
--- a/internal/lab/extproc.go
+++ b/internal/lab/extproc.go
@@ -19,7 +19,8 @@
 	"linenloom/internal/standin"
 )
 
-// cacheReader reads a box's answers whole, so that a relay is measured on the same exchanges as the proxy.
+// cacheReader reads the full answers of a cache, so that a relay is measured on the same exchanges as the
+// proxy.
 type cacheReader struct{ in *bufio.Reader }
 
 func newCacheReader(conn net.Conn) *cacheReader { return &cacheReader{bufio.NewReader(conn)} }
@@ -34,7 +35,7 @@
 	if _, err := c.conn.Write(out); err != nil {
 		return err
 	}
-	for range 4 { // the array's head, the value, how it went, the report
+	for range 4 { // the array's head, the value, the result, the report
 		line, err := b.in.ReadSlice('\n')
 		if err != nil {
 			return err
@@ -54,10 +55,10 @@
 	return nil
 }
 
-// loadKeys is how many keys the loads read; every box holds them all.
+// loadKeys is the number of keys that the load generators read; every cache holds all of them.
 const loadKeys = 200
 
-// newFilledFleet is a fleet whose every box holds the values of so many keys.
+// newFilledFleet starts a fleet in which every cache holds values for the given number of keys.
 func newFilledFleet(boxes, size, held int) (*standin.Fleet, error) {
 	fleet, err := standin.NewFleet(boxes, size)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return fleet, nil
 }
 
-// startProcessor starts linenproc before a fleet.
+// startProcessor starts linenproc in front of a fleet.
 func (e *Env) startProcessor(name string, fleet *standin.Fleet, redis, listen, mode, messageTimeout string) (*Process, error) {
 	return e.startProcessorWith(name, fleet, redis, OperatorFile(listen, mode, messageTimeout))
 }
@@ -92,8 +93,8 @@
 	return Start("extproc listens", []string{"LB_CONFIG=" + config}, e.Bin+"/linenproc", "-operator", file)
 }
 
-// ExtProc is the scenario of the external processor: the same choices as RESP2's, the program killed under load, and
-// what a call costs.
+// ExtProc runs the scenario of the external processor: whether it chooses the same members as the RESP2 front
+// end, kills under load, and the cost of a call.
 func ExtProc(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "extproc"}
 	for _, part := range []struct {
@@ -146,8 +147,9 @@
 	return nil
 }
 
-// killUnderLoad sends 500 requests a second through a caller for the scenario's time, in each mode, while the processor is
-// killed and started again now and then; once as most callers send bodies, and once in full duplex.
+// killUnderLoad sends 500 requests a second through a caller for the scenario's duration, in each mode, while
+// the processor is killed and restarted at intervals; once with bodies sent as most callers do and once in
+// full duplex.
 func killUnderLoad(ctx context.Context, e *Env, r *Report) error {
 	for _, duplex := range []bool{false, true} {
 		if err := killUnderLoadWith(ctx, e, r, duplex); err != nil {
@@ -212,7 +214,8 @@
 					if i%5 == 4 {
 						method, path, body = "PUT", fmt.Sprint("/orders/o", i), []byte("one pass, adult")
 					}
-					// The caller keeps the client's time; the margin is for the client's own side of the connection.
+					// The caller enforces the deadline; its margin covers the client's own side of the
+					// connection.
 					requestContext, cancel := context.WithTimeout(ctx, deadline)
 					defer cancel()
 					request, err := http.NewRequestWithContext(requestContext, method, "http://"+listener.Addr().String()+path, bytes.NewReader(body))
@@ -318,8 +321,9 @@
 	return nil
 }
 
-// measureCosts compares what a call costs with the least that a processor in the same library can do, and both fronts with one
-// another and with a relay that only copies bytes. All take turns, so that what else the machine does meets each alike.
+// measureCosts compares the cost of a call with the cheapest possible processor in the same library, and both
+// front ends with each other and with a relay that only copies bytes. They run in turns, so that other load
+// on the machine affects all alike.
 func measureCosts(_ context.Context, e *Env, r *Report) error {
 	fleet, err := newFilledFleet(8, 2048, loadKeys)
 	if err != nil {
@@ -386,7 +390,7 @@
 			}
 			d := 600 * time.Millisecond
 			if round == 0 {
-				d = 200 * time.Millisecond // connections and tables warm up
+				d = 200 * time.Millisecond // warm-up of connections and tables, not counted
 			}
 			result, err := runClosedLoop(m.p, m.workers, d, load)
 			if err != nil {
@@ -400,7 +404,8 @@
 	r.AtLeast("route: requests a second against a bare processor", rates.route.PerSecond()/rates.bare.PerSecond(), 0.8)
 	r.AtMost("route: p99 against a bare processor's", float64(rates.route.Quantile(0.99))/float64(rates.bare.Quantile(0.99)), 1.5)
 	r.AtLeast("answer: requests a second against RESP2's", rates.answer.PerSecond()/rates.redis.PerSecond(), 0.5)
-	// What a call costs over a read is the library's: a processor that answers from memory and asks nobody pays it too.
+	// The cost of a call above that of a read is the gRPC library's: a processor that answers from memory
+	// without a request to a cache has it too.
 	r.AtMost("answer: CPU a request, of a bare answer's and a RESP2 read's together",
 		(1/rates.answer.PerCPU())/(1/rates.bareAnswer.PerCPU()+1/rates.redis.PerCPU()), 1.2)
 	r.AddValue("bare answer: requests a second against RESP2's, which no answer can exceed", rates.bareAnswer.PerSecond()/rates.redis.PerSecond())
@@ -415,7 +420,7 @@
 	return nil
 }
 
-// newProcessorWorkers makes workers for an external processor, on four connections.
+// newProcessorWorkers returns a function that creates workers for an external processor on four connections.
 func newProcessorWorkers(both bool) func(addr string) (func(int) (func(int) error, func(), error), error) {
 	return func(addr string) (func(int) (func(int) error, func(), error), error) {
 		conns, err := dialProcessor(addr, 4)
--- a/internal/lab/flood.go
+++ b/internal/lab/flood.go
@@ -12,31 +12,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// OpenLoop is an open loop: reads come at a rate, whatever becomes of those before them, over connections that carry as many as
-// it takes. A read counts from when it was due to be sent, not from when the connection took it, so that what waits in front
-// of a proxy that is slow to read counts too.
+// OpenLoop generates reads at a fixed rate, regardless of the outcome of earlier ones, and pipelines as many
+// as needed on its connections. Latency counts from the time when a read was due, not when it was written to
+// the connection, so time spent waiting in front of a proxy that is slow to read is included.
 type OpenLoop struct {
 	Addr         string
 	Tenant       string
 	Connections  int
-	Rate         float64       // reads a second, over all connections; they come at random (Poisson)
-	Deadline     time.Duration // a read that is not sent by then is not sent any more, and a served one counts as in time
-	RetryRefused bool          // a read that is refused comes again at once, in place of what is due next
+	Rate         float64       // reads a second over all connections, with random (Poisson) arrivals
+	Deadline     time.Duration // a read not sent by then is dropped; a read served by then counts as in time
+	RetryRefused bool          // a refused read is repeated at once, in place of the next one that is due
 	Keys         int
 	Seed         uint64
 }
 
-// OpenLoopResult is what became of a Flood's reads.
+// OpenLoopResult counts the outcomes of the reads of an OpenLoop.
 type OpenLoopResult struct {
 	Offered, Unsent, Refused, InTime, Late int64
 	Duration                               time.Duration
-	latency                                *hdrhistogram.Histogram // of those served, in microseconds
+	latency                                *hdrhistogram.Histogram // of served reads, in microseconds
 }
 
-// Goodput is the reads served in time a second.
+// Goodput returns the number of reads served in time per second.
 func (f *OpenLoopResult) Goodput() float64 { return float64(f.InTime) / f.Duration.Seconds() }
 
-// Quantile is the latency under which that share of the served reads came.
+// Quantile returns the latency quantile q of the served reads.
 func (f *OpenLoopResult) Quantile(q float64) time.Duration {
 	return time.Duration(f.latency.ValueAtQuantile(100*q)) * time.Microsecond
 }
@@ -45,17 +45,18 @@
 	return &OpenLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
 }
 
-// maxOutstandingReads is how many reads a connection may have out before nothing more is sent on it: with a proxy that answers
-// nothing, the record of what is out would else grow without bound. What is due meanwhile waits, and counts from when it was.
+// maxOutstandingReads is the number of unanswered reads at which a connection stops sending. Without a bound,
+// the list of outstanding reads would grow indefinitely in front of a proxy that answers nothing. Reads that
+// fall due meanwhile wait, and their latency counts from when they were due.
 const maxOutstandingReads = 1 << 16
 
-// openLoopConnection is one connection of a Flood.
+// openLoopConnection is one connection of an OpenLoop.
 type openLoopConnection struct {
 	load        *OpenLoop
 	conn        net.Conn
 	mu          sync.Mutex
-	outstanding []outstandingRead // sent and not answered, the oldest first
-	retries     int               // refused, to come again
+	outstanding []outstandingRead // sent and not answered, oldest first
+	retries     int               // refused reads to be sent again
 	result      *OpenLoopResult
 }
 
@@ -64,7 +65,7 @@
 	key int
 }
 
-// Run floods for a while, then waits for what is still out.
+// Run generates load for the given time, then waits for the outstanding reads.
 func (f *OpenLoop) Run(duration time.Duration) (*OpenLoopResult, error) {
 	total := newOpenLoopResult()
 	errs := make(chan error, 2*f.Connections)
@@ -145,18 +146,19 @@
 		if len(commands) > 0 {
 			c.conn.SetWriteDeadline(time.Now().Add(waitTimeout))
 			if _, err := c.conn.Write(commands); err != nil {
-				return fmt.Errorf("lab: send: %w", err)
+				return fmt.Errorf("lab: sending reads: %w", err)
 			}
 		}
 		if wait := time.Until(due); wait > 0 {
-			time.Sleep(max(wait, time.Millisecond)) // what falls due together is sent together, as by a client that is busy
+			// Reads that fall due together are sent together, as by a busy client.
+			time.Sleep(max(wait, time.Millisecond))
 		} else if len(commands) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// receive takes answers until all that was sent has one.
+// receive reads answers until every read that was sent has one.
 func (c *openLoopConnection) receive(sent <-chan struct{}) error {
 	in := bufio.NewReaderSize(c.conn, 32<<10)
 	allSent := false
@@ -185,7 +187,7 @@
 		err := readTile(in, prefix)
 		latency := time.Since(oldest.due)
 		if err != nil && err != errRefused {
-			return fmt.Errorf("with %d reads out: %w", outstanding, err)
+			return fmt.Errorf("lab: receiving with %d reads outstanding: %w", outstanding, err)
 		}
 		c.mu.Lock()
 		c.outstanding = c.outstanding[1:]
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -1,5 +1,6 @@
-// Package lab stages the project's own measurements on loopback: hosts and fleets of stand-ins, load, and claims that
-// are kept or not. It serves no real traffic; nothing of the proxy depends on it.
+// Package lab runs the project's own measurements on loopback: proxies in front of simulated servers, load
+// generators, and claims that are checked against the results. It serves no real traffic, and no part of the
+// proxy depends on it.
 package lab
 
 import (
@@ -28,10 +29,10 @@
 	"linenloom/logic"
 )
 
-// waitTimeout bounds every wait for something that must come about; only what fails waits as long.
+// waitTimeout bounds every wait for an event; only a failure takes this long.
 const waitTimeout = cluster.Patience
 
-// OperatorFile is an operator's file that maps /tiles/{key} and /orders/{key}.
+// OperatorFile returns the text of an operator's file that maps /tiles/{key} and /orders/{key}.
 func OperatorFile(listen, mode, messageTimeout string) string {
 	return fmt.Sprintf(`[extproc]
 listen = %q
@@ -50,7 +51,7 @@
 `, listen, mode, messageTimeout)
 }
 
-// Host is a proxy with both fronts in this process, with a clock that moves only when it is told to.
+// Host is a proxy with both front ends in this process, with a clock that only the test advances.
 type Host struct {
 	Proxy  *proxy.Proxy
 	Front  *server.Front
@@ -63,7 +64,7 @@
 	sentTo []logic.MemberID
 }
 
-// NewHost starts a host before a fleet.
+// NewHost starts a host in front of a fleet.
 func NewHost(fleet *standin.Fleet, mode string) (*Host, error) {
 	h := &Host{Fleet: fleet, done: make(chan error, 1)}
 	configText, err := fleet.Config("lab", "127.0.0.1:0", "7", 128, 512)
@@ -103,7 +104,7 @@
 	return h, nil
 }
 
-// Close ends the host.
+// Close stops the host.
 func (h *Host) Close() error {
 	h.Caller.Close()
 	h.stop()
@@ -119,13 +120,14 @@
 	return cluster.Await(500*time.Microsecond, what, ok)
 }
 
-// Choices is what became of a recorded run: the members in the order in which the module chose them, and how each
-// request ended.
+// Choices is the result of a recorded run: the members in the order in which the balancer chose them, and the
+// outcome of each request.
 type Choices struct{ Members, Outcomes []string }
 
-// RunChoices plays the recorded run of so many requests by one front or the other: reads of Zipf-like keys and some orders, a
-// cold box, one that fails for a while, one that is full for a while, and one that drains. One request is in hand at a
-// time and the clock is the run's own, so that the same outcomes come at the same times.
+// RunChoices plays a fixed sequence of requests through one front end or the other: reads of keys with uneven
+// popularity and some orders, with a cold cache, one that fails for a while, one that is full for a while,
+// and one that drains. Requests run one at a time and the clock is simulated, so that the same outcomes occur
+// at the same times.
 func RunChoices(mode string, duplex bool, requests int, byRedis func(i int) bool) (choices Choices, err error) {
 	fleet, err := standin.NewFleet(6, 64)
 	if err != nil {
@@ -136,7 +138,7 @@
 		return choices, err
 	}
 	for i := range 40 {
-		fleet.Fill(fmt.Sprint("k", i)) // the others miss at first
+		fleet.Fill(fmt.Sprint("k", i)) // the other keys miss at first
 	}
 	host, err := NewHost(fleet, mode)
 	if err != nil {
@@ -146,7 +148,7 @@
 	if duplex {
 		host.Caller.SetFullDuplex()
 	}
-	if err := eventually("the list is known", func() bool { return host.Proxy.Load().Ready == 8 }); err != nil {
+	if err := eventually("the proxy has the member list", func() bool { return host.Proxy.Load().Ready == 8 }); err != nil {
 		return choices, err
 	}
 	redis, err := dialRedis(host.Proxy.Addr().String())
@@ -167,7 +169,7 @@
 			fleet.Boxes[2].SetFault(standin.Healthy)
 		case requests * 5 / 8:
 			fleet.Drain(fleet.Boxes[3])
-			if err := eventually("the drain is known", func() bool { return host.Proxy.Load().Ready == 7 }); err != nil {
+			if err := eventually("the proxy has the drain", func() bool { return host.Proxy.Load().Ready == 7 }); err != nil {
 				return choices, err
 			}
 		}
@@ -184,7 +186,7 @@
 		default:
 			return choices, fmt.Errorf("request %d was answered %q", i, answer)
 		}
-		if err := eventually("nothing is in hand", func() bool {
+		if err := eventually("no request is in flight", func() bool {
 			load := host.Proxy.Load()
 			return load.Requests == 0 && load.Busy == 0 && host.Front.Counts().Streams == 0
 		}); err != nil {
@@ -203,9 +205,9 @@
 	return choices, nil
 }
 
-// request makes one request by one front.
+// request sends one request through one of the front ends.
 func (h *Host) request(redis *redisClient, byRedis bool, mode, key, id string, write bool) (string, error) {
-	// The last byte of an order is held back for 2 ms; the clock has to move while it is.
+	// The proxy holds back the last byte of an order for 2 ms, so the clock has to advance meanwhile.
 	h.Caller.SendAfter = nil
 	advanced := make(chan error, 1)
 	switch {
@@ -214,7 +216,7 @@
 		advanced <- nil
 	case write:
 		go func() {
-			err := eventually("the order is out", func() bool { return h.Proxy.Load().Busy > 0 })
+			err := eventually("the order is in flight", func() bool { return h.Proxy.Load().Busy > 0 })
 			h.advanceClock(10 * time.Millisecond)
 			advanced <- err
 		}()
@@ -236,7 +238,8 @@
 		if write {
 			httpRequest = caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass")}
 		}
-		httpRequest.Headers = map[string]string{"x-request-id": id, "x-envoy-expected-rq-timeout-ms": "2010"} // the margin is 10
+		// 2000 and the margin of 10.
+		httpRequest.Headers = map[string]string{"x-request-id": id, "x-envoy-expected-rq-timeout-ms": "2010"}
 		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		result := h.Caller.Do(ctx, httpRequest)
 		cancel()
@@ -248,7 +251,7 @@
 	return answer, <-advanced
 }
 
-// redisClient asks one thing at a time over RESP2.
+// redisClient sends one request at a time over RESP2.
 type redisClient struct {
 	conn net.Conn
 	in   *bufio.Reader
@@ -263,7 +266,7 @@
 	return &redisClient{conn: conn, in: bufio.NewReader(conn)}, nil
 }
 
-// closedByPeer tells whether the other side has ended the connection.
+// closedByPeer reports whether the server has closed the connection.
 func (c *redisClient) closedByPeer() (closed bool) {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
@@ -272,7 +275,7 @@
 	return closed || err != nil
 }
 
-// do returns the value, or the error line.
+// do sends a command and returns the value, or the error line.
 func (c *redisClient) do(words ...string) (string, error) {
 	command := resp.AppendArray(c.buf[:0], len(words))
 	for _, w := range words {
@@ -295,7 +298,7 @@
 	}
 	var n int
 	if _, err := fmt.Sscanf(line, "$%d", &n); err != nil || n < 0 {
-		return "", errors.New("lab: no value")
+		return "", errors.New("lab: the answer has no value")
 	}
 	value := make([]byte, n+2)
 	if _, err := io.ReadFull(c.in, value); err != nil {
--- a/internal/lab/host_test.go
+++ b/internal/lab/host_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The same requests, seed and outcomes make the module choose the same members in the same order, whichever front
-// they come by, also when both are used at once.
+// With the same requests, seed and outcomes, the balancer chooses the same members in the same order through
+// either front end, and also when both are used at once.
 func TestFrontsGetTheSameChoices(t *testing.T) {
 	const requests = 400
 	runChoices := func(t *testing.T, mode string, byRedis func(int) bool) Choices {
--- a/internal/lab/identity.go
+++ b/internal/lab/identity.go
@@ -25,20 +25,20 @@
 const (
 	identityWorkers    = 16
 	keyRotations       = 6
-	minKeyRotationTime = 32 * time.Second // all rounds together, at the least
+	minKeyRotationTime = 32 * time.Second // all rotations together, at least
 	forgerCount        = 16
 )
 
-// issuer signs tokens with the keys of a set that it keeps in a file.
+// issuer signs tokens with the private keys of a key set that it publishes in a file.
 type issuer struct {
 	file        string
 	mu          sync.Mutex
 	keys        map[string]ed25519.PrivateKey
-	signingKey  string // the key to sign with
+	signingKey  string // id of the key that token uses by default
 	lastSubject int
 }
 
-// publish replaces the file by one with these keys.
+// publish replaces the file by a key set with the given ids, creating keys as needed.
 func (s *issuer) publish(ids ...string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	return os.Rename(s.file+".new", s.file)
 }
 
-// token is a token that nobody has seen yet.
+// token returns a new token, signed with the given key or, if it is empty, with the default one.
 func (s *issuer) token(key string) (string, error) {
 	s.mu.Lock()
 	if key == "" {
@@ -87,7 +87,7 @@
 	return signature.CompactSerialize()
 }
 
-// authClient is a connection whose requests are read as answers of one line and a value.
+// authClient is a RESP2 connection that sends one request at a time and may authenticate.
 type authClient struct {
 	conn     net.Conn
 	in       *bufio.Reader
@@ -104,7 +104,7 @@
 	return &authClient{conn: conn, in: bufio.NewReader(conn), idPrefix: name}, nil
 }
 
-// do sends words and returns the answer's first line; a value is read over.
+// do sends a command and returns the first line of the answer; a value is skipped.
 func (c *authClient) do(words ...string) (string, error) {
 	c.buf = resp.AppendArray(c.buf[:0], len(words))
 	for _, w := range words {
@@ -133,7 +133,8 @@
 	return c.do("OBJ.GET", fmt.Sprintf("%016x", key+1), fmt.Sprintf("%s-%d", c.idPrefix, c.lastID), "c=tile-read,d=1000"+attrs)
 }
 
-// auth proves who the connection is. On a fast machine more new tokens come than are checked: those that were not looked at come again.
+// auth authenticates the connection. A fast machine sends more new tokens than the proxy checks per second; a
+// token refused unchecked is sent again.
 func (c *authClient) auth(token string) error {
 	line, err := c.do("AUTH", token)
 	for end := time.Now().Add(waitTimeout); err == nil && strings.HasPrefix(line, "-BUSY") && time.Now().Before(end); line, err = c.do("AUTH", token) {
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// Identity is the scenario of proven callers: keys that change under load, what a proof costs, and what a flood of forged tokens costs
-// those who are proven.
+// Identity runs the scenario of authenticated callers: key rotation under load, the cost of authentication,
+// and the effect of a flood of forged tokens on authenticated callers.
 func Identity(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "identity"}
 	fleet, err := newFilledFleet(8, 2048, tileKeys)
@@ -193,7 +194,7 @@
 	return r, process.Stop()
 }
 
-// startProxyWith starts a proxy with an operator's file.
+// startProxyWith starts a proxy with the given operator's file.
 func (e *Env) startProxyWith(name string, fleet *standin.Fleet, operator string) (string, *Process, error) {
 	file, err := e.writeFile(name+".toml", []byte(operator))
 	if err != nil {
@@ -202,10 +203,11 @@
 	return e.startProxy(name, fleet, 192, 4096, "-operator", file)
 }
 
-// rotateKeys changes the keys several times while callers, half of them by AUTH and half by a token in each request, go on. A caller signs
-// anew once it is told that its key is retired; only one who has a key of the file then is a valid one.
+// rotateKeys rotates the keys several times under load; half of the callers authenticate with AUTH and half
+// send a token in each request. Callers sign new tokens with the current key. A request counts as valid if
+// its token's key is in the file at that time.
 func (e *Env) rotateKeys(r *Report, tokenIssuer *issuer, addr string) error {
-	e.Log("identity: keys that change under load")
+	e.Log("identity: rotation of keys under load")
 	var served, refused, accepted atomic.Int64
 	var firstError atomic.Pointer[error]
 	stop := make(chan struct{})
@@ -237,7 +239,7 @@
 					fail(err)
 					return
 				}
-				for range 20 { // the token is new once in so many requests
+				for range 20 { // a new token every 20 requests
 					line, err := client.read((w*7919+i)%tileKeys, attrs)
 					switch {
 					case err != nil:
@@ -249,18 +251,19 @@
 						refused.Add(1)
 					}
 				}
-				time.Sleep(20 * time.Millisecond) // some 400 new tokens a second, of 500 checks
+				time.Sleep(20 * time.Millisecond) // about 400 new tokens a second, of 500 checks
 			}
 		})
 	}
 	longestToRefusal := time.Duration(0)
-	roundTime := max(minKeyRotationTime, time.Duration(e.Seconds)*time.Second) / keyRotations // the file is looked at every second
+	// The proxy checks the file every second.
+	roundTime := max(minKeyRotationTime, time.Duration(e.Seconds)*time.Second) / keyRotations
 	for round := range keyRotations {
 		currentKey, nextKey := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
-		if err := tokenIssuer.publish(currentKey, nextKey); err != nil { // before callers use it
+		if err := tokenIssuer.publish(currentKey, nextKey); err != nil { // before callers use the new key
 			return err
 		}
-		time.Sleep(roundTime / 2) // longer than a process takes to look
+		time.Sleep(roundTime / 2) // longer than the proxy's interval for checking the file
 		tokenIssuer.mu.Lock()
 		tokenIssuer.signingKey = nextKey
 		tokenIssuer.mu.Unlock()
@@ -268,14 +271,14 @@
 		if err != nil {
 			return err
 		}
-		time.Sleep(roundTime / 4) // callers have let go of the old key
-		// One that stands idle for long is closed, so each round has a connection of its own.
+		time.Sleep(roundTime / 4) // until no caller uses the old key any more
+		// The proxy closes connections that are idle for long, so each round opens one.
 		oldClient, err := dialAuthClient(addr, fmt.Sprint("old", round))
 		if err != nil {
 			return err
 		}
 		if err := oldClient.auth(retiredToken); err != nil {
-			return fmt.Errorf("by a key that is in force: %w", err)
+			return fmt.Errorf("with a key that is still valid: %w", err)
 		}
 		if err := tokenIssuer.publish(nextKey); err != nil {
 			return err
@@ -290,18 +293,18 @@
 				break
 			}
 			if line[0] != '$' {
-				return fmt.Errorf("a caller whose key is retired is told %q", line)
+				return fmt.Errorf("a caller with a retired key was answered %q", line)
 			}
 			if time.Since(removedAt) > waitTimeout {
-				return fmt.Errorf("a retired key is accepted for good")
+				return fmt.Errorf("a retired key is still accepted")
 			}
 		}
 		longestToRefusal = max(longestToRefusal, time.Since(removedAt))
-		for range 50 { // from then on by nobody
+		for range 50 { // no request may succeed with the retired key any more
 			if line, err := oldClient.read(1, ",tk="+retiredToken); err != nil || line != "-WRONGPASS its key is retired" && line != "-WRONGPASS unknown key" {
-				accepted.Add(1) // or turned away for something else, which proves nothing
+				accepted.Add(1) // accepted, or refused for another reason, which proves nothing
 			}
-			if oldClient.lastID%12 == 0 { // too many faults end a connection
+			if oldClient.lastID%12 == 0 { // the proxy closes a connection after too many faults
 				oldClient.conn.Close()
 				if oldClient, err = dialAuthClient(addr, fmt.Sprintf("old%d-%d", round, oldClient.lastID)); err != nil {
 					return err
@@ -323,9 +326,9 @@
 	return nil
 }
 
-// measureTokenCost compares a proven caller's reads with those of a proxy that asks nobody.
+// measureTokenCost compares an authenticated caller's reads with those of a proxy without authentication.
 func (e *Env) measureTokenCost(r *Report, tokenIssuer *issuer, addr string, process *Process, plainAddr string, plainProcess *Process) error {
-	e.Log("identity: what a proof costs")
+	e.Log("identity: cost of a token")
 	token, err := tokenIssuer.token("")
 	if err != nil {
 		return err
@@ -362,7 +365,7 @@
 		}{{&plainReads, plainProcess, plainAddr, "", ""}, {&byAuth, process, addr, token, ""}, {&byAttribute, process, addr, "", ",tk=" + token}} {
 			result, err := runClosedLoop(part.p, identityWorkers, duration, newReads(part.addr, "cost", part.auth, part.more))
 			if err != nil {
-				return fmt.Errorf("reads at %s, AUTH %v, in the list %v: %w", part.addr, part.auth != "", part.more != "", err)
+				return fmt.Errorf("reads at %s, AUTH %v, token in each request %v: %w", part.addr, part.auth != "", part.more != "", err)
 			}
 			part.rate.add(result)
 		}
@@ -373,8 +376,9 @@
 	return nil
 }
 
-// floodWithForgeries has callers send forged tokens as fast as they can, each a new one that only its signature gives away, on new connections as
-// they are ended, beside a proven caller's reads.
+// floodWithForgeries sends forged tokens as fast as possible, beside an authenticated caller's reads. Each
+// token is new and only its signature is invalid; a connection that the proxy closes is replaced by a new
+// one.
 func (e *Env) floodWithForgeries(r *Report, tokenIssuer *issuer, addr string, process *Process) error {
 	e.Log("identity: a flood of forged tokens")
 	token, err := tokenIssuer.token("")
@@ -394,7 +398,7 @@
 			if err == nil && line[0] != '$' {
 				err = errRefused
 			}
-			time.Sleep(5 * time.Millisecond) // at a pace, not as fast as it can
+			time.Sleep(5 * time.Millisecond) // at a fixed pace, not as fast as possible
 			return err
 		}, func() { client.conn.Close() }, nil
 	}
@@ -403,7 +407,7 @@
 	if err != nil {
 		return err
 	}
-	// Signing costs as much as checking: the forgeries are made before.
+	// Signing costs as much as checking, so the forgeries are made in advance.
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return err
--- a/internal/lab/idle.go
+++ b/internal/lab/idle.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Idle is the scenario of a proxy that nobody asks, before 60 caches: what it takes of the core all the same.
+// Idle runs the scenario of a proxy without requests in front of 60 caches: the CPU time that it uses anyway.
 func Idle(_ context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "idle"}
 	fleet, err := newFilledFleet(60, 64, 1)
@@ -22,7 +22,7 @@
 	if err != nil {
 		return r, err
 	}
-	time.Sleep(3 * time.Second) // what the start has left to do
+	time.Sleep(3 * time.Second) // until the work of the start is done
 	var before time.Duration
 	if before, err = process.CPU(); err != nil {
 		return r, err
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -17,7 +17,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// ClosedLoopResult is what a closed loop of workers got through.
+// ClosedLoopResult is the result of a closed loop: workers that each send a request once the previous one is
+// answered.
 type ClosedLoopResult struct {
 	Served, Refused int
 	Duration        time.Duration
@@ -25,13 +26,13 @@
 	latencies       []time.Duration
 }
 
-// PerSecond is the requests served a second.
+// PerSecond returns the requests served per second.
 func (r ClosedLoopResult) PerSecond() float64 { return float64(r.Served) / r.Duration.Seconds() }
 
-// PerCPU is the requests served per second of the process's processor time.
+// PerCPU returns the requests served per second of the process's CPU time.
 func (r ClosedLoopResult) PerCPU() float64 { return float64(r.Served) / max(r.CPU.Seconds(), 0.001) }
 
-// Quantile is the latency under which that share of the requests was answered.
+// Quantile returns the latency quantile q of the served requests.
 func (r ClosedLoopResult) Quantile(q float64) time.Duration {
 	if len(r.latencies) == 0 {
 		return 0
@@ -40,7 +41,7 @@
 	return r.latencies[min(len(r.latencies)-1, int(q*float64(len(r.latencies))))]
 }
 
-// add joins two rounds.
+// add adds the result of another round.
 func (r *ClosedLoopResult) add(o ClosedLoopResult) {
 	r.Served += o.Served
 	r.Refused += o.Refused
@@ -49,10 +50,11 @@
 	r.latencies = append(r.latencies, o.latencies...)
 }
 
-// errRefused tells that a request was refused, which ends no worker.
+// errRefused is returned for a refused request, which does not end the worker.
 var errRefused = errors.New("lab: refused")
 
-// runClosedLoop has so many workers make requests, one after another each, for a time. make returns a worker's own request.
+// runClosedLoop runs a closed loop of the given number of workers. newWorker returns a worker's request
+// function and its cleanup.
 func runClosedLoop(process *Process, workers int, duration time.Duration, newWorker func(w int) (func(i int) error, func(), error)) (result ClosedLoopResult, err error) {
 	before, err := process.CPU()
 	if err != nil {
@@ -100,10 +102,10 @@
 	return result, err
 }
 
-// lastRequestID makes request ids that no other worker or round makes.
+// lastRequestID makes request ids unique across workers and rounds.
 var lastRequestID atomic.Uint64
 
-// newRESPWorker is a worker that reads keys over RESP2, from a proxy or straight from a box.
+// newRESPWorker returns workers that read keys over RESP2, from a proxy or directly from a cache.
 func newRESPWorker(addr string, keys int) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		client, err := dialRedis(addr)
@@ -118,7 +120,7 @@
 			case len(answer) > 5 && answer[:5] == "-BUSY":
 				return errRefused
 			case len(answer) < 5 || answer[:5] != "value" && answer[0] != '*':
-				return fmt.Errorf("lab: answered %q", answer)
+				return fmt.Errorf("lab: unexpected answer %q", answer)
 			}
 			return nil
 		}
@@ -126,7 +128,8 @@
 	}
 }
 
-// newCacheWorker is a worker that reads keys from a box, straight or through a relay: the relay passes the box's array through, which dialRedis does not read.
+// newCacheWorker returns workers that read keys from a cache, directly or through a relay. They read the
+// cache's answer, an array, which redisClient does not support.
 func newCacheWorker(addr string, keys int) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		conn, err := net.Dial("tcp", addr)
@@ -142,7 +145,7 @@
 	}
 }
 
-// dialProcessor opens so many connections to an external processor.
+// dialProcessor opens n connections to an external processor.
 func dialProcessor(target string, n int) (conns []*grpc.ClientConn, err error) {
 	for range n {
 		c, err := grpc.NewClient(target, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -158,8 +161,8 @@
 	return &corev3.HeaderValue{Key: name, RawValue: []byte(value)}
 }
 
-// newProcessorWorker is a worker that makes calls of an external processor as a caller's data plane does: a stream with the
-// request's headers and, where both is set, the response's.
+// newProcessorWorker returns workers that call an external processor as a data plane does: one stream for
+// each request, with the request headers and, if withResponse is set, the response headers.
 func newProcessorWorker(conns []*grpc.ClientConn, keys int, withResponse bool) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		client := extprocv3.NewExternalProcessorClient(conns[w%len(conns)])
@@ -194,7 +197,7 @@
 				case 503, 429:
 					return errRefused
 				}
-				return fmt.Errorf("lab: answered %v", immediate)
+				return fmt.Errorf("lab: unexpected response %v", immediate)
 			}
 			if !withResponse {
 				return errors.New("lab: no immediate response")
@@ -207,7 +210,7 @@
 			}
 			stream.CloseSend()
 			if _, err := stream.Recv(); !errors.Is(err, io.EOF) {
-				return fmt.Errorf("lab: the stream ended with %w", err)
+				return fmt.Errorf("lab: end of the stream: %w", err)
 			}
 			return nil
 		}
--- a/internal/lab/mountain.go
+++ b/internal/lab/mountain.go
@@ -20,7 +20,7 @@
 	manyKeysDeadline = 1000 * time.Millisecond
 )
 
-// manyKeysClient is a client that draws a whole mountain: it asks for many tiles, in one request or in as many.
+// manyKeysClient reads many keys, either with one request or with one pipelined request for each key.
 type manyKeysClient struct {
 	conn    net.Conn
 	in      *bufio.Reader
@@ -36,7 +36,7 @@
 	return &manyKeysClient{conn: conn, in: bufio.NewReaderSize(conn, 64<<10)}, nil
 }
 
-// readTogether asks for the tiles from first on by one request, and counts those that are marked.
+// readTogether reads the keys from first on with one request, and counts the errors among them by error word.
 func (m *manyKeysClient) readTogether(first int) (errorCounts map[string]int, err error) {
 	m.command = resp.AppendArray(m.command[:0], 3+keysPerRequest)
 	m.command = resp.AppendBulk(m.command, "OBJ.MGET")
@@ -51,7 +51,7 @@
 	}
 	line, err := m.in.ReadString('\n')
 	if err != nil || strings.TrimSpace(line) != "*"+strconv.Itoa(keysPerRequest) {
-		return nil, fmt.Errorf("lab: answered %q, %w", line, err)
+		return nil, fmt.Errorf("lab: unexpected answer %q: %w", line, err)
 	}
 	for i := range keysPerRequest {
 		firstByte, err := m.in.Peek(1)
@@ -78,7 +78,7 @@
 	return errorCounts, nil
 }
 
-// readSingly asks for the same tiles by as many requests, all sent at once.
+// readSingly reads the same keys with one request for each, all pipelined.
 func (m *manyKeysClient) readSingly(first int) error {
 	m.command = m.command[:0]
 	for i := range keysPerRequest {
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// ManyKeys is the scenario of many tiles in one request: what it costs against as many requests, and what becomes of it while a box stalls.
+// ManyKeys runs the scenario of requests for many keys: their cost compared with single reads, and their
+// outcome while a cache stalls.
 func ManyKeys(_ context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "mountain"}
 	fleet, err := newFilledFleet(8, 2048, tileKeys)
@@ -111,7 +112,7 @@
 		return r, err
 	}
 	defer process.Kill()
-	e.Log("mountain: one request against %d", keysPerRequest)
+	e.Log("mountain: one request compared with %d", keysPerRequest)
 	newClients := func(together bool) func(int) (func(int) error, func(), error) {
 		return func(w int) (func(int) error, func(), error) {
 			client, err := dialManyKeys(addr)
@@ -152,7 +153,7 @@
 	r.AddValue("p99 by one request, ms", milliseconds(together.Quantile(0.99)))
 	r.AddValue("p99 by single reads, ms", milliseconds(singly.Quantile(0.99)))
 
-	e.Log("mountain: one box stalls")
+	e.Log("mountain: one cache stalls")
 	cache := fleet.Boxes[0]
 	cache.SetFault(standin.Stall)
 	client, err := dialManyKeys(addr)
@@ -186,7 +187,7 @@
 	for _, word := range slices.Sorted(maps.Keys(errorCounts)) {
 		r.AddValue("a box stalls: marked "+word, float64(errorCounts[word]))
 	}
-	// Every tile is at every box, so none is out of reach.
+	// Every cache holds every key, so each key is available at another cache.
 	r.Equal("a box stalls: tiles marked, which others could give", float64(failedKeys), 0)
 	return r, process.Stop()
 }
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -17,14 +17,16 @@
 	operateClients    = 24
 	operateRounds     = 6
 	silentConnections = 40
-	// classEffectiveAfter is when clients may name a new class, after SIGHUP, and drainGrace when nothing more may go to a box that is
-	// called out, after the yes.
+	// classEffectiveAfter is the time after SIGHUP from which clients may name a new class. drainGrace is the
+	// time after the answer to a maintenance request from which no request may go to the cache under
+	// maintenance.
 	classEffectiveAfter = 1200 * time.Millisecond
 	drainGrace          = 250 * time.Millisecond
 )
 
-// Operate is the scenario of daily operation under load: boxes called out and back, a retuning, and a process that takes
-// over from another, each round; in every other one the old process is killed instead of stopped.
+// Operate runs the scenario of daily operation under load. Each round puts a cache under maintenance and
+// back, reloads the settings, and replaces the process by a successor; in every other round the predecessor
+// is killed instead of stopped.
 func Operate(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "operate"}
 	fleet, err := standin.NewFleet(4, 512)
@@ -97,7 +99,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// clientFaults is what the door's clients met in some rounds.
+// clientFaults counts the faults that clients saw during some rounds.
 type clientFaults struct{ connectionsRefused, connectionsBroken, refusedOrFailed int64 }
 
 type operation struct {
@@ -106,18 +108,18 @@
 	fleet          *standin.Fleet
 	clients        *ClientLoad
 	process        *Process
-	managementAddr string // the operators' address of the process
+	managementAddr string // management address of the process
 	configPath     string
 	class          string
 
 	stopped, killed           clientFaults
 	afterDrain, wrongStatuses int
-	unanswered                int // orders that a stopped process has carried out and not answered
-	unresolved                int // orders without an answer at a kill
+	unanswered                int // orders that a stopped process carried out without an answer
+	unresolved                int // orders without an answer when the process was killed
 	slowestCall, longestGap   time.Duration
 }
 
-// configure writes the configuration, with the class of the round beside the usual ones.
+// configure writes the configuration, which has the round's class in addition to the usual ones.
 func (o *operation) configure() error {
 	configText, err := o.fleet.Config("operate", o.clients.Addr, "8c1f30d27a5be964", 64, 384)
 	if err != nil {
@@ -128,7 +130,8 @@
 		return err
 	}
 	settings := config["settings"].(map[string]any)
-	// The boxes of a round are not restarted, and would count as cold together: a fleet all cold is not what is measured.
+	// Caches put back are not restarted, and all would count as cold at the same time; a fleet that is all
+	// cold is not what is measured.
 	settings["rules"].(map[string]any)["cold_ms"] = milliseconds(time.Second)
 	if o.class != "tile-read" {
 		classes := settings["classes"].([]any)
@@ -146,7 +149,7 @@
 	return err
 }
 
-// startProcess starts a process beside the one that serves, and waits until it says yes.
+// startProcess starts a process beside the serving one and waits until its status call answers 200.
 func (o *operation) startProcess() error {
 	managementAddr, err := standin.FreeAddr()
 	if err != nil {
@@ -158,13 +161,13 @@
 		return err
 	}
 	o.process, o.managementAddr = process, managementAddr
-	return eventually("the process says yes", func() bool {
+	return eventually("the status call answers 200", func() bool {
 		status, _ := Call("GET", managementAddr, "/status", "")
 		return status == 200
 	})
 }
 
-// call makes a call that is owed a status.
+// call sends a management request and counts it as wrong if its status is not the expected one.
 func (o *operation) call(method, path, body string, want int) {
 	status, elapsed := Call(method, o.managementAddr, path, body)
 	if status != want {
@@ -195,7 +198,7 @@
 	time.Sleep(drainGrace)
 	begunAfterGrace := cache.Began()
 
-	// A class comes with the new file; clients name it once it binds.
+	// The reload adds a class; clients name it once it is in effect.
 	o.class = fmt.Sprint("round-", round)
 	if err := o.configure(); err != nil {
 		return err
@@ -219,7 +222,7 @@
 	if kill {
 		predecessor.Kill()
 	} else if err := predecessor.Stop(); err != nil {
-		return fmt.Errorf("the process that was followed: %w", err)
+		return fmt.Errorf("stopping the predecessor process: %w", err)
 	}
 	if err := o.clients.AwaitServed(500); err != nil {
 		return err
@@ -227,10 +230,10 @@
 	o.afterDrain += cache.Began() - begunAfterGrace
 	o.call("PUT", "/maintenance/exit", cache.ID, 200)
 	begunAtReturn := cache.Began()
-	if err := eventually("the box is used again", func() bool { return cache.Began() > begunAtReturn }); err != nil {
+	if err := eventually("the cache is used again", func() bool { return cache.Began() > begunAtReturn }); err != nil {
 		return err
 	}
-	o.clients.SetClass("tile-read") // the next file drops this round's
+	o.clients.SetClass("tile-read") // the next configuration drops this round's class
 	if err := o.clients.AwaitServed(200); err != nil {
 		return err
 	}
@@ -249,7 +252,7 @@
 	}
 	after := o.currentFaults()
 	if after.refusedOrFailed > before.refusedOrFailed {
-		o.env.Log("operate: turned away or failed: %v; %v", predecessor.Reasons(), o.process.Reasons())
+		o.env.Log("operate: refused or failed: predecessor %v; successor %v", predecessor.Reasons(), o.process.Reasons())
 	}
 	total.connectionsRefused += after.connectionsRefused - before.connectionsRefused
 	total.connectionsBroken += after.connectionsBroken - before.connectionsBroken
--- a/internal/lab/orderer.go
+++ b/internal/lab/orderer.go
@@ -14,22 +14,23 @@
 	"linenloom/internal/store/disk"
 )
 
-// OrderClients is clients that place orders by idempotency keys over RESP2 and don't let go: what was refused, or whose connection broke, comes again
-// under the same key, marked as a repeat, until somebody says what has become of it.
+// OrderClients is a set of clients that place orders with idempotency keys over RESP2. An order that was
+// refused or whose connection broke is sent again under the same key, marked as a repeat, until its outcome
+// is known.
 type OrderClients struct {
 	Addr      string
-	KeyPrefix string // keys begin with it
+	KeyPrefix string // prefix of the idempotency keys
 	Deadline  time.Duration
 
 	Served, Refused, Failed, ConnectionsBroken atomic.Int64
 	receipts                                   map[string]string
-	firstTryLatencies                          []time.Duration // of what was served at the first try
+	firstTryLatencies                          []time.Duration // of orders served at the first attempt
 	mu                                         sync.Mutex
 	stop                                       chan struct{}
 	clients                                    sync.WaitGroup
 }
 
-// Start starts the clients.
+// Start starts the given number of clients.
 func (o *OrderClients) Start(clients int) {
 	o.stop, o.receipts = make(chan struct{}), map[string]string{}
 	for c := range clients {
@@ -50,13 +51,13 @@
 	}
 }
 
-// Stop has each client bring its order to an end, and ends them.
+// Stop waits until each client has completed its current order, and ends the clients.
 func (o *OrderClients) Stop() {
 	close(o.stop)
 	o.clients.Wait()
 }
 
-// placeOrder places one order, and gives back a connection that still stands.
+// placeOrder places one order and returns the connection if it is still usable.
 func (o *OrderClients) placeOrder(conn *redisClient, key string) *redisClient {
 	attrs := fmt.Sprintf("c=pass-order,t=kiosk,k=%s,d=%d", key, o.Deadline.Milliseconds())
 	for attempt := 0; ; attempt++ {
@@ -64,7 +65,7 @@
 			var err error
 			if conn, err = dialRedis(o.Addr); err != nil {
 				conn = nil
-				time.Sleep(2 * time.Millisecond) // nobody listens yet
+				time.Sleep(2 * time.Millisecond) // no process is listening yet
 				continue
 			}
 		}
@@ -96,22 +97,23 @@
 	}
 }
 
-// Receipts is the receipts that clients have got, by key.
+// Receipts returns the receipts that clients received, by key.
 func (o *OrderClients) Receipts() map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return maps.Clone(o.receipts)
 }
 
-// FirstTryLatencies is how long orders took that were served at the first try.
+// FirstTryLatencies returns the latencies of the orders that were served at the first attempt.
 func (o *OrderClients) FirstTryLatencies() []time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]time.Duration(nil), o.firstTryLatencies...)
 }
 
-// CheckOrders opens the record in a folder three times and holds it against what clients were told, and what an origin ran, by keys: each receipt
-// is there, nothing is in hand, nothing has run twice or is said not to have run that has. It counts orders by state.
+// CheckOrders opens the record in a folder three times and compares it with the receipts that clients
+// received and the number of executions at the origin, by key: every receipt is recorded, no order is still
+// open, none ran twice, and none that ran is recorded as never run. It returns the number of orders by state.
 func CheckOrders(dir, tenant string, receipts map[string]string, executions map[string]int) (states map[orders.State]int, err error) {
 	var faults []error
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
--- a/internal/lab/orders.go
+++ b/internal/lab/orders.go
@@ -17,11 +17,12 @@
 const (
 	ordersRounds    = 2 // with the record off and on in turn
 	ordersKills     = 10
-	entriesPerOrder = 3 // of an order on record: taken, sent, ended
+	entriesPerOrder = 3 // per recorded order: taken, sent, ended
 	ordersReaders   = 8
 )
 
-// Orders is the scenario of orders on record through both fronts, beside the same program without a record and the disk's own syncs.
+// Orders runs the scenario of recorded orders through both front ends, compared with the same program without
+// a record and with bare synced appends to the disk.
 func Orders(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "orders"}
 	partTime := max(time.Second, time.Duration(e.Seconds)*time.Second/(16*ordersRounds))
@@ -33,7 +34,7 @@
 	for _, clients := range []int{1, 16, 64, 256} {
 		for _, front := range []string{"RESP2", "processor"} {
 			if front == "processor" && clients == 256 {
-				continue // as many streams as its callers' connection carries are not its usual case
+				continue // as many streams as a caller's connection carries are not the usual case
 			}
 			e.Log("orders: %s, %d clients", front, clients)
 			var rate [2]float64
@@ -64,7 +65,7 @@
 	return r, e.measureOrdersAfterKills(r)
 }
 
-// measureBareSyncs is how many appends a second one writer gets onto this disk.
+// measureBareSyncs returns the number of appends per second that one writer syncs to this disk.
 func (e *Env) measureBareSyncs(d time.Duration) (float64, error) {
 	dir, err := e.emptyDir("orders-bare")
 	if err != nil {
@@ -82,7 +83,7 @@
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
-// ordersSettings is the operator's table of a record; "": none.
+// ordersSettings returns the operator's settings for a record in the folder; "" stands for no record.
 func ordersSettings(dir string) string {
 	if dir == "" {
 		return ""
@@ -90,7 +91,7 @@
 	return fmt.Sprintf("[orders]\ndir = %q\nstrangers = \"run\"\nline = 1024\nreceipts = [\"resp2\", \"extproc\"]\n", dir)
 }
 
-// startWithRecord starts a program before a fleet, with a record or without.
+// startWithRecord starts a program in front of a fleet, with a record or without.
 func (e *Env) startWithRecord(front string, fleet *standin.Fleet, dir string) (addr string, p *Process, err error) {
 	settings := ordersSettings(dir)
 	if front == "processor" {
@@ -104,7 +105,8 @@
 	return e.startProxyWith("orders", fleet, settings)
 }
 
-// measureOrders has so many clients place orders for a while, and tells how many a second were served, and how long each took.
+// measureOrders runs clients that place orders for the given time, and returns the orders served per second
+// and their latencies.
 func (e *Env) measureOrders(ctx context.Context, front string, clients int, withRecord bool, duration time.Duration) (rate float64, latencies []time.Duration, err error) {
 	fleet, err := standin.NewFleet(2, 64)
 	if err != nil {
@@ -137,7 +139,7 @@
 	return float64(served) / duration.Seconds(), latencies, nil
 }
 
-// placeThroughProcessor is placed at the processor.
+// placeThroughProcessor is measureOrders for the external processor.
 func placeThroughProcessor(ctx context.Context, addr string, clients int, duration time.Duration) (rate float64, latencies []time.Duration, err error) {
 	processorCaller, err := caller.Dial(addr)
 	if err != nil {
@@ -168,12 +170,12 @@
 	}
 	group.Wait()
 	if len(latencies) == 0 {
-		return 0, nil, fmt.Errorf("no order was served; %d ended otherwise", notServed.Load())
+		return 0, nil, fmt.Errorf("no order was served; %d were not", notServed.Load())
 	}
 	return float64(len(latencies)) / time.Since(start).Seconds(), latencies, nil
 }
 
-// measureReadsBesideOrders holds reads beside orders on record against reads beside orders without.
+// measureReadsBesideOrders compares reads beside recorded orders with reads beside orders without a record.
 func (e *Env) measureReadsBesideOrders(r *Report, duration time.Duration) error {
 	var rate [2]float64
 	var longestGap [2]time.Duration
@@ -220,7 +222,8 @@
 	return nil
 }
 
-// measureOrdersAfterKills measures from SIGKILL to the first order served, and holds the record against what clients and the origin know.
+// measureOrdersAfterKills measures the time from SIGKILL to the first order served, and checks the record
+// against the clients' receipts and the origin's executions.
 func (e *Env) measureOrdersAfterKills(r *Report) error {
 	fleet, err := standin.NewFleet(2, 64)
 	if err != nil {
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -9,13 +9,13 @@
 	"linenloom/internal/standin"
 )
 
-// evenTenants share the service of the overload scenario alike.
+// evenTenants are two tenants with equal shares.
 var evenTenants = []any{
 	map[string]any{"name": "acme", "share": 0.5, "quota_rps": 0.0}, map[string]any{"name": "rush", "share": 0.5, "quota_rps": 0.0},
 }
 
-// Overload is the scenario of more reads than the proxy's one core can do: how much is still served in time, what the
-// others are told, and what a tenant that asks for little feels of one that asks for far too much.
+// Overload runs the scenario of more reads than the proxy's one core can serve: how many are served in time,
+// what becomes of the others, and how a tenant with little load is affected by one with far too much.
 func Overload(_ context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "overload"}
 	fleet, err := newFilledFleet(8, 2048, tileKeys)
@@ -75,7 +75,7 @@
 	return r, nil
 }
 
-// addOpenLoop tells what became of a flood.
+// addOpenLoop adds the outcome of an open loop to the report.
 func (r *Report) addOpenLoop(name string, result *OpenLoopResult, peak float64) {
 	offered := float64(max(1, result.Offered))
 	r.AddValue(name+": offered, of the most", offered/result.Duration.Seconds()/peak)
@@ -84,10 +84,10 @@
 	r.AddValue(name+": never sent, of what was offered", float64(result.Unsent)/offered)
 }
 
-// measureFairness has one tenant flood while another asks for little, each read once the one before is answered.
+// measureFairness runs a closed loop of one tenant beside an open loop of another that overloads the proxy.
 func (e *Env) measureFairness(r *Report, process *Process, addr string, peak float64, duration time.Duration) error {
 	const clients = 8
-	e.Log("overload: a tenant that asks for little beside one that floods")
+	e.Log("overload: a tenant with little load beside one that overloads the proxy")
 	var group sync.WaitGroup
 	var floodResult *OpenLoopResult
 	var floodError error
@@ -95,7 +95,7 @@
 		flood := OpenLoop{Addr: addr, Tenant: "rush", Connections: 64, Rate: 4 * peak, Deadline: standin.ReadAim, Keys: tileKeys, Seed: 8}
 		floodResult, floodError = flood.Run(duration + duration/4)
 	})
-	time.Sleep(duration / 8) // the flood has begun
+	time.Sleep(duration / 8) // until the overload has set in
 	result, err := runClosedLoop(process, clients, duration, newTileWorker(addr))
 	group.Wait()
 	if err == nil {
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -14,18 +14,19 @@
 	"linenloom/internal/cluster"
 )
 
-// Env is what a scenario has to work with.
+// Env is the environment of a scenario.
 type Env struct {
-	Dir        string // scratch, short enough for the paths of unix sockets
-	Bin        string // the project's programs, built for this run
-	Executable string // the rig's own program
-	Seconds    int    // how long the longest part goes on
-	FirstSeed  uint64 // the first seed of a scenario that is played by seed
-	SeedCount  int    // how many of them
+	Dir        string // scratch folder, with a path short enough for unix sockets
+	Bin        string // folder of the programs built for this run
+	Executable string // path of the linenlab program itself
+	Seconds    int    // duration of the longest part
+	FirstSeed  uint64 // the first seed of a scenario that runs by seed
+	SeedCount  int    // the number of seeds
 	Log        func(format string, args ...any)
 }
 
-// ServeVariable makes the rig's own program serve a baseline instead: "bare ADDR" or "relay ADDR TARGET".
+// ServeVariable makes the linenlab program serve a baseline instead: "bare ADDR", "bareanswer ADDR BYTES" or
+// "relay ADDR TARGET".
 const ServeVariable = "LINENLAB_SERVE"
 
 // Build builds the project's programs into the scratch folder.
@@ -33,7 +34,7 @@
 	e.Bin = filepath.Join(e.Dir, "bin")
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", e.Bin+"/", "linenloom/cmd/linenloom", "linenloom/cmd/linenproc")
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return fmt.Errorf("build, which wants the project's folder: %w\n%s", err, out)
+		return fmt.Errorf("go build, which has to run in the project's folder: %w\n%s", err, out)
 	}
 	return nil
 }
@@ -41,7 +42,7 @@
 // Process is a program under measurement.
 type Process struct{ *cluster.Process }
 
-// Start starts a program and waits until it has said a text on standard error.
+// Start starts a program and waits until the ready text appears on its standard error.
 func Start(ready string, env []string, name string, args ...string) (*Process, error) {
 	p, err := cluster.Start(ready, env, name, args...)
 	if err != nil {
@@ -50,7 +51,7 @@
 	return &Process{p}, nil
 }
 
-// Reasons is what the process has said of why requests waited, were refused or failed.
+// Reasons returns the process's log of why requests waited, were refused or failed.
 func (p *Process) Reasons() (reasons []string) {
 	for _, l := range p.Lines("msg=reasons ") {
 		_, reason, _ := strings.Cut(l, "msg=reasons ")
@@ -59,7 +60,7 @@
 	return reasons
 }
 
-// CPU is the processor time that the process has used, to a hundredth of a second (proc(5), stat).
+// CPU returns the CPU time that the process has used, to a hundredth of a second (proc(5), stat).
 func (p *Process) CPU() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
@@ -68,7 +69,7 @@
 	_, after, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(after)
 	if len(fields) < 13 {
-		return 0, errors.New("lab: /proc/PID/stat is short")
+		return 0, errors.New("lab: /proc/PID/stat has too few fields")
 	}
 	var ticks int
 	for _, f := range fields[11:13] { // user and system time
@@ -81,7 +82,7 @@
 	return time.Duration(ticks) * 10 * time.Millisecond, nil
 }
 
-// Resident is the resident memory in kilobytes.
+// Resident returns the resident memory in kilobytes.
 func (p *Process) Resident() (kb int, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
 	if err != nil {
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -8,8 +8,9 @@
 	"linenloom/internal/restarts"
 )
 
-// Restarts is the scenario of planned restarts by seed. Each fault is logged with its seed; a play on a machine too busy for a verdict is played
-// again, and counts as neither kept nor broken if it stays so.
+// Restarts runs the scenario of planned restarts for each seed. Faults are logged with their seed. A run on a
+// machine too busy for a verdict is repeated; if it remains disturbed, it counts neither as passed nor as
+// failed.
 func Restarts(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "restarts"}
 	var passed, failed, disturbed, faults int
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -14,10 +14,10 @@
 	"linenloom/internal/standin"
 )
 
-// tileKeys is how many keys the clients of the scale scenario read, and every box holds.
+// tileKeys is the number of keys that clients read; every cache holds all of them.
 const tileKeys = 5000
 
-// tileReader reads tiles over RESP2 at little cost, and checks that each is the one that was asked for.
+// tileReader reads tiles over RESP2 at little cost and checks that each answer is for the requested key.
 type tileReader struct {
 	conn    net.Conn
 	in      *bufio.Reader
@@ -37,7 +37,7 @@
 	return readTile(reader.in, reader.prefix)
 }
 
-// appendTileRead appends the command that reads the tile of a key, under an id of its own.
+// appendTileRead appends the command that reads the tile of a key, with a new request id.
 func appendTileRead(command []byte, key int, attrs string) []byte {
 	var digits [20]byte
 	command = resp.AppendArray(command, 4)
@@ -47,12 +47,13 @@
 	return resp.AppendBulk(command, attrs)
 }
 
-// appendTilePrefix appends what the tile of a key begins with.
+// appendTilePrefix appends the start of a key's tile.
 func appendTilePrefix(prefix []byte, key int) []byte {
 	return append(strconv.AppendInt(append(prefix, "value of k"...), int64(key), 10), ' ')
 }
 
-// readTile reads an answer, which has to be a tile that begins as is wanted; errRefused, if it is a refusal.
+// readTile reads an answer, which must be a tile that starts with wantPrefix. It returns errRefused for a
+// refusal.
 func readTile(in *bufio.Reader, wantPrefix []byte) error {
 	line, err := in.ReadSlice('\n')
 	switch {
@@ -61,18 +62,18 @@
 	case bytes.HasPrefix(line, []byte("-BUSY")):
 		return errRefused
 	case line[0] != '$':
-		return fmt.Errorf("lab: answered %q", line)
+		return fmt.Errorf("lab: unexpected answer %q", line)
 	}
 	length, err := strconv.Atoi(string(bytes.TrimSpace(line[1:])))
 	if err != nil || length < 0 {
-		return fmt.Errorf("lab: answered %q", line)
+		return fmt.Errorf("lab: invalid value length %q", line)
 	}
 	prefix, err := in.Peek(len(wantPrefix))
 	if err != nil {
 		return err
 	}
 	if !bytes.Equal(prefix, wantPrefix) {
-		return fmt.Errorf("%w: %q for %q", errWrongValue, prefix, wantPrefix)
+		return fmt.Errorf("%w: got %q, want %q", errWrongValue, prefix, wantPrefix)
 	}
 	_, err = in.Discard(length + 2)
 	return err
@@ -89,7 +90,7 @@
 	}
 }
 
-// startProxy starts linenloom before a fleet, on one core, and tells where it listens.
+// startProxy starts linenloom in front of a fleet and returns the address that it listens on.
 func (e *Env) startProxy(name string, fleet *standin.Fleet, memoryMB, descriptors int, args ...string) (addr string, process *Process, err error) {
 	if addr, err = standin.FreeAddr(); err != nil {
 		return "", nil, err
@@ -106,8 +107,8 @@
 	return addr, process, err
 }
 
-// Scale is the scenario of many clients before a healthy fleet: how much is served and refused as they grow, and what a
-// read costs against a relay that copies bytes.
+// Scale runs the scenario of many clients in front of a healthy fleet: how many reads are served and refused
+// as the number of clients grows, and the cost of a read compared with a relay that copies bytes.
 func Scale(_ context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "scale"}
 	fleet, err := newFilledFleet(8, 2048, tileKeys)
@@ -161,7 +162,7 @@
 		}
 	}
 	if err := e.measureNewConnections(r, fleet); err != nil {
-		return r, fmt.Errorf("ever new clients: %w", err)
+		return r, fmt.Errorf("a new connection for each read: %w", err)
 	}
 	relayResult, err := runClosedLoop(relay, 8, duration, newCacheWorker(relayAddr, loadKeys))
 	if err != nil {
@@ -172,8 +173,8 @@
 	return r, nil
 }
 
-// measureNewConnections has clients come anew for every read, for three times as long as the longest part goes on, and tells whether the
-// proxy's memory grows with them: what it has at the end, of what it had after a third.
+// measureNewConnections opens a new connection for every read, for three times the scenario's duration, and
+// checks whether the proxy's memory grows: its size at the end compared with that after a third.
 func (e *Env) measureNewConnections(r *Report, fleet *standin.Fleet) error {
 	const clients = 100
 	e.Log("scale: %d clients, each on a new connection for every read", clients)
@@ -214,7 +215,8 @@
 	return nil
 }
 
-// measureFreshStart has clients come all at once a second after a proxy has started, when it knows nothing of its members yet.
+// measureFreshStart starts many clients at once, a second after the start of a proxy that has no statistics
+// of its members yet.
 func (e *Env) measureFreshStart(r *Report, fleet *standin.Fleet, clients int, duration time.Duration) error {
 	e.Log("scale: %d clients at once, a second after the start", clients)
 	addr, process, err := e.startProxy(fmt.Sprint("fresh-", clients), fleet, 192, 4096)
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	storeRecordBytes  = 300 // bytes of a record, as an order's entry has
+	storeRecordBytes  = 300 // size of a record, as that of an order's entry
 	storeSegmentBytes = 4 << 20
-	storeRecords      = 1_000_000 // that are opened
-	storeRounds       = 3         // each way takes its turn so often
-	maxOpenHeapMB     = 64        // that opening may take beside the records' bound
+	storeRecords      = 1_000_000 // number of records in the log that is opened
+	storeRounds       = 3         // rounds of each method, in turn
+	maxOpenHeapMB     = 64        // that opening may take in addition to the bound of the records
 )
 
-// bareFile is a file that is appended to and synced without any of the log's care: each by itself, or in groups as the log forms them.
+// bareFile is a file that is appended to and synced without the log's framing and checks: each append by
+// itself, or in groups as the log forms them.
 type bareFile struct {
 	mu       sync.Mutex
 	file     disk.File
@@ -73,7 +74,7 @@
 	return file.err
 }
 
-// measureWrites has so many writers write for a while, and tells how often a second.
+// measureWrites runs the given number of writers for a while and returns the writes per second.
 func measureWrites(writers int, duration time.Duration, write func(writer, n int) error) (float64, error) {
 	var writes atomic.Int64
 	var firstError atomic.Pointer[error]
@@ -96,14 +97,15 @@
 	return float64(writes.Load()) / time.Since(start).Seconds(), nil
 }
 
-// Store is the scenario of the log and the record of orders on this machine's disk, beside bare appends to a file.
+// Store runs the scenario of the log and the record of orders on this machine's disk, compared with bare
+// appends to a file.
 func Store(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "store"}
 	partTime := max(500*time.Millisecond, time.Duration(e.Seconds)*time.Second/(12*storeRounds))
 	payload := make([]byte, storeRecordBytes)
 	for _, writers := range []int{1, 16, 64} {
 		e.Log("store: %d writers", writers)
-		var rates [4]float64 // alone, grouped, log, orders
+		var rates [4]float64 // bare appends, bare appends in groups, log, record of orders
 		for round := range storeRounds {
 			for method := range rates {
 				dir := disk.Dir(filepath.Join(e.Dir, fmt.Sprintf("store-%d-%d-%d", writers, round, method)))
@@ -162,7 +164,7 @@
 	return measureWrites(writers, duration, func(w, n int) error {
 		name := orders.Name{Tenant: "kiosk", Key: fmt.Sprintf("%d-%d", w, n)}
 		if verdict, _, err := record.Take(orders.Order{Name: name}); err != nil || verdict != orders.Proceed {
-			return fmt.Errorf("%v: %w", verdict, err)
+			return fmt.Errorf("order %v: %w", verdict, err)
 		}
 		if err := record.Send(name, "o-1"); err != nil {
 			return err
@@ -171,7 +173,8 @@
 	})
 }
 
-// measureOpening measures how long a log of many records takes to open, beside reading its files once, and what memory that takes.
+// measureOpening compares the time to open a log of many records with that to read its files once, and
+// measures the memory that opening takes.
 func measureOpening(e *Env, r *Report) error {
 	e.Log("store: opening %d records", storeRecords)
 	dir := disk.Dir(filepath.Join(e.Dir, "store-open"))
@@ -186,7 +189,7 @@
 	var writers sync.WaitGroup
 	var firstError atomic.Pointer[error]
 	payload := make([]byte, storeRecordBytes)
-	for range 512 { // groups of as many
+	for range 512 { // to form groups of that size
 		writers.Go(func() {
 			for range storeRecords / 512 {
 				if _, err := recordLog.Append(1, payload); err != nil {
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	burstReads         = 5000 // in a storm, over burstTiles tiles that no box holds
+	burstReads         = 5000 // in a burst, over burstTiles tiles that no cache holds
 	burstTiles         = 5
-	readsPerConnection = 25 // of a connection
+	readsPerConnection = 25
 	burstFetchTime     = 100 * time.Millisecond
-	// deliveryGrace is what a read's time may exceed the arrival of its tile by, and the read still miss it: the way there and back, and
-	// the turns in which thousands are answered on one core.
+	// deliveryGrace is the time by which a read's deadline may exceed the arrival of its tile while the read
+	// still misses it: transit in both directions, and the time to answer thousands of reads on one core.
 	deliveryGrace = 150 * time.Millisecond
 )
 
-// burstResult is what became of one read of a storm.
+// burstResult is the outcome of one read of a burst.
 type burstResult struct {
 	tile          int
-	deadline      time.Duration // that it was ready to
+	deadline      time.Duration
 	served        bool
-	answeredAfter time.Duration // of its answer, since the storm's begin
+	answeredAfter time.Duration // since the start of the burst
 }
 
-// JoinedReads is the scenario of many identical reads at once, with joining and without, and of what joining costs where nothing repeats.
+// JoinedReads runs the scenario of many identical concurrent reads, with request coalescing and without, and
+// measures the cost of coalescing where no read repeats.
 func JoinedReads(_ context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "storm"}
 	fleet, err := newFilledFleet(8, 2048, tileKeys)
@@ -109,7 +110,7 @@
 			r.AddValue(part.name+": reads that could have had their tile in time, and did not", float64(missedInTime))
 		}
 	}
-	e.Log("storm: the ordinary path")
+	e.Log("storm: reads that do not repeat")
 	var joinedReads, plainReads ClosedLoopResult
 	const turns = 4
 	duration := time.Duration(e.Seconds) * time.Second / (2 * turns)
@@ -138,7 +139,7 @@
 	return durations[min(len(durations)-1, int(q*float64(len(durations))))]
 }
 
-// runBurst sends the reads of a storm at once, and tells what became of each.
+// runBurst sends all reads of a burst at once and returns their outcomes.
 func runBurst(addr string, firstTile int) ([]burstResult, error) {
 	const conns = burstReads / readsPerConnection
 	results := make([]burstResult, burstReads)
@@ -174,7 +175,7 @@
 			for i := range own {
 				err := readTile(in, appendTilePrefix(nil, own[i].tile))
 				if err != nil && err != errRefused {
-					errs <- fmt.Errorf("read %d: %w", i, err)
+					errs <- fmt.Errorf("read %d of a connection: %w", i, err)
 					return
 				}
 				own[i].served, own[i].answeredAfter = err == nil, time.Since(startedAt)
@@ -193,7 +194,8 @@
 	}
 }
 
-// readAsOtherTenant has another tenant read tiles that boxes hold, at a pace, for a time or as long as do takes, and tells how long each took.
+// readAsOtherTenant reads tiles that caches hold at a fixed pace, as another tenant, while do runs or, if it
+// is nil, for the given time. It returns the latencies and the number of refused reads.
 func readAsOtherTenant(addr string, duration time.Duration, do func() error) (latencies []time.Duration, refused int, err error) {
 	stop := make(chan struct{})
 	var mu sync.Mutex
--- a/internal/lab/successor.go
+++ b/internal/lab/successor.go
@@ -17,7 +17,7 @@
 const (
 	upgradeClients      = 32
 	upgradeCount        = 4
-	maxClosedPerUpgrade = 2 // requests an upgrade that meet a connection that ends
+	maxClosedPerUpgrade = 2 // requests per upgrade that hit a closing connection
 
 	successorPairs            = 4
 	successorCaches           = 8
@@ -25,12 +25,12 @@
 	successorClients          = 48
 	successorMeasureTime      = 5 * time.Second
 	successorCacheTime        = 6 * time.Millisecond
-	successorCacheConcurrency = 4 // at a box
+	successorCacheConcurrency = 4 // of each cache
 	successorFetchTime        = 60 * time.Millisecond
-	successorFetchConcurrency = 24 // at once at the origin
+	successorFetchConcurrency = 24 // of the origin
 )
 
-// startOperation is a fleet with a process before it, which others follow or take the place of.
+// startOperation starts a fleet and a process in front of it, which successor processes replace.
 func startOperation(e *Env, name string, caches int) (*operation, func(), error) {
 	fleet, err := standin.NewFleet(caches, 512)
 	if err != nil {
@@ -59,8 +59,9 @@
 	return run, func() { run.process.Kill(); fleet.Close() }, nil
 }
 
-// measureUpgradeCloses counts the requests that meet a connection that ends, at upgrades, for clients that come again at once or soon. They
-// look at their connection before they ask: one that does not look meets every end, whenever it comes.
+// measureUpgradeCloses counts the requests that hit a closing connection during upgrades, for clients with
+// different intervals between requests. The clients check their connection before they send; without the
+// check, every closed connection would be hit, whenever it was closed.
 func measureUpgradeCloses(e *Env, r *Report) error {
 	for name, interval := range map[string]time.Duration{"at once": -1, "after 1 ms": time.Millisecond, "after 10 ms": 10 * time.Millisecond} {
 		run, closeRun, err := startOperation(e, "cross", 4)
@@ -90,16 +91,16 @@
 	return nil
 }
 
-// readCounts is what became of reads in some time.
+// readCounts counts reads over a period.
 type readCounts struct{ inTime, other, originFetches float64 }
 
-// compareSuccessors compares the first seconds of processes that take another's place, with what that one has learnt and without.
+// compareSuccessors compares the first seconds of successor processes with inherited state and without.
 func compareSuccessors(ctx context.Context, e *Env, r *Report) error {
-	var totals [2][2]readCounts // by upgrade or restart, with and without
+	var totals [2][2]readCounts // by upgrade or restart, then with and without inherited state
 	for pair := range successorPairs {
 		for kind, name := range []string{"upgrade", "restart"} {
 			for turn := range 2 {
-				variant := (turn + pair) % 2 // who begins takes turns
+				variant := (turn + pair) % 2 // the variants alternate in which runs first
 				counts, err := measureFirstSeconds(e, name == "upgrade", variant == 0, uint64(pair))
 				if err != nil {
 					return fmt.Errorf("%s: %w", name, err)
@@ -122,7 +123,8 @@
 	return nil
 }
 
-// measureFirstSeconds plays one start of a process under load: reads that come by a fixed plan, of keys of uneven popularity.
+// measureFirstSeconds runs one process start under load: reads at scheduled times, of keys with uneven
+// popularity.
 func measureFirstSeconds(e *Env, upgrade, inheritState bool, seed uint64) (counts readCounts, err error) {
 	run, closeRun, err := startOperation(e, fmt.Sprintf("heir-%t-%t-%d", upgrade, inheritState, seed), successorCaches)
 	if err != nil {
@@ -159,7 +161,7 @@
 					var err error
 					if conn, err = dialRedis(run.clients.Addr); err != nil {
 						conn = nil
-						continue // nobody listens: not what is compared
+						continue // no process is listening, which is not compared
 					}
 				}
 				sentAt := time.Now()
@@ -181,10 +183,10 @@
 		return counts, err
 	}
 	predecessor := run.process
-	if !inheritState { // a folder in the file's place: nothing can be left there, and nothing be read
+	if !inheritState { // a folder in place of the file prevents writing and reading the state
 		handoverDirs, err := filepath.Glob(filepath.Join(filepath.Dir(run.configPath), "linenloom-*"))
 		if err != nil || len(handoverDirs) != 1 {
-			return counts, errors.Join(fmt.Errorf("%d folders to hand over by", len(handoverDirs)), err)
+			return counts, errors.Join(fmt.Errorf("found %d handover folders, want 1", len(handoverDirs)), err)
 		}
 		if err := os.Mkdir(filepath.Join(handoverDirs[0], "learnt"), 0o700); err != nil {
 			return counts, err
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	zoneReadRate       = 720 // a second, over all proxies
+	zoneReadRate       = 720 // reads per second over all proxies
 	zoneCaches         = 5
-	warmCacheRate      = 60 // reads a second that a box can do when it is warm
+	warmCacheRate      = 60 // reads per second that a warm cache can serve
 	zoneServiceTime    = 12 * time.Millisecond
 	zoneOutage         = 6 * time.Second
-	zoneLongOutage     = 40 * time.Second // of the last seed
+	zoneLongOutage     = 40 * time.Second // with the last seed
 	zoneWarmUpTime     = 8900 * time.Millisecond
 	zoneRecoveryTime   = zoneWarmUpTime * 3 / 2
 	zoneSeeds          = 6
-	zoneSeedsAlone     = 2 // of them are played alone too
-	zoneParallelRuns   = 3 // plays at once
+	zoneSeedsAlone     = 2 // seeds that also run with proxies that do not know each other
+	zoneParallelRuns   = 3
 	ordinaryTimeFactor = 30
 )
 
 var labZones = []string{"a", "b", "c"}
 
-// zoneRun is one zone that fails and comes back cold, before so many proxies.
+// zoneRun is one run of a zone that fails and comes back cold, in front of a number of proxies.
 type zoneRun struct {
 	proxies        int
 	seed           uint64
 	crossZoneShare float64
-	slowCaches     bool // forty times, in place of silent
+	slowCaches     bool // caches get 40 times slower instead of silent
 	together       bool
 
-	lastLeftAfter, leaveSpread time.Duration // when the last proxy left it, and how long after the first
-	attempts                   float64       // attempts at it in the first six seconds
-	inTime                     float64       // of the reads of the first two seconds
-	overloadedCaches           int           // boxes pushed over
-	refusedReads               int           // reads, on the return
-	recoveredAfter             time.Duration // until it had all of its work again
+	lastLeftAfter, leaveSpread time.Duration // time until the last proxy left the zone, and from the first to the last
+	attempts                   float64       // sent to the zone in the first 6 seconds
+	inTime                     float64       // share of the reads of the first 2 seconds
+	overloadedCaches           int           // caches overloaded when the zone came back
+	refusedReads               int           // after the zone came back
+	recoveredAfter             time.Duration // time until the zone had its full share of traffic again
 	violations                 []string
 }
 
@@ -59,7 +59,7 @@
 	return fmt.Sprintf("%d proxies, %s, %s", z.proxies, table, fault)
 }
 
-// zoneCluster starts proxies before three zones whose boxes have all keys.
+// zoneCluster starts proxies in front of three zones whose caches hold all keys.
 func (e *Env) zoneCluster(name string, proxies int, seed uint64, crossZoneShare float64, together bool) (*cluster.Cluster, *cluster.Clients, error) {
 	dir := filepath.Join(e.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -113,7 +113,7 @@
 		outage = zoneLongOutage
 	}
 	sleep(ctx, outage)
-	for _, b := range testCluster.Fleet.In("c") { // other processes, with nothing
+	for _, b := range testCluster.Fleet.In("c") { // restarted caches, without values
 		b.Drop()
 		b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: zoneWarmUpTime, Rate: warmCacheRate, Multiple: 4, After: 1500 * time.Millisecond})
 		for _, p := range testCluster.Proxies {
@@ -135,13 +135,13 @@
 	return ctx.Err()
 }
 
-// measure reads off what has been seen at both ends of the links.
+// measure computes the results from the requests seen at both ends of the links.
 func (z *zoneRun) measure(testCluster *cluster.Cluster, clients *cluster.Clients, failedAt, recoveredAt time.Time) {
-	const look = 300 * time.Millisecond // the most that goes there on trial is one read in this time
+	const look = 300 * time.Millisecond // at most one read in this time goes to a left zone on trial
 	var first, last time.Duration = math.MaxInt64, 0
 	for _, p := range testCluster.Proxies {
 		if testCluster.Sent(p.Name, "c", failedAt.Add(-2*time.Second), failedAt) < 10 {
-			continue // it asks its own zone
+			continue // a proxy that uses its own zone, not this one
 		}
 		leftAt := failedAt
 		for leftAt.Before(recoveredAt) && testCluster.Sent(p.Name, "c", leftAt, leftAt.Add(look)) > 2 {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Zones is the scenario of a zone that fails, before 6 and 24 proxies.
+// Zones runs the scenario of a zone that fails, in front of 6 and 24 proxies.
 func Zones(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "zones"}
 	var runs []*zoneRun
@@ -190,7 +190,7 @@
 			}
 		}
 	}
-	if e.Seconds < zoneSeeds { // a look
+	if e.Seconds < zoneSeeds { // a short run
 		runs = slices.DeleteFunc(runs, func(z *zoneRun) bool { return z.seed > 1 || z.proxies > 6 })
 	}
 	if err := e.runParallel(ctx, len(runs), func(i int) error {
@@ -198,7 +198,7 @@
 		if err := run.run(ctx, e, fmt.Sprint("zones", i)); err != nil {
 			return fmt.Errorf("%v: %w", run, err)
 		}
-		e.Log("%v, seed %d, together %v: left %v apart %v, spent %.0f, in time %.3f, refused %d, whole %v, fell %d %v", run, run.seed, run.together,
+		e.Log("%v, seed %d, together %v: left after %v, spread %v, attempts %.0f, in time %.3f, refused %d, recovered after %v, overloaded caches %d, violations %v", run, run.seed, run.together,
 			run.lastLeftAfter, run.leaveSpread, run.attempts, run.inTime, run.refusedReads, run.recoveredAfter.Round(100*time.Millisecond), run.overloadedCaches, run.violations)
 		return nil
 	}); err != nil {
@@ -283,7 +283,8 @@
 	}
 }
 
-// measureInstanceCost is what knowing one another costs each of n instances that nobody asks, and what their reads feel of it.
+// measureInstanceCost measures what membership costs each of n instances, and its effect on the latency of
+// their reads.
 func (e *Env) measureInstanceCost(ctx context.Context, r *Report, n int) error {
 	const calm = 8 * time.Second
 	var p99, cpu [2]float64
@@ -322,7 +323,8 @@
 	return ctx.Err()
 }
 
-// runOrdinaryFaults plays what happens every day, for which nobody may leave a zone: boxes that fail one by one, a release, all slower.
+// runOrdinaryFaults injects faults of daily operation, for which no proxy may leave a zone: caches that fail
+// one by one, a release, and slower caches everywhere.
 func (e *Env) runOrdinaryFaults(ctx context.Context, r *Report) error {
 	testCluster, clients, err := e.zoneCluster("ordinary", 6, 1, 0, true)
 	if err != nil {
@@ -341,7 +343,7 @@
 		case 0, 1, 2, 3:
 			cache.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[faults%4])
 			undo = func() { cache.SetFault(standin.Healthy) }
-		case 4: // all slower by as much as the fleet's owners have seen
+		case 4: // all caches slower, by as much as the fleet's owners have seen
 			for _, b := range testCluster.Fleet.Boxes {
 				b.SetService(3*zoneServiceTime, 0)
 			}
@@ -350,7 +352,7 @@
 					b.SetService(zoneServiceTime, 0)
 				}
 			}
-		case 5: // a zone's boxes start anew, one by one, with nothing
+		case 5: // a zone's caches restart one by one, without values
 			for _, b := range testCluster.Fleet.In(labZones[faults%3]) {
 				b.Drop()
 				for _, p := range testCluster.Proxies {
