--- a/cmd/linenlab/main.go
+++ b/cmd/linenlab/main.go
@@ -19,20 +19,20 @@
 	name, about string
 	run         func(context.Context, *lab.Env) (*lab.Report, error)
 }{
-	{"extproc", "the external processor: the choices of both fronts, SIGKILL under load, what a call costs", lab.ExtProc},
-	{"answers", "how long after the last outcome of a request that is given up its final answer comes, over all reasons", lab.Answers},
-	{"operate", "boxes called out and back, retuning, processes that follow one another, under load", lab.Operate},
-	{"explore", "every order of events of small fleets, up to a depth, against the rules", lab.Explore},
-	{"identity", "proven callers: keys and roots that change under load, what a proof and TLS cost, a flood of forged tokens", lab.Identity},
-	{"mountain", "many tiles in one request: what it costs against as many, and a box that stalls", lab.ManyKeys},
-	{"storm", "thousands of identical reads at once, with joining and without", lab.JoinedReads},
-	{"orders", "orders on record through both fronts, beside none, and the program killed under them", lab.Orders},
-	{"store", "the log and the record of orders on this disk, beside bare appends to a file", lab.Store},
-	{"zones", "a zone that fails before many proxies, left and returned to: together, and each by itself", lab.Zones},
-	{"idle", "a proxy that nobody asks: what it takes of the core all the same", lab.Idle},
-	{"overload", "more reads than one core can do: what is served in time, and what another tenant feels of it", lab.Overload},
-	{"restarts", "planned restarts by seed, -first and -count, under load and trouble: every rule up to the kill", lab.Restarts},
-	{"scale", "many clients before a healthy fleet: what is served, refused, and a read's cost against a relay", lab.Scale},
+	{"extproc", "the external processor: same choices as the RESP2 front end, SIGKILL under load, cost of a call", lab.ExtProc},
+	{"answers", "time from the last outcome of a refused or failed request to its final answer, for all reasons", lab.Answers},
+	{"operate", "maintenance of caches, reloads of the settings and upgrades of the process, under load", lab.Operate},
+	{"explore", "model checker: every order of events in small fleets, up to a depth", lab.Explore},
+	{"identity", "authenticated callers: rotation of keys and roots under load, cost of tokens and TLS, a flood of forged tokens", lab.Identity},
+	{"mountain", "many tiles in one request: cost compared with single reads, and a cache that stalls", lab.ManyKeys},
+	{"storm", "thousands of identical concurrent reads, with joining and without", lab.JoinedReads},
+	{"orders", "recorded orders through both front ends, compared with no record, and kills under load", lab.Orders},
+	{"store", "the log and the record of orders on this disk, compared with bare appends to a file", lab.Store},
+	{"zones", "a zone that fails and recovers, in front of many proxies that know each other or do not", lab.Zones},
+	{"idle", "CPU time of a proxy without requests", lab.Idle},
+	{"overload", "more reads than one core can serve: share served in time, and effect on another tenant", lab.Overload},
+	{"restarts", "planned restarts under load and network faults, for the seeds given by -first and -count", lab.Restarts},
+	{"scale", "many clients in front of a healthy fleet: reads served and refused, cost of a read compared with a relay", lab.Scale},
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
@@ -73,10 +73,10 @@
 		return 2
 	}
 	flags := flag.NewFlagSet("linenlab "+args[0], flag.ContinueOnError)
-	asJSON := flags.Bool("json", false, "print JSON in place of the table")
-	seconds := flags.Int("seconds", 20, "how long the longest part goes on")
-	first := flags.Uint64("first", 1, "the first seed, where a scenario is played by seed")
-	count := flags.Int("count", 50, "how many seeds")
+	asJSON := flags.Bool("json", false, "print JSON instead of a table")
+	seconds := flags.Int("seconds", 20, "duration of the longest part, in seconds")
+	first := flags.Uint64("first", 1, "the first seed, for scenarios that run by seed")
+	count := flags.Int("count", 50, "the number of seeds")
 	if err := flags.Parse(args[1:]); err != nil {
 		if err == flag.ErrHelp {
 			return 0
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -42,8 +42,8 @@
 // Run runs the demo command and returns its exit status.
 func Run(args []string) int {
 	flags := flag.NewFlagSet("linenloom demo", flag.ContinueOnError)
-	clients := flags.Int("clients", 12, "clients, each with a connection of its own")
-	seconds := flags.Int("seconds", 0, "end after so many seconds; 0: at Ctrl-C")
+	clients := flags.Int("clients", 12, "number of clients, each with its own connection")
+	seconds := flags.Int("seconds", 0, "seconds to run; 0: until Ctrl-C")
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
 		return 0
@@ -172,13 +172,13 @@
 			return err.Error()
 		}
 		replacement.SetService(2*time.Millisecond, 16)
-		return fmt.Sprintf("%s has gone; %s takes its place, cold and empty", removed.ID, replacement.ID)
+		return fmt.Sprintf("%s is removed; %s replaces it, cold and empty", removed.ID, replacement.ID)
 	case 17:
 		fleet.Origin.SetService(400*time.Millisecond, 12)
 		return "the origin slows down"
 	case 19:
 		fleet.Origin.SetService(60*time.Millisecond, 12)
-		return "the origin is itself again"
+		return "the origin answers at its usual speed again"
 	}
 	return ""
 }
--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -17,7 +17,7 @@
 // maxAnswerDelay bounds the time from the last attempt's outcome to the final answer.
 const maxAnswerDelay = 50 * time.Millisecond
 
-// answerCase is one fault that makes the proxy give up a request.
+// answerCase is one fault that makes the proxy refuse a request or answer it with an error.
 type answerCase struct {
 	name  string
 	write bool
@@ -62,8 +62,9 @@
 	{name: "read, missed, and the origin resets", write: false, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Reset) }, wantPrefix: "-BUSY"},
 }
 
-// Answers runs the scenario of requests that the proxy gives up: how long after the outcome of the last
-// attempt the client receives the final answer, through both front ends and at light load.
+// Answers runs the scenario of requests that the proxy refuses or answers with an error: how long after the
+// outcome of the last attempt the client receives the final answer, through both front ends and at light
+// load.
 func Answers(ctx context.Context, env *Env) (*Report, error) {
 	report := &Report{Scenario: "answers"}
 	for _, front := range []string{"RESP2", "answer", "route"} {
--- a/internal/lab/door.go
+++ b/internal/lab/door.go
@@ -23,8 +23,8 @@
 
 	Served, Refused, Failed atomic.Int64
 	Late                    atomic.Int64 // answers after clientTimeout
-	// Connections refused, connections broken during a request, and connections closed before the request was
-	// read.
+	// Numbers of connections refused, connections broken during a request, and connections closed before the
+	// request was read.
 	ConnectionsRefused, ConnectionsBroken, ClosedUnread atomic.Int64
 	// Time of the latest answer and longest time between two answers, in nanoseconds.
 	lastAnswer, longestGap atomic.Int64
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -183,10 +183,9 @@
 		if err := authority.Publish(currentRoot, nextRoot); err != nil {
 			return err
 		}
-		// Longer than the process's interval for checking the files.
+		// Reads for longer than the proxy's interval for checking the files. The reads keep the connection from
+		// being closed as idle, which would look like the removal of its root.
 		for end := time.Now().Add(roundTime / 2); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-			// The reads keep the connection from being closed as idle, which would look like the removal of
-			// its root.
 			if _, err := oldClient.read(1, ""); err != nil {
 				return fmt.Errorf("a connection with a certificate of a valid root: %w", err)
 			}
