--- a/internal/lab/door.go
+++ b/internal/lab/door.go
@@ -41,45 +41,45 @@
 const clientTimeout = 3 * time.Second
 
 // Start starts the clients. Every orderEvery-th request is an order; 0: none.
-func (d *ClientLoad) Start(clients, keys, orderEvery int) {
-	d.stop = make(chan struct{})
-	d.lastAnswer.Store(time.Now().UnixNano())
+func (l *ClientLoad) Start(clients, keys, orderEvery int) {
+	l.stop = make(chan struct{})
+	l.lastAnswer.Store(time.Now().UnixNano())
 	for c := range clients {
-		d.clients.Go(func() { d.runClient(c, keys, orderEvery) })
+		l.clients.Go(func() { l.runClient(c, keys, orderEvery) })
 	}
 }
 
 // SetClass sets the class of subsequent reads.
-func (d *ClientLoad) SetClass(name string) { d.class.Store(name) }
+func (l *ClientLoad) SetClass(name string) { l.class.Store(name) }
 
 // Stop stops the clients and waits for them.
-func (d *ClientLoad) Stop() {
-	close(d.stop)
-	d.clients.Wait()
+func (l *ClientLoad) Stop() {
+	close(l.stop)
+	l.clients.Wait()
 }
 
 // AwaitServed waits until n more requests have been served.
-func (d *ClientLoad) AwaitServed(n int64) error {
-	from := d.Served.Load()
-	return eventually("requests are served", func() bool { return d.Served.Load() >= from+n })
+func (l *ClientLoad) AwaitServed(n int64) error {
+	from := l.Served.Load()
+	return eventually("requests are served", func() bool { return l.Served.Load() >= from+n })
 }
 
 // LongestGap returns the longest time between two consecutive answers to any of the clients since its last
 // call.
-func (d *ClientLoad) LongestGap() time.Duration { return time.Duration(d.longestGap.Swap(0)) }
+func (l *ClientLoad) LongestGap() time.Duration { return time.Duration(l.longestGap.Swap(0)) }
 
-func (d *ClientLoad) runClient(client, keys, orderEvery int) {
+func (l *ClientLoad) runClient(client, keys, orderEvery int) {
 	var conn *redisClient
 	for sequence := client; ; sequence++ {
 		select {
-		case <-d.stop:
+		case <-l.stop:
 			if conn != nil {
 				conn.conn.Close()
 			}
 			return
-		case <-intervalTimer(d.Interval):
+		case <-intervalTimer(l.Interval):
 		}
-		if conn != nil && d.ChecksConnection && conn.closedByPeer() {
+		if conn != nil && l.ChecksConnection && conn.closedByPeer() {
 			conn.conn.Close()
 			conn = nil
 		}
@@ -87,12 +87,12 @@
 			conn.conn.Close()
 			conn = nil
 		}
-		words := d.nextCommand(sequence, keys, orderEvery)
+		words := l.nextCommand(sequence, keys, orderEvery)
 		for repeated := false; ; repeated = true {
 			if conn == nil {
 				var err error
-				if conn, err = dialRedis(d.Addr); err != nil {
-					d.ConnectionsRefused.Add(1)
+				if conn, err = dialRedis(l.Addr); err != nil {
+					l.ConnectionsRefused.Add(1)
 					break
 				}
 			}
@@ -103,16 +103,16 @@
 				conn = nil
 				switch {
 				case err == io.EOF && words[0] == "OBJ.SET": // the process may have been killed after it read the order
-					d.addUnanswered(words[1])
+					l.addUnanswered(words[1])
 				case err == io.EOF && !repeated:
-					d.ClosedUnread.Add(1)
+					l.ClosedUnread.Add(1)
 					continue
 				default:
-					d.ConnectionsBroken.Add(1)
+					l.ConnectionsBroken.Add(1)
 				}
 				break
 			}
-			d.recordAnswer(answer, time.Since(sentAt))
+			l.recordAnswer(answer, time.Since(sentAt))
 			break
 		}
 	}
@@ -130,49 +130,49 @@
 	return time.After(d)
 }
 
-func (d *ClientLoad) nextCommand(sequence, keys, orderEvery int) []string {
-	id := fmt.Sprintf("%016x", d.lastID.Add(1))
+func (l *ClientLoad) nextCommand(sequence, keys, orderEvery int) []string {
+	id := fmt.Sprintf("%016x", l.lastID.Add(1))
 	if orderEvery > 0 && sequence%orderEvery == 0 {
-		return []string{"OBJ.SET", fmt.Sprintf("%x", 1<<40+d.lastOrder.Add(1)), id, "c=pass-order,d=3000", "one pass"}
+		return []string{"OBJ.SET", fmt.Sprintf("%x", 1<<40+l.lastOrder.Add(1)), id, "c=pass-order,d=3000", "one pass"}
 	}
 	class := "tile-read"
-	if c, ok := d.class.Load().(string); ok {
+	if c, ok := l.class.Load().(string); ok {
 		class = c
 	}
 	return []string{"OBJ.GET", fmt.Sprintf("%x", 0x100+sequence%keys), id, "c=" + class + ",d=3000"}
 }
 
-func (d *ClientLoad) recordAnswer(answer string, latency time.Duration) {
+func (l *ClientLoad) recordAnswer(answer string, latency time.Duration) {
 	now := time.Now().UnixNano()
-	gap := now - d.lastAnswer.Swap(now)
-	for previous := d.longestGap.Load(); gap > previous && !d.longestGap.CompareAndSwap(previous, gap); previous = d.longestGap.Load() {
+	gap := now - l.lastAnswer.Swap(now)
+	for previous := l.longestGap.Load(); gap > previous && !l.longestGap.CompareAndSwap(previous, gap); previous = l.longestGap.Load() {
 	}
 	if latency > clientTimeout {
-		d.Late.Add(1)
+		l.Late.Add(1)
 	}
 	switch {
 	case strings.HasPrefix(answer, "-BUSY"):
-		d.Refused.Add(1)
+		l.Refused.Add(1)
 	case strings.HasPrefix(answer, "-"):
-		d.Failed.Add(1)
+		l.Failed.Add(1)
 	default:
-		d.Served.Add(1)
+		l.Served.Add(1)
 	}
 }
 
 // addUnanswered records an order whose connection ended without an answer. It is not sent again.
-func (d *ClientLoad) addUnanswered(key string) {
-	d.mu.Lock()
-	d.unansweredOrders = append(d.unansweredOrders, key)
-	d.mu.Unlock()
+func (l *ClientLoad) addUnanswered(key string) {
+	l.mu.Lock()
+	l.unansweredOrders = append(l.unansweredOrders, key)
+	l.mu.Unlock()
 }
 
 // UnansweredOrders returns the keys of the orders whose connections ended without an answer since its last
 // call.
-func (d *ClientLoad) UnansweredOrders() (keys []string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	keys, d.unansweredOrders = d.unansweredOrders, nil
+func (l *ClientLoad) UnansweredOrders() (keys []string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	keys, l.unansweredOrders = l.unansweredOrders, nil
 	return keys
 }
 
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -93,16 +93,16 @@
 	duration := time.Duration(e.Seconds) * time.Second / (4 * rounds)
 	for range rounds {
 		for _, part := range []struct {
-			rate                 *ClosedLoopResult
-			p                    *Process
+			total                *ClosedLoopResult
+			process              *Process
 			dial                 func(string) (*authClient, error)
 			newConnectionPerRead bool
 		}{{&plainReads, plainProcess, dialPlain, false}, {&tlsReads, process, dialSecure, false}, {&plainConnections, plainProcess, dialPlain, true}, {&tlsConnections, process, dialSecure, true}} {
-			result, err := runClosedLoop(part.p, workerCount, duration, newReads("door", part.dial, part.newConnectionPerRead))
+			result, err := runClosedLoop(part.process, workerCount, duration, newReads("door", part.dial, part.newConnectionPerRead))
 			if err != nil {
-				return fmt.Errorf("reads with TLS %v, a new connection for each %v: %w", part.p == process, part.newConnectionPerRead, err)
+				return fmt.Errorf("reads with TLS %v, a new connection for each %v: %w", part.process == process, part.newConnectionPerRead, err)
 			}
-			part.rate.add(result)
+			part.total.add(result)
 		}
 	}
 	report.AddValue("TLS: reads a CPU second, of those in plain text", tlsReads.PerCPU()/plainReads.PerCPU())
--- a/internal/lab/extproc.go
+++ b/internal/lab/extproc.go
@@ -111,7 +111,7 @@
 
 func compareChoices(_ context.Context, _ *Env, report *Report) error {
 	const requests = 300
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	kinds := []struct {
 		name, mode    string
 		redis, duplex bool
@@ -119,11 +119,11 @@
 		{"answer in full duplex", "answer", false, true}, {"route in full duplex", "route", false, true}}
 	choices, errs := make([]Choices, len(kinds)), make([]error, len(kinds))
 	for i, c := range kinds {
-		g.Go(func() {
+		group.Go(func() {
 			choices[i], errs[i] = RunChoices(c.mode, c.duplex, requests, func(int) bool { return c.redis })
 		})
 	}
-	g.Wait()
+	group.Wait()
 	for i, c := range kinds {
 		name := c.name
 		if errs[i] != nil {
@@ -169,12 +169,12 @@
 		repeatedOrders, kills                                        int
 		err                                                          error
 	}
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	modes := []string{"answer", "route"}
-	out := make([]outcome, len(modes))
+	outcomes := make([]outcome, len(modes))
 	for k, mode := range modes {
-		g.Go(func() {
-			result := &out[k]
+		group.Go(func() {
+			result := &outcomes[k]
 			result.err = func() error {
 				fleet, err := newFilledFleet(4, 512, loadKeys)
 				if err != nil {
@@ -302,9 +302,9 @@
 			}()
 		})
 	}
-	g.Wait()
+	group.Wait()
 	for k, mode := range modes {
-		result := out[k]
+		result := outcomes[k]
 		mode += suffix
 		if result.err != nil {
 			return fmt.Errorf("%s: %w", mode, result.err)
@@ -368,7 +368,7 @@
 	for round := range 4 {
 		for _, m := range []struct {
 			total   *ClosedLoopResult
-			p       *Process
+			process *Process
 			addr    string
 			workers int
 			newLoad func(addr string) (func(int) (func(int) error, func(), error), error)
@@ -392,7 +392,7 @@
 			if round == 0 {
 				d = 200 * time.Millisecond // warm-up of connections and tables, not counted
 			}
-			result, err := runClosedLoop(m.p, m.workers, d, load)
+			result, err := runClosedLoop(m.process, m.workers, d, load)
 			if err != nil {
 				return fmt.Errorf("%s: %w", strings.TrimPrefix(m.addr, "127.0.0.1"), err)
 			}
--- a/internal/lab/flood.go
+++ b/internal/lab/flood.go
@@ -34,11 +34,11 @@
 }
 
 // Goodput returns the number of reads served in time per second.
-func (f *OpenLoopResult) Goodput() float64 { return float64(f.InTime) / f.Duration.Seconds() }
+func (r *OpenLoopResult) Goodput() float64 { return float64(r.InTime) / r.Duration.Seconds() }
 
 // Quantile returns the latency quantile q of the served reads.
-func (f *OpenLoopResult) Quantile(q float64) time.Duration {
-	return time.Duration(f.latency.ValueAtQuantile(100*q)) * time.Microsecond
+func (r *OpenLoopResult) Quantile(q float64) time.Duration {
+	return time.Duration(r.latency.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
 func newOpenLoopResult() *OpenLoopResult {
--- a/internal/lab/identity.go
+++ b/internal/lab/identity.go
@@ -358,16 +358,16 @@
 	}
 	for range rounds { // in turns, as the machine's speed varies
 		for _, part := range []struct {
-			rate       *ClosedLoopResult
-			p          *Process
+			total      *ClosedLoopResult
+			process    *Process
 			addr       string
 			auth, more string
 		}{{&plainReads, plainProcess, plainAddr, "", ""}, {&byAuth, process, addr, token, ""}, {&byAttribute, process, addr, "", ",tk=" + token}} {
-			result, err := runClosedLoop(part.p, workerCount, duration, newReads(part.addr, "cost", part.auth, part.more))
+			result, err := runClosedLoop(part.process, workerCount, duration, newReads(part.addr, "cost", part.auth, part.more))
 			if err != nil {
 				return fmt.Errorf("reads at %s, AUTH %v, token in each request %v: %w", part.addr, part.auth != "", part.more != "", err)
 			}
-			part.rate.add(result)
+			part.total.add(result)
 		}
 	}
 	report.AddValue("reads a CPU second without tokens", plainReads.PerCPU())
--- a/internal/lab/mountain.go
+++ b/internal/lab/mountain.go
@@ -137,14 +137,14 @@
 	duration := time.Duration(env.Seconds) * time.Second / (3 * rounds)
 	for range rounds {
 		for _, part := range []struct {
-			rate     *ClosedLoopResult
+			total    *ClosedLoopResult
 			together bool
 		}{{&together, true}, {&singly, false}} {
 			result, err := runClosedLoop(process, 4, duration, newClients(part.together))
 			if err != nil {
 				return report, err
 			}
-			part.rate.add(result)
+			part.total.add(result)
 		}
 	}
 	report.AddValue("mountains a second, by one request", together.PerSecond())
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -38,40 +38,40 @@
 	err      error
 }
 
-func (file *bareFile) append(b []byte) error {
-	file.mu.Lock()
-	defer file.mu.Unlock()
-	if file.syncEach {
-		if _, err := file.file.Write(b); err != nil {
+func (bare *bareFile) append(b []byte) error {
+	bare.mu.Lock()
+	defer bare.mu.Unlock()
+	if bare.syncEach {
+		if _, err := bare.file.Write(b); err != nil {
 			return err
 		}
-		return file.file.Sync()
+		return bare.file.Sync()
 	}
-	if file.done == nil {
-		file.done = make(chan struct{})
+	if bare.done == nil {
+		bare.done = make(chan struct{})
 	}
-	file.pending = append(file.pending, b...)
-	done := file.done
-	if file.writing {
-		file.mu.Unlock()
+	bare.pending = append(bare.pending, b...)
+	done := bare.done
+	if bare.writing {
+		bare.mu.Unlock()
 		<-done
-		file.mu.Lock()
-		return file.err
+		bare.mu.Lock()
+		return bare.err
 	}
-	for file.writing = true; file.done != nil; {
-		group, groupSynced := file.pending, file.done
-		file.pending, file.done = nil, nil
-		file.mu.Unlock()
-		_, err := file.file.Write(group)
+	for bare.writing = true; bare.done != nil; {
+		group, groupSynced := bare.pending, bare.done
+		bare.pending, bare.done = nil, nil
+		bare.mu.Unlock()
+		_, err := bare.file.Write(group)
 		if err == nil {
-			err = file.file.Sync()
+			err = bare.file.Sync()
 		}
-		file.mu.Lock()
-		file.err = err
+		bare.mu.Lock()
+		bare.err = err
 		close(groupSynced)
 	}
-	file.writing = false
-	return file.err
+	bare.writing = false
+	return bare.err
 }
 
 // measureWrites runs the given number of writers for a while and returns the writes per second.
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -116,15 +116,15 @@
 	duration := time.Duration(env.Seconds) * time.Second / (2 * comparisonRounds)
 	for range comparisonRounds {
 		for _, part := range []struct {
-			rate *ClosedLoopResult
-			p    *Process
-			addr string
+			total   *ClosedLoopResult
+			process *Process
+			addr    string
 		}{{&plainReads, plainProcess, plainAddr}, {&joinedReads, process, addr}} {
-			result, err := runClosedLoop(part.p, workerCount, duration, newTileWorker(part.addr))
+			result, err := runClosedLoop(part.process, workerCount, duration, newTileWorker(part.addr))
 			if err != nil {
 				return report, err
 			}
-			part.rate.add(result)
+			part.total.add(result)
 		}
 	}
 	report.AtLeast("where nothing repeats: reads a CPU second, of those without joining", joinedReads.PerCPU()/plainReads.PerCPU(), 0.95)
