--- a/cmd/linenlab/main.go
+++ b/cmd/linenlab/main.go
@@ -1,4 +1,5 @@
-// Command linenlab stages scenarios with real processes on loopback and says which of the project's claims are kept.
+// Command linenlab runs measurement scenarios with real processes on loopback and reports which of the
+// project's claims hold.
 package main
 
 import (
@@ -13,39 +14,39 @@
 	"linenloom/internal/lab"
 )
 
-// scenarios are what can be staged.
+// scenarios are the scenarios that linenlab can run, in the order in which it lists them.
 var scenarios = []struct {
 	name, about string
 	run         func(context.Context, *lab.Env) (*lab.Report, error)
 }{
-	{"extproc", "the external processor: the choices of both fronts, SIGKILL under load, what a call costs", lab.ExtProc},
-	{"answers", "how long after the last outcome of a request that is given up its final answer comes, over all reasons", lab.Answers},
-	{"operate", "boxes called out and back, retuning, processes that follow one another, under load", lab.Operate},
-	{"explore", "every order of events of small fleets, up to a depth, against the rules", lab.Explore},
-	{"identity", "proven callers: keys and roots that change under load, what a proof and TLS cost, a flood of forged tokens", lab.Identity},
-	{"mountain", "many tiles in one request: what it costs against as many, and a box that stalls", lab.Mountain},
-	{"storm", "thousands of identical reads at once, with joining and without", lab.Storm},
-	{"orders", "orders on record through both fronts, beside none, and the program killed under them", lab.Orders},
-	{"store", "the log and the record of orders on this disk, beside bare appends to a file", lab.Store},
-	{"zones", "a zone that fails before many proxies, left and returned to: together, and each by itself", lab.Zones},
-	{"idle", "a proxy that nobody asks: what it takes of the core all the same", lab.Idle},
-	{"overload", "more reads than one core can do: what is served in time, and what another tenant feels of it", lab.Overload},
-	{"restarts", "planned restarts by seed, -first and -count, under load and trouble: every rule up to the kill", lab.Restarts},
-	{"scale", "many clients before a healthy fleet: what is served, refused, and a read's cost against a relay", lab.Scale},
+	{"extproc", "the external processor: same choices as the RESP2 front end, SIGKILL under load, cost of a call", lab.ExtProc},
+	{"answers", "time from the last outcome of a refused or failed request to its final answer, for all reasons", lab.Answers},
+	{"operate", "maintenance of caches, reloads of the settings and upgrades of the process, under load", lab.Operate},
+	{"explore", "model checker: every order of events in small fleets, up to a depth", lab.Explore},
+	{"identity", "authenticated callers: rotation of keys and roots under load, cost of tokens and TLS, a flood of forged tokens", lab.Identity},
+	{"mountain", "many tiles in one request: cost compared with single reads, and a cache that stalls", lab.ManyKeys},
+	{"storm", "thousands of identical concurrent reads, with joining and without", lab.JoinedReads},
+	{"orders", "recorded orders through both front ends, compared with no record, and kills under load", lab.Orders},
+	{"store", "the log and the record of orders on this disk, compared with bare appends to a file", lab.Store},
+	{"zones", "a zone that fails and recovers, in front of many proxies that know each other or do not", lab.Zones},
+	{"idle", "CPU time of a proxy without requests", lab.Idle},
+	{"overload", "more reads than one core can serve: share served in time, and effect on another tenant", lab.Overload},
+	{"restarts", "planned restarts under load and network faults, for the seeds given by -first and -count", lab.Restarts},
+	{"scale", "many clients in front of a healthy fleet: reads served and refused, cost of a read compared with a relay", lab.Scale},
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
 func usage() {
-	fmt.Fprint(os.Stderr, `usage: linenlab SCENARIO [-json] [-seconds N] [-first SEED -count N]    stage a scenario; status 1 if a claim is not kept
+	fmt.Fprint(os.Stderr, `usage: linenlab SCENARIO [-json] [-seconds N] [-first SEED -count N]    run a scenario; status 1 if a claim does not hold
        linenlab list                             name the scenarios
 Run it in the project's folder: it builds the programs that it measures.
 `)
 }
 
 func run(args []string) int {
-	if what := os.Getenv(lab.ServeVariable); what != "" {
-		fmt.Fprintln(os.Stderr, "linenlab:", lab.Serve(what))
+	if baseline := os.Getenv(lab.ServeVariable); baseline != "" {
+		fmt.Fprintln(os.Stderr, "linenlab:", lab.Serve(baseline))
 		return 1
 	}
 	if len(args) == 0 || args[0] == "-h" || args[0] == "--help" {
@@ -72,10 +73,10 @@
 		return 2
 	}
 	flags := flag.NewFlagSet("linenlab "+args[0], flag.ContinueOnError)
-	asJSON := flags.Bool("json", false, "print JSON in place of the table")
-	seconds := flags.Int("seconds", 20, "how long the longest part goes on")
-	first := flags.Uint64("first", 1, "the first seed, where a scenario is played by seed")
-	count := flags.Int("count", 50, "how many seeds")
+	asJSON := flags.Bool("json", false, "print JSON instead of a table")
+	seconds := flags.Int("seconds", 20, "duration of the longest part, in seconds")
+	first := flags.Uint64("first", 1, "the first seed, for scenarios that run by seed")
+	count := flags.Int("count", 50, "the number of seeds")
 	if err := flags.Parse(args[1:]); err != nil {
 		if err == flag.ErrHelp {
 			return 0
@@ -83,16 +84,16 @@
 		return 2
 	}
 	if *count < 1 {
-		fmt.Fprintln(os.Stderr, "linenlab: -count is at least 1")
+		fmt.Fprintln(os.Stderr, "linenlab: -count must be at least 1")
 		return 2
 	}
 	if *seconds < 5 || *seconds > 3600 || flags.NArg() > 0 {
-		fmt.Fprintln(os.Stderr, "linenlab: -seconds is from 5 to 3600, and nothing follows the flags")
+		fmt.Fprintln(os.Stderr, "linenlab: -seconds must be from 5 to 3600; no arguments may follow the flags")
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	report, err := stage(ctx, scenarios[i].run, &lab.Env{Seconds: *seconds, First: *first, Count: *count})
+	report, err := runScenario(ctx, scenarios[i].run, &lab.Env{Seconds: *seconds, FirstSeed: *first, SeedCount: *count})
 	if report != nil {
 		if err := report.Print(os.Stdout, *asJSON); err != nil {
 			fmt.Fprintln(os.Stderr, "linenlab:", err)
@@ -103,27 +104,27 @@
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "linenlab:", err)
 		return 1
-	case !report.Kept():
+	case !report.AllHold():
 		return 1
 	}
 	return 0
 }
 
-func stage(ctx context.Context, run func(context.Context, *lab.Env) (*lab.Report, error), e *lab.Env) (*lab.Report, error) {
+func runScenario(ctx context.Context, run func(context.Context, *lab.Env) (*lab.Report, error), env *lab.Env) (*lab.Report, error) {
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	e.Dir, e.Self = dir, self
-	e.Log = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
-	e.Log("building")
-	if err := e.Build(ctx); err != nil {
+	env.Dir, env.Executable = dir, executable
+	env.Log = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+	env.Log("building")
+	if err := env.Build(ctx); err != nil {
 		return nil, err
 	}
-	return run(ctx, e)
+	return run(ctx, env)
 }
--- a/cmd/linenloom/orders_test.go
+++ b/cmd/linenloom/orders_test.go
@@ -46,8 +46,8 @@
 		return launch(t, &logCounter{output: t.Output()}, []string{"-operator", operator}, "LB_CONFIG="+config, "TMPDIR="+tmp)
 	}
 	process := start()
-	orderer := &lab.Orderer{Addr: listen, Name: "o", Wait: 4 * time.Second}
-	orderer.Open(12)
+	orderer := &lab.OrderClients{Addr: listen, KeyPrefix: "o", Deadline: 4 * time.Second}
+	orderer.Start(12)
 	progress := func() {
 		t.Helper()
 		from := orderer.Served.Load()
@@ -77,16 +77,16 @@
 		}
 	}
 	progress()
-	orderer.Close()
+	orderer.Stop()
 	process.Process.Signal(syscall.SIGTERM)
 	if err := process.Wait(); err != nil {
 		t.Error(err)
 	}
-	states, err := lab.CheckOrders(dir, "kiosk", orderer.Told(), fleet.Origin.Executions())
+	states, err := lab.CheckOrders(dir, "kiosk", orderer.Receipts(), fleet.Origin.Executions())
 	if err != nil {
 		t.Error(err)
 	}
-	t.Logf("%v; %d refused, %d failed, %d broken", states, orderer.Refused.Load(), orderer.Failed.Load(), orderer.Broken.Load())
+	t.Logf("%v; %d refused, %d failed, %d broken", states, orderer.Refused.Load(), orderer.Failed.Load(), orderer.ConnectionsBroken.Load())
 
 	// If another process that is not the predecessor has the directory open, the program reports it and
 	// ends.
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -62,11 +62,11 @@
 	mgmtAddrs := [3]string{freeAddr(t), freeAddr(t), freeAddr(t)}
 	process := start(mgmtAddrs[0])
 
-	clients := lab.Door{Addr: listen}
-	clients.Open(8, 50, 10)
+	clients := lab.ClientLoad{Addr: listen}
+	clients.Start(8, 50, 10)
 	progress := func() {
 		t.Helper()
-		if err := clients.Progress(300); err != nil {
+		if err := clients.AwaitServed(300); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -113,9 +113,9 @@
 			t.Fatal("the box is back and unused")
 		}
 	}
-	clients.Close()
-	if clients.Shut.Load()+clients.Broken.Load() > 0 {
-		t.Errorf("%d connections refused, %d broken, of %d requests served", clients.Shut.Load(), clients.Broken.Load(), clients.Served.Load())
+	clients.Stop()
+	if clients.ConnectionsRefused.Load()+clients.ConnectionsBroken.Load() > 0 {
+		t.Errorf("%d connections refused, %d broken, of %d requests served", clients.ConnectionsRefused.Load(), clients.ConnectionsBroken.Load(), clients.Served.Load())
 	}
 	if clients.Refused.Load()+clients.Failed.Load() > 0 {
 		t.Errorf("%d requests refused, %d failed", clients.Refused.Load(), clients.Failed.Load())
--- a/cmd/linenproc/orders_test.go
+++ b/cmd/linenproc/orders_test.go
@@ -54,8 +54,8 @@
 			p.fleet.Origin.SetService(3*time.Millisecond, 0)
 			p.start()
 
-			orderer := &lab.Orderer{Addr: respAddr, Name: "resp", Wait: 4 * time.Second}
-			orderer.Open(6)
+			orderer := &lab.OrderClients{Addr: respAddr, KeyPrefix: "resp", Deadline: 4 * time.Second}
+			orderer.Start(6)
 			c := p.caller()
 			c.MessageTimeout = time.Second
 			var served atomic.Int64
@@ -97,7 +97,7 @@
 				p.start()
 			}
 			progress()
-			orderer.Close()
+			orderer.Stop()
 			close(quit)
 			callers.Wait()
 			p.cmd.Process.Signal(syscall.SIGTERM)
@@ -105,7 +105,7 @@
 				t.Error(err)
 			}
 			p.checkAtMostOnce()
-			receiptsByKey := orderer.Told()
+			receiptsByKey := orderer.Receipts()
 			if mode == "answer" { // in mode route, receipts do not pass through the processor
 				for key, receipt := range receipts {
 					receiptsByKey[key] = receipt
@@ -115,7 +115,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			t.Logf("%v; told %d, of RESP2 %d served, %d refused, %d failed, %d broken", states, len(receiptsByKey), orderer.Served.Load(), orderer.Refused.Load(), orderer.Failed.Load(), orderer.Broken.Load())
+			t.Logf("%v; told %d, of RESP2 %d served, %d refused, %d failed, %d broken", states, len(receiptsByKey), orderer.Served.Load(), orderer.Refused.Load(), orderer.Failed.Load(), orderer.ConnectionsBroken.Load())
 		})
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo shows a newcomer what the proxy does: it starts one on an embedded fleet of stand-ins, sends it traffic,
-// lets boxes drain, stall and come back cold, and prints second by second what becomes of the requests. It is never part
-// of serving.
+// Package demo shows newcomers what the proxy does: it starts a proxy in front of a fleet of simulated
+// servers in the same process, sends traffic, lets caches drain, stall and come back cold, and prints the
+// outcomes of the requests second by second. It takes no part in serving.
 package demo
 
 import (
@@ -29,26 +29,26 @@
 )
 
 const (
-	boxes     = 6
-	keys      = 400
-	valueSize = 2 << 10
-	aim       = 800 * time.Millisecond
-	deadline  = 3 * time.Second
+	cacheCount    = 6
+	keyCount      = 400
+	valueSize     = 2 << 10
+	latencyTarget = 800 * time.Millisecond
+	deadline      = 3 * time.Second
 )
 
-// counts are what became of the requests of a second.
+// counts counts the outcomes of the requests of one second.
 type counts struct{ asked, served, refused, late, failed atomic.Int64 }
 
-// Run is the command: it returns the exit status.
+// Run runs the demo command and returns its exit status.
 func Run(args []string) int {
 	flags := flag.NewFlagSet("linenloom demo", flag.ContinueOnError)
-	clients := flags.Int("clients", 12, "clients, each with a connection of its own")
-	seconds := flags.Int("seconds", 0, "end after so many seconds; 0: at Ctrl-C")
+	clients := flags.Int("clients", 12, "number of clients, each with its own connection")
+	seconds := flags.Int("seconds", 0, "seconds to run; 0: until Ctrl-C")
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
 		return 0
 	case err != nil || flags.NArg() > 0 || *clients < 1 || *clients > 200 || *seconds < 0:
-		fmt.Fprintln(os.Stderr, "linenloom demo: -clients is from 1 to 200, -seconds not negative, and nothing follows")
+		fmt.Fprintln(os.Stderr, "linenloom demo: -clients must be from 1 to 200 and -seconds not negative; no other arguments are allowed")
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -58,15 +58,15 @@
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(*seconds)*time.Second)
 		defer cancel()
 	}
-	if err := play(ctx, os.Stdout, *clients); err != nil {
+	if err := runDemo(ctx, os.Stdout, *clients); err != nil {
 		fmt.Fprintln(os.Stderr, "linenloom demo:", err)
 		return 1
 	}
 	return 0
 }
 
-func play(ctx context.Context, out io.Writer, clients int) error {
-	fleet, err := standin.NewFleet(boxes, valueSize)
+func runDemo(ctx context.Context, out io.Writer, clients int) error {
+	fleet, err := standin.NewFleet(cacheCount, valueSize)
 	if err != nil {
 		return err
 	}
@@ -79,114 +79,114 @@
 	if err != nil {
 		return err
 	}
-	cfg, err := app.ProxyConfig(text)
+	config, err := app.ProxyConfig(text)
 	if err != nil {
 		return err
 	}
-	p, err := proxy.New(cfg, slog.New(slog.DiscardHandler))
+	lbProxy, err := proxy.New(config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return err
 	}
 	serving, drain := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- p.Run(serving) }()
+	go func() { done <- lbProxy.Run(serving) }()
 
-	fmt.Fprintf(out, "a proxy on %s, %d boxes, one slow origin, %d clients; Ctrl-C ends it\n", p.Addr(), boxes, clients)
-	fmt.Fprintln(out, "second   asked  served refused    late  failed   fetched  what happens, and why most are refused or fail")
-	var n counts
-	var g sync.WaitGroup
-	traffic, end := context.WithCancel(ctx)
-	defer end()
+	fmt.Fprintf(out, "a proxy on %s, %d caches, one slow origin, %d clients; press Ctrl-C to end\n", lbProxy.Addr(), cacheCount, clients)
+	fmt.Fprintln(out, "second   asked  served refused    late  failed   fetched  event, and the most frequent reason for refusals or failures")
+	var requests counts
+	var group sync.WaitGroup
+	trafficContext, endTraffic := context.WithCancel(ctx)
+	defer endTraffic()
 	for c := range clients {
-		g.Go(func() { client(traffic, p.Addr().String(), c, &n) })
+		group.Go(func() { runClient(trafficContext, lbProxy.Addr().String(), c, &requests) })
 	}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	fetched := 0
-	var told *reasons.Counts
+	fetchedBefore := 0
+	var previous *reasons.Counts
 	for second := 1; ctx.Err() == nil; second++ {
 		select {
 		case <-ctx.Done():
 			continue
 		case <-tick.C:
 		}
-		now := fleet.Origin.Fetches()
-		event := happen(fleet, second)
-		why := p.Reasons()
-		if most := mostOf(why.Since(told)); most != "" {
-			event = strings.TrimPrefix(event+"; "+most, "; ")
+		fetches := fleet.Origin.Fetches()
+		event := applyEvent(fleet, second)
+		reasonCounts := lbProxy.Reasons()
+		if mostFrequent := mostFrequentReason(reasonCounts.Since(previous)); mostFrequent != "" {
+			event = strings.TrimPrefix(event+"; "+mostFrequent, "; ")
 		}
-		told = why
-		fmt.Fprintf(out, "%6d %7d %7d %7d %7d %7d %9d  %s\n", second, n.asked.Swap(0), n.served.Swap(0), n.refused.Swap(0),
-			n.late.Swap(0), n.failed.Swap(0), now-fetched, event)
-		fetched = now
-	}
-	fmt.Fprintln(out, "\ndraining: what was taken is answered, then the proxy ends")
-	end()
-	g.Wait()
+		previous = reasonCounts
+		fmt.Fprintf(out, "%6d %7d %7d %7d %7d %7d %9d  %s\n", second, requests.asked.Swap(0), requests.served.Swap(0), requests.refused.Swap(0),
+			requests.late.Swap(0), requests.failed.Swap(0), fetches-fetchedBefore, event)
+		fetchedBefore = fetches
+	}
+	fmt.Fprintln(out, "\ndraining: accepted requests are answered, then the proxy stops")
+	endTraffic()
+	group.Wait()
 	drain()
 	if err := <-done; err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "\nwhy requests waited, were refused or failed:")
-	if err := p.Reasons().Print(out); err != nil {
+	if err := lbProxy.Reasons().Print(out); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "\nended")
 	return nil
 }
 
-// mostOf names the reason for which most requests were refused or failed.
-func mostOf(c *reasons.Counts) string {
-	var most reasons.Row
+// mostFrequentReason returns the most frequent reason for which requests were refused or failed.
+func mostFrequentReason(c *reasons.Counts) string {
+	var mostFrequent reasons.Row
 	for _, r := range c.Rows() {
-		if r.Outcome != reasons.Waited && r.Count > most.Count {
-			most = r
+		if r.Outcome != reasons.Waited && r.Count > mostFrequent.Count {
+			mostFrequent = r
 		}
 	}
-	if most.Count == 0 {
+	if mostFrequent.Count == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%s %s: %s %d", most.Class, most.Outcome, reasons.Name(most.Reason), most.Count)
+	return fmt.Sprintf("%s %s: %s %d", mostFrequent.Class, mostFrequent.Outcome, reasons.Name(mostFrequent.Reason), mostFrequent.Count)
 }
 
-// happen stages the second's event, in rounds of 20 seconds.
-func happen(fleet *standin.Fleet, second int) string {
+// applyEvent applies the event of the given second, in cycles of 20 seconds, and returns its description.
+func applyEvent(fleet *standin.Fleet, second int) string {
 	round := second / 20
 	switch second % 20 {
 	case 4:
 		fleet.Boxes[0].SetFault(standin.Stall)
-		return fleet.Boxes[0].ID + " stalls: it takes requests and never answers"
+		return fleet.Boxes[0].ID + " stalls: it accepts requests and never answers"
 	case 8:
 		fleet.Boxes[0].SetFault(standin.Healthy)
 		return fleet.Boxes[0].ID + " answers again"
 	case 11:
 		fleet.Drain(fleet.Boxes[1])
-		return fleet.Boxes[1].ID + " drains: it gets nothing new"
+		return fleet.Boxes[1].ID + " drains: it gets no new requests"
 	case 13:
-		old := fleet.Boxes[1]
+		removed := fleet.Boxes[1]
 		fleet.Boxes = append(fleet.Boxes[:1], fleet.Boxes[2:]...)
-		fleet.Remove(old)
-		b, err := fleet.Add(fmt.Sprintf("s-%d", boxes+1+round), time.Now())
+		fleet.Remove(removed)
+		replacement, err := fleet.Add(fmt.Sprintf("s-%d", cacheCount+1+round), time.Now())
 		if err != nil {
 			return err.Error()
 		}
-		b.SetService(2*time.Millisecond, 16)
-		return fmt.Sprintf("%s has gone; %s takes its place, cold and empty", old.ID, b.ID)
+		replacement.SetService(2*time.Millisecond, 16)
+		return fmt.Sprintf("%s is removed; %s replaces it, cold and empty", removed.ID, replacement.ID)
 	case 17:
 		fleet.Origin.SetService(400*time.Millisecond, 12)
 		return "the origin slows down"
 	case 19:
 		fleet.Origin.SetService(60*time.Millisecond, 12)
-		return "the origin is itself again"
+		return "the origin answers at its usual speed again"
 	}
 	return ""
 }
 
-// client asks for one tile after another, and for a pass now and then.
-func client(ctx context.Context, addr string, c int, n *counts) {
-	rng := rand.New(rand.NewPCG(1, uint64(c)))
-	popular := rand.NewZipf(rng, 1.1, 4, keys-1)
+// runClient reads one tile after another and sends an order now and then.
+func runClient(ctx context.Context, addr string, index int, requests *counts) {
+	rng := rand.New(rand.NewPCG(1, uint64(index)))
+	keyPopularity := rand.NewZipf(rng, 1.1, 4, keyCount-1)
 	var conn net.Conn
 	var in *bufio.Reader
 	for i := 0; ctx.Err() == nil; i++ {
@@ -197,29 +197,29 @@
 			}
 			in = bufio.NewReader(conn)
 		}
-		id, key := fmt.Sprintf("%x-%x", c, i), fmt.Sprint("k", popular.Uint64())
+		id, key := fmt.Sprintf("%x-%x", index, i), fmt.Sprint("k", keyPopularity.Uint64())
 		words := []string{"OBJ.GET", key, id, fmt.Sprintf("c=tile-read,d=%d", deadline.Milliseconds())}
 		if i%40 == 39 {
 			words = []string{"OBJ.SET", "pass-" + id, id, fmt.Sprintf("c=pass-order,d=%d", deadline.Milliseconds()), "one pass"}
 		}
-		b := resp.AppendArray(nil, len(words))
+		command := resp.AppendArray(nil, len(words))
 		for _, w := range words {
-			b = resp.AppendBulk(b, w)
+			command = resp.AppendBulk(command, w)
 		}
-		n.asked.Add(1)
-		begun := time.Now()
-		conn.SetDeadline(begun.Add(deadline))
-		conn.Write(b)
+		requests.asked.Add(1)
+		sentAt := time.Now()
+		conn.SetDeadline(sentAt.Add(deadline))
+		conn.Write(command)
 		line, err := readAnswer(in)
 		switch {
 		case err != nil || strings.HasPrefix(line, "-ERR"):
-			n.failed.Add(1)
+			requests.failed.Add(1)
 		case strings.HasPrefix(line, "-BUSY"):
-			n.refused.Add(1)
-		case time.Since(begun) > aim:
-			n.late.Add(1)
+			requests.refused.Add(1)
+		case time.Since(sentAt) > latencyTarget:
+			requests.late.Add(1)
 		default:
-			n.served.Add(1)
+			requests.served.Add(1)
 		}
 		if err != nil {
 			conn.Close()
@@ -235,7 +235,7 @@
 	}
 }
 
-// readAnswer reads an answer whole and returns its first line.
+// readAnswer reads a full answer and returns its first line.
 func readAnswer(in *bufio.Reader) (string, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// screen is what has been printed; a line that matches closes seen.
-type screen struct {
-	mu   sync.Mutex
-	text strings.Builder
-	want *regexp.Regexp
-	seen chan struct{}
-	once sync.Once
+// outputWatcher collects the output and closes matched once the output matches the pattern.
+type outputWatcher struct {
+	mu      sync.Mutex
+	text    strings.Builder
+	pattern *regexp.Regexp
+	matched chan struct{}
+	once    sync.Once
 }
 
-func (s *screen) Write(b []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.text.Write(b)
-	if s.want.MatchString(s.text.String()) {
-		s.once.Do(func() { close(s.seen) })
+func (w *outputWatcher) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.text.Write(b)
+	if w.pattern.MatchString(w.text.String()) {
+		w.once.Do(func() { close(w.matched) })
 	}
 	return len(b), nil
 }
 
-// It serves, says so, and ends cleanly when it is told to.
-func TestPlay(t *testing.T) {
+// The demo serves requests, prints their numbers, and ends cleanly when its context is cancelled.
+func TestRunDemo(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	s := &screen{want: regexp.MustCompile(`(?m)^ +\d+ +\d+ +[1-9]\d* `), seen: make(chan struct{})}
+	watcher := &outputWatcher{pattern: regexp.MustCompile(`(?m)^ +\d+ +\d+ +[1-9]\d* `), matched: make(chan struct{})}
 	done := make(chan error, 1)
-	go func() { done <- play(ctx, s, 4) }()
+	go func() { done <- runDemo(ctx, watcher, 4) }()
 	const patience = 20 * time.Second
 	select {
-	case <-s.seen:
+	case <-watcher.matched:
 	case <-time.After(patience):
 		t.Error("nothing was served")
 	}
@@ -50,7 +50,7 @@
 	case <-time.After(patience):
 		t.Fatal("it did not end")
 	}
-	if out := s.text.String(); !strings.HasSuffix(out, "ended\n") {
+	if out := watcher.text.String(); !strings.HasSuffix(out, "ended\n") {
 		t.Errorf("it ended with %q", out)
 	}
 }
--- a/internal/lab/claims.go
+++ b/internal/lab/claims.go
@@ -7,51 +7,51 @@
 	"text/tabwriter"
 )
 
-// Claim is one thing that a scenario says of the program, and whether it is kept.
+// Claim is one statement that a scenario checks about the program, and whether it holds.
 type Claim struct {
-	Claim  string  `json:"claim"`
-	Figure float64 `json:"figure"`
-	Bound  string  `json:"bound"` // "" for a figure that is only told
-	Kept   bool    `json:"kept"`
+	Name  string  `json:"claim"`
+	Value float64 `json:"figure"`
+	Bound string  `json:"bound"` // "" for a value without a claim
+	Holds bool    `json:"kept"`
 }
 
-// Report is a scenario's claims, with the figures that stand beside them.
+// Report lists the claims of a scenario together with values that carry no claim.
 type Report struct {
 	Scenario string  `json:"scenario"`
 	Claims   []Claim `json:"claims"`
 }
 
-// AtMost, AtLeast and Equal add claims; Tell adds a figure that nothing is claimed of.
+// AtMost claims that the value does not exceed the bound.
 func (r *Report) AtMost(claim string, figure, bound float64) {
 	r.Claims = append(r.Claims, Claim{claim, figure, fmt.Sprintf("<= %g", bound), figure <= bound})
 }
 
-// AtLeast claims that the figure is not under the bound.
+// AtLeast claims that the value is not below the bound.
 func (r *Report) AtLeast(claim string, figure, bound float64) {
 	r.Claims = append(r.Claims, Claim{claim, figure, fmt.Sprintf(">= %g", bound), figure >= bound})
 }
 
-// Equal claims that the figure is exactly that.
+// Equal claims that the value equals want.
 func (r *Report) Equal(claim string, figure, want float64) {
 	r.Claims = append(r.Claims, Claim{claim, figure, fmt.Sprintf("= %g", want), figure == want})
 }
 
-// Tell adds a figure.
-func (r *Report) Tell(what string, figure float64) {
+// AddValue adds a value that is reported without a claim.
+func (r *Report) AddValue(what string, figure float64) {
 	r.Claims = append(r.Claims, Claim{what, figure, "", true})
 }
 
-// Kept tells whether all claims are kept.
-func (r *Report) Kept() bool {
+// AllHold reports whether every claim holds.
+func (r *Report) AllHold() bool {
 	for _, c := range r.Claims {
-		if !c.Kept {
+		if !c.Holds {
 			return false
 		}
 	}
 	return true
 }
 
-// Print writes the table, or JSON.
+// Print writes the report as a table or as JSON.
 func (r *Report) Print(w io.Writer, asJSON bool) error {
 	if asJSON {
 		e := json.NewEncoder(w)
@@ -65,10 +65,10 @@
 		switch {
 		case c.Bound == "":
 			kept = ""
-		case !c.Kept:
+		case !c.Holds:
 			kept = "NO"
 		}
-		fmt.Fprintf(t, "%s\t%.4g\t%s\t%s\n", c.Claim, c.Figure, c.Bound, kept)
+		fmt.Fprintf(t, "%s\t%.4g\t%s\t%s\n", c.Name, c.Value, c.Bound, kept)
 	}
 	return t.Flush()
 }
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -12,64 +12,66 @@
 	"linenloom/internal/standin"
 )
 
-// crowdCase is a way for many reads at once to be given up. It tells the longest time from when an answer was due, and how
-// many reads were given up in that way.
-type crowdCase struct {
+// concurrentCase is a situation in which the proxy gives up many concurrent reads. Its run returns the
+// longest delay of an answer past the time when it was due, and the number of reads refused for the reason in
+// question.
+type concurrentCase struct {
 	name string
-	play func(*Env) (worst time.Duration, n int, err error)
+	run  func(*Env) (worst time.Duration, n int, err error)
 }
 
-var crowdCases = []crowdCase{
+var concurrentCases = []concurrentCase{
 	{"in line when the origin leaves the list (no_member)", func(e *Env) (time.Duration, int, error) {
-		return e.leaves("line", func(i int) string { return fmt.Sprint("m", i) }, func(f *standin.Fleet) { f.RemoveOrigin() })
+		return e.measureRemoval("line", func(i int) string { return fmt.Sprint("m", i) }, func(f *standin.Fleet) { f.RemoveOrigin() })
 	}},
 	{"waiting for another's fetch when the boxes leave the list (shared_fetch)", func(e *Env) (time.Duration, int, error) {
-		return e.leaves("shared", func(int) string { return "m" }, func(f *standin.Fleet) {
+		return e.measureRemoval("shared", func(int) string { return "m" }, func(f *standin.Fleet) {
 			for _, b := range f.Boxes {
 				f.Remove(b)
 			}
 		})
 	}},
-	{"in line for a slow origin past their aim (origin_line)", (*Env).lineFull},
-	{"no candidate has room (no_room)", (*Env).noRoom},
+	{"in line for a slow origin past their aim (origin_line)", (*Env).measureFullQueue},
+	{"no candidate has room (no_room)", (*Env).measureNoCapacity},
 }
 
-// crowd starts a proxy before a fleet.
-func (e *Env) crowd(name string, boxes int) (*standin.Fleet, *Process, string, error) {
-	fleet, err := standin.NewFleet(boxes, 64)
+// startWarmProxy starts a proxy in front of a new fleet and warms it up.
+func (e *Env) startWarmProxy(name string, caches int) (*standin.Fleet, *Process, string, error) {
+	fleet, err := standin.NewFleet(caches, 64)
 	if err != nil {
 		return nil, nil, "", err
 	}
-	addr, p, err := e.proxy(name, fleet, 64, 512)
+	addr, process, err := e.startProxy(name, fleet, 64, 512)
 	if err != nil {
 		fleet.Close()
 		return nil, nil, "", err
 	}
-	if err := warm(fleet, addr, name); err != nil {
-		p.Kill()
+	if err := warmUp(fleet, addr, name); err != nil {
+		process.Kill()
 		fleet.Close()
 		return nil, nil, "", err
 	}
-	return fleet, p, addr, nil
+	return fleet, process, addr, nil
 }
 
-// warm has a few clients read what every box holds, so that the proxy knows its boxes.
-func warm(fleet *standin.Fleet, addr, name string) error {
+// warmUp reads a key that every cache holds from a few clients, so that the proxy has statistics of its caches.
+func warmUp(fleet *standin.Fleet, addr, name string) error {
 	fleet.Fill("warm")
 	for round := range 40 {
-		if _, err := readAll(addr, fmt.Sprint(name, "-warm", round), 8, func(int) string { return "warm" }, func() {}); err != nil {
+		if _, err := readConcurrently(addr, fmt.Sprint(name, "-warm", round), 8, func(int) string { return "warm" }, func() {}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// refusedFor ends a proxy and tells how many reads it says to have refused for a reason.
-func refusedFor(p *Process, reason string) (n int, err error) {
-	if err := p.Stop(); err != nil {
+// stopAndCountRefused stops the proxy and returns the number of reads that its log reports as refused for the
+// reason.
+func stopAndCountRefused(process *Process, reason string) (n int, err error) {
+	if err := process.Stop(); err != nil {
 		return 0, err
 	}
-	for _, line := range p.Reasons() {
+	for _, line := range process.Reasons() {
 		_, rest, ok := strings.Cut(line, `refused_tile-read=`)
 		if !ok {
 			continue
@@ -91,134 +93,135 @@
 	return n, nil
 }
 
-// crowdRead is one read of a crowd.
-type crowdRead struct {
-	asked, heard time.Time
-	answer       string
-	id           string
+// concurrentRead is one of a set of concurrent reads.
+type concurrentRead struct {
+	sentAt, answeredAt time.Time
+	answer             string
+	id                 string
 }
 
-// readAll makes reads at once, on a connection each.
-func readAll(addr, name string, n int, key func(int) string, each func()) ([]crowdRead, error) {
-	reads := make([]crowdRead, n)
+// readConcurrently sends n reads at the same time, each on its own connection.
+func readConcurrently(addr, name string, n int, key func(int) string, onAnswer func()) ([]concurrentRead, error) {
+	reads := make([]concurrentRead, n)
 	errs := make([]error, n)
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range n {
-		g.Go(func() {
-			rc, err := dialRedis(addr)
+		group.Go(func() {
+			client, err := dialRedis(addr)
 			if err != nil {
 				errs[i] = err
 				return
 			}
-			defer rc.conn.Close()
-			r := &reads[i]
-			r.id, r.asked = fmt.Sprint(name, "-", i), time.Now()
-			r.answer, errs[i] = rc.ask("OBJ.GET", key(i), r.id, "c=tile-read,d=3000")
-			r.heard = time.Now()
-			each()
+			defer client.conn.Close()
+			read := &reads[i]
+			read.id, read.sentAt = fmt.Sprint(name, "-", i), time.Now()
+			read.answer, errs[i] = client.do("OBJ.GET", key(i), read.id, "c=tile-read,d=3000")
+			read.answeredAt = time.Now()
+			onAnswer()
 		})
 	}
-	g.Wait()
+	group.Wait()
 	return reads, errors.Join(errs...)
 }
 
-// leaves has reads wait for an origin that stalls, takes what they wait for off the list, and tells how long after that
-// the last of those that were not out at the origin had its answer.
-func (e *Env) leaves(name string, key func(int) string, leave func(*standin.Fleet)) (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.crowd(name, 3)
+// measureRemoval makes reads wait for a stalled origin, removes the members that they wait for from the list,
+// and returns the time from the removal to the last answer among the reads that the origin had not received.
+func (e *Env) measureRemoval(name string, key func(int) string, remove func(*standin.Fleet)) (worst time.Duration, refused int, err error) {
+	fleet, process, addr, err := e.startWarmProxy(name, 3)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer fleet.Close()
-	defer p.Kill()
+	defer process.Kill()
 	fleet.Origin.SetFault(standin.Stall)
-	const crowd = 24
-	var early atomic.Int32 // refused before, for want of room
-	var left atomic.Bool
-	var reads []crowdRead
-	var failed error
+	const readCount = 24
+	var refusedEarly atomic.Int32 // refused before the removal, for lack of capacity
+	var membersRemoved atomic.Bool
+	var reads []concurrentRead
+	var readError error
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		reads, failed = readAll(addr, name, crowd, key, func() {
-			if !left.Load() {
-				early.Add(1)
+		reads, readError = readConcurrently(addr, name, readCount, key, func() {
+			if !membersRemoved.Load() {
+				refusedEarly.Add(1)
 			}
 		})
 	}()
-	settled := func() bool {
-		n := int(early.Load())
+	allWaiting := func() bool {
+		n := int(refusedEarly.Load())
 		for _, b := range fleet.Boxes {
 			_, misses := b.Reads()
 			n += misses
 		}
-		return n >= crowd || key(0) == key(1) && fleet.Origin.Began() > 0
+		return n >= readCount || key(0) == key(1) && fleet.Origin.Began() > 0
 	}
-	if err := eventually("every read waits", settled); err != nil {
+	if err := eventually("all reads are waiting", allWaiting); err != nil {
 		return 0, 0, err
 	}
-	time.Sleep(20 * time.Millisecond) // what has missed comes to the origin, or into line
+	time.Sleep(20 * time.Millisecond) // until reads that missed have reached the origin or its queue
 	stalled := fleet.Origin.Began()
-	left.Store(true)
-	removed := time.Now()
-	leave(fleet)
+	membersRemoved.Store(true)
+	removedAt := time.Now()
+	remove(fleet)
 	<-done
-	if failed != nil {
-		return 0, 0, failed
+	if readError != nil {
+		return 0, 0, readError
 	}
-	// Those that the origin has already are out, and wait on; they are the last to hear.
-	slices.SortFunc(reads, func(a, b crowdRead) int { return a.heard.Compare(b.heard) })
-	if n = crowd - stalled - int(early.Load()); n <= 0 {
-		return 0, 0, fmt.Errorf("no read waited: %d at the origin, %d refused before", stalled, early.Load())
+	// Reads that the origin has already received stay outstanding, so they are the last to be answered.
+	slices.SortFunc(reads, func(a, b concurrentRead) int { return a.answeredAt.Compare(b.answeredAt) })
+	if refused = readCount - stalled - int(refusedEarly.Load()); refused <= 0 {
+		return 0, 0, fmt.Errorf("no read was waiting: %d at the origin, %d refused before the removal", stalled, refusedEarly.Load())
 	}
-	counted, err := refusedFor(p, "no_member")
-	if err == nil && counted < n {
-		err = fmt.Errorf("%d reads were refused for no_member, want %d", counted, n)
+	counted, err := stopAndCountRefused(process, "no_member")
+	if err == nil && counted < refused {
+		err = fmt.Errorf("%d reads were refused for no_member, want at least %d", counted, refused)
 	}
-	return reads[crowd-stalled-1].heard.Sub(removed), n, err
+	return reads[readCount-stalled-1].answeredAt.Sub(removedAt), refused, err
 }
 
-// lineFull puts more reads in line for a slow origin than it can answer before their aim, and tells how far past it the
-// last refusal came. The time between the aim's passing and the answer is what counts; a refusal may well come sooner.
-func (e *Env) lineFull() (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.crowd("full", 3)
+// measureFullQueue queues more reads for a slow origin than it can answer within their latency target, and
+// returns how long past that target the last refusal came. A refusal may come earlier; only the time past the
+// target counts.
+func (e *Env) measureFullQueue() (worst time.Duration, refused int, err error) {
+	fleet, process, addr, err := e.startWarmProxy("full", 3)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer fleet.Close()
-	defer p.Kill()
+	defer process.Kill()
 	fleet.Origin.SetService(300*time.Millisecond, 4)
-	reads, err := readAll(addr, "full", 200, func(i int) string { return fmt.Sprint("m", i) }, func() {})
+	reads, err := readConcurrently(addr, "full", 200, func(i int) string { return fmt.Sprint("m", i) }, func() {})
 	if err != nil {
 		return 0, 0, err
 	}
 	worst = -standin.ReadAim
 	for _, r := range reads {
 		if strings.HasPrefix(r.answer, "-BUSY") {
-			worst = max(worst, r.heard.Sub(r.asked)-standin.ReadAim)
+			worst = max(worst, r.answeredAt.Sub(r.sentAt)-standin.ReadAim)
 		}
 	}
-	n, err = refusedFor(p, "origin_line")
-	if err == nil && n == 0 {
-		err = fmt.Errorf("no read was refused for the line: %v", p.Reasons())
+	refused, err = stopAndCountRefused(process, "origin_line")
+	if err == nil && refused == 0 {
+		err = fmt.Errorf("no read was refused for origin_line: %v", process.Reasons())
 	}
-	return worst, n, err
+	return worst, refused, err
 }
 
-// noRoom has boxes answer so slowly that the limits at them fall, and tells how long after it was asked the slowest of the
-// reads was refused that no box has heard of.
-func (e *Env) noRoom() (worst time.Duration, n int, err error) {
-	fleet, p, addr, err := e.crowd("room", 8)
+// measureNoCapacity slows the caches down until their concurrency limits fall, and returns the longest time
+// from sending to refusal among the reads that no cache received.
+func (e *Env) measureNoCapacity() (worst time.Duration, refused int, err error) {
+	fleet, process, addr, err := e.startWarmProxy("room", 8)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer fleet.Close()
-	defer p.Kill()
-	const roomReads = 160
+	defer process.Kill()
+	const readsPerRound = 160
 	var mu sync.Mutex
-	sent := map[string]bool{}
+	sentIDs := map[string]bool{}
 	var keys []string
-	for i := range roomReads {
+	for i := range readsPerRound {
 		keys = append(keys, fmt.Sprint("k", i))
 	}
 	fleet.Fill(keys...)
@@ -226,33 +229,33 @@
 		b.SetService(450*time.Millisecond, 0)
 		b.OnRead(func(id string) {
 			mu.Lock()
-			sent[id] = true
+			sentIDs[id] = true
 			mu.Unlock()
 		})
 	}
-	// The limits fall by a fifth a round, and have to be under the connections to a box: else reads wait for one of those,
-	// unheard of by any box as well, and not given up.
-	const falls, measured = 14, 4
-	for round := range falls + measured {
-		reads, err := readAll(addr, fmt.Sprint("room", round), roomReads, func(i int) string { return keys[i] }, func() {})
+	// The limits fall by a fifth each round and have to get below the number of connections to a cache.
+	// Otherwise reads wait for a connection, which no cache sees either, and are not refused.
+	const fallingRounds, measuredRounds = 14, 4
+	for round := range fallingRounds + measuredRounds {
+		reads, err := readConcurrently(addr, fmt.Sprint("room", round), readsPerRound, func(i int) string { return keys[i] }, func() {})
 		if err != nil {
 			return 0, 0, err
 		}
-		if round < falls {
+		if round < fallingRounds {
 			continue
 		}
 		mu.Lock()
 		for _, r := range reads {
-			if strings.HasPrefix(r.answer, "-BUSY") && !sent[r.id] {
-				n++
-				worst = max(worst, r.heard.Sub(r.asked))
+			if strings.HasPrefix(r.answer, "-BUSY") && !sentIDs[r.id] {
+				refused++
+				worst = max(worst, r.answeredAt.Sub(r.sentAt))
 			}
 		}
 		mu.Unlock()
 	}
-	counted, err := refusedFor(p, "no_room")
-	if err == nil && (counted == 0 || n == 0) {
-		err = fmt.Errorf("%d reads were refused for no_room, %d of them unsent: %v", counted, n, p.Reasons())
+	counted, err := stopAndCountRefused(process, "no_room")
+	if err == nil && (counted == 0 || refused == 0) {
+		err = fmt.Errorf("%d reads were refused for no_room, %d reads refused before any attempt: %v", counted, refused, process.Reasons())
 	}
-	return worst, n, err
+	return worst, refused, err
 }
--- a/internal/lab/door.go
+++ b/internal/lab/door.go
@@ -11,168 +11,174 @@
 	"linenloom/internal/mgmt"
 )
 
-// Door is clients that keep asking at one address, one request after another each, and what they met there. Half of them
-// open a new connection for every third request, the others use theirs for as long as it stays open. A request that
-// crosses the close of a connection between requests goes out once more.
-type Door struct {
-	Addr string
-	Gap  time.Duration // between an answer and a client's next request; 0: a millisecond; below 0: none
-	// Looks has clients look whether their connection has ended before they ask on it, as pools of connections do.
-	Looks bool
+// ClientLoad is a set of clients that send requests to one address, one at a time each, and counts their
+// outcomes. Half of them open a new connection for every third request, the others keep theirs for as long as
+// it stays open. A request on a connection that the server closed before reading it is sent once more.
+type ClientLoad struct {
+	Addr     string
+	Interval time.Duration // between an answer and the client's next request; 0: a millisecond; below 0: none
+	// ChecksConnection makes clients check that the server has not closed the connection before they send on
+	// it, as connection pools do.
+	ChecksConnection bool
 
 	Served, Refused, Failed atomic.Int64
-	Late                    atomic.Int64 // answers past the time that the client waits
-	Shut, Broken, Crossed   atomic.Int64 // connections refused; broken under a request; closed over one that was not read
-	last, pause             atomic.Int64 // the latest answer, and the longest time between two, in nanoseconds
-	class                   atomic.Value // of reads; nil: the usual one
-	orders                  atomic.Int64
-	mu                      sync.Mutex
-	lefts                   []string
-	quit                    chan struct{}
-	clients                 sync.WaitGroup
-	id                      atomic.Int64
+	Late                    atomic.Int64 // answers after clientTimeout
+	// Numbers of connections refused, connections broken during a request, and connections closed before the
+	// request was read.
+	ConnectionsRefused, ConnectionsBroken, ClosedUnread atomic.Int64
+	// Time of the latest answer and longest time between two answers, in nanoseconds.
+	lastAnswer, longestGap atomic.Int64
+	class                  atomic.Value // class of the reads; nil: tile-read
+	lastOrder              atomic.Int64
+	mu                     sync.Mutex
+	unansweredOrders       []string
+	stop                   chan struct{}
+	clients                sync.WaitGroup
+	lastID                 atomic.Int64
 }
 
-// doorWait is how long its clients wait.
-const doorWait = 3 * time.Second
+// clientTimeout is the time after which an answer counts as late.
+const clientTimeout = 3 * time.Second
 
-// Open starts the clients. Every orderEvery-th request is an order; 0: none.
-func (d *Door) Open(clients, keys, orderEvery int) {
-	d.quit = make(chan struct{})
-	d.last.Store(time.Now().UnixNano())
+// Start starts the clients. Every orderEvery-th request is an order; 0: none.
+func (l *ClientLoad) Start(clients, keys, orderEvery int) {
+	l.stop = make(chan struct{})
+	l.lastAnswer.Store(time.Now().UnixNano())
 	for c := range clients {
-		d.clients.Go(func() { d.client(c, keys, orderEvery) })
+		l.clients.Go(func() { l.runClient(c, keys, orderEvery) })
 	}
 }
 
-// SetClass names the class of the reads from now on.
-func (d *Door) SetClass(name string) { d.class.Store(name) }
+// SetClass sets the class of subsequent reads.
+func (l *ClientLoad) SetClass(name string) { l.class.Store(name) }
 
-// Close ends them.
-func (d *Door) Close() {
-	close(d.quit)
-	d.clients.Wait()
+// Stop stops the clients and waits for them.
+func (l *ClientLoad) Stop() {
+	close(l.stop)
+	l.clients.Wait()
 }
 
-// Progress waits until so many more are served.
-func (d *Door) Progress(n int64) error {
-	from := d.Served.Load()
-	return eventually("requests are served", func() bool { return d.Served.Load() >= from+n })
+// AwaitServed waits until n more requests have been served.
+func (l *ClientLoad) AwaitServed(n int64) error {
+	from := l.Served.Load()
+	return eventually("requests are served", func() bool { return l.Served.Load() >= from+n })
 }
 
-// Pause is the longest time between two answers to any client, since it was last asked.
-func (d *Door) Pause() time.Duration { return time.Duration(d.pause.Swap(0)) }
+// LongestGap returns the longest time between two consecutive answers to any of the clients since its last
+// call.
+func (l *ClientLoad) LongestGap() time.Duration { return time.Duration(l.longestGap.Swap(0)) }
 
-func (d *Door) client(c, keys, orderEvery int) {
+func (l *ClientLoad) runClient(client, keys, orderEvery int) {
 	var conn *redisClient
-	for n := c; ; n++ {
+	for sequence := client; ; sequence++ {
 		select {
-		case <-d.quit:
+		case <-l.stop:
 			if conn != nil {
 				conn.conn.Close()
 			}
 			return
-		case <-gap(d.Gap): // between requests
+		case <-intervalTimer(l.Interval):
 		}
-		if conn != nil && d.Looks && conn.ended() {
+		if conn != nil && l.ChecksConnection && conn.closedByPeer() {
 			conn.conn.Close()
 			conn = nil
 		}
-		if conn != nil && c%2 == 0 && n%3 == 0 {
+		if conn != nil && client%2 == 0 && sequence%3 == 0 {
 			conn.conn.Close()
 			conn = nil
 		}
-		words := d.words(n, keys, orderEvery)
-		for again := false; ; again = true {
+		words := l.nextCommand(sequence, keys, orderEvery)
+		for repeated := false; ; repeated = true {
 			if conn == nil {
 				var err error
-				if conn, err = dialRedis(d.Addr); err != nil {
-					d.Shut.Add(1)
+				if conn, err = dialRedis(l.Addr); err != nil {
+					l.ConnectionsRefused.Add(1)
 					break
 				}
 			}
-			begun := time.Now()
-			answer, err := conn.ask(words...)
+			sentAt := time.Now()
+			answer, err := conn.do(words...)
 			if err != nil {
 				conn.conn.Close()
 				conn = nil
 				switch {
-				case err == io.EOF && words[0] == "OBJ.SET": // the process may have been killed with it in hand
-					d.left(words[1])
-				case err == io.EOF && !again:
-					d.Crossed.Add(1)
+				case err == io.EOF && words[0] == "OBJ.SET": // the process may have been killed after it read the order
+					l.addUnanswered(words[1])
+				case err == io.EOF && !repeated:
+					l.ClosedUnread.Add(1)
 					continue
 				default:
-					d.Broken.Add(1)
+					l.ConnectionsBroken.Add(1)
 				}
 				break
 			}
-			d.answered(answer, time.Since(begun))
+			l.recordAnswer(answer, time.Since(sentAt))
 			break
 		}
 	}
 }
 
-var atOnce = func() chan time.Time { c := make(chan time.Time); close(c); return c }()
+var elapsedTimer = func() chan time.Time { c := make(chan time.Time); close(c); return c }()
 
-func gap(d time.Duration) <-chan time.Time {
+func intervalTimer(d time.Duration) <-chan time.Time {
 	switch {
 	case d < 0:
-		return atOnce
+		return elapsedTimer
 	case d == 0:
 		d = time.Millisecond
 	}
 	return time.After(d)
 }
 
-func (d *Door) words(n, keys, orderEvery int) []string {
-	id := fmt.Sprintf("%016x", d.id.Add(1))
-	if orderEvery > 0 && n%orderEvery == 0 {
-		return []string{"OBJ.SET", fmt.Sprintf("%x", 1<<40+d.orders.Add(1)), id, "c=pass-order,d=3000", "one pass"}
+func (l *ClientLoad) nextCommand(sequence, keys, orderEvery int) []string {
+	id := fmt.Sprintf("%016x", l.lastID.Add(1))
+	if orderEvery > 0 && sequence%orderEvery == 0 {
+		return []string{"OBJ.SET", fmt.Sprintf("%x", 1<<40+l.lastOrder.Add(1)), id, "c=pass-order,d=3000", "one pass"}
 	}
 	class := "tile-read"
-	if c, ok := d.class.Load().(string); ok {
+	if c, ok := l.class.Load().(string); ok {
 		class = c
 	}
-	return []string{"OBJ.GET", fmt.Sprintf("%x", 0x100+n%keys), id, "c=" + class + ",d=3000"}
+	return []string{"OBJ.GET", fmt.Sprintf("%x", 0x100+sequence%keys), id, "c=" + class + ",d=3000"}
 }
 
-func (d *Door) answered(answer string, took time.Duration) {
+func (l *ClientLoad) recordAnswer(answer string, latency time.Duration) {
 	now := time.Now().UnixNano()
-	gap := now - d.last.Swap(now)
-	for was := d.pause.Load(); gap > was && !d.pause.CompareAndSwap(was, gap); was = d.pause.Load() {
+	gap := now - l.lastAnswer.Swap(now)
+	for previous := l.longestGap.Load(); gap > previous && !l.longestGap.CompareAndSwap(previous, gap); previous = l.longestGap.Load() {
 	}
-	if took > doorWait {
-		d.Late.Add(1)
+	if latency > clientTimeout {
+		l.Late.Add(1)
 	}
 	switch {
 	case strings.HasPrefix(answer, "-BUSY"):
-		d.Refused.Add(1)
+		l.Refused.Add(1)
 	case strings.HasPrefix(answer, "-"):
-		d.Failed.Add(1)
+		l.Failed.Add(1)
 	default:
-		d.Served.Add(1)
+		l.Served.Add(1)
 	}
 }
 
-// left notes an order whose connection ended without an answer. It is not sent again.
-func (d *Door) left(key string) {
-	d.mu.Lock()
-	d.lefts = append(d.lefts, key)
-	d.mu.Unlock()
+// addUnanswered records an order whose connection ended without an answer. It is not sent again.
+func (l *ClientLoad) addUnanswered(key string) {
+	l.mu.Lock()
+	l.unansweredOrders = append(l.unansweredOrders, key)
+	l.mu.Unlock()
 }
 
-// Left is the keys of the orders whose connections ended without an answer, since it was last asked.
-func (d *Door) Left() (keys []string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	keys, d.lefts = d.lefts, nil
+// UnansweredOrders returns the keys of the orders whose connections ended without an answer since its last
+// call.
+func (l *ClientLoad) UnansweredOrders() (keys []string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	keys, l.unansweredOrders = l.unansweredOrders, nil
 	return keys
 }
 
-// Call makes an operator's call and tells its status (0: nobody answered) and how long it took.
-func Call(method, addr, path, body string) (status int, took time.Duration) {
-	begun := time.Now()
-	status, _, _ = mgmt.Call(method, addr, path, body, patience) // 0 where it fails
-	return status, time.Since(begun)
+// Call sends a management request and returns its status, 0 if there was no answer, and the time that it took.
+func Call(method, addr, path, body string) (status int, elapsed time.Duration) {
+	start := time.Now()
+	status, _, _ = mgmt.Call(method, addr, path, body, waitTimeout) // the status is 0 on an error
+	return status, time.Since(start)
 }
--- a/internal/lab/explore.go
+++ b/internal/lab/explore.go
@@ -9,54 +9,54 @@
 	"linenloom/internal/explore"
 )
 
-// exploreDepth is how many events in a row are tried in every order, and exploreSteps bounds the work for a scene by the
-// scenario's seconds.
+// exploreDepth is the number of consecutive events that are tried in every order. exploreStepsPerSecond times
+// the seconds of the scenario bounds the work for a scene.
 const (
-	exploreDepth = 6
-	exploreSteps = 6000 // a second, about what a core gets through
+	exploreDepth          = 6
+	exploreStepsPerSecond = 6000 // about what one core processes
 )
 
-// Explore is the scenario of the model checker: the scenes of internal/explore, deeper than the tests go.
-func Explore(ctx context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "explore"}
+// Explore runs the model checker on the scenes of internal/explore, to a greater depth than the tests.
+func Explore(ctx context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "explore"}
 	scenes := explore.Scenes()
 	for _, name := range slices.Sorted(maps.Keys(scenes)) {
 		if err := ctx.Err(); err != nil {
-			return r, err
+			return report, err
 		}
-		e.Log("explore: %s", name)
-		var failed error
-		found := explore.Explore(func() explore.Model {
-			w, err := explore.NewWorld(scenes[name])
+		env.Log("explore: %s", name)
+		var sceneError error
+		result := explore.Explore(func() explore.Model {
+			world, err := explore.NewWorld(scenes[name])
 			if err != nil {
-				failed = err
+				sceneError = err
 			}
-			return w
-		}, explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreSteps})
-		if failed != nil {
-			return r, fmt.Errorf("%s: %w", name, failed)
+			return world
+		}, explore.Options{Depth: exploreDepth, MostSteps: env.Seconds * exploreStepsPerSecond})
+		if sceneError != nil {
+			return report, fmt.Errorf("%s: %w", name, sceneError)
 		}
-		for _, f := range found.Faults {
-			e.Log("%s: %v", name, f)
+		for _, f := range result.Faults {
+			env.Log("%s: %v", name, f)
 		}
-		r.Tell(name+": states", float64(found.States))
-		r.Tell(name+": transitions", float64(found.Transitions))
-		r.Tell(name+": depth", float64(found.Deepest))
-		whole := 0.0
-		if found.Whole {
-			whole = 1
+		report.AddValue(name+": states", float64(result.States))
+		report.AddValue(name+": transitions", float64(result.Transitions))
+		report.AddValue(name+": depth", float64(result.Deepest))
+		exhaustive := 0.0
+		if result.Whole {
+			exhaustive = 1
 		}
-		r.Tell(name+": every order up to the depth", whole)
-		r.Equal(name+": faults", float64(len(found.Faults)), 0)
+		report.AddValue(name+": every order up to the depth", exhaustive)
+		report.Equal(name+": faults", float64(len(result.Faults)), 0)
 	}
-	e.Log("explore: the fleet's verdict on zones")
-	found := explore.Explore(func() explore.Model { return explore.NewFleet(explore.FleetScene{}) },
-		explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreSteps / 6})
-	for _, f := range found.Faults {
-		e.Log("fleet: %v", f)
+	env.Log("explore: agreement of instances on zones")
+	result := explore.Explore(func() explore.Model { return explore.NewFleet(explore.FleetScene{}) },
+		explore.Options{Depth: exploreDepth, MostSteps: env.Seconds * exploreStepsPerSecond / 6})
+	for _, f := range result.Faults {
+		env.Log("fleet: %v", f)
 	}
-	r.Tell("three instances, two zones: states", float64(found.States))
-	r.Tell("three instances, two zones: transitions", float64(found.Transitions))
-	r.Equal("three instances, two zones: faults", float64(len(found.Faults)), 0)
-	return r, nil
+	report.AddValue("three instances, two zones: states", float64(result.States))
+	report.AddValue("three instances, two zones: transitions", float64(result.Transitions))
+	report.Equal("three instances, two zones: faults", float64(len(result.Faults)), 0)
+	return report, nil
 }
--- a/internal/lab/flood.go
+++ b/internal/lab/flood.go
@@ -12,94 +12,95 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Flood is an open loop: reads come at a rate, whatever becomes of those before them, over connections that carry as many as
-// it takes. A read counts from when it was due to be sent, not from when the connection took it, so that what waits in front
-// of a proxy that is slow to read counts too.
-type Flood struct {
-	Addr     string
-	Tenant   string
-	Conns    int
-	Rate     float64       // reads a second, over all connections; they come at random (Poisson)
-	Patience time.Duration // a read that is not sent by then is not sent any more, and a served one counts as in time
-	Again    bool          // a read that is refused comes again at once, in place of what is due next
-	Keys     int
-	Seed     uint64
+// OpenLoop generates reads at a fixed rate, regardless of the outcome of earlier ones, and pipelines as many
+// as needed on its connections. Latency counts from the time when a read was due, not when it was written to
+// the connection, so time spent waiting in front of a proxy that is slow to read is included.
+type OpenLoop struct {
+	Addr         string
+	Tenant       string
+	Connections  int
+	Rate         float64       // reads a second over all connections, with random (Poisson) arrivals
+	Deadline     time.Duration // a read not sent by then is dropped; a read served by then counts as in time
+	RetryRefused bool          // a refused read is repeated at once, in place of the next one that is due
+	Keys         int
+	Seed         uint64
 }
 
-// Flooded is what became of a Flood's reads.
-type Flooded struct {
-	Due, Gone, Refused, InTime, Late int64
-	Took                             time.Duration
-	latency                          *hdrhistogram.Histogram // of those served, in microseconds
+// OpenLoopResult counts the outcomes of the reads of an OpenLoop.
+type OpenLoopResult struct {
+	Offered, Unsent, Refused, InTime, Late int64
+	Duration                               time.Duration
+	latency                                *hdrhistogram.Histogram // of served reads, in microseconds
 }
 
-// Goodput is the reads served in time a second.
-func (f *Flooded) Goodput() float64 { return float64(f.InTime) / f.Took.Seconds() }
+// Goodput returns the number of reads served in time per second.
+func (r *OpenLoopResult) Goodput() float64 { return float64(r.InTime) / r.Duration.Seconds() }
 
-// Quantile is the latency under which that share of the served reads came.
-func (f *Flooded) Quantile(q float64) time.Duration {
-	return time.Duration(f.latency.ValueAtQuantile(100*q)) * time.Microsecond
+// Quantile returns the latency quantile q of the served reads.
+func (r *OpenLoopResult) Quantile(q float64) time.Duration {
+	return time.Duration(r.latency.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
-func newFlooded() *Flooded {
-	return &Flooded{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
+func newOpenLoopResult() *OpenLoopResult {
+	return &OpenLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
 }
 
-// mostUnanswered is how many reads a connection may have out before nothing more is sent on it: with a proxy that answers
-// nothing, the record of what is out would else grow without bound. What is due meanwhile waits, and counts from when it was.
-const mostUnanswered = 1 << 16
+// maxOutstandingReads is the number of unanswered reads at which a connection stops sending. Without a bound,
+// the list of outstanding reads would grow indefinitely in front of a proxy that answers nothing. Reads that
+// fall due meanwhile wait, and their latency counts from when they were due.
+const maxOutstandingReads = 1 << 16
 
-// floodConn is one connection of a Flood.
-type floodConn struct {
-	f    *Flood
-	conn net.Conn
-	mu   sync.Mutex
-	out  []floodRead // sent and not answered, the oldest first
-	back int         // refused, to come again
-	end  *Flooded
+// openLoopConnection is one connection of an OpenLoop.
+type openLoopConnection struct {
+	load        *OpenLoop
+	conn        net.Conn
+	mu          sync.Mutex
+	outstanding []outstandingRead // sent and not answered, oldest first
+	retries     int               // refused reads to be sent again
+	result      *OpenLoopResult
 }
 
-type floodRead struct {
+type outstandingRead struct {
 	due time.Time
 	key int
 }
 
-// Run floods for a while, then waits for what is still out.
-func (f *Flood) Run(d time.Duration) (*Flooded, error) {
-	total := newFlooded()
-	errs := make(chan error, 2*f.Conns)
-	var g sync.WaitGroup
+// Run generates load for the given time, then waits for the outstanding reads.
+func (f *OpenLoop) Run(duration time.Duration) (*OpenLoopResult, error) {
+	total := newOpenLoopResult()
+	errs := make(chan error, 2*f.Connections)
+	var group sync.WaitGroup
 	var mu sync.Mutex
-	begun := time.Now()
-	for i := range f.Conns {
+	start := time.Now()
+	for i := range f.Connections {
 		conn, err := net.Dial("tcp", f.Addr)
 		if err != nil {
 			return nil, err
 		}
-		c := &floodConn{f: f, conn: conn, end: newFlooded()}
+		connection := &openLoopConnection{load: f, conn: conn, result: newOpenLoopResult()}
 		rng := rand.New(rand.NewPCG(f.Seed, uint64(i)))
 		sent := make(chan struct{})
-		g.Go(func() {
+		group.Go(func() {
 			defer close(sent)
-			if err := c.send(rng, begun, d); err != nil {
+			if err := connection.send(rng, start, duration); err != nil {
 				errs <- err
 			}
 		})
-		g.Go(func() {
-			if err := c.receive(sent); err != nil {
+		group.Go(func() {
+			if err := connection.receive(sent); err != nil {
 				errs <- err
 			}
 			conn.Close()
 			mu.Lock()
 			defer mu.Unlock()
-			e := c.end
-			total.Due, total.Gone, total.Refused = total.Due+e.Due, total.Gone+e.Gone, total.Refused+e.Refused
-			total.InTime, total.Late = total.InTime+e.InTime, total.Late+e.Late
-			total.latency.Merge(e.latency)
+			result := connection.result
+			total.Offered, total.Unsent, total.Refused = total.Offered+result.Offered, total.Unsent+result.Unsent, total.Refused+result.Refused
+			total.InTime, total.Late = total.InTime+result.InTime, total.Late+result.Late
+			total.latency.Merge(result.latency)
 		})
 	}
-	g.Wait()
-	total.Took = d
+	group.Wait()
+	total.Duration = duration
 	select {
 	case err := <-errs:
 		return nil, err
@@ -108,100 +109,101 @@
 	}
 }
 
-func (c *floodConn) send(rng *rand.Rand, begun time.Time, d time.Duration) error {
-	rate := c.f.Rate / float64(c.f.Conns)
-	gap := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
-	due := begun.Add(gap())
-	attrs := "c=tile-read,d=" + strconv.FormatInt(c.f.Patience.Milliseconds(), 10)
-	if c.f.Tenant != "" {
-		attrs += ",t=" + c.f.Tenant
+func (c *openLoopConnection) send(rng *rand.Rand, start time.Time, duration time.Duration) error {
+	rate := c.load.Rate / float64(c.load.Connections)
+	nextInterval := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
+	due := start.Add(nextInterval())
+	attrs := "c=tile-read,d=" + strconv.FormatInt(c.load.Deadline.Milliseconds(), 10)
+	if c.load.Tenant != "" {
+		attrs += ",t=" + c.load.Tenant
 	}
-	var b []byte
+	var commands []byte
 	for {
 		now := time.Now()
-		if now.Sub(begun) >= d {
+		if now.Sub(start) >= duration {
 			return nil
 		}
-		b = b[:0]
+		commands = commands[:0]
 		c.mu.Lock()
-		for !due.After(now) && len(b) < 32<<10 && len(c.out) < mostUnanswered {
-			at := due
-			if c.back > 0 {
-				c.back--
-				at = now
+		for !due.After(now) && len(commands) < 32<<10 && len(c.outstanding) < maxOutstandingReads {
+			readDue := due
+			if c.retries > 0 {
+				c.retries--
+				readDue = now
 			} else {
-				due = due.Add(gap())
+				due = due.Add(nextInterval())
 			}
-			c.end.Due++
-			if now.Sub(at) > c.f.Patience {
-				c.end.Gone++
+			c.result.Offered++
+			if now.Sub(readDue) > c.load.Deadline {
+				c.result.Unsent++
 				continue
 			}
-			r := floodRead{at, rng.IntN(c.f.Keys)}
-			c.out = append(c.out, r)
-			b = appendRead(b, r.key, attrs)
+			read := outstandingRead{readDue, rng.IntN(c.load.Keys)}
+			c.outstanding = append(c.outstanding, read)
+			commands = appendTileRead(commands, read.key, attrs)
 		}
 		c.mu.Unlock()
-		if len(b) > 0 {
-			c.conn.SetWriteDeadline(time.Now().Add(patience))
-			if _, err := c.conn.Write(b); err != nil {
-				return fmt.Errorf("lab: send: %w", err)
+		if len(commands) > 0 {
+			c.conn.SetWriteDeadline(time.Now().Add(waitTimeout))
+			if _, err := c.conn.Write(commands); err != nil {
+				return fmt.Errorf("lab: sending reads: %w", err)
 			}
 		}
 		if wait := time.Until(due); wait > 0 {
-			time.Sleep(max(wait, time.Millisecond)) // what falls due together is sent together, as by a client that is busy
-		} else if len(b) == 0 {
+			// Reads that fall due together are sent together, as by a busy client.
+			time.Sleep(max(wait, time.Millisecond))
+		} else if len(commands) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// receive takes answers until all that was sent has one.
-func (c *floodConn) receive(sent <-chan struct{}) error {
+// receive reads answers until every read that was sent has one.
+func (c *openLoopConnection) receive(sent <-chan struct{}) error {
 	in := bufio.NewReaderSize(c.conn, 32<<10)
-	done := false
-	var want []byte
+	allSent := false
+	var prefix []byte
 	for {
 		c.mu.Lock()
-		left := len(c.out)
-		var r floodRead
-		if left > 0 {
-			r = c.out[0]
+		outstanding := len(c.outstanding)
+		var oldest outstandingRead
+		if outstanding > 0 {
+			oldest = c.outstanding[0]
 		}
 		c.mu.Unlock()
-		if left == 0 {
-			if done {
+		if outstanding == 0 {
+			if allSent {
 				return nil
 			}
 			select {
 			case <-sent:
-				done = true
+				allSent = true
 			case <-time.After(time.Millisecond):
 			}
 			continue
 		}
-		c.conn.SetReadDeadline(time.Now().Add(patience))
-		want = appendStart(want[:0], r.key)
-		err := takeTile(in, want)
-		took := time.Since(r.due)
+		c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
+		prefix = appendTilePrefix(prefix[:0], oldest.key)
+		err := readTile(in, prefix)
+		latency := time.Since(oldest.due)
 		if err != nil && err != errRefused {
-			return fmt.Errorf("with %d reads out: %w", left, err)
+			return fmt.Errorf("lab: receiving with %d reads outstanding: %w", outstanding, err)
 		}
 		c.mu.Lock()
-		c.out = c.out[1:]
-		if err == errRefused && c.f.Again && took < c.f.Patience {
-			c.back++
+		c.outstanding = c.outstanding[1:]
+		if err == errRefused && c.load.RetryRefused && latency < c.load.Deadline {
+			c.retries++
 		}
 		c.mu.Unlock()
 		switch {
 		case err == errRefused:
-			c.end.Refused++
+			c.result.Refused++
 			continue
-		case took <= c.f.Patience:
-			c.end.InTime++
+		case latency <= c.load.Deadline:
+			c.result.InTime++
 		default:
-			c.end.Late++
+			c.result.Late++
 		}
-		c.end.latency.RecordValue(max(1, took.Microseconds()))
+		c.result.latency.RecordValue(max(1, latency.Microseconds()))
 	}
 }
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -1,5 +1,6 @@
-// Package lab stages the project's own measurements on loopback: hosts and fleets of stand-ins, load, and claims that
-// are kept or not. It serves no real traffic; nothing of the proxy depends on it.
+// Package lab runs the project's own measurements on loopback: proxies in front of simulated servers, load
+// generators, and claims that are checked against the results. It serves no real traffic, and no part of the
+// proxy depends on it.
 package lab
 
 import (
@@ -28,10 +29,10 @@
 	"linenloom/logic"
 )
 
-// patience bounds every wait for something that must come about; only what fails waits as long.
-const patience = cluster.Patience
+// waitTimeout bounds every wait for an event; only a failure takes this long.
+const waitTimeout = cluster.Patience
 
-// OperatorFile is an operator's file that maps /tiles/{key} and /orders/{key}.
+// OperatorFile returns the text of an operator's file that maps /tiles/{key} and /orders/{key}.
 func OperatorFile(listen, mode, messageTimeout string) string {
 	return fmt.Sprintf(`[extproc]
 listen = %q
@@ -50,68 +51,68 @@
 `, listen, mode, messageTimeout)
 }
 
-// Host is a proxy with both fronts in this process, with a clock that moves only when it is told to.
+// Host is a proxy with both front ends in this process, with a clock that only the test advances.
 type Host struct {
 	Proxy  *proxy.Proxy
 	Front  *server.Front
 	Fleet  *standin.Fleet
 	Caller *caller.Caller
-	now    atomic.Int64
+	clock  atomic.Int64
 	stop   context.CancelFunc
 	done   chan error
 	mu     sync.Mutex
-	sends  []logic.MemberID
+	sentTo []logic.MemberID
 }
 
-// NewHost starts a host before a fleet.
+// NewHost starts a host in front of a fleet.
 func NewHost(fleet *standin.Fleet, mode string) (*Host, error) {
 	h := &Host{Fleet: fleet, done: make(chan error, 1)}
-	text, err := fleet.Config("lab", "127.0.0.1:0", "7", 128, 512)
+	configText, err := fleet.Config("lab", "127.0.0.1:0", "7", 128, 512)
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := app.ProxyConfig(text)
+	config, err := app.ProxyConfig(configText)
 	if err != nil {
 		return nil, err
 	}
-	cfg.AcceptAfterStop = 0
-	cfg.Clock = func() time.Duration { return time.Duration(h.now.Load()) }
-	cfg.OnSend = func(_ logic.RequestID, m logic.MemberID) {
+	config.AcceptAfterStop = 0
+	config.Clock = func() time.Duration { return time.Duration(h.clock.Load()) }
+	config.OnSend = func(_ logic.RequestID, m logic.MemberID) {
 		h.mu.Lock()
-		h.sends = append(h.sends, m)
+		h.sentTo = append(h.sentTo, m)
 		h.mu.Unlock()
 	}
-	log := slog.New(slog.DiscardHandler)
-	if h.Proxy, err = proxy.New(cfg, log); err != nil {
+	logger := slog.New(slog.DiscardHandler)
+	if h.Proxy, err = proxy.New(config, logger); err != nil {
 		return nil, err
 	}
-	file, err := operator.Parse("lab", []byte(OperatorFile("127.0.0.1:0", mode, "20s")))
+	operatorFile, err := operator.Parse("lab", []byte(OperatorFile("127.0.0.1:0", mode, "20s")))
 	if err != nil {
 		return nil, err
 	}
-	if h.Front, err = server.New(h.Proxy, file, log); err != nil {
+	if h.Front, err = server.New(h.Proxy, operatorFile, logger); err != nil {
 		return nil, err
 	}
 	h.Proxy.AddFront(h.Front)
 	if h.Caller, err = caller.Dial(h.Front.Addr().String()); err != nil {
 		return nil, err
 	}
-	h.Caller.MessageTimeout, h.Caller.Retries = patience, 5
+	h.Caller.MessageTimeout, h.Caller.Retries = waitTimeout, 5
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
 	go func() { h.done <- h.Proxy.Run(ctx) }()
 	return h, nil
 }
 
-// Close ends the host.
+// Close stops the host.
 func (h *Host) Close() error {
 	h.Caller.Close()
 	h.stop()
 	return <-h.done
 }
 
-func (h *Host) advance(d time.Duration) {
-	h.now.Add(int64(d))
+func (h *Host) advanceClock(d time.Duration) {
+	h.clock.Add(int64(d))
 	h.Proxy.Tick()
 }
 
@@ -119,44 +120,45 @@
 	return cluster.Await(500*time.Microsecond, what, ok)
 }
 
-// Choices is what became of a recorded run: the members in the order in which the module chose them, and how each
-// request ended.
-type Choices struct{ Sends, Ends []string }
+// Choices is the result of a recorded run: the members in the order in which the balancer chose them, and the
+// outcome of each request.
+type Choices struct{ Members, Outcomes []string }
 
-// Play plays the recorded run of so many requests by one front or the other: reads of Zipf-like keys and some orders, a
-// cold box, one that fails for a while, one that is full for a while, and one that drains. One request is in hand at a
-// time and the clock is the run's own, so that the same outcomes come at the same times.
-func Play(mode string, duplex bool, requests int, byRedis func(i int) bool) (c Choices, err error) {
+// RunChoices plays a fixed sequence of requests through one front end or the other: reads of keys with uneven
+// popularity and some orders, with a cold cache, one that fails for a while, one that is full for a while,
+// and one that drains. Requests run one at a time and the clock is simulated, so that the same outcomes occur
+// at the same times.
+func RunChoices(mode string, duplex bool, requests int, byRedis func(i int) bool) (choices Choices, err error) {
 	fleet, err := standin.NewFleet(6, 64)
 	if err != nil {
-		return c, err
+		return choices, err
 	}
 	defer fleet.Close()
 	if _, err := fleet.Add("s-cold", time.UnixMilli(time.Hour.Milliseconds()-100)); err != nil {
-		return c, err
+		return choices, err
 	}
 	for i := range 40 {
-		fleet.Fill(fmt.Sprint("k", i)) // the others miss at first
+		fleet.Fill(fmt.Sprint("k", i)) // the other keys miss at first
 	}
-	h, err := NewHost(fleet, mode)
+	host, err := NewHost(fleet, mode)
 	if err != nil {
-		return c, err
+		return choices, err
 	}
-	defer h.Close()
+	defer host.Close()
 	if duplex {
-		h.Caller.SetFullDuplex()
+		host.Caller.SetFullDuplex()
 	}
-	if err := eventually("the list is known", func() bool { return h.Proxy.Load().Ready == 8 }); err != nil {
-		return c, err
+	if err := eventually("the proxy has the member list", func() bool { return host.Proxy.Load().Ready == 8 }); err != nil {
+		return choices, err
 	}
-	rc, err := dialRedis(h.Proxy.Addr().String())
+	redis, err := dialRedis(host.Proxy.Addr().String())
 	if err != nil {
-		return c, err
+		return choices, err
 	}
-	defer rc.conn.Close()
+	defer redis.conn.Close()
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range requests {
-		h.advance(5 * time.Millisecond)
+		host.advanceClock(5 * time.Millisecond)
 		switch i {
 		case requests / 4:
 			fleet.Boxes[1].SetFault(standin.Failing)
@@ -167,59 +169,59 @@
 			fleet.Boxes[2].SetFault(standin.Healthy)
 		case requests * 5 / 8:
 			fleet.Drain(fleet.Boxes[3])
-			if err := eventually("the drain is known", func() bool { return h.Proxy.Load().Ready == 7 }); err != nil {
-				return c, err
+			if err := eventually("the proxy has the drain", func() bool { return host.Proxy.Load().Ready == 7 }); err != nil {
+				return choices, err
 			}
 		}
 		key, id, write := fmt.Sprint("k", int(rng.ExpFloat64()*15)%60), fmt.Sprint("id", i), i%20 == 19
-		answer, err := h.ask(rc, byRedis(i), mode, key, id, write)
+		answer, err := host.request(redis, byRedis(i), mode, key, id, write)
 		if err != nil {
-			return c, err
+			return choices, err
 		}
 		switch {
 		case strings.Contains(answer, " of "+key):
-			c.Ends = append(c.Ends, "served")
+			choices.Outcomes = append(choices.Outcomes, "served")
 		case strings.HasPrefix(answer, "-BUSY"), strings.HasPrefix(answer, "refused"):
-			c.Ends = append(c.Ends, "refused")
+			choices.Outcomes = append(choices.Outcomes, "refused")
 		default:
-			return c, fmt.Errorf("request %d was answered %q", i, answer)
+			return choices, fmt.Errorf("request %d was answered %q", i, answer)
 		}
-		if err := eventually("nothing is in hand", func() bool {
-			l := h.Proxy.Load()
-			return l.Requests == 0 && l.Busy == 0 && h.Front.Counts().Streams == 0
+		if err := eventually("no request is in flight", func() bool {
+			load := host.Proxy.Load()
+			return load.Requests == 0 && load.Busy == 0 && host.Front.Counts().Streams == 0
 		}); err != nil {
-			return c, err
+			return choices, err
 		}
 	}
 	names := map[logic.MemberID]string{proxy.MemberID("o-1"): "o-1"}
 	for _, b := range fleet.Boxes {
 		names[proxy.MemberID(b.ID)] = b.ID
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, m := range h.sends {
-		c.Sends = append(c.Sends, names[m])
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	for _, m := range host.sentTo {
+		choices.Members = append(choices.Members, names[m])
 	}
-	return c, nil
+	return choices, nil
 }
 
-// ask makes one request by one front.
-func (h *Host) ask(rc *redisClient, byRedis bool, mode, key, id string, write bool) (string, error) {
-	// The last byte of an order is held back for 2 ms; the clock has to move while it is.
+// request sends one request through one of the front ends.
+func (h *Host) request(redis *redisClient, byRedis bool, mode, key, id string, write bool) (string, error) {
+	// The proxy holds back the last byte of an order for 2 ms, so the clock has to advance meanwhile.
 	h.Caller.BeforeSend = nil
-	held := make(chan error, 1)
+	advanced := make(chan error, 1)
 	switch {
 	case write && mode == "route" && !byRedis:
-		h.Caller.BeforeSend = func(string) { h.advance(10 * time.Millisecond) }
-		held <- nil
+		h.Caller.BeforeSend = func(string) { h.advanceClock(10 * time.Millisecond) }
+		advanced <- nil
 	case write:
 		go func() {
-			err := eventually("the order is out", func() bool { return h.Proxy.Load().Busy > 0 })
-			h.advance(10 * time.Millisecond)
-			held <- err
+			err := eventually("the order is in flight", func() bool { return h.Proxy.Load().Busy > 0 })
+			h.advanceClock(10 * time.Millisecond)
+			advanced <- err
 		}()
 	default:
-		held <- nil
+		advanced <- nil
 	}
 	var answer string
 	if byRedis {
@@ -228,27 +230,28 @@
 			words = []string{"OBJ.SET", key, id, "c=pass-order,d=2000", "one pass"}
 		}
 		var err error
-		if answer, err = rc.ask(words...); err != nil {
+		if answer, err = redis.do(words...); err != nil {
 			return "", err
 		}
 	} else {
-		q := caller.Request{Method: "GET", Path: "/tiles/" + key}
+		httpRequest := caller.Request{Method: "GET", Path: "/tiles/" + key}
 		if write {
-			q = caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass")}
+			httpRequest = caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass")}
 		}
-		q.Headers = map[string]string{"x-request-id": id, "x-envoy-expected-rq-timeout-ms": "2010"} // the margin is 10
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		res := h.Caller.Do(ctx, q)
+		// 2000 and the margin of 10.
+		httpRequest.Headers = map[string]string{"x-request-id": id, "x-envoy-expected-rq-timeout-ms": "2010"}
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+		result := h.Caller.Do(ctx, httpRequest)
 		cancel()
-		if res.Err != nil {
-			return "", res.Err
+		if result.Err != nil {
+			return "", result.Err
 		}
-		answer = string(res.Body)
+		answer = string(result.Body)
 	}
-	return answer, <-held
+	return answer, <-advanced
 }
 
-// redisClient asks one thing at a time over RESP2.
+// redisClient sends one request at a time over RESP2.
 type redisClient struct {
 	conn net.Conn
 	in   *bufio.Reader
@@ -263,24 +266,24 @@
 	return &redisClient{conn: conn, in: bufio.NewReader(conn)}, nil
 }
 
-// ended tells whether the other side has ended the connection.
-func (c *redisClient) ended() (yes bool) {
+// closedByPeer reports whether the server has closed the connection.
+func (c *redisClient) closedByPeer() (closed bool) {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { yes = sender.Peek(fd) == sender.EndOfStream })
+		err = raw.Control(func(fd uintptr) { closed = sender.Peek(fd) == sender.EndOfStream })
 	}
-	return yes || err != nil
+	return closed || err != nil
 }
 
-// ask returns the value, or the error line.
-func (c *redisClient) ask(words ...string) (string, error) {
-	b := resp.AppendArray(c.buf[:0], len(words))
+// do sends a command and returns the value, or the error line.
+func (c *redisClient) do(words ...string) (string, error) {
+	command := resp.AppendArray(c.buf[:0], len(words))
 	for _, w := range words {
-		b = resp.AppendBulk(b, w)
+		command = resp.AppendBulk(command, w)
 	}
-	c.buf = b
-	c.conn.SetDeadline(time.Now().Add(patience))
-	if _, err := c.conn.Write(b); err != nil {
+	c.buf = command
+	c.conn.SetDeadline(time.Now().Add(waitTimeout))
+	if _, err := c.conn.Write(command); err != nil {
 		return "", err
 	}
 	line, err := c.in.ReadString('\n')
@@ -295,11 +298,11 @@
 	}
 	var n int
 	if _, err := fmt.Sscanf(line, "$%d", &n); err != nil || n < 0 {
-		return "", errors.New("lab: no value")
+		return "", errors.New("lab: the answer has no value")
 	}
-	v := make([]byte, n+2)
-	if _, err := io.ReadFull(c.in, v); err != nil {
+	value := make([]byte, n+2)
+	if _, err := io.ReadFull(c.in, value); err != nil {
 		return "", err
 	}
-	return string(v[:n]), nil
+	return string(value[:n]), nil
 }
--- a/internal/lab/host_test.go
+++ b/internal/lab/host_test.go
@@ -5,34 +5,34 @@
 	"testing"
 )
 
-// The same requests, seed and outcomes make the module choose the same members in the same order, whichever front
-// they come by, also when both are used at once.
+// With the same requests, seed and outcomes, the balancer chooses the same members in the same order through
+// either front end, and also when both are used at once.
 func TestFrontsGetTheSameChoices(t *testing.T) {
 	const requests = 400
-	play := func(t *testing.T, mode string, byRedis func(int) bool) Choices {
+	runChoices := func(t *testing.T, mode string, byRedis func(int) bool) Choices {
 		t.Helper()
-		c, err := Play(mode, false, requests, byRedis)
+		choices, err := RunChoices(mode, false, requests, byRedis)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c
+		return choices
 	}
-	want := play(t, "answer", func(int) bool { return true })
+	want := runChoices(t, "answer", func(int) bool { return true })
 	refused := 0
-	for _, e := range want.Ends {
-		if e == "refused" {
+	for _, outcome := range want.Outcomes {
+		if outcome == "refused" {
 			refused++
 		}
 	}
-	if len(want.Sends) < requests+20 || refused > requests/10 {
-		t.Fatalf("%d choices and %d refusals for %d requests: too little was tried", len(want.Sends), refused, requests)
+	if len(want.Members) < requests+20 || refused > requests/10 {
+		t.Fatalf("%d choices and %d refusals for %d requests: too little was tried", len(want.Members), refused, requests)
 	}
 	for _, s := range []string{"s-cold", "o-1", "s-2", "s-3", "s-4"} {
-		if !slices.Contains(want.Sends, s) {
+		if !slices.Contains(want.Members, s) {
 			t.Fatalf("%s was never chosen", s)
 		}
 	}
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		mode    string
 		byRedis func(int) bool
 	}{
@@ -43,17 +43,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := play(t, c.mode, c.byRedis)
-			if !slices.Equal(got.Ends, want.Ends) {
+			got := runChoices(t, testCase.mode, testCase.byRedis)
+			if !slices.Equal(got.Outcomes, want.Outcomes) {
 				t.Error("what was served and what was refused differs")
 			}
-			if !slices.Equal(got.Sends, want.Sends) {
+			if !slices.Equal(got.Members, want.Members) {
 				i := 0
-				for i < min(len(got.Sends), len(want.Sends)) && got.Sends[i] == want.Sends[i] {
+				for i < min(len(got.Members), len(want.Members)) && got.Members[i] == want.Members[i] {
 					i++
 				}
-				t.Errorf("choices differ from the %dth on: %v, want %v", i, got.Sends[i:min(i+8, len(got.Sends))],
-					want.Sends[i:min(i+8, len(want.Sends))])
+				t.Errorf("choices differ from the %dth on: %v, want %v", i, got.Members[i:min(i+8, len(got.Members))],
+					want.Members[i:min(i+8, len(want.Members))])
 			}
 		})
 	}
--- a/internal/lab/identity.go
+++ b/internal/lab/identity.go
@@ -23,22 +23,22 @@
 )
 
 const (
-	identityWorkers = 16
-	identityRounds  = 6
-	identityRotates = 32 * time.Second // all rounds together, at the least
-	forgers         = 16
+	workerCount        = 16
+	keyRotations       = 6
+	minKeyRotationTime = 32 * time.Second // all rotations together, at least
+	forgerCount        = 16
 )
 
-// issuer signs tokens with the keys of a set that it keeps in a file.
+// issuer signs tokens with the private keys of a key set that it publishes in a file.
 type issuer struct {
-	file string
-	mu   sync.Mutex
-	keys map[string]ed25519.PrivateKey
-	use  string // the key to sign with
-	n    int
+	file        string
+	mu          sync.Mutex
+	keys        map[string]ed25519.PrivateKey
+	signingKey  string // id of the key that token uses by default
+	lastSubject int
 }
 
-// publish replaces the file by one with these keys.
+// publish replaces the file by a key set with the given ids, creating keys as needed.
 func (s *issuer) publish(ids ...string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,54 +63,54 @@
 	return os.Rename(s.file+".new", s.file)
 }
 
-// token is a token that nobody has seen yet.
+// token returns a new token, signed with the given key or, if it is empty, with the default one.
 func (s *issuer) token(key string) (string, error) {
 	s.mu.Lock()
 	if key == "" {
-		key = s.use
+		key = s.signingKey
 	}
-	s.n++
-	n, private := s.n, s.keys[key]
+	s.lastSubject++
+	n, private := s.lastSubject, s.keys[key]
 	s.mu.Unlock()
-	return signed(key, private, n)
+	return signToken(key, private, n)
 }
 
-func signed(kid string, key ed25519.PrivateKey, n int) (string, error) {
-	by, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, (&jose.SignerOptions{}).WithHeader("kid", kid))
+func signToken(kid string, key ed25519.PrivateKey, n int) (string, error) {
+	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, (&jose.SignerOptions{}).WithHeader("kid", kid))
 	if err != nil {
 		return "", err
 	}
-	sig, err := by.Sign(fmt.Appendf(nil, `{"iss":"lab","aud":"lab","tenant":"acme","sub":"%d","exp":%d}`, n, time.Now().Add(10*time.Minute).Unix()))
+	signature, err := signer.Sign(fmt.Appendf(nil, `{"iss":"lab","aud":"lab","tenant":"acme","sub":"%d","exp":%d}`, n, time.Now().Add(10*time.Minute).Unix()))
 	if err != nil {
 		return "", err
 	}
-	return sig.CompactSerialize()
+	return signature.CompactSerialize()
 }
 
-// proven is a connection whose requests are read as answers of one line and a value.
-type proven struct {
-	conn net.Conn
-	in   *bufio.Reader
-	buf  []byte
-	n    int
-	name string
+// authClient is a RESP2 connection that sends one request at a time and may authenticate.
+type authClient struct {
+	conn     net.Conn
+	in       *bufio.Reader
+	buf      []byte
+	lastID   int
+	idPrefix string
 }
 
-func dialProven(addr, name string) (*proven, error) {
+func dialAuthClient(addr, name string) (*authClient, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &proven{conn: conn, in: bufio.NewReader(conn), name: name}, nil
+	return &authClient{conn: conn, in: bufio.NewReader(conn), idPrefix: name}, nil
 }
 
-// say sends words and returns the answer's first line; a value is read over.
-func (c *proven) say(words ...string) (string, error) {
+// do sends a command and returns the first line of the answer; a value is skipped.
+func (c *authClient) do(words ...string) (string, error) {
 	c.buf = resp.AppendArray(c.buf[:0], len(words))
 	for _, w := range words {
 		c.buf = resp.AppendBulk(c.buf, w)
 	}
-	c.conn.SetDeadline(time.Now().Add(patience))
+	c.conn.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := c.conn.Write(c.buf); err != nil {
 		return "", err
 	}
@@ -128,15 +128,16 @@
 	return line, err
 }
 
-func (c *proven) read(key int, more string) (string, error) {
-	c.n++
-	return c.say("OBJ.GET", fmt.Sprintf("%016x", key+1), fmt.Sprintf("%s-%d", c.name, c.n), "c=tile-read,d=1000"+more)
+func (c *authClient) read(key int, attrs string) (string, error) {
+	c.lastID++
+	return c.do("OBJ.GET", fmt.Sprintf("%016x", key+1), fmt.Sprintf("%s-%d", c.idPrefix, c.lastID), "c=tile-read,d=1000"+attrs)
 }
 
-// auth proves who the connection is. On a fast machine more new tokens come than are checked: those that were not looked at come again.
-func (c *proven) auth(token string) error {
-	line, err := c.say("AUTH", token)
-	for end := time.Now().Add(patience); err == nil && strings.HasPrefix(line, "-BUSY") && time.Now().Before(end); line, err = c.say("AUTH", token) {
+// auth authenticates the connection. A fast machine sends more new tokens than the proxy checks per second; a
+// token refused unchecked is sent again.
+func (c *authClient) auth(token string) error {
+	line, err := c.do("AUTH", token)
+	for end := time.Now().Add(waitTimeout); err == nil && strings.HasPrefix(line, "-BUSY") && time.Now().Before(end); line, err = c.do("AUTH", token) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	if err == nil && line != "+OK" {
@@ -148,97 +149,98 @@
 	return nil
 }
 
-// Identity is the scenario of proven callers: keys that change under load, what a proof costs, and what a flood of forged tokens costs
-// those who are proven.
-func Identity(ctx context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "identity"}
-	fleet, err := loadedFleet(8, 2048, scaleKeys)
+// Identity runs the scenario of authenticated callers: key rotation under load, the cost of authentication,
+// and the effect of a flood of forged tokens on authenticated callers.
+func Identity(ctx context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "identity"}
+	fleet, err := newFilledFleet(8, 2048, tileKeys)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer fleet.Close()
-	is := &issuer{file: filepath.Join(e.Dir, "keys.json"), keys: map[string]ed25519.PrivateKey{}, use: "k0"}
-	if err := is.publish("k0"); err != nil {
-		return r, err
+	tokenIssuer := &issuer{file: filepath.Join(env.Dir, "keys.json"), keys: map[string]ed25519.PrivateKey{}, signingKey: "k0"}
+	if err := tokenIssuer.publish("k0"); err != nil {
+		return report, err
 	}
-	bare, plain, err := e.proxy("identity-off", fleet, 192, 4096)
+	plainAddr, plainProcess, err := env.startProxy("identity-off", fleet, 192, 4096)
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer plain.Kill()
-	addr, p, err := e.guarded("identity", fleet, fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\nchecks_per_s = 500\n"+
-		"[[identity.tenant]]\nname = \"acme\"\n", is.file))
+	defer plainProcess.Kill()
+	addr, process, err := env.startProxyWith("identity", fleet, fmt.Sprintf("[identity]\nkeys = %q\nissuer = \"lab\"\naudience = \"lab\"\nchecks_per_s = 500\n"+
+		"[[identity.tenant]]\nname = \"acme\"\n", tokenIssuer.file))
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer p.Kill()
-	if err := e.rotate(r, is, addr); err != nil {
-		return r, err
+	defer process.Kill()
+	if err := env.rotateKeys(report, tokenIssuer, addr); err != nil {
+		return report, err
 	}
-	if err := e.proofCost(r, is, addr, p, bare, plain); err != nil {
-		return r, err
+	if err := env.measureTokenCost(report, tokenIssuer, addr, process, plainAddr, plainProcess); err != nil {
+		return report, err
 	}
-	if err := e.forge(r, is, addr, p); err != nil {
-		return r, err
+	if err := env.floodWithForgeries(report, tokenIssuer, addr, process); err != nil {
+		return report, err
 	}
-	if err := e.proofCostAtProcessor(ctx, r, is, fleet); err != nil {
-		return r, err
+	if err := env.measureProcessorTokenCost(ctx, report, tokenIssuer, fleet); err != nil {
+		return report, err
 	}
-	if err := e.doors(r, fleet, bare, plain); err != nil {
-		return r, err
+	if err := env.measureTLS(report, fleet, plainAddr, plainProcess); err != nil {
+		return report, err
 	}
-	if kb, err := p.Resident(); err == nil {
-		r.Tell("resident, MB", float64(kb)/1024)
+	if kb, err := process.Resident(); err == nil {
+		report.AddValue("resident, MB", float64(kb)/1024)
 	}
-	return r, p.Stop()
+	return report, process.Stop()
 }
 
-// guarded starts a proxy with an operator's file.
-func (e *Env) guarded(name string, fleet *standin.Fleet, operator string) (string, *Process, error) {
-	file, err := e.write(name+".toml", []byte(operator))
+// startProxyWith starts a proxy with the given operator's file.
+func (e *Env) startProxyWith(name string, fleet *standin.Fleet, operator string) (string, *Process, error) {
+	file, err := e.writeFile(name+".toml", []byte(operator))
 	if err != nil {
 		return "", nil, err
 	}
-	return e.proxy(name, fleet, 192, 4096, "-operator", file)
+	return e.startProxy(name, fleet, 192, 4096, "-operator", file)
 }
 
-// rotate changes the keys several times while callers, half of them by AUTH and half by a token in each request, go on. A caller signs
-// anew once it is told that its key is retired; only one who has a key of the file then is a valid one.
-func (e *Env) rotate(r *Report, is *issuer, addr string) error {
-	e.Log("identity: keys that change under load")
+// rotateKeys rotates the keys several times under load; half of the callers authenticate with AUTH and half
+// send a token in each request. Callers sign new tokens with the current key. A request counts as valid if
+// its token's key is in the file at that time.
+func (e *Env) rotateKeys(report *Report, tokenIssuer *issuer, addr string) error {
+	e.Log("identity: rotation of keys under load")
 	var served, refused, accepted atomic.Int64
-	var failed atomic.Pointer[error]
+	var firstError atomic.Pointer[error]
 	stop := make(chan struct{})
-	var g sync.WaitGroup
-	for w := range identityWorkers {
-		g.Go(func() {
-			fail := func(err error) { failed.CompareAndSwap(nil, &err) }
-			c, err := dialProven(addr, fmt.Sprint("rot", w))
+	var group sync.WaitGroup
+	for w := range workerCount {
+		group.Go(func() {
+			fail := func(err error) { firstError.CompareAndSwap(nil, &err) }
+			client, err := dialAuthClient(addr, fmt.Sprint("rot", w))
 			if err != nil {
 				fail(err)
 				return
 			}
-			defer c.conn.Close()
+			defer client.conn.Close()
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				more := ""
-				token, err := is.token("")
+				attrs := ""
+				token, err := tokenIssuer.token("")
 				if err != nil {
 					fail(err)
 					return
 				}
 				if w%2 == 0 {
-					more = ",tk=" + token
-				} else if err := c.auth(token); err != nil {
+					attrs = ",tk=" + token
+				} else if err := client.auth(token); err != nil {
 					fail(err)
 					return
 				}
-				for range 20 { // the token is new once in so many requests
-					line, err := c.read((w*7919+i)%scaleKeys, more)
+				for range 20 { // a new token every 20 requests
+					line, err := client.read((w*7919+i)%tileKeys, attrs)
 					switch {
 					case err != nil:
 						fail(err)
@@ -249,40 +251,41 @@
 						refused.Add(1)
 					}
 				}
-				time.Sleep(20 * time.Millisecond) // some 400 new tokens a second, of 500 checks
+				time.Sleep(20 * time.Millisecond) // about 400 new tokens a second, of 500 checks
 			}
 		})
 	}
-	worst := time.Duration(0)
-	each := max(identityRotates, time.Duration(e.Seconds)*time.Second) / identityRounds // the file is looked at every second
-	for round := range identityRounds {
-		now, next := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
-		if err := is.publish(now, next); err != nil { // before callers use it
+	longestToRefusal := time.Duration(0)
+	// The proxy checks the file every second.
+	roundTime := max(minKeyRotationTime, time.Duration(e.Seconds)*time.Second) / keyRotations
+	for round := range keyRotations {
+		currentKey, nextKey := fmt.Sprint("k", round), fmt.Sprint("k", round+1)
+		if err := tokenIssuer.publish(currentKey, nextKey); err != nil { // before callers use the new key
 			return err
 		}
-		time.Sleep(each / 2) // longer than a process takes to look
-		is.mu.Lock()
-		is.use = next
-		is.mu.Unlock()
-		stale, err := is.token(now)
+		time.Sleep(roundTime / 2) // longer than the proxy's interval for checking the file
+		tokenIssuer.mu.Lock()
+		tokenIssuer.signingKey = nextKey
+		tokenIssuer.mu.Unlock()
+		retiredToken, err := tokenIssuer.token(currentKey)
 		if err != nil {
 			return err
 		}
-		time.Sleep(each / 4) // callers have let go of the old key
-		// One that stands idle for long is closed, so each round has a connection of its own.
-		old, err := dialProven(addr, fmt.Sprint("old", round))
+		time.Sleep(roundTime / 4) // until no caller uses the old key any more
+		// The proxy closes connections that are idle for long, so each round opens one.
+		oldClient, err := dialAuthClient(addr, fmt.Sprint("old", round))
 		if err != nil {
 			return err
 		}
-		if err := old.auth(stale); err != nil {
-			return fmt.Errorf("by a key that is in force: %w", err)
+		if err := oldClient.auth(retiredToken); err != nil {
+			return fmt.Errorf("with a key that is still valid: %w", err)
 		}
-		if err := is.publish(next); err != nil {
+		if err := tokenIssuer.publish(nextKey); err != nil {
 			return err
 		}
-		told := time.Now()
+		removedAt := time.Now()
 		for {
-			line, err := old.read(1, "")
+			line, err := oldClient.read(1, "")
 			if err != nil {
 				return err
 			}
@@ -290,176 +293,177 @@
 				break
 			}
 			if line[0] != '$' {
-				return fmt.Errorf("a caller whose key is retired is told %q", line)
+				return fmt.Errorf("a caller with a retired key was answered %q", line)
 			}
-			if time.Since(told) > patience {
-				return fmt.Errorf("a retired key is accepted for good")
+			if time.Since(removedAt) > waitTimeout {
+				return fmt.Errorf("a retired key is still accepted")
 			}
 		}
-		worst = max(worst, time.Since(told))
-		for range 50 { // from then on by nobody
-			if line, err := old.read(1, ",tk="+stale); err != nil || line != "-WRONGPASS its key is retired" && line != "-WRONGPASS unknown key" {
-				accepted.Add(1) // or turned away for something else, which proves nothing
+		longestToRefusal = max(longestToRefusal, time.Since(removedAt))
+		for range 50 { // no request may succeed with the retired key any more
+			if line, err := oldClient.read(1, ",tk="+retiredToken); err != nil || line != "-WRONGPASS its key is retired" && line != "-WRONGPASS unknown key" {
+				accepted.Add(1) // accepted, or refused for another reason, which proves nothing
 			}
-			if old.n%12 == 0 { // too many faults end a connection
-				old.conn.Close()
-				if old, err = dialProven(addr, fmt.Sprintf("old%d-%d", round, old.n)); err != nil {
+			if oldClient.lastID%12 == 0 { // the proxy closes a connection after too many faults
+				oldClient.conn.Close()
+				if oldClient, err = dialAuthClient(addr, fmt.Sprintf("old%d-%d", round, oldClient.lastID)); err != nil {
 					return err
 				}
 			}
 		}
-		old.conn.Close()
-		time.Sleep(each / 4)
+		oldClient.conn.Close()
+		time.Sleep(roundTime / 4)
 	}
 	close(stop)
-	g.Wait()
-	if err := failed.Load(); err != nil {
+	group.Wait()
+	if err := firstError.Load(); err != nil {
 		return *err
 	}
-	r.Tell("rotation: requests served", float64(served.Load()))
-	r.Equal("rotation: valid requests turned away", float64(refused.Load()), 0)
-	r.Equal("rotation: by a retired key, once one was refused: not turned away for it", float64(accepted.Load()), 0)
-	r.AtMost("rotation: from the file's replacement to the first refusal, ms", float64(worst)/float64(time.Millisecond), 1100)
+	report.AddValue("rotation: requests served", float64(served.Load()))
+	report.Equal("rotation: valid requests turned away", float64(refused.Load()), 0)
+	report.Equal("rotation: by a retired key, once one was refused: not turned away for it", float64(accepted.Load()), 0)
+	report.AtMost("rotation: from the file's replacement to the first refusal, ms", float64(longestToRefusal)/float64(time.Millisecond), 1100)
 	return nil
 }
 
-// proofCost compares a proven caller's reads with those of a proxy that asks nobody.
-func (e *Env) proofCost(r *Report, is *issuer, addr string, p *Process, bare string, plain *Process) error {
-	e.Log("identity: what a proof costs")
-	token, err := is.token("")
+// measureTokenCost compares an authenticated caller's reads with those of a proxy without authentication.
+func (e *Env) measureTokenCost(report *Report, tokenIssuer *issuer, addr string, process *Process, plainAddr string, plainProcess *Process) error {
+	e.Log("identity: cost of a token")
+	token, err := tokenIssuer.token("")
 	if err != nil {
 		return err
 	}
-	var with, inList, without Rate
+	var byAuth, byAttribute, plainReads ClosedLoopResult
 	const rounds = 4
-	d := time.Duration(e.Seconds) * time.Second / (3 * rounds)
-	reads := func(addr, name, auth, more string) func(int) (func(int) error, func(), error) {
+	duration := time.Duration(e.Seconds) * time.Second / (3 * rounds)
+	newReads := func(addr, name, auth, attrs string) func(int) (func(int) error, func(), error) {
 		return func(w int) (func(int) error, func(), error) {
-			c, err := dialProven(addr, fmt.Sprintf("%s%d-%d", name, w, time.Now().UnixNano()))
+			client, err := dialAuthClient(addr, fmt.Sprintf("%s%d-%d", name, w, time.Now().UnixNano()))
 			if err != nil {
 				return nil, nil, err
 			}
 			if auth != "" {
-				if line, err := c.say("AUTH", auth); err != nil || line != "+OK" {
+				if line, err := client.do("AUTH", auth); err != nil || line != "+OK" {
 					return nil, nil, fmt.Errorf("AUTH: %q, %v", line, err)
 				}
 			}
 			return func(i int) error {
-				line, err := c.read((w*7919+i)%scaleKeys, more)
+				line, err := client.read((w*7919+i)%tileKeys, attrs)
 				if err == nil && line[0] != '$' {
 					err = fmt.Errorf("answered %q", line)
 				}
 				return err
-			}, func() { c.conn.Close() }, nil
+			}, func() { client.conn.Close() }, nil
 		}
 	}
 	for range rounds { // in turns, as the machine's speed varies
 		for _, part := range []struct {
-			rate       *Rate
-			p          *Process
+			total      *ClosedLoopResult
+			process    *Process
 			addr       string
 			auth, more string
-		}{{&without, plain, bare, "", ""}, {&with, p, addr, token, ""}, {&inList, p, addr, "", ",tk=" + token}} {
-			got, err := loop(part.p, identityWorkers, d, reads(part.addr, "cost", part.auth, part.more))
+		}{{&plainReads, plainProcess, plainAddr, "", ""}, {&byAuth, process, addr, token, ""}, {&byAttribute, process, addr, "", ",tk=" + token}} {
+			result, err := runClosedLoop(part.process, workerCount, duration, newReads(part.addr, "cost", part.auth, part.more))
 			if err != nil {
-				return fmt.Errorf("reads at %s, AUTH %v, in the list %v: %w", part.addr, part.auth != "", part.more != "", err)
+				return fmt.Errorf("reads at %s, AUTH %v, token in each request %v: %w", part.addr, part.auth != "", part.more != "", err)
 			}
-			part.rate.add(got)
+			part.total.add(result)
 		}
 	}
-	r.Tell("reads a CPU second without tokens", without.PerCPU())
-	r.AtLeast("by AUTH, a token seen before: reads a CPU second, of that", with.PerCPU()/without.PerCPU(), 0.9)
-	r.AtLeast("by a token in each list, seen before: reads a CPU second, of that", inList.PerCPU()/without.PerCPU(), 0.9)
+	report.AddValue("reads a CPU second without tokens", plainReads.PerCPU())
+	report.AtLeast("by AUTH, a token seen before: reads a CPU second, of that", byAuth.PerCPU()/plainReads.PerCPU(), 0.9)
+	report.AtLeast("by a token in each list, seen before: reads a CPU second, of that", byAttribute.PerCPU()/plainReads.PerCPU(), 0.9)
 	return nil
 }
 
-// forge has callers send forged tokens as fast as they can, each a new one that only its signature gives away, on new connections as
-// they are ended, beside a proven caller's reads.
-func (e *Env) forge(r *Report, is *issuer, addr string, p *Process) error {
+// floodWithForgeries sends forged tokens as fast as possible, beside an authenticated caller's reads. Each
+// token is new and only its signature is invalid; a connection that the proxy closes is replaced by a new
+// one.
+func (e *Env) floodWithForgeries(report *Report, tokenIssuer *issuer, addr string, process *Process) error {
 	e.Log("identity: a flood of forged tokens")
-	token, err := is.token("")
+	token, err := tokenIssuer.token("")
 	if err != nil {
 		return err
 	}
-	good := func(w int) (func(int) error, func(), error) {
-		c, err := dialProven(addr, fmt.Sprintf("good%d-%d", w, time.Now().UnixNano()))
+	newValidReads := func(w int) (func(int) error, func(), error) {
+		client, err := dialAuthClient(addr, fmt.Sprintf("good%d-%d", w, time.Now().UnixNano()))
 		if err != nil {
 			return nil, nil, err
 		}
-		if line, err := c.say("AUTH", token); err != nil || line != "+OK" {
+		if line, err := client.do("AUTH", token); err != nil || line != "+OK" {
 			return nil, nil, fmt.Errorf("AUTH: %q, %v", line, err)
 		}
 		return func(i int) error {
-			line, err := c.read((w*7919+i)%scaleKeys, "")
+			line, err := client.read((w*7919+i)%tileKeys, "")
 			if err == nil && line[0] != '$' {
 				err = errRefused
 			}
-			time.Sleep(5 * time.Millisecond) // at a pace, not as fast as it can
+			time.Sleep(5 * time.Millisecond) // at a fixed pace, not as fast as possible
 			return err
-		}, func() { c.conn.Close() }, nil
+		}, func() { client.conn.Close() }, nil
 	}
-	d := time.Duration(e.Seconds) * time.Second / 4
-	alone, err := loop(p, identityWorkers, d, good)
+	duration := time.Duration(e.Seconds) * time.Second / 4
+	alone, err := runClosedLoop(process, workerCount, duration, newValidReads)
 	if err != nil {
 		return err
 	}
-	// Signing costs as much as checking: the forgeries are made before.
+	// Signing costs as much as checking, so the forgeries are made in advance.
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return err
 	}
 	forged := make([]string, 20000)
-	var made sync.WaitGroup
+	var signing sync.WaitGroup
 	for w := range 4 {
-		made.Go(func() {
+		signing.Go(func() {
 			for i := w; i < len(forged); i += 4 {
-				forged[i], _ = signed(is.use, key, i)
+				forged[i], _ = signToken(tokenIssuer.signingKey, key, i)
 			}
 		})
 	}
-	made.Wait()
-	var next, sent, through atomic.Int64
+	signing.Wait()
+	var nextForgery, sent, acceptedForgeries atomic.Int64
 	stop := make(chan struct{})
-	var g sync.WaitGroup
-	for range forgers {
-		g.Go(func() {
-			var c *proven
+	var group sync.WaitGroup
+	for range forgerCount {
+		group.Go(func() {
+			var client *authClient
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				if c == nil {
-					if fresh, err := dialProven(addr, "forger"); err == nil {
-						c = fresh
+				if client == nil {
+					if fresh, err := dialAuthClient(addr, "forger"); err == nil {
+						client = fresh
 					} else {
 						return
 					}
 				}
-				line, err := c.say("AUTH", forged[int(next.Add(1))%len(forged)])
+				line, err := client.do("AUTH", forged[int(nextForgery.Add(1))%len(forged)])
 				if err != nil {
-					c.conn.Close()
-					c = nil
+					client.conn.Close()
+					client = nil
 					continue
 				}
 				if sent.Add(1); line == "+OK" {
-					through.Add(1)
+					acceptedForgeries.Add(1)
 				}
 			}
 		})
 	}
-	beside, err := loop(p, identityWorkers, d, good)
+	duringFlood, err := runClosedLoop(process, workerCount, duration, newValidReads)
 	close(stop)
-	g.Wait()
+	group.Wait()
 	if err != nil {
 		return err
 	}
-	r.Tell("flood: forged tokens a second", float64(sent.Load())/d.Seconds())
-	r.Equal("flood: forged tokens accepted", float64(through.Load()), 0)
-	r.AtLeast("flood: a proven caller's reads served, of those alone", float64(beside.Done)/float64(max(1, alone.Done)), 0.9)
-	r.Equal("flood: a proven caller's reads refused", float64(beside.Refused), 0)
-	r.Tell("p99 alone, ms", float64(alone.Quantile(0.99))/float64(time.Millisecond))
-	r.Tell("p99 beside the flood, ms", float64(beside.Quantile(0.99))/float64(time.Millisecond))
+	report.AddValue("flood: forged tokens a second", float64(sent.Load())/duration.Seconds())
+	report.Equal("flood: forged tokens accepted", float64(acceptedForgeries.Load()), 0)
+	report.AtLeast("flood: a proven caller's reads served, of those alone", float64(duringFlood.Served)/float64(max(1, alone.Served)), 0.9)
+	report.Equal("flood: a proven caller's reads refused", float64(duringFlood.Refused), 0)
+	report.AddValue("p99 alone, ms", float64(alone.Quantile(0.99))/float64(time.Millisecond))
+	report.AddValue("p99 beside the flood, ms", float64(duringFlood.Quantile(0.99))/float64(time.Millisecond))
 	return nil
 }
--- a/internal/lab/idle.go
+++ b/internal/lab/idle.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Idle is the scenario of a proxy that nobody asks, before 60 caches: what it takes of the core all the same.
-func Idle(_ context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "idle"}
-	fleet, err := loadedFleet(60, 64, 1)
+// Idle runs the scenario of a proxy without requests in front of 60 caches: the CPU time that it uses anyway.
+func Idle(_ context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "idle"}
+	fleet, err := newFilledFleet(60, 64, 1)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer fleet.Close()
-	_, p, err := e.proxy("idle", fleet, 64, 384)
+	_, process, err := env.startProxy("idle", fleet, 64, 384)
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer p.Kill()
-	started, err := p.CPU()
+	defer process.Kill()
+	startupCPU, err := process.CPU()
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	time.Sleep(3 * time.Second) // what the start has left to do
+	time.Sleep(3 * time.Second) // until the work of the start is done
 	var before time.Duration
-	if before, err = p.CPU(); err != nil {
-		return r, err
+	if before, err = process.CPU(); err != nil {
+		return report, err
 	}
-	d := time.Duration(e.Seconds) * time.Second
-	time.Sleep(d)
-	after, err := p.CPU()
+	duration := time.Duration(env.Seconds) * time.Second
+	time.Sleep(duration)
+	after, err := process.CPU()
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	r.Tell("CPU until it is ready, ms", float64(started)/float64(time.Millisecond))
-	r.AtMost("CPU a second, idle, ms", float64(after-before)/float64(time.Millisecond)/d.Seconds(), 10)
-	if kb, err := p.Resident(); err == nil {
-		r.Tell("resident, MB", float64(kb)/1024)
+	report.AddValue("CPU until it is ready, ms", float64(startupCPU)/float64(time.Millisecond))
+	report.AtMost("CPU a second, idle, ms", float64(after-before)/float64(time.Millisecond)/duration.Seconds(), 10)
+	if kb, err := process.Resident(); err == nil {
+		report.AddValue("resident, MB", float64(kb)/1024)
 	}
-	return r, p.Stop()
+	return report, process.Stop()
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -17,22 +17,23 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// Rate is what a closed loop of workers got through.
-type Rate struct {
-	Done, Refused int
-	Took          time.Duration
-	CPU           time.Duration // of the process under load
-	latencies     []time.Duration
+// ClosedLoopResult is the result of a closed loop: workers that each send a request once the previous one is
+// answered.
+type ClosedLoopResult struct {
+	Served, Refused int
+	Duration        time.Duration
+	CPU             time.Duration // of the process under load
+	latencies       []time.Duration
 }
 
-// PerSecond is the requests served a second.
-func (r Rate) PerSecond() float64 { return float64(r.Done) / r.Took.Seconds() }
+// PerSecond returns the requests served per second.
+func (r ClosedLoopResult) PerSecond() float64 { return float64(r.Served) / r.Duration.Seconds() }
 
-// PerCPU is the requests served per second of the process's processor time.
-func (r Rate) PerCPU() float64 { return float64(r.Done) / max(r.CPU.Seconds(), 0.001) }
+// PerCPU returns the requests served per second of the process's CPU time.
+func (r ClosedLoopResult) PerCPU() float64 { return float64(r.Served) / max(r.CPU.Seconds(), 0.001) }
 
-// Quantile is the latency under which that share of the requests was answered.
-func (r Rate) Quantile(q float64) time.Duration {
+// Quantile returns the latency quantile q of the served requests.
+func (r ClosedLoopResult) Quantile(q float64) time.Duration {
 	if len(r.latencies) == 0 {
 		return 0
 	}
@@ -40,109 +41,111 @@
 	return r.latencies[min(len(r.latencies)-1, int(q*float64(len(r.latencies))))]
 }
 
-// add joins two rounds.
-func (r *Rate) add(o Rate) {
-	r.Done += o.Done
+// add adds the result of another round.
+func (r *ClosedLoopResult) add(o ClosedLoopResult) {
+	r.Served += o.Served
 	r.Refused += o.Refused
-	r.Took += o.Took
+	r.Duration += o.Duration
 	r.CPU += o.CPU
 	r.latencies = append(r.latencies, o.latencies...)
 }
 
-// errRefused tells that a request was refused, which ends no worker.
+// errRefused is returned for a refused request, which does not end the worker.
 var errRefused = errors.New("lab: refused")
 
-// loop has so many workers make requests, one after another each, for a time. make returns a worker's own request.
-func loop(p *Process, workers int, d time.Duration, make func(w int) (func(i int) error, func(), error)) (r Rate, err error) {
-	before, err := p.CPU()
+// runClosedLoop runs a closed loop of the given number of workers. newWorker returns a worker's request
+// function and its cleanup.
+func runClosedLoop(process *Process, workers int, duration time.Duration, newWorker func(w int) (func(i int) error, func(), error)) (result ClosedLoopResult, err error) {
+	before, err := process.CPU()
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	var mu sync.Mutex
-	var g sync.WaitGroup
-	var failed atomic.Pointer[error]
-	end := time.Now().Add(d)
+	var group sync.WaitGroup
+	var firstError atomic.Pointer[error]
+	end := time.Now().Add(duration)
 	begun := time.Now()
 	for w := range workers {
-		one, done, err := make(w)
+		sendRequest, done, err := newWorker(w)
 		if err != nil {
-			return r, err
+			return result, err
 		}
-		g.Go(func() {
+		group.Go(func() {
 			defer done()
-			var mine Rate
+			var workerResult ClosedLoopResult
 			for i := 0; time.Now().Before(end); i++ {
-				at := time.Now()
-				err := one(i)
+				sentAt := time.Now()
+				err := sendRequest(i)
 				switch {
 				case err == nil:
-					mine.Done++
-					mine.latencies = append(mine.latencies, time.Since(at))
+					workerResult.Served++
+					workerResult.latencies = append(workerResult.latencies, time.Since(sentAt))
 				case errors.Is(err, errRefused):
-					mine.Refused++
+					workerResult.Refused++
 				default:
-					failed.CompareAndSwap(nil, &err)
+					firstError.CompareAndSwap(nil, &err)
 					return
 				}
 			}
 			mu.Lock()
-			r.add(mine)
+			result.add(workerResult)
 			mu.Unlock()
 		})
 	}
-	g.Wait()
-	r.Took = time.Since(begun)
-	if f := failed.Load(); f != nil {
-		return r, *f
+	group.Wait()
+	result.Duration = time.Since(begun)
+	if f := firstError.Load(); f != nil {
+		return result, *f
 	}
-	after, err := p.CPU()
-	r.CPU = after - before
-	return r, err
+	after, err := process.CPU()
+	result.CPU = after - before
+	return result, err
 }
 
-// ids makes request ids that no other worker or round makes.
-var ids atomic.Uint64
+// lastRequestID makes request ids unique across workers and rounds.
+var lastRequestID atomic.Uint64
 
-// readRESP is a worker that reads keys over RESP2, from a proxy or straight from a box.
-func readRESP(addr string, keys int) func(int) (func(int) error, func(), error) {
+// newRESPWorker returns workers that read keys over RESP2, from a proxy or directly from a cache.
+func newRESPWorker(addr string, keys int) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
-		c, err := dialRedis(addr)
+		client, err := dialRedis(addr)
 		if err != nil {
 			return nil, nil, err
 		}
-		one := func(i int) error {
-			answer, err := c.ask("OBJ.GET", fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", ids.Add(1)), "c=tile-read,d=3000")
+		sendRequest := func(i int) error {
+			answer, err := client.do("OBJ.GET", fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", lastRequestID.Add(1)), "c=tile-read,d=3000")
 			switch {
 			case err != nil:
 				return err
 			case len(answer) > 5 && answer[:5] == "-BUSY":
 				return errRefused
 			case len(answer) < 5 || answer[:5] != "value" && answer[0] != '*':
-				return fmt.Errorf("lab: answered %q", answer)
+				return fmt.Errorf("lab: unexpected answer %q", answer)
 			}
 			return nil
 		}
-		return one, func() { c.conn.Close() }, nil
+		return sendRequest, func() { client.conn.Close() }, nil
 	}
 }
 
-// readBox is a worker that reads keys from a box, straight or through a relay: the relay passes the box's array through, which dialRedis does not read.
-func readBox(addr string, keys int) func(int) (func(int) error, func(), error) {
+// newCacheWorker returns workers that read keys from a cache, directly or through a relay. They read the
+// cache's answer, an array, which redisClient does not support.
+func newCacheWorker(addr string, keys int) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return nil, nil, err
 		}
-		c := &redisClient{conn: conn}
-		b := newBoxReader(conn)
-		one := func(i int) error {
-			return b.ask(c, fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", ids.Add(1)))
+		client := &redisClient{conn: conn}
+		reader := newCacheReader(conn)
+		sendRequest := func(i int) error {
+			return reader.get(client, fmt.Sprint("k", (w*31+i)%keys), fmt.Sprintf("%x", lastRequestID.Add(1)))
 		}
-		return one, func() { conn.Close() }, nil
+		return sendRequest, func() { conn.Close() }, nil
 	}
 }
 
-// dialProcessor opens so many connections to an external processor.
+// dialProcessor opens n connections to an external processor.
 func dialProcessor(target string, n int) (conns []*grpc.ClientConn, err error) {
 	for range n {
 		c, err := grpc.NewClient(target, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -158,59 +161,59 @@
 	return &corev3.HeaderValue{Key: name, RawValue: []byte(value)}
 }
 
-// callProcessor is a worker that makes calls of an external processor as a caller's data plane does: a stream with the
-// request's headers and, where both is set, the response's.
-func callProcessor(conns []*grpc.ClientConn, keys int, both bool) func(int) (func(int) error, func(), error) {
+// newProcessorWorker returns workers that call an external processor as a data plane does: one stream for
+// each request, with the request headers and, if withResponse is set, the response headers.
+func newProcessorWorker(conns []*grpc.ClientConn, keys int, withResponse bool) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		client := extprocv3.NewExternalProcessorClient(conns[w%len(conns)])
 		config := &extprocv3.ProtocolConfiguration{}
 		response := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
 			ResponseHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{
 				header(":status", "200"), header("content-type", "application/octet-stream"), header("x-cache", "hit")}}}}}
-		one := func(i int) error {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+		sendRequest := func(i int) error {
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
-			s, err := client.Process(ctx)
+			stream, err := client.Process(ctx)
 			if err != nil {
 				return err
 			}
-			err = s.Send(&extprocv3.ProcessingRequest{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
+			err = stream.Send(&extprocv3.ProcessingRequest{ProtocolConfig: config, Request: &extprocv3.ProcessingRequest_RequestHeaders{
 				RequestHeaders: &extprocv3.HttpHeaders{EndOfStream: true, Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{
 					header(":method", "GET"), header(":path", fmt.Sprint("/tiles/k", (w*31+i)%keys)), header(":authority", "tiles"),
-					header(":scheme", "http"), header("x-request-id", fmt.Sprintf("%x", ids.Add(1))),
+					header(":scheme", "http"), header("x-request-id", fmt.Sprintf("%x", lastRequestID.Add(1))),
 					header("x-envoy-expected-rq-timeout-ms", "3000"), header("x-envoy-attempt-count", "1"),
 					header("user-agent", "kiosk/3.1"), header("accept", "*/*")}}}}})
 			if err != nil && !errors.Is(err, io.EOF) {
 				return err
 			}
-			m, err := s.Recv()
+			message, err := stream.Recv()
 			if err != nil {
 				return err
 			}
-			if now := m.GetImmediateResponse(); now != nil {
-				switch now.GetStatus().GetCode() {
+			if immediate := message.GetImmediateResponse(); immediate != nil {
+				switch immediate.GetStatus().GetCode() {
 				case 200:
 					return nil
 				case 503, 429:
 					return errRefused
 				}
-				return fmt.Errorf("lab: answered %v", now)
+				return fmt.Errorf("lab: unexpected response %v", immediate)
 			}
-			if !both {
+			if !withResponse {
 				return errors.New("lab: no immediate response")
 			}
-			if err := s.Send(response); err != nil && !errors.Is(err, io.EOF) {
+			if err := stream.Send(response); err != nil && !errors.Is(err, io.EOF) {
 				return err
 			}
-			if _, err := s.Recv(); err != nil {
+			if _, err := stream.Recv(); err != nil {
 				return err
 			}
-			s.CloseSend()
-			if _, err := s.Recv(); !errors.Is(err, io.EOF) {
-				return fmt.Errorf("lab: the stream ended with %w", err)
+			stream.CloseSend()
+			if _, err := stream.Recv(); !errors.Is(err, io.EOF) {
+				return fmt.Errorf("lab: end of the stream: %w", err)
 			}
 			return nil
 		}
-		return one, func() {}, nil
+		return sendRequest, func() {}, nil
 	}
 }
--- a/internal/lab/mountain.go
+++ b/internal/lab/mountain.go
@@ -16,177 +16,178 @@
 )
 
 const (
-	mountainKeys = 64
-	mountainWait = 1000 * time.Millisecond
+	keysPerRequest   = 64
+	manyKeysDeadline = 1000 * time.Millisecond
 )
 
-// mountain is a client that draws a whole mountain: it asks for many tiles, in one request or in as many.
-type mountain struct {
-	conn net.Conn
-	in   *bufio.Reader
-	out  []byte
-	want []byte
+// manyKeysClient reads many keys, either with one request or with one pipelined request for each key.
+type manyKeysClient struct {
+	conn    net.Conn
+	in      *bufio.Reader
+	command []byte
+	prefix  []byte
 }
 
-func dialMountain(addr string) (*mountain, error) {
+func dialManyKeys(addr string) (*manyKeysClient, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &mountain{conn: conn, in: bufio.NewReaderSize(conn, 64<<10)}, nil
+	return &manyKeysClient{conn: conn, in: bufio.NewReaderSize(conn, 64<<10)}, nil
 }
 
-// one asks for the tiles from first on by one request, and counts those that are marked.
-func (m *mountain) one(first int) (marks map[string]int, err error) {
-	m.out = resp.AppendArray(m.out[:0], 3+mountainKeys)
-	m.out = resp.AppendBulk(m.out, "OBJ.MGET")
-	m.out = resp.AppendBulk(m.out, strconv.FormatUint(ids.Add(1), 16))
-	m.out = resp.AppendBulk(m.out, fmt.Sprintf("c=tile-read,t=acme,d=%d", mountainWait.Milliseconds()))
-	for i := range mountainKeys {
-		m.out = resp.AppendBulk(m.out, "k"+strconv.Itoa((first+i)%scaleKeys))
+// readTogether reads the keys from first on with one request, and counts the errors among them by error word.
+func (m *manyKeysClient) readTogether(first int) (errorCounts map[string]int, err error) {
+	m.command = resp.AppendArray(m.command[:0], 3+keysPerRequest)
+	m.command = resp.AppendBulk(m.command, "OBJ.MGET")
+	m.command = resp.AppendBulk(m.command, strconv.FormatUint(lastRequestID.Add(1), 16))
+	m.command = resp.AppendBulk(m.command, fmt.Sprintf("c=tile-read,t=acme,d=%d", manyKeysDeadline.Milliseconds()))
+	for i := range keysPerRequest {
+		m.command = resp.AppendBulk(m.command, "k"+strconv.Itoa((first+i)%tileKeys))
 	}
-	m.conn.SetDeadline(time.Now().Add(patience))
-	if _, err := m.conn.Write(m.out); err != nil {
+	m.conn.SetDeadline(time.Now().Add(waitTimeout))
+	if _, err := m.conn.Write(m.command); err != nil {
 		return nil, err
 	}
 	line, err := m.in.ReadString('\n')
-	if err != nil || strings.TrimSpace(line) != "*"+strconv.Itoa(mountainKeys) {
-		return nil, fmt.Errorf("lab: answered %q, %w", line, err)
+	if err != nil || strings.TrimSpace(line) != "*"+strconv.Itoa(keysPerRequest) {
+		return nil, fmt.Errorf("lab: unexpected answer %q: %w", line, err)
 	}
-	for i := range mountainKeys {
-		head, err := m.in.Peek(1)
+	for i := range keysPerRequest {
+		firstByte, err := m.in.Peek(1)
 		if err != nil {
 			return nil, err
 		}
-		if head[0] == '-' {
+		if firstByte[0] == '-' {
 			line, err := m.in.ReadString('\n')
 			if err != nil {
 				return nil, err
 			}
-			if marks == nil {
-				marks = map[string]int{}
+			if errorCounts == nil {
+				errorCounts = map[string]int{}
 			}
 			word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
-			marks[word]++
+			errorCounts[word]++
 			continue
 		}
-		m.want = appendStart(m.want[:0], (first+i)%scaleKeys)
-		if err := takeTile(m.in, m.want); err != nil {
+		m.prefix = appendTilePrefix(m.prefix[:0], (first+i)%tileKeys)
+		if err := readTile(m.in, m.prefix); err != nil {
 			return nil, err
 		}
 	}
-	return marks, nil
+	return errorCounts, nil
 }
 
-// singly asks for the same tiles by as many requests, all sent at once.
-func (m *mountain) singly(first int) error {
-	m.out = m.out[:0]
-	for i := range mountainKeys {
-		m.out = appendRead(m.out, (first+i)%scaleKeys, "c=tile-read,t=acme,d=1000")
+// readSingly reads the same keys with one request for each, all pipelined.
+func (m *manyKeysClient) readSingly(first int) error {
+	m.command = m.command[:0]
+	for i := range keysPerRequest {
+		m.command = appendTileRead(m.command, (first+i)%tileKeys, "c=tile-read,t=acme,d=1000")
 	}
-	m.conn.SetDeadline(time.Now().Add(patience))
-	if _, err := m.conn.Write(m.out); err != nil {
+	m.conn.SetDeadline(time.Now().Add(waitTimeout))
+	if _, err := m.conn.Write(m.command); err != nil {
 		return err
 	}
-	for i := range mountainKeys {
-		m.want = appendStart(m.want[:0], (first+i)%scaleKeys)
-		if err := takeTile(m.in, m.want); err != nil {
+	for i := range keysPerRequest {
+		m.prefix = appendTilePrefix(m.prefix[:0], (first+i)%tileKeys)
+		if err := readTile(m.in, m.prefix); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Mountain is the scenario of many tiles in one request: what it costs against as many requests, and what becomes of it while a box stalls.
-func Mountain(_ context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "mountain"}
-	fleet, err := loadedFleet(8, 2048, scaleKeys)
+// ManyKeys runs the scenario of requests for many keys: their cost compared with single reads, and their
+// outcome while a cache stalls.
+func ManyKeys(_ context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "mountain"}
+	fleet, err := newFilledFleet(8, 2048, tileKeys)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer fleet.Close()
-	fleet.Tenants = overloadTenants
-	addr, p, err := e.guarded("many", fleet, "[many_keys]\nkeys = 256\n")
+	fleet.Tenants = evenTenants
+	addr, process, err := env.startProxyWith("many", fleet, "[many_keys]\nkeys = 256\n")
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer p.Kill()
-	e.Log("mountain: one request against %d", mountainKeys)
-	clients := func(one bool) func(int) (func(int) error, func(), error) {
+	defer process.Kill()
+	env.Log("mountain: one request compared with %d", keysPerRequest)
+	newClients := func(together bool) func(int) (func(int) error, func(), error) {
 		return func(w int) (func(int) error, func(), error) {
-			m, err := dialMountain(addr)
+			client, err := dialManyKeys(addr)
 			if err != nil {
 				return nil, nil, err
 			}
 			return func(i int) error {
-				first := (w*7919 + i*mountainKeys) % scaleKeys
-				if !one {
-					return m.singly(first)
+				first := (w*7919 + i*keysPerRequest) % tileKeys
+				if !together {
+					return client.readSingly(first)
 				}
-				marks, err := m.one(first)
-				if len(marks) > 0 {
+				errorCounts, err := client.readTogether(first)
+				if len(errorCounts) > 0 {
 					return errRefused
 				}
 				return err
-			}, func() { m.conn.Close() }, nil
+			}, func() { client.conn.Close() }, nil
 		}
 	}
-	var whole, singles Rate
+	var together, singly ClosedLoopResult
 	const rounds = 4
-	d := time.Duration(e.Seconds) * time.Second / (3 * rounds)
+	duration := time.Duration(env.Seconds) * time.Second / (3 * rounds)
 	for range rounds {
 		for _, part := range []struct {
-			rate *Rate
-			one  bool
-		}{{&whole, true}, {&singles, false}} {
-			got, err := loop(p, 4, d, clients(part.one))
+			total    *ClosedLoopResult
+			together bool
+		}{{&together, true}, {&singly, false}} {
+			result, err := runClosedLoop(process, 4, duration, newClients(part.together))
 			if err != nil {
-				return r, err
+				return report, err
 			}
-			part.rate.add(got)
+			part.total.add(result)
 		}
 	}
-	r.Tell("mountains a second, by one request", whole.PerSecond())
-	r.Equal("of these, with a tile marked", float64(whole.Refused), 0)
-	r.AtMost("CPU a mountain by one request, of that by single pipelined reads", singles.PerCPU()/whole.PerCPU(), 0.5)
-	r.Tell("p99 by one request, ms", ms(whole.Quantile(0.99)))
-	r.Tell("p99 by single reads, ms", ms(singles.Quantile(0.99)))
+	report.AddValue("mountains a second, by one request", together.PerSecond())
+	report.Equal("of these, with a tile marked", float64(together.Refused), 0)
+	report.AtMost("CPU a mountain by one request, of that by single pipelined reads", singly.PerCPU()/together.PerCPU(), 0.5)
+	report.AddValue("p99 by one request, ms", milliseconds(together.Quantile(0.99)))
+	report.AddValue("p99 by single reads, ms", milliseconds(singly.Quantile(0.99)))
 
-	e.Log("mountain: one box stalls")
-	box := fleet.Boxes[0]
-	box.SetFault(standin.Stall)
-	m, err := dialMountain(addr)
+	env.Log("mountain: one cache stalls")
+	cache := fleet.Boxes[0]
+	cache.SetFault(standin.Stall)
+	client, err := dialManyKeys(addr)
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer m.conn.Close()
-	inTime, all, marked := 0, 0, 0
-	words := map[string]int{}
+	defer client.conn.Close()
+	inTime, requests, failedKeys := 0, 0, 0
+	errorCounts := map[string]int{}
 	var slowest time.Duration
-	for end := time.Now().Add(time.Duration(e.Seconds) * time.Second / 3); time.Now().Before(end); all++ {
-		begun := time.Now()
-		marks, err := m.one(all * mountainKeys % scaleKeys)
+	for end := time.Now().Add(time.Duration(env.Seconds) * time.Second / 3); time.Now().Before(end); requests++ {
+		sentAt := time.Now()
+		replyErrors, err := client.readTogether(requests * keysPerRequest % tileKeys)
 		if err != nil {
-			return r, err
+			return report, err
 		}
-		took := time.Since(begun)
-		slowest = max(slowest, took)
-		if took <= mountainWait+50*time.Millisecond {
+		latency := time.Since(sentAt)
+		slowest = max(slowest, latency)
+		if latency <= manyKeysDeadline+50*time.Millisecond {
 			inTime++
 		}
-		for word, n := range marks {
-			words[word] += n
-			marked += n
+		for word, n := range replyErrors {
+			errorCounts[word] += n
+			failedKeys += n
 		}
 	}
-	box.SetFault(standin.Healthy)
-	r.Equal("a box stalls: replies in time, of all", float64(inTime)/float64(all), 1)
-	r.Tell("a box stalls: the slowest reply, ms", ms(slowest))
-	r.Tell("a box stalls: tiles asked for", float64(all*mountainKeys))
-	for _, word := range slices.Sorted(maps.Keys(words)) {
-		r.Tell("a box stalls: marked "+word, float64(words[word]))
+	cache.SetFault(standin.Healthy)
+	report.Equal("a box stalls: replies in time, of all", float64(inTime)/float64(requests), 1)
+	report.AddValue("a box stalls: the slowest reply, ms", milliseconds(slowest))
+	report.AddValue("a box stalls: tiles asked for", float64(requests*keysPerRequest))
+	for _, word := range slices.Sorted(maps.Keys(errorCounts)) {
+		report.AddValue("a box stalls: marked "+word, float64(errorCounts[word]))
 	}
-	// Every tile is at every box, so none is out of reach.
-	r.Equal("a box stalls: tiles marked, which others could give", float64(marked), 0)
-	return r, p.Stop()
+	// Every cache holds every key, so each key is available at another cache.
+	report.Equal("a box stalls: tiles marked, which others could give", float64(failedKeys), 0)
+	return report, process.Stop()
 }
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -14,251 +14,254 @@
 )
 
 const (
-	operateClients = 24
-	operateRounds  = 6
-	silentCallers  = 40
-	// bindsAfter is when clients may name a new class, after SIGHUP, and drainGrace when nothing more may go to a box that is
-	// called out, after the yes.
-	bindsAfter = 1200 * time.Millisecond
-	drainGrace = 250 * time.Millisecond
+	operateClients    = 24
+	operateRounds     = 6
+	silentConnections = 40
+	// classEffectiveAfter is the time after SIGHUP from which clients may name a new class. drainGrace is the
+	// time after the answer to a maintenance request from which no request may go to the cache under
+	// maintenance.
+	classEffectiveAfter = 1200 * time.Millisecond
+	drainGrace          = 250 * time.Millisecond
 )
 
-// Operate is the scenario of daily operation under load: boxes called out and back, a retuning, and a process that takes
-// over from another, each round; in every other one the old process is killed instead of stopped.
-func Operate(ctx context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "operate"}
+// Operate runs the scenario of daily operation under load. Each round puts a cache under maintenance and
+// back, reloads the settings, and replaces the process by a successor; in every other round the predecessor
+// is killed instead of stopped.
+func Operate(ctx context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "operate"}
 	fleet, err := standin.NewFleet(4, 512)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer fleet.Close()
 	listen, err := standin.FreeAddr()
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	o := &operation{e: e, r: r, fleet: fleet, door: &Door{Addr: listen}, class: "tile-read"}
-	if err := o.configure(); err != nil {
-		return r, err
+	run := &operation{env: env, report: report, fleet: fleet, clients: &ClientLoad{Addr: listen}, class: "tile-read"}
+	if err := run.configure(); err != nil {
+		return report, err
 	}
-	if err := o.start(); err != nil {
-		return r, err
+	if err := run.startProcess(); err != nil {
+		return report, err
 	}
-	defer func() { o.process.Kill() }()
-	o.door.Open(operateClients, 200, 10)
-	closed := false
+	defer func() { run.process.Kill() }()
+	run.clients.Start(operateClients, 200, 10)
+	clientsStopped := false
 	defer func() {
-		if !closed {
-			o.door.Close()
+		if !clientsStopped {
+			run.clients.Stop()
 		}
 	}()
-	if err := o.door.Progress(500); err != nil {
-		return r, err
+	if err := run.clients.AwaitServed(500); err != nil {
+		return report, err
 	}
-	o.door.Pause()
+	run.clients.LongestGap()
 	for round := range operateRounds {
-		e.Log("operate: round %d of %d", round+1, operateRounds)
-		if err := o.round(round); err != nil {
-			return r, fmt.Errorf("round %d: %w", round+1, err)
+		env.Log("operate: round %d of %d", round+1, operateRounds)
+		if err := run.runRound(round); err != nil {
+			return report, fmt.Errorf("round %d: %w", round+1, err)
 		}
 		if ctx.Err() != nil {
-			return r, ctx.Err()
+			return report, ctx.Err()
 		}
 	}
-	o.door.Close()
-	closed = true
+	run.clients.Stop()
+	clientsStopped = true
 
-	d := o.door
-	r.Tell("requests served", float64(d.Served.Load()))
-	r.Tell("requests that crossed the close of a connection, and went out again", float64(d.Crossed.Load()))
-	r.Equal("connections refused, processes stopped", float64(o.stopped.shut), 0)
-	r.Equal("connections broken under a request, processes stopped", float64(o.stopped.broken), 0)
-	r.Equal("refused or failed, processes stopped", float64(o.stopped.turned), 0)
-	r.Tell("connections refused, processes killed", float64(o.killed.shut))
-	r.AtMost("connections broken, processes killed: one for each client and kill", float64(o.killed.broken), operateClients*operateRounds/2)
-	r.Equal("orders that have run, unanswered, processes stopped", float64(o.unanswered), 0)
-	r.Tell("orders without an answer, processes killed", float64(o.unsure))
-	r.Equal("late", float64(d.Late.Load()), 0)
-	twice := 0
+	clients := run.clients
+	report.AddValue("requests served", float64(clients.Served.Load()))
+	report.AddValue("requests that crossed the close of a connection, and went out again", float64(clients.ClosedUnread.Load()))
+	report.Equal("connections refused, processes stopped", float64(run.stopped.connectionsRefused), 0)
+	report.Equal("connections broken under a request, processes stopped", float64(run.stopped.connectionsBroken), 0)
+	report.Equal("refused or failed, processes stopped", float64(run.stopped.refusedOrFailed), 0)
+	report.AddValue("connections refused, processes killed", float64(run.killed.connectionsRefused))
+	report.AtMost("connections broken, processes killed: one for each client and kill", float64(run.killed.connectionsBroken), operateClients*operateRounds/2)
+	report.Equal("orders that have run, unanswered, processes stopped", float64(run.unanswered), 0)
+	report.AddValue("orders without an answer, processes killed", float64(run.unresolved))
+	report.Equal("late", float64(clients.Late.Load()), 0)
+	repeatedOrders := 0
 	for _, n := range fleet.Origin.Executions() {
 		if n > 1 {
-			twice++
+			repeatedOrders++
 		}
 	}
-	r.Equal("orders run twice", float64(twice), 0)
-	r.Equal("requests to a box that is out, 250 ms after the yes", float64(o.astray), 0)
-	r.Equal("calls answered wrongly", float64(o.wrong), 0)
-	r.AtMost("slowest call, ms", ms(o.slowest), 1000)
-	r.Tell("longest time without an answer to anybody, ms", ms(o.pause))
-	if err := crossings(e, r); err != nil {
-		return r, err
+	report.Equal("orders run twice", float64(repeatedOrders), 0)
+	report.Equal("requests to a box that is out, 250 ms after the yes", float64(run.afterDrain), 0)
+	report.Equal("calls answered wrongly", float64(run.wrongStatuses), 0)
+	report.AtMost("slowest call, ms", milliseconds(run.slowestCall), 1000)
+	report.AddValue("longest time without an answer to anybody, ms", milliseconds(run.longestGap))
+	if err := measureUpgradeCloses(env, report); err != nil {
+		return report, err
 	}
-	return r, successors(ctx, e, r)
+	return report, compareSuccessors(ctx, env, report)
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// met is what the door's clients met in some rounds.
-type met struct{ shut, broken, turned int64 }
+// clientFaults counts the faults that clients saw during some rounds.
+type clientFaults struct{ connectionsRefused, connectionsBroken, refusedOrFailed int64 }
 
 type operation struct {
-	e       *Env
-	r       *Report
-	fleet   *standin.Fleet
-	door    *Door
-	process *Process
-	calls   string // the operators' address of the process
-	path    string
-	class   string
+	env            *Env
+	report         *Report
+	fleet          *standin.Fleet
+	clients        *ClientLoad
+	process        *Process
+	managementAddr string // management address of the process
+	configPath     string
+	class          string
 
-	stopped, killed met
-	astray, wrong   int
-	unanswered      int // orders that a stopped process has carried out and not answered
-	unsure          int // orders without an answer at a kill
-	slowest, pause  time.Duration
+	stopped, killed           clientFaults
+	afterDrain, wrongStatuses int
+	unanswered                int // orders that a stopped process carried out without an answer
+	unresolved                int // orders without an answer when the process was killed
+	slowestCall, longestGap   time.Duration
 }
 
-// configure writes the configuration, with the class of the round beside the usual ones.
+// configure writes the configuration, which has the round's class in addition to the usual ones.
 func (o *operation) configure() error {
-	text, err := o.fleet.Config("operate", o.door.Addr, "8c1f30d27a5be964", 64, 384)
+	configText, err := o.fleet.Config("operate", o.clients.Addr, "8c1f30d27a5be964", 64, 384)
 	if err != nil {
 		return err
 	}
-	var c map[string]any
-	if err := json.Unmarshal(text, &c); err != nil {
+	var config map[string]any
+	if err := json.Unmarshal(configText, &config); err != nil {
 		return err
 	}
-	s := c["settings"].(map[string]any)
-	// The boxes of a round are not restarted, and would count as cold together: a fleet all cold is not what is measured.
-	s["rules"].(map[string]any)["cold_ms"] = ms(time.Second)
+	settings := config["settings"].(map[string]any)
+	// Caches put back are not restarted, and all would count as cold at the same time; a fleet that is all
+	// cold is not what is measured.
+	settings["rules"].(map[string]any)["cold_ms"] = milliseconds(time.Second)
 	if o.class != "tile-read" {
-		classes := s["classes"].([]any)
-		added := map[string]any{}
+		classes := settings["classes"].([]any)
+		class := map[string]any{}
 		for k, v := range classes[0].(map[string]any) {
-			added[k] = v
+			class[k] = v
 		}
-		added["name"] = o.class
-		s["classes"] = append(classes, added)
+		class["name"] = o.class
+		settings["classes"] = append(classes, class)
 	}
-	if text, err = json.Marshal(c); err != nil {
+	if configText, err = json.Marshal(config); err != nil {
 		return err
 	}
-	o.path, err = o.e.write("operate.json", text)
+	o.configPath, err = o.env.writeFile("operate.json", configText)
 	return err
 }
 
-// start starts a process beside the one that serves, and waits until it says yes.
-func (o *operation) start() error {
-	calls, err := standin.FreeAddr()
+// startProcess starts a process beside the serving one and waits until its status call answers 200.
+func (o *operation) startProcess() error {
+	managementAddr, err := standin.FreeAddr()
 	if err != nil {
 		return err
 	}
-	p, err := Start("msg=ready", []string{"LB_CONFIG=" + o.path, "LB_MGMT=" + calls, "TMPDIR=" + filepath.Dir(o.path)},
-		filepath.Join(o.e.Bin, "linenloom"))
+	process, err := Start("msg=ready", []string{"LB_CONFIG=" + o.configPath, "LB_MGMT=" + managementAddr, "TMPDIR=" + filepath.Dir(o.configPath)},
+		filepath.Join(o.env.Bin, "linenloom"))
 	if err != nil {
 		return err
 	}
-	o.process, o.calls = p, calls
-	return eventually("the process says yes", func() bool {
-		status, _ := Call("GET", calls, "/status", "")
+	o.process, o.managementAddr = process, managementAddr
+	return eventually("the status call answers 200", func() bool {
+		status, _ := Call("GET", managementAddr, "/status", "")
 		return status == 200
 	})
 }
 
-// call makes a call that is owed a status.
+// call sends a management request and counts it as wrong if its status is not the expected one.
 func (o *operation) call(method, path, body string, want int) {
-	got, took := Call(method, o.calls, path, body)
-	if got != want {
-		o.wrong++
+	status, elapsed := Call(method, o.managementAddr, path, body)
+	if status != want {
+		o.wrongStatuses++
 	}
-	o.slowest = max(o.slowest, took)
+	o.slowestCall = max(o.slowestCall, elapsed)
 }
 
-func (o *operation) round(n int) error {
-	before := o.count()
-	box := o.fleet.Boxes[n%len(o.fleet.Boxes)]
-	var silent []net.Conn
-	for i := range silentCallers {
-		conn, err := net.Dial("tcp", o.calls)
+func (o *operation) runRound(round int) error {
+	before := o.currentFaults()
+	cache := o.fleet.Boxes[round%len(o.fleet.Boxes)]
+	var silentConns []net.Conn
+	for i := range silentConnections {
+		conn, err := net.Dial("tcp", o.managementAddr)
 		if err != nil {
 			return err
 		}
-		if silent = append(silent, conn); i%2 == 0 {
+		if silentConns = append(silentConns, conn); i%2 == 0 {
 			io.WriteString(conn, "PUT /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 8\r\n\r\ns-")
 		}
 	}
-	o.call("PUT", "/maintenance/enter", box.ID, 200)
-	o.call("PUT", "/maintenance/enter", box.ID, 200)
+	o.call("PUT", "/maintenance/enter", cache.ID, 200)
+	o.call("PUT", "/maintenance/enter", cache.ID, 200)
 	o.call("PUT", "/maintenance/enter", "nobody", 404)
-	for _, c := range silent {
+	for _, c := range silentConns {
 		c.Close()
 	}
 	time.Sleep(drainGrace)
-	out := box.Began()
+	begunAfterGrace := cache.Began()
 
-	// A class comes with the new file; clients name it once it binds.
-	o.class = fmt.Sprint("round-", n)
+	// The reload adds a class; clients name it once it is in effect.
+	o.class = fmt.Sprint("round-", round)
 	if err := o.configure(); err != nil {
 		return err
 	}
 	o.process.Signal(syscall.SIGHUP)
-	time.Sleep(bindsAfter)
-	named := o.class
-	o.door.SetClass(named)
-	if err := o.door.Progress(300); err != nil {
+	time.Sleep(classEffectiveAfter)
+	class := o.class
+	o.clients.SetClass(class)
+	if err := o.clients.AwaitServed(300); err != nil {
 		return err
 	}
 
-	old := o.process
-	if err := o.start(); err != nil {
+	predecessor := o.process
+	if err := o.startProcess(); err != nil {
 		return err
 	}
-	if err := o.door.Progress(300); err != nil {
+	if err := o.clients.AwaitServed(300); err != nil {
 		return err
 	}
-	kill := n%2 == 1
+	kill := round%2 == 1
 	if kill {
-		old.Kill()
-	} else if err := old.Stop(); err != nil {
-		return fmt.Errorf("the process that was followed: %w", err)
+		predecessor.Kill()
+	} else if err := predecessor.Stop(); err != nil {
+		return fmt.Errorf("stopping the predecessor process: %w", err)
 	}
-	if err := o.door.Progress(500); err != nil {
+	if err := o.clients.AwaitServed(500); err != nil {
 		return err
 	}
-	o.astray += box.Began() - out
-	o.call("PUT", "/maintenance/exit", box.ID, 200)
-	back := box.Began()
-	if err := eventually("the box is used again", func() bool { return box.Began() > back }); err != nil {
+	o.afterDrain += cache.Began() - begunAfterGrace
+	o.call("PUT", "/maintenance/exit", cache.ID, 200)
+	begunAtReturn := cache.Began()
+	if err := eventually("the cache is used again", func() bool { return cache.Began() > begunAtReturn }); err != nil {
 		return err
 	}
-	o.door.SetClass("tile-read") // the next file drops this round's
-	if err := o.door.Progress(200); err != nil {
+	o.clients.SetClass("tile-read") // the next configuration drops this round's class
+	if err := o.clients.AwaitServed(200); err != nil {
 		return err
 	}
-	sum := &o.stopped
+	total := &o.stopped
 	if kill {
-		sum = &o.killed
+		total = &o.killed
 	}
-	left := o.door.Left()
+	unanswered := o.clients.UnansweredOrders()
 	if kill {
-		o.unsure += len(left)
+		o.unresolved += len(unanswered)
 	} else {
-		ran := o.fleet.Origin.Executions()
-		for _, key := range left {
-			o.unanswered += ran[key]
+		executions := o.fleet.Origin.Executions()
+		for _, key := range unanswered {
+			o.unanswered += executions[key]
 		}
 	}
-	after := o.count()
-	if after.turned > before.turned {
-		o.e.Log("operate: turned away or failed: %v; %v", old.Reasons(), o.process.Reasons())
+	after := o.currentFaults()
+	if after.refusedOrFailed > before.refusedOrFailed {
+		o.env.Log("operate: refused or failed: predecessor %v; successor %v", predecessor.Reasons(), o.process.Reasons())
 	}
-	sum.shut += after.shut - before.shut
-	sum.broken += after.broken - before.broken
-	sum.turned += after.turned - before.turned
-	o.pause = max(o.pause, o.door.Pause())
+	total.connectionsRefused += after.connectionsRefused - before.connectionsRefused
+	total.connectionsBroken += after.connectionsBroken - before.connectionsBroken
+	total.refusedOrFailed += after.refusedOrFailed - before.refusedOrFailed
+	o.longestGap = max(o.longestGap, o.clients.LongestGap())
 	return nil
 }
 
-func (o *operation) count() met {
-	d := o.door
-	return met{d.Shut.Load(), d.Broken.Load(), d.Refused.Load() + d.Failed.Load()}
+func (o *operation) currentFaults() clientFaults {
+	clients := o.clients
+	return clientFaults{clients.ConnectionsRefused.Load(), clients.ConnectionsBroken.Load(), clients.Refused.Load() + clients.Failed.Load()}
 }
--- a/internal/lab/orderer.go
+++ b/internal/lab/orderer.go
@@ -14,68 +14,69 @@
 	"linenloom/internal/store/disk"
 )
 
-// Orderer is clients that place orders by idempotency keys over RESP2 and don't let go: what was refused, or whose connection broke, comes again
-// under the same key, marked as a repeat, until somebody says what has become of it.
-type Orderer struct {
-	Addr string
-	Name string // keys begin with it
-	Wait time.Duration
+// OrderClients is a set of clients that place orders with idempotency keys over RESP2. An order that was
+// refused or whose connection broke is sent again under the same key, marked as a repeat, until its outcome
+// is known.
+type OrderClients struct {
+	Addr      string
+	KeyPrefix string // prefix of the idempotency keys
+	Deadline  time.Duration
 
-	Served, Refused, Failed, Broken atomic.Int64
-	told                            map[string]string
-	took                            []time.Duration // of what was served at the first try
-	mu                              sync.Mutex
-	quit                            chan struct{}
-	clients                         sync.WaitGroup
+	Served, Refused, Failed, ConnectionsBroken atomic.Int64
+	receipts                                   map[string]string
+	firstTryLatencies                          []time.Duration // of orders served at the first attempt
+	mu                                         sync.Mutex
+	stop                                       chan struct{}
+	clients                                    sync.WaitGroup
 }
 
-// Open starts the clients.
-func (o *Orderer) Open(clients int) {
-	o.quit, o.told = make(chan struct{}), map[string]string{}
+// Start starts the given number of clients.
+func (o *OrderClients) Start(clients int) {
+	o.stop, o.receipts = make(chan struct{}), map[string]string{}
 	for c := range clients {
 		o.clients.Go(func() {
 			var conn *redisClient
 			for n := 0; ; n++ {
 				select {
-				case <-o.quit:
+				case <-o.stop:
 					if conn != nil {
 						conn.conn.Close()
 					}
 					return
 				default:
-					conn = o.place(conn, fmt.Sprintf("%s-%d-%d", o.Name, c, n))
+					conn = o.placeOrder(conn, fmt.Sprintf("%s-%d-%d", o.KeyPrefix, c, n))
 				}
 			}
 		})
 	}
 }
 
-// Close has each client bring its order to an end, and ends them.
-func (o *Orderer) Close() {
-	close(o.quit)
+// Stop waits until each client has completed its current order, and ends the clients.
+func (o *OrderClients) Stop() {
+	close(o.stop)
 	o.clients.Wait()
 }
 
-// place places one order, and gives back a connection that still stands.
-func (o *Orderer) place(conn *redisClient, key string) *redisClient {
-	names := fmt.Sprintf("c=pass-order,t=kiosk,k=%s,d=%d", key, o.Wait.Milliseconds())
-	for try := 0; ; try++ {
+// placeOrder places one order and returns the connection if it is still usable.
+func (o *OrderClients) placeOrder(conn *redisClient, key string) *redisClient {
+	attrs := fmt.Sprintf("c=pass-order,t=kiosk,k=%s,d=%d", key, o.Deadline.Milliseconds())
+	for attempt := 0; ; attempt++ {
 		if conn == nil {
 			var err error
 			if conn, err = dialRedis(o.Addr); err != nil {
 				conn = nil
-				time.Sleep(2 * time.Millisecond) // nobody listens yet
+				time.Sleep(2 * time.Millisecond) // no process is listening yet
 				continue
 			}
 		}
-		begun := time.Now()
-		answer, err := conn.ask("OBJ.SET", key, fmt.Sprint(key, ".", try), names, "one pass")
-		if !strings.HasSuffix(names, "r=1") {
-			names += ",r=1"
+		sentAt := time.Now()
+		answer, err := conn.do("OBJ.SET", key, fmt.Sprint(key, ".", attempt), attrs, "one pass")
+		if !strings.HasSuffix(attrs, "r=1") {
+			attrs += ",r=1"
 		}
 		switch {
 		case err != nil:
-			o.Broken.Add(1)
+			o.ConnectionsBroken.Add(1)
 			conn.conn.Close()
 			conn = nil
 		case strings.HasPrefix(answer, "-BUSY"):
@@ -87,8 +88,8 @@
 		default:
 			o.Served.Add(1)
 			o.mu.Lock()
-			if o.told[key] = answer; try == 0 {
-				o.took = append(o.took, time.Since(begun))
+			if o.receipts[key] = answer; attempt == 0 {
+				o.firstTryLatencies = append(o.firstTryLatencies, time.Since(sentAt))
 			}
 			o.mu.Unlock()
 			return conn
@@ -96,45 +97,46 @@
 	}
 }
 
-// Told is the receipts that clients have got, by key.
-func (o *Orderer) Told() map[string]string {
+// Receipts returns the receipts that clients received, by key.
+func (o *OrderClients) Receipts() map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return maps.Clone(o.told)
+	return maps.Clone(o.receipts)
 }
 
-// Took is how long orders took that were served at the first try.
-func (o *Orderer) Took() []time.Duration {
+// FirstTryLatencies returns the latencies of the orders that were served at the first attempt.
+func (o *OrderClients) FirstTryLatencies() []time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]time.Duration(nil), o.took...)
+	return append([]time.Duration(nil), o.firstTryLatencies...)
 }
 
-// CheckOrders opens the record in a folder three times and holds it against what clients were told, and what an origin ran, by keys: each receipt
-// is there, nothing is in hand, nothing has run twice or is said not to have run that has. It counts orders by state.
-func CheckOrders(dir, tenant string, told map[string]string, ran map[string]int) (states map[orders.State]int, err error) {
+// CheckOrders opens the record in a folder three times and compares it with the receipts that clients
+// received and the number of executions at the origin, by key: every receipt is recorded, no order is still
+// open, none ran twice, and none that ran is recorded as never run. It returns the number of orders by state.
+func CheckOrders(dir, tenant string, receipts map[string]string, executions map[string]int) (states map[orders.State]int, err error) {
 	var faults []error
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
 	for range 3 {
-		l, err := ledger.Open(disk.Dir(dir), ledger.Unbounded, ledger.WallClock)
+		record, err := ledger.Open(disk.Dir(dir), ledger.Unbounded, ledger.WallClock)
 		if err != nil {
 			return nil, err
 		}
 		states = map[orders.State]int{}
-		for key, receipt := range told {
-			if e, ok := l.Get(orders.Name{Tenant: tenant, Key: key}); !ok || e.State != orders.Done || string(e.Receipt) != receipt {
-				fault("%s: its client has the receipt %q; on record is %v %q", key, receipt, e.State, e.Receipt)
+		for key, receipt := range receipts {
+			if entry, ok := record.Get(orders.Name{Tenant: tenant, Key: key}); !ok || entry.State != orders.Done || string(entry.Receipt) != receipt {
+				fault("%s: its client has the receipt %q; on record is %v %q", key, receipt, entry.State, entry.Receipt)
 			}
 		}
-		l.All(func(e *orders.Entry) bool {
-			states[e.State]++
-			n := ran[e.Key]
-			if e.State < orders.Done || n > 1 || e.State == orders.NeverRan && n > 0 || e.State == orders.Done && n != 1 {
-				fault("%s is %v and has run %d times", e.Key, e.State, n)
+		record.All(func(entry *orders.Entry) bool {
+			states[entry.State]++
+			runs := executions[entry.Key]
+			if entry.State < orders.Done || runs > 1 || entry.State == orders.NeverRan && runs > 0 || entry.State == orders.Done && runs != 1 {
+				fault("%s is %v and has run %d times", entry.Key, entry.State, runs)
 			}
 			return true
 		})
-		if err := l.Close(); err != nil {
+		if err := record.Close(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/orders.go
+++ b/internal/lab/orders.go
@@ -15,66 +15,67 @@
 )
 
 const (
-	ordersRounds  = 2 // with the record off and on in turn
-	ordersKills   = 10
-	ordersEntries = 3 // of an order on record: taken, sent, ended
-	ordersReaders = 8
+	ordersRounds    = 2 // with the record off and on in turn
+	ordersKills     = 10
+	entriesPerOrder = 3 // per recorded order: taken, sent, ended
+	ordersReaders   = 8
 )
 
-// Orders is the scenario of orders on record through both fronts, beside the same program without a record and the disk's own syncs.
-func Orders(ctx context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "orders"}
-	each := max(time.Second, time.Duration(e.Seconds)*time.Second/(16*ordersRounds))
-	syncs, err := e.bareSyncs(each)
+// Orders runs the scenario of recorded orders through both front ends, compared with the same program without
+// a record and with bare synced appends to the disk.
+func Orders(ctx context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "orders"}
+	partTime := max(time.Second, time.Duration(env.Seconds)*time.Second/(16*ordersRounds))
+	syncs, err := env.measureBareSyncs(partTime)
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	r.Tell("bare appends a second, synced one by one", syncs)
+	report.AddValue("bare appends a second, synced one by one", syncs)
 	for _, clients := range []int{1, 16, 64, 256} {
 		for _, front := range []string{"RESP2", "processor"} {
 			if front == "processor" && clients == 256 {
-				continue // as many streams as its callers' connection carries are not its usual case
+				continue // as many streams as a caller's connection carries are not the usual case
 			}
-			e.Log("orders: %s, %d clients", front, clients)
+			env.Log("orders: %s, %d clients", front, clients)
 			var rate [2]float64
-			var took [2][]time.Duration
+			var latencies [2][]time.Duration
 			for range ordersRounds {
 				for on := range rate {
-					got, times, err := e.placed(ctx, front, clients, on == 1, each)
+					ordersPerSecond, partLatencies, err := env.measureOrders(ctx, front, clients, on == 1, partTime)
 					if err != nil {
-						return r, err
+						return report, err
 					}
-					rate[on] += got / ordersRounds
-					took[on] = append(took[on], times...)
+					rate[on] += ordersPerSecond / ordersRounds
+					latencies[on] = append(latencies[on], partLatencies...)
 				}
 			}
 			name := fmt.Sprintf("%s, %d clients: ", front, clients)
-			r.Tell(name+"orders a second, on record", rate[1])
-			r.Tell(name+"of those without a record", rate[1]/rate[0])
-			r.Tell(name+"entries on stable storage for each sync that the disk makes one by one", ordersEntries*rate[1]/syncs)
-			for on, what := range []string{"without", "on record"} {
-				r.Tell(name+what+", p50, ms", ms(quantile(took[on], 0.5)))
-				r.Tell(name+what+", p99, ms", ms(quantile(took[on], 0.99)))
+			report.AddValue(name+"orders a second, on record", rate[1])
+			report.AddValue(name+"of those without a record", rate[1]/rate[0])
+			report.AddValue(name+"entries on stable storage for each sync that the disk makes one by one", entriesPerOrder*rate[1]/syncs)
+			for on, label := range []string{"without", "on record"} {
+				report.AddValue(name+label+", p50, ms", milliseconds(quantile(latencies[on], 0.5)))
+				report.AddValue(name+label+", p99, ms", milliseconds(quantile(latencies[on], 0.99)))
 			}
 		}
 	}
-	if err := e.readsBesideOrders(r, each); err != nil {
-		return r, err
+	if err := env.measureReadsBesideOrders(report, partTime); err != nil {
+		return report, err
 	}
-	return r, e.ordersAfterKills(r)
+	return report, env.measureOrdersAfterKills(report)
 }
 
-// bareSyncs is how many appends a second one writer gets onto this disk.
-func (e *Env) bareSyncs(d time.Duration) (float64, error) {
-	dir, err := e.folder("orders-bare")
+// measureBareSyncs returns the number of appends per second that one writer syncs to this disk.
+func (e *Env) measureBareSyncs(d time.Duration) (float64, error) {
+	dir, err := e.emptyDir("orders-bare")
 	if err != nil {
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	return storeWay(disk.Dir(dir), 0, 1, d, make([]byte, storePayload))
+	return measureStoreMethod(disk.Dir(dir), 0, 1, d, make([]byte, storeRecordBytes))
 }
 
-func (e *Env) folder(name string) (string, error) {
+func (e *Env) emptyDir(name string) (string, error) {
 	dir := filepath.Join(e.Dir, name)
 	if err := os.RemoveAll(dir); err != nil {
 		return "", err
@@ -82,101 +83,102 @@
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
-// ordersTable is the operator's table of a record; "": none.
-func ordersTable(dir string) string {
+// ordersSettings returns the operator's settings for a record in the folder; "" stands for no record.
+func ordersSettings(dir string) string {
 	if dir == "" {
 		return ""
 	}
 	return fmt.Sprintf("[orders]\ndir = %q\nstrangers = \"run\"\nline = 1024\nreceipts = [\"resp2\", \"extproc\"]\n", dir)
 }
 
-// recording starts a program before a fleet, with a record or without.
-func (e *Env) recording(front string, fleet *standin.Fleet, dir string) (addr string, p *Process, err error) {
-	text := ordersTable(dir)
+// startWithRecord starts a program in front of a fleet, with a record or without.
+func (e *Env) startWithRecord(front string, fleet *standin.Fleet, dir string) (addr string, p *Process, err error) {
+	settings := ordersSettings(dir)
 	if front == "processor" {
 		listen, err := standin.FreeAddr()
 		if err != nil {
 			return "", nil, err
 		}
-		p, err = e.processorWith("orders", fleet, "127.0.0.1:0", OperatorFile(listen, "answer", "2s")+text)
+		p, err = e.startProcessorWith("orders", fleet, "127.0.0.1:0", OperatorFile(listen, "answer", "2s")+settings)
 		return listen, p, err
 	}
-	return e.guarded("orders", fleet, text)
+	return e.startProxyWith("orders", fleet, settings)
 }
 
-// placed has so many clients place orders for a while, and tells how many a second were served, and how long each took.
-func (e *Env) placed(ctx context.Context, front string, clients int, on bool, d time.Duration) (rate float64, took []time.Duration, err error) {
+// measureOrders runs clients that place orders for the given time, and returns the orders served per second
+// and their latencies.
+func (e *Env) measureOrders(ctx context.Context, front string, clients int, withRecord bool, duration time.Duration) (rate float64, latencies []time.Duration, err error) {
 	fleet, err := standin.NewFleet(2, 64)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer fleet.Close()
 	dir := ""
-	if on {
-		if dir, err = e.folder("orders-record"); err != nil {
+	if withRecord {
+		if dir, err = e.emptyDir("orders-record"); err != nil {
 			return 0, nil, err
 		}
 		defer os.RemoveAll(dir)
 	}
-	addr, p, err := e.recording(front, fleet, dir)
+	addr, process, err := e.startWithRecord(front, fleet, dir)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	if front == "processor" {
-		return callersPlace(ctx, addr, clients, d)
+		return placeThroughProcessor(ctx, addr, clients, duration)
 	}
-	o := &Orderer{Addr: addr, Name: "o", Wait: 3 * time.Second}
-	o.Open(clients)
-	time.Sleep(d)
-	served := o.Served.Load()
-	o.Close()
-	if took = o.Took(); len(took) == 0 {
-		return 0, nil, fmt.Errorf("no order was served: %d refused, %d failed", o.Refused.Load(), o.Failed.Load())
+	orderClients := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
+	orderClients.Start(clients)
+	time.Sleep(duration)
+	served := orderClients.Served.Load()
+	orderClients.Stop()
+	if latencies = orderClients.FirstTryLatencies(); len(latencies) == 0 {
+		return 0, nil, fmt.Errorf("no order was served: %d refused, %d failed", orderClients.Refused.Load(), orderClients.Failed.Load())
 	}
-	return float64(served) / d.Seconds(), took, nil
+	return float64(served) / duration.Seconds(), latencies, nil
 }
 
-// callersPlace is placed at the processor.
-func callersPlace(ctx context.Context, addr string, clients int, d time.Duration) (rate float64, took []time.Duration, err error) {
-	c, err := caller.Dial(addr)
+// placeThroughProcessor is measureOrders for the external processor.
+func placeThroughProcessor(ctx context.Context, addr string, clients int, duration time.Duration) (rate float64, latencies []time.Duration, err error) {
+	processorCaller, err := caller.Dial(addr)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer c.Close()
-	c.MessageTimeout = 3 * time.Second
-	var all sync.WaitGroup
+	defer processorCaller.Close()
+	processorCaller.MessageTimeout = 3 * time.Second
+	var group sync.WaitGroup
 	var mu sync.Mutex
-	var other atomic.Int64
-	begun := time.Now()
+	var notServed atomic.Int64
+	start := time.Now()
 	for w := range clients {
-		all.Go(func() {
-			for n := 0; time.Since(begun) < d; n++ {
+		group.Go(func() {
+			for n := 0; time.Since(start) < duration; n++ {
 				key := fmt.Sprintf("x-%d-%d", w, n)
-				at := time.Now()
-				res := c.Do(ctx, caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass"),
+				sentAt := time.Now()
+				result := processorCaller.Do(ctx, caller.Request{Method: "PUT", Path: "/orders/" + key, Body: []byte("one pass"),
 					Headers: map[string]string{"x-request-id": key, "idempotency-key": key}})
-				if res.Status != 200 {
-					other.Add(1)
+				if result.Status != 200 {
+					notServed.Add(1)
 					continue
 				}
 				mu.Lock()
-				took = append(took, time.Since(at))
+				latencies = append(latencies, time.Since(sentAt))
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	if len(took) == 0 {
-		return 0, nil, fmt.Errorf("no order was served; %d ended otherwise", other.Load())
+	group.Wait()
+	if len(latencies) == 0 {
+		return 0, nil, fmt.Errorf("no order was served; %d were not", notServed.Load())
 	}
-	return float64(len(took)) / time.Since(begun).Seconds(), took, nil
+	return float64(len(latencies)) / time.Since(start).Seconds(), latencies, nil
 }
 
-// readsBesideOrders holds reads beside orders on record against reads beside orders without.
-func (e *Env) readsBesideOrders(r *Report, d time.Duration) error {
+// measureReadsBesideOrders compares reads beside recorded orders with reads beside orders without a record.
+func (e *Env) measureReadsBesideOrders(report *Report, duration time.Duration) error {
 	var rate [2]float64
-	var pause [2]time.Duration
+	var longestGap [2]time.Duration
 	for range ordersRounds {
 		for on := range rate {
 			fleet, err := standin.NewFleet(2, 64)
@@ -186,91 +188,92 @@
 			defer fleet.Close()
 			dir := ""
 			if on == 1 {
-				if dir, err = e.folder("orders-reads"); err != nil {
+				if dir, err = e.emptyDir("orders-reads"); err != nil {
 					return err
 				}
 			}
-			addr, p, err := e.recording("RESP2", fleet, dir)
+			addr, process, err := e.startWithRecord("RESP2", fleet, dir)
 			if err != nil {
 				return err
 			}
-			o := &Orderer{Addr: addr, Name: "o", Wait: 3 * time.Second}
-			o.Open(4)
-			door := Door{Addr: addr}
-			door.Open(ordersReaders, 64, 0)
-			if err := door.Progress(100); err != nil {
+			orderClients := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
+			orderClients.Start(4)
+			readers := ClientLoad{Addr: addr}
+			readers.Start(ordersReaders, 64, 0)
+			if err := readers.AwaitServed(100); err != nil {
 				return err
 			}
-			from := door.Served.Load()
-			door.Pause()
-			time.Sleep(d)
-			rate[on] += float64(door.Served.Load()-from) / d.Seconds() / ordersRounds
-			pause[on] = max(pause[on], door.Pause())
-			door.Close()
-			o.Close()
-			p.Kill()
-			if n := door.Refused.Load() + door.Failed.Load() + door.Late.Load(); n > 0 {
-				return fmt.Errorf("%d reads beside orders were refused, failed or late", n)
+			servedBefore := readers.Served.Load()
+			readers.LongestGap()
+			time.Sleep(duration)
+			rate[on] += float64(readers.Served.Load()-servedBefore) / duration.Seconds() / ordersRounds
+			longestGap[on] = max(longestGap[on], readers.LongestGap())
+			readers.Stop()
+			orderClients.Stop()
+			process.Kill()
+			if notServed := readers.Refused.Load() + readers.Failed.Load() + readers.Late.Load(); notServed > 0 {
+				return fmt.Errorf("%d reads beside orders were refused, failed or late", notServed)
 			}
 		}
 	}
-	r.AtLeast("reads a second beside orders on record, of those beside orders without", rate[1]/rate[0], 0.9)
-	r.Tell("the longest time without an answer to a read, beside orders on record, ms", ms(pause[1]))
-	r.Tell("the same without a record, ms", ms(pause[0]))
+	report.AtLeast("reads a second beside orders on record, of those beside orders without", rate[1]/rate[0], 0.9)
+	report.AddValue("the longest time without an answer to a read, beside orders on record, ms", milliseconds(longestGap[1]))
+	report.AddValue("the same without a record, ms", milliseconds(longestGap[0]))
 	return nil
 }
 
-// ordersAfterKills measures from SIGKILL to the first order served, and holds the record against what clients and the origin know.
-func (e *Env) ordersAfterKills(r *Report) error {
+// measureOrdersAfterKills measures the time from SIGKILL to the first order served, and checks the record
+// against the clients' receipts and the origin's executions.
+func (e *Env) measureOrdersAfterKills(report *Report) error {
 	fleet, err := standin.NewFleet(2, 64)
 	if err != nil {
 		return err
 	}
 	defer fleet.Close()
-	dir, err := e.folder("orders-kills")
+	dir, err := e.emptyDir("orders-kills")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	addr, p, err := e.recording("RESP2", fleet, dir)
+	addr, process, err := e.startWithRecord("RESP2", fleet, dir)
 	if err != nil {
 		return err
 	}
-	o := &Orderer{Addr: addr, Name: "o", Wait: 3 * time.Second}
-	o.Open(16)
-	var worst, sum time.Duration
+	orderClients := &OrderClients{Addr: addr, KeyPrefix: "o", Deadline: 3 * time.Second}
+	orderClients.Start(16)
+	var longest, total time.Duration
 	for range ordersKills {
-		from := o.Served.Load()
-		if err := eventually("orders are served", func() bool { return o.Served.Load() > from+500 }); err != nil {
+		servedBefore := orderClients.Served.Load()
+		if err := eventually("orders are served", func() bool { return orderClients.Served.Load() > servedBefore+500 }); err != nil {
 			return err
 		}
-		p.Kill()
-		begun := time.Now()
-		from = o.Served.Load()
-		if p, err = Start("msg=ready", []string{"LB_CONFIG=" + filepath.Join(e.Dir, "orders.json"), "LB_LISTEN=" + addr}, e.Bin+"/linenloom",
+		process.Kill()
+		killedAt := time.Now()
+		servedBefore = orderClients.Served.Load()
+		if process, err = Start("msg=ready", []string{"LB_CONFIG=" + filepath.Join(e.Dir, "orders.json"), "LB_LISTEN=" + addr}, e.Bin+"/linenloom",
 			"-operator", filepath.Join(e.Dir, "orders.toml")); err != nil {
 			return err
 		}
-		if err := eventually("orders are served again", func() bool { return o.Served.Load() > from }); err != nil {
+		if err := eventually("orders are served again", func() bool { return orderClients.Served.Load() > servedBefore }); err != nil {
 			return err
 		}
-		took := time.Since(begun)
-		worst, sum = max(worst, took), sum+took
+		elapsed := time.Since(killedAt)
+		longest, total = max(longest, elapsed), total+elapsed
 	}
-	o.Close()
-	if err := p.Stop(); err != nil {
+	orderClients.Stop()
+	if err := process.Stop(); err != nil {
 		return err
 	}
-	states, err := CheckOrders(dir, "kiosk", o.Told(), fleet.Origin.Executions())
+	states, err := CheckOrders(dir, "kiosk", orderClients.Receipts(), fleet.Origin.Executions())
 	if err != nil {
 		return err
 	}
-	r.Tell("kills", ordersKills)
-	r.Tell("from SIGKILL to the first order served again, mean, ms", ms(sum/ordersKills))
-	r.Tell("the longest, ms", ms(worst))
-	r.Tell("orders that clients were promised nothing of, for each kill", float64(o.Failed.Load())/ordersKills)
+	report.AddValue("kills", ordersKills)
+	report.AddValue("from SIGKILL to the first order served again, mean, ms", milliseconds(total/ordersKills))
+	report.AddValue("the longest, ms", milliseconds(longest))
+	report.AddValue("orders that clients were promised nothing of, for each kill", float64(orderClients.Failed.Load())/ordersKills)
 	for s, n := range states {
-		r.Tell("orders on record: "+s.String(), float64(n))
+		report.AddValue("orders on record: "+s.String(), float64(n))
 	}
 	return nil
 }
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -9,42 +9,42 @@
 	"linenloom/internal/standin"
 )
 
-// overloadTenants share the service of the overload scenario alike.
-var overloadTenants = []any{
+// evenTenants are two tenants with equal shares.
+var evenTenants = []any{
 	map[string]any{"name": "acme", "share": 0.5, "quota_rps": 0.0}, map[string]any{"name": "rush", "share": 0.5, "quota_rps": 0.0},
 }
 
-// Overload is the scenario of more reads than the proxy's one core can do: how much is still served in time, what the
-// others are told, and what a tenant that asks for little feels of one that asks for far too much.
-func Overload(_ context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "overload"}
-	fleet, err := loadedFleet(8, 2048, scaleKeys)
+// Overload runs the scenario of more reads than the proxy's one core can serve: how many are served in time,
+// what becomes of the others, and how a tenant with little load is affected by one with far too much.
+func Overload(_ context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "overload"}
+	fleet, err := newFilledFleet(8, 2048, tileKeys)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer fleet.Close()
-	fleet.Tenants = overloadTenants
-	addr, p, err := e.proxy("overload", fleet, 192, 4096)
+	fleet.Tenants = evenTenants
+	addr, process, err := env.startProxy("overload", fleet, 192, 4096)
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer p.Kill()
-	d := time.Duration(e.Seconds) * time.Second / 5
+	defer process.Kill()
+	duration := time.Duration(env.Seconds) * time.Second / 5
 	peak := 0.0
 	for _, clients := range []int{32, 100, 300} {
-		rate, err := loop(p, clients, d/2, quickReads(addr))
+		result, err := runClosedLoop(process, clients, duration/2, newTileWorker(addr))
 		if err != nil {
-			return r, fmt.Errorf("%d clients: %w", clients, err)
+			return report, fmt.Errorf("%d clients: %w", clients, err)
 		}
-		peak = max(peak, rate.PerSecond())
+		peak = max(peak, result.PerSecond())
 	}
-	r.Tell("closed loop: the most served a second", peak)
-	for _, c := range []struct {
-		name  string
-		times float64
-		conns int
-		again bool
-		least float64
+	report.AddValue("closed loop: the most served a second", peak)
+	for _, offered := range []struct {
+		name         string
+		factor       float64
+		connections  int
+		retryRefused bool
+		minShare     float64
 	}{
 		{"0.7 times that, 64 connections", 0.7, 64, false, 0.69},
 		{"2 times, 64 connections", 2, 64, false, 0.9},
@@ -52,61 +52,61 @@
 		{"2 times, refused reads come again at once", 2, 64, true, 0.9},
 		{"10 times, 64 connections", 10, 64, false, 0.9},
 	} {
-		e.Log("overload: %s", c.name)
-		f := Flood{Addr: addr, Tenant: "acme", Conns: c.conns, Rate: c.times * peak, Patience: standin.ReadAim, Again: c.again, Keys: scaleKeys, Seed: 7}
-		got, err := f.Run(d)
+		env.Log("overload: %s", offered.name)
+		load := OpenLoop{Addr: addr, Tenant: "acme", Connections: offered.connections, Rate: offered.factor * peak, Deadline: standin.ReadAim, RetryRefused: offered.retryRefused, Keys: tileKeys, Seed: 7}
+		result, err := load.Run(duration)
 		if err != nil {
-			return r, fmt.Errorf("%s: %w", c.name, err)
+			return report, fmt.Errorf("%s: %w", offered.name, err)
 		}
-		r.flooded(c.name, got, peak)
-		r.AtLeast(c.name+": served in time, of the most", got.Goodput()/peak, c.least)
-		r.AtMost(c.name+": p99 of what is served, ms", float64(got.Quantile(0.99))/float64(time.Millisecond),
+		report.addOpenLoop(offered.name, result, peak)
+		report.AtLeast(offered.name+": served in time, of the most", result.Goodput()/peak, offered.minShare)
+		report.AtMost(offered.name+": p99 of what is served, ms", float64(result.Quantile(0.99))/float64(time.Millisecond),
 			float64(standin.ReadAim)/float64(time.Millisecond))
 	}
-	if err := e.neighbours(r, p, addr, peak, d); err != nil {
-		return r, err
+	if err := env.measureFairness(report, process, addr, peak, duration); err != nil {
+		return report, err
 	}
-	if err := p.Stop(); err != nil {
-		return r, err
+	if err := process.Stop(); err != nil {
+		return report, err
 	}
-	for _, why := range p.Reasons() {
-		e.Log("  %s", why)
+	for _, why := range process.Reasons() {
+		env.Log("  %s", why)
 	}
-	return r, nil
+	return report, nil
 }
 
-// flooded tells what became of a flood.
-func (r *Report) flooded(name string, f *Flooded, peak float64) {
-	due := float64(max(1, f.Due))
-	r.Tell(name+": offered, of the most", due/f.Took.Seconds()/peak)
-	r.Tell(name+": refused, of what was offered", float64(f.Refused)/due)
-	r.Tell(name+": served late, of what was offered", float64(f.Late)/due)
-	r.Tell(name+": never sent, of what was offered", float64(f.Gone)/due)
+// addOpenLoop adds the outcome of an open loop to the report.
+func (r *Report) addOpenLoop(name string, result *OpenLoopResult, peak float64) {
+	offered := float64(max(1, result.Offered))
+	r.AddValue(name+": offered, of the most", offered/result.Duration.Seconds()/peak)
+	r.AddValue(name+": refused, of what was offered", float64(result.Refused)/offered)
+	r.AddValue(name+": served late, of what was offered", float64(result.Late)/offered)
+	r.AddValue(name+": never sent, of what was offered", float64(result.Unsent)/offered)
 }
 
-// neighbours has one tenant flood while another asks for little, each read once the one before is answered.
-func (e *Env) neighbours(r *Report, p *Process, addr string, peak float64, d time.Duration) error {
+// measureFairness runs a closed loop of one tenant beside an open loop of another that overloads the proxy.
+func (e *Env) measureFairness(report *Report, process *Process, addr string, peak float64, duration time.Duration) error {
 	const clients = 8
-	e.Log("overload: a tenant that asks for little beside one that floods")
-	var g sync.WaitGroup
-	var got *Flooded
-	var failed error
-	g.Go(func() {
-		f := Flood{Addr: addr, Tenant: "rush", Conns: 64, Rate: 4 * peak, Patience: standin.ReadAim, Keys: scaleKeys, Seed: 8}
-		got, failed = f.Run(d + d/4)
+	e.Log("overload: a tenant with little load beside one that overloads the proxy")
+	var group sync.WaitGroup
+	var floodResult *OpenLoopResult
+	var floodError error
+	group.Go(func() {
+		flood := OpenLoop{Addr: addr, Tenant: "rush", Connections: 64, Rate: 4 * peak, Deadline: standin.ReadAim, Keys: tileKeys, Seed: 8}
+		floodResult, floodError = flood.Run(duration + duration/4)
 	})
-	time.Sleep(d / 8) // the flood has begun
-	rate, err := loop(p, clients, d, quickReads(addr))
-	g.Wait()
+	time.Sleep(duration / 8) // until the overload has set in
+	result, err := runClosedLoop(process, clients, duration, newTileWorker(addr))
+	group.Wait()
 	if err == nil {
-		err = failed
+		err = floodError
 	}
 	if err != nil {
 		return err
 	}
-	r.flooded("neighbour, 4 times", got, peak)
-	r.Tell("beside it, 8 clients: served a second", rate.PerSecond())
-	r.AtMost("beside it, 8 clients: refused, of all", float64(rate.Refused)/float64(max(1, rate.Done+rate.Refused)), 0.01)
-	r.AtMost("beside it, 8 clients: p99, ms", float64(rate.Quantile(0.99))/float64(time.Millisecond), float64(standin.ReadAim)/float64(time.Millisecond))
+	report.addOpenLoop("neighbour, 4 times", floodResult, peak)
+	report.AddValue("beside it, 8 clients: served a second", result.PerSecond())
+	report.AtMost("beside it, 8 clients: refused, of all", float64(result.Refused)/float64(max(1, result.Served+result.Refused)), 0.01)
+	report.AtMost("beside it, 8 clients: p99, ms", float64(result.Quantile(0.99))/float64(time.Millisecond), float64(standin.ReadAim)/float64(time.Millisecond))
 	return nil
 }
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -8,46 +8,47 @@
 	"linenloom/internal/restarts"
 )
 
-// Restarts is the scenario of planned restarts by seed. Each fault is logged with its seed; a play on a machine too busy for a verdict is played
-// again, and counts as neither kept nor broken if it stays so.
-func Restarts(ctx context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "restarts"}
-	var kept, broken, disturbed, faults int
-	var all restarts.Result
-	for seed := e.First; seed < e.First+uint64(e.Count); seed++ {
+// Restarts runs the scenario of planned restarts for each seed. Faults are logged with their seed. A run on a
+// machine too busy for a verdict is repeated; if it remains disturbed, it counts neither as passed nor as
+// failed.
+func Restarts(ctx context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "restarts"}
+	var passed, failed, disturbed, faults int
+	var total restarts.Result
+	for seed := env.FirstSeed; seed < env.FirstSeed+uint64(env.SeedCount); seed++ {
 		if err := ctx.Err(); err != nil {
-			return r, err
+			return report, err
 		}
-		played, err := restarts.Verdict(restarts.Options{Program: filepath.Join(e.Bin, "linenloom"), Dir: e.Dir, Seed: seed},
-			func(r *restarts.Result) { e.Log("%v", r) })
+		result, err := restarts.Verdict(restarts.Options{Program: filepath.Join(env.Bin, "linenloom"), Dir: env.Dir, Seed: seed},
+			func(r *restarts.Result) { env.Log("%v", r) })
 		if err != nil {
-			return r, err
+			return report, err
 		}
-		for _, fault := range played.Faults {
-			e.Log("seed %d: %s", seed, fault)
+		for _, fault := range result.Faults {
+			env.Log("seed %d: %s", seed, fault)
 		}
 		switch {
-		case len(played.Faults) > 0:
-			broken++
-		case played.Disturbed():
+		case len(result.Faults) > 0:
+			failed++
+		case result.Disturbed():
 			disturbed++
 		default:
-			kept++
+			passed++
 		}
-		faults += len(played.Faults)
-		all.Asked, all.Served, all.Refused, all.Failed = all.Asked+played.Asked, all.Served+played.Served, all.Refused+played.Refused, all.Failed+played.Failed
-		all.Attempts, all.Further = all.Attempts+played.Attempts, all.Further+played.Further
+		faults += len(result.Faults)
+		total.Asked, total.Served, total.Refused, total.Failed = total.Asked+result.Asked, total.Served+result.Served, total.Refused+result.Refused, total.Failed+result.Failed
+		total.Attempts, total.Further = total.Attempts+result.Attempts, total.Further+result.Further
 	}
-	name := fmt.Sprintf("seeds %d to %d: ", e.First, e.First+uint64(e.Count)-1)
-	r.Tell(name+"requests", float64(all.Asked))
-	r.Tell(name+"served", float64(all.Served))
-	r.Tell(name+"refused", float64(all.Refused))
-	r.Tell(name+"failed", float64(all.Failed))
-	r.Tell(name+"attempts", float64(all.Attempts))
-	r.Tell(name+"further attempts", float64(all.Further))
-	r.Tell(name+"plays too disturbed for a verdict", float64(disturbed))
-	r.Tell(name+"plays that kept every rule", float64(kept))
-	r.Equal(name+"plays that broke one", float64(broken), 0)
-	r.Equal(name+"faults", float64(faults), 0)
-	return r, nil
+	name := fmt.Sprintf("seeds %d to %d: ", env.FirstSeed, env.FirstSeed+uint64(env.SeedCount)-1)
+	report.AddValue(name+"requests", float64(total.Asked))
+	report.AddValue(name+"served", float64(total.Served))
+	report.AddValue(name+"refused", float64(total.Refused))
+	report.AddValue(name+"failed", float64(total.Failed))
+	report.AddValue(name+"attempts", float64(total.Attempts))
+	report.AddValue(name+"further attempts", float64(total.Further))
+	report.AddValue(name+"plays too disturbed for a verdict", float64(disturbed))
+	report.AddValue(name+"plays that kept every rule", float64(passed))
+	report.Equal(name+"plays that broke one", float64(failed), 0)
+	report.Equal(name+"faults", float64(faults), 0)
+	return report, nil
 }
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -14,46 +14,47 @@
 	"linenloom/internal/standin"
 )
 
-// scaleKeys is how many keys the clients of the scale scenario read, and every box holds.
-const scaleKeys = 5000
+// tileKeys is the number of keys that clients read; every cache holds all of them.
+const tileKeys = 5000
 
-// quickReader reads tiles over RESP2 at little cost, and checks that each is the one that was asked for.
-type quickReader struct {
-	conn net.Conn
-	in   *bufio.Reader
-	out  []byte
-	want []byte
+// tileReader reads tiles over RESP2 at little cost and checks that each answer is for the requested key.
+type tileReader struct {
+	conn    net.Conn
+	in      *bufio.Reader
+	command []byte
+	prefix  []byte
 }
 
 var errWrongValue = errors.New("lab: a client was served another key's value")
 
-func (r *quickReader) read(key int) error {
-	r.out = appendRead(r.out[:0], key, "c=tile-read,t=acme,d=3000")
-	r.conn.SetDeadline(time.Now().Add(patience))
-	if _, err := r.conn.Write(r.out); err != nil {
+func (reader *tileReader) read(key int) error {
+	reader.command = appendTileRead(reader.command[:0], key, "c=tile-read,t=acme,d=3000")
+	reader.conn.SetDeadline(time.Now().Add(waitTimeout))
+	if _, err := reader.conn.Write(reader.command); err != nil {
 		return err
 	}
-	r.want = appendStart(r.want[:0], key)
-	return takeTile(r.in, r.want)
+	reader.prefix = appendTilePrefix(reader.prefix[:0], key)
+	return readTile(reader.in, reader.prefix)
 }
 
-// appendRead appends the command that reads the tile of a key, under an id of its own.
-func appendRead(b []byte, key int, attrs string) []byte {
-	var text [20]byte
-	b = resp.AppendArray(b, 4)
-	b = resp.AppendBulk(b, "OBJ.GET")
-	b = resp.AppendBulk(b, strconv.AppendInt(append(text[:0], 'k'), int64(key), 10))
-	b = resp.AppendBulk(b, strconv.AppendUint(text[:0], ids.Add(1), 16))
-	return resp.AppendBulk(b, attrs)
+// appendTileRead appends the command that reads the tile of a key, with a new request id.
+func appendTileRead(command []byte, key int, attrs string) []byte {
+	var digits [20]byte
+	command = resp.AppendArray(command, 4)
+	command = resp.AppendBulk(command, "OBJ.GET")
+	command = resp.AppendBulk(command, strconv.AppendInt(append(digits[:0], 'k'), int64(key), 10))
+	command = resp.AppendBulk(command, strconv.AppendUint(digits[:0], lastRequestID.Add(1), 16))
+	return resp.AppendBulk(command, attrs)
 }
 
-// appendStart appends what the tile of a key begins with.
-func appendStart(b []byte, key int) []byte {
-	return append(strconv.AppendInt(append(b, "value of k"...), int64(key), 10), ' ')
+// appendTilePrefix appends the start of a key's tile.
+func appendTilePrefix(prefix []byte, key int) []byte {
+	return append(strconv.AppendInt(append(prefix, "value of k"...), int64(key), 10), ' ')
 }
 
-// takeTile reads an answer, which has to be a tile that begins as is wanted; errRefused, if it is a refusal.
-func takeTile(in *bufio.Reader, want []byte) error {
+// readTile reads an answer, which must be a tile that starts with wantPrefix. It returns errRefused for a
+// refusal.
+func readTile(in *bufio.Reader, wantPrefix []byte) error {
 	line, err := in.ReadSlice('\n')
 	switch {
 	case err != nil:
@@ -61,181 +62,182 @@
 	case bytes.HasPrefix(line, []byte("-BUSY")):
 		return errRefused
 	case line[0] != '$':
-		return fmt.Errorf("lab: answered %q", line)
+		return fmt.Errorf("lab: unexpected answer %q", line)
 	}
-	n, err := strconv.Atoi(string(bytes.TrimSpace(line[1:])))
-	if err != nil || n < 0 {
-		return fmt.Errorf("lab: answered %q", line)
+	length, err := strconv.Atoi(string(bytes.TrimSpace(line[1:])))
+	if err != nil || length < 0 {
+		return fmt.Errorf("lab: invalid value length %q", line)
 	}
-	got, err := in.Peek(len(want))
+	prefix, err := in.Peek(len(wantPrefix))
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(got, want) {
-		return fmt.Errorf("%w: %q for %q", errWrongValue, got, want)
+	if !bytes.Equal(prefix, wantPrefix) {
+		return fmt.Errorf("%w: got %q, want %q", errWrongValue, prefix, wantPrefix)
 	}
-	_, err = in.Discard(n + 2)
+	_, err = in.Discard(length + 2)
 	return err
 }
 
-func quickReads(addr string) func(int) (func(int) error, func(), error) {
+func newTileWorker(addr string) func(int) (func(int) error, func(), error) {
 	return func(w int) (func(int) error, func(), error) {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return nil, nil, err
 		}
-		r := &quickReader{conn: conn, in: bufio.NewReaderSize(conn, 4096)}
-		return func(i int) error { return r.read((w*7919 + i) % scaleKeys) }, func() { conn.Close() }, nil
+		reader := &tileReader{conn: conn, in: bufio.NewReaderSize(conn, 4096)}
+		return func(i int) error { return reader.read((w*7919 + i) % tileKeys) }, func() { conn.Close() }, nil
 	}
 }
 
-// proxy starts linenloom before a fleet, on one core, and tells where it listens.
-func (e *Env) proxy(name string, fleet *standin.Fleet, memoryMB, sockets int, args ...string) (addr string, p *Process, err error) {
+// startProxy starts linenloom in front of a fleet and returns the address that it listens on.
+func (e *Env) startProxy(name string, fleet *standin.Fleet, memoryMB, descriptors int, args ...string) (addr string, process *Process, err error) {
 	if addr, err = standin.FreeAddr(); err != nil {
 		return "", nil, err
 	}
-	config, err := fleet.Config(name, addr, "8c1f30d27a5be964", memoryMB, sockets)
+	config, err := fleet.Config(name, addr, "8c1f30d27a5be964", memoryMB, descriptors)
 	if err != nil {
 		return "", nil, err
 	}
-	path, err := e.write(name+".json", config)
+	path, err := e.writeFile(name+".json", config)
 	if err != nil {
 		return "", nil, err
 	}
-	p, err = Start("msg=ready", []string{"LB_CONFIG=" + path, "LB_LISTEN=" + addr}, e.Bin+"/linenloom", args...)
-	return addr, p, err
+	process, err = Start("msg=ready", []string{"LB_CONFIG=" + path, "LB_LISTEN=" + addr}, e.Bin+"/linenloom", args...)
+	return addr, process, err
 }
 
-// Scale is the scenario of many clients before a healthy fleet: how much is served and refused as they grow, and what a
-// read costs against a relay that copies bytes.
-func Scale(_ context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "scale"}
-	fleet, err := loadedFleet(8, 2048, scaleKeys)
+// Scale runs the scenario of many clients in front of a healthy fleet: how many reads are served and refused
+// as the number of clients grows, and the cost of a read compared with a relay that copies bytes.
+func Scale(_ context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "scale"}
+	fleet, err := newFilledFleet(8, 2048, tileKeys)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer fleet.Close()
-	addr, p, err := e.proxy("scale", fleet, 192, 4096)
+	addr, process, err := env.startProxy("scale", fleet, 192, 4096)
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	relayAddr, err := standin.FreeAddr()
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	relay, err := Start("ready", []string{ServeVariable + "=relay " + relayAddr + " " + fleet.Boxes[0].Addr()}, e.Self)
+	relay, err := Start("ready", []string{ServeVariable + "=relay " + relayAddr + " " + fleet.Boxes[0].Addr()}, env.Executable)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer relay.Kill()
 
-	d := time.Duration(e.Seconds) * time.Second / 10
-	rates := map[int]Rate{}
-	best := 0.0
+	duration := time.Duration(env.Seconds) * time.Second / 10
+	results := map[int]ClosedLoopResult{}
+	bestRate := 0.0
 	for _, clients := range []int{8, 32, 100, 200, 300, 1000} {
-		e.Log("scale: %d clients", clients)
-		rate, err := loop(p, clients, d, quickReads(addr))
+		env.Log("scale: %d clients", clients)
+		result, err := runClosedLoop(process, clients, duration, newTileWorker(addr))
 		if err != nil {
-			return r, fmt.Errorf("%d clients: %w", clients, err)
+			return report, fmt.Errorf("%d clients: %w", clients, err)
 		}
-		rates[clients] = rate
+		results[clients] = result
 		if clients <= 300 {
-			best = max(best, rate.PerSecond())
+			bestRate = max(bestRate, result.PerSecond())
 		}
 		name := strconv.Itoa(clients) + " clients: "
-		r.Tell(name+"served a second", rate.PerSecond())
-		r.Equal(name+"refused", float64(rate.Refused), 0)
-		r.AtMost(name+"p99, ms", float64(rate.Quantile(0.99))/float64(time.Millisecond), 800)
-		r.Tell(name+"CPU us a served read", 1e6/rate.PerCPU())
-		kb, err := p.Resident()
+		report.AddValue(name+"served a second", result.PerSecond())
+		report.Equal(name+"refused", float64(result.Refused), 0)
+		report.AtMost(name+"p99, ms", float64(result.Quantile(0.99))/float64(time.Millisecond), 800)
+		report.AddValue(name+"CPU us a served read", 1e6/result.PerCPU())
+		kb, err := process.Resident()
 		if err != nil {
-			return r, err
+			return report, err
 		}
-		r.Tell(name+"resident MB", float64(kb)/1024)
+		report.AddValue(name+"resident MB", float64(kb)/1024)
 	}
-	r.AtLeast("300 clients: served, of the best up to there", rates[300].PerSecond()/best, 0.9)
+	report.AtLeast("300 clients: served, of the best up to there", results[300].PerSecond()/bestRate, 0.9)
 	for _, clients := range []int{8, 32, 200, 300, 1000} {
-		if err := e.freshStart(r, fleet, clients, d); err != nil {
-			return r, fmt.Errorf("fresh start, %d clients: %w", clients, err)
+		if err := env.measureFreshStart(report, fleet, clients, duration); err != nil {
+			return report, fmt.Errorf("fresh start, %d clients: %w", clients, err)
 		}
 	}
-	if err := e.newClients(r, fleet); err != nil {
-		return r, fmt.Errorf("ever new clients: %w", err)
+	if err := env.measureNewConnections(report, fleet); err != nil {
+		return report, fmt.Errorf("a new connection for each read: %w", err)
 	}
-	byRelay, err := loop(relay, 8, d, readBox(relayAddr, keysInLoad))
+	relayResult, err := runClosedLoop(relay, 8, duration, newCacheWorker(relayAddr, loadKeys))
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	r.Tell("relay: CPU us a read", 1e6/byRelay.PerCPU())
-	r.AtMost("CPU a read at 32 clients, against the relay's", byRelay.PerCPU()/rates[32].PerCPU(), 1.5)
-	return r, nil
+	report.AddValue("relay: CPU us a read", 1e6/relayResult.PerCPU())
+	report.AtMost("CPU a read at 32 clients, against the relay's", relayResult.PerCPU()/results[32].PerCPU(), 1.5)
+	return report, nil
 }
 
-// newClients has clients come anew for every read, for three times as long as the longest part goes on, and tells whether the
-// proxy's memory grows with them: what it has at the end, of what it had after a third.
-func (e *Env) newClients(r *Report, fleet *standin.Fleet) error {
+// measureNewConnections opens a new connection for every read, for three times the scenario's duration, and
+// checks whether the proxy's memory grows: its size at the end compared with that after a third.
+func (e *Env) measureNewConnections(report *Report, fleet *standin.Fleet) error {
 	const clients = 100
 	e.Log("scale: %d clients, each on a new connection for every read", clients)
-	addr, p, err := e.proxy("new", fleet, 192, 4096)
+	addr, process, err := e.startProxy("new", fleet, 192, 4096)
 	if err != nil {
 		return err
 	}
-	defer p.Kill()
-	anew := func(w int) (func(int) error, func(), error) {
+	defer process.Kill()
+	newWorker := func(w int) (func(int) error, func(), error) {
 		return func(i int) error {
-			one, done, err := quickReads(addr)(w)
+			read, closeConn, err := newTileWorker(addr)(w)
 			if err != nil {
 				return err
 			}
-			defer done()
-			return one(i)
+			defer closeConn()
+			return read(i)
 		}, func() {}, nil
 	}
-	var all Rate
-	var early, late int
+	var total ClosedLoopResult
+	var firstResident, lastResident int
 	for part := range 3 {
-		rate, err := loop(p, clients, time.Duration(e.Seconds)*time.Second, anew)
+		result, err := runClosedLoop(process, clients, time.Duration(e.Seconds)*time.Second, newWorker)
 		if err != nil {
 			return err
 		}
-		all.add(rate)
-		if late, err = p.Resident(); err != nil {
+		total.add(result)
+		if lastResident, err = process.Resident(); err != nil {
 			return err
 		}
 		if part == 0 {
-			early = late
+			firstResident = lastResident
 		}
 	}
-	r.Tell("ever new clients: served a second", all.PerSecond())
-	r.Equal("ever new clients: refused", float64(all.Refused), 0)
-	r.Tell("ever new clients: resident MB at the end", float64(late)/1024)
-	r.AtMost("ever new clients: resident at the end, of that after a third", float64(late)/float64(early), 1.1)
+	report.AddValue("ever new clients: served a second", total.PerSecond())
+	report.Equal("ever new clients: refused", float64(total.Refused), 0)
+	report.AddValue("ever new clients: resident MB at the end", float64(lastResident)/1024)
+	report.AtMost("ever new clients: resident at the end, of that after a third", float64(lastResident)/float64(firstResident), 1.1)
 	return nil
 }
 
-// freshStart has clients come all at once a second after a proxy has started, when it knows nothing of its members yet.
-func (e *Env) freshStart(r *Report, fleet *standin.Fleet, clients int, d time.Duration) error {
+// measureFreshStart starts many clients at once, a second after the start of a proxy that has no statistics
+// of its members yet.
+func (e *Env) measureFreshStart(report *Report, fleet *standin.Fleet, clients int, duration time.Duration) error {
 	e.Log("scale: %d clients at once, a second after the start", clients)
-	addr, p, err := e.proxy(fmt.Sprint("fresh-", clients), fleet, 192, 4096)
+	addr, process, err := e.startProxy(fmt.Sprint("fresh-", clients), fleet, 192, 4096)
 	if err != nil {
 		return err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	time.Sleep(time.Second)
-	rate, err := loop(p, clients, d, quickReads(addr))
+	result, err := runClosedLoop(process, clients, duration, newTileWorker(addr))
 	if err != nil {
 		return err
 	}
-	if err := p.Stop(); err != nil {
+	if err := process.Stop(); err != nil {
 		return err
 	}
-	what := fmt.Sprintf("fresh start, %d clients: ", clients)
-	r.Tell(what+"served a second", rate.PerSecond())
-	r.Equal(what+"refused", float64(rate.Refused), 0)
-	r.Tell(what+"CPU us a served read", 1e6/rate.PerCPU())
-	for _, why := range p.Reasons() {
-		e.Log("  %s", why)
+	prefix := fmt.Sprintf("fresh start, %d clients: ", clients)
+	report.AddValue(prefix+"served a second", result.PerSecond())
+	report.Equal(prefix+"refused", float64(result.Refused), 0)
+	report.AddValue(prefix+"CPU us a served read", 1e6/result.PerCPU())
+	for _, reason := range process.Reasons() {
+		e.Log("  %s", reason)
 	}
 	return nil
 }
