--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -19,234 +19,237 @@
 )
 
 const (
-	storePayload  = 300 // bytes of a record, as an order's entry has
-	storeSegment  = 4 << 20
-	storeRecords  = 1_000_000 // that are opened
-	storeRounds   = 3         // each way takes its turn so often
-	storeMemoryMB = 64        // that opening may take beside the records' bound
+	storeRecordBytes  = 300 // size of a record, as that of an order's entry
+	storeSegmentBytes = 4 << 20
+	storeRecords      = 1_000_000 // number of records in the log that is opened
+	storeRounds       = 3         // rounds of each method, in turn
+	maxOpenHeapMB     = 64        // that opening may take in addition to the bound of the records
 )
 
-// appended is a file that is appended to and synced without any of the log's care: each by itself, or in groups as the log forms them.
-type appended struct {
-	mu      sync.Mutex
-	file    disk.File
-	alone   bool
-	writing bool
-	waiting []byte
-	done    chan struct{}
-	err     error
+// bareFile is a file that is appended to and synced without the log's framing and checks: each append by
+// itself, or in groups as the log forms them.
+type bareFile struct {
+	mu       sync.Mutex
+	file     disk.File
+	syncEach bool
+	writing  bool
+	pending  []byte
+	done     chan struct{}
+	err      error
 }
 
-func (f *appended) append(b []byte) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.alone {
-		if _, err := f.file.Write(b); err != nil {
+func (bare *bareFile) append(b []byte) error {
+	bare.mu.Lock()
+	defer bare.mu.Unlock()
+	if bare.syncEach {
+		if _, err := bare.file.Write(b); err != nil {
 			return err
 		}
-		return f.file.Sync()
+		return bare.file.Sync()
 	}
-	if f.done == nil {
-		f.done = make(chan struct{})
+	if bare.done == nil {
+		bare.done = make(chan struct{})
 	}
-	f.waiting = append(f.waiting, b...)
-	done := f.done
-	if f.writing {
-		f.mu.Unlock()
+	bare.pending = append(bare.pending, b...)
+	done := bare.done
+	if bare.writing {
+		bare.mu.Unlock()
 		<-done
-		f.mu.Lock()
-		return f.err
+		bare.mu.Lock()
+		return bare.err
 	}
-	for f.writing = true; f.done != nil; {
-		group, told := f.waiting, f.done
-		f.waiting, f.done = nil, nil
-		f.mu.Unlock()
-		_, err := f.file.Write(group)
+	for bare.writing = true; bare.done != nil; {
+		group, groupSynced := bare.pending, bare.done
+		bare.pending, bare.done = nil, nil
+		bare.mu.Unlock()
+		_, err := bare.file.Write(group)
 		if err == nil {
-			err = f.file.Sync()
+			err = bare.file.Sync()
 		}
-		f.mu.Lock()
-		f.err = err
-		close(told)
+		bare.mu.Lock()
+		bare.err = err
+		close(groupSynced)
 	}
-	f.writing = false
-	return f.err
+	bare.writing = false
+	return bare.err
 }
 
-// many has so many writers write for a while, and tells how often a second.
-func many(writers int, d time.Duration, write func(writer, n int) error) (float64, error) {
-	var n atomic.Int64
-	var failed atomic.Pointer[error]
-	var all sync.WaitGroup
-	begun := time.Now()
+// measureWrites runs the given number of writers for a while and returns the writes per second.
+func measureWrites(writers int, duration time.Duration, write func(writer, n int) error) (float64, error) {
+	var writes atomic.Int64
+	var firstError atomic.Pointer[error]
+	var group sync.WaitGroup
+	start := time.Now()
 	for w := range writers {
-		all.Go(func() {
-			for i := 0; time.Since(begun) < d && failed.Load() == nil; i++ {
+		group.Go(func() {
+			for i := 0; time.Since(start) < duration && firstError.Load() == nil; i++ {
 				if err := write(w, i); err != nil {
-					failed.Store(&err)
+					firstError.Store(&err)
 				}
-				n.Add(1)
+				writes.Add(1)
 			}
 		})
 	}
-	all.Wait()
-	if err := failed.Load(); err != nil {
+	group.Wait()
+	if err := firstError.Load(); err != nil {
 		return 0, *err
 	}
-	return float64(n.Load()) / time.Since(begun).Seconds(), nil
+	return float64(writes.Load()) / time.Since(start).Seconds(), nil
 }
 
-// Store is the scenario of the log and the record of orders on this machine's disk, beside bare appends to a file.
-func Store(ctx context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "store"}
-	each := max(500*time.Millisecond, time.Duration(e.Seconds)*time.Second/(12*storeRounds))
-	payload := make([]byte, storePayload)
+// Store runs the scenario of the log and the record of orders on this machine's disk, compared with bare
+// appends to a file.
+func Store(ctx context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "store"}
+	partTime := max(500*time.Millisecond, time.Duration(env.Seconds)*time.Second/(12*storeRounds))
+	payload := make([]byte, storeRecordBytes)
 	for _, writers := range []int{1, 16, 64} {
-		e.Log("store: %d writers", writers)
-		var sum [4]float64 // alone, grouped, log, orders
+		env.Log("store: %d writers", writers)
+		var rates [4]float64 // bare appends, bare appends in groups, log, record of orders
 		for round := range storeRounds {
-			for way := range sum {
-				dir := disk.Dir(filepath.Join(e.Dir, fmt.Sprintf("store-%d-%d-%d", writers, round, way)))
+			for method := range rates {
+				dir := disk.Dir(filepath.Join(env.Dir, fmt.Sprintf("store-%d-%d-%d", writers, round, method)))
 				if err := os.MkdirAll(string(dir), 0o700); err != nil {
-					return r, err
+					return report, err
 				}
-				got, err := storeWay(dir, way, writers, each, payload)
+				rate, err := measureStoreMethod(dir, method, writers, partTime, payload)
 				if err != nil {
-					return r, err
+					return report, err
 				}
-				sum[way] += got / storeRounds
+				rates[method] += rate / storeRounds
 				if err := os.RemoveAll(string(dir)); err != nil {
-					return r, err
+					return report, err
 				}
 				if ctx.Err() != nil {
-					return r, ctx.Err()
+					return report, ctx.Err()
 				}
 			}
 		}
 		name := fmt.Sprintf("%d writers: ", writers)
-		r.Tell(name+"bare appends a second, synced one by one", sum[0])
-		r.Tell(name+"bare appends a second, synced in groups", sum[1])
-		r.AtLeast(name+"records a second by the log, of the grouped", sum[2]/sum[1], 0.8)
+		report.AddValue(name+"bare appends a second, synced one by one", rates[0])
+		report.AddValue(name+"bare appends a second, synced in groups", rates[1])
+		report.AtLeast(name+"records a second by the log, of the grouped", rates[2]/rates[1], 0.8)
 		if writers == 64 {
-			r.AtLeast(name+"records a second by the log, of those synced one by one", sum[2]/sum[0], 10)
+			report.AtLeast(name+"records a second by the log, of those synced one by one", rates[2]/rates[0], 10)
 		}
-		r.Tell(name+"orders a second, taken, sent and done", sum[3])
+		report.AddValue(name+"orders a second, taken, sent and done", rates[3])
 	}
-	return r, opening(e, r)
+	return report, measureOpening(env, report)
 }
 
-func storeWay(dir disk.Dir, way, writers int, d time.Duration, payload []byte) (float64, error) {
-	switch way {
+func measureStoreMethod(dir disk.Dir, method, writers int, duration time.Duration, payload []byte) (float64, error) {
+	switch method {
 	case 0, 1:
-		f, err := dir.Create("bare")
+		file, err := dir.Create("bare")
 		if err != nil {
 			return 0, err
 		}
-		defer f.Close()
-		b := &appended{file: f, alone: way == 0}
-		return many(writers, d, func(int, int) error { return b.append(payload) })
+		defer file.Close()
+		bare := &bareFile{file: file, syncEach: method == 0}
+		return measureWrites(writers, duration, func(int, int) error { return bare.append(payload) })
 	case 2:
-		l, err := log.Open(dir, log.Options{SegmentSize: storeSegment}, func(log.Record) error { return nil })
+		recordLog, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error { return nil })
 		if err != nil {
 			return 0, err
 		}
-		defer l.Close()
-		return many(writers, d, func(int, int) error { _, err := l.Append(1, payload); return err })
+		defer recordLog.Close()
+		return measureWrites(writers, duration, func(int, int) error { _, err := recordLog.Append(1, payload); return err })
 	}
-	l, err := ledger.Open(dir, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: storeSegment, CompactAfter: 1 << 30},
+	record, err := ledger.Open(dir, ledger.Options{Limits: orders.Limits{Retention: time.Hour, MaxOrders: 1 << 20, MaxReceiptBytes: 1 << 30}, SegmentSize: storeSegmentBytes, CompactAfter: 1 << 30},
 		ledger.WallClock)
 	if err != nil {
 		return 0, err
 	}
-	defer l.Close()
-	return many(writers, d, func(w, n int) error {
+	defer record.Close()
+	return measureWrites(writers, duration, func(w, n int) error {
 		name := orders.Name{Tenant: "kiosk", Key: fmt.Sprintf("%d-%d", w, n)}
-		if v, _, err := l.Take(orders.Order{Name: name}); err != nil || v != orders.Proceed {
-			return fmt.Errorf("%v: %w", v, err)
+		if verdict, _, err := record.Take(orders.Order{Name: name}); err != nil || verdict != orders.Proceed {
+			return fmt.Errorf("order %v: %w", verdict, err)
 		}
-		if err := l.Send(name, "o-1"); err != nil {
+		if err := record.Send(name, "o-1"); err != nil {
 			return err
 		}
-		return l.End(name, orders.Done, payload[:200], "")
+		return record.End(name, orders.Done, payload[:200], "")
 	})
 }
 
-// opening measures how long a log of many records takes to open, beside reading its files once, and what memory that takes.
-func opening(e *Env, r *Report) error {
-	e.Log("store: opening %d records", storeRecords)
-	dir := disk.Dir(filepath.Join(e.Dir, "store-open"))
+// measureOpening compares the time to open a log of many records with that to read its files once, and
+// measures the memory that opening takes.
+func measureOpening(env *Env, report *Report) error {
+	env.Log("store: opening %d records", storeRecords)
+	dir := disk.Dir(filepath.Join(env.Dir, "store-open"))
 	if err := os.MkdirAll(string(dir), 0o700); err != nil {
 		return err
 	}
 	defer os.RemoveAll(string(dir))
-	l, err := log.Open(dir, log.Options{SegmentSize: storeSegment}, func(log.Record) error { return nil })
+	recordLog, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error { return nil })
 	if err != nil {
 		return err
 	}
 	var writers sync.WaitGroup
-	var failed atomic.Pointer[error]
-	payload := make([]byte, storePayload)
-	for range 512 { // groups of as many
+	var firstError atomic.Pointer[error]
+	payload := make([]byte, storeRecordBytes)
+	for range 512 { // to form groups of that size
 		writers.Go(func() {
 			for range storeRecords / 512 {
-				if _, err := l.Append(1, payload); err != nil {
-					failed.Store(&err)
+				if _, err := recordLog.Append(1, payload); err != nil {
+					firstError.Store(&err)
 					return
 				}
 			}
 		})
 	}
 	writers.Wait()
-	if err := failed.Load(); err != nil {
+	if err := firstError.Load(); err != nil {
 		return *err
 	}
-	if err := l.Close(); err != nil {
+	if err := recordLog.Close(); err != nil {
 		return err
 	}
 	var ratios []float64
-	records, most := 0, uint64(0)
+	records, maxHeap := 0, uint64(0)
 	for range storeRounds {
-		begun := time.Now()
+		start := time.Now()
 		names, err := dir.List()
 		if err != nil {
 			return err
 		}
-		for _, n := range names {
-			f, err := os.Open(filepath.Join(string(dir), n))
+		for _, name := range names {
+			file, err := os.Open(filepath.Join(string(dir), name))
 			if err != nil {
 				return err
 			}
-			_, err = io.Copy(io.Discard, struct{ io.Reader }{f})
-			f.Close()
+			_, err = io.Copy(io.Discard, struct{ io.Reader }{file})
+			file.Close()
 			if err != nil {
 				return err
 			}
 		}
-		read := time.Since(begun)
+		readTime := time.Since(start)
 		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		base := m.HeapAlloc
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		heapBefore := stats.HeapAlloc
 		records = 0
-		begun = time.Now()
-		l, err := log.Open(dir, log.Options{SegmentSize: storeSegment}, func(log.Record) error {
+		start = time.Now()
+		opened, err := log.Open(dir, log.Options{SegmentSize: storeSegmentBytes}, func(log.Record) error {
 			if records++; records%100_000 == 0 {
-				runtime.ReadMemStats(&m)
-				most = max(most, m.HeapAlloc-min(base, m.HeapAlloc))
+				runtime.ReadMemStats(&stats)
+				maxHeap = max(maxHeap, stats.HeapAlloc-min(heapBefore, stats.HeapAlloc))
 			}
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		ratios = append(ratios, float64(time.Since(begun))/float64(read))
-		if err := l.Close(); err != nil {
+		ratios = append(ratios, float64(time.Since(start))/float64(readTime))
+		if err := opened.Close(); err != nil {
 			return err
 		}
 	}
 	slices.Sort(ratios)
-	r.Tell("records that are opened", float64(records))
-	r.AtMost("opening them, of the time to read the files once", ratios[len(ratios)/2], 3)
-	r.AtMost("heap while opening, MB", float64(most)/(1<<20), storeMemoryMB)
+	report.AddValue("records that are opened", float64(records))
+	report.AtMost("opening them, of the time to read the files once", ratios[len(ratios)/2], 3)
+	report.AtMost("heap while opening, MB", float64(maxHeap)/(1<<20), maxOpenHeapMB)
 	return nil
 }
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -12,144 +12,145 @@
 )
 
 const (
-	stormReads = 5000 // in a storm, over stormTiles tiles that no box holds
-	stormTiles = 5
-	stormEach  = 25 // of a connection
-	stormFetch = 100 * time.Millisecond
-	// stormGrace is what a read's time may exceed the arrival of its tile by, and the read still miss it: the way there and back, and
-	// the turns in which thousands are answered on one core.
-	stormGrace = 150 * time.Millisecond
+	burstReads         = 5000 // in a burst, over burstTiles tiles that no cache holds
+	burstTiles         = 5
+	readsPerConnection = 25
+	burstFetchTime     = 100 * time.Millisecond
+	// deliveryGrace is the time by which a read's deadline may exceed the arrival of its tile while the read
+	// still misses it: transit in both directions, and the time to answer thousands of reads on one core.
+	deliveryGrace = 150 * time.Millisecond
 )
 
-// stormed is what became of one read of a storm.
-type stormed struct {
-	tile   int
-	wait   time.Duration // that it was ready to
-	served bool
-	at     time.Duration // of its answer, since the storm's begin
+// burstResult is the outcome of one read of a burst.
+type burstResult struct {
+	tile          int
+	deadline      time.Duration
+	served        bool
+	answeredAfter time.Duration // since the start of the burst
 }
 
-// Storm is the scenario of many identical reads at once, with joining and without, and of what joining costs where nothing repeats.
-func Storm(_ context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "storm"}
-	fleet, err := loadedFleet(8, 2048, scaleKeys)
+// JoinedReads runs the scenario of many identical concurrent reads, with request coalescing and without, and
+// measures the cost of coalescing where no read repeats.
+func JoinedReads(_ context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "storm"}
+	fleet, err := newFilledFleet(8, 2048, tileKeys)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer fleet.Close()
-	fleet.Origin.SetService(stormFetch, 0)
-	fleet.Tenants = overloadTenants
-	bare, plain, err := e.proxy("storm-off", fleet, 192, 4096)
+	fleet.Origin.SetService(burstFetchTime, 0)
+	fleet.Tenants = evenTenants
+	plainAddr, plainProcess, err := env.startProxy("storm-off", fleet, 192, 4096)
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer plain.Kill()
-	addr, p, err := e.guarded("joining", fleet, "[joining]\nfollowers = 16384\nfollowers_per_tenant = 8192\n")
+	defer plainProcess.Kill()
+	addr, process, err := env.startProxyWith("joining", fleet, "[joining]\nfollowers = 16384\nfollowers_per_tenant = 8192\n")
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer p.Kill()
+	defer process.Kill()
 	tile := 1_000_000
-	rounds := max(2, e.Seconds/4)
+	rounds := max(2, env.Seconds/4)
 	for _, part := range []struct {
 		name, addr string
 		joined     bool
-	}{{"without joining", bare, false}, {"with joining", addr, true}} {
-		e.Log("storm: %s", part.name)
+	}{{"without joining", plainAddr, false}, {"with joining", addr, true}} {
+		env.Log("storm: %s", part.name)
 		var perTile []float64
-		missed, served, refused := 0, 0, 0
-		alone, _, err := beside(part.addr, 2*time.Second, nil)
+		missedInTime, served, refused := 0, 0, 0
+		aloneLatencies, _, err := readAsOtherTenant(part.addr, 2*time.Second, nil)
 		if err != nil {
-			return r, err
+			return report, err
 		}
-		var during []time.Duration
-		turned := 0
+		var burstLatencies []time.Duration
+		othersRefused := 0
 		for range rounds {
-			before := fleet.Origin.Fetches()
-			var all []stormed
-			got, n, err := beside(part.addr, time.Second, func() (err error) {
-				all, err = storm(part.addr, tile)
+			fetchesBefore := fleet.Origin.Fetches()
+			var results []burstResult
+			latencies, refusedNow, err := readAsOtherTenant(part.addr, time.Second, func() (err error) {
+				results, err = runBurst(part.addr, tile)
 				return err
 			})
 			if err != nil {
-				return r, err
+				return report, err
 			}
-			during, turned = append(during, got...), turned+n
-			perTile = append(perTile, float64(fleet.Origin.Fetches()-before)/stormTiles)
-			tile += stormTiles
-			first := map[int]time.Duration{}
-			for _, s := range all {
-				if at, ok := first[s.tile]; s.served && (!ok || s.at < at) {
-					first[s.tile] = s.at
+			burstLatencies, othersRefused = append(burstLatencies, latencies...), othersRefused+refusedNow
+			perTile = append(perTile, float64(fleet.Origin.Fetches()-fetchesBefore)/burstTiles)
+			tile += burstTiles
+			firstAnswer := map[int]time.Duration{}
+			for _, result := range results {
+				if at, ok := firstAnswer[result.tile]; result.served && (!ok || result.answeredAfter < at) {
+					firstAnswer[result.tile] = result.answeredAfter
 				}
 			}
-			for _, s := range all {
-				switch at, came := first[s.tile]; {
-				case s.served:
+			for _, result := range results {
+				switch at, answered := firstAnswer[result.tile]; {
+				case result.served:
 					served++
-				case came && s.wait > at+stormGrace:
-					missed++
+				case answered && result.deadline > at+deliveryGrace:
+					missedInTime++
 					refused++
 				default:
 					refused++
 				}
 			}
 		}
-		r.Tell(part.name+": reads served", float64(served))
-		r.Tell(part.name+": reads refused", float64(refused))
-		r.Tell(part.name+": another tenant's p99 alone, ms", ms(quantile(alone, 0.99)))
-		r.Tell(part.name+": another tenant's p99 beside a storm, ms", ms(quantile(during, 0.99)))
+		report.AddValue(part.name+": reads served", float64(served))
+		report.AddValue(part.name+": reads refused", float64(refused))
+		report.AddValue(part.name+": another tenant's p99 alone, ms", milliseconds(quantile(aloneLatencies, 0.99)))
+		report.AddValue(part.name+": another tenant's p99 beside a storm, ms", milliseconds(quantile(burstLatencies, 0.99)))
 		if part.joined {
-			r.Equal(part.name+": another tenant's reads refused", float64(turned), 0)
-			r.AtMost(part.name+": fetches at the origin a tile", slices.Max(perTile), 1.2)
-			r.Equal(part.name+": reads that could have had their tile in time, and did not", float64(missed), 0)
+			report.Equal(part.name+": another tenant's reads refused", float64(othersRefused), 0)
+			report.AtMost(part.name+": fetches at the origin a tile", slices.Max(perTile), 1.2)
+			report.Equal(part.name+": reads that could have had their tile in time, and did not", float64(missedInTime), 0)
 		} else {
-			r.Tell(part.name+": another tenant's reads refused", float64(turned))
-			r.Tell(part.name+": fetches at the origin a tile", slices.Max(perTile))
-			r.Tell(part.name+": reads that could have had their tile in time, and did not", float64(missed))
+			report.AddValue(part.name+": another tenant's reads refused", float64(othersRefused))
+			report.AddValue(part.name+": fetches at the origin a tile", slices.Max(perTile))
+			report.AddValue(part.name+": reads that could have had their tile in time, and did not", float64(missedInTime))
 		}
 	}
-	e.Log("storm: the ordinary path")
-	var with, without Rate
-	const turns = 4
-	d := time.Duration(e.Seconds) * time.Second / (2 * turns)
-	for range turns {
+	env.Log("storm: reads that do not repeat")
+	var joinedReads, plainReads ClosedLoopResult
+	const comparisonRounds = 4
+	duration := time.Duration(env.Seconds) * time.Second / (2 * comparisonRounds)
+	for range comparisonRounds {
 		for _, part := range []struct {
-			rate *Rate
-			p    *Process
-			addr string
-		}{{&without, plain, bare}, {&with, p, addr}} {
-			got, err := loop(part.p, identityWorkers, d, quickReads(part.addr))
+			total   *ClosedLoopResult
+			process *Process
+			addr    string
+		}{{&plainReads, plainProcess, plainAddr}, {&joinedReads, process, addr}} {
+			result, err := runClosedLoop(part.process, workerCount, duration, newTileWorker(part.addr))
 			if err != nil {
-				return r, err
+				return report, err
 			}
-			part.rate.add(got)
+			part.total.add(result)
 		}
 	}
-	r.AtLeast("where nothing repeats: reads a CPU second, of those without joining", with.PerCPU()/without.PerCPU(), 0.95)
-	return r, p.Stop()
+	report.AtLeast("where nothing repeats: reads a CPU second, of those without joining", joinedReads.PerCPU()/plainReads.PerCPU(), 0.95)
+	return report, process.Stop()
 }
 
-func quantile(all []time.Duration, q float64) time.Duration {
-	if len(all) == 0 {
+func quantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(all)
-	return all[min(len(all)-1, int(q*float64(len(all))))]
+	slices.Sort(durations)
+	return durations[min(len(durations)-1, int(q*float64(len(durations))))]
 }
 
-// storm sends the reads of a storm at once, and tells what became of each.
-func storm(addr string, tile int) ([]stormed, error) {
-	const conns = stormReads / stormEach
-	all := make([]stormed, stormReads)
+// runBurst sends all reads of a burst at once and returns their outcomes.
+func runBurst(addr string, firstTile int) ([]burstResult, error) {
+	const conns = burstReads / readsPerConnection
+	results := make([]burstResult, burstReads)
 	errs := make(chan error, conns)
-	var ready, g sync.WaitGroup
+	var ready, group sync.WaitGroup
 	ready.Add(conns)
-	begin := make(chan struct{})
-	var started time.Time
-	for n := range conns {
-		mine := all[n*stormEach : (n+1)*stormEach]
-		g.Go(func() {
+	start := make(chan struct{})
+	var startedAt time.Time
+	for c := range conns {
+		own := results[c*readsPerConnection : (c+1)*readsPerConnection]
+		group.Go(func() {
 			conn, err := net.Dial("tcp", addr)
 			ready.Done()
 			if err != nil {
@@ -157,50 +158,51 @@
 				return
 			}
 			defer conn.Close()
-			rng := rand.New(rand.NewPCG(uint64(n), uint64(tile)))
-			var b []byte
-			for i := range mine {
-				mine[i].tile = tile + (n+i)%stormTiles
-				mine[i].wait = time.Duration(50+rng.IntN(2950)) * time.Millisecond
-				b = appendRead(b, mine[i].tile, fmt.Sprintf("c=tile-read,t=acme,d=%d", mine[i].wait.Milliseconds()))
+			rng := rand.New(rand.NewPCG(uint64(c), uint64(firstTile)))
+			var commands []byte
+			for i := range own {
+				own[i].tile = firstTile + (c+i)%burstTiles
+				own[i].deadline = time.Duration(50+rng.IntN(2950)) * time.Millisecond
+				commands = appendTileRead(commands, own[i].tile, fmt.Sprintf("c=tile-read,t=acme,d=%d", own[i].deadline.Milliseconds()))
 			}
-			<-begin
-			conn.SetDeadline(time.Now().Add(patience))
-			if _, err := conn.Write(b); err != nil {
+			<-start
+			conn.SetDeadline(time.Now().Add(waitTimeout))
+			if _, err := conn.Write(commands); err != nil {
 				errs <- err
 				return
 			}
 			in := bufio.NewReader(conn)
-			for i := range mine {
-				err := takeTile(in, appendStart(nil, mine[i].tile))
+			for i := range own {
+				err := readTile(in, appendTilePrefix(nil, own[i].tile))
 				if err != nil && err != errRefused {
-					errs <- fmt.Errorf("read %d: %w", i, err)
+					errs <- fmt.Errorf("read %d of a connection: %w", i, err)
 					return
 				}
-				mine[i].served, mine[i].at = err == nil, time.Since(started)
+				own[i].served, own[i].answeredAfter = err == nil, time.Since(startedAt)
 			}
 		})
 	}
 	ready.Wait()
-	started = time.Now()
-	close(begin)
-	g.Wait()
+	startedAt = time.Now()
+	close(start)
+	group.Wait()
 	select {
 	case err := <-errs:
 		return nil, err
 	default:
-		return all, nil
+		return results, nil
 	}
 }
 
-// beside has another tenant read tiles that boxes hold, at a pace, for a time or as long as do takes, and tells how long each took.
-func beside(addr string, d time.Duration, do func() error) (all []time.Duration, refused int, err error) {
+// readAsOtherTenant reads tiles that caches hold at a fixed pace, as another tenant, while do runs or, if it
+// is nil, for the given time. It returns the latencies and the number of refused reads.
+func readAsOtherTenant(addr string, duration time.Duration, do func() error) (latencies []time.Duration, refused int, err error) {
 	stop := make(chan struct{})
 	var mu sync.Mutex
 	errs := make(chan error, 9)
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	for w := range 8 {
-		g.Go(func() {
+		group.Go(func() {
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
 				errs <- err
@@ -208,28 +210,28 @@
 			}
 			defer conn.Close()
 			in := bufio.NewReader(conn)
-			var b []byte
+			var command []byte
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				key := (w*7919 + i) % scaleKeys
-				at := time.Now()
-				conn.SetDeadline(at.Add(patience))
-				b = appendRead(b[:0], key, "c=tile-read,t=rush,d=3000")
-				if _, err := conn.Write(b); err != nil {
+				key := (w*7919 + i) % tileKeys
+				sentAt := time.Now()
+				conn.SetDeadline(sentAt.Add(waitTimeout))
+				command = appendTileRead(command[:0], key, "c=tile-read,t=rush,d=3000")
+				if _, err := conn.Write(command); err != nil {
 					errs <- err
 					return
 				}
-				err := takeTile(in, appendStart(nil, key))
+				err := readTile(in, appendTilePrefix(nil, key))
 				if err != nil && err != errRefused {
 					errs <- fmt.Errorf("another tenant's read: %w", err)
 					return
 				}
 				mu.Lock()
-				if all = append(all, time.Since(at)); err != nil {
+				if latencies = append(latencies, time.Since(sentAt)); err != nil {
 					refused++
 				}
 				mu.Unlock()
@@ -237,15 +239,15 @@
 		})
 	}
 	if do == nil {
-		time.Sleep(d)
+		time.Sleep(duration)
 	} else if err := do(); err != nil {
 		errs <- err
 	}
 	close(stop)
-	g.Wait()
+	group.Wait()
 	select {
 	case err = <-errs:
 	default:
 	}
-	return all, refused, err
+	return latencies, refused, err
 }
--- a/internal/lab/successor.go
+++ b/internal/lab/successor.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	crossClients  = 32
-	crossUpgrades = 4
-	crossMost     = 2 // requests an upgrade that meet a connection that ends
+	upgradeClients      = 32
+	upgradeCount        = 4
+	maxClosedPerUpgrade = 2 // requests per upgrade that hit a closing connection
 
-	heirPairs   = 4
-	heirBoxes   = 8
-	heirKeys    = 3000
-	heirClients = 48
-	heirFirst   = 5 * time.Second
-	heirService = 6 * time.Millisecond
-	heirPlaces  = 4 // at a box
-	heirFetch   = 60 * time.Millisecond
-	heirFetches = 24 // at once at the origin
+	successorPairs            = 4
+	successorCaches           = 8
+	successorKeys             = 3000
+	successorClients          = 48
+	successorMeasureTime      = 5 * time.Second
+	successorCacheTime        = 6 * time.Millisecond
+	successorCacheConcurrency = 4 // of each cache
+	successorFetchTime        = 60 * time.Millisecond
+	successorFetchConcurrency = 24 // of the origin
 )
 
-// staged is a fleet with a process before it, which others follow or take the place of.
-func staged(e *Env, name string, boxes int) (*operation, func(), error) {
-	fleet, err := standin.NewFleet(boxes, 512)
+// startOperation starts a fleet and a process in front of it, which successor processes replace.
+func startOperation(env *Env, name string, caches int) (*operation, func(), error) {
+	fleet, err := standin.NewFleet(caches, 512)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -41,165 +41,167 @@
 		fleet.Close()
 		return nil, nil, err
 	}
-	dir := filepath.Join(e.Dir, name)
+	dir := filepath.Join(env.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		fleet.Close()
 		return nil, nil, err
 	}
-	scratch := *e
-	scratch.Dir = dir
-	o := &operation{e: &scratch, fleet: fleet, door: &Door{Addr: listen}, class: "tile-read"}
-	if err = o.configure(); err == nil {
-		err = o.start()
+	runEnv := *env
+	runEnv.Dir = dir
+	run := &operation{env: &runEnv, fleet: fleet, clients: &ClientLoad{Addr: listen}, class: "tile-read"}
+	if err = run.configure(); err == nil {
+		err = run.startProcess()
 	}
 	if err != nil {
 		fleet.Close()
 		return nil, nil, err
 	}
-	return o, func() { o.process.Kill(); fleet.Close() }, nil
+	return run, func() { run.process.Kill(); fleet.Close() }, nil
 }
 
-// crossings counts the requests that meet a connection that ends, at upgrades, for clients that come again at once or soon. They
-// look at their connection before they ask: one that does not look meets every end, whenever it comes.
-func crossings(e *Env, r *Report) error {
-	for name, gap := range map[string]time.Duration{"at once": -1, "after 1 ms": time.Millisecond, "after 10 ms": 10 * time.Millisecond} {
-		o, end, err := staged(e, "cross", 4)
+// measureUpgradeCloses counts the requests that hit a closing connection during upgrades, for clients with
+// different intervals between requests. The clients check their connection before they send; without the
+// check, every closed connection would be hit, whenever it was closed.
+func measureUpgradeCloses(env *Env, report *Report) error {
+	for name, interval := range map[string]time.Duration{"at once": -1, "after 1 ms": time.Millisecond, "after 10 ms": 10 * time.Millisecond} {
+		run, closeRun, err := startOperation(env, "cross", 4)
 		if err != nil {
 			return err
 		}
-		o.door.Gap, o.door.Looks = gap, true
-		o.door.Open(crossClients, 200, 0)
-		err = o.door.Progress(1000)
-		for n := 0; n < crossUpgrades && err == nil; n++ {
-			old := o.process
-			if err = o.start(); err != nil {
+		run.clients.Interval, run.clients.ChecksConnection = interval, true
+		run.clients.Start(upgradeClients, 200, 0)
+		err = run.clients.AwaitServed(1000)
+		for n := 0; n < upgradeCount && err == nil; n++ {
+			predecessor := run.process
+			if err = run.startProcess(); err != nil {
 				break
 			}
-			old.Stop()
-			err = o.door.Progress(1000)
+			predecessor.Stop()
+			err = run.clients.AwaitServed(1000)
 		}
-		o.door.Close()
-		d := o.door
-		end()
+		run.clients.Stop()
+		load := run.clients
+		closeRun()
 		if err != nil {
 			return err
 		}
-		met := float64(d.Crossed.Load()+d.Broken.Load()+d.Shut.Load()) / crossUpgrades
-		r.AtMost("requests an upgrade that meet an ended connection, clients that ask again "+name, met, crossMost)
+		closed := float64(load.ClosedUnread.Load()+load.ConnectionsBroken.Load()+load.ConnectionsRefused.Load()) / upgradeCount
+		report.AtMost("requests an upgrade that meet an ended connection, clients that ask again "+name, closed, maxClosedPerUpgrade)
 	}
 	return nil
 }
 
-// served is what became of reads in some time.
-type served struct{ inTime, other, fetches float64 }
+// readCounts counts reads over a period.
+type readCounts struct{ inTime, other, originFetches float64 }
 
-// successors compares the first seconds of processes that take another's place, with what that one has learnt and without.
-func successors(ctx context.Context, e *Env, r *Report) error {
-	var sum [2][2]served // by upgrade or restart, with and without
-	for pair := range heirPairs {
-		for way, name := range []string{"upgrade", "restart"} {
-			for k := range 2 {
-				with := (k + pair) % 2 // who begins takes turns
-				got, err := firstSeconds(e, name == "upgrade", with == 0, uint64(pair))
+// compareSuccessors compares the first seconds of successor processes with inherited state and without.
+func compareSuccessors(ctx context.Context, env *Env, report *Report) error {
+	var totals [2][2]readCounts // by upgrade or restart, then with and without inherited state
+	for pair := range successorPairs {
+		for kind, name := range []string{"upgrade", "restart"} {
+			for turn := range 2 {
+				variant := (turn + pair) % 2 // the variants alternate in which runs first
+				counts, err := measureFirstSeconds(env, name == "upgrade", variant == 0, uint64(pair))
 				if err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
-				s := &sum[way][with]
-				s.inTime, s.other, s.fetches = s.inTime+got.inTime, s.other+got.other, s.fetches+got.fetches
+				total := &totals[kind][variant]
+				total.inTime, total.other, total.originFetches = total.inTime+counts.inTime, total.other+counts.other, total.originFetches+counts.originFetches
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
 			}
 		}
 	}
-	for way, name := range []string{"an upgrade", "a restart"} {
-		with, without := sum[way][0], sum[way][1]
-		r.AtLeast("reads in time in the first 5 s after "+name+", with what was learnt to without", with.inTime/without.inTime, 0.99)
-		r.AtMost("origin fetches of a read in time there, with to without", with.fetches/with.inTime/(without.fetches/without.inTime), 1.1)
-		r.Tell("reads there not in time, with", with.other)
-		r.Tell("reads there not in time, without", without.other)
+	for kind, name := range []string{"an upgrade", "a restart"} {
+		with, without := totals[kind][0], totals[kind][1]
+		report.AtLeast("reads in time in the first 5 s after "+name+", with what was learnt to without", with.inTime/without.inTime, 0.99)
+		report.AtMost("origin fetches of a read in time there, with to without", with.originFetches/with.inTime/(without.originFetches/without.inTime), 1.1)
+		report.AddValue("reads there not in time, with", with.other)
+		report.AddValue("reads there not in time, without", without.other)
 	}
 	return nil
 }
 
-// firstSeconds plays one start of a process under load: reads that come by a fixed plan, of keys of uneven popularity.
-func firstSeconds(e *Env, upgrade, with bool, seed uint64) (got served, err error) {
-	o, end, err := staged(e, fmt.Sprintf("heir-%t-%t-%d", upgrade, with, seed), heirBoxes)
+// measureFirstSeconds runs one process start under load: reads at scheduled times, of keys with uneven
+// popularity.
+func measureFirstSeconds(env *Env, upgrade, inheritState bool, seed uint64) (counts readCounts, err error) {
+	run, closeRun, err := startOperation(env, fmt.Sprintf("heir-%t-%t-%d", upgrade, inheritState, seed), successorCaches)
 	if err != nil {
-		return got, err
+		return counts, err
 	}
-	defer end()
-	for _, b := range o.fleet.Boxes {
-		b.SetService(heirService, heirPlaces)
+	defer closeRun()
+	for _, b := range run.fleet.Boxes {
+		b.SetService(successorCacheTime, successorCacheConcurrency)
 	}
-	o.fleet.Origin.SetService(heirFetch, heirFetches)
+	run.fleet.Origin.SetService(successorFetchTime, successorFetchConcurrency)
 
-	var inTime, other atomic.Int64
-	quit := make(chan struct{})
+	var inTime, notInTime atomic.Int64
+	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	for c := range heirClients {
+	for c := range successorClients {
 		clients.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(c)))
-			zipf := rand.NewZipf(rng, 1.05, 4, heirKeys-1)
+			zipf := rand.NewZipf(rng, 1.05, 4, successorKeys-1)
 			var conn *redisClient
 			for n := 0; ; n++ {
 				select {
-				case <-quit:
+				case <-stop:
 					if conn != nil {
 						conn.conn.Close()
 					}
 					return
 				case <-time.After(time.Duration(10+rng.IntN(30)) * time.Millisecond):
 				}
-				if conn != nil && conn.ended() {
+				if conn != nil && conn.closedByPeer() {
 					conn.conn.Close()
 					conn = nil
 				}
 				if conn == nil {
 					var err error
-					if conn, err = dialRedis(o.door.Addr); err != nil {
+					if conn, err = dialRedis(run.clients.Addr); err != nil {
 						conn = nil
-						continue // nobody listens: not what is compared
+						continue // no process is listening, which is not compared
 					}
 				}
-				begun := time.Now()
-				answer, err := conn.ask("OBJ.GET", fmt.Sprintf("%x", 0x1000+zipf.Uint64()), fmt.Sprintf("%08x%08x", c, n), "c=tile-read,d=3000")
+				sentAt := time.Now()
+				answer, err := conn.do("OBJ.GET", fmt.Sprintf("%x", 0x1000+zipf.Uint64()), fmt.Sprintf("%08x%08x", c, n), "c=tile-read,d=3000")
 				if err != nil {
 					conn.conn.Close()
 					conn = nil
 				}
-				if err == nil && len(answer) > 0 && answer[0] != '-' && time.Since(begun) <= standin.ReadAim {
+				if err == nil && len(answer) > 0 && answer[0] != '-' && time.Since(sentAt) <= standin.ReadAim {
 					inTime.Add(1)
 				} else {
-					other.Add(1)
+					notInTime.Add(1)
 				}
 			}
 		})
 	}
-	defer func() { close(quit); clients.Wait() }()
+	defer func() { close(stop); clients.Wait() }()
 	if err := eventually("the fleet is warm", func() bool { return inTime.Load() > 8000 }); err != nil {
-		return got, err
+		return counts, err
 	}
-	old := o.process
-	if !with { // a folder in the file's place: nothing can be left there, and nothing be read
-		dirs, err := filepath.Glob(filepath.Join(filepath.Dir(o.path), "linenloom-*"))
-		if err != nil || len(dirs) != 1 {
-			return got, errors.Join(fmt.Errorf("%d folders to hand over by", len(dirs)), err)
+	predecessor := run.process
+	if !inheritState { // a folder in place of the file prevents writing and reading the state
+		handoverDirs, err := filepath.Glob(filepath.Join(filepath.Dir(run.configPath), "linenloom-*"))
+		if err != nil || len(handoverDirs) != 1 {
+			return counts, errors.Join(fmt.Errorf("found %d handover folders, want 1", len(handoverDirs)), err)
 		}
-		if err := os.Mkdir(filepath.Join(dirs[0], "learnt"), 0o700); err != nil {
-			return got, err
+		if err := os.Mkdir(filepath.Join(handoverDirs[0], "learnt"), 0o700); err != nil {
+			return counts, err
 		}
 	}
 	if !upgrade {
-		old.Stop()
+		predecessor.Stop()
 	}
-	if err := o.start(); err != nil {
-		return got, err
+	if err := run.startProcess(); err != nil {
+		return counts, err
 	}
-	before, asked, missed := o.fleet.Origin.Fetches(), inTime.Load(), other.Load()
+	fetchesBefore, inTimeBefore, notInTimeBefore := run.fleet.Origin.Fetches(), inTime.Load(), notInTime.Load()
 	if upgrade {
-		old.Stop()
+		predecessor.Stop()
 	}
-	time.Sleep(heirFirst)
-	return served{float64(inTime.Load() - asked), float64(other.Load() - missed), float64(o.fleet.Origin.Fetches() - before)}, nil
+	time.Sleep(successorMeasureTime)
+	return readCounts{float64(inTime.Load() - inTimeBefore), float64(notInTime.Load() - notInTimeBefore), float64(run.fleet.Origin.Fetches() - fetchesBefore)}, nil
 }
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -15,59 +15,59 @@
 )
 
 const (
-	zoneReads    = 720 // a second, over all proxies
-	zoneBoxes    = 5
-	zoneBoxRate  = 60 // reads a second that a box can do when it is warm
-	zoneAnswer   = 12 * time.Millisecond
-	zoneOutage   = 6 * time.Second
-	zoneLong     = 40 * time.Second // of the last seed
-	zoneWarm     = 8900 * time.Millisecond
-	zoneBack     = zoneWarm * 3 / 2
-	zoneSeeds    = 6
-	zoneAlone    = 2 // of them are played alone too
-	zoneLanes    = 3 // plays at once
-	zoneOrdinary = 30
+	zoneReadRate       = 720 // reads per second over all proxies
+	zoneCaches         = 5
+	warmCacheRate      = 60 // reads per second that a warm cache can serve
+	zoneServiceTime    = 12 * time.Millisecond
+	zoneOutage         = 6 * time.Second
+	zoneLongOutage     = 40 * time.Second // with the last seed
+	zoneWarmUpTime     = 8900 * time.Millisecond
+	zoneRecoveryTime   = zoneWarmUpTime * 3 / 2
+	zoneSeeds          = 6
+	zoneSeedsAlone     = 2 // seeds that also run with proxies that do not know each other
+	zoneParallelRuns   = 3
+	ordinaryTimeFactor = 30
 )
 
-var labZones = []string{"a", "b", "c"}
+var zoneNames = []string{"a", "b", "c"}
 
-// zonePlay is one zone that fails and comes back cold, before so many proxies.
-type zonePlay struct {
-	proxies  int
-	seed     uint64
-	crossing float64
-	slow     bool // forty times, in place of silent
-	together bool
+// zoneRun is one run of a zone that fails and comes back cold, in front of a number of proxies.
+type zoneRun struct {
+	proxies        int
+	seed           uint64
+	crossZoneShare float64
+	slowCaches     bool // caches get 40 times slower instead of silent
+	together       bool
 
-	left, apart time.Duration // when the last proxy left it, and how long after the first
-	spent       float64       // attempts at it in the first six seconds
-	inTime      float64       // of the reads of the first two seconds
-	fell        int           // boxes pushed over
-	refused     int           // reads, on the return
-	whole       time.Duration // until it had all of its work again
-	breaches    []string
+	lastLeftAfter, leaveSpread time.Duration // time until the last proxy left the zone, and from the first to the last
+	attempts                   float64       // sent to the zone in the first 6 seconds
+	inTime                     float64       // share of the reads of the first 2 seconds
+	overloadedCaches           int           // caches overloaded when the zone came back
+	refusedReads               int           // after the zone came back
+	recoveredAfter             time.Duration // time until the zone had its full share of traffic again
+	violations                 []string
 }
 
-func (z *zonePlay) String() string {
-	what, table := "silent", "one table"
-	if z.slow {
-		what = "slow"
+func (z *zoneRun) String() string {
+	fault, table := "silent", "one table"
+	if z.slowCaches {
+		fault = "slow"
 	}
-	if z.crossing > 0 {
+	if z.crossZoneShare > 0 {
 		table = "a table by zone"
 	}
-	return fmt.Sprintf("%d proxies, %s, %s", z.proxies, table, what)
+	return fmt.Sprintf("%d proxies, %s, %s", z.proxies, table, fault)
 }
 
-// zoneCluster starts proxies before three zones whose boxes have all keys.
-func (e *Env) zoneCluster(name string, proxies int, seed uint64, crossing float64, together bool) (*cluster.Cluster, *cluster.Clients, error) {
+// zoneCluster starts proxies in front of three zones whose caches hold all keys.
+func (e *Env) zoneCluster(name string, proxies int, seed uint64, crossZoneShare float64, together bool) (*cluster.Cluster, *cluster.Clients, error) {
 	dir := filepath.Join(e.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
-	rules["cold_ms"] = float64(zoneWarm.Milliseconds())
-	c, err := cluster.New(cluster.Options{Zones: labZones, Boxes: zoneBoxes, Proxies: proxies, Service: zoneAnswer, Seed: seed, Crossing: crossing,
+	rules["cold_ms"] = float64(zoneWarmUpTime.Milliseconds())
+	testCluster, err := cluster.New(cluster.Options{Zones: zoneNames, Boxes: zoneCaches, Proxies: proxies, Service: zoneServiceTime, Seed: seed, Crossing: crossZoneShare,
 		Origin: 60 * time.Millisecond, OriginPlaces: 24, Together: together, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
 		Set: map[string]any{"rules": rules}})
 	if err != nil {
@@ -75,300 +75,302 @@
 	}
 	const keys = 600
 	for k := range keys {
-		c.Fleet.Fill(fmt.Sprintf("k%d", k))
+		testCluster.Fleet.Fill(fmt.Sprintf("k%d", k))
 	}
-	if err := c.StartAll(); err != nil {
-		c.Close()
+	if err := testCluster.StartAll(); err != nil {
+		testCluster.Close()
 		return nil, nil, err
 	}
-	return c, c.Ask(cluster.Load{Reads: zoneReads / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadAim, Grace: 500 * time.Millisecond}), nil
+	return testCluster, testCluster.Ask(cluster.Load{Reads: zoneReadRate / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadAim, Grace: 500 * time.Millisecond}), nil
 }
 
-func (z *zonePlay) run(ctx context.Context, e *Env, name string) error {
-	c, clients, err := e.zoneCluster(name, z.proxies, z.seed, z.crossing, z.together)
+func (z *zoneRun) run(ctx context.Context, env *Env, name string) error {
+	testCluster, clients, err := env.zoneCluster(name, z.proxies, z.seed, z.crossZoneShare, z.together)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	wait(ctx, 4*time.Second)
-	lost := time.Now()
-	fail := func(on bool) {
-		for _, b := range c.Fleet.In("c") {
-			if z.slow {
-				d := zoneAnswer
+	defer testCluster.Close()
+	sleep(ctx, 4*time.Second)
+	failedAt := time.Now()
+	setFailed := func(on bool) {
+		for _, b := range testCluster.Fleet.In("c") {
+			if z.slowCaches {
+				serviceTime := zoneServiceTime
 				if on {
-					d *= 40
+					serviceTime *= 40
 				}
-				b.SetService(d, 0)
+				b.SetService(serviceTime, 0)
 				continue
 			}
-			for _, p := range c.Proxies {
-				c.Link(p.Name, b.ID).Both(cluster.Trouble{Cut: on})
+			for _, p := range testCluster.Proxies {
+				testCluster.Link(p.Name, b.ID).Both(cluster.Trouble{Cut: on})
 			}
 		}
 	}
-	fail(true)
+	setFailed(true)
 	outage := zoneOutage
 	if z.seed == zoneSeeds {
-		outage = zoneLong
+		outage = zoneLongOutage
 	}
-	wait(ctx, outage)
-	for _, b := range c.Fleet.In("c") { // other processes, with nothing
+	sleep(ctx, outage)
+	for _, b := range testCluster.Fleet.In("c") { // restarted caches, without values
 		b.Drop()
-		b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: zoneWarm, Rate: zoneBoxRate, Multiple: 4, After: 1500 * time.Millisecond})
-		for _, p := range c.Proxies {
-			c.Link(p.Name, b.ID).Reset()
+		b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: zoneWarmUpTime, Rate: warmCacheRate, Multiple: 4, After: 1500 * time.Millisecond})
+		for _, p := range testCluster.Proxies {
+			testCluster.Link(p.Name, b.ID).Reset()
 		}
 	}
-	fail(false)
-	back := time.Now()
-	for z.whole = math.MaxInt64; z.together && time.Since(back) < zoneBack && ctx.Err() == nil; wait(ctx, 100*time.Millisecond) {
-		if v, err := c.Proxies[0].View(); err == nil && v.Zones[2].LocalShare == 1 && z.whole == math.MaxInt64 {
-			z.whole = time.Since(back)
+	setFailed(false)
+	recoveredAt := time.Now()
+	for z.recoveredAfter = math.MaxInt64; z.together && time.Since(recoveredAt) < zoneRecoveryTime && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
+		if view, err := testCluster.Proxies[0].View(); err == nil && view.Zones[2].LocalShare == 1 && z.recoveredAfter == math.MaxInt64 {
+			z.recoveredAfter = time.Since(recoveredAt)
 		}
 	}
 	if !z.together {
-		wait(ctx, zoneBack)
+		sleep(ctx, zoneRecoveryTime)
 	}
 	clients.Stop()
-	z.measure(c, clients, lost, back)
+	z.measure(testCluster, clients, failedAt, recoveredAt)
 	return ctx.Err()
 }
 
-// measure reads off what has been seen at both ends of the links.
-func (z *zonePlay) measure(c *cluster.Cluster, clients *cluster.Clients, lost, back time.Time) {
-	const look = 300 * time.Millisecond // the most that goes there on trial is one read in this time
+// measure computes the results from the requests seen at both ends of the links.
+func (z *zoneRun) measure(testCluster *cluster.Cluster, clients *cluster.Clients, failedAt, recoveredAt time.Time) {
+	const trialInterval = 300 * time.Millisecond // at most one read in this time goes to a left zone on trial
 	var first, last time.Duration = math.MaxInt64, 0
-	for _, p := range c.Proxies {
-		if c.Sent(p.Name, "c", lost.Add(-2*time.Second), lost) < 10 {
-			continue // it asks its own zone
+	for _, p := range testCluster.Proxies {
+		if testCluster.Sent(p.Name, "c", failedAt.Add(-2*time.Second), failedAt) < 10 {
+			continue // a proxy that uses its own zone, not this one
 		}
-		at := lost
-		for at.Before(back) && c.Sent(p.Name, "c", at, at.Add(look)) > 2 {
-			at = at.Add(100 * time.Millisecond)
+		leftAt := failedAt
+		for leftAt.Before(recoveredAt) && testCluster.Sent(p.Name, "c", leftAt, leftAt.Add(trialInterval)) > 2 {
+			leftAt = leftAt.Add(100 * time.Millisecond)
 		}
-		first, last = min(first, at.Sub(lost)), max(last, at.Sub(lost))
-		z.spent += float64(c.Sent(p.Name, "c", lost, lost.Add(zoneOutage)))
+		first, last = min(first, leftAt.Sub(failedAt)), max(last, leftAt.Sub(failedAt))
+		z.attempts += float64(testCluster.Sent(p.Name, "c", failedAt, failedAt.Add(zoneOutage)))
 	}
-	z.left, z.apart = last, last-first
-	z.inTime, _ = clients.InTime(lost, lost.Add(2*time.Second))
-	for _, a := range clients.Asks(back, time.Now()) {
-		if a.End == cluster.Refused && !a.Order {
-			z.refused++
+	z.lastLeftAfter, z.leaveSpread = last, last-first
+	z.inTime, _ = clients.InTime(failedAt, failedAt.Add(2*time.Second))
+	for _, request := range clients.Asks(recoveredAt, time.Now()) {
+		if request.End == cluster.Refused && !request.Order {
+			z.refusedReads++
 		}
 	}
-	for _, b := range c.Fleet.Boxes {
+	for _, b := range testCluster.Fleet.Boxes {
 		if b.Fell() {
-			z.fell++
+			z.overloadedCaches++
 		}
 	}
-	z.breaches = clients.Breaches()
+	z.violations = clients.Breaches()
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
 
-// Zones is the scenario of a zone that fails, before 6 and 24 proxies.
-func Zones(ctx context.Context, e *Env) (*Report, error) {
-	r := &Report{Scenario: "zones"}
-	var plays []*zonePlay
+// Zones runs the scenario of a zone that fails, in front of 6 and 24 proxies.
+func Zones(ctx context.Context, env *Env) (*Report, error) {
+	report := &Report{Scenario: "zones"}
+	var runs []*zoneRun
 	for _, n := range []int{6, 24} {
-		for _, crossing := range []float64{0, 0.06} {
+		for _, crossZoneShare := range []float64{0, 0.06} {
 			for _, slow := range []bool{false, true} {
 				for seed := range uint64(zoneSeeds) {
 					for _, together := range []bool{true, false} {
-						if !together && seed >= zoneAlone {
+						if !together && seed >= zoneSeedsAlone {
 							continue
 						}
-						plays = append(plays, &zonePlay{proxies: n, seed: seed + 1, crossing: crossing, slow: slow, together: together})
+						runs = append(runs, &zoneRun{proxies: n, seed: seed + 1, crossZoneShare: crossZoneShare, slowCaches: slow, together: together})
 					}
 				}
 			}
 		}
 	}
-	if e.Seconds < zoneSeeds { // a look
-		plays = slices.DeleteFunc(plays, func(z *zonePlay) bool { return z.seed > 1 || z.proxies > 6 })
+	if env.Seconds < zoneSeeds { // a short run
+		runs = slices.DeleteFunc(runs, func(z *zoneRun) bool { return z.seed > 1 || z.proxies > 6 })
 	}
-	if err := e.inLanes(ctx, len(plays), func(i int) error {
-		z := plays[i]
-		if err := z.run(ctx, e, fmt.Sprint("zones", i)); err != nil {
-			return fmt.Errorf("%v: %w", z, err)
+	if err := env.runParallel(ctx, len(runs), func(i int) error {
+		run := runs[i]
+		if err := run.run(ctx, env, fmt.Sprint("zones", i)); err != nil {
+			return fmt.Errorf("%v: %w", run, err)
 		}
-		e.Log("%v, seed %d, together %v: left %v apart %v, spent %.0f, in time %.3f, refused %d, whole %v, fell %d %v", z, z.seed, z.together,
-			z.left, z.apart, z.spent, z.inTime, z.refused, z.whole.Round(100*time.Millisecond), z.fell, z.breaches)
+		env.Log("%v, seed %d, together %v: left after %v, spread %v, attempts %.0f, in time %.3f, refused %d, recovered after %v, overloaded caches %d, violations %v", run, run.seed, run.together,
+			run.lastLeftAfter, run.leaveSpread, run.attempts, run.inTime, run.refusedReads, run.recoveredAfter.Round(100*time.Millisecond), run.overloadedCaches, run.violations)
 		return nil
 	}); err != nil {
-		return r, err
+		return report, err
 	}
-	claimZones(r, plays)
+	addZoneClaims(report, runs)
 	for _, n := range []int{6, 24, 50} {
-		if err := e.zoneCost(ctx, r, n); err != nil {
-			return r, err
+		if err := env.measureInstanceCost(ctx, report, n); err != nil {
+			return report, err
 		}
 	}
-	return r, e.ordinaryFaults(ctx, r)
+	return report, env.runOrdinaryFaults(ctx, report)
 }
 
-func (e *Env) inLanes(ctx context.Context, n int, do func(i int) error) error {
-	var g sync.WaitGroup
+func (e *Env) runParallel(ctx context.Context, n int, task func(i int) error) error {
+	var group sync.WaitGroup
 	errs := make(chan error, n)
-	room := make(chan struct{}, zoneLanes)
+	slots := make(chan struct{}, zoneParallelRuns)
 	for i := range n {
-		room <- struct{}{}
+		slots <- struct{}{}
 		if ctx.Err() != nil || len(errs) > 0 {
 			break
 		}
-		g.Go(func() {
-			defer func() { <-room }()
-			if err := do(i); err != nil {
+		group.Go(func() {
+			defer func() { <-slots }()
+			if err := task(i); err != nil {
 				errs <- err
 			}
 		})
 	}
-	g.Wait()
+	group.Wait()
 	close(errs)
 	return <-errs
 }
 
-func claimZones(r *Report, plays []*zonePlay) {
-	by := map[string][2][]*zonePlay{}
+func addZoneClaims(report *Report, runs []*zoneRun) {
+	runsByName := map[string][2][]*zoneRun{}
 	var names []string
-	for _, z := range plays {
+	for _, z := range runs {
 		name := z.String()
 		if !slices.Contains(names, name) {
 			names = append(names, name)
 		}
-		group := by[name]
-		at := 0
+		group := runsByName[name]
+		index := 0
 		if z.together {
-			at = 1
+			index = 1
 		}
-		group[at] = append(group[at], z)
-		by[name] = group
+		group[index] = append(group[index], z)
+		runsByName[name] = group
 	}
-	worst := func(all []*zonePlay, of func(*zonePlay) float64) (w float64) {
-		for i, z := range all {
-			if x := of(z); i == 0 || x > w {
-				w = x
+	worst := func(group []*zoneRun, value func(*zoneRun) float64) (maximum float64) {
+		for i, z := range group {
+			if v := value(z); i == 0 || v > maximum {
+				maximum = v
 			}
 		}
-		return w
+		return maximum
 	}
-	mean := func(all []*zonePlay, of func(*zonePlay) float64) (sum float64) {
-		for _, z := range all {
-			sum += of(z) / float64(len(all))
+	mean := func(group []*zoneRun, value func(*zoneRun) float64) (sum float64) {
+		for _, z := range group {
+			sum += value(z) / float64(len(group))
 		}
 		return sum
 	}
 	for _, name := range names {
-		alone, all := by[name][0], by[name][1]
-		left := func(z *zonePlay) float64 { return z.left.Seconds() }
-		r.AtMost(name+": left by all after, s, at the worst", worst(all, left), 1)
-		r.AtMost(name+": the last after the first, s, at the worst", worst(all, func(z *zonePlay) float64 { return z.apart.Seconds() }), 0.3)
-		spent := func(z *zonePlay) float64 { return z.spent }
-		r.AtMost(name+": attempts spent on it in 6 s, of those alone", mean(all, spent)/max(1, mean(alone, spent)), 1.0/3)
-		r.AtLeast(name+": in time in the first 2 s, at the worst", -worst(all, func(z *zonePlay) float64 { return -z.inTime }), 0.97)
-		r.Equal(name+": boxes pushed over on the return", worst(all, func(z *zonePlay) float64 { return float64(z.fell) }), 0)
-		r.Equal(name+": boxes pushed over on the return, alone", worst(alone, func(z *zonePlay) float64 { return float64(z.fell) }), 0)
-		r.Equal(name+": reads refused on the return, at the worst", worst(all, func(z *zonePlay) float64 { return float64(z.refused) }), 0)
-		r.AtMost(name+": whole again after, s, at the worst", worst(all, func(z *zonePlay) float64 { return z.whole.Seconds() }), zoneBack.Seconds())
-		r.Equal(name+": rules broken", worst(append(slices.Clone(all), alone...), func(z *zonePlay) float64 { return float64(len(z.breaches)) }), 0)
-		r.Tell(name+": attempts spent on it in 6 s, mean", mean(all, spent))
-		r.Tell(name+": alone, left after, s, at the worst", worst(alone, left))
-		r.Tell(name+": alone, in time in the first 2 s, mean", mean(alone, func(z *zonePlay) float64 { return z.inTime }))
+		alone, together := runsByName[name][0], runsByName[name][1]
+		lastLeftAfter := func(z *zoneRun) float64 { return z.lastLeftAfter.Seconds() }
+		report.AtMost(name+": left by all after, s, at the worst", worst(together, lastLeftAfter), 1)
+		report.AtMost(name+": the last after the first, s, at the worst", worst(together, func(z *zoneRun) float64 { return z.leaveSpread.Seconds() }), 0.3)
+		attempts := func(z *zoneRun) float64 { return z.attempts }
+		report.AtMost(name+": attempts spent on it in 6 s, of those alone", mean(together, attempts)/max(1, mean(alone, attempts)), 1.0/3)
+		report.AtLeast(name+": in time in the first 2 s, at the worst", -worst(together, func(z *zoneRun) float64 { return -z.inTime }), 0.97)
+		report.Equal(name+": boxes pushed over on the return", worst(together, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
+		report.Equal(name+": boxes pushed over on the return, alone", worst(alone, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
+		report.Equal(name+": reads refused on the return, at the worst", worst(together, func(z *zoneRun) float64 { return float64(z.refusedReads) }), 0)
+		report.AtMost(name+": whole again after, s, at the worst", worst(together, func(z *zoneRun) float64 { return z.recoveredAfter.Seconds() }), zoneRecoveryTime.Seconds())
+		report.Equal(name+": rules broken", worst(append(slices.Clone(together), alone...), func(z *zoneRun) float64 { return float64(len(z.violations)) }), 0)
+		report.AddValue(name+": attempts spent on it in 6 s, mean", mean(together, attempts))
+		report.AddValue(name+": alone, left after, s, at the worst", worst(alone, lastLeftAfter))
+		report.AddValue(name+": alone, in time in the first 2 s, mean", mean(alone, func(z *zoneRun) float64 { return z.inTime }))
 	}
 }
 
-// zoneCost is what knowing one another costs each of n instances that nobody asks, and what their reads feel of it.
-func (e *Env) zoneCost(ctx context.Context, r *Report, n int) error {
-	const calm = 8 * time.Second
+// measureInstanceCost measures what membership costs each of n instances, and its effect on the latency of
+// their reads.
+func (e *Env) measureInstanceCost(ctx context.Context, report *Report, n int) error {
+	const measureTime = 8 * time.Second
 	var p99, cpu [2]float64
-	for at, together := range []bool{false, true} {
-		c, clients, err := e.zoneCluster(fmt.Sprint("cost", n, at), n, 1, 0, together)
+	for variant, together := range []bool{false, true} {
+		testCluster, clients, err := e.zoneCluster(fmt.Sprint("cost", n, variant), n, 1, 0, together)
 		if err != nil {
 			return err
 		}
-		wait(ctx, 3*time.Second)
-		used := func() (sum time.Duration) {
-			for _, p := range c.Proxies {
+		sleep(ctx, 3*time.Second)
+		totalCPU := func() (sum time.Duration) {
+			for _, p := range testCluster.Proxies {
 				d, _ := (&Process{p.Process}).CPU()
 				sum += d
 			}
 			return sum
 		}
-		began, before, bytes := time.Now(), used(), c.Gossiped()
-		wait(ctx, calm)
-		cpu[at] = float64(used()-before) / float64(time.Millisecond) / float64(n) / calm.Seconds()
+		startedAt, cpuBefore, bytesBefore := time.Now(), totalCPU(), testCluster.Gossiped()
+		sleep(ctx, measureTime)
+		cpu[variant] = float64(totalCPU()-cpuBefore) / float64(time.Millisecond) / float64(n) / measureTime.Seconds()
 		if together {
-			r.Tell(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(c.Gossiped()-bytes)/float64(n)/calm.Seconds())
+			report.AddValue(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(testCluster.Gossiped()-bytesBefore)/float64(n)/measureTime.Seconds())
 		}
 		clients.Stop()
-		var took []time.Duration
-		for _, a := range clients.Asks(began, time.Now()) {
-			took = append(took, a.Took)
+		var latencies []time.Duration
+		for _, request := range clients.Asks(startedAt, time.Now()) {
+			latencies = append(latencies, request.Took)
 		}
-		slices.Sort(took)
-		p99[at] = took[len(took)*99/100].Seconds() * 1000
-		c.Close()
+		slices.Sort(latencies)
+		p99[variant] = latencies[len(latencies)*99/100].Seconds() * 1000
+		testCluster.Close()
 	}
-	r.Tell(fmt.Sprintf("%d instances: CPU a second of each, ms, apart", n), cpu[0])
-	r.Tell(fmt.Sprintf("%d instances: CPU a second of each, ms, together", n), cpu[1])
-	r.Tell(fmt.Sprintf("%d instances: p99 of reads, ms, apart", n), p99[0])
-	r.Tell(fmt.Sprintf("%d instances: p99 of reads, ms, together", n), p99[1])
+	report.AddValue(fmt.Sprintf("%d instances: CPU a second of each, ms, apart", n), cpu[0])
+	report.AddValue(fmt.Sprintf("%d instances: CPU a second of each, ms, together", n), cpu[1])
+	report.AddValue(fmt.Sprintf("%d instances: p99 of reads, ms, apart", n), p99[0])
+	report.AddValue(fmt.Sprintf("%d instances: p99 of reads, ms, together", n), p99[1])
 	return ctx.Err()
 }
 
-// ordinaryFaults plays what happens every day, for which nobody may leave a zone: boxes that fail one by one, a release, all slower.
-func (e *Env) ordinaryFaults(ctx context.Context, r *Report) error {
-	c, clients, err := e.zoneCluster("ordinary", 6, 1, 0, true)
+// runOrdinaryFaults injects faults of daily operation, for which no proxy may leave a zone: caches that fail
+// one by one, a release, and slower caches everywhere.
+func (e *Env) runOrdinaryFaults(ctx context.Context, report *Report) error {
+	testCluster, clients, err := e.zoneCluster("ordinary", 6, 1, 0, true)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	began, next := time.Now(), 0
+	defer testCluster.Close()
+	startedAt, faults := time.Now(), 0
 	var undo func()
-	for time.Since(began) < time.Duration(e.Seconds)*zoneOrdinary*time.Second && ctx.Err() == nil {
+	for time.Since(startedAt) < time.Duration(e.Seconds)*ordinaryTimeFactor*time.Second && ctx.Err() == nil {
 		if undo != nil {
 			undo()
-			wait(ctx, 2*time.Second)
+			sleep(ctx, 2*time.Second)
 		}
-		box := c.Fleet.Boxes[next*7%len(c.Fleet.Boxes)]
-		switch next % 6 {
+		cache := testCluster.Fleet.Boxes[faults*7%len(testCluster.Fleet.Boxes)]
+		switch faults % 6 {
 		case 0, 1, 2, 3:
-			box.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[next%4])
-			undo = func() { box.SetFault(standin.Healthy) }
-		case 4: // all slower by as much as the fleet's owners have seen
-			for _, b := range c.Fleet.Boxes {
-				b.SetService(3*zoneAnswer, 0)
+			cache.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[faults%4])
+			undo = func() { cache.SetFault(standin.Healthy) }
+		case 4: // all caches slower, by as much as the fleet's owners have seen
+			for _, b := range testCluster.Fleet.Boxes {
+				b.SetService(3*zoneServiceTime, 0)
 			}
 			undo = func() {
-				for _, b := range c.Fleet.Boxes {
-					b.SetService(zoneAnswer, 0)
+				for _, b := range testCluster.Fleet.Boxes {
+					b.SetService(zoneServiceTime, 0)
 				}
 			}
-		case 5: // a zone's boxes start anew, one by one, with nothing
-			for _, b := range c.Fleet.In(labZones[next%3]) {
+		case 5: // a zone's caches restart one by one, without values
+			for _, b := range testCluster.Fleet.In(zoneNames[faults%3]) {
 				b.Drop()
-				for _, p := range c.Proxies {
-					c.Link(p.Name, b.ID).Reset()
+				for _, p := range testCluster.Proxies {
+					testCluster.Link(p.Name, b.ID).Reset()
 				}
-				wait(ctx, 500*time.Millisecond)
+				sleep(ctx, 500*time.Millisecond)
 			}
 			undo = nil
 		}
-		next++
-		wait(ctx, 4*time.Second)
+		faults++
+		sleep(ctx, 4*time.Second)
 	}
 	clients.Stop()
-	left := 0
-	for _, p := range c.Proxies {
-		left += len(p.Lines("state=leaving"))
+	zonesLeft := 0
+	for _, p := range testCluster.Proxies {
+		zonesLeft += len(p.Lines("state=leaving"))
 	}
-	r.Equal(fmt.Sprintf("zones left in %v of %d ordinary faults", time.Since(began).Round(time.Second), next), float64(left), 0)
-	r.Equal("rules broken among ordinary faults", float64(len(clients.Breaches())), 0)
+	report.Equal(fmt.Sprintf("zones left in %v of %d ordinary faults", time.Since(startedAt).Round(time.Second), faults), float64(zonesLeft), 0)
+	report.Equal("rules broken among ordinary faults", float64(len(clients.Breaches())), 0)
 	return ctx.Err()
 }
