--- a/cmd/linenloom/launch_test.go
+++ b/cmd/linenloom/launch_test.go
@@ -41,5 +41,5 @@
 	for name, value := range limits {
 		settings["limits"].(map[string]any)[name] = value
 	}
-	fleet.Set = map[string]any{"classes": settings["classes"], "limits": settings["limits"]}
+	fleet.Overrides = map[string]any{"classes": settings["classes"], "limits": settings["limits"]}
 }
--- a/cmd/linenloom/leave_test.go
+++ b/cmd/linenloom/leave_test.go
@@ -32,13 +32,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	door, err := standin.NewDoor()
+	door, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { door.Close() })
-	fleet.Boxes[0].SetFault(standin.Stall)
-	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
+	fleet.Caches[0].SetFault(standin.Stall)
+	fleet.Registry.Update(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
 	patient(fleet, map[string]any{"cancel": false, "connect_timeout_ms": 20e3})
 	listen, tmp := freeAddr(t), t.TempDir()
@@ -62,7 +62,7 @@
 	old := start()
 	left := ask(order("left"))
 	hangs := ask("*4\r\n$7\r\nOBJ.GET\r\n$2\r\na2\r\n$3\r\nid2\r\n$19\r\nc=tile-read,d=60000\r\n")
-	for end := time.Now().Add(patience); fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); fleet.Caches[0].Received() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the read never came to the box")
 		}
@@ -74,7 +74,7 @@
 	var mu sync.Mutex
 	var asked []string
 	door.Serve(func(conn net.Conn) {
-		standin.AnswerAsOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
+		standin.ServeOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
 			mu.Lock()
 			defer mu.Unlock()
 			asked = append(asked, id)
--- a/cmd/linenloom/stop_test.go
+++ b/cmd/linenloom/stop_test.go
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(fleet.Close)
-			fleet.Boxes[0].SetFault(standin.Stall)
+			fleet.Caches[0].SetFault(standin.Stall)
 			fleet.Origin.SetFault(standin.Stall)
 			patient(fleet, nil)
 			listen := freeAddr(t)
@@ -53,7 +53,7 @@
 			io.WriteString(conn, "*5\r\n$7\r\nOBJ.SET\r\n$2\r\na1\r\n$3\r\nid1\r\n$20\r\nc=pass-order,d=60000\r\n$5\r\norder\r\n"+
 				"*4\r\n$7\r\nOBJ.GET\r\n$2\r\na2\r\n$3\r\nid2\r\n$19\r\nc=tile-read,d=60000\r\n")
 			io.WriteString(half, "*4\r\n$7\r\nOBJ.GET\r\n$2\r\na3")
-			for end := time.Now().Add(patience); fleet.Origin.Began() == 0 || fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(patience); fleet.Origin.Received() == 0 || fleet.Caches[0].Received() == 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the requests never came to the members")
 				}
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -75,7 +75,7 @@
 	}
 	for i := range 2 {
 		progress()
-		out := fleet.Boxes[0].Began()
+		out := fleet.Caches[0].Received()
 		process.Process.Signal(syscall.SIGHUP) // a reload falls into the upgrade
 		next := start(calls[i+1])
 		for range 200 { // callers who say nothing must not keep the operators out, at either process
@@ -98,7 +98,7 @@
 			t.Errorf("the process that was followed ended with %v", err)
 		}
 		progress()
-		if got := fleet.Boxes[0].Began() - out; got > 0 {
+		if got := fleet.Caches[0].Received() - out; got > 0 {
 			t.Errorf("upgrade %d: %d requests for a box that is out", i+1, got)
 		}
 		process = next
@@ -106,8 +106,8 @@
 	if got := call("PUT", calls[2], "/maintenance/exit", "s-1"); got != 200 {
 		t.Fatalf("exit: %d", got)
 	}
-	back := fleet.Boxes[0].Began()
-	for end := time.Now().Add(patience); fleet.Boxes[0].Began() == back; time.Sleep(time.Millisecond) {
+	back := fleet.Caches[0].Received()
+	for end := time.Now().Add(patience); fleet.Caches[0].Received() == back; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box is back and unused")
 		}
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -36,7 +36,7 @@
 
 func (a *authority) write(name string, text []byte) {
 	a.t.Helper()
-	if err := a.Put(name, text); err != nil {
+	if err := a.WriteFile(name, text); err != nil {
 		a.t.Fatal(err)
 	}
 }
@@ -52,7 +52,7 @@
 	a.t.Helper()
 	near, far := net.Pipe()
 	defer near.Close()
-	cfg, err := a.Config(a.Roots[root], name)
+	cfg, err := a.ClientConfig(a.Roots[root], name)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		g.Look()
 	}
 	// The listener's own changes.
-	own, err := a.Renew()
+	own, err := a.RenewCertificate()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/clients.go
+++ b/internal/cluster/clients.go
@@ -270,8 +270,8 @@
 	if cl.c.Copies != nil {
 		all = append(all, cl.c.Copies.Violations()...)
 	}
-	for _, b := range cl.c.Fleet.Boxes {
-		if b.Fell() {
+	for _, b := range cl.c.Fleet.Caches {
+		if b.Overloaded() {
 			all = append(all, "pushed over: "+b.ID)
 		}
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -45,10 +45,10 @@
 	Regions  map[string][]string
 	// Deadlines checks what members are told of deadlines; nil: nobody does. A client's time counts from when its link has passed its request on, and
 	// what a member is told by when it has been written to the member's link, so that the links and the stand-ins take no time of either.
-	Deadlines *standin.Deadlines
+	Deadlines *standin.DeadlineChecker
 	// Copies checks that members have one attempt of a request at a time; nil: nobody does. A link that is cut, and healed while another attempt is
 	// out, makes it find fault: it holds what was sent for longer than a proxy can wait.
-	Copies *standin.Copies
+	Copies *standin.DuplicateChecker
 }
 
 // Cluster is all of it.
@@ -104,13 +104,13 @@
 	if c.Fleet, err = standin.NewZonedFleet(o.Zones, o.Boxes, 200); err != nil {
 		return nil, err
 	}
-	for _, b := range c.Fleet.Boxes {
+	for _, b := range c.Fleet.Caches {
 		b.SetService(o.Service, o.Places)
 	}
 	c.Fleet.Origin.SetService(o.Origin, o.OriginPlaces)
-	c.Fleet.Set = o.Set
+	c.Fleet.Overrides = o.Set
 	if o.Deadlines != nil {
-		o.Deadlines.Prefix = c.idPrefix()
+		o.Deadlines.IDPrefix = c.idPrefix()
 	}
 	if err := os.WriteFile(filepath.Join(o.Dir, "key"), []byte(keyText+"\n"), 0o600); err != nil {
 		return nil, err
@@ -193,12 +193,12 @@
 			return err
 		}
 		addrs[m.ID] = at
-		c.Link(name, m.ID).watched(func(from net.Conn) *standin.Watch {
-			watch := c.Copies.Watch(m.ID, m.ID == c.Fleet.Origin.ID, from)
+		c.Link(name, m.ID).watched(func(from net.Conn) *standin.Observer {
+			watch := c.Copies.Observe(m.ID, m.ID == c.Fleet.Origin.ID, from)
 			if c.Deadlines == nil {
 				return watch
 			}
-			return watch.Tell(func(id, attrs string) { c.Deadlines.Told(m.ID, id, attrs) })
+			return watch.NotifyRequests(func(id, attrs string) { c.Deadlines.AttemptReceived(m.ID, id, attrs) })
 		})
 	}
 	see := func(m discovery.Member) discovery.Member {
@@ -207,7 +207,7 @@
 		}
 		return m
 	}
-	view, err := c.Fleet.Registry.View(see)
+	view, err := c.Fleet.Registry.ListenView(see)
 	if err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 		return err
 	}
 	if c.Deadlines != nil {
-		c.Link("clients", name).passing(c.Deadlines.Sent)
+		c.Link("clients", name).passing(c.Deadlines.RequestSent)
 	}
 	p.host = own
 	p.Mgmt = p.calls(mgmtPort)
@@ -406,7 +406,7 @@
 }
 
 func (c *Cluster) BoxesIn(zones ...string) (names []string) {
-	for _, b := range c.Fleet.Boxes {
+	for _, b := range c.Fleet.Caches {
 		if slices.Contains(zones, b.Zone) {
 			names = append(names, b.ID)
 		}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -74,8 +74,8 @@
 	}
 	o.Boxes, o.Service, o.Origin, o.OriginPlaces, o.Seed = 4, 12*time.Millisecond, 20*time.Millisecond, 24, 7
 	if o.Copies == nil { // scenes cut links, which hold what was sent until they are healed
-		o.Copies = standin.NewCopies()
-		o.Copies.HeldMost = heldMost
+		o.Copies = standin.NewDuplicateChecker()
+		o.Copies.MaxInTransit = heldMost
 	}
 	if o.Set == nil {
 		o.Set = map[string]any{}
@@ -83,7 +83,7 @@
 	rules := standin.Settings()["rules"].(map[string]any)
 	rules["cold_ms"] = float64(warmFor.Milliseconds())
 	o.Set["rules"] = rules
-	load.Reads, load.Orders, load.Keys, load.Deadline, load.Aim, load.Grace = 40, 2, 300, 3*time.Second, standin.ReadAim, 30*time.Second
+	load.Reads, load.Orders, load.Keys, load.Deadline, load.Aim, load.Grace = 40, 2, 300, 3*time.Second, standin.ReadSoftDeadline, 30*time.Second
 	c, err := New(o)
 	if err != nil {
 		t.Fatal(err)
@@ -114,9 +114,9 @@
 
 func (s *scene) cold(zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.In(z) {
-			b.Drop()
-			b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: warmFor, Rate: 60, Multiple: 4, After: 1500 * time.Millisecond})
+		for _, b := range s.Fleet.CachesIn(z) {
+			b.Clear()
+			b.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: warmFor, WarmRate: 60, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
 			for _, p := range s.Proxies {
 				s.Link(p.Name, b.ID).Reset()
 			}
@@ -192,7 +192,7 @@
 // stays has a zone in a state for a time, at all that live.
 func (s *scene) stays(zone, state string, d time.Duration) {
 	s.t.Helper()
-	late := standin.MeasureLateness()
+	late := standin.MeasureSchedulingDelay()
 	defer late.Stop()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, p := range s.Proxies {
@@ -210,7 +210,7 @@
 // faults sets what the boxes of a zone do wrong.
 func (s *scene) faults(f standin.Fault, zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.In(z) {
+		for _, b := range s.Fleet.CachesIn(z) {
 			b.SetFault(f)
 		}
 	}
@@ -218,7 +218,7 @@
 
 func (s *scene) slow(d time.Duration, zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.In(z) {
+		for _, b := range s.Fleet.CachesIn(z) {
 			b.SetService(d, 0)
 		}
 	}
@@ -257,10 +257,10 @@
 		s.state("c", "in")
 	}},
 	"half of the answers fail, back half cold": {play: func(s *scene) {
-		s.faults(standin.Halting, "c")
+		s.faults(standin.Intermittent, "c")
 		s.state("c", "trying")
-		for _, b := range s.Fleet.In("c")[:2] {
-			b.Drop()
+		for _, b := range s.Fleet.CachesIn("c")[:2] {
+			b.Clear()
 		}
 		s.faults(standin.Healthy, "c")
 		s.state("c", "in")
@@ -383,11 +383,11 @@
 		s.noneLeft(3 * time.Second)
 		s.slow(s.Service, abc...)
 		s.Fleet.Origin.SetService(600*time.Millisecond, 8)
-		for _, b := range s.Fleet.Boxes {
-			b.Drop()
+		for _, b := range s.Fleet.Caches {
+			b.Clear()
 		}
 		s.noneLeft(3 * time.Second)
-		bad := s.Fleet.In("c")[0]
+		bad := s.Fleet.CachesIn("c")[0]
 		bad.SetFault(standin.Stall)
 		s.noneLeft(3 * time.Second)
 	}},
@@ -408,7 +408,7 @@
 	"out by hand": {play: func(s *scene) {
 		told, err := s.Proxies[4].CallZone("out", "c")
 		from := time.Now().Add(250 * time.Millisecond)
-		late := standin.MeasureLateness()
+		late := standin.MeasureSchedulingDelay()
 		if err != nil || len(told.Notified) != len(s.Proxies) {
 			s.t.Fatalf("told %+v, %v", told, err)
 		}
--- a/internal/cluster/copies_test.go
+++ b/internal/cluster/copies_test.go
@@ -15,7 +15,7 @@
 // attempt of a request while another one has one.
 func TestMembersHaveOneAttemptAtATime(t *testing.T) {
 	t.Parallel()
-	copies := standin.NewCopies()
+	copies := standin.NewDuplicateChecker()
 	s := stage(t, Options{Copies: copies})
 	for _, p := range s.Proxies {
 		for _, zone := range abc {
@@ -26,7 +26,7 @@
 			}
 		}
 	}
-	for turn, fault := range []standin.Fault{standin.Stall, standin.Reset, standin.Spoil, standin.Busy, standin.Halting, standin.Stall} {
+	for turn, fault := range []standin.Fault{standin.Stall, standin.Reset, standin.Malformed, standin.Busy, standin.Intermittent, standin.Stall} {
 		zone := abc[turn%len(abc)]
 		s.faults(fault, zone)
 		s.run(time.Second)
--- a/internal/cluster/deadlines_test.go
+++ b/internal/cluster/deadlines_test.go
@@ -15,13 +15,13 @@
 // away or miss: no member is told of a longer deadline than its client has left, at the first attempt or a further one.
 func TestNoMemberIsToldOfMoreThanIsLeft(t *testing.T) {
 	t.Parallel()
-	deadlines := &standin.Deadlines{}
+	deadlines := &standin.DeadlineChecker{}
 	s := stage(t, Options{Deadlines: deadlines})
-	late := standin.MeasureLateness()
+	late := standin.MeasureSchedulingDelay()
 	s.faults(standin.Stall, "a")
 	s.faults(standin.Busy, "b")
-	for _, b := range s.Fleet.In("c") {
-		b.Drop()
+	for _, b := range s.Fleet.CachesIn("c") {
+		b.Clear()
 	}
 	rng := rand.New(rand.NewPCG(54, 0))
 	for turn, end := 0, time.Now().Add(6*time.Second); time.Now().Before(end); turn++ {
--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -40,8 +40,8 @@
 	bins    map[int64]int // requests of the cluster, by tenths of a second since start
 	strange int           // commands of somebody else: ports are used again, and another proxy on this machine may ask at one for a while
 	start   time.Time
-	watch   func(from net.Conn) *standin.Watch // of a connection to a member; nil: none is watched
-	asked   func(id, attrs string)             // told of each request that has been passed on; nil: nobody is
+	watch   func(from net.Conn) *standin.Observer // of a connection to a member; nil: none is watched
+	asked   func(id, attrs string)                // told of each request that has been passed on; nil: nobody is
 }
 
 func newLink(start time.Time, own []byte) *Link {
@@ -108,7 +108,7 @@
 }
 
 // watched has the connections that come from now on watched.
-func (l *Link) watched(watch func(from net.Conn) *standin.Watch) {
+func (l *Link) watched(watch func(from net.Conn) *standin.Observer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.watch = watch
@@ -123,7 +123,7 @@
 
 // pass waits until a piece that came then may go on; false: its connection has ended.
 func (l *Link) pass(w Way, came time.Time, ended <-chan struct{}) bool {
-	return standin.Hold(ended, func() (bool, time.Time, <-chan struct{}) {
+	return standin.AwaitRelease(ended, func() (bool, time.Time, <-chan struct{}) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.trouble[w].Cut, came.Add(l.trouble[w].Delay), l.changed
@@ -162,24 +162,24 @@
 	l.mu.Lock()
 	l.conns[in], l.conns[out] = struct{}{}, struct{}{}
 	l.mu.Unlock()
-	w := &standin.Watch{}
+	w := &standin.Observer{}
 	if watch != nil {
 		w = watch(in)
 	}
-	passed := w.Came
+	passed := w.MemberReceived
 	if asked != nil {
-		passed = standin.Listen(asked).Wrote
+		passed = standin.ObserveRequests(asked).ProxyWrote
 	}
 	go func() {
 		defer end()
-		standin.Carry(out, in, ended, l.holding(Back, ended), standin.Passage{Took: w.Replied})
+		standin.Forward(out, in, ended, l.holding(Back, ended), standin.ForwardHooks{OnRead: w.MemberReplied})
 	}()
 	defer end()
 	took := func(b []byte) {
 		l.count(b)
-		w.Wrote(b)
+		w.ProxyWrote(b)
 	}
-	standin.Carry(in, out, ended, l.holding(Forth, ended), standin.Passage{Took: took, Giving: w.Giving, Gave: passed})
+	standin.Forward(in, out, ended, l.holding(Forth, ended), standin.ForwardHooks{OnRead: took, BeforeWrite: w.Forwarding, AfterWrite: passed})
 }
 
 // holding has what goes over a connection in one direction wait for its delay. An end passes like all else: a link that is cut hides it.
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -29,7 +29,7 @@
 	var all []Event
 	for at := time.Duration(0); at < d; at += time.Duration(500+rng.IntN(2000)) * time.Millisecond {
 		zone := c.Zones[rng.IntN(len(c.Zones))]
-		box := c.Fleet.Boxes[rng.IntN(len(c.Fleet.Boxes))]
+		box := c.Fleet.Caches[rng.IntN(len(c.Fleet.Caches))]
 		proxy := c.Proxies[rng.IntN(len(c.Proxies))]
 		e := Event{At: at, For: time.Duration(500+rng.IntN(4000)) * time.Millisecond}
 		links := func(t Trouble) func() error {
@@ -48,7 +48,7 @@
 				return nil
 			}
 		}
-		fault := func(boxes []*standin.Box, f standin.Fault) func() error {
+		fault := func(boxes []*standin.Cache, f standin.Fault) func() error {
 			return func() error {
 				for _, b := range boxes {
 					b.SetFault(f)
@@ -58,7 +58,7 @@
 		}
 		service := func(s time.Duration) func() error {
 			return func() error {
-				for _, b := range c.Fleet.In(zone) {
+				for _, b := range c.Fleet.CachesIn(zone) {
 					b.SetService(s, 0)
 				}
 				return nil
@@ -77,10 +77,10 @@
 		case kind == 1:
 			e.What, e.do, e.undo = zone+" slow", service(40*c.Service), service(c.Service)
 		case kind == 2:
-			f := []standin.Fault{standin.Halting, standin.Busy, standin.Failing}[rng.IntN(3)]
-			e.What, e.do, e.undo = fmt.Sprint(zone, " fault ", f), fault(c.Fleet.In(zone), f), fault(c.Fleet.In(zone), standin.Healthy)
+			f := []standin.Fault{standin.Intermittent, standin.Busy, standin.Failing}[rng.IntN(3)]
+			e.What, e.do, e.undo = fmt.Sprint(zone, " fault ", f), fault(c.Fleet.CachesIn(zone), f), fault(c.Fleet.CachesIn(zone), standin.Healthy)
 		case kind == 3:
-			one := []*standin.Box{box}
+			one := []*standin.Cache{box}
 			f := []standin.Fault{standin.Stall, standin.Failing, standin.Reset}[rng.IntN(3)]
 			e.What, e.do, e.undo = fmt.Sprint(box.ID, " fault ", f), fault(one, f), fault(one, standin.Healthy)
 		case kind == 4 && down():
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	defer fleet.Close()
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		b.SetService(2*time.Millisecond, 16)
 	}
 	fleet.Origin.SetService(60*time.Millisecond, 12)
@@ -155,19 +155,19 @@
 	round := second / 20
 	switch second % 20 {
 	case 4:
-		fleet.Boxes[0].SetFault(standin.Stall)
-		return fleet.Boxes[0].ID + " stalls: it takes requests and never answers"
+		fleet.Caches[0].SetFault(standin.Stall)
+		return fleet.Caches[0].ID + " stalls: it takes requests and never answers"
 	case 8:
-		fleet.Boxes[0].SetFault(standin.Healthy)
-		return fleet.Boxes[0].ID + " answers again"
+		fleet.Caches[0].SetFault(standin.Healthy)
+		return fleet.Caches[0].ID + " answers again"
 	case 11:
-		fleet.Drain(fleet.Boxes[1])
-		return fleet.Boxes[1].ID + " drains: it gets nothing new"
+		fleet.Drain(fleet.Caches[1])
+		return fleet.Caches[1].ID + " drains: it gets nothing new"
 	case 13:
-		old := fleet.Boxes[1]
-		fleet.Boxes = append(fleet.Boxes[:1], fleet.Boxes[2:]...)
+		old := fleet.Caches[1]
+		fleet.Caches = append(fleet.Caches[:1], fleet.Caches[2:]...)
 		fleet.Remove(old)
-		b, err := fleet.Add(fmt.Sprintf("s-%d", boxes+1+round), time.Now())
+		b, err := fleet.AddCache(fmt.Sprintf("s-%d", boxes+1+round), time.Now())
 		if err != nil {
 			return err.Error()
 		}
--- a/internal/extproc/server/cold_test.go
+++ b/internal/extproc/server/cold_test.go
@@ -75,14 +75,14 @@
 			if served < 1400 {
 				t.Fatalf("only %d of 1500 served by the warm boxes", served)
 			}
-			cold, err := fleet.Add("s-cold", at())
+			cold, err := fleet.AddCache("s-cold", at())
 			if err != nil {
 				t.Fatal(err)
 			}
-			cold.SetCold(standin.Cold{Since: at(), From: 0.3, For: 8900 * time.Millisecond, Rate: 62.5, Multiple: 4,
-				After: 1500 * time.Millisecond, Now: at})
+			cold.SetColdStart(standin.ColdStart{StartedAt: at(), InitialShare: 0.3, Duration: 8900 * time.Millisecond, WarmRate: 62.5, OverloadMultiple: 4,
+				OverloadWindow: 1500 * time.Millisecond, Now: at})
 			fleet.Fill(keys...)
-			for _, b := range fleet.Boxes[:4] {
+			for _, b := range fleet.Caches[:4] {
 				fleet.Drain(b)
 			}
 			r.eventually("only the cold box is left", func() bool { return r.p.Load().Ready == 2 })
@@ -90,8 +90,8 @@
 			for i := range 750 { // three seconds
 				one(10_000 + i)
 			}
-			if cold.Fell() != c.fell {
-				t.Errorf("fell %v, want %v: %d served, %d refused", cold.Fell(), c.fell, served, refused)
+			if cold.Overloaded() != c.fell {
+				t.Errorf("fell %v, want %v: %d served, %d refused", cold.Overloaded(), c.fell, served, refused)
 			}
 			if !c.fell && (served < 50 || refused < 50) {
 				t.Errorf("%d served, %d refused: the budget is not what bounds it", served, refused)
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -18,10 +18,10 @@
 	for name, handshake := range map[string]time.Duration{"on connections that stand": 0, "on new connections": 90 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fleet, copies := newFleet(t, 2), standin.NewCopies()
+			fleet, copies := newFleet(t, 2), standin.NewDuplicateChecker()
 			at := map[string]string{}
 			for _, m := range fleet.Registry.List().Members {
-				far := m.ID == fleet.Boxes[0].ID
+				far := m.ID == fleet.Caches[0].ID
 				delay := time.Duration(0)
 				if far {
 					delay = 80 * time.Millisecond
@@ -36,12 +36,12 @@
 				}
 				at[m.ID] = relay.Addr()
 			}
-			for _, b := range fleet.Boxes {
+			for _, b := range fleet.Caches {
 				b.SetService(45*time.Millisecond, 0)
 			}
 			r := newRig(t, fleet, file("route", ""), func(cfg *proxy.Config) {
 				see := func(m discovery.Member) discovery.Member { m.HostPort = at[m.ID]; return m }
-				view, err := fleet.Registry.View(see)
+				view, err := fleet.Registry.ListenView(see)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/extproc/server/deadline_test.go
+++ b/internal/extproc/server/deadline_test.go
@@ -13,14 +13,14 @@
 func TestFurtherAttemptTellsWhatTheCallerHasLeft(t *testing.T) {
 	var now atomic.Int64
 	clock := func() time.Duration { return time.Duration(now.Load()) }
-	deadlines := &standin.Deadlines{Now: clock}
+	deadlines := &standin.DeadlineChecker{Now: clock}
 	fleet := newFleet(t, 1)
 	fleet.SetDeadlines(deadlines)
-	fleet.Boxes[0].OnRead(func(string) { now.Add(int64(600 * time.Millisecond)) }) // it lacks the key, and takes its time to say so
+	fleet.Caches[0].OnRead(func(string) { now.Add(int64(600 * time.Millisecond)) }) // it lacks the key, and takes its time to say so
 	r := newRig(t, fleet, file("answer", ""), func(cfg *proxy.Config) { cfg.Clock = clock })
 	q := read("k", "r1")
 	q.Headers["x-envoy-expected-rq-timeout-ms"] = "2500"
-	deadlines.Sent("r1", "d=2500")
+	deadlines.RequestSent("r1", "d=2500")
 	r.want(r.do(q), 200, "value of k")
 	if first, further := deadlines.Attempts(); first != 1 || further != 1 {
 		t.Errorf("%d first attempts and %d further ones", first, further)
--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -201,7 +201,7 @@
 			fleet.Fill("a", "b", "c", "d", "e", "f", "g", "h")
 			r := newRig(t, fleet, file(mode, ""), nil)
 			r.eventually("the list is known", func() bool { return r.p.Load().Ready == 5 })
-			only := fleet.Boxes[2]
+			only := fleet.Caches[2]
 			r.c.Subset = []string{only.Addr()}
 			for i, key := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 				r.want(r.do(read(key, fmt.Sprint("s", i))), 200, "value of "+key)
@@ -248,7 +248,7 @@
 	}
 	// The first of them dies.
 	first := bytes.Split([]byte(named), []byte(","))[0]
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		if b.Addr() == string(first) {
 			b.Close()
 		}
@@ -301,7 +301,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			fleet.Boxes[0].SetFault(standin.Stall)
+			fleet.Caches[0].SetFault(standin.Stall)
 			r := newRig(t, fleet, c.text, nil)
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
@@ -323,7 +323,7 @@
 			if now := m.GetImmediateResponse(); now.GetStatus().GetCode() != 503 || now.GetDetails() != c.want {
 				t.Errorf("%v, want 503 and %s", now, c.want)
 			}
-			fleet.Boxes[0].Close()
+			fleet.Caches[0].Close()
 			r.end()
 		})
 	}
@@ -334,7 +334,7 @@
 	for status, more := range map[int]string{429: "", 503: "shed_status = 503"} {
 		fleet := newFleet(t, 1)
 		r := newRig(t, fleet, file("answer", more), func(c *proxy.Config) { c.MostHeld = 1 })
-		fleet.Boxes[0].SetFault(standin.Stall)
+		fleet.Caches[0].SetFault(standin.Stall)
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		held := r.start(ctx, read("a", "h1"))
 		r.eventually("one is in hand", func() bool { return r.p.Load().Requests == 1 })
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -46,7 +46,7 @@
 			fleet.Origin.SetFault(standin.Stall)
 			ctx, leave := context.WithCancel(context.Background())
 			first := r.start(ctx, order("o1", "w1"))
-			r.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
+			r.eventually("the order is at the origin", func() bool { return fleet.Origin.Received() == 1 })
 			// While the first is in hand: the same id from elsewhere, and the caller's own repeat.
 			r.want(r.do(order("o1", "w1")), 409, "in hand")
 			q := order("o1", "w1")
@@ -67,7 +67,7 @@
 			q = order("o3", "w3")
 			q.Headers["grpc-timeout"] = "0m"
 			r.want(r.do(q), 503, "never ran")
-			if n := fleet.Origin.Began(); n != 1 {
+			if n := fleet.Origin.Received(); n != 1 {
 				t.Errorf("the origin saw %d orders, want 1", n)
 			}
 			fleet.Origin.Close() // so that the attempt ends
@@ -100,19 +100,19 @@
 	fleet := newFleet(t, 1)
 	r := newRig(t, fleet, file("answer", ""), nil)
 	fleet.Fill("k")
-	fleet.Boxes[0].SetFault(standin.Stall)
+	fleet.Caches[0].SetFault(standin.Stall)
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
 	first := r.start(ctx, read("k", "r1"))
-	r.eventually("the read is at the box", func() bool { return fleet.Boxes[0].Began() == 1 })
+	r.eventually("the read is at the box", func() bool { return fleet.Caches[0].Received() == 1 })
 	r.want(r.do(read("k", "r1")), 409, "in hand") // another caller's
-	fleet.Boxes[0].SetFault(standin.Healthy)
+	fleet.Caches[0].SetFault(standin.Healthy)
 	q := read("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
 	r.want(r.do(q), 200, "value of k")
 	leave()
 	await(t, first, "the first call ends")
-	fleet.Boxes[0].Close()
+	fleet.Caches[0].Close()
 	r.quiet()
 }
 
@@ -123,7 +123,7 @@
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 2)
 			r := newRig(t, fleet, file(mode, ""), nil)
-			for _, b := range fleet.Boxes {
+			for _, b := range fleet.Caches {
 				b.SetFault(standin.Stall)
 			}
 			ctx, leave := context.WithCancel(context.Background())
@@ -138,7 +138,7 @@
 			}
 			// At once, and not only when their time is up: the boxes still hold what they were sent.
 			r.eventually("all are given up", func() bool { return r.f.Counts().Abandoned == vanish })
-			for _, b := range fleet.Boxes {
+			for _, b := range fleet.Caches {
 				b.Close()
 			}
 			r.quiet()
@@ -225,7 +225,7 @@
 		}
 	}
 	r.quiet()
-	if fleet.Origin.Began() != 0 {
+	if fleet.Origin.Received() != 0 {
 		t.Error("an order without end reached the origin")
 	}
 }
@@ -262,21 +262,21 @@
 		t.Fatal(err)
 	}
 	first := named(m.GetRequestHeaders().GetResponse())
-	i := slices.IndexFunc(fleet.Boxes, func(b *standin.Box) bool { return b.Addr() == first })
+	i := slices.IndexFunc(fleet.Caches, func(b *standin.Cache) bool { return b.Addr() == first })
 	if i < 0 {
 		t.Fatalf("%q is no box", first)
 	}
 	if meta := m.GetDynamicMetadata().GetFields()["envoy.lb"].GetStructValue().GetFields(); meta["x-gateway-destination-endpoint"].GetStringValue() != first {
 		t.Errorf("metadata %v, want %s", meta, first)
 	}
-	fleet.Drain(fleet.Boxes[i])
+	fleet.Drain(fleet.Caches[i])
 	r.eventually("the drain is known", func() bool { return r.p.Load().Ready == 2 })
 	s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: []byte("q"), EndOfStream: true}}})
 	if m, err = s.Recv(); err != nil {
 		t.Fatal(err)
 	}
-	if second := named(m.GetRequestBody().GetResponse()); second != fleet.Boxes[1-i].Addr() {
+	if second := named(m.GetRequestBody().GetResponse()); second != fleet.Caches[1-i].Addr() {
 		t.Errorf("sent to %q after the drain of %s", second, first)
 	}
 	s.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
@@ -294,7 +294,7 @@
 	fleet.Fill("k")
 	r := newRig(t, fleet, file("route", `return_within = "10s"`), nil)
 	r.eventually("the list is known", func() bool { return r.p.Load().Ready == 4 })
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		b.SetFault(standin.Busy)
 	}
 	res := r.do(read("k", "r1"))
@@ -302,7 +302,7 @@
 		t.Fatalf("%+v after %d choices, want a box's 503 and the next choice made", res, len(r.sent()))
 	}
 	next := r.sent()[1]
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		b.SetFault(standin.Healthy)
 		if proxy.MemberID(b.ID) == next {
 			fleet.Drain(b)
--- a/internal/extproc/server/leave_test.go
+++ b/internal/extproc/server/leave_test.go
@@ -14,12 +14,12 @@
 // the caller's repeat is a new order.
 func TestCallerLeavesBeforeTheConnectionIsUp(t *testing.T) {
 	fleet := newFleet(t, 1)
-	door, err := standin.NewDoor()
+	door, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { door.Close() })
-	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
+	fleet.Registry.Update(discovery.Member{ID: "o-1", HostPort: door.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
 	r := newRig(t, fleet, file("answer", ""), nil)
 	ctx, leave := context.WithCancel(context.Background())
@@ -30,7 +30,7 @@
 	r.eventually("nothing is in hand", func() bool { l := r.p.Load(); return l.Requests == 0 && l.Attempts == 0 })
 	asked := make(chan string, 10)
 	door.Serve(func(conn net.Conn) {
-		standin.AnswerAsOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
+		standin.ServeOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
 			asked <- id
 			return "receipt"
 		})
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -20,7 +20,7 @@
 func TestCertificatesOfCallers(t *testing.T) {
 	a, err := standin.NewAuthority(t.TempDir(), 2)
 	if err == nil {
-		err = a.Publish(a.Roots...)
+		err = a.PublishRoots(a.Roots...)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	r := newRig(t, fleet, file("answer", ""), func(c *proxy.Config) { c.Callers = gate })
 	enter := func(root int, name string) *caller.Caller {
 		t.Helper()
-		cfg, err := a.Config(a.Roots[root], name)
+		cfg, err := a.ClientConfig(a.Roots[root], name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,7 +89,7 @@
 	if n := conns(); n != 3 {
 		t.Fatalf("%d proven connections", n)
 	}
-	if err := a.Publish(a.Roots[1]); err != nil {
+	if err := a.PublishRoots(a.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
 	gate.Look()
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -263,7 +263,7 @@
 			}
 			fleet.Origin.SetResetAfterRun(false)
 			fleet.Origin.SetFault(standin.Busy)
-			fleet.Boxes[0].SetFault(standin.Busy)
+			fleet.Caches[0].SetFault(standin.Busy)
 			res = r.do(read("k", "r1"))
 			r.want(res, 503, "refused")
 			if res.Headers["retry-after"] == "" {
--- a/internal/identity/certs_test.go
+++ b/internal/identity/certs_test.go
@@ -23,7 +23,7 @@
 
 func leaf(t *testing.T, by *standin.Issuer, until time.Time, names ...string) *x509.Certificate {
 	t.Helper()
-	c, err := by.Caller(certTime.Add(-time.Hour), until, names...)
+	c, err := by.SignClient(certTime.Add(-time.Hour), until, names...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -35,13 +35,13 @@
 	{name: "order, the origin resets once it has run", write: true, fault: func(f *standin.Fleet) { f.Origin.SetResetAfterRun(true) }, want: "-ERR"},
 	{name: "order, the origin turns it away each time", write: true, fault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Busy) }, want: "-BUSY"},
 	{name: "read, every box fails", write: false, fault: func(f *standin.Fleet) {
-		for _, b := range f.Boxes {
+		for _, b := range f.Caches {
 			b.SetFault(standin.Failing)
 		}
 	}, want: "-BUSY"},
 	{name: "read, missed, and the origin answers 500", write: false, fault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Failing) }, want: "-BUSY"},
 	{name: "read, every box finds fault with it", fault: func(f *standin.Fleet) {
-		for _, b := range f.Boxes {
+		for _, b := range f.Caches {
 			b.SetFault(standin.Rejecting)
 		}
 	}, want: "-ERR", only: "RESP2 answer"},
@@ -49,12 +49,12 @@
 		for _, m := range f.Registry.List().Members {
 			if m.Flavor == "box" {
 				m.UpSinceMS = float64(time.Now().UnixMilli())
-				f.Registry.Tell(m)
+				f.Registry.Update(m)
 			}
 		}
 	}, want: "-BUSY", some: true},
 	{name: "read, every box stalls: out of its client's time", fault: func(f *standin.Fleet) {
-		for _, b := range f.Boxes {
+		for _, b := range f.Caches {
 			b.SetFault(standin.Stall)
 		}
 	}, want: "-BUSY", wait: 150 * time.Millisecond, only: "RESP2"},
@@ -186,7 +186,7 @@
 		if !strings.HasPrefix(answer, c.want) {
 			return 0, fmt.Errorf("answered %q, want %s", answer, c.want)
 		}
-		if at := fleet.Last(); at.After(last) {
+		if at := fleet.LastEnded(); at.After(last) {
 			last = at
 		}
 		if c.wait > 0 { // boxes that stall never end: it is due when its client gives up
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -25,7 +25,7 @@
 	}},
 	{"waiting for another's fetch when the boxes leave the list (shared_fetch)", func(e *Env) (time.Duration, int, error) {
 		return e.leaves("shared", func(int) string { return "m" }, func(f *standin.Fleet) {
-			for _, b := range f.Boxes {
+			for _, b := range f.Caches {
 				f.Remove(b)
 			}
 		})
@@ -148,17 +148,17 @@
 	}()
 	settled := func() bool {
 		n := int(early.Load())
-		for _, b := range fleet.Boxes {
+		for _, b := range fleet.Caches {
 			_, misses := b.Reads()
 			n += misses
 		}
-		return n >= crowd || key(0) == key(1) && fleet.Origin.Began() > 0
+		return n >= crowd || key(0) == key(1) && fleet.Origin.Received() > 0
 	}
 	if err := eventually("every read waits", settled); err != nil {
 		return 0, 0, err
 	}
 	time.Sleep(20 * time.Millisecond) // what has missed comes to the origin, or into line
-	stalled := fleet.Origin.Began()
+	stalled := fleet.Origin.Received()
 	left.Store(true)
 	removed := time.Now()
 	leave(fleet)
@@ -192,10 +192,10 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	worst = -standin.ReadAim
+	worst = -standin.ReadSoftDeadline
 	for _, r := range reads {
 		if strings.HasPrefix(r.answer, "-BUSY") {
-			worst = max(worst, r.heard.Sub(r.asked)-standin.ReadAim)
+			worst = max(worst, r.heard.Sub(r.asked)-standin.ReadSoftDeadline)
 		}
 	}
 	n, err = refusedFor(p, "origin_line")
@@ -222,7 +222,7 @@
 		keys = append(keys, fmt.Sprint("k", i))
 	}
 	fleet.Fill(keys...)
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		b.SetService(450*time.Millisecond, 0)
 		b.OnRead(func(id string) {
 			mu.Lock()
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -56,7 +56,7 @@
 // doorCost compares reads over TLS, on connections that stand and on one for each read, with those of a proxy that speaks plainly.
 func (e *Env) doorCost(r *Report, a *standin.Authority, addr string, p *Process, bare string, plain *Process) error {
 	e.Log("identity: what TLS costs")
-	cfg, err := a.Config(a.Roots[0], doorName)
+	cfg, err := a.ClientConfig(a.Roots[0], doorName)
 	if err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 			fail := func(err error) { failed.CompareAndSwap(nil, &err) }
 			for n := 0; ; n++ {
 				by := use.Load()
-				cfg, err := a.Config(a.Roots[by], doorName)
+				cfg, err := a.ClientConfig(a.Roots[by], doorName)
 				if err != nil {
 					fail(err)
 					return
@@ -168,7 +168,7 @@
 	each := max(3*time.Second, time.Duration(e.Seconds)*time.Second/doorRounds)
 	for round := range doorRounds {
 		now, next := a.Roots[round], a.Roots[round+1]
-		cfg, err := a.Config(now, doorName)
+		cfg, err := a.ClientConfig(now, doorName)
 		if err != nil {
 			return err
 		}
@@ -176,7 +176,7 @@
 		if err != nil {
 			return err
 		}
-		if err := a.Publish(now, next); err != nil {
+		if err := a.PublishRoots(now, next); err != nil {
 			return err
 		}
 		for end := time.Now().Add(each / 2); time.Now().Before(end); time.Sleep(200 * time.Millisecond) { // longer than a process takes to look
@@ -186,7 +186,7 @@
 		}
 		use.Store(int32(round + 1))
 		gone.Store(int32(round + 1))
-		if err := a.Publish(next); err != nil {
+		if err := a.PublishRoots(next); err != nil {
 			return err
 		}
 		since := time.Now()
--- a/internal/lab/extproc.go
+++ b/internal/lab/extproc.go
@@ -345,7 +345,7 @@
 		return err
 	}
 	defer bare.Kill()
-	relay, err := Start("ready", []string{ServeVariable + "=relay " + addrs[4] + " " + fleet.Boxes[0].Addr()}, e.Self)
+	relay, err := Start("ready", []string{ServeVariable + "=relay " + addrs[4] + " " + fleet.Caches[0].Addr()}, e.Self)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -132,7 +132,7 @@
 		return c, err
 	}
 	defer fleet.Close()
-	if _, err := fleet.Add("s-cold", time.UnixMilli(time.Hour.Milliseconds()-100)); err != nil {
+	if _, err := fleet.AddCache("s-cold", time.UnixMilli(time.Hour.Milliseconds()-100)); err != nil {
 		return c, err
 	}
 	for i := range 40 {
@@ -159,14 +159,14 @@
 		h.advance(5 * time.Millisecond)
 		switch i {
 		case requests / 4:
-			fleet.Boxes[1].SetFault(standin.Failing)
+			fleet.Caches[1].SetFault(standin.Failing)
 		case requests * 3 / 8:
-			fleet.Boxes[1].SetFault(standin.Healthy)
-			fleet.Boxes[2].SetFault(standin.Busy)
+			fleet.Caches[1].SetFault(standin.Healthy)
+			fleet.Caches[2].SetFault(standin.Busy)
 		case requests / 2:
-			fleet.Boxes[2].SetFault(standin.Healthy)
+			fleet.Caches[2].SetFault(standin.Healthy)
 		case requests * 5 / 8:
-			fleet.Drain(fleet.Boxes[3])
+			fleet.Drain(fleet.Caches[3])
 			if err := eventually("the drain is known", func() bool { return h.Proxy.Load().Ready == 7 }); err != nil {
 				return c, err
 			}
@@ -192,7 +192,7 @@
 		}
 	}
 	names := map[logic.MemberID]string{proxy.MemberID("o-1"): "o-1"}
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		names[proxy.MemberID(b.ID)] = b.ID
 	}
 	h.mu.Lock()
--- a/internal/lab/mountain.go
+++ b/internal/lab/mountain.go
@@ -153,7 +153,7 @@
 	r.Tell("p99 by single reads, ms", ms(singles.Quantile(0.99)))
 
 	e.Log("mountain: one box stalls")
-	box := fleet.Boxes[0]
+	box := fleet.Caches[0]
 	box.SetFault(standin.Stall)
 	m, err := dialMountain(addr)
 	if err != nil {
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -175,7 +175,7 @@
 
 func (o *operation) round(n int) error {
 	before := o.count()
-	box := o.fleet.Boxes[n%len(o.fleet.Boxes)]
+	box := o.fleet.Caches[n%len(o.fleet.Caches)]
 	var silent []net.Conn
 	for i := range silentCallers {
 		conn, err := net.Dial("tcp", o.calls)
@@ -193,7 +193,7 @@
 		c.Close()
 	}
 	time.Sleep(drainGrace)
-	out := box.Began()
+	out := box.Received()
 
 	// A class comes with the new file; clients name it once it binds.
 	o.class = fmt.Sprint("round-", n)
@@ -224,10 +224,10 @@
 	if err := o.door.Progress(500); err != nil {
 		return err
 	}
-	o.astray += box.Began() - out
+	o.astray += box.Received() - out
 	o.call("PUT", "/maintenance/exit", box.ID, 200)
-	back := box.Began()
-	if err := eventually("the box is used again", func() bool { return box.Began() > back }); err != nil {
+	back := box.Received()
+	if err := eventually("the box is used again", func() bool { return box.Received() > back }); err != nil {
 		return err
 	}
 	o.door.SetClass("tile-read") // the next file drops this round's
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -53,7 +53,7 @@
 		{"10 times, 64 connections", 10, 64, false, 0.9},
 	} {
 		e.Log("overload: %s", c.name)
-		f := Flood{Addr: addr, Tenant: "acme", Conns: c.conns, Rate: c.times * peak, Patience: standin.ReadAim, Again: c.again, Keys: scaleKeys, Seed: 7}
+		f := Flood{Addr: addr, Tenant: "acme", Conns: c.conns, Rate: c.times * peak, Patience: standin.ReadSoftDeadline, Again: c.again, Keys: scaleKeys, Seed: 7}
 		got, err := f.Run(d)
 		if err != nil {
 			return r, fmt.Errorf("%s: %w", c.name, err)
@@ -61,7 +61,7 @@
 		r.flooded(c.name, got, peak)
 		r.AtLeast(c.name+": served in time, of the most", got.Goodput()/peak, c.least)
 		r.AtMost(c.name+": p99 of what is served, ms", float64(got.Quantile(0.99))/float64(time.Millisecond),
-			float64(standin.ReadAim)/float64(time.Millisecond))
+			float64(standin.ReadSoftDeadline)/float64(time.Millisecond))
 	}
 	if err := e.neighbours(r, p, addr, peak, d); err != nil {
 		return r, err
@@ -92,7 +92,7 @@
 	var got *Flooded
 	var failed error
 	g.Go(func() {
-		f := Flood{Addr: addr, Tenant: "rush", Conns: 64, Rate: 4 * peak, Patience: standin.ReadAim, Keys: scaleKeys, Seed: 8}
+		f := Flood{Addr: addr, Tenant: "rush", Conns: 64, Rate: 4 * peak, Patience: standin.ReadSoftDeadline, Keys: scaleKeys, Seed: 8}
 		got, failed = f.Run(d + d/4)
 	})
 	time.Sleep(d / 8) // the flood has begun
@@ -107,6 +107,6 @@
 	r.flooded("neighbour, 4 times", got, peak)
 	r.Tell("beside it, 8 clients: served a second", rate.PerSecond())
 	r.AtMost("beside it, 8 clients: refused, of all", float64(rate.Refused)/float64(max(1, rate.Done+rate.Refused)), 0.01)
-	r.AtMost("beside it, 8 clients: p99, ms", float64(rate.Quantile(0.99))/float64(time.Millisecond), float64(standin.ReadAim)/float64(time.Millisecond))
+	r.AtMost("beside it, 8 clients: p99, ms", float64(rate.Quantile(0.99))/float64(time.Millisecond), float64(standin.ReadSoftDeadline)/float64(time.Millisecond))
 	return nil
 }
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return r, err
 	}
-	relay, err := Start("ready", []string{ServeVariable + "=relay " + relayAddr + " " + fleet.Boxes[0].Addr()}, e.Self)
+	relay, err := Start("ready", []string{ServeVariable + "=relay " + relayAddr + " " + fleet.Caches[0].Addr()}, e.Self)
 	if err != nil {
 		return r, err
 	}
--- a/internal/lab/successor.go
+++ b/internal/lab/successor.go
@@ -129,7 +129,7 @@
 		return got, err
 	}
 	defer end()
-	for _, b := range o.fleet.Boxes {
+	for _, b := range o.fleet.Caches {
 		b.SetService(heirService, heirPlaces)
 	}
 	o.fleet.Origin.SetService(heirFetch, heirFetches)
@@ -168,7 +168,7 @@
 					conn.conn.Close()
 					conn = nil
 				}
-				if err == nil && len(answer) > 0 && answer[0] != '-' && time.Since(begun) <= standin.ReadAim {
+				if err == nil && len(answer) > 0 && answer[0] != '-' && time.Since(begun) <= standin.ReadSoftDeadline {
 					inTime.Add(1)
 				} else {
 					other.Add(1)
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -81,7 +81,7 @@
 		c.Close()
 		return nil, nil, err
 	}
-	return c, c.Ask(cluster.Load{Reads: zoneReads / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadAim, Grace: 500 * time.Millisecond}), nil
+	return c, c.Ask(cluster.Load{Reads: zoneReads / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadSoftDeadline, Grace: 500 * time.Millisecond}), nil
 }
 
 func (z *zonePlay) run(ctx context.Context, e *Env, name string) error {
@@ -93,7 +93,7 @@
 	wait(ctx, 4*time.Second)
 	lost := time.Now()
 	fail := func(on bool) {
-		for _, b := range c.Fleet.In("c") {
+		for _, b := range c.Fleet.CachesIn("c") {
 			if z.slow {
 				d := zoneAnswer
 				if on {
@@ -113,9 +113,9 @@
 		outage = zoneLong
 	}
 	wait(ctx, outage)
-	for _, b := range c.Fleet.In("c") { // other processes, with nothing
-		b.Drop()
-		b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: zoneWarm, Rate: zoneBoxRate, Multiple: 4, After: 1500 * time.Millisecond})
+	for _, b := range c.Fleet.CachesIn("c") { // other processes, with nothing
+		b.Clear()
+		b.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: zoneWarm, WarmRate: zoneBoxRate, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
 		for _, p := range c.Proxies {
 			c.Link(p.Name, b.ID).Reset()
 		}
@@ -157,8 +157,8 @@
 			z.refused++
 		}
 	}
-	for _, b := range c.Fleet.Boxes {
-		if b.Fell() {
+	for _, b := range c.Fleet.Caches {
+		if b.Overloaded() {
 			z.fell++
 		}
 	}
@@ -336,23 +336,23 @@
 			undo()
 			wait(ctx, 2*time.Second)
 		}
-		box := c.Fleet.Boxes[next*7%len(c.Fleet.Boxes)]
+		box := c.Fleet.Caches[next*7%len(c.Fleet.Caches)]
 		switch next % 6 {
 		case 0, 1, 2, 3:
 			box.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[next%4])
 			undo = func() { box.SetFault(standin.Healthy) }
 		case 4: // all slower by as much as the fleet's owners have seen
-			for _, b := range c.Fleet.Boxes {
+			for _, b := range c.Fleet.Caches {
 				b.SetService(3*zoneAnswer, 0)
 			}
 			undo = func() {
-				for _, b := range c.Fleet.Boxes {
+				for _, b := range c.Fleet.Caches {
 					b.SetService(zoneAnswer, 0)
 				}
 			}
 		case 5: // a zone's boxes start anew, one by one, with nothing
-			for _, b := range c.Fleet.In(labZones[next%3]) {
-				b.Drop()
+			for _, b := range c.Fleet.CachesIn(labZones[next%3]) {
+				b.Clear()
 				for _, p := range c.Proxies {
 					c.Link(p.Name, b.ID).Reset()
 				}
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -130,7 +130,7 @@
 	}
 	after := r.attempts()
 	for i := range sent {
-		id := proxy.MemberID(r.fleet.Boxes[i].ID)
+		id := proxy.MemberID(r.fleet.Caches[i].ID)
 		sent[i] = after[id] - before[id]
 	}
 	return sent
@@ -175,14 +175,14 @@
 		t.Errorf("s-1 is out: %v", n)
 	}
 	// Regardless of discovery, where the member drains, is gone, and returns to its old position.
-	r.fleet.Drain(r.fleet.Boxes[0])
-	if _, err := r.fleet.Add("s-3", time.Time{}); err != nil {
+	r.fleet.Drain(r.fleet.Caches[0])
+	if _, err := r.fleet.AddCache("s-3", time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	r.fleet.Registry.Tell(r.fleet.Registry.List().Members[1])
+	r.fleet.Registry.Update(r.fleet.Registry.List().Members[1])
 	member := r.fleet.Registry.List().Members[1]
 	member.Phase = "in_service"
-	r.fleet.Registry.Tell(member)
+	r.fleet.Registry.Update(member)
 	for !r.proxy.Knows("s-3") {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/proxy/copies_test.go
+++ b/internal/proxy/copies_test.go
@@ -22,7 +22,7 @@
 type transit struct {
 	*testProxy
 	t      *testing.T
-	copies *standin.Copies
+	copies *standin.DuplicateChecker
 	client *testClient
 	warmed int // keys that were asked for to warm up
 }
@@ -88,7 +88,7 @@
 	for name, behind := range map[string]bool{"noise before its answer": false, "another's answer is noise": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := &transit{t: t, copies: standin.NewCopies()}
+			s := &transit{t: t, copies: standin.NewDuplicateChecker()}
 			spoil, answer := make(chan struct{}), make(chan struct{})
 			far := listen(t, func(conn net.Conn) {
 				go func() {
@@ -125,7 +125,7 @@
 			keys := s.farKeys(pool.MinCleanAnswers+2, 400)
 			if behind {
 				s.ask(keys[0], "first", 8000)
-				s.eventually("the first has come", func() bool { return s.copies.Came("first") == 1 })
+				s.eventually("the first has come", func() bool { return s.copies.Delivered("first") == 1 })
 			}
 			if !s.ask(keys[1], "second", 8000) {
 				t.Fatal("the read was not written to the far member")
@@ -136,7 +136,7 @@
 				spoil <- struct{}{}
 			}
 			s.eventually("all of its attempts have come", func() bool {
-				return s.copies.Written("near", "second") == 1 && s.copies.Came("second") == s.copies.Written("", "second")
+				return s.copies.Written("near", "second") == 1 && s.copies.Delivered("second") == s.copies.Written("", "second")
 			})
 			close(answer)
 			for range map[bool]int{false: 1, true: 2}[behind] {
@@ -157,7 +157,7 @@
 func TestFurtherAttemptsWaitWhereTransitVaries(t *testing.T) {
 	t.Parallel()
 	const rounds, slow = 3, 60 * time.Millisecond
-	s := &transit{t: t, copies: standin.NewCopies()}
+	s := &transit{t: t, copies: standin.NewDuplicateChecker()}
 	var mu sync.Mutex
 	var conns []net.Conn
 	far := listen(t, func(conn net.Conn) {
@@ -210,7 +210,7 @@
 		}
 		spoil()
 		s.eventually("all of its attempts have come", func() bool {
-			return s.copies.Written("near", id) == 1 && s.copies.Came(id) == s.copies.Written("", id)
+			return s.copies.Written("near", id) == 1 && s.copies.Delivered(id) == s.copies.Written("", id)
 		})
 		answer <- struct{}{}
 		if got := s.client.answer(); !strings.HasPrefix(got, "value of ") {
@@ -229,7 +229,7 @@
 func TestFirstReadOnAConnectionIsGivenItsHandshake(t *testing.T) {
 	t.Parallel()
 	const aim = 200 * time.Millisecond // of which a first attempt has 120 ms
-	s := &transit{t: t, copies: standin.NewCopies()}
+	s := &transit{t: t, copies: standin.NewDuplicateChecker()}
 	quick := cache(t, func(a asked) string { return hit("value of " + a.key) })
 	hangs := listen(t, func(conn net.Conn) { readAll(conn) })
 	o := origin(t, func(r *http.Request) string { return page("value of " + r.URL.Path[1:]) })
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -171,7 +171,7 @@
 	for name, w := range ways {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := &transit{t: t, copies: standin.NewCopies()}
+			s := &transit{t: t, copies: standin.NewDuplicateChecker()}
 			cfg := testConfig()
 			cfg.MostHeld, cfg.Sockets = 1000, 1024
 			cfg.Settings.ConnectTimeout = 250 * time.Millisecond
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -26,7 +26,7 @@
 
 // deadlineWatch checks the deadlines that the members of a proxy are told, on a clock that the test moves.
 type deadlineWatch struct {
-	standin.Deadlines
+	standin.DeadlineChecker
 	t       *testing.T
 	advance func(*testProxy, time.Duration)
 }
@@ -46,7 +46,7 @@
 // cache is a cache whose deadlines are checked.
 func (w *deadlineWatch) cache(name string, answer func(asked) string) string {
 	return cache(w.t, func(a asked) string {
-		w.Told(name, a.id, a.attrs)
+		w.AttemptReceived(name, a.id, a.attrs)
 		return answer(a)
 	})
 }
@@ -59,7 +59,7 @@
 		if err != nil {
 			return
 		}
-		w.Told(name, command[2], command[3])
+		w.AttemptReceived(name, command[2], command[3])
 		if told != nil {
 			_, deadline, _ := strings.Cut(command[3], ",d=")
 			told <- deadline
@@ -73,7 +73,7 @@
 // origin is an origin whose deadlines are checked.
 func (w *deadlineWatch) origin(answer func(*http.Request) string) string {
 	return origin(w.t, func(r *http.Request) string {
-		w.Told("origin", r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
+		w.AttemptReceived("origin", r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
 		return answer(r)
 	})
 }
@@ -81,13 +81,13 @@
 // get and put are commands of a client that waits for so many milliseconds. Their last byte counts as written now.
 func (w *deadlineWatch) get(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=tile-read,d=%d", wait)
-	w.Sent(id, attrs)
+	w.RequestSent(id, attrs)
 	return words("OBJ.GET", key, id, attrs)
 }
 
 func (w *deadlineWatch) put(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=pass-order,d=%d", wait)
-	w.Sent(id, attrs)
+	w.RequestSent(id, attrs)
 	return words("OBJ.SET", key, id, attrs, "value")
 }
 
@@ -123,7 +123,7 @@
 				sent++
 			}
 		}
-		if !r.Write && w.Came(string(r.ReqID)) < sent {
+		if !r.Write && w.AttemptCount(string(r.ReqID)) < sent {
 			return false
 		}
 	}
@@ -259,7 +259,7 @@
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1 // so that an attempt may take all that its client has left
 	w := watchDeadlines(t, &cfg)
-	d, err := standin.NewDoor()
+	d, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,7 +300,7 @@
 	cfg := leaving(false)
 	cfg.Settings.MaxAttempts = 1
 	w := watchDeadlines(t, &cfg)
-	d, err := standin.NewDoor()
+	d, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -526,7 +526,7 @@
 		return hit("value of " + a.key)
 	}), "large"))
 	client := p.dial()
-	w.Sent("many", "c=tile-read,d=8000")
+	w.RequestSent("many", "c=tile-read,d=8000")
 	client.send(mget("many", "c=tile-read,d=8000", "a", "b", "c"))
 	for range 3 {
 		<-came
@@ -566,7 +566,7 @@
 	p.followed(1)
 	lead.conn.Close()
 	p.eventually("the lead's client has left", func() bool { return len(p.redis.clients) == 1 })
-	w.Sent("lead", "d=4000") // nobody waits for it any longer than the follower does
+	w.RequestSent("lead", "d=4000") // nobody waits for it any longer than the follower does
 	w.advance(p, 2500*time.Millisecond)
 	close(release)
 	w.passing(p, 2*time.Second, "the answer", answered(follower, "value"))
@@ -613,7 +613,7 @@
 	const proxies, rounds, pauseMost = 24, 12, 150 * time.Millisecond
 	var now atomic.Int64
 	clock := func() time.Duration { return time.Duration(now.Load()) }
-	w := &deadlineWatch{t: t, Deadlines: standin.Deadlines{Now: clock}}
+	w := &deadlineWatch{t: t, DeadlineChecker: standin.DeadlineChecker{Now: clock}}
 	var seed atomic.Uint64
 	answers := []string{miss, "-ERR failed\r\n", "-BUSY\r\n", hit("value"), miss}
 	answer := func(asked) string {
@@ -700,7 +700,7 @@
 				o := w.origin(func(r *http.Request) string { told <- r.Header.Get("X-Attrs"); return page("value") })
 				p := start(t, cfg, entry("s-1", node, "large"), entry("o-1", o, "origin"))
 				attrs := "c=" + c.class + "," + text
-				w.Sent("id", attrs)
+				w.RequestSent("id", attrs)
 				client := p.dial()
 				command := []string{c.name, "a1", "id", attrs}
 				if c.name == "OBJ.SET" {
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -66,7 +66,7 @@
 // shut is a member at a door: what it is asked once it is open is noted, and answered by kind.
 func shut(t *testing.T, l *roll, kind string) (addr string, open func()) {
 	t.Helper()
-	d, err := standin.NewDoor()
+	d, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 
 // noteOrigin is an origin that notes what it is asked and answers at once.
 func noteOrigin(in *bufio.Reader, out io.Writer, l *roll) {
-	standin.AnswerAsOrigin(in, out, func(key, id string) string {
+	standin.ServeOrigin(in, out, func(key, id string) string {
 		l.note(id)
 		return "value of " + key
 	})
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -52,7 +52,7 @@
 // enter connects as a caller by a root whose certificate has this name; none, if it is empty.
 func (d *door) enter(root int, name string) *testClient {
 	d.t.Helper()
-	cfg, err := d.Config(d.Roots[root], name)
+	cfg, err := d.ClientConfig(d.Roots[root], name)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 		return hit("value of " + a.key)
 	})
 	idle, inHand := d.enter(0, "shop.example"), d.enter(0, "kiosk.example")
-	if err := d.Publish(d.Roots...); err != nil {
+	if err := d.PublishRoots(d.Roots...); err != nil {
 		t.Fatal(err)
 	}
 	d.gate.Look()
@@ -162,7 +162,7 @@
 	}
 	inHand.send(get("slow", "r-slow"))
 	<-d.seen
-	if err := d.Publish(d.Roots[1]); err != nil {
+	if err := d.PublishRoots(d.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
 	d.gate.Look()
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -22,7 +22,7 @@
 	hang := func(conn net.Conn) {
 		io.Copy(io.Discard, conn) // to its end
 	}
-	door, err := standin.NewDoor()
+	door, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -285,7 +285,7 @@
 		took := a.ended.Sub(a.turn)
 		switch {
 		case a.left:
-			if at, ok := c.p.copies.LastWritten(a.id); ok && at.Sub(a.ended) > departGrace+ruleSlack {
+			if at, ok := c.p.copies.LastWrittenAt(a.id); ok && at.Sub(a.ended) > departGrace+ruleSlack {
 				faults = append(faults, fmt.Sprintf("request %s: an attempt began %v after its client had left", a.id, at.Sub(a.ended)))
 			}
 		case a.end == unanswered:
@@ -301,7 +301,7 @@
 		}
 	}
 	if c.drains != "" && !c.p.moves {
-		if at, id := c.p.copies.LastAt(c.drains); at.Sub(c.drainsAt) > drainGrace+ruleSlack {
+		if at, id := c.p.copies.LastWriteTo(c.drains); at.Sub(c.drainsAt) > drainGrace+ruleSlack {
 			faults = append(faults, fmt.Sprintf("request %s was sent to %s %v after the news that it drains", id, c.drains, at.Sub(c.drainsAt)))
 		}
 	}
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -138,7 +138,7 @@
 	rng     *rand.Rand
 	fleet   *standin.Fleet
 	relays  []*standin.Relay // of the boxes, then the origin's
-	copies  *standin.Copies
+	copies  *standin.DuplicateChecker
 	process *cluster.Process
 	listen  string
 	path    string
@@ -151,8 +151,8 @@
 // Play plays the restart of a seed.
 func Play(o Options) (*Result, error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 60))
-	p := &play{scene: draw(rng), rng: rng, copies: standin.NewCopies()}
-	late := standin.MeasureLateness()
+	p := &play{scene: draw(rng), rng: rng, copies: standin.NewDuplicateChecker()}
+	late := standin.MeasureSchedulingDelay()
 	err := p.run(o)
 	r := &Result{Seed: o.Seed, Scene: p.scene.String(), Late: late.Stop()}
 	if err != nil {
@@ -217,7 +217,7 @@
 		p.relays = append(p.relays, r)
 		return nil
 	}
-	for i, b := range p.fleet.Boxes {
+	for i, b := range p.fleet.Caches {
 		b.SetService(time.Duration(1+p.rng.IntN(15))*time.Millisecond, 0)
 		if err := relay(b.ID, b.Addr(), false, p.delays[i]); err != nil {
 			return err
@@ -251,7 +251,7 @@
 		class["deadline_ms"] = float64(p.deadline.Milliseconds())
 		class["aim_ms"] = min(class["aim_ms"].(float64), 0.7*float64(p.deadline.Milliseconds()))
 	}
-	p.fleet.Set = map[string]any{"classes": settings["classes"]}
+	p.fleet.Overrides = map[string]any{"classes": settings["classes"]}
 	text, err := p.fleet.Config("n0", p.listen, "7", memoryMB, descriptors)
 	if err != nil {
 		return nil, err
@@ -260,7 +260,7 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	if file["discovery"], err = p.fleet.Registry.View(see); err != nil {
+	if file["discovery"], err = p.fleet.Registry.ListenView(see); err != nil {
 		return nil, err
 	}
 	known := p.fleet.Registry.List()
@@ -283,7 +283,7 @@
 
 // trouble has members and links hang.
 func (p *play) trouble() {
-	for _, b := range p.fleet.Boxes[:p.hangingBoxes] {
+	for _, b := range p.fleet.Caches[:p.hangingBoxes] {
 		b.SetFault(standin.Stall)
 	}
 	if p.hangingOrigin {
@@ -297,8 +297,8 @@
 // restart sends the signals and kills the process at the earliest moment at which that is allowed.
 func (p *play) restart() {
 	if p.drains {
-		p.fleet.Drain(p.fleet.Boxes[boxes-2])
-		p.clients.drained(p.fleet.Boxes[boxes-2].ID)
+		p.fleet.Drain(p.fleet.Caches[boxes-2])
+		p.clients.drained(p.fleet.Caches[boxes-2].ID)
 	}
 	first := time.Now().Add(40 * time.Millisecond)
 	done := make(chan struct{})
--- a/internal/standin/accept_test.go
+++ b/internal/standin/accept_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// shortListener fails now and then, as one does where descriptors are short, and is closed after that.
-type shortListener struct {
+// failingListener fails now and then, as one does where descriptors are short, and is closed after that.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if len(l.errs) == 0 {
 		return nil, net.ErrClosed
 	}
@@ -26,9 +26,9 @@
 	return near, nil
 }
 
-func TestAcceptGoesOnAfterErrorsThatPass(t *testing.T) {
+func TestAcceptContinuesAfterTemporaryErrors(t *testing.T) {
 	taken := 0
-	AcceptEach(&shortListener{errs: []error{nil, syscall.EMFILE, syscall.ECONNABORTED, nil, nil}}, func(conn net.Conn) {
+	AcceptEach(&failingListener{errs: []error{nil, syscall.EMFILE, syscall.ECONNABORTED, nil, nil}}, func(conn net.Conn) {
 		taken++
 		conn.Close()
 	})
--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -12,11 +12,11 @@
 	// firstPort and lastPort are below the ports that the kernel gives to connections and to listeners that don't name one (32768 and up), so that
 	// nothing else on this machine takes an address between here and the process that is to listen there.
 	firstPort, lastPort = 12000, 32000
-	addressTries        = 100
+	maxAddressTries     = 100
 )
 
-// given are the addresses that this process has had.
-var given struct {
+// allocated are the addresses that this process has had.
+var allocated struct {
 	sync.Mutex
 	ports map[int]bool
 }
@@ -26,14 +26,14 @@
 
 // FreeAddr is a loopback address that nobody listens at, for a process that has to be told one. It is given once.
 func FreeAddr() (string, error) {
-	given.Lock()
-	defer given.Unlock()
-	if given.ports == nil {
-		given.ports = map[int]bool{}
+	allocated.Lock()
+	defer allocated.Unlock()
+	if allocated.ports == nil {
+		allocated.ports = map[int]bool{}
 	}
-	for range addressTries {
+	for range maxAddressTries {
 		port := firstPort + rand.IntN(lastPort-firstPort)
-		if given.ports[port] {
+		if allocated.ports[port] {
 			continue
 		}
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
@@ -41,7 +41,7 @@
 		if err != nil {
 			continue
 		}
-		given.ports[port] = true
+		allocated.ports[port] = true
 		return addr, listener.Close()
 	}
 	return "", ErrNoAddress
--- a/internal/standin/address_test.go
+++ b/internal/standin/address_test.go
@@ -8,7 +8,7 @@
 
 // What happens, beside other runs of the tests: a port that was free and is let go of is given by the kernel to somebody else, before the process that
 // was told of it listens there. Seen beside three runs of all tests: "listen tcp 127.0.0.1:43619: bind: address already in use".
-func TestFreeAddrIsNotTheKernelsToGive(t *testing.T) {
+func TestFreeAddrIsOutsideEphemeralRange(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
 		addr, err := FreeAddr()
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -23,32 +23,32 @@
 
 // The faults.
 const (
-	Healthy   Fault = iota
-	Stall           // takes a request and never answers, as long as its connection is there
-	Reset           // takes a request and drops the connection
-	Spoil           // answers with noise
-	Busy            // turns every request away unseen
-	Failing         // answers that it failed
-	Rejecting       // finds fault with every request
-	Halting         // answers that it failed, every second time
+	Healthy      Fault = iota
+	Stall              // takes a request and never answers, as long as its connection is there
+	Reset              // takes a request and drops the connection
+	Malformed          // answers with noise
+	Busy               // turns every request away unseen
+	Failing            // answers that it failed
+	Rejecting          // finds fault with every request
+	Intermittent       // answers that it failed, every second time
 )
 
 // member is what boxes and the origin share: a listener, its connections and the fault.
 type member struct {
-	ID        string
-	listener  net.Listener
-	mu        sync.Mutex
-	conns     map[net.Conn]struct{}
-	closed    bool
-	fault     Fault
-	service   time.Duration // an answer takes this
-	capacity  int           // requests at once; 0: no bound
-	inHand    int
-	began     int        // requests begun, of whatever end
-	cold      *coldStart // nil: warm
-	last      time.Time  // when the latest one ended
-	deadlines *Deadlines // told of the deadline of each request that has come whole; nil: nobody is
-	quit      chan struct{}
+	ID          string
+	listener    net.Listener
+	mu          sync.Mutex
+	conns       map[net.Conn]struct{}
+	closed      bool
+	fault       Fault
+	serviceTime time.Duration // an answer takes this
+	capacity    int           // requests at once; 0: no bound
+	inProgress  int
+	received    int              // requests begun, of whatever end
+	coldStart   *coldStartState  // nil: warm
+	lastEnded   time.Time        // when the latest one ended
+	deadlines   *DeadlineChecker // told of the deadline of each request that has come whole; nil: nobody is
+	quit        chan struct{}
 }
 
 func (m *member) listen(serve func(net.Conn)) error {
@@ -65,13 +65,13 @@
 			return
 		}
 		m.conns[conn] = struct{}{}
-		go m.serveOne(conn, serve)
+		go m.serveConn(conn, serve)
 	})
 	return nil
 }
 
-// serveOne serves a connection to its end.
-func (m *member) serveOne(conn net.Conn, serve func(net.Conn)) {
+// serveConn serves a connection to its end.
+func (m *member) serveConn(conn net.Conn, serve func(net.Conn)) {
 	serve(conn)
 	conn.Close()
 	m.mu.Lock()
@@ -108,80 +108,80 @@
 // SetService sets how long an answer takes, and how many requests are worked on at once; 0: no bound.
 func (m *member) SetService(d time.Duration, capacity int) {
 	m.mu.Lock()
-	m.service, m.capacity = d, capacity
+	m.serviceTime, m.capacity = d, capacity
 	m.mu.Unlock()
 }
 
-// Began is how many requests have come whole.
-func (m *member) Began() int {
+// Received is how many requests have come whole.
+func (m *member) Received() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.began
+	return m.received
 }
 
-// Last is when the latest request ended, of whatever end.
-func (m *member) Last() time.Time {
+// LastEnded is when the latest request ended, of whatever end.
+func (m *member) LastEnded() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.last
+	return m.lastEnded
 }
 
-// InHand is how many requests are being worked on.
-func (m *member) InHand() int {
+// InProgress is how many requests are being worked on.
+func (m *member) InProgress() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inHand
+	return m.inProgress
 }
 
 // SetDeadlines has the deadlines that the member is told from now on checked.
-func (m *member) SetDeadlines(d *Deadlines) {
+func (m *member) SetDeadlines(d *DeadlineChecker) {
 	m.mu.Lock()
 	m.deadlines = d
 	m.mu.Unlock()
 }
 
-// tell reports the deadline of a request that has come whole.
-func (m *member) tell(id, attrs string) {
+// reportDeadline reports the deadline of a request that has come whole.
+func (m *member) reportDeadline(id, attrs string) {
 	m.mu.Lock()
 	d := m.deadlines
 	m.mu.Unlock()
 	if d != nil {
-		d.Told(m.ID, id, attrs)
+		d.AttemptReceived(m.ID, id, attrs)
 	}
 }
 
-// begin takes a request in; it tells the fault to play, Busy if there is no room.
-func (m *member) begin() (f Fault, service time.Duration) {
+// beginRequest takes a request in; it tells the fault to play, Busy if there is no room.
+func (m *member) beginRequest() (f Fault, service time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.began++
-	if m.cold != nil && !m.cold.begin() {
-		m.inHand++
+	m.received++
+	if m.coldStart != nil && !m.coldStart.admit() {
+		m.inProgress++
 		return Reset, 0
 	}
-	if f = m.fault; f == Halting {
+	if f = m.fault; f == Intermittent {
 		f = Healthy
-		if m.began%2 == 0 {
+		if m.received%2 == 0 {
 			f = Failing
 		}
 	}
-	if f == Healthy && m.capacity > 0 && m.inHand >= m.capacity {
+	if f == Healthy && m.capacity > 0 && m.inProgress >= m.capacity {
 		f = Busy
 	}
-	m.inHand++
-	return f, m.service
+	m.inProgress++
+	return f, m.serviceTime
 }
 
-func (m *member) end() {
+func (m *member) endRequest() {
 	m.mu.Lock()
-	m.inHand--
-	m.last = time.Now()
+	m.inProgress--
+	m.lastEnded = time.Now()
 	m.mu.Unlock()
 }
 
-// stalled waits until nobody can be waiting for an answer any more: the connection has ended, or the member has. What comes meanwhile on
+// awaitDisconnect waits until nobody can be waiting for an answer any more: the connection has ended, or the member has. What comes meanwhile on
 // the connection stays unread.
-func (m *member) stalled(in *bufio.Reader) {
+func (m *member) awaitDisconnect(in *bufio.Reader) {
 	for n := in.Buffered() + 1; ; n++ {
 		switch _, err := in.Peek(n); {
 		case errors.Is(err, bufio.ErrBufferFull):
@@ -193,8 +193,8 @@
 	}
 }
 
-// wait takes the service time; false, if the member has ended meanwhile.
-func (m *member) wait(d time.Duration) bool {
+// sleep takes the service time; false, if the member has ended meanwhile.
+func (m *member) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -206,55 +206,55 @@
 	}
 }
 
-// Box is a cache box. It speaks RESP2 as the protocol says, and on the same port HTTP/1.1 for callers that make their
+// Cache is a cache box. It speaks RESP2 as the protocol says, and on the same port HTTP/1.1 for callers that make their
 // exchanges themselves: 200 for a hit, 404 for a miss, 503 with X-Not-Processed for what it turns away.
-type Box struct {
+type Cache struct {
 	member
-	Zone  string
-	since time.Time
-	store map[string][]byte
-	// missed tells the fleet which request found nothing here, so that the value is stored once the origin has it.
-	missed func(id string, b *Box)
+	Zone      string
+	startedAt time.Time
+	store     map[string][]byte
+	// onMiss tells the fleet which request found nothing here, so that the value is stored once the origin has it.
+	onMiss func(id string, b *Cache)
 	hits   int
 	misses int
 	onRead func(id string) // told of each read's coming; nil: nobody is
 }
 
-func newBox(id, zone string, missed func(string, *Box)) (*Box, error) {
-	b := &Box{Zone: zone, store: map[string][]byte{}, missed: missed}
+func newCache(id, zone string, missed func(string, *Cache)) (*Cache, error) {
+	b := &Cache{Zone: zone, store: map[string][]byte{}, onMiss: missed}
 	b.ID = id
 	return b, b.listen(b.serve)
 }
 
 // Put stores a value.
-func (b *Box) Put(key string, value []byte) {
+func (b *Cache) Put(key string, value []byte) {
 	b.mu.Lock()
 	b.store[key] = value
 	b.mu.Unlock()
 }
 
-// Drop forgets everything.
-func (b *Box) Drop() {
+// Clear forgets everything.
+func (b *Cache) Clear() {
 	b.mu.Lock()
 	clear(b.store)
 	b.mu.Unlock()
 }
 
 // OnRead has f told of the id of each read that comes from now on, before it is worked on.
-func (b *Box) OnRead(f func(id string)) {
+func (b *Cache) OnRead(f func(id string)) {
 	b.mu.Lock()
 	b.onRead = f
 	b.mu.Unlock()
 }
 
 // Reads is how many reads found a value, and how many did not.
-func (b *Box) Reads() (hits, misses int) {
+func (b *Cache) Reads() (hits, misses int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.hits, b.misses
 }
 
-func (b *Box) get(key, id string) (value []byte, ok bool) {
+func (b *Cache) lookup(key, id string) (value []byte, ok bool) {
 	b.mu.Lock()
 	value, ok = b.store[key]
 	if ok {
@@ -263,13 +263,13 @@
 		b.misses++
 	}
 	b.mu.Unlock()
-	if !ok && b.missed != nil {
-		b.missed(id, b)
+	if !ok && b.onMiss != nil {
+		b.onMiss(id, b)
 	}
 	return value, ok
 }
 
-func (b *Box) serve(conn net.Conn) {
+func (b *Cache) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
 		first, err := in.Peek(1)
@@ -288,8 +288,8 @@
 }
 
 // serveRESP answers one command.
-func (b *Box) serveRESP(conn net.Conn, in *bufio.Reader) error {
-	words, err := readWords(in)
+func (b *Cache) serveRESP(conn net.Conn, in *bufio.Reader) error {
+	words, err := readCommand(in)
 	if err != nil {
 		return err
 	}
@@ -302,8 +302,8 @@
 	case len(words) >= 1 && (string(words[0]) == "CLIENT" || string(words[0]) == "SELECT"):
 		out = []byte("+OK\r\n")
 	case len(words) == 4 && string(words[0]) == "OBJ.GET":
-		b.tell(string(words[2]), string(words[3]))
-		out, err = b.read(in, string(words[1]), string(words[2]))
+		b.reportDeadline(string(words[2]), string(words[3]))
+		out, err = b.handleRead(in, string(words[1]), string(words[2]))
 	default:
 		out = []byte("-ERR unknown command\r\n")
 	}
@@ -314,24 +314,24 @@
 	return err
 }
 
-var errGone = fmt.Errorf("standin: %w", net.ErrClosed)
+var errClosed = fmt.Errorf("standin: %w", net.ErrClosed)
 
-func (b *Box) read(in *bufio.Reader, key, id string) ([]byte, error) {
+func (b *Cache) handleRead(in *bufio.Reader, key, id string) ([]byte, error) {
 	b.mu.Lock()
 	told := b.onRead
 	b.mu.Unlock()
 	if told != nil {
 		told(id)
 	}
-	f, service := b.begin()
-	defer b.end()
+	f, service := b.beginRequest()
+	defer b.endRequest()
 	switch f {
 	case Stall:
-		b.stalled(in)
-		return nil, errGone
+		b.awaitDisconnect(in)
+		return nil, errClosed
 	case Reset:
-		return nil, errGone
-	case Spoil:
+		return nil, errClosed
+	case Malformed:
 		return []byte("\x8fb2\xf4\r\n"), nil
 	case Busy:
 		return []byte("-BUSY\r\n"), nil
@@ -340,10 +340,10 @@
 	case Rejecting:
 		return []byte("-ERR bad request\r\n"), nil
 	}
-	if !b.wait(service) {
-		return nil, errGone
+	if !b.sleep(service) {
+		return nil, errClosed
 	}
-	value, ok := b.get(key, id)
+	value, ok := b.lookup(key, id)
 	out := resp.AppendArray(nil, 3)
 	if ok {
 		return append(resp.AppendBulk(resp.AppendBulk(out, value), "hit"), "$-1\r\n"...), nil
@@ -351,8 +351,8 @@
 	return append(resp.AppendBulk(append(out, "$-1\r\n"...), "miss"), "$-1\r\n"...), nil
 }
 
-// readWords reads an array of bulk strings.
-func readWords(in *bufio.Reader) ([][]byte, error) {
+// readCommand reads an array of bulk strings.
+func readCommand(in *bufio.Reader) ([][]byte, error) {
 	var n int
 	if err := readNumber(in, '*', &n); err != nil {
 		return nil, err
@@ -384,7 +384,7 @@
 }
 
 // serveHTTP answers one request.
-func (b *Box) serveHTTP(conn net.Conn, in *bufio.Reader) error {
+func (b *Cache) serveHTTP(conn net.Conn, in *bufio.Reader) error {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return err
@@ -392,15 +392,15 @@
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return err
 	}
-	f, service := b.begin()
-	defer b.end()
+	f, service := b.beginRequest()
+	defer b.endRequest()
 	switch f {
 	case Stall:
-		b.stalled(in)
-		return errGone
+		b.awaitDisconnect(in)
+		return errClosed
 	case Reset:
-		return errGone
-	case Spoil:
+		return errClosed
+	case Malformed:
 		_, err = io.WriteString(conn, "\x8fb2\xf4\r\n")
 		return err
 	case Busy:
@@ -410,10 +410,10 @@
 	case Rejecting:
 		return writeHTTP(conn, 400, "", nil)
 	}
-	if !b.wait(service) {
-		return errGone
+	if !b.sleep(service) {
+		return errClosed
 	}
-	if value, ok := b.get(strings.TrimPrefix(r.URL.Path, "/"), r.Header.Get("X-Request-ID")); ok {
+	if value, ok := b.lookup(strings.TrimPrefix(r.URL.Path, "/"), r.Header.Get("X-Request-ID")); ok {
 		return writeHTTP(conn, 200, "X-Cache: hit\r\n", value)
 	}
 	return writeHTTP(conn, 404, "X-Cache: miss\r\n", nil)
--- a/internal/standin/cold.go
+++ b/internal/standin/cold.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// Cold makes a box start cold: it can do only a part of its work at first, more by and by, and falls over for good when
+// ColdStart makes a box start cold: it can do only a part of its work at first, more by and by, and falls over for good when
 // it is sent more than a multiple of what it can for some time.
-type Cold struct {
-	Since    time.Time
-	From     float64       // share of its capacity at the start
-	For      time.Duration // until it is warm
-	Rate     float64       // requests a second that it can do when it is warm
-	Multiple float64       // sent more than this multiple of what it can
-	After    time.Duration // within this, it falls over
-	Now      func() time.Time
+type ColdStart struct {
+	StartedAt        time.Time
+	InitialShare     float64       // share of its capacity at the start
+	Duration         time.Duration // until it is warm
+	WarmRate         float64       // requests a second that it can do when it is warm
+	OverloadMultiple float64       // sent more than this multiple of what it can
+	OverloadWindow   time.Duration // within this, it falls over
+	Now              func() time.Time
 }
 
-// coldStart is a Cold at work.
-type coldStart struct {
-	Cold
-	began []time.Time // lately
-	fell  bool
+// coldStartState is a Cold at work.
+type coldStartState struct {
+	ColdStart
+	recent     []time.Time // lately
+	overloaded bool
 }
 
-// SetCold makes the box start cold from now on.
-func (b *Box) SetCold(c Cold) {
+// SetColdStart makes the box start cold from now on.
+func (b *Cache) SetColdStart(c ColdStart) {
 	if c.Now == nil {
 		c.Now = time.Now
 	}
 	b.mu.Lock()
-	b.cold = &coldStart{Cold: c}
+	b.coldStart = &coldStartState{ColdStart: c}
 	b.mu.Unlock()
 }
 
-// Fell tells whether the box has been pushed over.
-func (b *Box) Fell() bool {
+// Overloaded tells whether the box has been pushed over.
+func (b *Cache) Overloaded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.cold != nil && b.cold.fell
+	return b.coldStart != nil && b.coldStart.overloaded
 }
 
-// ramp is the share of its capacity that the box has.
-func (c *coldStart) ramp(at time.Time) float64 {
-	age := min(1, max(0, at.Sub(c.Since).Seconds()/c.For.Seconds()))
-	return c.From + (1-c.From)*age
+// capacityShare is the share of its capacity that the box has.
+func (c *coldStartState) capacityShare(at time.Time) float64 {
+	age := min(1, max(0, at.Sub(c.StartedAt).Seconds()/c.Duration.Seconds()))
+	return c.InitialShare + (1-c.InitialShare)*age
 }
 
-// begin takes a request in; false, if the box lies on the ground. Capacity in the window is that of its middle, since it
+// admit takes a request in; false, if the box lies on the ground. Capacity in the window is that of its middle, since it
 // grows evenly; one request is slack for where the window begins.
-func (c *coldStart) begin() bool {
+func (c *coldStartState) admit() bool {
 	now := c.Now()
-	c.began = append(c.began, now)
-	for len(c.began) > 0 && now.Sub(c.began[0]) >= c.After {
-		c.began = c.began[1:]
+	c.recent = append(c.recent, now)
+	for len(c.recent) > 0 && now.Sub(c.recent[0]) >= c.OverloadWindow {
+		c.recent = c.recent[1:]
 	}
-	able := c.Rate * c.ramp(now.Add(-c.After/2)) * c.After.Seconds()
-	if now.Sub(c.Since) < c.For && float64(len(c.began)) > 1+c.Multiple*able {
-		c.fell = true
+	able := c.WarmRate * c.capacityShare(now.Add(-c.OverloadWindow/2)) * c.OverloadWindow.Seconds()
+	if now.Sub(c.StartedAt) < c.Duration && float64(len(c.recent)) > 1+c.OverloadMultiple*able {
+		c.overloaded = true
 	}
-	return !c.fell
+	return !c.overloaded
 }
--- a/internal/standin/copies_test.go
+++ b/internal/standin/copies_test.go
@@ -10,26 +10,26 @@
 
 // A read that is given up right after it was written, and repeated at a nearer member, comes there first: the members have two copies of it in
 // hand, though the proxy ended the first before it wrote the second. One that was given up long after it came is no copy any more.
-func TestCopiesCountsAsMembersSeeIt(t *testing.T) {
+func TestDuplicatesAreCountedAtMembers(t *testing.T) {
 	const far = 60 * time.Millisecond
 	for name, c := range map[string]struct {
-		first func(conn net.Conn, c *Copies) // what becomes of the first attempt before the second is written
+		first func(conn net.Conn, c *DuplicateChecker) // what becomes of the first attempt before the second is written
 		want  int
 	}{
-		"given up at once":          {func(conn net.Conn, _ *Copies) { conn.Close() }, 1},
-		"written, and nothing else": {func(net.Conn, *Copies) {}, 1},
-		"out":                       {func(_ net.Conn, c *Copies) { eventually(func() bool { return c.Came("id") == 1 }) }, 1},
-		"given up once it has come": {func(conn net.Conn, c *Copies) {
-			eventually(func() bool { return c.Came("id") == 1 })
+		"given up at once":          {func(conn net.Conn, _ *DuplicateChecker) { conn.Close() }, 1},
+		"written, and nothing else": {func(net.Conn, *DuplicateChecker) {}, 1},
+		"out":                       {func(_ net.Conn, c *DuplicateChecker) { eventually(func() bool { return c.Delivered("id") == 1 }) }, 1},
+		"given up once it has come": {func(conn net.Conn, c *DuplicateChecker) {
+			eventually(func() bool { return c.Delivered("id") == 1 })
 			conn.Close()
-			eventually(func() bool { return c.Ended("id") == 1 })
+			eventually(func() bool { return c.Closed("id") == 1 })
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			copies := NewCopies()
+			copies := NewDuplicateChecker()
 			write := func(delay time.Duration) net.Conn {
-				r, err := NewRelay("member", silent(t), false, delay, delay, copies)
+				r, err := NewRelay("member", startSilentMember(t), false, delay, delay, copies)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -44,7 +44,7 @@
 			}
 			c.first(write(far), copies)
 			write(0)
-			if !eventually(func() bool { return copies.Came("id") == 2 }) {
+			if !eventually(func() bool { return copies.Delivered("id") == 2 }) {
 				t.Fatal("the attempts never came")
 			}
 			if got := copies.Violations(); len(got) != c.want {
@@ -57,17 +57,20 @@
 // What happens, on a busy machine: whoever carries an attempt to its member is late to say that it has come, and its answer has passed by then. It had
 // come before it was answered: what came after that was no copy. Seen beside three runs of all tests: "a second copy at s-2 (written at 836.9 ms, came
 // at 873.6 ms, answered at 840.8 ms), while one is out at origin (written at 845.8 ms, came at 873.6 ms)".
-func TestCopiesCountsWhatIsToldLate(t *testing.T) {
-	answered := func(c *Copies, a *copyAttempt) { c.replied(a) }
-	given := func(c *Copies, a *copyAttempt) { c.giving("id", a) }
-	givenAndEnded := func(c *Copies, a *copyAttempt) { c.giving("id", a); c.closed([]*copyAttempt{a}) }
-	nothing := func(*Copies, *copyAttempt) {}
-	overAt := func(c *Copies, a *copyAttempt) {
-		c.arrived("id", a)
-		a.over = func() bool { return true }
+func TestDuplicatesWithDelayedReports(t *testing.T) {
+	answered := func(c *DuplicateChecker, a *trackedAttempt) { c.recordAnswer(a) }
+	given := func(c *DuplicateChecker, a *trackedAttempt) { c.recordForwarding("id", a) }
+	givenAndEnded := func(c *DuplicateChecker, a *trackedAttempt) {
+		c.recordForwarding("id", a)
+		c.recordClose([]*trackedAttempt{a})
+	}
+	nothing := func(*DuplicateChecker, *trackedAttempt) {}
+	overAt := func(c *DuplicateChecker, a *trackedAttempt) {
+		c.recordArrival("id", a)
+		a.peerClosed = func() bool { return true }
 	}
 	for name, c := range map[string]struct {
-		before, after func(*Copies, *copyAttempt) // the next one comes
+		before, after func(*DuplicateChecker, *trackedAttempt) // the next one comes
 		want          int
 	}{
 		"answered before the next one came":                  {answered, nothing, 0},
@@ -78,22 +81,22 @@
 		"written to its member and ended after the next one": {nothing, givenAndEnded, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			copies := NewCopies()
-			first := copies.wrote("a", "id", nil)
+			copies := NewDuplicateChecker()
+			first := copies.recordWrite("a", "id", nil)
 			time.Sleep(time.Millisecond) // what is told has times of its own
 			c.before(copies, first)
 			time.Sleep(time.Millisecond)
-			second := copies.wrote("b", "id", nil)
-			copies.giving("id", second)
-			if first.over != nil { // now it is reported
-				copies.closed([]*copyAttempt{first})
+			second := copies.recordWrite("b", "id", nil)
+			copies.recordForwarding("id", second)
+			if first.peerClosed != nil { // now it is reported
+				copies.recordClose([]*trackedAttempt{first})
 			}
 			time.Sleep(time.Millisecond)
-			copies.arrived("id", second)
+			copies.recordArrival("id", second)
 			time.Sleep(time.Millisecond)
 			c.after(copies, first)
-			if first.came == 0 {
-				copies.arrived("id", first)
+			if first.arrivedAt == 0 {
+				copies.recordArrival("id", first)
 			}
 			if got := copies.Violations(); len(got) != c.want {
 				t.Errorf("%d second copies, want %d: %s", len(got), c.want, strings.Join(got, "\n"))
@@ -106,24 +109,24 @@
 }
 
 // What a link has held for longer than any proxy could wait is no fault of the proxy's; what it has held for less stays one.
-func TestCopiesCountsNotWhatWasHeldTooLong(t *testing.T) {
+func TestDuplicatesIgnoreLongTransit(t *testing.T) {
 	const held = 30 * time.Millisecond
 	for most, want := range map[time.Duration]int{0: 1, time.Hour: 1, held / 2: 0} {
-		copies := NewCopies()
-		copies.HeldMost = most
-		first := copies.wrote("a", "id", nil)
-		copies.closed([]*copyAttempt{first})
-		copies.arrived("id", copies.wrote("b", "id", nil))
+		copies := NewDuplicateChecker()
+		copies.MaxInTransit = most
+		first := copies.recordWrite("a", "id", nil)
+		copies.recordClose([]*trackedAttempt{first})
+		copies.recordArrival("id", copies.recordWrite("b", "id", nil))
 		time.Sleep(held) // the link holds the first
-		copies.arrived("id", first)
+		copies.recordArrival("id", first)
 		if got := copies.Violations(); len(got) != want {
 			t.Errorf("at most %v: %d second copies, want %d: %v", most, len(got), want, got)
 		}
 	}
 }
 
-// silent is a member that reads everything and answers nothing.
-func silent(t *testing.T) (addr string) {
+// startSilentMember is a member that reads everything and answers nothing.
+func startSilentMember(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/deadlines.go
+++ b/internal/standin/deadlines.go
@@ -11,84 +11,84 @@
 // DeadlineSlack is by how much the deadline that a server is told may exceed what the client has left.
 const DeadlineSlack = 150 * time.Millisecond
 
-// Deadlines checks that no server is told a longer deadline than its client has left. Clients report what they send, servers what they are
+// DeadlineChecker checks that no server is told a longer deadline than its client has left. Clients report what they send, servers what they are
 // told, and both may do so from any goroutine. The verdict is formed at the end, by Violations, so that the order of the reports does not matter.
-type Deadlines struct {
+type DeadlineChecker struct {
 	// Now is the time on the clock by which clients wait; nil: the system's, since the first report.
 	Now func() time.Duration
 	// Slack is allowed instead of DeadlineSlack, where the servers' own clocks are late as well; 0: DeadlineSlack.
 	Slack time.Duration
 
-	// Prefix begins the ids of the clients' requests. Others are somebody else's, and not looked at.
-	Prefix string
+	// IDPrefix begins the ids of the clients' requests. Others are somebody else's, and not looked at.
+	IDPrefix string
 
-	mu       sync.Mutex
-	started  time.Time
-	requests map[string]clientWait
-	counts   map[string]int // attempts, by request
-	attempts []attemptTold
+	mu        sync.Mutex
+	startedAt time.Time
+	requests  map[string]clientWait
+	counts    map[string]int // attempts, by request
+	attempts  []receivedAttempt
 }
 
 // clientWait is until when a client waits.
 type clientWait struct {
-	until time.Duration
-	again bool // the client marked it as a retry of its own
+	expiresAt time.Duration
+	isRetry   bool // the client marked it as a retry of its own
 }
 
-// attemptTold is what a server was told of an attempt, once its last byte had come.
-type attemptTold struct {
-	server, id string
-	told, at   time.Duration
-	number     int // of the attempts of its request, from 1
+// receivedAttempt is what a server was told of an attempt, once its last byte had come.
+type receivedAttempt struct {
+	server, id           string
+	deadline, receivedAt time.Duration
+	number               int // of the attempts of its request, from 1
 }
 
 // now is the time of a report.
-func (d *Deadlines) now() time.Duration {
+func (d *DeadlineChecker) now() time.Duration {
 	if d.Now != nil {
 		return d.Now()
 	}
-	if d.started.IsZero() {
-		d.started = time.Now()
+	if d.startedAt.IsZero() {
+		d.startedAt = time.Now()
 	}
-	return time.Since(d.started)
+	return time.Since(d.startedAt)
 }
 
-// Sent reports that a client has written the last byte of a request, with its list of names and values as it stands in the command. It may be
+// RequestSent reports that a client has written the last byte of a request, with its list of names and values as it stands in the command. It may be
 // called again for the same request, if the bytes went out later than was thought.
-func (d *Deadlines) Sent(id, attrs string) {
+func (d *DeadlineChecker) RequestSent(id, attrs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	wait, _ := waitIn(attrs)
+	wait, _ := parseDeadline(attrs)
 	if d.requests == nil {
 		d.requests = map[string]clientWait{}
 	}
-	d.requests[id] = clientWait{until: d.now() + wait, again: strings.Contains(","+attrs+",", ",r=1,")}
+	d.requests[id] = clientWait{expiresAt: d.now() + wait, isRetry: strings.Contains(","+attrs+",", ",r=1,")}
 }
 
-// Told reports that the last byte of an attempt has come at a server, with its list of names and values.
-func (d *Deadlines) Told(server, id, attrs string) {
+// AttemptReceived reports that the last byte of an attempt has come at a server, with its list of names and values.
+func (d *DeadlineChecker) AttemptReceived(server, id, attrs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	told, ok := waitIn(attrs)
-	if !ok || !strings.HasPrefix(id, d.Prefix) {
+	told, ok := parseDeadline(attrs)
+	if !ok || !strings.HasPrefix(id, d.IDPrefix) {
 		return
 	}
 	if d.counts == nil {
 		d.counts = map[string]int{}
 	}
 	d.counts[id]++
-	d.attempts = append(d.attempts, attemptTold{server, id, told, d.now(), d.counts[id]})
+	d.attempts = append(d.attempts, receivedAttempt{server, id, told, d.now(), d.counts[id]})
 }
 
-// Came is how many attempts of a request servers were told of.
-func (d *Deadlines) Came(id string) int {
+// AttemptCount is how many attempts of a request servers were told of.
+func (d *DeadlineChecker) AttemptCount(id string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.counts[id]
 }
 
 // Attempts counts the first attempts and the further ones that servers were told of.
-func (d *Deadlines) Attempts() (first, further int) {
+func (d *DeadlineChecker) Attempts() (first, further int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.attempts {
@@ -103,7 +103,7 @@
 
 // Violations describes the attempts whose server was told of more than the client had left. A read of several keys at once is known to its
 // servers by the client's id, a slash and a number.
-func (d *Deadlines) Violations() (all []string) {
+func (d *DeadlineChecker) Violations() (all []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	slack := d.Slack
@@ -119,21 +119,21 @@
 			all = append(all, fmt.Sprintf("%s: request %s: no client has sent it", a.server, a.id))
 			continue
 		}
-		left := r.until - a.at
-		if a.told <= left+slack { // also where nothing is left any more: such an attempt should not have begun
+		left := r.expiresAt - a.receivedAt
+		if a.deadline <= left+slack { // also where nothing is left any more: such an attempt should not have begun
 			continue
 		}
 		of := "request"
-		if r.again {
+		if r.isRetry {
 			of = "client's retry"
 		}
-		all = append(all, fmt.Sprintf("%s: attempt %d of %s %s: told %v, and its client has %v left", a.server, a.number, of, a.id, a.told, left))
+		all = append(all, fmt.Sprintf("%s: attempt %d of %s %s: told %v, and its client has %v left", a.server, a.number, of, a.id, a.deadline, left))
 	}
 	return all
 }
 
-// waitIn is the deadline in a list of names and values.
-func waitIn(attrs string) (wait time.Duration, ok bool) {
+// parseDeadline is the deadline in a list of names and values.
+func parseDeadline(attrs string) (wait time.Duration, ok bool) {
 	for item := range strings.SplitSeq(attrs, ",") {
 		if text, is := strings.CutPrefix(item, "d="); is {
 			ms, err := strconv.ParseFloat(text, 64)
--- a/internal/standin/deadlines_test.go
+++ b/internal/standin/deadlines_test.go
@@ -8,7 +8,7 @@
 
 // The checker finds a deadline that is over what the client has left by more than the slack, whichever attempt was told it and in whichever
 // order client and servers report, and nothing else.
-func TestDeadlinesFindsWhatIsTooLong(t *testing.T) {
+func TestDeadlineCheckerFindsViolations(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		sent      string // the client's list
@@ -30,16 +30,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Duration(0)
-			d := Deadlines{Now: func() time.Duration { return now }}
+			d := DeadlineChecker{Now: func() time.Duration { return now }}
 			if !c.unordered {
-				d.Sent("id", c.sent)
+				d.RequestSent("id", c.sent)
 				now = c.after
 			}
 			for _, told := range c.told {
-				d.Told("s-1", "id", told)
+				d.AttemptReceived("s-1", "id", told)
 			}
 			if c.unordered {
-				d.Sent("id", c.sent)
+				d.RequestSent("id", c.sent)
 			}
 			got := strings.Join(d.Violations(), "; ")
 			if c.want == "" && got != "" || !strings.Contains(got, c.want) {
@@ -50,15 +50,15 @@
 }
 
 // Reads of several keys are their client's one request, and what no client has sent is told.
-func TestDeadlinesKnowsWhoAsked(t *testing.T) {
+func TestDeadlineCheckerMatchesRequests(t *testing.T) {
 	now := time.Duration(0)
-	d := Deadlines{Now: func() time.Duration { return now }}
-	d.Sent("many", "d=1000")
+	d := DeadlineChecker{Now: func() time.Duration { return now }}
+	d.RequestSent("many", "d=1000")
 	now = time.Second
-	d.Told("s-1", "many/3", "d=1000")
-	d.Told("s-1", "stranger", "d=10")
-	of := Deadlines{Prefix: "own-"}
-	of.Told("s-1", "another's", "d=10")
+	d.AttemptReceived("s-1", "many/3", "d=1000")
+	d.AttemptReceived("s-1", "stranger", "d=10")
+	of := DeadlineChecker{IDPrefix: "own-"}
+	of.AttemptReceived("s-1", "another's", "d=10")
 	if first, further := of.Attempts(); first+further > 0 {
 		t.Error("requests of others are looked at")
 	}
--- a/internal/standin/door.go
+++ b/internal/standin/door.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Door is an address at which connections don't come up until somebody accepts them: what dials it waits, as before a machine whose line
+// FullListener is an address at which connections don't come up until somebody accepts them: what dials it waits, as before a machine whose line
 // is full. From then on they come up when their kernel tries again, which is a second later, or more, the longer they have waited.
-type Door struct {
+type FullListener struct {
 	net.Listener
-	held net.Conn // takes the only place
+	blocker net.Conn // takes the only place
 }
 
-// NewDoor makes a Door that is shut.
-func NewDoor() (*Door, error) {
+// NewFullListener makes a Door that is shut.
+func NewFullListener() (*FullListener, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("standin: door: %w", err)
@@ -29,11 +29,11 @@
 	if err := unix.Listen(fd, 0); err != nil { // room for one
 		return nil, fmt.Errorf("standin: door: %w", err)
 	}
-	d := &Door{}
+	d := &FullListener{}
 	if d.Listener, err = net.FileListener(f); err != nil {
 		return nil, fmt.Errorf("standin: door: %w", err)
 	}
-	if d.held, err = net.Dial("tcp", d.Addr().String()); err != nil {
+	if d.blocker, err = net.Dial("tcp", d.Addr().String()); err != nil {
 		d.Close()
 		return nil, fmt.Errorf("standin: door: %w", err)
 	}
@@ -41,22 +41,22 @@
 }
 
 // Accept opens the door, and has the connections that come up.
-func (d *Door) Accept() (net.Conn, error) {
+func (d *FullListener) Accept() (net.Conn, error) {
 	for {
 		c, err := d.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if c.RemoteAddr().String() != d.held.LocalAddr().String() {
+		if c.RemoteAddr().String() != d.blocker.LocalAddr().String() {
 			return c, nil
 		}
 		c.Close()
-		d.held.Close()
+		d.blocker.Close()
 	}
 }
 
 // Serve opens the door and has each connection that comes up served, until the door is closed. It returns at once.
-func (d *Door) Serve(serve func(net.Conn)) {
+func (d *FullListener) Serve(serve func(net.Conn)) {
 	go func() {
 		for {
 			c, err := d.Accept()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -31,18 +31,18 @@
 		return nil, err
 	}
 	r := &Registry{listener: l, revision: 1, watches: map[chan discovery.List]struct{}{}, quit: make(chan struct{})}
-	r.server = &http.Server{Handler: r.as(func(m discovery.Member) discovery.Member { return m })}
+	r.server = &http.Server{Handler: r.handler(func(m discovery.Member) discovery.Member { return m })}
 	go r.server.Serve(l)
 	return r, nil
 }
 
-// View listens for a proxy that is to see members in its own way: the address of each may differ from one proxy to the next.
-func (r *Registry) View(see func(discovery.Member) discovery.Member) (addr string, err error) {
+// ListenView listens for a proxy that is to see members in its own way: the address of each may differ from one proxy to the next.
+func (r *Registry) ListenView(see func(discovery.Member) discovery.Member) (addr string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: r.as(see)}
+	s := &http.Server{Handler: r.handler(see)}
 	r.mu.Lock()
 	r.views = append(r.views, s)
 	r.mu.Unlock()
@@ -71,8 +71,8 @@
 	return discovery.List{Revision: r.revision, Complete: true, Members: slices.Clone(r.members)}
 }
 
-// Tell changes or adds a member and tells every watch.
-func (r *Registry) Tell(m discovery.Member) {
+// Update changes or adds a member and tells every watch.
+func (r *Registry) Update(m discovery.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -95,7 +95,7 @@
 	}
 }
 
-func (r *Registry) as(see func(discovery.Member) discovery.Member) http.Handler {
+func (r *Registry) handler(see func(discovery.Member) discovery.Member) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.serve(w, q, func(l discovery.List) {
 			seen := discovery.List{Revision: l.Revision, Complete: l.Complete}
@@ -131,7 +131,7 @@
 				return
 			}
 			tell(l)
-		case <-time.After(beat):
+		case <-time.After(heartbeatInterval):
 			io.WriteString(w, "\n")
 		case <-r.quit:
 			return
@@ -149,34 +149,34 @@
 
 // Fleet is boxes, an origin and discovery that belong together.
 type Fleet struct {
-	Boxes    []*Box
-	Origin   *Origin
-	Registry *Registry
-	Tenants  []any          // of its settings; none, unless set before Config
-	Zones    []string       // of its settings; the one, unless it was made with several
-	Set      map[string]any // further settings, in place of the usual
-	value    func(key string) []byte
-	mu       sync.Mutex
-	missed   map[string][]*Box // by request id, until the origin has answered
-	order    []string          // of missed, the oldest first
+	Caches    []*Cache
+	Origin    *Origin
+	Registry  *Registry
+	Tenants   []any          // of its settings; none, unless set before Config
+	Zones     []string       // of its settings; the one, unless it was made with several
+	Overrides map[string]any // further settings, in place of the usual
+	makeValue func(key string) []byte
+	mu        sync.Mutex
+	missedAt  map[string][]*Cache // by request id, until the origin has answered
+	missOrder []string            // of missed, the oldest first
 }
 
-// mostMissed bounds the requests whose misses are remembered.
-const mostMissed = 4096
+// maxTrackedMisses bounds the requests whose misses are remembered.
+const maxTrackedMisses = 4096
 
 // NewFleet starts a fleet of so many boxes, all empty and warm. Values have size bytes.
 func NewFleet(boxes, size int) (*Fleet, error) {
-	f := &Fleet{missed: map[string][]*Box{}, value: func(key string) []byte { return Value(key, size) }}
+	f := &Fleet{missedAt: map[string][]*Cache{}, makeValue: func(key string) []byte { return Value(key, size) }}
 	var err error
 	if f.Registry, err = newRegistry(); err != nil {
 		return nil, err
 	}
-	if f.Origin, err = newOrigin("o-1", f.value, f.fetched); err != nil {
+	if f.Origin, err = newOrigin("o-1", f.makeValue, f.storeFetched); err != nil {
 		return nil, err
 	}
-	f.Registry.Tell(f.entry("o-1", f.Origin.Addr(), "origin", Zone, time.Time{}))
+	f.Registry.Update(f.discoveryEntry("o-1", f.Origin.Addr(), "origin", Zone, time.Time{}))
 	for i := range boxes {
-		if _, err := f.Add(fmt.Sprintf("s-%d", i+1), time.Time{}); err != nil {
+		if _, err := f.AddCache(fmt.Sprintf("s-%d", i+1), time.Time{}); err != nil {
 			return nil, err
 		}
 	}
@@ -190,10 +190,10 @@
 		return nil, err
 	}
 	f.Zones = zones
-	f.Registry.Tell(f.entry("o-1", f.Origin.Addr(), "origin", zones[0], time.Time{}))
+	f.Registry.Update(f.discoveryEntry("o-1", f.Origin.Addr(), "origin", zones[0], time.Time{}))
 	for _, zone := range zones {
 		for i := range boxes {
-			if _, err := f.AddIn(zone, fmt.Sprintf("%s-%d", zone, i+1), time.Time{}); err != nil {
+			if _, err := f.AddCacheIn(zone, fmt.Sprintf("%s-%d", zone, i+1), time.Time{}); err != nil {
 				return nil, err
 			}
 		}
@@ -201,9 +201,9 @@
 	return f, nil
 }
 
-// In is the boxes of a zone.
-func (f *Fleet) In(zone string) (boxes []*Box) {
-	for _, b := range f.Boxes {
+// CachesIn is the boxes of a zone.
+func (f *Fleet) CachesIn(zone string) (boxes []*Cache) {
+	for _, b := range f.Caches {
 		if b.Zone == zone {
 			boxes = append(boxes, b)
 		}
@@ -220,7 +220,7 @@
 	return v
 }
 
-func (f *Fleet) entry(id, addr, kind, zone string, since time.Time) discovery.Member {
+func (f *Fleet) discoveryEntry(id, addr, kind, zone string, since time.Time) discovery.Member {
 	m := discovery.Member{ID: id, HostPort: addr, Locality: zone, Flavor: kind, Phase: discovery.PhaseInService, Size: 1}
 	if !since.IsZero() {
 		m.UpSinceMS = float64(since.UnixMilli())
@@ -228,41 +228,43 @@
 	return m
 }
 
-// Add starts a box and tells discovery; since is when it started, zero for long ago.
-func (f *Fleet) Add(id string, since time.Time) (*Box, error) { return f.AddIn(Zone, id, since) }
+// AddCache starts a box and tells discovery; since is when it started, zero for long ago.
+func (f *Fleet) AddCache(id string, since time.Time) (*Cache, error) {
+	return f.AddCacheIn(Zone, id, since)
+}
 
-// AddIn is Add for a box in a zone.
-func (f *Fleet) AddIn(zone, id string, since time.Time) (*Box, error) {
-	b, err := newBox(id, zone, f.miss)
+// AddCacheIn is Add for a box in a zone.
+func (f *Fleet) AddCacheIn(zone, id string, since time.Time) (*Cache, error) {
+	b, err := newCache(id, zone, f.recordMiss)
 	if err != nil {
 		return nil, err
 	}
-	b.since = since
-	f.Boxes = append(f.Boxes, b)
-	f.Registry.Tell(f.entry(id, b.Addr(), "box", zone, since))
+	b.startedAt = since
+	f.Caches = append(f.Caches, b)
+	f.Registry.Update(f.discoveryEntry(id, b.Addr(), "box", zone, since))
 	return b, nil
 }
 
 // Drain tells discovery that a box wants nothing new.
-func (f *Fleet) Drain(b *Box) {
-	m := f.entry(b.ID, b.Addr(), "box", b.Zone, b.since)
+func (f *Fleet) Drain(b *Cache) {
+	m := f.discoveryEntry(b.ID, b.Addr(), "box", b.Zone, b.startedAt)
 	m.Phase = discovery.PhaseTerminating
-	f.Registry.Tell(m)
+	f.Registry.Update(m)
 }
 
 // Remove tells discovery that a box has gone, and ends it.
-func (f *Fleet) Remove(b *Box) {
-	m := f.entry(b.ID, b.Addr(), "box", b.Zone, b.since)
+func (f *Fleet) Remove(b *Cache) {
+	m := f.discoveryEntry(b.ID, b.Addr(), "box", b.Zone, b.startedAt)
 	m.Phase = discovery.PhaseTerminated
-	f.Registry.Tell(m)
+	f.Registry.Update(m)
 	b.Close()
 }
 
 // Fill stores the values of keys on every box.
 func (f *Fleet) Fill(keys ...string) {
 	for _, k := range keys {
-		v := f.value(k)
-		for _, b := range f.Boxes {
+		v := f.makeValue(k)
+		for _, b := range f.Caches {
 			b.Put(k, v)
 		}
 	}
@@ -270,9 +272,9 @@
 
 // RemoveOrigin tells discovery that the origin has gone. It goes on answering what it has.
 func (f *Fleet) RemoveOrigin() {
-	m := f.entry(f.Origin.ID, f.Origin.Addr(), "origin", f.originZone(), time.Time{})
+	m := f.discoveryEntry(f.Origin.ID, f.Origin.Addr(), "origin", f.originZone(), time.Time{})
 	m.Phase = discovery.PhaseTerminated
-	f.Registry.Tell(m)
+	f.Registry.Update(m)
 }
 
 func (f *Fleet) originZone() string {
@@ -283,18 +285,18 @@
 }
 
 // SetDeadlines has the deadlines that the members are told from now on checked.
-func (f *Fleet) SetDeadlines(d *Deadlines) {
+func (f *Fleet) SetDeadlines(d *DeadlineChecker) {
 	f.Origin.SetDeadlines(d)
-	for _, b := range f.Boxes {
+	for _, b := range f.Caches {
 		b.SetDeadlines(d)
 	}
 }
 
-// Last is when a member last ended a request, whatever its end.
-func (f *Fleet) Last() time.Time {
-	last := f.Origin.Last()
-	for _, b := range f.Boxes {
-		if at := b.Last(); at.After(last) {
+// LastEnded is when a member last ended a request, whatever its end.
+func (f *Fleet) LastEnded() time.Time {
+	last := f.Origin.LastEnded()
+	for _, b := range f.Caches {
+		if at := b.LastEnded(); at.After(last) {
 			last = at
 		}
 	}
@@ -305,36 +307,36 @@
 func (f *Fleet) Close() {
 	f.Registry.Close()
 	f.Origin.Close()
-	for _, b := range f.Boxes {
+	for _, b := range f.Caches {
 		b.Close()
 	}
 }
 
-func (f *Fleet) miss(id string, b *Box) {
+func (f *Fleet) recordMiss(id string, b *Cache) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.missed[id] == nil {
-		f.order = append(f.order, id)
+	if f.missedAt[id] == nil {
+		f.missOrder = append(f.missOrder, id)
 	}
-	f.missed[id] = append(f.missed[id], b)
-	for len(f.order) > mostMissed {
-		delete(f.missed, f.order[0])
-		f.order = f.order[1:]
+	f.missedAt[id] = append(f.missedAt[id], b)
+	for len(f.missOrder) > maxTrackedMisses {
+		delete(f.missedAt, f.missOrder[0])
+		f.missOrder = f.missOrder[1:]
 	}
 }
 
-func (f *Fleet) fetched(id, key string, value []byte) {
+func (f *Fleet) storeFetched(id, key string, value []byte) {
 	f.mu.Lock()
-	boxes := f.missed[id]
-	delete(f.missed, id)
+	boxes := f.missedAt[id]
+	delete(f.missedAt, id)
 	f.mu.Unlock()
 	for _, b := range boxes {
 		b.Put(key, value)
 	}
 }
 
-// ReadAim is the aim of the reads in a fleet's settings.
-const ReadAim = 800 * time.Millisecond
+// ReadSoftDeadline is the aim of the reads in a fleet's settings.
+const ReadSoftDeadline = 800 * time.Millisecond
 
 // Settings are a platform's settings for a fleet, as its configuration has them.
 func Settings() map[string]any {
@@ -344,7 +346,7 @@
 	}
 	return map[string]any{
 		"areas": []string{Zone}, "az": 0, "instances": 1, "self_index": 0,
-		"classes":    []any{class("tile-read", float64(ReadAim.Milliseconds()), 3000, "repeatable", 5), class("pass-order", 1500, 3000, "once", 15)},
+		"classes":    []any{class("tile-read", float64(ReadSoftDeadline.Milliseconds()), 3000, "repeatable", 5), class("pass-order", 1500, 3000, "once", 15)},
 		"deductions": map[string]any{"cross_zone": 0.06}, "discovery": "automatic",
 		"family_info":    map[string]any{"mode": "aside", "origin_kind": 1, "origin_fall_ms": 3000.0, "origin_fall_multiple": 0.0},
 		"granularity_ms": 2.0, "kinds": Kinds,
@@ -363,7 +365,7 @@
 	if f.Zones != nil {
 		settings["areas"] = f.Zones
 	}
-	for name, value := range f.Set {
+	for name, value := range f.Overrides {
 		settings[name] = value
 	}
 	if f.Tenants != nil {
--- a/internal/standin/issuer.go
+++ b/internal/standin/issuer.go
@@ -57,8 +57,8 @@
 	return c, err
 }
 
-// Caller signs a caller's certificate. Names with a scheme are URIs, the others DNS names.
-func (i *Issuer) Caller(from, until time.Time, names ...string) (Certificate, error) {
+// SignClient signs a caller's certificate. Names with a scheme are URIs, the others DNS names.
+func (i *Issuer) SignClient(from, until time.Time, names ...string) (Certificate, error) {
 	tmpl := &x509.Certificate{Subject: pkix.Name{CommonName: "caller"}, NotBefore: from, NotAfter: until,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
 	for _, n := range names {
@@ -75,8 +75,8 @@
 	return i.sign(tmpl)
 }
 
-// Listener signs a certificate for a listener on loopback.
-func (i *Issuer) Listener(from, until time.Time) (Certificate, error) {
+// SignServer signs a certificate for a listener on loopback.
+func (i *Issuer) SignServer(from, until time.Time) (Certificate, error) {
 	return i.sign(&x509.Certificate{Subject: pkix.Name{CommonName: "listener"}, NotBefore: from, NotAfter: until,
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}})
 }
@@ -98,7 +98,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// TLS is the certificate as a caller shows it.
-func (c Certificate) TLS() tls.Certificate {
+// TLSCertificate is the certificate as a caller shows it.
+func (c Certificate) TLSCertificate() tls.Certificate {
 	return tls.Certificate{Certificate: [][]byte{c.Cert.Raw}, PrivateKey: c.Key}
 }
--- a/internal/standin/lateness.go
+++ b/internal/standin/lateness.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// latenessStep is how often Lateness looks.
-const latenessStep = 5 * time.Millisecond
+// samplingInterval is how often Lateness looks.
+const samplingInterval = 5 * time.Millisecond
 
-// Lateness measures by how much the goroutines of a test are late on a busy machine, so that its verdict does not hang on that.
-type Lateness struct {
-	quit chan struct{}
-	stop sync.Once
-	g    sync.WaitGroup
-	most time.Duration
+// SchedulingDelay measures by how much the goroutines of a test are late on a busy machine, so that its verdict does not hang on that.
+type SchedulingDelay struct {
+	quit     chan struct{}
+	stop     sync.Once
+	group    sync.WaitGroup
+	maxDelay time.Duration
 }
 
-// MeasureLateness begins to measure.
-func MeasureLateness() *Lateness {
-	l := &Lateness{quit: make(chan struct{})}
-	l.g.Go(func() {
+// MeasureSchedulingDelay begins to measure.
+func MeasureSchedulingDelay() *SchedulingDelay {
+	l := &SchedulingDelay{quit: make(chan struct{})}
+	l.group.Go(func() {
 		for {
 			began := time.Now()
 			select {
 			case <-l.quit:
 				return
-			case <-time.After(latenessStep):
+			case <-time.After(samplingInterval):
 			}
-			l.most = max(l.most, time.Since(began)-latenessStep)
+			l.maxDelay = max(l.maxDelay, time.Since(began)-samplingInterval)
 		}
 	})
 	return l
 }
 
 // Stop tells how late they were at the most. It may be called again.
-func (l *Lateness) Stop() time.Duration {
+func (l *SchedulingDelay) Stop() time.Duration {
 	l.stop.Do(func() { close(l.quit) })
-	l.g.Wait()
-	return l.most
+	l.group.Wait()
+	return l.maxDelay
 }
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -12,15 +12,15 @@
 // Origin is the origin: HTTP/1.1, slow, with few places. It counts how often each write has run.
 type Origin struct {
 	member
-	fetched  func(id, key string, value []byte)
-	make     func(key string) []byte
-	ran      map[string]int // by key: executions of writes
-	fetches  int
-	resetRan bool
+	onFetched     func(id, key string, value []byte)
+	makeValue     func(key string) []byte
+	executions    map[string]int // by key: executions of writes
+	fetches       int
+	resetAfterRun bool
 }
 
 func newOrigin(id string, value func(string) []byte, fetched func(id, key string, value []byte)) (*Origin, error) {
-	o := &Origin{make: value, fetched: fetched, ran: map[string]int{}}
+	o := &Origin{makeValue: value, onFetched: fetched, executions: map[string]int{}}
 	o.ID = id
 	return o, o.listen(o.serve)
 }
@@ -29,8 +29,8 @@
 func (o *Origin) Executions() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ran := make(map[string]int, len(o.ran))
-	for k, n := range o.ran {
+	ran := make(map[string]int, len(o.executions))
+	for k, n := range o.executions {
 		ran[k] = n
 	}
 	return ran
@@ -46,7 +46,7 @@
 // SetResetAfterRun makes the origin carry writes out and then drop the connection without an answer.
 func (o *Origin) SetResetAfterRun(on bool) {
 	o.mu.Lock()
-	o.resetRan = on
+	o.resetAfterRun = on
 	o.mu.Unlock()
 }
 
@@ -60,27 +60,27 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if err := o.answer(conn, in, r); err != nil {
+		if err := o.handle(conn, in, r); err != nil {
 			return
 		}
 	}
 }
 
-func (o *Origin) answer(conn net.Conn, in *bufio.Reader, r *http.Request) error {
+func (o *Origin) handle(conn net.Conn, in *bufio.Reader, r *http.Request) error {
 	if strings.HasPrefix(r.URL.Path, "/health/") {
 		return writeHTTP(conn, 200, "", nil)
 	}
 	key := strings.TrimPrefix(r.URL.Path, "/")
-	o.tell(r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
-	f, service := o.begin()
-	defer o.end()
+	o.reportDeadline(r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
+	f, service := o.beginRequest()
+	defer o.endRequest()
 	switch f {
 	case Stall:
-		o.stalled(in)
-		return errGone
+		o.awaitDisconnect(in)
+		return errClosed
 	case Reset:
-		return errGone
-	case Spoil:
+		return errClosed
+	case Malformed:
 		_, err := io.WriteString(conn, "\x8fb2\xf4\r\n")
 		return err
 	case Busy:
@@ -88,33 +88,33 @@
 	}
 	if r.Method != http.MethodGet {
 		o.mu.Lock()
-		o.ran[key]++ // from its last byte on, whatever becomes of the answer
-		reset := o.resetRan
+		o.executions[key]++ // from its last byte on, whatever becomes of the answer
+		reset := o.resetAfterRun
 		o.mu.Unlock()
-		if !o.wait(service) || reset {
-			return errGone
+		if !o.sleep(service) || reset {
+			return errClosed
 		}
 		if f == Failing {
 			return writeHTTP(conn, 500, "", nil)
 		}
 		return writeHTTP(conn, 200, "", []byte("receipt of "+key))
 	}
-	if !o.wait(service) {
-		return errGone
+	if !o.sleep(service) {
+		return errClosed
 	}
 	if f == Failing {
 		return writeHTTP(conn, 500, "", nil)
 	}
-	value := o.make(key)
+	value := o.makeValue(key)
 	o.mu.Lock()
 	o.fetches++
 	o.mu.Unlock()
-	o.fetched(r.Header.Get("X-Request-ID"), key, value)
+	o.onFetched(r.Header.Get("X-Request-ID"), key, value)
 	return writeHTTP(conn, 200, "", value)
 }
 
-// AnswerAsOrigin answers what comes whole on a connection to an origin, until that ends: with what answer makes of the request's key and id.
-func AnswerAsOrigin(in *bufio.Reader, out io.Writer, answer func(key, id string) string) {
+// ServeOrigin answers what comes whole on a connection to an origin, until that ends: with what answer makes of the request's key and id.
+func ServeOrigin(in *bufio.Reader, out io.Writer, answer func(key, id string) string) {
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -130,5 +130,5 @@
 	}
 }
 
-// beat is how often a watch hears something while nothing changes.
-const beat = 2 * time.Second
+// heartbeatInterval is how often a watch hears something while nothing changes.
+const heartbeatInterval = 2 * time.Second
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -14,49 +14,49 @@
 	"linenloom/internal/sender"
 )
 
-// Watch finds the attempts in what passes on a connection between a proxy and a member, and reports them to the checker of copies. Each of its
+// Observer finds the attempts in what passes on a connection between a proxy and a member, and reports them to the checker of copies. Each of its
 // methods takes a piece, or nil for the end. Without a checker it does nothing.
-type Watch struct {
-	copies *Copies // nil: nobody counts them
-	heard  func(id, attrs string)
-	member string
-	origin bool // HTTP/1.1 is spoken, else RESP
-	over   func() bool
-
-	mu         sync.Mutex
-	in         []byte // of the proxy's messages, what is not whole yet
-	answers    []byte // of the member's
-	sent       int64  // bytes that the proxy has written
-	giving     int64  // of them, those that have come at the member or are being written to it
-	delivered  int64
-	attempts   []*watchedAttempt // in order
-	given      int               // the first of them that is not being written to the member
-	delivering int               // the first of them that has not come at the member
-	answering  int               // the first that has no answer
+type Observer struct {
+	duplicates *DuplicateChecker // nil: nobody counts them
+	onRequest  func(id, attrs string)
+	member     string
+	origin     bool // HTTP/1.1 is spoken, else RESP
+	peerClosed func() bool
+
+	mu               sync.Mutex
+	requestBytes     []byte // of the proxy's messages, what is not whole yet
+	answerBytes      []byte // of the member's
+	writtenOffset    int64  // bytes that the proxy has written
+	forwardingOffset int64  // of them, those that have come at the member or are being written to it
+	deliveredOffset  int64
+	attempts         []*observedAttempt // in order
+	nextForwarded    int                // the first of them that is not being written to the member
+	nextDelivered    int                // the first of them that has not come at the member
+	nextAnswered     int                // the first that has no answer
 }
 
-type watchedAttempt struct {
-	*copyAttempt // nil for what is no attempt
-	id           string
-	end          int64 // of its last byte, in what the proxy writes
+type observedAttempt struct {
+	*trackedAttempt // nil for what is no attempt
+	id              string
+	endOffset       int64 // of its last byte, in what the proxy writes
 }
 
-// Watch begins to watch a connection from a proxy to a member. A nil checker watches nothing.
-func (c *Copies) Watch(member string, origin bool, from net.Conn) *Watch {
-	return &Watch{copies: c, member: member, origin: origin, over: func() bool { return over(from) }}
+// Observe begins to watch a connection from a proxy to a member. A nil checker watches nothing.
+func (c *DuplicateChecker) Observe(member string, origin bool, from net.Conn) *Observer {
+	return &Observer{duplicates: c, member: member, origin: origin, peerClosed: func() bool { return peerClosed(from) }}
 }
 
-// Listen makes a Watch that counts nothing, and tells of each request in what is written, with its id and its list of names and values.
-func Listen(heard func(id, attrs string)) *Watch { return &Watch{heard: heard} }
+// ObserveRequests makes a Watch that counts nothing, and tells of each request in what is written, with its id and its list of names and values.
+func ObserveRequests(heard func(id, attrs string)) *Observer { return &Observer{onRequest: heard} }
 
-// Tell has a Watch tell of each attempt as well, as the proxy has written it.
-func (w *Watch) Tell(heard func(id, attrs string)) *Watch {
-	w.heard = heard
+// NotifyRequests has a Watch tell of each attempt as well, as the proxy has written it.
+func (w *Observer) NotifyRequests(heard func(id, attrs string)) *Observer {
+	w.onRequest = heard
 	return w
 }
 
-// over tells whether the other side of a connection has ended it, also behind bytes that nobody has read yet.
-func over(conn net.Conn) (ended bool) {
+// peerClosed tells whether the other side of a connection has ended it, also behind bytes that nobody has read yet.
+func peerClosed(conn net.Conn) (ended bool) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -65,111 +65,111 @@
 	return ended || err != nil
 }
 
-// Wrote takes what the proxy has written.
-func (w *Watch) Wrote(b []byte) {
-	if w.copies == nil && w.heard == nil {
+// ProxyWrote takes what the proxy has written.
+func (w *Observer) ProxyWrote(b []byte) {
+	if w.duplicates == nil && w.onRequest == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b == nil {
-		if w.copies != nil {
-			w.copies.closed(w.out())
+		if w.duplicates != nil {
+			w.duplicates.recordClose(w.unanswered())
 		}
 		return
 	}
-	w.in = append(w.in, b...)
-	for len(w.in) > 0 {
-		id, attrs, n := w.message()
+	w.requestBytes = append(w.requestBytes, b...)
+	for len(w.requestBytes) > 0 {
+		id, attrs, n := w.nextMessage()
 		if n == 0 {
 			return
 		}
-		w.sent += int64(n)
-		w.in = w.in[n:]
-		if w.heard != nil && id != "" {
-			w.heard(id, attrs)
+		w.writtenOffset += int64(n)
+		w.requestBytes = w.requestBytes[n:]
+		if w.onRequest != nil && id != "" {
+			w.onRequest(id, attrs)
 		}
-		if w.copies == nil {
+		if w.duplicates == nil {
 			continue
 		}
-		a := &watchedAttempt{id: id, end: w.sent}
+		a := &observedAttempt{id: id, endOffset: w.writtenOffset}
 		if id != "" {
-			a.copyAttempt = w.copies.wrote(w.member, id, w.over)
+			a.trackedAttempt = w.duplicates.recordWrite(w.member, id, w.peerClosed)
 		}
 		w.attempts = append(w.attempts, a)
 	}
 }
 
-// out is what the proxy has written and the member has not answered.
-func (w *Watch) out() (all []*copyAttempt) {
-	for _, a := range w.attempts[w.answering:] {
-		if a.copyAttempt != nil {
-			all = append(all, a.copyAttempt)
+// unanswered is what the proxy has written and the member has not answered.
+func (w *Observer) unanswered() (all []*trackedAttempt) {
+	for _, a := range w.attempts[w.nextAnswered:] {
+		if a.trackedAttempt != nil {
+			all = append(all, a.trackedAttempt)
 		}
 	}
 	return all
 }
 
-// Giving takes what is about to be written to the member. What the member says before that is no answer to it.
-func (w *Watch) Giving(b []byte) {
+// Forwarding takes what is about to be written to the member. What the member says before that is no answer to it.
+func (w *Observer) Forwarding(b []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.giving += int64(len(b))
-	for ; w.given < len(w.attempts) && w.attempts[w.given].end <= w.giving; w.given++ {
-		if a := w.attempts[w.given]; a.copyAttempt != nil {
-			w.copies.giving(a.id, a.copyAttempt)
+	w.forwardingOffset += int64(len(b))
+	for ; w.nextForwarded < len(w.attempts) && w.attempts[w.nextForwarded].endOffset <= w.forwardingOffset; w.nextForwarded++ {
+		if a := w.attempts[w.nextForwarded]; a.trackedAttempt != nil {
+			w.duplicates.recordForwarding(a.id, a.trackedAttempt)
 		}
 	}
 }
 
-// Came takes what has come at the member.
-func (w *Watch) Came(b []byte) {
-	if w.copies == nil {
+// MemberReceived takes what has come at the member.
+func (w *Observer) MemberReceived(b []byte) {
+	if w.duplicates == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b == nil {
-		w.copies.closedAtMember(w.out())
+		w.duplicates.recordCloseAtMember(w.unanswered())
 		return
 	}
-	w.delivered += int64(len(b))
-	for ; w.delivering < len(w.attempts) && w.attempts[w.delivering].end <= w.delivered; w.delivering++ {
-		if a := w.attempts[w.delivering]; a.copyAttempt != nil {
-			w.copies.arrived(a.id, a.copyAttempt)
+	w.deliveredOffset += int64(len(b))
+	for ; w.nextDelivered < len(w.attempts) && w.attempts[w.nextDelivered].endOffset <= w.deliveredOffset; w.nextDelivered++ {
+		if a := w.attempts[w.nextDelivered]; a.trackedAttempt != nil {
+			w.duplicates.recordArrival(a.id, a.trackedAttempt)
 		}
 	}
 }
 
-// Replied takes what the member has written.
-func (w *Watch) Replied(b []byte) {
-	if w.copies == nil || b == nil {
+// MemberReplied takes what the member has written.
+func (w *Observer) MemberReplied(b []byte) {
+	if w.duplicates == nil || b == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.answers = append(w.answers, b...)
-	for len(w.answers) > 0 && w.answering < len(w.attempts) {
-		n := w.answer()
+	w.answerBytes = append(w.answerBytes, b...)
+	for len(w.answerBytes) > 0 && w.nextAnswered < len(w.attempts) {
+		n := w.nextAnswer()
 		if n == 0 {
 			return
 		}
-		w.answers = w.answers[n:]
-		if w.attempts[w.answering].end > w.giving {
+		w.answerBytes = w.answerBytes[n:]
+		if w.attempts[w.nextAnswered].endOffset > w.forwardingOffset {
 			continue
 		}
-		if a := w.attempts[w.answering]; a.copyAttempt != nil {
-			w.copies.replied(a.copyAttempt)
+		if a := w.attempts[w.nextAnswered]; a.trackedAttempt != nil {
+			w.duplicates.recordAnswer(a.trackedAttempt)
 		}
-		w.answering++
+		w.nextAnswered++
 	}
 }
 
-// message measures the message that w.in begins with; id is empty where it is no attempt, n is 0 where it is not whole.
-func (w *Watch) message() (id, attrs string, n int) {
-	text := bytes.NewReader(w.in)
+// nextMessage measures the message that w.in begins with; id is empty where it is no attempt, n is 0 where it is not whole.
+func (w *Observer) nextMessage() (id, attrs string, n int) {
+	text := bytes.NewReader(w.requestBytes)
 	buffered := bufio.NewReader(text)
-	length := func() int { return len(w.in) - text.Len() - buffered.Buffered() }
+	length := func() int { return len(w.requestBytes) - text.Len() - buffered.Buffered() }
 	if w.origin {
 		request, err := http.ReadRequest(buffered)
 		if err != nil {
@@ -180,7 +180,7 @@
 		}
 		return request.Header.Get("X-Request-ID"), request.Header.Get("X-Attrs"), length()
 	}
-	words, err := readWords(buffered)
+	words, err := readCommand(buffered)
 	if err != nil {
 		return "", "", 0
 	}
@@ -190,9 +190,9 @@
 	return id, attrs, length()
 }
 
-// answer measures the answer that w.answers begins with; 0, where it is not whole.
-func (w *Watch) answer() int {
-	text := bytes.NewReader(w.answers)
+// nextAnswer measures the answer that w.answers begins with; 0, where it is not whole.
+func (w *Observer) nextAnswer() int {
+	text := bytes.NewReader(w.answerBytes)
 	buffered := bufio.NewReader(text)
 	if w.origin {
 		response, err := http.ReadResponse(buffered, nil)
@@ -205,16 +205,16 @@
 	} else if skipReply(buffered) != nil {
 		return 0
 	}
-	return len(w.answers) - text.Len() - buffered.Buffered()
+	return len(w.answerBytes) - text.Len() - buffered.Buffered()
 }
 
-var errReply = errors.New("standin: no reply")
+var errMalformedReply = errors.New("standin: no reply")
 
 // skipReply reads over one reply.
 func skipReply(in *bufio.Reader) error {
 	line, err := in.ReadString('\n')
 	if err != nil || len(line) < 3 {
-		return errReply
+		return errMalformedReply
 	}
 	kind := line[0]
 	switch kind {
@@ -222,11 +222,11 @@
 		return nil
 	case '$', '*':
 	default:
-		return errReply
+		return errMalformedReply
 	}
 	n, err := strconv.Atoi(strings.TrimSpace(line[1:]))
 	if err != nil {
-		return errReply
+		return errMalformedReply
 	}
 	if kind == '$' && n >= 0 {
 		_, err = io.CopyN(io.Discard, in, int64(n)+2)
