--- a/internal/cluster/clients.go
+++ b/internal/cluster/clients.go
@@ -19,75 +19,75 @@
 
 // Load is what clients ask of each proxy.
 type Load struct {
-	Reads  float64 // a second, at each proxy
-	Orders float64
-	Keys   int // of reads, with a Zipf-like share each
+	ReadRate  float64 // a second, at each proxy
+	OrderRate float64
+	Keys      int // of reads, with a Zipf-like share each
 	// Deadline is what clients tell, and Aim within what an answer is wanted.
-	Deadline, Aim time.Duration
+	Deadline, SoftDeadline time.Duration
 	// Grace is how late a final answer may come before it is lost: the proxies keep their time, the rig's own clients may not where the
 	// machine is busy. Tests, whose verdict may not hang on speed, give enough that only an answer that never comes is found.
 	Grace time.Duration
 }
 
-// Ask is one request and what became of it.
-type Ask struct {
-	Proxy string
-	Order bool
-	Key   string
-	ID    string
-	At    time.Time
-	Took  time.Duration
-	End   End
-	Text  string // of a failure
+// Request is one request and what became of it.
+type Request struct {
+	Proxy   string
+	IsOrder bool
+	Key     string
+	ID      string
+	SentAt  time.Time
+	Elapsed time.Duration
+	Outcome Outcome
+	Detail  string // of a failure
 }
 
-// End is what became of a request.
-type End uint8
+// Outcome is what became of a request.
+type Outcome uint8
 
 // The ends.
 const (
-	Served End = iota
+	Served Outcome = iota
 	Refused
 	Failed
-	Broken // its connection ended without an answer
-	Wrong  // an answer that nobody may give: a value of another key
+	NoAnswer    // its connection ended without an answer
+	WrongAnswer // an answer that nobody may give: a value of another key
 )
 
 // Clients ask until they are stopped.
 type Clients struct {
-	c    *Cluster
-	load Load
-	mu   sync.Mutex
-	asks []Ask
-	quit chan struct{}
-	g    sync.WaitGroup
-	lost map[string][]span // by proxy: when its process may lose what it had
+	cluster     *Cluster
+	load        Load
+	mu          sync.Mutex
+	requests    []Request
+	quit        chan struct{}
+	group       sync.WaitGroup
+	lossPeriods map[string][]span // by proxy: when its process may lose what it had
 }
 
 type span struct{ from, to time.Time }
 
-// Ask starts clients at all proxies.
-func (c *Cluster) Ask(load Load) *Clients {
-	cl := &Clients{c: c, load: load, quit: make(chan struct{}), lost: map[string][]span{}}
+// StartClients starts clients at all proxies.
+func (c *Cluster) StartClients(load Load) *Clients {
+	cl := &Clients{cluster: c, load: load, quit: make(chan struct{}), lossPeriods: map[string][]span{}}
 	for i, p := range c.Proxies {
-		cl.g.Go(func() { cl.run(p, load.Reads, false, uint64(2*i)) })
-		if load.Orders > 0 {
-			cl.g.Go(func() { cl.run(p, load.Orders, true, uint64(2*i+1)) })
+		cl.group.Go(func() { cl.run(p, load.ReadRate, false, uint64(2*i)) })
+		if load.OrderRate > 0 {
+			cl.group.Go(func() { cl.run(p, load.OrderRate, true, uint64(2*i+1)) })
 		}
 	}
 	return cl
 }
 
-// MayLose notes that a proxy's process is killed or cut off from its clients: what it had then is the clients' to repeat.
-func (cl *Clients) MayLose(proxy string, from, to time.Time) {
+// ExpectLoss notes that a proxy's process is killed or cut off from its clients: what it had then is the clients' to repeat.
+func (cl *Clients) ExpectLoss(proxy string, from, to time.Time) {
 	cl.mu.Lock()
-	cl.lost[proxy] = append(cl.lost[proxy], span{from, to})
+	cl.lossPeriods[proxy] = append(cl.lossPeriods[proxy], span{from, to})
 	cl.mu.Unlock()
 }
 
 // run asks at a rate, whatever the answers take: each request takes a connection that is idle, or a new one.
 func (cl *Clients) run(p *Proxy, rate float64, order bool, stream uint64) {
-	rng := rand.New(rand.NewPCG(cl.c.Seed, stream))
+	rng := rand.New(rand.NewPCG(cl.cluster.Seed, stream))
 	keys := rand.NewZipf(rng, 1.1, 20, uint64(max(1, cl.load.Keys-1)))
 	idle := make(chan *conn, 512)
 	var g sync.WaitGroup
@@ -110,30 +110,30 @@
 		if order {
 			key = fmt.Sprintf("order-%s-%d-%d", p.Name, stream, n)
 		}
-		id := fmt.Sprintf("%s%s-%d-%d", cl.c.idPrefix(), p.Name, stream, n)
+		id := fmt.Sprintf("%s%s-%d-%d", cl.cluster.idPrefix(), p.Name, stream, n)
 		g.Go(func() {
-			a := Ask{Proxy: p.Name, Order: order, Key: key, ID: id, At: time.Now()}
-			cl.ask(p, idle, "", &a)
+			a := Request{Proxy: p.Name, IsOrder: order, Key: key, ID: id, SentAt: time.Now()}
+			cl.send(p, idle, "", &a)
 			cl.mu.Lock()
-			cl.asks = append(cl.asks, a)
+			cl.requests = append(cl.requests, a)
 			cl.mu.Unlock()
 		})
 	}
 }
 
-// table makes an order's idempotency key of its name.
-var table = crc64.MakeTable(crc64.ECMA)
+// crcTable makes an order's idempotency key of its name.
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
 type conn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// Repeat asks again, as a client that has not heard what became of its request, and tells what it hears then.
-func (cl *Clients) Repeat(p *Proxy, a Ask) Ask {
-	a.At, a.End, a.ID = time.Now(), Served, a.ID+"-again"
+// Retry asks again, as a client that has not heard what became of its request, and tells what it hears then.
+func (cl *Clients) Retry(p *Proxy, a Request) Request {
+	a.SentAt, a.Outcome, a.ID = time.Now(), Served, a.ID+"-again"
 	idle := make(chan *conn, 1)
-	cl.ask(p, idle, ",r=1", &a)
+	cl.send(p, idle, ",r=1", &a)
 	select {
 	case c := <-idle:
 		c.Close()
@@ -142,7 +142,7 @@
 	return a
 }
 
-func (cl *Clients) ask(p *Proxy, idle chan *conn, attrs string, a *Ask) {
+func (cl *Clients) send(p *Proxy, idle chan *conn, attrs string, a *Request) {
 	for try := 0; ; try++ {
 		var c *conn
 		fresh := false
@@ -151,35 +151,35 @@
 		default:
 			raw, err := net.DialTimeout("tcp", p.Addr, cl.load.Deadline)
 			if err != nil {
-				a.End, a.Text, a.Took = Broken, err.Error(), time.Since(a.At)
+				a.Outcome, a.Detail, a.Elapsed = NoAnswer, err.Error(), time.Since(a.SentAt)
 				return
 			}
 			c, fresh = &conn{raw, bufio.NewReader(raw)}, true
 		}
-		c.SetDeadline(a.At.Add(cl.load.Deadline + 2*cl.load.Grace))
+		c.SetDeadline(a.SentAt.Add(cl.load.Deadline + 2*cl.load.Grace))
 		words := []string{"OBJ.GET", a.Key, a.ID, fmt.Sprintf("c=tile-read,d=%d%s", cl.load.Deadline.Milliseconds(), attrs)}
-		if a.Order {
+		if a.IsOrder {
 			words = []string{"OBJ.SET", a.Key, a.ID, fmt.Sprintf("c=pass-order,d=%d,k=%016x%s", cl.load.Deadline.Milliseconds(),
-				crc64.Checksum([]byte(a.Key), table), attrs), "one pass"}
+				crc64.Checksum([]byte(a.Key), crcTable), attrs), "one pass"}
 		}
-		line, value, err := c.ask(words)
-		a.Took = time.Since(a.At)
+		line, value, err := c.exchange(words)
+		a.Elapsed = time.Since(a.SentAt)
 		switch {
 		case err != nil && line == "" && !fresh && try < 3: // an idle connection that was closed as the request came: it goes again on another
 			c.Close()
 			continue
 		case err != nil:
-			a.End, a.Text = Broken, err.Error()
+			a.Outcome, a.Detail = NoAnswer, err.Error()
 			c.Close()
 			return
 		case strings.HasPrefix(line, "-BUSY"):
-			a.End = Refused
+			a.Outcome = Refused
 		case line[0] != '$' && line[0] != '*':
-			a.End, a.Text = Failed, line
-		case a.Order && value == "receipt of "+a.Key, !a.Order && value == string(standin.Value(a.Key, 200)):
-			a.End = Served
+			a.Outcome, a.Detail = Failed, line
+		case a.IsOrder && value == "receipt of "+a.Key, !a.IsOrder && value == string(standin.Value(a.Key, 200)):
+			a.Outcome = Served
 		default:
-			a.End, a.Text = Wrong, value
+			a.Outcome, a.Detail = WrongAnswer, value
 		}
 		select {
 		case idle <- c:
@@ -190,8 +190,8 @@
 	}
 }
 
-// ask asks one thing and reads the answer.
-func (c *conn) ask(words []string) (line, value string, err error) {
+// exchange asks one thing and reads the answer.
+func (c *conn) exchange(words []string) (line, value string, err error) {
 	b := resp.AppendArray(nil, len(words))
 	for _, w := range words {
 		b = resp.AppendBulk(b, w)
@@ -217,60 +217,60 @@
 // Stop ends the asking, and waits for the last answers.
 func (cl *Clients) Stop() {
 	close(cl.quit)
-	cl.g.Wait()
+	cl.group.Wait()
 }
 
-// Asks are those of a time that have ended.
-func (cl *Clients) Asks(from, to time.Time) []Ask {
+// Requests are those of a time that have ended.
+func (cl *Clients) Requests(from, to time.Time) []Request {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(cl.asks), func(a Ask) bool { return a.At.Before(from) || !a.At.Before(to) })
+	return slices.DeleteFunc(slices.Clone(cl.requests), func(a Request) bool { return a.SentAt.Before(from) || !a.SentAt.Before(to) })
 }
 
-// InTime is the share of the reads of a time that were served within the aim, and how many there were.
-func (cl *Clients) InTime(from, to time.Time) (share float64, all int) {
+// ShareInTime is the share of the reads of a time that were served within the aim, and how many there were.
+func (cl *Clients) ShareInTime(from, to time.Time) (share float64, all int) {
 	good := 0
-	for _, a := range cl.Asks(from, to) {
-		if a.Order {
+	for _, a := range cl.Requests(from, to) {
+		if a.IsOrder {
 			continue
 		}
-		if all++; a.End == Served && a.Took <= cl.load.Aim {
+		if all++; a.Outcome == Served && a.Elapsed <= cl.load.SoftDeadline {
 			good++
 		}
 	}
 	return float64(good) / float64(max(1, all)), all
 }
 
-// Breaches are the rules that were broken, as clients and members saw it, once all has been answered.
-func (cl *Clients) Breaches() (all []string) {
+// Violations are the rules that were broken, as clients and members saw it, once all has been answered.
+func (cl *Clients) Violations() (all []string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	ran := cl.c.Fleet.Origin.Executions()
-	for _, a := range cl.asks {
-		may := slices.ContainsFunc(cl.lost[a.Proxy], func(s span) bool { return a.At.Add(a.Took).After(s.from) && a.At.Before(s.to) })
+	ran := cl.cluster.Fleet.Origin.Executions()
+	for _, a := range cl.requests {
+		may := slices.ContainsFunc(cl.lossPeriods[a.Proxy], func(s span) bool { return a.SentAt.Add(a.Elapsed).After(s.from) && a.SentAt.Before(s.to) })
 		what := ""
 		switch {
-		case a.End == Wrong:
-			what = "a value that is another's: " + a.Text
-		case a.End == Broken && !may:
-			what = "no answer: " + a.Text
-		case a.Took > cl.load.Deadline+cl.load.Grace && !may:
-			what = fmt.Sprintf("answered after %v", a.Took)
-		case a.Order && ran[a.Key] > 1:
+		case a.Outcome == WrongAnswer:
+			what = "a value that is another's: " + a.Detail
+		case a.Outcome == NoAnswer && !may:
+			what = "no answer: " + a.Detail
+		case a.Elapsed > cl.load.Deadline+cl.load.Grace && !may:
+			what = fmt.Sprintf("answered after %v", a.Elapsed)
+		case a.IsOrder && ran[a.Key] > 1:
 			what = fmt.Sprintf("ran %d times", ran[a.Key])
-		case a.Order && a.End == Refused && ran[a.Key] > 0:
+		case a.IsOrder && a.Outcome == Refused && ran[a.Key] > 0:
 			what = "refused, and has run"
-		case a.Order && a.End == Served && ran[a.Key] != 1:
+		case a.IsOrder && a.Outcome == Served && ran[a.Key] != 1:
 			what = "served, and has not run"
 		}
 		if what != "" && len(all) < 20 {
-			all = append(all, fmt.Sprintf("%s at %s, %v after the start: %s", a.Key, a.Proxy, a.At.Sub(cl.c.start).Round(time.Millisecond), what))
+			all = append(all, fmt.Sprintf("%s at %s, %v after the start: %s", a.Key, a.Proxy, a.SentAt.Sub(cl.cluster.start).Round(time.Millisecond), what))
 		}
 	}
-	if cl.c.Copies != nil {
-		all = append(all, cl.c.Copies.Violations()...)
+	if cl.cluster.Duplicates != nil {
+		all = append(all, cl.cluster.Duplicates.Violations()...)
 	}
-	for _, b := range cl.c.Fleet.Caches {
+	for _, b := range cl.cluster.Fleet.Caches {
 		if b.Overloaded() {
 			all = append(all, "pushed over: "+b.ID)
 		}
@@ -278,8 +278,8 @@
 	return all
 }
 
-// Number is that of the proxy that was asked.
-func (a Ask) Number() (n int) {
+// ProxyNumber is that of the proxy that was asked.
+func (a Request) ProxyNumber() (n int) {
 	fmt.Sscanf(a.Proxy, "n%d", &n)
 	return n
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -25,98 +25,98 @@
 
 // Options are a cluster's.
 type Options struct {
-	Zones        []string
-	Boxes        int // in each zone
-	Proxies      int // dealt out over the zones in turn
-	Service      time.Duration
-	Places       int // requests that a box works on at once; 0: any number
-	Seed         uint64
-	Crossing     float64 // what a request that crosses zones costs, in worth; 0: one table for all
-	Origin       time.Duration
-	OriginPlaces int
-	// Operator is further text of each proxy's operator's file, where DIR stands for a folder of its own; Together says whether they know
+	Zones             []string
+	CachesPerZone     int // in each zone
+	Proxies           int // dealt out over the zones in turn
+	ServiceTime       time.Duration
+	CacheConcurrency  int // requests that a box works on at once; 0: any number
+	Seed              uint64
+	CrossZoneCost     float64 // what a request that crosses zones costs, in worth; 0: one table for all
+	OriginServiceTime time.Duration
+	OriginConcurrency int
+	// OperatorConfig is further text of each proxy's operator's file, where DIR stands for a folder of its own; Together says whether they know
 	// of one another and decide on zones together.
-	Operator string
-	Together bool
-	Program  string // the program, and what makes it one
-	Env      []string
-	Dir      string         // scratch
-	Set      map[string]any // further settings
-	Regions  map[string][]string
+	OperatorConfig string
+	JoinInstances  bool
+	Program        string // the program, and what makes it one
+	Env            []string
+	Dir            string         // scratch
+	Settings       map[string]any // further settings
+	Regions        map[string][]string
 	// Deadlines checks what members are told of deadlines; nil: nobody does. A client's time counts from when its link has passed its request on, and
 	// what a member is told by when it has been written to the member's link, so that the links and the stand-ins take no time of either.
 	Deadlines *standin.DeadlineChecker
-	// Copies checks that members have one attempt of a request at a time; nil: nobody does. A link that is cut, and healed while another attempt is
+	// Duplicates checks that members have one attempt of a request at a time; nil: nobody does. A link that is cut, and healed while another attempt is
 	// out, makes it find fault: it holds what was sent for longer than a proxy can wait.
-	Copies *standin.DuplicateChecker
+	Duplicates *standin.DuplicateChecker
 }
 
 // Cluster is all of it.
 type Cluster struct {
 	Options
-	Fleet   *standin.Fleet
-	Proxies []*Proxy
-	start   time.Time
-	net     string // its own addresses: 127.A.B.
-	fronts  []net.Listener
-	gossips []*gossip
-	mu      sync.Mutex
-	links   map[[2]string]*Link
+	Fleet        *standin.Fleet
+	Proxies      []*Proxy
+	start        time.Time
+	subnet       string // its own addresses: 127.A.B.
+	listeners    []net.Listener
+	gossipRelays []*gossipRelay
+	mu           sync.Mutex
+	links        map[[2]string]*Link
 }
 
 // Proxy is one proxy, whatever process serves as it.
 type Proxy struct {
 	*Process
-	Number int
-	Name   string
-	Zone   string
-	Addr   string // for clients, over a link
-	Mgmt   string
-	Dir    string // what lasts
-	c      *Cluster
-	host   string
-	starts int
-	env    []string
-	args   []string
+	Number         int
+	Name           string
+	Zone           string
+	Addr           string // for clients, over a link
+	ManagementAddr string
+	Dir            string // what lasts
+	cluster        *Cluster
+	host           string
+	starts         int
+	env            []string
+	args           []string
 }
 
-// nets counts the clusters of this process, so that each has addresses of its own.
-var nets atomic.Int32
+// subnetCounter counts the clusters of this process, so that each has addresses of its own.
+var subnetCounter atomic.Int32
 
 const (
 	servePort  = 16379
 	gossipPort = 17946 // and the next, for a process that takes over; so with mgmtPort
 	mgmtPort   = 18080
 
-	callTime = 5 * time.Second
+	callTimeout = 5 * time.Second
 )
 
-// keyText is a key that is no secret: the same for all clusters.
-const keyText = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
+// gossipKeyHex is a key that is no secret: the same for all clusters.
+const gossipKeyHex = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
 // New starts the stand-ins and the links, and no proxy yet.
 func New(o Options) (*Cluster, error) {
 	c := &Cluster{Options: o, start: time.Now(), links: map[[2]string]*Link{}}
-	err := c.addresses()
+	err := c.claimSubnet()
 	if err != nil {
 		return nil, err
 	}
-	if c.Fleet, err = standin.NewZonedFleet(o.Zones, o.Boxes, 200); err != nil {
+	if c.Fleet, err = standin.NewZonedFleet(o.Zones, o.CachesPerZone, 200); err != nil {
 		return nil, err
 	}
 	for _, b := range c.Fleet.Caches {
-		b.SetService(o.Service, o.Places)
+		b.SetService(o.ServiceTime, o.CacheConcurrency)
 	}
-	c.Fleet.Origin.SetService(o.Origin, o.OriginPlaces)
-	c.Fleet.Overrides = o.Set
+	c.Fleet.Origin.SetService(o.OriginServiceTime, o.OriginConcurrency)
+	c.Fleet.Overrides = o.Settings
 	if o.Deadlines != nil {
 		o.Deadlines.IDPrefix = c.idPrefix()
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, "key"), []byte(keyText+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(o.Dir, "key"), []byte(gossipKeyHex+"\n"), 0o600); err != nil {
 		return nil, err
 	}
 	for i := range o.Proxies {
-		if err := c.prepare(i); err != nil {
+		if err := c.prepareProxy(i); err != nil {
 			c.Close()
 			return nil, err
 		}
@@ -124,12 +124,12 @@
 	return c, nil
 }
 
-// addresses finds a part of the loopback network that no other cluster has, of this process or another.
-func (c *Cluster) addresses() (err error) {
+// claimSubnet finds a part of the loopback network that no other cluster has, of this process or another.
+func (c *Cluster) claimSubnet() (err error) {
 	for range 20 {
-		c.net = fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 1+int(nets.Add(1))%250)
+		c.subnet = fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 1+int(subnetCounter.Add(1))%250)
 		var l net.Listener
-		if l, err = net.Listen("tcp", fmt.Sprintf("%s%d:%d", c.net, 101, gossipPort)); err == nil {
+		if l, err = net.Listen("tcp", fmt.Sprintf("%s%d:%d", c.subnet, 101, gossipPort)); err == nil {
 			return l.Close()
 		}
 	}
@@ -138,7 +138,7 @@
 
 // idPrefix begins the ids of this cluster's requests. Ports are used again, and a proxy of another cluster on this machine may ask for a moment
 // where one of this one's boxes listens now.
-func (c *Cluster) idPrefix() string { return strings.ReplaceAll(c.net, ".", "-") }
+func (c *Cluster) idPrefix() string { return strings.ReplaceAll(c.subnet, ".", "-") }
 
 // proxyName is a proxy's name, as it stands at both ends of its links.
 func proxyName(i int) string { return fmt.Sprintf("n%d", i) }
@@ -159,8 +159,8 @@
 	return c.links[[2]string{from, to}]
 }
 
-// add makes a link.
-func (c *Cluster) add(from, to string) *Link {
+// addLink makes a link.
+func (c *Cluster) addLink(from, to string) *Link {
 	l := newLink(c.start, []byte(c.idPrefix()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,33 +168,33 @@
 	return l
 }
 
-// relay makes a link that stands before an address, and returns where.
-func (c *Cluster) relay(from, to, at, addr string) (string, error) {
+// addRelay makes a link that stands before an address, and returns where.
+func (c *Cluster) addRelay(from, to, at, addr string) (string, error) {
 	l, err := net.Listen("tcp", at)
 	if err != nil {
 		return "", err
 	}
-	link := c.add(from, to)
-	c.fronts = append(c.fronts, l)
-	go link.tcp(l, addr)
+	link := c.addLink(from, to)
+	c.listeners = append(c.listeners, l)
+	go link.serve(l, addr)
 	return l.Addr().String(), nil
 }
 
-// prepare makes a proxy's links and files.
-func (c *Cluster) prepare(i int) error {
+// prepareProxy makes a proxy's links and files.
+func (c *Cluster) prepareProxy(i int) error {
 	name, zone := proxyName(i), c.Zones[i%len(c.Zones)]
-	p := &Proxy{Number: i, Name: name, Zone: zone, c: c}
-	own, front := fmt.Sprintf("%s%d", c.net, 1+i), fmt.Sprintf("%s%d", c.net, 101+i)
+	p := &Proxy{Number: i, Name: name, Zone: zone, cluster: c}
+	own, front := fmt.Sprintf("%s%d", c.subnet, 1+i), fmt.Sprintf("%s%d", c.subnet, 101+i)
 	addrs := map[string]string{}
 	members := c.Fleet.Registry.List().Members
 	for _, m := range members {
-		at, err := c.relay(name, m.ID, "127.0.0.1:0", m.HostPort)
+		at, err := c.addRelay(name, m.ID, "127.0.0.1:0", m.HostPort)
 		if err != nil {
 			return err
 		}
 		addrs[m.ID] = at
-		c.Link(name, m.ID).watched(func(from net.Conn) *standin.Observer {
-			watch := c.Copies.Observe(m.ID, m.ID == c.Fleet.Origin.ID, from)
+		c.Link(name, m.ID).observeConns(func(from net.Conn) *standin.Observer {
+			watch := c.Duplicates.Observe(m.ID, m.ID == c.Fleet.Origin.ID, from)
 			if c.Deadlines == nil {
 				return watch
 			}
@@ -211,35 +211,35 @@
 	if err != nil {
 		return err
 	}
-	disco, err := c.relay(name, "discovery", "127.0.0.1:0", view)
+	disco, err := c.addRelay(name, "discovery", "127.0.0.1:0", view)
 	if err != nil {
 		return err
 	}
 	listen := fmt.Sprintf("%s:%d", own, servePort)
-	if p.Addr, err = c.relay("clients", name, "127.0.0.1:0", listen); err != nil {
+	if p.Addr, err = c.addRelay("clients", name, "127.0.0.1:0", listen); err != nil {
 		return err
 	}
 	if c.Deadlines != nil {
-		c.Link("clients", name).passing(c.Deadlines.RequestSent)
+		c.Link("clients", name).notifyRequests(c.Deadlines.RequestSent)
 	}
 	p.host = own
-	p.Mgmt = p.calls(mgmtPort)
+	p.ManagementAddr = p.managementAddr(mgmtPort)
 	for j := range c.Options.Proxies {
 		if j != i {
-			c.add(proxyName(j), name)
+			c.addLink(proxyName(j), name)
 		}
 	}
 	var at, told []string
 	for port := gossipPort; port < gossipPort+2; port++ {
 		at, told = append(at, fmt.Sprintf("%s:%d", own, port)), append(told, fmt.Sprintf("%s:%d", front, port))
-		g, err := newGossip(told[len(told)-1], at[len(at)-1], func(from net.IP) *Link {
+		g, err := newGossipRelay(told[len(told)-1], at[len(at)-1], func(from net.IP) *Link {
 			n := int(from.To4()[3]) - 1
 			return c.link(proxyName(n), name)
 		})
 		if err != nil {
 			return err
 		}
-		c.gossips = append(c.gossips, g)
+		c.gossipRelays = append(c.gossipRelays, g)
 	}
 	text, err := c.Fleet.Config(name, listen, fmt.Sprintf("%x", c.Seed+uint64(i)*7919+1), 128, 1024)
 	if err != nil {
@@ -249,10 +249,10 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return err
 	}
-	config["discovery"], config["mgmt"] = disco, p.Mgmt
+	config["discovery"], config["mgmt"] = disco, p.ManagementAddr
 	settings := config["settings"].(map[string]any)
 	settings["instances"], settings["self_index"], settings["az"] = c.Options.Proxies, i, i%len(c.Zones)
-	settings["deductions"] = map[string]any{"cross_zone": c.Crossing}
+	settings["deductions"] = map[string]any{"cross_zone": c.CrossZoneCost}
 	known := c.Fleet.Registry.List()
 	for k, m := range known.Members {
 		known.Members[k] = see(m)
@@ -269,16 +269,16 @@
 	if err := os.MkdirAll(p.Dir, 0o700); err != nil {
 		return err
 	}
-	operator := strings.ReplaceAll(c.Operator, "DIR", p.Dir)
-	if c.Together {
+	operator := strings.ReplaceAll(c.OperatorConfig, "DIR", p.Dir)
+	if c.JoinInstances {
 		var join []string
 		for j := range min(3, c.Options.Proxies) {
-			join = append(join, fmt.Sprintf("%s%d:%d", c.net, 101+j, gossipPort))
+			join = append(join, fmt.Sprintf("%s%d:%d", c.subnet, 101+j, gossipPort))
 		}
-		operator += fmt.Sprintf("[instances]\nlisten = %s\nadvertise = %s\njoin = %s\nkey_file = %q\n[zones]\n", list(at), list(told), list(join),
+		operator += fmt.Sprintf("[instances]\nlisten = %s\nadvertise = %s\njoin = %s\nkey_file = %q\n[zones]\n", tomlList(at), tomlList(told), tomlList(join),
 			filepath.Join(c.Dir, "key"))
 		for name, zones := range c.Regions {
-			operator += fmt.Sprintf("[[zones.region]]\nname = %q\nzones = %s\n", name, list(zones))
+			operator += fmt.Sprintf("[[zones.region]]\nname = %q\nzones = %s\n", name, tomlList(zones))
 		}
 	}
 	if err := os.WriteFile(op, []byte(operator), 0o600); err != nil {
@@ -293,8 +293,8 @@
 	return nil
 }
 
-// list is a list of texts as TOML has it.
-func list(texts []string) string {
+// tomlList is a list of texts as TOML has it.
+func tomlList(texts []string) string {
 	b, _ := json.Marshal(texts) // it knows no error here, and the two write it alike
 	return string(b)
 }
@@ -310,7 +310,7 @@
 			return err
 		}
 	}
-	if !c.Together {
+	if !c.JoinInstances {
 		return nil
 	}
 	return Eventually("all know of one another, and one leads", func() bool {
@@ -328,13 +328,13 @@
 	})
 }
 
-// calls is where it takes operators' calls at a port.
-func (p *Proxy) calls(port int) string { return fmt.Sprintf("%s:%d", p.host, port) }
+// managementAddr is where it takes operators' calls at a port.
+func (p *Proxy) managementAddr(port int) string { return fmt.Sprintf("%s:%d", p.host, port) }
 
 // Start starts a process for the proxy.
 func (p *Proxy) Start() (err error) {
-	p.starts, p.Mgmt = 1, p.calls(mgmtPort)
-	p.Process, err = Start("msg=ready", p.env, p.c.Program, p.args...)
+	p.starts, p.ManagementAddr = 1, p.managementAddr(mgmtPort)
+	p.Process, err = Start("msg=ready", p.env, p.cluster.Program, p.args...)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", p.Name, err)
 	}
@@ -345,12 +345,12 @@
 func (p *Proxy) Upgrade() error {
 	old := p.Process
 	p.starts++
-	mgmt := p.calls(mgmtPort + (p.starts+1)%2)
-	next, err := Start("msg=ready", append(p.env[:len(p.env):len(p.env)], "LB_MGMT="+mgmt), p.c.Program, p.args...)
+	mgmt := p.managementAddr(mgmtPort + (p.starts+1)%2)
+	next, err := Start("msg=ready", append(p.env[:len(p.env):len(p.env)], "LB_MGMT="+mgmt), p.cluster.Program, p.args...)
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
-	p.Process, p.Mgmt = next, mgmt
+	p.Process, p.ManagementAddr = next, mgmt
 	return old.Stop()
 }
 
@@ -360,7 +360,7 @@
 
 // View is what it tells operators.
 func (p *Proxy) View() (v mgmt.View, err error) {
-	text, err := mgmt.CallOK("GET", p.Mgmt, "/members", "", callTime)
+	text, err := mgmt.CallOK("GET", p.ManagementAddr, "/members", "", callTimeout)
 	if err != nil {
 		return v, err
 	}
@@ -369,21 +369,21 @@
 
 // Status is what it tells operators of itself and its members.
 func (p *Proxy) Status() (string, error) {
-	text, err := mgmt.CallOK("GET", p.Mgmt, "/status", "", callTime)
+	text, err := mgmt.CallOK("GET", p.ManagementAddr, "/status", "", callTimeout)
 	return string(text), err
 }
 
-// CallZone makes an operator's call at it.
-func (p *Proxy) CallZone(mode, zone string) (t mgmt.CallReport, err error) {
-	text, err := mgmt.CallOK("PUT", p.Mgmt, "/zones/"+mode, zone+" the rig", callTime)
+// SetZoneMode makes an operator's call at it.
+func (p *Proxy) SetZoneMode(mode, zone string) (t mgmt.CallReport, err error) {
+	text, err := mgmt.CallOK("PUT", p.ManagementAddr, "/zones/"+mode, zone+" the rig", callTimeout)
 	if err != nil {
 		return t, err
 	}
 	return t, json.Unmarshal(text, &t)
 }
 
-// Each does something with each link between two groups, in both directions of who connects.
-func (c *Cluster) Each(a, b []string, do func(*Link)) {
+// EachLink does something with each link between two groups, in both directions of who connects.
+func (c *Cluster) EachLink(a, b []string, do func(*Link)) {
 	for _, x := range a {
 		for _, y := range b {
 			for _, k := range [][2]string{{x, y}, {y, x}} {
@@ -395,7 +395,7 @@
 	}
 }
 
-// ProxiesIn and BoxesIn are the names of a zone's.
+// ProxiesIn and CachesIn are the names of a zone's.
 func (c *Cluster) ProxiesIn(zones ...string) (names []string) {
 	for _, p := range c.Proxies {
 		if slices.Contains(zones, p.Zone) {
@@ -405,7 +405,7 @@
 	return names
 }
 
-func (c *Cluster) BoxesIn(zones ...string) (names []string) {
+func (c *Cluster) CachesIn(zones ...string) (names []string) {
 	for _, b := range c.Fleet.Caches {
 		if slices.Contains(zones, b.Zone) {
 			names = append(names, b.ID)
@@ -414,18 +414,18 @@
 	return names
 }
 
-// Sent is how many requests a proxy has sent to a zone's boxes within a time.
-func (c *Cluster) Sent(proxy, zone string, from, to time.Time) (n int) {
-	for _, b := range c.BoxesIn(zone) {
-		n += c.Link(proxy, b).Sent(from, to)
+// RequestsSent is how many requests a proxy has sent to a zone's boxes within a time.
+func (c *Cluster) RequestsSent(proxy, zone string, from, to time.Time) (n int) {
+	for _, b := range c.CachesIn(zone) {
+		n += c.Link(proxy, b).RequestsSent(from, to)
 	}
 	return n
 }
 
-// Gossiped is how many bytes of datagrams the instances have sent one another.
-func (c *Cluster) Gossiped() (n int64) {
-	for _, g := range c.gossips {
-		n += g.sent.Load()
+// GossipBytes is how many bytes of datagrams the instances have sent one another.
+func (c *Cluster) GossipBytes() (n int64) {
+	for _, g := range c.gossipRelays {
+		n += g.datagramBytes.Load()
 	}
 	return n
 }
@@ -437,10 +437,10 @@
 			p.Kill()
 		}
 	}
-	for _, l := range c.fronts {
+	for _, l := range c.listeners {
 		l.Close()
 	}
-	for _, g := range c.gossips {
+	for _, g := range c.gossipRelays {
 		g.close()
 	}
 	for _, l := range c.links {
@@ -450,11 +450,11 @@
 }
 
 // Eventually waits until something has come about that it takes a call to each process to see.
-func Eventually(what string, ok func() bool) error { return Await(20*time.Millisecond, what, ok) }
+func Eventually(what string, ok func() bool) error { return WaitFor(20*time.Millisecond, what, ok) }
 
-// Await looks again and again until something has come about.
-func Await(every time.Duration, what string, ok func() bool) error {
-	for end := time.Now().Add(Patience); time.Now().Before(end); time.Sleep(every) {
+// WaitFor looks again and again until something has come about.
+func WaitFor(every time.Duration, what string, ok func() bool) error {
+	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(every) {
 		if ok() {
 			return nil
 		}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -17,16 +17,16 @@
 	"linenloom/internal/store/disk"
 )
 
-// asProxy makes the test's own program a proxy: one that was built as the tests were.
-const asProxy = "LINENLOOM_CLUSTER_PROXY"
+// proxyEnv makes the test's own program a proxy: one that was built as the tests were.
+const proxyEnv = "LINENLOOM_CLUSTER_PROXY"
 
-// lyingDisk has what lasts stand on a disk that lies, as crash.ParseLying has it.
-const lyingDisk = "LINENLOOM_CLUSTER_DISK"
+// unreliableDiskEnv has what lasts stand on a disk that lies, as crash.ParseLying has it.
+const unreliableDiskEnv = "LINENLOOM_CLUSTER_DISK"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProxy) != "" {
+	if os.Getenv(proxyEnv) != "" {
 		g := app.Program{Name: "proxy", Instances: func(j app.Joined) (app.Fleet, error) { return instances.New(j) }}
-		if lies := os.Getenv(lyingDisk); lies != "" {
+		if lies := os.Getenv(unreliableDiskEnv); lies != "" {
 			g.Disk = func(dir string) disk.FS {
 				fs, err := crash.ParseUnreliable(disk.Dir(dir), lies)
 				if err != nil {
@@ -40,50 +40,50 @@
 	os.Exit(m.Run())
 }
 
-var abc = []string{"a", "b", "c"}
+var zoneNames = []string{"a", "b", "c"}
 
-// warmFor is how long boxes take to be warm: short, so that a return is.
-const warmFor = 4 * time.Second
+// warmupTime is how long boxes take to be warm: short, so that a return is.
+const warmupTime = 4 * time.Second
 
-// scene is a cluster with clients before it, and what the tests ask of it.
-type scene struct {
+// harness is a cluster with clients before it, and what the tests ask of it.
+type harness struct {
 	*Cluster
 	*Clients
 	t *testing.T
 }
 
-// room bounds the clusters at once: a busy machine is slow for all zones alike, but the tests have an end.
-var room = make(chan struct{}, 2)
+// slots bounds the clusters at once: a busy machine is slow for all zones alike, but the tests have an end.
+var slots = make(chan struct{}, 2)
 
-// stage starts a cluster of six proxies and three zones of four boxes that are warm and full, unless the options say otherwise.
-func stage(t *testing.T, o Options) *scene {
+// newHarness starts a cluster of six proxies and three zones of four boxes that are warm and full, unless the options say otherwise.
+func newHarness(t *testing.T, o Options) *harness {
 	t.Helper()
-	room <- struct{}{}
-	t.Cleanup(func() { <-room })
+	slots <- struct{}{}
+	t.Cleanup(func() { <-slots })
 	var load Load
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Program, o.Env, o.Dir, o.Together = self, append(o.Env, asProxy+"=1"), t.TempDir(), true
+	o.Program, o.Env, o.Dir, o.JoinInstances = self, append(o.Env, proxyEnv+"=1"), t.TempDir(), true
 	if o.Zones == nil {
-		o.Zones = abc
+		o.Zones = zoneNames
 	}
 	if o.Proxies == 0 {
 		o.Proxies = 6
 	}
-	o.Boxes, o.Service, o.Origin, o.OriginPlaces, o.Seed = 4, 12*time.Millisecond, 20*time.Millisecond, 24, 7
-	if o.Copies == nil { // scenes cut links, which hold what was sent until they are healed
-		o.Copies = standin.NewDuplicateChecker()
-		o.Copies.MaxInTransit = heldMost
+	o.CachesPerZone, o.ServiceTime, o.OriginServiceTime, o.OriginConcurrency, o.Seed = 4, 12*time.Millisecond, 20*time.Millisecond, 24, 7
+	if o.Duplicates == nil { // scenes cut links, which hold what was sent until they are healed
+		o.Duplicates = standin.NewDuplicateChecker()
+		o.Duplicates.MaxInTransit = maxInTransit
 	}
-	if o.Set == nil {
-		o.Set = map[string]any{}
+	if o.Settings == nil {
+		o.Settings = map[string]any{}
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
-	rules["cold_ms"] = float64(warmFor.Milliseconds())
-	o.Set["rules"] = rules
-	load.Reads, load.Orders, load.Keys, load.Deadline, load.Aim, load.Grace = 40, 2, 300, 3*time.Second, standin.ReadSoftDeadline, 30*time.Second
+	rules["cold_ms"] = float64(warmupTime.Milliseconds())
+	o.Settings["rules"] = rules
+	load.ReadRate, load.OrderRate, load.Keys, load.Deadline, load.SoftDeadline, load.Grace = 40, 2, 300, 3*time.Second, standin.ReadSoftDeadline, 30*time.Second
 	c, err := New(o)
 	if err != nil {
 		t.Fatal(err)
@@ -95,28 +95,28 @@
 	if err := c.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	s := &scene{c, c.Ask(load), t}
-	s.run(2 * time.Second) // what is usual has to be known
+	s := &harness{c, c.StartClients(load), t}
+	s.letRun(2 * time.Second) // what is usual has to be known
 	return s
 }
 
-// run lets time go by: a load has a length, and no event ends it.
-func (s *scene) run(d time.Duration) { time.Sleep(d) }
+// letRun lets time go by: a load has a length, and no event ends it.
+func (s *harness) letRun(d time.Duration) { time.Sleep(d) }
 
-// silence cuts zones off from all proxies, or heals them: as other processes, whose boxes are empty and cold.
-func (s *scene) silence(on bool, zones ...string) {
+// blockZones cuts zones off from all proxies, or heals them: as other processes, whose boxes are empty and cold.
+func (s *harness) blockZones(on bool, zones ...string) {
 	for _, p := range s.Proxies {
-		for _, b := range s.BoxesIn(zones...) {
-			s.Link(p.Name, b).Both(Trouble{Cut: on})
+		for _, b := range s.CachesIn(zones...) {
+			s.Link(p.Name, b).SetBoth(Impairment{Blocked: on})
 		}
 	}
 }
 
-func (s *scene) cold(zones ...string) {
+func (s *harness) restartCold(zones ...string) {
 	for _, z := range zones {
 		for _, b := range s.Fleet.CachesIn(z) {
 			b.Clear()
-			b.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: warmFor, WarmRate: 60, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
+			b.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: warmupTime, WarmRate: 60, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
 			for _, p := range s.Proxies {
 				s.Link(p.Name, b.ID).Reset()
 			}
@@ -124,8 +124,8 @@
 	}
 }
 
-// state waits until all that live say that a zone is in a state.
-func (s *scene) state(zone, state string, but ...string) time.Duration {
+// awaitState waits until all that live say that a zone is in a state.
+func (s *harness) awaitState(zone, state string, but ...string) time.Duration {
 	s.t.Helper()
 	began := time.Now()
 	err := Eventually(fmt.Sprintf("all say that %s is %s", zone, state), func() bool {
@@ -155,33 +155,33 @@
 	return time.Since(began)
 }
 
-// sent is how much all have sent to a zone within a time.
-func (s *scene) sent(zone string, from, to time.Time) (n int) {
+// totalSent is how much all have sent to a zone within a time.
+func (s *harness) totalSent(zone string, from, to time.Time) (n int) {
 	for _, p := range s.Proxies {
-		n += s.Sent(p.Name, zone, from, to)
+		n += s.RequestsSent(p.Name, zone, from, to)
 	}
 	return n
 }
 
 // logSent logs how much each proxy has sent to a zone in each tenth of a second.
-func (s *scene) logSent(zone string, from, to time.Time) {
+func (s *harness) logSent(zone string, from, to time.Time) {
 	s.t.Helper()
 	const step = 100 * time.Millisecond
 	for _, p := range s.Proxies {
 		var line strings.Builder
 		for at := from; at.Before(to); at = at.Add(step) {
-			fmt.Fprintf(&line, " %d", s.Sent(p.Name, zone, at, at.Add(step)))
+			fmt.Fprintf(&line, " %d", s.RequestsSent(p.Name, zone, at, at.Add(step)))
 		}
 		strange := 0
-		for _, b := range s.BoxesIn(zone) {
-			strange += s.Link(p.Name, b).Strange()
+		for _, b := range s.CachesIn(zone) {
+			strange += s.Link(p.Name, b).ForeignRequests()
 		}
 		s.t.Logf("%s sent to zone %s, by tenths of a second from %s:%s; others sent %d there", p.Name, zone, from.Format(time.StampMilli), &line, strange)
 	}
 }
 
 // logStatus logs what the proxies tell of themselves.
-func (s *scene) logStatus() {
+func (s *harness) logStatus() {
 	s.t.Helper()
 	for _, p := range s.Proxies {
 		status, err := p.Status()
@@ -189,8 +189,8 @@
 	}
 }
 
-// stays has a zone in a state for a time, at all that live.
-func (s *scene) stays(zone, state string, d time.Duration) {
+// requireState has a zone in a state for a time, at all that live.
+func (s *harness) requireState(zone, state string, d time.Duration) {
 	s.t.Helper()
 	late := standin.MeasureSchedulingDelay()
 	defer late.Stop()
@@ -207,8 +207,8 @@
 	}
 }
 
-// faults sets what the boxes of a zone do wrong.
-func (s *scene) faults(f standin.Fault, zones ...string) {
+// setFault sets what the boxes of a zone do wrong.
+func (s *harness) setFault(f standin.Fault, zones ...string) {
 	for _, z := range zones {
 		for _, b := range s.Fleet.CachesIn(z) {
 			b.SetFault(f)
@@ -216,7 +216,7 @@
 	}
 }
 
-func (s *scene) slow(d time.Duration, zones ...string) {
+func (s *harness) setServiceTime(d time.Duration, zones ...string) {
 	for _, z := range zones {
 		for _, b := range s.Fleet.CachesIn(z) {
 			b.SetService(d, 0)
@@ -224,136 +224,136 @@
 	}
 }
 
-// apart cuts two sides off from each other, or heals that: what connects, and what is sent.
-func (s *scene) apart(on bool, a, b []string) {
-	s.Each(a, b, func(l *Link) { l.Both(Trouble{Cut: on}) })
+// partition cuts two sides off from each other, or heals that: what connects, and what is sent.
+func (s *harness) partition(on bool, a, b []string) {
+	s.EachLink(a, b, func(l *Link) { l.SetBoth(Impairment{Blocked: on}) })
 }
 
-func silentBackCold(s *scene) {
-	s.silence(true, "c")
-	s.state("c", "trying")
-	s.run(2 * time.Second)
-	s.cold("c")
-	s.silence(false, "c")
-	s.state("c", "in")
+func silentThenCold(s *harness) {
+	s.blockZones(true, "c")
+	s.awaitState("c", "trying")
+	s.letRun(2 * time.Second)
+	s.restartCold("c")
+	s.blockZones(false, "c")
+	s.awaitState("c", "in")
 }
 
-// heldMost is for how long a proxy takes a request to be under way at the most: a quarter of the connect time-out (docs/connections.md).
-const heldMost = 250 * time.Millisecond / 4
+// maxInTransit is for how long a proxy takes a request to be under way at the most: a quarter of the connect time-out (docs/connections.md).
+const maxInTransit = 250 * time.Millisecond / 4
 
-const zoneGone = 480 * time.Millisecond // forty times what an answer takes
+const unresponsiveServiceTime = 480 * time.Millisecond // forty times what an answer takes
 
-// scenes are the hard cases of zones that fail; each ends with the rules as clients and boxes have seen them.
-var scenes = map[string]struct {
+// zoneScenarios are the hard cases of zones that fail; each ends with the rules as clients and boxes have seen them.
+var zoneScenarios = map[string]struct {
 	o    Options
-	play func(s *scene)
+	play func(s *harness)
 }{
-	"silent, back cold":                  {play: silentBackCold},
-	"silent, a table by zone, back cold": {o: Options{Crossing: 0.06}, play: silentBackCold},
-	"slow, back warm": {play: func(s *scene) {
-		s.slow(zoneGone, "c")
-		s.state("c", "trying")
-		s.slow(s.Service, "c")
-		s.state("c", "in")
+	"silent, back cold":                  {play: silentThenCold},
+	"silent, a table by zone, back cold": {o: Options{CrossZoneCost: 0.06}, play: silentThenCold},
+	"slow, back warm": {play: func(s *harness) {
+		s.setServiceTime(unresponsiveServiceTime, "c")
+		s.awaitState("c", "trying")
+		s.setServiceTime(s.ServiceTime, "c")
+		s.awaitState("c", "in")
 	}},
-	"half of the answers fail, back half cold": {play: func(s *scene) {
-		s.faults(standin.Intermittent, "c")
-		s.state("c", "trying")
+	"half of the answers fail, back half cold": {play: func(s *harness) {
+		s.setFault(standin.Intermittent, "c")
+		s.awaitState("c", "trying")
 		for _, b := range s.Fleet.CachesIn("c")[:2] {
 			b.Clear()
 		}
-		s.faults(standin.Healthy, "c")
-		s.state("c", "in")
+		s.setFault(standin.Healthy, "c")
+		s.awaitState("c", "in")
 	}},
-	"refusing": {play: func(s *scene) {
-		s.faults(standin.Busy, "c")
-		s.state("c", "trying")
-		s.faults(standin.Healthy, "c")
-		s.state("c", "in")
+	"refusing": {play: func(s *harness) {
+		s.setFault(standin.Busy, "c")
+		s.awaitState("c", "trying")
+		s.setFault(standin.Healthy, "c")
+		s.awaitState("c", "in")
 	}},
-	"one way only": {play: func(s *scene) {
+	"one way only": {play: func(s *harness) {
 		for _, p := range s.Proxies {
-			for _, b := range s.BoxesIn("c") {
-				s.Link(p.Name, b).Set(Back, Trouble{Cut: true})
+			for _, b := range s.CachesIn("c") {
+				s.Link(p.Name, b).Set(Backward, Impairment{Blocked: true})
 			}
 		}
-		s.state("c", "trying")
-		s.silence(false, "c")
-		s.state("c", "in")
+		s.awaitState("c", "trying")
+		s.blockZones(false, "c")
+		s.awaitState("c", "in")
 	}},
 	"a region of two zones of four": {o: Options{Zones: []string{"a", "b", "c", "d"}, Proxies: 8, Regions: map[string][]string{"south": {"c", "d"}}},
-		play: func(s *scene) {
-			s.silence(true, "c", "d")
-			s.state("c", "trying")
-			s.state("d", "trying")
-			s.silence(false, "c")
-			s.stays("c", "trying", 3*time.Second) // as one
-			s.silence(false, "d")
-			s.state("c", "in")
-			s.state("d", "in")
+		play: func(s *harness) {
+			s.blockZones(true, "c", "d")
+			s.awaitState("c", "trying")
+			s.awaitState("d", "trying")
+			s.blockZones(false, "c")
+			s.requireState("c", "trying", 3*time.Second) // as one
+			s.blockZones(false, "d")
+			s.awaitState("c", "in")
+			s.awaitState("d", "in")
 		}},
-	"a zone's proxies are gone, and its boxes live": {play: func(s *scene) {
+	"a zone's proxies are gone, and its boxes live": {play: func(s *harness) {
 		for _, p := range s.Proxies {
 			if p.Zone == "c" {
-				s.MayLose(p.Name, time.Now(), time.Now().Add(time.Hour))
+				s.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 				p.Kill()
 			}
 		}
-		s.stays("c", "in", 4*time.Second)
+		s.requireState("c", "in", 4*time.Second)
 	}},
-	"cut off with proxies, boxes and clients": {play: func(s *scene) {
-		there := append(s.ProxiesIn("c"), s.BoxesIn("c")...)
-		here := append(s.ProxiesIn("a", "b"), s.BoxesIn("a", "b")...)
-		s.apart(true, here, there)
-		s.state("c", "trying", s.ProxiesIn("c")...)
+	"cut off with proxies, boxes and clients": {play: func(s *harness) {
+		there := append(s.ProxiesIn("c"), s.CachesIn("c")...)
+		here := append(s.ProxiesIn("a", "b"), s.CachesIn("a", "b")...)
+		s.partition(true, here, there)
+		s.awaitState("c", "trying", s.ProxiesIn("c")...)
 		from := time.Now()
-		s.run(3 * time.Second)
-		for _, a := range s.Asks(from, time.Now()) {
-			if a.End == Failed {
-				s.t.Errorf("%s at %s failed on one side of a partition: %s", a.Key, a.Proxy, a.Text)
+		s.letRun(3 * time.Second)
+		for _, a := range s.Requests(from, time.Now()) {
+			if a.Outcome == Failed {
+				s.t.Errorf("%s at %s failed on one side of a partition: %s", a.Key, a.Proxy, a.Detail)
 			}
 		}
-		s.apart(false, here, there)
-		s.state("c", "in")
+		s.partition(false, here, there)
+		s.awaitState("c", "in")
 	}},
-	"messages lost, late, and cut between two halves": {play: func(s *scene) {
+	"messages lost, late, and cut between two halves": {play: func(s *harness) {
 		var names []string
 		for _, p := range s.Proxies {
 			names = append(names, p.Name)
 		}
-		s.Each(names, names, func(l *Link) { l.Both(Trouble{Lose: 0.3}) })
-		s.silence(true, "c")
-		s.state("c", "trying")
-		s.Each(names, names, func(l *Link) { l.Both(Trouble{Delay: 2 * time.Second}) })
-		s.run(3 * time.Second)
-		s.Each(names, names, func(l *Link) { l.Both(Trouble{}) })
-		s.state("c", "trying")
-		s.apart(true, names[:3], names[3:])
-		s.silence(false, "c")
-		s.state("c", "returning", names[3:]...)
-		s.apart(false, names[:3], names[3:])
-		s.state("c", "in")
+		s.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{LossRate: 0.3}) })
+		s.blockZones(true, "c")
+		s.awaitState("c", "trying")
+		s.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{Delay: 2 * time.Second}) })
+		s.letRun(3 * time.Second)
+		s.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{}) })
+		s.awaitState("c", "trying")
+		s.partition(true, names[:3], names[3:])
+		s.blockZones(false, "c")
+		s.awaitState("c", "returning", names[3:]...)
+		s.partition(false, names[:3], names[3:])
+		s.awaitState("c", "in")
 	}},
-	"paused through it, started in the middle, killed on the return": {play: func(s *scene) {
+	"paused through it, started in the middle, killed on the return": {play: func(s *harness) {
 		leader := s.Proxies[0]
-		s.MayLose(leader.Name, time.Now(), time.Now().Add(10*time.Second))
+		s.ExpectLoss(leader.Name, time.Now(), time.Now().Add(10*time.Second))
 		leader.Pause()
-		s.silence(true, "c")
-		s.state("c", "trying", leader.Name)
-		s.run(2 * time.Second)
+		s.blockZones(true, "c")
+		s.awaitState("c", "trying", leader.Name)
+		s.letRun(2 * time.Second)
 		leader.Continue()
 		at := time.Now().Add(300 * time.Millisecond)
-		s.state("c", "trying")
-		s.run(2 * time.Second)
-		if n := s.Sent(leader.Name, "c", at, at.Add(1500*time.Millisecond)); n > 16 {
+		s.awaitState("c", "trying")
+		s.letRun(2 * time.Second)
+		if n := s.RequestsSent(leader.Name, "c", at, at.Add(1500*time.Millisecond)); n > 16 {
 			s.t.Errorf("continued after the zone was left, it sends %d to it in 1.5 s", n)
 		}
 		late := s.Proxies[5]
-		s.MayLose(late.Name, time.Now(), time.Now().Add(time.Hour))
+		s.ExpectLoss(late.Name, time.Now(), time.Now().Add(time.Hour))
 		late.Kill()
-		s.cold("c")
-		s.silence(false, "c")
-		s.state("c", "returning", late.Name)
+		s.restartCold("c")
+		s.blockZones(false, "c")
+		s.awaitState("c", "returning", late.Name)
 		if err := late.Start(); err != nil {
 			s.t.Fatal(err)
 		}
@@ -361,72 +361,72 @@
 			s.t.Errorf("started while the zone is returned to, it takes %+v, %v", v.Zones, err)
 		}
 		for _, p := range s.Proxies[3:5] {
-			s.MayLose(p.Name, time.Now(), time.Now().Add(time.Hour))
+			s.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 			p.Kill()
 		}
-		s.state("c", "in", "n3", "n4")
+		s.awaitState("c", "in", "n3", "n4")
 	}},
-	"two zones half a second apart": {play: func(s *scene) {
-		s.silence(true, "c")
-		s.run(500 * time.Millisecond)
-		s.silence(true, "b")
-		s.state("b", "trying")
-		s.state("c", "trying")
-		s.stays("a", "in", time.Second)
-		s.silence(false, "b", "c")
-		s.state("b", "in")
-		s.state("c", "in")
+	"two zones half a second apart": {play: func(s *harness) {
+		s.blockZones(true, "c")
+		s.letRun(500 * time.Millisecond)
+		s.blockZones(true, "b")
+		s.awaitState("b", "trying")
+		s.awaitState("c", "trying")
+		s.requireState("a", "in", time.Second)
+		s.blockZones(false, "b", "c")
+		s.awaitState("b", "in")
+		s.awaitState("c", "in")
 	}},
-	"a cause common to all leaves nobody": {play: func(s *scene) {
-		s.slow(zoneGone, abc...)
-		s.stays("a", "in", 0)
-		s.noneLeft(3 * time.Second)
-		s.slow(s.Service, abc...)
+	"a cause common to all leaves nobody": {play: func(s *harness) {
+		s.setServiceTime(unresponsiveServiceTime, zoneNames...)
+		s.requireState("a", "in", 0)
+		s.requireAllInUse(3 * time.Second)
+		s.setServiceTime(s.ServiceTime, zoneNames...)
 		s.Fleet.Origin.SetService(600*time.Millisecond, 8)
 		for _, b := range s.Fleet.Caches {
 			b.Clear()
 		}
-		s.noneLeft(3 * time.Second)
+		s.requireAllInUse(3 * time.Second)
 		bad := s.Fleet.CachesIn("c")[0]
 		bad.SetFault(standin.Stall)
-		s.noneLeft(3 * time.Second)
+		s.requireAllInUse(3 * time.Second)
 	}},
-	"a zone that flaps waits longer each time": {play: func(s *scene) {
+	"a zone that flaps waits longer each time": {play: func(s *harness) {
 		var out []time.Duration
 		for range 3 {
-			s.silence(true, "c")
-			s.state("c", "out")
-			out = append(out, s.state("c", "trying"))
-			s.silence(false, "c")
-			s.state("c", "returning")
+			s.blockZones(true, "c")
+			s.awaitState("c", "out")
+			out = append(out, s.awaitState("c", "trying"))
+			s.blockZones(false, "c")
+			s.awaitState("c", "returning")
 		}
 		if out[2] < 2*out[0] {
 			s.t.Errorf("it was out for %v", out)
 		}
-		s.state("c", "in")
+		s.awaitState("c", "in")
 	}},
-	"out by hand": {play: func(s *scene) {
-		told, err := s.Proxies[4].CallZone("out", "c")
+	"out by hand": {play: func(s *harness) {
+		told, err := s.Proxies[4].SetZoneMode("out", "c")
 		from := time.Now().Add(250 * time.Millisecond)
 		late := standin.MeasureSchedulingDelay()
 		if err != nil || len(told.Notified) != len(s.Proxies) {
 			s.t.Fatalf("told %+v, %v", told, err)
 		}
-		s.state("c", "out")
-		s.MayLose("n4", time.Now(), time.Now().Add(time.Hour))
+		s.awaitState("c", "out")
+		s.ExpectLoss("n4", time.Now(), time.Now().Add(time.Hour))
 		s.Proxies[4].Kill()
-		s.run(2 * time.Second)
+		s.letRun(2 * time.Second)
 		lateBy := late.Stop()
-		if n := s.sent("c", from.Add(100*time.Millisecond), time.Now()); n > 0 {
+		if n := s.totalSent("c", from.Add(100*time.Millisecond), time.Now()); n > 0 {
 			s.t.Errorf("%d requests went to a zone that was out by hand; the rig's own goroutines were late by %v", n, lateBy)
 			s.logSent("c", from.Add(-500*time.Millisecond), time.Now())
 			s.logStatus()
 		}
-		if _, err := s.Proxies[1].CallZone("auto", "c"); err != nil {
+		if _, err := s.Proxies[1].SetZoneMode("auto", "c"); err != nil {
 			s.t.Fatal(err)
 		}
-		s.state("c", "returning", "n4")
-		s.state("c", "in", "n4")
+		s.awaitState("c", "returning", "n4")
+		s.awaitState("c", "in", "n4")
 	}},
 }
 
@@ -434,7 +434,7 @@
 // that ends is not mourned.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
-	s := stage(t, Options{})
+	s := newHarness(t, Options{})
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -461,22 +461,22 @@
 			}
 		}
 	}()
-	s.silence(true, "c")
-	s.state("c", "trying")
+	s.blockZones(true, "c")
+	s.awaitState("c", "trying")
 	for range 3 {
 		since, from := s.Proxies[4].Pid(), time.Now()
 		if err := s.Proxies[4].Upgrade(); err != nil || s.Proxies[4].Pid() == since {
 			t.Fatal(err)
 		}
-		s.MayLose("n4", from, time.Now()) // connections that nothing was asked on yet are closed, and a request may cross that
-		s.state("c", "trying")
+		s.ExpectLoss("n4", from, time.Now()) // connections that nothing was asked on yet are closed, and a request may cross that
+		s.awaitState("c", "trying")
 	}
 	close(quit)
 	<-done
-	s.silence(false, "c")
-	s.state("c", "in")
+	s.blockZones(false, "c")
+	s.awaitState("c", "in")
 	s.Stop()
-	for _, b := range s.Breaches() {
+	for _, b := range s.Violations() {
 		t.Error(b)
 	}
 }
@@ -487,15 +487,15 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			s := stage(t, Options{})
-			if err := Play(s.Schedule(s.Clients, seed, 12*time.Second), t.Logf); err != nil {
+			s := newHarness(t, Options{})
+			if err := RunEvents(s.Schedule(s.Clients, seed, 12*time.Second), t.Logf); err != nil {
 				t.Fatal(err)
 			}
-			for _, z := range abc {
-				s.state(z, "in")
+			for _, z := range zoneNames {
+				s.awaitState(z, "in")
 			}
 			s.Stop()
-			for _, b := range s.Breaches() {
+			for _, b := range s.Violations() {
 				t.Error(b)
 			}
 		})
@@ -503,9 +503,9 @@
 }
 
 // What each runs is known to all, and changes with a reload; a number, zone or address of its own makes no other version.
-func TestVersionsAreKnown(t *testing.T) {
+func TestVersionsAreReported(t *testing.T) {
 	t.Parallel()
-	s := stage(t, Options{Operator: "[joining]\n"})
+	s := newHarness(t, Options{OperatorConfig: "[joining]\n"})
 	versions := func() (programs, settings map[string]int) {
 		programs, settings = map[string]int{}, map[string]int{}
 		v, err := s.Proxies[0].View()
@@ -540,12 +540,12 @@
 }
 
 // Who has another name for the installation, or another key, is nobody to the others.
-func TestStrangersAreTurnedAway(t *testing.T) {
+func TestForeignInstancesAreRejected(t *testing.T) {
 	t.Parallel()
-	s := stage(t, Options{})
+	s := newHarness(t, Options{})
 	for i, change := range [][2]string{{"[zones]", "cluster = \"another\"\n[zones]"}, {"/key\"", "/other\""}} {
 		p := s.Proxies[4+i]
-		s.MayLose(p.Name, time.Now(), time.Now().Add(time.Hour))
+		s.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 		if err := p.Stop(); err != nil {
 			t.Fatal(err)
 		}
@@ -561,7 +561,7 @@
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := p.Said("nobody that is to be joined answers", Patience); err != nil {
+		if _, err := p.WaitForLog("nobody that is to be joined answers", WaitTimeout); err != nil {
 			t.Error(err)
 		}
 		if v, err := p.View(); err != nil || len(v.Members) != 1 {
@@ -573,14 +573,14 @@
 			t.Errorf("%s knows %+v, %v", p.Name, v.Members, err)
 		}
 	}
-	s.silence(true, "b") // who are left decide, and the strangers do as they would alone
-	s.state("b", "trying", "n4", "n5")
-	s.silence(false, "b")
-	s.state("b", "in", "n4", "n5")
+	s.blockZones(true, "b") // who are left decide, and the strangers do as they would alone
+	s.awaitState("b", "trying", "n4", "n5")
+	s.blockZones(false, "b")
+	s.awaitState("b", "in", "n4", "n5")
 }
 
-// noneLeft has every zone used at all that live, for a time.
-func (s *scene) noneLeft(d time.Duration) {
+// requireAllInUse has every zone used at all that live, for a time.
+func (s *harness) requireAllInUse(d time.Duration) {
 	s.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, p := range s.Proxies {
@@ -596,14 +596,14 @@
 
 func TestZones(t *testing.T) {
 	t.Parallel()
-	for name, c := range scenes {
+	for name, c := range zoneScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := stage(t, c.o)
+			s := newHarness(t, c.o)
 			defer func() {
 				if t.Failed() {
 					for _, p := range s.Proxies {
-						for _, l := range p.Lines("msg=zone ") {
+						for _, l := range p.LogLines("msg=zone ") {
 							t.Log(l)
 						}
 					}
@@ -611,10 +611,10 @@
 			}()
 			c.play(s)
 			s.Stop()
-			for _, b := range s.Breaches() {
+			for _, b := range s.Violations() {
 				t.Error(b)
 			}
-			if all := s.Asks(time.Time{}, time.Now()); len(all) < 500 {
+			if all := s.Requests(time.Time{}, time.Now()); len(all) < 500 {
 				t.Errorf("only %d requests were asked", len(all))
 			}
 		})
--- a/internal/cluster/copies_test.go
+++ b/internal/cluster/copies_test.go
@@ -8,29 +8,29 @@
 	"linenloom/internal/standin"
 )
 
-// betweenZones is how long bytes take from one zone to another.
-const betweenZones = 15 * time.Millisecond
+// crossZoneDelay is how long bytes take from one zone to another.
+const crossZoneDelay = 15 * time.Millisecond
 
 // Processes in three zones some way apart, before caches that stay silent, turn requests away, drop connections or answer noise: no member has an
 // attempt of a request while another one has one.
-func TestMembersHaveOneAttemptAtATime(t *testing.T) {
+func TestOneAttemptAtATime(t *testing.T) {
 	t.Parallel()
 	copies := standin.NewDuplicateChecker()
-	s := stage(t, Options{Copies: copies})
+	s := newHarness(t, Options{Duplicates: copies})
 	for _, p := range s.Proxies {
-		for _, zone := range abc {
-			for _, b := range s.BoxesIn(zone) {
+		for _, zone := range zoneNames {
+			for _, b := range s.CachesIn(zone) {
 				if zone != p.Zone {
-					s.Link(p.Name, b).Both(Trouble{Delay: betweenZones})
+					s.Link(p.Name, b).SetBoth(Impairment{Delay: crossZoneDelay})
 				}
 			}
 		}
 	}
 	for turn, fault := range []standin.Fault{standin.Stall, standin.Reset, standin.Malformed, standin.Busy, standin.Intermittent, standin.Stall} {
-		zone := abc[turn%len(abc)]
-		s.faults(fault, zone)
-		s.run(time.Second)
-		s.faults(standin.Healthy, zone)
+		zone := zoneNames[turn%len(zoneNames)]
+		s.setFault(fault, zone)
+		s.letRun(time.Second)
+		s.setFault(standin.Healthy, zone)
 	}
 	s.Stop()
 	all, further := copies.Attempts()
--- a/internal/cluster/deadlines_test.go
+++ b/internal/cluster/deadlines_test.go
@@ -8,18 +8,18 @@
 	"linenloom/internal/standin"
 )
 
-// pauseMost is for how long a process may be held up at the most.
-const pauseMost = 150 * time.Millisecond
+// maxPause is for how long a process may be held up at the most.
+const maxPause = 150 * time.Millisecond
 
 // A handful of processes that are held up now and then, some of which hand over to others meanwhile, before caches that stay silent, turn requests
 // away or miss: no member is told of a longer deadline than its client has left, at the first attempt or a further one.
-func TestNoMemberIsToldOfMoreThanIsLeft(t *testing.T) {
+func TestNoDeadlineExceedsTheTimeLeft(t *testing.T) {
 	t.Parallel()
 	deadlines := &standin.DeadlineChecker{}
-	s := stage(t, Options{Deadlines: deadlines})
+	s := newHarness(t, Options{Deadlines: deadlines})
 	late := standin.MeasureSchedulingDelay()
-	s.faults(standin.Stall, "a")
-	s.faults(standin.Busy, "b")
+	s.setFault(standin.Stall, "a")
+	s.setFault(standin.Busy, "b")
 	for _, b := range s.Fleet.CachesIn("c") {
 		b.Clear()
 	}
@@ -32,11 +32,11 @@
 			}
 		}
 		p.Pause()
-		s.run(time.Duration(1 + rng.Int64N(int64(pauseMost))))
+		s.letRun(time.Duration(1 + rng.Int64N(int64(maxPause))))
 		p.Continue()
-		s.run(time.Duration(rng.Int64N(int64(pauseMost))))
+		s.letRun(time.Duration(rng.Int64N(int64(maxPause))))
 	}
-	s.faults(standin.Healthy, abc...)
+	s.setFault(standin.Healthy, zoneNames...)
 	s.Stop()
 	deadlines.Slack = standin.DeadlineSlack + 2*late.Stop()
 	first, further := deadlines.Attempts()
--- a/internal/cluster/disk_test.go
+++ b/internal/cluster/disk_test.go
@@ -9,15 +9,15 @@
 // Orders on record on disks that fail: writes cut short, syncs that fail, processes that are killed, and a folder that is as it was at first
 // after a restart, while a zone fails. Clients that hold on to their orders ask again: none runs twice, and none that ran is refused. A sync
 // that says yes and did not, or a copy from the middle of an order, can't be told from an order that never was sent by one process alone.
-func TestDisksThatLie(t *testing.T) {
+func TestUnreliableDisks(t *testing.T) {
 	t.Parallel()
-	s := stage(t, Options{Operator: "[orders]\ndir = \"DIR\"\ncompact_at = 200\nsegment = 65536\n",
-		Env: []string{lyingDisk + "=short=0.01 fail=0.01 forget=0 seed=3"}})
-	s.silence(true, "c")
-	s.state("c", "trying")
+	s := newHarness(t, Options{OperatorConfig: "[orders]\ndir = \"DIR\"\ncompact_at = 200\nsegment = 65536\n",
+		Env: []string{unreliableDiskEnv + "=short=0.01 fail=0.01 forget=0 seed=3"}})
+	s.blockZones(true, "c")
+	s.awaitState("c", "trying")
 	killed := time.Now()
 	for _, p := range s.Proxies[3:] {
-		s.MayLose(p.Name, killed, time.Now().Add(time.Hour))
+		s.ExpectLoss(p.Name, killed, time.Now().Add(time.Hour))
 		p.Kill()
 	}
 	if err := os.RemoveAll(s.Proxies[4].Dir); err != nil {
@@ -31,20 +31,20 @@
 			t.Fatal(err)
 		}
 	}
-	s.silence(false, "c")
-	s.state("c", "in")
+	s.blockZones(false, "c")
+	s.awaitState("c", "in")
 	s.Stop()
 	again, refused := 0, 0
-	for _, a := range s.Asks(time.Time{}, time.Now()) {
-		if !a.Order || a.End == Refused {
+	for _, a := range s.Requests(time.Time{}, time.Now()) {
+		if !a.IsOrder || a.Outcome == Refused {
 			continue
 		}
-		b := s.Repeat(s.Proxies[a.Number()], a)
+		b := s.Retry(s.Proxies[a.ProxyNumber()], a)
 		again++
-		if ran := s.Fleet.Origin.Executions()[a.Key]; b.End == Refused && ran > 0 {
+		if ran := s.Fleet.Origin.Executions()[a.Key]; b.Outcome == Refused && ran > 0 {
 			t.Errorf("%s has run, and its repeat is refused", a.Key)
 		}
-		if b.End == Refused {
+		if b.Outcome == Refused {
 			refused++
 		}
 	}
@@ -53,7 +53,7 @@
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
-	for _, b := range s.Breaches() {
+	for _, b := range s.Violations() {
 		t.Error(b)
 	}
 	if again < 50 {
--- a/internal/cluster/liar_test.go
+++ b/internal/cluster/liar_test.go
@@ -14,37 +14,37 @@
 	"linenloom/internal/zones"
 )
 
-// liar is an instance of the installation whose messages are made up. It has the key, and is a member like any other.
-type liar struct {
+// rogueInstance is an instance of the installation whose messages are made up. It has the key, and is a member like any other.
+type rogueInstance struct {
 	memberlist.Delegate
 	list *memberlist.Memberlist
 	meta []byte
 }
 
-func (l *liar) NodeMeta(int) []byte                    { return l.meta }
-func (l *liar) NotifyMsg([]byte)                       {}
-func (l *liar) GetBroadcasts(int, int) [][]byte        { return nil }
-func (l *liar) LocalState(bool) []byte                 { return nil }
-func (l *liar) MergeRemoteState(buf []byte, join bool) {}
+func (l *rogueInstance) NodeMeta(int) []byte                    { return l.meta }
+func (l *rogueInstance) NotifyMsg([]byte)                       {}
+func (l *rogueInstance) GetBroadcasts(int, int) [][]byte        { return nil }
+func (l *rogueInstance) LocalState(bool) []byte                 { return nil }
+func (l *rogueInstance) MergeRemoteState(buf []byte, join bool) {}
 
-const liarNumber = 89
+const rogueNumber = 89
 
-// lie has a liar join, and tell everybody at full speed what made returns, until the test ends.
-func (s *scene) lie(made func(n int) zones.Message) {
+// addRogueInstance has a liar join, and tell everybody at full speed what made returns, until the test ends.
+func (s *harness) addRogueInstance(made func(n int) zones.Message) {
 	t := s.t
 	t.Helper()
 	for _, p := range s.Proxies {
-		s.add(proxyName(liarNumber), p.Name)
-		s.add(p.Name, proxyName(liarNumber))
+		s.addLink(proxyName(rogueNumber), p.Name)
+		s.addLink(p.Name, proxyName(rogueNumber))
 	}
-	key, err := hex.DecodeString(keyText)
+	key, err := hex.DecodeString(gossipKeyHex)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &liar{meta: fmt.Appendf(nil, `{"n":"liar","i":%d,"z":"a","s":1,"d":true}`, liarNumber)}
+	l := &rogueInstance{meta: fmt.Appendf(nil, `{"n":"liar","i":%d,"z":"a","s":1,"d":true}`, rogueNumber)}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label, c.SecretKey, c.Delegate = "liar@1", "linenloom", key, l
-	c.BindAddr, c.BindPort, c.AdvertisePort = fmt.Sprintf("%s%d", s.net, liarNumber+1), gossipPort, gossipPort
+	c.BindAddr, c.BindPort, c.AdvertisePort = fmt.Sprintf("%s%d", s.subnet, rogueNumber+1), gossipPort, gossipPort
 	c.Logger = log.New(io.Discard, "", 0)
 	if l.list, err = memberlist.Create(c); err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	// Its connections come from an address that no link knows: it is called, and so is there.
 	if err := Eventually("the liar is a member", func() bool {
 		for _, p := range s.Proxies {
-			raw := net.JoinHostPort(fmt.Sprintf("%s%d", s.net, 1+p.Number), fmt.Sprint(gossipPort))
+			raw := net.JoinHostPort(fmt.Sprintf("%s%d", s.subnet, 1+p.Number), fmt.Sprint(gossipPort))
 			if n, err := l.list.Join([]string{raw}); err != nil || n == 0 {
 				return false
 			}
@@ -83,32 +83,32 @@
 
 // An instance that lies about every zone, floods and tells an old epoch again and again moves nothing, and neither keeps the others from
 // leaving a zone that fails by telling that all is well.
-func TestLiar(t *testing.T) {
+func TestRogueInstance(t *testing.T) {
 	t.Parallel()
 	bad := zones.ZoneStats{Judged: 1000, Bad: 1000, Silent: 1000, TrimmedJudged: 600, TrimmedBad: 600}
 	good := zones.ZoneStats{Judged: 1000, TrimmedJudged: 600}
 	say := good
 	lies := make(chan zones.ZoneStats, 1)
-	s := stage(t, Options{})
-	s.lie(func(n int) zones.Message {
+	s := newHarness(t, Options{})
+	s.addRogueInstance(func(n int) zones.Message {
 		select {
 		case say = <-lies:
 		default:
 		}
-		return zones.Message{From: liarNumber, Report: &zones.Report{Number: liarNumber, StartedAtMS: 1, Seq: uint64(n), Zones: []zones.ZoneStats{say, say, say}},
-			Verdict: &zones.Verdict{Epoch: 1, DecidedBy: liarNumber, Zones: []zones.Zone{{Share: zones.FullShare}, {Share: zones.FullShare}, {State: zones.StateOut}}}}
+		return zones.Message{From: rogueNumber, Report: &zones.Report{Number: rogueNumber, StartedAtMS: 1, Seq: uint64(n), Zones: []zones.ZoneStats{say, say, say}},
+			Verdict: &zones.Verdict{Epoch: 1, DecidedBy: rogueNumber, Zones: []zones.Zone{{Share: zones.FullShare}, {Share: zones.FullShare}, {State: zones.StateOut}}}}
 	})
 	lies <- bad
 	// The first verdict of all is taken from anyone who is a member: what it closes is tried, found well and returned to.
-	s.state("c", "in")
-	s.noneLeft(3 * time.Second)
+	s.awaitState("c", "in")
+	s.requireAllInUse(3 * time.Second)
 	lies <- good
-	s.silence(true, "c")
-	s.state("c", "trying")
-	s.silence(false, "c")
-	s.state("c", "in")
+	s.blockZones(true, "c")
+	s.awaitState("c", "trying")
+	s.blockZones(false, "c")
+	s.awaitState("c", "in")
 	s.Stop()
-	for _, b := range s.Breaches() {
+	for _, b := range s.Violations() {
 		t.Error(b)
 	}
 }
--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -13,54 +13,54 @@
 	"linenloom/internal/standin"
 )
 
-// Way is a direction of a link.
-type Way uint8
+// Direction is a direction of a link.
+type Direction uint8
 
 // The directions.
 const (
-	Forth Way = iota // from who connects, or sends the datagram
-	Back
+	Forward Direction = iota // from who connects, or sends the datagram
+	Backward
 )
 
-// Trouble is what a link does to what goes over it, in one direction. The zero value is a link that is well.
-type Trouble struct {
-	Cut   bool          // nothing passes; connections stay open and silent
-	Delay time.Duration // what passes does so later
-	Lose  float64       // share of datagrams lost; of connections, this share is reset as they are opened
+// Impairment is what a link does to what goes over it, in one direction. The zero value is a link that is well.
+type Impairment struct {
+	Blocked  bool          // nothing passes; connections stay open and silent
+	Delay    time.Duration // what passes does so later
+	LossRate float64       // share of datagrams lost; of connections, this share is reset as they are opened
 }
 
 // Link is one way between two processes, on loopback: whatever goes over it goes through here. Cut, it keeps what has come until it is
 // healed, like a network whose ends go on trying; a connection that is opened meanwhile comes up and stays silent.
 type Link struct {
-	mu      sync.Mutex
-	trouble [2]Trouble
-	changed chan struct{} // closed and made anew with each change
-	conns   map[net.Conn]struct{}
-	own     []byte        // begins the ids of the cluster's requests
-	bins    map[int64]int // requests of the cluster, by tenths of a second since start
-	strange int           // commands of somebody else: ports are used again, and another proxy on this machine may ask at one for a while
-	start   time.Time
-	watch   func(from net.Conn) *standin.Observer // of a connection to a member; nil: none is watched
-	asked   func(id, attrs string)                // told of each request that has been passed on; nil: nobody is
+	mu              sync.Mutex
+	impairments     [2]Impairment
+	changed         chan struct{} // closed and made anew with each change
+	conns           map[net.Conn]struct{}
+	idPrefix        []byte        // begins the ids of the cluster's requests
+	requestBins     map[int64]int // requests of the cluster, by tenths of a second since start
+	foreignRequests int           // commands of somebody else: ports are used again, and another proxy on this machine may ask at one for a while
+	start           time.Time
+	observe         func(from net.Conn) *standin.Observer // of a connection to a member; nil: none is watched
+	onRequest       func(id, attrs string)                // told of each request that has been passed on; nil: nobody is
 }
 
 func newLink(start time.Time, own []byte) *Link {
-	return &Link{changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, own: own, bins: map[int64]int{}, start: start}
+	return &Link{changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, idPrefix: own, requestBins: map[int64]int{}, start: start}
 }
 
 // Set sets the trouble of one direction.
-func (l *Link) Set(w Way, t Trouble) {
+func (l *Link) Set(w Direction, t Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.trouble[w] = t
+	l.impairments[w] = t
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Both sets the trouble of both directions.
-func (l *Link) Both(t Trouble) {
-	l.Set(Forth, t)
-	l.Set(Back, t)
+// SetBoth sets the trouble of both directions.
+func (l *Link) SetBoth(t Impairment) {
+	l.Set(Forward, t)
+	l.Set(Backward, t)
 }
 
 // Reset ends all connections at once, as a process that dies does.
@@ -79,66 +79,66 @@
 	c.Close()
 }
 
-// Sent is how much has been sent Forth in the tenths of a second from one time to another: by the commands in what arrived.
-func (l *Link) Sent(from, to time.Time) (n int) {
+// RequestsSent is how much has been sent Forth in the tenths of a second from one time to another: by the commands in what arrived.
+func (l *Link) RequestsSent(from, to time.Time) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for b := l.bin(from); b < l.bin(to); b++ {
-		n += l.bins[b]
+	for b := l.binIndex(from); b < l.binIndex(to); b++ {
+		n += l.requestBins[b]
 	}
 	return n
 }
 
-func (l *Link) bin(at time.Time) int64 { return int64(at.Sub(l.start) / (100 * time.Millisecond)) }
+func (l *Link) binIndex(at time.Time) int64 { return int64(at.Sub(l.start) / (100 * time.Millisecond)) }
 
-// count counts the requests in a piece.
-func (l *Link) count(b []byte) {
+// countRequests counts the requests in a piece.
+func (l *Link) countRequests(b []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	own := bytes.Count(b, l.own)
-	l.bins[l.bin(time.Now())] += own
-	l.strange += max(0, bytes.Count(b, []byte("OBJ."))-own)
+	own := bytes.Count(b, l.idPrefix)
+	l.requestBins[l.binIndex(time.Now())] += own
+	l.foreignRequests += max(0, bytes.Count(b, []byte("OBJ."))-own)
 }
 
-// Strange is how many commands of somebody else have come Forth.
-func (l *Link) Strange() int {
+// ForeignRequests is how many commands of somebody else have come Forth.
+func (l *Link) ForeignRequests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.strange
+	return l.foreignRequests
 }
 
-// watched has the connections that come from now on watched.
-func (l *Link) watched(watch func(from net.Conn) *standin.Observer) {
+// observeConns has the connections that come from now on watched.
+func (l *Link) observeConns(watch func(from net.Conn) *standin.Observer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watch = watch
+	l.observe = watch
 }
 
-// passing has asked told of each request that has been passed on over connections that come from now on.
-func (l *Link) passing(asked func(id, attrs string)) {
+// notifyRequests has asked told of each request that has been passed on over connections that come from now on.
+func (l *Link) notifyRequests(asked func(id, attrs string)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked = asked
+	l.onRequest = asked
 }
 
-// pass waits until a piece that came then may go on; false: its connection has ended.
-func (l *Link) pass(w Way, came time.Time, ended <-chan struct{}) bool {
+// awaitPassage waits until a piece that came then may go on; false: its connection has ended.
+func (l *Link) awaitPassage(w Direction, came time.Time, ended <-chan struct{}) bool {
 	return standin.AwaitRelease(ended, func() (bool, time.Time, <-chan struct{}) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.trouble[w].Cut, came.Add(l.trouble[w].Delay), l.changed
+		return l.impairments[w].Blocked, came.Add(l.impairments[w].Delay), l.changed
 	})
 }
 
-// tcp relays connections that come to a listener.
-func (l *Link) tcp(from net.Listener, to string) {
+// serve relays connections that come to a listener.
+func (l *Link) serve(from net.Listener, to string) {
 	standin.AcceptEach(from, func(conn net.Conn) { go l.relay(conn, to) })
 }
 
 // relay relays one connection.
 func (l *Link) relay(in net.Conn, to string) {
 	l.mu.Lock()
-	lose, watch, asked := l.trouble[Forth].Lose, l.watch, l.asked
+	lose, watch, asked := l.impairments[Forward].LossRate, l.observe, l.onRequest
 	l.mu.Unlock()
 	if lose > 0 && rand.Float64() < lose {
 		reset(in)
@@ -172,31 +172,31 @@
 	}
 	go func() {
 		defer end()
-		standin.Forward(out, in, ended, l.holding(Back, ended), standin.ForwardHooks{OnRead: w.MemberReplied})
+		standin.Forward(out, in, ended, l.holdFunc(Backward, ended), standin.ForwardHooks{OnRead: w.MemberReplied})
 	}()
 	defer end()
 	took := func(b []byte) {
-		l.count(b)
+		l.countRequests(b)
 		w.ProxyWrote(b)
 	}
-	standin.Forward(in, out, ended, l.holding(Forth, ended), standin.ForwardHooks{OnRead: took, BeforeWrite: w.Forwarding, AfterWrite: passed})
+	standin.Forward(in, out, ended, l.holdFunc(Forward, ended), standin.ForwardHooks{OnRead: took, BeforeWrite: w.Forwarding, AfterWrite: passed})
 }
 
-// holding has what goes over a connection in one direction wait for its delay. An end passes like all else: a link that is cut hides it.
-func (l *Link) holding(w Way, ended <-chan struct{}) func(came time.Time) bool {
-	return func(came time.Time) bool { return l.pass(w, came, ended) }
+// holdFunc has what goes over a connection in one direction wait for its delay. An end passes like all else: a link that is cut hides it.
+func (l *Link) holdFunc(w Direction, ended <-chan struct{}) func(came time.Time) bool {
+	return func(came time.Time) bool { return l.awaitPassage(w, came, ended) }
 }
 
-// gossip stands before an instance's address for the others, over UDP and TCP; who sends is told by the address that it comes from.
-type gossip struct {
-	udp  net.PacketConn
-	tcp  net.Listener
-	to   string
-	link func(from net.IP) *Link
-	sent atomic.Int64 // bytes of datagrams that came
+// gossipRelay stands before an instance's address for the others, over UDP and TCP; who sends is told by the address that it comes from.
+type gossipRelay struct {
+	udp           net.PacketConn
+	tcp           net.Listener
+	target        string
+	linkFrom      func(from net.IP) *Link
+	datagramBytes atomic.Int64 // bytes of datagrams that came
 }
 
-func newGossip(at, to string, link func(net.IP) *Link) (*gossip, error) {
+func newGossipRelay(at, to string, link func(net.IP) *Link) (*gossipRelay, error) {
 	udp, err := net.ListenPacket("udp", at)
 	if err != nil {
 		return nil, err
@@ -206,8 +206,8 @@
 		udp.Close()
 		return nil, err
 	}
-	g := &gossip{udp: udp, tcp: tcp, to: to, link: link}
-	go g.packets()
+	g := &gossipRelay{udp: udp, tcp: tcp, target: to, linkFrom: link}
+	go g.relayDatagrams()
 	go standin.AcceptEach(tcp, func(conn net.Conn) {
 		if l := link(conn.RemoteAddr().(*net.TCPAddr).IP); l != nil {
 			go l.relay(conn, to)
@@ -218,13 +218,13 @@
 	return g, nil
 }
 
-func (g *gossip) close() {
+func (g *gossipRelay) close() {
 	g.udp.Close()
 	g.tcp.Close()
 }
 
-func (g *gossip) packets() {
-	to, err := net.ResolveUDPAddr("udp", g.to)
+func (g *gossipRelay) relayDatagrams() {
+	to, err := net.ResolveUDPAddr("udp", g.target)
 	if err != nil {
 		panic(fmt.Sprintf("cluster: %v", err)) // it was made of an address
 	}
@@ -234,15 +234,15 @@
 		if err != nil {
 			return
 		}
-		g.sent.Add(int64(n))
-		l := g.link(from.(*net.UDPAddr).IP)
+		g.datagramBytes.Add(int64(n))
+		l := g.linkFrom(from.(*net.UDPAddr).IP)
 		if l == nil {
 			continue
 		}
 		l.mu.Lock()
-		t := l.trouble[Forth]
+		t := l.impairments[Forward]
 		l.mu.Unlock()
-		if t.Cut || rand.Float64() < t.Lose {
+		if t.Blocked || rand.Float64() < t.LossRate {
 			continue
 		}
 		if t.Delay == 0 {
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -11,9 +11,9 @@
 func TestLinksCountTheirOwnRequests(t *testing.T) {
 	start := time.Now()
 	l := newLink(start, []byte("127-1-1-"))
-	l.count([]byte("*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk1\r\n$15\r\n127-1-1-n0-0-17\r\n$5\r\nd=100\r\n"))
-	l.count([]byte("*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk1\r\n$15\r\n127-9-9-n0-0-17\r\n$5\r\nd=100\r\n*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk1\r\n$4\r\nelse\r\n$5\r\nd=100\r\n"))
-	if own, others := l.Sent(start, start.Add(time.Second)), l.Strange(); own != 1 || others != 2 {
+	l.countRequests([]byte("*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk1\r\n$15\r\n127-1-1-n0-0-17\r\n$5\r\nd=100\r\n"))
+	l.countRequests([]byte("*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk1\r\n$15\r\n127-9-9-n0-0-17\r\n$5\r\nd=100\r\n*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk1\r\n$4\r\nelse\r\n$5\r\nd=100\r\n"))
+	if own, others := l.RequestsSent(start, start.Add(time.Second)), l.ForeignRequests(); own != 1 || others != 2 {
 		t.Errorf("%d requests of its own and %d of others, want 1 and 2", own, others)
 	}
 }
--- a/internal/cluster/process.go
+++ b/internal/cluster/process.go
@@ -13,24 +13,24 @@
 	"time"
 )
 
-// Patience bounds every wait for something that must come about; only what fails waits as long.
-const Patience = 20 * time.Second
+// WaitTimeout bounds every wait for something that must come about; only what fails waits as long.
+const WaitTimeout = 20 * time.Second
 
-// mostLines bounds what is kept of a process's log.
-const mostLines = 20000
+// maxLogLines bounds what is kept of a process's log.
+const maxLogLines = 20000
 
 // Process is a real program that runs.
 type Process struct {
-	cmd   *exec.Cmd
-	mu    sync.Mutex
-	lines []string
-	said  chan struct{} // closed and made anew with each line
-	done  chan struct{}
+	cmd    *exec.Cmd
+	mu     sync.Mutex
+	lines  []string
+	logged chan struct{} // closed and made anew with each line
+	done   chan struct{}
 }
 
 // Start starts a program and waits until it has said a text on standard error.
 func Start(ready string, env []string, name string, args ...string) (*Process, error) {
-	p := &Process{cmd: exec.Command(name, args...), said: make(chan struct{}), done: make(chan struct{})}
+	p := &Process{cmd: exec.Command(name, args...), logged: make(chan struct{}), done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -45,26 +45,26 @@
 		in.Buffer(nil, 1<<20)
 		for in.Scan() {
 			p.mu.Lock()
-			p.lines = append(p.lines[max(0, len(p.lines)-mostLines+1):], in.Text())
-			close(p.said)
-			p.said = make(chan struct{})
+			p.lines = append(p.lines[max(0, len(p.lines)-maxLogLines+1):], in.Text())
+			close(p.logged)
+			p.logged = make(chan struct{})
 			p.mu.Unlock()
 		}
 		p.cmd.Wait()
 	}()
-	if _, err := p.Said(ready, Patience); err != nil {
+	if _, err := p.WaitForLog(ready, WaitTimeout); err != nil {
 		p.Kill()
 		return nil, fmt.Errorf("%s: %w", filepath.Base(name), err)
 	}
 	return p, nil
 }
 
-// Said waits until the process has said a text, and returns the first line with it.
-func (p *Process) Said(text string, within time.Duration) (string, error) {
+// WaitForLog waits until the process has said a text, and returns the first line with it.
+func (p *Process) WaitForLog(text string, within time.Duration) (string, error) {
 	limit := time.After(within)
 	for {
 		p.mu.Lock()
-		said := p.said
+		said := p.logged
 		last := ""
 		for _, l := range p.lines {
 			if last = l; strings.Contains(l, text) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Lines are those of its log with a text.
-func (p *Process) Lines(text string) []string {
+// LogLines are those of its log with a text.
+func (p *Process) LogLines(text string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(p.lines), func(l string) bool { return !strings.Contains(l, text) })
@@ -99,8 +99,8 @@
 	<-p.done
 }
 
-// Ended tells whether the process has ended, and how.
-func (p *Process) Ended() (ended bool, how *os.ProcessState) {
+// Exited tells whether the process has ended, and how.
+func (p *Process) Exited() (ended bool, how *os.ProcessState) {
 	select {
 	case <-p.done:
 		return true, p.cmd.ProcessState
@@ -117,7 +117,7 @@
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		p.Kill()
 		return fmt.Errorf("it did not end on SIGTERM")
 	}
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -10,11 +10,11 @@
 
 // Event is one fault of a schedule, and how it ends.
 type Event struct {
-	At   time.Duration
-	What string
-	do   func() error
-	undo func() error
-	For  time.Duration
+	At          time.Duration
+	Description string
+	do          func() error
+	undo        func() error
+	Duration    time.Duration
 }
 
 // Schedule makes faults of all kinds that the rig knows, by a seed: a zone or a box silent, slow, failing or refusing, proxies killed or paused,
@@ -31,20 +31,20 @@
 		zone := c.Zones[rng.IntN(len(c.Zones))]
 		box := c.Fleet.Caches[rng.IntN(len(c.Fleet.Caches))]
 		proxy := c.Proxies[rng.IntN(len(c.Proxies))]
-		e := Event{At: at, For: time.Duration(500+rng.IntN(4000)) * time.Millisecond}
-		links := func(t Trouble) func() error {
+		e := Event{At: at, Duration: time.Duration(500+rng.IntN(4000)) * time.Millisecond}
+		links := func(t Impairment) func() error {
 			return func() error {
 				for _, p := range c.Proxies {
-					for _, b := range c.BoxesIn(zone) {
-						c.Link(p.Name, b).Both(t)
+					for _, b := range c.CachesIn(zone) {
+						c.Link(p.Name, b).SetBoth(t)
 					}
 				}
 				return nil
 			}
 		}
-		gossip := func(a, b []string, t Trouble) func() error {
+		gossip := func(a, b []string, t Impairment) func() error {
 			return func() error {
-				c.Each(a, b, func(l *Link) { l.Both(t) })
+				c.EachLink(a, b, func(l *Link) { l.SetBoth(t) })
 				return nil
 			}
 		}
@@ -73,46 +73,54 @@
 		}
 		switch kind := rng.IntN(11); {
 		case kind == 0:
-			e.What, e.do, e.undo = zone+" silent", links(Trouble{Cut: true}), links(Trouble{})
+			e.Description, e.do, e.undo = zone+" silent", links(Impairment{Blocked: true}), links(Impairment{})
 		case kind == 1:
-			e.What, e.do, e.undo = zone+" slow", service(40*c.Service), service(c.Service)
+			e.Description, e.do, e.undo = zone+" slow", service(40*c.ServiceTime), service(c.ServiceTime)
 		case kind == 2:
 			f := []standin.Fault{standin.Intermittent, standin.Busy, standin.Failing}[rng.IntN(3)]
-			e.What, e.do, e.undo = fmt.Sprint(zone, " fault ", f), fault(c.Fleet.CachesIn(zone), f), fault(c.Fleet.CachesIn(zone), standin.Healthy)
+			e.Description, e.do, e.undo = fmt.Sprint(zone, " fault ", f), fault(c.Fleet.CachesIn(zone), f), fault(c.Fleet.CachesIn(zone), standin.Healthy)
 		case kind == 3:
 			one := []*standin.Cache{box}
 			f := []standin.Fault{standin.Stall, standin.Failing, standin.Reset}[rng.IntN(3)]
-			e.What, e.do, e.undo = fmt.Sprint(box.ID, " fault ", f), fault(one, f), fault(one, standin.Healthy)
+			e.Description, e.do, e.undo = fmt.Sprint(box.ID, " fault ", f), fault(one, f), fault(one, standin.Healthy)
 		case kind == 4 && down():
-			e.What = proxy.Name + " killed"
-			e.do = func() error { cl.MayLose(proxy.Name, time.Now(), time.Now().Add(time.Hour)); proxy.Kill(); return nil }
+			e.Description = proxy.Name + " killed"
+			e.do = func() error {
+				cl.ExpectLoss(proxy.Name, time.Now(), time.Now().Add(time.Hour))
+				proxy.Kill()
+				return nil
+			}
 			e.undo = proxy.Start
 		case kind == 5 && down():
-			e.What = proxy.Name + " paused"
-			e.do = func() error { cl.MayLose(proxy.Name, time.Now(), time.Now().Add(time.Hour)); proxy.Pause(); return nil }
+			e.Description = proxy.Name + " paused"
+			e.do = func() error {
+				cl.ExpectLoss(proxy.Name, time.Now(), time.Now().Add(time.Hour))
+				proxy.Pause()
+				return nil
+			}
 			e.undo = func() error { proxy.Continue(); return nil }
 		case kind == 6:
-			e.What, e.do, e.undo = "messages lost", gossip(names, names, Trouble{Lose: 0.3}), gossip(names, names, Trouble{})
+			e.Description, e.do, e.undo = "messages lost", gossip(names, names, Impairment{LossRate: 0.3}), gossip(names, names, Impairment{})
 		case kind == 7:
-			e.What, e.do, e.undo = "messages late", gossip(names, names, Trouble{Delay: time.Second}), gossip(names, names, Trouble{})
+			e.Description, e.do, e.undo = "messages late", gossip(names, names, Impairment{Delay: time.Second}), gossip(names, names, Impairment{})
 		case kind == 8:
 			half := len(names) / 2
-			e.What, e.do, e.undo = "instances in halves", gossip(names[:half], names[half:], Trouble{Cut: true}), gossip(names[:half], names[half:], Trouble{})
+			e.Description, e.do, e.undo = "instances in halves", gossip(names[:half], names[half:], Impairment{Blocked: true}), gossip(names[:half], names[half:], Impairment{})
 		case kind == 9:
-			e.What = zone + " reset"
+			e.Description = zone + " reset"
 			e.do = func() error {
 				for _, p := range c.Proxies {
-					for _, b := range c.BoxesIn(zone) {
+					for _, b := range c.CachesIn(zone) {
 						c.Link(p.Name, b).Reset()
 					}
 				}
 				return nil
 			}
-		case kind == 10 && c.Together && !busy[proxy.Name]:
+		case kind == 10 && c.JoinInstances && !busy[proxy.Name]:
 			// One that is full of work or whose call crosses another may say no; what it says yes to has to end again.
-			e.What, e.do = zone+" out by hand", func() error { proxy.CallZone("out", zone); return nil }
+			e.Description, e.do = zone+" out by hand", func() error { proxy.SetZoneMode("out", zone); return nil }
 			e.undo = func() error {
-				return Eventually("a zone is given back", func() bool { _, err := proxy.CallZone("auto", zone); return err == nil })
+				return Eventually("a zone is given back", func() bool { _, err := proxy.SetZoneMode("auto", zone); return err == nil })
 			}
 		default:
 			continue
@@ -122,21 +130,21 @@
 	return all
 }
 
-// Play has the events come about, each at its time, and ends each after its own. It returns when all have ended.
-func Play(events []Event, log func(format string, args ...any)) error {
+// RunEvents has the events come about, each at its time, and ends each after its own. It returns when all have ended.
+func RunEvents(events []Event, log func(format string, args ...any)) error {
 	began := time.Now()
 	errs := make(chan error, len(events))
 	for _, e := range events {
 		go func() {
 			time.Sleep(time.Until(began.Add(e.At)))
-			log("%v: %s for %v", e.At.Round(time.Millisecond), e.What, e.For)
+			log("%v: %s for %v", e.At.Round(time.Millisecond), e.Description, e.Duration)
 			err := e.do()
 			if err == nil && e.undo != nil {
-				time.Sleep(e.For)
+				time.Sleep(e.Duration)
 				err = e.undo()
 			}
 			if err != nil {
-				err = fmt.Errorf("%s: %w", e.What, err)
+				err = fmt.Errorf("%s: %w", e.Description, err)
 			}
 			errs <- err
 		}()
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -29,7 +29,7 @@
 )
 
 // patience bounds every wait for something that must come about; only what fails waits as long.
-const patience = cluster.Patience
+const patience = cluster.WaitTimeout
 
 // OperatorFile is an operator's file that maps /tiles/{key} and /orders/{key}.
 func OperatorFile(listen, mode, messageTimeout string) string {
@@ -116,7 +116,7 @@
 }
 
 func eventually(what string, ok func() bool) error {
-	return cluster.Await(500*time.Microsecond, what, ok)
+	return cluster.WaitFor(500*time.Microsecond, what, ok)
 }
 
 // Choices is what became of a recorded run: the members in the order in which the module chose them, and how each
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -52,7 +52,7 @@
 
 // Reasons is what the process has said of why requests waited, were refused or failed.
 func (p *Process) Reasons() (all []string) {
-	for _, l := range p.Lines("msg=reasons ") {
+	for _, l := range p.LogLines("msg=reasons ") {
 		_, why, _ := strings.Cut(l, "msg=reasons ")
 		all = append(all, why)
 	}
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -67,9 +67,9 @@
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
 	rules["cold_ms"] = float64(zoneWarm.Milliseconds())
-	c, err := cluster.New(cluster.Options{Zones: labZones, Boxes: zoneBoxes, Proxies: proxies, Service: zoneAnswer, Seed: seed, Crossing: crossing,
-		Origin: 60 * time.Millisecond, OriginPlaces: 24, Together: together, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
-		Set: map[string]any{"rules": rules}})
+	c, err := cluster.New(cluster.Options{Zones: labZones, CachesPerZone: zoneBoxes, Proxies: proxies, ServiceTime: zoneAnswer, Seed: seed, CrossZoneCost: crossing,
+		OriginServiceTime: 60 * time.Millisecond, OriginConcurrency: 24, JoinInstances: together, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
+		Settings: map[string]any{"rules": rules}})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -81,7 +81,7 @@
 		c.Close()
 		return nil, nil, err
 	}
-	return c, c.Ask(cluster.Load{Reads: zoneReads / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadSoftDeadline, Grace: 500 * time.Millisecond}), nil
+	return c, c.StartClients(cluster.Load{ReadRate: zoneReads / float64(proxies), OrderRate: 1, Keys: keys, Deadline: 3 * time.Second, SoftDeadline: standin.ReadSoftDeadline, Grace: 500 * time.Millisecond}), nil
 }
 
 func (z *zonePlay) run(ctx context.Context, e *Env, name string) error {
@@ -103,7 +103,7 @@
 				continue
 			}
 			for _, p := range c.Proxies {
-				c.Link(p.Name, b.ID).Both(cluster.Trouble{Cut: on})
+				c.Link(p.Name, b.ID).SetBoth(cluster.Impairment{Blocked: on})
 			}
 		}
 	}
@@ -140,20 +140,20 @@
 	const look = 300 * time.Millisecond // the most that goes there on trial is one read in this time
 	var first, last time.Duration = math.MaxInt64, 0
 	for _, p := range c.Proxies {
-		if c.Sent(p.Name, "c", lost.Add(-2*time.Second), lost) < 10 {
+		if c.RequestsSent(p.Name, "c", lost.Add(-2*time.Second), lost) < 10 {
 			continue // it asks its own zone
 		}
 		at := lost
-		for at.Before(back) && c.Sent(p.Name, "c", at, at.Add(look)) > 2 {
+		for at.Before(back) && c.RequestsSent(p.Name, "c", at, at.Add(look)) > 2 {
 			at = at.Add(100 * time.Millisecond)
 		}
 		first, last = min(first, at.Sub(lost)), max(last, at.Sub(lost))
-		z.spent += float64(c.Sent(p.Name, "c", lost, lost.Add(zoneOutage)))
+		z.spent += float64(c.RequestsSent(p.Name, "c", lost, lost.Add(zoneOutage)))
 	}
 	z.left, z.apart = last, last-first
-	z.inTime, _ = clients.InTime(lost, lost.Add(2*time.Second))
-	for _, a := range clients.Asks(back, time.Now()) {
-		if a.End == cluster.Refused && !a.Order {
+	z.inTime, _ = clients.ShareInTime(lost, lost.Add(2*time.Second))
+	for _, a := range clients.Requests(back, time.Now()) {
+		if a.Outcome == cluster.Refused && !a.IsOrder {
 			z.refused++
 		}
 	}
@@ -162,7 +162,7 @@
 			z.fell++
 		}
 	}
-	z.breaches = clients.Breaches()
+	z.breaches = clients.Violations()
 }
 
 func wait(ctx context.Context, d time.Duration) {
@@ -300,16 +300,16 @@
 			}
 			return sum
 		}
-		began, before, bytes := time.Now(), used(), c.Gossiped()
+		began, before, bytes := time.Now(), used(), c.GossipBytes()
 		wait(ctx, calm)
 		cpu[at] = float64(used()-before) / float64(time.Millisecond) / float64(n) / calm.Seconds()
 		if together {
-			r.Tell(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(c.Gossiped()-bytes)/float64(n)/calm.Seconds())
+			r.Tell(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(c.GossipBytes()-bytes)/float64(n)/calm.Seconds())
 		}
 		clients.Stop()
 		var took []time.Duration
-		for _, a := range clients.Asks(began, time.Now()) {
-			took = append(took, a.Took)
+		for _, a := range clients.Requests(began, time.Now()) {
+			took = append(took, a.Elapsed)
 		}
 		slices.Sort(took)
 		p99[at] = took[len(took)*99/100].Seconds() * 1000
@@ -366,9 +366,9 @@
 	clients.Stop()
 	left := 0
 	for _, p := range c.Proxies {
-		left += len(p.Lines("state=leaving"))
+		left += len(p.LogLines("state=leaving"))
 	}
 	r.Equal(fmt.Sprintf("zones left in %v of %d ordinary faults", time.Since(began).Round(time.Second), next), float64(left), 0)
-	r.Equal("rules broken among ordinary faults", float64(len(clients.Breaches())), 0)
+	r.Equal("rules broken among ordinary faults", float64(len(clients.Violations())), 0)
 	return ctx.Err()
 }
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -319,13 +319,13 @@
 	}
 	time.Sleep(time.Until(first.Add(p.kill())))
 	close(done)
-	ended, how := p.process.Ended()
+	ended, how := p.process.Exited()
 	p.process.Kill()
 	p.clients.killed()
 	// One of the signals may end it by its default once the drain is over: a process that ends after SIGTERM has not crashed, and what it would
 	// have lost by that is found as lost. Its status is TestEndsWellUnderRepeatedSignals' concern.
 	if ended && !how.Success() && !endedBy(how, syscall.SIGTERM, syscall.SIGINT) {
-		p.fault("the process ended with %v: %v", how, p.process.Lines("panic"))
+		p.fault("the process ended with %v: %v", how, p.process.LogLines("panic"))
 	}
 }
 
