--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -19,8 +19,8 @@
 	Steps() []string
 	// Do does one of them.
 	Do(step string)
-	// Broken tells what does not hold in this state, or has not held on the way to it.
-	Broken() []string
+	// Violations tells what does not hold in this state, or has not held on the way to it.
+	Violations() []string
 	// Finish brings the system to its end from here, and Broken then tells what did not come about.
 	Finish()
 	// Key is the same for two states only if all that can follow is the same.
@@ -29,79 +29,79 @@
 
 // Options bound an exploration.
 type Options struct {
-	Depth     int // steps in a row
-	MostSteps int // transitions in all; 0: no bound. A bound that is met is told in the Report
-	Faults    int // end after so many faults; 0: after the first
+	Depth          int // steps in a row
+	MaxTransitions int // transitions in all; 0: no bound. A bound that is met is told in the Report
+	MaxFaults      int // end after so many faults; 0: after the first
 }
 
 // Fault is a way to a state in which something does not hold.
 type Fault struct {
-	Steps  []string
-	Broken []string
+	Steps      []string
+	Violations []string
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s\n  after: %s", strings.Join(f.Broken, "\n"), strings.Join(f.Steps, ", "))
+	return fmt.Sprintf("%s\n  after: %s", strings.Join(f.Violations, "\n"), strings.Join(f.Steps, ", "))
 }
 
 // Report is what an exploration has come to.
 type Report struct {
 	States      int // different ones
 	Transitions int // steps from them, those that led to a state seen before included
-	Ends        int // states from which the system was brought to its end
-	Deepest     int
-	Whole       bool // every order of steps up to the depth was tried
+	Finishes    int // states from which the system was brought to its end
+	MaxDepth    int
+	Complete    bool // every order of steps up to the depth was tried
 	Faults      []Fault
 }
 
 // explorer is an exploration under way.
 type explorer struct {
-	make func() Model
-	o    Options
-	r    Report
-	seen map[[16]byte]int // the most steps that were left when the state was gone into
+	newModel func() Model
+	options  Options
+	report   Report
+	seen     map[[16]byte]int // the most steps that were left when the state was gone into
 }
 
 // Explore tries all orders of steps up to the depth.
 func Explore(make_ func() Model, o Options) Report {
-	o.Faults = max(1, o.Faults)
-	e := &explorer{make: make_, o: o, seen: map[[16]byte]int{}}
-	e.r.Whole = true
+	o.MaxFaults = max(1, o.MaxFaults)
+	e := &explorer{newModel: make_, options: o, seen: map[[16]byte]int{}}
+	e.report.Complete = true
 	e.visit(make_(), nil)
-	return e.r
+	return e.report
 }
 
 // visit goes into a state. The model is used up.
 func (e *explorer) visit(m Model, path []string) {
-	if broken := m.Broken(); len(broken) > 0 {
-		e.fault(path, broken)
+	if broken := m.Violations(); len(broken) > 0 {
+		e.addFault(path, broken)
 		return
 	}
-	left := e.o.Depth - len(path)
+	left := e.options.Depth - len(path)
 	key := m.Key()
 	if most, ok := e.seen[key]; ok && most >= left {
 		return
 	} else if !ok {
-		e.r.States++
+		e.report.States++
 	}
 	e.seen[key] = left
-	e.r.Deepest = max(e.r.Deepest, len(path))
+	e.report.MaxDepth = max(e.report.MaxDepth, len(path))
 	steps := m.Steps()
 	if left > 0 {
 		for _, s := range steps {
-			if e.over() {
+			if e.limitReached() {
 				return
 			}
 			if m == nil {
 				m = e.replay(path)
 			}
-			e.r.Transitions++
+			e.report.Transitions++
 			m.Do(s)
 			e.visit(m, append(path[:len(path):len(path)], s))
 			m = nil
 		}
 	}
-	if e.over() {
+	if e.limitReached() {
 		return
 	}
 	// Whatever is open here must come to its end by itself.
@@ -109,26 +109,26 @@
 		m = e.replay(path)
 	}
 	m.Finish()
-	e.r.Ends++
-	if broken := m.Broken(); len(broken) > 0 {
-		e.fault(append(path[:len(path):len(path)], "the end"), broken)
+	e.report.Finishes++
+	if broken := m.Violations(); len(broken) > 0 {
+		e.addFault(append(path[:len(path):len(path)], "the end"), broken)
 	}
 }
 
-func (e *explorer) fault(path, broken []string) {
-	e.r.Faults = append(e.r.Faults, Fault{Steps: path, Broken: broken})
+func (e *explorer) addFault(path, broken []string) {
+	e.report.Faults = append(e.report.Faults, Fault{Steps: path, Violations: broken})
 }
 
-func (e *explorer) over() bool {
-	if len(e.r.Faults) >= e.o.Faults || e.o.MostSteps > 0 && e.r.Transitions >= e.o.MostSteps {
-		e.r.Whole = false
+func (e *explorer) limitReached() bool {
+	if len(e.report.Faults) >= e.options.MaxFaults || e.options.MaxTransitions > 0 && e.report.Transitions >= e.options.MaxTransitions {
+		e.report.Complete = false
 		return true
 	}
 	return false
 }
 
 func (e *explorer) replay(path []string) Model {
-	m := e.make()
+	m := e.newModel()
 	for _, s := range path {
 		m.Do(s)
 	}
@@ -146,11 +146,11 @@
 		s := all[rng.IntN(len(all))]
 		f.Steps = append(f.Steps, s)
 		m.Do(s)
-		if f.Broken = m.Broken(); len(f.Broken) > 0 {
+		if f.Violations = m.Violations(); len(f.Violations) > 0 {
 			return f
 		}
 	}
 	m.Finish()
-	f.Broken = m.Broken()
+	f.Violations = m.Violations()
 	return f
 }
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -11,74 +11,74 @@
 	"linenloom/internal/zones"
 )
 
-// Fleet is three instances before two zones as a Model: what package zones decides, over messages that are lost, doubled and late, an
+// ZoneModel is three instances before two zones as a Model: what package zones decides, over messages that are lost, doubled and late, an
 // instance that crashes and comes again, a partition, zones that fail, and operators' calls. A step is a round of three ticks.
-type Fleet struct {
-	Scene   FleetScene
-	now     time.Duration
-	all     []*zones.Machine // nil: it has crashed
-	bad     []bool           // zones
-	late    []fleetMessage   // doubled: they come again a round later
-	zeroAt  map[[2]int]time.Duration
-	flowing int // rounds in a row in which all was delivered
-	broken  []string
+type ZoneModel struct {
+	Scenario        ZoneScenario
+	now             time.Duration
+	machines        []*zones.Machine // nil: it has crashed
+	failing         []bool           // zones
+	repeated        []zoneMessage    // doubled: they come again a round later
+	zeroShareAt     map[[2]int]time.Duration
+	deliveredRounds int // rounds in a row in which all was delivered
+	violations      []string
 }
 
-// FleetScene is what differs from one exploration to the next.
-type FleetScene struct {
-	// Mishear, if set, is what becomes of a message on its way: a fault put in. False: it does not come.
-	Mishear func(to int, m *zones.Message) bool
+// ZoneScenario is what differs from one exploration to the next.
+type ZoneScenario struct {
+	// AlterMessage, if set, is what becomes of a message on its way: a fault put in. False: it does not come.
+	AlterMessage func(to int, m *zones.Message) bool
 }
 
-type fleetMessage struct {
+type zoneMessage struct {
 	from, to int
 	text     []byte
 }
 
 const (
-	fleetInstances = 3
-	fleetZones     = 2
-	fleetWarm      = 600 * ms
-	roundTicks     = 3
-	// agreeIn is how many rounds in which all is delivered it may take until all hold the same.
-	agreeIn = 3
+	instanceCount = 3
+	zoneCount     = 2
+	warmupTime    = 600 * ms
+	roundTicks    = 3
+	// agreementRounds is how many rounds in which all is delivered it may take until all hold the same.
+	agreementRounds = 3
 )
 
-// NewFleet makes the model.
-func NewFleet(s FleetScene) *Fleet {
-	f := &Fleet{Scene: s, now: time.Hour, bad: make([]bool, fleetZones), zeroAt: map[[2]int]time.Duration{}}
-	f.all = make([]*zones.Machine, fleetInstances)
-	for i := range f.all {
+// NewZoneModel makes the model.
+func NewZoneModel(s ZoneScenario) *ZoneModel {
+	f := &ZoneModel{Scenario: s, now: time.Hour, failing: make([]bool, zoneCount), zeroShareAt: map[[2]int]time.Duration{}}
+	f.machines = make([]*zones.Machine, instanceCount)
+	for i := range f.machines {
 		f.start(i)
 	}
 	for range 3 { // until one leads
-		f.round(nil, false)
+		f.runRound(nil, false)
 	}
 	return f
 }
 
-func (f *Fleet) start(i int) {
-	f.all[i] = zones.New(zones.Config{Number: i, Zones: []string{"a", "b"}, MinCapacityShare: zones.DefaultMinCapacityShare, WarmupTime: fleetWarm,
-		StartedAtMS: int64(f.now / ms)}, i%fleetZones)
-	for z := range fleetZones {
-		delete(f.zeroAt, [2]int{i, z})
+func (f *ZoneModel) start(i int) {
+	f.machines[i] = zones.New(zones.Config{Number: i, Zones: []string{"a", "b"}, MinCapacityShare: zones.DefaultMinCapacityShare, WarmupTime: warmupTime,
+		StartedAtMS: int64(f.now / ms)}, i%zoneCount)
+	for z := range zoneCount {
+		delete(f.zeroShareAt, [2]int{i, z})
 	}
 }
 
 // Steps are what a round may bring.
-func (f *Fleet) Steps() (steps []string) {
+func (f *ZoneModel) Steps() (steps []string) {
 	steps = append(steps, "all is well", "everything twice")
-	for i, m := range f.all {
+	for i, m := range f.machines {
 		if m == nil {
 			steps = append(steps, fmt.Sprint("start ", i))
 			continue
 		}
 		steps = append(steps, fmt.Sprint("lost from ", i), fmt.Sprint("apart ", i))
 	}
-	if f.all[0] != nil {
+	if f.machines[0] != nil {
 		steps = append(steps, "crash 0", "out by hand", "auto by hand")
 	}
-	for z, bad := range f.bad {
+	for z, bad := range f.failing {
 		if bad {
 			steps = append(steps, fmt.Sprint("well ", z))
 		} else {
@@ -89,7 +89,7 @@
 }
 
 // Do plays a round.
-func (f *Fleet) Do(step string) {
+func (f *ZoneModel) Do(step string) {
 	what, n := step, 0
 	if i := strings.LastIndexByte(step, ' '); i >= 0 {
 		if _, err := fmt.Sscan(step[i+1:], &n); err == nil {
@@ -100,9 +100,9 @@
 	switch what {
 	case "start":
 		f.start(n)
-		for j, m := range f.all {
+		for j, m := range f.machines {
 			if m != nil && j != n {
-				f.all[n].Inherit(f.now, m.Verdict(), m.Overrides())
+				f.machines[n].Inherit(f.now, m.Verdict(), m.Overrides())
 				break
 			}
 		}
@@ -111,49 +111,49 @@
 	case "apart":
 		lost = func(from, to int) bool { return from == n || to == n }
 	case "crash":
-		f.all[n] = nil
+		f.machines[n] = nil
 	case "out by hand", "auto by hand":
 		h := zones.Override{Mode: zones.ModeOut, TimestampMS: int64(f.now / ms)}
 		if what[0] == 'a' {
 			h.Mode = zones.ModeAuto
 		}
-		f.all[0].SetOverride(f.now, h, 0)
+		f.machines[0].SetOverride(f.now, h, 0)
 	case "fails", "well":
-		f.bad[n] = what == "fails"
+		f.failing[n] = what == "fails"
 	}
-	f.round(lost, what == "everything twice")
+	f.runRound(lost, what == "everything twice")
 }
 
-// round is three ticks of all that live, each told what the others say, but for what is lost.
-func (f *Fleet) round(lost func(from, to int) bool, twice bool) {
-	if f.flowing++; lost != nil {
-		f.flowing = 0
+// runRound is three ticks of all that live, each told what the others say, but for what is lost.
+func (f *ZoneModel) runRound(lost func(from, to int) bool, twice bool) {
+	if f.deliveredRounds++; lost != nil {
+		f.deliveredRounds = 0
 	}
-	again := f.late
-	f.late = nil
+	again := f.repeated
+	f.repeated = nil
 	for _, m := range again {
 		f.deliver(m)
 	}
 	for range roundTicks {
 		f.now += zones.TickInterval
-		var sent []fleetMessage
-		for i, m := range f.all {
+		var sent []zoneMessage
+		for i, m := range f.machines {
 			if m == nil {
 				continue
 			}
 			var peers []zones.Peer
-			for j, o := range f.all {
+			for j, o := range f.machines {
 				if j != i {
-					peers = append(peers, zones.Peer{Number: j, Zone: j % fleetZones, Alive: o != nil})
+					peers = append(peers, zones.Peer{Number: j, Zone: j % zoneCount, Alive: o != nil})
 				}
 			}
 			m.SetPeers(peers)
-			leads, _ := m.Tick(f.now, f.sights(m), 0)
+			leads, _ := m.Tick(f.now, f.zoneStats(m), 0)
 			own, v := m.OwnReport(), m.Verdict()
 			msg := zones.Message{From: i, Report: &own, Verdict: &v, FromLeader: leads, Overrides: m.Overrides()}
-			for j := range f.all {
+			for j := range f.machines {
 				if j != i && (lost == nil || !lost(i, j)) {
-					sent = append(sent, fleetMessage{i, j, msg.Append(nil)})
+					sent = append(sent, zoneMessage{i, j, msg.Append(nil)})
 				}
 			}
 		}
@@ -161,23 +161,23 @@
 			f.deliver(m)
 		}
 		if twice {
-			f.late = append(f.late, sent...)
+			f.repeated = append(f.repeated, sent...)
 		}
-		f.check()
+		f.checkBounds()
 	}
-	if f.flowing >= agreeIn {
-		f.agree()
+	if f.deliveredRounds >= agreementRounds {
+		f.checkAgreement()
 	}
 }
 
-func (f *Fleet) deliver(m fleetMessage) {
-	to := f.all[m.to]
+func (f *ZoneModel) deliver(m zoneMessage) {
+	to := f.machines[m.to]
 	msg, err := zones.Decode(m.text)
 	if err != nil {
-		f.broken = append(f.broken, err.Error())
+		f.violations = append(f.violations, err.Error())
 		return
 	}
-	if to == nil || f.Scene.Mishear != nil && !f.Scene.Mishear(m.to, &msg) {
+	if to == nil || f.Scenario.AlterMessage != nil && !f.Scenario.AlterMessage(m.to, &msg) {
 		return
 	}
 	if msg.Report != nil {
@@ -189,9 +189,9 @@
 	to.MergeOverrides(f.now, msg.Overrides)
 }
 
-// sights are what an instance sees of zones that fail or don't: as much as it sends there.
-func (f *Fleet) sights(m *zones.Machine) []zones.ZoneStats {
-	all := make([]zones.ZoneStats, fleetZones)
+// zoneStats are what an instance sees of zones that fail or don't: as much as it sends there.
+func (f *ZoneModel) zoneStats(m *zones.Machine) []zones.ZoneStats {
+	all := make([]zones.ZoneStats, zoneCount)
 	for z := range all {
 		n := 0
 		if share, trial := m.Share(z); share > 0 {
@@ -200,21 +200,21 @@
 			n = 3
 		}
 		all[z] = zones.ZoneStats{Judged: n, TrimmedJudged: n * 2 / 3}
-		if f.bad[z] {
+		if f.failing[z] {
 			all[z] = zones.ZoneStats{Judged: n, Bad: n, Silent: n, TrimmedJudged: n * 2 / 3, TrimmedBad: n * 2 / 3}
 		}
 	}
 	return all
 }
 
-// check holds the state against the bounds: something stays in use that was not taken out by hand, and a share rises no faster than it may.
-func (f *Fleet) check() {
-	for i, m := range f.all {
+// checkBounds holds the state against the bounds: something stays in use that was not taken out by hand, and a share rises no faster than it may.
+func (f *ZoneModel) checkBounds() {
+	for i, m := range f.machines {
 		if m == nil {
 			continue
 		}
 		open, away := 0, 0
-		for z := range fleetZones {
+		for z := range zoneCount {
 			share, _ := m.Share(z)
 			if share > 0 {
 				open++
@@ -222,27 +222,27 @@
 			if m.Overrides()[z].Mode == zones.ModeOut {
 				away++
 				if share > 0 {
-					f.broken = append(f.broken, fmt.Sprintf("instance %d uses zone %d, which is out by hand", i, z))
+					f.violations = append(f.violations, fmt.Sprintf("instance %d uses zone %d, which is out by hand", i, z))
 				}
 			}
 			k := [2]int{i, z}
 			if share == 0 {
-				f.zeroAt[k] = f.now
+				f.zeroShareAt[k] = f.now
 			}
-			if at, ok := f.zeroAt[k]; ok && share > 0.21+(f.now-at).Seconds()/fleetWarm.Seconds() {
-				f.broken = append(f.broken, fmt.Sprintf("instance %d gives zone %d %.2f, %v after it gave none", i, z, share, f.now-at))
+			if at, ok := f.zeroShareAt[k]; ok && share > 0.21+(f.now-at).Seconds()/warmupTime.Seconds() {
+				f.violations = append(f.violations, fmt.Sprintf("instance %d gives zone %d %.2f, %v after it gave none", i, z, share, f.now-at))
 			}
 		}
 		if open == 0 && away == 0 {
-			f.broken = append(f.broken, fmt.Sprintf("instance %d uses no zone", i))
+			f.violations = append(f.violations, fmt.Sprintf("instance %d uses no zone", i))
 		}
 	}
 }
 
-// agree holds all against one another, once messages have flowed for a while.
-func (f *Fleet) agree() {
+// checkAgreement holds all against one another, once messages have flowed for a while.
+func (f *ZoneModel) checkAgreement() {
 	var first *zones.Machine
-	for i, m := range f.all {
+	for i, m := range f.machines {
 		switch {
 		case m == nil:
 		case first == nil:
@@ -250,49 +250,49 @@
 		default:
 			a, b := first.Verdict(), m.Verdict()
 			if a.Epoch != b.Epoch || !reflect.DeepEqual(a.Zones, b.Zones) || !slices.Equal(first.Overrides(), m.Overrides()) {
-				f.broken = append(f.broken, fmt.Sprintf("after %d rounds in which all was delivered instances disagree: epoch %d and, at %d, epoch %d",
-					f.flowing, a.Epoch, i, b.Epoch))
+				f.violations = append(f.violations, fmt.Sprintf("after %d rounds in which all was delivered instances disagree: epoch %d and, at %d, epoch %d",
+					f.deliveredRounds, a.Epoch, i, b.Epoch))
 			}
 		}
 	}
 }
 
-// Broken tells what does not hold.
-func (f *Fleet) Broken() []string { return f.broken }
+// Violations tells what does not hold.
+func (f *ZoneModel) Violations() []string { return f.violations }
 
 // Finish lets all come right: what failed is well, who crashed comes again, and in the end every zone is whole but for one that is out by hand.
-func (f *Fleet) Finish() {
-	for z := range f.bad {
-		f.bad[z] = false
+func (f *ZoneModel) Finish() {
+	for z := range f.failing {
+		f.failing[z] = false
 	}
-	for i, m := range f.all {
+	for i, m := range f.machines {
 		if m == nil {
 			f.Do(fmt.Sprint("start ", i))
 		}
 	}
 	for range 40 {
-		f.round(nil, false)
+		f.runRound(nil, false)
 	}
-	for i, m := range f.all {
-		for z := range fleetZones {
+	for i, m := range f.machines {
+		for z := range zoneCount {
 			if share, _ := m.Share(z); share < 1 && m.Overrides()[z].Mode != zones.ModeOut {
-				f.broken = append(f.broken, fmt.Sprintf("in the end instance %d gives zone %d %.2f: %+v", i, z, share, m.Verdict().Zones[z]))
+				f.violations = append(f.violations, fmt.Sprintf("in the end instance %d gives zone %d %.2f: %+v", i, z, share, m.Verdict().Zones[z]))
 			}
 		}
 	}
 }
 
 // Key tells states apart by all that an instance holds, times as they are.
-func (f *Fleet) Key() [16]byte {
+func (f *ZoneModel) Key() [16]byte {
 	h := fnv.New128a()
-	fmt.Fprint(h, f.now, f.bad, f.flowing, len(f.late))
-	for _, m := range f.all {
+	fmt.Fprint(h, f.now, f.failing, f.deliveredRounds, len(f.repeated))
+	for _, m := range f.machines {
 		if m == nil {
 			fmt.Fprint(h, "gone ")
 			continue
 		}
 		fmt.Fprint(h, m.Verdict(), m.Overrides(), m.OwnReport(), m.PeerReports())
-		for z := range fleetZones {
+		for z := range zoneCount {
 			fmt.Fprint(h, m.DebugState(z))
 		}
 	}
--- a/internal/explore/fleet_test.go
+++ b/internal/explore/fleet_test.go
@@ -8,24 +8,24 @@
 )
 
 // Every order of rounds keeps the bounds, and lets all agree again; linenlab explore goes deeper.
-func TestEveryOrderKeepsTheFleetTogether(t *testing.T) {
-	r := Explore(func() Model { return NewFleet(FleetScene{}) }, Options{Depth: 3, Faults: 3})
+func TestZoneInvariantsHoldInEveryOrder(t *testing.T) {
+	r := Explore(func() Model { return NewZoneModel(ZoneScenario{}) }, Options{Depth: 3, MaxFaults: 3})
 	for _, f := range r.Faults {
 		t.Error(f)
 	}
-	if !r.Whole || r.States < 500 {
-		t.Errorf("only %d states, whole %v", r.States, r.Whole)
+	if !r.Complete || r.States < 500 {
+		t.Errorf("only %d states, whole %v", r.States, r.Complete)
 	}
-	t.Logf("%d states, %d transitions, %d ends", r.States, r.Transitions, r.Ends)
+	t.Logf("%d states, %d transitions, %d ends", r.States, r.Transitions, r.Finishes)
 	for seed := range uint64(20) {
-		if f := Walk(NewFleet(FleetScene{}), seed, 30); len(f.Broken) > 0 {
+		if f := Walk(NewZoneModel(ZoneScenario{}), seed, 30); len(f.Violations) > 0 {
 			t.Errorf("seed %d: %v", seed, f)
 		}
 	}
 }
 
 // Faults that are put in are found.
-func TestSeededFleetFaultsAreFound(t *testing.T) {
+func TestSeededZoneFaultsAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
 		mishear func(to int, m *zones.Message) bool
 		want    string
@@ -39,7 +39,7 @@
 		}, "disagree"},
 		"calls not passed on": {func(_ int, m *zones.Message) bool { m.Overrides = nil; return true }, "disagree"},
 	} {
-		r := Explore(func() Model { return NewFleet(FleetScene{Mishear: c.mishear}) }, Options{Depth: 6, MostSteps: 2500})
+		r := Explore(func() Model { return NewZoneModel(ZoneScenario{AlterMessage: c.mishear}) }, Options{Depth: 6, MaxTransitions: 2500})
 		if len(r.Faults) == 0 {
 			t.Errorf("%s: nothing found in %d states", name, r.States)
 		} else if f := r.Faults[0].String(); !strings.Contains(f, c.want) {
--- a/internal/explore/scenes.go
+++ b/internal/explore/scenes.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-func settings() logic.Settings {
+func testSettings() logic.Settings {
 	return logic.Settings{
 		Classes: []logic.Class{
 			{Name: "read", SoftDeadline: 500 * ms, Deadline: 2 * time.Second, Value: 1},
@@ -29,20 +29,20 @@
 }
 
 // everything that can become of an attempt, but for those that stand for the same to the rules.
-var outcomes = []logic.Status{logic.StatusOK, logic.StatusMiss, logic.StatusFull, logic.StatusError, logic.StatusReset,
+var allOutcomes = []logic.Status{logic.StatusOK, logic.StatusMiss, logic.StatusFull, logic.StatusError, logic.StatusReset,
 	logic.StatusTimeout, logic.StatusNoConn}
 
-func with(m logic.Member, change func(*logic.Member)) logic.Member {
+func modified(m logic.Member, change func(*logic.Member)) logic.Member {
 	change(&m)
 	return m
 }
 
-// Scenes are two members, an origin and three requests each, with different troubles, by name.
-func Scenes() map[string]Scene {
+// Scenarios are two members, an origin and three requests each, with different troubles, by name.
+func Scenarios() map[string]Scenario {
 	drains := func(m logic.Member) logic.Member {
-		return with(m, func(m *logic.Member) { m.State = logic.Draining })
+		return modified(m, func(m *logic.Member) { m.State = logic.Draining })
 	}
-	gone := func(m logic.Member) logic.Member { return with(m, func(m *logic.Member) { m.State = logic.Gone }) }
+	gone := func(m logic.Member) logic.Member { return modified(m, func(m *logic.Member) { m.State = logic.Gone }) }
 	read := func(id logic.RequestID, key uint64) logic.Request {
 		return logic.Request{ID: id, Key: key, Deadline: 2 * time.Second}
 	}
@@ -50,19 +50,19 @@
 		return logic.Request{ID: id, Key: uint64(id) + 100, Class: class, Write: true, Deadline: 2 * time.Second}
 	}
 	// A cold one takes the place of the only other cache: whatever comes next has only it.
-	cold := with(members()[1], func(m *logic.Member) { m.StartedAt = time.Hour + 400*ms })
-	return map[string]Scene{
-		"reads of one key": {Settings: settings(), Members: members(), Outcomes: outcomes, Leaving: true,
+	cold := modified(members()[1], func(m *logic.Member) { m.StartedAt = time.Hour + 400*ms })
+	return map[string]Scenario{
+		"reads of one key": {Settings: testSettings(), Members: members(), Outcomes: allOutcomes, ClientsMayLeave: true,
 			Requests: []logic.Request{read(1, 7), read(2, 7), read(3, 7)}},
-		"orders and notes": {Settings: settings(), Members: members(), Outcomes: outcomes,
+		"orders and notes": {Settings: testSettings(), Members: members(), Outcomes: allOutcomes,
 			Requests: []logic.Request{write(1, 1), write(2, 2), write(3, 3)}, Changes: []logic.Member{gone(origin)}},
-		"the list changes": {Settings: settings(), Members: members(), Outcomes: outcomes[:5],
+		"the list changes": {Settings: testSettings(), Members: members(), Outcomes: allOutcomes[:5],
 			Requests: []logic.Request{read(1, 7), read(2, 7), write(3, 1)},
 			Changes:  []logic.Member{drains(members()[0]), gone(members()[1]), drains(origin)}},
-		"a cold member": {Settings: settings(), Members: []logic.Member{members()[0], origin}, Served: 100, MostCold: 2,
-			Outcomes: outcomes, Requests: []logic.Request{read(1, 7), read(2, 8), read(3, 9)},
+		"a cold member": {Settings: testSettings(), Members: []logic.Member{members()[0], origin}, WarmupReads: 100, MaxColdRequests: 2,
+			Outcomes: allOutcomes, Requests: []logic.Request{read(1, 7), read(2, 8), read(3, 9)},
 			Changes: []logic.Member{cold, gone(members()[0])}},
-		"reads by key and zone": {Settings: settings(), Members: members(), Outcomes: outcomes,
+		"reads by key and zone": {Settings: testSettings(), Members: members(), Outcomes: allOutcomes,
 			Requests: []logic.Request{{ID: 1, Key: 7, Class: 3, Deadline: time.Second}, {ID: 2, Key: 7, Class: 2, Deadline: time.Second},
 				{ID: 3, Key: 8, Class: 3, Deadline: time.Second}}, Changes: []logic.Member{gone(members()[0])}},
 	}
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -11,31 +11,31 @@
 	"linenloom/logic"
 )
 
-// Scene is what a World begins with and what may happen in it.
-type Scene struct {
+// Scenario is what a World begins with and what may happen in it.
+type Scenario struct {
 	Settings logic.Settings
 	Seed     uint64
 	Members  []logic.Member
-	// Served is how many reads have been served, 5 ms apart, before the scene: by them the module knows what the caches do.
-	Served int
+	// WarmupReads is how many reads have been served, 5 ms apart, before the scene: by them the module knows what the caches do.
+	WarmupReads int
 	// Requests may each be asked once, in any order; Deadline counts from then on.
 	Requests []logic.Request
 	// Outcomes that an attempt may have.
 	Outcomes []logic.Status
 	// Changes of the list, each of which may come once.
 	Changes []logic.Member
-	// Leaving: clients may leave.
-	Leaving bool
-	// MostCold bounds what a cold member may be sent within Settings.FallAfter.
-	MostCold int
+	// ClientsMayLeave: clients may leave.
+	ClientsMayLeave bool
+	// MaxColdRequests bounds what a cold member may be sent within Settings.FallAfter.
+	MaxColdRequests int
 	// Tests break the module by what stands between it and the host: Wrap between its actions and the host, Mishear
 	// between an outcome and what it is told of it; Unheard keeps changes of the list from it.
-	Wrap    func(*World, logic.Actions) logic.Actions
-	Mishear func(logic.Outcome) logic.Outcome
-	Unheard bool
+	Wrap         func(*BalancerModel, logic.Actions) logic.Actions
+	AlterOutcome func(logic.Outcome) logic.Outcome
+	HideChanges  bool
 }
 
-// World is a decision module before a host that checks it after every event, from what a host can see alone:
+// BalancerModel is a decision module before a host that checks it after every event, from what a host can see alone:
 //
 //   - one final answer to each request, in time, and nothing sent after it;
 //   - nothing is run twice that must not be, and nothing refused that may have run;
@@ -44,19 +44,19 @@
 //   - none is held back: a request that has nothing out and can be sent to nobody any more has its final answer.
 //
 // Clock and timers are the World's own. All events of a step come at one time.
-type World struct {
-	Balancer *logic.Balancer
-	Now      time.Duration
-	scene    Scene
-	start    time.Duration
-	timers   []timer
-	open     []*request // in the order of Scene.Requests
-	list     map[logic.MemberID]logic.Member
-	changed  []bool
-	cold     map[logic.MemberID][]time.Duration
-	broken   []string
-	Answers  map[logic.Reason]int // the module's final answers, by reason
-	Holds    map[logic.Reason]int // waits, by reason
+type BalancerModel struct {
+	Balancer       *logic.Balancer
+	Now            time.Duration
+	scenario       Scenario
+	start          time.Duration
+	timers         []timer
+	requests       []*request // in the order of Scene.Requests
+	list           map[logic.MemberID]logic.Member
+	changesApplied []bool
+	coldSends      map[logic.MemberID][]time.Duration
+	violations     []string
+	Answers        map[logic.Reason]int // the module's final answers, by reason
+	Waits          map[logic.Reason]int // waits, by reason
 }
 
 type timer struct {
@@ -66,30 +66,30 @@
 
 type request struct {
 	logic.Request
-	asked    bool
-	at       time.Duration
-	aim      time.Duration
-	answered int
-	left     bool
-	missed   bool // its latest attempt ended in a miss, so that an origin is its next
-	sent     []attempt
+	submitted    bool
+	submittedAt  time.Duration
+	softDeadline time.Duration
+	answerCount  int
+	cancelled    bool
+	missed       bool // its latest attempt ended in a miss, so that an origin is its next
+	attempts     []attempt
 }
 
 type attempt struct {
-	to     logic.Member
-	at     time.Duration
-	status logic.Status
-	ended  bool
-	ran    bool
+	member   logic.Member
+	sentAt   time.Duration
+	status   logic.Status
+	ended    bool
+	maybeRan bool
 }
 
-// NewWorld begins a Scene.
-func NewWorld(s Scene) (*World, error) {
-	w := &World{scene: s, start: time.Hour, Now: time.Hour, list: map[logic.MemberID]logic.Member{},
-		cold: map[logic.MemberID][]time.Duration{}, changed: make([]bool, len(s.Changes)),
-		Answers: map[logic.Reason]int{}, Holds: map[logic.Reason]int{}}
+// NewBalancerModel begins a Scene.
+func NewBalancerModel(s Scenario) (*BalancerModel, error) {
+	w := &BalancerModel{scenario: s, start: time.Hour, Now: time.Hour, list: map[logic.MemberID]logic.Member{},
+		coldSends: map[logic.MemberID][]time.Duration{}, changesApplied: make([]bool, len(s.Changes)),
+		Answers: map[logic.Reason]int{}, Waits: map[logic.Reason]int{}}
 	for _, r := range s.Requests {
-		w.open = append(w.open, &request{Request: r})
+		w.requests = append(w.requests, &request{Request: r})
 	}
 	var do logic.Actions = host{w}
 	if s.Wrap != nil {
@@ -105,54 +105,54 @@
 		w.list[m.ID] = m
 	}
 	b.SetMembers(w.Now, logic.ListCached, s.Members)
-	w.serve(s.Served)
+	w.serveReads(s.WarmupReads)
 	return w, nil
 }
 
-// firstServed is above all ids of a scene.
-const firstServed logic.RequestID = 1 << 20
+// firstWarmupID is above all ids of a scene.
+const firstWarmupID logic.RequestID = 1 << 20
 
-// serve has reads served before the scene begins.
-func (w *World) serve(reads int) {
-	open := w.open
+// serveReads has reads served before the scene begins.
+func (w *BalancerModel) serveReads(reads int) {
+	open := w.requests
 	for i := range reads {
-		w.open = []*request{{Request: logic.Request{ID: firstServed + logic.RequestID(i), Key: uint64(i) + 1<<32, Deadline: time.Second}}}
-		w.ask(w.open[0])
-		w.End(0, 0, logic.StatusOK)
-		for end := w.Now + 5*time.Millisecond; ; w.elapse() {
-			w.timers = slices.DeleteFunc(w.timers, func(t timer) bool { return logic.RequestID(t.token>>3) >= firstServed })
+		w.requests = []*request{{Request: logic.Request{ID: firstWarmupID + logic.RequestID(i), Key: uint64(i) + 1<<32, Deadline: time.Second}}}
+		w.submit(w.requests[0])
+		w.EndAttempt(0, 0, logic.StatusOK)
+		for end := w.Now + 5*time.Millisecond; ; w.runNextTimer() {
+			w.timers = slices.DeleteFunc(w.timers, func(t timer) bool { return logic.RequestID(t.token>>3) >= firstWarmupID })
 			if slices.SortStableFunc(w.timers, byTime); len(w.timers) == 0 || w.timers[0].at > end {
 				w.Now = end
 				break
 			}
 		}
 	}
-	w.open = open
+	w.requests = open
 }
 
 func byTime(a, b timer) int { return cmp.Compare(a.at, b.at) }
 
 // Steps names what can happen: "ask 1", "1.0 reset", "leave 1", "list 0", "time", which goes on to the next timer.
-func (w *World) Steps() (steps []string) {
-	for i, r := range w.open {
+func (w *BalancerModel) Steps() (steps []string) {
+	for i, r := range w.requests {
 		switch {
-		case !r.asked:
+		case !r.submitted:
 			steps = append(steps, fmt.Sprint("ask ", i))
-		case w.scene.Leaving && r.answered == 0 && !r.left:
+		case w.scenario.ClientsMayLeave && r.answerCount == 0 && !r.cancelled:
 			steps = append(steps, fmt.Sprint("leave ", i))
 		}
-		for k, a := range r.sent {
+		for k, a := range r.attempts {
 			if a.ended {
 				continue
 			}
-			for _, s := range w.scene.Outcomes {
-				if w.fits(r, a, s) {
+			for _, s := range w.scenario.Outcomes {
+				if w.isPossible(r, a, s) {
 					steps = append(steps, fmt.Sprintf("%d.%d %v", i, k, s))
 				}
 			}
 		}
 	}
-	for i, done := range w.changed {
+	for i, done := range w.changesApplied {
 		if !done {
 			steps = append(steps, fmt.Sprint("list ", i))
 		}
@@ -163,74 +163,74 @@
 	return steps
 }
 
-// fits tells whether an attempt can end so: caches alone miss, and only reads.
-func (w *World) fits(r *request, a attempt, s logic.Status) bool {
-	return s != logic.StatusMiss || !r.Write && !w.isOrigin(a.to)
+// isPossible tells whether an attempt can end so: caches alone miss, and only reads.
+func (w *BalancerModel) isPossible(r *request, a attempt, s logic.Status) bool {
+	return s != logic.StatusMiss || !r.Write && !w.isOrigin(a.member)
 }
 
 // Do does one step.
-func (w *World) Do(step string) {
+func (w *BalancerModel) Do(step string) {
 	var i, k int
 	var name string
 	switch {
 	case step == "time":
-		w.elapse()
-	case scan(step, "ask %d", &i):
-		w.ask(w.open[i])
-	case scan(step, "leave %d", &i):
-		w.open[i].left = true
-		w.Balancer.RequestCancelled(w.Now, w.open[i].ID)
-	case scan(step, "list %d", &i):
-		w.changed[i] = true
-		m := w.scene.Changes[i]
+		w.runNextTimer()
+	case scanStep(step, "ask %d", &i):
+		w.submit(w.requests[i])
+	case scanStep(step, "leave %d", &i):
+		w.requests[i].cancelled = true
+		w.Balancer.RequestCancelled(w.Now, w.requests[i].ID)
+	case scanStep(step, "list %d", &i):
+		w.changesApplied[i] = true
+		m := w.scenario.Changes[i]
 		w.list[m.ID] = m
-		if !w.scene.Unheard {
+		if !w.scenario.HideChanges {
 			w.Balancer.SetMembers(w.Now, logic.ListDelta, []logic.Member{m})
 		}
-	case scan(step, "%d.%d %s", &i, &k, &name):
-		at := slices.IndexFunc(w.scene.Outcomes, func(s logic.Status) bool { return s.String() == name })
-		w.End(i, k, w.scene.Outcomes[at])
+	case scanStep(step, "%d.%d %s", &i, &k, &name):
+		at := slices.IndexFunc(w.scenario.Outcomes, func(s logic.Status) bool { return s.String() == name })
+		w.EndAttempt(i, k, w.scenario.Outcomes[at])
 	default:
-		w.breach("there is no step %q", step)
+		w.addViolation("there is no step %q", step)
 	}
-	w.check()
+	w.checkRequests()
 }
 
-func scan(step, format string, args ...any) bool {
+func scanStep(step, format string, args ...any) bool {
 	n, err := fmt.Sscanf(step, format, args...)
 	return err == nil && n == len(args)
 }
 
-func (w *World) ask(r *request) {
-	r.asked, r.at = true, w.Now
+func (w *BalancerModel) submit(r *request) {
+	r.submitted, r.submittedAt = true, w.Now
 	r.Deadline += w.Now
 	c := w.class(r)
-	r.aim = min(w.Now+c.SoftDeadline, r.Deadline)
+	r.softDeadline = min(w.Now+c.SoftDeadline, r.Deadline)
 	if c.LateValue > 0 {
-		r.aim = r.Deadline
+		r.softDeadline = r.Deadline
 	}
 	w.Balancer.Request(w.Now, r.Request)
 }
 
-// End ends an attempt.
-func (w *World) End(i, k int, s logic.Status) {
-	r := w.open[i]
-	a := &r.sent[k]
-	a.ended, a.status, a.ran = true, s, !s.NeverRan()
-	r.missed = s == logic.StatusMiss || r.missed && w.isOrigin(a.to)
-	if s == logic.StatusOK && r.answered == 0 && !r.left {
-		r.answered = 1
+// EndAttempt ends an attempt.
+func (w *BalancerModel) EndAttempt(i, k int, s logic.Status) {
+	r := w.requests[i]
+	a := &r.attempts[k]
+	a.ended, a.status, a.maybeRan = true, s, !s.NeverRan()
+	r.missed = s == logic.StatusMiss || r.missed && w.isOrigin(a.member)
+	if s == logic.StatusOK && r.answerCount == 0 && !r.cancelled {
+		r.answerCount = 1
 	}
-	o := logic.Outcome{Request: r.ID, Attempt: k, Member: a.to.ID, Status: s, Elapsed: w.Now - a.at,
-		Final: r.answered > 0 || r.left}
-	if w.scene.Mishear != nil {
-		o = w.scene.Mishear(o)
+	o := logic.Outcome{Request: r.ID, Attempt: k, Member: a.member.ID, Status: s, Elapsed: w.Now - a.sentAt,
+		Final: r.answerCount > 0 || r.cancelled}
+	if w.scenario.AlterOutcome != nil {
+		o = w.scenario.AlterOutcome(o)
 	}
 	w.Balancer.Outcome(w.Now, o)
 }
 
-// elapse goes on to the next timer.
-func (w *World) elapse() {
+// runNextTimer goes on to the next timer.
+func (w *BalancerModel) runNextTimer() {
 	slices.SortStableFunc(w.timers, byTime)
 	next := w.timers[0]
 	w.timers = w.timers[1:]
@@ -239,225 +239,227 @@
 }
 
 // Finish lets the time pass with no attempt answered, until every request is past its deadline.
-func (w *World) Finish() {
+func (w *BalancerModel) Finish() {
 	var end time.Duration
-	for _, r := range w.open {
+	for _, r := range w.requests {
 		end = max(end, r.Deadline)
 	}
 	for w.Now < end && len(w.timers) > 0 {
-		w.elapse()
-		w.check()
+		w.runNextTimer()
+		w.checkRequests()
 	}
 	w.Now = max(w.Now, end)
-	for i, r := range w.open {
-		for k := range r.sent {
-			if !r.sent[k].ended {
-				w.End(i, k, logic.StatusTimeout)
-				w.check()
+	for i, r := range w.requests {
+		for k := range r.attempts {
+			if !r.attempts[k].ended {
+				w.EndAttempt(i, k, logic.StatusTimeout)
+				w.checkRequests()
 			}
 		}
-		if r.asked && !r.left && r.answered != 1 {
-			w.breach("request %d has %d final answers", r.ID, r.answered)
+		if r.submitted && !r.cancelled && r.answerCount != 1 {
+			w.addViolation("request %d has %d final answers", r.ID, r.answerCount)
 		}
 	}
 	if n := w.Balancer.Outstanding(); n != 0 {
-		w.breach("%d requests are left behind", n)
+		w.addViolation("%d requests are left behind", n)
 	}
 }
 
-// Broken tells what has not held.
-func (w *World) Broken() []string { return w.broken }
+// Violations tells what has not held.
+func (w *BalancerModel) Violations() []string { return w.violations }
 
 // Key is made of the module's whole state and of what the host remembers.
-func (w *World) Key() [16]byte {
+func (w *BalancerModel) Key() [16]byte {
 	var s strings.Builder
 	d := w.Balancer.StateDigest()
 	s.Write(d[:])
 	slices.SortStableFunc(w.timers, byTime)
-	fmt.Fprint(&s, w.timers, w.changed, w.Now)
-	for _, r := range w.open {
-		fmt.Fprint(&s, r.asked, r.at, r.answered, r.left, r.missed, r.sent)
+	fmt.Fprint(&s, w.timers, w.changesApplied, w.Now)
+	for _, r := range w.requests {
+		fmt.Fprint(&s, r.submitted, r.submittedAt, r.answerCount, r.cancelled, r.missed, r.attempts)
 	}
-	for _, m := range w.scene.Members {
-		fmt.Fprint(&s, w.cold[m.ID])
+	for _, m := range w.scenario.Members {
+		fmt.Fprint(&s, w.coldSends[m.ID])
 	}
 	return md5.Sum([]byte(s.String()))
 }
 
-func (w *World) breach(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+func (w *BalancerModel) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// check looks at every request after an event.
-func (w *World) check() {
-	for _, r := range w.open {
-		if !r.asked || r.answered > 0 || r.left {
+// checkRequests looks at every request after an event.
+func (w *BalancerModel) checkRequests() {
+	for _, r := range w.requests {
+		if !r.submitted || r.answerCount > 0 || r.cancelled {
 			continue
 		}
-		if w.Now > r.Deadline+w.scene.Settings.AnswerGrace {
-			w.breach("request %d has no answer %v after its deadline", r.ID, w.Now-r.Deadline)
+		if w.Now > r.Deadline+w.scenario.Settings.AnswerGrace {
+			w.addViolation("request %d has no answer %v after its deadline", r.ID, w.Now-r.Deadline)
 		}
-		if !r.out() && !w.able(r) {
-			w.breach("request %d is held back: it has nothing out and can be sent to nobody", r.ID)
+		if !r.outstanding() && !w.canBeSent(r) {
+			w.addViolation("request %d is held back: it has nothing out and can be sent to nobody", r.ID)
 		}
 	}
 }
 
-func (r *request) out() bool {
-	return slices.ContainsFunc(r.sent, func(a attempt) bool { return !a.ended })
+func (r *request) outstanding() bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.ended })
 }
 
-// firstRan is the first attempt that may have run.
-func (r *request) firstRan() *attempt {
-	for i := range r.sent {
-		if a := &r.sent[i]; !a.ended || a.ran {
+// firstMaybeRan is the first attempt that may have run.
+func (r *request) firstMaybeRan() *attempt {
+	for i := range r.attempts {
+		if a := &r.attempts[i]; !a.ended || a.maybeRan {
 			return a
 		}
 	}
 	return nil
 }
 
-// able is the plain oracle: whether there is anybody to whom a request could be sent now, or later before its aim, by the
+// canBeSent is the plain oracle: whether there is anybody to whom a request could be sent now, or later before its aim, by the
 // rules and the list alone. It knows nothing of loads, limits and budgets, which may allow later what they forbid now.
-func (w *World) able(r *request) bool {
+func (w *BalancerModel) canBeSent(r *request) bool {
 	sent := 0
-	for _, a := range r.sent {
+	for _, a := range r.attempts {
 		if a.status != logic.StatusNoConn {
 			sent++
 		}
 	}
-	if w.Now >= r.aim || sent >= w.scene.Settings.MaxAttempts {
+	if w.Now >= r.softDeadline || sent >= w.scenario.Settings.MaxAttempts {
 		return false
 	}
 	for _, m := range w.list {
 		if m.State != logic.Ready {
 			continue
 		}
-		if w.scene.Settings.Mode == logic.CacheAside {
+		if w.scenario.Settings.Mode == logic.CacheAside {
 			// A read that has failed goes to an origin with its last try, as other caches would lack its key.
-			last := sent > 0 && sent+1 == w.scene.Settings.MaxAttempts
+			last := sent > 0 && sent+1 == w.scenario.Settings.MaxAttempts
 			if o := w.isOrigin(m); r.Write && !o || !r.Write && o && !r.missed && !last {
 				continue
 			}
 		}
-		if w.mayRepeat(r, m) {
+		if w.mayRunAt(r, m) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayRepeat tells whether the rules let a request go to a member, for what its earlier attempts may have done.
-func (w *World) mayRepeat(r *request, m logic.Member) bool {
-	first, c := r.firstRan(), w.class(r)
+// mayRunAt tells whether the rules let a request go to a member, for what its earlier attempts may have done.
+func (w *BalancerModel) mayRunAt(r *request, m logic.Member) bool {
+	first, c := r.firstMaybeRan(), w.class(r)
 	if first == nil || c.Effect == logic.Repeatable {
 		return true
 	}
-	if c.Effect == logic.AtMostOnce || w.Now >= first.at+c.DedupWindow {
+	if c.Effect == logic.AtMostOnce || w.Now >= first.sentAt+c.DedupWindow {
 		return false
 	}
-	return c.Scope == logic.ScopeAll || c.Scope == logic.ScopeZone && m.Zone == first.to.Zone ||
-		c.Scope == logic.ScopeCell && m.Cell == first.to.Cell
+	return c.Scope == logic.ScopeAll || c.Scope == logic.ScopeZone && m.Zone == first.member.Zone ||
+		c.Scope == logic.ScopeCell && m.Cell == first.member.Cell
 }
 
-func (w *World) isOrigin(m logic.Member) bool {
-	s := &w.scene.Settings
+func (w *BalancerModel) isOrigin(m logic.Member) bool {
+	s := &w.scenario.Settings
 	return s.Mode == logic.CacheAside && s.OriginKind >= 0 && m.Kind == s.OriginKind
 }
 
 // class is the request's; one that nobody knows is taken for the strictest kind.
-func (w *World) class(r *request) logic.Class {
-	if s := &w.scene.Settings; r.Class < 0 || r.Class >= len(s.Classes) {
+func (w *BalancerModel) class(r *request) logic.Class {
+	if s := &w.scenario.Settings; r.Class < 0 || r.Class >= len(s.Classes) {
 		c := s.Classes[0]
 		c.Effect = logic.AtMostOnce
 		return c
 	}
-	return w.scene.Settings.Classes[r.Class]
+	return w.scenario.Settings.Classes[r.Class]
 }
 
-// byID finds a request.
-func (w *World) byID(id logic.RequestID) *request {
-	for _, r := range w.open {
-		if r.ID == id && r.asked {
+// findRequest finds a request.
+func (w *BalancerModel) findRequest(id logic.RequestID) *request {
+	for _, r := range w.requests {
+		if r.ID == id && r.submitted {
 			return r
 		}
 	}
-	w.breach("an action names request %d, which nobody has asked", id)
+	w.addViolation("an action names request %d, which nobody has asked", id)
 	return nil
 }
 
-// Aim is when a request's answer is worth nothing any more.
-func (w *World) Aim(id logic.RequestID) time.Duration {
-	if r := w.byID(id); r != nil {
-		return r.aim
+// SoftDeadline is when a request's answer is worth nothing any more.
+func (w *BalancerModel) SoftDeadline(id logic.RequestID) time.Duration {
+	if r := w.findRequest(id); r != nil {
+		return r.softDeadline
 	}
 	return 0
 }
 
 // host carries out what the module decides, and holds it to the rules.
-type host struct{ w *World }
+type host struct{ model *BalancerModel }
 
 func (h host) Send(id logic.RequestID, to logic.MemberID, _ time.Duration) {
-	w := h.w
-	r := w.byID(id)
+	w := h.model
+	r := w.findRequest(id)
 	if r == nil {
 		return
 	}
 	m, known := w.list[to]
 	switch {
-	case r.answered > 0 || r.left:
-		w.breach("request %d is sent after its end", id)
+	case r.answerCount > 0 || r.cancelled:
+		w.addViolation("request %d is sent after its end", id)
 	case !known || m.State != logic.Ready:
-		w.breach("request %d is sent to member %d, which is not ready", id, to)
-	case r.out() && !w.scene.Settings.ConcurrentAttempts:
-		w.breach("request %d has two attempts out", id)
-	case !w.mayRepeat(r, m):
-		w.breach("request %d could run twice", id)
+		w.addViolation("request %d is sent to member %d, which is not ready", id, to)
+	case r.outstanding() && !w.scenario.Settings.ConcurrentAttempts:
+		w.addViolation("request %d has two attempts out", id)
+	case !w.mayRunAt(r, m):
+		w.addViolation("request %d could run twice", id)
 	}
-	s := &w.scene.Settings
+	s := &w.scenario.Settings
 	if m.StartedAt > 0 && w.Now-m.StartedAt < s.SlowStartDuration && !w.isOrigin(m) {
-		sends := append(w.cold[to], w.Now)
+		sends := append(w.coldSends[to], w.Now)
 		sends = slices.DeleteFunc(sends, func(at time.Duration) bool { return w.Now-at >= s.OverloadDuration })
-		if w.cold[to] = sends; len(sends) > w.scene.MostCold {
-			w.breach("cold member %d is sent %d requests in %v", to, len(sends), s.OverloadDuration)
+		if w.coldSends[to] = sends; len(sends) > w.scenario.MaxColdRequests {
+			w.addViolation("cold member %d is sent %d requests in %v", to, len(sends), s.OverloadDuration)
 		}
 	}
-	r.sent = append(r.sent, attempt{to: m, at: w.Now, ran: true})
+	r.attempts = append(r.attempts, attempt{member: m, sentAt: w.Now, maybeRan: true})
 	sent := 0
-	for _, a := range r.sent {
+	for _, a := range r.attempts {
 		if !a.ended || a.status != logic.StatusNoConn {
 			sent++
 		}
 	}
 	if sent > s.MaxAttempts {
-		w.breach("request %d has attempt %d of %d", id, sent, s.MaxAttempts)
+		w.addViolation("request %d has attempt %d of %d", id, sent, s.MaxAttempts)
 	}
 }
 
-func (h host) answer(id logic.RequestID, refusal bool, why logic.Reason) {
-	w := h.w
-	r := w.byID(id)
+func (h host) recordAnswer(id logic.RequestID, refusal bool, why logic.Reason) {
+	w := h.model
+	r := w.findRequest(id)
 	if r == nil {
 		return
 	}
 	w.Answers[why]++
-	if r.answered++; r.answered > 1 || r.left {
-		w.breach("request %d is answered after its end", id)
+	if r.answerCount++; r.answerCount > 1 || r.cancelled {
+		w.addViolation("request %d is answered after its end", id)
 	}
 	if why == logic.NoReason || why >= logic.ReasonCount {
-		w.breach("request %d is answered without a reason", id)
+		w.addViolation("request %d is answered without a reason", id)
 	}
 	c := w.class(r)
-	if refusal && r.firstRan() != nil && (c.Effect == logic.AtMostOnce || c.Effect == logic.DeduplicatedByKey && c.Scope != logic.ScopeAll) {
-		w.breach("request %d is refused though it may have run", id)
+	if refusal && r.firstMaybeRan() != nil && (c.Effect == logic.AtMostOnce || c.Effect == logic.DeduplicatedByKey && c.Scope != logic.ScopeAll) {
+		w.addViolation("request %d is refused though it may have run", id)
 	}
 }
 
-func (h host) Refuse(id logic.RequestID, _ time.Duration, why logic.Reason) { h.answer(id, true, why) }
-func (h host) Fail(id logic.RequestID, why logic.Reason)                    { h.answer(id, false, why) }
-func (h host) NotifyWaiting(_ logic.RequestID, why logic.Reason)            { h.w.Holds[why]++ }
+func (h host) Refuse(id logic.RequestID, _ time.Duration, why logic.Reason) {
+	h.recordAnswer(id, true, why)
+}
+func (h host) Fail(id logic.RequestID, why logic.Reason)         { h.recordAnswer(id, false, why) }
+func (h host) NotifyWaiting(_ logic.RequestID, why logic.Reason) { h.model.Waits[why]++ }
 func (h host) SetTimer(at time.Duration, token uint64) {
-	h.w.timers = append(h.w.timers, timer{max(at, h.w.Now), token})
+	h.model.timers = append(h.model.timers, timer{max(at, h.model.Now), token})
 }
 func (h host) Cancel(logic.RequestID, int)                                  {}
 func (h host) Probe(logic.MemberID)                                         {}
--- a/internal/explore/world_test.go
+++ b/internal/explore/world_test.go
@@ -8,9 +8,9 @@
 	"linenloom/logic"
 )
 
-func world(t testing.TB, s Scene) func() Model {
+func newModelFunc(t testing.TB, s Scenario) func() Model {
 	return func() Model {
-		w, err := NewWorld(s)
+		w, err := NewBalancerModel(s)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -20,36 +20,36 @@
 
 // Every order of events up to a depth keeps the rules, and leaves no request without its answer that can be sent to
 // nobody. The rig goes deeper (linenlab explore).
-func TestEveryOrderKeepsTheRules(t *testing.T) {
-	for name, s := range Scenes() {
+func TestBalancerInvariantsHoldInEveryOrder(t *testing.T) {
+	for name, s := range Scenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := Explore(world(t, s), Options{Depth: 4, Faults: 3})
+			r := Explore(newModelFunc(t, s), Options{Depth: 4, MaxFaults: 3})
 			for _, f := range r.Faults {
 				t.Error(f)
 			}
-			if !r.Whole || r.States < 1000 {
-				t.Errorf("only %d states, whole %v", r.States, r.Whole)
+			if !r.Complete || r.States < 1000 {
+				t.Errorf("only %d states, whole %v", r.States, r.Complete)
 			}
-			t.Logf("%d states, %d transitions, %d ends", r.States, r.Transitions, r.Ends)
+			t.Logf("%d states, %d transitions, %d ends", r.States, r.Transitions, r.Finishes)
 		})
 	}
 }
 
-// lateAnswers holds the module's final answers back until the request's aim, as the module itself once did with orders.
-type lateAnswers struct {
+// delayedAnswers holds the module's final answers back until the request's aim, as the module itself once did with orders.
+type delayedAnswers struct {
 	logic.Actions
-	w *World
+	model *BalancerModel
 }
 
-func (l lateAnswers) Refuse(id logic.RequestID, after time.Duration, why logic.Reason) {
-	if l.w.Now >= l.w.Aim(id)-11*ms {
+func (l delayedAnswers) Refuse(id logic.RequestID, after time.Duration, why logic.Reason) {
+	if l.model.Now >= l.model.SoftDeadline(id)-11*ms {
 		l.Actions.Refuse(id, after, why)
 	}
 }
 
-func (l lateAnswers) Fail(id logic.RequestID, why logic.Reason) {
-	if l.w.Now >= l.w.Aim(id)-11*ms {
+func (l delayedAnswers) Fail(id logic.RequestID, why logic.Reason) {
+	if l.model.Now >= l.model.SoftDeadline(id)-11*ms {
 		l.Actions.Fail(id, why)
 	}
 }
@@ -58,33 +58,33 @@
 func TestSeededFaultsAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
 		scene string
-		seed  func(*Scene)
+		seed  func(*Scenario)
 		want  string
 	}{
-		"answers held back": {"orders and notes", func(s *Scene) {
-			s.Wrap = func(w *World, a logic.Actions) logic.Actions { return lateAnswers{a, w} }
+		"answers held back": {"orders and notes", func(s *Scenario) {
+			s.Wrap = func(w *BalancerModel, a logic.Actions) logic.Actions { return delayedAnswers{a, w} }
 		}, "held back"},
-		"a reset told as a failed dial": {"orders and notes", func(s *Scene) {
-			s.Mishear = func(o logic.Outcome) logic.Outcome {
+		"a reset told as a failed dial": {"orders and notes", func(s *Scenario) {
+			s.AlterOutcome = func(o logic.Outcome) logic.Outcome {
 				if o.Status == logic.StatusReset {
 					o.Status = logic.StatusConnectFailed
 				}
 				return o
 			}
 		}, "though it may have run"},
-		"drains not heard of": {"the list changes", func(s *Scene) { s.Unheard = true }, "not ready"},
-		"a cold member taken for a warm one": {"a cold member", func(s *Scene) {
-			s.Settings.SlowStartCapacity, s.MostCold = 1, 0 // the module sends it all; the host allows nothing
+		"drains not heard of": {"the list changes", func(s *Scenario) { s.HideChanges = true }, "not ready"},
+		"a cold member taken for a warm one": {"a cold member", func(s *Scenario) {
+			s.Settings.SlowStartCapacity, s.MaxColdRequests = 1, 0 // the module sends it all; the host allows nothing
 		}, "cold member"},
-		"outcomes not heard of": {"reads of one key", func(s *Scene) {
-			s.Mishear = func(o logic.Outcome) logic.Outcome { o.Attempt = 63; return o }
+		"outcomes not heard of": {"reads of one key", func(s *Scenario) {
+			s.AlterOutcome = func(o logic.Outcome) logic.Outcome { o.Attempt = 63; return o }
 		}, "left behind"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := Scenes()[c.scene]
+			s := Scenarios()[c.scene]
 			c.seed(&s)
-			r := Explore(world(t, s), Options{Depth: 4})
+			r := Explore(newModelFunc(t, s), Options{Depth: 4})
 			if len(r.Faults) == 0 {
 				t.Fatalf("nothing found in %d states", r.States)
 			}
@@ -96,10 +96,10 @@
 }
 
 // Long random orders, with more members and requests than can be explored.
-func TestRandomOrdersKeepTheRules(t *testing.T) {
+func TestBalancerInvariantsHoldInRandomOrders(t *testing.T) {
 	for seed := range uint64(40) {
-		s := Scene{Settings: settings(), Seed: seed, Leaving: seed%2 == 0, MostCold: 1000,
-			Outcomes: append(outcomes, logic.StatusConnectFailed, logic.StatusCancelled, logic.StatusMoot, logic.StatusUnknown)}
+		s := Scenario{Settings: testSettings(), Seed: seed, ClientsMayLeave: seed%2 == 0, MaxColdRequests: 1000,
+			Outcomes: append(allOutcomes, logic.StatusConnectFailed, logic.StatusCancelled, logic.StatusMoot, logic.StatusUnknown)}
 		s.Settings.MaxAttempts = 1 + int(seed%4)
 		if seed%5 == 4 {
 			s.Settings.Mode = logic.ReadThrough
@@ -107,16 +107,16 @@
 		for i := range 8 {
 			s.Members = append(s.Members, logic.Member{ID: logic.MemberID(i + 1), Zone: i % 3, Cell: i % 2, Weight: 1})
 		}
-		s.Members = append(s.Members, origin, with(origin, func(m *logic.Member) { m.ID, m.Zone = 1001, 1 }))
+		s.Members = append(s.Members, origin, modified(origin, func(m *logic.Member) { m.ID, m.Zone = 1001, 1 }))
 		for i := range 60 {
 			class := int(uint64(i)+seed) % 5 // 4 is one that nobody knows
 			s.Requests = append(s.Requests, logic.Request{ID: logic.RequestID(i + 1), Key: uint64(i % 7), Class: class,
 				Write: class > 0 && i%3 > 0, Deadline: time.Duration(200+i*37) * ms})
 		}
 		for i, m := range s.Members {
-			s.Changes = append(s.Changes, with(m, func(m *logic.Member) { m.State = logic.State(1 + i%2) }), m)
+			s.Changes = append(s.Changes, modified(m, func(m *logic.Member) { m.State = logic.State(1 + i%2) }), m)
 		}
-		if f := Walk(world(t, s)(), seed, 900); len(f.Broken) > 0 {
+		if f := Walk(newModelFunc(t, s)(), seed, 900); len(f.Violations) > 0 {
 			t.Errorf("seed %d: %v", seed, f)
 		}
 	}
--- a/internal/knownred/cmd/main.go
+++ b/internal/knownred/cmd/main.go
@@ -36,33 +36,33 @@
 	if err != nil {
 		return err
 	}
-	failures := testOthers(packages, entries)
+	failures := runUnlisted(packages, entries)
 	for _, e := range entries {
-		if err := judge(e); err != nil {
+		if err := runEntry(e); err != nil {
 			failures = append(failures, err)
 		}
 	}
 	return errors.Join(failures...)
 }
 
-// judge runs a listed test, or looks for the program of a listed command, which is too long for every run, and prints the verdict.
-func judge(e knownred.Entry) error {
+// runEntry runs a listed test, or looks for the program of a listed command, which is too long for every run, and prints the verdict.
+func runEntry(e knownred.Entry) error {
 	if e.Command != "" {
 		fmt.Printf("known red: %s is not run here (%s, %s)\n", e.Command, e.Cause, e.Issue)
-		return namesProgram(e.Command)
+		return checkProgram(e.Command)
 	}
 	// A listed test fails by itself: its exit status says nothing more than its output does.
 	output, _ := exec.Command("go", "test", "-race", "-count=1", "-v", "-run", e.Pattern(), e.Package).CombinedOutput()
 	verdict := knownred.Judge(e.Test, output)
 	fmt.Printf("known red: %s %s (%s, %s)\n", e.Name(), verdict, e.Cause, e.Issue)
-	if e.Wrong(verdict) {
+	if e.Contradicts(verdict) {
 		return fmt.Errorf("%s %s: the list is wrong", e.Name(), verdict)
 	}
 	return nil
 }
 
-// namesProgram tells what is wrong with a command of this project's. The operators' bench is not there in every run.
-func namesProgram(command string) error {
+// checkProgram tells what is wrong with a command of this project's. The operators' bench is not there in every run.
+func checkProgram(command string) error {
 	program, ok := strings.CutPrefix(command, "go run ")
 	if !ok {
 		return nil
@@ -91,8 +91,8 @@
 	return packages, nil
 }
 
-// testOthers tests everything that is not listed.
-func testOthers(packages []string, entries []knownred.Entry) (failures []error) {
+// runUnlisted tests everything that is not listed.
+func runUnlisted(packages []string, entries []knownred.Entry) (failures []error) {
 	plain, skipping := knownred.PlanRun(packages, entries)
 	if err := goTest(plain...); err != nil {
 		failures = append(failures, err)
--- a/internal/knownred/cmd/main_test.go
+++ b/internal/knownred/cmd/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// project writes a project of two packages, in each of which TestSame passes or fails, and goes there.
-func project(t *testing.T, list string, fails map[string]bool) {
+// writeProject writes a project of two packages, in each of which TestSame passes or fails, and goes there.
+func writeProject(t *testing.T, list string, fails map[string]bool) {
 	t.Helper()
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -64,7 +64,7 @@
 		"a line that can't be read":     {"./a TestSame\n", nil, "line 1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			project(t, c.list, c.fails)
+			writeProject(t, c.list, c.fails)
 			err := run()
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v, want %q", err, c.want)
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -16,7 +16,7 @@
 	Package string // its path from the root, beginning with "./"; empty for a command
 	Test    string // with its part, if only that fails: TestName/part
 	Command string // empty for a test
-	AtTimes bool   // the test fails in some runs only
+	Flaky   bool   // the test fails in some runs only
 	Cause   string // and what was seen
 	Issue   string
 }
@@ -32,8 +32,8 @@
 const (
 	// separator stands between the parts of a line.
 	separator = "|"
-	// atTimes ends the first part of a line, if the test fails in some runs only.
-	atTimes = " (at times)"
+	// flakySuffix ends the first part of a line, if the test fails in some runs only.
+	flakySuffix = " (at times)"
 )
 
 var (
@@ -46,8 +46,8 @@
 
 // Errors of a list.
 var (
-	ErrBadEntry = errors.New("an entry is a test or a command with its seed, a cause and an issue: ./path TestName | cause | issue N, or COMMAND --seed N | cause | issue N")
-	ErrTwice    = errors.New("it is listed twice")
+	ErrBadEntry  = errors.New("an entry is a test or a command with its seed, a cause and an issue: ./path TestName | cause | issue N, or COMMAND --seed N | cause | issue N")
+	ErrDuplicate = errors.New("it is listed twice")
 )
 
 // Parse reads a list, one failure a line. Empty lines are passed over.
@@ -65,7 +65,7 @@
 			return nil, fmt.Errorf("line %d: %w", number, err)
 		}
 		if listed[entry.Name()] {
-			return nil, fmt.Errorf("line %d: %s: %w", number, entry.Name(), ErrTwice)
+			return nil, fmt.Errorf("line %d: %s: %w", number, entry.Name(), ErrDuplicate)
 		}
 		listed[entry.Name()] = true
 		entries = append(entries, entry)
@@ -90,7 +90,7 @@
 		e.Command = what
 		return e, nil
 	}
-	what, e.AtTimes = strings.CutSuffix(what, atTimes)
+	what, e.Flaky = strings.CutSuffix(what, flakySuffix)
 	e.Package, e.Test, _ = strings.Cut(what, " ")
 	if !packagePath.MatchString(e.Package) || !testName.MatchString(e.Test) {
 		return Entry{}, ErrBadEntry
@@ -113,9 +113,9 @@
 	return [...]string{"fails, as known", "passes", "is no test"}[v]
 }
 
-// Wrong tells whether a verdict contradicts the list.
-func (e Entry) Wrong(v Verdict) bool {
-	return v == Missing || v == Passed && !e.AtTimes
+// Contradicts tells whether a verdict contradicts the list.
+func (e Entry) Contradicts(v Verdict) bool {
+	return v == Missing || v == Passed && !e.Flaky
 }
 
 // Judge tells what the verbose output of a run of one test says of it.
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -27,8 +27,8 @@
 		"a command without its cause": {"go run ./cmd/linenlab restarts -first 7 | | issue 60", 0, ErrBadEntry},
 		"a command without an issue":  {"go run ./cmd/linenlab restarts -first 7 | an answer lost |", 0, ErrBadEntry},
 		"a command of something else": {"sleep --seed 9 | an answer lost | issue 60", 0, ErrBadEntry},
-		"a command twice":             {strings.Repeat("go run ./cmd/linenlab restarts -first 7 | an answer lost | issue 60\n", 2), 0, ErrTwice},
-		"twice":                       {good + good, 0, ErrTwice},
+		"a command twice":             {strings.Repeat("go run ./cmd/linenlab restarts -first 7 | an answer lost | issue 60\n", 2), 0, ErrDuplicate},
+		"twice":                       {good + good, 0, ErrDuplicate},
 		"no test":                     {"./internal/proxy | a cause | issue 54", 0, ErrBadEntry},
 		"no package":                  {"TestA | a cause | issue 54", 0, ErrBadEntry},
 		"no cause":                    {"./internal/proxy TestA | | issue 54", 0, ErrBadEntry},
@@ -74,10 +74,10 @@
 }
 
 // A test that passes stays listed only if it fails at times; one that is not there never does.
-func TestWrong(t *testing.T) {
+func TestContradicts(t *testing.T) {
 	for v, want := range map[Verdict][2]bool{Failed: {false, false}, Passed: {true, false}, Missing: {true, true}} {
 		for i, atTimes := range []bool{false, true} {
-			if got := (Entry{AtTimes: atTimes}).Wrong(v); got != want[i] {
+			if got := (Entry{Flaky: atTimes}).Contradicts(v); got != want[i] {
 				t.Errorf("%v, at times %v: wrong %v, want %v", v, atTimes, got, want[i])
 			}
 		}
--- a/internal/lab/explore.go
+++ b/internal/lab/explore.go
@@ -19,7 +19,7 @@
 // Explore is the scenario of the model checker: the scenes of internal/explore, deeper than the tests go.
 func Explore(ctx context.Context, e *Env) (*Report, error) {
 	r := &Report{Scenario: "explore"}
-	scenes := explore.Scenes()
+	scenes := explore.Scenarios()
 	for _, name := range slices.Sorted(maps.Keys(scenes)) {
 		if err := ctx.Err(); err != nil {
 			return r, err
@@ -27,12 +27,12 @@
 		e.Log("explore: %s", name)
 		var failed error
 		found := explore.Explore(func() explore.Model {
-			w, err := explore.NewWorld(scenes[name])
+			w, err := explore.NewBalancerModel(scenes[name])
 			if err != nil {
 				failed = err
 			}
 			return w
-		}, explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreSteps})
+		}, explore.Options{Depth: exploreDepth, MaxTransitions: e.Seconds * exploreSteps})
 		if failed != nil {
 			return r, fmt.Errorf("%s: %w", name, failed)
 		}
@@ -41,17 +41,17 @@
 		}
 		r.Tell(name+": states", float64(found.States))
 		r.Tell(name+": transitions", float64(found.Transitions))
-		r.Tell(name+": depth", float64(found.Deepest))
+		r.Tell(name+": depth", float64(found.MaxDepth))
 		whole := 0.0
-		if found.Whole {
+		if found.Complete {
 			whole = 1
 		}
 		r.Tell(name+": every order up to the depth", whole)
 		r.Equal(name+": faults", float64(len(found.Faults)), 0)
 	}
 	e.Log("explore: the fleet's verdict on zones")
-	found := explore.Explore(func() explore.Model { return explore.NewFleet(explore.FleetScene{}) },
-		explore.Options{Depth: exploreDepth, MostSteps: e.Seconds * exploreSteps / 6})
+	found := explore.Explore(func() explore.Model { return explore.NewZoneModel(explore.ZoneScenario{}) },
+		explore.Options{Depth: exploreDepth, MaxTransitions: e.Seconds * exploreSteps / 6})
 	for _, f := range found.Faults {
 		e.Log("fleet: %v", f)
 	}
