--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -18,7 +18,7 @@
 		if err := ctx.Err(); err != nil {
 			return r, err
 		}
-		played, err := restarts.Verdict(restarts.Options{Program: filepath.Join(e.Bin, "linenloom"), Dir: e.Dir, Seed: seed},
+		played, err := restarts.RunUntilConclusive(restarts.Options{Program: filepath.Join(e.Bin, "linenloom"), Dir: e.Dir, Seed: seed},
 			func(r *restarts.Result) { e.Log("%v", r) })
 		if err != nil {
 			return r, err
@@ -35,11 +35,11 @@
 			kept++
 		}
 		faults += len(played.Faults)
-		all.Asked, all.Served, all.Refused, all.Failed = all.Asked+played.Asked, all.Served+played.Served, all.Refused+played.Refused, all.Failed+played.Failed
+		all.Sent, all.Served, all.Refused, all.Failed = all.Sent+played.Sent, all.Served+played.Served, all.Refused+played.Refused, all.Failed+played.Failed
 		all.Attempts, all.Further = all.Attempts+played.Attempts, all.Further+played.Further
 	}
 	name := fmt.Sprintf("seeds %d to %d: ", e.First, e.First+uint64(e.Count)-1)
-	r.Tell(name+"requests", float64(all.Asked))
+	r.Tell(name+"requests", float64(all.Sent))
 	r.Tell(name+"served", float64(all.Served))
 	r.Tell(name+"refused", float64(all.Refused))
 	r.Tell(name+"failed", float64(all.Failed))
--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -12,65 +12,65 @@
 	"time"
 )
 
-// keys is how many keys reads ask for.
-const keys = 120
+// keyCount is how many keys reads ask for.
+const keyCount = 120
 
 func keyName(n int) string { return fmt.Sprint("k", n) }
 
-// crossing is how soon after its last byte was written a request's connection must have ended for the two to have crossed on the way.
-const crossing = 20 * time.Millisecond
+// crossingTime is how soon after its last byte was written a request's connection must have ended for the two to have crossed on the way.
+const crossingTime = 20 * time.Millisecond
 
-// end is what became of a request.
-type end uint8
+// outcome is what became of a request.
+type outcome uint8
 
 const (
-	unanswered end = iota
+	unanswered outcome = iota
 	served
 	refused
 	failed
-	untaken // its connection ended as it was sent
+	notAccepted // its connection ended as it was sent
 )
 
-// ask is one request.
-type ask struct {
-	id, key string
-	order   bool
-	wait    time.Duration
-	sent    time.Time // its last byte
-	turn    time.Time // when the answers before it had come
-	ended   time.Time
-	end     end
-	left    bool // its client has closed the connection
-	opens   bool // it is the first on its connection
-	text    string
+// request is one request.
+type request struct {
+	id, key     string
+	isOrder     bool
+	timeout     time.Duration
+	sentAt      time.Time // its last byte
+	timeoutFrom time.Time // when the answers before it had come
+	endedAt     time.Time
+	outcome     outcome
+	clientLeft  bool // its client has closed the connection
+	firstOnConn bool // it is the first on its connection
+	detail      string
 }
 
 // clients use the connections that they have for as long as these stay open.
 type clients struct {
-	p        *play
-	seed     uint64
-	mu       sync.Mutex
-	asks     []*ask
-	opened   []net.Conn // the crowd's
-	drainsAt time.Time
-	drains   string // the member
-	killedAt time.Time
-	quit     chan struct{}
-	g        sync.WaitGroup
+	run           *restartRun
+	seed          uint64
+	mu            sync.Mutex
+	requests      []*request
+	idleConns     []net.Conn // the crowd's
+	drainedAt     time.Time
+	drainedMember string // the member
+	killedAt      time.Time
+	quit          chan struct{}
+	group         sync.WaitGroup
 }
 
-func newClients(p *play, seed uint64) *clients {
-	return &clients{p: p, seed: seed, quit: make(chan struct{})}
+func newClients(p *restartRun, seed uint64) *clients {
+	return &clients{run: p, seed: seed, quit: make(chan struct{})}
 }
 
-// idle opens a connection that never asks for anything whole.
-func (c *clients) idle() {
-	conn, err := net.DialTimeout("tcp", c.p.listen, time.Second)
+// openIdle opens a connection that never asks for anything whole.
+func (c *clients) openIdle() {
+	conn, err := net.DialTimeout("tcp", c.run.listen, time.Second)
 	if err != nil {
 		return
 	}
-	c.opened = append(c.opened, conn)
-	if c.p.rng.IntN(2) == 0 {
+	c.idleConns = append(c.idleConns, conn)
+	if c.run.rng.IntN(2) == 0 {
 		io.WriteString(conn, "*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk")
 	}
 }
@@ -78,39 +78,39 @@
 func (c *clients) start(n int) {
 	for i := range n {
 		rng := rand.New(rand.NewPCG(c.seed, uint64(1000+i)))
-		c.g.Go(func() {
-			for round := 0; c.connection(rng, fmt.Sprintf("%d-%d", i, round)); round++ {
+		c.group.Go(func() {
+			for round := 0; c.runConn(rng, fmt.Sprintf("%d-%d", i, round)); round++ {
 			}
 		})
 	}
 }
 
-// killed notes that the process was killed: what is unanswered then is lost.
-func (c *clients) killed() {
+// stopAfterKill notes that the process was killed: what is unanswered then is lost.
+func (c *clients) stopAfterKill() {
 	c.mu.Lock()
 	c.killedAt = time.Now()
 	c.mu.Unlock()
 	close(c.quit)
-	for _, conn := range c.opened {
+	for _, conn := range c.idleConns {
 		conn.Close()
 	}
-	c.g.Wait()
+	c.group.Wait()
 }
 
-func (c *clients) drained(member string) {
+func (c *clients) noteDrain(member string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drains, c.drainsAt = member, time.Now()
+	c.drainedMember, c.drainedAt = member, time.Now()
 }
 
-// connection asks on one connection until that ends; false: there are no more.
-func (c *clients) connection(rng *rand.Rand, name string) bool {
+// runConn asks on one connection until that ends; false: there are no more.
+func (c *clients) runConn(rng *rand.Rand, name string) bool {
 	select {
 	case <-c.quit:
 		return false
 	default:
 	}
-	conn, err := net.DialTimeout("tcp", c.p.listen, time.Second)
+	conn, err := net.DialTimeout("tcp", c.run.listen, time.Second)
 	if err != nil {
 		// Nobody listens any more, or the kernel's line is full of the crowd.
 		select {
@@ -128,8 +128,8 @@
 			return false
 		case <-time.After(time.Duration(rng.IntN(8)) * time.Millisecond): // what a client does between requests
 		}
-		batch := c.batch(rng, fmt.Sprintf("%s-%d", name, n))
-		batch[0].opens = n == 0
+		batch := c.newBatch(rng, fmt.Sprintf("%s-%d", name, n))
+		batch[0].firstOnConn = n == 0
 		var text strings.Builder
 		for _, a := range batch {
 			text.WriteString(a.command())
@@ -138,36 +138,36 @@
 		now := time.Now()
 		c.mu.Lock()
 		for _, a := range batch {
-			a.sent, a.turn = now, now
+			a.sentAt, a.timeoutFrom = now, now
 		}
-		c.asks = append(c.asks, batch...)
+		c.requests = append(c.requests, batch...)
 		c.mu.Unlock()
 		if rng.IntN(60) == 0 { // it leaves
 			time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 			conn.Close()
 			c.mu.Lock()
 			for _, a := range batch {
-				a.left, a.ended = true, time.Now()
+				a.clientLeft, a.endedAt = true, time.Now()
 			}
 			c.mu.Unlock()
 			return true
 		}
-		if !c.answers(conn, in, batch) {
+		if !c.readAnswers(conn, in, batch) {
 			return true
 		}
 	}
 }
 
-func (c *clients) batch(rng *rand.Rand, name string) []*ask {
+func (c *clients) newBatch(rng *rand.Rand, name string) []*request {
 	n := 1
-	if c.p.pipelines && rng.IntN(3) == 0 {
+	if c.run.pipelines && rng.IntN(3) == 0 {
 		n += rng.IntN(7)
 	}
-	var batch []*ask
+	var batch []*request
 	for i := range n {
-		a := &ask{id: fmt.Sprintf("%s-%d", name, i), key: keyName(rng.IntN(keys)), wait: c.p.deadline * time.Duration(70+rng.IntN(30)) / 100}
+		a := &request{id: fmt.Sprintf("%s-%d", name, i), key: keyName(rng.IntN(keyCount)), timeout: c.run.deadline * time.Duration(70+rng.IntN(30)) / 100}
 		if rng.IntN(12) == 0 {
-			a.order, a.key = true, "order-"+a.id
+			a.isOrder, a.key = true, "order-"+a.id
 		}
 		batch = append(batch, a)
 	}
@@ -175,10 +175,10 @@
 }
 
 // command is the request as it is written.
-func (a *ask) command() string {
-	words := []string{"OBJ.GET", a.key, a.id, fmt.Sprintf("c=tile-read,d=%d", a.wait.Milliseconds())}
-	if a.order {
-		words = []string{"OBJ.SET", a.key, a.id, fmt.Sprintf("c=pass-order,d=%d", a.wait.Milliseconds()), "a pass for " + a.id}
+func (a *request) command() string {
+	words := []string{"OBJ.GET", a.key, a.id, fmt.Sprintf("c=tile-read,d=%d", a.timeout.Milliseconds())}
+	if a.isOrder {
+		words = []string{"OBJ.SET", a.key, a.id, fmt.Sprintf("c=pass-order,d=%d", a.timeout.Milliseconds()), "a pass for " + a.id}
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "*%d\r\n", len(words))
@@ -188,30 +188,30 @@
 	return text.String()
 }
 
-// answers reads the answers to a batch; false: the connection has ended.
-func (c *clients) answers(conn net.Conn, in *bufio.Reader, batch []*ask) bool {
+// readAnswers reads the answers to a batch; false: the connection has ended.
+func (c *clients) readAnswers(conn net.Conn, in *bufio.Reader, batch []*request) bool {
 	for i, a := range batch {
-		conn.SetReadDeadline(a.turn.Add(a.wait + answerGrace + time.Second))
-		line, value, err := answer(in)
+		conn.SetReadDeadline(a.timeoutFrom.Add(a.timeout + answerGrace + time.Second))
+		line, value, err := readAnswer(in)
 		now := time.Now()
 		c.mu.Lock()
-		a.ended = now
-		a.text = line
+		a.endedAt = now
+		a.detail = line
 		switch {
 		case err != nil:
-			c.cut(batch[i:], i == 0, now, err)
+			c.recordCut(batch[i:], i == 0, now, err)
 		case strings.HasPrefix(line, "$"):
-			a.end = served
+			a.outcome = served
 			if want := a.expected(); !strings.HasPrefix(value, want) {
-				a.end, a.text = unanswered, fmt.Sprintf("served with %.60q, want %q", value, want)
+				a.outcome, a.detail = unanswered, fmt.Sprintf("served with %.60q, want %q", value, want)
 			}
 		case strings.HasPrefix(line, "-BUSY"):
-			a.end = refused
+			a.outcome = refused
 		default:
-			a.end = failed
+			a.outcome = failed
 		}
 		if i+1 < len(batch) {
-			batch[i+1].turn = now
+			batch[i+1].timeoutFrom = now
 		}
 		c.mu.Unlock()
 		if err != nil {
@@ -222,30 +222,30 @@
 }
 
 // expected is how the value or the receipt of a request begins.
-func (a *ask) expected() string {
-	if a.order {
+func (a *request) expected() string {
+	if a.isOrder {
 		return "receipt of " + a.key
 	}
 	return "value of " + a.key + " "
 }
 
-// cut notes that a connection has ended with requests unanswered. They may have crossed the end, if they were sent on one at rest and nobody has
+// recordCut notes that a connection has ended with requests unanswered. They may have crossed the end, if they were sent on one at rest and nobody has
 // heard of them; else they are lost. Where a crowd fills the descriptors, a new connection may be shut unread.
-func (c *clients) cut(rest []*ask, first bool, at time.Time, err error) {
+func (c *clients) recordCut(rest []*request, first bool, at time.Time, err error) {
 	for _, a := range rest {
-		a.ended = at
-		a.text = fmt.Sprintf("no answer: %v", err)
+		a.endedAt = at
+		a.detail = fmt.Sprintf("no answer: %v", err)
 		var slow net.Error
 		timedOut := errors.As(err, &slow) && slow.Timeout()
-		unread := at.Sub(a.sent) < crossing || c.p.crowd > 0 && rest[0].opens
-		if first && !timedOut && unread && c.p.copies.Written("", a.id) == 0 {
-			a.end = untaken
+		unread := at.Sub(a.sentAt) < crossingTime || c.run.idleConns > 0 && rest[0].firstOnConn
+		if first && !timedOut && unread && c.run.duplicates.Written("", a.id) == 0 {
+			a.outcome = notAccepted
 		}
 	}
 }
 
-// answer reads one answer.
-func answer(in *bufio.Reader) (line, value string, err error) {
+// readAnswer reads one answer.
+func readAnswer(in *bufio.Reader) (line, value string, err error) {
 	if line, err = in.ReadString('\n'); err != nil {
 		return "", "", err
 	}
@@ -261,48 +261,48 @@
 	return line, value, nil
 }
 
-// count sums up what became of the requests.
-func (c *clients) count(r *Result) {
-	for _, a := range c.asks {
-		r.Asked++
-		switch a.end {
+// countOutcomes sums up what became of the requests.
+func (c *clients) countOutcomes(r *Result) {
+	for _, a := range c.requests {
+		r.Sent++
+		switch a.outcome {
 		case served:
 			r.Served++
 		case refused:
 			r.Refused++
 		case failed:
 			r.Failed++
-		case untaken:
-			r.Untaken++
+		case notAccepted:
+			r.NotAccepted++
 		}
 	}
 }
 
-// verdicts are the rules broken for clients.
-func (c *clients) verdicts() (faults []string) {
-	executions := c.p.fleet.Origin.Executions()
-	for _, a := range c.asks {
-		took := a.ended.Sub(a.turn)
+// violations are the rules broken for clients.
+func (c *clients) violations() (faults []string) {
+	executions := c.run.fleet.Origin.Executions()
+	for _, a := range c.requests {
+		took := a.endedAt.Sub(a.timeoutFrom)
 		switch {
-		case a.left:
-			if at, ok := c.p.copies.LastWrittenAt(a.id); ok && at.Sub(a.ended) > departGrace+ruleSlack {
-				faults = append(faults, fmt.Sprintf("request %s: an attempt began %v after its client had left", a.id, at.Sub(a.ended)))
+		case a.clientLeft:
+			if at, ok := c.run.duplicates.LastWrittenAt(a.id); ok && at.Sub(a.endedAt) > departureGrace+ruleSlack {
+				faults = append(faults, fmt.Sprintf("request %s: an attempt began %v after its client had left", a.id, at.Sub(a.endedAt)))
 			}
-		case a.end == unanswered:
-			faults = append(faults, fmt.Sprintf("request %s is lost, sent %v before the kill, after %v: %s", a.id, c.killedAt.Sub(a.sent), took, a.text))
-		case a.end != untaken && took > a.wait+answerGrace:
-			faults = append(faults, fmt.Sprintf("request %s was answered after %v, and its client waited for %v", a.id, took, a.wait))
+		case a.outcome == unanswered:
+			faults = append(faults, fmt.Sprintf("request %s is lost, sent %v before the kill, after %v: %s", a.id, c.killedAt.Sub(a.sentAt), took, a.detail))
+		case a.outcome != notAccepted && took > a.timeout+answerGrace:
+			faults = append(faults, fmt.Sprintf("request %s was answered after %v, and its client waited for %v", a.id, took, a.timeout))
 		}
-		if a.order && a.end == refused && executions[a.key] > 0 {
+		if a.isOrder && a.outcome == refused && executions[a.key] > 0 {
 			faults = append(faults, fmt.Sprintf("order %s was refused, and has run", a.id))
 		}
-		if a.order && a.end == untaken && executions[a.key] > 0 {
+		if a.isOrder && a.outcome == notAccepted && executions[a.key] > 0 {
 			faults = append(faults, fmt.Sprintf("order %s was not taken, and has run", a.id))
 		}
 	}
-	if c.drains != "" && !c.p.moves {
-		if at, id := c.p.copies.LastWriteTo(c.drains); at.Sub(c.drainsAt) > drainGrace+ruleSlack {
-			faults = append(faults, fmt.Sprintf("request %s was sent to %s %v after the news that it drains", id, c.drains, at.Sub(c.drainsAt)))
+	if c.drainedMember != "" && !c.run.moveDiscovery {
+		if at, id := c.run.duplicates.LastWriteTo(c.drainedMember); at.Sub(c.drainedAt) > drainGrace+ruleSlack {
+			faults = append(faults, fmt.Sprintf("request %s was sent to %s %v after the news that it drains", id, c.drainedMember, at.Sub(c.drainedAt)))
 		}
 	}
 	return faults
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// killMost and killMore: the kill comes the longest deadline, or killMost if that is shorter, and killMore after the first signal to end.
-	killMost = 3 * time.Second
-	killMore = 700 * time.Millisecond
+	// maxKillDelay and killMargin: the kill comes the longest deadline, or maxKillDelay if that is shorter, and killMargin after the first signal to end.
+	maxKillDelay = 3 * time.Second
+	killMargin   = 700 * time.Millisecond
 	// answerGrace is how long after its time an answer counts as late; later, or never, it is lost.
 	answerGrace = 500 * time.Millisecond
-	// departGrace is how long after its client has left an attempt may begin, and drainGrace how long after the news that its member drains; the
+	// departureGrace is how long after its client has left an attempt may begin, and drainGrace how long after the news that its member drains; the
 	// protocol adds ruleSlack to each of its limits.
-	departGrace = 100 * time.Millisecond
-	drainGrace  = 250 * time.Millisecond
-	ruleSlack   = 50 * time.Millisecond
-	// disturbedAt is by how much the play's own clock may be late before it counts as disturbed: what the rules are checked with.
-	disturbedAt = ruleSlack
+	departureGrace = 100 * time.Millisecond
+	drainGrace     = 250 * time.Millisecond
+	ruleSlack      = 50 * time.Millisecond
+	// maxSchedulingDelay is by how much the play's own clock may be late before it counts as disturbed: what the rules are checked with.
+	maxSchedulingDelay = ruleSlack
 
 	descriptors = 256
 	memoryMB    = 64
@@ -47,17 +47,17 @@
 
 // Result is what has become of a play.
 type Result struct {
-	Seed                           uint64
-	Scene                          string // what was drawn
-	Asked, Served, Refused, Failed int
-	Untaken                        int // requests that crossed the end of their connection, or found no listener
-	Attempts, Further              int
-	Faults                         []string
-	Late                           time.Duration // by how much the play's own clock was late at the most
+	Seed                          uint64
+	Scenario                      string // what was drawn
+	Sent, Served, Refused, Failed int
+	NotAccepted                   int // requests that crossed the end of their connection, or found no listener
+	Attempts, Further             int
+	Faults                        []string
+	SchedulingDelay               time.Duration // by how much the play's own clock was late at the most
 }
 
 // Disturbed tells whether the machine was too busy for a verdict. Such a play never counts as passed.
-func (r *Result) Disturbed() bool { return r.Late > disturbedAt }
+func (r *Result) Disturbed() bool { return r.SchedulingDelay > maxSchedulingDelay }
 
 // signalAt is a signal of a play, and when it is sent, from the first one on.
 type signalAt struct {
@@ -65,107 +65,107 @@
 	after  time.Duration
 }
 
-// scene is what the seed draws.
-type scene struct {
-	deadline      time.Duration // the longest
-	signals       []signalAt
-	crowd         int // connections that never ask for anything whole
-	hangingBoxes  int
-	hangingOrigin bool
-	stalledWay    int // a box whose link stalls in one direction; -1: none
-	delays        []time.Duration
-	handshake     time.Duration
-	drains        bool // a box begins to drain right before the end
-	moves         bool // the reload names another discovery
-	clients       int
-	pipelines     bool
+// scenario is what the seed draws.
+type scenario struct {
+	deadline         time.Duration // the longest
+	signals          []signalAt
+	idleConns        int // connections that never ask for anything whole
+	hangingCaches    int
+	hangingOrigin    bool
+	stalledDirection int // a box whose link stalls in one direction; -1: none
+	delays           []time.Duration
+	handshakeDelay   time.Duration
+	drainCache       bool // a box begins to drain right before the end
+	moveDiscovery    bool // the reload names another discovery
+	clients          int
+	pipelines        bool
 }
 
-const boxes = 4
+const cacheCount = 4
 
-// draw makes the scene of a seed.
-func draw(rng *rand.Rand) scene {
-	s := scene{stalledWay: -1, clients: 24 + rng.IntN(24), pipelines: rng.IntN(2) == 0}
+// newScenario makes the scene of a seed.
+func newScenario(rng *rand.Rand) scenario {
+	s := scenario{stalledDirection: -1, clients: 24 + rng.IntN(24), pipelines: rng.IntN(2) == 0}
 	s.deadline = []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[rng.IntN(4)]
 	if rng.IntN(3) == 0 {
-		s.crowd = descriptors/2 + rng.IntN(descriptors/2)
+		s.idleConns = descriptors/2 + rng.IntN(descriptors/2)
 	}
-	s.hangingBoxes = rng.IntN(boxes/2 + 1)
+	s.hangingCaches = rng.IntN(cacheCount/2 + 1)
 	s.hangingOrigin = rng.IntN(4) == 0
-	if s.deadline > killMost { // the kill comes before the requests' own end: what hangs has to be answered ahead of it
-		s.hangingBoxes, s.hangingOrigin = max(1, s.hangingBoxes), true
+	if s.deadline > maxKillDelay { // the kill comes before the requests' own end: what hangs has to be answered ahead of it
+		s.hangingCaches, s.hangingOrigin = max(1, s.hangingCaches), true
 	}
 	if rng.IntN(4) == 0 {
-		s.stalledWay = rng.IntN(2)
+		s.stalledDirection = rng.IntN(2)
 	}
-	for range boxes + 1 {
+	for range cacheCount + 1 {
 		s.delays = append(s.delays, time.Duration(rng.IntN(20))*time.Millisecond)
 	}
-	s.handshake = time.Duration(rng.IntN(100)) * time.Millisecond
-	s.drains = rng.IntN(3) == 0
+	s.handshakeDelay = time.Duration(rng.IntN(100)) * time.Millisecond
+	s.drainCache = rng.IntN(3) == 0
 	end := []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}[rng.IntN(2)]
 	s.signals = []signalAt{{end, 0}}
 	for range rng.IntN(5) {
 		more := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT}[rng.IntN(3)]
 		after := time.Duration(rng.IntN(5)) * time.Millisecond
 		if rng.IntN(2) == 0 { // over the whole drain
-			after = time.Duration(rng.Int64N(int64(s.kill())))
+			after = time.Duration(rng.Int64N(int64(s.killDelay())))
 		}
 		s.signals = append(s.signals, signalAt{more, after})
 	}
 	if rng.IntN(3) == 0 { // a reload right before
 		s.signals = append(s.signals, signalAt{syscall.SIGHUP, -time.Duration(1+rng.IntN(30)) * time.Millisecond})
-		s.moves = rng.IntN(2) == 0
+		s.moveDiscovery = rng.IntN(2) == 0
 	}
 	return s
 }
 
-// kill is when the process is killed, after the first signal to end.
-func (s *scene) kill() time.Duration { return min(s.deadline, killMost) + killMore }
+// killDelay is when the process is killed, after the first signal to end.
+func (s *scenario) killDelay() time.Duration { return min(s.deadline, maxKillDelay) + killMargin }
 
-func (s *scene) String() string {
+func (s *scenario) String() string {
 	var signals []string
 	for _, at := range s.signals {
 		signals = append(signals, fmt.Sprintf("%v at %v", at.signal, at.after.Round(time.Millisecond)))
 	}
 	return fmt.Sprintf("deadline %v; %s; %d clients, pipelines %v, crowd %d; hanging: %d boxes, origin %v, a link one way %v; handshakes %v, drains %v, discovery moves %v",
-		s.deadline, strings.Join(signals, ", "), s.clients, s.pipelines, s.crowd, s.hangingBoxes, s.hangingOrigin, s.stalledWay >= 0, s.handshake, s.drains, s.moves)
+		s.deadline, strings.Join(signals, ", "), s.clients, s.pipelines, s.idleConns, s.hangingCaches, s.hangingOrigin, s.stalledDirection >= 0, s.handshakeDelay, s.drainCache, s.moveDiscovery)
 }
 
-// play is one restart.
-type play struct {
-	scene
-	rng     *rand.Rand
-	fleet   *standin.Fleet
-	relays  []*standin.Relay // of the boxes, then the origin's
-	copies  *standin.DuplicateChecker
-	process *cluster.Process
-	listen  string
-	path    string
-	files   [2][]byte // before the reload, and after it
-	writing sync.Mutex
-	clients *clients
-	faults  []string
+// restartRun is one restart.
+type restartRun struct {
+	scenario
+	rng         *rand.Rand
+	fleet       *standin.Fleet
+	relays      []*standin.Relay // of the boxes, then the origin's
+	duplicates  *standin.DuplicateChecker
+	process     *cluster.Process
+	listen      string
+	configPath  string
+	configs     [2][]byte // before the reload, and after it
+	configMutex sync.Mutex
+	clients     *clients
+	faults      []string
 }
 
-// Play plays the restart of a seed.
-func Play(o Options) (*Result, error) {
+// Run plays the restart of a seed.
+func Run(o Options) (*Result, error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 60))
-	p := &play{scene: draw(rng), rng: rng, copies: standin.NewDuplicateChecker()}
+	p := &restartRun{scenario: newScenario(rng), rng: rng, duplicates: standin.NewDuplicateChecker()}
 	late := standin.MeasureSchedulingDelay()
 	err := p.run(o)
-	r := &Result{Seed: o.Seed, Scene: p.scene.String(), Late: late.Stop()}
+	r := &Result{Seed: o.Seed, Scenario: p.scenario.String(), SchedulingDelay: late.Stop()}
 	if err != nil {
 		return r, fmt.Errorf("seed %d: %w", o.Seed, err)
 	}
-	r.Attempts, r.Further = p.copies.Attempts()
-	p.clients.count(r)
+	r.Attempts, r.Further = p.duplicates.Attempts()
+	p.clients.countOutcomes(r)
 	r.Faults = p.faults
 	return r, nil
 }
 
-func (p *play) run(o Options) error {
-	if err := p.stage(o); err != nil {
+func (p *restartRun) run(o Options) error {
+	if err := p.setUp(o); err != nil {
 		return err
 	}
 	defer p.fleet.Close()
@@ -174,44 +174,44 @@
 			r.Close()
 		}
 	}()
-	process, err := cluster.Start("msg=ready", append(append([]string{}, o.Env...), "LB_CONFIG="+p.path, "TMPDIR="+o.Dir), o.Program)
+	process, err := cluster.Start("msg=ready", append(append([]string{}, o.Env...), "LB_CONFIG="+p.configPath, "TMPDIR="+o.Dir), o.Program)
 	if err != nil {
 		return err
 	}
 	p.process = process
 	defer process.Kill()
 	p.clients = newClients(p, o.Seed)
-	for range p.crowd {
-		p.clients.idle()
+	for range p.idleConns {
+		p.clients.openIdle()
 	}
-	p.clients.start(p.scene.clients)
+	p.clients.start(p.scenario.clients)
 	// The load has a length before the first signal; no event ends it.
 	time.Sleep(300*time.Millisecond + time.Duration(p.rng.IntN(400))*time.Millisecond)
-	p.trouble()
+	p.injectFaults()
 	time.Sleep(time.Duration(p.rng.IntN(150)) * time.Millisecond)
 	p.restart()
 	p.check()
 	return nil
 }
 
-// stage makes the fleet, its links and the configurations.
-func (p *play) stage(o Options) (err error) {
-	if p.fleet, err = standin.NewFleet(boxes, 200); err != nil {
+// setUp makes the fleet, its links and the configurations.
+func (p *restartRun) setUp(o Options) (err error) {
+	if p.fleet, err = standin.NewFleet(cacheCount, 200); err != nil {
 		return err
 	}
-	for key := range keys {
+	for key := range keyCount {
 		if key%3 > 0 {
 			p.fleet.Fill(keyName(key))
 		}
 	}
 	at := map[string]string{}
 	relay := func(id, to string, isOrigin bool, delay time.Duration) error {
-		r, err := standin.NewRelay(id, to, isOrigin, delay, delay, p.copies)
+		r, err := standin.NewRelay(id, to, isOrigin, delay, delay, p.duplicates)
 		if err != nil {
 			return err
 		}
 		if !isOrigin {
-			r.SetHandshake(func() time.Duration { return p.handshake })
+			r.SetHandshake(func() time.Duration { return p.handshakeDelay })
 		}
 		at[id] = r.Addr()
 		p.relays = append(p.relays, r)
@@ -224,7 +224,7 @@
 		}
 	}
 	p.fleet.Origin.SetService(20*time.Millisecond, 0)
-	if err := relay(p.fleet.Origin.ID, p.fleet.Origin.Addr(), true, p.delays[boxes]); err != nil {
+	if err := relay(p.fleet.Origin.ID, p.fleet.Origin.Addr(), true, p.delays[cacheCount]); err != nil {
 		return err
 	}
 	see := func(m discovery.Member) discovery.Member {
@@ -234,17 +234,17 @@
 	if p.listen, err = standin.FreeAddr(); err != nil {
 		return err
 	}
-	for i := range p.files {
-		if p.files[i], err = p.config(see); err != nil {
+	for i := range p.configs {
+		if p.configs[i], err = p.makeConfig(see); err != nil {
 			return err
 		}
 	}
-	p.path = filepath.Join(o.Dir, "config.json")
-	return p.configure(0)
+	p.configPath = filepath.Join(o.Dir, "config.json")
+	return p.writeConfig(0)
 }
 
-// config is a configuration that names a discovery of its own.
-func (p *play) config(see func(discovery.Member) discovery.Member) ([]byte, error) {
+// makeConfig is a configuration that names a discovery of its own.
+func (p *restartRun) makeConfig(see func(discovery.Member) discovery.Member) ([]byte, error) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
 		class := c.(map[string]any)
@@ -271,34 +271,34 @@
 	return json.Marshal(file)
 }
 
-// configure puts a configuration in place, whole at any moment.
-func (p *play) configure(i int) error {
-	p.writing.Lock()
-	defer p.writing.Unlock()
-	if err := os.WriteFile(p.path+".new", p.files[i], 0o600); err != nil {
+// writeConfig puts a configuration in place, whole at any moment.
+func (p *restartRun) writeConfig(i int) error {
+	p.configMutex.Lock()
+	defer p.configMutex.Unlock()
+	if err := os.WriteFile(p.configPath+".new", p.configs[i], 0o600); err != nil {
 		return err
 	}
-	return os.Rename(p.path+".new", p.path)
+	return os.Rename(p.configPath+".new", p.configPath)
 }
 
-// trouble has members and links hang.
-func (p *play) trouble() {
-	for _, b := range p.fleet.Caches[:p.hangingBoxes] {
+// injectFaults has members and links hang.
+func (p *restartRun) injectFaults() {
+	for _, b := range p.fleet.Caches[:p.hangingCaches] {
 		b.SetFault(standin.Stall)
 	}
 	if p.hangingOrigin {
 		p.fleet.Origin.SetFault(standin.Stall)
 	}
-	if p.stalledWay >= 0 {
-		p.relays[boxes-1].Stall(p.stalledWay, true)
+	if p.stalledDirection >= 0 {
+		p.relays[cacheCount-1].Stall(p.stalledDirection, true)
 	}
 }
 
 // restart sends the signals and kills the process at the earliest moment at which that is allowed.
-func (p *play) restart() {
-	if p.drains {
-		p.fleet.Drain(p.fleet.Caches[boxes-2])
-		p.clients.drained(p.fleet.Caches[boxes-2].ID)
+func (p *restartRun) restart() {
+	if p.drainCache {
+		p.fleet.Drain(p.fleet.Caches[cacheCount-2])
+		p.clients.noteDrain(p.fleet.Caches[cacheCount-2].ID)
 	}
 	first := time.Now().Add(40 * time.Millisecond)
 	done := make(chan struct{})
@@ -309,23 +309,23 @@
 				return
 			case <-time.After(time.Until(first.Add(s.after))):
 			}
-			if s.signal == syscall.SIGHUP && p.moves {
-				if err := p.configure(1); err != nil {
-					p.fault("the configuration can't be replaced: %v", err)
+			if s.signal == syscall.SIGHUP && p.moveDiscovery {
+				if err := p.writeConfig(1); err != nil {
+					p.addFault("the configuration can't be replaced: %v", err)
 				}
 			}
 			p.process.Signal(s.signal)
 		}()
 	}
-	time.Sleep(time.Until(first.Add(p.kill())))
+	time.Sleep(time.Until(first.Add(p.killDelay())))
 	close(done)
 	ended, how := p.process.Exited()
 	p.process.Kill()
-	p.clients.killed()
+	p.clients.stopAfterKill()
 	// One of the signals may end it by its default once the drain is over: a process that ends after SIGTERM has not crashed, and what it would
 	// have lost by that is found as lost. Its status is TestEndsWellUnderRepeatedSignals' concern.
 	if ended && !how.Success() && !endedBy(how, syscall.SIGTERM, syscall.SIGINT) {
-		p.fault("the process ended with %v: %v", how, p.process.LogLines("panic"))
+		p.addFault("the process ended with %v: %v", how, p.process.LogLines("panic"))
 	}
 }
 
@@ -335,17 +335,17 @@
 	return ok && status.Signaled() && slices.Contains(signals, status.Signal())
 }
 
-func (p *play) fault(format string, args ...any) {
+func (p *restartRun) addFault(format string, args ...any) {
 	p.faults = append(p.faults, fmt.Sprintf(format, args...))
 }
 
 // check gives the verdict on all that the play has seen.
-func (p *play) check() {
-	p.faults = append(p.faults, p.copies.Violations()...)
-	p.faults = append(p.faults, p.clients.verdicts()...)
+func (p *restartRun) check() {
+	p.faults = append(p.faults, p.duplicates.Violations()...)
+	p.faults = append(p.faults, p.clients.violations()...)
 	for key, n := range p.fleet.Origin.Executions() {
 		if n > 1 {
-			p.fault("order %s ran %d times", key, n)
+			p.addFault("order %s ran %d times", key, n)
 		}
 	}
 }
@@ -360,22 +360,22 @@
 		verdict = "disturbed"
 	}
 	return fmt.Sprintf("seed %d: %s; %d asked, %d served, %d refused, %d failed, %d untaken; %d attempts, %d further; own clock late by %v; %s",
-		r.Seed, verdict, r.Asked, r.Served, r.Refused, r.Failed, r.Untaken, r.Attempts, r.Further, r.Late.Round(time.Millisecond), r.Scene)
+		r.Seed, verdict, r.Sent, r.Served, r.Refused, r.Failed, r.NotAccepted, r.Attempts, r.Further, r.SchedulingDelay.Round(time.Millisecond), r.Scenario)
 }
 
-// mostDisturbed is how often a play is played for a verdict on a busy machine.
-const mostDisturbed = 4
+// maxDisturbedRuns is how often a play is played for a verdict on a busy machine.
+const maxDisturbedRuns = 4
 
-// Verdict plays the restart of a seed until the machine was quiet enough for a verdict, or a fault was found; log is told of each play.
-func Verdict(o Options, log func(*Result)) (r *Result, err error) {
-	for n := range mostDisturbed {
+// RunUntilConclusive plays the restart of a seed until the machine was quiet enough for a verdict, or a fault was found; log is told of each play.
+func RunUntilConclusive(o Options, log func(*Result)) (r *Result, err error) {
+	for n := range maxDisturbedRuns {
 		dir := filepath.Join(o.Dir, fmt.Sprintf("play-%d-%d", o.Seed, n))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
 		}
 		again := o
 		again.Dir = dir
-		if r, err = Play(again); err != nil {
+		if r, err = Run(again); err != nil {
 			return r, err
 		}
 		log(r)
--- a/internal/restarts/restarts_test.go
+++ b/internal/restarts/restarts_test.go
@@ -8,19 +8,19 @@
 	"linenloom/internal/app"
 )
 
-// asProxy makes the test's own program the proxy: one that was built as the tests were.
-const asProxy = "LINENLOOM_RESTARTS_PROXY"
+// proxyEnv makes the test's own program the proxy: one that was built as the tests were.
+const proxyEnv = "LINENLOOM_RESTARTS_PROXY"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProxy) != "" {
+	if os.Getenv(proxyEnv) != "" {
 		g := app.Program{Name: "proxy"}
 		os.Exit(g.Main(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// room bounds the plays at once: each has its own clock's delays as a bound.
-var room = make(chan struct{}, 2)
+// slots bounds the plays at once: each has its own clock's delays as a bound.
+var slots = make(chan struct{}, 2)
 
 // Planned restarts by fixed seeds keep every rule. A play on a machine too busy for a verdict counts for nothing and is played again; a fault in it
 // stays a fault.
@@ -32,9 +32,9 @@
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			room <- struct{}{}
-			defer func() { <-room }()
-			r, err := Verdict(Options{Program: self, Env: []string{asProxy + "=1"}, Dir: t.TempDir(), Seed: seed}, func(r *Result) { t.Log(r) })
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			r, err := RunUntilConclusive(Options{Program: self, Env: []string{proxyEnv + "=1"}, Dir: t.TempDir(), Seed: seed}, func(r *Result) { t.Log(r) })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -42,7 +42,7 @@
 				t.Errorf("seed %d: %s", seed, f)
 			}
 			if len(r.Faults) == 0 && r.Disturbed() {
-				t.Errorf("seed %d: the machine was too busy for a verdict, %d times in a row", seed, mostDisturbed)
+				t.Errorf("seed %d: the machine was too busy for a verdict, %d times in a row", seed, maxDisturbedRuns)
 			}
 		})
 	}
