--- a/internal/standin/accept.go
+++ b/internal/standin/accept.go
@@ -11,16 +11,16 @@
 
 // AcceptEach calls take for each accepted connection until the listener is closed. Temporary errors don't
 // end it: a simulated server that no longer accepts connections would look like one that hangs.
-func AcceptEach(l net.Listener, take func(net.Conn)) {
+func AcceptEach(listener net.Listener, handle func(net.Conn)) {
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
 			time.Sleep(acceptRetryDelay)
 		default:
-			take(conn)
+			handle(conn)
 		}
 	}
 }
--- a/internal/standin/accept_test.go
+++ b/internal/standin/accept_test.go
@@ -27,12 +27,12 @@
 }
 
 func TestAcceptContinuesAfterTemporaryErrors(t *testing.T) {
-	taken := 0
+	accepted := 0
 	AcceptEach(&failingListener{errs: []error{nil, syscall.EMFILE, syscall.ECONNABORTED, nil, nil}}, func(conn net.Conn) {
-		taken++
+		accepted++
 		conn.Close()
 	})
-	if taken != 3 {
-		t.Errorf("%d connections taken, want 3", taken)
+	if accepted != 3 {
+		t.Errorf("%d connections taken, want 3", accepted)
 	}
 }
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -72,19 +72,19 @@
 
 // ClientConfig returns a client's TLS configuration, with a certificate for the name signed by the given
 // root, or without a certificate if the name is empty.
-func (a *Authority) ClientConfig(by *Issuer, name string) (*tls.Config, error) {
-	cfg := &tls.Config{ServerName: "127.0.0.1", RootCAs: x509.NewCertPool()}
-	cfg.RootCAs.AddCert(a.Roots[0].Cert)
+func (a *Authority) ClientConfig(issuer *Issuer, name string) (*tls.Config, error) {
+	config := &tls.Config{ServerName: "127.0.0.1", RootCAs: x509.NewCertPool()}
+	config.RootCAs.AddCert(a.Roots[0].Cert)
 	if name == "" {
-		return cfg, nil
+		return config, nil
 	}
-	c, err := by.SignClient(a.notBefore, a.notAfter, name)
+	signed, err := issuer.SignClient(a.notBefore, a.notAfter, name)
 	if err != nil {
 		return nil, err
 	}
-	own := c.TLSCertificate()
+	cert := signed.TLSCertificate()
 	// The certificate is sent whichever roots the listener says that it accepts, so that the listener has
 	// to verify a certificate of the wrong root.
-	cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &own, nil }
-	return cfg, nil
+	config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &cert, nil }
+	return config, nil
 }
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -52,12 +52,12 @@
 }
 
 func (m *member) listen(serve func(net.Conn)) error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	m.listener, m.conns, m.quit = l, map[net.Conn]struct{}{}, make(chan struct{})
-	go AcceptEach(l, func(conn net.Conn) {
+	m.listener, m.conns, m.quit = listener, map[net.Conn]struct{}{}, make(chan struct{})
+	go AcceptEach(listener, func(conn net.Conn) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		if m.closed {
@@ -92,9 +92,9 @@
 	m.closed = true
 	close(m.quit)
 	m.listener.Close()
-	for c := range m.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+	for conn := range m.conns {
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
 }
 
@@ -153,7 +153,7 @@
 
 // beginRequest counts a request as in progress. It returns the fault to simulate, which is Busy at the
 // capacity.
-func (m *member) beginRequest() (f Fault, service time.Duration) {
+func (m *member) beginRequest() (fault Fault, serviceTime time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.received++
@@ -161,17 +161,17 @@
 		m.inProgress++
 		return Reset, 0
 	}
-	if f = m.fault; f == Intermittent {
-		f = Healthy
+	if fault = m.fault; fault == Intermittent {
+		fault = Healthy
 		if m.received%2 == 0 {
-			f = Failing
+			fault = Failing
 		}
 	}
-	if f == Healthy && m.capacity > 0 && m.inProgress >= m.capacity {
-		f = Busy
+	if fault == Healthy && m.capacity > 0 && m.inProgress >= m.capacity {
+		fault = Busy
 	}
 	m.inProgress++
-	return f, m.serviceTime
+	return fault, m.serviceTime
 }
 
 func (m *member) endRequest() {
@@ -224,56 +224,56 @@
 	onRead func(id string) // called with the id of each read; may be nil
 }
 
-func newCache(id, zone string, missed func(string, *Cache)) (*Cache, error) {
-	b := &Cache{Zone: zone, store: map[string][]byte{}, onMiss: missed}
-	b.ID = id
-	return b, b.listen(b.serve)
+func newCache(id, zone string, onMiss func(string, *Cache)) (*Cache, error) {
+	cache := &Cache{Zone: zone, store: map[string][]byte{}, onMiss: onMiss}
+	cache.ID = id
+	return cache, cache.listen(cache.serve)
 }
 
 // Put stores a value.
-func (b *Cache) Put(key string, value []byte) {
-	b.mu.Lock()
-	b.store[key] = value
-	b.mu.Unlock()
+func (c *Cache) Put(key string, value []byte) {
+	c.mu.Lock()
+	c.store[key] = value
+	c.mu.Unlock()
 }
 
 // Clear removes all values.
-func (b *Cache) Clear() {
-	b.mu.Lock()
-	clear(b.store)
-	b.mu.Unlock()
+func (c *Cache) Clear() {
+	c.mu.Lock()
+	clear(c.store)
+	c.mu.Unlock()
 }
 
 // OnRead sets a function that is called with the id of each later read before it is processed.
-func (b *Cache) OnRead(f func(id string)) {
-	b.mu.Lock()
-	b.onRead = f
-	b.mu.Unlock()
+func (c *Cache) OnRead(f func(id string)) {
+	c.mu.Lock()
+	c.onRead = f
+	c.mu.Unlock()
 }
 
 // Reads returns how many reads were hits and how many were misses.
-func (b *Cache) Reads() (hits, misses int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.hits, b.misses
+func (c *Cache) Reads() (hits, misses int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hits, c.misses
 }
 
-func (b *Cache) lookup(key, id string) (value []byte, ok bool) {
-	b.mu.Lock()
-	value, ok = b.store[key]
+func (c *Cache) lookup(key, id string) (value []byte, ok bool) {
+	c.mu.Lock()
+	value, ok = c.store[key]
 	if ok {
-		b.hits++
+		c.hits++
 	} else {
-		b.misses++
+		c.misses++
 	}
-	b.mu.Unlock()
-	if !ok && b.onMiss != nil {
-		b.onMiss(id, b)
+	c.mu.Unlock()
+	if !ok && c.onMiss != nil {
+		c.onMiss(id, c)
 	}
 	return value, ok
 }
 
-func (b *Cache) serve(conn net.Conn) {
+func (c *Cache) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
 		first, err := in.Peek(1)
@@ -281,9 +281,9 @@
 			return
 		}
 		if first[0] == '*' {
-			err = b.serveRESP(conn, in)
+			err = c.serveRESP(conn, in)
 		} else {
-			err = b.serveHTTP(conn, in)
+			err = c.serveHTTP(conn, in)
 		}
 		if err != nil {
 			return
@@ -292,22 +292,22 @@
 }
 
 // serveRESP answers one command.
-func (b *Cache) serveRESP(conn net.Conn, in *bufio.Reader) error {
-	words, err := readCommand(in)
+func (c *Cache) serveRESP(conn net.Conn, in *bufio.Reader) error {
+	args, err := readCommand(in)
 	if err != nil {
 		return err
 	}
 	var out []byte
 	switch {
-	case len(words) >= 1 && string(words[0]) == "PING":
+	case len(args) >= 1 && string(args[0]) == "PING":
 		out = []byte("+PONG\r\n")
-	case len(words) == 2 && string(words[0]) == "INFO":
+	case len(args) == 2 && string(args[0]) == "INFO":
 		out = []byte("-NOPERM\r\n")
-	case len(words) >= 1 && (string(words[0]) == "CLIENT" || string(words[0]) == "SELECT"):
+	case len(args) >= 1 && (string(args[0]) == "CLIENT" || string(args[0]) == "SELECT"):
 		out = []byte("+OK\r\n")
-	case len(words) == 4 && string(words[0]) == "OBJ.GET":
-		b.reportDeadline(string(words[2]), string(words[3]))
-		out, err = b.handleRead(in, string(words[1]), string(words[2]))
+	case len(args) == 4 && string(args[0]) == "OBJ.GET":
+		c.reportDeadline(string(args[2]), string(args[3]))
+		out, err = c.handleRead(in, string(args[1]), string(args[2]))
 	default:
 		out = []byte("-ERR unknown command\r\n")
 	}
@@ -320,18 +320,18 @@
 
 var errClosed = fmt.Errorf("standin: %w", net.ErrClosed)
 
-func (b *Cache) handleRead(in *bufio.Reader, key, id string) ([]byte, error) {
-	b.mu.Lock()
-	told := b.onRead
-	b.mu.Unlock()
-	if told != nil {
-		told(id)
+func (c *Cache) handleRead(in *bufio.Reader, key, id string) ([]byte, error) {
+	c.mu.Lock()
+	onRead := c.onRead
+	c.mu.Unlock()
+	if onRead != nil {
+		onRead(id)
 	}
-	f, service := b.beginRequest()
-	defer b.endRequest()
-	switch f {
+	fault, serviceTime := c.beginRequest()
+	defer c.endRequest()
+	switch fault {
 	case Stall:
-		b.awaitDisconnect(in)
+		c.awaitDisconnect(in)
 		return nil, errClosed
 	case Reset:
 		return nil, errClosed
@@ -344,10 +344,10 @@
 	case Rejecting:
 		return []byte("-ERR bad request\r\n"), nil
 	}
-	if !b.sleep(service) {
+	if !c.sleep(serviceTime) {
 		return nil, errClosed
 	}
-	value, ok := b.lookup(key, id)
+	value, ok := c.lookup(key, id)
 	out := resp.AppendArray(nil, 3)
 	if ok {
 		return append(resp.AppendBulk(resp.AppendBulk(out, value), "hit"), "$-1\r\n"...), nil
@@ -361,19 +361,19 @@
 	if err := readNumber(in, '*', &n); err != nil {
 		return nil, err
 	}
-	words := make([][]byte, 0, n)
+	args := make([][]byte, 0, n)
 	for range n {
 		var size int
 		if err := readNumber(in, '$', &size); err != nil {
 			return nil, err
 		}
-		word := make([]byte, size+2)
-		if _, err := io.ReadFull(in, word); err != nil {
+		arg := make([]byte, size+2)
+		if _, err := io.ReadFull(in, arg); err != nil {
 			return nil, err
 		}
-		words = append(words, word[:size])
+		args = append(args, arg[:size])
 	}
-	return words, nil
+	return args, nil
 }
 
 func readNumber(in *bufio.Reader, kind byte, n *int) error {
@@ -388,7 +388,7 @@
 }
 
 // serveHTTP answers one request.
-func (b *Cache) serveHTTP(conn net.Conn, in *bufio.Reader) error {
+func (c *Cache) serveHTTP(conn net.Conn, in *bufio.Reader) error {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return err
@@ -396,11 +396,11 @@
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return err
 	}
-	f, service := b.beginRequest()
-	defer b.endRequest()
-	switch f {
+	fault, serviceTime := c.beginRequest()
+	defer c.endRequest()
+	switch fault {
 	case Stall:
-		b.awaitDisconnect(in)
+		c.awaitDisconnect(in)
 		return errClosed
 	case Reset:
 		return errClosed
@@ -414,10 +414,10 @@
 	case Rejecting:
 		return writeHTTP(conn, 400, "", nil)
 	}
-	if !b.sleep(service) {
+	if !c.sleep(serviceTime) {
 		return errClosed
 	}
-	if value, ok := b.lookup(strings.TrimPrefix(r.URL.Path, "/"), r.Header.Get("X-Request-ID")); ok {
+	if value, ok := c.lookup(strings.TrimPrefix(r.URL.Path, "/"), r.Header.Get("X-Request-ID")); ok {
 		return writeHTTP(conn, 200, "X-Cache: hit\r\n", value)
 	}
 	return writeHTTP(conn, 404, "X-Cache: miss\r\n", nil)
--- a/internal/standin/cold.go
+++ b/internal/standin/cold.go
@@ -22,20 +22,20 @@
 }
 
 // SetColdStart makes the cache start cold from now on.
-func (b *Cache) SetColdStart(c ColdStart) {
-	if c.Now == nil {
-		c.Now = time.Now
+func (c *Cache) SetColdStart(config ColdStart) {
+	if config.Now == nil {
+		config.Now = time.Now
 	}
-	b.mu.Lock()
-	b.coldStart = &coldStartState{ColdStart: c}
-	b.mu.Unlock()
+	c.mu.Lock()
+	c.coldStart = &coldStartState{ColdStart: config}
+	c.mu.Unlock()
 }
 
 // Overloaded reports whether the cache has failed from overload.
-func (b *Cache) Overloaded() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.coldStart != nil && b.coldStart.overloaded
+func (c *Cache) Overloaded() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.coldStart != nil && c.coldStart.overloaded
 }
 
 // capacityShare returns the share of its capacity that the cache has at a time.
@@ -53,8 +53,8 @@
 	for len(c.recent) > 0 && now.Sub(c.recent[0]) >= c.OverloadWindow {
 		c.recent = c.recent[1:]
 	}
-	able := c.WarmRate * c.capacityShare(now.Add(-c.OverloadWindow/2)) * c.OverloadWindow.Seconds()
-	if now.Sub(c.StartedAt) < c.Duration && float64(len(c.recent)) > 1+c.OverloadMultiple*able {
+	capacity := c.WarmRate * c.capacityShare(now.Add(-c.OverloadWindow/2)) * c.OverloadWindow.Seconds()
+	if now.Sub(c.StartedAt) < c.Duration && float64(len(c.recent)) > 1+c.OverloadMultiple*capacity {
 		c.overloaded = true
 	}
 	return !c.overloaded
--- a/internal/standin/copies.go
+++ b/internal/standin/copies.go
@@ -51,7 +51,7 @@
 
 // Attempts counts the attempts that arrived at members, and how many of them were not their request's
 // first.
-func (c *DuplicateChecker) Attempts() (all, further int) {
+func (c *DuplicateChecker) Attempts() (all, notFirst int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, attempts := range c.attempts {
@@ -105,11 +105,11 @@
 	return at, id
 }
 
-func (c *DuplicateChecker) count(id string, is func(*trackedAttempt) bool) (n int) {
+func (c *DuplicateChecker) count(id string, matches func(*trackedAttempt) bool) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.attempts[id] {
-		if is(a) {
+		if matches(a) {
 			n++
 		}
 	}
@@ -119,10 +119,10 @@
 func (c *DuplicateChecker) now() time.Duration { return time.Since(c.start) }
 
 // recordWrite records that the proxy has written the last byte of an attempt.
-func (c *DuplicateChecker) recordWrite(member, id string, over func() bool) *trackedAttempt {
+func (c *DuplicateChecker) recordWrite(member, id string, peerClosed func() bool) *trackedAttempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := &trackedAttempt{member: member, writtenAt: c.now(), peerClosed: over}
+	a := &trackedAttempt{member: member, writtenAt: c.now(), peerClosed: peerClosed}
 	c.attempts[id] = append(c.attempts[id], a)
 	return a
 }
@@ -137,10 +137,10 @@
 
 // detectClosed sets the end of a request's other attempts whose connections are closed but not yet
 // reported as such: the report of a closed connection may come after a later write to another connection.
-func (c *DuplicateChecker) detectClosed(id string, but *trackedAttempt) {
-	for _, b := range c.attempts[id] {
-		if b != but && b.answeredAt == 0 && b.closedAt == 0 && b.peerClosed != nil && b.peerClosed() {
-			b.closedAt = c.now()
+func (c *DuplicateChecker) detectClosed(id string, except *trackedAttempt) {
+	for _, other := range c.attempts[id] {
+		if other != except && other.answeredAt == 0 && other.closedAt == 0 && other.peerClosed != nil && other.peerClosed() {
+			other.closedAt = c.now()
 		}
 	}
 }
@@ -158,21 +158,21 @@
 	if a.answeredAt > 0 {
 		a.arrivedAt = min(a.arrivedAt, a.answeredAt)
 	}
-	before := 0
-	for _, b := range c.attempts[id] {
-		if b == a || b.arrivedAt == 0 {
+	earlier := 0
+	for _, other := range c.attempts[id] {
+		if other == a || other.arrivedAt == 0 {
 			continue
 		}
-		before++
-		first, second := b, a
-		if b.arrivedAt > a.arrivedAt {
-			first, second = a, b
+		earlier++
+		first, second := other, a
+		if other.arrivedAt > a.arrivedAt {
+			first, second = a, other
 		}
 		if first.outstandingAt(second.arrivedAt) && !c.tooLongInTransit(second) {
 			c.violations = append(c.violations, fmt.Sprintf("request %s: a second copy at %s (%v), while one is out at %s (%v)", id, second.member, second, first.member, first))
 		}
 	}
-	if before > 0 {
+	if earlier > 0 {
 		c.furtherAttempts++
 	}
 }
--- a/internal/standin/copies_test.go
+++ b/internal/standin/copies_test.go
@@ -13,7 +13,7 @@
 // closed the first connection before it wrote the second attempt. An attempt abandoned after its arrival
 // is no duplicate.
 func TestDuplicatesAreCountedAtMembers(t *testing.T) {
-	const far = 60 * time.Millisecond
+	const longDelay = 60 * time.Millisecond
 	for name, c := range map[string]struct {
 		// what happens to the first attempt before the second is written
 		first func(conn net.Conn, c *DuplicateChecker)
@@ -30,9 +30,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			copies := NewDuplicateChecker()
-			write := func(delay time.Duration) net.Conn {
-				r, err := NewRelay("member", startSilentMember(t), false, delay, delay, copies)
+			checker := NewDuplicateChecker()
+			sendAttempt := func(delay time.Duration) net.Conn {
+				r, err := NewRelay("member", startSilentMember(t), false, delay, delay, checker)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -45,12 +45,12 @@
 				conn.Write([]byte("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$5\r\nd=100\r\n"))
 				return conn
 			}
-			c.first(write(far), copies)
-			write(0)
-			if !eventually(func() bool { return copies.Delivered("id") == 2 }) {
+			c.first(sendAttempt(longDelay), checker)
+			sendAttempt(0)
+			if !eventually(func() bool { return checker.Delivered("id") == 2 }) {
 				t.Fatal("the attempts never came")
 			}
-			if got := copies.Violations(); len(got) != c.want {
+			if got := checker.Violations(); len(got) != c.want {
 				t.Errorf("%d second copies, want %d: %s", len(got), c.want, strings.Join(got, "\n"))
 			}
 		})
@@ -64,13 +64,13 @@
 // came at 873.6 ms)".
 func TestDuplicatesWithDelayedReports(t *testing.T) {
 	answered := func(c *DuplicateChecker, a *trackedAttempt) { c.recordAnswer(a) }
-	given := func(c *DuplicateChecker, a *trackedAttempt) { c.recordForwarding("id", a) }
-	givenAndEnded := func(c *DuplicateChecker, a *trackedAttempt) {
+	forwarded := func(c *DuplicateChecker, a *trackedAttempt) { c.recordForwarding("id", a) }
+	forwardedAndClosed := func(c *DuplicateChecker, a *trackedAttempt) {
 		c.recordForwarding("id", a)
 		c.recordClose([]*trackedAttempt{a})
 	}
 	nothing := func(*DuplicateChecker, *trackedAttempt) {}
-	overAt := func(c *DuplicateChecker, a *trackedAttempt) {
+	closedUnreported := func(c *DuplicateChecker, a *trackedAttempt) {
 		c.recordArrival("id", a)
 		a.peerClosed = func() bool { return true }
 	}
@@ -80,33 +80,33 @@
 	}{
 		"answered before the next one came":                  {answered, nothing, 0},
 		"answered while the next one was out":                {nothing, answered, 1},
-		"written to its member and ended before that":        {givenAndEnded, nothing, 0},
-		"ended before that, which nobody has reported yet":   {overAt, nothing, 0},
-		"written to its member before that":                  {given, nothing, 1},
-		"written to its member and ended after the next one": {nothing, givenAndEnded, 1},
+		"written to its member and ended before that":        {forwardedAndClosed, nothing, 0},
+		"ended before that, which nobody has reported yet":   {closedUnreported, nothing, 0},
+		"written to its member before that":                  {forwarded, nothing, 1},
+		"written to its member and ended after the next one": {nothing, forwardedAndClosed, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			copies := NewDuplicateChecker()
-			first := copies.recordWrite("a", "id", nil)
+			checker := NewDuplicateChecker()
+			first := checker.recordWrite("a", "id", nil)
 			time.Sleep(time.Millisecond) // so that the events have distinct times
-			c.before(copies, first)
+			c.before(checker, first)
 			time.Sleep(time.Millisecond)
-			second := copies.recordWrite("b", "id", nil)
-			copies.recordForwarding("id", second)
+			second := checker.recordWrite("b", "id", nil)
+			checker.recordForwarding("id", second)
 			if first.peerClosed != nil { // the delayed report
-				copies.recordClose([]*trackedAttempt{first})
+				checker.recordClose([]*trackedAttempt{first})
 			}
 			time.Sleep(time.Millisecond)
-			copies.recordArrival("id", second)
+			checker.recordArrival("id", second)
 			time.Sleep(time.Millisecond)
-			c.after(copies, first)
+			c.after(checker, first)
 			if first.arrivedAt == 0 {
-				copies.recordArrival("id", first)
+				checker.recordArrival("id", first)
 			}
-			if got := copies.Violations(); len(got) != c.want {
+			if got := checker.Violations(); len(got) != c.want {
 				t.Errorf("%d second copies, want %d: %s", len(got), c.want, strings.Join(got, "\n"))
 			}
-			if all, further := copies.Attempts(); all != 2 || further != 1 {
+			if all, further := checker.Attempts(); all != 2 || further != 1 {
 				t.Errorf("%d attempts, %d of them further ones, want 2 and 1", all, further)
 			}
 		})
@@ -117,16 +117,16 @@
 // for a shorter time still is.
 func TestDuplicatesIgnoreLongTransit(t *testing.T) {
 	const held = 30 * time.Millisecond
-	for most, want := range map[time.Duration]int{0: 1, time.Hour: 1, held / 2: 0} {
-		copies := NewDuplicateChecker()
-		copies.MaxInTransit = most
-		first := copies.recordWrite("a", "id", nil)
-		copies.recordClose([]*trackedAttempt{first})
-		copies.recordArrival("id", copies.recordWrite("b", "id", nil))
+	for maxInTransit, want := range map[time.Duration]int{0: 1, time.Hour: 1, held / 2: 0} {
+		checker := NewDuplicateChecker()
+		checker.MaxInTransit = maxInTransit
+		first := checker.recordWrite("a", "id", nil)
+		checker.recordClose([]*trackedAttempt{first})
+		checker.recordArrival("id", checker.recordWrite("b", "id", nil))
 		time.Sleep(held) // the link holds the first attempt
-		copies.recordArrival("id", first)
-		if got := copies.Violations(); len(got) != want {
-			t.Errorf("at most %v: %d second copies, want %d: %v", most, len(got), want, got)
+		checker.recordArrival("id", first)
+		if got := checker.Violations(); len(got) != want {
+			t.Errorf("at most %v: %d second copies, want %d: %v", maxInTransit, len(got), want, got)
 		}
 	}
 }
--- a/internal/standin/deadlines.go
+++ b/internal/standin/deadlines.go
@@ -62,11 +62,11 @@
 func (d *DeadlineChecker) RequestSent(id, attrs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	wait, _ := parseDeadline(attrs)
+	timeout, _ := parseDeadline(attrs)
 	if d.requests == nil {
 		d.requests = map[string]clientWait{}
 	}
-	d.requests[id] = clientWait{expiresAt: d.now() + wait, isRetry: strings.Contains(","+attrs+",", ",r=1,")}
+	d.requests[id] = clientWait{expiresAt: d.now() + timeout, isRetry: strings.Contains(","+attrs+",", ",r=1,")}
 }
 
 // AttemptReceived reports that the last byte of an attempt has arrived at a server, with the attributes of
@@ -74,7 +74,7 @@
 func (d *DeadlineChecker) AttemptReceived(server, id, attrs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	told, ok := parseDeadline(attrs)
+	deadline, ok := parseDeadline(attrs)
 	if !ok || !strings.HasPrefix(id, d.IDPrefix) {
 		return
 	}
@@ -82,7 +82,7 @@
 		d.counts = map[string]int{}
 	}
 	d.counts[id]++
-	d.attempts = append(d.attempts, receivedAttempt{server, id, told, d.now(), d.counts[id]})
+	d.attempts = append(d.attempts, receivedAttempt{server, id, deadline, d.now(), d.counts[id]})
 }
 
 // AttemptCount returns how many attempts of a request servers have received.
@@ -108,7 +108,7 @@
 
 // Violations describes the attempts whose server received a longer deadline than the client had left.
 // Servers receive the parts of a multi-key read under the client's id followed by a slash and a number.
-func (d *DeadlineChecker) Violations() (all []string) {
+func (d *DeadlineChecker) Violations() (violations []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	slack := d.Slack
@@ -116,31 +116,31 @@
 		slack = DeadlineSlack
 	}
 	for _, a := range d.attempts {
-		r, ok := d.requests[a.id]
+		request, ok := d.requests[a.id]
 		if whole, _, many := strings.Cut(a.id, "/"); !ok && many {
-			r, ok = d.requests[whole]
+			request, ok = d.requests[whole]
 		}
 		if !ok {
-			all = append(all, fmt.Sprintf("%s: request %s: no client has sent it", a.server, a.id))
+			violations = append(violations, fmt.Sprintf("%s: request %s: no client has sent it", a.server, a.id))
 			continue
 		}
-		left := r.expiresAt - a.receivedAt
+		left := request.expiresAt - a.receivedAt
 		if a.deadline <= left+slack { // also if nothing is left, as such an attempt must not begin
 			continue
 		}
-		of := "request"
-		if r.isRetry {
-			of = "client's retry"
+		kind := "request"
+		if request.isRetry {
+			kind = "client's retry"
 		}
-		all = append(all, fmt.Sprintf("%s: attempt %d of %s %s: told %v, and its client has %v left", a.server, a.number, of, a.id, a.deadline, left))
+		violations = append(violations, fmt.Sprintf("%s: attempt %d of %s %s: told %v, and its client has %v left", a.server, a.number, kind, a.id, a.deadline, left))
 	}
-	return all
+	return violations
 }
 
 // parseDeadline returns the deadline among the attributes of a command.
-func parseDeadline(attrs string) (wait time.Duration, ok bool) {
+func parseDeadline(attrs string) (deadline time.Duration, ok bool) {
 	for item := range strings.SplitSeq(attrs, ",") {
-		if text, is := strings.CutPrefix(item, "d="); is {
+		if text, found := strings.CutPrefix(item, "d="); found {
 			ms, err := strconv.ParseFloat(text, 64)
 			return time.Duration(ms * float64(time.Millisecond)), err == nil
 		}
--- a/internal/standin/deadlines_test.go
+++ b/internal/standin/deadlines_test.go
@@ -30,18 +30,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Duration(0)
-			d := DeadlineChecker{Now: func() time.Duration { return now }}
+			checker := DeadlineChecker{Now: func() time.Duration { return now }}
 			if !c.unordered {
-				d.RequestSent("id", c.sent)
+				checker.RequestSent("id", c.sent)
 				now = c.after
 			}
 			for _, told := range c.told {
-				d.AttemptReceived("s-1", "id", told)
+				checker.AttemptReceived("s-1", "id", told)
 			}
 			if c.unordered {
-				d.RequestSent("id", c.sent)
+				checker.RequestSent("id", c.sent)
 			}
-			got := strings.Join(d.Violations(), "; ")
+			got := strings.Join(checker.Violations(), "; ")
 			if c.want == "" && got != "" || !strings.Contains(got, c.want) {
 				t.Errorf("violations %q, want %q", got, c.want)
 			}
@@ -53,21 +53,21 @@
 // has sent are reported.
 func TestDeadlineCheckerMatchesRequests(t *testing.T) {
 	now := time.Duration(0)
-	d := DeadlineChecker{Now: func() time.Duration { return now }}
-	d.RequestSent("many", "d=1000")
+	checker := DeadlineChecker{Now: func() time.Duration { return now }}
+	checker.RequestSent("many", "d=1000")
 	now = time.Second
-	d.AttemptReceived("s-1", "many/3", "d=1000")
-	d.AttemptReceived("s-1", "stranger", "d=10")
-	of := DeadlineChecker{IDPrefix: "own-"}
-	of.AttemptReceived("s-1", "another's", "d=10")
-	if first, further := of.Attempts(); first+further > 0 {
+	checker.AttemptReceived("s-1", "many/3", "d=1000")
+	checker.AttemptReceived("s-1", "stranger", "d=10")
+	prefixed := DeadlineChecker{IDPrefix: "own-"}
+	prefixed.AttemptReceived("s-1", "another's", "d=10")
+	if first, further := prefixed.Attempts(); first+further > 0 {
 		t.Error("requests of others are looked at")
 	}
-	got := strings.Join(d.Violations(), "; ")
+	got := strings.Join(checker.Violations(), "; ")
 	if !strings.Contains(got, "many/3: told 1s, and its client has 0s left") || !strings.Contains(got, "stranger: no client has sent it") {
 		t.Errorf("violations %q", got)
 	}
-	if first, further := d.Attempts(); first != 2 || further != 0 {
+	if first, further := checker.Attempts(); first != 2 || further != 0 {
 		t.Errorf("%d first attempts and %d further ones", first, further)
 	}
 }
--- a/internal/standin/door.go
+++ b/internal/standin/door.go
@@ -22,36 +22,36 @@
 	if err != nil {
 		return nil, fmt.Errorf("standin: door: %w", err)
 	}
-	f := os.NewFile(uintptr(fd), "door")
-	defer f.Close()
+	file := os.NewFile(uintptr(fd), "door")
+	defer file.Close()
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return nil, fmt.Errorf("standin: door: %w", err)
 	}
 	if err := unix.Listen(fd, 0); err != nil { // an accept queue of one connection
 		return nil, fmt.Errorf("standin: door: %w", err)
 	}
-	d := &FullListener{}
-	if d.Listener, err = net.FileListener(f); err != nil {
+	listener := &FullListener{}
+	if listener.Listener, err = net.FileListener(file); err != nil {
 		return nil, fmt.Errorf("standin: door: %w", err)
 	}
-	if d.blocker, err = net.Dial("tcp", d.Addr().String()); err != nil {
-		d.Close()
+	if listener.blocker, err = net.Dial("tcp", listener.Addr().String()); err != nil {
+		listener.Close()
 		return nil, fmt.Errorf("standin: door: %w", err)
 	}
-	return d, nil
+	return listener, nil
 }
 
 // Accept frees the accept queue and returns the next established connection.
 func (d *FullListener) Accept() (net.Conn, error) {
 	for {
-		c, err := d.Listener.Accept()
+		conn, err := d.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if c.RemoteAddr().String() != d.blocker.LocalAddr().String() {
-			return c, nil
+		if conn.RemoteAddr().String() != d.blocker.LocalAddr().String() {
+			return conn, nil
 		}
-		c.Close()
+		conn.Close()
 		d.blocker.Close()
 	}
 }
@@ -61,13 +61,13 @@
 func (d *FullListener) Serve(serve func(net.Conn)) {
 	go func() {
 		for {
-			c, err := d.Accept()
+			conn, err := d.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				serve(c)
+				defer conn.Close()
+				serve(conn)
 			}()
 		}
 	}()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -26,29 +26,29 @@
 }
 
 func newRegistry() (*Registry, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Registry{listener: l, revision: 1, watches: map[chan discovery.List]struct{}{}, quit: make(chan struct{})}
-	r.server = &http.Server{Handler: r.handler(func(m discovery.Member) discovery.Member { return m })}
-	go r.server.Serve(l)
-	return r, nil
+	registry := &Registry{listener: listener, revision: 1, watches: map[chan discovery.List]struct{}{}, quit: make(chan struct{})}
+	registry.server = &http.Server{Handler: registry.handler(func(m discovery.Member) discovery.Member { return m })}
+	go registry.server.Serve(listener)
+	return registry, nil
 }
 
 // ListenView starts a listener for one proxy, which sees each member as see returns it. The address of a
 // member may thus differ between proxies.
-func (r *Registry) ListenView(see func(discovery.Member) discovery.Member) (addr string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (r *Registry) ListenView(view func(discovery.Member) discovery.Member) (addr string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: r.handler(see)}
+	server := &http.Server{Handler: r.handler(view)}
 	r.mu.Lock()
-	r.views = append(r.views, s)
+	r.views = append(r.views, server)
 	r.mu.Unlock()
-	go s.Serve(l)
-	return l.Addr().String(), nil
+	go server.Serve(listener)
+	return listener.Addr().String(), nil
 }
 
 // Addr returns the address that discovery listens at.
@@ -77,7 +77,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
-	i := slices.IndexFunc(r.members, func(o discovery.Member) bool { return o.ID == m.ID })
+	i := slices.IndexFunc(r.members, func(other discovery.Member) bool { return other.ID == m.ID })
 	switch {
 	case m.Phase == discovery.PhaseTerminated && i >= 0:
 		r.members = slices.Delete(r.members, i, i+1)
@@ -86,57 +86,57 @@
 	case m.Phase != discovery.PhaseTerminated:
 		r.members = append(r.members, m)
 	}
-	for c := range r.watches {
+	for updates := range r.watches {
 		select {
-		case c <- discovery.List{Revision: r.revision, Members: []discovery.Member{m}}:
+		case updates <- discovery.List{Revision: r.revision, Members: []discovery.Member{m}}:
 		default: // the watch does not read: it ends, and its client has to reconnect
-			close(c)
-			delete(r.watches, c)
+			close(updates)
+			delete(r.watches, updates)
 		}
 	}
 }
 
-func (r *Registry) handler(see func(discovery.Member) discovery.Member) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.serve(w, q, func(l discovery.List) {
-			seen := discovery.List{Revision: l.Revision, Complete: l.Complete}
+func (r *Registry) handler(view func(discovery.Member) discovery.Member) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		r.serve(w, request, func(l discovery.List) {
+			visible := discovery.List{Revision: l.Revision, Complete: l.Complete}
 			for _, m := range l.Members {
-				seen.Members = append(seen.Members, see(m))
+				visible.Members = append(visible.Members, view(m))
 			}
-			json.NewEncoder(w).Encode(seen)
+			json.NewEncoder(w).Encode(visible)
 		})
 	})
 }
 
-func (r *Registry) serve(w http.ResponseWriter, q *http.Request, tell func(discovery.List)) {
-	if q.URL.Query().Get("watch") == "" {
-		tell(r.List())
+func (r *Registry) serve(w http.ResponseWriter, request *http.Request, send func(discovery.List)) {
+	if request.URL.Query().Get("watch") == "" {
+		send(r.List())
 		return
 	}
-	c := make(chan discovery.List, 1024)
+	updates := make(chan discovery.List, 1024)
 	r.mu.Lock()
-	r.watches[c] = struct{}{}
+	r.watches[updates] = struct{}{}
 	first := discovery.List{Revision: r.revision, Complete: true, Members: slices.Clone(r.members)}
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		delete(r.watches, c)
+		delete(r.watches, updates)
 		r.mu.Unlock()
 	}()
-	tell(first)
+	send(first)
 	for {
 		w.(http.Flusher).Flush()
 		select {
-		case l, ok := <-c:
+		case l, ok := <-updates:
 			if !ok {
 				return
 			}
-			tell(l)
+			send(l)
 		case <-time.After(heartbeatInterval):
 			io.WriteString(w, "\n")
 		case <-r.quit:
 			return
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
@@ -166,51 +166,51 @@
 const maxTrackedMisses = 4096
 
 // NewFleet starts a fleet with the given number of caches, all empty and warm. Values have size bytes.
-func NewFleet(boxes, size int) (*Fleet, error) {
-	f := &Fleet{missedAt: map[string][]*Cache{}, makeValue: func(key string) []byte { return Value(key, size) }}
+func NewFleet(caches, size int) (*Fleet, error) {
+	fleet := &Fleet{missedAt: map[string][]*Cache{}, makeValue: func(key string) []byte { return Value(key, size) }}
 	var err error
-	if f.Registry, err = newRegistry(); err != nil {
+	if fleet.Registry, err = newRegistry(); err != nil {
 		return nil, err
 	}
-	if f.Origin, err = newOrigin("o-1", f.makeValue, f.storeFetched); err != nil {
+	if fleet.Origin, err = newOrigin("o-1", fleet.makeValue, fleet.storeFetched); err != nil {
 		return nil, err
 	}
-	f.Registry.Update(f.discoveryEntry("o-1", f.Origin.Addr(), "origin", Zone, time.Time{}))
-	for i := range boxes {
-		if _, err := f.AddCache(fmt.Sprintf("s-%d", i+1), time.Time{}); err != nil {
+	fleet.Registry.Update(fleet.discoveryEntry("o-1", fleet.Origin.Addr(), "origin", Zone, time.Time{}))
+	for i := range caches {
+		if _, err := fleet.AddCache(fmt.Sprintf("s-%d", i+1), time.Time{}); err != nil {
 			return nil, err
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
 // NewZonedFleet starts a fleet with the given number of caches in each of several zones. The origin is in
 // the first zone.
-func NewZonedFleet(zones []string, boxes, size int) (*Fleet, error) {
-	f, err := NewFleet(0, size)
+func NewZonedFleet(zones []string, caches, size int) (*Fleet, error) {
+	fleet, err := NewFleet(0, size)
 	if err != nil {
 		return nil, err
 	}
-	f.Zones = zones
-	f.Registry.Update(f.discoveryEntry("o-1", f.Origin.Addr(), "origin", zones[0], time.Time{}))
+	fleet.Zones = zones
+	fleet.Registry.Update(fleet.discoveryEntry("o-1", fleet.Origin.Addr(), "origin", zones[0], time.Time{}))
 	for _, zone := range zones {
-		for i := range boxes {
-			if _, err := f.AddCacheIn(zone, fmt.Sprintf("%s-%d", zone, i+1), time.Time{}); err != nil {
+		for i := range caches {
+			if _, err := fleet.AddCacheIn(zone, fmt.Sprintf("%s-%d", zone, i+1), time.Time{}); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
 // CachesIn returns the caches of a zone.
-func (f *Fleet) CachesIn(zone string) (boxes []*Cache) {
-	for _, b := range f.Caches {
-		if b.Zone == zone {
-			boxes = append(boxes, b)
+func (f *Fleet) CachesIn(zone string) (caches []*Cache) {
+	for _, cache := range f.Caches {
+		if cache.Zone == zone {
+			caches = append(caches, cache)
 		}
 	}
-	return boxes
+	return caches
 }
 
 // Value returns the value of a key: its name, padded to the size.
@@ -237,37 +237,37 @@
 
 // AddCacheIn is AddCache for a cache in a given zone.
 func (f *Fleet) AddCacheIn(zone, id string, since time.Time) (*Cache, error) {
-	b, err := newCache(id, zone, f.recordMiss)
+	cache, err := newCache(id, zone, f.recordMiss)
 	if err != nil {
 		return nil, err
 	}
-	b.startedAt = since
-	f.Caches = append(f.Caches, b)
-	f.Registry.Update(f.discoveryEntry(id, b.Addr(), "box", zone, since))
-	return b, nil
+	cache.startedAt = since
+	f.Caches = append(f.Caches, cache)
+	f.Registry.Update(f.discoveryEntry(id, cache.Addr(), "box", zone, since))
+	return cache, nil
 }
 
 // Drain marks a cache as draining in discovery.
-func (f *Fleet) Drain(b *Cache) {
-	m := f.discoveryEntry(b.ID, b.Addr(), "box", b.Zone, b.startedAt)
+func (f *Fleet) Drain(cache *Cache) {
+	m := f.discoveryEntry(cache.ID, cache.Addr(), "box", cache.Zone, cache.startedAt)
 	m.Phase = discovery.PhaseTerminating
 	f.Registry.Update(m)
 }
 
 // Remove removes a cache from discovery and closes it.
-func (f *Fleet) Remove(b *Cache) {
-	m := f.discoveryEntry(b.ID, b.Addr(), "box", b.Zone, b.startedAt)
+func (f *Fleet) Remove(cache *Cache) {
+	m := f.discoveryEntry(cache.ID, cache.Addr(), "box", cache.Zone, cache.startedAt)
 	m.Phase = discovery.PhaseTerminated
 	f.Registry.Update(m)
-	b.Close()
+	cache.Close()
 }
 
 // Fill stores the values of keys in every cache.
 func (f *Fleet) Fill(keys ...string) {
 	for _, k := range keys {
 		v := f.makeValue(k)
-		for _, b := range f.Caches {
-			b.Put(k, v)
+		for _, cache := range f.Caches {
+			cache.Put(k, v)
 		}
 	}
 }
@@ -289,16 +289,16 @@
 // SetDeadlines sets the checker for the deadlines that the members receive from now on.
 func (f *Fleet) SetDeadlines(d *DeadlineChecker) {
 	f.Origin.SetDeadlines(d)
-	for _, b := range f.Caches {
-		b.SetDeadlines(d)
+	for _, cache := range f.Caches {
+		cache.SetDeadlines(d)
 	}
 }
 
 // LastEnded returns when a member last ended a request, whatever its outcome.
 func (f *Fleet) LastEnded() time.Time {
 	last := f.Origin.LastEnded()
-	for _, b := range f.Caches {
-		if at := b.LastEnded(); at.After(last) {
+	for _, cache := range f.Caches {
+		if at := cache.LastEnded(); at.After(last) {
 			last = at
 		}
 	}
@@ -309,18 +309,18 @@
 func (f *Fleet) Close() {
 	f.Registry.Close()
 	f.Origin.Close()
-	for _, b := range f.Caches {
-		b.Close()
+	for _, cache := range f.Caches {
+		cache.Close()
 	}
 }
 
-func (f *Fleet) recordMiss(id string, b *Cache) {
+func (f *Fleet) recordMiss(id string, cache *Cache) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.missedAt[id] == nil {
 		f.missOrder = append(f.missOrder, id)
 	}
-	f.missedAt[id] = append(f.missedAt[id], b)
+	f.missedAt[id] = append(f.missedAt[id], cache)
 	for len(f.missOrder) > maxTrackedMisses {
 		delete(f.missedAt, f.missOrder[0])
 		f.missOrder = f.missOrder[1:]
@@ -329,11 +329,11 @@
 
 func (f *Fleet) storeFetched(id, key string, value []byte) {
 	f.mu.Lock()
-	boxes := f.missedAt[id]
+	caches := f.missedAt[id]
 	delete(f.missedAt, id)
 	f.mu.Unlock()
-	for _, b := range boxes {
-		b.Put(key, value)
+	for _, cache := range caches {
+		cache.Put(key, value)
 	}
 }
 
@@ -342,8 +342,8 @@
 
 // Settings returns the platform's settings for a fleet, as they appear in its configuration.
 func Settings() map[string]any {
-	class := func(name string, aim, deadline float64, repeat string, worth float64) map[string]any {
-		return map[string]any{"name": name, "aim_ms": aim, "deadline_ms": deadline, "dedup_scope": "all",
+	class := func(name string, softDeadline, deadline float64, repeat string, worth float64) map[string]any {
+		return map[string]any{"name": name, "aim_ms": softDeadline, "deadline_ms": deadline, "dedup_scope": "all",
 			"late_worth": 0.0, "repeat": repeat, "streamed": false, "window_ms": 5000.0, "worth": worth}
 	}
 	return map[string]any{
--- a/internal/standin/lateness.go
+++ b/internal/standin/lateness.go
@@ -19,19 +19,19 @@
 
 // MeasureSchedulingDelay starts a measurement.
 func MeasureSchedulingDelay() *SchedulingDelay {
-	l := &SchedulingDelay{quit: make(chan struct{})}
-	l.group.Go(func() {
+	delay := &SchedulingDelay{quit: make(chan struct{})}
+	delay.group.Go(func() {
 		for {
-			began := time.Now()
+			sampledAt := time.Now()
 			select {
-			case <-l.quit:
+			case <-delay.quit:
 				return
 			case <-time.After(samplingInterval):
 			}
-			l.maxDelay = max(l.maxDelay, time.Since(began)-samplingInterval)
+			delay.maxDelay = max(delay.maxDelay, time.Since(sampledAt)-samplingInterval)
 		}
 	})
-	return l
+	return delay
 }
 
 // Stop ends the measurement and returns the maximum delay. It may be called more than once.
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -20,8 +20,8 @@
 	resetAfterRun bool
 }
 
-func newOrigin(id string, value func(string) []byte, fetched func(id, key string, value []byte)) (*Origin, error) {
-	o := &Origin{makeValue: value, onFetched: fetched, executions: map[string]int{}}
+func newOrigin(id string, value func(string) []byte, onFetched func(id, key string, value []byte)) (*Origin, error) {
+	o := &Origin{makeValue: value, onFetched: onFetched, executions: map[string]int{}}
 	o.ID = id
 	return o, o.listen(o.serve)
 }
@@ -30,11 +30,11 @@
 func (o *Origin) Executions() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ran := make(map[string]int, len(o.executions))
+	executions := make(map[string]int, len(o.executions))
 	for k, n := range o.executions {
-		ran[k] = n
+		executions[k] = n
 	}
-	return ran
+	return executions
 }
 
 // Fetches returns how many reads have been answered.
@@ -67,15 +67,15 @@
 	}
 }
 
-func (o *Origin) handle(conn net.Conn, in *bufio.Reader, r *http.Request) error {
-	if strings.HasPrefix(r.URL.Path, "/health/") {
+func (o *Origin) handle(conn net.Conn, in *bufio.Reader, request *http.Request) error {
+	if strings.HasPrefix(request.URL.Path, "/health/") {
 		return writeHTTP(conn, 200, "", nil)
 	}
-	key := strings.TrimPrefix(r.URL.Path, "/")
-	o.reportDeadline(r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
-	f, service := o.beginRequest()
+	key := strings.TrimPrefix(request.URL.Path, "/")
+	o.reportDeadline(request.Header.Get("X-Request-ID"), request.Header.Get("X-Attrs"))
+	fault, serviceTime := o.beginRequest()
 	defer o.endRequest()
-	switch f {
+	switch fault {
 	case Stall:
 		o.awaitDisconnect(in)
 		return errClosed
@@ -87,30 +87,30 @@
 	case Busy:
 		return writeHTTP(conn, 503, "X-Not-Processed: 1\r\n", nil)
 	}
-	if r.Method != http.MethodGet {
+	if request.Method != http.MethodGet {
 		o.mu.Lock()
 		o.executions[key]++ // counts from the last byte of the request, whatever the answer
-		reset := o.resetAfterRun
+		resetAfterRun := o.resetAfterRun
 		o.mu.Unlock()
-		if !o.sleep(service) || reset {
+		if !o.sleep(serviceTime) || resetAfterRun {
 			return errClosed
 		}
-		if f == Failing {
+		if fault == Failing {
 			return writeHTTP(conn, 500, "", nil)
 		}
 		return writeHTTP(conn, 200, "", []byte("receipt of "+key))
 	}
-	if !o.sleep(service) {
+	if !o.sleep(serviceTime) {
 		return errClosed
 	}
-	if f == Failing {
+	if fault == Failing {
 		return writeHTTP(conn, 500, "", nil)
 	}
 	value := o.makeValue(key)
 	o.mu.Lock()
 	o.fetches++
 	o.mu.Unlock()
-	o.onFetched(r.Header.Get("X-Request-ID"), key, value)
+	o.onFetched(request.Header.Get("X-Request-ID"), key, value)
 	return writeHTTP(conn, 200, "", value)
 }
 
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -36,14 +36,14 @@
 
 // NewRelay starts a relay for the member at an address; origin means that the member speaks HTTP. All
 // connections have the same delays.
-func NewRelay(member, to string, origin bool, there, back time.Duration, copies *DuplicateChecker) (*Relay, error) {
+func NewRelay(member, target string, origin bool, toMember, fromMember time.Duration, duplicates *DuplicateChecker) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{member: member, origin: origin, target: to, duplicates: copies, listener: listener,
+	r := &Relay{member: member, origin: origin, target: target, duplicates: duplicates, listener: listener,
 		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	r.SetDelay(func() (time.Duration, time.Duration) { return there, back })
+	r.SetDelay(func() (time.Duration, time.Duration) { return toMember, fromMember })
 	go AcceptEach(listener, func(conn net.Conn) { go r.relay(conn) })
 	return r, nil
 }
@@ -52,7 +52,7 @@
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // SetDelay sets the function that returns the delays of later connections.
-func (r *Relay) SetDelay(delay func() (there, back time.Duration)) {
+func (r *Relay) SetDelay(delay func() (toMember, fromMember time.Duration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = delay
@@ -66,10 +66,10 @@
 }
 
 // Stall holds everything that is sent in one direction, until it is called again with false.
-func (r *Relay) Stall(way int, on bool) {
+func (r *Relay) Stall(direction int, stalled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stalled[way] = on
+	r.stalled[direction] = stalled
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -93,15 +93,15 @@
 }
 
 // register records both connections of a relayed connection and returns its delays.
-func (r *Relay) register(in, out net.Conn) (there, back, handshake time.Duration) {
+func (r *Relay) register(in, out net.Conn) (toMember, fromMember, handshake time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns[in], r.conns[out] = struct{}{}, struct{}{}
-	there, back = r.delay()
+	toMember, fromMember = r.delay()
 	if r.handshakeDelay != nil {
 		handshake = r.handshakeDelay()
 	}
-	return there, back, handshake
+	return toMember, fromMember, handshake
 }
 
 func (r *Relay) unregister(conns ...net.Conn) {
@@ -120,7 +120,7 @@
 		return
 	}
 	defer out.Close()
-	there, back, handshake := r.register(in, out)
+	toMember, fromMember, handshake := r.register(in, out)
 	defer r.unregister(in, out)
 	ended := make(chan struct{})
 	end := sync.OnceFunc(func() {
@@ -128,31 +128,31 @@
 		in.Close()
 		out.Close()
 	})
-	w := r.duplicates.Observe(r.member, r.origin, in)
-	var ways sync.WaitGroup
-	ways.Go(func() {
+	observer := r.duplicates.Observe(r.member, r.origin, in)
+	var directions sync.WaitGroup
+	directions.Go(func() {
 		defer end()
-		hold := func(came time.Time) bool {
-			until := came.Add(there + handshake)
+		hold := func(arrivedAt time.Time) bool {
+			until := arrivedAt.Add(toMember + handshake)
 			handshake = 0 // later messages queue behind the first
 			return r.awaitRelease(ToMember, until, ended)
 		}
-		Forward(in, out, ended, hold, ForwardHooks{OnRead: w.ProxyWrote, BeforeWrite: w.Forwarding, AfterWrite: w.MemberReceived})
+		Forward(in, out, ended, hold, ForwardHooks{OnRead: observer.ProxyWrote, BeforeWrite: observer.Forwarding, AfterWrite: observer.MemberReceived})
 	})
-	ways.Go(func() {
+	directions.Go(func() {
 		defer end()
-		hold := func(came time.Time) bool { return r.awaitRelease(FromMember, came.Add(back), ended) }
-		Forward(out, in, ended, hold, ForwardHooks{OnRead: w.MemberReplied})
+		hold := func(arrivedAt time.Time) bool { return r.awaitRelease(FromMember, arrivedAt.Add(fromMember), ended) }
+		Forward(out, in, ended, hold, ForwardHooks{OnRead: observer.MemberReplied})
 	})
-	ways.Wait()
+	directions.Wait()
 }
 
 // awaitRelease waits until a held message may pass. It returns false if the connection has ended.
-func (r *Relay) awaitRelease(way int, until time.Time, ended <-chan struct{}) bool {
+func (r *Relay) awaitRelease(direction int, until time.Time, ended <-chan struct{}) bool {
 	return AwaitRelease(ended, func() (bool, time.Time, <-chan struct{}) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.stalled[way], until, r.changed
+		return r.stalled[direction], until, r.changed
 	})
 }
 
@@ -164,11 +164,11 @@
 		held, until, changed := state()
 		var due <-chan time.Time
 		if !held {
-			left := time.Until(until)
-			if left <= 0 {
+			remaining := time.Until(until)
+			if remaining <= 0 {
 				return true
 			}
-			due = time.After(left)
+			due = time.After(remaining)
 		}
 		select {
 		case <-ended:
@@ -191,51 +191,51 @@
 // Forward copies from one connection to another in order, until the end of the stream has been forwarded
 // or ended is closed. hold waits until a piece that arrived at the given time may pass, and returns false
 // if the connection is over.
-func Forward(from, to net.Conn, ended <-chan struct{}, hold func(came time.Time) bool, told ForwardHooks) {
+func Forward(from, to net.Conn, ended <-chan struct{}, hold func(arrivedAt time.Time) bool, hooks ForwardHooks) {
 	type piece struct {
-		bytes []byte
-		came  time.Time
+		bytes     []byte
+		arrivedAt time.Time
 	}
-	line := make(chan piece, maxPiecesInTransit)
-	put := func(b []byte) bool {
-		if told.OnRead != nil {
-			told.OnRead(b)
+	queue := make(chan piece, maxPiecesInTransit)
+	enqueue := func(b []byte) bool {
+		if hooks.OnRead != nil {
+			hooks.OnRead(b)
 		}
 		select {
-		case line <- piece{b, time.Now()}:
+		case queue <- piece{b, time.Now()}:
 			return true
 		case <-ended:
 			return false
 		}
 	}
 	go func() {
-		defer close(line)
+		defer close(queue)
 		buffer := make([]byte, 8<<10)
 		for {
 			n, err := from.Read(buffer)
-			if n > 0 && !put(slices.Clone(buffer[:n])) {
+			if n > 0 && !enqueue(slices.Clone(buffer[:n])) {
 				return
 			}
 			if err != nil {
-				put(nil)
+				enqueue(nil)
 				return
 			}
 		}
 	}()
-	for p := range line {
-		if !hold(p.came) {
+	for next := range queue {
+		if !hold(next.arrivedAt) {
 			return
 		}
-		if p.bytes != nil {
-			if told.BeforeWrite != nil {
-				told.BeforeWrite(p.bytes)
+		if next.bytes != nil {
+			if hooks.BeforeWrite != nil {
+				hooks.BeforeWrite(next.bytes)
 			}
-			if _, err := to.Write(p.bytes); err != nil {
+			if _, err := to.Write(next.bytes); err != nil {
 				return
 			}
 		}
-		if told.AfterWrite != nil {
-			told.AfterWrite(p.bytes)
+		if hooks.AfterWrite != nil {
+			hooks.AfterWrite(next.bytes)
 		}
 	}
 }
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -44,18 +44,20 @@
 
 // Observe returns an Observer for a connection from a proxy to a member. With a nil checker it reports
 // nothing.
-func (c *DuplicateChecker) Observe(member string, origin bool, from net.Conn) *Observer {
-	return &Observer{duplicates: c, member: member, origin: origin, peerClosed: func() bool { return peerClosed(from) }}
+func (c *DuplicateChecker) Observe(member string, origin bool, conn net.Conn) *Observer {
+	return &Observer{duplicates: c, member: member, origin: origin, peerClosed: func() bool { return peerClosed(conn) }}
 }
 
 // ObserveRequests returns an Observer without a checker. It calls heard with the id and the attributes of
 // each request that is written.
-func ObserveRequests(heard func(id, attrs string)) *Observer { return &Observer{onRequest: heard} }
+func ObserveRequests(onRequest func(id, attrs string)) *Observer {
+	return &Observer{onRequest: onRequest}
+}
 
 // NotifyRequests makes an Observer call heard for each attempt as well, when the proxy has written it.
-func (w *Observer) NotifyRequests(heard func(id, attrs string)) *Observer {
-	w.onRequest = heard
-	return w
+func (o *Observer) NotifyRequests(onRequest func(id, attrs string)) *Observer {
+	o.onRequest = onRequest
+	return o
 }
 
 // peerClosed reports whether the peer of a connection has closed it, even behind unread bytes.
@@ -69,113 +71,113 @@
 }
 
 // ProxyWrote processes bytes that the proxy has written.
-func (w *Observer) ProxyWrote(b []byte) {
-	if w.duplicates == nil && w.onRequest == nil {
+func (o *Observer) ProxyWrote(b []byte) {
+	if o.duplicates == nil && o.onRequest == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if b == nil {
-		if w.duplicates != nil {
-			w.duplicates.recordClose(w.unanswered())
+		if o.duplicates != nil {
+			o.duplicates.recordClose(o.unanswered())
 		}
 		return
 	}
-	w.requestBytes = append(w.requestBytes, b...)
-	for len(w.requestBytes) > 0 {
-		id, attrs, n := w.nextMessage()
+	o.requestBytes = append(o.requestBytes, b...)
+	for len(o.requestBytes) > 0 {
+		id, attrs, n := o.nextMessage()
 		if n == 0 {
 			return
 		}
-		w.writtenOffset += int64(n)
-		w.requestBytes = w.requestBytes[n:]
-		if w.onRequest != nil && id != "" {
-			w.onRequest(id, attrs)
+		o.writtenOffset += int64(n)
+		o.requestBytes = o.requestBytes[n:]
+		if o.onRequest != nil && id != "" {
+			o.onRequest(id, attrs)
 		}
-		if w.duplicates == nil {
+		if o.duplicates == nil {
 			continue
 		}
-		a := &observedAttempt{id: id, endOffset: w.writtenOffset}
+		a := &observedAttempt{id: id, endOffset: o.writtenOffset}
 		if id != "" {
-			a.trackedAttempt = w.duplicates.recordWrite(w.member, id, w.peerClosed)
+			a.trackedAttempt = o.duplicates.recordWrite(o.member, id, o.peerClosed)
 		}
-		w.attempts = append(w.attempts, a)
+		o.attempts = append(o.attempts, a)
 	}
 }
 
 // unanswered returns the attempts that the proxy has written and the member has not answered.
-func (w *Observer) unanswered() (all []*trackedAttempt) {
-	for _, a := range w.attempts[w.nextAnswered:] {
+func (o *Observer) unanswered() (attempts []*trackedAttempt) {
+	for _, a := range o.attempts[o.nextAnswered:] {
 		if a.trackedAttempt != nil {
-			all = append(all, a.trackedAttempt)
+			attempts = append(attempts, a.trackedAttempt)
 		}
 	}
-	return all
+	return attempts
 }
 
 // Forwarding processes bytes that are about to be written to the member. Bytes that the member sends
 // before that are no answer to them.
-func (w *Observer) Forwarding(b []byte) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.forwardingOffset += int64(len(b))
-	for ; w.nextForwarded < len(w.attempts) && w.attempts[w.nextForwarded].endOffset <= w.forwardingOffset; w.nextForwarded++ {
-		if a := w.attempts[w.nextForwarded]; a.trackedAttempt != nil {
-			w.duplicates.recordForwarding(a.id, a.trackedAttempt)
+func (o *Observer) Forwarding(b []byte) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.forwardingOffset += int64(len(b))
+	for ; o.nextForwarded < len(o.attempts) && o.attempts[o.nextForwarded].endOffset <= o.forwardingOffset; o.nextForwarded++ {
+		if a := o.attempts[o.nextForwarded]; a.trackedAttempt != nil {
+			o.duplicates.recordForwarding(a.id, a.trackedAttempt)
 		}
 	}
 }
 
 // MemberReceived processes bytes that have arrived at the member.
-func (w *Observer) MemberReceived(b []byte) {
-	if w.duplicates == nil {
+func (o *Observer) MemberReceived(b []byte) {
+	if o.duplicates == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if b == nil {
-		w.duplicates.recordCloseAtMember(w.unanswered())
+		o.duplicates.recordCloseAtMember(o.unanswered())
 		return
 	}
-	w.deliveredOffset += int64(len(b))
-	for ; w.nextDelivered < len(w.attempts) && w.attempts[w.nextDelivered].endOffset <= w.deliveredOffset; w.nextDelivered++ {
-		if a := w.attempts[w.nextDelivered]; a.trackedAttempt != nil {
-			w.duplicates.recordArrival(a.id, a.trackedAttempt)
+	o.deliveredOffset += int64(len(b))
+	for ; o.nextDelivered < len(o.attempts) && o.attempts[o.nextDelivered].endOffset <= o.deliveredOffset; o.nextDelivered++ {
+		if a := o.attempts[o.nextDelivered]; a.trackedAttempt != nil {
+			o.duplicates.recordArrival(a.id, a.trackedAttempt)
 		}
 	}
 }
 
 // MemberReplied processes bytes that the member has written.
-func (w *Observer) MemberReplied(b []byte) {
-	if w.duplicates == nil || b == nil {
+func (o *Observer) MemberReplied(b []byte) {
+	if o.duplicates == nil || b == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.answerBytes = append(w.answerBytes, b...)
-	for len(w.answerBytes) > 0 && w.nextAnswered < len(w.attempts) {
-		n := w.nextAnswer()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.answerBytes = append(o.answerBytes, b...)
+	for len(o.answerBytes) > 0 && o.nextAnswered < len(o.attempts) {
+		n := o.nextAnswer()
 		if n == 0 {
 			return
 		}
-		w.answerBytes = w.answerBytes[n:]
-		if w.attempts[w.nextAnswered].endOffset > w.forwardingOffset {
+		o.answerBytes = o.answerBytes[n:]
+		if o.attempts[o.nextAnswered].endOffset > o.forwardingOffset {
 			continue
 		}
-		if a := w.attempts[w.nextAnswered]; a.trackedAttempt != nil {
-			w.duplicates.recordAnswer(a.trackedAttempt)
+		if a := o.attempts[o.nextAnswered]; a.trackedAttempt != nil {
+			o.duplicates.recordAnswer(a.trackedAttempt)
 		}
-		w.nextAnswered++
+		o.nextAnswered++
 	}
 }
 
 // nextMessage parses the message at the start of w.requestBytes and returns its length. The id is empty if
 // the message is no attempt, and n is 0 if it is incomplete.
-func (w *Observer) nextMessage() (id, attrs string, n int) {
-	text := bytes.NewReader(w.requestBytes)
-	buffered := bufio.NewReader(text)
-	length := func() int { return len(w.requestBytes) - text.Len() - buffered.Buffered() }
-	if w.origin {
+func (o *Observer) nextMessage() (id, attrs string, n int) {
+	reader := bytes.NewReader(o.requestBytes)
+	buffered := bufio.NewReader(reader)
+	length := func() int { return len(o.requestBytes) - reader.Len() - buffered.Buffered() }
+	if o.origin {
 		request, err := http.ReadRequest(buffered)
 		if err != nil {
 			return "", "", 0
@@ -185,21 +187,21 @@
 		}
 		return request.Header.Get("X-Request-ID"), request.Header.Get("X-Attrs"), length()
 	}
-	words, err := readCommand(buffered)
+	args, err := readCommand(buffered)
 	if err != nil {
 		return "", "", 0
 	}
-	if len(words) > 3 && bytes.HasPrefix(words[0], []byte("OBJ.")) {
-		id, attrs = string(words[2]), string(words[3])
+	if len(args) > 3 && bytes.HasPrefix(args[0], []byte("OBJ.")) {
+		id, attrs = string(args[2]), string(args[3])
 	}
 	return id, attrs, length()
 }
 
 // nextAnswer returns the length of the answer at the start of w.answerBytes, or 0 if it is incomplete.
-func (w *Observer) nextAnswer() int {
-	text := bytes.NewReader(w.answerBytes)
-	buffered := bufio.NewReader(text)
-	if w.origin {
+func (o *Observer) nextAnswer() int {
+	reader := bytes.NewReader(o.answerBytes)
+	buffered := bufio.NewReader(reader)
+	if o.origin {
 		response, err := http.ReadResponse(buffered, nil)
 		if err != nil {
 			return 0
@@ -210,7 +212,7 @@
 	} else if skipReply(buffered) != nil {
 		return 0
 	}
-	return len(w.answerBytes) - text.Len() - buffered.Buffered()
+	return len(o.answerBytes) - reader.Len() - buffered.Buffered()
 }
 
 var errMalformedReply = errors.New("standin: no reply")
