--- a/internal/cluster/clients.go
+++ b/internal/cluster/clients.go
@@ -70,14 +70,14 @@
 
 // StartClients starts clients at all proxies.
 func (c *Cluster) StartClients(load Load) *Clients {
-	cl := &Clients{cluster: c, load: load, quit: make(chan struct{}), lossPeriods: map[string][]span{}}
+	clients := &Clients{cluster: c, load: load, quit: make(chan struct{}), lossPeriods: map[string][]span{}}
 	for i, p := range c.Proxies {
-		cl.group.Go(func() { cl.run(p, load.ReadRate, false, uint64(2*i)) })
+		clients.group.Go(func() { clients.run(p, load.ReadRate, false, uint64(2*i)) })
 		if load.OrderRate > 0 {
-			cl.group.Go(func() { cl.run(p, load.OrderRate, true, uint64(2*i+1)) })
+			clients.group.Go(func() { clients.run(p, load.OrderRate, true, uint64(2*i+1)) })
 		}
 	}
-	return cl
+	return clients
 }
 
 // ExpectLoss records a period in which a proxy's process is killed or cut off from its clients. Requests
@@ -90,13 +90,13 @@
 
 // run sends requests at a fixed rate, however long the answers take. Each request takes an idle connection
 // or a new one.
-func (cl *Clients) run(p *Proxy, rate float64, order bool, stream uint64) {
-	rng := rand.New(rand.NewPCG(cl.cluster.Seed, stream))
-	keys := rand.NewZipf(rng, 1.1, 20, uint64(max(1, cl.load.Keys-1)))
+func (cl *Clients) run(p *Proxy, rate float64, isOrder bool, stream uint64) {
+	random := rand.New(rand.NewPCG(cl.cluster.Seed, stream))
+	keys := rand.NewZipf(random, 1.1, 20, uint64(max(1, cl.load.Keys-1)))
 	idle := make(chan *conn, 512)
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	defer func() {
-		g.Wait()
+		group.Wait()
 		close(idle)
 		for c := range idle {
 			c.Close()
@@ -111,15 +111,15 @@
 		case <-tick.C:
 		}
 		key := fmt.Sprintf("k%d", keys.Uint64())
-		if order {
+		if isOrder {
 			key = fmt.Sprintf("order-%s-%d-%d", p.Name, stream, n)
 		}
 		id := fmt.Sprintf("%s%s-%d-%d", cl.cluster.idPrefix(), p.Name, stream, n)
-		g.Go(func() {
-			a := Request{Proxy: p.Name, IsOrder: order, Key: key, ID: id, SentAt: time.Now()}
-			cl.send(p, idle, "", &a)
+		group.Go(func() {
+			request := Request{Proxy: p.Name, IsOrder: isOrder, Key: key, ID: id, SentAt: time.Now()}
+			cl.send(p, idle, "", &request)
 			cl.mu.Lock()
-			cl.requests = append(cl.requests, a)
+			cl.requests = append(cl.requests, request)
 			cl.mu.Unlock()
 		})
 	}
@@ -134,74 +134,74 @@
 }
 
 // Retry sends a request again, as a client does that got no answer, and returns it with its new outcome.
-func (cl *Clients) Retry(p *Proxy, a Request) Request {
-	a.SentAt, a.Outcome, a.ID = time.Now(), Served, a.ID+"-again"
+func (cl *Clients) Retry(p *Proxy, request Request) Request {
+	request.SentAt, request.Outcome, request.ID = time.Now(), Served, request.ID+"-again"
 	idle := make(chan *conn, 1)
-	cl.send(p, idle, ",r=1", &a)
+	cl.send(p, idle, ",r=1", &request)
 	select {
-	case c := <-idle:
-		c.Close()
+	case connection := <-idle:
+		connection.Close()
 	default:
 	}
-	return a
+	return request
 }
 
-func (cl *Clients) send(p *Proxy, idle chan *conn, attrs string, a *Request) {
-	for try := 0; ; try++ {
-		var c *conn
+func (cl *Clients) send(p *Proxy, idle chan *conn, attrs string, request *Request) {
+	for retries := 0; ; retries++ {
+		var connection *conn
 		fresh := false
 		select {
-		case c = <-idle:
+		case connection = <-idle:
 		default:
 			raw, err := net.DialTimeout("tcp", p.Addr, cl.load.Deadline)
 			if err != nil {
-				a.Outcome, a.Detail, a.Elapsed = NoAnswer, err.Error(), time.Since(a.SentAt)
+				request.Outcome, request.Detail, request.Elapsed = NoAnswer, err.Error(), time.Since(request.SentAt)
 				return
 			}
-			c, fresh = &conn{raw, bufio.NewReader(raw)}, true
+			connection, fresh = &conn{raw, bufio.NewReader(raw)}, true
 		}
-		c.SetDeadline(a.SentAt.Add(cl.load.Deadline + 2*cl.load.Grace))
-		words := []string{"OBJ.GET", a.Key, a.ID, fmt.Sprintf("c=tile-read,d=%d%s", cl.load.Deadline.Milliseconds(), attrs)}
-		if a.IsOrder {
-			words = []string{"OBJ.SET", a.Key, a.ID, fmt.Sprintf("c=pass-order,d=%d,k=%016x%s", cl.load.Deadline.Milliseconds(),
-				crc64.Checksum([]byte(a.Key), crcTable), attrs), "one pass"}
+		connection.SetDeadline(request.SentAt.Add(cl.load.Deadline + 2*cl.load.Grace))
+		args := []string{"OBJ.GET", request.Key, request.ID, fmt.Sprintf("c=tile-read,d=%d%s", cl.load.Deadline.Milliseconds(), attrs)}
+		if request.IsOrder {
+			args = []string{"OBJ.SET", request.Key, request.ID, fmt.Sprintf("c=pass-order,d=%d,k=%016x%s", cl.load.Deadline.Milliseconds(),
+				crc64.Checksum([]byte(request.Key), crcTable), attrs), "one pass"}
 		}
-		line, value, err := c.exchange(words)
-		a.Elapsed = time.Since(a.SentAt)
+		line, value, err := connection.exchange(args)
+		request.Elapsed = time.Since(request.SentAt)
 		switch {
 		// an idle connection was closed as the request was sent: retry on another connection
-		case err != nil && line == "" && !fresh && try < 3:
-			c.Close()
+		case err != nil && line == "" && !fresh && retries < 3:
+			connection.Close()
 			continue
 		case err != nil:
-			a.Outcome, a.Detail = NoAnswer, err.Error()
-			c.Close()
+			request.Outcome, request.Detail = NoAnswer, err.Error()
+			connection.Close()
 			return
 		case strings.HasPrefix(line, "-BUSY"):
-			a.Outcome = Refused
+			request.Outcome = Refused
 		case line[0] != '$' && line[0] != '*':
-			a.Outcome, a.Detail = Failed, line
-		case a.IsOrder && value == "receipt of "+a.Key, !a.IsOrder && value == string(standin.Value(a.Key, 200)):
-			a.Outcome = Served
+			request.Outcome, request.Detail = Failed, line
+		case request.IsOrder && value == "receipt of "+request.Key, !request.IsOrder && value == string(standin.Value(request.Key, 200)):
+			request.Outcome = Served
 		default:
-			a.Outcome, a.Detail = WrongAnswer, value
+			request.Outcome, request.Detail = WrongAnswer, value
 		}
 		select {
-		case idle <- c:
+		case idle <- connection:
 		default:
-			c.Close()
+			connection.Close()
 		}
 		return
 	}
 }
 
 // exchange sends one command and reads the answer.
-func (c *conn) exchange(words []string) (line, value string, err error) {
-	b := resp.AppendArray(nil, len(words))
-	for _, w := range words {
-		b = resp.AppendBulk(b, w)
+func (c *conn) exchange(args []string) (line, value string, err error) {
+	command := resp.AppendArray(nil, len(args))
+	for _, arg := range args {
+		command = resp.AppendBulk(command, arg)
 	}
-	if _, err = c.Write(b); err != nil {
+	if _, err = c.Write(command); err != nil {
 		return "", "", err
 	}
 	if line, err = c.in.ReadString('\n'); err != nil {
@@ -214,9 +214,9 @@
 	if err != nil || n < 0 {
 		return line, "", err
 	}
-	v := make([]byte, n+2)
-	_, err = io.ReadFull(c.in, v)
-	return line, string(v[:max(0, len(v)-2)]), err
+	data := make([]byte, n+2)
+	_, err = io.ReadFull(c.in, data)
+	return line, string(data[:max(0, len(data)-2)]), err
 }
 
 // Stop stops sending and waits for the last answers.
@@ -229,60 +229,62 @@
 func (cl *Clients) Requests(from, to time.Time) []Request {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(cl.requests), func(a Request) bool { return a.SentAt.Before(from) || !a.SentAt.Before(to) })
+	return slices.DeleteFunc(slices.Clone(cl.requests), func(request Request) bool { return request.SentAt.Before(from) || !request.SentAt.Before(to) })
 }
 
 // ShareInTime returns the share of the reads of a period that were served within the soft deadline, and
 // the number of reads.
-func (cl *Clients) ShareInTime(from, to time.Time) (share float64, all int) {
-	good := 0
-	for _, a := range cl.Requests(from, to) {
-		if a.IsOrder {
+func (cl *Clients) ShareInTime(from, to time.Time) (share float64, total int) {
+	inTime := 0
+	for _, request := range cl.Requests(from, to) {
+		if request.IsOrder {
 			continue
 		}
-		if all++; a.Outcome == Served && a.Elapsed <= cl.load.SoftDeadline {
-			good++
+		if total++; request.Outcome == Served && request.Elapsed <= cl.load.SoftDeadline {
+			inTime++
 		}
 	}
-	return float64(good) / float64(max(1, all)), all
+	return float64(inTime) / float64(max(1, total)), total
 }
 
 // Violations describes the rules that were broken, as seen by clients and members. It is called once all
 // requests have been answered.
-func (cl *Clients) Violations() (all []string) {
+func (cl *Clients) Violations() (violations []string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	ran := cl.cluster.Fleet.Origin.Executions()
-	for _, a := range cl.requests {
-		may := slices.ContainsFunc(cl.lossPeriods[a.Proxy], func(s span) bool { return a.SentAt.Add(a.Elapsed).After(s.from) && a.SentAt.Before(s.to) })
-		what := ""
+	executions := cl.cluster.Fleet.Origin.Executions()
+	for _, request := range cl.requests {
+		mayLose := slices.ContainsFunc(cl.lossPeriods[request.Proxy], func(period span) bool {
+			return request.SentAt.Add(request.Elapsed).After(period.from) && request.SentAt.Before(period.to)
+		})
+		violation := ""
 		switch {
-		case a.Outcome == WrongAnswer:
-			what = "a value that is another's: " + a.Detail
-		case a.Outcome == NoAnswer && !may:
-			what = "no answer: " + a.Detail
-		case a.Elapsed > cl.load.Deadline+cl.load.Grace && !may:
-			what = fmt.Sprintf("answered after %v", a.Elapsed)
-		case a.IsOrder && ran[a.Key] > 1:
-			what = fmt.Sprintf("ran %d times", ran[a.Key])
-		case a.IsOrder && a.Outcome == Refused && ran[a.Key] > 0:
-			what = "refused, and has run"
-		case a.IsOrder && a.Outcome == Served && ran[a.Key] != 1:
-			what = "served, and has not run"
+		case request.Outcome == WrongAnswer:
+			violation = "a value that is another's: " + request.Detail
+		case request.Outcome == NoAnswer && !mayLose:
+			violation = "no answer: " + request.Detail
+		case request.Elapsed > cl.load.Deadline+cl.load.Grace && !mayLose:
+			violation = fmt.Sprintf("answered after %v", request.Elapsed)
+		case request.IsOrder && executions[request.Key] > 1:
+			violation = fmt.Sprintf("ran %d times", executions[request.Key])
+		case request.IsOrder && request.Outcome == Refused && executions[request.Key] > 0:
+			violation = "refused, and has run"
+		case request.IsOrder && request.Outcome == Served && executions[request.Key] != 1:
+			violation = "served, and has not run"
 		}
-		if what != "" && len(all) < 20 {
-			all = append(all, fmt.Sprintf("%s at %s, %v after the start: %s", a.Key, a.Proxy, a.SentAt.Sub(cl.cluster.start).Round(time.Millisecond), what))
+		if violation != "" && len(violations) < 20 {
+			violations = append(violations, fmt.Sprintf("%s at %s, %v after the start: %s", request.Key, request.Proxy, request.SentAt.Sub(cl.cluster.start).Round(time.Millisecond), violation))
 		}
 	}
 	if cl.cluster.Duplicates != nil {
-		all = append(all, cl.cluster.Duplicates.Violations()...)
+		violations = append(violations, cl.cluster.Duplicates.Violations()...)
 	}
-	for _, b := range cl.cluster.Fleet.Caches {
-		if b.Overloaded() {
-			all = append(all, "pushed over: "+b.ID)
+	for _, cache := range cl.cluster.Fleet.Caches {
+		if cache.Overloaded() {
+			violations = append(violations, "pushed over: "+cache.ID)
 		}
 	}
-	return all
+	return violations
 }
 
 // ProxyNumber returns the number of the proxy that received the request.
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -98,33 +98,33 @@
 const gossipKeyHex = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
 // New starts the simulated servers and the links, but no proxies.
-func New(o Options) (*Cluster, error) {
-	c := &Cluster{Options: o, start: time.Now(), links: map[[2]string]*Link{}}
-	err := c.claimSubnet()
+func New(options Options) (*Cluster, error) {
+	cluster := &Cluster{Options: options, start: time.Now(), links: map[[2]string]*Link{}}
+	err := cluster.claimSubnet()
 	if err != nil {
 		return nil, err
 	}
-	if c.Fleet, err = standin.NewZonedFleet(o.Zones, o.CachesPerZone, 200); err != nil {
+	if cluster.Fleet, err = standin.NewZonedFleet(options.Zones, options.CachesPerZone, 200); err != nil {
 		return nil, err
 	}
-	for _, b := range c.Fleet.Caches {
-		b.SetService(o.ServiceTime, o.CacheConcurrency)
+	for _, cache := range cluster.Fleet.Caches {
+		cache.SetService(options.ServiceTime, options.CacheConcurrency)
 	}
-	c.Fleet.Origin.SetService(o.OriginServiceTime, o.OriginConcurrency)
-	c.Fleet.Overrides = o.Settings
-	if o.Deadlines != nil {
-		o.Deadlines.IDPrefix = c.idPrefix()
+	cluster.Fleet.Origin.SetService(options.OriginServiceTime, options.OriginConcurrency)
+	cluster.Fleet.Overrides = options.Settings
+	if options.Deadlines != nil {
+		options.Deadlines.IDPrefix = cluster.idPrefix()
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, "key"), []byte(gossipKeyHex+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(options.Dir, "key"), []byte(gossipKeyHex+"\n"), 0o600); err != nil {
 		return nil, err
 	}
-	for i := range o.Proxies {
-		if err := c.prepareProxy(i); err != nil {
-			c.Close()
+	for i := range options.Proxies {
+		if err := cluster.prepareProxy(i); err != nil {
+			cluster.Close()
 			return nil, err
 		}
 	}
-	return c, nil
+	return cluster, nil
 }
 
 // claimSubnet finds a part of the loopback network that is not used by another cluster, in this process or
@@ -189,63 +189,63 @@
 // prepareProxy creates a proxy's links and files.
 func (c *Cluster) prepareProxy(i int) error {
 	name, zone := proxyName(i), c.Zones[i%len(c.Zones)]
-	p := &Proxy{Number: i, Name: name, Zone: zone, cluster: c}
-	own, front := fmt.Sprintf("%s%d", c.subnet, 1+i), fmt.Sprintf("%s%d", c.subnet, 101+i)
+	proxy := &Proxy{Number: i, Name: name, Zone: zone, cluster: c}
+	listenHost, advertiseHost := fmt.Sprintf("%s%d", c.subnet, 1+i), fmt.Sprintf("%s%d", c.subnet, 101+i)
 	addrs := map[string]string{}
 	members := c.Fleet.Registry.List().Members
 	for _, m := range members {
-		at, err := c.addRelay(name, m.ID, "127.0.0.1:0", m.HostPort)
+		relayAddr, err := c.addRelay(name, m.ID, "127.0.0.1:0", m.HostPort)
 		if err != nil {
 			return err
 		}
-		addrs[m.ID] = at
-		c.Link(name, m.ID).observeConns(func(from net.Conn) *standin.Observer {
-			watch := c.Duplicates.Observe(m.ID, m.ID == c.Fleet.Origin.ID, from)
+		addrs[m.ID] = relayAddr
+		c.Link(name, m.ID).observeConns(func(source net.Conn) *standin.Observer {
+			watch := c.Duplicates.Observe(m.ID, m.ID == c.Fleet.Origin.ID, source)
 			if c.Deadlines == nil {
 				return watch
 			}
 			return watch.NotifyRequests(func(id, attrs string) { c.Deadlines.AttemptReceived(m.ID, id, attrs) })
 		})
 	}
-	see := func(m discovery.Member) discovery.Member {
-		if at := addrs[m.ID]; at != "" {
-			m.HostPort = at
+	viewMember := func(m discovery.Member) discovery.Member {
+		if relayAddr := addrs[m.ID]; relayAddr != "" {
+			m.HostPort = relayAddr
 		}
 		return m
 	}
-	view, err := c.Fleet.Registry.ListenView(see)
+	view, err := c.Fleet.Registry.ListenView(viewMember)
 	if err != nil {
 		return err
 	}
-	disco, err := c.addRelay(name, "discovery", "127.0.0.1:0", view)
+	discoveryAddr, err := c.addRelay(name, "discovery", "127.0.0.1:0", view)
 	if err != nil {
 		return err
 	}
-	listen := fmt.Sprintf("%s:%d", own, servePort)
-	if p.Addr, err = c.addRelay("clients", name, "127.0.0.1:0", listen); err != nil {
+	listen := fmt.Sprintf("%s:%d", listenHost, servePort)
+	if proxy.Addr, err = c.addRelay("clients", name, "127.0.0.1:0", listen); err != nil {
 		return err
 	}
 	if c.Deadlines != nil {
 		c.Link("clients", name).notifyRequests(c.Deadlines.RequestSent)
 	}
-	p.host = own
-	p.ManagementAddr = p.managementAddr(mgmtPort)
+	proxy.host = listenHost
+	proxy.ManagementAddr = proxy.managementAddr(mgmtPort)
 	for j := range c.Options.Proxies {
 		if j != i {
 			c.addLink(proxyName(j), name)
 		}
 	}
-	var at, told []string
+	var relayAddr, advertised []string
 	for port := gossipPort; port < gossipPort+2; port++ {
-		at, told = append(at, fmt.Sprintf("%s:%d", own, port)), append(told, fmt.Sprintf("%s:%d", front, port))
-		g, err := newGossipRelay(told[len(told)-1], at[len(at)-1], func(from net.IP) *Link {
-			n := int(from.To4()[3]) - 1
+		relayAddr, advertised = append(relayAddr, fmt.Sprintf("%s:%d", listenHost, port)), append(advertised, fmt.Sprintf("%s:%d", advertiseHost, port))
+		gossip, err := newGossipRelay(advertised[len(advertised)-1], relayAddr[len(relayAddr)-1], func(source net.IP) *Link {
+			n := int(source.To4()[3]) - 1
 			return c.link(proxyName(n), name)
 		})
 		if err != nil {
 			return err
 		}
-		c.gossipRelays = append(c.gossipRelays, g)
+		c.gossipRelays = append(c.gossipRelays, gossip)
 	}
 	text, err := c.Fleet.Config(name, listen, fmt.Sprintf("%x", c.Seed+uint64(i)*7919+1), 128, 1024)
 	if err != nil {
@@ -255,47 +255,47 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return err
 	}
-	config["discovery"], config["mgmt"] = disco, p.ManagementAddr
+	config["discovery"], config["mgmt"] = discoveryAddr, proxy.ManagementAddr
 	settings := config["settings"].(map[string]any)
 	settings["instances"], settings["self_index"], settings["az"] = c.Options.Proxies, i, i%len(c.Zones)
 	settings["deductions"] = map[string]any{"cross_zone": c.CrossZoneCost}
 	known := c.Fleet.Registry.List()
 	for k, m := range known.Members {
-		known.Members[k] = see(m)
+		known.Members[k] = viewMember(m)
 	}
 	config["known"] = known
 	if text, err = json.MarshalIndent(config, "", " "); err != nil {
 		return err
 	}
-	path, op := filepath.Join(c.Dir, name+".json"), filepath.Join(c.Dir, name+".toml")
+	path, operatorPath := filepath.Join(c.Dir, name+".json"), filepath.Join(c.Dir, name+".toml")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	p.Dir = filepath.Join(c.Dir, name+".d")
-	if err := os.MkdirAll(p.Dir, 0o700); err != nil {
+	proxy.Dir = filepath.Join(c.Dir, name+".d")
+	if err := os.MkdirAll(proxy.Dir, 0o700); err != nil {
 		return err
 	}
-	operator := strings.ReplaceAll(c.OperatorConfig, "DIR", p.Dir)
+	operator := strings.ReplaceAll(c.OperatorConfig, "DIR", proxy.Dir)
 	if c.JoinInstances {
 		var join []string
 		for j := range min(3, c.Options.Proxies) {
 			join = append(join, fmt.Sprintf("%s%d:%d", c.subnet, 101+j, gossipPort))
 		}
-		operator += fmt.Sprintf("[instances]\nlisten = %s\nadvertise = %s\njoin = %s\nkey_file = %q\n[zones]\n", tomlList(at), tomlList(told), tomlList(join),
+		operator += fmt.Sprintf("[instances]\nlisten = %s\nadvertise = %s\njoin = %s\nkey_file = %q\n[zones]\n", tomlList(relayAddr), tomlList(advertised), tomlList(join),
 			filepath.Join(c.Dir, "key"))
 		for name, zones := range c.Regions {
 			operator += fmt.Sprintf("[[zones.region]]\nname = %q\nzones = %s\n", name, tomlList(zones))
 		}
 	}
-	if err := os.WriteFile(op, []byte(operator), 0o600); err != nil {
+	if err := os.WriteFile(operatorPath, []byte(operator), 0o600); err != nil {
 		return err
 	}
 	tmp := filepath.Join(c.Dir, name)
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return err
 	}
-	p.env, p.args = append([]string{"LB_CONFIG=" + path, "TMPDIR=" + tmp}, c.Env...), []string{"-operator", op}
-	c.Proxies = append(c.Proxies, p)
+	proxy.env, proxy.args = append([]string{"LB_CONFIG=" + path, "TMPDIR=" + tmp}, c.Env...), []string{"-operator", operatorPath}
+	c.Proxies = append(c.Proxies, proxy)
 	return nil
 }
 
@@ -320,17 +320,17 @@
 		return nil
 	}
 	return Eventually("all know of one another, and one leads", func() bool {
-		leads := 0
+		leaders := 0
 		for _, p := range c.Proxies {
-			v, err := p.View()
-			if err != nil || len(v.Members) != len(c.Proxies) {
+			view, err := p.View()
+			if err != nil || len(view.Members) != len(c.Proxies) {
 				return false
 			}
-			if v.Leads {
-				leads++
+			if view.Leads {
+				leaders++
 			}
 		}
-		return leads == 1
+		return leaders == 1
 	})
 }
 
@@ -349,15 +349,15 @@
 
 // Upgrade starts a successor process, which takes over from the current process, and stops the latter.
 func (p *Proxy) Upgrade() error {
-	old := p.Process
+	predecessor := p.Process
 	p.starts++
-	mgmt := p.managementAddr(mgmtPort + (p.starts+1)%2)
-	next, err := Start("msg=ready", append(p.env[:len(p.env):len(p.env)], "LB_MGMT="+mgmt), p.cluster.Program, p.args...)
+	managementAddr := p.managementAddr(mgmtPort + (p.starts+1)%2)
+	successor, err := Start("msg=ready", append(p.env[:len(p.env):len(p.env)], "LB_MGMT="+managementAddr), p.cluster.Program, p.args...)
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
-	p.Process, p.ManagementAddr = next, mgmt
-	return old.Stop()
+	p.Process, p.ManagementAddr = successor, managementAddr
+	return predecessor.Stop()
 }
 
 // Pause suspends the process, and Continue resumes it.
@@ -380,21 +380,21 @@
 }
 
 // SetZoneMode sets a zone's mode by an operator's call to the proxy.
-func (p *Proxy) SetZoneMode(mode, zone string) (t mgmt.CallReport, err error) {
+func (p *Proxy) SetZoneMode(mode, zone string) (report mgmt.CallReport, err error) {
 	text, err := mgmt.CallOK("PUT", p.ManagementAddr, "/zones/"+mode, zone+" the rig", callTimeout)
 	if err != nil {
-		return t, err
+		return report, err
 	}
-	return t, json.Unmarshal(text, &t)
+	return report, json.Unmarshal(text, &report)
 }
 
 // EachLink calls do for each link between two groups, in either direction.
 func (c *Cluster) EachLink(a, b []string, do func(*Link)) {
-	for _, x := range a {
-		for _, y := range b {
-			for _, k := range [][2]string{{x, y}, {y, x}} {
-				if l := c.link(k[0], k[1]); l != nil {
-					do(l)
+	for _, from := range a {
+		for _, to := range b {
+			for _, names := range [][2]string{{from, to}, {to, from}} {
+				if link := c.link(names[0], names[1]); link != nil {
+					do(link)
 				}
 			}
 		}
@@ -412,9 +412,9 @@
 }
 
 func (c *Cluster) CachesIn(zones ...string) (names []string) {
-	for _, b := range c.Fleet.Caches {
-		if slices.Contains(zones, b.Zone) {
-			names = append(names, b.ID)
+	for _, cache := range c.Fleet.Caches {
+		if slices.Contains(zones, cache.Zone) {
+			names = append(names, cache.ID)
 		}
 	}
 	return names
@@ -422,8 +422,8 @@
 
 // RequestsSent returns how many requests a proxy has sent to a zone's caches in a period.
 func (c *Cluster) RequestsSent(proxy, zone string, from, to time.Time) (n int) {
-	for _, b := range c.CachesIn(zone) {
-		n += c.Link(proxy, b).RequestsSent(from, to)
+	for _, cache := range c.CachesIn(zone) {
+		n += c.Link(proxy, cache).RequestsSent(from, to)
 	}
 	return n
 }
@@ -456,14 +456,16 @@
 }
 
 // Eventually waits until a condition holds whose check takes a call to each process.
-func Eventually(what string, ok func() bool) error { return WaitFor(20*time.Millisecond, what, ok) }
+func Eventually(condition string, holds func() bool) error {
+	return WaitFor(20*time.Millisecond, condition, holds)
+}
 
 // WaitFor polls a condition until it holds, or returns an error after WaitTimeout.
-func WaitFor(every time.Duration, what string, ok func() bool) error {
-	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(every) {
-		if ok() {
+func WaitFor(interval time.Duration, condition string, holds func() bool) error {
+	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(interval) {
+		if holds() {
 			return nil
 		}
 	}
-	return fmt.Errorf("never came about: %s", what)
+	return fmt.Errorf("never came about: %s", condition)
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -26,17 +26,17 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(proxyEnv) != "" {
-		g := app.Program{Name: "proxy", Instances: func(j app.Joined) (app.Fleet, error) { return instances.New(j) }}
-		if lies := os.Getenv(unreliableDiskEnv); lies != "" {
-			g.Disk = func(dir string) disk.FS {
-				fs, err := crash.ParseUnreliable(disk.Dir(dir), lies)
+		program := app.Program{Name: "proxy", Instances: func(j app.Joined) (app.Fleet, error) { return instances.New(j) }}
+		if diskFaults := os.Getenv(unreliableDiskEnv); diskFaults != "" {
+			program.Disk = func(dir string) disk.FS {
+				fs, err := crash.ParseUnreliable(disk.Dir(dir), diskFaults)
 				if err != nil {
 					panic(err)
 				}
 				return fs
 			}
 		}
-		os.Exit(g.Main(os.Args[1:]))
+		os.Exit(program.Main(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
@@ -59,7 +59,7 @@
 
 // newHarness starts a cluster of six proxies and three zones of four warm and filled caches each, unless
 // the options say otherwise.
-func newHarness(t *testing.T, o Options) *harness {
+func newHarness(t *testing.T, options Options) *harness {
 	t.Helper()
 	slots <- struct{}{}
 	t.Cleanup(func() { <-slots })
@@ -68,73 +68,73 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Program, o.Env, o.Dir, o.JoinInstances = self, append(o.Env, proxyEnv+"=1"), t.TempDir(), true
-	if o.Zones == nil {
-		o.Zones = zoneNames
+	options.Program, options.Env, options.Dir, options.JoinInstances = self, append(options.Env, proxyEnv+"=1"), t.TempDir(), true
+	if options.Zones == nil {
+		options.Zones = zoneNames
 	}
-	if o.Proxies == 0 {
-		o.Proxies = 6
+	if options.Proxies == 0 {
+		options.Proxies = 6
 	}
-	o.CachesPerZone, o.ServiceTime, o.OriginServiceTime, o.OriginConcurrency, o.Seed = 4, 12*time.Millisecond, 20*time.Millisecond, 24, 7
-	if o.Duplicates == nil { // scenarios block links, which hold requests until they are restored
-		o.Duplicates = standin.NewDuplicateChecker()
-		o.Duplicates.MaxInTransit = maxInTransit
+	options.CachesPerZone, options.ServiceTime, options.OriginServiceTime, options.OriginConcurrency, options.Seed = 4, 12*time.Millisecond, 20*time.Millisecond, 24, 7
+	if options.Duplicates == nil { // scenarios block links, which hold requests until they are restored
+		options.Duplicates = standin.NewDuplicateChecker()
+		options.Duplicates.MaxInTransit = maxInTransit
 	}
-	if o.Settings == nil {
-		o.Settings = map[string]any{}
+	if options.Settings == nil {
+		options.Settings = map[string]any{}
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
 	rules["cold_ms"] = float64(warmupTime.Milliseconds())
-	o.Settings["rules"] = rules
+	options.Settings["rules"] = rules
 	load.ReadRate, load.OrderRate, load.Keys, load.Deadline, load.SoftDeadline, load.Grace = 40, 2, 300, 3*time.Second, standin.ReadSoftDeadline, 30*time.Second
-	c, err := New(o)
+	cluster, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Close)
+	t.Cleanup(cluster.Close)
 	for k := range load.Keys {
-		c.Fleet.Fill(fmt.Sprintf("k%d", k))
+		cluster.Fleet.Fill(fmt.Sprintf("k%d", k))
 	}
-	if err := c.StartAll(); err != nil {
+	if err := cluster.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	s := &harness{c, c.StartClients(load), t}
-	s.letRun(2 * time.Second) // the proxies have to learn the usual latency
-	return s
+	h := &harness{cluster, cluster.StartClients(load), t}
+	h.letRun(2 * time.Second) // the proxies have to learn the usual latency
+	return h
 }
 
 // letRun waits while the load runs. The load is defined by its length, and no event ends it.
-func (s *harness) letRun(d time.Duration) { time.Sleep(d) }
+func (h *harness) letRun(d time.Duration) { time.Sleep(d) }
 
 // blockZones blocks the links between all proxies and the caches of zones, or restores them.
-func (s *harness) blockZones(on bool, zones ...string) {
-	for _, p := range s.Proxies {
-		for _, b := range s.CachesIn(zones...) {
-			s.Link(p.Name, b).SetBoth(Impairment{Blocked: on})
+func (h *harness) blockZones(blocked bool, zones ...string) {
+	for _, p := range h.Proxies {
+		for _, b := range h.CachesIn(zones...) {
+			h.Link(p.Name, b).SetBoth(Impairment{Blocked: blocked})
 		}
 	}
 }
 
-func (s *harness) restartCold(zones ...string) {
+func (h *harness) restartCold(zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.CachesIn(z) {
+		for _, b := range h.Fleet.CachesIn(z) {
 			b.Clear()
 			b.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: warmupTime, WarmRate: 60, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
-			for _, p := range s.Proxies {
-				s.Link(p.Name, b.ID).Reset()
+			for _, p := range h.Proxies {
+				h.Link(p.Name, b.ID).Reset()
 			}
 		}
 	}
 }
 
 // awaitState waits until all running proxies report a zone in a state.
-func (s *harness) awaitState(zone, state string, but ...string) time.Duration {
-	s.t.Helper()
-	began := time.Now()
+func (h *harness) awaitState(zone, state string, except ...string) time.Duration {
+	h.t.Helper()
+	startedAt := time.Now()
 	err := Eventually(fmt.Sprintf("all say that %s is %s", zone, state), func() bool {
-		for _, p := range s.Proxies {
+		for _, p := range h.Proxies {
 			skip := false
-			for _, b := range but {
+			for _, b := range except {
 				skip = skip || b == p.Name
 			}
 			if skip {
@@ -153,56 +153,56 @@
 		return true
 	})
 	if err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
 // totalSent returns how many requests all proxies have sent to a zone in a period.
-func (s *harness) totalSent(zone string, from, to time.Time) (n int) {
-	for _, p := range s.Proxies {
-		n += s.RequestsSent(p.Name, zone, from, to)
+func (h *harness) totalSent(zone string, from, to time.Time) (n int) {
+	for _, p := range h.Proxies {
+		n += h.RequestsSent(p.Name, zone, from, to)
 	}
 	return n
 }
 
 // logSent logs how many requests each proxy has sent to a zone in each tenth of a second.
-func (s *harness) logSent(zone string, from, to time.Time) {
-	s.t.Helper()
+func (h *harness) logSent(zone string, from, to time.Time) {
+	h.t.Helper()
 	const step = 100 * time.Millisecond
-	for _, p := range s.Proxies {
+	for _, p := range h.Proxies {
 		var line strings.Builder
 		for at := from; at.Before(to); at = at.Add(step) {
-			fmt.Fprintf(&line, " %d", s.RequestsSent(p.Name, zone, at, at.Add(step)))
+			fmt.Fprintf(&line, " %d", h.RequestsSent(p.Name, zone, at, at.Add(step)))
 		}
-		strange := 0
-		for _, b := range s.CachesIn(zone) {
-			strange += s.Link(p.Name, b).ForeignRequests()
+		foreign := 0
+		for _, b := range h.CachesIn(zone) {
+			foreign += h.Link(p.Name, b).ForeignRequests()
 		}
-		s.t.Logf("%s sent to zone %s, by tenths of a second from %s:%s; others sent %d there", p.Name, zone, from.Format(time.StampMilli), &line, strange)
+		h.t.Logf("%s sent to zone %s, by tenths of a second from %s:%s; others sent %d there", p.Name, zone, from.Format(time.StampMilli), &line, foreign)
 	}
 }
 
 // logStatus logs the status pages of the proxies.
-func (s *harness) logStatus() {
-	s.t.Helper()
-	for _, p := range s.Proxies {
+func (h *harness) logStatus() {
+	h.t.Helper()
+	for _, p := range h.Proxies {
 		status, err := p.Status()
-		s.t.Logf("%s says (%v): %s", p.Name, err, status)
+		h.t.Logf("%s says (%v): %s", p.Name, err, status)
 	}
 }
 
 // requireState fails the test if a running proxy reports a zone in another state within a period.
-func (s *harness) requireState(zone, state string, d time.Duration) {
-	s.t.Helper()
-	late := standin.MeasureSchedulingDelay()
-	defer late.Stop()
+func (h *harness) requireState(zone, state string, d time.Duration) {
+	h.t.Helper()
+	delay := standin.MeasureSchedulingDelay()
+	defer delay.Stop()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		for _, p := range s.Proxies {
+		for _, p := range h.Proxies {
 			if v, err := p.View(); err == nil {
 				for _, z := range v.Zones {
 					if z.Name == zone && z.State != state {
-						s.t.Fatalf("%s says that %s is %s, and it has to be %s; the rig's own goroutines were late by %v", p.Name, zone, z.State, state, late.Stop())
+						h.t.Fatalf("%s says that %s is %s, and it has to be %s; the rig's own goroutines were late by %v", p.Name, zone, z.State, state, delay.Stop())
 					}
 				}
 			}
@@ -211,34 +211,34 @@
 }
 
 // setFault sets the fault of all caches in the zones.
-func (s *harness) setFault(f standin.Fault, zones ...string) {
+func (h *harness) setFault(f standin.Fault, zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.CachesIn(z) {
+		for _, b := range h.Fleet.CachesIn(z) {
 			b.SetFault(f)
 		}
 	}
 }
 
-func (s *harness) setServiceTime(d time.Duration, zones ...string) {
+func (h *harness) setServiceTime(d time.Duration, zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.CachesIn(z) {
+		for _, b := range h.Fleet.CachesIn(z) {
 			b.SetService(d, 0)
 		}
 	}
 }
 
 // partition blocks connections and datagrams between two groups, or restores them.
-func (s *harness) partition(on bool, a, b []string) {
-	s.EachLink(a, b, func(l *Link) { l.SetBoth(Impairment{Blocked: on}) })
+func (h *harness) partition(blocked bool, a, b []string) {
+	h.EachLink(a, b, func(l *Link) { l.SetBoth(Impairment{Blocked: blocked}) })
 }
 
-func silentThenCold(s *harness) {
-	s.blockZones(true, "c")
-	s.awaitState("c", "trying")
-	s.letRun(2 * time.Second)
-	s.restartCold("c")
-	s.blockZones(false, "c")
-	s.awaitState("c", "in")
+func silentThenCold(h *harness) {
+	h.blockZones(true, "c")
+	h.awaitState("c", "trying")
+	h.letRun(2 * time.Second)
+	h.restartCold("c")
+	h.blockZones(false, "c")
+	h.awaitState("c", "in")
 }
 
 // maxInTransit is the longest time for which a proxy assumes a request to be in transit: a quarter of the
@@ -251,187 +251,187 @@
 // caches saw them.
 var zoneScenarios = map[string]struct {
 	o    Options
-	play func(s *harness)
+	play func(h *harness)
 }{
 	"silent, back cold":                  {play: silentThenCold},
 	"silent, a table by zone, back cold": {o: Options{CrossZoneCost: 0.06}, play: silentThenCold},
-	"slow, back warm": {play: func(s *harness) {
-		s.setServiceTime(unresponsiveServiceTime, "c")
-		s.awaitState("c", "trying")
-		s.setServiceTime(s.ServiceTime, "c")
-		s.awaitState("c", "in")
+	"slow, back warm": {play: func(h *harness) {
+		h.setServiceTime(unresponsiveServiceTime, "c")
+		h.awaitState("c", "trying")
+		h.setServiceTime(h.ServiceTime, "c")
+		h.awaitState("c", "in")
 	}},
-	"half of the answers fail, back half cold": {play: func(s *harness) {
-		s.setFault(standin.Intermittent, "c")
-		s.awaitState("c", "trying")
-		for _, b := range s.Fleet.CachesIn("c")[:2] {
+	"half of the answers fail, back half cold": {play: func(h *harness) {
+		h.setFault(standin.Intermittent, "c")
+		h.awaitState("c", "trying")
+		for _, b := range h.Fleet.CachesIn("c")[:2] {
 			b.Clear()
 		}
-		s.setFault(standin.Healthy, "c")
-		s.awaitState("c", "in")
+		h.setFault(standin.Healthy, "c")
+		h.awaitState("c", "in")
 	}},
-	"refusing": {play: func(s *harness) {
-		s.setFault(standin.Busy, "c")
-		s.awaitState("c", "trying")
-		s.setFault(standin.Healthy, "c")
-		s.awaitState("c", "in")
+	"refusing": {play: func(h *harness) {
+		h.setFault(standin.Busy, "c")
+		h.awaitState("c", "trying")
+		h.setFault(standin.Healthy, "c")
+		h.awaitState("c", "in")
 	}},
-	"one way only": {play: func(s *harness) {
-		for _, p := range s.Proxies {
-			for _, b := range s.CachesIn("c") {
-				s.Link(p.Name, b).Set(Backward, Impairment{Blocked: true})
+	"one way only": {play: func(h *harness) {
+		for _, p := range h.Proxies {
+			for _, b := range h.CachesIn("c") {
+				h.Link(p.Name, b).Set(Backward, Impairment{Blocked: true})
 			}
 		}
-		s.awaitState("c", "trying")
-		s.blockZones(false, "c")
-		s.awaitState("c", "in")
+		h.awaitState("c", "trying")
+		h.blockZones(false, "c")
+		h.awaitState("c", "in")
 	}},
 	"a region of two zones of four": {o: Options{Zones: []string{"a", "b", "c", "d"}, Proxies: 8, Regions: map[string][]string{"south": {"c", "d"}}},
-		play: func(s *harness) {
-			s.blockZones(true, "c", "d")
-			s.awaitState("c", "trying")
-			s.awaitState("d", "trying")
-			s.blockZones(false, "c")
-			s.requireState("c", "trying", 3*time.Second) // zones of a region return together
-			s.blockZones(false, "d")
-			s.awaitState("c", "in")
-			s.awaitState("d", "in")
+		play: func(h *harness) {
+			h.blockZones(true, "c", "d")
+			h.awaitState("c", "trying")
+			h.awaitState("d", "trying")
+			h.blockZones(false, "c")
+			h.requireState("c", "trying", 3*time.Second) // zones of a region return together
+			h.blockZones(false, "d")
+			h.awaitState("c", "in")
+			h.awaitState("d", "in")
 		}},
-	"a zone's proxies are gone, and its boxes live": {play: func(s *harness) {
-		for _, p := range s.Proxies {
+	"a zone's proxies are gone, and its boxes live": {play: func(h *harness) {
+		for _, p := range h.Proxies {
 			if p.Zone == "c" {
-				s.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
+				h.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 				p.Kill()
 			}
 		}
-		s.requireState("c", "in", 4*time.Second)
+		h.requireState("c", "in", 4*time.Second)
 	}},
-	"cut off with proxies, boxes and clients": {play: func(s *harness) {
-		there := append(s.ProxiesIn("c"), s.CachesIn("c")...)
-		here := append(s.ProxiesIn("a", "b"), s.CachesIn("a", "b")...)
-		s.partition(true, here, there)
-		s.awaitState("c", "trying", s.ProxiesIn("c")...)
+	"cut off with proxies, boxes and clients": {play: func(h *harness) {
+		there := append(h.ProxiesIn("c"), h.CachesIn("c")...)
+		here := append(h.ProxiesIn("a", "b"), h.CachesIn("a", "b")...)
+		h.partition(true, here, there)
+		h.awaitState("c", "trying", h.ProxiesIn("c")...)
 		from := time.Now()
-		s.letRun(3 * time.Second)
-		for _, a := range s.Requests(from, time.Now()) {
+		h.letRun(3 * time.Second)
+		for _, a := range h.Requests(from, time.Now()) {
 			if a.Outcome == Failed {
-				s.t.Errorf("%s at %s failed on one side of a partition: %s", a.Key, a.Proxy, a.Detail)
+				h.t.Errorf("%s at %s failed on one side of a partition: %s", a.Key, a.Proxy, a.Detail)
 			}
 		}
-		s.partition(false, here, there)
-		s.awaitState("c", "in")
+		h.partition(false, here, there)
+		h.awaitState("c", "in")
 	}},
-	"messages lost, late, and cut between two halves": {play: func(s *harness) {
+	"messages lost, late, and cut between two halves": {play: func(h *harness) {
 		var names []string
-		for _, p := range s.Proxies {
+		for _, p := range h.Proxies {
 			names = append(names, p.Name)
 		}
-		s.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{LossRate: 0.3}) })
-		s.blockZones(true, "c")
-		s.awaitState("c", "trying")
-		s.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{Delay: 2 * time.Second}) })
-		s.letRun(3 * time.Second)
-		s.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{}) })
-		s.awaitState("c", "trying")
-		s.partition(true, names[:3], names[3:])
-		s.blockZones(false, "c")
-		s.awaitState("c", "returning", names[3:]...)
-		s.partition(false, names[:3], names[3:])
-		s.awaitState("c", "in")
+		h.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{LossRate: 0.3}) })
+		h.blockZones(true, "c")
+		h.awaitState("c", "trying")
+		h.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{Delay: 2 * time.Second}) })
+		h.letRun(3 * time.Second)
+		h.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{}) })
+		h.awaitState("c", "trying")
+		h.partition(true, names[:3], names[3:])
+		h.blockZones(false, "c")
+		h.awaitState("c", "returning", names[3:]...)
+		h.partition(false, names[:3], names[3:])
+		h.awaitState("c", "in")
 	}},
-	"paused through it, started in the middle, killed on the return": {play: func(s *harness) {
-		leader := s.Proxies[0]
-		s.ExpectLoss(leader.Name, time.Now(), time.Now().Add(10*time.Second))
+	"paused through it, started in the middle, killed on the return": {play: func(h *harness) {
+		leader := h.Proxies[0]
+		h.ExpectLoss(leader.Name, time.Now(), time.Now().Add(10*time.Second))
 		leader.Pause()
-		s.blockZones(true, "c")
-		s.awaitState("c", "trying", leader.Name)
-		s.letRun(2 * time.Second)
+		h.blockZones(true, "c")
+		h.awaitState("c", "trying", leader.Name)
+		h.letRun(2 * time.Second)
 		leader.Continue()
 		at := time.Now().Add(300 * time.Millisecond)
-		s.awaitState("c", "trying")
-		s.letRun(2 * time.Second)
-		if n := s.RequestsSent(leader.Name, "c", at, at.Add(1500*time.Millisecond)); n > 16 {
-			s.t.Errorf("continued after the zone was left, it sends %d to it in 1.5 s", n)
-		}
-		late := s.Proxies[5]
-		s.ExpectLoss(late.Name, time.Now(), time.Now().Add(time.Hour))
-		late.Kill()
-		s.restartCold("c")
-		s.blockZones(false, "c")
-		s.awaitState("c", "returning", late.Name)
-		if err := late.Start(); err != nil {
-			s.t.Fatal(err)
-		}
-		if v, err := late.View(); err != nil || v.Zones[2].LocalShare > v.Zones[2].Share+0.1 || v.Zones[2].Share == 1 {
-			s.t.Errorf("started while the zone is returned to, it takes %+v, %v", v.Zones, err)
-		}
-		for _, p := range s.Proxies[3:5] {
-			s.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
+		h.awaitState("c", "trying")
+		h.letRun(2 * time.Second)
+		if n := h.RequestsSent(leader.Name, "c", at, at.Add(1500*time.Millisecond)); n > 16 {
+			h.t.Errorf("continued after the zone was left, it sends %d to it in 1.5 s", n)
+		}
+		delay := h.Proxies[5]
+		h.ExpectLoss(delay.Name, time.Now(), time.Now().Add(time.Hour))
+		delay.Kill()
+		h.restartCold("c")
+		h.blockZones(false, "c")
+		h.awaitState("c", "returning", delay.Name)
+		if err := delay.Start(); err != nil {
+			h.t.Fatal(err)
+		}
+		if v, err := delay.View(); err != nil || v.Zones[2].LocalShare > v.Zones[2].Share+0.1 || v.Zones[2].Share == 1 {
+			h.t.Errorf("started while the zone is returned to, it takes %+v, %v", v.Zones, err)
+		}
+		for _, p := range h.Proxies[3:5] {
+			h.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 			p.Kill()
 		}
-		s.awaitState("c", "in", "n3", "n4")
+		h.awaitState("c", "in", "n3", "n4")
 	}},
-	"two zones half a second apart": {play: func(s *harness) {
-		s.blockZones(true, "c")
-		s.letRun(500 * time.Millisecond)
-		s.blockZones(true, "b")
-		s.awaitState("b", "trying")
-		s.awaitState("c", "trying")
-		s.requireState("a", "in", time.Second)
-		s.blockZones(false, "b", "c")
-		s.awaitState("b", "in")
-		s.awaitState("c", "in")
+	"two zones half a second apart": {play: func(h *harness) {
+		h.blockZones(true, "c")
+		h.letRun(500 * time.Millisecond)
+		h.blockZones(true, "b")
+		h.awaitState("b", "trying")
+		h.awaitState("c", "trying")
+		h.requireState("a", "in", time.Second)
+		h.blockZones(false, "b", "c")
+		h.awaitState("b", "in")
+		h.awaitState("c", "in")
 	}},
-	"a cause common to all leaves nobody": {play: func(s *harness) {
-		s.setServiceTime(unresponsiveServiceTime, zoneNames...)
-		s.requireState("a", "in", 0)
-		s.requireAllInUse(3 * time.Second)
-		s.setServiceTime(s.ServiceTime, zoneNames...)
-		s.Fleet.Origin.SetService(600*time.Millisecond, 8)
-		for _, b := range s.Fleet.Caches {
+	"a cause common to all leaves nobody": {play: func(h *harness) {
+		h.setServiceTime(unresponsiveServiceTime, zoneNames...)
+		h.requireState("a", "in", 0)
+		h.requireAllInUse(3 * time.Second)
+		h.setServiceTime(h.ServiceTime, zoneNames...)
+		h.Fleet.Origin.SetService(600*time.Millisecond, 8)
+		for _, b := range h.Fleet.Caches {
 			b.Clear()
 		}
-		s.requireAllInUse(3 * time.Second)
-		bad := s.Fleet.CachesIn("c")[0]
+		h.requireAllInUse(3 * time.Second)
+		bad := h.Fleet.CachesIn("c")[0]
 		bad.SetFault(standin.Stall)
-		s.requireAllInUse(3 * time.Second)
+		h.requireAllInUse(3 * time.Second)
 	}},
-	"a zone that flaps waits longer each time": {play: func(s *harness) {
+	"a zone that flaps waits longer each time": {play: func(h *harness) {
 		var out []time.Duration
 		for range 3 {
-			s.blockZones(true, "c")
-			s.awaitState("c", "out")
-			out = append(out, s.awaitState("c", "trying"))
-			s.blockZones(false, "c")
-			s.awaitState("c", "returning")
+			h.blockZones(true, "c")
+			h.awaitState("c", "out")
+			out = append(out, h.awaitState("c", "trying"))
+			h.blockZones(false, "c")
+			h.awaitState("c", "returning")
 		}
 		if out[2] < 2*out[0] {
-			s.t.Errorf("it was out for %v", out)
+			h.t.Errorf("it was out for %v", out)
 		}
-		s.awaitState("c", "in")
+		h.awaitState("c", "in")
 	}},
-	"out by hand": {play: func(s *harness) {
-		told, err := s.Proxies[4].SetZoneMode("out", "c")
+	"out by hand": {play: func(h *harness) {
+		report, err := h.Proxies[4].SetZoneMode("out", "c")
 		from := time.Now().Add(250 * time.Millisecond)
-		late := standin.MeasureSchedulingDelay()
-		if err != nil || len(told.Notified) != len(s.Proxies) {
-			s.t.Fatalf("told %+v, %v", told, err)
-		}
-		s.awaitState("c", "out")
-		s.ExpectLoss("n4", time.Now(), time.Now().Add(time.Hour))
-		s.Proxies[4].Kill()
-		s.letRun(2 * time.Second)
-		lateBy := late.Stop()
-		if n := s.totalSent("c", from.Add(100*time.Millisecond), time.Now()); n > 0 {
-			s.t.Errorf("%d requests went to a zone that was out by hand; the rig's own goroutines were late by %v", n, lateBy)
-			s.logSent("c", from.Add(-500*time.Millisecond), time.Now())
-			s.logStatus()
-		}
-		if _, err := s.Proxies[1].SetZoneMode("auto", "c"); err != nil {
-			s.t.Fatal(err)
-		}
-		s.awaitState("c", "returning", "n4")
-		s.awaitState("c", "in", "n4")
+		delay := standin.MeasureSchedulingDelay()
+		if err != nil || len(report.Notified) != len(h.Proxies) {
+			h.t.Fatalf("told %+v, %v", report, err)
+		}
+		h.awaitState("c", "out")
+		h.ExpectLoss("n4", time.Now(), time.Now().Add(time.Hour))
+		h.Proxies[4].Kill()
+		h.letRun(2 * time.Second)
+		lateBy := delay.Stop()
+		if n := h.totalSent("c", from.Add(100*time.Millisecond), time.Now()); n > 0 {
+			h.t.Errorf("%d requests went to a zone that was out by hand; the rig's own goroutines were late by %v", n, lateBy)
+			h.logSent("c", from.Add(-500*time.Millisecond), time.Now())
+			h.logStatus()
+		}
+		if _, err := h.Proxies[1].SetZoneMode("auto", "c"); err != nil {
+			h.t.Fatal(err)
+		}
+		h.awaitState("c", "returning", "n4")
+		h.awaitState("c", "in", "n4")
 	}},
 }
 
@@ -439,7 +439,7 @@
 // any moment, and the predecessor is not reported as lost.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, Options{})
+	h := newHarness(t, Options{})
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -449,7 +449,7 @@
 				return
 			case <-time.After(10 * time.Millisecond):
 			}
-			v, err := s.Proxies[0].View()
+			v, err := h.Proxies[0].View()
 			if err != nil {
 				t.Error(err)
 				return
@@ -466,23 +466,23 @@
 			}
 		}
 	}()
-	s.blockZones(true, "c")
-	s.awaitState("c", "trying")
+	h.blockZones(true, "c")
+	h.awaitState("c", "trying")
 	for range 3 {
-		since, from := s.Proxies[4].Pid(), time.Now()
-		if err := s.Proxies[4].Upgrade(); err != nil || s.Proxies[4].Pid() == since {
+		since, from := h.Proxies[4].Pid(), time.Now()
+		if err := h.Proxies[4].Upgrade(); err != nil || h.Proxies[4].Pid() == since {
 			t.Fatal(err)
 		}
 		// connections without a request are closed, and a request may be sent at the same moment
-		s.ExpectLoss("n4", from, time.Now())
-		s.awaitState("c", "trying")
+		h.ExpectLoss("n4", from, time.Now())
+		h.awaitState("c", "trying")
 	}
 	close(quit)
 	<-done
-	s.blockZones(false, "c")
-	s.awaitState("c", "in")
-	s.Stop()
-	for _, b := range s.Violations() {
+	h.blockZones(false, "c")
+	h.awaitState("c", "in")
+	h.Stop()
+	for _, b := range h.Violations() {
 		t.Error(b)
 	}
 }
@@ -494,15 +494,15 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			s := newHarness(t, Options{})
-			if err := RunEvents(s.Schedule(s.Clients, seed, 12*time.Second), t.Logf); err != nil {
+			h := newHarness(t, Options{})
+			if err := RunEvents(h.Schedule(h.Clients, seed, 12*time.Second), t.Logf); err != nil {
 				t.Fatal(err)
 			}
 			for _, z := range zoneNames {
-				s.awaitState(z, "in")
+				h.awaitState(z, "in")
 			}
-			s.Stop()
-			for _, b := range s.Violations() {
+			h.Stop()
+			for _, b := range h.Violations() {
 				t.Error(b)
 			}
 		})
@@ -513,10 +513,10 @@
 // An instance's own number, zone or address makes no other version.
 func TestVersionsAreReported(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, Options{OperatorConfig: "[joining]\n"})
+	h := newHarness(t, Options{OperatorConfig: "[joining]\n"})
 	versions := func() (programs, settings map[string]int) {
 		programs, settings = map[string]int{}, map[string]int{}
-		v, err := s.Proxies[0].View()
+		v, err := h.Proxies[0].View()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -529,8 +529,8 @@
 	if p, c := versions(); len(p) != 1 || len(c) != 1 {
 		t.Fatalf("programs %v, settings %v: all are alike", p, c)
 	}
-	p := s.Proxies[3]
-	path := filepath.Join(s.Dir, p.Name+".json")
+	p := h.Proxies[3]
+	path := filepath.Join(h.Dir, p.Name+".json")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -550,20 +550,20 @@
 // An instance with another cluster name or another key is not accepted by the others.
 func TestForeignInstancesAreRejected(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, Options{})
+	h := newHarness(t, Options{})
 	for i, change := range [][2]string{{"[zones]", "cluster = \"another\"\n[zones]"}, {"/key\"", "/other\""}} {
-		p := s.Proxies[4+i]
-		s.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
+		p := h.Proxies[4+i]
+		h.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 		if err := p.Stop(); err != nil {
 			t.Fatal(err)
 		}
-		path := filepath.Join(s.Dir, p.Name+".toml")
+		path := filepath.Join(h.Dir, p.Name+".toml")
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = []byte(strings.Replace(string(text), change[0], change[1], 1))
-		if err := errors.Join(os.WriteFile(path, text, 0o600), os.WriteFile(filepath.Join(s.Dir, "other"), []byte(strings.Repeat("ab", 32)), 0o600)); err != nil {
+		if err := errors.Join(os.WriteFile(path, text, 0o600), os.WriteFile(filepath.Join(h.Dir, "other"), []byte(strings.Repeat("ab", 32)), 0o600)); err != nil {
 			t.Fatal(err)
 		}
 		if err := p.Start(); err != nil {
@@ -576,26 +576,26 @@
 			t.Errorf("%s knows %+v, %v", p.Name, v.Members, err)
 		}
 	}
-	for _, p := range s.Proxies[:4] {
+	for _, p := range h.Proxies[:4] {
 		if v, err := p.View(); err != nil || len(v.Members) != 4 {
 			t.Errorf("%s knows %+v, %v", p.Name, v.Members, err)
 		}
 	}
-	s.blockZones(true, "b") // the remaining instances decide together, and each foreign instance on its own
-	s.awaitState("b", "trying", "n4", "n5")
-	s.blockZones(false, "b")
-	s.awaitState("b", "in", "n4", "n5")
+	h.blockZones(true, "b") // the remaining instances decide together, and each foreign instance on its own
+	h.awaitState("b", "trying", "n4", "n5")
+	h.blockZones(false, "b")
+	h.awaitState("b", "in", "n4", "n5")
 }
 
 // requireAllInUse fails the test if a running proxy doesn't fully use every zone within a period.
-func (s *harness) requireAllInUse(d time.Duration) {
-	s.t.Helper()
+func (h *harness) requireAllInUse(d time.Duration) {
+	h.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		for _, p := range s.Proxies {
+		for _, p := range h.Proxies {
 			v, err := p.View()
 			for _, z := range v.Zones {
 				if err == nil && z.Share < 1 {
-					s.t.Fatalf("%s says that %s is %s", p.Name, z.Name, z.State)
+					h.t.Fatalf("%s says that %s is %s", p.Name, z.Name, z.State)
 				}
 			}
 		}
@@ -604,25 +604,25 @@
 
 func TestZones(t *testing.T) {
 	t.Parallel()
-	for name, c := range zoneScenarios {
+	for name, scenario := range zoneScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newHarness(t, c.o)
+			h := newHarness(t, scenario.o)
 			defer func() {
 				if t.Failed() {
-					for _, p := range s.Proxies {
+					for _, p := range h.Proxies {
 						for _, l := range p.LogLines("msg=zone ") {
 							t.Log(l)
 						}
 					}
 				}
 			}()
-			c.play(s)
-			s.Stop()
-			for _, b := range s.Violations() {
+			scenario.play(h)
+			h.Stop()
+			for _, b := range h.Violations() {
 				t.Error(b)
 			}
-			if all := s.Requests(time.Time{}, time.Now()); len(all) < 500 {
+			if all := h.Requests(time.Time{}, time.Now()); len(all) < 500 {
 				t.Errorf("only %d requests were asked", len(all))
 			}
 		})
--- a/internal/cluster/copies_test.go
+++ b/internal/cluster/copies_test.go
@@ -16,30 +16,30 @@
 // attempt is outstanding.
 func TestOneAttemptAtATime(t *testing.T) {
 	t.Parallel()
-	copies := standin.NewDuplicateChecker()
-	s := newHarness(t, Options{Duplicates: copies})
-	for _, p := range s.Proxies {
+	duplicates := standin.NewDuplicateChecker()
+	h := newHarness(t, Options{Duplicates: duplicates})
+	for _, p := range h.Proxies {
 		for _, zone := range zoneNames {
-			for _, b := range s.CachesIn(zone) {
+			for _, b := range h.CachesIn(zone) {
 				if zone != p.Zone {
-					s.Link(p.Name, b).SetBoth(Impairment{Delay: crossZoneDelay})
+					h.Link(p.Name, b).SetBoth(Impairment{Delay: crossZoneDelay})
 				}
 			}
 		}
 	}
 	for turn, fault := range []standin.Fault{standin.Stall, standin.Reset, standin.Malformed, standin.Busy, standin.Intermittent, standin.Stall} {
 		zone := zoneNames[turn%len(zoneNames)]
-		s.setFault(fault, zone)
-		s.letRun(time.Second)
-		s.setFault(standin.Healthy, zone)
+		h.setFault(fault, zone)
+		h.letRun(time.Second)
+		h.setFault(standin.Healthy, zone)
 	}
-	s.Stop()
-	all, further := copies.Attempts()
+	h.Stop()
+	all, further := duplicates.Attempts()
 	t.Logf("%d attempts, %d of them further ones", all, further)
 	if further < 50 {
 		t.Errorf("only %d further attempts", further)
 	}
-	if v := copies.Violations(); len(v) > 0 {
+	if v := duplicates.Violations(); len(v) > 0 {
 		t.Errorf("%d second copies:\n%s", len(v), strings.Join(v[:min(10, len(v))], "\n"))
 	}
 }
--- a/internal/cluster/deadlines_test.go
+++ b/internal/cluster/deadlines_test.go
@@ -17,28 +17,28 @@
 func TestNoDeadlineExceedsTheTimeLeft(t *testing.T) {
 	t.Parallel()
 	deadlines := &standin.DeadlineChecker{}
-	s := newHarness(t, Options{Deadlines: deadlines})
+	h := newHarness(t, Options{Deadlines: deadlines})
 	late := standin.MeasureSchedulingDelay()
-	s.setFault(standin.Stall, "a")
-	s.setFault(standin.Busy, "b")
-	for _, b := range s.Fleet.CachesIn("c") {
+	h.setFault(standin.Stall, "a")
+	h.setFault(standin.Busy, "b")
+	for _, b := range h.Fleet.CachesIn("c") {
 		b.Clear()
 	}
 	rng := rand.New(rand.NewPCG(54, 0))
 	for turn, end := 0, time.Now().Add(6*time.Second); time.Now().Before(end); turn++ {
-		p := s.Proxies[rng.IntN(len(s.Proxies))]
+		p := h.Proxies[rng.IntN(len(h.Proxies))]
 		if turn%10 == 5 {
 			if err := p.Upgrade(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		p.Pause()
-		s.letRun(time.Duration(1 + rng.Int64N(int64(maxPause))))
+		h.letRun(time.Duration(1 + rng.Int64N(int64(maxPause))))
 		p.Continue()
-		s.letRun(time.Duration(rng.Int64N(int64(maxPause))))
+		h.letRun(time.Duration(rng.Int64N(int64(maxPause))))
 	}
-	s.setFault(standin.Healthy, zoneNames...)
-	s.Stop()
+	h.setFault(standin.Healthy, zoneNames...)
+	h.Stop()
 	deadlines.Slack = standin.DeadlineSlack + 2*late.Stop()
 	first, further := deadlines.Attempts()
 	if first == 0 || further == 0 {
--- a/internal/cluster/disk_test.go
+++ b/internal/cluster/disk_test.go
@@ -13,53 +13,53 @@
 // order.
 func TestUnreliableDisks(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, Options{OperatorConfig: "[orders]\ndir = \"DIR\"\ncompact_at = 200\nsegment = 65536\n",
+	h := newHarness(t, Options{OperatorConfig: "[orders]\ndir = \"DIR\"\ncompact_at = 200\nsegment = 65536\n",
 		Env: []string{unreliableDiskEnv + "=short=0.01 fail=0.01 forget=0 seed=3"}})
-	s.blockZones(true, "c")
-	s.awaitState("c", "trying")
+	h.blockZones(true, "c")
+	h.awaitState("c", "trying")
 	killed := time.Now()
-	for _, p := range s.Proxies[3:] {
-		s.ExpectLoss(p.Name, killed, time.Now().Add(time.Hour))
+	for _, p := range h.Proxies[3:] {
+		h.ExpectLoss(p.Name, killed, time.Now().Add(time.Hour))
 		p.Kill()
 	}
-	if err := os.RemoveAll(s.Proxies[4].Dir); err != nil {
+	if err := os.RemoveAll(h.Proxies[4].Dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(s.Proxies[4].Dir, 0o700); err != nil {
+	if err := os.Mkdir(h.Proxies[4].Dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range s.Proxies[3:] {
+	for _, p := range h.Proxies[3:] {
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.blockZones(false, "c")
-	s.awaitState("c", "in")
-	s.Stop()
-	again, refused := 0, 0
-	for _, a := range s.Requests(time.Time{}, time.Now()) {
-		if !a.IsOrder || a.Outcome == Refused {
+	h.blockZones(false, "c")
+	h.awaitState("c", "in")
+	h.Stop()
+	retried, refused := 0, 0
+	for _, request := range h.Requests(time.Time{}, time.Now()) {
+		if !request.IsOrder || request.Outcome == Refused {
 			continue
 		}
-		b := s.Retry(s.Proxies[a.ProxyNumber()], a)
-		again++
-		if ran := s.Fleet.Origin.Executions()[a.Key]; b.Outcome == Refused && ran > 0 {
-			t.Errorf("%s has run, and its repeat is refused", a.Key)
+		retry := h.Retry(h.Proxies[request.ProxyNumber()], request)
+		retried++
+		if ran := h.Fleet.Origin.Executions()[request.Key]; retry.Outcome == Refused && ran > 0 {
+			t.Errorf("%s has run, and its repeat is refused", request.Key)
 		}
-		if b.Outcome == Refused {
+		if retry.Outcome == Refused {
 			refused++
 		}
 	}
-	for key, n := range s.Fleet.Origin.Executions() {
+	for key, n := range h.Fleet.Origin.Executions() {
 		if n > 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
-	for _, b := range s.Violations() {
-		t.Error(b)
+	for _, retry := range h.Violations() {
+		t.Error(retry)
 	}
-	if again < 50 {
-		t.Errorf("only %d orders were repeated", again)
+	if retried < 50 {
+		t.Errorf("only %d orders were repeated", retried)
 	}
-	t.Logf("%d orders repeated, %d refused as never run", again, refused)
+	t.Logf("%d orders repeated, %d refused as never run", retried, refused)
 }
--- a/internal/cluster/liar_test.go
+++ b/internal/cluster/liar_test.go
@@ -31,35 +31,35 @@
 
 // addRogueInstance adds a rogue instance, which sends the messages that made returns to all others, one
 // every 2 ms until the test ends.
-func (s *harness) addRogueInstance(made func(n int) zones.Message) {
-	t := s.t
+func (h *harness) addRogueInstance(makeMessage func(n int) zones.Message) {
+	t := h.t
 	t.Helper()
-	for _, p := range s.Proxies {
-		s.addLink(proxyName(rogueNumber), p.Name)
-		s.addLink(p.Name, proxyName(rogueNumber))
+	for _, p := range h.Proxies {
+		h.addLink(proxyName(rogueNumber), p.Name)
+		h.addLink(p.Name, proxyName(rogueNumber))
 	}
 	key, err := hex.DecodeString(gossipKeyHex)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &rogueInstance{meta: fmt.Appendf(nil, `{"n":"liar","i":%d,"z":"a","s":1,"d":true}`, rogueNumber)}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label, c.SecretKey, c.Delegate = "liar@1", "linenloom", key, l
-	c.BindAddr, c.BindPort, c.AdvertisePort = fmt.Sprintf("%s%d", s.subnet, rogueNumber+1), gossipPort, gossipPort
-	c.Logger = log.New(io.Discard, "", 0)
-	if l.list, err = memberlist.Create(c); err != nil {
+	rogue := &rogueInstance{meta: fmt.Appendf(nil, `{"n":"liar","i":%d,"z":"a","s":1,"d":true}`, rogueNumber)}
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.Label, config.SecretKey, config.Delegate = "liar@1", "linenloom", key, rogue
+	config.BindAddr, config.BindPort, config.AdvertisePort = fmt.Sprintf("%s%d", h.subnet, rogueNumber+1), gossipPort, gossipPort
+	config.Logger = log.New(io.Discard, "", 0)
+	if rogue.list, err = memberlist.Create(config); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.list.Shutdown() })
+	t.Cleanup(func() { rogue.list.Shutdown() })
 	// Its connections come from an address without a link. The others reach it by calling it instead.
 	if err := Eventually("the liar is a member", func() bool {
-		for _, p := range s.Proxies {
-			raw := net.JoinHostPort(fmt.Sprintf("%s%d", s.subnet, 1+p.Number), fmt.Sprint(gossipPort))
-			if n, err := l.list.Join([]string{raw}); err != nil || n == 0 {
+		for _, p := range h.Proxies {
+			raw := net.JoinHostPort(fmt.Sprintf("%s%d", h.subnet, 1+p.Number), fmt.Sprint(gossipPort))
+			if n, err := rogue.list.Join([]string{raw}); err != nil || n == 0 {
 				return false
 			}
 		}
-		return l.list.NumMembers() == len(s.Proxies)+1
+		return rogue.list.NumMembers() == len(h.Proxies)+1
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -72,10 +72,10 @@
 				return
 			case <-time.After(2 * time.Millisecond):
 			}
-			msg := made(n)
-			for _, m := range l.list.Members() {
-				if m.Name != c.Name {
-					l.list.SendBestEffort(m, msg.Append(nil))
+			msg := makeMessage(n)
+			for _, m := range rogue.list.Members() {
+				if m.Name != config.Name {
+					rogue.list.SendBestEffort(m, msg.Append(nil))
 				}
 			}
 		}
@@ -86,31 +86,31 @@
 // decision, and by reporting that all is well it doesn't keep the others from leaving a failing zone.
 func TestRogueInstance(t *testing.T) {
 	t.Parallel()
-	bad := zones.ZoneStats{Judged: 1000, Bad: 1000, Silent: 1000, TrimmedJudged: 600, TrimmedBad: 600}
-	good := zones.ZoneStats{Judged: 1000, TrimmedJudged: 600}
-	say := good
-	lies := make(chan zones.ZoneStats, 1)
-	s := newHarness(t, Options{})
-	s.addRogueInstance(func(n int) zones.Message {
+	allBad := zones.ZoneStats{Judged: 1000, Bad: 1000, Silent: 1000, TrimmedJudged: 600, TrimmedBad: 600}
+	allGood := zones.ZoneStats{Judged: 1000, TrimmedJudged: 600}
+	current := allGood
+	reported := make(chan zones.ZoneStats, 1)
+	h := newHarness(t, Options{})
+	h.addRogueInstance(func(n int) zones.Message {
 		select {
-		case say = <-lies:
+		case current = <-reported:
 		default:
 		}
-		return zones.Message{From: rogueNumber, Report: &zones.Report{Number: rogueNumber, StartedAtMS: 1, Seq: uint64(n), Zones: []zones.ZoneStats{say, say, say}},
+		return zones.Message{From: rogueNumber, Report: &zones.Report{Number: rogueNumber, StartedAtMS: 1, Seq: uint64(n), Zones: []zones.ZoneStats{current, current, current}},
 			Verdict: &zones.Verdict{Epoch: 1, DecidedBy: rogueNumber, Zones: []zones.Zone{{Share: zones.FullShare}, {Share: zones.FullShare}, {State: zones.StateOut}}}}
 	})
-	lies <- bad
+	reported <- allBad
 	// The very first verdict is accepted from any member: the zones that it closes are probed, found
 	// healthy and returned to.
-	s.awaitState("c", "in")
-	s.requireAllInUse(3 * time.Second)
-	lies <- good
-	s.blockZones(true, "c")
-	s.awaitState("c", "trying")
-	s.blockZones(false, "c")
-	s.awaitState("c", "in")
-	s.Stop()
-	for _, b := range s.Violations() {
+	h.awaitState("c", "in")
+	h.requireAllInUse(3 * time.Second)
+	reported <- allGood
+	h.blockZones(true, "c")
+	h.awaitState("c", "trying")
+	h.blockZones(false, "c")
+	h.awaitState("c", "in")
+	h.Stop()
+	for _, b := range h.Violations() {
 		t.Error(b)
 	}
 }
--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -46,39 +46,39 @@
 	onRequest func(id, attrs string)
 }
 
-func newLink(start time.Time, own []byte) *Link {
-	return &Link{changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, idPrefix: own, requestBins: map[int64]int{}, start: start}
+func newLink(start time.Time, idPrefix []byte) *Link {
+	return &Link{changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, idPrefix: idPrefix, requestBins: map[int64]int{}, start: start}
 }
 
 // Set sets the impairment of one direction.
-func (l *Link) Set(w Direction, t Impairment) {
+func (l *Link) Set(direction Direction, impairment Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.impairments[w] = t
+	l.impairments[direction] = impairment
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // SetBoth sets the impairment of both directions.
-func (l *Link) SetBoth(t Impairment) {
-	l.Set(Forward, t)
-	l.Set(Backward, t)
+func (l *Link) SetBoth(impairment Impairment) {
+	l.Set(Forward, impairment)
+	l.Set(Backward, impairment)
 }
 
 // Reset resets all connections, as a crashing process does.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.conns {
-		reset(c)
+	for conn := range l.conns {
+		reset(conn)
 	}
 }
 
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+func reset(conn net.Conn) {
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		tcpConn.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
 // RequestsSent returns how many requests were sent in the Forward direction in a period, to a tenth of a
@@ -111,40 +111,40 @@
 }
 
 // observeConns sets the function that returns the observers of later connections.
-func (l *Link) observeConns(watch func(from net.Conn) *standin.Observer) {
+func (l *Link) observeConns(observe func(from net.Conn) *standin.Observer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe = watch
+	l.observe = observe
 }
 
 // notifyRequests sets a function that is called for each request that later connections have forwarded.
-func (l *Link) notifyRequests(asked func(id, attrs string)) {
+func (l *Link) notifyRequests(onRequest func(id, attrs string)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.onRequest = asked
+	l.onRequest = onRequest
 }
 
 // awaitPassage waits until a piece that arrived at the given time may pass. It returns false if the
 // connection has ended.
-func (l *Link) awaitPassage(w Direction, came time.Time, ended <-chan struct{}) bool {
+func (l *Link) awaitPassage(direction Direction, arrivedAt time.Time, ended <-chan struct{}) bool {
 	return standin.AwaitRelease(ended, func() (bool, time.Time, <-chan struct{}) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.impairments[w].Blocked, came.Add(l.impairments[w].Delay), l.changed
+		return l.impairments[direction].Blocked, arrivedAt.Add(l.impairments[direction].Delay), l.changed
 	})
 }
 
 // serve relays the connections of a listener.
-func (l *Link) serve(from net.Listener, to string) {
-	standin.AcceptEach(from, func(conn net.Conn) { go l.relay(conn, to) })
+func (l *Link) serve(listener net.Listener, to string) {
+	standin.AcceptEach(listener, func(conn net.Conn) { go l.relay(conn, to) })
 }
 
 // relay relays one connection.
 func (l *Link) relay(in net.Conn, to string) {
 	l.mu.Lock()
-	lose, watch, asked := l.impairments[Forward].LossRate, l.observe, l.onRequest
+	lossRate, observe, onRequest := l.impairments[Forward].LossRate, l.observe, l.onRequest
 	l.mu.Unlock()
-	if lose > 0 && rand.Float64() < lose {
+	if lossRate > 0 && rand.Float64() < lossRate {
 		reset(in)
 		return
 	}
@@ -166,30 +166,30 @@
 	l.mu.Lock()
 	l.conns[in], l.conns[out] = struct{}{}, struct{}{}
 	l.mu.Unlock()
-	w := &standin.Observer{}
-	if watch != nil {
-		w = watch(in)
+	observer := &standin.Observer{}
+	if observe != nil {
+		observer = observe(in)
 	}
-	passed := w.MemberReceived
-	if asked != nil {
-		passed = standin.ObserveRequests(asked).ProxyWrote
+	afterWrite := observer.MemberReceived
+	if onRequest != nil {
+		afterWrite = standin.ObserveRequests(onRequest).ProxyWrote
 	}
 	go func() {
 		defer end()
-		standin.Forward(out, in, ended, l.holdFunc(Backward, ended), standin.ForwardHooks{OnRead: w.MemberReplied})
+		standin.Forward(out, in, ended, l.holdFunc(Backward, ended), standin.ForwardHooks{OnRead: observer.MemberReplied})
 	}()
 	defer end()
-	took := func(b []byte) {
+	onRead := func(b []byte) {
 		l.countRequests(b)
-		w.ProxyWrote(b)
+		observer.ProxyWrote(b)
 	}
-	standin.Forward(in, out, ended, l.holdFunc(Forward, ended), standin.ForwardHooks{OnRead: took, BeforeWrite: w.Forwarding, AfterWrite: passed})
+	standin.Forward(in, out, ended, l.holdFunc(Forward, ended), standin.ForwardHooks{OnRead: onRead, BeforeWrite: observer.Forwarding, AfterWrite: afterWrite})
 }
 
 // holdFunc returns the hold function of standin.Forward for one direction of a connection. The end of a
 // stream is held as well: a blocked link hides it.
-func (l *Link) holdFunc(w Direction, ended <-chan struct{}) func(came time.Time) bool {
-	return func(came time.Time) bool { return l.awaitPassage(w, came, ended) }
+func (l *Link) holdFunc(direction Direction, ended <-chan struct{}) func(arrivedAt time.Time) bool {
+	return func(arrivedAt time.Time) bool { return l.awaitPassage(direction, arrivedAt, ended) }
 }
 
 // gossipRelay relays UDP and TCP to an instance's gossip address. The source address determines the
@@ -202,26 +202,26 @@
 	datagramBytes atomic.Int64 // received
 }
 
-func newGossipRelay(at, to string, link func(net.IP) *Link) (*gossipRelay, error) {
-	udp, err := net.ListenPacket("udp", at)
+func newGossipRelay(listenAddr, target string, linkFrom func(net.IP) *Link) (*gossipRelay, error) {
+	udp, err := net.ListenPacket("udp", listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	tcp, err := net.Listen("tcp", at)
+	tcp, err := net.Listen("tcp", listenAddr)
 	if err != nil {
 		udp.Close()
 		return nil, err
 	}
-	g := &gossipRelay{udp: udp, tcp: tcp, target: to, linkFrom: link}
-	go g.relayDatagrams()
+	relay := &gossipRelay{udp: udp, tcp: tcp, target: target, linkFrom: linkFrom}
+	go relay.relayDatagrams()
 	go standin.AcceptEach(tcp, func(conn net.Conn) {
-		if l := link(conn.RemoteAddr().(*net.TCPAddr).IP); l != nil {
-			go l.relay(conn, to)
+		if link := linkFrom(conn.RemoteAddr().(*net.TCPAddr).IP); link != nil {
+			go link.relay(conn, target)
 		} else {
 			reset(conn)
 		}
 	})
-	return g, nil
+	return relay, nil
 }
 
 func (g *gossipRelay) close() {
@@ -230,32 +230,32 @@
 }
 
 func (g *gossipRelay) relayDatagrams() {
-	to, err := net.ResolveUDPAddr("udp", g.target)
+	target, err := net.ResolveUDPAddr("udp", g.target)
 	if err != nil {
 		panic(fmt.Sprintf("cluster: %v", err)) // it was built from an IP and a port
 	}
-	buf := make([]byte, 64<<10)
+	buffer := make([]byte, 64<<10)
 	for {
-		n, from, err := g.udp.ReadFrom(buf)
+		n, from, err := g.udp.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
 		g.datagramBytes.Add(int64(n))
-		l := g.linkFrom(from.(*net.UDPAddr).IP)
-		if l == nil {
+		link := g.linkFrom(from.(*net.UDPAddr).IP)
+		if link == nil {
 			continue
 		}
-		l.mu.Lock()
-		t := l.impairments[Forward]
-		l.mu.Unlock()
-		if t.Blocked || rand.Float64() < t.LossRate {
+		link.mu.Lock()
+		impairment := link.impairments[Forward]
+		link.mu.Unlock()
+		if impairment.Blocked || rand.Float64() < impairment.LossRate {
 			continue
 		}
-		if t.Delay == 0 {
-			g.udp.WriteTo(buf[:n], to)
+		if impairment.Delay == 0 {
+			g.udp.WriteTo(buffer[:n], target)
 			continue
 		}
-		b := slices.Clone(buf[:n])
-		time.AfterFunc(t.Delay, func() { g.udp.WriteTo(b, to) })
+		datagram := slices.Clone(buffer[:n])
+		time.AfterFunc(impairment.Delay, func() { g.udp.WriteTo(datagram, target) })
 	}
 }
--- a/internal/cluster/process.go
+++ b/internal/cluster/process.go
@@ -30,54 +30,54 @@
 
 // Start starts a program and waits until a text appears in its log on standard error.
 func Start(ready string, env []string, name string, args ...string) (*Process, error) {
-	p := &Process{cmd: exec.Command(name, args...), logged: make(chan struct{}), done: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), env...)
-	out, err := p.cmd.StderrPipe()
+	process := &Process{cmd: exec.Command(name, args...), logged: make(chan struct{}), done: make(chan struct{})}
+	process.cmd.Env = append(os.Environ(), env...)
+	out, err := process.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := process.cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		defer close(p.done)
+		defer close(process.done)
 		in := bufio.NewScanner(out)
 		in.Buffer(nil, 1<<20)
 		for in.Scan() {
-			p.mu.Lock()
-			p.lines = append(p.lines[max(0, len(p.lines)-maxLogLines+1):], in.Text())
-			close(p.logged)
-			p.logged = make(chan struct{})
-			p.mu.Unlock()
+			process.mu.Lock()
+			process.lines = append(process.lines[max(0, len(process.lines)-maxLogLines+1):], in.Text())
+			close(process.logged)
+			process.logged = make(chan struct{})
+			process.mu.Unlock()
 		}
-		p.cmd.Wait()
+		process.cmd.Wait()
 	}()
-	if _, err := p.WaitForLog(ready, WaitTimeout); err != nil {
-		p.Kill()
+	if _, err := process.WaitForLog(ready, WaitTimeout); err != nil {
+		process.Kill()
 		return nil, fmt.Errorf("%s: %w", filepath.Base(name), err)
 	}
-	return p, nil
+	return process, nil
 }
 
 // WaitForLog waits until a text appears in the log, and returns the first line with it.
 func (p *Process) WaitForLog(text string, within time.Duration) (string, error) {
-	limit := time.After(within)
+	timeout := time.After(within)
 	for {
 		p.mu.Lock()
-		said := p.logged
+		logged := p.logged
 		last := ""
-		for _, l := range p.lines {
-			if last = l; strings.Contains(l, text) {
+		for _, line := range p.lines {
+			if last = line; strings.Contains(line, text) {
 				p.mu.Unlock()
-				return l, nil
+				return line, nil
 			}
 		}
 		p.mu.Unlock()
 		select {
-		case <-said:
+		case <-logged:
 		case <-p.done:
 			return "", fmt.Errorf("it ended before it said %q; it said last %q", text, last)
-		case <-limit:
+		case <-timeout:
 			return "", fmt.Errorf("it never said %q; it said last %q", text, last)
 		}
 	}
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -63,32 +63,32 @@
 }
 
 // Explore tries all orders of steps up to the depth.
-func Explore(make_ func() Model, o Options) Report {
-	o.MaxFaults = max(1, o.MaxFaults)
-	e := &explorer{newModel: make_, options: o, seen: map[[16]byte]int{}}
+func Explore(newModel func() Model, options Options) Report {
+	options.MaxFaults = max(1, options.MaxFaults)
+	e := &explorer{newModel: newModel, options: options, seen: map[[16]byte]int{}}
 	e.report.Complete = true
-	e.visit(make_(), nil)
+	e.visit(newModel(), nil)
 	return e.report
 }
 
 // visit explores a state. It consumes the model.
 func (e *explorer) visit(m Model, path []string) {
-	if broken := m.Violations(); len(broken) > 0 {
-		e.addFault(path, broken)
+	if violations := m.Violations(); len(violations) > 0 {
+		e.addFault(path, violations)
 		return
 	}
-	left := e.options.Depth - len(path)
+	remaining := e.options.Depth - len(path)
 	key := m.Key()
-	if most, ok := e.seen[key]; ok && most >= left {
+	if visited, ok := e.seen[key]; ok && visited >= remaining {
 		return
 	} else if !ok {
 		e.report.States++
 	}
-	e.seen[key] = left
+	e.seen[key] = remaining
 	e.report.MaxDepth = max(e.report.MaxDepth, len(path))
 	steps := m.Steps()
-	if left > 0 {
-		for _, s := range steps {
+	if remaining > 0 {
+		for _, step := range steps {
 			if e.limitReached() {
 				return
 			}
@@ -96,8 +96,8 @@
 				m = e.replay(path)
 			}
 			e.report.Transitions++
-			m.Do(s)
-			e.visit(m, append(path[:len(path):len(path)], s))
+			m.Do(step)
+			e.visit(m, append(path[:len(path):len(path)], step))
 			m = nil
 		}
 	}
@@ -110,13 +110,13 @@
 	}
 	m.Finish()
 	e.report.Finishes++
-	if broken := m.Violations(); len(broken) > 0 {
-		e.addFault(append(path[:len(path):len(path)], "the end"), broken)
+	if violations := m.Violations(); len(violations) > 0 {
+		e.addFault(append(path[:len(path):len(path)], "the end"), violations)
 	}
 }
 
-func (e *explorer) addFault(path, broken []string) {
-	e.report.Faults = append(e.report.Faults, Fault{Steps: path, Violations: broken})
+func (e *explorer) addFault(path, violations []string) {
+	e.report.Faults = append(e.report.Faults, Fault{Steps: path, Violations: violations})
 }
 
 func (e *explorer) limitReached() bool {
@@ -136,21 +136,21 @@
 }
 
 // Walk executes the given number of random steps from a seed, and then runs the system to its end.
-func Walk(m Model, seed uint64, steps int) (f Fault) {
-	rng := rand.New(rand.NewPCG(seed, 17))
+func Walk(m Model, seed uint64, steps int) (fault Fault) {
+	random := rand.New(rand.NewPCG(seed, 17))
 	for range steps {
-		all := m.Steps()
-		if len(all) == 0 {
+		possible := m.Steps()
+		if len(possible) == 0 {
 			break
 		}
-		s := all[rng.IntN(len(all))]
-		f.Steps = append(f.Steps, s)
-		m.Do(s)
-		if f.Violations = m.Violations(); len(f.Violations) > 0 {
-			return f
+		step := possible[random.IntN(len(possible))]
+		fault.Steps = append(fault.Steps, step)
+		m.Do(step)
+		if fault.Violations = m.Violations(); len(fault.Violations) > 0 {
+			return fault
 		}
 	}
 	m.Finish()
-	f.Violations = m.Violations()
-	return f
+	fault.Violations = m.Violations()
+	return fault
 }
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -46,16 +46,16 @@
 )
 
 // NewZoneModel returns the model after the election of a leader.
-func NewZoneModel(s ZoneScenario) *ZoneModel {
-	f := &ZoneModel{Scenario: s, now: time.Hour, failing: make([]bool, zoneCount), zeroShareAt: map[[2]int]time.Duration{}}
-	f.machines = make([]*zones.Machine, instanceCount)
-	for i := range f.machines {
-		f.start(i)
+func NewZoneModel(scenario ZoneScenario) *ZoneModel {
+	model := &ZoneModel{Scenario: scenario, now: time.Hour, failing: make([]bool, zoneCount), zeroShareAt: map[[2]int]time.Duration{}}
+	model.machines = make([]*zones.Machine, instanceCount)
+	for i := range model.machines {
+		model.start(i)
 	}
 	for range 3 { // until there is a leader
-		f.runRound(nil, false)
+		model.runRound(nil, false)
 	}
-	return f
+	return model
 }
 
 func (f *ZoneModel) start(i int) {
@@ -79,8 +79,8 @@
 	if f.machines[0] != nil {
 		steps = append(steps, "crash 0", "out by hand", "auto by hand")
 	}
-	for z, bad := range f.failing {
-		if bad {
+	for z, failing := range f.failing {
+		if failing {
 			steps = append(steps, fmt.Sprint("well ", z))
 		} else {
 			steps = append(steps, fmt.Sprint("fails ", z))
@@ -91,14 +91,14 @@
 
 // Do executes one round.
 func (f *ZoneModel) Do(step string) {
-	what, n := step, 0
+	kind, n := step, 0
 	if i := strings.LastIndexByte(step, ' '); i >= 0 {
 		if _, err := fmt.Sscan(step[i+1:], &n); err == nil {
-			what = step[:i]
+			kind = step[:i]
 		}
 	}
 	var lost func(from, to int) bool
-	switch what {
+	switch kind {
 	case "start":
 		f.start(n)
 		for j, m := range f.machines {
@@ -114,15 +114,15 @@
 	case "crash":
 		f.machines[n] = nil
 	case "out by hand", "auto by hand":
-		h := zones.Override{Mode: zones.ModeOut, TimestampMS: int64(f.now / ms)}
-		if what[0] == 'a' {
-			h.Mode = zones.ModeAuto
+		override := zones.Override{Mode: zones.ModeOut, TimestampMS: int64(f.now / ms)}
+		if kind[0] == 'a' {
+			override.Mode = zones.ModeAuto
 		}
-		f.machines[0].SetOverride(f.now, h, 0)
+		f.machines[0].SetOverride(f.now, override, 0)
 	case "fails", "well":
-		f.failing[n] = what == "fails"
+		f.failing[n] = kind == "fails"
 	}
-	f.runRound(lost, what == "everything twice")
+	f.runRound(lost, kind == "everything twice")
 }
 
 // runRound runs three ticks of all running instances, which then receive one another's messages except for
@@ -131,9 +131,9 @@
 	if f.deliveredRounds++; lost != nil {
 		f.deliveredRounds = 0
 	}
-	again := f.repeated
+	repeated := f.repeated
 	f.repeated = nil
-	for _, m := range again {
+	for _, m := range repeated {
 		f.deliver(m)
 	}
 	for range roundTicks {
@@ -144,15 +144,15 @@
 				continue
 			}
 			var peers []zones.Peer
-			for j, o := range f.machines {
+			for j, other := range f.machines {
 				if j != i {
-					peers = append(peers, zones.Peer{Number: j, Zone: j % zoneCount, Alive: o != nil})
+					peers = append(peers, zones.Peer{Number: j, Zone: j % zoneCount, Alive: other != nil})
 				}
 			}
 			m.SetPeers(peers)
-			leads, _ := m.Tick(f.now, f.zoneStats(m), 0)
-			own, v := m.OwnReport(), m.Verdict()
-			msg := zones.Message{From: i, Report: &own, Verdict: &v, FromLeader: leads, Overrides: m.Overrides()}
+			isLeader, _ := m.Tick(f.now, f.zoneStats(m), 0)
+			report, verdict := m.OwnReport(), m.Verdict()
+			msg := zones.Message{From: i, Report: &report, Verdict: &verdict, FromLeader: isLeader, Overrides: m.Overrides()}
 			for j := range f.machines {
 				if j != i && (lost == nil || !lost(i, j)) {
 					sent = append(sent, zoneMessage{i, j, msg.Append(nil)})
@@ -194,20 +194,20 @@
 // zoneStats returns an instance's statistics of the zones, in proportion to the traffic that it sends to
 // each.
 func (f *ZoneModel) zoneStats(m *zones.Machine) []zones.ZoneStats {
-	all := make([]zones.ZoneStats, zoneCount)
-	for z := range all {
+	stats := make([]zones.ZoneStats, zoneCount)
+	for z := range stats {
 		n := 0
-		if share, trial := m.Share(z); share > 0 {
+		if share, probing := m.Share(z); share > 0 {
 			n = 12
-		} else if trial {
+		} else if probing {
 			n = 3
 		}
-		all[z] = zones.ZoneStats{Judged: n, TrimmedJudged: n * 2 / 3}
+		stats[z] = zones.ZoneStats{Judged: n, TrimmedJudged: n * 2 / 3}
 		if f.failing[z] {
-			all[z] = zones.ZoneStats{Judged: n, Bad: n, Silent: n, TrimmedJudged: n * 2 / 3, TrimmedBad: n * 2 / 3}
+			stats[z] = zones.ZoneStats{Judged: n, Bad: n, Silent: n, TrimmedJudged: n * 2 / 3, TrimmedBad: n * 2 / 3}
 		}
 	}
-	return all
+	return stats
 }
 
 // checkBounds checks that each instance uses at least one zone unless one is set out by hand, and that a
@@ -217,27 +217,27 @@
 		if m == nil {
 			continue
 		}
-		open, away := 0, 0
+		inUse, setOut := 0, 0
 		for z := range zoneCount {
 			share, _ := m.Share(z)
 			if share > 0 {
-				open++
+				inUse++
 			}
 			if m.Overrides()[z].Mode == zones.ModeOut {
-				away++
+				setOut++
 				if share > 0 {
 					f.violations = append(f.violations, fmt.Sprintf("instance %d uses zone %d, which is out by hand", i, z))
 				}
 			}
-			k := [2]int{i, z}
+			key := [2]int{i, z}
 			if share == 0 {
-				f.zeroShareAt[k] = f.now
+				f.zeroShareAt[key] = f.now
 			}
-			if at, ok := f.zeroShareAt[k]; ok && share > 0.21+(f.now-at).Seconds()/warmupTime.Seconds() {
+			if at, ok := f.zeroShareAt[key]; ok && share > 0.21+(f.now-at).Seconds()/warmupTime.Seconds() {
 				f.violations = append(f.violations, fmt.Sprintf("instance %d gives zone %d %.2f, %v after it gave none", i, z, share, f.now-at))
 			}
 		}
-		if open == 0 && away == 0 {
+		if inUse == 0 && setOut == 0 {
 			f.violations = append(f.violations, fmt.Sprintf("instance %d uses no zone", i))
 		}
 	}
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -87,29 +87,29 @@
 }
 
 // NewBalancerModel returns the model at the start of a scenario.
-func NewBalancerModel(s Scenario) (*BalancerModel, error) {
-	w := &BalancerModel{scenario: s, start: time.Hour, Now: time.Hour, list: map[logic.MemberID]logic.Member{},
-		coldSends: map[logic.MemberID][]time.Duration{}, changesApplied: make([]bool, len(s.Changes)),
+func NewBalancerModel(scenario Scenario) (*BalancerModel, error) {
+	model := &BalancerModel{scenario: scenario, start: time.Hour, Now: time.Hour, list: map[logic.MemberID]logic.Member{},
+		coldSends: map[logic.MemberID][]time.Duration{}, changesApplied: make([]bool, len(scenario.Changes)),
 		Answers: map[logic.Reason]int{}, Waits: map[logic.Reason]int{}}
-	for _, r := range s.Requests {
-		w.requests = append(w.requests, &request{Request: r})
+	for _, r := range scenario.Requests {
+		model.requests = append(model.requests, &request{Request: r})
 	}
-	var do logic.Actions = host{w}
-	if s.Wrap != nil {
-		do = s.Wrap(w, do)
+	var actions logic.Actions = host{model}
+	if scenario.Wrap != nil {
+		actions = scenario.Wrap(model, actions)
 	}
-	b, err := logic.New(s.Settings, s.Seed, do)
+	b, err := logic.New(scenario.Settings, scenario.Seed, actions)
 	if err != nil {
 		return nil, err
 	}
-	w.Balancer = b
-	b.Start(w.Now)
-	for _, m := range s.Members {
-		w.list[m.ID] = m
+	model.Balancer = b
+	b.Start(model.Now)
+	for _, m := range scenario.Members {
+		model.list[m.ID] = m
 	}
-	b.SetMembers(w.Now, logic.ListCached, s.Members)
-	w.serveReads(s.WarmupReads)
-	return w, nil
+	b.SetMembers(model.Now, logic.ListCached, scenario.Members)
+	model.serveReads(scenario.WarmupReads)
+	return model, nil
 }
 
 // firstWarmupID is greater than all request ids of a scenario.
@@ -117,7 +117,7 @@
 
 // serveReads serves the given number of reads before the scenario begins.
 func (w *BalancerModel) serveReads(reads int) {
-	open := w.requests
+	scenarioRequests := w.requests
 	for i := range reads {
 		w.requests = []*request{{Request: logic.Request{ID: firstWarmupID + logic.RequestID(i), Key: uint64(i) + 1<<32, Deadline: time.Second}}}
 		w.submit(w.requests[0])
@@ -130,7 +130,7 @@
 			}
 		}
 	}
-	w.requests = open
+	w.requests = scenarioRequests
 }
 
 func byTime(a, b timer) int { return cmp.Compare(a.at, b.at) }
@@ -149,9 +149,9 @@
 			if a.ended {
 				continue
 			}
-			for _, s := range w.scenario.Outcomes {
-				if w.isPossible(r, a, s) {
-					steps = append(steps, fmt.Sprintf("%d.%d %v", i, k, s))
+			for _, status := range w.scenario.Outcomes {
+				if w.isPossible(r, a, status) {
+					steps = append(steps, fmt.Sprintf("%d.%d %v", i, k, status))
 				}
 			}
 		}
@@ -217,20 +217,20 @@
 }
 
 // EndAttempt ends an attempt with a status.
-func (w *BalancerModel) EndAttempt(i, k int, s logic.Status) {
+func (w *BalancerModel) EndAttempt(i, k int, status logic.Status) {
 	r := w.requests[i]
-	a := &r.attempts[k]
-	a.ended, a.status, a.maybeRan = true, s, !s.NeverRan()
-	r.missed = s == logic.StatusMiss || r.missed && w.isOrigin(a.member)
-	if s == logic.StatusOK && r.answerCount == 0 && !r.cancelled {
+	ended := &r.attempts[k]
+	ended.ended, ended.status, ended.maybeRan = true, status, !status.NeverRan()
+	r.missed = status == logic.StatusMiss || r.missed && w.isOrigin(ended.member)
+	if status == logic.StatusOK && r.answerCount == 0 && !r.cancelled {
 		r.answerCount = 1
 	}
-	o := logic.Outcome{Request: r.ID, Attempt: k, Member: a.member.ID, Status: s, Elapsed: w.Now - a.sentAt,
+	outcome := logic.Outcome{Request: r.ID, Attempt: k, Member: ended.member.ID, Status: status, Elapsed: w.Now - ended.sentAt,
 		Final: r.answerCount > 0 || r.cancelled}
 	if w.scenario.AlterOutcome != nil {
-		o = w.scenario.AlterOutcome(o)
+		outcome = w.scenario.AlterOutcome(outcome)
 	}
-	w.Balancer.Outcome(w.Now, o)
+	w.Balancer.Outcome(w.Now, outcome)
 }
 
 // runNextTimer advances the time to the next timer and runs it.
@@ -244,15 +244,15 @@
 
 // Finish advances the time without answering any attempt until all requests are past their deadlines.
 func (w *BalancerModel) Finish() {
-	var end time.Duration
+	var lastDeadline time.Duration
 	for _, r := range w.requests {
-		end = max(end, r.Deadline)
+		lastDeadline = max(lastDeadline, r.Deadline)
 	}
-	for w.Now < end && len(w.timers) > 0 {
+	for w.Now < lastDeadline && len(w.timers) > 0 {
 		w.runNextTimer()
 		w.checkRequests()
 	}
-	w.Now = max(w.Now, end)
+	w.Now = max(w.Now, lastDeadline)
 	for i, r := range w.requests {
 		for k := range r.attempts {
 			if !r.attempts[k].ended {
@@ -274,18 +274,18 @@
 
 // Key hashes the module's complete state and what the host remembers.
 func (w *BalancerModel) Key() [16]byte {
-	var s strings.Builder
-	d := w.Balancer.StateDigest()
-	s.Write(d[:])
+	var state strings.Builder
+	digest := w.Balancer.StateDigest()
+	state.Write(digest[:])
 	slices.SortStableFunc(w.timers, byTime)
-	fmt.Fprint(&s, w.timers, w.changesApplied, w.Now)
+	fmt.Fprint(&state, w.timers, w.changesApplied, w.Now)
 	for _, r := range w.requests {
-		fmt.Fprint(&s, r.submitted, r.submittedAt, r.answerCount, r.cancelled, r.missed, r.attempts)
+		fmt.Fprint(&state, r.submitted, r.submittedAt, r.answerCount, r.cancelled, r.missed, r.attempts)
 	}
 	for _, m := range w.scenario.Members {
-		fmt.Fprint(&s, w.coldSends[m.ID])
+		fmt.Fprint(&state, w.coldSends[m.ID])
 	}
-	return md5.Sum([]byte(s.String()))
+	return md5.Sum([]byte(state.String()))
 }
 
 func (w *BalancerModel) addViolation(format string, args ...any) {
@@ -342,7 +342,7 @@
 			// A read that has failed goes to an origin at its last attempt, as other caches would lack its
 			// key.
 			last := sent > 0 && sent+1 == w.scenario.Settings.MaxAttempts
-			if o := w.isOrigin(m); r.Write && !o || !r.Write && o && !r.missed && !last {
+			if toOrigin := w.isOrigin(m); r.Write && !toOrigin || !r.Write && toOrigin && !r.missed && !last {
 				continue
 			}
 		}
@@ -405,58 +405,58 @@
 type host struct{ model *BalancerModel }
 
 func (h host) Send(id logic.RequestID, to logic.MemberID, _ time.Duration) {
-	w := h.model
-	r := w.findRequest(id)
+	model := h.model
+	r := model.findRequest(id)
 	if r == nil {
 		return
 	}
-	m, known := w.list[to]
+	m, known := model.list[to]
 	switch {
 	case r.answerCount > 0 || r.cancelled:
-		w.addViolation("request %d is sent after its end", id)
+		model.addViolation("request %d is sent after its end", id)
 	case !known || m.State != logic.Ready:
-		w.addViolation("request %d is sent to member %d, which is not ready", id, to)
-	case r.outstanding() && !w.scenario.Settings.ConcurrentAttempts:
-		w.addViolation("request %d has two attempts out", id)
-	case !w.mayRunAt(r, m):
-		w.addViolation("request %d could run twice", id)
-	}
-	s := &w.scenario.Settings
-	if m.StartedAt > 0 && w.Now-m.StartedAt < s.SlowStartDuration && !w.isOrigin(m) {
-		sends := append(w.coldSends[to], w.Now)
-		sends = slices.DeleteFunc(sends, func(at time.Duration) bool { return w.Now-at >= s.OverloadDuration })
-		if w.coldSends[to] = sends; len(sends) > w.scenario.MaxColdRequests {
-			w.addViolation("cold member %d is sent %d requests in %v", to, len(sends), s.OverloadDuration)
+		model.addViolation("request %d is sent to member %d, which is not ready", id, to)
+	case r.outstanding() && !model.scenario.Settings.ConcurrentAttempts:
+		model.addViolation("request %d has two attempts out", id)
+	case !model.mayRunAt(r, m):
+		model.addViolation("request %d could run twice", id)
+	}
+	settings := &model.scenario.Settings
+	if m.StartedAt > 0 && model.Now-m.StartedAt < settings.SlowStartDuration && !model.isOrigin(m) {
+		sends := append(model.coldSends[to], model.Now)
+		sends = slices.DeleteFunc(sends, func(at time.Duration) bool { return model.Now-at >= settings.OverloadDuration })
+		if model.coldSends[to] = sends; len(sends) > model.scenario.MaxColdRequests {
+			model.addViolation("cold member %d is sent %d requests in %v", to, len(sends), settings.OverloadDuration)
 		}
 	}
-	r.attempts = append(r.attempts, attempt{member: m, sentAt: w.Now, maybeRan: true})
+	r.attempts = append(r.attempts, attempt{member: m, sentAt: model.Now, maybeRan: true})
 	sent := 0
 	for _, a := range r.attempts {
 		if !a.ended || a.status != logic.StatusNoConn {
 			sent++
 		}
 	}
-	if sent > s.MaxAttempts {
-		w.addViolation("request %d has attempt %d of %d", id, sent, s.MaxAttempts)
+	if sent > settings.MaxAttempts {
+		model.addViolation("request %d has attempt %d of %d", id, sent, settings.MaxAttempts)
 	}
 }
 
 func (h host) recordAnswer(id logic.RequestID, refusal bool, why logic.Reason) {
-	w := h.model
-	r := w.findRequest(id)
+	model := h.model
+	r := model.findRequest(id)
 	if r == nil {
 		return
 	}
-	w.Answers[why]++
+	model.Answers[why]++
 	if r.answerCount++; r.answerCount > 1 || r.cancelled {
-		w.addViolation("request %d is answered after its end", id)
+		model.addViolation("request %d is answered after its end", id)
 	}
 	if why == logic.NoReason || why >= logic.ReasonCount {
-		w.addViolation("request %d is answered without a reason", id)
+		model.addViolation("request %d is answered without a reason", id)
 	}
-	c := w.class(r)
+	c := model.class(r)
 	if refusal && r.firstMaybeRan() != nil && (c.Effect == logic.AtMostOnce || c.Effect == logic.DeduplicatedByKey && c.Scope != logic.ScopeAll) {
-		w.addViolation("request %d is refused though it may have run", id)
+		model.addViolation("request %d is refused though it may have run", id)
 	}
 }
 
--- a/internal/explore/world_test.go
+++ b/internal/explore/world_test.go
@@ -8,13 +8,13 @@
 	"linenloom/logic"
 )
 
-func newModelFunc(t testing.TB, s Scenario) func() Model {
+func newModelFunc(t testing.TB, scenario Scenario) func() Model {
 	return func() Model {
-		w, err := NewBalancerModel(s)
+		model, err := NewBalancerModel(scenario)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return w
+		return model
 	}
 }
 
--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -78,9 +78,9 @@
 
 func (c *clients) start(n int) {
 	for i := range n {
-		rng := rand.New(rand.NewPCG(c.seed, uint64(1000+i)))
+		random := rand.New(rand.NewPCG(c.seed, uint64(1000+i)))
 		c.group.Go(func() {
-			for round := 0; c.runConn(rng, fmt.Sprintf("%d-%d", i, round)); round++ {
+			for round := 0; c.runConn(random, fmt.Sprintf("%d-%d", i, round)); round++ {
 			}
 		})
 	}
@@ -106,7 +106,7 @@
 }
 
 // runConn sends requests on one connection until it ends. It returns false when the clients are stopped.
-func (c *clients) runConn(rng *rand.Rand, name string) bool {
+func (c *clients) runConn(random *rand.Rand, name string) bool {
 	select {
 	case <-c.quit:
 		return false
@@ -128,9 +128,9 @@
 		select {
 		case <-c.quit:
 			return false
-		case <-time.After(time.Duration(rng.IntN(8)) * time.Millisecond): // think time between requests
+		case <-time.After(time.Duration(random.IntN(8)) * time.Millisecond): // think time between requests
 		}
-		batch := c.newBatch(rng, fmt.Sprintf("%s-%d", name, n))
+		batch := c.newBatch(random, fmt.Sprintf("%s-%d", name, n))
 		batch[0].firstOnConn = n == 0
 		var text strings.Builder
 		for _, a := range batch {
@@ -145,8 +145,8 @@
 		}
 		c.requests = append(c.requests, batch...)
 		c.mu.Unlock()
-		if rng.IntN(60) == 0 { // the client disconnects
-			time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
+		if random.IntN(60) == 0 { // the client disconnects
+			time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 			conn.Close()
 			c.mu.Lock()
 			for _, a := range batch {
@@ -161,15 +161,15 @@
 	}
 }
 
-func (c *clients) newBatch(rng *rand.Rand, name string) []*request {
+func (c *clients) newBatch(random *rand.Rand, name string) []*request {
 	n := 1
-	if c.run.pipelines && rng.IntN(3) == 0 {
-		n += rng.IntN(7)
+	if c.run.pipelines && random.IntN(3) == 0 {
+		n += random.IntN(7)
 	}
 	var batch []*request
 	for i := range n {
-		a := &request{id: fmt.Sprintf("%s-%d", name, i), key: keyName(rng.IntN(keyCount)), timeout: c.run.deadline * time.Duration(70+rng.IntN(30)) / 100}
-		if rng.IntN(12) == 0 {
+		a := &request{id: fmt.Sprintf("%s-%d", name, i), key: keyName(random.IntN(keyCount)), timeout: c.run.deadline * time.Duration(70+random.IntN(30)) / 100}
+		if random.IntN(12) == 0 {
 			a.isOrder, a.key = true, "order-"+a.id
 		}
 		batch = append(batch, a)
@@ -179,13 +179,13 @@
 
 // command returns the request as it is sent.
 func (a *request) command() string {
-	words := []string{"OBJ.GET", a.key, a.id, fmt.Sprintf("c=tile-read,d=%d", a.timeout.Milliseconds())}
+	args := []string{"OBJ.GET", a.key, a.id, fmt.Sprintf("c=tile-read,d=%d", a.timeout.Milliseconds())}
 	if a.isOrder {
-		words = []string{"OBJ.SET", a.key, a.id, fmt.Sprintf("c=pass-order,d=%d", a.timeout.Milliseconds()), "a pass for " + a.id}
+		args = []string{"OBJ.SET", a.key, a.id, fmt.Sprintf("c=pass-order,d=%d", a.timeout.Milliseconds()), "a pass for " + a.id}
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "*%d\r\n", len(words))
-	for _, w := range words {
+	fmt.Fprintf(&text, "*%d\r\n", len(args))
+	for _, w := range args {
 		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(w), w)
 	}
 	return text.String()
@@ -235,13 +235,13 @@
 // recordCut records that a connection ended with unanswered requests. They may have crossed the end of the
 // connection, if they were sent while it was idle and no attempt of them was written; otherwise they are
 // lost. While idle connections use up the descriptors, a new connection may be closed unread.
-func (c *clients) recordCut(rest []*request, first bool, at time.Time, err error) {
-	for _, a := range rest {
+func (c *clients) recordCut(pending []*request, first bool, at time.Time, err error) {
+	for _, a := range pending {
 		a.endedAt = at
 		a.detail = fmt.Sprintf("no answer: %v", err)
-		var slow net.Error
-		timedOut := errors.As(err, &slow) && slow.Timeout()
-		unread := at.Sub(a.sentAt) < crossingTime || c.run.idleConns > 0 && rest[0].firstOnConn
+		var netErr net.Error
+		timedOut := errors.As(err, &netErr) && netErr.Timeout()
+		unread := at.Sub(a.sentAt) < crossingTime || c.run.idleConns > 0 && pending[0].firstOnConn
 		if first && !timedOut && unread && c.run.duplicates.Written("", a.id) == 0 {
 			a.outcome = notAccepted
 		}
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -89,39 +89,39 @@
 const cacheCount = 4
 
 // newScenario generates a scenario.
-func newScenario(rng *rand.Rand) scenario {
-	s := scenario{stalledDirection: -1, clients: 24 + rng.IntN(24), pipelines: rng.IntN(2) == 0}
-	s.deadline = []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[rng.IntN(4)]
-	if rng.IntN(3) == 0 {
-		s.idleConns = descriptors/2 + rng.IntN(descriptors/2)
-	}
-	s.hangingCaches = rng.IntN(cacheCount/2 + 1)
-	s.hangingOrigin = rng.IntN(4) == 0
+func newScenario(random *rand.Rand) scenario {
+	s := scenario{stalledDirection: -1, clients: 24 + random.IntN(24), pipelines: random.IntN(2) == 0}
+	s.deadline = []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[random.IntN(4)]
+	if random.IntN(3) == 0 {
+		s.idleConns = descriptors/2 + random.IntN(descriptors/2)
+	}
+	s.hangingCaches = random.IntN(cacheCount/2 + 1)
+	s.hangingOrigin = random.IntN(4) == 0
 	// the kill comes before the requests' deadlines, so hanging requests must be answered earlier
 	if s.deadline > maxKillDelay {
 		s.hangingCaches, s.hangingOrigin = max(1, s.hangingCaches), true
 	}
-	if rng.IntN(4) == 0 {
-		s.stalledDirection = rng.IntN(2)
+	if random.IntN(4) == 0 {
+		s.stalledDirection = random.IntN(2)
 	}
 	for range cacheCount + 1 {
-		s.delays = append(s.delays, time.Duration(rng.IntN(20))*time.Millisecond)
-	}
-	s.handshakeDelay = time.Duration(rng.IntN(100)) * time.Millisecond
-	s.drainCache = rng.IntN(3) == 0
-	end := []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}[rng.IntN(2)]
-	s.signals = []signalAt{{end, 0}}
-	for range rng.IntN(5) {
-		more := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT}[rng.IntN(3)]
-		after := time.Duration(rng.IntN(5)) * time.Millisecond
-		if rng.IntN(2) == 0 { // at any time during the drain
-			after = time.Duration(rng.Int64N(int64(s.killDelay())))
+		s.delays = append(s.delays, time.Duration(random.IntN(20))*time.Millisecond)
+	}
+	s.handshakeDelay = time.Duration(random.IntN(100)) * time.Millisecond
+	s.drainCache = random.IntN(3) == 0
+	terminating := []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}[random.IntN(2)]
+	s.signals = []signalAt{{terminating, 0}}
+	for range random.IntN(5) {
+		extra := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT}[random.IntN(3)]
+		after := time.Duration(random.IntN(5)) * time.Millisecond
+		if random.IntN(2) == 0 { // at any time during the drain
+			after = time.Duration(random.Int64N(int64(s.killDelay())))
 		}
-		s.signals = append(s.signals, signalAt{more, after})
+		s.signals = append(s.signals, signalAt{extra, after})
 	}
-	if rng.IntN(3) == 0 { // a reload just before the restart
-		s.signals = append(s.signals, signalAt{syscall.SIGHUP, -time.Duration(1+rng.IntN(30)) * time.Millisecond})
-		s.moveDiscovery = rng.IntN(2) == 0
+	if random.IntN(3) == 0 { // a reload just before the restart
+		s.signals = append(s.signals, signalAt{syscall.SIGHUP, -time.Duration(1+random.IntN(30)) * time.Millisecond})
+		s.moveDiscovery = random.IntN(2) == 0
 	}
 	return s
 }
@@ -156,18 +156,18 @@
 
 // Run runs the planned restart of a seed.
 func Run(o Options) (*Result, error) {
-	rng := rand.New(rand.NewPCG(o.Seed, 60))
-	p := &restartRun{scenario: newScenario(rng), rng: rng, duplicates: standin.NewDuplicateChecker()}
-	late := standin.MeasureSchedulingDelay()
-	err := p.run(o)
-	r := &Result{Seed: o.Seed, Scenario: p.scenario.String(), SchedulingDelay: late.Stop()}
+	random := rand.New(rand.NewPCG(o.Seed, 60))
+	run := &restartRun{scenario: newScenario(random), rng: random, duplicates: standin.NewDuplicateChecker()}
+	delay := standin.MeasureSchedulingDelay()
+	err := run.run(o)
+	result := &Result{Seed: o.Seed, Scenario: run.scenario.String(), SchedulingDelay: delay.Stop()}
 	if err != nil {
-		return r, fmt.Errorf("seed %d: %w", o.Seed, err)
+		return result, fmt.Errorf("seed %d: %w", o.Seed, err)
 	}
-	r.Attempts, r.Further = p.duplicates.Attempts()
-	p.clients.countOutcomes(r)
-	r.Faults = p.faults
-	return r, nil
+	result.Attempts, result.Further = run.duplicates.Attempts()
+	run.clients.countOutcomes(result)
+	result.Faults = run.faults
+	return result, nil
 }
 
 func (p *restartRun) run(o Options) error {
@@ -210,7 +210,7 @@
 			p.fleet.Fill(keyName(key))
 		}
 	}
-	at := map[string]string{}
+	relayAddrs := map[string]string{}
 	relay := func(id, to string, isOrigin bool, delay time.Duration) error {
 		r, err := standin.NewRelay(id, to, isOrigin, delay, delay, p.duplicates)
 		if err != nil {
@@ -219,13 +219,13 @@
 		if !isOrigin {
 			r.SetHandshake(func() time.Duration { return p.handshakeDelay })
 		}
-		at[id] = r.Addr()
+		relayAddrs[id] = r.Addr()
 		p.relays = append(p.relays, r)
 		return nil
 	}
-	for i, b := range p.fleet.Caches {
-		b.SetService(time.Duration(1+p.rng.IntN(15))*time.Millisecond, 0)
-		if err := relay(b.ID, b.Addr(), false, p.delays[i]); err != nil {
+	for i, cache := range p.fleet.Caches {
+		cache.SetService(time.Duration(1+p.rng.IntN(15))*time.Millisecond, 0)
+		if err := relay(cache.ID, cache.Addr(), false, p.delays[i]); err != nil {
 			return err
 		}
 	}
@@ -233,15 +233,15 @@
 	if err := relay(p.fleet.Origin.ID, p.fleet.Origin.Addr(), true, p.delays[cacheCount]); err != nil {
 		return err
 	}
-	see := func(m discovery.Member) discovery.Member {
-		m.HostPort = at[m.ID]
+	viewMember := func(m discovery.Member) discovery.Member {
+		m.HostPort = relayAddrs[m.ID]
 		return m
 	}
 	if p.listen, err = standin.FreeAddr(); err != nil {
 		return err
 	}
 	for i := range p.configs {
-		if p.configs[i], err = p.makeConfig(see); err != nil {
+		if p.configs[i], err = p.makeConfig(viewMember); err != nil {
 			return err
 		}
 	}
@@ -250,7 +250,7 @@
 }
 
 // makeConfig returns a configuration with a discovery address of its own.
-func (p *restartRun) makeConfig(see func(discovery.Member) discovery.Member) ([]byte, error) {
+func (p *restartRun) makeConfig(viewMember func(discovery.Member) discovery.Member) ([]byte, error) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
 		class := c.(map[string]any)
@@ -266,12 +266,12 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	if file["discovery"], err = p.fleet.Registry.ListenView(see); err != nil {
+	if file["discovery"], err = p.fleet.Registry.ListenView(viewMember); err != nil {
 		return nil, err
 	}
 	known := p.fleet.Registry.List()
 	for i, m := range known.Members {
-		known.Members[i] = see(m)
+		known.Members[i] = viewMember(m)
 	}
 	file["known"] = known
 	return json.Marshal(file)
@@ -289,8 +289,8 @@
 
 // injectFaults makes members and links hang.
 func (p *restartRun) injectFaults() {
-	for _, b := range p.fleet.Caches[:p.hangingCaches] {
-		b.SetFault(standin.Stall)
+	for _, cache := range p.fleet.Caches[:p.hangingCaches] {
+		cache.SetFault(standin.Stall)
 	}
 	if p.hangingOrigin {
 		p.fleet.Origin.SetFault(standin.Stall)
@@ -306,14 +306,14 @@
 		p.fleet.Drain(p.fleet.Caches[cacheCount-2])
 		p.clients.noteDrain(p.fleet.Caches[cacheCount-2].ID)
 	}
-	first := time.Now().Add(40 * time.Millisecond)
+	firstSignalAt := time.Now().Add(40 * time.Millisecond)
 	done := make(chan struct{})
 	for _, s := range p.signals {
 		go func() {
 			select {
 			case <-done:
 				return
-			case <-time.After(time.Until(first.Add(s.after))):
+			case <-time.After(time.Until(firstSignalAt.Add(s.after))):
 			}
 			if s.signal == syscall.SIGHUP && p.moveDiscovery {
 				if err := p.writeConfig(1); err != nil {
@@ -323,22 +323,22 @@
 			p.process.Signal(s.signal)
 		}()
 	}
-	time.Sleep(time.Until(first.Add(p.killDelay())))
+	time.Sleep(time.Until(firstSignalAt.Add(p.killDelay())))
 	close(done)
-	ended, how := p.process.Exited()
+	ended, state := p.process.Exited()
 	p.process.Kill()
 	p.clients.stopAfterKill()
 	// A signal may end the process by its default action once the drain is over. A process that ends by
 	// SIGTERM has not crashed, and requests lost by that are found as lost. Its exit status is checked by
 	// TestEndsWellUnderRepeatedSignals.
-	if ended && !how.Success() && !endedBy(how, syscall.SIGTERM, syscall.SIGINT) {
-		p.addFault("the process ended with %v: %v", how, p.process.LogLines("panic"))
+	if ended && !state.Success() && !endedBy(state, syscall.SIGTERM, syscall.SIGINT) {
+		p.addFault("the process ended with %v: %v", state, p.process.LogLines("panic"))
 	}
 }
 
 // endedBy reports whether a process was ended by one of the signals.
-func endedBy(how *os.ProcessState, signals ...syscall.Signal) bool {
-	status, ok := how.Sys().(syscall.WaitStatus)
+func endedBy(state *os.ProcessState, signals ...syscall.Signal) bool {
+	status, ok := state.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && slices.Contains(signals, status.Signal())
 }
 
@@ -375,21 +375,21 @@
 
 // RunUntilConclusive repeats the planned restart of a seed until a run was not disturbed or found a fault.
 // log is called with each result.
-func RunUntilConclusive(o Options, log func(*Result)) (r *Result, err error) {
-	for n := range maxDisturbedRuns {
-		dir := filepath.Join(o.Dir, fmt.Sprintf("play-%d-%d", o.Seed, n))
+func RunUntilConclusive(o Options, log func(*Result)) (result *Result, err error) {
+	for attempt := range maxDisturbedRuns {
+		dir := filepath.Join(o.Dir, fmt.Sprintf("play-%d-%d", o.Seed, attempt))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
 		}
-		again := o
-		again.Dir = dir
-		if r, err = Run(again); err != nil {
-			return r, err
+		runOptions := o
+		runOptions.Dir = dir
+		if result, err = Run(runOptions); err != nil {
+			return result, err
 		}
-		log(r)
-		if len(r.Faults) > 0 || !r.Disturbed() {
+		log(result)
+		if len(result.Faults) > 0 || !result.Disturbed() {
 			break
 		}
 	}
-	return r, nil
+	return result, nil
 }
