--- a/internal/cluster/clients.go
+++ b/internal/cluster/clients.go
@@ -260,7 +260,7 @@
 		violation := ""
 		switch {
 		case request.Outcome == WrongAnswer:
-			violation = "a value that is another's: " + request.Detail
+			violation = "value of another key: " + request.Detail
 		case request.Outcome == NoAnswer && !mayLose:
 			violation = "no answer: " + request.Detail
 		case request.Elapsed > cl.load.Deadline+cl.load.Grace && !mayLose:
@@ -281,7 +281,7 @@
 	}
 	for _, cache := range cl.cluster.Fleet.Caches {
 		if cache.Overloaded() {
-			violations = append(violations, "pushed over: "+cache.ID)
+			violations = append(violations, "cache failed from overload: "+cache.ID)
 		}
 	}
 	return violations
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -319,7 +319,7 @@
 	if !c.JoinInstances {
 		return nil
 	}
-	return Eventually("all know of one another, and one leads", func() bool {
+	return Eventually("all instances have joined and one is the leader", func() bool {
 		leaders := 0
 		for _, p := range c.Proxies {
 			view, err := p.View()
@@ -467,5 +467,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("never came about: %s", condition)
+	return fmt.Errorf("condition not met in time: %s", condition)
 }
--- a/internal/cluster/liar_test.go
+++ b/internal/cluster/liar_test.go
@@ -29,7 +29,7 @@
 
 const rogueNumber = 89
 
-// addRogueInstance adds a rogue instance, which sends the messages that made returns to all others, one
+// addRogueInstance adds a rogue instance, which sends the messages of makeMessage to all others, one
 // every 2 ms until the test ends.
 func (h *harness) addRogueInstance(makeMessage func(n int) zones.Message) {
 	t := h.t
--- a/internal/cluster/process.go
+++ b/internal/cluster/process.go
@@ -76,9 +76,9 @@
 		select {
 		case <-logged:
 		case <-p.done:
-			return "", fmt.Errorf("it ended before it said %q; it said last %q", text, last)
+			return "", fmt.Errorf("process ended before logging %q; its last line is %q", text, last)
 		case <-timeout:
-			return "", fmt.Errorf("it never said %q; it said last %q", text, last)
+			return "", fmt.Errorf("process did not log %q in time; its last line is %q", text, last)
 		}
 	}
 }
@@ -119,10 +119,10 @@
 	case <-p.done:
 	case <-time.After(WaitTimeout):
 		p.Kill()
-		return fmt.Errorf("it did not end on SIGTERM")
+		return fmt.Errorf("process did not end on SIGTERM")
 	}
 	if s := p.cmd.ProcessState; !s.Success() {
-		return fmt.Errorf("it ended with %v", s)
+		return fmt.Errorf("process ended with %v", s)
 	}
 	return nil
 }
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -101,12 +101,12 @@
 			}
 			event.undo = func() error { proxy.Continue(); return nil }
 		case kind == 6:
-			event.Description, event.do, event.undo = "messages lost", impairGossip(names, names, Impairment{LossRate: 0.3}), impairGossip(names, names, Impairment{})
+			event.Description, event.do, event.undo = "gossip messages lost", impairGossip(names, names, Impairment{LossRate: 0.3}), impairGossip(names, names, Impairment{})
 		case kind == 7:
-			event.Description, event.do, event.undo = "messages late", impairGossip(names, names, Impairment{Delay: time.Second}), impairGossip(names, names, Impairment{})
+			event.Description, event.do, event.undo = "gossip messages delayed", impairGossip(names, names, Impairment{Delay: time.Second}), impairGossip(names, names, Impairment{})
 		case kind == 8:
 			half := len(names) / 2
-			event.Description, event.do, event.undo = "instances in halves", impairGossip(names[:half], names[half:], Impairment{Blocked: true}), impairGossip(names[:half], names[half:], Impairment{})
+			event.Description, event.do, event.undo = "instances partitioned in halves", impairGossip(names[:half], names[half:], Impairment{Blocked: true}), impairGossip(names[:half], names[half:], Impairment{})
 		case kind == 9:
 			event.Description = zone + " reset"
 			event.do = func() error {
@@ -120,9 +120,9 @@
 		case kind == 10 && c.JoinInstances && !downProxies[proxy.Name]:
 			// A busy proxy, or one whose call conflicts with another, may reject the call. An accepted
 			// call has to be reverted.
-			event.Description, event.do = zone+" out by hand", func() error { proxy.SetZoneMode("out", zone); return nil }
+			event.Description, event.do = zone+" set out by hand", func() error { proxy.SetZoneMode("out", zone); return nil }
 			event.undo = func() error {
-				return Eventually("a zone is given back", func() bool { _, err := proxy.SetZoneMode("auto", zone); return err == nil })
+				return Eventually("the zone is in automatic mode again", func() bool { _, err := proxy.SetZoneMode("auto", zone); return err == nil })
 			}
 		default:
 			continue
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -302,7 +302,7 @@
 			w.addViolation("request %d has no answer %v after its deadline", r.ID, w.Now-r.Deadline)
 		}
 		if !r.outstanding() && !w.canBeSent(r) {
-			w.addViolation("request %d is held back: it has nothing out and can be sent to nobody", r.ID)
+			w.addViolation("request %d is held back: it has no attempt outstanding and can be sent to no member", r.ID)
 		}
 	}
 }
@@ -389,7 +389,7 @@
 			return r
 		}
 	}
-	w.addViolation("an action names request %d, which nobody has asked", id)
+	w.addViolation("an action names request %d, which was not sent", id)
 	return nil
 }
 
@@ -417,7 +417,7 @@
 	case !known || m.State != logic.Ready:
 		model.addViolation("request %d is sent to member %d, which is not ready", id, to)
 	case r.outstanding() && !model.scenario.Settings.ConcurrentAttempts:
-		model.addViolation("request %d has two attempts out", id)
+		model.addViolation("request %d has two attempts outstanding", id)
 	case !model.mayRunAt(r, m):
 		model.addViolation("request %d could run twice", id)
 	}
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -48,8 +48,8 @@
 
 // Errors of a list.
 var (
-	ErrBadEntry  = errors.New("an entry is a test or a command with its seed, a cause and an issue: ./path TestName | cause | issue N, or COMMAND --seed N | cause | issue N")
-	ErrDuplicate = errors.New("it is listed twice")
+	ErrBadEntry  = errors.New("malformed entry: want a test or a command with its seed, a cause and an issue: ./path TestName | cause | issue N, or COMMAND --seed N | cause | issue N")
+	ErrDuplicate = errors.New("duplicate entry")
 )
 
 // Parse reads a list with one failure per line. Empty lines are ignored.
--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -301,12 +301,12 @@
 			faults = append(faults, fmt.Sprintf("order %s was refused, and has run", a.id))
 		}
 		if a.isOrder && a.outcome == notAccepted && executions[a.key] > 0 {
-			faults = append(faults, fmt.Sprintf("order %s was not taken, and has run", a.id))
+			faults = append(faults, fmt.Sprintf("order %s was not accepted, and has run", a.id))
 		}
 	}
 	if c.drainedMember != "" && !c.run.moveDiscovery {
 		if at, id := c.run.duplicates.LastWriteTo(c.drainedMember); at.Sub(c.drainedAt) > drainGrace+ruleSlack {
-			faults = append(faults, fmt.Sprintf("request %s was sent to %s %v after the news that it drains", id, c.drainedMember, at.Sub(c.drainedAt)))
+			faults = append(faults, fmt.Sprintf("request %s was sent to %s %v after it was reported as draining", id, c.drainedMember, at.Sub(c.drainedAt)))
 		}
 	}
 	return faults
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// The process is killed at the longest deadline, but at most maxKillDelay, plus killMargin after the
-	// first terminating signal.
+	// maxKillDelay and killMargin determine the kill: it comes the longest deadline, but at most maxKillDelay,
+	// plus killMargin after the first terminating signal.
 	maxKillDelay = 3 * time.Second
 	killMargin   = 700 * time.Millisecond
 	// answerGrace is how long after its timeout an answer still counts as late. After that it is lost.
@@ -134,7 +134,7 @@
 	for _, at := range s.signals {
 		signals = append(signals, fmt.Sprintf("%v at %v", at.signal, at.after.Round(time.Millisecond)))
 	}
-	return fmt.Sprintf("deadline %v; %s; %d clients, pipelines %v, crowd %d; hanging: %d boxes, origin %v, a link one way %v; handshakes %v, drains %v, discovery moves %v",
+	return fmt.Sprintf("deadline %v; %s; %d clients, pipelines %v, %d idle connections; hanging: %d caches, origin %v, one direction of a link %v; handshake delay %v, drain %v, discovery moves %v",
 		s.deadline, strings.Join(signals, ", "), s.clients, s.pipelines, s.idleConns, s.hangingCaches, s.hangingOrigin, s.stalledDirection >= 0, s.handshakeDelay, s.drainCache, s.moveDiscovery)
 }
 
@@ -366,7 +366,7 @@
 	case r.Disturbed():
 		verdict = "disturbed"
 	}
-	return fmt.Sprintf("seed %d: %s; %d asked, %d served, %d refused, %d failed, %d untaken; %d attempts, %d further; own clock late by %v; %s",
+	return fmt.Sprintf("seed %d: %s; %d sent, %d served, %d refused, %d failed, %d not accepted; %d attempts, %d further; scheduling delay %v; %s",
 		r.Seed, verdict, r.Sent, r.Served, r.Refused, r.Failed, r.NotAccepted, r.Attempts, r.Further, r.SchedulingDelay.Round(time.Millisecond), r.Scenario)
 }
 
--- a/internal/standin/accept.go
+++ b/internal/standin/accept.go
@@ -9,7 +9,7 @@
 // acceptRetryDelay is the pause after a temporary accept error, such as a shortage of descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// AcceptEach calls take for each accepted connection until the listener is closed. Temporary errors don't
+// AcceptEach calls handle for each accepted connection until the listener is closed. Temporary errors don't
 // end it: a simulated server that no longer accepts connections would look like one that hangs.
 func AcceptEach(listener net.Listener, handle func(net.Conn)) {
 	for {
--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -23,7 +23,7 @@
 }
 
 // ErrNoAddress is returned when no free address was found.
-var ErrNoAddress = errors.New("standin: no address is free")
+var ErrNoAddress = errors.New("standin: no free address")
 
 // FreeAddr returns a loopback address without a listener, for a process that needs its address configured.
 // Each address is returned once.
--- a/internal/standin/copies.go
+++ b/internal/standin/copies.go
@@ -10,8 +10,8 @@
 // DuplicateChecker checks that no request has two attempts outstanding at once, as the protocol defines
 // it: an attempt counts from when its last byte has reached its member, and is a duplicate if an attempt
 // that arrived before is still outstanding, neither answered nor abandoned by closing its connection.
-// Relays report what they forward. The texts of Violations give the times at the proxy (written,
-// connection ended) and at the members (arrived).
+// Relays report what they forward. The texts of Violations give the times at the proxy (written, connection ended)
+// and at the members (came, its end came).
 type DuplicateChecker struct {
 	// MaxInTransit bounds how long an attempt may be in transit and still count. One that a link has held
 	// for longer, as a blocked link does until it is restored, arrives later than any time that a proxy
@@ -169,7 +169,7 @@
 			first, second = a, other
 		}
 		if first.outstandingAt(second.arrivedAt) && !c.tooLongInTransit(second) {
-			c.violations = append(c.violations, fmt.Sprintf("request %s: a second copy at %s (%v), while one is out at %s (%v)", id, second.member, second, first.member, first))
+			c.violations = append(c.violations, fmt.Sprintf("request %s: duplicate attempt at %s (%v) while one is outstanding at %s (%v)", id, second.member, second, first.member, first))
 		}
 	}
 	if earlier > 0 {
--- a/internal/standin/deadlines.go
+++ b/internal/standin/deadlines.go
@@ -132,7 +132,7 @@
 		if request.isRetry {
 			kind = "client's retry"
 		}
-		violations = append(violations, fmt.Sprintf("%s: attempt %d of %s %s: told %v, and its client has %v left", a.server, a.number, kind, a.id, a.deadline, left))
+		violations = append(violations, fmt.Sprintf("%s: attempt %d of %s %s: received deadline %v, and its client has %v left", a.server, a.number, kind, a.id, a.deadline, left))
 	}
 	return violations
 }
--- a/internal/standin/deadlines_test.go
+++ b/internal/standin/deadlines_test.go
@@ -19,14 +19,14 @@
 	}{
 		"as much as is left":       {sent: "c=read,d=1000", told: []string{"c=read,d=600"}, after: 400 * ms},
 		"within the slack":         {sent: "d=1000", told: []string{"d=750"}, after: 400 * ms},
-		"over the slack":           {sent: "d=1000", told: []string{"d=751"}, after: 400 * ms, want: "attempt 1 of request id: told 751ms, and its client has 600ms left"},
+		"over the slack":           {sent: "d=1000", told: []string{"d=751"}, after: 400 * ms, want: "attempt 1 of request id: received deadline 751ms, and its client has 600ms left"},
 		"a further attempt":        {sent: "d=1000", told: []string{"d=100", "d=1000"}, after: 400 * ms, want: "attempt 2 of request id"},
 		"a client's retry":         {sent: "r=1,d=1000", told: []string{"d=1000,r=1"}, after: 400 * ms, want: "attempt 1 of client's retry id"},
 		"just over":                {sent: "d=1000", told: []string{"d=1"}, after: 1149 * ms},
 		"over for longer":          {sent: "d=1000", told: []string{"d=1"}, after: 1150 * ms, want: "-150ms left"},
-		"a fraction":               {sent: "d=1000.5", told: []string{"d=750.6"}, after: 400 * ms, want: "told 750.6ms"},
+		"a fraction":               {sent: "d=1000.5", told: []string{"d=750.6"}, after: 400 * ms, want: "received deadline 750.6ms"},
 		"no deadline told":         {sent: "d=1000", told: []string{"c=read"}, after: 5000 * ms},
-		"the servers report first": {sent: "d=1000", told: []string{"d=1200"}, unordered: true, want: "told 1.2s"},
+		"the servers report first": {sent: "d=1000", told: []string{"d=1200"}, unordered: true, want: "received deadline 1.2s"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Duration(0)
@@ -64,7 +64,7 @@
 		t.Error("requests of others are looked at")
 	}
 	got := strings.Join(checker.Violations(), "; ")
-	if !strings.Contains(got, "many/3: told 1s, and its client has 0s left") || !strings.Contains(got, "stranger: no client has sent it") {
+	if !strings.Contains(got, "many/3: received deadline 1s, and its client has 0s left") || !strings.Contains(got, "stranger: no client has sent it") {
 		t.Errorf("violations %q", got)
 	}
 	if first, further := checker.Attempts(); first != 2 || further != 0 {
--- a/internal/standin/door.go
+++ b/internal/standin/door.go
@@ -20,23 +20,23 @@
 func NewFullListener() (*FullListener, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("standin: door: %w", err)
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
 	file := os.NewFile(uintptr(fd), "door")
 	defer file.Close()
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		return nil, fmt.Errorf("standin: door: %w", err)
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
 	if err := unix.Listen(fd, 0); err != nil { // an accept queue of one connection
-		return nil, fmt.Errorf("standin: door: %w", err)
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
 	listener := &FullListener{}
 	if listener.Listener, err = net.FileListener(file); err != nil {
-		return nil, fmt.Errorf("standin: door: %w", err)
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
 	if listener.blocker, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		listener.Close()
-		return nil, fmt.Errorf("standin: door: %w", err)
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
 	return listener, nil
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -36,7 +36,7 @@
 	return registry, nil
 }
 
-// ListenView starts a listener for one proxy, which sees each member as see returns it. The address of a
+// ListenView starts a listener for one proxy, which sees each member as view returns it. The address of a
 // member may thus differ between proxies.
 func (r *Registry) ListenView(view func(discovery.Member) discovery.Member) (addr string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -20,8 +20,8 @@
 	resetAfterRun bool
 }
 
-func newOrigin(id string, value func(string) []byte, onFetched func(id, key string, value []byte)) (*Origin, error) {
-	o := &Origin{makeValue: value, onFetched: onFetched, executions: map[string]int{}}
+func newOrigin(id string, makeValue func(string) []byte, onFetched func(id, key string, value []byte)) (*Origin, error) {
+	o := &Origin{makeValue: makeValue, onFetched: onFetched, executions: map[string]int{}}
 	o.ID = id
 	return o, o.listen(o.serve)
 }
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -48,13 +48,13 @@
 	return &Observer{duplicates: c, member: member, origin: origin, peerClosed: func() bool { return peerClosed(conn) }}
 }
 
-// ObserveRequests returns an Observer without a checker. It calls heard with the id and the attributes of
+// ObserveRequests returns an Observer without a checker. It calls onRequest with the id and the attributes of
 // each request that is written.
 func ObserveRequests(onRequest func(id, attrs string)) *Observer {
 	return &Observer{onRequest: onRequest}
 }
 
-// NotifyRequests makes an Observer call heard for each attempt as well, when the proxy has written it.
+// NotifyRequests makes an Observer call onRequest for each attempt as well, when the proxy has written it.
 func (o *Observer) NotifyRequests(onRequest func(id, attrs string)) *Observer {
 	o.onRequest = onRequest
 	return o
@@ -171,7 +171,7 @@
 	}
 }
 
-// nextMessage parses the message at the start of w.requestBytes and returns its length. The id is empty if
+// nextMessage parses the message at the start of o.requestBytes and returns its length. The id is empty if
 // the message is no attempt, and n is 0 if it is incomplete.
 func (o *Observer) nextMessage() (id, attrs string, n int) {
 	reader := bytes.NewReader(o.requestBytes)
@@ -197,7 +197,7 @@
 	return id, attrs, length()
 }
 
-// nextAnswer returns the length of the answer at the start of w.answerBytes, or 0 if it is incomplete.
+// nextAnswer returns the length of the answer at the start of o.answerBytes, or 0 if it is incomplete.
 func (o *Observer) nextAnswer() int {
 	reader := bytes.NewReader(o.answerBytes)
 	buffered := bufio.NewReader(reader)
@@ -215,7 +215,7 @@
 	return len(o.answerBytes) - reader.Len() - buffered.Buffered()
 }
 
-var errMalformedReply = errors.New("standin: no reply")
+var errMalformedReply = errors.New("standin: malformed reply")
 
 // skipReply reads and discards one reply.
 func skipReply(in *bufio.Reader) error {
