--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -250,18 +250,18 @@
 // zoneScenarios are difficult cases of zone failures. Each ends with a check of the rules as clients and
 // caches saw them.
 var zoneScenarios = map[string]struct {
-	o    Options
-	play func(h *harness)
+	options Options
+	run     func(h *harness)
 }{
-	"silent, back cold":                  {play: silentThenCold},
-	"silent, a table by zone, back cold": {o: Options{CrossZoneCost: 0.06}, play: silentThenCold},
-	"slow, back warm": {play: func(h *harness) {
+	"silent, back cold":                  {run: silentThenCold},
+	"silent, a table by zone, back cold": {options: Options{CrossZoneCost: 0.06}, run: silentThenCold},
+	"slow, back warm": {run: func(h *harness) {
 		h.setServiceTime(unresponsiveServiceTime, "c")
 		h.awaitState("c", "trying")
 		h.setServiceTime(h.ServiceTime, "c")
 		h.awaitState("c", "in")
 	}},
-	"half of the answers fail, back half cold": {play: func(h *harness) {
+	"half of the answers fail, back half cold": {run: func(h *harness) {
 		h.setFault(standin.Intermittent, "c")
 		h.awaitState("c", "trying")
 		for _, b := range h.Fleet.CachesIn("c")[:2] {
@@ -270,13 +270,13 @@
 		h.setFault(standin.Healthy, "c")
 		h.awaitState("c", "in")
 	}},
-	"refusing": {play: func(h *harness) {
+	"refusing": {run: func(h *harness) {
 		h.setFault(standin.Busy, "c")
 		h.awaitState("c", "trying")
 		h.setFault(standin.Healthy, "c")
 		h.awaitState("c", "in")
 	}},
-	"one way only": {play: func(h *harness) {
+	"one way only": {run: func(h *harness) {
 		for _, p := range h.Proxies {
 			for _, b := range h.CachesIn("c") {
 				h.Link(p.Name, b).Set(Backward, Impairment{Blocked: true})
@@ -286,8 +286,8 @@
 		h.blockZones(false, "c")
 		h.awaitState("c", "in")
 	}},
-	"a region of two zones of four": {o: Options{Zones: []string{"a", "b", "c", "d"}, Proxies: 8, Regions: map[string][]string{"south": {"c", "d"}}},
-		play: func(h *harness) {
+	"a region of two zones of four": {options: Options{Zones: []string{"a", "b", "c", "d"}, Proxies: 8, Regions: map[string][]string{"south": {"c", "d"}}},
+		run: func(h *harness) {
 			h.blockZones(true, "c", "d")
 			h.awaitState("c", "trying")
 			h.awaitState("d", "trying")
@@ -297,7 +297,7 @@
 			h.awaitState("c", "in")
 			h.awaitState("d", "in")
 		}},
-	"a zone's proxies are gone, and its boxes live": {play: func(h *harness) {
+	"a zone's proxies are gone, and its boxes live": {run: func(h *harness) {
 		for _, p := range h.Proxies {
 			if p.Zone == "c" {
 				h.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
@@ -306,7 +306,7 @@
 		}
 		h.requireState("c", "in", 4*time.Second)
 	}},
-	"cut off with proxies, boxes and clients": {play: func(h *harness) {
+	"cut off with proxies, boxes and clients": {run: func(h *harness) {
 		there := append(h.ProxiesIn("c"), h.CachesIn("c")...)
 		here := append(h.ProxiesIn("a", "b"), h.CachesIn("a", "b")...)
 		h.partition(true, here, there)
@@ -321,7 +321,7 @@
 		h.partition(false, here, there)
 		h.awaitState("c", "in")
 	}},
-	"messages lost, late, and cut between two halves": {play: func(h *harness) {
+	"messages lost, late, and cut between two halves": {run: func(h *harness) {
 		var names []string
 		for _, p := range h.Proxies {
 			names = append(names, p.Name)
@@ -339,7 +339,7 @@
 		h.partition(false, names[:3], names[3:])
 		h.awaitState("c", "in")
 	}},
-	"paused through it, started in the middle, killed on the return": {play: func(h *harness) {
+	"paused through it, started in the middle, killed on the return": {run: func(h *harness) {
 		leader := h.Proxies[0]
 		h.ExpectLoss(leader.Name, time.Now(), time.Now().Add(10*time.Second))
 		leader.Pause()
@@ -371,7 +371,7 @@
 		}
 		h.awaitState("c", "in", "n3", "n4")
 	}},
-	"two zones half a second apart": {play: func(h *harness) {
+	"two zones half a second apart": {run: func(h *harness) {
 		h.blockZones(true, "c")
 		h.letRun(500 * time.Millisecond)
 		h.blockZones(true, "b")
@@ -382,7 +382,7 @@
 		h.awaitState("b", "in")
 		h.awaitState("c", "in")
 	}},
-	"a cause common to all leaves nobody": {play: func(h *harness) {
+	"a cause common to all leaves nobody": {run: func(h *harness) {
 		h.setServiceTime(unresponsiveServiceTime, zoneNames...)
 		h.requireState("a", "in", 0)
 		h.requireAllInUse(3 * time.Second)
@@ -396,7 +396,7 @@
 		bad.SetFault(standin.Stall)
 		h.requireAllInUse(3 * time.Second)
 	}},
-	"a zone that flaps waits longer each time": {play: func(h *harness) {
+	"a zone that flaps waits longer each time": {run: func(h *harness) {
 		var out []time.Duration
 		for range 3 {
 			h.blockZones(true, "c")
@@ -410,7 +410,7 @@
 		}
 		h.awaitState("c", "in")
 	}},
-	"out by hand": {play: func(h *harness) {
+	"out by hand": {run: func(h *harness) {
 		report, err := h.Proxies[4].SetZoneMode("out", "c")
 		from := time.Now().Add(250 * time.Millisecond)
 		delay := standin.MeasureSchedulingDelay()
@@ -607,7 +607,7 @@
 	for name, scenario := range zoneScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHarness(t, scenario.o)
+			h := newHarness(t, scenario.options)
 			defer func() {
 				if t.Failed() {
 					for _, p := range h.Proxies {
@@ -617,7 +617,7 @@
 					}
 				}
 			}()
-			scenario.play(h)
+			scenario.run(h)
 			h.Stop()
 			for _, b := range h.Violations() {
 				t.Error(b)
--- a/internal/explore/fleet_test.go
+++ b/internal/explore/fleet_test.go
@@ -27,8 +27,8 @@
 // Faults injected into the messages must be found.
 func TestSeededZoneFaultsAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
-		mishear func(to int, m *zones.Message) bool
-		want    string
+		alter func(to int, m *zones.Message) bool
+		want  string
 	}{
 		"verdicts not heard by one": {func(to int, m *zones.Message) bool { return to != 2 || m.Verdict == nil }, "disagree"},
 		"epochs that go back": {func(to int, m *zones.Message) bool {
@@ -39,7 +39,7 @@
 		}, "disagree"},
 		"calls not passed on": {func(_ int, m *zones.Message) bool { m.Overrides = nil; return true }, "disagree"},
 	} {
-		r := Explore(func() Model { return NewZoneModel(ZoneScenario{AlterMessage: c.mishear}) }, Options{Depth: 6, MaxTransitions: 2500})
+		r := Explore(func() Model { return NewZoneModel(ZoneScenario{AlterMessage: c.alter}) }, Options{Depth: 6, MaxTransitions: 2500})
 		if len(r.Faults) == 0 {
 			t.Errorf("%s: nothing found in %d states", name, r.States)
 		} else if f := r.Faults[0].String(); !strings.Contains(f, c.want) {
--- a/internal/explore/world_test.go
+++ b/internal/explore/world_test.go
@@ -58,9 +58,9 @@
 // The checks themselves are tested: each fault injected into the module has to be found.
 func TestSeededFaultsAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
-		scene string
-		seed  func(*Scenario)
-		want  string
+		scenario string
+		seed     func(*Scenario)
+		want     string
 	}{
 		"answers held back": {"orders and notes", func(s *Scenario) {
 			s.Wrap = func(w *BalancerModel, a logic.Actions) logic.Actions { return delayedAnswers{a, w} }
@@ -84,7 +84,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := Scenarios()[c.scene]
+			s := Scenarios()[c.scenario]
 			c.seed(&s)
 			r := Explore(newModelFunc(t, s), Options{Depth: 4})
 			if len(r.Faults) == 0 {
--- a/internal/standin/deadlines_test.go
+++ b/internal/standin/deadlines_test.go
@@ -12,21 +12,21 @@
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		sent      string // the client's attributes
-		told      []string
+		received  []string
 		after     time.Duration
 		want      string // part of the violation; empty if there is none
 		unordered bool   // the servers report first
 	}{
-		"as much as is left":       {sent: "c=read,d=1000", told: []string{"c=read,d=600"}, after: 400 * ms},
-		"within the slack":         {sent: "d=1000", told: []string{"d=750"}, after: 400 * ms},
-		"over the slack":           {sent: "d=1000", told: []string{"d=751"}, after: 400 * ms, want: "attempt 1 of request id: received deadline 751ms, and its client has 600ms left"},
-		"a further attempt":        {sent: "d=1000", told: []string{"d=100", "d=1000"}, after: 400 * ms, want: "attempt 2 of request id"},
-		"a client's retry":         {sent: "r=1,d=1000", told: []string{"d=1000,r=1"}, after: 400 * ms, want: "attempt 1 of client's retry id"},
-		"just over":                {sent: "d=1000", told: []string{"d=1"}, after: 1149 * ms},
-		"over for longer":          {sent: "d=1000", told: []string{"d=1"}, after: 1150 * ms, want: "-150ms left"},
-		"a fraction":               {sent: "d=1000.5", told: []string{"d=750.6"}, after: 400 * ms, want: "received deadline 750.6ms"},
-		"no deadline told":         {sent: "d=1000", told: []string{"c=read"}, after: 5000 * ms},
-		"the servers report first": {sent: "d=1000", told: []string{"d=1200"}, unordered: true, want: "received deadline 1.2s"},
+		"as much as is left":       {sent: "c=read,d=1000", received: []string{"c=read,d=600"}, after: 400 * ms},
+		"within the slack":         {sent: "d=1000", received: []string{"d=750"}, after: 400 * ms},
+		"over the slack":           {sent: "d=1000", received: []string{"d=751"}, after: 400 * ms, want: "attempt 1 of request id: received deadline 751ms, and its client has 600ms left"},
+		"a further attempt":        {sent: "d=1000", received: []string{"d=100", "d=1000"}, after: 400 * ms, want: "attempt 2 of request id"},
+		"a client's retry":         {sent: "r=1,d=1000", received: []string{"d=1000,r=1"}, after: 400 * ms, want: "attempt 1 of client's retry id"},
+		"just over":                {sent: "d=1000", received: []string{"d=1"}, after: 1149 * ms},
+		"over for longer":          {sent: "d=1000", received: []string{"d=1"}, after: 1150 * ms, want: "-150ms left"},
+		"a fraction":               {sent: "d=1000.5", received: []string{"d=750.6"}, after: 400 * ms, want: "received deadline 750.6ms"},
+		"no deadline told":         {sent: "d=1000", received: []string{"c=read"}, after: 5000 * ms},
+		"the servers report first": {sent: "d=1000", received: []string{"d=1200"}, unordered: true, want: "received deadline 1.2s"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Duration(0)
@@ -35,7 +35,7 @@
 				checker.RequestSent("id", c.sent)
 				now = c.after
 			}
-			for _, told := range c.told {
+			for _, told := range c.received {
 				checker.AttemptReceived("s-1", "id", told)
 			}
 			if c.unordered {
