--- a/internal/standin/copies.go
+++ b/internal/standin/copies.go
@@ -10,8 +10,8 @@
 // DuplicateChecker checks that no request has two attempts outstanding at once, as the protocol defines
 // it: an attempt counts from when its last byte has reached its member, and is a duplicate if an attempt
 // that arrived before is still outstanding, neither answered nor abandoned by closing its connection.
-// Relays report what they forward. The texts of Violations give the times at the proxy (written, connection ended)
-// and at the members (came, its end came).
+// Relays report what they forward. The texts of Violations give the times at the proxy (written,
+// connection ended) and at the members (came, its end came).
 type DuplicateChecker struct {
 	// MaxInTransit bounds how long an attempt may be in transit and still count. One that a link has held
 	// for longer, as a blocked link does until it is restored, arrives later than any time that a proxy
--- a/internal/standin/deadlines_test.go
+++ b/internal/standin/deadlines_test.go
@@ -35,8 +35,8 @@
 				checker.RequestSent("id", c.sent)
 				now = c.after
 			}
-			for _, told := range c.received {
-				checker.AttemptReceived("s-1", "id", told)
+			for _, attrs := range c.received {
+				checker.AttemptReceived("s-1", "id", attrs)
 			}
 			if c.unordered {
 				checker.RequestSent("id", c.sent)
