--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -132,9 +132,9 @@
 func (c *Cluster) claimSubnet() (err error) {
 	for range 20 {
 		c.subnet = fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 1+int(subnetCounter.Add(1))%250)
-		var l net.Listener
-		if l, err = net.Listen("tcp", fmt.Sprintf("%s%d:%d", c.subnet, 101, gossipPort)); err == nil {
-			return l.Close()
+		var listener net.Listener
+		if listener, err = net.Listen("tcp", fmt.Sprintf("%s%d:%d", c.subnet, 101, gossipPort)); err == nil {
+			return listener.Close()
 		}
 	}
 	return fmt.Errorf("cluster: no addresses are free: %w", err)
@@ -175,15 +175,15 @@
 }
 
 // addRelay adds a link with a listener that relays to an address, and returns the address of the listener.
-func (c *Cluster) addRelay(from, to, at, addr string) (string, error) {
-	l, err := net.Listen("tcp", at)
+func (c *Cluster) addRelay(from, to, listenAddr, target string) (string, error) {
+	listener, err := net.Listen("tcp", listenAddr)
 	if err != nil {
 		return "", err
 	}
 	link := c.addLink(from, to)
-	c.listeners = append(c.listeners, l)
-	go link.serve(l, addr)
-	return l.Addr().String(), nil
+	c.listeners = append(c.listeners, listener)
+	go link.serve(listener, target)
+	return listener.Addr().String(), nil
 }
 
 // prepareProxy creates a proxy's links and files.
@@ -200,11 +200,11 @@
 		}
 		addrs[m.ID] = relayAddr
 		c.Link(name, m.ID).observeConns(func(source net.Conn) *standin.Observer {
-			watch := c.Duplicates.Observe(m.ID, m.ID == c.Fleet.Origin.ID, source)
+			observer := c.Duplicates.Observe(m.ID, m.ID == c.Fleet.Origin.ID, source)
 			if c.Deadlines == nil {
-				return watch
+				return observer
 			}
-			return watch.NotifyRequests(func(id, attrs string) { c.Deadlines.AttemptReceived(m.ID, id, attrs) })
+			return observer.NotifyRequests(func(id, attrs string) { c.Deadlines.AttemptReceived(m.ID, id, attrs) })
 		})
 	}
 	viewMember := func(m discovery.Member) discovery.Member {
@@ -235,10 +235,10 @@
 			c.addLink(proxyName(j), name)
 		}
 	}
-	var relayAddr, advertised []string
+	var listenAddrs, advertised []string
 	for port := gossipPort; port < gossipPort+2; port++ {
-		relayAddr, advertised = append(relayAddr, fmt.Sprintf("%s:%d", listenHost, port)), append(advertised, fmt.Sprintf("%s:%d", advertiseHost, port))
-		gossip, err := newGossipRelay(advertised[len(advertised)-1], relayAddr[len(relayAddr)-1], func(source net.IP) *Link {
+		listenAddrs, advertised = append(listenAddrs, fmt.Sprintf("%s:%d", listenHost, port)), append(advertised, fmt.Sprintf("%s:%d", advertiseHost, port))
+		gossip, err := newGossipRelay(advertised[len(advertised)-1], listenAddrs[len(listenAddrs)-1], func(source net.IP) *Link {
 			n := int(source.To4()[3]) - 1
 			return c.link(proxyName(n), name)
 		})
@@ -281,7 +281,7 @@
 		for j := range min(3, c.Options.Proxies) {
 			join = append(join, fmt.Sprintf("%s%d:%d", c.subnet, 101+j, gossipPort))
 		}
-		operator += fmt.Sprintf("[instances]\nlisten = %s\nadvertise = %s\njoin = %s\nkey_file = %q\n[zones]\n", tomlList(relayAddr), tomlList(advertised), tomlList(join),
+		operator += fmt.Sprintf("[instances]\nlisten = %s\nadvertise = %s\njoin = %s\nkey_file = %q\n[zones]\n", tomlList(listenAddrs), tomlList(advertised), tomlList(join),
 			filepath.Join(c.Dir, "key"))
 		for name, zones := range c.Regions {
 			operator += fmt.Sprintf("[[zones.region]]\nname = %q\nzones = %s\n", name, tomlList(zones))
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -109,19 +109,19 @@
 // blockZones blocks the links between all proxies and the caches of zones, or restores them.
 func (h *harness) blockZones(blocked bool, zones ...string) {
 	for _, p := range h.Proxies {
-		for _, b := range h.CachesIn(zones...) {
-			h.Link(p.Name, b).SetBoth(Impairment{Blocked: blocked})
+		for _, cache := range h.CachesIn(zones...) {
+			h.Link(p.Name, cache).SetBoth(Impairment{Blocked: blocked})
 		}
 	}
 }
 
 func (h *harness) restartCold(zones ...string) {
 	for _, z := range zones {
-		for _, b := range h.Fleet.CachesIn(z) {
-			b.Clear()
-			b.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: warmupTime, WarmRate: 60, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
+		for _, cache := range h.Fleet.CachesIn(z) {
+			cache.Clear()
+			cache.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: warmupTime, WarmRate: 60, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
 			for _, p := range h.Proxies {
-				h.Link(p.Name, b.ID).Reset()
+				h.Link(p.Name, cache.ID).Reset()
 			}
 		}
 	}
@@ -176,8 +176,8 @@
 			fmt.Fprintf(&line, " %d", h.RequestsSent(p.Name, zone, at, at.Add(step)))
 		}
 		foreign := 0
-		for _, b := range h.CachesIn(zone) {
-			foreign += h.Link(p.Name, b).ForeignRequests()
+		for _, cache := range h.CachesIn(zone) {
+			foreign += h.Link(p.Name, cache).ForeignRequests()
 		}
 		h.t.Logf("%s sent to zone %s, by tenths of a second from %s:%s; others sent %d there", p.Name, zone, from.Format(time.StampMilli), &line, foreign)
 	}
@@ -213,16 +213,16 @@
 // setFault sets the fault of all caches in the zones.
 func (h *harness) setFault(f standin.Fault, zones ...string) {
 	for _, z := range zones {
-		for _, b := range h.Fleet.CachesIn(z) {
-			b.SetFault(f)
+		for _, cache := range h.Fleet.CachesIn(z) {
+			cache.SetFault(f)
 		}
 	}
 }
 
 func (h *harness) setServiceTime(d time.Duration, zones ...string) {
 	for _, z := range zones {
-		for _, b := range h.Fleet.CachesIn(z) {
-			b.SetService(d, 0)
+		for _, cache := range h.Fleet.CachesIn(z) {
+			cache.SetService(d, 0)
 		}
 	}
 }
@@ -264,8 +264,8 @@
 	"half of the answers fail, back half cold": {run: func(h *harness) {
 		h.setFault(standin.Intermittent, "c")
 		h.awaitState("c", "trying")
-		for _, b := range h.Fleet.CachesIn("c")[:2] {
-			b.Clear()
+		for _, cache := range h.Fleet.CachesIn("c")[:2] {
+			cache.Clear()
 		}
 		h.setFault(standin.Healthy, "c")
 		h.awaitState("c", "in")
@@ -278,8 +278,8 @@
 	}},
 	"one way only": {run: func(h *harness) {
 		for _, p := range h.Proxies {
-			for _, b := range h.CachesIn("c") {
-				h.Link(p.Name, b).Set(Backward, Impairment{Blocked: true})
+			for _, cache := range h.CachesIn("c") {
+				h.Link(p.Name, cache).Set(Backward, Impairment{Blocked: true})
 			}
 		}
 		h.awaitState("c", "trying")
@@ -388,8 +388,8 @@
 		h.requireAllInUse(3 * time.Second)
 		h.setServiceTime(h.ServiceTime, zoneNames...)
 		h.Fleet.Origin.SetService(600*time.Millisecond, 8)
-		for _, b := range h.Fleet.Caches {
-			b.Clear()
+		for _, cache := range h.Fleet.Caches {
+			cache.Clear()
 		}
 		h.requireAllInUse(3 * time.Second)
 		bad := h.Fleet.CachesIn("c")[0]
@@ -482,8 +482,8 @@
 	h.blockZones(false, "c")
 	h.awaitState("c", "in")
 	h.Stop()
-	for _, b := range h.Violations() {
-		t.Error(b)
+	for _, violation := range h.Violations() {
+		t.Error(violation)
 	}
 }
 
@@ -502,8 +502,8 @@
 				h.awaitState(z, "in")
 			}
 			h.Stop()
-			for _, b := range h.Violations() {
-				t.Error(b)
+			for _, violation := range h.Violations() {
+				t.Error(violation)
 			}
 		})
 	}
@@ -619,8 +619,8 @@
 			}()
 			scenario.run(h)
 			h.Stop()
-			for _, b := range h.Violations() {
-				t.Error(b)
+			for _, violation := range h.Violations() {
+				t.Error(violation)
 			}
 			if all := h.Requests(time.Time{}, time.Now()); len(all) < 500 {
 				t.Errorf("only %d requests were asked", len(all))
--- a/internal/cluster/copies_test.go
+++ b/internal/cluster/copies_test.go
@@ -20,9 +20,9 @@
 	h := newHarness(t, Options{Duplicates: duplicates})
 	for _, p := range h.Proxies {
 		for _, zone := range zoneNames {
-			for _, b := range h.CachesIn(zone) {
+			for _, cache := range h.CachesIn(zone) {
 				if zone != p.Zone {
-					h.Link(p.Name, b).SetBoth(Impairment{Delay: crossZoneDelay})
+					h.Link(p.Name, cache).SetBoth(Impairment{Delay: crossZoneDelay})
 				}
 			}
 		}
--- a/internal/cluster/deadlines_test.go
+++ b/internal/cluster/deadlines_test.go
@@ -18,28 +18,28 @@
 	t.Parallel()
 	deadlines := &standin.DeadlineChecker{}
 	h := newHarness(t, Options{Deadlines: deadlines})
-	late := standin.MeasureSchedulingDelay()
+	delay := standin.MeasureSchedulingDelay()
 	h.setFault(standin.Stall, "a")
 	h.setFault(standin.Busy, "b")
-	for _, b := range h.Fleet.CachesIn("c") {
-		b.Clear()
+	for _, cache := range h.Fleet.CachesIn("c") {
+		cache.Clear()
 	}
-	rng := rand.New(rand.NewPCG(54, 0))
+	random := rand.New(rand.NewPCG(54, 0))
 	for turn, end := 0, time.Now().Add(6*time.Second); time.Now().Before(end); turn++ {
-		p := h.Proxies[rng.IntN(len(h.Proxies))]
+		p := h.Proxies[random.IntN(len(h.Proxies))]
 		if turn%10 == 5 {
 			if err := p.Upgrade(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		p.Pause()
-		h.letRun(time.Duration(1 + rng.Int64N(int64(maxPause))))
+		h.letRun(time.Duration(1 + random.Int64N(int64(maxPause))))
 		p.Continue()
-		h.letRun(time.Duration(rng.Int64N(int64(maxPause))))
+		h.letRun(time.Duration(random.Int64N(int64(maxPause))))
 	}
 	h.setFault(standin.Healthy, zoneNames...)
 	h.Stop()
-	deadlines.Slack = standin.DeadlineSlack + 2*late.Stop()
+	deadlines.Slack = standin.DeadlineSlack + 2*delay.Stop()
 	first, further := deadlines.Attempts()
 	if first == 0 || further == 0 {
 		t.Errorf("%d first attempts and %d further ones", first, further)
--- a/internal/cluster/liar_test.go
+++ b/internal/cluster/liar_test.go
@@ -110,7 +110,7 @@
 	h.blockZones(false, "c")
 	h.awaitState("c", "in")
 	h.Stop()
-	for _, b := range h.Violations() {
-		t.Error(b)
+	for _, violation := range h.Violations() {
+		t.Error(violation)
 	}
 }
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -36,31 +36,31 @@
 		impairLinks := func(t Impairment) func() error {
 			return func() error {
 				for _, p := range c.Proxies {
-					for _, b := range c.CachesIn(zone) {
-						c.Link(p.Name, b).SetBoth(t)
+					for _, cacheName := range c.CachesIn(zone) {
+						c.Link(p.Name, cacheName).SetBoth(t)
 					}
 				}
 				return nil
 			}
 		}
-		impairGossip := func(a, b []string, t Impairment) func() error {
+		impairGossip := func(a, cacheName []string, t Impairment) func() error {
 			return func() error {
-				c.EachLink(a, b, func(l *Link) { l.SetBoth(t) })
+				c.EachLink(a, cacheName, func(l *Link) { l.SetBoth(t) })
 				return nil
 			}
 		}
 		setFault := func(caches []*standin.Cache, f standin.Fault) func() error {
 			return func() error {
-				for _, b := range caches {
-					b.SetFault(f)
+				for _, cacheName := range caches {
+					cacheName.SetFault(f)
 				}
 				return nil
 			}
 		}
 		setServiceTime := func(s time.Duration) func() error {
 			return func() error {
-				for _, b := range c.Fleet.CachesIn(zone) {
-					b.SetService(s, 0)
+				for _, cacheName := range c.Fleet.CachesIn(zone) {
+					cacheName.SetService(s, 0)
 				}
 				return nil
 			}
@@ -111,8 +111,8 @@
 			event.Description = zone + " reset"
 			event.do = func() error {
 				for _, p := range c.Proxies {
-					for _, b := range c.CachesIn(zone) {
-						c.Link(p.Name, b).Reset()
+					for _, cacheName := range c.CachesIn(zone) {
+						c.Link(p.Name, cacheName).Reset()
 					}
 				}
 				return nil
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -116,88 +116,88 @@
 const firstWarmupID logic.RequestID = 1 << 20
 
 // serveReads serves the given number of reads before the scenario begins.
-func (w *BalancerModel) serveReads(reads int) {
-	scenarioRequests := w.requests
+func (b *BalancerModel) serveReads(reads int) {
+	scenarioRequests := b.requests
 	for i := range reads {
-		w.requests = []*request{{Request: logic.Request{ID: firstWarmupID + logic.RequestID(i), Key: uint64(i) + 1<<32, Deadline: time.Second}}}
-		w.submit(w.requests[0])
-		w.EndAttempt(0, 0, logic.StatusOK)
-		for end := w.Now + 5*time.Millisecond; ; w.runNextTimer() {
-			w.timers = slices.DeleteFunc(w.timers, func(t timer) bool { return logic.RequestID(t.token>>3) >= firstWarmupID })
-			if slices.SortStableFunc(w.timers, byTime); len(w.timers) == 0 || w.timers[0].at > end {
-				w.Now = end
+		b.requests = []*request{{Request: logic.Request{ID: firstWarmupID + logic.RequestID(i), Key: uint64(i) + 1<<32, Deadline: time.Second}}}
+		b.submit(b.requests[0])
+		b.EndAttempt(0, 0, logic.StatusOK)
+		for end := b.Now + 5*time.Millisecond; ; b.runNextTimer() {
+			b.timers = slices.DeleteFunc(b.timers, func(t timer) bool { return logic.RequestID(t.token>>3) >= firstWarmupID })
+			if slices.SortStableFunc(b.timers, byTime); len(b.timers) == 0 || b.timers[0].at > end {
+				b.Now = end
 				break
 			}
 		}
 	}
-	w.requests = scenarioRequests
+	b.requests = scenarioRequests
 }
 
 func byTime(a, b timer) int { return cmp.Compare(a.at, b.at) }
 
 // Steps returns the possible steps: "ask 1", "1.0 reset", "leave 1", "list 0", and "time" for the next
 // timer.
-func (w *BalancerModel) Steps() (steps []string) {
-	for i, r := range w.requests {
+func (b *BalancerModel) Steps() (steps []string) {
+	for i, r := range b.requests {
 		switch {
 		case !r.submitted:
 			steps = append(steps, fmt.Sprint("ask ", i))
-		case w.scenario.ClientsMayLeave && r.answerCount == 0 && !r.cancelled:
+		case b.scenario.ClientsMayLeave && r.answerCount == 0 && !r.cancelled:
 			steps = append(steps, fmt.Sprint("leave ", i))
 		}
 		for k, a := range r.attempts {
 			if a.ended {
 				continue
 			}
-			for _, status := range w.scenario.Outcomes {
-				if w.isPossible(r, a, status) {
+			for _, status := range b.scenario.Outcomes {
+				if b.isPossible(r, a, status) {
 					steps = append(steps, fmt.Sprintf("%d.%d %v", i, k, status))
 				}
 			}
 		}
 	}
-	for i, done := range w.changesApplied {
+	for i, done := range b.changesApplied {
 		if !done {
 			steps = append(steps, fmt.Sprint("list ", i))
 		}
 	}
-	if len(w.timers) > 0 {
+	if len(b.timers) > 0 {
 		steps = append(steps, "time")
 	}
 	return steps
 }
 
 // isPossible reports whether an attempt can end with a status: only caches miss, and only reads.
-func (w *BalancerModel) isPossible(r *request, a attempt, s logic.Status) bool {
-	return s != logic.StatusMiss || !r.Write && !w.isOrigin(a.member)
+func (b *BalancerModel) isPossible(r *request, a attempt, s logic.Status) bool {
+	return s != logic.StatusMiss || !r.Write && !b.isOrigin(a.member)
 }
 
 // Do executes one step.
-func (w *BalancerModel) Do(step string) {
+func (b *BalancerModel) Do(step string) {
 	var i, k int
 	var name string
 	switch {
 	case step == "time":
-		w.runNextTimer()
+		b.runNextTimer()
 	case scanStep(step, "ask %d", &i):
-		w.submit(w.requests[i])
+		b.submit(b.requests[i])
 	case scanStep(step, "leave %d", &i):
-		w.requests[i].cancelled = true
-		w.Balancer.RequestCancelled(w.Now, w.requests[i].ID)
+		b.requests[i].cancelled = true
+		b.Balancer.RequestCancelled(b.Now, b.requests[i].ID)
 	case scanStep(step, "list %d", &i):
-		w.changesApplied[i] = true
-		m := w.scenario.Changes[i]
-		w.list[m.ID] = m
-		if !w.scenario.HideChanges {
-			w.Balancer.SetMembers(w.Now, logic.ListDelta, []logic.Member{m})
+		b.changesApplied[i] = true
+		m := b.scenario.Changes[i]
+		b.list[m.ID] = m
+		if !b.scenario.HideChanges {
+			b.Balancer.SetMembers(b.Now, logic.ListDelta, []logic.Member{m})
 		}
 	case scanStep(step, "%d.%d %s", &i, &k, &name):
-		at := slices.IndexFunc(w.scenario.Outcomes, func(s logic.Status) bool { return s.String() == name })
-		w.EndAttempt(i, k, w.scenario.Outcomes[at])
+		at := slices.IndexFunc(b.scenario.Outcomes, func(s logic.Status) bool { return s.String() == name })
+		b.EndAttempt(i, k, b.scenario.Outcomes[at])
 	default:
-		w.addViolation("there is no step %q", step)
+		b.addViolation("there is no step %q", step)
 	}
-	w.checkRequests()
+	b.checkRequests()
 }
 
 func scanStep(step, format string, args ...any) bool {
@@ -205,104 +205,104 @@
 	return err == nil && n == len(args)
 }
 
-func (w *BalancerModel) submit(r *request) {
-	r.submitted, r.submittedAt = true, w.Now
-	r.Deadline += w.Now
-	c := w.class(r)
-	r.softDeadline = min(w.Now+c.SoftDeadline, r.Deadline)
+func (b *BalancerModel) submit(r *request) {
+	r.submitted, r.submittedAt = true, b.Now
+	r.Deadline += b.Now
+	c := b.class(r)
+	r.softDeadline = min(b.Now+c.SoftDeadline, r.Deadline)
 	if c.LateValue > 0 {
 		r.softDeadline = r.Deadline
 	}
-	w.Balancer.Request(w.Now, r.Request)
+	b.Balancer.Request(b.Now, r.Request)
 }
 
 // EndAttempt ends an attempt with a status.
-func (w *BalancerModel) EndAttempt(i, k int, status logic.Status) {
-	r := w.requests[i]
+func (b *BalancerModel) EndAttempt(i, k int, status logic.Status) {
+	r := b.requests[i]
 	ended := &r.attempts[k]
 	ended.ended, ended.status, ended.maybeRan = true, status, !status.NeverRan()
-	r.missed = status == logic.StatusMiss || r.missed && w.isOrigin(ended.member)
+	r.missed = status == logic.StatusMiss || r.missed && b.isOrigin(ended.member)
 	if status == logic.StatusOK && r.answerCount == 0 && !r.cancelled {
 		r.answerCount = 1
 	}
-	outcome := logic.Outcome{Request: r.ID, Attempt: k, Member: ended.member.ID, Status: status, Elapsed: w.Now - ended.sentAt,
+	outcome := logic.Outcome{Request: r.ID, Attempt: k, Member: ended.member.ID, Status: status, Elapsed: b.Now - ended.sentAt,
 		Final: r.answerCount > 0 || r.cancelled}
-	if w.scenario.AlterOutcome != nil {
-		outcome = w.scenario.AlterOutcome(outcome)
+	if b.scenario.AlterOutcome != nil {
+		outcome = b.scenario.AlterOutcome(outcome)
 	}
-	w.Balancer.Outcome(w.Now, outcome)
+	b.Balancer.Outcome(b.Now, outcome)
 }
 
 // runNextTimer advances the time to the next timer and runs it.
-func (w *BalancerModel) runNextTimer() {
-	slices.SortStableFunc(w.timers, byTime)
-	next := w.timers[0]
-	w.timers = w.timers[1:]
-	w.Now = max(w.Now, next.at)
-	w.Balancer.Timer(w.Now, next.token)
+func (b *BalancerModel) runNextTimer() {
+	slices.SortStableFunc(b.timers, byTime)
+	next := b.timers[0]
+	b.timers = b.timers[1:]
+	b.Now = max(b.Now, next.at)
+	b.Balancer.Timer(b.Now, next.token)
 }
 
 // Finish advances the time without answering any attempt until all requests are past their deadlines.
-func (w *BalancerModel) Finish() {
+func (b *BalancerModel) Finish() {
 	var lastDeadline time.Duration
-	for _, r := range w.requests {
+	for _, r := range b.requests {
 		lastDeadline = max(lastDeadline, r.Deadline)
 	}
-	for w.Now < lastDeadline && len(w.timers) > 0 {
-		w.runNextTimer()
-		w.checkRequests()
+	for b.Now < lastDeadline && len(b.timers) > 0 {
+		b.runNextTimer()
+		b.checkRequests()
 	}
-	w.Now = max(w.Now, lastDeadline)
-	for i, r := range w.requests {
+	b.Now = max(b.Now, lastDeadline)
+	for i, r := range b.requests {
 		for k := range r.attempts {
 			if !r.attempts[k].ended {
-				w.EndAttempt(i, k, logic.StatusTimeout)
-				w.checkRequests()
+				b.EndAttempt(i, k, logic.StatusTimeout)
+				b.checkRequests()
 			}
 		}
 		if r.submitted && !r.cancelled && r.answerCount != 1 {
-			w.addViolation("request %d has %d final answers", r.ID, r.answerCount)
+			b.addViolation("request %d has %d final answers", r.ID, r.answerCount)
 		}
 	}
-	if n := w.Balancer.Outstanding(); n != 0 {
-		w.addViolation("%d requests are left behind", n)
+	if n := b.Balancer.Outstanding(); n != 0 {
+		b.addViolation("%d requests are left behind", n)
 	}
 }
 
 // Violations returns the violations found so far.
-func (w *BalancerModel) Violations() []string { return w.violations }
+func (b *BalancerModel) Violations() []string { return b.violations }
 
 // Key hashes the module's complete state and what the host remembers.
-func (w *BalancerModel) Key() [16]byte {
+func (b *BalancerModel) Key() [16]byte {
 	var state strings.Builder
-	digest := w.Balancer.StateDigest()
+	digest := b.Balancer.StateDigest()
 	state.Write(digest[:])
-	slices.SortStableFunc(w.timers, byTime)
-	fmt.Fprint(&state, w.timers, w.changesApplied, w.Now)
-	for _, r := range w.requests {
+	slices.SortStableFunc(b.timers, byTime)
+	fmt.Fprint(&state, b.timers, b.changesApplied, b.Now)
+	for _, r := range b.requests {
 		fmt.Fprint(&state, r.submitted, r.submittedAt, r.answerCount, r.cancelled, r.missed, r.attempts)
 	}
-	for _, m := range w.scenario.Members {
-		fmt.Fprint(&state, w.coldSends[m.ID])
+	for _, m := range b.scenario.Members {
+		fmt.Fprint(&state, b.coldSends[m.ID])
 	}
 	return md5.Sum([]byte(state.String()))
 }
 
-func (w *BalancerModel) addViolation(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (b *BalancerModel) addViolation(format string, args ...any) {
+	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
 // checkRequests checks every request after an event.
-func (w *BalancerModel) checkRequests() {
-	for _, r := range w.requests {
+func (b *BalancerModel) checkRequests() {
+	for _, r := range b.requests {
 		if !r.submitted || r.answerCount > 0 || r.cancelled {
 			continue
 		}
-		if w.Now > r.Deadline+w.scenario.Settings.AnswerGrace {
-			w.addViolation("request %d has no answer %v after its deadline", r.ID, w.Now-r.Deadline)
+		if b.Now > r.Deadline+b.scenario.Settings.AnswerGrace {
+			b.addViolation("request %d has no answer %v after its deadline", r.ID, b.Now-r.Deadline)
 		}
-		if !r.outstanding() && !w.canBeSent(r) {
-			w.addViolation("request %d is held back: it has no attempt outstanding and can be sent to no member", r.ID)
+		if !r.outstanding() && !b.canBeSent(r) {
+			b.addViolation("request %d is held back: it has no attempt outstanding and can be sent to no member", r.ID)
 		}
 	}
 }
@@ -324,29 +324,29 @@
 // canBeSent reports whether a request could be sent to any member now, or later before its soft deadline,
 // by the rules and the member list alone. It ignores loads, limits and budgets, which may later allow what
 // they forbid now.
-func (w *BalancerModel) canBeSent(r *request) bool {
+func (b *BalancerModel) canBeSent(r *request) bool {
 	sent := 0
 	for _, a := range r.attempts {
 		if a.status != logic.StatusNoConn {
 			sent++
 		}
 	}
-	if w.Now >= r.softDeadline || sent >= w.scenario.Settings.MaxAttempts {
+	if b.Now >= r.softDeadline || sent >= b.scenario.Settings.MaxAttempts {
 		return false
 	}
-	for _, m := range w.list {
+	for _, m := range b.list {
 		if m.State != logic.Ready {
 			continue
 		}
-		if w.scenario.Settings.Mode == logic.CacheAside {
+		if b.scenario.Settings.Mode == logic.CacheAside {
 			// A read that has failed goes to an origin at its last attempt, as other caches would lack its
 			// key.
-			last := sent > 0 && sent+1 == w.scenario.Settings.MaxAttempts
-			if toOrigin := w.isOrigin(m); r.Write && !toOrigin || !r.Write && toOrigin && !r.missed && !last {
+			last := sent > 0 && sent+1 == b.scenario.Settings.MaxAttempts
+			if toOrigin := b.isOrigin(m); r.Write && !toOrigin || !r.Write && toOrigin && !r.missed && !last {
 				continue
 			}
 		}
-		if w.mayRunAt(r, m) {
+		if b.mayRunAt(r, m) {
 			return true
 		}
 	}
@@ -355,47 +355,47 @@
 
 // mayRunAt reports whether the rules allow a request to be sent to a member, given what its earlier
 // attempts may have done.
-func (w *BalancerModel) mayRunAt(r *request, m logic.Member) bool {
-	first, c := r.firstMaybeRan(), w.class(r)
+func (b *BalancerModel) mayRunAt(r *request, m logic.Member) bool {
+	first, c := r.firstMaybeRan(), b.class(r)
 	if first == nil || c.Effect == logic.Repeatable {
 		return true
 	}
-	if c.Effect == logic.AtMostOnce || w.Now >= first.sentAt+c.DedupWindow {
+	if c.Effect == logic.AtMostOnce || b.Now >= first.sentAt+c.DedupWindow {
 		return false
 	}
 	return c.Scope == logic.ScopeAll || c.Scope == logic.ScopeZone && m.Zone == first.member.Zone ||
 		c.Scope == logic.ScopeCell && m.Cell == first.member.Cell
 }
 
-func (w *BalancerModel) isOrigin(m logic.Member) bool {
-	s := &w.scenario.Settings
+func (b *BalancerModel) isOrigin(m logic.Member) bool {
+	s := &b.scenario.Settings
 	return s.Mode == logic.CacheAside && s.OriginKind >= 0 && m.Kind == s.OriginKind
 }
 
 // class returns the class of a request. Unknown classes get the strictest effect.
-func (w *BalancerModel) class(r *request) logic.Class {
-	if s := &w.scenario.Settings; r.Class < 0 || r.Class >= len(s.Classes) {
+func (b *BalancerModel) class(r *request) logic.Class {
+	if s := &b.scenario.Settings; r.Class < 0 || r.Class >= len(s.Classes) {
 		c := s.Classes[0]
 		c.Effect = logic.AtMostOnce
 		return c
 	}
-	return w.scenario.Settings.Classes[r.Class]
+	return b.scenario.Settings.Classes[r.Class]
 }
 
 // findRequest returns a request by its id.
-func (w *BalancerModel) findRequest(id logic.RequestID) *request {
-	for _, r := range w.requests {
+func (b *BalancerModel) findRequest(id logic.RequestID) *request {
+	for _, r := range b.requests {
 		if r.ID == id && r.submitted {
 			return r
 		}
 	}
-	w.addViolation("an action names request %d, which was not sent", id)
+	b.addViolation("an action names request %d, which was not sent", id)
 	return nil
 }
 
 // SoftDeadline returns the time after which the answer to a request has no value.
-func (w *BalancerModel) SoftDeadline(id logic.RequestID) time.Duration {
-	if r := w.findRequest(id); r != nil {
+func (b *BalancerModel) SoftDeadline(id logic.RequestID) time.Duration {
+	if r := b.findRequest(id); r != nil {
 		return r.softDeadline
 	}
 	return 0
--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -60,8 +60,8 @@
 	group         sync.WaitGroup
 }
 
-func newClients(p *restartRun, seed uint64) *clients {
-	return &clients{run: p, seed: seed, quit: make(chan struct{})}
+func newClients(run *restartRun, seed uint64) *clients {
+	return &clients{run: run, seed: seed, quit: make(chan struct{})}
 }
 
 // openIdle opens a connection that never sends a complete request.
@@ -133,15 +133,15 @@
 		batch := c.newBatch(random, fmt.Sprintf("%s-%d", name, n))
 		batch[0].firstOnConn = n == 0
 		var text strings.Builder
-		for _, a := range batch {
-			text.WriteString(a.command())
+		for _, sent := range batch {
+			text.WriteString(sent.command())
 		}
 		// if it fails, the connection has ended, and reading the answers reports that
 		io.WriteString(conn, text.String())
 		now := time.Now()
 		c.mu.Lock()
-		for _, a := range batch {
-			a.sentAt, a.timeoutFrom = now, now
+		for _, sent := range batch {
+			sent.sentAt, sent.timeoutFrom = now, now
 		}
 		c.requests = append(c.requests, batch...)
 		c.mu.Unlock()
@@ -149,8 +149,8 @@
 			time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 			conn.Close()
 			c.mu.Lock()
-			for _, a := range batch {
-				a.clientLeft, a.endedAt = true, time.Now()
+			for _, sent := range batch {
+				sent.clientLeft, sent.endedAt = true, time.Now()
 			}
 			c.mu.Unlock()
 			return true
@@ -168,20 +168,20 @@
 	}
 	var batch []*request
 	for i := range n {
-		a := &request{id: fmt.Sprintf("%s-%d", name, i), key: keyName(random.IntN(keyCount)), timeout: c.run.deadline * time.Duration(70+random.IntN(30)) / 100}
+		next := &request{id: fmt.Sprintf("%s-%d", name, i), key: keyName(random.IntN(keyCount)), timeout: c.run.deadline * time.Duration(70+random.IntN(30)) / 100}
 		if random.IntN(12) == 0 {
-			a.isOrder, a.key = true, "order-"+a.id
+			next.isOrder, next.key = true, "order-"+next.id
 		}
-		batch = append(batch, a)
+		batch = append(batch, next)
 	}
 	return batch
 }
 
 // command returns the request as it is sent.
-func (a *request) command() string {
-	args := []string{"OBJ.GET", a.key, a.id, fmt.Sprintf("c=tile-read,d=%d", a.timeout.Milliseconds())}
-	if a.isOrder {
-		args = []string{"OBJ.SET", a.key, a.id, fmt.Sprintf("c=pass-order,d=%d", a.timeout.Milliseconds()), "a pass for " + a.id}
+func (r *request) command() string {
+	args := []string{"OBJ.GET", r.key, r.id, fmt.Sprintf("c=tile-read,d=%d", r.timeout.Milliseconds())}
+	if r.isOrder {
+		args = []string{"OBJ.SET", r.key, r.id, fmt.Sprintf("c=pass-order,d=%d", r.timeout.Milliseconds()), "a pass for " + r.id}
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "*%d\r\n", len(args))
@@ -193,25 +193,25 @@
 
 // readAnswers reads the answers to a batch. It returns false if the connection has ended.
 func (c *clients) readAnswers(conn net.Conn, in *bufio.Reader, batch []*request) bool {
-	for i, a := range batch {
-		conn.SetReadDeadline(a.timeoutFrom.Add(a.timeout + answerGrace + time.Second))
+	for i, sent := range batch {
+		conn.SetReadDeadline(sent.timeoutFrom.Add(sent.timeout + answerGrace + time.Second))
 		line, value, err := readAnswer(in)
 		now := time.Now()
 		c.mu.Lock()
-		a.endedAt = now
-		a.detail = line
+		sent.endedAt = now
+		sent.detail = line
 		switch {
 		case err != nil:
 			c.recordCut(batch[i:], i == 0, now, err)
 		case strings.HasPrefix(line, "$"):
-			a.outcome = served
-			if want := a.expected(); !strings.HasPrefix(value, want) {
-				a.outcome, a.detail = unanswered, fmt.Sprintf("served with %.60q, want %q", value, want)
+			sent.outcome = served
+			if want := sent.expected(); !strings.HasPrefix(value, want) {
+				sent.outcome, sent.detail = unanswered, fmt.Sprintf("served with %.60q, want %q", value, want)
 			}
 		case strings.HasPrefix(line, "-BUSY"):
-			a.outcome = refused
+			sent.outcome = refused
 		default:
-			a.outcome = failed
+			sent.outcome = failed
 		}
 		if i+1 < len(batch) {
 			batch[i+1].timeoutFrom = now
@@ -225,25 +225,25 @@
 }
 
 // expected returns the prefix of the expected value or receipt.
-func (a *request) expected() string {
-	if a.isOrder {
-		return "receipt of " + a.key
+func (r *request) expected() string {
+	if r.isOrder {
+		return "receipt of " + r.key
 	}
-	return "value of " + a.key + " "
+	return "value of " + r.key + " "
 }
 
 // recordCut records that a connection ended with unanswered requests. They may have crossed the end of the
 // connection, if they were sent while it was idle and no attempt of them was written; otherwise they are
 // lost. While idle connections use up the descriptors, a new connection may be closed unread.
 func (c *clients) recordCut(pending []*request, first bool, at time.Time, err error) {
-	for _, a := range pending {
-		a.endedAt = at
-		a.detail = fmt.Sprintf("no answer: %v", err)
+	for _, lost := range pending {
+		lost.endedAt = at
+		lost.detail = fmt.Sprintf("no answer: %v", err)
 		var netErr net.Error
 		timedOut := errors.As(err, &netErr) && netErr.Timeout()
-		unread := at.Sub(a.sentAt) < crossingTime || c.run.idleConns > 0 && pending[0].firstOnConn
-		if first && !timedOut && unread && c.run.duplicates.Written("", a.id) == 0 {
-			a.outcome = notAccepted
+		unread := at.Sub(lost.sentAt) < crossingTime || c.run.idleConns > 0 && pending[0].firstOnConn
+		if first && !timedOut && unread && c.run.duplicates.Written("", lost.id) == 0 {
+			lost.outcome = notAccepted
 		}
 	}
 }
@@ -267,9 +267,9 @@
 
 // countOutcomes adds the outcomes of all requests to the result.
 func (c *clients) countOutcomes(r *Result) {
-	for _, a := range c.requests {
+	for _, sent := range c.requests {
 		r.Sent++
-		switch a.outcome {
+		switch sent.outcome {
 		case served:
 			r.Served++
 		case refused:
@@ -285,23 +285,23 @@
 // violations describes the rules that were broken for clients.
 func (c *clients) violations() (faults []string) {
 	executions := c.run.fleet.Origin.Executions()
-	for _, a := range c.requests {
-		took := a.endedAt.Sub(a.timeoutFrom)
+	for _, sent := range c.requests {
+		took := sent.endedAt.Sub(sent.timeoutFrom)
 		switch {
-		case a.clientLeft:
-			if at, ok := c.run.duplicates.LastWrittenAt(a.id); ok && at.Sub(a.endedAt) > departureGrace+ruleSlack {
-				faults = append(faults, fmt.Sprintf("request %s: an attempt began %v after its client had left", a.id, at.Sub(a.endedAt)))
+		case sent.clientLeft:
+			if at, ok := c.run.duplicates.LastWrittenAt(sent.id); ok && at.Sub(sent.endedAt) > departureGrace+ruleSlack {
+				faults = append(faults, fmt.Sprintf("request %s: an attempt began %v after its client had left", sent.id, at.Sub(sent.endedAt)))
 			}
-		case a.outcome == unanswered:
-			faults = append(faults, fmt.Sprintf("request %s is lost, sent %v before the kill, after %v: %s", a.id, c.killedAt.Sub(a.sentAt), took, a.detail))
-		case a.outcome != notAccepted && took > a.timeout+answerGrace:
-			faults = append(faults, fmt.Sprintf("request %s was answered after %v, and its client waited for %v", a.id, took, a.timeout))
+		case sent.outcome == unanswered:
+			faults = append(faults, fmt.Sprintf("request %s is lost, sent %v before the kill, after %v: %s", sent.id, c.killedAt.Sub(sent.sentAt), took, sent.detail))
+		case sent.outcome != notAccepted && took > sent.timeout+answerGrace:
+			faults = append(faults, fmt.Sprintf("request %s was answered after %v, and its client waited for %v", sent.id, took, sent.timeout))
 		}
-		if a.isOrder && a.outcome == refused && executions[a.key] > 0 {
-			faults = append(faults, fmt.Sprintf("order %s was refused, and has run", a.id))
+		if sent.isOrder && sent.outcome == refused && executions[sent.key] > 0 {
+			faults = append(faults, fmt.Sprintf("order %s was refused, and has run", sent.id))
 		}
-		if a.isOrder && a.outcome == notAccepted && executions[a.key] > 0 {
-			faults = append(faults, fmt.Sprintf("order %s was not accepted, and has run", a.id))
+		if sent.isOrder && sent.outcome == notAccepted && executions[sent.key] > 0 {
+			faults = append(faults, fmt.Sprintf("order %s was not accepted, and has run", sent.id))
 		}
 	}
 	if c.drainedMember != "" && !c.run.moveDiscovery {
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -218,7 +218,7 @@
 	store     map[string][]byte
 	// onMiss reports the request id of a miss to the fleet, which stores the value here once the origin
 	// has answered.
-	onMiss func(id string, b *Cache)
+	onMiss func(id string, cache *Cache)
 	hits   int
 	misses int
 	onRead func(id string) // called with the id of each read; may be nil
