--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -353,16 +353,16 @@
 		if n := h.RequestsSent(leader.Name, "c", at, at.Add(1500*time.Millisecond)); n > 16 {
 			h.t.Errorf("continued after the zone was left, it sends %d to it in 1.5 s", n)
 		}
-		delay := h.Proxies[5]
-		h.ExpectLoss(delay.Name, time.Now(), time.Now().Add(time.Hour))
-		delay.Kill()
+		restarted := h.Proxies[5]
+		h.ExpectLoss(restarted.Name, time.Now(), time.Now().Add(time.Hour))
+		restarted.Kill()
 		h.restartCold("c")
 		h.blockZones(false, "c")
-		h.awaitState("c", "returning", delay.Name)
-		if err := delay.Start(); err != nil {
+		h.awaitState("c", "returning", restarted.Name)
+		if err := restarted.Start(); err != nil {
 			h.t.Fatal(err)
 		}
-		if v, err := delay.View(); err != nil || v.Zones[2].LocalShare > v.Zones[2].Share+0.1 || v.Zones[2].Share == 1 {
+		if v, err := restarted.View(); err != nil || v.Zones[2].LocalShare > v.Zones[2].Share+0.1 || v.Zones[2].Share == 1 {
 			h.t.Errorf("started while the zone is returned to, it takes %+v, %v", v.Zones, err)
 		}
 		for _, p := range h.Proxies[3:5] {
--- a/internal/cluster/disk_test.go
+++ b/internal/cluster/disk_test.go
@@ -55,8 +55,8 @@
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
-	for _, retry := range h.Violations() {
-		t.Error(retry)
+	for _, violation := range h.Violations() {
+		t.Error(violation)
 	}
 	if retried < 50 {
 		t.Errorf("only %d orders were repeated", retried)
--- a/internal/cluster/liar_test.go
+++ b/internal/cluster/liar_test.go
@@ -21,11 +21,11 @@
 	meta []byte
 }
 
-func (l *rogueInstance) NodeMeta(int) []byte                    { return l.meta }
-func (l *rogueInstance) NotifyMsg([]byte)                       {}
-func (l *rogueInstance) GetBroadcasts(int, int) [][]byte        { return nil }
-func (l *rogueInstance) LocalState(bool) []byte                 { return nil }
-func (l *rogueInstance) MergeRemoteState(buf []byte, join bool) {}
+func (r *rogueInstance) NodeMeta(int) []byte                    { return r.meta }
+func (r *rogueInstance) NotifyMsg([]byte)                       {}
+func (r *rogueInstance) GetBroadcasts(int, int) [][]byte        { return nil }
+func (r *rogueInstance) LocalState(bool) []byte                 { return nil }
+func (r *rogueInstance) MergeRemoteState(buf []byte, join bool) {}
 
 const rogueNumber = 89
 
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -43,24 +43,24 @@
 				return nil
 			}
 		}
-		impairGossip := func(a, cacheName []string, t Impairment) func() error {
+		impairGossip := func(firstGroup, secondGroup []string, t Impairment) func() error {
 			return func() error {
-				c.EachLink(a, cacheName, func(l *Link) { l.SetBoth(t) })
+				c.EachLink(firstGroup, secondGroup, func(l *Link) { l.SetBoth(t) })
 				return nil
 			}
 		}
 		setFault := func(caches []*standin.Cache, f standin.Fault) func() error {
 			return func() error {
-				for _, cacheName := range caches {
-					cacheName.SetFault(f)
+				for _, member := range caches {
+					member.SetFault(f)
 				}
 				return nil
 			}
 		}
 		setServiceTime := func(s time.Duration) func() error {
 			return func() error {
-				for _, cacheName := range c.Fleet.CachesIn(zone) {
-					cacheName.SetService(s, 0)
+				for _, member := range c.Fleet.CachesIn(zone) {
+					member.SetService(s, 0)
 				}
 				return nil
 			}
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -219,13 +219,13 @@
 // EndAttempt ends an attempt with a status.
 func (b *BalancerModel) EndAttempt(i, k int, status logic.Status) {
 	r := b.requests[i]
-	ended := &r.attempts[k]
-	ended.ended, ended.status, ended.maybeRan = true, status, !status.NeverRan()
-	r.missed = status == logic.StatusMiss || r.missed && b.isOrigin(ended.member)
+	finished := &r.attempts[k]
+	finished.ended, finished.status, finished.maybeRan = true, status, !status.NeverRan()
+	r.missed = status == logic.StatusMiss || r.missed && b.isOrigin(finished.member)
 	if status == logic.StatusOK && r.answerCount == 0 && !r.cancelled {
 		r.answerCount = 1
 	}
-	outcome := logic.Outcome{Request: r.ID, Attempt: k, Member: ended.member.ID, Status: status, Elapsed: b.Now - ended.sentAt,
+	outcome := logic.Outcome{Request: r.ID, Attempt: k, Member: finished.member.ID, Status: status, Elapsed: b.Now - finished.sentAt,
 		Final: r.answerCount > 0 || r.cancelled}
 	if b.scenario.AlterOutcome != nil {
 		outcome = b.scenario.AlterOutcome(outcome)
--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -71,7 +71,7 @@
 		return
 	}
 	c.idleConns = append(c.idleConns, conn)
-	if c.run.rng.IntN(2) == 0 {
+	if c.run.random.IntN(2) == 0 {
 		io.WriteString(conn, "*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk")
 	}
 }
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -141,7 +141,7 @@
 // restartRun is one planned restart.
 type restartRun struct {
 	scenario
-	rng         *rand.Rand
+	random      *rand.Rand
 	fleet       *standin.Fleet
 	relays      []*standin.Relay // of the caches, then the origin
 	duplicates  *standin.DuplicateChecker
@@ -157,7 +157,7 @@
 // Run runs the planned restart of a seed.
 func Run(o Options) (*Result, error) {
 	random := rand.New(rand.NewPCG(o.Seed, 60))
-	run := &restartRun{scenario: newScenario(random), rng: random, duplicates: standin.NewDuplicateChecker()}
+	run := &restartRun{scenario: newScenario(random), random: random, duplicates: standin.NewDuplicateChecker()}
 	delay := standin.MeasureSchedulingDelay()
 	err := run.run(o)
 	result := &Result{Seed: o.Seed, Scenario: run.scenario.String(), SchedulingDelay: delay.Stop()}
@@ -192,9 +192,9 @@
 	}
 	p.clients.start(p.scenario.clients)
 	// The load before the first signal is defined by its length, and no event ends it.
-	time.Sleep(300*time.Millisecond + time.Duration(p.rng.IntN(400))*time.Millisecond)
+	time.Sleep(300*time.Millisecond + time.Duration(p.random.IntN(400))*time.Millisecond)
 	p.injectFaults()
-	time.Sleep(time.Duration(p.rng.IntN(150)) * time.Millisecond)
+	time.Sleep(time.Duration(p.random.IntN(150)) * time.Millisecond)
 	p.restart()
 	p.check()
 	return nil
@@ -224,7 +224,7 @@
 		return nil
 	}
 	for i, cache := range p.fleet.Caches {
-		cache.SetService(time.Duration(1+p.rng.IntN(15))*time.Millisecond, 0)
+		cache.SetService(time.Duration(1+p.random.IntN(15))*time.Millisecond, 0)
 		if err := relay(cache.ID, cache.Addr(), false, p.delays[i]); err != nil {
 			return err
 		}
--- a/internal/standin/door.go
+++ b/internal/standin/door.go
@@ -42,26 +42,26 @@
 }
 
 // Accept frees the accept queue and returns the next established connection.
-func (d *FullListener) Accept() (net.Conn, error) {
+func (l *FullListener) Accept() (net.Conn, error) {
 	for {
-		conn, err := d.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if conn.RemoteAddr().String() != d.blocker.LocalAddr().String() {
+		if conn.RemoteAddr().String() != l.blocker.LocalAddr().String() {
 			return conn, nil
 		}
 		conn.Close()
-		d.blocker.Close()
+		l.blocker.Close()
 	}
 }
 
 // Serve frees the accept queue and serves each established connection until the listener is closed. It
 // returns at once.
-func (d *FullListener) Serve(serve func(net.Conn)) {
+func (l *FullListener) Serve(serve func(net.Conn)) {
 	go func() {
 		for {
-			conn, err := d.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
