--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -48,8 +48,8 @@
 	return &Observer{duplicates: c, member: member, origin: origin, peerClosed: func() bool { return peerClosed(conn) }}
 }
 
-// ObserveRequests returns an Observer without a checker. It calls onRequest with the id and the attributes of
-// each request that is written.
+// ObserveRequests returns an Observer without a checker. It calls onRequest with the id and the attributes
+// of each request that is written.
 func ObserveRequests(onRequest func(id, attrs string)) *Observer {
 	return &Observer{onRequest: onRequest}
 }
