--- a/cmd/linenloom/leave_test.go
+++ b/cmd/linenloom/leave_test.go
@@ -33,13 +33,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	origin, err := standin.NewDoor()
+	origin, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { origin.Close() })
-	fleet.Boxes[0].SetFault(standin.Stall)
-	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: origin.Addr().String(), Locality: standin.Zone, Flavor: "origin",
+	fleet.Caches[0].SetFault(standin.Stall)
+	fleet.Registry.Update(discovery.Member{ID: "o-1", HostPort: origin.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
 	extendDeadlines(fleet, map[string]any{"cancel": false, "connect_timeout_ms": 20e3})
 	listen, tmp := freeAddr(t), t.TempDir()
@@ -63,7 +63,7 @@
 	predecessor := start()
 	closedClient := send(order("left"))
 	stalled := send("*4\r\n$7\r\nOBJ.GET\r\n$2\r\na2\r\n$3\r\nid2\r\n$19\r\nc=tile-read,d=60000\r\n")
-	for end := time.Now().Add(waitTimeout); fleet.Boxes[0].Began() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); fleet.Caches[0].Received() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the read never came to the box")
 		}
@@ -75,7 +75,7 @@
 	var mu sync.Mutex
 	var received []string
 	origin.Serve(func(conn net.Conn) {
-		standin.AnswerAsOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
+		standin.ServeOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
 			mu.Lock()
 			defer mu.Unlock()
 			received = append(received, id)
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -76,7 +76,7 @@
 	}
 	for i := range 2 {
 		progress()
-		begunBefore := fleet.Boxes[0].Began()
+		begunBefore := fleet.Caches[0].Received()
 		process.Process.Signal(syscall.SIGHUP) // a reload during the upgrade
 		next := start(mgmtAddrs[i+1])
 		for range 200 { // idle connections must not block operators' calls at either process
@@ -99,7 +99,7 @@
 			t.Errorf("the process that was followed ended with %v", err)
 		}
 		progress()
-		if got := fleet.Boxes[0].Began() - begunBefore; got > 0 {
+		if got := fleet.Caches[0].Received() - begunBefore; got > 0 {
 			t.Errorf("upgrade %d: %d requests for a box that is out", i+1, got)
 		}
 		process = next
@@ -107,8 +107,8 @@
 	if got := call("PUT", mgmtAddrs[2], "/maintenance/exit", "s-1"); got != 200 {
 		t.Fatalf("exit: %d", got)
 	}
-	begunBefore := fleet.Boxes[0].Began()
-	for end := time.Now().Add(waitTimeout); fleet.Boxes[0].Began() == begunBefore; time.Sleep(time.Millisecond) {
+	begunBefore := fleet.Caches[0].Received()
+	for end := time.Now().Add(waitTimeout); fleet.Caches[0].Received() == begunBefore; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box is back and unused")
 		}
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -36,7 +36,7 @@
 
 func (a *testAuthority) write(name string, text []byte) {
 	a.t.Helper()
-	if err := a.Put(name, text); err != nil {
+	if err := a.WriteFile(name, text); err != nil {
 		a.t.Fatal(err)
 	}
 }
@@ -53,7 +53,7 @@
 	a.t.Helper()
 	clientConn, serverConn := net.Pipe()
 	defer clientConn.Close()
-	cfg, err := a.Config(a.Roots[root], name)
+	cfg, err := a.ClientConfig(a.Roots[root], name)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 		authenticator.ReloadFiles()
 	}
 	// The listener's own certificate is replaced.
-	renewed, err := authority.Renew()
+	renewed, err := authority.RenewCertificate()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/clients.go
+++ b/internal/cluster/clients.go
@@ -17,82 +17,86 @@
 	"linenloom/internal/standin"
 )
 
-// Load is what clients ask of each proxy.
+// Load is what the clients of each proxy send.
 type Load struct {
-	Reads  float64 // a second, at each proxy
-	Orders float64
-	Keys   int // of reads, with a Zipf-like share each
-	// Deadline is what clients tell, and Aim within what an answer is wanted.
-	Deadline, Aim time.Duration
-	// Grace is how late a final answer may come before it is lost: the proxies keep their time, the rig's own clients may not where the
-	// machine is busy. Tests, whose verdict may not hang on speed, give enough that only an answer that never comes is found.
+	ReadRate  float64 // per second, at each proxy
+	OrderRate float64
+	Keys      int // of reads, with a Zipf-like distribution
+	// Deadline is the deadline that clients send with each request, and SoftDeadline the time within which
+	// they want an answer.
+	Deadline, SoftDeadline time.Duration
+	// Grace is how long after the deadline an answer may come before it counts as lost. The proxies keep
+	// their deadlines, but the test's own clients may be delayed on a busy machine. Tests, whose verdict
+	// must not depend on speed, allow enough that only missing answers are found.
 	Grace time.Duration
 }
 
-// Ask is one request and what became of it.
-type Ask struct {
-	Proxy string
-	Order bool
-	Key   string
-	ID    string
-	At    time.Time
-	Took  time.Duration
-	End   End
-	Text  string // of a failure
+// Request is one request and its outcome.
+type Request struct {
+	Proxy   string
+	IsOrder bool
+	Key     string
+	ID      string
+	SentAt  time.Time
+	Elapsed time.Duration
+	Outcome Outcome
+	Detail  string // of a failure
 }
 
-// End is what became of a request.
-type End uint8
+// Outcome is the outcome of a request.
+type Outcome uint8
 
-// The ends.
+// Outcomes of a request.
 const (
-	Served End = iota
+	Served Outcome = iota
 	Refused
 	Failed
-	Broken // its connection ended without an answer
-	Wrong  // an answer that nobody may give: a value of another key
+	NoAnswer    // its connection ended without an answer
+	WrongAnswer // an answer with the value of another key
 )
 
-// Clients ask until they are stopped.
+// Clients send requests until they are stopped.
 type Clients struct {
-	c    *Cluster
-	load Load
-	mu   sync.Mutex
-	asks []Ask
-	quit chan struct{}
-	g    sync.WaitGroup
-	lost map[string][]span // by proxy: when its process may lose what it had
+	cluster     *Cluster
+	load        Load
+	mu          sync.Mutex
+	requests    []Request
+	quit        chan struct{}
+	group       sync.WaitGroup
+	lossPeriods map[string][]span // by proxy: periods in which its process may lose requests
 }
 
 type span struct{ from, to time.Time }
 
-// Ask starts clients at all proxies.
-func (c *Cluster) Ask(load Load) *Clients {
-	cl := &Clients{c: c, load: load, quit: make(chan struct{}), lost: map[string][]span{}}
+// StartClients starts clients at all proxies.
+func (c *Cluster) StartClients(load Load) *Clients {
+	clients := &Clients{cluster: c, load: load, quit: make(chan struct{}), lossPeriods: map[string][]span{}}
 	for i, p := range c.Proxies {
-		cl.g.Go(func() { cl.run(p, load.Reads, false, uint64(2*i)) })
-		if load.Orders > 0 {
-			cl.g.Go(func() { cl.run(p, load.Orders, true, uint64(2*i+1)) })
+		clients.group.Go(func() { clients.run(p, load.ReadRate, false, uint64(2*i)) })
+		if load.OrderRate > 0 {
+			clients.group.Go(func() { clients.run(p, load.OrderRate, true, uint64(2*i+1)) })
 		}
 	}
-	return cl
+	return clients
 }
 
-// MayLose notes that a proxy's process is killed or cut off from its clients: what it had then is the clients' to repeat.
-func (cl *Clients) MayLose(proxy string, from, to time.Time) {
+// ExpectLoss records a period in which a proxy's process is killed or cut off from its clients. Requests
+// in progress then may stay unanswered, as clients would retry them.
+func (cl *Clients) ExpectLoss(proxy string, from, to time.Time) {
 	cl.mu.Lock()
-	cl.lost[proxy] = append(cl.lost[proxy], span{from, to})
+	cl.lossPeriods[proxy] = append(cl.lossPeriods[proxy], span{from, to})
 	cl.mu.Unlock()
 }
 
-// run asks at a rate, whatever the answers take: each request takes a connection that is idle, or a new one.
-func (cl *Clients) run(p *Proxy, rate float64, order bool, stream uint64) {
-	rng := rand.New(rand.NewPCG(cl.c.Seed, stream))
-	keys := rand.NewZipf(rng, 1.1, 20, uint64(max(1, cl.load.Keys-1)))
+// run sends requests at a fixed rate, however long the answers take. Each request takes an idle connection
+// or a new one.
+func (cl *Clients) run(p *Proxy, rate float64, isOrder bool, stream uint64) {
+	random := rand.New(rand.NewPCG(cl.cluster.Seed, stream))
+	keys := rand.NewZipf(random, 1.1, 20, uint64(max(1, cl.load.Keys-1)))
 	idle := make(chan *conn, 512)
-	var g sync.WaitGroup
+	var group sync.WaitGroup
 	defer func() {
-		g.Wait()
+		group.Wait()
 		close(idle)
 		for c := range idle {
 			c.Close()
@@ -107,96 +111,97 @@
 		case <-tick.C:
 		}
 		key := fmt.Sprintf("k%d", keys.Uint64())
-		if order {
+		if isOrder {
 			key = fmt.Sprintf("order-%s-%d-%d", p.Name, stream, n)
 		}
-		id := fmt.Sprintf("%s%s-%d-%d", cl.c.idPrefix(), p.Name, stream, n)
-		g.Go(func() {
-			a := Ask{Proxy: p.Name, Order: order, Key: key, ID: id, At: time.Now()}
-			cl.ask(p, idle, "", &a)
+		id := fmt.Sprintf("%s%s-%d-%d", cl.cluster.idPrefix(), p.Name, stream, n)
+		group.Go(func() {
+			request := Request{Proxy: p.Name, IsOrder: isOrder, Key: key, ID: id, SentAt: time.Now()}
+			cl.send(p, idle, "", &request)
 			cl.mu.Lock()
-			cl.asks = append(cl.asks, a)
+			cl.requests = append(cl.requests, request)
 			cl.mu.Unlock()
 		})
 	}
 }
 
-// table makes an order's idempotency key of its name.
-var table = crc64.MakeTable(crc64.ECMA)
+// crcTable is used to derive an order's idempotency key from its name.
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
 type conn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// Repeat asks again, as a client that has not heard what became of its request, and tells what it hears then.
-func (cl *Clients) Repeat(p *Proxy, a Ask) Ask {
-	a.At, a.End, a.ID = time.Now(), Served, a.ID+"-again"
+// Retry sends a request again, as a client does that got no answer, and returns it with its new outcome.
+func (cl *Clients) Retry(p *Proxy, request Request) Request {
+	request.SentAt, request.Outcome, request.ID = time.Now(), Served, request.ID+"-again"
 	idle := make(chan *conn, 1)
-	cl.ask(p, idle, ",r=1", &a)
+	cl.send(p, idle, ",r=1", &request)
 	select {
-	case c := <-idle:
-		c.Close()
+	case connection := <-idle:
+		connection.Close()
 	default:
 	}
-	return a
+	return request
 }
 
-func (cl *Clients) ask(p *Proxy, idle chan *conn, attrs string, a *Ask) {
-	for try := 0; ; try++ {
-		var c *conn
+func (cl *Clients) send(p *Proxy, idle chan *conn, attrs string, request *Request) {
+	for retries := 0; ; retries++ {
+		var connection *conn
 		fresh := false
 		select {
-		case c = <-idle:
+		case connection = <-idle:
 		default:
 			raw, err := net.DialTimeout("tcp", p.Addr, cl.load.Deadline)
 			if err != nil {
-				a.End, a.Text, a.Took = Broken, err.Error(), time.Since(a.At)
+				request.Outcome, request.Detail, request.Elapsed = NoAnswer, err.Error(), time.Since(request.SentAt)
 				return
 			}
-			c, fresh = &conn{raw, bufio.NewReader(raw)}, true
+			connection, fresh = &conn{raw, bufio.NewReader(raw)}, true
 		}
-		c.SetDeadline(a.At.Add(cl.load.Deadline + 2*cl.load.Grace))
-		words := []string{"OBJ.GET", a.Key, a.ID, fmt.Sprintf("c=tile-read,d=%d%s", cl.load.Deadline.Milliseconds(), attrs)}
-		if a.Order {
-			words = []string{"OBJ.SET", a.Key, a.ID, fmt.Sprintf("c=pass-order,d=%d,k=%016x%s", cl.load.Deadline.Milliseconds(),
-				crc64.Checksum([]byte(a.Key), table), attrs), "one pass"}
+		connection.SetDeadline(request.SentAt.Add(cl.load.Deadline + 2*cl.load.Grace))
+		args := []string{"OBJ.GET", request.Key, request.ID, fmt.Sprintf("c=tile-read,d=%d%s", cl.load.Deadline.Milliseconds(), attrs)}
+		if request.IsOrder {
+			args = []string{"OBJ.SET", request.Key, request.ID, fmt.Sprintf("c=pass-order,d=%d,k=%016x%s", cl.load.Deadline.Milliseconds(),
+				crc64.Checksum([]byte(request.Key), crcTable), attrs), "one pass"}
 		}
-		line, value, err := c.ask(words)
-		a.Took = time.Since(a.At)
+		line, value, err := connection.exchange(args)
+		request.Elapsed = time.Since(request.SentAt)
 		switch {
-		case err != nil && line == "" && !fresh && try < 3: // an idle connection that was closed as the request came: it goes again on another
-			c.Close()
+		// an idle connection was closed as the request was sent: retry on another connection
+		case err != nil && line == "" && !fresh && retries < 3:
+			connection.Close()
 			continue
 		case err != nil:
-			a.End, a.Text = Broken, err.Error()
-			c.Close()
+			request.Outcome, request.Detail = NoAnswer, err.Error()
+			connection.Close()
 			return
 		case strings.HasPrefix(line, "-BUSY"):
-			a.End = Refused
+			request.Outcome = Refused
 		case line[0] != '$' && line[0] != '*':
-			a.End, a.Text = Failed, line
-		case a.Order && value == "receipt of "+a.Key, !a.Order && value == string(standin.Value(a.Key, 200)):
-			a.End = Served
+			request.Outcome, request.Detail = Failed, line
+		case request.IsOrder && value == "receipt of "+request.Key, !request.IsOrder && value == string(standin.Value(request.Key, 200)):
+			request.Outcome = Served
 		default:
-			a.End, a.Text = Wrong, value
+			request.Outcome, request.Detail = WrongAnswer, value
 		}
 		select {
-		case idle <- c:
+		case idle <- connection:
 		default:
-			c.Close()
+			connection.Close()
 		}
 		return
 	}
 }
 
-// ask asks one thing and reads the answer.
-func (c *conn) ask(words []string) (line, value string, err error) {
-	b := resp.AppendArray(nil, len(words))
-	for _, w := range words {
-		b = resp.AppendBulk(b, w)
+// exchange sends one command and reads the answer.
+func (c *conn) exchange(args []string) (line, value string, err error) {
+	command := resp.AppendArray(nil, len(args))
+	for _, arg := range args {
+		command = resp.AppendBulk(command, arg)
 	}
-	if _, err = c.Write(b); err != nil {
+	if _, err = c.Write(command); err != nil {
 		return "", "", err
 	}
 	if line, err = c.in.ReadString('\n'); err != nil {
@@ -209,77 +214,81 @@
 	if err != nil || n < 0 {
 		return line, "", err
 	}
-	v := make([]byte, n+2)
-	_, err = io.ReadFull(c.in, v)
-	return line, string(v[:max(0, len(v)-2)]), err
+	data := make([]byte, n+2)
+	_, err = io.ReadFull(c.in, data)
+	return line, string(data[:max(0, len(data)-2)]), err
 }
 
-// Stop ends the asking, and waits for the last answers.
+// Stop stops sending and waits for the last answers.
 func (cl *Clients) Stop() {
 	close(cl.quit)
-	cl.g.Wait()
+	cl.group.Wait()
 }
 
-// Asks are those of a time that have ended.
-func (cl *Clients) Asks(from, to time.Time) []Ask {
+// Requests returns the finished requests that were sent in a period.
+func (cl *Clients) Requests(from, to time.Time) []Request {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(cl.asks), func(a Ask) bool { return a.At.Before(from) || !a.At.Before(to) })
+	return slices.DeleteFunc(slices.Clone(cl.requests), func(request Request) bool { return request.SentAt.Before(from) || !request.SentAt.Before(to) })
 }
 
-// InTime is the share of the reads of a time that were served within the aim, and how many there were.
-func (cl *Clients) InTime(from, to time.Time) (share float64, all int) {
-	good := 0
-	for _, a := range cl.Asks(from, to) {
-		if a.Order {
+// ShareInTime returns the share of the reads of a period that were served within the soft deadline, and
+// the number of reads.
+func (cl *Clients) ShareInTime(from, to time.Time) (share float64, total int) {
+	inTime := 0
+	for _, request := range cl.Requests(from, to) {
+		if request.IsOrder {
 			continue
 		}
-		if all++; a.End == Served && a.Took <= cl.load.Aim {
-			good++
+		if total++; request.Outcome == Served && request.Elapsed <= cl.load.SoftDeadline {
+			inTime++
 		}
 	}
-	return float64(good) / float64(max(1, all)), all
+	return float64(inTime) / float64(max(1, total)), total
 }
 
-// Breaches are the rules that were broken, as clients and members saw it, once all has been answered.
-func (cl *Clients) Breaches() (all []string) {
+// Violations describes the rules that were broken, as seen by clients and members. It is called once all
+// requests have been answered.
+func (cl *Clients) Violations() (violations []string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	ran := cl.c.Fleet.Origin.Executions()
-	for _, a := range cl.asks {
-		may := slices.ContainsFunc(cl.lost[a.Proxy], func(s span) bool { return a.At.Add(a.Took).After(s.from) && a.At.Before(s.to) })
-		what := ""
+	executions := cl.cluster.Fleet.Origin.Executions()
+	for _, request := range cl.requests {
+		mayLose := slices.ContainsFunc(cl.lossPeriods[request.Proxy], func(period span) bool {
+			return request.SentAt.Add(request.Elapsed).After(period.from) && request.SentAt.Before(period.to)
+		})
+		violation := ""
 		switch {
-		case a.End == Wrong:
-			what = "a value that is another's: " + a.Text
-		case a.End == Broken && !may:
-			what = "no answer: " + a.Text
-		case a.Took > cl.load.Deadline+cl.load.Grace && !may:
-			what = fmt.Sprintf("answered after %v", a.Took)
-		case a.Order && ran[a.Key] > 1:
-			what = fmt.Sprintf("ran %d times", ran[a.Key])
-		case a.Order && a.End == Refused && ran[a.Key] > 0:
-			what = "refused, and has run"
-		case a.Order && a.End == Served && ran[a.Key] != 1:
-			what = "served, and has not run"
+		case request.Outcome == WrongAnswer:
+			violation = "value of another key: " + request.Detail
+		case request.Outcome == NoAnswer && !mayLose:
+			violation = "no answer: " + request.Detail
+		case request.Elapsed > cl.load.Deadline+cl.load.Grace && !mayLose:
+			violation = fmt.Sprintf("answered after %v", request.Elapsed)
+		case request.IsOrder && executions[request.Key] > 1:
+			violation = fmt.Sprintf("ran %d times", executions[request.Key])
+		case request.IsOrder && request.Outcome == Refused && executions[request.Key] > 0:
+			violation = "refused, and has run"
+		case request.IsOrder && request.Outcome == Served && executions[request.Key] != 1:
+			violation = "served, and has not run"
 		}
-		if what != "" && len(all) < 20 {
-			all = append(all, fmt.Sprintf("%s at %s, %v after the start: %s", a.Key, a.Proxy, a.At.Sub(cl.c.start).Round(time.Millisecond), what))
+		if violation != "" && len(violations) < 20 {
+			violations = append(violations, fmt.Sprintf("%s at %s, %v after the start: %s", request.Key, request.Proxy, request.SentAt.Sub(cl.cluster.start).Round(time.Millisecond), violation))
 		}
 	}
-	if cl.c.Copies != nil {
-		all = append(all, cl.c.Copies.Violations()...)
+	if cl.cluster.Duplicates != nil {
+		violations = append(violations, cl.cluster.Duplicates.Violations()...)
 	}
-	for _, b := range cl.c.Fleet.Boxes {
-		if b.Fell() {
-			all = append(all, "pushed over: "+b.ID)
+	for _, cache := range cl.cluster.Fleet.Caches {
+		if cache.Overloaded() {
+			violations = append(violations, "cache failed from overload: "+cache.ID)
 		}
 	}
-	return all
+	return violations
 }
 
-// Number is that of the proxy that was asked.
-func (a Ask) Number() (n int) {
+// ProxyNumber returns the number of the proxy that received the request.
+func (a Request) ProxyNumber() (n int) {
 	fmt.Sscanf(a.Proxy, "n%d", &n)
 	return n
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,8 +1,9 @@
-// Package cluster is the rig of many processes: real proxies before boxes in several zones, an origin and discovery, on loopback, with a relay
-// of its own on every link between any two of them, and the four rules watched at both ends. It is a helper of tests and of the lab; nothing
-// that serves depends on it.
-//
-// Who connects over a link that is cut finds that the connection comes up and stays silent: loopback knows no connection that never comes up.
+// Package cluster is a test harness of many processes: real proxies with simulated caches in several
+// zones, an origin and discovery, all on loopback. Each link between two of them has its own relay, and
+// the four rules are checked at both ends. Tests and the lab use it; nothing that serves traffic depends
+// on it.
+// A connection opened over a blocked link is established and stays silent, since connections on loopback
+// are always established.
 package cluster
 
 import (
@@ -23,127 +24,132 @@
 	"linenloom/internal/standin"
 )
 
-// Options are a cluster's.
+// Options configure a Cluster.
 type Options struct {
-	Zones        []string
-	Boxes        int // in each zone
-	Proxies      int // dealt out over the zones in turn
-	Service      time.Duration
-	Places       int // requests that a box works on at once; 0: any number
-	Seed         uint64
-	Crossing     float64 // what a request that crosses zones costs, in worth; 0: one table for all
-	Origin       time.Duration
-	OriginPlaces int
-	// Operator is further text of each proxy's operator's file, where DIR stands for a folder of its own; Together says whether they know
-	// of one another and decide on zones together.
-	Operator string
-	Together bool
-	Program  string // the program, and what makes it one
-	Env      []string
-	Dir      string         // scratch
-	Set      map[string]any // further settings
-	Regions  map[string][]string
-	// Deadlines checks what members are told of deadlines; nil: nobody does. A client's time counts from when its link has passed its request on, and
-	// what a member is told by when it has been written to the member's link, so that the links and the stand-ins take no time of either.
-	Deadlines *standin.Deadlines
-	// Copies checks that members have one attempt of a request at a time; nil: nobody does. A link that is cut, and healed while another attempt is
-	// out, makes it find fault: it holds what was sent for longer than a proxy can wait.
-	Copies *standin.Copies
+	Zones             []string
+	CachesPerZone     int // in each zone
+	Proxies           int // assigned to the zones round-robin
+	ServiceTime       time.Duration
+	CacheConcurrency  int // concurrent requests of a cache; 0 means unlimited
+	Seed              uint64
+	CrossZoneCost     float64 // cost of a request that crosses zones, in worth; 0 means one table for all zones
+	OriginServiceTime time.Duration
+	OriginConcurrency int
+	// OperatorConfig is added to each proxy's operator file, with DIR replaced by the proxy's own
+	// directory. JoinInstances makes the proxies join one another and decide on zones together.
+	OperatorConfig string
+	JoinInstances  bool
+	Program        string // the proxy program, and the environment that makes it run as a proxy
+	Env            []string
+	Dir            string         // scratch directory
+	Settings       map[string]any // replaces fields of the default settings
+	Regions        map[string][]string
+	// Deadlines checks the deadlines that members receive; it may be nil. A client's time counts from when
+	// its link has forwarded the request, and a member's deadline from when the attempt has been written
+	// to the member's link, so that delays in links and simulated servers don't count.
+	Deadlines *standin.DeadlineChecker
+	// Duplicates checks that members have at most one attempt of a request at a time; it may be nil. A
+	// link that is blocked, and restored while another attempt is outstanding, makes it report a
+	// violation: such a link holds requests for longer than a proxy can wait.
+	Duplicates *standin.DuplicateChecker
 }
 
-// Cluster is all of it.
+// Cluster is a running test cluster.
 type Cluster struct {
 	Options
-	Fleet   *standin.Fleet
-	Proxies []*Proxy
-	start   time.Time
-	net     string // its own addresses: 127.A.B.
-	fronts  []net.Listener
-	gossips []*gossip
-	mu      sync.Mutex
-	links   map[[2]string]*Link
+	Fleet        *standin.Fleet
+	Proxies      []*Proxy
+	start        time.Time
+	subnet       string // prefix of its own addresses: 127.A.B.
+	listeners    []net.Listener
+	gossipRelays []*gossipRelay
+	mu           sync.Mutex
+	links        map[[2]string]*Link
 }
 
-// Proxy is one proxy, whatever process serves as it.
+// Proxy is one proxy instance. Its process is replaced by a restart or an upgrade.
 type Proxy struct {
 	*Process
-	Number int
-	Name   string
-	Zone   string
-	Addr   string // for clients, over a link
-	Mgmt   string
-	Dir    string // what lasts
-	c      *Cluster
-	host   string
-	starts int
-	env    []string
-	args   []string
+	Number         int
+	Name           string
+	Zone           string
+	Addr           string // for clients, through a link
+	ManagementAddr string
+	Dir            string // persistent state
+	cluster        *Cluster
+	host           string
+	starts         int
+	env            []string
+	args           []string
 }
 
-// nets counts the clusters of this process, so that each has addresses of its own.
-var nets atomic.Int32
+// subnetCounter counts the clusters of this process, so that each has its own addresses.
+var subnetCounter atomic.Int32
 
 const (
 	servePort  = 16379
-	gossipPort = 17946 // and the next, for a process that takes over; so with mgmtPort
+	gossipPort = 17946 // and the next port, for a successor process; likewise mgmtPort
 	mgmtPort   = 18080
 
-	callTime = 5 * time.Second
+	callTimeout = 5 * time.Second
 )
 
-// keyText is a key that is no secret: the same for all clusters.
-const keyText = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
+// gossipKeyHex is the gossip key of all clusters. It is not secret.
+const gossipKeyHex = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
-// New starts the stand-ins and the links, and no proxy yet.
-func New(o Options) (*Cluster, error) {
-	c := &Cluster{Options: o, start: time.Now(), links: map[[2]string]*Link{}}
-	err := c.addresses()
+// New starts the simulated servers and the links, but no proxies.
+func New(options Options) (*Cluster, error) {
+	cluster := &Cluster{Options: options, start: time.Now(), links: map[[2]string]*Link{}}
+	err := cluster.claimSubnet()
 	if err != nil {
 		return nil, err
 	}
-	if c.Fleet, err = standin.NewZonedFleet(o.Zones, o.Boxes, 200); err != nil {
+	if cluster.Fleet, err = standin.NewZonedFleet(options.Zones, options.CachesPerZone, 200); err != nil {
 		return nil, err
 	}
-	for _, b := range c.Fleet.Boxes {
-		b.SetService(o.Service, o.Places)
+	for _, cache := range cluster.Fleet.Caches {
+		cache.SetService(options.ServiceTime, options.CacheConcurrency)
 	}
-	c.Fleet.Origin.SetService(o.Origin, o.OriginPlaces)
-	c.Fleet.Set = o.Set
-	if o.Deadlines != nil {
-		o.Deadlines.Prefix = c.idPrefix()
+	cluster.Fleet.Origin.SetService(options.OriginServiceTime, options.OriginConcurrency)
+	cluster.Fleet.Overrides = options.Settings
+	if options.Deadlines != nil {
+		options.Deadlines.IDPrefix = cluster.idPrefix()
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, "key"), []byte(keyText+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(options.Dir, "key"), []byte(gossipKeyHex+"\n"), 0o600); err != nil {
 		return nil, err
 	}
-	for i := range o.Proxies {
-		if err := c.prepare(i); err != nil {
-			c.Close()
+	for i := range options.Proxies {
+		if err := cluster.prepareProxy(i); err != nil {
+			cluster.Close()
 			return nil, err
 		}
 	}
-	return c, nil
+	return cluster, nil
 }
 
-// addresses finds a part of the loopback network that no other cluster has, of this process or another.
-func (c *Cluster) addresses() (err error) {
+// claimSubnet finds a part of the loopback network that is not used by another cluster, in this process or
+// another.
+func (c *Cluster) claimSubnet() (err error) {
 	for range 20 {
-		c.net = fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 1+int(nets.Add(1))%250)
-		var l net.Listener
-		if l, err = net.Listen("tcp", fmt.Sprintf("%s%d:%d", c.net, 101, gossipPort)); err == nil {
-			return l.Close()
+		c.subnet = fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 1+int(subnetCounter.Add(1))%250)
+		var listener net.Listener
+		if listener, err = net.Listen("tcp", fmt.Sprintf("%s%d:%d", c.subnet, 101, gossipPort)); err == nil {
+			return listener.Close()
 		}
 	}
 	return fmt.Errorf("cluster: no addresses are free: %w", err)
 }
 
-// idPrefix begins the ids of this cluster's requests. Ports are used again, and a proxy of another cluster on this machine may ask for a moment
-// where one of this one's boxes listens now.
-func (c *Cluster) idPrefix() string { return strings.ReplaceAll(c.net, ".", "-") }
+// idPrefix returns the prefix of the ids of this cluster's requests. As ports are reused, a proxy of
+// another cluster on this machine may for a moment send requests to the address of one of this cluster's
+// caches.
+func (c *Cluster) idPrefix() string { return strings.ReplaceAll(c.subnet, ".", "-") }
 
-// proxyName is a proxy's name, as it stands at both ends of its links.
+// proxyName returns the name of a proxy at both ends of its links.
 func proxyName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// Link is the link between two, by their names: a proxy's, a box's, "o-1", "discovery" or "clients".
+// Link returns the link between two parties by name: that of a proxy or a cache, "o-1", "discovery" or
+// "clients".
 func (c *Cluster) Link(from, to string) *Link {
 	l := c.link(from, to)
 	if l == nil {
@@ -152,15 +158,15 @@
 	return l
 }
 
-// link is a link, nil if there is none.
+// link returns a link, or nil if there is none.
 func (c *Cluster) link(from, to string) *Link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.links[[2]string{from, to}]
 }
 
-// add makes a link.
-func (c *Cluster) add(from, to string) *Link {
+// addLink adds a link.
+func (c *Cluster) addLink(from, to string) *Link {
 	l := newLink(c.start, []byte(c.idPrefix()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,78 +174,78 @@
 	return l
 }
 
-// relay makes a link that stands before an address, and returns where.
-func (c *Cluster) relay(from, to, at, addr string) (string, error) {
-	l, err := net.Listen("tcp", at)
+// addRelay adds a link with a listener that relays to an address, and returns the address of the listener.
+func (c *Cluster) addRelay(from, to, listenAddr, target string) (string, error) {
+	listener, err := net.Listen("tcp", listenAddr)
 	if err != nil {
 		return "", err
 	}
-	link := c.add(from, to)
-	c.fronts = append(c.fronts, l)
-	go link.tcp(l, addr)
-	return l.Addr().String(), nil
+	link := c.addLink(from, to)
+	c.listeners = append(c.listeners, listener)
+	go link.serve(listener, target)
+	return listener.Addr().String(), nil
 }
 
-// prepare makes a proxy's links and files.
-func (c *Cluster) prepare(i int) error {
+// prepareProxy creates a proxy's links and files.
+func (c *Cluster) prepareProxy(i int) error {
 	name, zone := proxyName(i), c.Zones[i%len(c.Zones)]
-	p := &Proxy{Number: i, Name: name, Zone: zone, c: c}
-	own, front := fmt.Sprintf("%s%d", c.net, 1+i), fmt.Sprintf("%s%d", c.net, 101+i)
+	proxy := &Proxy{Number: i, Name: name, Zone: zone, cluster: c}
+	listenHost, advertiseHost := fmt.Sprintf("%s%d", c.subnet, 1+i), fmt.Sprintf("%s%d", c.subnet, 101+i)
 	addrs := map[string]string{}
 	members := c.Fleet.Registry.List().Members
 	for _, m := range members {
-		at, err := c.relay(name, m.ID, "127.0.0.1:0", m.HostPort)
+		relayAddr, err := c.addRelay(name, m.ID, "127.0.0.1:0", m.HostPort)
 		if err != nil {
 			return err
 		}
-		addrs[m.ID] = at
-		c.Link(name, m.ID).watched(func(from net.Conn) *standin.Watch {
-			watch := c.Copies.Watch(m.ID, m.ID == c.Fleet.Origin.ID, from)
+		addrs[m.ID] = relayAddr
+		c.Link(name, m.ID).observeConns(func(source net.Conn) *standin.Observer {
+			observer := c.Duplicates.Observe(m.ID, m.ID == c.Fleet.Origin.ID, source)
 			if c.Deadlines == nil {
-				return watch
+				return observer
 			}
-			return watch.Tell(func(id, attrs string) { c.Deadlines.Told(m.ID, id, attrs) })
+			return observer.NotifyRequests(func(id, attrs string) { c.Deadlines.AttemptReceived(m.ID, id, attrs) })
 		})
 	}
-	see := func(m discovery.Member) discovery.Member {
-		if at := addrs[m.ID]; at != "" {
-			m.HostPort = at
+	viewMember := func(m discovery.Member) discovery.Member {
+		if relayAddr := addrs[m.ID]; relayAddr != "" {
+			m.HostPort = relayAddr
 		}
 		return m
 	}
-	view, err := c.Fleet.Registry.View(see)
+	view, err := c.Fleet.Registry.ListenView(viewMember)
 	if err != nil {
 		return err
 	}
-	disco, err := c.relay(name, "discovery", "127.0.0.1:0", view)
+	discoveryAddr, err := c.addRelay(name, "discovery", "127.0.0.1:0", view)
 	if err != nil {
 		return err
 	}
-	listen := fmt.Sprintf("%s:%d", own, servePort)
-	if p.Addr, err = c.relay("clients", name, "127.0.0.1:0", listen); err != nil {
+	listen := fmt.Sprintf("%s:%d", listenHost, servePort)
+	if proxy.Addr, err = c.addRelay("clients", name, "127.0.0.1:0", listen); err != nil {
 		return err
 	}
 	if c.Deadlines != nil {
-		c.Link("clients", name).passing(c.Deadlines.Sent)
+		c.Link("clients", name).notifyRequests(c.Deadlines.RequestSent)
 	}
-	p.host = own
-	p.Mgmt = p.calls(mgmtPort)
+	proxy.host = listenHost
+	proxy.ManagementAddr = proxy.managementAddr(mgmtPort)
 	for j := range c.Options.Proxies {
 		if j != i {
-			c.add(proxyName(j), name)
+			c.addLink(proxyName(j), name)
 		}
 	}
-	var at, told []string
+	var listenAddrs, advertised []string
 	for port := gossipPort; port < gossipPort+2; port++ {
-		at, told = append(at, fmt.Sprintf("%s:%d", own, port)), append(told, fmt.Sprintf("%s:%d", front, port))
-		g, err := newGossip(told[len(told)-1], at[len(at)-1], func(from net.IP) *Link {
-			n := int(from.To4()[3]) - 1
+		listenAddrs, advertised = append(listenAddrs, fmt.Sprintf("%s:%d", listenHost, port)), append(advertised, fmt.Sprintf("%s:%d", advertiseHost, port))
+		gossip, err := newGossipRelay(advertised[len(advertised)-1], listenAddrs[len(listenAddrs)-1], func(source net.IP) *Link {
+			n := int(source.To4()[3]) - 1
 			return c.link(proxyName(n), name)
 		})
 		if err != nil {
 			return err
 		}
-		c.gossips = append(c.gossips, g)
+		c.gossipRelays = append(c.gossipRelays, gossip)
 	}
 	text, err := c.Fleet.Config(name, listen, fmt.Sprintf("%x", c.Seed+uint64(i)*7919+1), 128, 1024)
 	if err != nil {
@@ -249,57 +255,57 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return err
 	}
-	config["discovery"], config["mgmt"] = disco, p.Mgmt
+	config["discovery"], config["mgmt"] = discoveryAddr, proxy.ManagementAddr
 	settings := config["settings"].(map[string]any)
 	settings["instances"], settings["self_index"], settings["az"] = c.Options.Proxies, i, i%len(c.Zones)
-	settings["deductions"] = map[string]any{"cross_zone": c.Crossing}
+	settings["deductions"] = map[string]any{"cross_zone": c.CrossZoneCost}
 	known := c.Fleet.Registry.List()
 	for k, m := range known.Members {
-		known.Members[k] = see(m)
+		known.Members[k] = viewMember(m)
 	}
 	config["known"] = known
 	if text, err = json.MarshalIndent(config, "", " "); err != nil {
 		return err
 	}
-	path, op := filepath.Join(c.Dir, name+".json"), filepath.Join(c.Dir, name+".toml")
+	path, operatorPath := filepath.Join(c.Dir, name+".json"), filepath.Join(c.Dir, name+".toml")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	p.Dir = filepath.Join(c.Dir, name+".d")
-	if err := os.MkdirAll(p.Dir, 0o700); err != nil {
+	proxy.Dir = filepath.Join(c.Dir, name+".d")
+	if err := os.MkdirAll(proxy.Dir, 0o700); err != nil {
 		return err
 	}
-	operator := strings.ReplaceAll(c.Operator, "DIR", p.Dir)
-	if c.Together {
+	operator := strings.ReplaceAll(c.OperatorConfig, "DIR", proxy.Dir)
+	if c.JoinInstances {
 		var join []string
 		for j := range min(3, c.Options.Proxies) {
-			join = append(join, fmt.Sprintf("%s%d:%d", c.net, 101+j, gossipPort))
+			join = append(join, fmt.Sprintf("%s%d:%d", c.subnet, 101+j, gossipPort))
 		}
-		operator += fmt.Sprintf("[instances]\nlisten = %s\nadvertise = %s\njoin = %s\nkey_file = %q\n[zones]\n", list(at), list(told), list(join),
+		operator += fmt.Sprintf("[instances]\nlisten = %s\nadvertise = %s\njoin = %s\nkey_file = %q\n[zones]\n", tomlList(listenAddrs), tomlList(advertised), tomlList(join),
 			filepath.Join(c.Dir, "key"))
 		for name, zones := range c.Regions {
-			operator += fmt.Sprintf("[[zones.region]]\nname = %q\nzones = %s\n", name, list(zones))
+			operator += fmt.Sprintf("[[zones.region]]\nname = %q\nzones = %s\n", name, tomlList(zones))
 		}
 	}
-	if err := os.WriteFile(op, []byte(operator), 0o600); err != nil {
+	if err := os.WriteFile(operatorPath, []byte(operator), 0o600); err != nil {
 		return err
 	}
 	tmp := filepath.Join(c.Dir, name)
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return err
 	}
-	p.env, p.args = append([]string{"LB_CONFIG=" + path, "TMPDIR=" + tmp}, c.Env...), []string{"-operator", op}
-	c.Proxies = append(c.Proxies, p)
+	proxy.env, proxy.args = append([]string{"LB_CONFIG=" + path, "TMPDIR=" + tmp}, c.Env...), []string{"-operator", operatorPath}
+	c.Proxies = append(c.Proxies, proxy)
 	return nil
 }
 
-// list is a list of texts as TOML has it.
-func list(texts []string) string {
-	b, _ := json.Marshal(texts) // it knows no error here, and the two write it alike
+// tomlList formats strings as a TOML list.
+func tomlList(texts []string) string {
+	b, _ := json.Marshal(texts) // cannot fail for strings; JSON and TOML share the format
 	return string(b)
 }
 
-// StartAll starts all proxies, and waits until they know of one another.
+// StartAll starts all proxies, and waits until they have joined one another.
 func (c *Cluster) StartAll() error {
 	errs := make(chan error, len(c.Proxies))
 	for _, p := range c.Proxies {
@@ -310,92 +316,92 @@
 			return err
 		}
 	}
-	if !c.Together {
+	if !c.JoinInstances {
 		return nil
 	}
-	return Eventually("all know of one another, and one leads", func() bool {
-		leads := 0
+	return Eventually("all instances have joined and one is the leader", func() bool {
+		leaders := 0
 		for _, p := range c.Proxies {
-			v, err := p.View()
-			if err != nil || len(v.Members) != len(c.Proxies) {
+			view, err := p.View()
+			if err != nil || len(view.Members) != len(c.Proxies) {
 				return false
 			}
-			if v.Leads {
-				leads++
+			if view.Leads {
+				leaders++
 			}
 		}
-		return leads == 1
+		return leaders == 1
 	})
 }
 
-// calls is where it takes operators' calls at a port.
-func (p *Proxy) calls(port int) string { return fmt.Sprintf("%s:%d", p.host, port) }
+// managementAddr returns the proxy's management address for a port.
+func (p *Proxy) managementAddr(port int) string { return fmt.Sprintf("%s:%d", p.host, port) }
 
 // Start starts a process for the proxy.
 func (p *Proxy) Start() (err error) {
-	p.starts, p.Mgmt = 1, p.calls(mgmtPort)
-	p.Process, err = Start("msg=ready", p.env, p.c.Program, p.args...)
+	p.starts, p.ManagementAddr = 1, p.managementAddr(mgmtPort)
+	p.Process, err = Start("msg=ready", p.env, p.cluster.Program, p.args...)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", p.Name, err)
 	}
 	return err
 }
 
-// Upgrade starts a process beside the one that serves, which it takes over from, and ends that one.
+// Upgrade starts a successor process, which takes over from the current process, and stops the latter.
 func (p *Proxy) Upgrade() error {
-	old := p.Process
+	predecessor := p.Process
 	p.starts++
-	mgmt := p.calls(mgmtPort + (p.starts+1)%2)
-	next, err := Start("msg=ready", append(p.env[:len(p.env):len(p.env)], "LB_MGMT="+mgmt), p.c.Program, p.args...)
+	managementAddr := p.managementAddr(mgmtPort + (p.starts+1)%2)
+	successor, err := Start("msg=ready", append(p.env[:len(p.env):len(p.env)], "LB_MGMT="+managementAddr), p.cluster.Program, p.args...)
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
-	p.Process, p.Mgmt = next, mgmt
-	return old.Stop()
+	p.Process, p.ManagementAddr = successor, managementAddr
+	return predecessor.Stop()
 }
 
-// Pause has it stand still, and Continue go on.
+// Pause suspends the process, and Continue resumes it.
 func (p *Proxy) Pause()    { p.Signal(syscall.SIGSTOP) }
 func (p *Proxy) Continue() { p.Signal(syscall.SIGCONT) }
 
-// View is what it tells operators.
+// View returns the proxy's view of the members and zones.
 func (p *Proxy) View() (v mgmt.View, err error) {
-	text, err := mgmt.CallOK("GET", p.Mgmt, "/members", "", callTime)
+	text, err := mgmt.CallOK("GET", p.ManagementAddr, "/members", "", callTimeout)
 	if err != nil {
 		return v, err
 	}
 	return v, json.Unmarshal(text, &v)
 }
 
-// Status is what it tells operators of itself and its members.
+// Status returns the proxy's status page.
 func (p *Proxy) Status() (string, error) {
-	text, err := mgmt.CallOK("GET", p.Mgmt, "/status", "", callTime)
+	text, err := mgmt.CallOK("GET", p.ManagementAddr, "/status", "", callTimeout)
 	return string(text), err
 }
 
-// CallZone makes an operator's call at it.
-func (p *Proxy) CallZone(mode, zone string) (t mgmt.CallReport, err error) {
-	text, err := mgmt.CallOK("PUT", p.Mgmt, "/zones/"+mode, zone+" the rig", callTime)
+// SetZoneMode sets a zone's mode by an operator's call to the proxy.
+func (p *Proxy) SetZoneMode(mode, zone string) (report mgmt.CallReport, err error) {
+	text, err := mgmt.CallOK("PUT", p.ManagementAddr, "/zones/"+mode, zone+" the rig", callTimeout)
 	if err != nil {
-		return t, err
+		return report, err
 	}
-	return t, json.Unmarshal(text, &t)
+	return report, json.Unmarshal(text, &report)
 }
 
-// Each does something with each link between two groups, in both directions of who connects.
-func (c *Cluster) Each(a, b []string, do func(*Link)) {
-	for _, x := range a {
-		for _, y := range b {
-			for _, k := range [][2]string{{x, y}, {y, x}} {
-				if l := c.link(k[0], k[1]); l != nil {
-					do(l)
+// EachLink calls do for each link between two groups, in either direction.
+func (c *Cluster) EachLink(a, b []string, do func(*Link)) {
+	for _, from := range a {
+		for _, to := range b {
+			for _, names := range [][2]string{{from, to}, {to, from}} {
+				if link := c.link(names[0], names[1]); link != nil {
+					do(link)
 				}
 			}
 		}
 	}
 }
 
-// ProxiesIn and BoxesIn are the names of a zone's.
+// ProxiesIn returns the names of the proxies in the zones, and CachesIn those of the caches.
 func (c *Cluster) ProxiesIn(zones ...string) (names []string) {
 	for _, p := range c.Proxies {
 		if slices.Contains(zones, p.Zone) {
@@ -405,42 +411,42 @@
 	return names
 }
 
-func (c *Cluster) BoxesIn(zones ...string) (names []string) {
-	for _, b := range c.Fleet.Boxes {
-		if slices.Contains(zones, b.Zone) {
-			names = append(names, b.ID)
+func (c *Cluster) CachesIn(zones ...string) (names []string) {
+	for _, cache := range c.Fleet.Caches {
+		if slices.Contains(zones, cache.Zone) {
+			names = append(names, cache.ID)
 		}
 	}
 	return names
 }
 
-// Sent is how many requests a proxy has sent to a zone's boxes within a time.
-func (c *Cluster) Sent(proxy, zone string, from, to time.Time) (n int) {
-	for _, b := range c.BoxesIn(zone) {
-		n += c.Link(proxy, b).Sent(from, to)
+// RequestsSent returns how many requests a proxy has sent to a zone's caches in a period.
+func (c *Cluster) RequestsSent(proxy, zone string, from, to time.Time) (n int) {
+	for _, cache := range c.CachesIn(zone) {
+		n += c.Link(proxy, cache).RequestsSent(from, to)
 	}
 	return n
 }
 
-// Gossiped is how many bytes of datagrams the instances have sent one another.
-func (c *Cluster) Gossiped() (n int64) {
-	for _, g := range c.gossips {
-		n += g.sent.Load()
+// GossipBytes returns how many bytes of datagrams the instances have sent to one another.
+func (c *Cluster) GossipBytes() (n int64) {
+	for _, g := range c.gossipRelays {
+		n += g.datagramBytes.Load()
 	}
 	return n
 }
 
-// Close ends all of it.
+// Close stops all processes, links and simulated servers.
 func (c *Cluster) Close() {
 	for _, p := range c.Proxies {
 		if p.Process != nil {
 			p.Kill()
 		}
 	}
-	for _, l := range c.fronts {
+	for _, l := range c.listeners {
 		l.Close()
 	}
-	for _, g := range c.gossips {
+	for _, g := range c.gossipRelays {
 		g.close()
 	}
 	for _, l := range c.links {
@@ -449,15 +455,17 @@
 	c.Fleet.Close()
 }
 
-// Eventually waits until something has come about that it takes a call to each process to see.
-func Eventually(what string, ok func() bool) error { return Await(20*time.Millisecond, what, ok) }
+// Eventually waits until a condition holds whose check takes a call to each process.
+func Eventually(condition string, holds func() bool) error {
+	return WaitFor(20*time.Millisecond, condition, holds)
+}
 
-// Await looks again and again until something has come about.
-func Await(every time.Duration, what string, ok func() bool) error {
-	for end := time.Now().Add(Patience); time.Now().Before(end); time.Sleep(every) {
-		if ok() {
+// WaitFor polls a condition until it holds, or returns an error after WaitTimeout.
+func WaitFor(interval time.Duration, condition string, holds func() bool) error {
+	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(interval) {
+		if holds() {
 			return nil
 		}
 	}
-	return fmt.Errorf("never came about: %s", what)
+	return fmt.Errorf("condition not met in time: %s", condition)
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -17,121 +17,124 @@
 	"linenloom/internal/store/disk"
 )
 
-// asProxy makes the test's own program a proxy: one that was built as the tests were.
-const asProxy = "LINENLOOM_CLUSTER_PROXY"
+// proxyEnv makes the test binary run as a proxy, so that the proxy is built with the same flags as the
+// tests.
+const proxyEnv = "LINENLOOM_CLUSTER_PROXY"
 
-// lyingDisk has what lasts stand on a disk that lies, as crash.ParseLying has it.
-const lyingDisk = "LINENLOOM_CLUSTER_DISK"
+// unreliableDiskEnv places persistent state on an unreliable disk, in the format of crash.ParseUnreliable.
+const unreliableDiskEnv = "LINENLOOM_CLUSTER_DISK"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProxy) != "" {
-		g := app.Program{Name: "proxy", NewFleet: func(j app.FleetConfig) (app.Fleet, error) { return instances.New(j) }}
-		if lies := os.Getenv(lyingDisk); lies != "" {
-			g.OpenDisk = func(dir string) disk.FS {
-				fs, err := crash.ParseUnreliable(disk.Dir(dir), lies)
+	if os.Getenv(proxyEnv) != "" {
+		program := app.Program{Name: "proxy", NewFleet: func(j app.FleetConfig) (app.Fleet, error) { return instances.New(j) }}
+		if diskFaults := os.Getenv(unreliableDiskEnv); diskFaults != "" {
+			program.OpenDisk = func(dir string) disk.FS {
+				fs, err := crash.ParseUnreliable(disk.Dir(dir), diskFaults)
 				if err != nil {
 					panic(err)
 				}
 				return fs
 			}
 		}
-		os.Exit(g.Main(os.Args[1:]))
+		os.Exit(program.Main(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-var abc = []string{"a", "b", "c"}
+var zoneNames = []string{"a", "b", "c"}
 
-// warmFor is how long boxes take to be warm: short, so that a return is.
-const warmFor = 4 * time.Second
+// warmupTime is the warm-up time of caches. It is short to keep the return to a zone short.
+const warmupTime = 4 * time.Second
 
-// scene is a cluster with clients before it, and what the tests ask of it.
-type scene struct {
+// harness is a cluster with clients, and the checks of the tests.
+type harness struct {
 	*Cluster
 	*Clients
 	t *testing.T
 }
 
-// room bounds the clusters at once: a busy machine is slow for all zones alike, but the tests have an end.
-var room = make(chan struct{}, 2)
+// slots limits the number of concurrent clusters. A busy machine slows all zones alike, but tests have a
+// time limit.
+var slots = make(chan struct{}, 2)
 
-// stage starts a cluster of six proxies and three zones of four boxes that are warm and full, unless the options say otherwise.
-func stage(t *testing.T, o Options) *scene {
+// newHarness starts a cluster of six proxies and three zones of four warm and filled caches each, unless
+// the options say otherwise.
+func newHarness(t *testing.T, options Options) *harness {
 	t.Helper()
-	room <- struct{}{}
-	t.Cleanup(func() { <-room })
+	slots <- struct{}{}
+	t.Cleanup(func() { <-slots })
 	var load Load
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Program, o.Env, o.Dir, o.Together = self, append(o.Env, asProxy+"=1"), t.TempDir(), true
-	if o.Zones == nil {
-		o.Zones = abc
+	options.Program, options.Env, options.Dir, options.JoinInstances = self, append(options.Env, proxyEnv+"=1"), t.TempDir(), true
+	if options.Zones == nil {
+		options.Zones = zoneNames
 	}
-	if o.Proxies == 0 {
-		o.Proxies = 6
+	if options.Proxies == 0 {
+		options.Proxies = 6
 	}
-	o.Boxes, o.Service, o.Origin, o.OriginPlaces, o.Seed = 4, 12*time.Millisecond, 20*time.Millisecond, 24, 7
-	if o.Copies == nil { // scenes cut links, which hold what was sent until they are healed
-		o.Copies = standin.NewCopies()
-		o.Copies.HeldMost = heldMost
+	options.CachesPerZone, options.ServiceTime, options.OriginServiceTime, options.OriginConcurrency, options.Seed = 4, 12*time.Millisecond, 20*time.Millisecond, 24, 7
+	if options.Duplicates == nil { // scenarios block links, which hold requests until they are restored
+		options.Duplicates = standin.NewDuplicateChecker()
+		options.Duplicates.MaxInTransit = maxInTransit
 	}
-	if o.Set == nil {
-		o.Set = map[string]any{}
+	if options.Settings == nil {
+		options.Settings = map[string]any{}
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
-	rules["cold_ms"] = float64(warmFor.Milliseconds())
-	o.Set["rules"] = rules
-	load.Reads, load.Orders, load.Keys, load.Deadline, load.Aim, load.Grace = 40, 2, 300, 3*time.Second, standin.ReadAim, 30*time.Second
-	c, err := New(o)
+	rules["cold_ms"] = float64(warmupTime.Milliseconds())
+	options.Settings["rules"] = rules
+	load.ReadRate, load.OrderRate, load.Keys, load.Deadline, load.SoftDeadline, load.Grace = 40, 2, 300, 3*time.Second, standin.ReadSoftDeadline, 30*time.Second
+	cluster, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Close)
+	t.Cleanup(cluster.Close)
 	for k := range load.Keys {
-		c.Fleet.Fill(fmt.Sprintf("k%d", k))
+		cluster.Fleet.Fill(fmt.Sprintf("k%d", k))
 	}
-	if err := c.StartAll(); err != nil {
+	if err := cluster.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	s := &scene{c, c.Ask(load), t}
-	s.run(2 * time.Second) // what is usual has to be known
-	return s
+	h := &harness{cluster, cluster.StartClients(load), t}
+	h.letRun(2 * time.Second) // the proxies have to learn the usual latency
+	return h
 }
 
-// run lets time go by: a load has a length, and no event ends it.
-func (s *scene) run(d time.Duration) { time.Sleep(d) }
+// letRun waits while the load runs. The load is defined by its length, and no event ends it.
+func (h *harness) letRun(d time.Duration) { time.Sleep(d) }
 
-// silence cuts zones off from all proxies, or heals them: as other processes, whose boxes are empty and cold.
-func (s *scene) silence(on bool, zones ...string) {
-	for _, p := range s.Proxies {
-		for _, b := range s.BoxesIn(zones...) {
-			s.Link(p.Name, b).Both(Trouble{Cut: on})
+// blockZones blocks the links between all proxies and the caches of zones, or restores them.
+func (h *harness) blockZones(blocked bool, zones ...string) {
+	for _, p := range h.Proxies {
+		for _, cache := range h.CachesIn(zones...) {
+			h.Link(p.Name, cache).SetBoth(Impairment{Blocked: blocked})
 		}
 	}
 }
 
-func (s *scene) cold(zones ...string) {
+func (h *harness) restartCold(zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.In(z) {
-			b.Drop()
-			b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: warmFor, Rate: 60, Multiple: 4, After: 1500 * time.Millisecond})
-			for _, p := range s.Proxies {
-				s.Link(p.Name, b.ID).Reset()
+		for _, cache := range h.Fleet.CachesIn(z) {
+			cache.Clear()
+			cache.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: warmupTime, WarmRate: 60, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
+			for _, p := range h.Proxies {
+				h.Link(p.Name, cache.ID).Reset()
 			}
 		}
 	}
 }
 
-// state waits until all that live say that a zone is in a state.
-func (s *scene) state(zone, state string, but ...string) time.Duration {
-	s.t.Helper()
-	began := time.Now()
+// awaitState waits until all running proxies report a zone in a state.
+func (h *harness) awaitState(zone, state string, except ...string) time.Duration {
+	h.t.Helper()
+	startedAt := time.Now()
 	err := Eventually(fmt.Sprintf("all say that %s is %s", zone, state), func() bool {
-		for _, p := range s.Proxies {
+		for _, p := range h.Proxies {
 			skip := false
-			for _, b := range but {
+			for _, b := range except {
 				skip = skip || b == p.Name
 			}
 			if skip {
@@ -150,56 +153,56 @@
 		return true
 	})
 	if err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// sent is how much all have sent to a zone within a time.
-func (s *scene) sent(zone string, from, to time.Time) (n int) {
-	for _, p := range s.Proxies {
-		n += s.Sent(p.Name, zone, from, to)
+// totalSent returns how many requests all proxies have sent to a zone in a period.
+func (h *harness) totalSent(zone string, from, to time.Time) (n int) {
+	for _, p := range h.Proxies {
+		n += h.RequestsSent(p.Name, zone, from, to)
 	}
 	return n
 }
 
-// logSent logs how much each proxy has sent to a zone in each tenth of a second.
-func (s *scene) logSent(zone string, from, to time.Time) {
-	s.t.Helper()
+// logSent logs how many requests each proxy has sent to a zone in each tenth of a second.
+func (h *harness) logSent(zone string, from, to time.Time) {
+	h.t.Helper()
 	const step = 100 * time.Millisecond
-	for _, p := range s.Proxies {
+	for _, p := range h.Proxies {
 		var line strings.Builder
 		for at := from; at.Before(to); at = at.Add(step) {
-			fmt.Fprintf(&line, " %d", s.Sent(p.Name, zone, at, at.Add(step)))
+			fmt.Fprintf(&line, " %d", h.RequestsSent(p.Name, zone, at, at.Add(step)))
 		}
-		strange := 0
-		for _, b := range s.BoxesIn(zone) {
-			strange += s.Link(p.Name, b).Strange()
+		foreign := 0
+		for _, cache := range h.CachesIn(zone) {
+			foreign += h.Link(p.Name, cache).ForeignRequests()
 		}
-		s.t.Logf("%s sent to zone %s, by tenths of a second from %s:%s; others sent %d there", p.Name, zone, from.Format(time.StampMilli), &line, strange)
+		h.t.Logf("%s sent to zone %s, by tenths of a second from %s:%s; others sent %d there", p.Name, zone, from.Format(time.StampMilli), &line, foreign)
 	}
 }
 
-// logStatus logs what the proxies tell of themselves.
-func (s *scene) logStatus() {
-	s.t.Helper()
-	for _, p := range s.Proxies {
+// logStatus logs the status pages of the proxies.
+func (h *harness) logStatus() {
+	h.t.Helper()
+	for _, p := range h.Proxies {
 		status, err := p.Status()
-		s.t.Logf("%s says (%v): %s", p.Name, err, status)
+		h.t.Logf("%s says (%v): %s", p.Name, err, status)
 	}
 }
 
-// stays has a zone in a state for a time, at all that live.
-func (s *scene) stays(zone, state string, d time.Duration) {
-	s.t.Helper()
-	late := standin.MeasureLateness()
-	defer late.Stop()
+// requireState fails the test if a running proxy reports a zone in another state within a period.
+func (h *harness) requireState(zone, state string, d time.Duration) {
+	h.t.Helper()
+	delay := standin.MeasureSchedulingDelay()
+	defer delay.Stop()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		for _, p := range s.Proxies {
+		for _, p := range h.Proxies {
 			if v, err := p.View(); err == nil {
 				for _, z := range v.Zones {
 					if z.Name == zone && z.State != state {
-						s.t.Fatalf("%s says that %s is %s, and it has to be %s; the rig's own goroutines were late by %v", p.Name, zone, z.State, state, late.Stop())
+						h.t.Fatalf("%s says that %s is %s, and it has to be %s; the rig's own goroutines were late by %v", p.Name, zone, z.State, state, delay.Stop())
 					}
 				}
 			}
@@ -207,234 +210,236 @@
 	}
 }
 
-// faults sets what the boxes of a zone do wrong.
-func (s *scene) faults(f standin.Fault, zones ...string) {
+// setFault sets the fault of all caches in the zones.
+func (h *harness) setFault(f standin.Fault, zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.In(z) {
-			b.SetFault(f)
+		for _, cache := range h.Fleet.CachesIn(z) {
+			cache.SetFault(f)
 		}
 	}
 }
 
-func (s *scene) slow(d time.Duration, zones ...string) {
+func (h *harness) setServiceTime(d time.Duration, zones ...string) {
 	for _, z := range zones {
-		for _, b := range s.Fleet.In(z) {
-			b.SetService(d, 0)
+		for _, cache := range h.Fleet.CachesIn(z) {
+			cache.SetService(d, 0)
 		}
 	}
 }
 
-// apart cuts two sides off from each other, or heals that: what connects, and what is sent.
-func (s *scene) apart(on bool, a, b []string) {
-	s.Each(a, b, func(l *Link) { l.Both(Trouble{Cut: on}) })
+// partition blocks connections and datagrams between two groups, or restores them.
+func (h *harness) partition(blocked bool, a, b []string) {
+	h.EachLink(a, b, func(l *Link) { l.SetBoth(Impairment{Blocked: blocked}) })
 }
 
-func silentBackCold(s *scene) {
-	s.silence(true, "c")
-	s.state("c", "trying")
-	s.run(2 * time.Second)
-	s.cold("c")
-	s.silence(false, "c")
-	s.state("c", "in")
+func silentThenCold(h *harness) {
+	h.blockZones(true, "c")
+	h.awaitState("c", "trying")
+	h.letRun(2 * time.Second)
+	h.restartCold("c")
+	h.blockZones(false, "c")
+	h.awaitState("c", "in")
 }
 
-// heldMost is for how long a proxy takes a request to be under way at the most: a quarter of the connect time-out (docs/connections.md).
-const heldMost = 250 * time.Millisecond / 4
+// maxInTransit is the longest time for which a proxy assumes a request to be in transit: a quarter of the
+// connect timeout (docs/connections.md).
+const maxInTransit = 250 * time.Millisecond / 4
 
-const zoneGone = 480 * time.Millisecond // forty times what an answer takes
+const unresponsiveServiceTime = 480 * time.Millisecond // forty times the usual service time
 
-// scenes are the hard cases of zones that fail; each ends with the rules as clients and boxes have seen them.
-var scenes = map[string]struct {
-	o    Options
-	play func(s *scene)
+// zoneScenarios are difficult cases of zone failures. Each ends with a check of the rules as clients and
+// caches saw them.
+var zoneScenarios = map[string]struct {
+	options Options
+	run     func(h *harness)
 }{
-	"silent, back cold":                  {play: silentBackCold},
-	"silent, a table by zone, back cold": {o: Options{Crossing: 0.06}, play: silentBackCold},
-	"slow, back warm": {play: func(s *scene) {
-		s.slow(zoneGone, "c")
-		s.state("c", "trying")
-		s.slow(s.Service, "c")
-		s.state("c", "in")
+	"silent, back cold":                  {run: silentThenCold},
+	"silent, a table by zone, back cold": {options: Options{CrossZoneCost: 0.06}, run: silentThenCold},
+	"slow, back warm": {run: func(h *harness) {
+		h.setServiceTime(unresponsiveServiceTime, "c")
+		h.awaitState("c", "trying")
+		h.setServiceTime(h.ServiceTime, "c")
+		h.awaitState("c", "in")
 	}},
-	"half of the answers fail, back half cold": {play: func(s *scene) {
-		s.faults(standin.Halting, "c")
-		s.state("c", "trying")
-		for _, b := range s.Fleet.In("c")[:2] {
-			b.Drop()
-		}
-		s.faults(standin.Healthy, "c")
-		s.state("c", "in")
+	"half of the answers fail, back half cold": {run: func(h *harness) {
+		h.setFault(standin.Intermittent, "c")
+		h.awaitState("c", "trying")
+		for _, cache := range h.Fleet.CachesIn("c")[:2] {
+			cache.Clear()
+		}
+		h.setFault(standin.Healthy, "c")
+		h.awaitState("c", "in")
 	}},
-	"refusing": {play: func(s *scene) {
-		s.faults(standin.Busy, "c")
-		s.state("c", "trying")
-		s.faults(standin.Healthy, "c")
-		s.state("c", "in")
+	"refusing": {run: func(h *harness) {
+		h.setFault(standin.Busy, "c")
+		h.awaitState("c", "trying")
+		h.setFault(standin.Healthy, "c")
+		h.awaitState("c", "in")
 	}},
-	"one way only": {play: func(s *scene) {
-		for _, p := range s.Proxies {
-			for _, b := range s.BoxesIn("c") {
-				s.Link(p.Name, b).Set(Back, Trouble{Cut: true})
+	"one way only": {run: func(h *harness) {
+		for _, p := range h.Proxies {
+			for _, cache := range h.CachesIn("c") {
+				h.Link(p.Name, cache).Set(Backward, Impairment{Blocked: true})
 			}
 		}
-		s.state("c", "trying")
-		s.silence(false, "c")
-		s.state("c", "in")
+		h.awaitState("c", "trying")
+		h.blockZones(false, "c")
+		h.awaitState("c", "in")
 	}},
-	"a region of two zones of four": {o: Options{Zones: []string{"a", "b", "c", "d"}, Proxies: 8, Regions: map[string][]string{"south": {"c", "d"}}},
-		play: func(s *scene) {
-			s.silence(true, "c", "d")
-			s.state("c", "trying")
-			s.state("d", "trying")
-			s.silence(false, "c")
-			s.stays("c", "trying", 3*time.Second) // as one
-			s.silence(false, "d")
-			s.state("c", "in")
-			s.state("d", "in")
+	"a region of two zones of four": {options: Options{Zones: []string{"a", "b", "c", "d"}, Proxies: 8, Regions: map[string][]string{"south": {"c", "d"}}},
+		run: func(h *harness) {
+			h.blockZones(true, "c", "d")
+			h.awaitState("c", "trying")
+			h.awaitState("d", "trying")
+			h.blockZones(false, "c")
+			h.requireState("c", "trying", 3*time.Second) // zones of a region return together
+			h.blockZones(false, "d")
+			h.awaitState("c", "in")
+			h.awaitState("d", "in")
 		}},
-	"a zone's proxies are gone, and its boxes live": {play: func(s *scene) {
-		for _, p := range s.Proxies {
+	"a zone's proxies are gone, and its boxes live": {run: func(h *harness) {
+		for _, p := range h.Proxies {
 			if p.Zone == "c" {
-				s.MayLose(p.Name, time.Now(), time.Now().Add(time.Hour))
+				h.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 				p.Kill()
 			}
 		}
-		s.stays("c", "in", 4*time.Second)
+		h.requireState("c", "in", 4*time.Second)
 	}},
-	"cut off with proxies, boxes and clients": {play: func(s *scene) {
-		there := append(s.ProxiesIn("c"), s.BoxesIn("c")...)
-		here := append(s.ProxiesIn("a", "b"), s.BoxesIn("a", "b")...)
-		s.apart(true, here, there)
-		s.state("c", "trying", s.ProxiesIn("c")...)
+	"cut off with proxies, boxes and clients": {run: func(h *harness) {
+		there := append(h.ProxiesIn("c"), h.CachesIn("c")...)
+		here := append(h.ProxiesIn("a", "b"), h.CachesIn("a", "b")...)
+		h.partition(true, here, there)
+		h.awaitState("c", "trying", h.ProxiesIn("c")...)
 		from := time.Now()
-		s.run(3 * time.Second)
-		for _, a := range s.Asks(from, time.Now()) {
-			if a.End == Failed {
-				s.t.Errorf("%s at %s failed on one side of a partition: %s", a.Key, a.Proxy, a.Text)
+		h.letRun(3 * time.Second)
+		for _, a := range h.Requests(from, time.Now()) {
+			if a.Outcome == Failed {
+				h.t.Errorf("%s at %s failed on one side of a partition: %s", a.Key, a.Proxy, a.Detail)
 			}
 		}
-		s.apart(false, here, there)
-		s.state("c", "in")
+		h.partition(false, here, there)
+		h.awaitState("c", "in")
 	}},
-	"messages lost, late, and cut between two halves": {play: func(s *scene) {
+	"messages lost, late, and cut between two halves": {run: func(h *harness) {
 		var names []string
-		for _, p := range s.Proxies {
+		for _, p := range h.Proxies {
 			names = append(names, p.Name)
 		}
-		s.Each(names, names, func(l *Link) { l.Both(Trouble{Lose: 0.3}) })
-		s.silence(true, "c")
-		s.state("c", "trying")
-		s.Each(names, names, func(l *Link) { l.Both(Trouble{Delay: 2 * time.Second}) })
-		s.run(3 * time.Second)
-		s.Each(names, names, func(l *Link) { l.Both(Trouble{}) })
-		s.state("c", "trying")
-		s.apart(true, names[:3], names[3:])
-		s.silence(false, "c")
-		s.state("c", "returning", names[3:]...)
-		s.apart(false, names[:3], names[3:])
-		s.state("c", "in")
+		h.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{LossRate: 0.3}) })
+		h.blockZones(true, "c")
+		h.awaitState("c", "trying")
+		h.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{Delay: 2 * time.Second}) })
+		h.letRun(3 * time.Second)
+		h.EachLink(names, names, func(l *Link) { l.SetBoth(Impairment{}) })
+		h.awaitState("c", "trying")
+		h.partition(true, names[:3], names[3:])
+		h.blockZones(false, "c")
+		h.awaitState("c", "returning", names[3:]...)
+		h.partition(false, names[:3], names[3:])
+		h.awaitState("c", "in")
 	}},
-	"paused through it, started in the middle, killed on the return": {play: func(s *scene) {
-		leader := s.Proxies[0]
-		s.MayLose(leader.Name, time.Now(), time.Now().Add(10*time.Second))
+	"paused through it, started in the middle, killed on the return": {run: func(h *harness) {
+		leader := h.Proxies[0]
+		h.ExpectLoss(leader.Name, time.Now(), time.Now().Add(10*time.Second))
 		leader.Pause()
-		s.silence(true, "c")
-		s.state("c", "trying", leader.Name)
-		s.run(2 * time.Second)
+		h.blockZones(true, "c")
+		h.awaitState("c", "trying", leader.Name)
+		h.letRun(2 * time.Second)
 		leader.Continue()
 		at := time.Now().Add(300 * time.Millisecond)
-		s.state("c", "trying")
-		s.run(2 * time.Second)
-		if n := s.Sent(leader.Name, "c", at, at.Add(1500*time.Millisecond)); n > 16 {
-			s.t.Errorf("continued after the zone was left, it sends %d to it in 1.5 s", n)
-		}
-		late := s.Proxies[5]
-		s.MayLose(late.Name, time.Now(), time.Now().Add(time.Hour))
-		late.Kill()
-		s.cold("c")
-		s.silence(false, "c")
-		s.state("c", "returning", late.Name)
-		if err := late.Start(); err != nil {
-			s.t.Fatal(err)
-		}
-		if v, err := late.View(); err != nil || v.Zones[2].LocalShare > v.Zones[2].Share+0.1 || v.Zones[2].Share == 1 {
-			s.t.Errorf("started while the zone is returned to, it takes %+v, %v", v.Zones, err)
-		}
-		for _, p := range s.Proxies[3:5] {
-			s.MayLose(p.Name, time.Now(), time.Now().Add(time.Hour))
+		h.awaitState("c", "trying")
+		h.letRun(2 * time.Second)
+		if n := h.RequestsSent(leader.Name, "c", at, at.Add(1500*time.Millisecond)); n > 16 {
+			h.t.Errorf("continued after the zone was left, it sends %d to it in 1.5 s", n)
+		}
+		restarted := h.Proxies[5]
+		h.ExpectLoss(restarted.Name, time.Now(), time.Now().Add(time.Hour))
+		restarted.Kill()
+		h.restartCold("c")
+		h.blockZones(false, "c")
+		h.awaitState("c", "returning", restarted.Name)
+		if err := restarted.Start(); err != nil {
+			h.t.Fatal(err)
+		}
+		if v, err := restarted.View(); err != nil || v.Zones[2].LocalShare > v.Zones[2].Share+0.1 || v.Zones[2].Share == 1 {
+			h.t.Errorf("started while the zone is returned to, it takes %+v, %v", v.Zones, err)
+		}
+		for _, p := range h.Proxies[3:5] {
+			h.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 			p.Kill()
 		}
-		s.state("c", "in", "n3", "n4")
+		h.awaitState("c", "in", "n3", "n4")
 	}},
-	"two zones half a second apart": {play: func(s *scene) {
-		s.silence(true, "c")
-		s.run(500 * time.Millisecond)
-		s.silence(true, "b")
-		s.state("b", "trying")
-		s.state("c", "trying")
-		s.stays("a", "in", time.Second)
-		s.silence(false, "b", "c")
-		s.state("b", "in")
-		s.state("c", "in")
+	"two zones half a second apart": {run: func(h *harness) {
+		h.blockZones(true, "c")
+		h.letRun(500 * time.Millisecond)
+		h.blockZones(true, "b")
+		h.awaitState("b", "trying")
+		h.awaitState("c", "trying")
+		h.requireState("a", "in", time.Second)
+		h.blockZones(false, "b", "c")
+		h.awaitState("b", "in")
+		h.awaitState("c", "in")
 	}},
-	"a cause common to all leaves nobody": {play: func(s *scene) {
-		s.slow(zoneGone, abc...)
-		s.stays("a", "in", 0)
-		s.noneLeft(3 * time.Second)
-		s.slow(s.Service, abc...)
-		s.Fleet.Origin.SetService(600*time.Millisecond, 8)
-		for _, b := range s.Fleet.Boxes {
-			b.Drop()
-		}
-		s.noneLeft(3 * time.Second)
-		bad := s.Fleet.In("c")[0]
+	"a cause common to all leaves nobody": {run: func(h *harness) {
+		h.setServiceTime(unresponsiveServiceTime, zoneNames...)
+		h.requireState("a", "in", 0)
+		h.requireAllInUse(3 * time.Second)
+		h.setServiceTime(h.ServiceTime, zoneNames...)
+		h.Fleet.Origin.SetService(600*time.Millisecond, 8)
+		for _, cache := range h.Fleet.Caches {
+			cache.Clear()
+		}
+		h.requireAllInUse(3 * time.Second)
+		bad := h.Fleet.CachesIn("c")[0]
 		bad.SetFault(standin.Stall)
-		s.noneLeft(3 * time.Second)
+		h.requireAllInUse(3 * time.Second)
 	}},
-	"a zone that flaps waits longer each time": {play: func(s *scene) {
+	"a zone that flaps waits longer each time": {run: func(h *harness) {
 		var out []time.Duration
 		for range 3 {
-			s.silence(true, "c")
-			s.state("c", "out")
-			out = append(out, s.state("c", "trying"))
-			s.silence(false, "c")
-			s.state("c", "returning")
+			h.blockZones(true, "c")
+			h.awaitState("c", "out")
+			out = append(out, h.awaitState("c", "trying"))
+			h.blockZones(false, "c")
+			h.awaitState("c", "returning")
 		}
 		if out[2] < 2*out[0] {
-			s.t.Errorf("it was out for %v", out)
+			h.t.Errorf("it was out for %v", out)
 		}
-		s.state("c", "in")
+		h.awaitState("c", "in")
 	}},
-	"out by hand": {play: func(s *scene) {
-		told, err := s.Proxies[4].CallZone("out", "c")
+	"out by hand": {run: func(h *harness) {
+		report, err := h.Proxies[4].SetZoneMode("out", "c")
 		from := time.Now().Add(250 * time.Millisecond)
-		late := standin.MeasureLateness()
-		if err != nil || len(told.Notified) != len(s.Proxies) {
-			s.t.Fatalf("told %+v, %v", told, err)
-		}
-		s.state("c", "out")
-		s.MayLose("n4", time.Now(), time.Now().Add(time.Hour))
-		s.Proxies[4].Kill()
-		s.run(2 * time.Second)
-		lateBy := late.Stop()
-		if n := s.sent("c", from.Add(100*time.Millisecond), time.Now()); n > 0 {
-			s.t.Errorf("%d requests went to a zone that was out by hand; the rig's own goroutines were late by %v", n, lateBy)
-			s.logSent("c", from.Add(-500*time.Millisecond), time.Now())
-			s.logStatus()
-		}
-		if _, err := s.Proxies[1].CallZone("auto", "c"); err != nil {
-			s.t.Fatal(err)
-		}
-		s.state("c", "returning", "n4")
-		s.state("c", "in", "n4")
+		delay := standin.MeasureSchedulingDelay()
+		if err != nil || len(report.Notified) != len(h.Proxies) {
+			h.t.Fatalf("told %+v, %v", report, err)
+		}
+		h.awaitState("c", "out")
+		h.ExpectLoss("n4", time.Now(), time.Now().Add(time.Hour))
+		h.Proxies[4].Kill()
+		h.letRun(2 * time.Second)
+		lateBy := delay.Stop()
+		if n := h.totalSent("c", from.Add(100*time.Millisecond), time.Now()); n > 0 {
+			h.t.Errorf("%d requests went to a zone that was out by hand; the rig's own goroutines were late by %v", n, lateBy)
+			h.logSent("c", from.Add(-500*time.Millisecond), time.Now())
+			h.logStatus()
+		}
+		if _, err := h.Proxies[1].SetZoneMode("auto", "c"); err != nil {
+			h.t.Fatal(err)
+		}
+		h.awaitState("c", "returning", "n4")
+		h.awaitState("c", "in", "n4")
 	}},
 }
 
-// A process that takes over from another is its place among the others: there is neither a moment without it nor one with both, and the one
-// that ends is not mourned.
+// A successor process takes its predecessor's place among the instances: it is a member exactly once at
+// any moment, and the predecessor is not reported as lost.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
-	s := stage(t, Options{})
+	h := newHarness(t, Options{})
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -444,7 +449,7 @@
 				return
 			case <-time.After(10 * time.Millisecond):
 			}
-			v, err := s.Proxies[0].View()
+			v, err := h.Proxies[0].View()
 			if err != nil {
 				t.Error(err)
 				return
@@ -461,54 +466,57 @@
 			}
 		}
 	}()
-	s.silence(true, "c")
-	s.state("c", "trying")
+	h.blockZones(true, "c")
+	h.awaitState("c", "trying")
 	for range 3 {
-		since, from := s.Proxies[4].Pid(), time.Now()
-		if err := s.Proxies[4].Upgrade(); err != nil || s.Proxies[4].Pid() == since {
+		since, from := h.Proxies[4].Pid(), time.Now()
+		if err := h.Proxies[4].Upgrade(); err != nil || h.Proxies[4].Pid() == since {
 			t.Fatal(err)
 		}
-		s.MayLose("n4", from, time.Now()) // connections that nothing was asked on yet are closed, and a request may cross that
-		s.state("c", "trying")
+		// connections without a request are closed, and a request may be sent at the same moment
+		h.ExpectLoss("n4", from, time.Now())
+		h.awaitState("c", "trying")
 	}
 	close(quit)
 	<-done
-	s.silence(false, "c")
-	s.state("c", "in")
-	s.Stop()
-	for _, b := range s.Breaches() {
-		t.Error(b)
+	h.blockZones(false, "c")
+	h.awaitState("c", "in")
+	h.Stop()
+	for _, violation := range h.Violations() {
+		t.Error(violation)
 	}
 }
 
-// Faults of all kinds in any order, by seeds: the rules hold throughout, and once all is well every zone is whole again.
+// Random schedules of all kinds of faults, by seed: the rules hold throughout, and at the end every zone
+// is fully in use.
 func TestFaultsBySeeds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			s := stage(t, Options{})
-			if err := Play(s.Schedule(s.Clients, seed, 12*time.Second), t.Logf); err != nil {
+			h := newHarness(t, Options{})
+			if err := RunEvents(h.Schedule(h.Clients, seed, 12*time.Second), t.Logf); err != nil {
 				t.Fatal(err)
 			}
-			for _, z := range abc {
-				s.state(z, "in")
+			for _, z := range zoneNames {
+				h.awaitState(z, "in")
 			}
-			s.Stop()
-			for _, b := range s.Breaches() {
-				t.Error(b)
+			h.Stop()
+			for _, violation := range h.Violations() {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
-// What each runs is known to all, and changes with a reload; a number, zone or address of its own makes no other version.
-func TestVersionsAreKnown(t *testing.T) {
+// The program and settings version of each instance is reported to all others and changes with a reload.
+// An instance's own number, zone or address makes no other version.
+func TestVersionsAreReported(t *testing.T) {
 	t.Parallel()
-	s := stage(t, Options{Operator: "[joining]\n"})
+	h := newHarness(t, Options{OperatorConfig: "[joining]\n"})
 	versions := func() (programs, settings map[string]int) {
 		programs, settings = map[string]int{}, map[string]int{}
-		v, err := s.Proxies[0].View()
+		v, err := h.Proxies[0].View()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -521,8 +529,8 @@
 	if p, c := versions(); len(p) != 1 || len(c) != 1 {
 		t.Fatalf("programs %v, settings %v: all are alike", p, c)
 	}
-	p := s.Proxies[3]
-	path := filepath.Join(s.Dir, p.Name+".json")
+	p := h.Proxies[3]
+	path := filepath.Join(h.Dir, p.Name+".json")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -539,55 +547,55 @@
 	}
 }
 
-// Who has another name for the installation, or another key, is nobody to the others.
-func TestStrangersAreTurnedAway(t *testing.T) {
+// An instance with another cluster name or another key is not accepted by the others.
+func TestForeignInstancesAreRejected(t *testing.T) {
 	t.Parallel()
-	s := stage(t, Options{})
+	h := newHarness(t, Options{})
 	for i, change := range [][2]string{{"[zones]", "cluster = \"another\"\n[zones]"}, {"/key\"", "/other\""}} {
-		p := s.Proxies[4+i]
-		s.MayLose(p.Name, time.Now(), time.Now().Add(time.Hour))
+		p := h.Proxies[4+i]
+		h.ExpectLoss(p.Name, time.Now(), time.Now().Add(time.Hour))
 		if err := p.Stop(); err != nil {
 			t.Fatal(err)
 		}
-		path := filepath.Join(s.Dir, p.Name+".toml")
+		path := filepath.Join(h.Dir, p.Name+".toml")
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = []byte(strings.Replace(string(text), change[0], change[1], 1))
-		if err := errors.Join(os.WriteFile(path, text, 0o600), os.WriteFile(filepath.Join(s.Dir, "other"), []byte(strings.Repeat("ab", 32)), 0o600)); err != nil {
+		if err := errors.Join(os.WriteFile(path, text, 0o600), os.WriteFile(filepath.Join(h.Dir, "other"), []byte(strings.Repeat("ab", 32)), 0o600)); err != nil {
 			t.Fatal(err)
 		}
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := p.Said("nobody that is to be joined answers", Patience); err != nil {
+		if _, err := p.WaitForLog("nobody that is to be joined answers", WaitTimeout); err != nil {
 			t.Error(err)
 		}
 		if v, err := p.View(); err != nil || len(v.Members) != 1 {
 			t.Errorf("%s knows %+v, %v", p.Name, v.Members, err)
 		}
 	}
-	for _, p := range s.Proxies[:4] {
+	for _, p := range h.Proxies[:4] {
 		if v, err := p.View(); err != nil || len(v.Members) != 4 {
 			t.Errorf("%s knows %+v, %v", p.Name, v.Members, err)
 		}
 	}
-	s.silence(true, "b") // who are left decide, and the strangers do as they would alone
-	s.state("b", "trying", "n4", "n5")
-	s.silence(false, "b")
-	s.state("b", "in", "n4", "n5")
+	h.blockZones(true, "b") // the remaining instances decide together, and each foreign instance on its own
+	h.awaitState("b", "trying", "n4", "n5")
+	h.blockZones(false, "b")
+	h.awaitState("b", "in", "n4", "n5")
 }
 
-// noneLeft has every zone used at all that live, for a time.
-func (s *scene) noneLeft(d time.Duration) {
-	s.t.Helper()
+// requireAllInUse fails the test if a running proxy doesn't fully use every zone within a period.
+func (h *harness) requireAllInUse(d time.Duration) {
+	h.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		for _, p := range s.Proxies {
+		for _, p := range h.Proxies {
 			v, err := p.View()
 			for _, z := range v.Zones {
 				if err == nil && z.Share < 1 {
-					s.t.Fatalf("%s says that %s is %s", p.Name, z.Name, z.State)
+					h.t.Fatalf("%s says that %s is %s", p.Name, z.Name, z.State)
 				}
 			}
 		}
@@ -596,25 +604,25 @@
 
 func TestZones(t *testing.T) {
 	t.Parallel()
-	for name, c := range scenes {
+	for name, scenario := range zoneScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := stage(t, c.o)
+			h := newHarness(t, scenario.options)
 			defer func() {
 				if t.Failed() {
-					for _, p := range s.Proxies {
-						for _, l := range p.Lines("msg=zone ") {
+					for _, p := range h.Proxies {
+						for _, l := range p.LogLines("msg=zone ") {
 							t.Log(l)
 						}
 					}
 				}
 			}()
-			c.play(s)
-			s.Stop()
-			for _, b := range s.Breaches() {
-				t.Error(b)
+			scenario.run(h)
+			h.Stop()
+			for _, violation := range h.Violations() {
+				t.Error(violation)
 			}
-			if all := s.Asks(time.Time{}, time.Now()); len(all) < 500 {
+			if all := h.Requests(time.Time{}, time.Now()); len(all) < 500 {
 				t.Errorf("only %d requests were asked", len(all))
 			}
 		})
--- a/internal/cluster/copies_test.go
+++ b/internal/cluster/copies_test.go
@@ -8,37 +8,38 @@
 	"linenloom/internal/standin"
 )
 
-// betweenZones is how long bytes take from one zone to another.
-const betweenZones = 15 * time.Millisecond
+// crossZoneDelay is the network delay between zones.
+const crossZoneDelay = 15 * time.Millisecond
 
-// Processes in three zones some way apart, before caches that stay silent, turn requests away, drop connections or answer noise: no member has an
-// attempt of a request while another one has one.
-func TestMembersHaveOneAttemptAtATime(t *testing.T) {
+// Proxies in three zones with network delays between them, and caches that stay silent, refuse requests,
+// drop connections or answer malformed bytes: no member receives an attempt of a request while another
+// attempt is outstanding.
+func TestOneAttemptAtATime(t *testing.T) {
 	t.Parallel()
-	copies := standin.NewCopies()
-	s := stage(t, Options{Copies: copies})
-	for _, p := range s.Proxies {
-		for _, zone := range abc {
-			for _, b := range s.BoxesIn(zone) {
+	duplicates := standin.NewDuplicateChecker()
+	h := newHarness(t, Options{Duplicates: duplicates})
+	for _, p := range h.Proxies {
+		for _, zone := range zoneNames {
+			for _, cache := range h.CachesIn(zone) {
 				if zone != p.Zone {
-					s.Link(p.Name, b).Both(Trouble{Delay: betweenZones})
+					h.Link(p.Name, cache).SetBoth(Impairment{Delay: crossZoneDelay})
 				}
 			}
 		}
 	}
-	for turn, fault := range []standin.Fault{standin.Stall, standin.Reset, standin.Spoil, standin.Busy, standin.Halting, standin.Stall} {
-		zone := abc[turn%len(abc)]
-		s.faults(fault, zone)
-		s.run(time.Second)
-		s.faults(standin.Healthy, zone)
+	for turn, fault := range []standin.Fault{standin.Stall, standin.Reset, standin.Malformed, standin.Busy, standin.Intermittent, standin.Stall} {
+		zone := zoneNames[turn%len(zoneNames)]
+		h.setFault(fault, zone)
+		h.letRun(time.Second)
+		h.setFault(standin.Healthy, zone)
 	}
-	s.Stop()
-	all, further := copies.Attempts()
+	h.Stop()
+	all, further := duplicates.Attempts()
 	t.Logf("%d attempts, %d of them further ones", all, further)
 	if further < 50 {
 		t.Errorf("only %d further attempts", further)
 	}
-	if v := copies.Violations(); len(v) > 0 {
+	if v := duplicates.Violations(); len(v) > 0 {
 		t.Errorf("%d second copies:\n%s", len(v), strings.Join(v[:min(10, len(v))], "\n"))
 	}
 }
--- a/internal/cluster/deadlines_test.go
+++ b/internal/cluster/deadlines_test.go
@@ -8,37 +8,38 @@
 	"linenloom/internal/standin"
 )
 
-// pauseMost is for how long a process may be held up at the most.
-const pauseMost = 150 * time.Millisecond
+// maxPause bounds how long a process is paused.
+const maxPause = 150 * time.Millisecond
 
-// A handful of processes that are held up now and then, some of which hand over to others meanwhile, before caches that stay silent, turn requests
-// away or miss: no member is told of a longer deadline than its client has left, at the first attempt or a further one.
-func TestNoMemberIsToldOfMoreThanIsLeft(t *testing.T) {
+// Several proxies are paused now and then, and some hand over to successor processes, while caches stay
+// silent, refuse requests or miss: no member receives a longer deadline than its client has left, at the
+// first attempt or a further one.
+func TestNoDeadlineExceedsTheTimeLeft(t *testing.T) {
 	t.Parallel()
-	deadlines := &standin.Deadlines{}
-	s := stage(t, Options{Deadlines: deadlines})
-	late := standin.MeasureLateness()
-	s.faults(standin.Stall, "a")
-	s.faults(standin.Busy, "b")
-	for _, b := range s.Fleet.In("c") {
-		b.Drop()
+	deadlines := &standin.DeadlineChecker{}
+	h := newHarness(t, Options{Deadlines: deadlines})
+	delay := standin.MeasureSchedulingDelay()
+	h.setFault(standin.Stall, "a")
+	h.setFault(standin.Busy, "b")
+	for _, cache := range h.Fleet.CachesIn("c") {
+		cache.Clear()
 	}
-	rng := rand.New(rand.NewPCG(54, 0))
+	random := rand.New(rand.NewPCG(54, 0))
 	for turn, end := 0, time.Now().Add(6*time.Second); time.Now().Before(end); turn++ {
-		p := s.Proxies[rng.IntN(len(s.Proxies))]
+		p := h.Proxies[random.IntN(len(h.Proxies))]
 		if turn%10 == 5 {
 			if err := p.Upgrade(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		p.Pause()
-		s.run(time.Duration(1 + rng.Int64N(int64(pauseMost))))
+		h.letRun(time.Duration(1 + random.Int64N(int64(maxPause))))
 		p.Continue()
-		s.run(time.Duration(rng.Int64N(int64(pauseMost))))
+		h.letRun(time.Duration(random.Int64N(int64(maxPause))))
 	}
-	s.faults(standin.Healthy, abc...)
-	s.Stop()
-	deadlines.Slack = standin.DeadlineSlack + 2*late.Stop()
+	h.setFault(standin.Healthy, zoneNames...)
+	h.Stop()
+	deadlines.Slack = standin.DeadlineSlack + 2*delay.Stop()
 	first, further := deadlines.Attempts()
 	if first == 0 || further == 0 {
 		t.Errorf("%d first attempts and %d further ones", first, further)
--- a/internal/cluster/disk_test.go
+++ b/internal/cluster/disk_test.go
@@ -6,58 +6,60 @@
 	"time"
 )
 
-// Orders on record on disks that fail: writes cut short, syncs that fail, processes that are killed, and a folder that is as it was at first
-// after a restart, while a zone fails. Clients that hold on to their orders ask again: none runs twice, and none that ran is refused. A sync
-// that says yes and did not, or a copy from the middle of an order, can't be told from an order that never was sent by one process alone.
-func TestDisksThatLie(t *testing.T) {
+// Recorded orders on failing disks: truncated writes, failed syncs, killed processes, and a directory that
+// is empty after a restart, while a zone fails. Clients retry their orders: none runs twice, and none that
+// ran is refused. Not covered, since a single process can't tell it from an order that was never sent: a
+// sync that reports success without persisting, and a copy of the directory taken in the middle of an
+// order.
+func TestUnreliableDisks(t *testing.T) {
 	t.Parallel()
-	s := stage(t, Options{Operator: "[orders]\ndir = \"DIR\"\ncompact_at = 200\nsegment = 65536\n",
-		Env: []string{lyingDisk + "=short=0.01 fail=0.01 forget=0 seed=3"}})
-	s.silence(true, "c")
-	s.state("c", "trying")
+	h := newHarness(t, Options{OperatorConfig: "[orders]\ndir = \"DIR\"\ncompact_at = 200\nsegment = 65536\n",
+		Env: []string{unreliableDiskEnv + "=short=0.01 fail=0.01 forget=0 seed=3"}})
+	h.blockZones(true, "c")
+	h.awaitState("c", "trying")
 	killed := time.Now()
-	for _, p := range s.Proxies[3:] {
-		s.MayLose(p.Name, killed, time.Now().Add(time.Hour))
+	for _, p := range h.Proxies[3:] {
+		h.ExpectLoss(p.Name, killed, time.Now().Add(time.Hour))
 		p.Kill()
 	}
-	if err := os.RemoveAll(s.Proxies[4].Dir); err != nil {
+	if err := os.RemoveAll(h.Proxies[4].Dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(s.Proxies[4].Dir, 0o700); err != nil {
+	if err := os.Mkdir(h.Proxies[4].Dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range s.Proxies[3:] {
+	for _, p := range h.Proxies[3:] {
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.silence(false, "c")
-	s.state("c", "in")
-	s.Stop()
-	again, refused := 0, 0
-	for _, a := range s.Asks(time.Time{}, time.Now()) {
-		if !a.Order || a.End == Refused {
+	h.blockZones(false, "c")
+	h.awaitState("c", "in")
+	h.Stop()
+	retried, refused := 0, 0
+	for _, request := range h.Requests(time.Time{}, time.Now()) {
+		if !request.IsOrder || request.Outcome == Refused {
 			continue
 		}
-		b := s.Repeat(s.Proxies[a.Number()], a)
-		again++
-		if ran := s.Fleet.Origin.Executions()[a.Key]; b.End == Refused && ran > 0 {
-			t.Errorf("%s has run, and its repeat is refused", a.Key)
+		retry := h.Retry(h.Proxies[request.ProxyNumber()], request)
+		retried++
+		if ran := h.Fleet.Origin.Executions()[request.Key]; retry.Outcome == Refused && ran > 0 {
+			t.Errorf("%s has run, and its repeat is refused", request.Key)
 		}
-		if b.End == Refused {
+		if retry.Outcome == Refused {
 			refused++
 		}
 	}
-	for key, n := range s.Fleet.Origin.Executions() {
+	for key, n := range h.Fleet.Origin.Executions() {
 		if n > 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
-	for _, b := range s.Breaches() {
-		t.Error(b)
+	for _, violation := range h.Violations() {
+		t.Error(violation)
 	}
-	if again < 50 {
-		t.Errorf("only %d orders were repeated", again)
+	if retried < 50 {
+		t.Errorf("only %d orders were repeated", retried)
 	}
-	t.Logf("%d orders repeated, %d refused as never run", again, refused)
+	t.Logf("%d orders repeated, %d refused as never run", retried, refused)
 }
--- a/internal/cluster/liar_test.go
+++ b/internal/cluster/liar_test.go
@@ -14,51 +14,52 @@
 	"linenloom/internal/zones"
 )
 
-// liar is an instance of the installation whose messages are made up. It has the key, and is a member like any other.
-type liar struct {
+// rogueInstance is an instance with made-up messages. It has the key and is a regular gossip member.
+type rogueInstance struct {
 	memberlist.Delegate
 	list *memberlist.Memberlist
 	meta []byte
 }
 
-func (l *liar) NodeMeta(int) []byte                    { return l.meta }
-func (l *liar) NotifyMsg([]byte)                       {}
-func (l *liar) GetBroadcasts(int, int) [][]byte        { return nil }
-func (l *liar) LocalState(bool) []byte                 { return nil }
-func (l *liar) MergeRemoteState(buf []byte, join bool) {}
+func (r *rogueInstance) NodeMeta(int) []byte                    { return r.meta }
+func (r *rogueInstance) NotifyMsg([]byte)                       {}
+func (r *rogueInstance) GetBroadcasts(int, int) [][]byte        { return nil }
+func (r *rogueInstance) LocalState(bool) []byte                 { return nil }
+func (r *rogueInstance) MergeRemoteState(buf []byte, join bool) {}
 
-const liarNumber = 89
+const rogueNumber = 89
 
-// lie has a liar join, and tell everybody at full speed what made returns, until the test ends.
-func (s *scene) lie(made func(n int) zones.Message) {
-	t := s.t
+// addRogueInstance adds a rogue instance, which sends the messages of makeMessage to all others, one
+// every 2 ms until the test ends.
+func (h *harness) addRogueInstance(makeMessage func(n int) zones.Message) {
+	t := h.t
 	t.Helper()
-	for _, p := range s.Proxies {
-		s.add(proxyName(liarNumber), p.Name)
-		s.add(p.Name, proxyName(liarNumber))
+	for _, p := range h.Proxies {
+		h.addLink(proxyName(rogueNumber), p.Name)
+		h.addLink(p.Name, proxyName(rogueNumber))
 	}
-	key, err := hex.DecodeString(keyText)
+	key, err := hex.DecodeString(gossipKeyHex)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &liar{meta: fmt.Appendf(nil, `{"n":"liar","i":%d,"z":"a","s":1,"d":true}`, liarNumber)}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label, c.SecretKey, c.Delegate = "liar@1", "linenloom", key, l
-	c.BindAddr, c.BindPort, c.AdvertisePort = fmt.Sprintf("%s%d", s.net, liarNumber+1), gossipPort, gossipPort
-	c.Logger = log.New(io.Discard, "", 0)
-	if l.list, err = memberlist.Create(c); err != nil {
+	rogue := &rogueInstance{meta: fmt.Appendf(nil, `{"n":"liar","i":%d,"z":"a","s":1,"d":true}`, rogueNumber)}
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.Label, config.SecretKey, config.Delegate = "liar@1", "linenloom", key, rogue
+	config.BindAddr, config.BindPort, config.AdvertisePort = fmt.Sprintf("%s%d", h.subnet, rogueNumber+1), gossipPort, gossipPort
+	config.Logger = log.New(io.Discard, "", 0)
+	if rogue.list, err = memberlist.Create(config); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.list.Shutdown() })
-	// Its connections come from an address that no link knows: it is called, and so is there.
+	t.Cleanup(func() { rogue.list.Shutdown() })
+	// Its connections come from an address without a link. The others reach it by calling it instead.
 	if err := Eventually("the liar is a member", func() bool {
-		for _, p := range s.Proxies {
-			raw := net.JoinHostPort(fmt.Sprintf("%s%d", s.net, 1+p.Number), fmt.Sprint(gossipPort))
-			if n, err := l.list.Join([]string{raw}); err != nil || n == 0 {
+		for _, p := range h.Proxies {
+			raw := net.JoinHostPort(fmt.Sprintf("%s%d", h.subnet, 1+p.Number), fmt.Sprint(gossipPort))
+			if n, err := rogue.list.Join([]string{raw}); err != nil || n == 0 {
 				return false
 			}
 		}
-		return l.list.NumMembers() == len(s.Proxies)+1
+		return rogue.list.NumMembers() == len(h.Proxies)+1
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -71,44 +72,45 @@
 				return
 			case <-time.After(2 * time.Millisecond):
 			}
-			msg := made(n)
-			for _, m := range l.list.Members() {
-				if m.Name != c.Name {
-					l.list.SendBestEffort(m, msg.Append(nil))
+			msg := makeMessage(n)
+			for _, m := range rogue.list.Members() {
+				if m.Name != config.Name {
+					rogue.list.SendBestEffort(m, msg.Append(nil))
 				}
 			}
 		}
 	}()
 }
 
-// An instance that lies about every zone, floods and tells an old epoch again and again moves nothing, and neither keeps the others from
-// leaving a zone that fails by telling that all is well.
-func TestLiar(t *testing.T) {
+// An instance that floods the others with false reports on every zone and with an old epoch changes no
+// decision, and by reporting that all is well it doesn't keep the others from leaving a failing zone.
+func TestRogueInstance(t *testing.T) {
 	t.Parallel()
-	bad := zones.ZoneStats{Judged: 1000, Bad: 1000, Silent: 1000, TrimmedJudged: 600, TrimmedBad: 600}
-	good := zones.ZoneStats{Judged: 1000, TrimmedJudged: 600}
-	say := good
-	lies := make(chan zones.ZoneStats, 1)
-	s := stage(t, Options{})
-	s.lie(func(n int) zones.Message {
+	allBad := zones.ZoneStats{Judged: 1000, Bad: 1000, Silent: 1000, TrimmedJudged: 600, TrimmedBad: 600}
+	allGood := zones.ZoneStats{Judged: 1000, TrimmedJudged: 600}
+	current := allGood
+	reported := make(chan zones.ZoneStats, 1)
+	h := newHarness(t, Options{})
+	h.addRogueInstance(func(n int) zones.Message {
 		select {
-		case say = <-lies:
+		case current = <-reported:
 		default:
 		}
-		return zones.Message{From: liarNumber, Report: &zones.Report{Number: liarNumber, StartedAtMS: 1, Seq: uint64(n), Zones: []zones.ZoneStats{say, say, say}},
-			Verdict: &zones.Verdict{Epoch: 1, DecidedBy: liarNumber, Zones: []zones.Zone{{Share: zones.FullShare}, {Share: zones.FullShare}, {State: zones.StateOut}}}}
+		return zones.Message{From: rogueNumber, Report: &zones.Report{Number: rogueNumber, StartedAtMS: 1, Seq: uint64(n), Zones: []zones.ZoneStats{current, current, current}},
+			Verdict: &zones.Verdict{Epoch: 1, DecidedBy: rogueNumber, Zones: []zones.Zone{{Share: zones.FullShare}, {Share: zones.FullShare}, {State: zones.StateOut}}}}
 	})
-	lies <- bad
-	// The first verdict of all is taken from anyone who is a member: what it closes is tried, found well and returned to.
-	s.state("c", "in")
-	s.noneLeft(3 * time.Second)
-	lies <- good
-	s.silence(true, "c")
-	s.state("c", "trying")
-	s.silence(false, "c")
-	s.state("c", "in")
-	s.Stop()
-	for _, b := range s.Breaches() {
-		t.Error(b)
+	reported <- allBad
+	// The very first verdict is accepted from any member: the zones that it closes are probed, found
+	// healthy and returned to.
+	h.awaitState("c", "in")
+	h.requireAllInUse(3 * time.Second)
+	reported <- allGood
+	h.blockZones(true, "c")
+	h.awaitState("c", "trying")
+	h.blockZones(false, "c")
+	h.awaitState("c", "in")
+	h.Stop()
+	for _, violation := range h.Violations() {
+		t.Error(violation)
 	}
 }
--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -13,134 +13,138 @@
 	"linenloom/internal/standin"
 )
 
-// Way is a direction of a link.
-type Way uint8
+// Direction is a direction of a link.
+type Direction uint8
 
-// The directions.
+// Directions of a link.
 const (
-	Forth Way = iota // from who connects, or sends the datagram
-	Back
+	Forward Direction = iota // from the side that connects or sends the datagram
+	Backward
 )
 
-// Trouble is what a link does to what goes over it, in one direction. The zero value is a link that is well.
-type Trouble struct {
-	Cut   bool          // nothing passes; connections stay open and silent
-	Delay time.Duration // what passes does so later
-	Lose  float64       // share of datagrams lost; of connections, this share is reset as they are opened
+// Impairment is what a link does to traffic in one direction. The zero value is a healthy link.
+type Impairment struct {
+	Blocked  bool          // nothing passes; connections stay open and silent
+	Delay    time.Duration // added to all traffic
+	LossRate float64       // share of datagrams that are lost, and of connections that are reset on opening
 }
 
-// Link is one way between two processes, on loopback: whatever goes over it goes through here. Cut, it keeps what has come until it is
-// healed, like a network whose ends go on trying; a connection that is opened meanwhile comes up and stays silent.
+// Link relays all traffic between two processes on loopback. While it is blocked it holds what it has
+// received until it is restored, as a network whose ends keep retransmitting; connections opened meanwhile
+// are established and stay silent.
 type Link struct {
-	mu      sync.Mutex
-	trouble [2]Trouble
-	changed chan struct{} // closed and made anew with each change
-	conns   map[net.Conn]struct{}
-	own     []byte        // begins the ids of the cluster's requests
-	bins    map[int64]int // requests of the cluster, by tenths of a second since start
-	strange int           // commands of somebody else: ports are used again, and another proxy on this machine may ask at one for a while
-	start   time.Time
-	watch   func(from net.Conn) *standin.Watch // of a connection to a member; nil: none is watched
-	asked   func(id, attrs string)             // told of each request that has been passed on; nil: nobody is
+	mu              sync.Mutex
+	impairments     [2]Impairment
+	changed         chan struct{} // closed and replaced on each change
+	conns           map[net.Conn]struct{}
+	idPrefix        []byte        // of the ids of the cluster's requests
+	requestBins     map[int64]int // the cluster's requests, by tenths of a second since start
+	foreignRequests int           // ports are reused, so another proxy on this machine may connect for a while
+	start           time.Time
+	observe         func(from net.Conn) *standin.Observer // for each connection to a member; may be nil
+	// called for each request that has been forwarded; may be nil
+	onRequest func(id, attrs string)
 }
 
-func newLink(start time.Time, own []byte) *Link {
-	return &Link{changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, own: own, bins: map[int64]int{}, start: start}
+func newLink(start time.Time, idPrefix []byte) *Link {
+	return &Link{changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, idPrefix: idPrefix, requestBins: map[int64]int{}, start: start}
 }
 
-// Set sets the trouble of one direction.
-func (l *Link) Set(w Way, t Trouble) {
+// Set sets the impairment of one direction.
+func (l *Link) Set(direction Direction, impairment Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.trouble[w] = t
+	l.impairments[direction] = impairment
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Both sets the trouble of both directions.
-func (l *Link) Both(t Trouble) {
-	l.Set(Forth, t)
-	l.Set(Back, t)
+// SetBoth sets the impairment of both directions.
+func (l *Link) SetBoth(impairment Impairment) {
+	l.Set(Forward, impairment)
+	l.Set(Backward, impairment)
 }
 
-// Reset ends all connections at once, as a process that dies does.
+// Reset resets all connections, as a crashing process does.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.conns {
-		reset(c)
+	for conn := range l.conns {
+		reset(conn)
 	}
 }
 
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+func reset(conn net.Conn) {
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		tcpConn.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
-// Sent is how much has been sent Forth in the tenths of a second from one time to another: by the commands in what arrived.
-func (l *Link) Sent(from, to time.Time) (n int) {
+// RequestsSent returns how many requests were sent in the Forward direction in a period, to a tenth of a
+// second. It counts the commands in the bytes received.
+func (l *Link) RequestsSent(from, to time.Time) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for b := l.bin(from); b < l.bin(to); b++ {
-		n += l.bins[b]
+	for b := l.binIndex(from); b < l.binIndex(to); b++ {
+		n += l.requestBins[b]
 	}
 	return n
 }
 
-func (l *Link) bin(at time.Time) int64 { return int64(at.Sub(l.start) / (100 * time.Millisecond)) }
+func (l *Link) binIndex(at time.Time) int64 { return int64(at.Sub(l.start) / (100 * time.Millisecond)) }
 
-// count counts the requests in a piece.
-func (l *Link) count(b []byte) {
+// countRequests counts the requests in a piece.
+func (l *Link) countRequests(b []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	own := bytes.Count(b, l.own)
-	l.bins[l.bin(time.Now())] += own
-	l.strange += max(0, bytes.Count(b, []byte("OBJ."))-own)
+	own := bytes.Count(b, l.idPrefix)
+	l.requestBins[l.binIndex(time.Now())] += own
+	l.foreignRequests += max(0, bytes.Count(b, []byte("OBJ."))-own)
 }
 
-// Strange is how many commands of somebody else have come Forth.
-func (l *Link) Strange() int {
+// ForeignRequests returns how many commands of other clusters were received in the Forward direction.
+func (l *Link) ForeignRequests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.strange
+	return l.foreignRequests
 }
 
-// watched has the connections that come from now on watched.
-func (l *Link) watched(watch func(from net.Conn) *standin.Watch) {
+// observeConns sets the function that returns the observers of later connections.
+func (l *Link) observeConns(observe func(from net.Conn) *standin.Observer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watch = watch
+	l.observe = observe
 }
 
-// passing has asked told of each request that has been passed on over connections that come from now on.
-func (l *Link) passing(asked func(id, attrs string)) {
+// notifyRequests sets a function that is called for each request that later connections have forwarded.
+func (l *Link) notifyRequests(onRequest func(id, attrs string)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked = asked
+	l.onRequest = onRequest
 }
 
-// pass waits until a piece that came then may go on; false: its connection has ended.
-func (l *Link) pass(w Way, came time.Time, ended <-chan struct{}) bool {
-	return standin.Hold(ended, func() (bool, time.Time, <-chan struct{}) {
+// awaitPassage waits until a piece that arrived at the given time may pass. It returns false if the
+// connection has ended.
+func (l *Link) awaitPassage(direction Direction, arrivedAt time.Time, ended <-chan struct{}) bool {
+	return standin.AwaitRelease(ended, func() (bool, time.Time, <-chan struct{}) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.trouble[w].Cut, came.Add(l.trouble[w].Delay), l.changed
+		return l.impairments[direction].Blocked, arrivedAt.Add(l.impairments[direction].Delay), l.changed
 	})
 }
 
-// tcp relays connections that come to a listener.
-func (l *Link) tcp(from net.Listener, to string) {
-	standin.AcceptEach(from, func(conn net.Conn) { go l.relay(conn, to) })
+// serve relays the connections of a listener.
+func (l *Link) serve(listener net.Listener, to string) {
+	standin.AcceptEach(listener, func(conn net.Conn) { go l.relay(conn, to) })
 }
 
 // relay relays one connection.
 func (l *Link) relay(in net.Conn, to string) {
 	l.mu.Lock()
-	lose, watch, asked := l.trouble[Forth].Lose, l.watch, l.asked
+	lossRate, observe, onRequest := l.impairments[Forward].LossRate, l.observe, l.onRequest
 	l.mu.Unlock()
-	if lose > 0 && rand.Float64() < lose {
+	if lossRate > 0 && rand.Float64() < lossRate {
 		reset(in)
 		return
 	}
@@ -162,94 +166,96 @@
 	l.mu.Lock()
 	l.conns[in], l.conns[out] = struct{}{}, struct{}{}
 	l.mu.Unlock()
-	w := &standin.Watch{}
-	if watch != nil {
-		w = watch(in)
+	observer := &standin.Observer{}
+	if observe != nil {
+		observer = observe(in)
 	}
-	passed := w.Came
-	if asked != nil {
-		passed = standin.Listen(asked).Wrote
+	afterWrite := observer.MemberReceived
+	if onRequest != nil {
+		afterWrite = standin.ObserveRequests(onRequest).ProxyWrote
 	}
 	go func() {
 		defer end()
-		standin.Carry(out, in, ended, l.holding(Back, ended), standin.Passage{Took: w.Replied})
+		standin.Forward(out, in, ended, l.holdFunc(Backward, ended), standin.ForwardHooks{OnRead: observer.MemberReplied})
 	}()
 	defer end()
-	took := func(b []byte) {
-		l.count(b)
-		w.Wrote(b)
+	onRead := func(b []byte) {
+		l.countRequests(b)
+		observer.ProxyWrote(b)
 	}
-	standin.Carry(in, out, ended, l.holding(Forth, ended), standin.Passage{Took: took, Giving: w.Giving, Gave: passed})
+	standin.Forward(in, out, ended, l.holdFunc(Forward, ended), standin.ForwardHooks{OnRead: onRead, BeforeWrite: observer.Forwarding, AfterWrite: afterWrite})
 }
 
-// holding has what goes over a connection in one direction wait for its delay. An end passes like all else: a link that is cut hides it.
-func (l *Link) holding(w Way, ended <-chan struct{}) func(came time.Time) bool {
-	return func(came time.Time) bool { return l.pass(w, came, ended) }
+// holdFunc returns the hold function of standin.Forward for one direction of a connection. The end of a
+// stream is held as well: a blocked link hides it.
+func (l *Link) holdFunc(direction Direction, ended <-chan struct{}) func(arrivedAt time.Time) bool {
+	return func(arrivedAt time.Time) bool { return l.awaitPassage(direction, arrivedAt, ended) }
 }
 
-// gossip stands before an instance's address for the others, over UDP and TCP; who sends is told by the address that it comes from.
-type gossip struct {
-	udp  net.PacketConn
-	tcp  net.Listener
-	to   string
-	link func(from net.IP) *Link
-	sent atomic.Int64 // bytes of datagrams that came
+// gossipRelay relays UDP and TCP to an instance's gossip address. The source address determines the
+// sending instance.
+type gossipRelay struct {
+	udp           net.PacketConn
+	tcp           net.Listener
+	target        string
+	linkFrom      func(from net.IP) *Link
+	datagramBytes atomic.Int64 // received
 }
 
-func newGossip(at, to string, link func(net.IP) *Link) (*gossip, error) {
-	udp, err := net.ListenPacket("udp", at)
+func newGossipRelay(listenAddr, target string, linkFrom func(net.IP) *Link) (*gossipRelay, error) {
+	udp, err := net.ListenPacket("udp", listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	tcp, err := net.Listen("tcp", at)
+	tcp, err := net.Listen("tcp", listenAddr)
 	if err != nil {
 		udp.Close()
 		return nil, err
 	}
-	g := &gossip{udp: udp, tcp: tcp, to: to, link: link}
-	go g.packets()
+	relay := &gossipRelay{udp: udp, tcp: tcp, target: target, linkFrom: linkFrom}
+	go relay.relayDatagrams()
 	go standin.AcceptEach(tcp, func(conn net.Conn) {
-		if l := link(conn.RemoteAddr().(*net.TCPAddr).IP); l != nil {
-			go l.relay(conn, to)
+		if link := linkFrom(conn.RemoteAddr().(*net.TCPAddr).IP); link != nil {
+			go link.relay(conn, target)
 		} else {
 			reset(conn)
 		}
 	})
-	return g, nil
+	return relay, nil
 }
 
-func (g *gossip) close() {
+func (g *gossipRelay) close() {
 	g.udp.Close()
 	g.tcp.Close()
 }
 
-func (g *gossip) packets() {
-	to, err := net.ResolveUDPAddr("udp", g.to)
+func (g *gossipRelay) relayDatagrams() {
+	target, err := net.ResolveUDPAddr("udp", g.target)
 	if err != nil {
-		panic(fmt.Sprintf("cluster: %v", err)) // it was made of an address
+		panic(fmt.Sprintf("cluster: %v", err)) // it was built from an IP and a port
 	}
-	buf := make([]byte, 64<<10)
+	buffer := make([]byte, 64<<10)
 	for {
-		n, from, err := g.udp.ReadFrom(buf)
+		n, from, err := g.udp.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		g.sent.Add(int64(n))
-		l := g.link(from.(*net.UDPAddr).IP)
-		if l == nil {
+		g.datagramBytes.Add(int64(n))
+		link := g.linkFrom(from.(*net.UDPAddr).IP)
+		if link == nil {
 			continue
 		}
-		l.mu.Lock()
-		t := l.trouble[Forth]
-		l.mu.Unlock()
-		if t.Cut || rand.Float64() < t.Lose {
+		link.mu.Lock()
+		impairment := link.impairments[Forward]
+		link.mu.Unlock()
+		if impairment.Blocked || rand.Float64() < impairment.LossRate {
 			continue
 		}
-		if t.Delay == 0 {
-			g.udp.WriteTo(buf[:n], to)
+		if impairment.Delay == 0 {
+			g.udp.WriteTo(buffer[:n], target)
 			continue
 		}
-		b := slices.Clone(buf[:n])
-		time.AfterFunc(t.Delay, func() { g.udp.WriteTo(b, to) })
+		datagram := slices.Clone(buffer[:n])
+		time.AfterFunc(impairment.Delay, func() { g.udp.WriteTo(datagram, target) })
 	}
 }
--- a/internal/cluster/process.go
+++ b/internal/cluster/process.go
@@ -13,94 +13,94 @@
 	"time"
 )
 
-// Patience bounds every wait for something that must come about; only what fails waits as long.
-const Patience = 20 * time.Second
+// WaitTimeout bounds every wait for a condition. Only a failing test waits that long.
+const WaitTimeout = 20 * time.Second
 
-// mostLines bounds what is kept of a process's log.
-const mostLines = 20000
+// maxLogLines bounds the log lines that are kept for a process.
+const maxLogLines = 20000
 
-// Process is a real program that runs.
+// Process is a running program.
 type Process struct {
-	cmd   *exec.Cmd
-	mu    sync.Mutex
-	lines []string
-	said  chan struct{} // closed and made anew with each line
-	done  chan struct{}
+	cmd    *exec.Cmd
+	mu     sync.Mutex
+	lines  []string
+	logged chan struct{} // closed and replaced on each line
+	done   chan struct{}
 }
 
-// Start starts a program and waits until it has said a text on standard error.
+// Start starts a program and waits until a text appears in its log on standard error.
 func Start(ready string, env []string, name string, args ...string) (*Process, error) {
-	p := &Process{cmd: exec.Command(name, args...), said: make(chan struct{}), done: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), env...)
-	out, err := p.cmd.StderrPipe()
+	process := &Process{cmd: exec.Command(name, args...), logged: make(chan struct{}), done: make(chan struct{})}
+	process.cmd.Env = append(os.Environ(), env...)
+	out, err := process.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := process.cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		defer close(p.done)
+		defer close(process.done)
 		in := bufio.NewScanner(out)
 		in.Buffer(nil, 1<<20)
 		for in.Scan() {
-			p.mu.Lock()
-			p.lines = append(p.lines[max(0, len(p.lines)-mostLines+1):], in.Text())
-			close(p.said)
-			p.said = make(chan struct{})
-			p.mu.Unlock()
+			process.mu.Lock()
+			process.lines = append(process.lines[max(0, len(process.lines)-maxLogLines+1):], in.Text())
+			close(process.logged)
+			process.logged = make(chan struct{})
+			process.mu.Unlock()
 		}
-		p.cmd.Wait()
+		process.cmd.Wait()
 	}()
-	if _, err := p.Said(ready, Patience); err != nil {
-		p.Kill()
+	if _, err := process.WaitForLog(ready, WaitTimeout); err != nil {
+		process.Kill()
 		return nil, fmt.Errorf("%s: %w", filepath.Base(name), err)
 	}
-	return p, nil
+	return process, nil
 }
 
-// Said waits until the process has said a text, and returns the first line with it.
-func (p *Process) Said(text string, within time.Duration) (string, error) {
-	limit := time.After(within)
+// WaitForLog waits until a text appears in the log, and returns the first line with it.
+func (p *Process) WaitForLog(text string, within time.Duration) (string, error) {
+	timeout := time.After(within)
 	for {
 		p.mu.Lock()
-		said := p.said
+		logged := p.logged
 		last := ""
-		for _, l := range p.lines {
-			if last = l; strings.Contains(l, text) {
+		for _, line := range p.lines {
+			if last = line; strings.Contains(line, text) {
 				p.mu.Unlock()
-				return l, nil
+				return line, nil
 			}
 		}
 		p.mu.Unlock()
 		select {
-		case <-said:
+		case <-logged:
 		case <-p.done:
-			return "", fmt.Errorf("it ended before it said %q; it said last %q", text, last)
-		case <-limit:
-			return "", fmt.Errorf("it never said %q; it said last %q", text, last)
+			return "", fmt.Errorf("process ended before logging %q; its last line is %q", text, last)
+		case <-timeout:
+			return "", fmt.Errorf("process did not log %q in time; its last line is %q", text, last)
 		}
 	}
 }
 
-// Lines are those of its log with a text.
-func (p *Process) Lines(text string) []string {
+// LogLines returns the log lines that contain a text.
+func (p *Process) LogLines(text string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(p.lines), func(l string) bool { return !strings.Contains(l, text) })
 }
 
-// Pid is its process id.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Kill ends the process at once, also one that stands still.
+// Kill kills the process, even while it is paused.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Ended tells whether the process has ended, and how.
-func (p *Process) Ended() (ended bool, how *os.ProcessState) {
+// Exited reports whether the process has exited, and its state.
+func (p *Process) Exited() (ended bool, how *os.ProcessState) {
 	select {
 	case <-p.done:
 		return true, p.cmd.ProcessState
@@ -109,20 +109,20 @@
 	}
 }
 
-// Signal sends it a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// Stop ends it with SIGTERM.
+// Stop ends the process with SIGTERM.
 func (p *Process) Stop() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		p.Kill()
-		return fmt.Errorf("it did not end on SIGTERM")
+		return fmt.Errorf("process did not end on SIGTERM")
 	}
 	if s := p.cmd.ProcessState; !s.Success() {
-		return fmt.Errorf("it ended with %v", s)
+		return fmt.Errorf("process ended with %v", s)
 	}
 	return nil
 }
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -8,135 +8,146 @@
 	"linenloom/internal/standin"
 )
 
-// Event is one fault of a schedule, and how it ends.
+// Event is one fault of a schedule, with its start, duration and end.
 type Event struct {
-	At   time.Duration
-	What string
-	do   func() error
-	undo func() error
-	For  time.Duration
+	At          time.Duration
+	Description string
+	do          func() error
+	undo        func() error
+	Duration    time.Duration
 }
 
-// Schedule makes faults of all kinds that the rig knows, by a seed: a zone or a box silent, slow, failing or refusing, proxies killed or paused,
-// messages between instances lost, late or cut, connections reset, zones taken out by hand. At the most half of the proxies are down at once.
-func (c *Cluster) Schedule(cl *Clients, seed uint64, d time.Duration) []Event {
-	rng := rand.New(rand.NewPCG(seed, 23))
+// Schedule generates faults of all kinds from a seed: a zone or a cache that is silent, slow, failing or
+// refusing; proxies killed or paused; messages between instances lost, delayed or blocked; connections
+// reset; zones set out by hand. At most half of the proxies are down at once.
+func (c *Cluster) Schedule(clients *Clients, seed uint64, duration time.Duration) []Event {
+	random := rand.New(rand.NewPCG(seed, 23))
 	var names []string
 	for _, p := range c.Proxies {
 		names = append(names, p.Name)
 	}
-	busy := map[string]bool{} // proxies that are down at some time: each at most once, so that at most half are
-	var all []Event
-	for at := time.Duration(0); at < d; at += time.Duration(500+rng.IntN(2000)) * time.Millisecond {
-		zone := c.Zones[rng.IntN(len(c.Zones))]
-		box := c.Fleet.Boxes[rng.IntN(len(c.Fleet.Boxes))]
-		proxy := c.Proxies[rng.IntN(len(c.Proxies))]
-		e := Event{At: at, For: time.Duration(500+rng.IntN(4000)) * time.Millisecond}
-		links := func(t Trouble) func() error {
+	downProxies := map[string]bool{} // proxies that are down at some time, at most half of them and each at most once
+	var events []Event
+	for at := time.Duration(0); at < duration; at += time.Duration(500+random.IntN(2000)) * time.Millisecond {
+		zone := c.Zones[random.IntN(len(c.Zones))]
+		cache := c.Fleet.Caches[random.IntN(len(c.Fleet.Caches))]
+		proxy := c.Proxies[random.IntN(len(c.Proxies))]
+		event := Event{At: at, Duration: time.Duration(500+random.IntN(4000)) * time.Millisecond}
+		impairLinks := func(t Impairment) func() error {
 			return func() error {
 				for _, p := range c.Proxies {
-					for _, b := range c.BoxesIn(zone) {
-						c.Link(p.Name, b).Both(t)
+					for _, cacheName := range c.CachesIn(zone) {
+						c.Link(p.Name, cacheName).SetBoth(t)
 					}
 				}
 				return nil
 			}
 		}
-		gossip := func(a, b []string, t Trouble) func() error {
+		impairGossip := func(firstGroup, secondGroup []string, t Impairment) func() error {
 			return func() error {
-				c.Each(a, b, func(l *Link) { l.Both(t) })
+				c.EachLink(firstGroup, secondGroup, func(l *Link) { l.SetBoth(t) })
 				return nil
 			}
 		}
-		fault := func(boxes []*standin.Box, f standin.Fault) func() error {
+		setFault := func(caches []*standin.Cache, f standin.Fault) func() error {
 			return func() error {
-				for _, b := range boxes {
-					b.SetFault(f)
+				for _, member := range caches {
+					member.SetFault(f)
 				}
 				return nil
 			}
 		}
-		service := func(s time.Duration) func() error {
+		setServiceTime := func(s time.Duration) func() error {
 			return func() error {
-				for _, b := range c.Fleet.In(zone) {
-					b.SetService(s, 0)
+				for _, member := range c.Fleet.CachesIn(zone) {
+					member.SetService(s, 0)
 				}
 				return nil
 			}
 		}
-		down := func() bool {
-			ok := !busy[proxy.Name] && len(busy) < len(names)/2
+		takeDown := func() bool {
+			ok := !downProxies[proxy.Name] && len(downProxies) < len(names)/2
 			if ok {
-				busy[proxy.Name] = true
+				downProxies[proxy.Name] = true
 			}
 			return ok
 		}
-		switch kind := rng.IntN(11); {
+		switch kind := random.IntN(11); {
 		case kind == 0:
-			e.What, e.do, e.undo = zone+" silent", links(Trouble{Cut: true}), links(Trouble{})
+			event.Description, event.do, event.undo = zone+" silent", impairLinks(Impairment{Blocked: true}), impairLinks(Impairment{})
 		case kind == 1:
-			e.What, e.do, e.undo = zone+" slow", service(40*c.Service), service(c.Service)
+			event.Description, event.do, event.undo = zone+" slow", setServiceTime(40*c.ServiceTime), setServiceTime(c.ServiceTime)
 		case kind == 2:
-			f := []standin.Fault{standin.Halting, standin.Busy, standin.Failing}[rng.IntN(3)]
-			e.What, e.do, e.undo = fmt.Sprint(zone, " fault ", f), fault(c.Fleet.In(zone), f), fault(c.Fleet.In(zone), standin.Healthy)
+			f := []standin.Fault{standin.Intermittent, standin.Busy, standin.Failing}[random.IntN(3)]
+			event.Description, event.do, event.undo = fmt.Sprint(zone, " fault ", f), setFault(c.Fleet.CachesIn(zone), f), setFault(c.Fleet.CachesIn(zone), standin.Healthy)
 		case kind == 3:
-			one := []*standin.Box{box}
-			f := []standin.Fault{standin.Stall, standin.Failing, standin.Reset}[rng.IntN(3)]
-			e.What, e.do, e.undo = fmt.Sprint(box.ID, " fault ", f), fault(one, f), fault(one, standin.Healthy)
-		case kind == 4 && down():
-			e.What = proxy.Name + " killed"
-			e.do = func() error { cl.MayLose(proxy.Name, time.Now(), time.Now().Add(time.Hour)); proxy.Kill(); return nil }
-			e.undo = proxy.Start
-		case kind == 5 && down():
-			e.What = proxy.Name + " paused"
-			e.do = func() error { cl.MayLose(proxy.Name, time.Now(), time.Now().Add(time.Hour)); proxy.Pause(); return nil }
-			e.undo = func() error { proxy.Continue(); return nil }
+			single := []*standin.Cache{cache}
+			f := []standin.Fault{standin.Stall, standin.Failing, standin.Reset}[random.IntN(3)]
+			event.Description, event.do, event.undo = fmt.Sprint(cache.ID, " fault ", f), setFault(single, f), setFault(single, standin.Healthy)
+		case kind == 4 && takeDown():
+			event.Description = proxy.Name + " killed"
+			event.do = func() error {
+				clients.ExpectLoss(proxy.Name, time.Now(), time.Now().Add(time.Hour))
+				proxy.Kill()
+				return nil
+			}
+			event.undo = proxy.Start
+		case kind == 5 && takeDown():
+			event.Description = proxy.Name + " paused"
+			event.do = func() error {
+				clients.ExpectLoss(proxy.Name, time.Now(), time.Now().Add(time.Hour))
+				proxy.Pause()
+				return nil
+			}
+			event.undo = func() error { proxy.Continue(); return nil }
 		case kind == 6:
-			e.What, e.do, e.undo = "messages lost", gossip(names, names, Trouble{Lose: 0.3}), gossip(names, names, Trouble{})
+			event.Description, event.do, event.undo = "gossip messages lost", impairGossip(names, names, Impairment{LossRate: 0.3}), impairGossip(names, names, Impairment{})
 		case kind == 7:
-			e.What, e.do, e.undo = "messages late", gossip(names, names, Trouble{Delay: time.Second}), gossip(names, names, Trouble{})
+			event.Description, event.do, event.undo = "gossip messages delayed", impairGossip(names, names, Impairment{Delay: time.Second}), impairGossip(names, names, Impairment{})
 		case kind == 8:
 			half := len(names) / 2
-			e.What, e.do, e.undo = "instances in halves", gossip(names[:half], names[half:], Trouble{Cut: true}), gossip(names[:half], names[half:], Trouble{})
+			event.Description, event.do, event.undo = "instances partitioned in halves", impairGossip(names[:half], names[half:], Impairment{Blocked: true}), impairGossip(names[:half], names[half:], Impairment{})
 		case kind == 9:
-			e.What = zone + " reset"
-			e.do = func() error {
+			event.Description = zone + " reset"
+			event.do = func() error {
 				for _, p := range c.Proxies {
-					for _, b := range c.BoxesIn(zone) {
-						c.Link(p.Name, b).Reset()
+					for _, cacheName := range c.CachesIn(zone) {
+						c.Link(p.Name, cacheName).Reset()
 					}
 				}
 				return nil
 			}
-		case kind == 10 && c.Together && !busy[proxy.Name]:
-			// One that is full of work or whose call crosses another may say no; what it says yes to has to end again.
-			e.What, e.do = zone+" out by hand", func() error { proxy.CallZone("out", zone); return nil }
-			e.undo = func() error {
-				return Eventually("a zone is given back", func() bool { _, err := proxy.CallZone("auto", zone); return err == nil })
+		case kind == 10 && c.JoinInstances && !downProxies[proxy.Name]:
+			// A busy proxy, or one whose call conflicts with another, may reject the call. An accepted
+			// call has to be reverted.
+			event.Description, event.do = zone+" set out by hand", func() error { proxy.SetZoneMode("out", zone); return nil }
+			event.undo = func() error {
+				return Eventually("the zone is in automatic mode again", func() bool { _, err := proxy.SetZoneMode("auto", zone); return err == nil })
 			}
 		default:
 			continue
 		}
-		all = append(all, e)
+		events = append(events, event)
 	}
-	return all
+	return events
 }
 
-// Play has the events come about, each at its time, and ends each after its own. It returns when all have ended.
-func Play(events []Event, log func(format string, args ...any)) error {
-	began := time.Now()
+// RunEvents starts each event at its time and ends it after its duration. It returns when all events have
+// ended.
+func RunEvents(events []Event, log func(format string, args ...any)) error {
+	startedAt := time.Now()
 	errs := make(chan error, len(events))
-	for _, e := range events {
+	for _, event := range events {
 		go func() {
-			time.Sleep(time.Until(began.Add(e.At)))
-			log("%v: %s for %v", e.At.Round(time.Millisecond), e.What, e.For)
-			err := e.do()
-			if err == nil && e.undo != nil {
-				time.Sleep(e.For)
-				err = e.undo()
+			time.Sleep(time.Until(startedAt.Add(event.At)))
+			log("%v: %s for %v", event.At.Round(time.Millisecond), event.Description, event.Duration)
+			err := event.do()
+			if err == nil && event.undo != nil {
+				time.Sleep(event.Duration)
+				err = event.undo()
 			}
 			if err != nil {
-				err = fmt.Errorf("%s: %w", e.What, err)
+				err = fmt.Errorf("%s: %w", event.Description, err)
 			}
 			errs <- err
 		}()
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,10 +1,10 @@
-// Package explore checks what must hold in every state that a state machine can come to, by trying all orders of what can
-// happen to it, up to a depth, or long random ones. It is a tool of the tests and of the rig: it decides nothing, keeps
-// no clock and is never part of serving.
-//
-// A subsystem brings a Model: what can happen now, how it is done, and what must hold. World is the model of the decision
-// module before a host. Models can't be copied, so the explorer comes back to a state by doing its steps again from the
-// start; a state that has been seen, by its Key, is not gone into a second time at the same depth or deeper.
+// Package explore checks the invariants of a state machine in every reachable state, by trying all orders
+// of its possible events up to a depth, or long random sequences. Tests and the lab use it; it is never
+// part of serving.
+// A subsystem provides a Model: its possible steps, their execution and its invariants. BalancerModel is
+// the model of the decision module with a simulated host. Models can't be copied, so the explorer returns
+// to a state by replaying its steps from the start. A state that has been visited, as identified by its
+// Key, is not visited again at the same depth or deeper.
 package explore
 
 import (
@@ -13,144 +13,144 @@
 	"strings"
 )
 
-// Model is a system whose states are explored. Its steps must have the same effects each time they are done.
+// Model is a system whose states are explored. Its steps must be deterministic.
 type Model interface {
-	// Steps names what can happen now, in a fixed order.
+	// Steps returns the possible steps, in a fixed order.
 	Steps() []string
-	// Do does one of them.
+	// Do executes one step.
 	Do(step string)
-	// Broken tells what does not hold in this state, or has not held on the way to it.
-	Broken() []string
-	// Finish brings the system to its end from here, and Broken then tells what did not come about.
+	// Violations describes the invariants that don't hold in this state or did not hold on the way to it.
+	Violations() []string
+	// Finish runs the system to its end from this state. Violations then includes what did not complete.
 	Finish()
-	// Key is the same for two states only if all that can follow is the same.
+	// Key returns the same value for two states only if the same can follow from both.
 	Key() [16]byte
 }
 
 // Options bound an exploration.
 type Options struct {
-	Depth     int // steps in a row
-	MostSteps int // transitions in all; 0: no bound. A bound that is met is told in the Report
-	Faults    int // end after so many faults; 0: after the first
+	Depth          int // consecutive steps
+	MaxTransitions int // in total; 0 means unlimited. The Report says if it was reached
+	MaxFaults      int // stop after this many faults; 0 means after the first
 }
 
-// Fault is a way to a state in which something does not hold.
+// Fault is a sequence of steps that leads to violated invariants.
 type Fault struct {
-	Steps  []string
-	Broken []string
+	Steps      []string
+	Violations []string
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s\n  after: %s", strings.Join(f.Broken, "\n"), strings.Join(f.Steps, ", "))
+	return fmt.Sprintf("%s\n  after: %s", strings.Join(f.Violations, "\n"), strings.Join(f.Steps, ", "))
 }
 
-// Report is what an exploration has come to.
+// Report is the result of an exploration.
 type Report struct {
-	States      int // different ones
-	Transitions int // steps from them, those that led to a state seen before included
-	Ends        int // states from which the system was brought to its end
-	Deepest     int
-	Whole       bool // every order of steps up to the depth was tried
+	States      int // distinct states
+	Transitions int // steps executed, including those to states visited before
+	Finishes    int // states from which the system was run to its end
+	MaxDepth    int
+	Complete    bool // every order of steps up to the depth was tried
 	Faults      []Fault
 }
 
-// explorer is an exploration under way.
+// explorer is an exploration in progress.
 type explorer struct {
-	make func() Model
-	o    Options
-	r    Report
-	seen map[[16]byte]int // the most steps that were left when the state was gone into
+	newModel func() Model
+	options  Options
+	report   Report
+	seen     map[[16]byte]int // the largest number of remaining steps with which a state was visited
 }
 
 // Explore tries all orders of steps up to the depth.
-func Explore(make_ func() Model, o Options) Report {
-	o.Faults = max(1, o.Faults)
-	e := &explorer{make: make_, o: o, seen: map[[16]byte]int{}}
-	e.r.Whole = true
-	e.visit(make_(), nil)
-	return e.r
+func Explore(newModel func() Model, options Options) Report {
+	options.MaxFaults = max(1, options.MaxFaults)
+	e := &explorer{newModel: newModel, options: options, seen: map[[16]byte]int{}}
+	e.report.Complete = true
+	e.visit(newModel(), nil)
+	return e.report
 }
 
-// visit goes into a state. The model is used up.
+// visit explores a state. It consumes the model.
 func (e *explorer) visit(m Model, path []string) {
-	if broken := m.Broken(); len(broken) > 0 {
-		e.fault(path, broken)
+	if violations := m.Violations(); len(violations) > 0 {
+		e.addFault(path, violations)
 		return
 	}
-	left := e.o.Depth - len(path)
+	remaining := e.options.Depth - len(path)
 	key := m.Key()
-	if most, ok := e.seen[key]; ok && most >= left {
+	if visited, ok := e.seen[key]; ok && visited >= remaining {
 		return
 	} else if !ok {
-		e.r.States++
+		e.report.States++
 	}
-	e.seen[key] = left
-	e.r.Deepest = max(e.r.Deepest, len(path))
+	e.seen[key] = remaining
+	e.report.MaxDepth = max(e.report.MaxDepth, len(path))
 	steps := m.Steps()
-	if left > 0 {
-		for _, s := range steps {
-			if e.over() {
+	if remaining > 0 {
+		for _, step := range steps {
+			if e.limitReached() {
 				return
 			}
 			if m == nil {
 				m = e.replay(path)
 			}
-			e.r.Transitions++
-			m.Do(s)
-			e.visit(m, append(path[:len(path):len(path)], s))
+			e.report.Transitions++
+			m.Do(step)
+			e.visit(m, append(path[:len(path):len(path)], step))
 			m = nil
 		}
 	}
-	if e.over() {
+	if e.limitReached() {
 		return
 	}
-	// Whatever is open here must come to its end by itself.
+	// Everything pending in this state must complete by itself.
 	if m == nil {
 		m = e.replay(path)
 	}
 	m.Finish()
-	e.r.Ends++
-	if broken := m.Broken(); len(broken) > 0 {
-		e.fault(append(path[:len(path):len(path)], "the end"), broken)
+	e.report.Finishes++
+	if violations := m.Violations(); len(violations) > 0 {
+		e.addFault(append(path[:len(path):len(path)], "the end"), violations)
 	}
 }
 
-func (e *explorer) fault(path, broken []string) {
-	e.r.Faults = append(e.r.Faults, Fault{Steps: path, Broken: broken})
+func (e *explorer) addFault(path, violations []string) {
+	e.report.Faults = append(e.report.Faults, Fault{Steps: path, Violations: violations})
 }
 
-func (e *explorer) over() bool {
-	if len(e.r.Faults) >= e.o.Faults || e.o.MostSteps > 0 && e.r.Transitions >= e.o.MostSteps {
-		e.r.Whole = false
+func (e *explorer) limitReached() bool {
+	if len(e.report.Faults) >= e.options.MaxFaults || e.options.MaxTransitions > 0 && e.report.Transitions >= e.options.MaxTransitions {
+		e.report.Complete = false
 		return true
 	}
 	return false
 }
 
 func (e *explorer) replay(path []string) Model {
-	m := e.make()
+	m := e.newModel()
 	for _, s := range path {
 		m.Do(s)
 	}
 	return m
 }
 
-// Walk does so many random steps, by a seed, and brings the system to its end.
-func Walk(m Model, seed uint64, steps int) (f Fault) {
-	rng := rand.New(rand.NewPCG(seed, 17))
+// Walk executes the given number of random steps from a seed, and then runs the system to its end.
+func Walk(m Model, seed uint64, steps int) (fault Fault) {
+	random := rand.New(rand.NewPCG(seed, 17))
 	for range steps {
-		all := m.Steps()
-		if len(all) == 0 {
+		possible := m.Steps()
+		if len(possible) == 0 {
 			break
 		}
-		s := all[rng.IntN(len(all))]
-		f.Steps = append(f.Steps, s)
-		m.Do(s)
-		if f.Broken = m.Broken(); len(f.Broken) > 0 {
-			return f
+		step := possible[random.IntN(len(possible))]
+		fault.Steps = append(fault.Steps, step)
+		m.Do(step)
+		if fault.Violations = m.Violations(); len(fault.Violations) > 0 {
+			return fault
 		}
 	}
 	m.Finish()
-	f.Broken = m.Broken()
-	return f
+	fault.Violations = m.Violations()
+	return fault
 }
--- a/internal/extproc/server/cold_test.go
+++ b/internal/extproc/server/cold_test.go
@@ -75,14 +75,14 @@
 			if served < 1400 {
 				t.Fatalf("only %d of 1500 served by the warm boxes", served)
 			}
-			cold, err := fleet.Add("s-cold", wallTime())
+			cold, err := fleet.AddCache("s-cold", wallTime())
 			if err != nil {
 				t.Fatal(err)
 			}
-			cold.SetCold(standin.Cold{Since: wallTime(), From: 0.3, For: 8900 * time.Millisecond, Rate: 62.5, Multiple: 4,
-				After: 1500 * time.Millisecond, Now: wallTime})
+			cold.SetColdStart(standin.ColdStart{StartedAt: wallTime(), InitialShare: 0.3, Duration: 8900 * time.Millisecond, WarmRate: 62.5, OverloadMultiple: 4,
+				OverloadWindow: 1500 * time.Millisecond, Now: wallTime})
 			fleet.Fill(keys...)
-			for _, b := range fleet.Boxes[:4] {
+			for _, b := range fleet.Caches[:4] {
 				fleet.Drain(b)
 			}
 			env.eventually("only the cold box is left", func() bool { return env.host.Load().Ready == 2 })
@@ -90,8 +90,8 @@
 			for i := range 750 { // three seconds
 				readOnce(10_000 + i)
 			}
-			if cold.Fell() != c.overloaded {
-				t.Errorf("fell %v, want %v: %d served, %d refused", cold.Fell(), c.overloaded, served, refused)
+			if cold.Overloaded() != c.overloaded {
+				t.Errorf("fell %v, want %v: %d served, %d refused", cold.Overloaded(), c.overloaded, served, refused)
 			}
 			if !c.overloaded && (served < 50 || refused < 50) {
 				t.Errorf("%d served, %d refused: the budget is not what bounds it", served, refused)
--- a/internal/extproc/server/copies_test.go
+++ b/internal/extproc/server/copies_test.go
@@ -19,10 +19,10 @@
 	for name, handshake := range map[string]time.Duration{"on connections that stand": 0, "on new connections": 90 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fleet, copies := newFleet(t, 2), standin.NewCopies()
+			fleet, copies := newFleet(t, 2), standin.NewDuplicateChecker()
 			relayAddrs := map[string]string{}
 			for _, m := range fleet.Registry.List().Members {
-				far := m.ID == fleet.Boxes[0].ID
+				far := m.ID == fleet.Caches[0].ID
 				delay := time.Duration(0)
 				if far {
 					delay = 80 * time.Millisecond
@@ -37,12 +37,12 @@
 				}
 				relayAddrs[m.ID] = relay.Addr()
 			}
-			for _, b := range fleet.Boxes {
+			for _, b := range fleet.Caches {
 				b.SetService(45*time.Millisecond, 0)
 			}
 			env := newHarness(t, fleet, operatorFile("route", ""), func(cfg *proxy.Config) {
 				withRelay := func(m discovery.Member) discovery.Member { m.HostPort = relayAddrs[m.ID]; return m }
-				view, err := fleet.Registry.View(withRelay)
+				view, err := fleet.Registry.ListenView(withRelay)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -202,7 +202,7 @@
 			fleet.Fill("a", "b", "c", "d", "e", "f", "g", "h")
 			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
 			env.eventually("the list is known", func() bool { return env.host.Load().Ready == 5 })
-			only := fleet.Boxes[2]
+			only := fleet.Caches[2]
 			env.caller.Subset = []string{only.Addr()}
 			for i, key := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 				env.expect(env.do(readRequest(key, fmt.Sprint("s", i))), 200, "value of "+key)
@@ -249,7 +249,7 @@
 	}
 	// The first member named fails.
 	first := bytes.Split([]byte(named), []byte(","))[0]
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		if b.Addr() == string(first) {
 			b.Close()
 		}
@@ -302,7 +302,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newFleet(t, 1)
-			fleet.Boxes[0].SetFault(standin.Stall)
+			fleet.Caches[0].SetFault(standin.Stall)
 			env := newHarness(t, fleet, c.text, nil)
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
@@ -324,7 +324,7 @@
 			if now := m.GetImmediateResponse(); now.GetStatus().GetCode() != 503 || now.GetDetails() != c.want {
 				t.Errorf("%v, want 503 and %s", now, c.want)
 			}
-			fleet.Boxes[0].Close()
+			fleet.Caches[0].Close()
 			env.stopAndWait()
 		})
 	}
@@ -335,7 +335,7 @@
 	for status, more := range map[int]string{429: "", 503: "shed_status = 503"} {
 		fleet := newFleet(t, 1)
 		env := newHarness(t, fleet, operatorFile("answer", more), func(c *proxy.Config) { c.MaxRequests = 1 })
-		fleet.Boxes[0].SetFault(standin.Stall)
+		fleet.Caches[0].SetFault(standin.Stall)
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		held := env.start(ctx, readRequest("a", "h1"))
 		env.eventually("one is in hand", func() bool { return env.host.Load().Requests == 1 })
--- a/internal/extproc/server/hard_test.go
+++ b/internal/extproc/server/hard_test.go
@@ -46,7 +46,7 @@
 			fleet.Origin.SetFault(standin.Stall)
 			ctx, disconnect := context.WithCancel(context.Background())
 			first := env.start(ctx, orderRequest("o1", "w1"))
-			env.eventually("the order is at the origin", func() bool { return fleet.Origin.Began() == 1 })
+			env.eventually("the order is at the origin", func() bool { return fleet.Origin.Received() == 1 })
 			// While the first is in progress: the same id from another caller, and the caller's own repeat.
 			env.expect(env.do(orderRequest("o1", "w1")), 409, "in hand")
 			q := orderRequest("o1", "w1")
@@ -67,7 +67,7 @@
 			q = orderRequest("o3", "w3")
 			q.Headers["grpc-timeout"] = "0m"
 			env.expect(env.do(q), 503, "never ran")
-			if n := fleet.Origin.Began(); n != 1 {
+			if n := fleet.Origin.Received(); n != 1 {
 				t.Errorf("the origin saw %d orders, want 1", n)
 			}
 			fleet.Origin.Close() // ends the attempt
@@ -100,19 +100,19 @@
 	fleet := newFleet(t, 1)
 	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	fleet.Fill("k")
-	fleet.Boxes[0].SetFault(standin.Stall)
+	fleet.Caches[0].SetFault(standin.Stall)
 	ctx, disconnect := context.WithCancel(context.Background())
 	defer disconnect()
 	first := env.start(ctx, readRequest("k", "r1"))
-	env.eventually("the read is at the box", func() bool { return fleet.Boxes[0].Began() == 1 })
+	env.eventually("the read is at the box", func() bool { return fleet.Caches[0].Received() == 1 })
 	env.expect(env.do(readRequest("k", "r1")), 409, "in hand") // another caller's
-	fleet.Boxes[0].SetFault(standin.Healthy)
+	fleet.Caches[0].SetFault(standin.Healthy)
 	q := readRequest("k", "r1")
 	q.Headers["x-envoy-attempt-count"] = "2"
 	env.expect(env.do(q), 200, "value of k")
 	disconnect()
 	await(t, first, "the first call ends")
-	fleet.Boxes[0].Close()
+	fleet.Caches[0].Close()
 	env.waitIdle()
 }
 
@@ -123,7 +123,7 @@
 		t.Run(mode, func(t *testing.T) {
 			fleet := newFleet(t, 2)
 			env := newHarness(t, fleet, operatorFile(mode, ""), nil)
-			for _, b := range fleet.Boxes {
+			for _, b := range fleet.Caches {
 				b.SetFault(standin.Stall)
 			}
 			ctx, disconnect := context.WithCancel(context.Background())
@@ -138,7 +138,7 @@
 			}
 			// At once, and not only at their deadlines: the caches still hold the requests.
 			env.eventually("all are given up", func() bool { return env.front.Counts().Abandoned == callCount })
-			for _, b := range fleet.Boxes {
+			for _, b := range fleet.Caches {
 				b.Close()
 			}
 			env.waitIdle()
@@ -225,7 +225,7 @@
 		}
 	}
 	env.waitIdle()
-	if fleet.Origin.Began() != 0 {
+	if fleet.Origin.Received() != 0 {
 		t.Error("an order without end reached the origin")
 	}
 }
@@ -262,21 +262,21 @@
 		t.Fatal(err)
 	}
 	first := namedMember(m.GetRequestHeaders().GetResponse())
-	i := slices.IndexFunc(fleet.Boxes, func(b *standin.Box) bool { return b.Addr() == first })
+	i := slices.IndexFunc(fleet.Caches, func(b *standin.Cache) bool { return b.Addr() == first })
 	if i < 0 {
 		t.Fatalf("%q is no box", first)
 	}
 	if meta := m.GetDynamicMetadata().GetFields()["envoy.lb"].GetStructValue().GetFields(); meta["x-gateway-destination-endpoint"].GetStringValue() != first {
 		t.Errorf("metadata %v, want %s", meta, first)
 	}
-	fleet.Drain(fleet.Boxes[i])
+	fleet.Drain(fleet.Caches[i])
 	env.eventually("the drain is known", func() bool { return env.host.Load().Ready == 2 })
 	rpc.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: []byte("q"), EndOfStream: true}}})
 	if m, err = rpc.Recv(); err != nil {
 		t.Fatal(err)
 	}
-	if second := namedMember(m.GetRequestBody().GetResponse()); second != fleet.Boxes[1-i].Addr() {
+	if second := namedMember(m.GetRequestBody().GetResponse()); second != fleet.Caches[1-i].Addr() {
 		t.Errorf("sent to %q after the drain of %s", second, first)
 	}
 	rpc.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
@@ -294,7 +294,7 @@
 	fleet.Fill("k")
 	env := newHarness(t, fleet, operatorFile("route", `return_within = "10s"`), nil)
 	env.eventually("the list is known", func() bool { return env.host.Load().Ready == 4 })
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		b.SetFault(standin.Busy)
 	}
 	res := env.do(readRequest("k", "r1"))
@@ -302,7 +302,7 @@
 		t.Fatalf("%+v after %d choices, want a box's 503 and the next choice made", res, len(env.sent()))
 	}
 	next := env.sent()[1]
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		b.SetFault(standin.Healthy)
 		if proxy.MemberID(b.ID) == next {
 			fleet.Drain(b)
--- a/internal/extproc/server/leave_test.go
+++ b/internal/extproc/server/leave_test.go
@@ -14,12 +14,12 @@
 // order is not sent once the connection is established, and the caller's repeat is a new order.
 func TestCallerDisconnectsBeforeOriginConnects(t *testing.T) {
 	fleet := newFleet(t, 1)
-	listener, err := standin.NewDoor()
+	listener, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	fleet.Registry.Tell(discovery.Member{ID: "o-1", HostPort: listener.Addr().String(), Locality: standin.Zone, Flavor: "origin",
+	fleet.Registry.Update(discovery.Member{ID: "o-1", HostPort: listener.Addr().String(), Locality: standin.Zone, Flavor: "origin",
 		Phase: discovery.PhaseInService, Size: 1})
 	env := newHarness(t, fleet, operatorFile("answer", ""), nil)
 	ctx, disconnect := context.WithCancel(context.Background())
@@ -30,7 +30,7 @@
 	env.eventually("nothing is in hand", func() bool { l := env.host.Load(); return l.Requests == 0 && l.Attempts == 0 })
 	requestIDs := make(chan string, 10)
 	listener.Serve(func(conn net.Conn) {
-		standin.AnswerAsOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
+		standin.ServeOrigin(bufio.NewReader(conn), conn, func(_, id string) string {
 			requestIDs <- id
 			return "receipt"
 		})
--- a/internal/extproc/server/secure_test.go
+++ b/internal/extproc/server/secure_test.go
@@ -21,7 +21,7 @@
 func TestCallerCertificates(t *testing.T) {
 	authority, err := standin.NewAuthority(t.TempDir(), 2)
 	if err == nil {
-		err = authority.Publish(authority.Roots...)
+		err = authority.PublishRoots(authority.Roots...)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	env := newHarness(t, fleet, operatorFile("answer", ""), func(c *proxy.Config) { c.Callers = authenticator })
 	dialAs := func(root int, name string) *caller.Caller {
 		t.Helper()
-		cfg, err := authority.Config(authority.Roots[root], name)
+		cfg, err := authority.ClientConfig(authority.Roots[root], name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,7 +90,7 @@
 	if n := conns(); n != 3 {
 		t.Fatalf("%d proven connections", n)
 	}
-	if err := authority.Publish(authority.Roots[1]); err != nil {
+	if err := authority.PublishRoots(authority.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
 	authenticator.ReloadFiles()
--- a/internal/knownred/cmd/main_test.go
+++ b/internal/knownred/cmd/main_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// project writes a project of two packages, in each of which TestSame passes or fails, and goes there.
-func project(t *testing.T, list string, fails map[string]bool) {
+// writeProject writes a project of two packages, in each of which TestSame passes or fails, and changes to
+// its directory.
+func writeProject(t *testing.T, list string, fails map[string]bool) {
 	t.Helper()
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -44,13 +45,13 @@
 	t.Chdir(dir)
 }
 
-// The run passes only if the listed test fails, and no other does.
+// The run passes only if the listed test fails and no other test does.
 func TestRun(t *testing.T) {
 	const listed = "./a TestSame | a cause | issue 1\n"
 	for name, c := range map[string]struct {
 		list  string
 		fails map[string]bool
-		want  string // in the error; "": there is none
+		want  string // part of the error; empty if there is none
 	}{
 		"it fails as known":             {listed, map[string]bool{"a": true}, ""},
 		"it passes":                     {listed, nil, "TestSame passes: the list is wrong"},
@@ -64,7 +65,7 @@
 		"a line that can't be read":     {"./a TestSame\n", nil, "line 1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			project(t, c.list, c.fails)
+			writeProject(t, c.list, c.fails)
 			err := run()
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v, want %q", err, c.want)
--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -36,13 +36,13 @@
 	{name: "order, the origin resets once it has run", write: true, injectFault: func(f *standin.Fleet) { f.Origin.SetResetAfterRun(true) }, wantPrefix: "-ERR"},
 	{name: "order, the origin turns it away each time", write: true, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Busy) }, wantPrefix: "-BUSY"},
 	{name: "read, every box fails", write: false, injectFault: func(f *standin.Fleet) {
-		for _, b := range f.Boxes {
+		for _, b := range f.Caches {
 			b.SetFault(standin.Failing)
 		}
 	}, wantPrefix: "-BUSY"},
 	{name: "read, missed, and the origin answers 500", write: false, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Failing) }, wantPrefix: "-BUSY"},
 	{name: "read, every box finds fault with it", injectFault: func(f *standin.Fleet) {
-		for _, b := range f.Boxes {
+		for _, b := range f.Caches {
 			b.SetFault(standin.Rejecting)
 		}
 	}, wantPrefix: "-ERR", onlyFronts: "RESP2 answer"},
@@ -50,12 +50,12 @@
 		for _, m := range f.Registry.List().Members {
 			if m.Flavor == "box" {
 				m.UpSinceMS = float64(time.Now().UnixMilli())
-				f.Registry.Tell(m)
+				f.Registry.Update(m)
 			}
 		}
 	}, wantPrefix: "-BUSY", someServed: true},
 	{name: "read, every box stalls: out of its client's time", injectFault: func(f *standin.Fleet) {
-		for _, b := range f.Boxes {
+		for _, b := range f.Caches {
 			b.SetFault(standin.Stall)
 		}
 	}, wantPrefix: "-BUSY", deadline: 150 * time.Millisecond, onlyFronts: "RESP2"},
@@ -188,7 +188,7 @@
 		if !strings.HasPrefix(answer, testCase.wantPrefix) {
 			return 0, fmt.Errorf("answered %q, want prefix %s", answer, testCase.wantPrefix)
 		}
-		if at := fleet.Last(); at.After(lastOutcome) {
+		if at := fleet.LastEnded(); at.After(lastOutcome) {
 			lastOutcome = at
 		}
 		// Attempts at stalled caches have no outcome; the answer is due at the client's deadline.
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -26,7 +26,7 @@
 	}},
 	{"waiting for another's fetch when the boxes leave the list (shared_fetch)", func(e *Env) (time.Duration, int, error) {
 		return e.measureRemoval("shared", func(int) string { return "m" }, func(f *standin.Fleet) {
-			for _, b := range f.Boxes {
+			for _, b := range f.Caches {
 				f.Remove(b)
 			}
 		})
@@ -150,17 +150,17 @@
 	}()
 	allWaiting := func() bool {
 		n := int(refusedEarly.Load())
-		for _, b := range fleet.Boxes {
+		for _, b := range fleet.Caches {
 			_, misses := b.Reads()
 			n += misses
 		}
-		return n >= readCount || key(0) == key(1) && fleet.Origin.Began() > 0
+		return n >= readCount || key(0) == key(1) && fleet.Origin.Received() > 0
 	}
 	if err := eventually("all reads are waiting", allWaiting); err != nil {
 		return 0, 0, err
 	}
 	time.Sleep(20 * time.Millisecond) // until reads that missed have reached the origin or its queue
-	stalled := fleet.Origin.Began()
+	stalled := fleet.Origin.Received()
 	membersRemoved.Store(true)
 	removedAt := time.Now()
 	remove(fleet)
@@ -195,10 +195,10 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	worst = -standin.ReadAim
+	worst = -standin.ReadSoftDeadline
 	for _, r := range reads {
 		if strings.HasPrefix(r.answer, "-BUSY") {
-			worst = max(worst, r.answeredAt.Sub(r.sentAt)-standin.ReadAim)
+			worst = max(worst, r.answeredAt.Sub(r.sentAt)-standin.ReadSoftDeadline)
 		}
 	}
 	refused, err = stopAndCountRefused(process, "origin_line")
@@ -225,7 +225,7 @@
 		keys = append(keys, fmt.Sprint("k", i))
 	}
 	fleet.Fill(keys...)
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		b.SetService(450*time.Millisecond, 0)
 		b.OnRead(func(id string) {
 			mu.Lock()
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -58,7 +58,7 @@
 // and on a new connection for each read.
 func (e *Env) measureTLSCost(report *Report, authority *standin.Authority, addr string, process *Process, plainAddr string, plainProcess *Process) error {
 	e.Log("identity: cost of TLS")
-	tlsConfig, err := authority.Config(authority.Roots[0], clientDNSName)
+	tlsConfig, err := authority.ClientConfig(authority.Roots[0], clientDNSName)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 			fail := func(err error) { firstError.CompareAndSwap(nil, &err) }
 			for n := 0; ; n++ {
 				root := usedRoot.Load()
-				tlsConfig, err := authority.Config(authority.Roots[root], clientDNSName)
+				tlsConfig, err := authority.ClientConfig(authority.Roots[root], clientDNSName)
 				if err != nil {
 					fail(err)
 					return
@@ -172,7 +172,7 @@
 	roundTime := max(3*time.Second, time.Duration(e.Seconds)*time.Second/rootRotations)
 	for round := range rootRotations {
 		currentRoot, nextRoot := authority.Roots[round], authority.Roots[round+1]
-		tlsConfig, err := authority.Config(currentRoot, clientDNSName)
+		tlsConfig, err := authority.ClientConfig(currentRoot, clientDNSName)
 		if err != nil {
 			return err
 		}
@@ -180,7 +180,7 @@
 		if err != nil {
 			return err
 		}
-		if err := authority.Publish(currentRoot, nextRoot); err != nil {
+		if err := authority.PublishRoots(currentRoot, nextRoot); err != nil {
 			return err
 		}
 		// Reads for longer than the proxy's interval for checking the files. The reads keep the connection from
@@ -192,7 +192,7 @@
 		}
 		usedRoot.Store(int32(round + 1))
 		firstValidRoot.Store(int32(round + 1))
-		if err := authority.Publish(nextRoot); err != nil {
+		if err := authority.PublishRoots(nextRoot); err != nil {
 			return err
 		}
 		removedAt := time.Now()
--- a/internal/lab/explore.go
+++ b/internal/lab/explore.go
@@ -19,7 +19,7 @@
 // Explore runs the model checker on the scenes of internal/explore, to a greater depth than the tests.
 func Explore(ctx context.Context, env *Env) (*Report, error) {
 	report := &Report{Scenario: "explore"}
-	scenes := explore.Scenes()
+	scenes := explore.Scenarios()
 	for _, name := range slices.Sorted(maps.Keys(scenes)) {
 		if err := ctx.Err(); err != nil {
 			return report, err
@@ -27,12 +27,12 @@
 		env.Log("explore: %s", name)
 		var sceneError error
 		result := explore.Explore(func() explore.Model {
-			world, err := explore.NewWorld(scenes[name])
+			world, err := explore.NewBalancerModel(scenes[name])
 			if err != nil {
 				sceneError = err
 			}
 			return world
-		}, explore.Options{Depth: exploreDepth, MostSteps: env.Seconds * exploreStepsPerSecond})
+		}, explore.Options{Depth: exploreDepth, MaxTransitions: env.Seconds * exploreStepsPerSecond})
 		if sceneError != nil {
 			return report, fmt.Errorf("%s: %w", name, sceneError)
 		}
@@ -41,17 +41,17 @@
 		}
 		report.AddValue(name+": states", float64(result.States))
 		report.AddValue(name+": transitions", float64(result.Transitions))
-		report.AddValue(name+": depth", float64(result.Deepest))
+		report.AddValue(name+": depth", float64(result.MaxDepth))
 		exhaustive := 0.0
-		if result.Whole {
+		if result.Complete {
 			exhaustive = 1
 		}
 		report.AddValue(name+": every order up to the depth", exhaustive)
 		report.Equal(name+": faults", float64(len(result.Faults)), 0)
 	}
 	env.Log("explore: agreement of instances on zones")
-	result := explore.Explore(func() explore.Model { return explore.NewFleet(explore.FleetScene{}) },
-		explore.Options{Depth: exploreDepth, MostSteps: env.Seconds * exploreStepsPerSecond / 6})
+	result := explore.Explore(func() explore.Model { return explore.NewZoneModel(explore.ZoneScenario{}) },
+		explore.Options{Depth: exploreDepth, MaxTransitions: env.Seconds * exploreStepsPerSecond / 6})
 	for _, f := range result.Faults {
 		env.Log("fleet: %v", f)
 	}
--- a/internal/lab/extproc.go
+++ b/internal/lab/extproc.go
@@ -351,7 +351,7 @@
 		return err
 	}
 	defer bare.Kill()
-	relay, err := Start("ready", []string{ServeVariable + "=relay " + addrs[4] + " " + fleet.Boxes[0].Addr()}, env.Executable)
+	relay, err := Start("ready", []string{ServeVariable + "=relay " + addrs[4] + " " + fleet.Caches[0].Addr()}, env.Executable)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -30,7 +30,7 @@
 )
 
 // waitTimeout bounds every wait for an event; only a failure takes this long.
-const waitTimeout = cluster.Patience
+const waitTimeout = cluster.WaitTimeout
 
 // OperatorFile returns the text of an operator's file that maps /tiles/{key} and /orders/{key}.
 func OperatorFile(listen, mode, messageTimeout string) string {
@@ -117,7 +117,7 @@
 }
 
 func eventually(what string, ok func() bool) error {
-	return cluster.Await(500*time.Microsecond, what, ok)
+	return cluster.WaitFor(500*time.Microsecond, what, ok)
 }
 
 // Choices is the result of a recorded run: the members in the order in which the balancer chose them, and the
@@ -134,7 +134,7 @@
 		return choices, err
 	}
 	defer fleet.Close()
-	if _, err := fleet.Add("s-cold", time.UnixMilli(time.Hour.Milliseconds()-100)); err != nil {
+	if _, err := fleet.AddCache("s-cold", time.UnixMilli(time.Hour.Milliseconds()-100)); err != nil {
 		return choices, err
 	}
 	for i := range 40 {
@@ -161,14 +161,14 @@
 		host.advanceClock(5 * time.Millisecond)
 		switch i {
 		case requests / 4:
-			fleet.Boxes[1].SetFault(standin.Failing)
+			fleet.Caches[1].SetFault(standin.Failing)
 		case requests * 3 / 8:
-			fleet.Boxes[1].SetFault(standin.Healthy)
-			fleet.Boxes[2].SetFault(standin.Busy)
+			fleet.Caches[1].SetFault(standin.Healthy)
+			fleet.Caches[2].SetFault(standin.Busy)
 		case requests / 2:
-			fleet.Boxes[2].SetFault(standin.Healthy)
+			fleet.Caches[2].SetFault(standin.Healthy)
 		case requests * 5 / 8:
-			fleet.Drain(fleet.Boxes[3])
+			fleet.Drain(fleet.Caches[3])
 			if err := eventually("the proxy has the drain", func() bool { return host.Proxy.Load().Ready == 7 }); err != nil {
 				return choices, err
 			}
@@ -194,7 +194,7 @@
 		}
 	}
 	names := map[logic.MemberID]string{proxy.MemberID("o-1"): "o-1"}
-	for _, b := range fleet.Boxes {
+	for _, b := range fleet.Caches {
 		names[proxy.MemberID(b.ID)] = b.ID
 	}
 	host.mu.Lock()
--- a/internal/lab/mountain.go
+++ b/internal/lab/mountain.go
@@ -154,7 +154,7 @@
 	report.AddValue("p99 by single reads, ms", milliseconds(singly.Quantile(0.99)))
 
 	env.Log("mountain: one cache stalls")
-	cache := fleet.Boxes[0]
+	cache := fleet.Caches[0]
 	cache.SetFault(standin.Stall)
 	client, err := dialManyKeys(addr)
 	if err != nil {
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -178,7 +178,7 @@
 
 func (o *operation) runRound(round int) error {
 	before := o.currentFaults()
-	cache := o.fleet.Boxes[round%len(o.fleet.Boxes)]
+	cache := o.fleet.Caches[round%len(o.fleet.Caches)]
 	var silentConns []net.Conn
 	for i := range silentConnections {
 		conn, err := net.Dial("tcp", o.managementAddr)
@@ -196,7 +196,7 @@
 		c.Close()
 	}
 	time.Sleep(drainGrace)
-	begunAfterGrace := cache.Began()
+	begunAfterGrace := cache.Received()
 
 	// The reload adds a class; clients name it once it is in effect.
 	o.class = fmt.Sprint("round-", round)
@@ -227,10 +227,10 @@
 	if err := o.clients.AwaitServed(500); err != nil {
 		return err
 	}
-	o.afterDrain += cache.Began() - begunAfterGrace
+	o.afterDrain += cache.Received() - begunAfterGrace
 	o.call("PUT", "/maintenance/exit", cache.ID, 200)
-	begunAtReturn := cache.Began()
-	if err := eventually("the cache is used again", func() bool { return cache.Began() > begunAtReturn }); err != nil {
+	begunAtReturn := cache.Received()
+	if err := eventually("the cache is used again", func() bool { return cache.Received() > begunAtReturn }); err != nil {
 		return err
 	}
 	o.clients.SetClass("tile-read") // the next configuration drops this round's class
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -53,7 +53,7 @@
 		{"10 times, 64 connections", 10, 64, false, 0.9},
 	} {
 		env.Log("overload: %s", offered.name)
-		load := OpenLoop{Addr: addr, Tenant: "acme", Connections: offered.connections, Rate: offered.factor * peak, Deadline: standin.ReadAim, RetryRefused: offered.retryRefused, Keys: tileKeys, Seed: 7}
+		load := OpenLoop{Addr: addr, Tenant: "acme", Connections: offered.connections, Rate: offered.factor * peak, Deadline: standin.ReadSoftDeadline, RetryRefused: offered.retryRefused, Keys: tileKeys, Seed: 7}
 		result, err := load.Run(duration)
 		if err != nil {
 			return report, fmt.Errorf("%s: %w", offered.name, err)
@@ -61,7 +61,7 @@
 		report.addOpenLoop(offered.name, result, peak)
 		report.AtLeast(offered.name+": served in time, of the most", result.Goodput()/peak, offered.minShare)
 		report.AtMost(offered.name+": p99 of what is served, ms", float64(result.Quantile(0.99))/float64(time.Millisecond),
-			float64(standin.ReadAim)/float64(time.Millisecond))
+			float64(standin.ReadSoftDeadline)/float64(time.Millisecond))
 	}
 	if err := env.measureFairness(report, process, addr, peak, duration); err != nil {
 		return report, err
@@ -92,7 +92,7 @@
 	var floodResult *OpenLoopResult
 	var floodError error
 	group.Go(func() {
-		flood := OpenLoop{Addr: addr, Tenant: "rush", Connections: 64, Rate: 4 * peak, Deadline: standin.ReadAim, Keys: tileKeys, Seed: 8}
+		flood := OpenLoop{Addr: addr, Tenant: "rush", Connections: 64, Rate: 4 * peak, Deadline: standin.ReadSoftDeadline, Keys: tileKeys, Seed: 8}
 		floodResult, floodError = flood.Run(duration + duration/4)
 	})
 	time.Sleep(duration / 8) // until the overload has set in
@@ -107,6 +107,6 @@
 	report.addOpenLoop("neighbour, 4 times", floodResult, peak)
 	report.AddValue("beside it, 8 clients: served a second", result.PerSecond())
 	report.AtMost("beside it, 8 clients: refused, of all", float64(result.Refused)/float64(max(1, result.Served+result.Refused)), 0.01)
-	report.AtMost("beside it, 8 clients: p99, ms", float64(result.Quantile(0.99))/float64(time.Millisecond), float64(standin.ReadAim)/float64(time.Millisecond))
+	report.AtMost("beside it, 8 clients: p99, ms", float64(result.Quantile(0.99))/float64(time.Millisecond), float64(standin.ReadSoftDeadline)/float64(time.Millisecond))
 	return nil
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -53,7 +53,7 @@
 
 // Reasons returns the process's log of why requests waited, were refused or failed.
 func (p *Process) Reasons() (reasons []string) {
-	for _, l := range p.Lines("msg=reasons ") {
+	for _, l := range p.LogLines("msg=reasons ") {
 		_, reason, _ := strings.Cut(l, "msg=reasons ")
 		reasons = append(reasons, reason)
 	}
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -19,7 +19,7 @@
 		if err := ctx.Err(); err != nil {
 			return report, err
 		}
-		result, err := restarts.Verdict(restarts.Options{Program: filepath.Join(env.Bin, "linenloom"), Dir: env.Dir, Seed: seed},
+		result, err := restarts.RunUntilConclusive(restarts.Options{Program: filepath.Join(env.Bin, "linenloom"), Dir: env.Dir, Seed: seed},
 			func(r *restarts.Result) { env.Log("%v", r) })
 		if err != nil {
 			return report, err
@@ -36,11 +36,11 @@
 			passed++
 		}
 		faults += len(result.Faults)
-		total.Asked, total.Served, total.Refused, total.Failed = total.Asked+result.Asked, total.Served+result.Served, total.Refused+result.Refused, total.Failed+result.Failed
+		total.Sent, total.Served, total.Refused, total.Failed = total.Sent+result.Sent, total.Served+result.Served, total.Refused+result.Refused, total.Failed+result.Failed
 		total.Attempts, total.Further = total.Attempts+result.Attempts, total.Further+result.Further
 	}
 	name := fmt.Sprintf("seeds %d to %d: ", env.FirstSeed, env.FirstSeed+uint64(env.SeedCount)-1)
-	report.AddValue(name+"requests", float64(total.Asked))
+	report.AddValue(name+"requests", float64(total.Sent))
 	report.AddValue(name+"served", float64(total.Served))
 	report.AddValue(name+"refused", float64(total.Refused))
 	report.AddValue(name+"failed", float64(total.Failed))
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return report, err
 	}
-	relay, err := Start("ready", []string{ServeVariable + "=relay " + relayAddr + " " + fleet.Boxes[0].Addr()}, env.Executable)
+	relay, err := Start("ready", []string{ServeVariable + "=relay " + relayAddr + " " + fleet.Caches[0].Addr()}, env.Executable)
 	if err != nil {
 		return report, err
 	}
--- a/internal/lab/successor.go
+++ b/internal/lab/successor.go
@@ -131,7 +131,7 @@
 		return counts, err
 	}
 	defer closeRun()
-	for _, b := range run.fleet.Boxes {
+	for _, b := range run.fleet.Caches {
 		b.SetService(successorCacheTime, successorCacheConcurrency)
 	}
 	run.fleet.Origin.SetService(successorFetchTime, successorFetchConcurrency)
@@ -170,7 +170,7 @@
 					conn.conn.Close()
 					conn = nil
 				}
-				if err == nil && len(answer) > 0 && answer[0] != '-' && time.Since(sentAt) <= standin.ReadAim {
+				if err == nil && len(answer) > 0 && answer[0] != '-' && time.Since(sentAt) <= standin.ReadSoftDeadline {
 					inTime.Add(1)
 				} else {
 					notInTime.Add(1)
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -67,9 +67,9 @@
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
 	rules["cold_ms"] = float64(zoneWarmUpTime.Milliseconds())
-	testCluster, err := cluster.New(cluster.Options{Zones: zoneNames, Boxes: zoneCaches, Proxies: proxies, Service: zoneServiceTime, Seed: seed, Crossing: crossZoneShare,
-		Origin: 60 * time.Millisecond, OriginPlaces: 24, Together: together, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
-		Set: map[string]any{"rules": rules}})
+	testCluster, err := cluster.New(cluster.Options{Zones: zoneNames, CachesPerZone: zoneCaches, Proxies: proxies, ServiceTime: zoneServiceTime, Seed: seed, CrossZoneCost: crossZoneShare,
+		OriginServiceTime: 60 * time.Millisecond, OriginConcurrency: 24, JoinInstances: together, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
+		Settings: map[string]any{"rules": rules}})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -81,7 +81,7 @@
 		testCluster.Close()
 		return nil, nil, err
 	}
-	return testCluster, testCluster.Ask(cluster.Load{Reads: zoneReadRate / float64(proxies), Orders: 1, Keys: keys, Deadline: 3 * time.Second, Aim: standin.ReadAim, Grace: 500 * time.Millisecond}), nil
+	return testCluster, testCluster.StartClients(cluster.Load{ReadRate: zoneReadRate / float64(proxies), OrderRate: 1, Keys: keys, Deadline: 3 * time.Second, SoftDeadline: standin.ReadSoftDeadline, Grace: 500 * time.Millisecond}), nil
 }
 
 func (z *zoneRun) run(ctx context.Context, env *Env, name string) error {
@@ -93,7 +93,7 @@
 	sleep(ctx, 4*time.Second)
 	failedAt := time.Now()
 	setFailed := func(on bool) {
-		for _, b := range testCluster.Fleet.In("c") {
+		for _, b := range testCluster.Fleet.CachesIn("c") {
 			if z.slowCaches {
 				serviceTime := zoneServiceTime
 				if on {
@@ -103,7 +103,7 @@
 				continue
 			}
 			for _, p := range testCluster.Proxies {
-				testCluster.Link(p.Name, b.ID).Both(cluster.Trouble{Cut: on})
+				testCluster.Link(p.Name, b.ID).SetBoth(cluster.Impairment{Blocked: on})
 			}
 		}
 	}
@@ -113,9 +113,9 @@
 		outage = zoneLongOutage
 	}
 	sleep(ctx, outage)
-	for _, b := range testCluster.Fleet.In("c") { // restarted caches, without values
-		b.Drop()
-		b.SetCold(standin.Cold{Since: time.Now(), From: 0.3, For: zoneWarmUpTime, Rate: warmCacheRate, Multiple: 4, After: 1500 * time.Millisecond})
+	for _, b := range testCluster.Fleet.CachesIn("c") { // restarted caches, without values
+		b.Clear()
+		b.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: zoneWarmUpTime, WarmRate: warmCacheRate, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
 		for _, p := range testCluster.Proxies {
 			testCluster.Link(p.Name, b.ID).Reset()
 		}
@@ -140,29 +140,29 @@
 	const trialInterval = 300 * time.Millisecond // at most one read in this time goes to a left zone on trial
 	var first, last time.Duration = math.MaxInt64, 0
 	for _, p := range testCluster.Proxies {
-		if testCluster.Sent(p.Name, "c", failedAt.Add(-2*time.Second), failedAt) < 10 {
+		if testCluster.RequestsSent(p.Name, "c", failedAt.Add(-2*time.Second), failedAt) < 10 {
 			continue // a proxy that uses its own zone, not this one
 		}
 		leftAt := failedAt
-		for leftAt.Before(recoveredAt) && testCluster.Sent(p.Name, "c", leftAt, leftAt.Add(trialInterval)) > 2 {
+		for leftAt.Before(recoveredAt) && testCluster.RequestsSent(p.Name, "c", leftAt, leftAt.Add(trialInterval)) > 2 {
 			leftAt = leftAt.Add(100 * time.Millisecond)
 		}
 		first, last = min(first, leftAt.Sub(failedAt)), max(last, leftAt.Sub(failedAt))
-		z.attempts += float64(testCluster.Sent(p.Name, "c", failedAt, failedAt.Add(zoneOutage)))
+		z.attempts += float64(testCluster.RequestsSent(p.Name, "c", failedAt, failedAt.Add(zoneOutage)))
 	}
 	z.lastLeftAfter, z.leaveSpread = last, last-first
-	z.inTime, _ = clients.InTime(failedAt, failedAt.Add(2*time.Second))
-	for _, request := range clients.Asks(recoveredAt, time.Now()) {
-		if request.End == cluster.Refused && !request.Order {
+	z.inTime, _ = clients.ShareInTime(failedAt, failedAt.Add(2*time.Second))
+	for _, request := range clients.Requests(recoveredAt, time.Now()) {
+		if request.Outcome == cluster.Refused && !request.IsOrder {
 			z.refusedReads++
 		}
 	}
-	for _, b := range testCluster.Fleet.Boxes {
-		if b.Fell() {
+	for _, b := range testCluster.Fleet.Caches {
+		if b.Overloaded() {
 			z.overloadedCaches++
 		}
 	}
-	z.violations = clients.Breaches()
+	z.violations = clients.Violations()
 }
 
 func sleep(ctx context.Context, duration time.Duration) {
@@ -301,16 +301,16 @@
 			}
 			return sum
 		}
-		startedAt, cpuBefore, bytesBefore := time.Now(), totalCPU(), testCluster.Gossiped()
+		startedAt, cpuBefore, bytesBefore := time.Now(), totalCPU(), testCluster.GossipBytes()
 		sleep(ctx, measureTime)
 		cpu[variant] = float64(totalCPU()-cpuBefore) / float64(time.Millisecond) / float64(n) / measureTime.Seconds()
 		if together {
-			report.AddValue(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(testCluster.Gossiped()-bytesBefore)/float64(n)/measureTime.Seconds())
+			report.AddValue(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(testCluster.GossipBytes()-bytesBefore)/float64(n)/measureTime.Seconds())
 		}
 		clients.Stop()
 		var latencies []time.Duration
-		for _, request := range clients.Asks(startedAt, time.Now()) {
-			latencies = append(latencies, request.Took)
+		for _, request := range clients.Requests(startedAt, time.Now()) {
+			latencies = append(latencies, request.Elapsed)
 		}
 		slices.Sort(latencies)
 		p99[variant] = latencies[len(latencies)*99/100].Seconds() * 1000
@@ -338,23 +338,23 @@
 			undo()
 			sleep(ctx, 2*time.Second)
 		}
-		cache := testCluster.Fleet.Boxes[faults*7%len(testCluster.Fleet.Boxes)]
+		cache := testCluster.Fleet.Caches[faults*7%len(testCluster.Fleet.Caches)]
 		switch faults % 6 {
 		case 0, 1, 2, 3:
 			cache.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[faults%4])
 			undo = func() { cache.SetFault(standin.Healthy) }
 		case 4: // all caches slower, by as much as the fleet's owners have seen
-			for _, b := range testCluster.Fleet.Boxes {
+			for _, b := range testCluster.Fleet.Caches {
 				b.SetService(3*zoneServiceTime, 0)
 			}
 			undo = func() {
-				for _, b := range testCluster.Fleet.Boxes {
+				for _, b := range testCluster.Fleet.Caches {
 					b.SetService(zoneServiceTime, 0)
 				}
 			}
 		case 5: // a zone's caches restart one by one, without values
-			for _, b := range testCluster.Fleet.In(zoneNames[faults%3]) {
-				b.Drop()
+			for _, b := range testCluster.Fleet.CachesIn(zoneNames[faults%3]) {
+				b.Clear()
 				for _, p := range testCluster.Proxies {
 					testCluster.Link(p.Name, b.ID).Reset()
 				}
@@ -368,9 +368,9 @@
 	clients.Stop()
 	zonesLeft := 0
 	for _, p := range testCluster.Proxies {
-		zonesLeft += len(p.Lines("state=leaving"))
+		zonesLeft += len(p.LogLines("state=leaving"))
 	}
 	report.Equal(fmt.Sprintf("zones left in %v of %d ordinary faults", time.Since(startedAt).Round(time.Second), faults), float64(zonesLeft), 0)
-	report.Equal("rules broken among ordinary faults", float64(len(clients.Breaches())), 0)
+	report.Equal("rules broken among ordinary faults", float64(len(clients.Violations())), 0)
 	return ctx.Err()
 }
--- a/internal/proxy/copies_test.go
+++ b/internal/proxy/copies_test.go
@@ -23,7 +23,7 @@
 type transitScenario struct {
 	*testProxy
 	t          *testing.T
-	copies     *standin.Copies
+	copies     *standin.DuplicateChecker
 	client     *testClient
 	warmupKeys int // number of keys requested during warm-up
 }
@@ -93,7 +93,7 @@
 	for name, behind := range map[string]bool{"noise before its answer": false, "another's answer is noise": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scenario := &transitScenario{t: t, copies: standin.NewCopies()}
+			scenario := &transitScenario{t: t, copies: standin.NewDuplicateChecker()}
 			spoil, answer := make(chan struct{}), make(chan struct{})
 			far := serveConns(t, func(conn net.Conn) {
 				go func() {
@@ -130,7 +130,7 @@
 			keys := scenario.keysOfFarMember(pool.MinCleanAnswers+2, 400)
 			if behind {
 				scenario.sendRead(keys[0], "first", 8000)
-				scenario.eventually("the first has come", func() bool { return scenario.copies.Came("first") == 1 })
+				scenario.eventually("the first has come", func() bool { return scenario.copies.Delivered("first") == 1 })
 			}
 			if !scenario.sendRead(keys[1], "second", 8000) {
 				t.Fatal("the read was not written to the far member")
@@ -141,7 +141,7 @@
 				spoil <- struct{}{}
 			}
 			scenario.eventually("all of its attempts have come", func() bool {
-				return scenario.copies.Written("near", "second") == 1 && scenario.copies.Came("second") == scenario.copies.Written("", "second")
+				return scenario.copies.Written("near", "second") == 1 && scenario.copies.Delivered("second") == scenario.copies.Written("", "second")
 			})
 			close(answer)
 			for range map[bool]int{false: 1, true: 2}[behind] {
@@ -164,7 +164,7 @@
 func TestFurtherAttemptsWaitWhenTransitTimeVaries(t *testing.T) {
 	t.Parallel()
 	const rounds, slow = 3, 60 * time.Millisecond
-	scenario := &transitScenario{t: t, copies: standin.NewCopies()}
+	scenario := &transitScenario{t: t, copies: standin.NewDuplicateChecker()}
 	var mu sync.Mutex
 	var conns []net.Conn
 	far := serveConns(t, func(conn net.Conn) {
@@ -217,7 +217,7 @@
 		}
 		spoil()
 		scenario.eventually("all of its attempts have come", func() bool {
-			return scenario.copies.Written("near", id) == 1 && scenario.copies.Came(id) == scenario.copies.Written("", id)
+			return scenario.copies.Written("near", id) == 1 && scenario.copies.Delivered(id) == scenario.copies.Written("", id)
 		})
 		answer <- struct{}{}
 		if got := scenario.client.answer(); !strings.HasPrefix(got, "value of ") {
@@ -238,7 +238,7 @@
 func TestFirstReadOnAConnectionWaitsForTheHandshake(t *testing.T) {
 	t.Parallel()
 	const aim = 200 * time.Millisecond // of which a first attempt has 120 ms
-	scenario := &transitScenario{t: t, copies: standin.NewCopies()}
+	scenario := &transitScenario{t: t, copies: standin.NewDuplicateChecker()}
 	quick := startCache(t, func(a memberCommand) string { return hitReply("value of " + a.key) })
 	hangs := serveConns(t, func(conn net.Conn) { readAll(conn) })
 	o := startOrigin(t, func(r *http.Request) string { return httpOK("value of " + r.URL.Path[1:]) })
--- a/internal/proxy/copies_ways_test.go
+++ b/internal/proxy/copies_ways_test.go
@@ -173,7 +173,7 @@
 	for name, w := range attemptScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scenario := &transitScenario{t: t, copies: standin.NewCopies()}
+			scenario := &transitScenario{t: t, copies: standin.NewDuplicateChecker()}
 			cfg := testConfig()
 			cfg.MaxRequests, cfg.Descriptors = 1000, 1024
 			cfg.Settings.ConnectTimeout = 250 * time.Millisecond
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -26,7 +26,7 @@
 
 // deadlineChecker checks the deadlines sent to the members of a proxy, on a clock that the test advances.
 type deadlineChecker struct {
-	standin.Deadlines
+	standin.DeadlineChecker
 	t       *testing.T
 	advance func(*testProxy, time.Duration)
 }
@@ -47,7 +47,7 @@
 // cache starts a cache whose received deadlines are checked.
 func (w *deadlineChecker) cache(name string, answer func(memberCommand) string) string {
 	return startCache(w.t, func(a memberCommand) string {
-		w.Told(name, a.id, a.attrs)
+		w.AttemptReceived(name, a.id, a.attrs)
 		return answer(a)
 	})
 }
@@ -61,7 +61,7 @@
 		if err != nil {
 			return
 		}
-		w.Told(name, command[2], command[3])
+		w.AttemptReceived(name, command[2], command[3])
 		if deadlines != nil {
 			_, deadline, _ := strings.Cut(command[3], ",d=")
 			deadlines <- deadline
@@ -75,7 +75,7 @@
 // origin starts an origin whose received deadlines are checked.
 func (w *deadlineChecker) origin(answer func(*http.Request) string) string {
 	return startOrigin(w.t, func(r *http.Request) string {
-		w.Told("origin", r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
+		w.AttemptReceived("origin", r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
 		return answer(r)
 	})
 }
@@ -84,13 +84,13 @@
 // as written now.
 func (w *deadlineChecker) get(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=tile-read,d=%d", wait)
-	w.Sent(id, attrs)
+	w.RequestSent(id, attrs)
 	return respCommand("OBJ.GET", key, id, attrs)
 }
 
 func (w *deadlineChecker) put(key, id string, wait int) string {
 	attrs := fmt.Sprintf("c=pass-order,d=%d", wait)
-	w.Sent(id, attrs)
+	w.RequestSent(id, attrs)
 	return respCommand("OBJ.SET", key, id, attrs, "value")
 }
 
@@ -128,7 +128,7 @@
 				sent++
 			}
 		}
-		if !r.Write && w.Came(string(r.ReqID)) < sent {
+		if !r.Write && w.AttemptCount(string(r.ReqID)) < sent {
 			return false
 		}
 	}
@@ -265,7 +265,7 @@
 	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1 // so that an attempt may take all that its client has left
 	checker := checkDeadlines(t, &cfg)
-	server, err := standin.NewDoor()
+	server, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -307,7 +307,7 @@
 	cfg := noTimeoutConfig(false)
 	cfg.Settings.MaxAttempts = 1
 	checker := checkDeadlines(t, &cfg)
-	server, err := standin.NewDoor()
+	server, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -537,7 +537,7 @@
 		return hitReply("value of " + a.key)
 	}), "large"))
 	client := p.dial()
-	checker.Sent("many", "c=tile-read,d=8000")
+	checker.RequestSent("many", "c=tile-read,d=8000")
 	client.send(mget("many", "c=tile-read,d=8000", "a", "b", "c"))
 	for range 3 {
 		<-arrived
@@ -578,7 +578,7 @@
 	p.awaitFollowers(1)
 	lead.conn.Close()
 	p.eventually("the lead's client has left", func() bool { return len(p.redis.clients) == 1 })
-	checker.Sent("lead", "d=4000") // as the follower's is now the longest wait
+	checker.RequestSent("lead", "d=4000") // as the follower's is now the longest wait
 	checker.advance(p, 2500*time.Millisecond)
 	close(release)
 	checker.advanceUntil(p, 2*time.Second, "the answer", awaitAnswer(follower, "value"))
@@ -626,7 +626,7 @@
 	const proxies, rounds, pauseMost = 24, 12, 150 * time.Millisecond
 	var now atomic.Int64
 	clock := func() time.Duration { return time.Duration(now.Load()) }
-	checker := &deadlineChecker{t: t, Deadlines: standin.Deadlines{Now: clock}}
+	checker := &deadlineChecker{t: t, DeadlineChecker: standin.DeadlineChecker{Now: clock}}
 	var seed atomic.Uint64
 	answers := []string{missReply, "-ERR failed\r\n", "-BUSY\r\n", hitReply("value"), missReply}
 	answer := func(memberCommand) string {
@@ -713,7 +713,7 @@
 				o := checker.origin(func(r *http.Request) string { attributes <- r.Header.Get("X-Attrs"); return httpOK("value") })
 				p := startProxy(t, cfg, listEntry("s-1", node, "large"), listEntry("o-1", o, "origin"))
 				attrs := "c=" + c.class + "," + text
-				checker.Sent("id", attrs)
+				checker.RequestSent("id", attrs)
 				client := p.dial()
 				command := []string{c.name, "a1", "id", attrs}
 				if c.name == "OBJ.SET" {
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -67,7 +67,7 @@
 // requests and answers as its kind does.
 func blockedMember(t *testing.T, requests *requestLog, kind string) (addr string, open func()) {
 	t.Helper()
-	d, err := standin.NewDoor()
+	d, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 
 // serveLoggingOrigin logs requests and answers at once.
 func serveLoggingOrigin(in *bufio.Reader, out io.Writer, requests *requestLog) {
-	standin.AnswerAsOrigin(in, out, func(key, id string) string {
+	standin.ServeOrigin(in, out, func(key, id string) string {
 		requests.add(id)
 		return "value of " + key
 	})
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -53,7 +53,7 @@
 // if the name is empty.
 func (d *tlsHarness) connect(root int, name string) *testClient {
 	d.t.Helper()
-	cfg, err := d.Config(d.Roots[root], name)
+	cfg, err := d.ClientConfig(d.Roots[root], name)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 		return hitReply("value of " + a.key)
 	})
 	idle, inHand := harness.connect(0, "shop.example"), harness.connect(0, "kiosk.example")
-	if err := harness.Publish(harness.Roots...); err != nil {
+	if err := harness.PublishRoots(harness.Roots...); err != nil {
 		t.Fatal(err)
 	}
 	harness.gate.ReloadFiles()
@@ -164,7 +164,7 @@
 	}
 	inHand.send(getCommand("slow", "r-slow"))
 	<-harness.memberAttrs
-	if err := harness.Publish(harness.Roots[1]); err != nil {
+	if err := harness.PublishRoots(harness.Roots[1]); err != nil {
 		t.Fatal(err)
 	}
 	harness.gate.ReloadFiles()
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -23,7 +23,7 @@
 	hang := func(conn net.Conn) {
 		io.Copy(io.Discard, conn) // until its end
 	}
-	blocked, err := standin.NewDoor()
+	blocked, err := standin.NewFullListener()
 	if err != nil {
 		t.Fatal(err)
 	}
