--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -1,5 +1,6 @@
-// Package restarts plays planned restarts of the real program by seed: under load, with members that hang, signals in series and clients that use
-// their open connections up to the kill, and says what was broken. It never serves.
+// Package restarts runs planned restarts of the real program from seeds: under load, with hanging members,
+// repeated signals and clients that use their open connections until the kill. It reports the rules that
+// were broken. It is never part of serving.
 package restarts
 
 import (
@@ -20,152 +21,157 @@
 )
 
 const (
-	// killMost and killMore: the kill comes the longest deadline, or killMost if that is shorter, and killMore after the first signal to end.
-	killMost = 3 * time.Second
-	killMore = 700 * time.Millisecond
-	// answerGrace is how long after its time an answer counts as late; later, or never, it is lost.
+	// maxKillDelay and killMargin determine the kill: it comes the longest deadline, but at most maxKillDelay,
+	// plus killMargin after the first terminating signal.
+	maxKillDelay = 3 * time.Second
+	killMargin   = 700 * time.Millisecond
+	// answerGrace is how long after its timeout an answer still counts as late. After that it is lost.
 	answerGrace = 500 * time.Millisecond
-	// departGrace is how long after its client has left an attempt may begin, and drainGrace how long after the news that its member drains; the
-	// protocol adds ruleSlack to each of its limits.
-	departGrace = 100 * time.Millisecond
-	drainGrace  = 250 * time.Millisecond
-	ruleSlack   = 50 * time.Millisecond
-	// disturbedAt is by how much the play's own clock may be late before it counts as disturbed: what the rules are checked with.
-	disturbedAt = ruleSlack
+	// departureGrace is how long after its client has disconnected an attempt may begin, and drainGrace
+	// how long after its member was reported as draining. The protocol adds ruleSlack to each of its
+	// limits.
+	departureGrace = 100 * time.Millisecond
+	drainGrace     = 250 * time.Millisecond
+	ruleSlack      = 50 * time.Millisecond
+	// maxSchedulingDelay is the scheduling delay of the test's own goroutines beyond which a run is
+	// disturbed. It equals the slack of the rules that are checked.
+	maxSchedulingDelay = ruleSlack
 
 	descriptors = 256
 	memoryMB    = 64
 )
 
-// Options are what a play needs.
+// Options configure a run.
 type Options struct {
-	Program string   // the proxy
-	Env     []string // of the program, beside the play's own
-	Dir     string   // scratch, of this play alone
+	Program string   // the proxy program
+	Env     []string // added to the program's environment
+	Dir     string   // scratch directory of this run alone
 	Seed    uint64
 }
 
-// Result is what has become of a play.
+// Result is the result of a run.
 type Result struct {
-	Seed                           uint64
-	Scene                          string // what was drawn
-	Asked, Served, Refused, Failed int
-	Untaken                        int // requests that crossed the end of their connection, or found no listener
-	Attempts, Further              int
-	Faults                         []string
-	Late                           time.Duration // by how much the play's own clock was late at the most
+	Seed                          uint64
+	Scenario                      string // derived from the seed
+	Sent, Served, Refused, Failed int
+	NotAccepted                   int // requests that crossed the end of their connection, or found no listener
+	Attempts, Further             int
+	Faults                        []string
+	SchedulingDelay               time.Duration // maximum scheduling delay of the test's own goroutines
 }
 
-// Disturbed tells whether the machine was too busy for a verdict. Such a play never counts as passed.
-func (r *Result) Disturbed() bool { return r.Late > disturbedAt }
+// Disturbed reports whether the machine was too busy for a verdict. A disturbed run never counts as
+// passed.
+func (r *Result) Disturbed() bool { return r.SchedulingDelay > maxSchedulingDelay }
 
-// signalAt is a signal of a play, and when it is sent, from the first one on.
+// signalAt is a signal and its time relative to the first terminating signal.
 type signalAt struct {
 	signal syscall.Signal
 	after  time.Duration
 }
 
-// scene is what the seed draws.
-type scene struct {
-	deadline      time.Duration // the longest
-	signals       []signalAt
-	crowd         int // connections that never ask for anything whole
-	hangingBoxes  int
-	hangingOrigin bool
-	stalledWay    int // a box whose link stalls in one direction; -1: none
-	delays        []time.Duration
-	handshake     time.Duration
-	drains        bool // a box begins to drain right before the end
-	moves         bool // the reload names another discovery
-	clients       int
-	pipelines     bool
+// scenario is derived from the seed.
+type scenario struct {
+	deadline         time.Duration // the longest
+	signals          []signalAt
+	idleConns        int // connections that never send a complete request
+	hangingCaches    int
+	hangingOrigin    bool
+	stalledDirection int // of the link of one cache; -1 if no link stalls
+	delays           []time.Duration
+	handshakeDelay   time.Duration
+	drainCache       bool // a cache begins to drain just before the restart
+	moveDiscovery    bool // the reload changes the address of discovery
+	clients          int
+	pipelines        bool
 }
 
-const boxes = 4
+const cacheCount = 4
 
-// draw makes the scene of a seed.
-func draw(rng *rand.Rand) scene {
-	s := scene{stalledWay: -1, clients: 24 + rng.IntN(24), pipelines: rng.IntN(2) == 0}
-	s.deadline = []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[rng.IntN(4)]
-	if rng.IntN(3) == 0 {
-		s.crowd = descriptors/2 + rng.IntN(descriptors/2)
-	}
-	s.hangingBoxes = rng.IntN(boxes/2 + 1)
-	s.hangingOrigin = rng.IntN(4) == 0
-	if s.deadline > killMost { // the kill comes before the requests' own end: what hangs has to be answered ahead of it
-		s.hangingBoxes, s.hangingOrigin = max(1, s.hangingBoxes), true
-	}
-	if rng.IntN(4) == 0 {
-		s.stalledWay = rng.IntN(2)
-	}
-	for range boxes + 1 {
-		s.delays = append(s.delays, time.Duration(rng.IntN(20))*time.Millisecond)
-	}
-	s.handshake = time.Duration(rng.IntN(100)) * time.Millisecond
-	s.drains = rng.IntN(3) == 0
-	end := []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}[rng.IntN(2)]
-	s.signals = []signalAt{{end, 0}}
-	for range rng.IntN(5) {
-		more := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT}[rng.IntN(3)]
-		after := time.Duration(rng.IntN(5)) * time.Millisecond
-		if rng.IntN(2) == 0 { // over the whole drain
-			after = time.Duration(rng.Int64N(int64(s.kill())))
+// newScenario generates a scenario.
+func newScenario(random *rand.Rand) scenario {
+	s := scenario{stalledDirection: -1, clients: 24 + random.IntN(24), pipelines: random.IntN(2) == 0}
+	s.deadline = []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[random.IntN(4)]
+	if random.IntN(3) == 0 {
+		s.idleConns = descriptors/2 + random.IntN(descriptors/2)
+	}
+	s.hangingCaches = random.IntN(cacheCount/2 + 1)
+	s.hangingOrigin = random.IntN(4) == 0
+	// the kill comes before the requests' deadlines, so hanging requests must be answered earlier
+	if s.deadline > maxKillDelay {
+		s.hangingCaches, s.hangingOrigin = max(1, s.hangingCaches), true
+	}
+	if random.IntN(4) == 0 {
+		s.stalledDirection = random.IntN(2)
+	}
+	for range cacheCount + 1 {
+		s.delays = append(s.delays, time.Duration(random.IntN(20))*time.Millisecond)
+	}
+	s.handshakeDelay = time.Duration(random.IntN(100)) * time.Millisecond
+	s.drainCache = random.IntN(3) == 0
+	terminating := []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}[random.IntN(2)]
+	s.signals = []signalAt{{terminating, 0}}
+	for range random.IntN(5) {
+		extra := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT}[random.IntN(3)]
+		after := time.Duration(random.IntN(5)) * time.Millisecond
+		if random.IntN(2) == 0 { // at any time during the drain
+			after = time.Duration(random.Int64N(int64(s.killDelay())))
 		}
-		s.signals = append(s.signals, signalAt{more, after})
+		s.signals = append(s.signals, signalAt{extra, after})
 	}
-	if rng.IntN(3) == 0 { // a reload right before
-		s.signals = append(s.signals, signalAt{syscall.SIGHUP, -time.Duration(1+rng.IntN(30)) * time.Millisecond})
-		s.moves = rng.IntN(2) == 0
+	if random.IntN(3) == 0 { // a reload just before the restart
+		s.signals = append(s.signals, signalAt{syscall.SIGHUP, -time.Duration(1+random.IntN(30)) * time.Millisecond})
+		s.moveDiscovery = random.IntN(2) == 0
 	}
 	return s
 }
 
-// kill is when the process is killed, after the first signal to end.
-func (s *scene) kill() time.Duration { return min(s.deadline, killMost) + killMore }
+// killDelay returns when the process is killed, relative to the first terminating signal.
+func (s *scenario) killDelay() time.Duration { return min(s.deadline, maxKillDelay) + killMargin }
 
-func (s *scene) String() string {
+func (s *scenario) String() string {
 	var signals []string
 	for _, at := range s.signals {
 		signals = append(signals, fmt.Sprintf("%v at %v", at.signal, at.after.Round(time.Millisecond)))
 	}
-	return fmt.Sprintf("deadline %v; %s; %d clients, pipelines %v, crowd %d; hanging: %d boxes, origin %v, a link one way %v; handshakes %v, drains %v, discovery moves %v",
-		s.deadline, strings.Join(signals, ", "), s.clients, s.pipelines, s.crowd, s.hangingBoxes, s.hangingOrigin, s.stalledWay >= 0, s.handshake, s.drains, s.moves)
+	return fmt.Sprintf("deadline %v; %s; %d clients, pipelines %v, %d idle connections; hanging: %d caches, origin %v, one direction of a link %v; handshake delay %v, drain %v, discovery moves %v",
+		s.deadline, strings.Join(signals, ", "), s.clients, s.pipelines, s.idleConns, s.hangingCaches, s.hangingOrigin, s.stalledDirection >= 0, s.handshakeDelay, s.drainCache, s.moveDiscovery)
 }
 
-// play is one restart.
-type play struct {
-	scene
-	rng     *rand.Rand
-	fleet   *standin.Fleet
-	relays  []*standin.Relay // of the boxes, then the origin's
-	copies  *standin.Copies
-	process *cluster.Process
-	listen  string
-	path    string
-	files   [2][]byte // before the reload, and after it
-	writing sync.Mutex
-	clients *clients
-	faults  []string
+// restartRun is one planned restart.
+type restartRun struct {
+	scenario
+	random      *rand.Rand
+	fleet       *standin.Fleet
+	relays      []*standin.Relay // of the caches, then the origin
+	duplicates  *standin.DuplicateChecker
+	process     *cluster.Process
+	listen      string
+	configPath  string
+	configs     [2][]byte // before and after the reload
+	configMutex sync.Mutex
+	clients     *clients
+	faults      []string
 }
 
-// Play plays the restart of a seed.
-func Play(o Options) (*Result, error) {
-	rng := rand.New(rand.NewPCG(o.Seed, 60))
-	p := &play{scene: draw(rng), rng: rng, copies: standin.NewCopies()}
-	late := standin.MeasureLateness()
-	err := p.run(o)
-	r := &Result{Seed: o.Seed, Scene: p.scene.String(), Late: late.Stop()}
+// Run runs the planned restart of a seed.
+func Run(o Options) (*Result, error) {
+	random := rand.New(rand.NewPCG(o.Seed, 60))
+	run := &restartRun{scenario: newScenario(random), random: random, duplicates: standin.NewDuplicateChecker()}
+	delay := standin.MeasureSchedulingDelay()
+	err := run.run(o)
+	result := &Result{Seed: o.Seed, Scenario: run.scenario.String(), SchedulingDelay: delay.Stop()}
 	if err != nil {
-		return r, fmt.Errorf("seed %d: %w", o.Seed, err)
+		return result, fmt.Errorf("seed %d: %w", o.Seed, err)
 	}
-	r.Attempts, r.Further = p.copies.Attempts()
-	p.clients.count(r)
-	r.Faults = p.faults
-	return r, nil
+	result.Attempts, result.Further = run.duplicates.Attempts()
+	run.clients.countOutcomes(result)
+	result.Faults = run.faults
+	return result, nil
 }
 
-func (p *play) run(o Options) error {
-	if err := p.stage(o); err != nil {
+func (p *restartRun) run(o Options) error {
+	if err := p.setUp(o); err != nil {
 		return err
 	}
 	defer p.fleet.Close()
@@ -174,84 +180,84 @@
 			r.Close()
 		}
 	}()
-	process, err := cluster.Start("msg=ready", append(append([]string{}, o.Env...), "LB_CONFIG="+p.path, "TMPDIR="+o.Dir), o.Program)
+	process, err := cluster.Start("msg=ready", append(append([]string{}, o.Env...), "LB_CONFIG="+p.configPath, "TMPDIR="+o.Dir), o.Program)
 	if err != nil {
 		return err
 	}
 	p.process = process
 	defer process.Kill()
 	p.clients = newClients(p, o.Seed)
-	for range p.crowd {
-		p.clients.idle()
-	}
-	p.clients.start(p.scene.clients)
-	// The load has a length before the first signal; no event ends it.
-	time.Sleep(300*time.Millisecond + time.Duration(p.rng.IntN(400))*time.Millisecond)
-	p.trouble()
-	time.Sleep(time.Duration(p.rng.IntN(150)) * time.Millisecond)
+	for range p.idleConns {
+		p.clients.openIdle()
+	}
+	p.clients.start(p.scenario.clients)
+	// The load before the first signal is defined by its length, and no event ends it.
+	time.Sleep(300*time.Millisecond + time.Duration(p.random.IntN(400))*time.Millisecond)
+	p.injectFaults()
+	time.Sleep(time.Duration(p.random.IntN(150)) * time.Millisecond)
 	p.restart()
 	p.check()
 	return nil
 }
 
-// stage makes the fleet, its links and the configurations.
-func (p *play) stage(o Options) (err error) {
-	if p.fleet, err = standin.NewFleet(boxes, 200); err != nil {
+// setUp creates the fleet, its links and the configurations.
+func (p *restartRun) setUp(o Options) (err error) {
+	if p.fleet, err = standin.NewFleet(cacheCount, 200); err != nil {
 		return err
 	}
-	for key := range keys {
+	for key := range keyCount {
 		if key%3 > 0 {
 			p.fleet.Fill(keyName(key))
 		}
 	}
-	at := map[string]string{}
+	relayAddrs := map[string]string{}
 	relay := func(id, to string, isOrigin bool, delay time.Duration) error {
-		r, err := standin.NewRelay(id, to, isOrigin, delay, delay, p.copies)
+		r, err := standin.NewRelay(id, to, isOrigin, delay, delay, p.duplicates)
 		if err != nil {
 			return err
 		}
 		if !isOrigin {
-			r.SetHandshake(func() time.Duration { return p.handshake })
+			r.SetHandshake(func() time.Duration { return p.handshakeDelay })
 		}
-		at[id] = r.Addr()
+		relayAddrs[id] = r.Addr()
 		p.relays = append(p.relays, r)
 		return nil
 	}
-	for i, b := range p.fleet.Boxes {
-		b.SetService(time.Duration(1+p.rng.IntN(15))*time.Millisecond, 0)
-		if err := relay(b.ID, b.Addr(), false, p.delays[i]); err != nil {
+	for i, cache := range p.fleet.Caches {
+		cache.SetService(time.Duration(1+p.random.IntN(15))*time.Millisecond, 0)
+		if err := relay(cache.ID, cache.Addr(), false, p.delays[i]); err != nil {
 			return err
 		}
 	}
 	p.fleet.Origin.SetService(20*time.Millisecond, 0)
-	if err := relay(p.fleet.Origin.ID, p.fleet.Origin.Addr(), true, p.delays[boxes]); err != nil {
+	if err := relay(p.fleet.Origin.ID, p.fleet.Origin.Addr(), true, p.delays[cacheCount]); err != nil {
 		return err
 	}
-	see := func(m discovery.Member) discovery.Member {
-		m.HostPort = at[m.ID]
+	viewMember := func(m discovery.Member) discovery.Member {
+		m.HostPort = relayAddrs[m.ID]
 		return m
 	}
 	if p.listen, err = standin.FreeAddr(); err != nil {
 		return err
 	}
-	for i := range p.files {
-		if p.files[i], err = p.config(see); err != nil {
+	for i := range p.configs {
+		if p.configs[i], err = p.makeConfig(viewMember); err != nil {
 			return err
 		}
 	}
-	p.path = filepath.Join(o.Dir, "config.json")
-	return p.configure(0)
+	p.configPath = filepath.Join(o.Dir, "config.json")
+	return p.writeConfig(0)
 }
 
-// config is a configuration that names a discovery of its own.
-func (p *play) config(see func(discovery.Member) discovery.Member) ([]byte, error) {
+// makeConfig returns a configuration with a discovery address of its own.
+func (p *restartRun) makeConfig(viewMember func(discovery.Member) discovery.Member) ([]byte, error) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
 		class := c.(map[string]any)
 		class["deadline_ms"] = float64(p.deadline.Milliseconds())
 		class["aim_ms"] = min(class["aim_ms"].(float64), 0.7*float64(p.deadline.Milliseconds()))
 	}
-	p.fleet.Set = map[string]any{"classes": settings["classes"]}
+	p.fleet.Overrides = map[string]any{"classes": settings["classes"]}
 	text, err := p.fleet.Config("n0", p.listen, "7", memoryMB, descriptors)
 	if err != nil {
 		return nil, err
@@ -260,97 +266,98 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	if file["discovery"], err = p.fleet.Registry.View(see); err != nil {
+	if file["discovery"], err = p.fleet.Registry.ListenView(viewMember); err != nil {
 		return nil, err
 	}
 	known := p.fleet.Registry.List()
 	for i, m := range known.Members {
-		known.Members[i] = see(m)
+		known.Members[i] = viewMember(m)
 	}
 	file["known"] = known
 	return json.Marshal(file)
 }
 
-// configure puts a configuration in place, whole at any moment.
-func (p *play) configure(i int) error {
-	p.writing.Lock()
-	defer p.writing.Unlock()
-	if err := os.WriteFile(p.path+".new", p.files[i], 0o600); err != nil {
+// writeConfig replaces the configuration atomically.
+func (p *restartRun) writeConfig(i int) error {
+	p.configMutex.Lock()
+	defer p.configMutex.Unlock()
+	if err := os.WriteFile(p.configPath+".new", p.configs[i], 0o600); err != nil {
 		return err
 	}
-	return os.Rename(p.path+".new", p.path)
+	return os.Rename(p.configPath+".new", p.configPath)
 }
 
-// trouble has members and links hang.
-func (p *play) trouble() {
-	for _, b := range p.fleet.Boxes[:p.hangingBoxes] {
-		b.SetFault(standin.Stall)
+// injectFaults makes members and links hang.
+func (p *restartRun) injectFaults() {
+	for _, cache := range p.fleet.Caches[:p.hangingCaches] {
+		cache.SetFault(standin.Stall)
 	}
 	if p.hangingOrigin {
 		p.fleet.Origin.SetFault(standin.Stall)
 	}
-	if p.stalledWay >= 0 {
-		p.relays[boxes-1].Stall(p.stalledWay, true)
+	if p.stalledDirection >= 0 {
+		p.relays[cacheCount-1].Stall(p.stalledDirection, true)
 	}
 }
 
-// restart sends the signals and kills the process at the earliest moment at which that is allowed.
-func (p *play) restart() {
-	if p.drains {
-		p.fleet.Drain(p.fleet.Boxes[boxes-2])
-		p.clients.drained(p.fleet.Boxes[boxes-2].ID)
+// restart sends the signals and kills the process at the earliest time allowed.
+func (p *restartRun) restart() {
+	if p.drainCache {
+		p.fleet.Drain(p.fleet.Caches[cacheCount-2])
+		p.clients.noteDrain(p.fleet.Caches[cacheCount-2].ID)
 	}
-	first := time.Now().Add(40 * time.Millisecond)
+	firstSignalAt := time.Now().Add(40 * time.Millisecond)
 	done := make(chan struct{})
 	for _, s := range p.signals {
 		go func() {
 			select {
 			case <-done:
 				return
-			case <-time.After(time.Until(first.Add(s.after))):
+			case <-time.After(time.Until(firstSignalAt.Add(s.after))):
 			}
-			if s.signal == syscall.SIGHUP && p.moves {
-				if err := p.configure(1); err != nil {
-					p.fault("the configuration can't be replaced: %v", err)
+			if s.signal == syscall.SIGHUP && p.moveDiscovery {
+				if err := p.writeConfig(1); err != nil {
+					p.addFault("the configuration can't be replaced: %v", err)
 				}
 			}
 			p.process.Signal(s.signal)
 		}()
 	}
-	time.Sleep(time.Until(first.Add(p.kill())))
+	time.Sleep(time.Until(firstSignalAt.Add(p.killDelay())))
 	close(done)
-	ended, how := p.process.Ended()
+	ended, state := p.process.Exited()
 	p.process.Kill()
-	p.clients.killed()
-	// One of the signals may end it by its default once the drain is over: a process that ends after SIGTERM has not crashed, and what it would
-	// have lost by that is found as lost. Its status is TestEndsWellUnderRepeatedSignals' concern.
-	if ended && !how.Success() && !endedBy(how, syscall.SIGTERM, syscall.SIGINT) {
-		p.fault("the process ended with %v: %v", how, p.process.Lines("panic"))
+	p.clients.stopAfterKill()
+	// A signal may end the process by its default action once the drain is over. A process that ends by
+	// SIGTERM has not crashed, and requests lost by that are found as lost. Its exit status is checked by
+	// TestEndsWellUnderRepeatedSignals.
+	if ended && !state.Success() && !endedBy(state, syscall.SIGTERM, syscall.SIGINT) {
+		p.addFault("the process ended with %v: %v", state, p.process.LogLines("panic"))
 	}
 }
 
-// endedBy tells whether one of some signals has ended a process.
-func endedBy(how *os.ProcessState, signals ...syscall.Signal) bool {
-	status, ok := how.Sys().(syscall.WaitStatus)
+// endedBy reports whether a process was ended by one of the signals.
+func endedBy(state *os.ProcessState, signals ...syscall.Signal) bool {
+	status, ok := state.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && slices.Contains(signals, status.Signal())
 }
 
-func (p *play) fault(format string, args ...any) {
+func (p *restartRun) addFault(format string, args ...any) {
 	p.faults = append(p.faults, fmt.Sprintf(format, args...))
 }
 
-// check gives the verdict on all that the play has seen.
-func (p *play) check() {
-	p.faults = append(p.faults, p.copies.Violations()...)
-	p.faults = append(p.faults, p.clients.verdicts()...)
+// check evaluates the run.
+func (p *restartRun) check() {
+	p.faults = append(p.faults, p.duplicates.Violations()...)
+	p.faults = append(p.faults, p.clients.violations()...)
 	for key, n := range p.fleet.Origin.Executions() {
 		if n > 1 {
-			p.fault("order %s ran %d times", key, n)
+			p.addFault("order %s ran %d times", key, n)
 		}
 	}
 }
 
-// String sums a play up in one line.
+// String summarizes a run in one line.
 func (r *Result) String() string {
 	verdict := "kept"
 	switch {
@@ -359,29 +366,30 @@
 	case r.Disturbed():
 		verdict = "disturbed"
 	}
-	return fmt.Sprintf("seed %d: %s; %d asked, %d served, %d refused, %d failed, %d untaken; %d attempts, %d further; own clock late by %v; %s",
-		r.Seed, verdict, r.Asked, r.Served, r.Refused, r.Failed, r.Untaken, r.Attempts, r.Further, r.Late.Round(time.Millisecond), r.Scene)
+	return fmt.Sprintf("seed %d: %s; %d sent, %d served, %d refused, %d failed, %d not accepted; %d attempts, %d further; scheduling delay %v; %s",
+		r.Seed, verdict, r.Sent, r.Served, r.Refused, r.Failed, r.NotAccepted, r.Attempts, r.Further, r.SchedulingDelay.Round(time.Millisecond), r.Scenario)
 }
 
-// mostDisturbed is how often a play is played for a verdict on a busy machine.
-const mostDisturbed = 4
+// maxDisturbedRuns bounds the runs that are made for a verdict on a busy machine.
+const maxDisturbedRuns = 4
 
-// Verdict plays the restart of a seed until the machine was quiet enough for a verdict, or a fault was found; log is told of each play.
-func Verdict(o Options, log func(*Result)) (r *Result, err error) {
-	for n := range mostDisturbed {
-		dir := filepath.Join(o.Dir, fmt.Sprintf("play-%d-%d", o.Seed, n))
+// RunUntilConclusive repeats the planned restart of a seed until a run was not disturbed or found a fault.
+// log is called with each result.
+func RunUntilConclusive(o Options, log func(*Result)) (result *Result, err error) {
+	for attempt := range maxDisturbedRuns {
+		dir := filepath.Join(o.Dir, fmt.Sprintf("play-%d-%d", o.Seed, attempt))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
 		}
-		again := o
-		again.Dir = dir
-		if r, err = Play(again); err != nil {
-			return r, err
+		runOptions := o
+		runOptions.Dir = dir
+		if result, err = Run(runOptions); err != nil {
+			return result, err
 		}
-		log(r)
-		if len(r.Faults) > 0 || !r.Disturbed() {
+		log(result)
+		if len(result.Faults) > 0 || !result.Disturbed() {
 			break
 		}
 	}
-	return r, nil
+	return result, nil
 }
--- a/internal/standin/accept_test.go
+++ b/internal/standin/accept_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// shortListener fails now and then, as one does where descriptors are short, and is closed after that.
-type shortListener struct {
+// failingListener returns the given accept errors (nil means a connection), and then that it is closed.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if len(l.errs) == 0 {
 		return nil, net.ErrClosed
 	}
@@ -26,13 +26,13 @@
 	return near, nil
 }
 
-func TestAcceptGoesOnAfterErrorsThatPass(t *testing.T) {
-	taken := 0
-	AcceptEach(&shortListener{errs: []error{nil, syscall.EMFILE, syscall.ECONNABORTED, nil, nil}}, func(conn net.Conn) {
-		taken++
+func TestAcceptContinuesAfterTemporaryErrors(t *testing.T) {
+	accepted := 0
+	AcceptEach(&failingListener{errs: []error{nil, syscall.EMFILE, syscall.ECONNABORTED, nil, nil}}, func(conn net.Conn) {
+		accepted++
 		conn.Close()
 	})
-	if taken != 3 {
-		t.Errorf("%d connections taken, want 3", taken)
+	if accepted != 3 {
+		t.Errorf("%d connections taken, want 3", accepted)
 	}
 }
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -1,6 +1,6 @@
-// Package standin holds stand-ins for what the proxy meets on a network: cache boxes, the origin and discovery, on
-// loopback, each with faults that a test sets at a moment of its choice. They are written from the platform's protocol,
-// keep all state in memory, and are never part of what serves real traffic.
+// Package standin simulates the servers that the proxy talks to: caches, the origin and discovery. They
+// listen on loopback, and tests inject faults into them at any time. They are written from the platform's
+// protocol, keep all state in memory, and never serve real traffic.
 package standin
 
 import (
@@ -18,46 +18,46 @@
 	"linenloom/internal/resp"
 )
 
-// Fault is what a member does wrong for as long as it is set.
+// Fault is how a member misbehaves while it is set.
 type Fault uint8
 
-// The faults.
+// Faults of a member.
 const (
-	Healthy   Fault = iota
-	Stall           // takes a request and never answers, as long as its connection is there
-	Reset           // takes a request and drops the connection
-	Spoil           // answers with noise
-	Busy            // turns every request away unseen
-	Failing         // answers that it failed
-	Rejecting       // finds fault with every request
-	Halting         // answers that it failed, every second time
+	Healthy      Fault = iota
+	Stall              // accepts a request and never answers while its connection is open
+	Reset              // accepts a request and drops the connection
+	Malformed          // answers with malformed bytes
+	Busy               // refuses every request without processing it
+	Failing            // answers with a failure
+	Rejecting          // answers that the request is invalid
+	Intermittent       // answers every second request with a failure
 )
 
-// member is what boxes and the origin share: a listener, its connections and the fault.
+// member is the common part of caches and the origin: a listener, its connections and the fault.
 type member struct {
-	ID        string
-	listener  net.Listener
-	mu        sync.Mutex
-	conns     map[net.Conn]struct{}
-	closed    bool
-	fault     Fault
-	service   time.Duration // an answer takes this
-	capacity  int           // requests at once; 0: no bound
-	inHand    int
-	began     int        // requests begun, of whatever end
-	cold      *coldStart // nil: warm
-	last      time.Time  // when the latest one ended
-	deadlines *Deadlines // told of the deadline of each request that has come whole; nil: nobody is
-	quit      chan struct{}
+	ID          string
+	listener    net.Listener
+	mu          sync.Mutex
+	conns       map[net.Conn]struct{}
+	closed      bool
+	fault       Fault
+	serviceTime time.Duration // how long an answer takes
+	capacity    int           // concurrent requests; 0 means unlimited
+	inProgress  int
+	received    int              // requests received, whatever their outcome
+	coldStart   *coldStartState  // nil if warm
+	lastEnded   time.Time        // when the latest request ended
+	deadlines   *DeadlineChecker // receives the deadline of each complete request; may be nil
+	quit        chan struct{}
 }
 
 func (m *member) listen(serve func(net.Conn)) error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	m.listener, m.conns, m.quit = l, map[net.Conn]struct{}{}, make(chan struct{})
-	go AcceptEach(l, func(conn net.Conn) {
+	m.listener, m.conns, m.quit = listener, map[net.Conn]struct{}{}, make(chan struct{})
+	go AcceptEach(listener, func(conn net.Conn) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		if m.closed {
@@ -65,13 +65,13 @@
 			return
 		}
 		m.conns[conn] = struct{}{}
-		go m.serveOne(conn, serve)
+		go m.serveConn(conn, serve)
 	})
 	return nil
 }
 
-// serveOne serves a connection to its end.
-func (m *member) serveOne(conn net.Conn, serve func(net.Conn)) {
+// serveConn serves a connection until it ends.
+func (m *member) serveConn(conn net.Conn, serve func(net.Conn)) {
 	serve(conn)
 	conn.Close()
 	m.mu.Lock()
@@ -79,10 +79,10 @@
 	delete(m.conns, conn)
 }
 
-// Addr is where the member listens.
+// Addr returns the address that the member listens at.
 func (m *member) Addr() string { return m.listener.Addr().String() }
 
-// Close ends the member like a process that dies: its connections are reset.
+// Close ends the member as a crashed process would: its connections are reset.
 func (m *member) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,96 +92,98 @@
 	m.closed = true
 	close(m.quit)
 	m.listener.Close()
-	for c := range m.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+	for conn := range m.conns {
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
 }
 
-// SetFault sets what goes wrong from now on.
+// SetFault sets the fault for later requests.
 func (m *member) SetFault(f Fault) {
 	m.mu.Lock()
 	m.fault = f
 	m.mu.Unlock()
 }
 
-// SetService sets how long an answer takes, and how many requests are worked on at once; 0: no bound.
+// SetService sets how long an answer takes and how many requests are processed concurrently; a capacity of
+// 0 means unlimited.
 func (m *member) SetService(d time.Duration, capacity int) {
 	m.mu.Lock()
-	m.service, m.capacity = d, capacity
+	m.serviceTime, m.capacity = d, capacity
 	m.mu.Unlock()
 }
 
-// Began is how many requests have come whole.
-func (m *member) Began() int {
+// Received returns how many complete requests have been received.
+func (m *member) Received() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.began
+	return m.received
 }
 
-// Last is when the latest request ended, of whatever end.
-func (m *member) Last() time.Time {
+// LastEnded returns when the latest request ended, whatever its outcome.
+func (m *member) LastEnded() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.last
+	return m.lastEnded
 }
 
-// InHand is how many requests are being worked on.
-func (m *member) InHand() int {
+// InProgress returns how many requests are being processed.
+func (m *member) InProgress() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inHand
+	return m.inProgress
 }
 
-// SetDeadlines has the deadlines that the member is told from now on checked.
-func (m *member) SetDeadlines(d *Deadlines) {
+// SetDeadlines sets the checker for the deadlines that the member receives from now on.
+func (m *member) SetDeadlines(d *DeadlineChecker) {
 	m.mu.Lock()
 	m.deadlines = d
 	m.mu.Unlock()
 }
 
-// tell reports the deadline of a request that has come whole.
-func (m *member) tell(id, attrs string) {
+// reportDeadline reports the deadline of a complete request to the checker.
+func (m *member) reportDeadline(id, attrs string) {
 	m.mu.Lock()
 	d := m.deadlines
 	m.mu.Unlock()
 	if d != nil {
-		d.Told(m.ID, id, attrs)
+		d.AttemptReceived(m.ID, id, attrs)
 	}
 }
 
-// begin takes a request in; it tells the fault to play, Busy if there is no room.
-func (m *member) begin() (f Fault, service time.Duration) {
+// beginRequest counts a request as in progress. It returns the fault to simulate, which is Busy at the
+// capacity.
+func (m *member) beginRequest() (fault Fault, serviceTime time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.began++
-	if m.cold != nil && !m.cold.begin() {
-		m.inHand++
+	m.received++
+	if m.coldStart != nil && !m.coldStart.admit() {
+		m.inProgress++
 		return Reset, 0
 	}
-	if f = m.fault; f == Halting {
-		f = Healthy
-		if m.began%2 == 0 {
-			f = Failing
+	if fault = m.fault; fault == Intermittent {
+		fault = Healthy
+		if m.received%2 == 0 {
+			fault = Failing
 		}
 	}
-	if f == Healthy && m.capacity > 0 && m.inHand >= m.capacity {
-		f = Busy
+	if fault == Healthy && m.capacity > 0 && m.inProgress >= m.capacity {
+		fault = Busy
 	}
-	m.inHand++
-	return f, m.service
+	m.inProgress++
+	return fault, m.serviceTime
 }
 
-func (m *member) end() {
+func (m *member) endRequest() {
 	m.mu.Lock()
-	m.inHand--
-	m.last = time.Now()
+	m.inProgress--
+	m.lastEnded = time.Now()
 	m.mu.Unlock()
 }
 
-// stalled waits until nobody can be waiting for an answer any more: the connection has ended, or the member has. What comes meanwhile on
-// the connection stays unread.
-func (m *member) stalled(in *bufio.Reader) {
+// awaitDisconnect waits until the connection or the member has ended, so that no client can still be
+// waiting for an answer. Bytes that arrive on the connection meanwhile stay unread.
+func (m *member) awaitDisconnect(in *bufio.Reader) {
 	for n := in.Buffered() + 1; ; n++ {
 		switch _, err := in.Peek(n); {
 		case errors.Is(err, bufio.ErrBufferFull):
@@ -193,8 +195,8 @@
 	}
 }
 
-// wait takes the service time; false, if the member has ended meanwhile.
-func (m *member) wait(d time.Duration) bool {
+// sleep waits for the service time. It returns false if the member is closed meanwhile.
+func (m *member) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -206,70 +208,72 @@
 	}
 }
 
-// Box is a cache box. It speaks RESP2 as the protocol says, and on the same port HTTP/1.1 for callers that make their
-// exchanges themselves: 200 for a hit, 404 for a miss, 503 with X-Not-Processed for what it turns away.
-type Box struct {
+// Cache simulates a cache node. It speaks RESP2 as the protocol specifies and, on the same port, HTTP/1.1
+// for clients that do their own exchanges: 200 for a hit, 404 for a miss, 503 with X-Not-Processed for a
+// refusal.
+type Cache struct {
 	member
-	Zone  string
-	since time.Time
-	store map[string][]byte
-	// missed tells the fleet which request found nothing here, so that the value is stored once the origin has it.
-	missed func(id string, b *Box)
+	Zone      string
+	startedAt time.Time
+	store     map[string][]byte
+	// onMiss reports the request id of a miss to the fleet, which stores the value here once the origin
+	// has answered.
+	onMiss func(id string, cache *Cache)
 	hits   int
 	misses int
-	onRead func(id string) // told of each read's coming; nil: nobody is
+	onRead func(id string) // called with the id of each read; may be nil
 }
 
-func newBox(id, zone string, missed func(string, *Box)) (*Box, error) {
-	b := &Box{Zone: zone, store: map[string][]byte{}, missed: missed}
-	b.ID = id
-	return b, b.listen(b.serve)
+func newCache(id, zone string, onMiss func(string, *Cache)) (*Cache, error) {
+	cache := &Cache{Zone: zone, store: map[string][]byte{}, onMiss: onMiss}
+	cache.ID = id
+	return cache, cache.listen(cache.serve)
 }
 
 // Put stores a value.
-func (b *Box) Put(key string, value []byte) {
-	b.mu.Lock()
-	b.store[key] = value
-	b.mu.Unlock()
+func (c *Cache) Put(key string, value []byte) {
+	c.mu.Lock()
+	c.store[key] = value
+	c.mu.Unlock()
 }
 
-// Drop forgets everything.
-func (b *Box) Drop() {
-	b.mu.Lock()
-	clear(b.store)
-	b.mu.Unlock()
+// Clear removes all values.
+func (c *Cache) Clear() {
+	c.mu.Lock()
+	clear(c.store)
+	c.mu.Unlock()
 }
 
-// OnRead has f told of the id of each read that comes from now on, before it is worked on.
-func (b *Box) OnRead(f func(id string)) {
-	b.mu.Lock()
-	b.onRead = f
-	b.mu.Unlock()
+// OnRead sets a function that is called with the id of each later read before it is processed.
+func (c *Cache) OnRead(f func(id string)) {
+	c.mu.Lock()
+	c.onRead = f
+	c.mu.Unlock()
 }
 
-// Reads is how many reads found a value, and how many did not.
-func (b *Box) Reads() (hits, misses int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.hits, b.misses
+// Reads returns how many reads were hits and how many were misses.
+func (c *Cache) Reads() (hits, misses int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hits, c.misses
 }
 
-func (b *Box) get(key, id string) (value []byte, ok bool) {
-	b.mu.Lock()
-	value, ok = b.store[key]
+func (c *Cache) lookup(key, id string) (value []byte, ok bool) {
+	c.mu.Lock()
+	value, ok = c.store[key]
 	if ok {
-		b.hits++
+		c.hits++
 	} else {
-		b.misses++
+		c.misses++
 	}
-	b.mu.Unlock()
-	if !ok && b.missed != nil {
-		b.missed(id, b)
+	c.mu.Unlock()
+	if !ok && c.onMiss != nil {
+		c.onMiss(id, c)
 	}
 	return value, ok
 }
 
-func (b *Box) serve(conn net.Conn) {
+func (c *Cache) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
 		first, err := in.Peek(1)
@@ -277,9 +281,9 @@
 			return
 		}
 		if first[0] == '*' {
-			err = b.serveRESP(conn, in)
+			err = c.serveRESP(conn, in)
 		} else {
-			err = b.serveHTTP(conn, in)
+			err = c.serveHTTP(conn, in)
 		}
 		if err != nil {
 			return
@@ -288,22 +292,22 @@
 }
 
 // serveRESP answers one command.
-func (b *Box) serveRESP(conn net.Conn, in *bufio.Reader) error {
-	words, err := readWords(in)
+func (c *Cache) serveRESP(conn net.Conn, in *bufio.Reader) error {
+	args, err := readCommand(in)
 	if err != nil {
 		return err
 	}
 	var out []byte
 	switch {
-	case len(words) >= 1 && string(words[0]) == "PING":
+	case len(args) >= 1 && string(args[0]) == "PING":
 		out = []byte("+PONG\r\n")
-	case len(words) == 2 && string(words[0]) == "INFO":
+	case len(args) == 2 && string(args[0]) == "INFO":
 		out = []byte("-NOPERM\r\n")
-	case len(words) >= 1 && (string(words[0]) == "CLIENT" || string(words[0]) == "SELECT"):
+	case len(args) >= 1 && (string(args[0]) == "CLIENT" || string(args[0]) == "SELECT"):
 		out = []byte("+OK\r\n")
-	case len(words) == 4 && string(words[0]) == "OBJ.GET":
-		b.tell(string(words[2]), string(words[3]))
-		out, err = b.read(in, string(words[1]), string(words[2]))
+	case len(args) == 4 && string(args[0]) == "OBJ.GET":
+		c.reportDeadline(string(args[2]), string(args[3]))
+		out, err = c.handleRead(in, string(args[1]), string(args[2]))
 	default:
 		out = []byte("-ERR unknown command\r\n")
 	}
@@ -314,24 +318,24 @@
 	return err
 }
 
-var errGone = fmt.Errorf("standin: %w", net.ErrClosed)
+var errClosed = fmt.Errorf("standin: %w", net.ErrClosed)
 
-func (b *Box) read(in *bufio.Reader, key, id string) ([]byte, error) {
-	b.mu.Lock()
-	told := b.onRead
-	b.mu.Unlock()
-	if told != nil {
-		told(id)
+func (c *Cache) handleRead(in *bufio.Reader, key, id string) ([]byte, error) {
+	c.mu.Lock()
+	onRead := c.onRead
+	c.mu.Unlock()
+	if onRead != nil {
+		onRead(id)
 	}
-	f, service := b.begin()
-	defer b.end()
-	switch f {
+	fault, serviceTime := c.beginRequest()
+	defer c.endRequest()
+	switch fault {
 	case Stall:
-		b.stalled(in)
-		return nil, errGone
+		c.awaitDisconnect(in)
+		return nil, errClosed
 	case Reset:
-		return nil, errGone
-	case Spoil:
+		return nil, errClosed
+	case Malformed:
 		return []byte("\x8fb2\xf4\r\n"), nil
 	case Busy:
 		return []byte("-BUSY\r\n"), nil
@@ -340,10 +344,10 @@
 	case Rejecting:
 		return []byte("-ERR bad request\r\n"), nil
 	}
-	if !b.wait(service) {
-		return nil, errGone
+	if !c.sleep(serviceTime) {
+		return nil, errClosed
 	}
-	value, ok := b.get(key, id)
+	value, ok := c.lookup(key, id)
 	out := resp.AppendArray(nil, 3)
 	if ok {
 		return append(resp.AppendBulk(resp.AppendBulk(out, value), "hit"), "$-1\r\n"...), nil
@@ -351,25 +355,25 @@
 	return append(resp.AppendBulk(append(out, "$-1\r\n"...), "miss"), "$-1\r\n"...), nil
 }
 
-// readWords reads an array of bulk strings.
-func readWords(in *bufio.Reader) ([][]byte, error) {
+// readCommand reads an array of bulk strings.
+func readCommand(in *bufio.Reader) ([][]byte, error) {
 	var n int
 	if err := readNumber(in, '*', &n); err != nil {
 		return nil, err
 	}
-	words := make([][]byte, 0, n)
+	args := make([][]byte, 0, n)
 	for range n {
 		var size int
 		if err := readNumber(in, '$', &size); err != nil {
 			return nil, err
 		}
-		word := make([]byte, size+2)
-		if _, err := io.ReadFull(in, word); err != nil {
+		arg := make([]byte, size+2)
+		if _, err := io.ReadFull(in, arg); err != nil {
 			return nil, err
 		}
-		words = append(words, word[:size])
+		args = append(args, arg[:size])
 	}
-	return words, nil
+	return args, nil
 }
 
 func readNumber(in *bufio.Reader, kind byte, n *int) error {
@@ -384,7 +388,7 @@
 }
 
 // serveHTTP answers one request.
-func (b *Box) serveHTTP(conn net.Conn, in *bufio.Reader) error {
+func (c *Cache) serveHTTP(conn net.Conn, in *bufio.Reader) error {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return err
@@ -392,15 +396,15 @@
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return err
 	}
-	f, service := b.begin()
-	defer b.end()
-	switch f {
+	fault, serviceTime := c.beginRequest()
+	defer c.endRequest()
+	switch fault {
 	case Stall:
-		b.stalled(in)
-		return errGone
+		c.awaitDisconnect(in)
+		return errClosed
 	case Reset:
-		return errGone
-	case Spoil:
+		return errClosed
+	case Malformed:
 		_, err = io.WriteString(conn, "\x8fb2\xf4\r\n")
 		return err
 	case Busy:
@@ -410,10 +414,10 @@
 	case Rejecting:
 		return writeHTTP(conn, 400, "", nil)
 	}
-	if !b.wait(service) {
-		return errGone
+	if !c.sleep(serviceTime) {
+		return errClosed
 	}
-	if value, ok := b.get(strings.TrimPrefix(r.URL.Path, "/"), r.Header.Get("X-Request-ID")); ok {
+	if value, ok := c.lookup(strings.TrimPrefix(r.URL.Path, "/"), r.Header.Get("X-Request-ID")); ok {
 		return writeHTTP(conn, 200, "X-Cache: hit\r\n", value)
 	}
 	return writeHTTP(conn, 404, "X-Cache: miss\r\n", nil)
--- a/internal/standin/cold.go
+++ b/internal/standin/cold.go
@@ -2,59 +2,60 @@
 
 import "time"
 
-// Cold makes a box start cold: it can do only a part of its work at first, more by and by, and falls over for good when
-// it is sent more than a multiple of what it can for some time.
-type Cold struct {
-	Since    time.Time
-	From     float64       // share of its capacity at the start
-	For      time.Duration // until it is warm
-	Rate     float64       // requests a second that it can do when it is warm
-	Multiple float64       // sent more than this multiple of what it can
-	After    time.Duration // within this, it falls over
-	Now      func() time.Time
+// ColdStart makes a cache start cold: its capacity grows from a share to the whole, and the cache fails
+// for good when it receives more than a multiple of its current capacity for some time.
+type ColdStart struct {
+	StartedAt        time.Time
+	InitialShare     float64       // share of its capacity at the start
+	Duration         time.Duration // until it is warm
+	WarmRate         float64       // requests per second that it can serve once warm
+	OverloadMultiple float64       // the cache fails beyond this multiple of its capacity
+	OverloadWindow   time.Duration // the time over which requests are counted
+	Now              func() time.Time
 }
 
-// coldStart is a Cold at work.
-type coldStart struct {
-	Cold
-	began []time.Time // lately
-	fell  bool
+// coldStartState is the state of a cold start in progress.
+type coldStartState struct {
+	ColdStart
+	recent     []time.Time // requests of the last OverloadWindow
+	overloaded bool
 }
 
-// SetCold makes the box start cold from now on.
-func (b *Box) SetCold(c Cold) {
-	if c.Now == nil {
-		c.Now = time.Now
+// SetColdStart makes the cache start cold from now on.
+func (c *Cache) SetColdStart(config ColdStart) {
+	if config.Now == nil {
+		config.Now = time.Now
 	}
-	b.mu.Lock()
-	b.cold = &coldStart{Cold: c}
-	b.mu.Unlock()
+	c.mu.Lock()
+	c.coldStart = &coldStartState{ColdStart: config}
+	c.mu.Unlock()
 }
 
-// Fell tells whether the box has been pushed over.
-func (b *Box) Fell() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.cold != nil && b.cold.fell
+// Overloaded reports whether the cache has failed from overload.
+func (c *Cache) Overloaded() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.coldStart != nil && c.coldStart.overloaded
 }
 
-// ramp is the share of its capacity that the box has.
-func (c *coldStart) ramp(at time.Time) float64 {
-	age := min(1, max(0, at.Sub(c.Since).Seconds()/c.For.Seconds()))
-	return c.From + (1-c.From)*age
+// capacityShare returns the share of its capacity that the cache has at a time.
+func (c *coldStartState) capacityShare(at time.Time) float64 {
+	age := min(1, max(0, at.Sub(c.StartedAt).Seconds()/c.Duration.Seconds()))
+	return c.InitialShare + (1-c.InitialShare)*age
 }
 
-// begin takes a request in; false, if the box lies on the ground. Capacity in the window is that of its middle, since it
-// grows evenly; one request is slack for where the window begins.
-func (c *coldStart) begin() bool {
+// admit counts a request and returns false once the cache has failed from overload. The capacity in the
+// window is that at its middle, since it grows linearly; one request is allowed as slack for where the
+// window begins.
+func (c *coldStartState) admit() bool {
 	now := c.Now()
-	c.began = append(c.began, now)
-	for len(c.began) > 0 && now.Sub(c.began[0]) >= c.After {
-		c.began = c.began[1:]
+	c.recent = append(c.recent, now)
+	for len(c.recent) > 0 && now.Sub(c.recent[0]) >= c.OverloadWindow {
+		c.recent = c.recent[1:]
 	}
-	able := c.Rate * c.ramp(now.Add(-c.After/2)) * c.After.Seconds()
-	if now.Sub(c.Since) < c.For && float64(len(c.began)) > 1+c.Multiple*able {
-		c.fell = true
+	capacity := c.WarmRate * c.capacityShare(now.Add(-c.OverloadWindow/2)) * c.OverloadWindow.Seconds()
+	if now.Sub(c.StartedAt) < c.Duration && float64(len(c.recent)) > 1+c.OverloadMultiple*capacity {
+		c.overloaded = true
 	}
-	return !c.fell
+	return !c.overloaded
 }
--- a/internal/standin/copies_test.go
+++ b/internal/standin/copies_test.go
@@ -8,28 +8,31 @@
 	"time"
 )
 
-// A read that is given up right after it was written, and repeated at a nearer member, comes there first: the members have two copies of it in
-// hand, though the proxy ended the first before it wrote the second. One that was given up long after it came is no copy any more.
-func TestCopiesCountsAsMembersSeeIt(t *testing.T) {
-	const far = 60 * time.Millisecond
+// Guards against counting attempts at the proxy only. A read that is abandoned right after it was written
+// and retried at a nearer member arrives there first: the members process two copies, though the proxy
+// closed the first connection before it wrote the second attempt. An attempt abandoned after its arrival
+// is no duplicate.
+func TestDuplicatesAreCountedAtMembers(t *testing.T) {
+	const longDelay = 60 * time.Millisecond
 	for name, c := range map[string]struct {
-		first func(conn net.Conn, c *Copies) // what becomes of the first attempt before the second is written
+		// what happens to the first attempt before the second is written
+		first func(conn net.Conn, c *DuplicateChecker)
 		want  int
 	}{
-		"given up at once":          {func(conn net.Conn, _ *Copies) { conn.Close() }, 1},
-		"written, and nothing else": {func(net.Conn, *Copies) {}, 1},
-		"out":                       {func(_ net.Conn, c *Copies) { eventually(func() bool { return c.Came("id") == 1 }) }, 1},
-		"given up once it has come": {func(conn net.Conn, c *Copies) {
-			eventually(func() bool { return c.Came("id") == 1 })
+		"given up at once":          {func(conn net.Conn, _ *DuplicateChecker) { conn.Close() }, 1},
+		"written, and nothing else": {func(net.Conn, *DuplicateChecker) {}, 1},
+		"out":                       {func(_ net.Conn, c *DuplicateChecker) { eventually(func() bool { return c.Delivered("id") == 1 }) }, 1},
+		"given up once it has come": {func(conn net.Conn, c *DuplicateChecker) {
+			eventually(func() bool { return c.Delivered("id") == 1 })
 			conn.Close()
-			eventually(func() bool { return c.Ended("id") == 1 })
+			eventually(func() bool { return c.Closed("id") == 1 })
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			copies := NewCopies()
-			write := func(delay time.Duration) net.Conn {
-				r, err := NewRelay("member", silent(t), false, delay, delay, copies)
+			checker := NewDuplicateChecker()
+			sendAttempt := func(delay time.Duration) net.Conn {
+				r, err := NewRelay("member", startSilentMember(t), false, delay, delay, checker)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -42,88 +45,94 @@
 				conn.Write([]byte("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$5\r\nd=100\r\n"))
 				return conn
 			}
-			c.first(write(far), copies)
-			write(0)
-			if !eventually(func() bool { return copies.Came("id") == 2 }) {
+			c.first(sendAttempt(longDelay), checker)
+			sendAttempt(0)
+			if !eventually(func() bool { return checker.Delivered("id") == 2 }) {
 				t.Fatal("the attempts never came")
 			}
-			if got := copies.Violations(); len(got) != c.want {
+			if got := checker.Violations(); len(got) != c.want {
 				t.Errorf("%d second copies, want %d: %s", len(got), c.want, strings.Join(got, "\n"))
 			}
 		})
 	}
 }
 
-// What happens, on a busy machine: whoever carries an attempt to its member is late to say that it has come, and its answer has passed by then. It had
-// come before it was answered: what came after that was no copy. Seen beside three runs of all tests: "a second copy at s-2 (written at 836.9 ms, came
-// at 873.6 ms, answered at 840.8 ms), while one is out at origin (written at 845.8 ms, came at 873.6 ms)".
-func TestCopiesCountsWhatIsToldLate(t *testing.T) {
-	answered := func(c *Copies, a *copyAttempt) { c.replied(a) }
-	given := func(c *Copies, a *copyAttempt) { c.giving("id", a) }
-	givenAndEnded := func(c *Copies, a *copyAttempt) { c.giving("id", a); c.closed([]*copyAttempt{a}) }
-	nothing := func(*Copies, *copyAttempt) {}
-	overAt := func(c *Copies, a *copyAttempt) {
-		c.arrived("id", a)
-		a.over = func() bool { return true }
+// Guards against false duplicates on a busy machine: the goroutine that forwards an attempt may report its
+// arrival only after its answer has passed. The attempt arrived before it was answered, so attempts that
+// arrive after the answer are no duplicates. A run of all tests beside three others reported one at s-2
+// (written at 836.9 ms, came at 873.6 ms, answered at 840.8 ms) while one was outstanding at the origin
+// (written at 845.8 ms, came at 873.6 ms).
+func TestDuplicatesWithDelayedReports(t *testing.T) {
+	answered := func(c *DuplicateChecker, a *trackedAttempt) { c.recordAnswer(a) }
+	forwarded := func(c *DuplicateChecker, a *trackedAttempt) { c.recordForwarding("id", a) }
+	forwardedAndClosed := func(c *DuplicateChecker, a *trackedAttempt) {
+		c.recordForwarding("id", a)
+		c.recordClose([]*trackedAttempt{a})
+	}
+	nothing := func(*DuplicateChecker, *trackedAttempt) {}
+	closedUnreported := func(c *DuplicateChecker, a *trackedAttempt) {
+		c.recordArrival("id", a)
+		a.peerClosed = func() bool { return true }
 	}
 	for name, c := range map[string]struct {
-		before, after func(*Copies, *copyAttempt) // the next one comes
+		before, after func(*DuplicateChecker, *trackedAttempt) // relative to the arrival of the second attempt
 		want          int
 	}{
 		"answered before the next one came":                  {answered, nothing, 0},
 		"answered while the next one was out":                {nothing, answered, 1},
-		"written to its member and ended before that":        {givenAndEnded, nothing, 0},
-		"ended before that, which nobody has reported yet":   {overAt, nothing, 0},
-		"written to its member before that":                  {given, nothing, 1},
-		"written to its member and ended after the next one": {nothing, givenAndEnded, 1},
+		"written to its member and ended before that":        {forwardedAndClosed, nothing, 0},
+		"ended before that, which nobody has reported yet":   {closedUnreported, nothing, 0},
+		"written to its member before that":                  {forwarded, nothing, 1},
+		"written to its member and ended after the next one": {nothing, forwardedAndClosed, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			copies := NewCopies()
-			first := copies.wrote("a", "id", nil)
-			time.Sleep(time.Millisecond) // what is told has times of its own
-			c.before(copies, first)
+			checker := NewDuplicateChecker()
+			first := checker.recordWrite("a", "id", nil)
+			time.Sleep(time.Millisecond) // so that the events have distinct times
+			c.before(checker, first)
 			time.Sleep(time.Millisecond)
-			second := copies.wrote("b", "id", nil)
-			copies.giving("id", second)
-			if first.over != nil { // now it is reported
-				copies.closed([]*copyAttempt{first})
+			second := checker.recordWrite("b", "id", nil)
+			checker.recordForwarding("id", second)
+			if first.peerClosed != nil { // the delayed report
+				checker.recordClose([]*trackedAttempt{first})
 			}
 			time.Sleep(time.Millisecond)
-			copies.arrived("id", second)
+			checker.recordArrival("id", second)
 			time.Sleep(time.Millisecond)
-			c.after(copies, first)
-			if first.came == 0 {
-				copies.arrived("id", first)
+			c.after(checker, first)
+			if first.arrivedAt == 0 {
+				checker.recordArrival("id", first)
 			}
-			if got := copies.Violations(); len(got) != c.want {
+			if got := checker.Violations(); len(got) != c.want {
 				t.Errorf("%d second copies, want %d: %s", len(got), c.want, strings.Join(got, "\n"))
 			}
-			if all, further := copies.Attempts(); all != 2 || further != 1 {
+			if all, further := checker.Attempts(); all != 2 || further != 1 {
 				t.Errorf("%d attempts, %d of them further ones, want 2 and 1", all, further)
 			}
 		})
 	}
 }
 
-// What a link has held for longer than any proxy could wait is no fault of the proxy's; what it has held for less stays one.
-func TestCopiesCountsNotWhatWasHeldTooLong(t *testing.T) {
+// An attempt that a link has held for longer than any proxy could wait is not the proxy's fault; one held
+// for a shorter time still is.
+func TestDuplicatesIgnoreLongTransit(t *testing.T) {
 	const held = 30 * time.Millisecond
-	for most, want := range map[time.Duration]int{0: 1, time.Hour: 1, held / 2: 0} {
-		copies := NewCopies()
-		copies.HeldMost = most
-		first := copies.wrote("a", "id", nil)
-		copies.closed([]*copyAttempt{first})
-		copies.arrived("id", copies.wrote("b", "id", nil))
-		time.Sleep(held) // the link holds the first
-		copies.arrived("id", first)
-		if got := copies.Violations(); len(got) != want {
-			t.Errorf("at most %v: %d second copies, want %d: %v", most, len(got), want, got)
+	for maxInTransit, want := range map[time.Duration]int{0: 1, time.Hour: 1, held / 2: 0} {
+		checker := NewDuplicateChecker()
+		checker.MaxInTransit = maxInTransit
+		first := checker.recordWrite("a", "id", nil)
+		checker.recordClose([]*trackedAttempt{first})
+		checker.recordArrival("id", checker.recordWrite("b", "id", nil))
+		time.Sleep(held) // the link holds the first attempt
+		checker.recordArrival("id", first)
+		if got := checker.Violations(); len(got) != want {
+			t.Errorf("at most %v: %d second copies, want %d: %v", maxInTransit, len(got), want, got)
 		}
 	}
 }
 
-// silent is a member that reads everything and answers nothing.
-func silent(t *testing.T) (addr string) {
+// startSilentMember starts a member that reads everything and answers nothing.
+func startSilentMember(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,7 +154,7 @@
 	return listener.Addr().String()
 }
 
-// eventually waits until ok holds; false: it never did.
+// eventually waits until ok returns true. It returns false on timeout.
 func eventually(ok func() bool) bool {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
--- a/internal/standin/deadlines.go
+++ b/internal/standin/deadlines.go
@@ -8,87 +8,92 @@
 	"time"
 )
 
-// DeadlineSlack is by how much the deadline that a server is told may exceed what the client has left.
+// DeadlineSlack is how much the deadline that a server receives may exceed the time that the client has
+// left.
 const DeadlineSlack = 150 * time.Millisecond
 
-// Deadlines checks that no server is told a longer deadline than its client has left. Clients report what they send, servers what they are
-// told, and both may do so from any goroutine. The verdict is formed at the end, by Violations, so that the order of the reports does not matter.
-type Deadlines struct {
-	// Now is the time on the clock by which clients wait; nil: the system's, since the first report.
+// DeadlineChecker checks that no server receives a longer deadline than its client has left. Clients
+// report what they send and servers what they receive, from any goroutine. Violations evaluates the
+// reports at the end, so that their order does not matter.
+type DeadlineChecker struct {
+	// Now returns the time on the clocks of the clients; if nil, the system clock since the first report
+	// is used.
 	Now func() time.Duration
-	// Slack is allowed instead of DeadlineSlack, where the servers' own clocks are late as well; 0: DeadlineSlack.
+	// Slack replaces DeadlineSlack if it is not 0, for servers whose own clocks are delayed as well.
 	Slack time.Duration
 
-	// Prefix begins the ids of the clients' requests. Others are somebody else's, and not looked at.
-	Prefix string
+	// IDPrefix is the prefix of the clients' request ids. Requests with other ids belong to other clients
+	// and are ignored.
+	IDPrefix string
 
-	mu       sync.Mutex
-	started  time.Time
-	requests map[string]clientWait
-	counts   map[string]int // attempts, by request
-	attempts []attemptTold
+	mu        sync.Mutex
+	startedAt time.Time
+	requests  map[string]clientWait
+	counts    map[string]int // attempts by request id
+	attempts  []receivedAttempt
 }
 
-// clientWait is until when a client waits.
+// clientWait is how long a client waits for its request.
 type clientWait struct {
-	until time.Duration
-	again bool // the client marked it as a retry of its own
+	expiresAt time.Duration
+	isRetry   bool // the client marked the request as a retry
 }
 
-// attemptTold is what a server was told of an attempt, once its last byte had come.
-type attemptTold struct {
-	server, id string
-	told, at   time.Duration
-	number     int // of the attempts of its request, from 1
+// receivedAttempt is an attempt as a server received it, recorded at its last byte.
+type receivedAttempt struct {
+	server, id           string
+	deadline, receivedAt time.Duration
+	number               int // of the attempts of its request, from 1
 }
 
-// now is the time of a report.
-func (d *Deadlines) now() time.Duration {
+// now returns the time of a report.
+func (d *DeadlineChecker) now() time.Duration {
 	if d.Now != nil {
 		return d.Now()
 	}
-	if d.started.IsZero() {
-		d.started = time.Now()
+	if d.startedAt.IsZero() {
+		d.startedAt = time.Now()
 	}
-	return time.Since(d.started)
+	return time.Since(d.startedAt)
 }
 
-// Sent reports that a client has written the last byte of a request, with its list of names and values as it stands in the command. It may be
-// called again for the same request, if the bytes went out later than was thought.
-func (d *Deadlines) Sent(id, attrs string) {
+// RequestSent reports that a client has written the last byte of a request, with the attributes of its
+// command. It may be called again for the same request if the bytes were sent later than assumed.
+func (d *DeadlineChecker) RequestSent(id, attrs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	wait, _ := waitIn(attrs)
+	timeout, _ := parseDeadline(attrs)
 	if d.requests == nil {
 		d.requests = map[string]clientWait{}
 	}
-	d.requests[id] = clientWait{until: d.now() + wait, again: strings.Contains(","+attrs+",", ",r=1,")}
+	d.requests[id] = clientWait{expiresAt: d.now() + timeout, isRetry: strings.Contains(","+attrs+",", ",r=1,")}
 }
 
-// Told reports that the last byte of an attempt has come at a server, with its list of names and values.
-func (d *Deadlines) Told(server, id, attrs string) {
+// AttemptReceived reports that the last byte of an attempt has arrived at a server, with the attributes of
+// its command.
+func (d *DeadlineChecker) AttemptReceived(server, id, attrs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	told, ok := waitIn(attrs)
-	if !ok || !strings.HasPrefix(id, d.Prefix) {
+	deadline, ok := parseDeadline(attrs)
+	if !ok || !strings.HasPrefix(id, d.IDPrefix) {
 		return
 	}
 	if d.counts == nil {
 		d.counts = map[string]int{}
 	}
 	d.counts[id]++
-	d.attempts = append(d.attempts, attemptTold{server, id, told, d.now(), d.counts[id]})
+	d.attempts = append(d.attempts, receivedAttempt{server, id, deadline, d.now(), d.counts[id]})
 }
 
-// Came is how many attempts of a request servers were told of.
-func (d *Deadlines) Came(id string) int {
+// AttemptCount returns how many attempts of a request servers have received.
+func (d *DeadlineChecker) AttemptCount(id string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.counts[id]
 }
 
-// Attempts counts the first attempts and the further ones that servers were told of.
-func (d *Deadlines) Attempts() (first, further int) {
+// Attempts counts the first attempts and the further attempts that servers have received.
+func (d *DeadlineChecker) Attempts() (first, further int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.attempts {
@@ -101,9 +106,9 @@
 	return first, further
 }
 
-// Violations describes the attempts whose server was told of more than the client had left. A read of several keys at once is known to its
-// servers by the client's id, a slash and a number.
-func (d *Deadlines) Violations() (all []string) {
+// Violations describes the attempts whose server received a longer deadline than the client had left.
+// Servers receive the parts of a multi-key read under the client's id followed by a slash and a number.
+func (d *DeadlineChecker) Violations() (violations []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	slack := d.Slack
@@ -111,31 +116,31 @@
 		slack = DeadlineSlack
 	}
 	for _, a := range d.attempts {
-		r, ok := d.requests[a.id]
+		request, ok := d.requests[a.id]
 		if whole, _, many := strings.Cut(a.id, "/"); !ok && many {
-			r, ok = d.requests[whole]
+			request, ok = d.requests[whole]
 		}
 		if !ok {
-			all = append(all, fmt.Sprintf("%s: request %s: no client has sent it", a.server, a.id))
+			violations = append(violations, fmt.Sprintf("%s: request %s: no client has sent it", a.server, a.id))
 			continue
 		}
-		left := r.until - a.at
-		if a.told <= left+slack { // also where nothing is left any more: such an attempt should not have begun
+		left := request.expiresAt - a.receivedAt
+		if a.deadline <= left+slack { // also if nothing is left, as such an attempt must not begin
 			continue
 		}
-		of := "request"
-		if r.again {
-			of = "client's retry"
+		kind := "request"
+		if request.isRetry {
+			kind = "client's retry"
 		}
-		all = append(all, fmt.Sprintf("%s: attempt %d of %s %s: told %v, and its client has %v left", a.server, a.number, of, a.id, a.told, left))
+		violations = append(violations, fmt.Sprintf("%s: attempt %d of %s %s: received deadline %v, and its client has %v left", a.server, a.number, kind, a.id, a.deadline, left))
 	}
-	return all
+	return violations
 }
 
-// waitIn is the deadline in a list of names and values.
-func waitIn(attrs string) (wait time.Duration, ok bool) {
+// parseDeadline returns the deadline among the attributes of a command.
+func parseDeadline(attrs string) (deadline time.Duration, ok bool) {
 	for item := range strings.SplitSeq(attrs, ",") {
-		if text, is := strings.CutPrefix(item, "d="); is {
+		if text, found := strings.CutPrefix(item, "d="); found {
 			ms, err := strconv.ParseFloat(text, 64)
 			return time.Duration(ms * float64(time.Millisecond)), err == nil
 		}
--- a/internal/standin/door.go
+++ b/internal/standin/door.go
@@ -8,64 +8,66 @@
 	"golang.org/x/sys/unix"
 )
 
-// Door is an address at which connections don't come up until somebody accepts them: what dials it waits, as before a machine whose line
-// is full. From then on they come up when their kernel tries again, which is a second later, or more, the longer they have waited.
-type Door struct {
+// FullListener is a listener with a full accept queue: connections to it are not established until Accept
+// is called, as with an overloaded machine. They are then established when their kernel retransmits, which
+// takes a second or more, depending on how long they have waited.
+type FullListener struct {
 	net.Listener
-	held net.Conn // takes the only place
+	blocker net.Conn // occupies the only place in the accept queue
 }
 
-// NewDoor makes a Door that is shut.
-func NewDoor() (*Door, error) {
+// NewFullListener returns a listener that establishes no connections yet.
+func NewFullListener() (*FullListener, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("standin: door: %w", err)
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
-	f := os.NewFile(uintptr(fd), "door")
-	defer f.Close()
+	file := os.NewFile(uintptr(fd), "door")
+	defer file.Close()
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		return nil, fmt.Errorf("standin: door: %w", err)
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
-	if err := unix.Listen(fd, 0); err != nil { // room for one
-		return nil, fmt.Errorf("standin: door: %w", err)
+	if err := unix.Listen(fd, 0); err != nil { // an accept queue of one connection
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
-	d := &Door{}
-	if d.Listener, err = net.FileListener(f); err != nil {
-		return nil, fmt.Errorf("standin: door: %w", err)
+	listener := &FullListener{}
+	if listener.Listener, err = net.FileListener(file); err != nil {
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
-	if d.held, err = net.Dial("tcp", d.Addr().String()); err != nil {
-		d.Close()
-		return nil, fmt.Errorf("standin: door: %w", err)
+	if listener.blocker, err = net.Dial("tcp", listener.Addr().String()); err != nil {
+		listener.Close()
+		return nil, fmt.Errorf("standin: full listener: %w", err)
 	}
-	return d, nil
+	return listener, nil
 }
 
-// Accept opens the door, and has the connections that come up.
-func (d *Door) Accept() (net.Conn, error) {
+// Accept frees the accept queue and returns the next established connection.
+func (l *FullListener) Accept() (net.Conn, error) {
 	for {
-		c, err := d.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if c.RemoteAddr().String() != d.held.LocalAddr().String() {
-			return c, nil
+		if conn.RemoteAddr().String() != l.blocker.LocalAddr().String() {
+			return conn, nil
 		}
-		c.Close()
-		d.held.Close()
+		conn.Close()
+		l.blocker.Close()
 	}
 }
 
-// Serve opens the door and has each connection that comes up served, until the door is closed. It returns at once.
-func (d *Door) Serve(serve func(net.Conn)) {
+// Serve frees the accept queue and serves each established connection until the listener is closed. It
+// returns at once.
+func (l *FullListener) Serve(serve func(net.Conn)) {
 	go func() {
 		for {
-			c, err := d.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				serve(c)
+				defer conn.Close()
+				serve(conn)
 			}()
 		}
 	}()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -13,7 +13,7 @@
 	"linenloom/internal/discovery"
 )
 
-// Registry is discovery: the list, and watches on it.
+// Registry simulates discovery: it serves the member list and watches on it.
 type Registry struct {
 	server   *http.Server
 	listener net.Listener
@@ -26,34 +26,35 @@
 }
 
 func newRegistry() (*Registry, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Registry{listener: l, revision: 1, watches: map[chan discovery.List]struct{}{}, quit: make(chan struct{})}
-	r.server = &http.Server{Handler: r.as(func(m discovery.Member) discovery.Member { return m })}
-	go r.server.Serve(l)
-	return r, nil
+	registry := &Registry{listener: listener, revision: 1, watches: map[chan discovery.List]struct{}{}, quit: make(chan struct{})}
+	registry.server = &http.Server{Handler: registry.handler(func(m discovery.Member) discovery.Member { return m })}
+	go registry.server.Serve(listener)
+	return registry, nil
 }
 
-// View listens for a proxy that is to see members in its own way: the address of each may differ from one proxy to the next.
-func (r *Registry) View(see func(discovery.Member) discovery.Member) (addr string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// ListenView starts a listener for one proxy, which sees each member as view returns it. The address of a
+// member may thus differ between proxies.
+func (r *Registry) ListenView(view func(discovery.Member) discovery.Member) (addr string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: r.as(see)}
+	server := &http.Server{Handler: r.handler(view)}
 	r.mu.Lock()
-	r.views = append(r.views, s)
+	r.views = append(r.views, server)
 	r.mu.Unlock()
-	go s.Serve(l)
-	return l.Addr().String(), nil
+	go server.Serve(listener)
+	return listener.Addr().String(), nil
 }
 
-// Addr is where discovery listens.
+// Addr returns the address that discovery listens at.
 func (r *Registry) Addr() string { return r.listener.Addr().String() }
 
-// Close ends discovery; watches end with it.
+// Close stops discovery and all watches.
 func (r *Registry) Close() {
 	close(r.quit)
 	r.server.Close()
@@ -64,19 +65,19 @@
 	}
 }
 
-// List is the whole list.
+// List returns the complete member list.
 func (r *Registry) List() discovery.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return discovery.List{Revision: r.revision, Complete: true, Members: slices.Clone(r.members)}
 }
 
-// Tell changes or adds a member and tells every watch.
-func (r *Registry) Tell(m discovery.Member) {
+// Update adds, changes or removes a member and notifies all watches.
+func (r *Registry) Update(m discovery.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
-	i := slices.IndexFunc(r.members, func(o discovery.Member) bool { return o.ID == m.ID })
+	i := slices.IndexFunc(r.members, func(other discovery.Member) bool { return other.ID == m.ID })
 	switch {
 	case m.Phase == discovery.PhaseTerminated && i >= 0:
 		r.members = slices.Delete(r.members, i, i+1)
@@ -85,133 +86,134 @@
 	case m.Phase != discovery.PhaseTerminated:
 		r.members = append(r.members, m)
 	}
-	for c := range r.watches {
+	for updates := range r.watches {
 		select {
-		case c <- discovery.List{Revision: r.revision, Members: []discovery.Member{m}}:
-		default: // a watch that does not read: it ends, and asks anew
-			close(c)
-			delete(r.watches, c)
+		case updates <- discovery.List{Revision: r.revision, Members: []discovery.Member{m}}:
+		default: // the watch does not read: it ends, and its client has to reconnect
+			close(updates)
+			delete(r.watches, updates)
 		}
 	}
 }
 
-func (r *Registry) as(see func(discovery.Member) discovery.Member) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.serve(w, q, func(l discovery.List) {
-			seen := discovery.List{Revision: l.Revision, Complete: l.Complete}
+func (r *Registry) handler(view func(discovery.Member) discovery.Member) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		r.serve(w, request, func(l discovery.List) {
+			visible := discovery.List{Revision: l.Revision, Complete: l.Complete}
 			for _, m := range l.Members {
-				seen.Members = append(seen.Members, see(m))
+				visible.Members = append(visible.Members, view(m))
 			}
-			json.NewEncoder(w).Encode(seen)
+			json.NewEncoder(w).Encode(visible)
 		})
 	})
 }
 
-func (r *Registry) serve(w http.ResponseWriter, q *http.Request, tell func(discovery.List)) {
-	if q.URL.Query().Get("watch") == "" {
-		tell(r.List())
+func (r *Registry) serve(w http.ResponseWriter, request *http.Request, send func(discovery.List)) {
+	if request.URL.Query().Get("watch") == "" {
+		send(r.List())
 		return
 	}
-	c := make(chan discovery.List, 1024)
+	updates := make(chan discovery.List, 1024)
 	r.mu.Lock()
-	r.watches[c] = struct{}{}
+	r.watches[updates] = struct{}{}
 	first := discovery.List{Revision: r.revision, Complete: true, Members: slices.Clone(r.members)}
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		delete(r.watches, c)
+		delete(r.watches, updates)
 		r.mu.Unlock()
 	}()
-	tell(first)
+	send(first)
 	for {
 		w.(http.Flusher).Flush()
 		select {
-		case l, ok := <-c:
+		case l, ok := <-updates:
 			if !ok {
 				return
 			}
-			tell(l)
-		case <-time.After(beat):
+			send(l)
+		case <-time.After(heartbeatInterval):
 			io.WriteString(w, "\n")
 		case <-r.quit:
 			return
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-// Zone is the one zone of a Fleet, and Kinds are its kinds of machine.
+// Zone is the zone of a single-zone Fleet.
 const Zone = "lab"
 
 // Kinds are the kinds of machine of a Fleet, in the order of its settings.
 var Kinds = []string{"box", "origin"}
 
-// Fleet is boxes, an origin and discovery that belong together.
+// Fleet is a set of caches with their origin and discovery.
 type Fleet struct {
-	Boxes    []*Box
-	Origin   *Origin
-	Registry *Registry
-	Tenants  []any          // of its settings; none, unless set before Config
-	Zones    []string       // of its settings; the one, unless it was made with several
-	Set      map[string]any // further settings, in place of the usual
-	value    func(key string) []byte
-	mu       sync.Mutex
-	missed   map[string][]*Box // by request id, until the origin has answered
-	order    []string          // of missed, the oldest first
+	Caches    []*Cache
+	Origin    *Origin
+	Registry  *Registry
+	Tenants   []any          // of its settings; empty unless set before Config
+	Zones     []string       // of its settings; nil for the single zone
+	Overrides map[string]any // replaces fields of the default settings
+	makeValue func(key string) []byte
+	mu        sync.Mutex
+	missedAt  map[string][]*Cache // caches that missed, by request id, until the origin has answered
+	missOrder []string            // keys of missedAt, oldest first
 }
 
-// mostMissed bounds the requests whose misses are remembered.
-const mostMissed = 4096
+// maxTrackedMisses bounds the requests whose misses are remembered.
+const maxTrackedMisses = 4096
 
-// NewFleet starts a fleet of so many boxes, all empty and warm. Values have size bytes.
-func NewFleet(boxes, size int) (*Fleet, error) {
-	f := &Fleet{missed: map[string][]*Box{}, value: func(key string) []byte { return Value(key, size) }}
+// NewFleet starts a fleet with the given number of caches, all empty and warm. Values have size bytes.
+func NewFleet(caches, size int) (*Fleet, error) {
+	fleet := &Fleet{missedAt: map[string][]*Cache{}, makeValue: func(key string) []byte { return Value(key, size) }}
 	var err error
-	if f.Registry, err = newRegistry(); err != nil {
+	if fleet.Registry, err = newRegistry(); err != nil {
 		return nil, err
 	}
-	if f.Origin, err = newOrigin("o-1", f.value, f.fetched); err != nil {
+	if fleet.Origin, err = newOrigin("o-1", fleet.makeValue, fleet.storeFetched); err != nil {
 		return nil, err
 	}
-	f.Registry.Tell(f.entry("o-1", f.Origin.Addr(), "origin", Zone, time.Time{}))
-	for i := range boxes {
-		if _, err := f.Add(fmt.Sprintf("s-%d", i+1), time.Time{}); err != nil {
+	fleet.Registry.Update(fleet.discoveryEntry("o-1", fleet.Origin.Addr(), "origin", Zone, time.Time{}))
+	for i := range caches {
+		if _, err := fleet.AddCache(fmt.Sprintf("s-%d", i+1), time.Time{}); err != nil {
 			return nil, err
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// NewZonedFleet starts a fleet of so many boxes in each of several zones; the origin is in the first.
-func NewZonedFleet(zones []string, boxes, size int) (*Fleet, error) {
-	f, err := NewFleet(0, size)
+// NewZonedFleet starts a fleet with the given number of caches in each of several zones. The origin is in
+// the first zone.
+func NewZonedFleet(zones []string, caches, size int) (*Fleet, error) {
+	fleet, err := NewFleet(0, size)
 	if err != nil {
 		return nil, err
 	}
-	f.Zones = zones
-	f.Registry.Tell(f.entry("o-1", f.Origin.Addr(), "origin", zones[0], time.Time{}))
+	fleet.Zones = zones
+	fleet.Registry.Update(fleet.discoveryEntry("o-1", fleet.Origin.Addr(), "origin", zones[0], time.Time{}))
 	for _, zone := range zones {
-		for i := range boxes {
-			if _, err := f.AddIn(zone, fmt.Sprintf("%s-%d", zone, i+1), time.Time{}); err != nil {
+		for i := range caches {
+			if _, err := fleet.AddCacheIn(zone, fmt.Sprintf("%s-%d", zone, i+1), time.Time{}); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// In is the boxes of a zone.
-func (f *Fleet) In(zone string) (boxes []*Box) {
-	for _, b := range f.Boxes {
-		if b.Zone == zone {
-			boxes = append(boxes, b)
+// CachesIn returns the caches of a zone.
+func (f *Fleet) CachesIn(zone string) (caches []*Cache) {
+	for _, cache := range f.Caches {
+		if cache.Zone == zone {
+			caches = append(caches, cache)
 		}
 	}
-	return boxes
+	return caches
 }
 
-// Value is the value of a key: its name and as much filling as it takes.
+// Value returns the value of a key: its name, padded to the size.
 func Value(key string, size int) []byte {
 	v := append(make([]byte, 0, size), "value of "+key+" "...)
 	for len(v) < size {
@@ -220,7 +222,7 @@
 	return v
 }
 
-func (f *Fleet) entry(id, addr, kind, zone string, since time.Time) discovery.Member {
+func (f *Fleet) discoveryEntry(id, addr, kind, zone string, since time.Time) discovery.Member {
 	m := discovery.Member{ID: id, HostPort: addr, Locality: zone, Flavor: kind, Phase: discovery.PhaseInService, Size: 1}
 	if !since.IsZero() {
 		m.UpSinceMS = float64(since.UnixMilli())
@@ -228,51 +230,53 @@
 	return m
 }
 
-// Add starts a box and tells discovery; since is when it started, zero for long ago.
-func (f *Fleet) Add(id string, since time.Time) (*Box, error) { return f.AddIn(Zone, id, since) }
+// AddCache starts a cache and registers it with discovery. since is when it started, zero for long ago.
+func (f *Fleet) AddCache(id string, since time.Time) (*Cache, error) {
+	return f.AddCacheIn(Zone, id, since)
+}
 
-// AddIn is Add for a box in a zone.
-func (f *Fleet) AddIn(zone, id string, since time.Time) (*Box, error) {
-	b, err := newBox(id, zone, f.miss)
+// AddCacheIn is AddCache for a cache in a given zone.
+func (f *Fleet) AddCacheIn(zone, id string, since time.Time) (*Cache, error) {
+	cache, err := newCache(id, zone, f.recordMiss)
 	if err != nil {
 		return nil, err
 	}
-	b.since = since
-	f.Boxes = append(f.Boxes, b)
-	f.Registry.Tell(f.entry(id, b.Addr(), "box", zone, since))
-	return b, nil
+	cache.startedAt = since
+	f.Caches = append(f.Caches, cache)
+	f.Registry.Update(f.discoveryEntry(id, cache.Addr(), "box", zone, since))
+	return cache, nil
 }
 
-// Drain tells discovery that a box wants nothing new.
-func (f *Fleet) Drain(b *Box) {
-	m := f.entry(b.ID, b.Addr(), "box", b.Zone, b.since)
+// Drain marks a cache as draining in discovery.
+func (f *Fleet) Drain(cache *Cache) {
+	m := f.discoveryEntry(cache.ID, cache.Addr(), "box", cache.Zone, cache.startedAt)
 	m.Phase = discovery.PhaseTerminating
-	f.Registry.Tell(m)
+	f.Registry.Update(m)
 }
 
-// Remove tells discovery that a box has gone, and ends it.
-func (f *Fleet) Remove(b *Box) {
-	m := f.entry(b.ID, b.Addr(), "box", b.Zone, b.since)
+// Remove removes a cache from discovery and closes it.
+func (f *Fleet) Remove(cache *Cache) {
+	m := f.discoveryEntry(cache.ID, cache.Addr(), "box", cache.Zone, cache.startedAt)
 	m.Phase = discovery.PhaseTerminated
-	f.Registry.Tell(m)
-	b.Close()
+	f.Registry.Update(m)
+	cache.Close()
 }
 
-// Fill stores the values of keys on every box.
+// Fill stores the values of keys in every cache.
 func (f *Fleet) Fill(keys ...string) {
 	for _, k := range keys {
-		v := f.value(k)
-		for _, b := range f.Boxes {
-			b.Put(k, v)
+		v := f.makeValue(k)
+		for _, cache := range f.Caches {
+			cache.Put(k, v)
 		}
 	}
 }
 
-// RemoveOrigin tells discovery that the origin has gone. It goes on answering what it has.
+// RemoveOrigin removes the origin from discovery. The origin goes on answering the requests that it has.
 func (f *Fleet) RemoveOrigin() {
-	m := f.entry(f.Origin.ID, f.Origin.Addr(), "origin", f.originZone(), time.Time{})
+	m := f.discoveryEntry(f.Origin.ID, f.Origin.Addr(), "origin", f.originZone(), time.Time{})
 	m.Phase = discovery.PhaseTerminated
-	f.Registry.Tell(m)
+	f.Registry.Update(m)
 }
 
 func (f *Fleet) originZone() string {
@@ -282,69 +286,69 @@
 	return Zone
 }
 
-// SetDeadlines has the deadlines that the members are told from now on checked.
-func (f *Fleet) SetDeadlines(d *Deadlines) {
+// SetDeadlines sets the checker for the deadlines that the members receive from now on.
+func (f *Fleet) SetDeadlines(d *DeadlineChecker) {
 	f.Origin.SetDeadlines(d)
-	for _, b := range f.Boxes {
-		b.SetDeadlines(d)
+	for _, cache := range f.Caches {
+		cache.SetDeadlines(d)
 	}
 }
 
-// Last is when a member last ended a request, whatever its end.
-func (f *Fleet) Last() time.Time {
-	last := f.Origin.Last()
-	for _, b := range f.Boxes {
-		if at := b.Last(); at.After(last) {
+// LastEnded returns when a member last ended a request, whatever its outcome.
+func (f *Fleet) LastEnded() time.Time {
+	last := f.Origin.LastEnded()
+	for _, cache := range f.Caches {
+		if at := cache.LastEnded(); at.After(last) {
 			last = at
 		}
 	}
 	return last
 }
 
-// Close ends all of it.
+// Close closes discovery and all members.
 func (f *Fleet) Close() {
 	f.Registry.Close()
 	f.Origin.Close()
-	for _, b := range f.Boxes {
-		b.Close()
+	for _, cache := range f.Caches {
+		cache.Close()
 	}
 }
 
-func (f *Fleet) miss(id string, b *Box) {
+func (f *Fleet) recordMiss(id string, cache *Cache) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.missed[id] == nil {
-		f.order = append(f.order, id)
+	if f.missedAt[id] == nil {
+		f.missOrder = append(f.missOrder, id)
 	}
-	f.missed[id] = append(f.missed[id], b)
-	for len(f.order) > mostMissed {
-		delete(f.missed, f.order[0])
-		f.order = f.order[1:]
+	f.missedAt[id] = append(f.missedAt[id], cache)
+	for len(f.missOrder) > maxTrackedMisses {
+		delete(f.missedAt, f.missOrder[0])
+		f.missOrder = f.missOrder[1:]
 	}
 }
 
-func (f *Fleet) fetched(id, key string, value []byte) {
+func (f *Fleet) storeFetched(id, key string, value []byte) {
 	f.mu.Lock()
-	boxes := f.missed[id]
-	delete(f.missed, id)
+	caches := f.missedAt[id]
+	delete(f.missedAt, id)
 	f.mu.Unlock()
-	for _, b := range boxes {
-		b.Put(key, value)
+	for _, cache := range caches {
+		cache.Put(key, value)
 	}
 }
 
-// ReadAim is the aim of the reads in a fleet's settings.
-const ReadAim = 800 * time.Millisecond
+// ReadSoftDeadline is the soft deadline of reads in the settings of a fleet.
+const ReadSoftDeadline = 800 * time.Millisecond
 
-// Settings are a platform's settings for a fleet, as its configuration has them.
+// Settings returns the platform's settings for a fleet, as they appear in its configuration.
 func Settings() map[string]any {
-	class := func(name string, aim, deadline float64, repeat string, worth float64) map[string]any {
-		return map[string]any{"name": name, "aim_ms": aim, "deadline_ms": deadline, "dedup_scope": "all",
+	class := func(name string, softDeadline, deadline float64, repeat string, worth float64) map[string]any {
+		return map[string]any{"name": name, "aim_ms": softDeadline, "deadline_ms": deadline, "dedup_scope": "all",
 			"late_worth": 0.0, "repeat": repeat, "streamed": false, "window_ms": 5000.0, "worth": worth}
 	}
 	return map[string]any{
 		"areas": []string{Zone}, "az": 0, "instances": 1, "self_index": 0,
-		"classes":    []any{class("tile-read", float64(ReadAim.Milliseconds()), 3000, "repeatable", 5), class("pass-order", 1500, 3000, "once", 15)},
+		"classes":    []any{class("tile-read", float64(ReadSoftDeadline.Milliseconds()), 3000, "repeatable", 5), class("pass-order", 1500, 3000, "once", 15)},
 		"deductions": map[string]any{"cross_zone": 0.06}, "discovery": "automatic",
 		"family_info":    map[string]any{"mode": "aside", "origin_kind": 1, "origin_fall_ms": 3000.0, "origin_fall_multiple": 0.0},
 		"granularity_ms": 2.0, "kinds": Kinds,
@@ -357,13 +361,13 @@
 	}
 }
 
-// Config is the configuration of a proxy before the fleet, as LB_CONFIG has it.
+// Config returns the configuration of a proxy for the fleet, in the format of LB_CONFIG.
 func (f *Fleet) Config(name, listen, seed string, memoryMB, sockets int) ([]byte, error) {
 	settings := Settings()
 	if f.Zones != nil {
 		settings["areas"] = f.Zones
 	}
-	for name, value := range f.Set {
+	for name, value := range f.Overrides {
 		settings[name] = value
 	}
 	if f.Tenants != nil {
--- a/internal/standin/lateness.go
+++ b/internal/standin/lateness.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// latenessStep is how often Lateness looks.
-const latenessStep = 5 * time.Millisecond
+// samplingInterval is how often SchedulingDelay takes a sample.
+const samplingInterval = 5 * time.Millisecond
 
-// Lateness measures by how much the goroutines of a test are late on a busy machine, so that its verdict does not hang on that.
-type Lateness struct {
-	quit chan struct{}
-	stop sync.Once
-	g    sync.WaitGroup
-	most time.Duration
+// SchedulingDelay measures how late goroutines are scheduled on a busy machine, so that a test's verdict
+// does not depend on it.
+type SchedulingDelay struct {
+	quit     chan struct{}
+	stop     sync.Once
+	group    sync.WaitGroup
+	maxDelay time.Duration
 }
 
-// MeasureLateness begins to measure.
-func MeasureLateness() *Lateness {
-	l := &Lateness{quit: make(chan struct{})}
-	l.g.Go(func() {
+// MeasureSchedulingDelay starts a measurement.
+func MeasureSchedulingDelay() *SchedulingDelay {
+	delay := &SchedulingDelay{quit: make(chan struct{})}
+	delay.group.Go(func() {
 		for {
-			began := time.Now()
+			sampledAt := time.Now()
 			select {
-			case <-l.quit:
+			case <-delay.quit:
 				return
-			case <-time.After(latenessStep):
+			case <-time.After(samplingInterval):
 			}
-			l.most = max(l.most, time.Since(began)-latenessStep)
+			delay.maxDelay = max(delay.maxDelay, time.Since(sampledAt)-samplingInterval)
 		}
 	})
-	return l
+	return delay
 }
 
-// Stop tells how late they were at the most. It may be called again.
-func (l *Lateness) Stop() time.Duration {
+// Stop ends the measurement and returns the maximum delay. It may be called more than once.
+func (l *SchedulingDelay) Stop() time.Duration {
 	l.stop.Do(func() { close(l.quit) })
-	l.g.Wait()
-	return l.most
+	l.group.Wait()
+	return l.maxDelay
 }
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -9,44 +9,45 @@
 	"time"
 )
 
-// Origin is the origin: HTTP/1.1, slow, with few places. It counts how often each write has run.
+// Origin simulates the origin: an HTTP/1.1 server, slow and with little capacity. It counts how often each
+// write has been executed.
 type Origin struct {
 	member
-	fetched  func(id, key string, value []byte)
-	make     func(key string) []byte
-	ran      map[string]int // by key: executions of writes
-	fetches  int
-	resetRan bool
+	onFetched     func(id, key string, value []byte)
+	makeValue     func(key string) []byte
+	executions    map[string]int // executions of writes by key
+	fetches       int
+	resetAfterRun bool
 }
 
-func newOrigin(id string, value func(string) []byte, fetched func(id, key string, value []byte)) (*Origin, error) {
-	o := &Origin{make: value, fetched: fetched, ran: map[string]int{}}
+func newOrigin(id string, makeValue func(string) []byte, onFetched func(id, key string, value []byte)) (*Origin, error) {
+	o := &Origin{makeValue: makeValue, onFetched: onFetched, executions: map[string]int{}}
 	o.ID = id
 	return o, o.listen(o.serve)
 }
 
-// Executions is how often the write of each key has run.
+// Executions returns how often the write of each key has been executed.
 func (o *Origin) Executions() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ran := make(map[string]int, len(o.ran))
-	for k, n := range o.ran {
-		ran[k] = n
+	executions := make(map[string]int, len(o.executions))
+	for k, n := range o.executions {
+		executions[k] = n
 	}
-	return ran
+	return executions
 }
 
-// Fetches is how many reads have been answered.
+// Fetches returns how many reads have been answered.
 func (o *Origin) Fetches() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.fetches
 }
 
-// SetResetAfterRun makes the origin carry writes out and then drop the connection without an answer.
+// SetResetAfterRun makes the origin execute writes and then drop the connection without an answer.
 func (o *Origin) SetResetAfterRun(on bool) {
 	o.mu.Lock()
-	o.resetRan = on
+	o.resetAfterRun = on
 	o.mu.Unlock()
 }
 
@@ -60,61 +61,62 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if err := o.answer(conn, in, r); err != nil {
+		if err := o.handle(conn, in, r); err != nil {
 			return
 		}
 	}
 }
 
-func (o *Origin) answer(conn net.Conn, in *bufio.Reader, r *http.Request) error {
-	if strings.HasPrefix(r.URL.Path, "/health/") {
+func (o *Origin) handle(conn net.Conn, in *bufio.Reader, request *http.Request) error {
+	if strings.HasPrefix(request.URL.Path, "/health/") {
 		return writeHTTP(conn, 200, "", nil)
 	}
-	key := strings.TrimPrefix(r.URL.Path, "/")
-	o.tell(r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
-	f, service := o.begin()
-	defer o.end()
-	switch f {
+	key := strings.TrimPrefix(request.URL.Path, "/")
+	o.reportDeadline(request.Header.Get("X-Request-ID"), request.Header.Get("X-Attrs"))
+	fault, serviceTime := o.beginRequest()
+	defer o.endRequest()
+	switch fault {
 	case Stall:
-		o.stalled(in)
-		return errGone
+		o.awaitDisconnect(in)
+		return errClosed
 	case Reset:
-		return errGone
-	case Spoil:
+		return errClosed
+	case Malformed:
 		_, err := io.WriteString(conn, "\x8fb2\xf4\r\n")
 		return err
 	case Busy:
 		return writeHTTP(conn, 503, "X-Not-Processed: 1\r\n", nil)
 	}
-	if r.Method != http.MethodGet {
+	if request.Method != http.MethodGet {
 		o.mu.Lock()
-		o.ran[key]++ // from its last byte on, whatever becomes of the answer
-		reset := o.resetRan
+		o.executions[key]++ // counts from the last byte of the request, whatever the answer
+		resetAfterRun := o.resetAfterRun
 		o.mu.Unlock()
-		if !o.wait(service) || reset {
-			return errGone
+		if !o.sleep(serviceTime) || resetAfterRun {
+			return errClosed
 		}
-		if f == Failing {
+		if fault == Failing {
 			return writeHTTP(conn, 500, "", nil)
 		}
 		return writeHTTP(conn, 200, "", []byte("receipt of "+key))
 	}
-	if !o.wait(service) {
-		return errGone
+	if !o.sleep(serviceTime) {
+		return errClosed
 	}
-	if f == Failing {
+	if fault == Failing {
 		return writeHTTP(conn, 500, "", nil)
 	}
-	value := o.make(key)
+	value := o.makeValue(key)
 	o.mu.Lock()
 	o.fetches++
 	o.mu.Unlock()
-	o.fetched(r.Header.Get("X-Request-ID"), key, value)
+	o.onFetched(request.Header.Get("X-Request-ID"), key, value)
 	return writeHTTP(conn, 200, "", value)
 }
 
-// AnswerAsOrigin answers what comes whole on a connection to an origin, until that ends: with what answer makes of the request's key and id.
-func AnswerAsOrigin(in *bufio.Reader, out io.Writer, answer func(key, id string) string) {
+// ServeOrigin answers the requests on a connection to an origin until it ends. answer returns the body for
+// a request's key and id.
+func ServeOrigin(in *bufio.Reader, out io.Writer, answer func(key, id string) string) {
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -130,5 +132,5 @@
 	}
 }
 
-// beat is how often a watch hears something while nothing changes.
-const beat = 2 * time.Second
+// heartbeatInterval is the time between heartbeats on a watch without changes.
+const heartbeatInterval = 2 * time.Second
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -7,72 +7,74 @@
 	"time"
 )
 
-// Relay is the network between proxies and a member: it holds what passes, each way for a time of its own, keeps its order, and has what passes
-// watched for the checker of copies. An end of a connection passes like all else.
+// Relay simulates the network between proxies and a member. It delays each direction separately, keeps the
+// order of bytes, and reports to the duplicate checker. The end of a connection is forwarded with the same
+// delay.
 type Relay struct {
-	member   string
-	origin   bool // HTTP/1.1 is spoken, else RESP
-	to       string
-	copies   *Copies // may be nil
-	listener net.Listener
-
-	mu        sync.Mutex
-	delay     func() (there, back time.Duration) // of the next connection
-	handshake func() time.Duration               // by which its first message comes later; nil: none
-	stalled   [2]bool
-	changed   chan struct{} // closed and made anew with each change
-	conns     map[net.Conn]struct{}
+	member     string
+	origin     bool // speaks HTTP/1.1, otherwise RESP
+	target     string
+	duplicates *DuplicateChecker // may be nil
+	listener   net.Listener
+
+	mu             sync.Mutex
+	delay          func() (there, back time.Duration) // of the next connection
+	handshakeDelay func() time.Duration               // extra delay of a connection's first message; may be nil
+	stalled        [2]bool
+	changed        chan struct{} // closed and replaced on each change
+	conns          map[net.Conn]struct{}
 }
 
-// The two ways of a relay.
+// Directions of a relay.
 const (
-	There = iota // to the member
-	Back
+	ToMember = iota // from the proxy to the member
+	FromMember
 )
 
-// dialTime is how long a relay waits for its member.
-const dialTime = 5 * time.Second
+// dialTimeout bounds how long a relay waits for its member.
+const dialTimeout = 5 * time.Second
 
-// NewRelay makes a relay before the member at an address; origin tells that HTTP is spoken there. Every connection has the same delays.
-func NewRelay(member, to string, origin bool, there, back time.Duration, copies *Copies) (*Relay, error) {
+// NewRelay starts a relay for the member at an address; origin means that the member speaks HTTP. All
+// connections have the same delays.
+func NewRelay(member, target string, origin bool, toMember, fromMember time.Duration, duplicates *DuplicateChecker) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{member: member, origin: origin, to: to, copies: copies, listener: listener,
+	r := &Relay{member: member, origin: origin, target: target, duplicates: duplicates, listener: listener,
 		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	r.SetDelay(func() (time.Duration, time.Duration) { return there, back })
+	r.SetDelay(func() (time.Duration, time.Duration) { return toMember, fromMember })
 	go AcceptEach(listener, func(conn net.Conn) { go r.relay(conn) })
 	return r, nil
 }
 
-// Addr is where proxies find the member.
+// Addr returns the address at which proxies reach the member.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetDelay changes how the delays of a connection are found, for connections that come from now on.
-func (r *Relay) SetDelay(delay func() (there, back time.Duration)) {
+// SetDelay sets the function that returns the delays of later connections.
+func (r *Relay) SetDelay(delay func() (toMember, fromMember time.Duration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = delay
 }
 
-// SetHandshake changes by how much later the first message of a connection comes, for connections that come from now on.
+// SetHandshake sets the function that returns the extra delay of the first message of later connections.
 func (r *Relay) SetHandshake(handshake func() time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.handshake = handshake
+	r.handshakeDelay = handshake
 }
 
-// Stall holds everything that goes one way, until it is called again.
-func (r *Relay) Stall(way int, on bool) {
+// Stall holds everything that is sent in one direction, until it is called again with false.
+func (r *Relay) Stall(direction int, stalled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stalled[way] = on
+	r.stalled[direction] = stalled
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Reset breaks all connections off.
+// Reset resets all connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,25 +86,25 @@
 	}
 }
 
-// Close ends the relay and its connections.
+// Close closes the relay and its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.Reset()
 }
 
-// begin notes the two connections of a relayed one, and finds its delays.
-func (r *Relay) begin(in, out net.Conn) (there, back, handshake time.Duration) {
+// register records both connections of a relayed connection and returns its delays.
+func (r *Relay) register(in, out net.Conn) (toMember, fromMember, handshake time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns[in], r.conns[out] = struct{}{}, struct{}{}
-	there, back = r.delay()
-	if r.handshake != nil {
-		handshake = r.handshake()
+	toMember, fromMember = r.delay()
+	if r.handshakeDelay != nil {
+		handshake = r.handshakeDelay()
 	}
-	return there, back, handshake
+	return toMember, fromMember, handshake
 }
 
-func (r *Relay) end(conns ...net.Conn) {
+func (r *Relay) unregister(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -112,60 +114,61 @@
 
 func (r *Relay) relay(in net.Conn) {
 	defer in.Close()
-	out, err := net.DialTimeout("tcp", r.to, dialTime)
+	out, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
 		in.(*net.TCPConn).SetLinger(0)
 		return
 	}
 	defer out.Close()
-	there, back, handshake := r.begin(in, out)
-	defer r.end(in, out)
+	toMember, fromMember, handshake := r.register(in, out)
+	defer r.unregister(in, out)
 	ended := make(chan struct{})
 	end := sync.OnceFunc(func() {
 		close(ended)
 		in.Close()
 		out.Close()
 	})
-	w := r.copies.Watch(r.member, r.origin, in)
-	var ways sync.WaitGroup
-	ways.Go(func() {
+	observer := r.duplicates.Observe(r.member, r.origin, in)
+	var directions sync.WaitGroup
+	directions.Go(func() {
 		defer end()
-		hold := func(came time.Time) bool {
-			until := came.Add(there + handshake)
-			handshake = 0 // what is behind waits in line
-			return r.hold(There, until, ended)
+		hold := func(arrivedAt time.Time) bool {
+			until := arrivedAt.Add(toMember + handshake)
+			handshake = 0 // later messages queue behind the first
+			return r.awaitRelease(ToMember, until, ended)
 		}
-		Carry(in, out, ended, hold, Passage{Took: w.Wrote, Giving: w.Giving, Gave: w.Came})
+		Forward(in, out, ended, hold, ForwardHooks{OnRead: observer.ProxyWrote, BeforeWrite: observer.Forwarding, AfterWrite: observer.MemberReceived})
 	})
-	ways.Go(func() {
+	directions.Go(func() {
 		defer end()
-		hold := func(came time.Time) bool { return r.hold(Back, came.Add(back), ended) }
-		Carry(out, in, ended, hold, Passage{Took: w.Replied})
+		hold := func(arrivedAt time.Time) bool { return r.awaitRelease(FromMember, arrivedAt.Add(fromMember), ended) }
+		Forward(out, in, ended, hold, ForwardHooks{OnRead: observer.MemberReplied})
 	})
-	ways.Wait()
+	directions.Wait()
 }
 
-// hold waits until what is held may pass; false: the connection has ended.
-func (r *Relay) hold(way int, until time.Time, ended <-chan struct{}) bool {
-	return Hold(ended, func() (bool, time.Time, <-chan struct{}) {
+// awaitRelease waits until a held message may pass. It returns false if the connection has ended.
+func (r *Relay) awaitRelease(direction int, until time.Time, ended <-chan struct{}) bool {
+	return AwaitRelease(ended, func() (bool, time.Time, <-chan struct{}) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.stalled[way], until, r.changed
+		return r.stalled[direction], until, r.changed
 	})
 }
 
-// Hold waits until something that is held may pass; false: ended was closed before that. state tells whether it is held for good, until when if not,
-// and what is closed when either of them changes.
-func Hold(ended <-chan struct{}, state func() (held bool, until time.Time, changed <-chan struct{})) bool {
+// AwaitRelease waits until a held message may pass. It returns false if ended is closed before. state
+// returns whether the message is held indefinitely, otherwise until when, and a channel that is closed
+// when either changes.
+func AwaitRelease(ended <-chan struct{}, state func() (held bool, until time.Time, changed <-chan struct{})) bool {
 	for {
 		held, until, changed := state()
 		var due <-chan time.Time
 		if !held {
-			left := time.Until(until)
-			if left <= 0 {
+			remaining := time.Until(until)
+			if remaining <= 0 {
 				return true
 			}
-			due = time.After(left)
+			due = time.After(remaining)
 		}
 		select {
 		case <-ended:
@@ -176,60 +179,63 @@
 	}
 }
 
-// mostOnTheWay bounds the pieces that are on their way in one direction of a connection: beyond that the sender waits, as TCP has it.
-const mostOnTheWay = 128
+// maxPiecesInTransit bounds the pieces in transit in one direction of a connection. Beyond that the sender
+// blocks, as with TCP flow control.
+const maxPiecesInTransit = 128
 
-// Passage is told of what passes in one direction of a connection: each piece as it comes (Took), right before it is written on (Giving), and once it
-// has been (Gave). A nil piece is the end; a nil function hears nothing.
-type Passage struct{ Took, Giving, Gave func([]byte) }
+// ForwardHooks are called for each piece in one direction of a connection: OnRead after reading it,
+// BeforeWrite just before writing it and AfterWrite after writing it. A nil piece is the end of the
+// stream. Hooks may be nil.
+type ForwardHooks struct{ OnRead, BeforeWrite, AfterWrite func([]byte) }
 
-// Carry passes what comes on one connection on to another, in its order, until its end has passed or ended is closed. hold waits until a piece that came
-// then may go on, false: the connection is over.
-func Carry(from, to net.Conn, ended <-chan struct{}, hold func(came time.Time) bool, told Passage) {
+// Forward copies from one connection to another in order, until the end of the stream has been forwarded
+// or ended is closed. hold waits until a piece that arrived at the given time may pass, and returns false
+// if the connection is over.
+func Forward(from, to net.Conn, ended <-chan struct{}, hold func(arrivedAt time.Time) bool, hooks ForwardHooks) {
 	type piece struct {
-		bytes []byte
-		came  time.Time
+		bytes     []byte
+		arrivedAt time.Time
 	}
-	line := make(chan piece, mostOnTheWay)
-	put := func(b []byte) bool {
-		if told.Took != nil {
-			told.Took(b)
+	queue := make(chan piece, maxPiecesInTransit)
+	enqueue := func(b []byte) bool {
+		if hooks.OnRead != nil {
+			hooks.OnRead(b)
 		}
 		select {
-		case line <- piece{b, time.Now()}:
+		case queue <- piece{b, time.Now()}:
 			return true
 		case <-ended:
 			return false
 		}
 	}
 	go func() {
-		defer close(line)
+		defer close(queue)
 		buffer := make([]byte, 8<<10)
 		for {
 			n, err := from.Read(buffer)
-			if n > 0 && !put(slices.Clone(buffer[:n])) {
+			if n > 0 && !enqueue(slices.Clone(buffer[:n])) {
 				return
 			}
 			if err != nil {
-				put(nil)
+				enqueue(nil)
 				return
 			}
 		}
 	}()
-	for p := range line {
-		if !hold(p.came) {
+	for next := range queue {
+		if !hold(next.arrivedAt) {
 			return
 		}
-		if p.bytes != nil {
-			if told.Giving != nil {
-				told.Giving(p.bytes)
+		if next.bytes != nil {
+			if hooks.BeforeWrite != nil {
+				hooks.BeforeWrite(next.bytes)
 			}
-			if _, err := to.Write(p.bytes); err != nil {
+			if _, err := to.Write(next.bytes); err != nil {
 				return
 			}
 		}
-		if told.Gave != nil {
-			told.Gave(p.bytes)
+		if hooks.AfterWrite != nil {
+			hooks.AfterWrite(next.bytes)
 		}
 	}
 }
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -14,49 +14,54 @@
 	"linenloom/internal/sender"
 )
 
-// Watch finds the attempts in what passes on a connection between a proxy and a member, and reports them to the checker of copies. Each of its
-// methods takes a piece, or nil for the end. Without a checker it does nothing.
-type Watch struct {
-	copies *Copies // nil: nobody counts them
-	heard  func(id, attrs string)
-	member string
-	origin bool // HTTP/1.1 is spoken, else RESP
-	over   func() bool
-
-	mu         sync.Mutex
-	in         []byte // of the proxy's messages, what is not whole yet
-	answers    []byte // of the member's
-	sent       int64  // bytes that the proxy has written
-	giving     int64  // of them, those that have come at the member or are being written to it
-	delivered  int64
-	attempts   []*watchedAttempt // in order
-	given      int               // the first of them that is not being written to the member
-	delivering int               // the first of them that has not come at the member
-	answering  int               // the first that has no answer
+// Observer finds attempts in the bytes on a connection between a proxy and a member, and reports them to a
+// DuplicateChecker. Each of its methods takes a piece of the stream, or nil for its end. Without a checker
+// it reports nothing.
+type Observer struct {
+	duplicates *DuplicateChecker // may be nil
+	onRequest  func(id, attrs string)
+	member     string
+	origin     bool // speaks HTTP/1.1, otherwise RESP
+	peerClosed func() bool
+
+	mu               sync.Mutex
+	requestBytes     []byte // the proxy's incomplete message
+	answerBytes      []byte // the member's incomplete answer
+	writtenOffset    int64  // bytes of complete messages written by the proxy
+	forwardingOffset int64  // bytes that have been or are being written to the member
+	deliveredOffset  int64
+	attempts         []*observedAttempt // in the order of writing
+	nextForwarded    int                // the first attempt that is not being written to the member
+	nextDelivered    int                // the first attempt that has not arrived at the member
+	nextAnswered     int                // the first attempt without an answer
 }
 
-type watchedAttempt struct {
-	*copyAttempt // nil for what is no attempt
-	id           string
-	end          int64 // of its last byte, in what the proxy writes
+type observedAttempt struct {
+	*trackedAttempt // nil for a message that is no attempt
+	id              string
+	endOffset       int64 // of its last byte in the proxy's stream
 }
 
-// Watch begins to watch a connection from a proxy to a member. A nil checker watches nothing.
-func (c *Copies) Watch(member string, origin bool, from net.Conn) *Watch {
-	return &Watch{copies: c, member: member, origin: origin, over: func() bool { return over(from) }}
+// Observe returns an Observer for a connection from a proxy to a member. With a nil checker it reports
+// nothing.
+func (c *DuplicateChecker) Observe(member string, origin bool, conn net.Conn) *Observer {
+	return &Observer{duplicates: c, member: member, origin: origin, peerClosed: func() bool { return peerClosed(conn) }}
 }
 
-// Listen makes a Watch that counts nothing, and tells of each request in what is written, with its id and its list of names and values.
-func Listen(heard func(id, attrs string)) *Watch { return &Watch{heard: heard} }
+// ObserveRequests returns an Observer without a checker. It calls onRequest with the id and the attributes
+// of each request that is written.
+func ObserveRequests(onRequest func(id, attrs string)) *Observer {
+	return &Observer{onRequest: onRequest}
+}
 
-// Tell has a Watch tell of each attempt as well, as the proxy has written it.
-func (w *Watch) Tell(heard func(id, attrs string)) *Watch {
-	w.heard = heard
-	return w
+// NotifyRequests makes an Observer call onRequest for each attempt as well, when the proxy has written it.
+func (o *Observer) NotifyRequests(onRequest func(id, attrs string)) *Observer {
+	o.onRequest = onRequest
+	return o
 }
 
-// over tells whether the other side of a connection has ended it, also behind bytes that nobody has read yet.
-func over(conn net.Conn) (ended bool) {
+// peerClosed reports whether the peer of a connection has closed it, even behind unread bytes.
+func peerClosed(conn net.Conn) (ended bool) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -65,112 +70,114 @@
 	return ended || err != nil
 }
 
-// Wrote takes what the proxy has written.
-func (w *Watch) Wrote(b []byte) {
-	if w.copies == nil && w.heard == nil {
+// ProxyWrote processes bytes that the proxy has written.
+func (o *Observer) ProxyWrote(b []byte) {
+	if o.duplicates == nil && o.onRequest == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if b == nil {
-		if w.copies != nil {
-			w.copies.closed(w.out())
+		if o.duplicates != nil {
+			o.duplicates.recordClose(o.unanswered())
 		}
 		return
 	}
-	w.in = append(w.in, b...)
-	for len(w.in) > 0 {
-		id, attrs, n := w.message()
+	o.requestBytes = append(o.requestBytes, b...)
+	for len(o.requestBytes) > 0 {
+		id, attrs, n := o.nextMessage()
 		if n == 0 {
 			return
 		}
-		w.sent += int64(n)
-		w.in = w.in[n:]
-		if w.heard != nil && id != "" {
-			w.heard(id, attrs)
+		o.writtenOffset += int64(n)
+		o.requestBytes = o.requestBytes[n:]
+		if o.onRequest != nil && id != "" {
+			o.onRequest(id, attrs)
 		}
-		if w.copies == nil {
+		if o.duplicates == nil {
 			continue
 		}
-		a := &watchedAttempt{id: id, end: w.sent}
+		a := &observedAttempt{id: id, endOffset: o.writtenOffset}
 		if id != "" {
-			a.copyAttempt = w.copies.wrote(w.member, id, w.over)
+			a.trackedAttempt = o.duplicates.recordWrite(o.member, id, o.peerClosed)
 		}
-		w.attempts = append(w.attempts, a)
+		o.attempts = append(o.attempts, a)
 	}
 }
 
-// out is what the proxy has written and the member has not answered.
-func (w *Watch) out() (all []*copyAttempt) {
-	for _, a := range w.attempts[w.answering:] {
-		if a.copyAttempt != nil {
-			all = append(all, a.copyAttempt)
+// unanswered returns the attempts that the proxy has written and the member has not answered.
+func (o *Observer) unanswered() (attempts []*trackedAttempt) {
+	for _, a := range o.attempts[o.nextAnswered:] {
+		if a.trackedAttempt != nil {
+			attempts = append(attempts, a.trackedAttempt)
 		}
 	}
-	return all
+	return attempts
 }
 
-// Giving takes what is about to be written to the member. What the member says before that is no answer to it.
-func (w *Watch) Giving(b []byte) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.giving += int64(len(b))
-	for ; w.given < len(w.attempts) && w.attempts[w.given].end <= w.giving; w.given++ {
-		if a := w.attempts[w.given]; a.copyAttempt != nil {
-			w.copies.giving(a.id, a.copyAttempt)
+// Forwarding processes bytes that are about to be written to the member. Bytes that the member sends
+// before that are no answer to them.
+func (o *Observer) Forwarding(b []byte) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.forwardingOffset += int64(len(b))
+	for ; o.nextForwarded < len(o.attempts) && o.attempts[o.nextForwarded].endOffset <= o.forwardingOffset; o.nextForwarded++ {
+		if a := o.attempts[o.nextForwarded]; a.trackedAttempt != nil {
+			o.duplicates.recordForwarding(a.id, a.trackedAttempt)
 		}
 	}
 }
 
-// Came takes what has come at the member.
-func (w *Watch) Came(b []byte) {
-	if w.copies == nil {
+// MemberReceived processes bytes that have arrived at the member.
+func (o *Observer) MemberReceived(b []byte) {
+	if o.duplicates == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if b == nil {
-		w.copies.closedAtMember(w.out())
+		o.duplicates.recordCloseAtMember(o.unanswered())
 		return
 	}
-	w.delivered += int64(len(b))
-	for ; w.delivering < len(w.attempts) && w.attempts[w.delivering].end <= w.delivered; w.delivering++ {
-		if a := w.attempts[w.delivering]; a.copyAttempt != nil {
-			w.copies.arrived(a.id, a.copyAttempt)
+	o.deliveredOffset += int64(len(b))
+	for ; o.nextDelivered < len(o.attempts) && o.attempts[o.nextDelivered].endOffset <= o.deliveredOffset; o.nextDelivered++ {
+		if a := o.attempts[o.nextDelivered]; a.trackedAttempt != nil {
+			o.duplicates.recordArrival(a.id, a.trackedAttempt)
 		}
 	}
 }
 
-// Replied takes what the member has written.
-func (w *Watch) Replied(b []byte) {
-	if w.copies == nil || b == nil {
+// MemberReplied processes bytes that the member has written.
+func (o *Observer) MemberReplied(b []byte) {
+	if o.duplicates == nil || b == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.answers = append(w.answers, b...)
-	for len(w.answers) > 0 && w.answering < len(w.attempts) {
-		n := w.answer()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.answerBytes = append(o.answerBytes, b...)
+	for len(o.answerBytes) > 0 && o.nextAnswered < len(o.attempts) {
+		n := o.nextAnswer()
 		if n == 0 {
 			return
 		}
-		w.answers = w.answers[n:]
-		if w.attempts[w.answering].end > w.giving {
+		o.answerBytes = o.answerBytes[n:]
+		if o.attempts[o.nextAnswered].endOffset > o.forwardingOffset {
 			continue
 		}
-		if a := w.attempts[w.answering]; a.copyAttempt != nil {
-			w.copies.replied(a.copyAttempt)
+		if a := o.attempts[o.nextAnswered]; a.trackedAttempt != nil {
+			o.duplicates.recordAnswer(a.trackedAttempt)
 		}
-		w.answering++
+		o.nextAnswered++
 	}
 }
 
-// message measures the message that w.in begins with; id is empty where it is no attempt, n is 0 where it is not whole.
-func (w *Watch) message() (id, attrs string, n int) {
-	text := bytes.NewReader(w.in)
-	buffered := bufio.NewReader(text)
-	length := func() int { return len(w.in) - text.Len() - buffered.Buffered() }
-	if w.origin {
+// nextMessage parses the message at the start of o.requestBytes and returns its length. The id is empty if
+// the message is no attempt, and n is 0 if it is incomplete.
+func (o *Observer) nextMessage() (id, attrs string, n int) {
+	reader := bytes.NewReader(o.requestBytes)
+	buffered := bufio.NewReader(reader)
+	length := func() int { return len(o.requestBytes) - reader.Len() - buffered.Buffered() }
+	if o.origin {
 		request, err := http.ReadRequest(buffered)
 		if err != nil {
 			return "", "", 0
@@ -180,21 +187,21 @@
 		}
 		return request.Header.Get("X-Request-ID"), request.Header.Get("X-Attrs"), length()
 	}
-	words, err := readWords(buffered)
+	args, err := readCommand(buffered)
 	if err != nil {
 		return "", "", 0
 	}
-	if len(words) > 3 && bytes.HasPrefix(words[0], []byte("OBJ.")) {
-		id, attrs = string(words[2]), string(words[3])
+	if len(args) > 3 && bytes.HasPrefix(args[0], []byte("OBJ.")) {
+		id, attrs = string(args[2]), string(args[3])
 	}
 	return id, attrs, length()
 }
 
-// answer measures the answer that w.answers begins with; 0, where it is not whole.
-func (w *Watch) answer() int {
-	text := bytes.NewReader(w.answers)
-	buffered := bufio.NewReader(text)
-	if w.origin {
+// nextAnswer returns the length of the answer at the start of o.answerBytes, or 0 if it is incomplete.
+func (o *Observer) nextAnswer() int {
+	reader := bytes.NewReader(o.answerBytes)
+	buffered := bufio.NewReader(reader)
+	if o.origin {
 		response, err := http.ReadResponse(buffered, nil)
 		if err != nil {
 			return 0
@@ -205,16 +212,16 @@
 	} else if skipReply(buffered) != nil {
 		return 0
 	}
-	return len(w.answers) - text.Len() - buffered.Buffered()
+	return len(o.answerBytes) - reader.Len() - buffered.Buffered()
 }
 
-var errReply = errors.New("standin: no reply")
+var errMalformedReply = errors.New("standin: malformed reply")
 
-// skipReply reads over one reply.
+// skipReply reads and discards one reply.
 func skipReply(in *bufio.Reader) error {
 	line, err := in.ReadString('\n')
 	if err != nil || len(line) < 3 {
-		return errReply
+		return errMalformedReply
 	}
 	kind := line[0]
 	switch kind {
@@ -222,11 +229,11 @@
 		return nil
 	case '$', '*':
 	default:
-		return errReply
+		return errMalformedReply
 	}
 	n, err := strconv.Atoi(strings.TrimSpace(line[1:]))
 	if err != nil {
-		return errReply
+		return errMalformedReply
 	}
 	if kind == '$' && n >= 0 {
 		_, err = io.CopyN(io.Discard, in, int64(n)+2)
