--- a/internal/extproc/server/duplex.go
+++ b/internal/extproc/server/duplex.go
@@ -40,7 +40,7 @@
 	}
 	full := false
 	s.front.host.Do(func() {
-		full = s.front.host.Hold(streamWindow)
+		full = s.front.host.AddBuffered(streamWindow)
 		s.heldWindow = streamWindow
 	})
 	if full {
@@ -61,7 +61,7 @@
 			o.err = s.rpc.Send(m.response)
 		}
 		if m.heldBytes > 0 {
-			s.front.host.Do(func() { s.front.host.Hold(-m.heldBytes) })
+			s.front.host.Do(func() { s.front.host.AddBuffered(-m.heldBytes) })
 		}
 		o.pending.Add(-1)
 		select {
@@ -82,7 +82,7 @@
 	}
 	o.pending.Add(-1)
 	if heldBytes > 0 {
-		s.front.host.Do(func() { s.front.host.Hold(-heldBytes) })
+		s.front.host.Do(func() { s.front.host.AddBuffered(-heldBytes) })
 	}
 	return s.notReadStatus()
 }
@@ -148,7 +148,7 @@
 	}
 	tooMany := false
 	f.host.Do(func() {
-		f.host.Hold(streamWindow)
+		f.host.AddBuffered(streamWindow)
 		f.stuckStreams = append(f.stuckStreams, stuckStream{conn, f.host.Now() + stuckHoldTime})
 		conn.stuckStreams++
 		tooMany = conn.stuckStreams > maxStuckStreams
@@ -165,7 +165,7 @@
 	for len(f.stuckStreams) > 0 && (f.stuckStreams[0].releaseAt <= now || f.stuckStreams[0].conn.closed) {
 		f.stuckStreams[0].conn.stuckStreams--
 		f.stuckStreams = f.stuckStreams[1:]
-		f.host.Hold(-streamWindow)
+		f.host.AddBuffered(-streamWindow)
 	}
 }
 
@@ -177,7 +177,7 @@
 		rest = rest[len(part):]
 		last = len(rest) == 0
 		full := false
-		s.front.host.Do(func() { full = s.front.host.Hold(len(part)) })
+		s.front.host.Do(func() { full = s.front.host.AddBuffered(len(part)) })
 		common := &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{BodyMutation: &extprocv3.BodyMutation{
 			Mutation: &extprocv3.BodyMutation_StreamedResponse{StreamedResponse: &extprocv3.StreamedBodyResponse{
 				Body: part, EndOfStream: last && body.GetEndOfStream()}}}}}
--- a/internal/extproc/server/long.go
+++ b/internal/extproc/server/long.go
@@ -112,7 +112,7 @@
 		}
 		value := append(make([]byte, 0, size), s.body...)
 		s.front.host.Do(func() {
-			s.front.host.Hold(-cap(s.body)) // the reservation covers it now
+			s.front.host.AddBuffered(-cap(s.body)) // the reservation covers it now
 			s.body, s.reservation = value, reservation
 		})
 	}
--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -86,7 +86,7 @@
 
 func (m *manyCall) hold(n int) {
 	m.heldBytes += n
-	m.call.front.host.Hold(n)
+	m.call.front.host.AddBuffered(n)
 }
 
 func (m *manyCall) releaseValues() {
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -377,8 +377,8 @@
 			f.counts.Unavailable++
 			return
 		}
-		if f.host.Hold(streamMemory) {
-			f.host.Hold(-streamMemory)
+		if f.host.AddBuffered(streamMemory) {
+			f.host.AddBuffered(-streamMemory)
 			f.counts.Unavailable++
 			return
 		}
@@ -401,12 +401,12 @@
 			s.conn.closeIfUnused()
 		}
 		if s.reservation == nil {
-			f.host.Hold(-cap(s.body))
+			f.host.AddBuffered(-cap(s.body))
 		} else {
 			s.reservation.ReleaseLocked()
 			s.reservation = nil
 		}
-		f.host.Hold(-streamMemory - s.heldWindow)
+		f.host.AddBuffered(-streamMemory - s.heldWindow)
 		s.body = nil
 		if s.call != nil {
 			s.call.streamEnded(s)
@@ -452,7 +452,7 @@
 		a.Body.Retain()
 	case a.Value != nil:
 		a.Value = append([]byte(nil), a.Value...)
-		c.front.host.Hold(len(a.Value))
+		c.front.host.AddBuffered(len(a.Value))
 	}
 	c.finalAnswer = &a
 	c.notify()
@@ -506,7 +506,7 @@
 		c.reservation.ReleaseLocked()
 		c.finalAnswer.Value, c.reservation = nil, nil
 	default:
-		c.front.host.Hold(-len(c.finalAnswer.Value))
+		c.front.host.AddBuffered(-len(c.finalAnswer.Value))
 		c.finalAnswer.Value = nil
 	}
 }
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -476,7 +476,7 @@
 			s.front.host.Do(func() {
 				oldCap := cap(s.body)
 				s.body = append(s.body, part.GetBody()...)
-				full = s.front.host.Hold(cap(s.body) - oldCap)
+				full = s.front.host.AddBuffered(cap(s.body) - oldCap)
 			})
 		}
 		switch {
--- a/internal/inherit/inherit.go
+++ b/internal/inherit/inherit.go
@@ -192,7 +192,7 @@
 	balancer.Total, balancer.EarlierTotal = balancer.Total*share, balancer.EarlierTotal*share
 	balancer.Keys = nil
 	for _, k := range s.Balancer.Keys {
-		k.Count, k.Err = k.Count*share, k.Err*share
+		k.Count, k.MaxError = k.Count*share, k.MaxError*share
 		balancer.Keys = append(balancer.Keys, k)
 	}
 	share = remainingShare(age, loadHalfLife)
--- a/internal/inherit/inherit_test.go
+++ b/internal/inherit/inherit_test.go
@@ -27,7 +27,7 @@
 		s.Links[id] = LinkState{Addr: "10.1.0.1:6379", ConnStats: pool.ConnStats{Occupancy: time.Millisecond, CleanAnswers: 9}}
 		now[id] = CurrentMember{Addr: "10.1.0.1:6379"}
 	}
-	s.Balancer.Keys = []logic.LearnedKey{{Key: 7, Count: 20, Err: 2, Members: []logic.MemberID{1}}}
+	s.Balancer.Keys = []logic.LearnedKey{{Key: 7, Count: 20, MaxError: 2, Members: []logic.MemberID{1}}}
 	return s, now
 }
 
--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -71,7 +71,7 @@
 				switch link.overLimit = cache.open >= cache.connLimit; {
 				case link.overLimit && f.refuseDials:
 					cache.refused++
-					host.pool.DialCompleted(dial.member, nil, dial.epoch, dial.warm, true)
+					host.pool.DialCompleted(dial.member, nil, dial.epoch, dial.prewarm, true)
 					continue
 				case !link.overLimit:
 					cache.open++
@@ -79,7 +79,7 @@
 				}
 				link.conn.Link = link
 				host.links = append(host.links, link)
-				host.pool.DialCompleted(dial.member, link.conn, dial.epoch, dial.warm, false)
+				host.pool.DialCompleted(dial.member, link.conn, dial.epoch, dial.prewarm, false)
 			}
 			live := host.links[:0]
 			for _, link := range host.links {
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// idleClasses is the number of idle time classes: each is half as long again as the one before, and
-	// the first, below firstIdleClass, holds the connections that count as just used.
-	idleClasses    = 16
-	firstIdleClass = 20 * time.Millisecond
+	// idleBuckets is the number of idle time classes: each is half as long again as the one before, and
+	// the first, below firstIdleBucketEnd, holds the connections that count as just used.
+	idleBuckets        = 16
+	firstIdleBucketEnd = 20 * time.Millisecond
 	// idleDecay is the factor applied to the counts at each update: they then cover about the last ten
 	// seconds, and a class that was found stale is tried again now and then.
 	idleDecay = 0.98
@@ -25,16 +25,16 @@
 // members together, as each member alone gives too few. It can do harm where a single member breaks
 // connections of one age only: the other members then see more handshakes than necessary.
 type idleTimes struct {
-	reused, broken [idleClasses]float64
+	reused, broken [idleBuckets]float64
 	limit          time.Duration
 }
 
 func newIdleTimes(most time.Duration) idleTimes { return idleTimes{limit: most} }
 
-// class returns the class of an idle time.
-func (t *idleTimes) class(idle time.Duration) int {
+// bucket returns the class of an idle time.
+func (t *idleTimes) bucket(idle time.Duration) int {
 	c := 0
-	for end := firstIdleClass; idle >= end && c < idleClasses-1; end += end / 2 {
+	for end := firstIdleBucketEnd; idle >= end && c < idleBuckets-1; end += end / 2 {
 		c++
 	}
 	return c
@@ -45,7 +45,7 @@
 func (t *idleTimes) updateLimit(most time.Duration) {
 	t.limit = most
 	from := time.Duration(0)
-	for c, end := 0, firstIdleClass; c < idleClasses; c, end = c+1, end+end/2 {
+	for c, end := 0, firstIdleBucketEnd; c < idleBuckets; c, end = c+1, end+end/2 {
 		share := t.broken[c] / max(1, t.reused[c])
 		if c > 0 && t.reused[c] >= minIdleSamples && share > minBrokenShare &&
 			share > minBrokenRatio*t.broken[0]/max(1, t.reused[0]) {
@@ -54,7 +54,7 @@
 		}
 		from = end
 	}
-	for c := range idleClasses {
+	for c := range idleBuckets {
 		t.reused[c] *= idleDecay
 		t.broken[c] *= idleDecay
 	}
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			times := newIdleTimes(most)
-			old := times.class(200 * time.Millisecond)
+			old := times.bucket(200 * time.Millisecond)
 			times.reused[0], times.broken[0] = tc.samples, tc.brokenFresh*tc.samples
 			times.reused[old], times.broken[old] = tc.samples, tc.brokenIdle*tc.samples
 			times.updateLimit(most)
--- a/internal/pool/learnt.go
+++ b/internal/pool/learnt.go
@@ -38,10 +38,10 @@
 // RestoreIdleStats adopts the record of another process. A record with other classes, or with invalid
 // counts, is ignored.
 func (p *Pool[X]) RestoreIdleStats(stats IdleStats) {
-	if len(stats.Reused) != idleClasses || len(stats.Broken) != idleClasses {
+	if len(stats.Reused) != idleBuckets || len(stats.Broken) != idleBuckets {
 		return
 	}
-	for i := range idleClasses {
+	for i := range idleBuckets {
 		if u, b := stats.Reused[i], stats.Broken[i]; !(u >= b && b >= 0 && u < 1e12) {
 			return
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -114,7 +114,7 @@
 const (
 	// LocalShortage: the proxy itself is short of connections, the member is neither full nor unreachable.
 	LocalShortage Verdict = iota
-	Unreachable           // the member accepts no connection, or no new requests
+	Unavailable           // the member accepts no connection, or no new requests
 )
 
 // Link is the host's side of a connection. None of its methods may block.
@@ -128,12 +128,12 @@
 
 // Actions carries out a Pool's decisions. None of its methods may block or call back into the pool.
 type Actions[X Exchange] interface {
-	Dial(m *Member[X], warm bool) // connects, then calls DialCompleted
-	Reject(x X, v Verdict)        // x gets no connection
+	Dial(m *Member[X], prewarm bool) // connects, then calls DialCompleted
+	Reject(x X, v Verdict)           // x gets no connection
 	// Expired reports whether x has expired by now: the event may have begun some time ago.
 	Expired(x X) bool
 	// HasDescriptor reports whether a descriptor is available; make: one may be freed for it.
-	HasDescriptor(make bool) bool
+	HasDescriptor(evict bool) bool
 	// ScheduleConnectTimeout calls ConnectTimedOut at that time unless x has been sent.
 	ScheduleConnectTimeout(x X, at time.Duration)
 	ScheduleRedial(m *Member[X], at time.Duration)          // calls Redial at that time
@@ -156,10 +156,10 @@
 	occupancy    time.Duration // recent average time for which a request occupies a connection; 0: unknown
 	// roundTrip estimates the shortest recent response time; 0: no answer yet.
 	roundTrip time.Duration
-	// smoothed and deviation are the smoothed response time and its mean deviation.
-	smoothed, deviation time.Duration
-	inDialQueue         bool // it is in Pool.dialQueue
-	inCooldownQueue     bool // it is in Pool.cooldownQueue
+	// smoothedTime and deviation are the smoothed response time and its mean deviation.
+	smoothedTime, timeDeviation time.Duration
+	inDialQueue                 bool // it is in Pool.dialQueue
+	inCooldownQueue             bool // it is in Pool.cooldownQueue
 	// cleanAnswers counts the clean answers since the last bad one; cleanRequired is the number required
 	// before requests are pipelined.
 	cleanAnswers, cleanRequired int
@@ -205,8 +205,8 @@
 	// for the next answer.
 	lastKey  []byte
 	lastUsed time.Duration
-	// idleClass is the class of the idle time before its current request; below 0: the connection was new.
-	idleClass  int
+	// idleBucket is the class of the idle time before its current request; below 0: the connection was new.
+	idleBucket int
 	reusableAt time.Duration // when it may carry the next request
 }
 
@@ -217,7 +217,7 @@
 }
 
 // Fresh reports whether the current request is the first on the connection.
-func (c *Conn[X]) Fresh() bool { return c.idleClass < 0 }
+func (c *Conn[X]) Fresh() bool { return c.idleBucket < 0 }
 
 // Backdate makes the connection appear idle for longer by d, for tests.
 func (c *Conn[X]) Backdate(d time.Duration) { c.lastUsed -= d }
@@ -268,7 +268,7 @@
 	m.Ready = ready
 	if moved {
 		m.Epoch++
-		m.backoff, m.noDialUntil, m.roundTrip, m.smoothed, m.deviation = 0, 0, 0, 0, 0 // it is another process
+		m.backoff, m.noDialUntil, m.roundTrip, m.smoothedTime, m.timeDeviation = 0, 0, 0, 0, 0 // it is another process
 	}
 	if moved || !ready {
 		p.retireAll(m)
@@ -283,7 +283,7 @@
 	}
 	if !m.Ready {
 		for _, x := range m.Waiting {
-			p.actions.Reject(x, Unreachable)
+			p.actions.Reject(x, Unavailable)
 		}
 		m.Waiting = nil
 	}
@@ -327,8 +327,8 @@
 
 // RecordBreak records that a connection ended with a request in flight.
 func (p *Pool[X]) RecordBreak(c *Conn[X]) {
-	if c.idleClass >= 0 {
-		p.idle.broken[c.idleClass]++
+	if c.idleBucket >= 0 {
+		p.idle.broken[c.idleBucket]++
 	}
 }
 
@@ -351,8 +351,8 @@
 		p.start(c, x)
 		return
 	}
-	more := p.mayDial(m)
-	if c := p.pickPipelineConn(m, x); c != nil && !more {
+	canDial := p.mayDial(m)
+	if c := p.pickPipelineConn(m, x); c != nil && !canDial {
 		p.start(c, x)
 		return
 	}
@@ -573,17 +573,17 @@
 	}
 }
 
-func (p *Pool[X]) startDial(m *Member[X], warm bool) {
+func (p *Pool[X]) startDial(m *Member[X], prewarm bool) {
 	m.pendingDials++
 	p.pendingDials++
 	p.openConns++
-	p.actions.Dial(m, warm)
+	p.actions.Dial(m, prewarm)
 }
 
 // DialCompleted handles the end of a dial. c is the new connection, of the epoch in which the dial began,
 // or nil; atOnce reports that the dial was refused without a wait.
-func (p *Pool[X]) DialCompleted(m *Member[X], c *Conn[X], epoch int, warm, atOnce bool) {
-	p.releaseDialSlot(m, warm)
+func (p *Pool[X]) DialCompleted(m *Member[X], c *Conn[X], epoch int, prewarm, atOnce bool) {
+	p.releaseDialSlot(m, prewarm)
 	switch {
 	case c == nil:
 		p.openConns--
@@ -593,7 +593,7 @@
 	default:
 		c.lastUsed, m.noDialUntil = p.now, 0
 		m.Conns = append(m.Conns, c)
-		if p.serveWaiting(m); warm && !c.Busy() {
+		if p.serveWaiting(m); prewarm && !c.Busy() {
 			p.ping(c)
 		}
 	}
@@ -602,10 +602,10 @@
 }
 
 // releaseDialSlot removes a dial from the pending ones.
-func (p *Pool[X]) releaseDialSlot(m *Member[X], warm bool) {
+func (p *Pool[X]) releaseDialSlot(m *Member[X], prewarm bool) {
 	m.pendingDials--
 	p.pendingDials--
-	if warm {
+	if prewarm {
 		m.prewarming = false
 	}
 }
@@ -614,8 +614,8 @@
 // about the member, which is neither backed off from nor unreachable. If no connection is open to take
 // the waiting requests, the first of them is rejected, to be sent to another member that may have open
 // connections.
-func (p *Pool[X]) DialFailedLocally(m *Member[X], warm bool) {
-	p.releaseDialSlot(m, warm)
+func (p *Pool[X]) DialFailedLocally(m *Member[X], prewarm bool) {
+	p.releaseDialSlot(m, prewarm)
 	p.openConns--
 	p.serveWaiting(m)
 	if len(m.Conns) > 0 {
@@ -647,7 +647,7 @@
 			return
 		}
 		m.Waiting = m.Waiting[1:]
-		p.actions.Reject(x, Unreachable)
+		p.actions.Reject(x, Unavailable)
 	}
 }
 
@@ -696,8 +696,8 @@
 	}
 }
 
-// WriteDrained handles the end of a connection's pending writes.
-func (p *Pool[X]) WriteDrained(c *Conn[X]) {
+// BacklogWritten handles the end of a connection's pending writes.
+func (p *Pool[X]) BacklogWritten(c *Conn[X]) {
 	if !c.Closed {
 		p.serveWaiting(c.Member)
 	}
@@ -718,7 +718,7 @@
 	if m != nil && len(m.Conns) > 0 {
 		return LocalShortage
 	}
-	return Unreachable
+	return Unavailable
 }
 
 // RemoveWaiting removes a request from the queue.
@@ -737,9 +737,9 @@
 		c.Pipelined = append(c.Pipelined, x)
 	} else {
 		c.Current, c.currentSince, c.carriesWrite, c.group = x, p.now, r.Write, r.Group
-		if c.idleClass = -1; c.HasAnswered {
-			c.idleClass = p.idle.class(p.now - c.lastUsed)
-			p.idle.reused[c.idleClass]++
+		if c.idleBucket = -1; c.HasAnswered {
+			c.idleBucket = p.idle.bucket(p.now - c.lastUsed)
+			p.idle.reused[c.idleBucket]++
 		}
 		p.touch(c)
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -61,9 +61,9 @@
 
 // pendingDial is a dial that has not ended.
 type pendingDial struct {
-	member *Member[*testRequest]
-	epoch  int
-	warm   bool
+	member  *Member[*testRequest]
+	epoch   int
+	prewarm bool
 }
 
 // testHost is a host with a simulated clock.
@@ -89,8 +89,8 @@
 var defaultConfig = Config{ConnIdle: 5 * time.Second, ConnectTimeout: 250 * time.Millisecond, Multiplex: 4, Instances: 1, Descriptors: 512,
 	CanProbe: true}
 
-func (h *testHost) Dial(m *Member[*testRequest], warm bool) {
-	h.dials = append(h.dials, pendingDial{m, m.Epoch, warm})
+func (h *testHost) Dial(m *Member[*testRequest], prewarm bool) {
+	h.dials = append(h.dials, pendingDial{m, m.Epoch, prewarm})
 }
 
 func (h *testHost) Reject(x *testRequest, v Verdict) {
@@ -116,13 +116,13 @@
 	dial := h.dials[i]
 	h.dials = slices.Delete(h.dials, i, i+1)
 	if !succeeds {
-		h.pool.DialCompleted(dial.member, nil, dial.epoch, dial.warm, h.now%2 == 0)
+		h.pool.DialCompleted(dial.member, nil, dial.epoch, dial.prewarm, h.now%2 == 0)
 		return nil
 	}
 	link := &testLink{host: h, epoch: dial.epoch, conn: &Conn[*testRequest]{Member: dial.member}}
 	link.conn.Link = link
 	h.links = append(h.links, link)
-	h.pool.DialCompleted(dial.member, link.conn, dial.epoch, dial.warm, false)
+	h.pool.DialCompleted(dial.member, link.conn, dial.epoch, dial.prewarm, false)
 	return link
 }
 
@@ -265,7 +265,7 @@
 	}
 	host.pool.UpdateMember(member, false, false)
 	for _, request := range queue {
-		if len(member.Waiting) != 0 || !slices.Equal(request.verdicts, []Verdict{Unreachable}) {
+		if len(member.Waiting) != 0 || !slices.Equal(request.verdicts, []Verdict{Unavailable}) {
 			t.Errorf("%d wait; request %d: %v", len(member.Waiting), request.id, request.verdicts)
 		}
 	}
@@ -416,7 +416,7 @@
 					host.broken(link)
 				case event == 10 && link != nil:
 					if link.blocked = !link.blocked; !link.blocked {
-						host.pool.WriteDrained(link.conn)
+						host.pool.BacklogWritten(link.conn)
 					}
 				case event < 13 && len(host.dials) > 0:
 					host.connect(rng.IntN(len(host.dials)), rng.IntN(3) > 0)
--- a/internal/pool/transit.go
+++ b/internal/pool/transit.go
@@ -24,12 +24,12 @@
 // counts as lost.
 func (m *Member[X]) recordAnswerTime(took time.Duration) {
 	if m.roundTrip == 0 {
-		m.roundTrip, m.smoothed, m.deviation = took, took, took/2
+		m.roundTrip, m.smoothedTime, m.timeDeviation = took, took, took/2
 		return
 	}
 	m.roundTrip = min(took, m.roundTrip+m.roundTrip/roundTripRiseDivisor)
-	m.deviation += ((took - m.smoothed).Abs() - m.deviation) / deviationDivisor
-	m.smoothed += (took - m.smoothed) / smoothedDivisor
+	m.timeDeviation += ((took - m.smoothedTime).Abs() - m.timeDeviation) / deviationDivisor
+	m.smoothedTime += (took - m.smoothedTime) / smoothedDivisor
 }
 
 // Transit returns how long after being written a request has certainly arrived at a member, on a
@@ -38,7 +38,7 @@
 // a later one written to another member, and both members would then process it at once. Where concurrent
 // attempts are allowed, nothing waits for that.
 func (p *Pool[X]) Transit(m *Member[X]) time.Duration {
-	expected := m.smoothed + deviationFactor*m.deviation
+	expected := m.smoothedTime + deviationFactor*m.timeDeviation
 	return p.boundTransit(expected.Truncate(time.Microsecond)) // whole microseconds avoid odd nanoseconds
 }
 
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -399,9 +399,9 @@
 	return nil
 }
 
-// Hold adds n, which may be negative, to the bytes held, and reports whether they exceed the limit. It
+// AddBuffered adds n, which may be negative, to the bytes held, and reports whether they exceed the limit. It
 // requires the lock.
-func (p *Proxy) Hold(n int) (over bool) {
+func (p *Proxy) AddBuffered(n int) (over bool) {
 	p.bufferedBytes += n
 	return p.bufferedBytes > p.maxBufferedBytes
 }
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -45,7 +45,7 @@
 	b := resp.AppendBulkHead(make([]byte, 0, len(value)+16), len(value))
 	head := len(b)
 	b = append(append(b, value...), "\r\n"...)
-	p.Hold(len(b))
+	p.AddBuffered(len(b))
 	return &Body{proxy: p, bulk: b, headLength: head, references: 1}
 }
 
@@ -58,7 +58,7 @@
 // Release drops a reference, and the body with the last one. The caller holds the host's lock.
 func (b *Body) Release() {
 	if b.references--; b.references == 0 {
-		b.proxy.Hold(-len(b.bulk))
+		b.proxy.AddBuffered(-len(b.bulk))
 		b.bulk = b.bulk[:0:0]
 	}
 }
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -118,7 +118,7 @@
 // addHeld adds n bytes to the memory that is held for the reply.
 func (m *manyReply) addHeld(n int) {
 	m.heldBytes += n
-	m.proxy.Hold(n)
+	m.proxy.AddBuffered(n)
 }
 
 // AllDone writes the reply in the order of the request, or the rest of a streamed one.
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -261,7 +261,7 @@
 		return
 	}
 	order.answered, order.receipt, order.reportReceipt = true, slices.Clone(value), !r.done
-	p.Hold(len(order.receipt))
+	p.AddBuffered(len(order.receipt))
 	r.done = true
 	p.recordEnd(r)
 }
@@ -299,7 +299,7 @@
 			r.Responder.Answer(Answer{Kind: Failed, Reason: reasons.RecordFault})
 		}
 	}
-	p.Hold(-len(order.receipt))
+	p.AddBuffered(-len(order.receipt))
 	order.receipt = nil
 	p.fenceReads(r)
 	p.releaseIfOver(r)
--- a/internal/proxy/redis_front.go
+++ b/internal/proxy/redis_front.go
@@ -237,7 +237,7 @@
 	if p.cfg.ManyKeys != nil {
 		c.reader.SetMaxElements(maxManyElements)
 	}
-	w.OnDrained, w.OnLost = c.flush, c.wakeWaiters
+	w.OnBacklogWritten, w.OnLost = c.flush, c.wakeWaiters
 	// Limits the wait for the first command, whether it begins or not.
 	conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	f.clients[c] = struct{}{}
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -22,24 +22,24 @@
 type Host interface {
 	Enter()
 	Leave()
-	Hold(n int) (over bool) // adds n bytes, or subtracts -n, to the bytes that count as buffered
+	AddBuffered(n int) (over bool) // adds n bytes, or subtracts -n, to the bytes that count as buffered
 }
 
 // Sender is the sending side of a connection. It writes immediately, under the host's lock, what the
 // kernel accepts without blocking, and leaves the rest to a goroutine: most messages are small and need
 // no hand-off, and a peer that reads slowly delays no other.
 type Sender struct {
-	host       Host
-	conn       *net.TCPConn
-	wrapped    net.Conn // if set, writes go through it; they may block, and are left to the goroutine
-	raw        syscall.RawConn
-	OnDrained  func() // if set, called under the lock when the backlog has been written
-	OnLost     func() // if set, called under the lock when the peer accepts nothing any more
-	draining   bool   // a goroutine writes the backlog
-	failed     bool
-	queue      net.Buffers
-	corked     bool // what is sent is collected in corkBuffer
-	corkBuffer []byte
+	host             Host
+	conn             *net.TCPConn
+	wrapped          net.Conn // if set, writes go through it; they may block, and are left to the goroutine
+	raw              syscall.RawConn
+	OnBacklogWritten func() // if set, called under the lock when the backlog has been written
+	OnLost           func() // if set, called under the lock when the peer accepts nothing any more
+	writingBacklog   bool   // a goroutine writes the backlog
+	failed           bool
+	queue            net.Buffers
+	corked           bool // what is sent is collected in corkBuffer
+	corkBuffer       []byte
 	// Offsets in the byte stream: what was given to Send, and what the kernel has or may have by now. The
 	// goroutine's current write may reach the kernel at any moment, so it counts as handed off from its
 	// start.
@@ -91,16 +91,16 @@
 
 // Send writes b, or queues what can't be written immediately. The caller holds the lock and may reuse b,
 // unless keep says that it never changes, which saves the queue a copy.
-func (w *Sender) Send(b []byte, keep bool) {
+func (w *Sender) Send(b []byte, immutable bool) {
 	w.accepted += int64(len(b))
 	if w.failed {
 		return
 	}
-	if w.corked && !w.draining {
+	if w.corked && !w.writingBacklog {
 		w.corkBuffer = append(w.corkBuffer, b...)
 		return
 	}
-	w.writeOrQueue(b, keep)
+	w.writeOrQueue(b, immutable)
 }
 
 // Cork holds back what is sent from now on until Uncork: several messages are then written by one system
@@ -117,8 +117,8 @@
 	w.corkBuffer = w.corkBuffer[:0]
 }
 
-func (w *Sender) writeOrQueue(b []byte, keep bool) {
-	if !w.draining {
+func (w *Sender) writeOrQueue(b []byte, immutable bool) {
+	if !w.writingBacklog {
 		if w.wrapped == nil {
 			w.writeBuffer, w.written, w.writeErr = b, 0, nil
 			err := w.raw.Write(w.tryWrite)
@@ -136,23 +136,23 @@
 				return
 			}
 		}
-		w.draining = true
-		defer func() { go w.drain() }()
+		w.writingBacklog = true
+		defer func() { go w.writeBacklog() }()
 	}
-	if !keep {
+	if !immutable {
 		b = slices.Clone(b)
 	}
 	w.queue = append(w.queue, b)
 	w.backlog += len(b)
-	w.host.Hold(len(b))
+	w.host.AddBuffered(len(b))
 }
 
 // SendCounted sends bytes that never change and that the caller has already counted as buffered.
 func (w *Sender) SendCounted(b []byte) {
-	was := w.backlog
+	backlogBefore := w.backlog
 	w.Send(b, true)
-	w.countedByCaller += w.backlog - was
-	w.host.Hold(was - w.backlog)
+	w.countedByCaller += w.backlog - backlogBefore
+	w.host.AddBuffered(backlogBefore - w.backlog)
 }
 
 // Fail closes the connection; its reader notices and cleans up.
@@ -174,7 +174,7 @@
 	byCaller := min(n, w.countedByCaller)
 	w.countedByCaller -= byCaller
 	w.backlog -= n
-	w.host.Hold(byCaller - n)
+	w.host.AddBuffered(byCaller - n)
 }
 
 // nextPiece removes the next bytes to write from the queue. A peer that receives a long value slowly
@@ -195,15 +195,15 @@
 	return piece, size
 }
 
-// drain writes the backlog.
-func (w *Sender) drain() {
+// writeBacklog writes the backlog.
+func (w *Sender) writeBacklog() {
 	for {
 		w.host.Enter()
 		if len(w.queue) == 0 {
-			w.draining = false
+			w.writingBacklog = false
 			w.writer().SetWriteDeadline(time.Time{})
-			if w.OnDrained != nil {
-				w.OnDrained()
+			if w.OnBacklogWritten != nil {
+				w.OnBacklogWritten()
 			}
 			w.host.Leave()
 			return
@@ -230,7 +230,7 @@
 func (w *Sender) Raw() syscall.RawConn { return w.raw }
 
 // Busy reports whether a write is pending.
-func (w *Sender) Busy() bool { return w.draining }
+func (w *Sender) Busy() bool { return w.writingBacklog }
 
 // Backlog returns the number of bytes that are queued or being written.
 func (w *Sender) Backlog() int { return w.backlog }
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -22,9 +22,9 @@
 
 type lockHost struct{ sync.Mutex }
 
-func (l *lockHost) Enter()        { l.Lock() }
-func (l *lockHost) Leave()        { l.Unlock() }
-func (l *lockHost) Hold(int) bool { return false }
+func (l *lockHost) Enter()               { l.Lock() }
+func (l *lockHost) Leave()               { l.Unlock() }
+func (l *lockHost) AddBuffered(int) bool { return false }
 
 // Corked messages wait and count as unsent; uncorked, they are written in order, before later ones. On a
 // connection that has failed meanwhile they are never written.
--- a/internal/shed/shed.go
+++ b/internal/shed/shed.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// aimDivisor divides the shortest latency target of a class. Reads that have waited unread for longer
+	// softDeadlineDivisor divides the shortest latency target of a class. Reads that have waited unread for longer
 	// than the result may be refused, and all are refused past twice that. The limit leaves time for the
 	// rest of the exchange. A limit shorter than a burst that the core completes in time would refuse
 	// requests for no reason.
-	aimDivisor = 4
+	softDeadlineDivisor = 4
 	// busyThreshold is the utilization at which the core counts as fully used. A part is always lost to
 	// the kernel and to other processes.
 	busyThreshold = 0.85
@@ -36,7 +36,7 @@
 // Controller decides for all connections of a front end.
 type Controller struct {
 	waitLimit   time.Duration
-	lowWorth    []bool // by class: its reads are worth less than those of other classes
+	lowValue    []bool // by class: its reads are worth less than those of other classes
 	shares      []float64
 	recent      []float64 // recent requests, by tenant
 	recentTotal float64
@@ -58,18 +58,18 @@
 
 // SetClasses replaces the classes.
 func (ctl *Controller) SetClasses(classes []logic.Class) {
-	ctl.waitLimit, ctl.lowWorth = 0, make([]bool, len(classes))
-	maxWorth := 0.0
+	ctl.waitLimit, ctl.lowValue = 0, make([]bool, len(classes))
+	highestValue := 0.0
 	for _, c := range classes {
-		if ctl.waitLimit == 0 || c.SoftDeadline/aimDivisor < ctl.waitLimit {
-			ctl.waitLimit = c.SoftDeadline / aimDivisor
+		if ctl.waitLimit == 0 || c.SoftDeadline/softDeadlineDivisor < ctl.waitLimit {
+			ctl.waitLimit = c.SoftDeadline / softDeadlineDivisor
 		}
 		if c.Effect == logic.Repeatable {
-			maxWorth = max(maxWorth, c.Value)
+			highestValue = max(highestValue, c.Value)
 		}
 	}
 	for i, c := range classes {
-		ctl.lowWorth[i] = c.Effect == logic.Repeatable && c.Value < maxWorth
+		ctl.lowValue[i] = c.Effect == logic.Repeatable && c.Value < highestValue
 	}
 }
 
@@ -103,7 +103,7 @@
 	switch {
 	case !ctl.busy || waited <= ctl.waitLimit || request.Write || class.Effect != logic.Repeatable:
 		return true
-	case waited > 2*ctl.waitLimit || request.Class < len(ctl.lowWorth) && ctl.lowWorth[request.Class]:
+	case waited > 2*ctl.waitLimit || request.Class < len(ctl.lowValue) && ctl.lowValue[request.Class]:
 		return false
 	}
 	return !ctl.overShare(request.Tenant)
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -32,7 +32,7 @@
 	RunsOnLastByte() bool
 	// Reader returns a function that reads one answer, passes it to the connection (deliverResult,
 	// streamValue) and returns the number of bytes received beyond it.
-	Reader(u *Conn) func() (beyond int, err error)
+	Reader(c *Conn) func() (beyond int, err error)
 }
 
 // resp2 is the caches' protocol: the platform's commands in RESP2.
@@ -55,12 +55,12 @@
 func (resp2) Ping() []byte         { return pingCommand }
 func (resp2) RunsOnLastByte() bool { return false }
 
-func (resp2) Reader(u *Conn) func() (int, error) {
-	in := u.set.readers.Get().(*resp.Reader)
-	in.Reset(u)
-	u.respReader = in
+func (resp2) Reader(c *Conn) func() (int, error) {
+	in := c.set.readers.Get().(*resp.Reader)
+	in.Reset(c)
+	c.respReader = in
 	return func() (int, error) {
-		err := u.readRESP(in)
+		err := c.readRESP(in)
 		return in.Buffered(), err
 	}
 }
@@ -69,12 +69,12 @@
 func (http1) Ping() []byte         { return nil }
 func (http1) RunsOnLastByte() bool { return true }
 
-func (http1) Reader(u *Conn) func() (int, error) {
-	limit := &limitedReader{reader: u}
+func (http1) Reader(c *Conn) func() (int, error) {
+	limit := &limitedReader{reader: c}
 	in := bufio.NewReaderSize(limit, readBuffer)
 	return func() (int, error) {
 		limit.remaining = maxOriginOverhead + resp.MaxValue
-		err := u.readHTTP(in, limit)
+		err := c.readHTTP(in, limit)
 		return in.Buffered(), err
 	}
 }
@@ -156,20 +156,20 @@
 }
 
 // readRESP reads one answer of a cache.
-func (u *Conn) readRESP(in *resp.Reader) error {
+func (c *Conn) readRESP(in *resp.Reader) error {
 	h, err := in.Head()
 	switch {
 	case err != nil:
 		return err
-	case u.PingPending: // read without the lock: this goroutine's awaitData has seen it under the lock
+	case c.PingPending: // read without the lock: this goroutine's awaitData has seen it under the lock
 		if h.Kind != '+' && h.Kind != '-' {
 			return resp.ErrProtocol
 		}
 		return nil
 	case h.Kind == '-':
-		return u.deliverResult(errorStatus(h.Text), 0, nil)
+		return c.deliverResult(errorStatus(h.Text), 0, nil)
 	case h.Kind == '*' && h.N == answerElements:
-		return u.readArray(in)
+		return c.readArray(in)
 	}
 	return resp.ErrProtocol
 }
@@ -192,7 +192,7 @@
 
 // readArray reads the elements of an answer. The answer is complete once the value and how it was served
 // have been read; an error in the load report after them, which is not used, affects only the connection.
-func (u *Conn) readArray(in *resp.Reader) error {
+func (c *Conn) readArray(in *resp.Reader) error {
 	h, err := in.Head()
 	if err != nil {
 		return err
@@ -200,12 +200,12 @@
 	if h.Kind != '$' {
 		return resp.ErrProtocol
 	}
-	buf := u.set.buffers.Get().(*[]byte)
-	defer u.set.buffers.Put(buf)
+	buf := c.set.buffers.Get().(*[]byte)
+	defer c.set.buffers.Put(buf)
 	status := logic.StatusMiss
 	value := (*buf)[:0]
 	if h.N > resp.MaxValue {
-		return u.streamRESP(in, h.N)
+		return c.streamRESP(in, h.N)
 	}
 	if h.N >= 0 {
 		status = logic.StatusOK
@@ -218,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	if err := u.deliverResult(status, parseNote(word), value); err != nil {
+	if err := c.deliverResult(status, parseNote(word), value); err != nil {
 		return err
 	}
 	_, err = readWord(in)
@@ -281,7 +281,7 @@
 }
 
 // readHTTP reads one answer of an origin.
-func (u *Conn) readHTTP(in *bufio.Reader, limit *limitedReader) error {
+func (c *Conn) readHTTP(in *bufio.Reader, limit *limitedReader) error {
 	for range maxInterimAnswers {
 		answer, err := http.ReadResponse(in, nil)
 		switch {
@@ -290,7 +290,7 @@
 		case err != nil:
 			return fmt.Errorf("%w: %w", resp.ErrProtocol, err)
 		case answer.StatusCode >= http.StatusOK:
-			return u.readAnswer(answer, limit)
+			return c.readAnswer(answer, limit)
 		}
 	}
 	return resp.ErrProtocol
@@ -299,16 +299,16 @@
 // readAnswer reads the value of an answer. An origin need not announce its length: the value may be
 // chunked, or end with the connection, and then is complete unless the connection broke (RFC 9112,
 // sections 7.1 and 8).
-func (u *Conn) readAnswer(answer *http.Response, limit *limitedReader) error {
+func (c *Conn) readAnswer(answer *http.Response, limit *limitedReader) error {
 	status, n := httpStatus(answer), answer.ContentLength
 	switch {
 	case n > resp.MaxValue && n <= resp.MaxLongValue && status == logic.StatusOK:
-		return u.streamHTTP(answer, limit, int(n))
+		return c.streamHTTP(answer, limit, int(n))
 	case n > resp.MaxValue:
 		return resp.ErrProtocol
 	}
-	u.untilClose = n < 0 && len(answer.TransferEncoding) == 0
-	defer func() { u.untilClose = false }()
+	c.untilClose = n < 0 && len(answer.TransferEncoding) == 0
+	defer func() { c.untilClose = false }()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, resp.MaxValue+1))
 	switch {
 	case err != nil:
@@ -316,9 +316,9 @@
 	case len(body) > resp.MaxValue && status != logic.StatusOK:
 		return resp.ErrProtocol
 	case len(body) > resp.MaxValue:
-		return u.streamUnknownLength(answer, body, limit)
+		return c.streamUnknownLength(answer, body, limit)
 	}
-	if err := u.deliverResult(status, 0, body); err != nil {
+	if err := c.deliverResult(status, 0, body); err != nil {
 		return err
 	}
 	return closeAfter(answer)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -66,56 +66,56 @@
 	if err != nil {
 		return nil, err
 	}
-	u := &Conn{set: s, conn: conn, sender: connSender, codec: resp2{}}
+	c := &Conn{set: s, conn: conn, sender: connSender, codec: resp2{}}
 	if m.Origin {
-		u.codec = http1{}
+		c.codec = http1{}
 	}
-	u.Member, u.Link = m, u
-	connSender.OnDrained = func() {
-		u.lastWriteAt = s.host.Clock()
-		s.WriteDrained(&u.Conn)
+	c.Member, c.Link = m, c
+	connSender.OnBacklogWritten = func() {
+		c.lastWriteAt = s.host.Clock()
+		s.BacklogWritten(&c.Conn)
 	}
-	u.peek = func(fd uintptr) bool {
-		u.peekResult = sender.Peek(fd)
-		return u.peekResult != sender.NoData
+	c.peek = func(fd uintptr) bool {
+		c.peekResult = sender.Peek(fd)
+		return c.peekResult != sender.NoData
 	}
-	return u, nil
+	return c, nil
 }
 
 // Writable reports whether no write is pending and none has failed.
-func (u *Conn) Writable() bool { return !u.sender.Busy() && !u.sender.Failed() }
+func (c *Conn) Writable() bool { return !c.sender.Busy() && !c.sender.Failed() }
 
 // Silent reports whether nothing has been received on the connection, neither bytes nor the end of the
 // stream.
-func (u *Conn) Silent() bool { return u.sender.Peek() == sender.NoData }
+func (c *Conn) Silent() bool { return c.sender.Peek() == sender.NoData }
 
 // Close closes a connection that has left the pool; its reader notices.
-func (u *Conn) Close() {
-	u.sender.Discard()
-	u.conn.Close()
+func (c *Conn) Close() {
+	c.sender.Discard()
+	c.conn.Close()
 }
 
 // Ping sends a command that the member answers immediately.
-func (u *Conn) Ping() { u.sender.Send(u.codec.Ping(), false) }
+func (c *Conn) Ping() { c.sender.Send(c.codec.Ping(), false) }
 
 // Send writes an exchange. The pool has checked, under the same lock, that the member is ready.
-func (u *Conn) Send(x *Exchange) {
-	s := u.set
-	x.conn = u
+func (c *Conn) Send(x *Exchange) {
+	s := c.set
+	x.conn = c
 	now := s.host.Clock()
-	u.allowTransit(x, now)
-	corked := s.corking && !x.Write && !u.Member.Origin
+	c.allowTransit(x, now)
+	corked := s.corking && !x.Write && !c.Member.Origin
 	if corked {
-		s.cork(u, now)
+		s.cork(c, now)
 	}
-	b := u.codec.Append(s.scratch[:0], x, u.Member.Addr, u.announcedDeadline(x)-now)
+	b := c.codec.Append(s.scratch[:0], x, c.Member.Addr, c.announcedDeadline(x)-now)
 	s.scratch = b[:0]
-	u.sender.Send(b, false)
+	c.sender.Send(b, false)
 	if x.Write {
-		u.sendValue(x)
+		c.sendValue(x)
 	}
-	x.endOffset = u.sender.Accepted() + x.heldBytes
-	if !corked && !u.sender.Busy() && x.heldBytes == 0 {
+	x.endOffset = c.sender.Accepted() + x.heldBytes
+	if !corked && !c.sender.Busy() && x.heldBytes == 0 {
 		x.WrittenAt = s.host.Clock()
 	}
 }
@@ -123,32 +123,32 @@
 // allowTransit extends an exchange's time until it has certainly arrived at its member, however little
 // time is left. If it were abandoned sooner, it could arrive after the next attempt of its request and be
 // a second copy. After AnswerBy there is no next attempt.
-func (u *Conn) allowTransit(x *Exchange, now time.Duration) {
-	transit := u.set.Transit(u.Member)
-	if u.Current == x && u.Fresh() {
-		transit = u.set.FirstTransit()
+func (c *Conn) allowTransit(x *Exchange, now time.Duration) {
+	transit := c.set.Transit(c.Member)
+	if c.Current == x && c.Fresh() {
+		transit = c.set.FirstTransit()
 	}
 	x.ExpiresAt = max(x.ExpiresAt, min(now+transit, x.Client.AnswerBy()))
 }
 
 // sendValue writes the value of an exchange, except for a last byte that is held back.
-func (u *Conn) sendValue(x *Exchange) {
-	s := u.set
-	if u.codec.RunsOnLastByte() && x.Once && len(x.Message.Value) > 0 {
+func (c *Conn) sendValue(x *Exchange) {
+	s := c.set
+	if c.codec.RunsOnLastByte() && x.Once && len(x.Message.Value) > 0 {
 		x.heldBytes = 1
 		s.host.ScheduleTimer(Timer{At: s.host.Now() + s.lastByteDelay, kind: timerHeldByte, exchange: x})
 	}
-	u.sender.SendCounted(x.Message.Value[:len(x.Message.Value)-int(x.heldBytes)])
-	if end := u.codec.Trailer(); len(end) > 0 {
-		u.sender.Send(end, true)
+	c.sender.SendCounted(x.Message.Value[:len(x.Message.Value)-int(x.heldBytes)])
+	if end := c.codec.Trailer(); len(end) > 0 {
+		c.sender.Send(end, true)
 	}
 }
 
 // announcedDeadline returns the deadline that a member is told for an exchange. A cache is told when the
 // attempt is abandoned. What an origin returns is stored even if the attempt is no longer waited for: it
 // is told until when the client can be answered.
-func (u *Conn) announcedDeadline(x *Exchange) time.Duration {
-	if u.Member.Origin {
+func (c *Conn) announcedDeadline(x *Exchange) time.Duration {
+	if c.Member.Origin {
 		return x.Client.AnswerBy()
 	}
 	return min(x.ExpiresAt, x.Client.AnswerBy())
@@ -157,21 +157,21 @@
 // sendHeldByte writes the byte that Send has held back, if the connection is still alive; otherwise its
 // reader reports that the attempt never ran.
 func (s *Set) sendHeldByte(x *Exchange) {
-	if u := x.conn; !x.Ended && !u.Closed && !u.sender.Failed() && u.Silent() {
-		u.sender.Send(x.Message.Value[len(x.Message.Value)-1:], true)
-		u.lastWriteAt = s.host.Clock()
+	if c := x.conn; !x.Ended && !c.Closed && !c.sender.Failed() && c.Silent() {
+		c.sender.Send(x.Message.Value[len(x.Message.Value)-1:], true)
+		c.lastWriteAt = s.host.Clock()
 	}
 }
 
 // unsent reports whether an exchange's last byte has not been handed to the kernel and won't be once the
 // connection has failed.
-func (u *Conn) unsent(x *Exchange) bool { return u.sender.Unsent(x.endOffset) }
+func (c *Conn) unsent(x *Exchange) bool { return c.sender.Unsent(x.endOffset) }
 
 // Abandon stops waiting for an exchange by closing its connection: until then it is in flight, and a
 // further attempt would be a second copy.
 func (s *Set) Abandon(x *Exchange, status logic.Status) {
-	u := x.conn
-	if u != nil && u.Current != x && u.Current != nil && u.Current.streamingSince > 0 &&
+	c := x.conn
+	if c != nil && c.Current != x && c.Current != nil && c.Current.streamingSince > 0 &&
 		status == logic.StatusTimeout && s.host.Now() < x.Client.Deadline() {
 		// Its answer follows a long value, which must not be cut off. The exchange is in flight until the
 		// connection ends, so it is kept waiting.
@@ -179,7 +179,7 @@
 		s.host.ScheduleTimer(Timer{At: x.ExpiresAt, kind: timerExpiry, exchange: x})
 		return
 	}
-	if u == nil {
+	if c == nil {
 		x.member.RemoveWaiting(x)
 		if status == logic.StatusTimeout { // it was never sent
 			status = verdictStatus(pool.NoConnVerdict(x.member))
@@ -188,72 +188,72 @@
 		return
 	}
 	switch {
-	case u.unsent(x):
+	case c.unsent(x):
 		status = logic.StatusConnectFailed
-	case x != u.Current: // its answer was not due yet: the timeout concerns the requests before it
+	case x != c.Current: // its answer was not due yet: the timeout concerns the requests before it
 		status = logic.StatusCancelled
 	}
 	x.abandon(status)
-	if u.Current != x && u.Current != nil && u.Current.streamingSince > 0 {
+	if c.Current != x && c.Current != nil && c.Current.streamingSince > 0 {
 		return // its answer is skipped when it arrives
 	}
-	s.closeAndCancel(u)
+	s.closeAndCancel(c)
 }
 
 // closeAndCancel closes a connection because of one of its exchanges, and cancels the others on it.
-func (s *Set) closeAndCancel(u *Conn) {
-	if u.Current != nil {
-		u.cancel(u.Current)
+func (s *Set) closeAndCancel(c *Conn) {
+	if c.Current != nil {
+		c.cancel(c.Current)
 	}
-	u.cancelPipelined()
-	s.HandleBroken(&u.Conn)
+	c.cancelPipelined()
+	s.HandleBroken(&c.Conn)
 }
 
 // cancel ends an exchange whose connection is closed for a reason that is neither the exchange's nor the
 // member's. Unless it is alone on the connection it is a read, and may be sent again.
-func (u *Conn) cancel(x *Exchange) {
-	if u.unsent(x) {
+func (c *Conn) cancel(x *Exchange) {
+	if c.unsent(x) {
 		x.complete(logic.StatusNoConn, 0)
 	} else {
 		x.abandon(logic.StatusCancelled)
 	}
 }
 
-func (u *Conn) cancelPipelined() {
-	for _, x := range u.Pipelined {
-		u.cancel(x)
+func (c *Conn) cancelPipelined() {
+	for _, x := range c.Pipelined {
+		c.cancel(x)
 	}
-	u.Pipelined = nil
+	c.Pipelined = nil
 }
 
 // repeatsLastValue reports whether a value equals the one with which the connection answered another key,
 // while requests were pipelined behind it (consecutive requests on a connection never have the same key).
 // It may then be a second copy of that answer, which would be taken for the answer to the next request;
 // nothing else distinguishes them.
-func (u *Conn) repeatsLastValue(value []byte) bool {
-	if u.lastValueHash == 0 && len(u.Pipelined) == 0 {
+func (c *Conn) repeatsLastValue(value []byte) bool {
+	if c.lastValueHash == 0 && len(c.Pipelined) == 0 {
 		return false
 	}
-	h := maphash.Bytes(u.set.seed, value) | 1
-	same := h == u.lastValueHash
-	if u.lastValueHash = h; len(u.Pipelined) == 0 {
-		u.lastValueHash = 0
+	h := maphash.Bytes(c.set.seed, value) | 1
+	same := h == c.lastValueHash
+	if c.lastValueHash = h; len(c.Pipelined) == 0 {
+		c.lastValueHash = 0
 	}
 	return same
 }
 
 // deliverResult completes the current exchange, with the value for its client if it was served. The
 // connection is not free yet: see finishAnswer.
-func (u *Conn) deliverResult(status logic.Status, note int, value []byte) error {
-	u.set.host.Enter()
-	defer u.set.host.Leave()
-	x := u.Current
+func (c *Conn) deliverResult(status logic.Status, note int, value []byte) error {
+	c.set.host.Enter()
+	defer c.set.host.Leave()
+	x := c.Current
 	if x == nil || x.Ended { // abandoned; the connection is closed
 		return nil
 	}
-	u.Refused = status == logic.StatusFull
+	c.Refused = status == logic.StatusFull
 	if status == logic.StatusOK {
-		if u.repeatsLastValue(value) {
+		if c.repeatsLastValue(value) {
 			return errUnsolicited
 		}
 		x.Client.Served(value)
@@ -264,15 +264,15 @@
 
 // fail closes a connection and ends the exchanges on it. If its last byte was not written, an exchange
 // never ran; otherwise it may have.
-func (u *Conn) fail(err error) {
-	u.set.host.Enter()
-	defer u.set.host.Leave()
+func (c *Conn) fail(err error) {
+	c.set.host.Enter()
+	defer c.set.host.Leave()
 	badAnswer := errors.Is(err, resp.ErrProtocol) || errors.Is(err, errTruncated) || errors.Is(err, errUnsolicited)
-	if x := u.Current; x != nil && !x.Ended {
-		u.set.RecordBreak(&u.Conn)
+	if x := c.Current; x != nil && !x.Ended {
+		c.set.RecordBreak(&c.Conn)
 		status := logic.StatusReset
 		switch {
-		case u.unsent(x):
+		case c.unsent(x):
 			status = logic.StatusConnectFailed
 		case badAnswer: // what was received may have been meant for another exchange
 			status = logic.StatusError
@@ -281,20 +281,20 @@
 		x.complete(status, 0)
 	}
 	if badAnswer {
-		u.Member.RecordBadAnswer()
+		c.Member.RecordBadAnswer()
 	}
-	u.cancelPipelined()
-	u.set.HandleBroken(&u.Conn)
+	c.cancelPipelined()
+	c.set.HandleBroken(&c.Conn)
 }
 
 // readAnswers reads answers until the connection ends.
-func (u *Conn) readAnswers() error {
-	next := u.codec.Reader(u)
-	defer u.returnReader()
+func (c *Conn) readAnswers() error {
+	next := c.codec.Reader(c)
+	defer c.returnReader()
 	buffered := 0
 	for {
 		if buffered == 0 {
-			if err := u.awaitData(); err != nil {
+			if err := c.awaitData(); err != nil {
 				return err
 			}
 		}
@@ -302,7 +302,7 @@
 		if buffered, err = next(); err != nil {
 			return err
 		}
-		if err := u.finishAnswer(buffered); err != nil {
+		if err := c.finishAnswer(buffered); err != nil {
 			return err
 		}
 	}
@@ -311,28 +311,28 @@
 // returnReader makes the reader's buffer available to other connections. With many caches and short-lived
 // connections, newly allocated buffers were most of the garbage that a connection leaves behind, and the
 // heap grew by them between collections.
-func (u *Conn) returnReader() {
-	if u.respReader != nil {
-		u.respReader.Reset(nil)
-		u.set.readers.Put(u.respReader)
-		u.respReader = nil
+func (c *Conn) returnReader() {
+	if c.respReader != nil {
+		c.respReader.Reset(nil)
+		c.set.readers.Put(c.respReader)
+		c.respReader = nil
 	}
 }
 
 // Read reads within an answer, which must not pause for long.
-func (u *Conn) Read(b []byte) (int, error) {
-	if u.firstRead {
-		u.firstRead = false
+func (c *Conn) Read(b []byte) (int, error) {
+	if c.firstRead {
+		c.firstRead = false
 	} else {
-		u.readDeadlineSet = true
+		c.readDeadlineSet = true
 		limit := answerStallTimeout
-		if u.readingLongValue {
+		if c.readingLongValue {
 			limit = sender.StallTimeout
 		}
-		u.conn.SetReadDeadline(time.Now().Add(limit))
+		c.conn.SetReadDeadline(time.Now().Add(limit))
 	}
-	n, err := u.conn.Read(b)
-	if n == 0 && err != nil && !(u.untilClose && err == io.EOF) {
+	n, err := c.conn.Read(b)
+	if n == 0 && err != nil && !(c.untilClose && err == io.EOF) {
 		err = fmt.Errorf("%w: %w", errTruncated, err)
 	}
 	return n, err
@@ -340,21 +340,21 @@
 
 // awaitData waits for received data without reading it: as long as it is in the kernel, the pool can see
 // it. Data that arrives while no request is in flight is not an answer.
-func (u *Conn) awaitData() error {
-	if u.readDeadlineSet {
-		u.readDeadlineSet = false
-		u.conn.SetReadDeadline(time.Time{})
+func (c *Conn) awaitData() error {
+	if c.readDeadlineSet {
+		c.readDeadlineSet = false
+		c.conn.SetReadDeadline(time.Time{})
 	}
-	if err := u.sender.Raw().Read(u.peek); err != nil {
+	if err := c.sender.Raw().Read(c.peek); err != nil {
 		return err
 	}
-	u.firstRead = true
-	u.set.host.Lock()
-	defer u.set.host.Unlock()
+	c.firstRead = true
+	c.set.host.Lock()
+	defer c.set.host.Unlock()
 	switch {
-	case u.peekResult == sender.EndOfStream:
+	case c.peekResult == sender.EndOfStream:
 		return io.EOF
-	case !u.Busy():
+	case !c.Busy():
 		return errUnsolicited
 	}
 	return nil
@@ -363,19 +363,19 @@
 // finishAnswer makes a connection available again after an answer, following a cooldown: data that
 // arrives from now on belongs to no request, and ends the connection. If requests are pipelined, the next
 // one becomes current instead.
-func (u *Conn) finishAnswer(buffered int) error {
-	u.set.host.Enter()
-	defer u.set.host.Leave()
+func (c *Conn) finishAnswer(buffered int) error {
+	c.set.host.Enter()
+	defer c.set.host.Leave()
 	switch {
-	case u.Closed:
+	case c.Closed:
 		return net.ErrClosed
-	case u.set.Answered(&u.Conn, u.Current != nil && u.Current.streamingSince == 0):
+	case c.set.Answered(&c.Conn, c.Current != nil && c.Current.streamingSince == 0):
 		return nil
 	case buffered > 0:
 		return errUnsolicited
-	case u.Retired:
+	case c.Retired:
 		return io.EOF
 	}
-	u.set.Release(&u.Conn)
+	c.set.Release(&c.Conn)
 	return nil
 }
--- a/internal/upstream/cork_test.go
+++ b/internal/upstream/cork_test.go
@@ -18,7 +18,7 @@
 func (h *testHost) Leave()                                          {}
 func (h *testHost) Lock()                                           {}
 func (h *testHost) Unlock()                                         {}
-func (h *testHost) Hold(int) bool                                   { return false }
+func (h *testHost) AddBuffered(int) bool                            { return false }
 func (h *testHost) Now() time.Duration                              { return 0 } // time of the event
 func (h *testHost) Clock() time.Duration                            { return h.now }
 func (h *testHost) Do(f func())                                     { f() }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -32,7 +32,7 @@
 }
 
 // dial opens a connection and reads its answers until it ends.
-func (s *Set) dial(m *Member, addr string, epoch int, warm bool) {
+func (s *Set) dial(m *Member, addr string, epoch int, prewarm bool) {
 	conn, err := s.dialer(addr, s.connectTimeout)
 	var connection *Conn
 	s.host.Do(func() {
@@ -42,11 +42,11 @@
 		var netErr net.Error
 		switch {
 		case err == nil:
-			s.DialCompleted(m, &connection.Conn, epoch, warm, false)
+			s.DialCompleted(m, &connection.Conn, epoch, prewarm, false)
 		case isLocalError(err):
-			s.DialFailedLocally(m, warm)
+			s.DialFailedLocally(m, prewarm)
 		default:
-			s.DialCompleted(m, nil, epoch, warm, !(errors.As(err, &netErr) && netErr.Timeout()))
+			s.DialCompleted(m, nil, epoch, prewarm, !(errors.As(err, &netErr) && netErr.Timeout()))
 		}
 	})
 	if err != nil {
--- a/internal/upstream/long.go
+++ b/internal/upstream/long.go
@@ -20,12 +20,12 @@
 const longPieceSize = 32 << 10
 
 // beginStreaming begins to stream a long value: the request is served, by this exchange.
-func (u *Conn) beginStreaming(n int) (ValueStream, *Exchange, error) {
-	host := u.set.host
+func (c *Conn) beginStreaming(n int) (ValueStream, *Exchange, error) {
+	host := c.set.host
 	host.Enter()
 	defer host.Leave()
-	u.set.SuspendPipelining(pipeliningPause)
-	x := u.Current
+	c.set.SuspendPipelining(pipeliningPause)
+	x := c.Current
 	if x == nil || x.Ended {
 		return nil, nil, net.ErrClosed
 	}
@@ -39,26 +39,26 @@
 
 // streamValue streams n bytes of in as the value of the current exchange; end, if not nil, reads what
 // follows them before they count as complete.
-func (u *Conn) streamValue(in io.Reader, n int, end func() error) (*Exchange, error) {
-	stream, exchange, err := u.beginStreaming(n)
+func (c *Conn) streamValue(in io.Reader, n int, end func() error) (*Exchange, error) {
+	stream, exchange, err := c.beginStreaming(n)
 	if err != nil {
 		return nil, err
 	}
-	if reservation := u.reserveForPipelined(n); reservation != nil {
-		return exchange, u.streamBuffered(reservation, stream, in, n, end)
+	if reservation := c.reserveForPipelined(n); reservation != nil {
+		return exchange, c.streamBuffered(reservation, stream, in, n, end)
 	}
-	u.readingLongValue = true
-	defer func() { u.readingLongValue = false }()
+	c.readingLongValue = true
+	defer func() { c.readingLongValue = false }()
 	if err := stream.Begin(n); err != nil {
-		return nil, u.clientGone(exchange)
+		return nil, c.clientGone(exchange)
 	}
-	buf := u.set.buffers.Get().(*[]byte)
-	defer u.set.buffers.Put(buf)
+	buf := c.set.buffers.Get().(*[]byte)
+	defer c.set.buffers.Put(buf)
 	*buf = slices.Grow((*buf)[:0], longPieceSize)
 	for piece := (*buf)[:longPieceSize]; n > 0; {
 		read, err := in.Read(piece[:min(n, len(piece))])
 		if read > 0 && stream.WritePiece(piece[:read]) != nil {
-			return nil, u.clientGone(exchange)
+			return nil, c.clientGone(exchange)
 		}
 		if n -= read; err != nil && n > 0 {
 			stream.Abort()
@@ -72,7 +72,7 @@
 		}
 	}
 	if stream.Finish() != nil {
-		return nil, u.clientGone(exchange)
+		return nil, c.clientGone(exchange)
 	}
 	return exchange, nil
 }
@@ -80,10 +80,10 @@
 // reserveForPipelined reserves memory for a whole value behind which other requests are pipelined, if it
 // is available immediately. Nothing is pipelined for a while after a long value, but the requests that
 // were pipelined before the first one must not wait for its client.
-func (u *Conn) reserveForPipelined(n int) (reservation Reservation) {
-	u.set.host.Do(func() {
-		if len(u.Pipelined) > 0 {
-			reservation = u.set.host.ReserveLongValue(n, u.set.host.Now())
+func (c *Conn) reserveForPipelined(n int) (reservation Reservation) {
+	c.set.host.Do(func() {
+		if len(c.Pipelined) > 0 {
+			reservation = c.set.host.ReserveLongValue(n, c.set.host.Now())
 		}
 	})
 	if reservation != nil && !reservation.Wait() {
@@ -94,9 +94,9 @@
 
 // streamBuffered reads a value at the member's pace and streams it at the client's, in a goroutine that
 // ends when the client has received the value, or stops receiving.
-func (u *Conn) streamBuffered(reservation Reservation, stream ValueStream, in io.Reader, n int, end func() error) error {
-	u.readingLongValue = true
-	defer func() { u.readingLongValue = false }()
+func (c *Conn) streamBuffered(reservation Reservation, stream ValueStream, in io.Reader, n int, end func() error) error {
+	c.readingLongValue = true
+	defer func() { c.readingLongValue = false }()
 	pieces := make(chan []byte, n/longPieceSize+1) // capacity for all of them: reading never blocks here
 	truncated := false                             // set before pieces is closed
 	go func() {
@@ -133,19 +133,19 @@
 }
 
 // completeStreamed completes an exchange whose member has sent the whole value.
-func (u *Conn) completeStreamed(x *Exchange, note int) {
-	u.set.host.Do(func() { x.complete(logic.StatusOK, note) })
+func (c *Conn) completeStreamed(x *Exchange, note int) {
+	c.set.host.Do(func() { x.complete(logic.StatusOK, note) })
 }
 
 // clientGone completes an exchange whose client has gone during the value.
-func (u *Conn) clientGone(x *Exchange) error {
-	u.completeStreamed(x, 0)
+func (c *Conn) clientGone(x *Exchange) error {
+	c.completeStreamed(x, 0)
 	return net.ErrClosed
 }
 
 // streamRESP streams a long value of a cache.
-func (u *Conn) streamRESP(in *resp.Reader, n int) error {
-	x, err := u.streamValue(in, n, in.LineEnd)
+func (c *Conn) streamRESP(in *resp.Reader, n int) error {
+	x, err := c.streamValue(in, n, in.LineEnd)
 	if err != nil {
 		return err
 	}
@@ -156,18 +156,18 @@
 		_, err = readWord(in)
 	}
 	// The value is complete; an error after it only ends the connection.
-	u.completeStreamed(x, note)
+	c.completeStreamed(x, note)
 	return err
 }
 
 // streamHTTP streams a long value of an origin.
-func (u *Conn) streamHTTP(answer *http.Response, limit *limitedReader, n int) error {
+func (c *Conn) streamHTTP(answer *http.Response, limit *limitedReader, n int) error {
 	limit.remaining += n
-	x, err := u.streamValue(answer.Body, n, nil)
+	x, err := c.streamValue(answer.Body, n, nil)
 	if err != nil {
 		return err
 	}
-	u.completeStreamed(x, 0)
+	c.completeStreamed(x, 0)
 	return closeAfter(answer)
 }
 
@@ -177,11 +177,11 @@
 // streamUnknownLength forwards a long value of unknown length from an origin, of which body has been
 // received. RESP2 requires the length first, so the value is buffered until it is complete, in the memory
 // reserved for long values.
-func (u *Conn) streamUnknownLength(answer *http.Response, body []byte, limit *limitedReader) (err error) {
-	host := u.set.host
+func (c *Conn) streamUnknownLength(answer *http.Response, body []byte, limit *limitedReader) (err error) {
+	host := c.set.host
 	var reservation Reservation
 	host.Do(func() {
-		if x := u.Current; x != nil && !x.Ended {
+		if x := c.Current; x != nil && !x.Ended {
 			reservation = host.ReserveLongValue(resp.MaxLongValue, x.ExpiresAt)
 		}
 	})
@@ -207,7 +207,7 @@
 		return fmt.Errorf("%w: %w", errTruncated, err)
 	}
 	reservation.Shrink(n)
-	stream, x, err := u.beginStreaming(n)
+	stream, x, err := c.beginStreaming(n)
 	if err != nil {
 		return err
 	}
@@ -218,8 +218,8 @@
 		}
 	}
 	if err != nil || stream.Finish() != nil {
-		return u.clientGone(x)
+		return c.clientGone(x)
 	}
-	u.completeStreamed(x, 0)
+	c.completeStreamed(x, 0)
 	return closeAfter(answer)
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -85,7 +85,7 @@
 	Do(f func())                   // calls f under the lock, as one event
 	ScheduleTimer(d Timer)         // calls HandleTimer with the timer when it is due
 	ScheduleWake(at time.Duration) // calls Wake at that time; the latest call replaces earlier ones
-	HasDescriptor(make bool) bool  // reports whether a descriptor is available; make: one may be freed for it
+	HasDescriptor(evict bool) bool // reports whether a descriptor is available; make: one may be freed for it
 	// ReserveLongValue requests n bytes of the memory for long values, waiting until a time at most.
 	ReserveLongValue(n int, until time.Duration) Reservation
 }
@@ -182,15 +182,15 @@
 // then never runs, and ends as if it had not found a connection. An exchange that may have been sent
 // completes by itself.
 func (s *Set) Recall(x *Exchange) {
-	switch u := x.conn; {
+	switch c := x.conn; {
 	case x.Ended:
-	case u == nil:
+	case c == nil:
 		x.member.RemoveWaiting(x)
 		x.complete(logic.StatusNoConn, 0)
 	// A long value of another exchange on the connection is not cut off.
-	case u.unsent(x) && (u.Current == x || u.Current.streamingSince == 0):
+	case c.unsent(x) && (c.Current == x || c.Current.streamingSince == 0):
 		x.complete(logic.StatusNoConn, 0)
-		s.closeAndCancel(u)
+		s.closeAndCancel(c)
 	}
 }
 
@@ -240,21 +240,21 @@
 
 // cork holds back the writes of a connection, and first flushes those that have been held back for too
 // long.
-func (s *Set) cork(u *Conn, now time.Duration) {
+func (s *Set) cork(c *Conn, now time.Duration) {
 	if len(s.corkedConns) > 0 && now-s.corkedSince > maxCorkTime {
 		s.flushCorked()
 	}
 	if len(s.corkedConns) == 0 {
 		s.corkedSince = now
 	}
-	u.sender.Cork()
-	s.corkedConns = append(s.corkedConns, u)
+	c.sender.Cork()
+	s.corkedConns = append(s.corkedConns, c)
 }
 
 func (s *Set) flushCorked() {
-	for i, u := range s.corkedConns {
-		u.sender.Uncork()
-		u.lastWriteAt = s.host.Clock()
+	for i, c := range s.corkedConns {
+		c.sender.Uncork()
+		c.lastWriteAt = s.host.Clock()
 		s.corkedConns[i] = nil
 	}
 	s.corkedConns = s.corkedConns[:0]
@@ -273,13 +273,13 @@
 
 var _ pool.Actions[*Exchange] = actions{}
 
-func (a actions) Dial(m *Member, warm bool) { go a.set.dial(m, m.Addr, m.Epoch, warm) }
+func (a actions) Dial(m *Member, prewarm bool) { go a.set.dial(m, m.Addr, m.Epoch, prewarm) }
 
 func (a actions) Reject(x *Exchange, v pool.Verdict) { x.complete(verdictStatus(v), 0) }
 
 func (a actions) Expired(x *Exchange) bool { return x.ExpiresAt-a.set.host.Clock() < MinDeadline }
 
-func (a actions) HasDescriptor(make bool) bool { return a.set.host.HasDescriptor(make) }
+func (a actions) HasDescriptor(evict bool) bool { return a.set.host.HasDescriptor(evict) }
 
 func (a actions) ScheduleConnectTimeout(x *Exchange, at time.Duration) {
 	a.set.host.ScheduleTimer(Timer{At: at, kind: timerConnect, exchange: x})
@@ -313,14 +313,14 @@
 // recordTransit determines until when an abandoned exchange may be in transit. Closing its connection
 // doesn't recall what has been sent.
 func (x *Exchange) recordTransit() {
-	u := x.conn
+	c := x.conn
 	written := x.WrittenAt
 	switch {
 	case written > 0:
-	case u.sender.Busy(): // it may be being sent right now
-		written = u.set.host.Clock()
+	case c.sender.Busy(): // it may be being sent right now
+		written = c.set.host.Clock()
 	default: // it was sent together with others, or in parts
-		written = u.lastWriteAt
+		written = c.lastWriteAt
 	}
-	x.transitUntil = written + u.set.Transit(u.Member)
+	x.transitUntil = written + c.set.Transit(c.Member)
 }
--- a/logic/digest.go
+++ b/logic/digest.go
@@ -33,10 +33,10 @@
 	}
 	for _, k := range slices.Sorted(maps.Keys(b.requests)) {
 		req := b.requests[k]
-		fmt.Fprintln(h, req.Request, req.arrivedAt, req.softDeadline, req.priority, req.slot, req.attempts, req.maxAttempts, req.unsent,
+		fmt.Fprintln(h, req.Request, req.arrivedAt, req.softDeadline, req.priority, req.slot, req.attempts, req.maxAttempts, req.uncountedAttempts,
 			req.outstanding,
 			req.originAttempts, req.mayHaveRun, req.firstRunAt, id(req.firstRunMember),
-			id(req.missedCache), req.waiting, req.queued, req.coalesced, req.coalescedAfterMiss, req.ownsFetch,
+			id(req.missedCache), req.waiting, req.queued, req.waitedForFetch, req.waitedAfterMiss, req.ownsFetch,
 			req.retriedAfterReset, req.streaming, req.answered)
 		for _, n := range req.triedCaches {
 			fmt.Fprint(h, n.entry.ID, ",")
--- a/logic/learnt.go
+++ b/logic/learnt.go
@@ -30,10 +30,10 @@
 
 // LearnedKey is a frequently requested key.
 type LearnedKey struct {
-	Key     uint64     `json:"Key"`
-	Count   float64    `json:"Count"`
-	Err     float64    `json:"Err"`
-	Members []MemberID `json:"At"` // caches that it is placed on, if it is hot
+	Key      uint64     `json:"Key"`
+	Count    float64    `json:"Count"`
+	MaxError float64    `json:"Err"`
+	Members  []MemberID `json:"At"` // caches that it is placed on, if it is hot
 }
 
 // LearnedMember is what is known about a member since it started.
@@ -62,7 +62,7 @@
 		SpanSeconds:    b.spanSeconds + (b.now - b.windowStart).Seconds(),
 		RecentAttempts: b.recentAttempts, RecentAnswers: b.recentAnswers}
 	for _, counted := range b.keyCounts.hottest(1, maxExportedKeys) {
-		key := LearnedKey{Key: counted.key, Count: counted.count, Err: counted.maxError}
+		key := LearnedKey{Key: counted.key, Count: counted.count, MaxError: counted.maxError}
 		if placed := b.hotTable[counted.key]; placed != nil {
 			for _, member := range placed.members {
 				key.Members = append(key.Members, member.entry.ID)
@@ -124,12 +124,12 @@
 func (b *Balancer) importKeys(state LearnedState) {
 	sum := 0.0
 	for _, key := range state.Keys[:min(len(state.Keys), counterCapacity)] {
-		if _, known := b.keyCounts.index[key.Key]; known || key.Key == 0 || !validNumbers(key.Count, key.Err) ||
-			key.Err > key.Count || key.Count < 1 {
+		if _, known := b.keyCounts.index[key.Key]; known || key.Key == 0 || !validNumbers(key.Count, key.MaxError) ||
+			key.MaxError > key.Count || key.Count < 1 {
 			continue
 		}
-		b.keyCounts.insert(keyCount{key: key.Key, count: key.Count, maxError: key.Err})
-		sum += key.Count - key.Err
+		b.keyCounts.insert(keyCount{key: key.Key, count: key.Count, maxError: key.MaxError})
+		sum += key.Count - key.MaxError
 		placed := &placement{}
 		for _, id := range key.Members[:min(len(key.Members), candidateDepth)] {
 			if member := b.members[id]; member != nil && member.entry.State == Ready &&
--- a/logic/learnt_test.go
+++ b/logic/learnt_test.go
@@ -40,7 +40,7 @@
 		for i := range state.Keys {
 			k := &state.Keys[i]
 			corrupt(&k.Count)
-			corrupt(&k.Err)
+			corrupt(&k.MaxError)
 			k.Members = append(k.Members, MemberID(rng.IntN(2000)), originID)
 		}
 		for _, f := range []*float64{&state.Total, &state.EarlierTotal, &state.Latency, &state.FailureRate, &state.Arrivals,
@@ -119,7 +119,7 @@
 // must not change.
 func TestExportedStateKeepsItsJSONNames(t *testing.T) {
 	l := LearnedState{
-		Keys:  []LearnedKey{{Key: 1, Count: 2, Err: 3, Members: []MemberID{4}}},
+		Keys:  []LearnedKey{{Key: 1, Count: 2, MaxError: 3, Members: []MemberID{4}}},
 		Total: 5, EarlierTotal: 6,
 		Members: []LearnedMember{{ID: 7, StartedAt: 8, Limit: 9, Latency: 10, SendInterval: 11, AnswerInterval: 12, Samples: 13,
 			LimitCut: true, FailureRate: 14, FailureStreak: 15,
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -410,7 +410,7 @@
 	if totalWeight == 0 {
 		return
 	}
-	maxS, maxT := 0.0, 0.0
+	maxHotLoad, maxHotKeyCount := 0.0, 0.0
 	for _, counted := range b.keyCounts.hottest(2, maxHotKeys) {
 		slot := slotOf(counted.key)
 		candidates := b.candidates(slot)
@@ -422,14 +422,14 @@
 		placed := &placement{}
 		for range parts {
 			nearest := candidates[:min(len(candidates), copies+1)]
-			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(parts), maxS, maxT, old[counted.key])
+			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(parts), maxHotLoad, maxHotKeyCount, old[counted.key])
 			if member == nil { // all candidates are cold: the key is routed by its slot
 				break
 			}
 			capacity := b.capacity(member)
 			member.hotLoad += counted.count / float64(parts)
 			member.hotKeys++
-			maxS, maxT = max(maxS, member.hotLoad/capacity), max(maxT, member.hotKeys/capacity)
+			maxHotLoad, maxHotKeyCount = max(maxHotLoad, member.hotLoad/capacity), max(maxHotKeyCount, member.hotKeys/capacity)
 			placed.members = append(placed.members, member)
 		}
 		if len(placed.members) > 0 {
@@ -441,7 +441,7 @@
 // cheapestCandidate returns the candidate whose use increases the objective least, with a preference for
 // the previous placement; nil if none takes the slot.
 func (b *Balancer) cheapestCandidate(candidates []candidate, placed *placement, slot int, counted keyCount,
-	parts, maxS, maxT float64, old *placement) *memberState {
+	parts, maxHotLoad, maxHotKeyCount float64, old *placement) *memberState {
 	var best *memberState
 	minCost := math.Inf(1)
 	offset := 0
@@ -454,7 +454,7 @@
 			continue
 		}
 		capacity := b.capacity(member)
-		cost := max(maxS, (member.hotLoad+counted.count/parts)/capacity) + keyCost*max(maxT, (member.hotKeys+1)/capacity)
+		cost := max(maxHotLoad, (member.hotLoad+counted.count/parts)/capacity) + keyCost*max(maxHotKeyCount, (member.hotKeys+1)/capacity)
 		// A key that was not placed before was routed by its slot, so the slot's first candidate is its
 		// previous place. Otherwise keys at the edge of the hot set would change caches whenever they
 		// enter or leave it.
@@ -573,7 +573,7 @@
 		b.enqueueForOrigin(req)
 		return
 	}
-	if waiters, fetching := b.fetchWaiters[req.Key]; fetching && req.Key != 0 && !req.coalesced {
+	if waiters, fetching := b.fetchWaiters[req.Key]; fetching && req.Key != 0 && !req.waitedForFetch {
 		b.fetchWaiters[req.Key] = append(waiters, req)
 		b.waitForFetch(req, (req.softDeadline-b.now)/2)
 		return
@@ -612,7 +612,7 @@
 
 // waitForFetch lets a request wait for another request's fetch, for a limited time.
 func (b *Balancer) waitForFetch(req *pendingRequest, wait time.Duration) {
-	req.coalesced = true
+	req.waitedForFetch = true
 	if b.waitUnlessUnsendable(req, SharedFetch) {
 		b.setRequestTimer(req, b.now+wait, timerResume)
 	}
@@ -792,7 +792,7 @@
 }
 
 // sentAttempts returns the number of attempts that were actually sent.
-func (req *pendingRequest) sentAttempts() int { return req.attempts - req.unsent }
+func (req *pendingRequest) sentAttempts() int { return req.attempts - req.uncountedAttempts }
 
 // maySend is the check that every send must pass: member state, allowed attempts, and effects that must
 // not be duplicated.
@@ -1013,7 +1013,7 @@
 		b.recentAttempts = max(0, b.recentAttempts-1)
 	}
 	if outcome.Status == StatusNoConn {
-		req.unsent = min(req.unsent+1, req.maxAttempts)
+		req.uncountedAttempts = min(req.uncountedAttempts+1, req.maxAttempts)
 	}
 	req.answered = req.answered || outcome.Final
 	// A failed fetch returns to the origin queue below; requests that wait for it keep waiting until it is
@@ -1077,7 +1077,7 @@
 	if member := b.members[from]; member != nil {
 		b.recordOutcome(member, Outcome{Status: StatusUnknown}, false)
 	}
-	req.unsent-- // one attempt that the Balancer did not send
+	req.uncountedAttempts-- // one attempt that the Balancer did not send
 	if member := b.members[to]; member != nil {
 		member.outstanding++
 		req.triedCaches = append(req.triedCaches, member)
@@ -1091,11 +1091,11 @@
 		req.missedCache = member
 	}
 	waiters, fetching := b.fetchWaiters[req.Key]
-	if req.coalescedAfterMiss || req.Key == 0 || req.sentAttempts()+2 > req.maxAttempts || !fetching && note != NoteFetched {
+	if req.waitedAfterMiss || req.Key == 0 || req.sentAttempts()+2 > req.maxAttempts || !fetching && note != NoteFetched {
 		b.enqueueForOrigin(req)
 		return
 	}
-	req.coalescedAfterMiss, req.triedCaches = true, nil
+	req.waitedAfterMiss, req.triedCaches = true, nil
 	wait := (req.softDeadline - b.now) / 2
 	if fetching {
 		b.fetchWaiters[req.Key] = append(waiters, req)
@@ -1115,7 +1115,7 @@
 		if waiter.answered || !waiter.waiting || waiter.outstanding != 0 {
 			continue
 		}
-		waiter.waiting, waiter.coalesced = false, false
+		waiter.waiting, waiter.waitedForFetch = false, false
 		if ok && req.missedCache != nil {
 			waiter.missedCache = req.missedCache
 		}
--- a/logic/types.go
+++ b/logic/types.go
@@ -55,31 +55,31 @@
 // pendingRequest is a request that has no final answer or still has outstanding attempts.
 type pendingRequest struct {
 	Request
-	class          *Class
-	arrivedAt      time.Duration
-	softDeadline   time.Duration // later answers have little or no value
-	priority       float64
-	slot, attempts int
-	maxAttempts    int    // maximum attempts according to the settings at arrival
-	unsent         int    // attempts without a connection; up to maxAttempts of them are not counted
-	outstanding    uint64 // outstanding attempts, one bit each
-	originAttempts uint64 // attempts sent to the origin, one bit each
-	mayHaveRun     uint64 // attempts that may have run or may still run, one bit each
-	firstRunAt     time.Duration
-	firstRunMember *memberState  // member of the first attempt in mayHaveRun
-	notBefore      time.Duration // earliest time of the next attempt: an earlier one may still arrive
-	toOrigin       bool          // the next attempt goes to the origin
-	missedCache    *memberState  // cache that will store the value
-	triedCaches    []*memberState
+	class             *Class
+	arrivedAt         time.Duration
+	softDeadline      time.Duration // later answers have little or no value
+	priority          float64
+	slot, attempts    int
+	maxAttempts       int    // maximum attempts according to the settings at arrival
+	uncountedAttempts int    // attempts without a connection; up to maxAttempts of them are not counted
+	outstanding       uint64 // outstanding attempts, one bit each
+	originAttempts    uint64 // attempts sent to the origin, one bit each
+	mayHaveRun        uint64 // attempts that may have run or may still run, one bit each
+	firstRunAt        time.Duration
+	firstRunMember    *memberState  // member of the first attempt in mayHaveRun
+	notBefore         time.Duration // earliest time of the next attempt: an earlier one may still arrive
+	toOrigin          bool          // the next attempt goes to the origin
+	missedCache       *memberState  // cache that will store the value
+	triedCaches       []*memberState
 	// no attempt is outstanding: in the origin queue, or waiting for a fetch, a delay or a connection
-	waiting            bool
-	queued             bool // in the origin queue
-	coalesced          bool // has waited for another request's fetch before its first attempt
-	coalescedAfterMiss bool // has waited for another request's fetch after a miss
-	ownsFetch          bool // other requests may wait for its fetch
-	retriedAfterReset  bool // was sent to the same cache again after its connection broke
-	streaming          bool
-	answered           bool // has its final answer; kept until its attempts have ended
+	waiting           bool
+	queued            bool // in the origin queue
+	waitedForFetch    bool // has waited for another request's fetch before its first attempt
+	waitedAfterMiss   bool // has waited for another request's fetch after a miss
+	ownsFetch         bool // other requests may wait for its fetch
+	retriedAfterReset bool // was sent to the same cache again after its connection broke
+	streaming         bool
+	answered          bool // has its final answer; kept until its attempts have ended
 }
 
 // Balancer makes the routing decisions of one proxy. Create it with New, then call Start.
