--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -29,7 +29,7 @@
 	limit          time.Duration
 }
 
-func newIdleTimes(most time.Duration) idleTimes { return idleTimes{limit: most} }
+func newIdleTimes(maxLimit time.Duration) idleTimes { return idleTimes{limit: maxLimit} }
 
 // bucket returns the class of an idle time.
 func (t *idleTimes) bucket(idle time.Duration) int {
@@ -42,8 +42,8 @@
 
 // updateLimit recomputes the limit and decays the counts. The limit is where the first class begins whose
 // connections break far more often than those just used, and at most the given one.
-func (t *idleTimes) updateLimit(most time.Duration) {
-	t.limit = most
+func (t *idleTimes) updateLimit(maxLimit time.Duration) {
+	t.limit = maxLimit
 	from := time.Duration(0)
 	for c, end := 0, firstIdleBucketEnd; c < idleBuckets; c, end = c+1, end+end/2 {
 		share := t.broken[c] / max(1, t.reused[c])
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -243,8 +243,8 @@
 }
 
 // New returns a Pool without connections.
-func New[X Exchange](cfg Config, do Actions[X]) *Pool[X] {
-	return &Pool[X]{cfg: cfg, actions: do, idle: newIdleTimes(cfg.ConnIdle * IdlePercent / 100),
+func New[X Exchange](cfg Config, actions Actions[X]) *Pool[X] {
+	return &Pool[X]{cfg: cfg, actions: actions, idle: newIdleTimes(cfg.ConnIdle * IdlePercent / 100),
 		hold: newHoldTime(cfg.ConnIdle * IdlePercent / 100), maxPipelineAge: maxPipelineAge}
 }
 
@@ -535,9 +535,9 @@
 // closed; nil if there is none. A connection that has been idle for so long that the member may be
 // closing it, or that has received something, is not used again.
 func (p *Pool[X]) pickFreeConn(m *Member[X], x X) *Conn[X] {
-	share := time.Duration(IdlePercent)
+	idlePercent := time.Duration(IdlePercent)
 	if x.PoolRequest().Once {
-		share = onceIdlePercent
+		idlePercent = onceIdlePercent
 	}
 	for i := len(m.Conns) - 1; i >= 0; i-- {
 		c := m.Conns[i]
@@ -546,7 +546,7 @@
 		case p.now-c.lastUsed >= p.idle.limit && c.HasAnswered ||
 			p.now-c.lastUsed >= p.cfg.ConnIdle*IdlePercent/100 || !c.Link.Silent():
 			p.Retire(c)
-		case p.now-c.lastUsed < p.cfg.ConnIdle*share/100:
+		case p.now-c.lastUsed < p.cfg.ConnIdle*idlePercent/100:
 			return c
 		case len(m.Conns)+m.pendingDials >= p.MaxConns(m):
 			p.Close(c) // a new one replaces it
@@ -557,11 +557,11 @@
 
 // Redial opens connections for the waiting requests, within the limits.
 func (p *Pool[X]) Redial(m *Member[X]) {
-	most := p.MaxConns(m)
+	maxConns := p.MaxConns(m)
 	if len(m.Conns) > 0 && p.now < m.noDialUntil {
 		return
 	}
-	for m.Ready && m.pendingDials < len(m.Waiting) && len(m.Conns)+m.pendingDials < most {
+	for m.Ready && m.pendingDials < len(m.Waiting) && len(m.Conns)+m.pendingDials < maxConns {
 		if p.pendingDials >= maxConcurrentDials || !p.actions.HasDescriptor(true) {
 			if !m.inDialQueue {
 				m.inDialQueue = true
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -416,18 +416,18 @@
 		candidates := b.candidates(slot)
 		// Random excess in a low count must not create copies.
 		guaranteed := max(0, counted.count-counted.maxError-math.Sqrt(counted.count))
-		copies := int(guaranteed / b.keyCounts.total * totalWeight / candidates[0].member.weight / splitLoadShare)
-		copies = max(1, min(copies, len(candidates)))
-		parts := max(1, min(copies, copies*2/b.settings.Instances))
+		fleetCopies := int(guaranteed / b.keyCounts.total * totalWeight / candidates[0].member.weight / splitLoadShare)
+		fleetCopies = max(1, min(fleetCopies, len(candidates)))
+		ownCopies := max(1, min(fleetCopies, fleetCopies*2/b.settings.Instances))
 		placed := &placement{}
-		for range parts {
-			nearest := candidates[:min(len(candidates), copies+1)]
-			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(parts), maxHotLoad, maxHotKeyCount, old[counted.key])
+		for range ownCopies {
+			nearest := candidates[:min(len(candidates), fleetCopies+1)]
+			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(ownCopies), maxHotLoad, maxHotKeyCount, old[counted.key])
 			if member == nil { // all candidates are cold: the key is routed by its slot
 				break
 			}
 			capacity := b.capacity(member)
-			member.hotLoad += counted.count / float64(parts)
+			member.hotLoad += counted.count / float64(ownCopies)
 			member.hotKeys++
 			maxHotLoad, maxHotKeyCount = max(maxHotLoad, member.hotLoad/capacity), max(maxHotKeyCount, member.hotKeys/capacity)
 			placed.members = append(placed.members, member)
@@ -441,7 +441,7 @@
 // cheapestCandidate returns the candidate whose use increases the objective least, with a preference for
 // the previous placement; nil if none takes the slot.
 func (b *Balancer) cheapestCandidate(candidates []candidate, placed *placement, slot int, counted keyCount,
-	parts, maxHotLoad, maxHotKeyCount float64, old *placement) *memberState {
+	ownCopies, maxHotLoad, maxHotKeyCount float64, old *placement) *memberState {
 	var best *memberState
 	minCost := math.Inf(1)
 	offset := 0
@@ -454,7 +454,7 @@
 			continue
 		}
 		capacity := b.capacity(member)
-		cost := max(maxHotLoad, (member.hotLoad+counted.count/parts)/capacity) + keyCost*max(maxHotKeyCount, (member.hotKeys+1)/capacity)
+		cost := max(maxHotLoad, (member.hotLoad+counted.count/ownCopies)/capacity) + keyCost*max(maxHotKeyCount, (member.hotKeys+1)/capacity)
 		// A key that was not placed before was routed by its slot, so the slot's first candidate is its
 		// previous place. Otherwise keys at the edge of the hot set would change caches whenever they
 		// enter or leave it.
