--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -403,7 +403,7 @@
 			}
 		}
 		refused, connected := float64(refusals)/float64(requested), float64(proxies.connected-connectedBefore)/float64(requestedByAll)
-		t.Logf("%s: %.3f turned away, %.3f connections for each request", step.name, refused, connected)
+		t.Logf("%s: %.3f refused, %.3f connections for each request", step.name, refused, connected)
 		if refused > step.maxRefused || connected > step.maxConnected {
 			t.Errorf("%s: want %.3f, %.3f", step.name, step.maxRefused, step.maxConnected)
 		}
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// idleBuckets is the number of idle time classes: each is half as long again as the one before, and
+	// idleBuckets is the number of buckets of idle times: each is half as long again as the one before, and
 	// the first, below firstIdleBucketEnd, holds the connections that count as just used.
 	idleBuckets        = 16
 	firstIdleBucketEnd = 20 * time.Millisecond
 	// idleDecay is the factor applied to the counts at each update: they then cover about the last ten
-	// seconds, and a class that was found stale is tried again now and then.
+	// seconds, and a bucket whose connections were found stale is tried again now and then.
 	idleDecay = 0.98
-	// minIdleSamples is how many requests a class needs to be judged; minBrokenShare is the share of them
+	// minIdleSamples is how many requests a bucket needs to be judged; minBrokenShare is the share of them
 	// that must break, and minBrokenRatio the factor by which that share must exceed the one of
 	// connections just used.
 	minIdleSamples = 4
@@ -31,7 +31,7 @@
 
 func newIdleTimes(maxLimit time.Duration) idleTimes { return idleTimes{limit: maxLimit} }
 
-// bucket returns the class of an idle time.
+// bucket returns the index of the bucket of an idle time.
 func (t *idleTimes) bucket(idle time.Duration) int {
 	c := 0
 	for end := firstIdleBucketEnd; idle >= end && c < idleBuckets-1; end += end / 2 {
@@ -40,7 +40,7 @@
 	return c
 }
 
-// updateLimit recomputes the limit and decays the counts. The limit is where the first class begins whose
+// updateLimit recomputes the limit and decays the counts. The limit is where the first bucket begins whose
 // connections break far more often than those just used, and at most the given one.
 func (t *idleTimes) updateLimit(maxLimit time.Duration) {
 	t.limit = maxLimit
--- a/internal/pool/learnt.go
+++ b/internal/pool/learnt.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// IdleStats counts, by class of the preceding idle time, how many connections were used again and how
+// IdleStats counts, by bucket of the preceding idle time, how many connections were used again and how
 // many of those broke.
 type IdleStats struct {
 	Reused []float64 `json:"Used"`
@@ -35,8 +35,8 @@
 	return IdleStats{reused[:], broken[:]}
 }
 
-// RestoreIdleStats adopts the record of another process. A record with other classes, or with invalid
-// counts, is ignored.
+// RestoreIdleStats adopts the record of another process. A record with another number of buckets, or with
+// invalid counts, is ignored.
 func (p *Pool[X]) RestoreIdleStats(stats IdleStats) {
 	if len(stats.Reused) != idleBuckets || len(stats.Broken) != idleBuckets {
 		return
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -24,10 +24,11 @@
 	// dial, whatever the expected wait. Beyond that, requests are admitted by the wait that ExpectedWait
 	// estimates from the recent occupancy of connections.
 	MaxWaiting = 2
+	// occupancyDivisor is the inverse of the weight of the latest request in the average occupancy.
+	occupancyDivisor = 16
 	// stuckFactor is the number of occupancy times without a request begun on any connection after which
 	// a cache counts as stuck and no further request waits for it. It should exceed the variation of
 	// response times.
-	occupancyDivisor   = 16 // weight of the latest request in the average: 1/16
 	stuckFactor        = 4
 	minStuckTime       = 50 * time.Millisecond
 	maxOriginConns     = 48
@@ -41,8 +42,8 @@
 	// dialBackoff is how long further dials wait after a dial failed while other connections are open; it
 	// doubles with each consecutive failure, up to dialBackoffMax. A single dial may fail by chance, and
 	// the pool must not stay short because of it; a member that is at its connection limit, or is gone,
-	// is soon dialed only rarely. It can do harm at a member for which each connection attempt is
-	// expensive.
+	// is soon dialed only rarely. Dialing again so soon can do harm at a member for which each connection
+	// attempt is expensive.
 	dialBackoff    = 10 * time.Millisecond
 	dialBackoffMax = time.Second
 	// CooldownTime is how long a connection stays unused after an answer. Bytes that arrive in that time
@@ -112,7 +113,7 @@
 
 // The verdicts.
 const (
-	// LocalShortage: the proxy itself is short of connections, the member is neither full nor unreachable.
+	// LocalShortage: the proxy itself is short of connections; the member is neither full nor unavailable.
 	LocalShortage Verdict = iota
 	Unavailable           // the member accepts no connection, or no new requests
 )
@@ -128,11 +129,13 @@
 
 // Actions carries out a Pool's decisions. None of its methods may block or call back into the pool.
 type Actions[X Exchange] interface {
-	Dial(m *Member[X], prewarm bool) // connects, then calls DialCompleted
-	Reject(x X, v Verdict)           // x gets no connection
+	// Dial connects, then calls DialCompleted; prewarm, which is passed on to it, marks a dial that no
+	// request asked for.
+	Dial(m *Member[X], prewarm bool)
+	Reject(x X, v Verdict) // x gets no connection
 	// Expired reports whether x has expired by now: the event may have begun some time ago.
 	Expired(x X) bool
-	// HasDescriptor reports whether a descriptor is available; make: one may be freed for it.
+	// HasDescriptor reports whether a descriptor is available; evict: one may be freed for it.
 	HasDescriptor(evict bool) bool
 	// ScheduleConnectTimeout calls ConnectTimedOut at that time unless x has been sent.
 	ScheduleConnectTimeout(x X, at time.Duration)
@@ -156,7 +159,7 @@
 	occupancy    time.Duration // recent average time for which a request occupies a connection; 0: unknown
 	// roundTrip estimates the shortest recent response time; 0: no answer yet.
 	roundTrip time.Duration
-	// smoothedTime and deviation are the smoothed response time and its mean deviation.
+	// smoothedTime and timeDeviation are the smoothed response time and its mean deviation.
 	smoothedTime, timeDeviation time.Duration
 	inDialQueue                 bool // it is in Pool.dialQueue
 	inCooldownQueue             bool // it is in Pool.cooldownQueue
@@ -205,7 +208,8 @@
 	// for the next answer.
 	lastKey  []byte
 	lastUsed time.Duration
-	// idleBucket is the class of the idle time before its current request; below 0: the connection was new.
+	// idleBucket is the bucket of the idle time before its current request; below 0: the connection was
+	// new.
 	idleBucket int
 	reusableAt time.Duration // when it may carry the next request
 }
@@ -374,10 +378,10 @@
 }
 
 // ExpectedWait estimates how long a request would wait for a connection to a member, handshake excluded.
-// A negative result means that the request should go to another member, as waiting would be futile. An
-// unreachable member gives a negative result until a connection is open that can carry a request. Calling
-// ExpectedWait starts the dial for it, and no request waits for that dial; a request submitted anyway is
-// dialed for.
+// A negative result means that the request should go to another member, as waiting would be futile. For an
+// unreachable member the result is negative until a connection is open that can carry a request, and the
+// call itself dials such a connection (dialTrial), for which no request waits. A request that is submitted
+// to such a member anyway is dialed for.
 func (p *Pool[X]) ExpectedWait(m *Member[X]) time.Duration {
 	if p.unreachable(m) {
 		p.dialTrial(m)
@@ -389,8 +393,8 @@
 // unreachable reports whether connections to a cache have failed, or were refused, more than once in a
 // row, and no open connection has carried an answer or could carry a first one. A single failure may be
 // chance. Where there are more proxies than the cache accepts connections, or a zone has vanished, each
-// request would otherwise spend an attempt or a connect timeout on the cache, at each proxy. It can do
-// harm when all caches are unreachable: requests that would have waited for a dial are rejected
+// request would otherwise use up an attempt or a connect timeout on the cache, at each proxy. The rule can
+// do harm when all caches are unreachable: requests that would have waited for a dial are rejected
 // immediately.
 func (p *Pool[X]) unreachable(m *Member[X]) bool {
 	return !m.Origin && m.backoff > dialBackoff &&
@@ -403,8 +407,9 @@
 func (p *Pool[X]) dialTrial(m *Member[X]) {
 	switch {
 	case !m.Ready || p.now < m.noDialUntil || m.pendingDials > 0:
-	// Its request was refused, but the connection was left open: another request may succeed.
 	case len(m.Conns) > 0:
+		// The connection's request was refused, but the connection was left open: another request may
+		// succeed on it.
 		if c := m.Conns[0]; !c.Busy() {
 			p.extendBackoff(m)
 			c.Refused = false
@@ -713,7 +718,7 @@
 
 // NoConnVerdict returns the verdict for a request that has waited for a connection in vain. If
 // connections are open, all of them are busy: the pool is short of them, and the member is neither full
-// nor unreachable.
+// nor unavailable.
 func NoConnVerdict[X Exchange](m *Member[X]) Verdict {
 	if m != nil && len(m.Conns) > 0 {
 		return LocalShortage
@@ -790,13 +795,13 @@
 	}
 	if c.HasAnswered = c.HasAnswered || !c.Refused; c.HasAnswered {
 		c.Member.backoff, c.Member.noDialUntil = 0, 0
-		// A refused connection is left open: its end will follow, and shows that the member has no
-		// capacity.
 		if !c.Member.Origin && p.hold.current < minHoldTime && len(c.Member.Waiting) == 0 {
 			p.Close(c)
 			return
 		}
 	}
+	// A connection that has carried only refusals is left open as well: its end will follow, and shows that
+	// the member has no capacity.
 	c.reusableAt = p.now + c.Member.cooldown()
 	p.scheduleCooldownWake(c.Member)
 }
@@ -841,9 +846,9 @@
 // Sweep closes connections that have been idle for too long, and keeps one connection to each cache open
 // and in use. The first request on a connection also waits for the handshake, several round trips. To
 // another zone that alone can exceed its timeout, which closes the connection and makes the next request
-// wait as long, so that a healthy cache looks slow permanently. A ping takes that wait instead of a
-// request. It costs each cache a little work every few seconds, so it is omitted where there are many
-// proxies, or more members than descriptors allow.
+// wait as long, so that a healthy cache looks slow permanently. With a ping, the ping waits for the
+// handshake and no request does. Pings cost each cache a little work every few seconds, so they are omitted
+// where there are many proxies, or more members than descriptors allow.
 func (p *Pool[X]) Sweep(m *Member[X], members int) {
 	age := p.idle.limit
 	if !m.Origin {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -22,7 +22,7 @@
 type Host interface {
 	Enter()
 	Leave()
-	AddBuffered(n int) (over bool) // adds n bytes, or subtracts -n, to the bytes that count as buffered
+	AddBuffered(n int) (over bool) // adds n, which may be negative, to the bytes that count as buffered
 }
 
 // Sender is the sending side of a connection. It writes immediately, under the host's lock, what the
@@ -89,8 +89,8 @@
 	return w.conn
 }
 
-// Send writes b, or queues what can't be written immediately. The caller holds the lock and may reuse b,
-// unless keep says that it never changes, which saves the queue a copy.
+// Send writes b, or queues what can't be written immediately. The caller holds the lock. It may reuse b
+// after the call unless it sets immutable, which promises that b never changes and saves the queue a copy.
 func (w *Sender) Send(b []byte, immutable bool) {
 	w.accepted += int64(len(b))
 	if w.failed {
@@ -256,7 +256,8 @@
 
 // PeerClosed reports whether the peer has ended its sending or the connection was reset, even behind
 // unread bytes. It costs one system call more than Peek, and is meant for connections that are not being
-// read. An end behind more bytes than the kernel buffers is not detected: it has not arrived.
+// read. If more unread bytes precede the end of the stream than the kernel buffers, the end has not arrived
+// and is not detected.
 func (w *Sender) PeerClosed() (closed bool) {
 	err := w.raw.Control(func(fd uintptr) { closed = PeerClosed(fd) })
 	return closed || err != nil
--- a/internal/shed/shed.go
+++ b/internal/shed/shed.go
@@ -1,11 +1,11 @@
-// Package shed decides which reads a front end refuses by itself, before the balancer module processes
-// them, when requests arrive faster than the proxy's own core can process them. No other measure helps
-// then: the data unread in the kernel grows with every second, and if it were served in order, every
+// Package shed decides which reads a front end refuses by itself, before the Balancer (package logic)
+// processes them, when requests arrive faster than the proxy's own core can process them. No other measure
+// helps then: the data unread in the kernel grows with every second, and if it were served in order, every
 // response would be late.
 //
 // The package uses no I/O, clock or goroutines and is guarded by the host's lock. It never refuses a
 // write or a request that must not run twice, and refuses nothing while the core has spare time: a queue
-// that is long for another reason is handled by the module.
+// that is long for another reason is handled by the Balancer.
 package shed
 
 import (
@@ -15,10 +15,10 @@
 )
 
 const (
-	// softDeadlineDivisor divides the shortest latency target of a class. Reads that have waited unread for longer
-	// than the result may be refused, and all are refused past twice that. The limit leaves time for the
-	// rest of the exchange. A limit shorter than a burst that the core completes in time would refuse
-	// requests for no reason.
+	// softDeadlineDivisor divides the shortest soft deadline of all classes. Reads that have waited unread
+	// for longer than the result may be refused, and all are refused past twice that. The limit leaves time
+	// for the rest of the exchange. A limit shorter than a burst that the core completes in time would
+	// refuse requests for no reason.
 	softDeadlineDivisor = 4
 	// busyThreshold is the utilization at which the core counts as fully used. A part is always lost to
 	// the kernel and to other processes.
@@ -28,15 +28,15 @@
 	halvingInterval = time.Second
 	// minPipeline is how many requests of a connection may be in progress at any load.
 	minPipeline = 4
-	// shareTolerance is by how much a tenant may exceed its share, as a part of it, before it counts as
-	// over it.
+	// shareTolerance is the fraction of its share by which a tenant may exceed the share before it counts
+	// as over.
 	shareTolerance = 0.1
 )
 
 // Controller decides for all connections of a front end.
 type Controller struct {
 	waitLimit   time.Duration
-	lowValue    []bool // by class: its reads are worth less than those of other classes
+	lowValue    []bool // by class: its reads have a lower value than those of another class
 	shares      []float64
 	recent      []float64 // recent requests, by tenant
 	recentTotal float64
@@ -128,7 +128,8 @@
 // Busy reports whether the core is fully used.
 func (ctl *Controller) Busy() bool { return ctl.busy }
 
-// MinBatchBytes is the number of bytes in one read from which on it holds more than a request or two.
+// MinBatchBytes is the size from which on the data of one read system call contains more than a request
+// or two.
 const MinBatchBytes = 512
 
 // ReadQueue measures how long the data received on one connection has waited unprocessed. Once the bytes
@@ -143,8 +144,8 @@
 }
 
 // RecordRead records that n bytes were read; full is set if more may be unread. It reports whether the
-// caller should determine the number of unread bytes and call SetUnread. It must be called if n is at
-// least MinBatchBytes, or Active.
+// caller should determine the number of unread bytes and call SetUnread. The caller may omit the call if n
+// is below MinBatchBytes and Active reports false.
 func (q *ReadQueue) RecordRead(now time.Duration, n int, full bool) (wantUnread bool) {
 	if q.readAt = 0; n >= MinBatchBytes {
 		q.readAt = now
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -21,7 +21,7 @@
 // and in the function that Reader returns.
 type Codec interface {
 	// Append appends the encoded exchange to b: a whole read, or the part of a write before its value.
-	// deadline is the time from now that the member is told it has.
+	// deadline is the time from now that is announced to the member.
 	Append(b []byte, x *Exchange, addr string, deadline time.Duration) []byte
 	// Trailer returns the bytes that follow the value of a write.
 	Trailer() []byte
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -24,7 +24,7 @@
 	// run twice. If the member, or anything on the path, has dropped the connection or drops it because
 	// of what is sent, that shows once something is written to it; until its last byte has been sent a
 	// request has certainly not run, and can be sent again. It should exceed a round trip; a longer delay
-	// only makes such writes late, and would do harm with a member that has few slots and assigns one on
+	// only makes such writes late, and would do harm with a member that has few workers and assigns one on
 	// receipt of the header.
 	lastByteDelay = 2 * time.Millisecond
 	// longValueRecheck is the interval at which a timed-out read that is pipelined behind a long value is
@@ -144,9 +144,9 @@
 	}
 }
 
-// announcedDeadline returns the deadline that a member is told for an exchange. A cache is told when the
-// attempt is abandoned. What an origin returns is stored even if the attempt is no longer waited for: it
-// is told until when the client can be answered.
+// announcedDeadline returns the deadline that is announced to a member for an exchange. For a cache it is
+// the time at which the attempt will be abandoned. An origin's value is stored even if the attempt is no
+// longer waited for, so for an origin it is the latest time at which the client can be answered.
 func (c *Conn) announcedDeadline(x *Exchange) time.Duration {
 	if c.Member.Origin {
 		return x.Client.AnswerBy()
@@ -210,7 +210,7 @@
 }
 
 // cancel ends an exchange whose connection is closed for a reason that is neither the exchange's nor the
-// member's. Unless it is alone on the connection it is a read, and may be sent again.
+// member's. An exchange that shares its connection is a read, which may be sent again.
 func (c *Conn) cancel(x *Exchange) {
 	if c.unsent(x) {
 		x.complete(logic.StatusNoConn, 0)
@@ -226,10 +226,10 @@
 	c.Pipelined = nil
 }
 
-// repeatsLastValue reports whether a value equals the one with which the connection answered another key,
-// while requests were pipelined behind it (consecutive requests on a connection never have the same key).
-// It may then be a second copy of that answer, which would be taken for the answer to the next request;
-// nothing else distinguishes them.
+// repeatsLastValue reports whether a value equals that of the previous answer on this connection, if
+// requests were pipelined behind the previous one. That answer was for another key, since consecutive
+// requests on a connection never have the same key, so the value may be a second copy of it, which would be
+// taken for the answer to the next request; nothing else distinguishes them.
 func (c *Conn) repeatsLastValue(value []byte) bool {
 	if c.lastValueHash == 0 && len(c.Pipelined) == 0 {
 		return false
@@ -262,8 +262,8 @@
 	return nil
 }
 
-// fail closes a connection and ends the exchanges on it. If its last byte was not written, an exchange
-// never ran; otherwise it may have.
+// fail closes a connection and ends the exchanges on it. An exchange whose last byte was not written never
+// ran; any other may have run.
 func (c *Conn) fail(err error) {
 	c.set.host.Enter()
 	defer c.set.host.Leave()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -85,7 +85,7 @@
 	Do(f func())                   // calls f under the lock, as one event
 	ScheduleTimer(d Timer)         // calls HandleTimer with the timer when it is due
 	ScheduleWake(at time.Duration) // calls Wake at that time; the latest call replaces earlier ones
-	HasDescriptor(evict bool) bool // reports whether a descriptor is available; make: one may be freed for it
+	HasDescriptor(evict bool) bool // reports whether a descriptor is available; evict: one may be freed for it
 	// ReserveLongValue requests n bytes of the memory for long values, waiting until a time at most.
 	ReserveLongValue(n int, until time.Duration) Reservation
 }
@@ -150,8 +150,8 @@
 // SetLastByteDelay changes how long the last byte of a write is held back, for tests.
 func (s *Set) SetLastByteDelay(d time.Duration) { s.lastByteDelay = d }
 
-// MinDeadline is the shortest deadline that a member is told. An exchange with less time left is not
-// sent.
+// MinDeadline is the shortest deadline that is announced to a member. An exchange with less time left is
+// not sent.
 const MinDeadline = time.Millisecond
 
 // Exchange sends a message to a member that is ready. The outcome, including a timeout, is reported to
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -646,7 +646,7 @@
 
 // One cache in five answers four in five requests with an error. After ten seconds the faulty caches must
 // get no more than half of their share of the attempts, although each of 80 proxies sends to a cache only
-// occasionally, and no more than a tenth of it with few proxies. Healthy caches must not be ejected.
+// occasionally, and no more than a fifth of it with few proxies. Healthy caches must not be ejected.
 func TestFleetOneInFiveBad(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 		for _, id := range slices.Sorted(maps.Keys(sim.caches)) {
@@ -680,7 +680,7 @@
 			faulty += len(p.balancer.caches) / 5
 			healthy += len(p.balancer.caches) - len(p.balancer.caches)/5
 		}
-		t.Logf("%.3f in time, %v; left out %.3f of the bad and %.3f of the well; %.3f of the attempts go to bad ones", share, sim.refused,
+		t.Logf("%.3f in time, %v; ejected %.3f of the faulty and %.3f of the healthy; %.3f of the attempts go to faulty ones", share, sim.refused,
 			float64(faultyEjected)/float64(faulty), float64(healthyEjected)/float64(healthy), float64(attemptsAtFaulty)/float64(attempts))
 		sim.checkLimits("one in five bad")
 		if share < 0.9 || float64(healthyEjected)/float64(healthy) > 0.02 {
@@ -710,7 +710,8 @@
 			ejected, all = ejected+len(p.ejected()), all+len(p.balancer.caches)
 		}
 		share := sim.takeServedShare()
-		t.Logf("%.3f in time, %v; %d of %d left out; late %v", share, sim.refused, ejected, all, sim.maxAnswerDelay)
+		t.Logf("%.3f in time, %v; %d of %d ejected; longest time from last event to refusal %v", share, sim.refused, ejected, all,
+			sim.maxAnswerDelay)
 		sim.checkLimits("all slower")
 		maxShare := 0.001
 		if len(sim.proxies) < 10 {
@@ -820,7 +821,7 @@
 			sim.listed[m.ID] = m
 			for _, p := range sim.proxies {
 				sim.schedule(sim.now+time.Duration(i)*500*ms, func() {
-					if _, has := p.listed[100]; has {
+					if _, has := p.listed[100]; has { // member 100 is in the current lists only
 						p.listed[m.ID] = m
 						p.balancer.SetMembers(sim.now, ListDelta, []Member{m})
 					}
@@ -852,7 +853,7 @@
 func TestFleetFewConnections(t *testing.T) {
 	for _, excessStatus := range []Status{StatusConnectFailed, StatusFull} {
 		for _, maxConns := range []int{28, 14} {
-			t.Run(fmt.Sprintf("%d told as %v", maxConns, excessStatus), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d connections, refused as %v", maxConns, excessStatus), func(t *testing.T) {
 				forEachFleetSize(t, func(t *testing.T, sim *fleet, load float64) {
 					sim.excessConnectionStatus = excessStatus
 					for _, c := range sim.caches {
@@ -872,7 +873,7 @@
 						ejected += len(p.ejected())
 					}
 					share := sim.takeServedShare()
-					t.Logf("%.3f in time, the worst proxy %.3f, %v, %d turned away, %d left out", share,
+					t.Logf("%.3f in time, the worst proxy %.3f, %v, %d connections refused, %d ejected", share,
 						worstShare, sim.refused, sim.refusedConnections, ejected)
 					for _, c := range sim.caches {
 						if c.peakConns > maxConns {
--- a/logic/learnt.go
+++ b/logic/learnt.go
@@ -20,7 +20,7 @@
 	Latency     float64 `json:"Latency"`
 	FailureRate float64 `json:"Fails"`
 	Arrivals    float64 `json:"Arrivals"`
-	// work done by the caches, in answers, and the seconds in which it was done
+	// work done by the caches (1 for each hit, 0.5 for each miss), and the seconds in which it was done
 	ServedWork  float64 `json:"Carried"`
 	SpanSeconds float64 `json:"Span"`
 	// recent attempts at caches and their answers
@@ -28,7 +28,7 @@
 	RecentAnswers  float64 `json:"Answered"`
 }
 
-// LearnedKey is a frequently requested key.
+// LearnedKey is a frequently requested key. Count exceeds the true count by at most MaxError.
 type LearnedKey struct {
 	Key      uint64     `json:"Key"`
 	Count    float64    `json:"Count"`
@@ -51,7 +51,8 @@
 	EjectedFor     time.Duration `json:"Out"`    // remaining time of an ejection
 }
 
-// maxExportedKeys limits the exported keys: the hot set, and as many keys that may enter it.
+// maxExportedKeys limits the exported keys: maxHotKeys hot keys, and the same number of keys that may become
+// hot.
 const maxExportedKeys = 2 * maxHotKeys
 
 // ExportState returns what the Balancer has learned so far.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -17,8 +17,8 @@
 	candidateDepth  = 12              // candidates kept per slot; with one slot table per zone, those in the local zone
 	otherZoneDepth  = 2               // candidates kept per slot in each other zone
 	counterCapacity = 1024            // keys tracked by the counter, several times the hot set
-	maxHotKeys      = 200             // maximum size of the hot set (MIP-200 in the paper)
-	keyCost         = 3.33            // k in the paper: cost of a key on top of its requests
+	maxHotKeys      = 200             // maximum size of the hot set
+	keyCost         = 3.33            // cost of a hot key on top of its requests, in requests
 	maxWindow       = 4 * time.Second // interval at which counts are halved and hot keys are placed
 	sufficientCount = 400             // requests sufficient to rank the hot keys
 	splitLoadShare  = 0.5             // keys above this share of a cache's mean load are split
@@ -50,7 +50,7 @@
 	// elsewhere
 	connectionWaitDivisor = 12
 	ejectionOdds          = 3000  // no ejection for streaks that chance produces more than once in this many attempts
-	maxAttemptsLimit      = 32    // as many again may get no connection, and the attempt bit sets have 64 bits
+	maxAttemptsLimit      = 32    // as many more may end without a connection, and each attempt takes one of 64 bits
 	maxFailureStreak      = 8     // upper bound of the failure streak required for ejection
 	minLatencyGrowth      = 1.002 // growth of a member's minimum latency with each answer
 	coldBudgetShare       = 0.5   // share of OverloadMultiple; the rest is reserved for what this proxy can't observe
@@ -216,6 +216,7 @@
 	if entry.StartedAt != member.entry.StartedAt && entry.State == Ready {
 		b.resetMember(member)
 	}
+	// zones has 64 entries; a zone number beyond them shares the entry of a lower one
 	member.entry, member.zone = entry, &b.zones[entry.Zone&63]
 	group := &b.caches
 	if b.isOrigin(entry) {
@@ -384,8 +385,8 @@
 	return member.zone.withheldShare == 0 || unit(mix(uint64(member.entry.Zone+1)<<32|uint64(slot))) >= member.zone.withheldShare
 }
 
-// capacity returns the estimate that divides S and T: the weight, reduced where the member is cold,
-// ejected or slower than the fleet.
+// capacity returns the estimate to which placeHotKeys relates a member's hotLoad and hotKeys: the weight,
+// reduced where the member is cold, ejected or slower than the fleet.
 func (b *Balancer) capacity(member *memberState) float64 {
 	capacity := member.weight * b.warmth(member)
 	if member.ejectedUntil > b.now {
@@ -397,9 +398,11 @@
 	return capacity
 }
 
-// placeHotKeys assigns the hot keys greedily: by descending count, each to the candidate that increases
-// max S + k·max T least. A key that takes more than splitLoadShare of a cache's mean load is split over
-// several.
+// placeHotKeys assigns the hot keys greedily: by descending count, each to the candidate that increases the
+// objective least. The objective is the maximum over all caches of hotLoad/capacity, plus keyCost times the
+// maximum of hotKeys/capacity; in the paper that this model comes from, these terms are S, T and k, and the
+// hot set of 200 keys is MIP-200. A key that takes more than splitLoadShare of a cache's mean load is split
+// over several.
 func (b *Balancer) placeHotKeys() {
 	old := b.hotTable
 	b.hotTable = make(map[uint64]*placement, len(old))
@@ -417,6 +420,8 @@
 		// Random excess in a low count must not create copies.
 		guaranteed := max(0, counted.count-counted.maxError-math.Sqrt(counted.count))
 		fleetCopies := int(guaranteed / b.keyCounts.total * totalWeight / candidates[0].member.weight / splitLoadShare)
+		// The proxies together place the key on about fleetCopies caches. This proxy uses ownCopies of them,
+		// twice its part (fleetCopies/Instances), at least one and at most all.
 		fleetCopies = max(1, min(fleetCopies, len(candidates)))
 		ownCopies := max(1, min(fleetCopies, fleetCopies*2/b.settings.Instances))
 		placed := &placement{}
@@ -668,7 +673,7 @@
 	case slices.ContainsFunc(group, func(member *memberState) bool { return b.maySend(req, member) }):
 		return NoReason
 	case req.mayHaveRun != 0 && len(group) > 0:
-		return MayHaveRun // only members outside the group that drops its repeats remain
+		return MayHaveRun // no member remains that would drop the repeat (Class.Scope)
 	}
 	return NoMember
 }
@@ -964,8 +969,9 @@
 	case timerOriginQueue:
 		b.originQueueTimerAt = 0
 		b.dispatchOriginQueue()
-	// without an outstanding attempt no answer can arrive in time
 	case timerSoftDeadline, timerDeadline:
+		// A request that is idle at its soft deadline can't be answered in time any more; at the deadline,
+		// requests with outstanding attempts end as well, unless they stream.
 		switch {
 		case idle && req.queued && token&7 == timerSoftDeadline:
 			b.refuseOrFail(req, OriginLine)
@@ -1077,7 +1083,7 @@
 	if member := b.members[from]; member != nil {
 		b.recordOutcome(member, Outcome{Status: StatusUnknown}, false)
 	}
-	req.uncountedAttempts-- // one attempt that the Balancer did not send
+	req.uncountedAttempts-- // the client's attempt is counted, but is not in attempts
 	if member := b.members[to]; member != nil {
 		member.outstanding++
 		req.triedCaches = append(req.triedCaches, member)
@@ -1185,13 +1191,14 @@
 	case StatusFull:
 		if fromOrigin {
 			b.cutLimit(member, 0.7)
-			// independent of outstanding attempts: a proxy that sends rarely does not cause the overload
 		} else {
+			// independent of outstanding attempts: a proxy that sends rarely does not cause the overload
 			member.limit = max(min(1, member.limit), 0.7*member.limit)
 		}
 		return
 	case StatusOK, StatusMiss:
-		// caches of other zones have answered meanwhile
+		// The zone answers again after an outage, during which caches of other zones answered: its caches
+		// may have restarted.
 		if zone := member.zone; !fromOrigin && zone.timeoutStreak >= 2*silentZoneTimeouts &&
 			b.now-zone.firstTimeoutAt >= zoneOutageTime && b.lastAnswerAt > zone.firstTimeoutAt {
 			zone.coldSince = b.now
--- a/logic/reason.go
+++ b/logic/reason.go
@@ -3,8 +3,9 @@
 // Reason tells why a request waits, is refused or fails. Each such decision has one; hosts count them.
 type Reason uint8
 
-// The reasons. A refusal or failure carries the reason for which no further attempt was made; which of the
-// two it is depends on whether an attempt may have run.
+// The reasons. Each identifier follows the name that String returns, which clients and logs see. A refusal
+// or failure carries the reason for which no further attempt was made; which of the two it is depends on
+// whether an attempt may have run.
 const (
 	NoReason     Reason = iota
 	NoMember            // no member that could take the request is ready
--- a/logic/types.go
+++ b/logic/types.go
@@ -31,7 +31,7 @@
 	ejectedUntil     time.Duration // end of the ejection
 	coldTokens       float64       // tokens of the cold budget
 	coldTokensAt     time.Duration
-	hotLoad, hotKeys float64       // S and T in the paper
+	hotLoad, hotKeys float64       // requests for hot keys placed here, and the number of these keys
 	hits, missStreak int           // missStreak: consecutive misses
 	coldSince        time.Duration // time at which the cache was found to have lost its data
 }
@@ -55,13 +55,16 @@
 // pendingRequest is a request that has no final answer or still has outstanding attempts.
 type pendingRequest struct {
 	Request
-	class             *Class
-	arrivedAt         time.Duration
-	softDeadline      time.Duration // later answers have little or no value
-	priority          float64
-	slot, attempts    int
-	maxAttempts       int    // maximum attempts according to the settings at arrival
-	uncountedAttempts int    // attempts without a connection; up to maxAttempts of them are not counted
+	class          *Class
+	arrivedAt      time.Duration
+	softDeadline   time.Duration // later answers have little or no value
+	priority       float64
+	slot, attempts int
+	maxAttempts    int // maximum attempts according to the settings at arrival
+	// uncountedAttempts is the part of attempts that maxAttempts does not limit: those that ended without a
+	// connection, up to maxAttempts of them. Each attempt that the client made itself, as it is not in
+	// attempts, lowers the number, which may become negative.
+	uncountedAttempts int
 	outstanding       uint64 // outstanding attempts, one bit each
 	originAttempts    uint64 // attempts sent to the origin, one bit each
 	mayHaveRun        uint64 // attempts that may have run or may still run, one bit each
@@ -74,8 +77,8 @@
 	// no attempt is outstanding: in the origin queue, or waiting for a fetch, a delay or a connection
 	waiting           bool
 	queued            bool // in the origin queue
-	waitedForFetch    bool // has waited for another request's fetch before its first attempt
-	waitedAfterMiss   bool // has waited for another request's fetch after a miss
+	waitedForFetch    bool // has waited for another request's fetch, and does not wait again unless that fetch has ended
+	waitedAfterMiss   bool // has waited for another request's fetch after its own miss, and does not wait so again
 	ownsFetch         bool // other requests may wait for its fetch
 	retriedAfterReset bool // was sent to the same cache again after its connection broke
 	streaming         bool
