--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -310,8 +310,8 @@
 
 // Where caches accept half, or a quarter, of the connections that their proxies would hold, proxies close
 // the ones they use least: few attempts find no connection, though some proxies send four times as often
-// as others, and the worst served proxy is served too. With hold times at the maximum they would keep one
-// another out.
+// as others, and the worst served proxy is served too. With hold times at the maximum the
+// connections of some proxies would leave none for the others.
 func TestScarceConnectionsAreShared(t *testing.T) {
 	for _, connLimit := range []int{24, 12} { // of 48 that are wanted at a time
 		var failed, dialed [2]float64 // per request
@@ -341,15 +341,15 @@
 			}
 			failed[k], dialed[k] = float64(refused)/float64(requested), float64(proxies.connected-connectedBefore)/float64(requested)
 		}
-		t.Logf("limit %d: for each request, %.3f find no place (%.3f with a fixed time), %.3f connections (%.3f)", connLimit, failed[0], failed[1], dialed[0], dialed[1])
+		t.Logf("limit %d: for each request, %.3f find no connection (%.3f with a fixed hold time), %.3f connections (%.3f)", connLimit, failed[0], failed[1], dialed[0], dialed[1])
 		if failed[0] > 0.13 || failed[0] > failed[1]/2.5 {
 			t.Errorf("limit %d: %.3f of the tries find no place, %.3f with a fixed time", connLimit, failed[0], failed[1])
 		}
 	}
 }
 
-// Caches without spare connections: they accept fewer from now on, or more again, half of them are
-// replaced at once, or a proxy restarts while the others hold all connections. Within seconds few
+// The proxies hold all connections that the caches accept. Then the caches accept fewer from now on, or
+// more again, half of them are replaced at once, or a proxy restarts while the others hold all connections. Within seconds few
 // connections are refused again, and where there is capacity for all, hold times grow again.
 func TestHoldTimeFollowsCapacity(t *testing.T) {
 	proxies := newFleet(t, 60, 8, 48)
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -474,7 +474,7 @@
 func (f *fleet) checkRecovery(phase string, minShare float64) {
 	f.t.Helper()
 	share := f.takeServedShare()
-	f.t.Logf("%s: %.3f in time, %v, cold %.2f, at the origin %d", phase, share, f.refused, f.maxColdShare, f.originPeakOutstanding)
+	f.t.Logf("%s: %.3f in time, %v, cold %.2f, at most %d at the origin", phase, share, f.refused, f.maxColdShare, f.originPeakOutstanding)
 	f.checkLimits(phase)
 	if share < minShare {
 		f.t.Errorf("%s: %.3f of the reads are in time", phase, share)
@@ -495,7 +495,7 @@
 			sim := newFleet(t, c.proxies, c.caches, 7)
 			load := fleetLoad(c.caches)
 			sim.run(4*time.Second, load)
-			t.Logf("calm: %.3f in time, %v, at the origin %d", sim.takeServedShare(), sim.refused, sim.originPeakOutstanding)
+			t.Logf("before the scenario: %.3f in time, %v, at most %d at the origin", sim.takeServedShare(), sim.refused, sim.originPeakOutstanding)
 			sim.originPeakOutstanding = 0 // the initially empty caches load the origin
 			scenario(t, sim, load)
 		})
@@ -608,7 +608,7 @@
 			}
 		}
 		sim.run(9*time.Second, load)
-		t.Logf("while they are replaced: %.3f in time, %v", sim.takeServedShare(), sim.refused)
+		t.Logf("while caches are replaced: %.3f in time, %v", sim.takeServedShare(), sim.refused)
 		sim.run(9*time.Second, load)
 		sim.checkRecovery("nine seconds after the last was replaced", 0.9)
 	})
@@ -635,7 +635,7 @@
 		}
 		sim.run(10*time.Second, load)
 		share := sim.takeServedShare()
-		t.Logf("while it is lost: %.3f in time, %v", share, sim.refused)
+		t.Logf("while a zone is lost: %.3f in time, %v", share, sim.refused)
 		if share < 0.93 {
 			t.Errorf("%.3f of the reads are in time while a zone is lost", share)
 		}
@@ -751,7 +751,7 @@
 		sim.takeServedShare()
 		sim.run(12*time.Second, load)
 		share := sim.takeServedShare()
-		t.Logf("after it: %.3f in time, %v, cold %.2f", share, sim.refused, sim.maxColdShare)
+		t.Logf("after the replacements: %.3f in time, %v, cold %.2f", share, sim.refused, sim.maxColdShare)
 		sim.checkLimits("churn")
 		if share < 0.95 {
 			t.Errorf("%.3f of the reads are in time", share)
@@ -830,7 +830,7 @@
 		}
 		sim.run(2*time.Second, load)
 		share := sim.takeServedShare()
-		t.Logf("before most lists: %.3f in time, %v", share, sim.refused)
+		t.Logf("before most proxies have a list: %.3f in time, %v", share, sim.refused)
 		if share < 0.85 {
 			t.Errorf("%.3f of the reads are in time while most have no list", share)
 		}
@@ -838,7 +838,7 @@
 		sim.takeServedShare()
 		sim.run(3*time.Second, load)
 		share = sim.takeServedShare()
-		t.Logf("all have a list: %.3f in time, %v, cold %.2f, at the origin %d", share, sim.refused, sim.maxColdShare, sim.originPeakOutstanding)
+		t.Logf("all proxies have a list: %.3f in time, %v, cold %.2f, at most %d at the origin", share, sim.refused, sim.maxColdShare, sim.originPeakOutstanding)
 		sim.checkLimits("start")
 		if share < 0.95 {
 			t.Errorf("%.3f of the reads are in time with all lists there", share)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -1251,7 +1251,7 @@
 
 // A full member rejects requests without processing them. That does not indicate load of the fleet, and
 // another member may well have capacity. Here half of the first attempts end this way, as happens by
-// chance where members have few slots; the reads go on to another member, and none may be refused for the
+// chance where members have few workers; the reads go on to another member, and none may be refused for the
 // retry budget. Attempts that fail with an error take their full cost.
 func TestFullAnswersSpareRetryBudget(t *testing.T) {
 	for _, c := range []struct {
--- a/logic/types.go
+++ b/logic/types.go
@@ -77,8 +77,8 @@
 	// no attempt is outstanding: in the origin queue, or waiting for a fetch, a delay or a connection
 	waiting           bool
 	queued            bool // in the origin queue
-	waitedForFetch    bool // has waited for another request's fetch, and does not wait again unless that fetch has ended
-	waitedAfterMiss   bool // has waited for another request's fetch after its own miss, and does not wait so again
+	waitedForFetch    bool // has waited for another request's fetch; reset when that fetch ends
+	waitedAfterMiss   bool // has waited for another request's fetch after its own miss; never reset
 	ownsFetch         bool // other requests may wait for its fetch
 	retriedAfterReset bool // was sent to the same cache again after its connection broke
 	streaming         bool
