--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -341,7 +341,7 @@
 			}
 			failed[k], dialed[k] = float64(refused)/float64(requested), float64(proxies.connected-connectedBefore)/float64(requested)
 		}
-		t.Logf("limit %d: for each request, %.3f find no connection (%.3f with a fixed hold time), %.3f connections (%.3f)", connLimit, failed[0], failed[1], dialed[0], dialed[1])
+		t.Logf("limit %d: for each request, %.3f refusals (%.3f with a fixed hold time), %.3f connections (%.3f)", connLimit, failed[0], failed[1], dialed[0], dialed[1])
 		if failed[0] > 0.13 || failed[0] > failed[1]/2.5 {
 			t.Errorf("limit %d: %.3f of the tries find no place, %.3f with a fixed time", connLimit, failed[0], failed[1])
 		}
