--- a/internal/pool/fleet_test.go
+++ b/internal/pool/fleet_test.go
@@ -71,7 +71,7 @@
 				switch link.overLimit = cache.open >= cache.connLimit; {
 				case link.overLimit && f.refuseDials:
 					cache.refused++
-					host.pool.DialCompleted(dial.member, nil, dial.epoch, dial.warm, true)
+					host.pool.DialCompleted(dial.member, nil, dial.epoch, dial.prewarm, true)
 					continue
 				case !link.overLimit:
 					cache.open++
@@ -79,7 +79,7 @@
 				}
 				link.conn.Link = link
 				host.links = append(host.links, link)
-				host.pool.DialCompleted(dial.member, link.conn, dial.epoch, dial.warm, false)
+				host.pool.DialCompleted(dial.member, link.conn, dial.epoch, dial.prewarm, false)
 			}
 			live := host.links[:0]
 			for _, link := range host.links {
@@ -403,7 +403,7 @@
 			}
 		}
 		refused, connected := float64(refusals)/float64(requested), float64(proxies.connected-connectedBefore)/float64(requestedByAll)
-		t.Logf("%s: %.3f turned away, %.3f connections for each request", step.name, refused, connected)
+		t.Logf("%s: %.3f refused, %.3f connections for each request", step.name, refused, connected)
 		if refused > step.maxRefused || connected > step.maxConnected {
 			t.Errorf("%s: want %.3f, %.3f", step.name, step.maxRefused, step.maxConnected)
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -24,10 +24,11 @@
 	// dial, whatever the expected wait. Beyond that, requests are admitted by the wait that ExpectedWait
 	// estimates from the recent occupancy of connections.
 	MaxWaiting = 2
+	// occupancyDivisor is the inverse of the weight of the latest request in the average occupancy.
+	occupancyDivisor = 16
 	// stuckFactor is the number of occupancy times without a request begun on any connection after which
 	// a cache counts as stuck and no further request waits for it. It should exceed the variation of
 	// response times.
-	occupancyDivisor   = 16 // weight of the latest request in the average: 1/16
 	stuckFactor        = 4
 	minStuckTime       = 50 * time.Millisecond
 	maxOriginConns     = 48
@@ -41,8 +42,8 @@
 	// dialBackoff is how long further dials wait after a dial failed while other connections are open; it
 	// doubles with each consecutive failure, up to dialBackoffMax. A single dial may fail by chance, and
 	// the pool must not stay short because of it; a member that is at its connection limit, or is gone,
-	// is soon dialed only rarely. It can do harm at a member for which each connection attempt is
-	// expensive.
+	// is soon dialed only rarely. Dialing again so soon can do harm at a member for which each connection
+	// attempt is expensive.
 	dialBackoff    = 10 * time.Millisecond
 	dialBackoffMax = time.Second
 	// CooldownTime is how long a connection stays unused after an answer. Bytes that arrive in that time
@@ -112,9 +113,9 @@
 
 // The verdicts.
 const (
-	// LocalShortage: the proxy itself is short of connections, the member is neither full nor unreachable.
+	// LocalShortage: the proxy itself is short of connections; the member is neither full nor unavailable.
 	LocalShortage Verdict = iota
-	Unreachable           // the member accepts no connection, or no new requests
+	Unavailable           // the member accepts no connection, or no new requests
 )
 
 // Link is the host's side of a connection. None of its methods may block.
@@ -128,12 +129,14 @@
 
 // Actions carries out a Pool's decisions. None of its methods may block or call back into the pool.
 type Actions[X Exchange] interface {
-	Dial(m *Member[X], warm bool) // connects, then calls DialCompleted
-	Reject(x X, v Verdict)        // x gets no connection
+	// Dial connects, then calls DialCompleted; prewarm, which is passed on to it, marks a dial that no
+	// request asked for.
+	Dial(m *Member[X], prewarm bool)
+	Reject(x X, v Verdict) // x gets no connection
 	// Expired reports whether x has expired by now: the event may have begun some time ago.
 	Expired(x X) bool
-	// HasDescriptor reports whether a descriptor is available; make: one may be freed for it.
-	HasDescriptor(make bool) bool
+	// HasDescriptor reports whether a descriptor is available; evict: one may be freed for it.
+	HasDescriptor(evict bool) bool
 	// ScheduleConnectTimeout calls ConnectTimedOut at that time unless x has been sent.
 	ScheduleConnectTimeout(x X, at time.Duration)
 	ScheduleRedial(m *Member[X], at time.Duration)          // calls Redial at that time
@@ -156,10 +159,10 @@
 	occupancy    time.Duration // recent average time for which a request occupies a connection; 0: unknown
 	// roundTrip estimates the shortest recent response time; 0: no answer yet.
 	roundTrip time.Duration
-	// smoothed and deviation are the smoothed response time and its mean deviation.
-	smoothed, deviation time.Duration
-	inDialQueue         bool // it is in Pool.dialQueue
-	inCooldownQueue     bool // it is in Pool.cooldownQueue
+	// smoothedTime and timeDeviation are the smoothed response time and its mean deviation.
+	smoothedTime, timeDeviation time.Duration
+	inDialQueue                 bool // it is in Pool.dialQueue
+	inCooldownQueue             bool // it is in Pool.cooldownQueue
 	// cleanAnswers counts the clean answers since the last bad one; cleanRequired is the number required
 	// before requests are pipelined.
 	cleanAnswers, cleanRequired int
@@ -205,8 +208,9 @@
 	// for the next answer.
 	lastKey  []byte
 	lastUsed time.Duration
-	// idleClass is the class of the idle time before its current request; below 0: the connection was new.
-	idleClass  int
+	// idleBucket is the bucket of the idle time before its current request; below 0: the connection was
+	// new.
+	idleBucket int
 	reusableAt time.Duration // when it may carry the next request
 }
 
@@ -217,7 +221,7 @@
 }
 
 // Fresh reports whether the current request is the first on the connection.
-func (c *Conn[X]) Fresh() bool { return c.idleClass < 0 }
+func (c *Conn[X]) Fresh() bool { return c.idleBucket < 0 }
 
 // Backdate makes the connection appear idle for longer by d, for tests.
 func (c *Conn[X]) Backdate(d time.Duration) { c.lastUsed -= d }
@@ -243,8 +247,8 @@
 }
 
 // New returns a Pool without connections.
-func New[X Exchange](cfg Config, do Actions[X]) *Pool[X] {
-	return &Pool[X]{cfg: cfg, actions: do, idle: newIdleTimes(cfg.ConnIdle * IdlePercent / 100),
+func New[X Exchange](cfg Config, actions Actions[X]) *Pool[X] {
+	return &Pool[X]{cfg: cfg, actions: actions, idle: newIdleTimes(cfg.ConnIdle * IdlePercent / 100),
 		hold: newHoldTime(cfg.ConnIdle * IdlePercent / 100), maxPipelineAge: maxPipelineAge}
 }
 
@@ -268,7 +272,7 @@
 	m.Ready = ready
 	if moved {
 		m.Epoch++
-		m.backoff, m.noDialUntil, m.roundTrip, m.smoothed, m.deviation = 0, 0, 0, 0, 0 // it is another process
+		m.backoff, m.noDialUntil, m.roundTrip, m.smoothedTime, m.timeDeviation = 0, 0, 0, 0, 0 // it is another process
 	}
 	if moved || !ready {
 		p.retireAll(m)
@@ -283,7 +287,7 @@
 	}
 	if !m.Ready {
 		for _, x := range m.Waiting {
-			p.actions.Reject(x, Unreachable)
+			p.actions.Reject(x, Unavailable)
 		}
 		m.Waiting = nil
 	}
@@ -327,8 +331,8 @@
 
 // RecordBreak records that a connection ended with a request in flight.
 func (p *Pool[X]) RecordBreak(c *Conn[X]) {
-	if c.idleClass >= 0 {
-		p.idle.broken[c.idleClass]++
+	if c.idleBucket >= 0 {
+		p.idle.broken[c.idleBucket]++
 	}
 }
 
@@ -351,8 +355,8 @@
 		p.start(c, x)
 		return
 	}
-	more := p.mayDial(m)
-	if c := p.pickPipelineConn(m, x); c != nil && !more {
+	canDial := p.mayDial(m)
+	if c := p.pickPipelineConn(m, x); c != nil && !canDial {
 		p.start(c, x)
 		return
 	}
@@ -374,10 +378,10 @@
 }
 
 // ExpectedWait estimates how long a request would wait for a connection to a member, handshake excluded.
-// A negative result means that the request should go to another member, as waiting would be futile. An
-// unreachable member gives a negative result until a connection is open that can carry a request. Calling
-// ExpectedWait starts the dial for it, and no request waits for that dial; a request submitted anyway is
-// dialed for.
+// A negative result means that the request should go to another member, as waiting would be futile. For an
+// unreachable member the result is negative until a connection is open that can carry a request, and the
+// call itself dials such a connection (dialTrial), for which no request waits. A request that is submitted
+// to such a member anyway is dialed for.
 func (p *Pool[X]) ExpectedWait(m *Member[X]) time.Duration {
 	if p.unreachable(m) {
 		p.dialTrial(m)
@@ -389,8 +393,8 @@
 // unreachable reports whether connections to a cache have failed, or were refused, more than once in a
 // row, and no open connection has carried an answer or could carry a first one. A single failure may be
 // chance. Where there are more proxies than the cache accepts connections, or a zone has vanished, each
-// request would otherwise spend an attempt or a connect timeout on the cache, at each proxy. It can do
-// harm when all caches are unreachable: requests that would have waited for a dial are rejected
+// request would otherwise use up an attempt or a connect timeout on the cache, at each proxy. The rule can
+// do harm when all caches are unreachable: requests that would have waited for a dial are rejected
 // immediately.
 func (p *Pool[X]) unreachable(m *Member[X]) bool {
 	return !m.Origin && m.backoff > dialBackoff &&
@@ -403,8 +407,9 @@
 func (p *Pool[X]) dialTrial(m *Member[X]) {
 	switch {
 	case !m.Ready || p.now < m.noDialUntil || m.pendingDials > 0:
-	// Its request was refused, but the connection was left open: another request may succeed.
 	case len(m.Conns) > 0:
+		// The connection's request was refused, but the connection was left open: another request may
+		// succeed on it.
 		if c := m.Conns[0]; !c.Busy() {
 			p.extendBackoff(m)
 			c.Refused = false
@@ -535,9 +540,9 @@
 // closed; nil if there is none. A connection that has been idle for so long that the member may be
 // closing it, or that has received something, is not used again.
 func (p *Pool[X]) pickFreeConn(m *Member[X], x X) *Conn[X] {
-	share := time.Duration(IdlePercent)
+	idlePercent := time.Duration(IdlePercent)
 	if x.PoolRequest().Once {
-		share = onceIdlePercent
+		idlePercent = onceIdlePercent
 	}
 	for i := len(m.Conns) - 1; i >= 0; i-- {
 		c := m.Conns[i]
@@ -546,7 +551,7 @@
 		case p.now-c.lastUsed >= p.idle.limit && c.HasAnswered ||
 			p.now-c.lastUsed >= p.cfg.ConnIdle*IdlePercent/100 || !c.Link.Silent():
 			p.Retire(c)
-		case p.now-c.lastUsed < p.cfg.ConnIdle*share/100:
+		case p.now-c.lastUsed < p.cfg.ConnIdle*idlePercent/100:
 			return c
 		case len(m.Conns)+m.pendingDials >= p.MaxConns(m):
 			p.Close(c) // a new one replaces it
@@ -557,11 +562,11 @@
 
 // Redial opens connections for the waiting requests, within the limits.
 func (p *Pool[X]) Redial(m *Member[X]) {
-	most := p.MaxConns(m)
+	maxConns := p.MaxConns(m)
 	if len(m.Conns) > 0 && p.now < m.noDialUntil {
 		return
 	}
-	for m.Ready && m.pendingDials < len(m.Waiting) && len(m.Conns)+m.pendingDials < most {
+	for m.Ready && m.pendingDials < len(m.Waiting) && len(m.Conns)+m.pendingDials < maxConns {
 		if p.pendingDials >= maxConcurrentDials || !p.actions.HasDescriptor(true) {
 			if !m.inDialQueue {
 				m.inDialQueue = true
@@ -573,17 +578,17 @@
 	}
 }
 
-func (p *Pool[X]) startDial(m *Member[X], warm bool) {
+func (p *Pool[X]) startDial(m *Member[X], prewarm bool) {
 	m.pendingDials++
 	p.pendingDials++
 	p.openConns++
-	p.actions.Dial(m, warm)
+	p.actions.Dial(m, prewarm)
 }
 
 // DialCompleted handles the end of a dial. c is the new connection, of the epoch in which the dial began,
 // or nil; atOnce reports that the dial was refused without a wait.
-func (p *Pool[X]) DialCompleted(m *Member[X], c *Conn[X], epoch int, warm, atOnce bool) {
-	p.releaseDialSlot(m, warm)
+func (p *Pool[X]) DialCompleted(m *Member[X], c *Conn[X], epoch int, prewarm, atOnce bool) {
+	p.releaseDialSlot(m, prewarm)
 	switch {
 	case c == nil:
 		p.openConns--
@@ -593,7 +598,7 @@
 	default:
 		c.lastUsed, m.noDialUntil = p.now, 0
 		m.Conns = append(m.Conns, c)
-		if p.serveWaiting(m); warm && !c.Busy() {
+		if p.serveWaiting(m); prewarm && !c.Busy() {
 			p.ping(c)
 		}
 	}
@@ -602,10 +607,10 @@
 }
 
 // releaseDialSlot removes a dial from the pending ones.
-func (p *Pool[X]) releaseDialSlot(m *Member[X], warm bool) {
+func (p *Pool[X]) releaseDialSlot(m *Member[X], prewarm bool) {
 	m.pendingDials--
 	p.pendingDials--
-	if warm {
+	if prewarm {
 		m.prewarming = false
 	}
 }
@@ -614,8 +619,8 @@
 // about the member, which is neither backed off from nor unreachable. If no connection is open to take
 // the waiting requests, the first of them is rejected, to be sent to another member that may have open
 // connections.
-func (p *Pool[X]) DialFailedLocally(m *Member[X], warm bool) {
-	p.releaseDialSlot(m, warm)
+func (p *Pool[X]) DialFailedLocally(m *Member[X], prewarm bool) {
+	p.releaseDialSlot(m, prewarm)
 	p.openConns--
 	p.serveWaiting(m)
 	if len(m.Conns) > 0 {
@@ -647,7 +652,7 @@
 			return
 		}
 		m.Waiting = m.Waiting[1:]
-		p.actions.Reject(x, Unreachable)
+		p.actions.Reject(x, Unavailable)
 	}
 }
 
@@ -696,8 +701,8 @@
 	}
 }
 
-// WriteDrained handles the end of a connection's pending writes.
-func (p *Pool[X]) WriteDrained(c *Conn[X]) {
+// BacklogWritten handles the end of a connection's pending writes.
+func (p *Pool[X]) BacklogWritten(c *Conn[X]) {
 	if !c.Closed {
 		p.serveWaiting(c.Member)
 	}
@@ -713,12 +718,12 @@
 
 // NoConnVerdict returns the verdict for a request that has waited for a connection in vain. If
 // connections are open, all of them are busy: the pool is short of them, and the member is neither full
-// nor unreachable.
+// nor unavailable.
 func NoConnVerdict[X Exchange](m *Member[X]) Verdict {
 	if m != nil && len(m.Conns) > 0 {
 		return LocalShortage
 	}
-	return Unreachable
+	return Unavailable
 }
 
 // RemoveWaiting removes a request from the queue.
@@ -737,9 +742,9 @@
 		c.Pipelined = append(c.Pipelined, x)
 	} else {
 		c.Current, c.currentSince, c.carriesWrite, c.group = x, p.now, r.Write, r.Group
-		if c.idleClass = -1; c.HasAnswered {
-			c.idleClass = p.idle.class(p.now - c.lastUsed)
-			p.idle.reused[c.idleClass]++
+		if c.idleBucket = -1; c.HasAnswered {
+			c.idleBucket = p.idle.bucket(p.now - c.lastUsed)
+			p.idle.reused[c.idleBucket]++
 		}
 		p.touch(c)
 	}
@@ -790,13 +795,13 @@
 	}
 	if c.HasAnswered = c.HasAnswered || !c.Refused; c.HasAnswered {
 		c.Member.backoff, c.Member.noDialUntil = 0, 0
-		// A refused connection is left open: its end will follow, and shows that the member has no
-		// capacity.
 		if !c.Member.Origin && p.hold.current < minHoldTime && len(c.Member.Waiting) == 0 {
 			p.Close(c)
 			return
 		}
 	}
+	// A connection that has carried only refusals is left open as well: its end will follow, and shows that
+	// the member has no capacity.
 	c.reusableAt = p.now + c.Member.cooldown()
 	p.scheduleCooldownWake(c.Member)
 }
@@ -841,9 +846,9 @@
 // Sweep closes connections that have been idle for too long, and keeps one connection to each cache open
 // and in use. The first request on a connection also waits for the handshake, several round trips. To
 // another zone that alone can exceed its timeout, which closes the connection and makes the next request
-// wait as long, so that a healthy cache looks slow permanently. A ping takes that wait instead of a
-// request. It costs each cache a little work every few seconds, so it is omitted where there are many
-// proxies, or more members than descriptors allow.
+// wait as long, so that a healthy cache looks slow permanently. With a ping, the ping waits for the
+// handshake and no request does. Pings cost each cache a little work every few seconds, so they are omitted
+// where there are many proxies, or more members than descriptors allow.
 func (p *Pool[X]) Sweep(m *Member[X], members int) {
 	age := p.idle.limit
 	if !m.Origin {
--- a/logic/learnt.go
+++ b/logic/learnt.go
@@ -20,7 +20,7 @@
 	Latency     float64 `json:"Latency"`
 	FailureRate float64 `json:"Fails"`
 	Arrivals    float64 `json:"Arrivals"`
-	// work done by the caches, in answers, and the seconds in which it was done
+	// work done by the caches (1 for each hit, 0.5 for each miss), and the seconds in which it was done
 	ServedWork  float64 `json:"Carried"`
 	SpanSeconds float64 `json:"Span"`
 	// recent attempts at caches and their answers
@@ -28,12 +28,12 @@
 	RecentAnswers  float64 `json:"Answered"`
 }
 
-// LearnedKey is a frequently requested key.
+// LearnedKey is a frequently requested key. Count exceeds the true count by at most MaxError.
 type LearnedKey struct {
-	Key     uint64     `json:"Key"`
-	Count   float64    `json:"Count"`
-	Err     float64    `json:"Err"`
-	Members []MemberID `json:"At"` // caches that it is placed on, if it is hot
+	Key      uint64     `json:"Key"`
+	Count    float64    `json:"Count"`
+	MaxError float64    `json:"Err"`
+	Members  []MemberID `json:"At"` // caches that it is placed on, if it is hot
 }
 
 // LearnedMember is what is known about a member since it started.
@@ -51,7 +51,8 @@
 	EjectedFor     time.Duration `json:"Out"`    // remaining time of an ejection
 }
 
-// maxExportedKeys limits the exported keys: the hot set, and as many keys that may enter it.
+// maxExportedKeys limits the exported keys: maxHotKeys hot keys, and the same number of keys that may become
+// hot.
 const maxExportedKeys = 2 * maxHotKeys
 
 // ExportState returns what the Balancer has learned so far.
@@ -62,7 +63,7 @@
 		SpanSeconds:    b.spanSeconds + (b.now - b.windowStart).Seconds(),
 		RecentAttempts: b.recentAttempts, RecentAnswers: b.recentAnswers}
 	for _, counted := range b.keyCounts.hottest(1, maxExportedKeys) {
-		key := LearnedKey{Key: counted.key, Count: counted.count, Err: counted.maxError}
+		key := LearnedKey{Key: counted.key, Count: counted.count, MaxError: counted.maxError}
 		if placed := b.hotTable[counted.key]; placed != nil {
 			for _, member := range placed.members {
 				key.Members = append(key.Members, member.entry.ID)
@@ -124,12 +125,12 @@
 func (b *Balancer) importKeys(state LearnedState) {
 	sum := 0.0
 	for _, key := range state.Keys[:min(len(state.Keys), counterCapacity)] {
-		if _, known := b.keyCounts.index[key.Key]; known || key.Key == 0 || !validNumbers(key.Count, key.Err) ||
-			key.Err > key.Count || key.Count < 1 {
+		if _, known := b.keyCounts.index[key.Key]; known || key.Key == 0 || !validNumbers(key.Count, key.MaxError) ||
+			key.MaxError > key.Count || key.Count < 1 {
 			continue
 		}
-		b.keyCounts.insert(keyCount{key: key.Key, count: key.Count, maxError: key.Err})
-		sum += key.Count - key.Err
+		b.keyCounts.insert(keyCount{key: key.Key, count: key.Count, maxError: key.MaxError})
+		sum += key.Count - key.MaxError
 		placed := &placement{}
 		for _, id := range key.Members[:min(len(key.Members), candidateDepth)] {
 			if member := b.members[id]; member != nil && member.entry.State == Ready &&
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -17,8 +17,8 @@
 	candidateDepth  = 12              // candidates kept per slot; with one slot table per zone, those in the local zone
 	otherZoneDepth  = 2               // candidates kept per slot in each other zone
 	counterCapacity = 1024            // keys tracked by the counter, several times the hot set
-	maxHotKeys      = 200             // maximum size of the hot set (MIP-200 in the paper)
-	keyCost         = 3.33            // k in the paper: cost of a key on top of its requests
+	maxHotKeys      = 200             // maximum size of the hot set
+	keyCost         = 3.33            // cost of a hot key on top of its requests, in requests
 	maxWindow       = 4 * time.Second // interval at which counts are halved and hot keys are placed
 	sufficientCount = 400             // requests sufficient to rank the hot keys
 	splitLoadShare  = 0.5             // keys above this share of a cache's mean load are split
@@ -50,7 +50,7 @@
 	// elsewhere
 	connectionWaitDivisor = 12
 	ejectionOdds          = 3000  // no ejection for streaks that chance produces more than once in this many attempts
-	maxAttemptsLimit      = 32    // as many again may get no connection, and the attempt bit sets have 64 bits
+	maxAttemptsLimit      = 32    // as many more may end without a connection, and each attempt takes one of 64 bits
 	maxFailureStreak      = 8     // upper bound of the failure streak required for ejection
 	minLatencyGrowth      = 1.002 // growth of a member's minimum latency with each answer
 	coldBudgetShare       = 0.5   // share of OverloadMultiple; the rest is reserved for what this proxy can't observe
@@ -216,6 +216,7 @@
 	if entry.StartedAt != member.entry.StartedAt && entry.State == Ready {
 		b.resetMember(member)
 	}
+	// zones has 64 entries; a zone number beyond them shares the entry of a lower one
 	member.entry, member.zone = entry, &b.zones[entry.Zone&63]
 	group := &b.caches
 	if b.isOrigin(entry) {
@@ -384,8 +385,8 @@
 	return member.zone.withheldShare == 0 || unit(mix(uint64(member.entry.Zone+1)<<32|uint64(slot))) >= member.zone.withheldShare
 }
 
-// capacity returns the estimate that divides S and T: the weight, reduced where the member is cold,
-// ejected or slower than the fleet.
+// capacity returns the estimate to which placeHotKeys relates a member's hotLoad and hotKeys: the weight,
+// reduced where the member is cold, ejected or slower than the fleet.
 func (b *Balancer) capacity(member *memberState) float64 {
 	capacity := member.weight * b.warmth(member)
 	if member.ejectedUntil > b.now {
@@ -397,9 +398,11 @@
 	return capacity
 }
 
-// placeHotKeys assigns the hot keys greedily: by descending count, each to the candidate that increases
-// max S + k·max T least. A key that takes more than splitLoadShare of a cache's mean load is split over
-// several.
+// placeHotKeys assigns the hot keys greedily: by descending count, each to the candidate that increases the
+// objective least. The objective is the maximum over all caches of hotLoad/capacity, plus keyCost times the
+// maximum of hotKeys/capacity; in the paper that this model comes from, these terms are S, T and k, and the
+// hot set of 200 keys is MIP-200. A key that takes more than splitLoadShare of a cache's mean load is split
+// over several.
 func (b *Balancer) placeHotKeys() {
 	old := b.hotTable
 	b.hotTable = make(map[uint64]*placement, len(old))
@@ -410,26 +413,28 @@
 	if totalWeight == 0 {
 		return
 	}
-	maxS, maxT := 0.0, 0.0
+	maxHotLoad, maxHotKeyCount := 0.0, 0.0
 	for _, counted := range b.keyCounts.hottest(2, maxHotKeys) {
 		slot := slotOf(counted.key)
 		candidates := b.candidates(slot)
 		// Random excess in a low count must not create copies.
 		guaranteed := max(0, counted.count-counted.maxError-math.Sqrt(counted.count))
-		copies := int(guaranteed / b.keyCounts.total * totalWeight / candidates[0].member.weight / splitLoadShare)
-		copies = max(1, min(copies, len(candidates)))
-		parts := max(1, min(copies, copies*2/b.settings.Instances))
+		fleetCopies := int(guaranteed / b.keyCounts.total * totalWeight / candidates[0].member.weight / splitLoadShare)
+		// The proxies together place the key on about fleetCopies caches. This proxy uses ownCopies of them,
+		// twice its part (fleetCopies/Instances), at least one and at most all.
+		fleetCopies = max(1, min(fleetCopies, len(candidates)))
+		ownCopies := max(1, min(fleetCopies, fleetCopies*2/b.settings.Instances))
 		placed := &placement{}
-		for range parts {
-			nearest := candidates[:min(len(candidates), copies+1)]
-			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(parts), maxS, maxT, old[counted.key])
+		for range ownCopies {
+			nearest := candidates[:min(len(candidates), fleetCopies+1)]
+			member := b.cheapestCandidate(nearest, placed, slot, counted, float64(ownCopies), maxHotLoad, maxHotKeyCount, old[counted.key])
 			if member == nil { // all candidates are cold: the key is routed by its slot
 				break
 			}
 			capacity := b.capacity(member)
-			member.hotLoad += counted.count / float64(parts)
+			member.hotLoad += counted.count / float64(ownCopies)
 			member.hotKeys++
-			maxS, maxT = max(maxS, member.hotLoad/capacity), max(maxT, member.hotKeys/capacity)
+			maxHotLoad, maxHotKeyCount = max(maxHotLoad, member.hotLoad/capacity), max(maxHotKeyCount, member.hotKeys/capacity)
 			placed.members = append(placed.members, member)
 		}
 		if len(placed.members) > 0 {
@@ -441,7 +446,7 @@
 // cheapestCandidate returns the candidate whose use increases the objective least, with a preference for
 // the previous placement; nil if none takes the slot.
 func (b *Balancer) cheapestCandidate(candidates []candidate, placed *placement, slot int, counted keyCount,
-	parts, maxS, maxT float64, old *placement) *memberState {
+	ownCopies, maxHotLoad, maxHotKeyCount float64, old *placement) *memberState {
 	var best *memberState
 	minCost := math.Inf(1)
 	offset := 0
@@ -454,7 +459,7 @@
 			continue
 		}
 		capacity := b.capacity(member)
-		cost := max(maxS, (member.hotLoad+counted.count/parts)/capacity) + keyCost*max(maxT, (member.hotKeys+1)/capacity)
+		cost := max(maxHotLoad, (member.hotLoad+counted.count/ownCopies)/capacity) + keyCost*max(maxHotKeyCount, (member.hotKeys+1)/capacity)
 		// A key that was not placed before was routed by its slot, so the slot's first candidate is its
 		// previous place. Otherwise keys at the edge of the hot set would change caches whenever they
 		// enter or leave it.
@@ -573,7 +578,7 @@
 		b.enqueueForOrigin(req)
 		return
 	}
-	if waiters, fetching := b.fetchWaiters[req.Key]; fetching && req.Key != 0 && !req.coalesced {
+	if waiters, fetching := b.fetchWaiters[req.Key]; fetching && req.Key != 0 && !req.waitedForFetch {
 		b.fetchWaiters[req.Key] = append(waiters, req)
 		b.waitForFetch(req, (req.softDeadline-b.now)/2)
 		return
@@ -612,7 +617,7 @@
 
 // waitForFetch lets a request wait for another request's fetch, for a limited time.
 func (b *Balancer) waitForFetch(req *pendingRequest, wait time.Duration) {
-	req.coalesced = true
+	req.waitedForFetch = true
 	if b.waitUnlessUnsendable(req, SharedFetch) {
 		b.setRequestTimer(req, b.now+wait, timerResume)
 	}
@@ -668,7 +673,7 @@
 	case slices.ContainsFunc(group, func(member *memberState) bool { return b.maySend(req, member) }):
 		return NoReason
 	case req.mayHaveRun != 0 && len(group) > 0:
-		return MayHaveRun // only members outside the group that drops its repeats remain
+		return MayHaveRun // no member remains that would drop the repeat (Class.Scope)
 	}
 	return NoMember
 }
@@ -792,7 +797,7 @@
 }
 
 // sentAttempts returns the number of attempts that were actually sent.
-func (req *pendingRequest) sentAttempts() int { return req.attempts - req.unsent }
+func (req *pendingRequest) sentAttempts() int { return req.attempts - req.uncountedAttempts }
 
 // maySend is the check that every send must pass: member state, allowed attempts, and effects that must
 // not be duplicated.
@@ -964,8 +969,9 @@
 	case timerOriginQueue:
 		b.originQueueTimerAt = 0
 		b.dispatchOriginQueue()
-	// without an outstanding attempt no answer can arrive in time
 	case timerSoftDeadline, timerDeadline:
+		// A request that is idle at its soft deadline can't be answered in time any more; at the deadline,
+		// requests with outstanding attempts end as well, unless they stream.
 		switch {
 		case idle && req.queued && token&7 == timerSoftDeadline:
 			b.refuseOrFail(req, OriginLine)
@@ -1013,7 +1019,7 @@
 		b.recentAttempts = max(0, b.recentAttempts-1)
 	}
 	if outcome.Status == StatusNoConn {
-		req.unsent = min(req.unsent+1, req.maxAttempts)
+		req.uncountedAttempts = min(req.uncountedAttempts+1, req.maxAttempts)
 	}
 	req.answered = req.answered || outcome.Final
 	// A failed fetch returns to the origin queue below; requests that wait for it keep waiting until it is
@@ -1077,7 +1083,7 @@
 	if member := b.members[from]; member != nil {
 		b.recordOutcome(member, Outcome{Status: StatusUnknown}, false)
 	}
-	req.unsent-- // one attempt that the Balancer did not send
+	req.uncountedAttempts-- // the client's attempt is counted, but is not in attempts
 	if member := b.members[to]; member != nil {
 		member.outstanding++
 		req.triedCaches = append(req.triedCaches, member)
@@ -1091,11 +1097,11 @@
 		req.missedCache = member
 	}
 	waiters, fetching := b.fetchWaiters[req.Key]
-	if req.coalescedAfterMiss || req.Key == 0 || req.sentAttempts()+2 > req.maxAttempts || !fetching && note != NoteFetched {
+	if req.waitedAfterMiss || req.Key == 0 || req.sentAttempts()+2 > req.maxAttempts || !fetching && note != NoteFetched {
 		b.enqueueForOrigin(req)
 		return
 	}
-	req.coalescedAfterMiss, req.triedCaches = true, nil
+	req.waitedAfterMiss, req.triedCaches = true, nil
 	wait := (req.softDeadline - b.now) / 2
 	if fetching {
 		b.fetchWaiters[req.Key] = append(waiters, req)
@@ -1115,7 +1121,7 @@
 		if waiter.answered || !waiter.waiting || waiter.outstanding != 0 {
 			continue
 		}
-		waiter.waiting, waiter.coalesced = false, false
+		waiter.waiting, waiter.waitedForFetch = false, false
 		if ok && req.missedCache != nil {
 			waiter.missedCache = req.missedCache
 		}
@@ -1185,13 +1191,14 @@
 	case StatusFull:
 		if fromOrigin {
 			b.cutLimit(member, 0.7)
-			// independent of outstanding attempts: a proxy that sends rarely does not cause the overload
 		} else {
+			// independent of outstanding attempts: a proxy that sends rarely does not cause the overload
 			member.limit = max(min(1, member.limit), 0.7*member.limit)
 		}
 		return
 	case StatusOK, StatusMiss:
-		// caches of other zones have answered meanwhile
+		// The zone answers again after an outage, during which caches of other zones answered: its caches
+		// may have restarted.
 		if zone := member.zone; !fromOrigin && zone.timeoutStreak >= 2*silentZoneTimeouts &&
 			b.now-zone.firstTimeoutAt >= zoneOutageTime && b.lastAnswerAt > zone.firstTimeoutAt {
 			zone.coldSince = b.now
