--- a/internal/extproc/server/many.go
+++ b/internal/extproc/server/many.go
@@ -33,7 +33,7 @@
 	RetryAfter int64  `json:"retry_after_ms,omitempty"`
 }
 
-var _ proxy.ManyTaker = (*manyCall)(nil)
+var _ proxy.ManyResponder = (*manyCall)(nil)
 
 // submitMany submits a call for many keys to the host. The host's lock must be held.
 func (s *stream) submitMany(c *call) error {
@@ -97,5 +97,5 @@
 // withdraw releases the values and cancels outstanding keys.
 func (m *manyCall) withdraw() {
 	m.releaseValues()
-	m.many.Withdraw()
+	m.many.Cancel()
 }
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -45,8 +45,8 @@
 		p.endAttempt(a, logic.StatusConnectFailed, 0)
 		return
 	}
-	if r.orderRecord != nil {
-		p.sendRecorded(r, a, m)
+	if r.orderState != nil {
+		p.sendAfterRecording(r, a, m)
 		return
 	}
 	p.startAttempt(r, a, m)
@@ -58,7 +58,7 @@
 		a.meterID = p.cfg.ZoneMeter.AttemptStarted(p.now, p.zoneIndex(m.listed.Locality), uint64(m.id))
 	}
 	if c, ok := r.Responder.(ExternalSender); ok {
-		a.byCarrier = true
+		a.byExternalSender = true
 		p.schedule(timerEntry{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 		c.Assign(&Attempt{proxy: p, attempt: a, Addr: m.Addr, Origin: m.Origin})
 		return
@@ -97,7 +97,7 @@
 			p.cfg.ZoneMeter.OriginRefused(p.now)
 		}
 		r.Responder.Answer(a)
-		p.fenceReads(r)
+		p.closeReadGroups(r)
 		p.leadEnded(r)
 		p.releaseIfOver(r)
 	}
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -209,7 +209,7 @@
 }
 
 // A request in progress keeps its deadline when the classes change between two of its attempts.
-func TestDeadlineSurvivesRetune(t *testing.T) {
+func TestDeadlineKeptWhenClassesChange(t *testing.T) {
 	for _, deadline := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			cfg := testConfig()
@@ -464,7 +464,7 @@
 		}
 		extraDelay.Add(int64(pause))
 	}
-	together := make(chan struct{})
+	allOrdersArrived := make(chan struct{})
 	var warmups atomic.Int32
 	o := checker.origin(func(r *http.Request) string {
 		if r.Method != http.MethodPut {
@@ -472,23 +472,23 @@
 			return httpOK("value")
 		}
 		if warmups.Add(1) == reads {
-			close(together)
+			close(allOrdersArrived)
 		}
-		<-together
+		<-allOrdersArrived
 		return httpOK("receipt")
 	})
-	stuck, requests := make(chan struct{}), make(chan struct{}, 100)
+	releaseCache, requests := make(chan struct{}), make(chan struct{}, 100)
 	silent := checker.cache("s-1", func(memberCommand) string {
 		requests <- struct{}{}
-		<-stuck
+		<-releaseCache
 		return missReply
 	})
-	t.Cleanup(func() { close(stuck) })
+	t.Cleanup(func() { close(releaseCache) })
 	p := startProxy(t, cfg, listEntry("s-1", silent, "large"), listEntry("o-1", o, "origin"))
 	for i := range reads { // opens that many connections to the origin
 		p.dial().send(checker.put(fmt.Sprint("o", i), fmt.Sprint("order", i), 8000))
 	}
-	checker.advanceUntil(p, time.Second, "the orders are at the origin", together)
+	checker.advanceUntil(p, time.Second, "the orders are at the origin", allOrdersArrived)
 	for range 20 {
 		checker.advance(p, time.Millisecond)
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -77,7 +77,7 @@
 		r := p.requests[id]
 		switch {
 		case r == nil: // it ended together with an earlier one
-		case r.orderRecord != nil && r.orderRecord.reportReceipt:
+		case r.orderState != nil && r.orderState.reportReceipt:
 			p.handleRecordTimeout(r)
 		case !r.done:
 			p.recallUnsent(r)
@@ -95,13 +95,13 @@
 }
 
 // endIdle ends idle connections at all fronts and reports whether any front still owes an answer.
-func (p *Proxy) endIdle() (owed bool) {
+func (p *Proxy) endIdle() (answersPending bool) {
 	p.beginEvent()
 	defer p.endEvent()
 	for _, f := range p.fronts {
 		if f.EndIdle() {
-			owed = true
+			answersPending = true
 		}
 	}
-	return owed
+	return answersPending
 }
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -71,15 +71,15 @@
 	longBytes   int  // bytes reserved for its value in the memory for long values; else the value counts as held
 	tenant      int
 	deadline    time.Duration
-	attempts    []*attempt     // by number
-	outstanding int            // attempts without an outcome
-	done        bool           // the final answer is decided, or nobody waits for it
-	maybeRan    bool           // an attempt that has ended may have run
-	tokenUsed   bool           // it uses the id of its token
-	denied      error          // why it was not sent: its proof is no longer valid
-	group       uint32         // shared by requests that were made together by one command; 0: none
-	join        *joinState     // the group of coalesced reads that it leads or follows; nil: none
-	orderRecord *recordedOrder // its entry in the order record; nil: it has none
+	attempts    []*attempt  // by number
+	outstanding int         // attempts without an outcome
+	done        bool        // the final answer is decided, or nobody waits for it
+	maybeRan    bool        // an attempt that has ended may have run
+	tokenUsed   bool        // it uses the id of its token
+	denied      error       // why it was not sent: its proof is no longer valid
+	group       uint32      // shared by requests that were made together by one command; 0: none
+	join        *joinState  // the group of coalesced reads that it leads or follows; nil: none
+	orderState  *orderState // its entry in the order record; nil: it has none
 }
 
 // Kind is the kind of a final answer.
@@ -135,14 +135,14 @@
 	if x.attempt.Ended {
 		return false
 	}
-	if !x.attempt.handedOver {
-		x.attempt.handedOver, x.attempt.BeganAt = true, x.proxy.now
+	if !x.attempt.announced {
+		x.attempt.announced, x.attempt.BeganAt = true, x.proxy.now
 	}
 	return true
 }
 
 // Announced reports whether the client has been told of the attempt.
-func (x *Attempt) Announced() bool { return x.attempt.handedOver }
+func (x *Attempt) Announced() bool { return x.attempt.announced }
 
 // Ended reports whether the attempt has its outcome.
 func (x *Attempt) Ended() bool { return x.attempt.Ended }
@@ -188,8 +188,8 @@
 func (x *Attempt) MarkServedElsewhere() {
 	if !x.attempt.Ended {
 		x.attempt.request.done = true
-		x.proxy.fenceReads(x.attempt.request)
-		if c := x.attempt.request.orderRecord; c != nil {
+		x.proxy.closeReadGroups(x.attempt.request)
+		if c := x.attempt.request.orderState; c != nil {
 			c.answered, c.reportedBy = true, orders.ReportedByCaller
 		}
 		x.proxy.endAttempt(x.attempt, logic.StatusCancelled, 0)
@@ -201,7 +201,7 @@
 func (x *Attempt) MarkServed(note int) {
 	if !x.attempt.Ended {
 		x.attempt.request.done = true
-		x.proxy.fenceReads(x.attempt.request)
+		x.proxy.closeReadGroups(x.attempt.request)
 		x.proxy.endAttempt(x.attempt, logic.StatusOK, note)
 	}
 }
@@ -212,7 +212,7 @@
 		return true
 	}
 	for _, a := range r.attempts {
-		if !a.Ended && !a.awaitsRecord && (!a.byCarrier || a.handedOver) {
+		if !a.Ended && !a.awaitsRecord && (!a.byExternalSender || a.announced) {
 			return true
 		}
 	}
@@ -275,7 +275,7 @@
 	r.deadline = logicRequest.Deadline
 	p.requests[r.id] = r
 	if p.cfg.Record != nil && r.effect == logic.AtMostOnce {
-		p.recordOrder(r, logicRequest)
+		p.submitToRecord(r, logicRequest)
 		return nil
 	}
 	if p.joinTable == nil || !p.join(r, logicRequest) {
@@ -286,11 +286,11 @@
 
 // earliestArrival returns the earliest time at which the last byte of a request may have arrived, given
 // when it was read; 0 stands for now.
-func (p *Proxy) earliestArrival(read time.Duration) time.Duration {
-	if read == 0 {
+func (p *Proxy) earliestArrival(readAt time.Duration) time.Duration {
+	if readAt == 0 {
 		return p.now
 	}
-	return p.stalls.EarliestArrival(min(read, p.now))
+	return p.stalls.EarliestArrival(min(readAt, p.now))
 }
 
 // membersByAddr returns the members at these addresses; an address without a port matches all members of
@@ -325,7 +325,7 @@
 	}
 	p.balancer.RestrictMembers(p.now, r.id, only)
 	for _, a := range r.attempts {
-		if only != nil && a.byCarrier && !a.handedOver && !a.Ended && !slices.Contains(only, a.memberID) {
+		if only != nil && a.byExternalSender && !a.announced && !a.Ended && !slices.Contains(only, a.memberID) {
 			p.endAttempt(a, logic.StatusNoConn, 0)
 		}
 	}
@@ -338,7 +338,7 @@
 	if r.id == 0 {
 		return // it was never accepted
 	}
-	if p.joinTable != nil && p.withdrawJoined(r) || r.orderRecord != nil && p.withdrawRecorded(r) {
+	if p.joinTable != nil && p.cancelJoined(r) || r.orderState != nil && p.cancelOrder(r) {
 		return
 	}
 	if !r.done {
@@ -377,14 +377,14 @@
 }
 
 // UpdateClasses replaces the classes and the maximum number of attempts. Accepted requests keep theirs.
-func (p *Proxy) UpdateClasses(classes []logic.Class, tryLimit int) error {
+func (p *Proxy) UpdateClasses(classes []logic.Class, maxAttempts int) error {
 	p.beginEvent()
 	defer p.endEvent()
-	if err := p.balancer.UpdateClasses(p.now, classes, tryLimit); err != nil {
+	if err := p.balancer.UpdateClasses(p.now, classes, maxAttempts); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	previous := p.cfg.Settings.Classes
-	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = slices.Clone(classes), tryLimit
+	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = slices.Clone(classes), maxAttempts
 	p.redis.shedder.SetClasses(classes)
 	names := logic.ClassNames(classes)
 	p.reasons = p.reasons.ForClasses(names)
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -16,9 +16,9 @@
 	// hostTimer is the kind of the timers of followers and of recorded orders. The decision module
 	// uses no timer of this number.
 	hostTimer = 7
-	// shareBatchSize is how many followers are answered per hold of the lock. Answering thousands at
+	// followerBatchSize is how many followers are answered per hold of the lock. Answering thousands at
 	// once would delay all other requests.
-	shareBatchSize = 64
+	followerBatchSize = 64
 )
 
 // JoinCounts counts outcomes of request coalescing, for the lab and tests.
@@ -63,15 +63,15 @@
 	}
 }
 
-// discardingTaker discards the answer of a leading read whose client has left while others still follow it.
-type discardingTaker struct{}
+// discardingResponder discards the answer of a leading read whose client has left while others still follow it.
+type discardingResponder struct{}
 
-func (discardingTaker) Answer(Answer) {}
+func (discardingResponder) Answer(Answer) {}
 
 // join makes a read follow an identical one, or makes it a lead that others can follow. It reports
 // whether the read follows; otherwise the caller hands it to the balancer.
 func (p *Proxy) join(r *Request, balancerRequest logic.Request) (follows bool) {
-	if _, carrier := r.Responder.(ExternalSender); carrier || r.AllowedAddrs != nil {
+	if _, external := r.Responder.(ExternalSender); external || r.AllowedAddrs != nil {
 		return false
 	}
 	read, ok := p.joinTable.Limits().NewRead(&balancerRequest, r.effect, string(r.Key), identityAttributes(r.Attrs))
@@ -129,32 +129,32 @@
 		}
 	}
 	body.Release()
-	p.pendingShares = append(p.pendingShares, ids...)
-	p.shareBatch()
-	if len(p.pendingShares) > 0 && !p.sharing {
-		p.sharing = true
-		go p.shareRemaining()
+	p.followersToAnswer = append(p.followersToAnswer, ids...)
+	p.answerFollowerBatch()
+	if len(p.followersToAnswer) > 0 && !p.answeringFollowers {
+		p.answeringFollowers = true
+		go p.answerRemainingFollowers()
 	}
 }
 
-func (p *Proxy) shareBatch() {
-	n := min(len(p.pendingShares), shareBatchSize)
-	for _, id := range p.pendingShares[:n] {
+func (p *Proxy) answerFollowerBatch() {
+	n := min(len(p.followersToAnswer), followerBatchSize)
+	for _, id := range p.followersToAnswer[:n] {
 		if follower := p.requests[id]; follower != nil {
 			p.answerFollower(follower)
 		}
 	}
-	if p.pendingShares = p.pendingShares[n:]; len(p.pendingShares) == 0 {
-		p.pendingShares = nil
+	if p.followersToAnswer = p.followersToAnswer[n:]; len(p.followersToAnswer) == 0 {
+		p.followersToAnswer = nil
 	}
 }
 
-func (p *Proxy) shareRemaining() {
+func (p *Proxy) answerRemainingFollowers() {
 	for more := true; more; {
 		p.Do(func() {
-			p.shareBatch()
-			if more = len(p.pendingShares) > 0; !more {
-				p.sharing = false
+			p.answerFollowerBatch()
+			if more = len(p.followersToAnswer) > 0; !more {
+				p.answeringFollowers = false
 			}
 		})
 	}
@@ -242,14 +242,14 @@
 	}
 }
 
-// withdrawJoined withdraws a read whose client has left. A lead with followers continues for them. It
+// cancelJoined withdraws a read whose client has left. A lead with followers continues for them. It
 // reports whether that was all there was to do.
-func (p *Proxy) withdrawJoined(r *Request) bool {
+func (p *Proxy) cancelJoined(r *Request) bool {
 	switch {
 	case r.join == nil || r.done:
 		return false
 	case r.join.lead && p.joinTable.FollowerCount(r.id) > 0:
-		r.Responder = discardingTaker{}
+		r.Responder = discardingResponder{}
 		return true
 	case r.join.lead:
 		p.leadEnded(r)
@@ -268,14 +268,14 @@
 // removeFollower removes a follower. A lead whose own client has left ends with its last follower.
 func (p *Proxy) removeFollower(id logic.RequestID) {
 	lead, alone := p.joinTable.RemoveFollower(id)
-	if r := p.requests[lead]; alone && r != nil && r.Responder == (discardingTaker{}) {
+	if r := p.requests[lead]; alone && r != nil && r.Responder == (discardingResponder{}) {
 		p.Cancel(r)
 	}
 }
 
-// fenceReads prevents reads that arrive from now on from sharing an attempt that began before a write
+// closeReadGroups prevents reads that arrive from now on from sharing an attempt that began before a write
 // of the key was answered or may have run.
-func (p *Proxy) fenceReads(r *Request) {
+func (p *Proxy) closeReadGroups(r *Request) {
 	if p.joinTable != nil && r.Write {
 		p.joinTable.Fence(string(r.Key))
 	}
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -399,10 +399,10 @@
 	p.eventually("all are kept while it drains", func() bool { return len(p.requests) == 0 && len(p.redis.clients) == open+2*keepOpenEvery })
 }
 
-// answerTaker is a client of a front end that accepts no long values.
-type answerTaker chan Answer
+// answerResponder is a client of a front end that accepts no long values.
+type answerResponder chan Answer
 
-func (t answerTaker) Answer(a Answer) { t <- a }
+func (t answerResponder) Answer(a Answer) { t <- a }
 
 // A value that is too long for its client fails at once, and the members that hold it are not blamed.
 func TestValueTooLongForItsFront(t *testing.T) {
@@ -418,15 +418,15 @@
 	requests.Store(0)
 	const reads = 12
 	for i := range reads {
-		taker := make(answerTaker, 1)
+		responder := make(answerResponder, 1)
 		p.Do(func() {
-			r := &Request{Responder: taker, Command: Command{Message: upstream.Message{Key: fmt.Appendf(nil, "k%d", i),
+			r := &Request{Responder: responder, Command: Command{Message: upstream.Message{Key: fmt.Appendf(nil, "k%d", i),
 				ReqID: fmt.Appendf(nil, "r%d", i), Attrs: []byte("c=tile-read,d=8000")}}}
 			if err := p.Submit(r); err != nil {
 				t.Error(err)
 			}
 		})
-		if a := <-taker; a.Kind != Failed || a.Reason != logic.Rejected {
+		if a := <-responder; a.Kind != Failed || a.Reason != logic.Rejected {
 			t.Fatalf("read %d: %v, %v", i, a.Kind, a.Reason)
 		}
 	}
--- a/internal/proxy/many.go
+++ b/internal/proxy/many.go
@@ -11,9 +11,9 @@
 	"linenloom/logic"
 )
 
-// ManyTaker receives the outcomes of a request for many keys. Its methods are called under the host's
+// ManyResponder receives the outcomes of a request for many keys. Its methods are called under the host's
 // lock and must not block.
-type ManyTaker interface {
+type ManyResponder interface {
 	// KeyDone reports the outcome of the key with this index in the Gather: its value, which is valid
 	// during the call only, or why there is none. It may be called while the balancer is handling an event.
 	KeyDone(keyIndex int, outcome manykeys.Outcome, answer Answer, denied error)
@@ -25,7 +25,7 @@
 type Many struct {
 	proxy     *Proxy
 	Gather    *manykeys.Gather
-	taker     ManyTaker
+	responder ManyResponder
 	command   Command // the reads replace the key and the ID
 	proof     *identity.Proof
 	front     string
@@ -34,7 +34,7 @@
 	group     uint32     // of the reads, used by the connection pool
 	queued    bool       // in the host's list of requests to advance
 	finished  bool
-	withdrawn bool
+	cancelled bool
 }
 
 // manyRead is the read of one key.
@@ -50,7 +50,7 @@
 // SubmitMany accepts a request for many keys, under the host's lock. maxBytes limits the total size of
 // the values, in addition to the configured limit. An error concerns the request as a whole; no key is
 // requested then. The reads start after the current event, as starting them may end some of them at once.
-func (p *Proxy) SubmitMany(c Command, keys []string, proof *identity.Proof, front string, maxBytes int, taker ManyTaker) (*Many, error) {
+func (p *Proxy) SubmitMany(c Command, keys []string, proof *identity.Proof, front string, maxBytes int, responder ManyResponder) (*Many, error) {
 	configured := p.cfg.ManyKeys
 	switch {
 	case configured == nil:
@@ -85,7 +85,7 @@
 	p.recentIDs.add(c.ReqID, p.now)
 	c.ArrivedAt = p.earliestArrival(c.ArrivedAt) // also for reads that start later
 	p.lastGroup = max(1, p.lastGroup+1)
-	m := &Many{proxy: p, Gather: gather, taker: taker, command: c, proof: proof, front: front, group: p.lastGroup, reads: make([]manyRead, gather.Len()),
+	m := &Many{proxy: p, Gather: gather, responder: responder, command: c, proof: proof, front: front, group: p.lastGroup, reads: make([]manyRead, gather.Len()),
 		idBuffer: make([]byte, 0, gather.Len()*(len(c.ReqID)+5))}
 	m.queue()
 	return m, nil
@@ -101,7 +101,7 @@
 // advance submits the reads that may start now, and ends the request once every key has an outcome.
 func (m *Many) advance() {
 	m.queued = false
-	if m.withdrawn || m.finished {
+	if m.cancelled || m.finished {
 		return
 	}
 	for keys := m.Gather.Next(); len(keys) > 0; keys = m.Gather.Next() {
@@ -111,7 +111,7 @@
 	}
 	if m.Gather.Finished() {
 		m.finished = true
-		m.taker.AllDone()
+		m.responder.AllDone()
 	}
 }
 
@@ -153,19 +153,19 @@
 
 // completeKey stores the outcome of a key. The request is advanced after the balancer has handled the current event.
 func (m *Many) completeKey(keyIndex int, outcome manykeys.Outcome, a Answer, denied error) {
-	if m.withdrawn {
+	if m.cancelled {
 		return
 	}
-	m.taker.KeyDone(keyIndex, m.Gather.Complete(keyIndex, outcome, len(a.Value)), a, denied)
+	m.responder.KeyDone(keyIndex, m.Gather.Complete(keyIndex, outcome, len(a.Value)), a, denied)
 	m.queue()
 }
 
-// Withdraw cancels the outstanding reads, as the client no longer waits for the reply.
-func (m *Many) Withdraw() {
-	if m.withdrawn || m.finished {
+// Cancel cancels the outstanding reads, as the client no longer waits for the reply.
+func (m *Many) Cancel() {
+	if m.cancelled || m.finished {
 		return
 	}
-	m.withdrawn = true
+	m.cancelled = true
 	for k := range m.reads {
 		if m.reads[k].many != nil {
 			m.proxy.Cancel(&m.reads[k].Request)
--- a/internal/proxy/mget.go
+++ b/internal/proxy/mget.go
@@ -29,7 +29,7 @@
 	placesWritten int // number of places that have their text, when streaming
 }
 
-var _ ManyTaker = (*manyReply)(nil)
+var _ ManyResponder = (*manyReply)(nil)
 
 // submitMany submits a request for many keys that has been read completely.
 func (c *client) submitMany(cmd parsedCommand) {
@@ -151,5 +151,5 @@
 func (m *manyReply) abandon() {
 	m.addHeld(-m.heldBytes)
 	m.keyTexts, m.unsent = nil, nil
-	m.many.Withdraw()
+	m.many.Cancel()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -106,20 +106,20 @@
 	timer       *time.Timer
 	wakeAt      time.Duration
 
-	members          map[logic.MemberID]*member
-	requests         map[logic.RequestID]*Request
-	joinTable        *joining.Table    // nil: reads are not coalesced, except for fetches by the Balancer
-	lostLeads        []logic.RequestID // leading reads without an answer, whose lead is to be passed on
-	pendingShares    []logic.RequestID // followers whose answer is available
-	sharing          bool              // a goroutine delivers the pending shares
-	joinStats        JoinCounts
-	openOrders       int // recorded orders in progress
-	recordClosed     bool
-	pendingMany      []*Many // multi-key requests that can continue
-	lastGroup        uint32  // number of the last multi-key request
-	fronts           []Front
-	frontDescriptors int // file descriptors that front ends use
-	nextID           logic.RequestID
+	members            map[logic.MemberID]*member
+	requests           map[logic.RequestID]*Request
+	joinTable          *joining.Table    // nil: reads are not coalesced, except for fetches by the Balancer
+	lostLeads          []logic.RequestID // leading reads without an answer, whose lead is to be passed on
+	followersToAnswer  []logic.RequestID // followers whose answer is available
+	answeringFollowers bool              // a goroutine delivers the pending shares
+	joinStats          JoinCounts
+	openOrders         int // recorded orders in progress
+	recordClosed       bool
+	pendingMany        []*Many // multi-key requests that can continue
+	lastGroup          uint32  // number of the last multi-key request
+	fronts             []Front
+	frontDescriptors   int // file descriptors that front ends use
+	nextID             logic.RequestID
 
 	upstreams          *upstream.Set
 	poolTimer          *time.Timer
@@ -238,7 +238,7 @@
 	case err = <-served:
 	}
 	p.beginEvent()
-	newCounts := p.newReasons()
+	newCounts := p.newReasonAttrs()
 	p.startWatch = nil
 	stop()
 	p.closeAll()
@@ -341,7 +341,7 @@
 		ID: MemberID(e.ID), Zone: p.zoneIndex(e.Locality), Cell: e.Cell,
 		Kind: slices.Index(p.cfg.Kinds, e.Flavor), State: logic.Gone, Weight: e.Size,
 	}
-	m.StartedAt = p.startedAt(m.ID, p.listedStart(e))
+	m.StartedAt = p.balancerClockStart(m.ID, p.wallClockStart(e))
 	switch e.Phase {
 	case discovery.PhaseInService:
 		m.State = logic.Ready
@@ -435,7 +435,7 @@
 		}
 		var newCounts []any
 		if ticks%int(reasonsLogInterval/frontSweepInterval) == 0 {
-			newCounts = p.newReasons()
+			newCounts = p.newReasonAttrs()
 		}
 		p.upstreams.UpdateIdleLimit()
 		for id, m := range p.members {
@@ -462,9 +462,9 @@
 	return reasons.New(logic.ClassNames(s.Classes), tenants)
 }
 
-// newReasons returns log attributes: the counts of waits, refusals and failures by reason since the last call. The
+// newReasonAttrs returns log attributes: the counts of waits, refusals and failures by reason since the last call. The
 // caller holds the lock.
-func (p *Proxy) newReasons() []any {
+func (p *Proxy) newReasonAttrs() []any {
 	attrs := p.reasons.Since(p.reasonsLogged).Attrs()
 	if len(attrs) > 0 {
 		p.reasonsLogged = p.reasons.Clone()
@@ -472,7 +472,7 @@
 	return attrs
 }
 
-// logReasons logs the result of newReasons, without the lock: a blocked log must not delay requests.
+// logReasons logs the result of newReasonAttrs, without the lock: a blocked log must not delay requests.
 func (p *Proxy) logReasons(newCounts []any) {
 	if len(newCounts) > 0 {
 		p.log.Info("reasons", newCounts...)
@@ -499,20 +499,20 @@
 	id          logic.MemberID
 	listed      discovery.Member // its list entry
 	state       logic.State
-	listedStart time.Duration // the listed start time that startedAt was computed from
+	listedStart time.Duration // the listed start time that balancerClockStart was computed from
 	startedAt   time.Duration
 }
 
-// listedStart returns a member's start by wall-clock time, from the list and the operators' calls; 0: long ago.
-func (p *Proxy) listedStart(e discovery.Member) time.Duration {
+// wallClockStart returns a member's start by wall-clock time, from the list and the operators' calls; 0: long ago.
+func (p *Proxy) wallClockStart(e discovery.Member) time.Duration {
 	return time.Duration(p.outOfUse.UpSince(e.ID, e.UpSinceMS) * float64(time.Millisecond))
 }
 
-// startedAt returns when a member started, by the Balancer's clock. It is computed once per listed start: the wall
+// balancerClockStart returns when a member started, by the Balancer's clock. It is computed once per listed start: the wall
 // clock may be stepped while this process runs, and may have been wrong when the process started. Of the start by
 // the wall clock's current offset and by its offset at the start of the process, the later one is used: a cold member
 // that counts as older than it is would be overloaded.
-func (p *Proxy) startedAt(id logic.MemberID, listedStart time.Duration) time.Duration {
+func (p *Proxy) balancerClockStart(id logic.MemberID, listedStart time.Duration) time.Duration {
 	if listedStart <= 0 {
 		return 0
 	}
@@ -549,7 +549,7 @@
 	m.Origin = e.Kind == p.cfg.Settings.OriginKind && p.cfg.Settings.Mode == logic.CacheAside
 	m.listed = listed
 	moved := m.Addr != addr || m.startedAt != e.StartedAt
-	m.Addr, m.startedAt, m.state, m.listedStart = addr, e.StartedAt, e.State, p.listedStart(listed)
+	m.Addr, m.startedAt, m.state, m.listedStart = addr, e.StartedAt, e.State, p.wallClockStart(listed)
 	p.upstreams.UpdateMember(&m.Member, e.State == logic.Ready, moved)
 }
 
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -38,8 +38,8 @@
 	orderSettled           // nothing more is to be recorded
 )
 
-// recordedOrder is the host's state of an order that is on record. The host's lock guards all fields.
-type recordedOrder struct {
+// orderState is the host's state of an order that is on record. The host's lock guards all fields.
+type orderState struct {
 	name            orders.Name
 	balancerRequest logic.Request // passed to the balancer once the record accepts the order
 	phase           int
@@ -55,7 +55,7 @@
 }
 
 // startChange calls f to change the record, as soon as the previous change of the order is complete.
-func (c *recordedOrder) startChange(f func()) {
+func (c *orderState) startChange(f func()) {
 	if c.changePending {
 		c.queuedChanges = append(c.queuedChanges, f)
 		return
@@ -64,7 +64,7 @@
 	f()
 }
 
-func (c *recordedOrder) changeDone() {
+func (c *orderState) changeDone() {
 	if c.changePending = len(c.queuedChanges) > 0; c.changePending {
 		f := c.queuedChanges[0]
 		c.queuedChanges = c.queuedChanges[1:]
@@ -74,7 +74,7 @@
 
 // takeNotRun reports whether the next change must tell the record that the order was sent but has not
 // run, and resets that state.
-func (c *recordedOrder) takeNotRun() (notRun bool) {
+func (c *orderState) takeNotRun() (notRun bool) {
 	notRun = c.sent && c.notRun
 	if notRun {
 		c.sent, c.notRun = false, false
@@ -82,8 +82,8 @@
 	return notRun
 }
 
-// recordOrder puts an order on record before the balancer sees it.
-func (p *Proxy) recordOrder(r *Request, balancerRequest logic.Request) {
+// submitToRecord puts an order on record before the balancer sees it.
+func (p *Proxy) submitToRecord(r *Request, balancerRequest logic.Request) {
 	order := orders.Order{Name: orders.Name{Key: string(r.ReqID)}, Digest: r.digest()}
 	for name, value := range upstream.Attributes(r.Attrs) {
 		switch name {
@@ -101,7 +101,7 @@
 			order.Token, order.TokenExpiry = r.Proof.ID, time.Duration(r.Proof.ExpiresAt.UnixNano())
 		}
 	}
-	r.orderRecord = &recordedOrder{name: order.Name, balancerRequest: balancerRequest}
+	r.orderState = &orderState{name: order.Name, balancerRequest: balancerRequest}
 	p.openOrders++
 	p.timers.addToken(p.now, max(p.now, r.deadline-p.answerSlack()), uint64(r.id)<<3|hostTimer)
 	p.cfg.Record.Take(order, func(v orders.Verdict, receipt []byte, err error) {
@@ -122,16 +122,16 @@
 
 // handleRecordVerdict continues with a new order according to the record's verdict.
 func (p *Proxy) handleRecordVerdict(r *Request, verdict orders.Verdict, receipt []byte, err error) {
-	order := r.orderRecord
+	order := r.orderState
 	if err != nil || verdict != orders.Proceed {
-		p.settleRecorded(order)
+		p.settleOrder(order)
 	} else {
 		order.phase = orderInProgress
 	}
 	switch {
 	case r.done: // its deadline has passed, or its client has left
 		if order.phase == orderInProgress {
-			p.recordEnd(r)
+			p.writeOrderEnd(r)
 		}
 	case err != nil:
 		p.finishRequest(r.id, Answer{Kind: Refused, RetryAfter: p.recordRetryAfter(), Reason: refusalReason(err)})
@@ -170,9 +170,9 @@
 	return reasons.RecordFault
 }
 
-// settleRecorded marks an order as one for which nothing more is to be recorded. A process that stops
+// settleOrder marks an order as one for which nothing more is to be recorded. A process that stops
 // hands the record to its successor after its last such order.
-func (p *Proxy) settleRecorded(c *recordedOrder) {
+func (p *Proxy) settleOrder(c *orderState) {
 	c.phase = orderSettled
 	p.openOrders--
 	p.closeRecord()
@@ -191,11 +191,11 @@
 	}()
 }
 
-// sendRecorded sends an attempt of an order after the record has stored that the order may have run.
-func (p *Proxy) sendRecorded(r *Request, a *attempt, m *member) {
-	order := r.orderRecord
+// sendAfterRecording sends an attempt of an order after the record has stored that the order may have run.
+func (p *Proxy) sendAfterRecording(r *Request, a *attempt, m *member) {
+	order := r.orderState
 	a.awaitsRecord = true
-	_, a.byCarrier = r.Responder.(ExternalSender)
+	_, a.byExternalSender = r.Responder.(ExternalSender)
 	p.schedule(timerEntry{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 	address := m.Addr
 	order.startChange(func() {
@@ -212,7 +212,7 @@
 // handleSendRecorded sends an attempt whose sending is on record. In the meantime, the attempt may have
 // timed out, its member may have started to drain, or the caller's proof may have been revoked.
 func (p *Proxy) handleSendRecorded(r *Request, a *attempt, err error) {
-	order := r.orderRecord
+	order := r.orderState
 	a.awaitsRecord = false
 	order.sent, order.notRun = err == nil, err == nil
 	m := p.members[a.memberID]
@@ -240,12 +240,12 @@
 }
 
 // attemptEnded updates the order's state with the outcome of an attempt.
-func (c *recordedOrder) attemptEnded(a *attempt, status logic.Status) {
+func (c *orderState) attemptEnded(a *attempt, status logic.Status) {
 	switch {
 	case status == logic.StatusOK:
 		c.answered = true
 		if c.phase == orderInProgress {
-			if c.reportedBy = orders.ReportedByStreaming; a.byCarrier {
+			if c.reportedBy = orders.ReportedByStreaming; a.byExternalSender {
 				c.reportedBy = orders.ReportedByCaller
 			}
 		}
@@ -256,19 +256,19 @@
 
 // handleReceipt stores the receipt of an order. The client gets it once it is on record.
 func (p *Proxy) handleReceipt(r *Request, value []byte) {
-	order := r.orderRecord
+	order := r.orderState
 	if order.phase != orderInProgress {
 		return
 	}
 	order.answered, order.receipt, order.reportReceipt = true, slices.Clone(value), !r.done
 	p.Hold(len(order.receipt))
 	r.done = true
-	p.recordEnd(r)
+	p.writeOrderEnd(r)
 }
 
-// recordEnd puts the end of an order on record.
-func (p *Proxy) recordEnd(r *Request) {
-	order := r.orderRecord
+// writeOrderEnd puts the end of an order on record.
+func (p *Proxy) writeOrderEnd(r *Request) {
+	order := r.orderState
 	order.phase = orderEnding
 	order.startChange(func() {
 		state := orders.NeverRan
@@ -285,8 +285,8 @@
 // handleEndRecorded answers the client if it still waits for the receipt, now that the end of the order
 // is on record. If the end could not be recorded, the order counts as one that may have run.
 func (p *Proxy) handleEndRecorded(r *Request, err error) {
-	order := r.orderRecord
-	p.settleRecorded(order)
+	order := r.orderState
+	p.settleOrder(order)
 	if err != nil {
 		p.log.Warn("the end of an order could not be recorded", "err", err)
 	}
@@ -301,13 +301,13 @@
 	}
 	p.Hold(-len(order.receipt))
 	order.receipt = nil
-	p.fenceReads(r)
+	p.closeReadGroups(r)
 	p.releaseIfOver(r)
 }
 
 // handleRecordTimeout answers an order whose deadline passes while it waits for the disk.
 func (p *Proxy) handleRecordTimeout(r *Request) {
-	switch order := r.orderRecord; {
+	switch order := r.orderState; {
 	case order.reportReceipt:
 		order.reportReceipt = false
 		p.reasons.Add(reasons.Failed, r.class, r.tenant, reasons.RecordBehind)
@@ -318,19 +318,19 @@
 	}
 }
 
-// endRecorded starts to record the end of an order that the balancer has finished, unless that has been
+// finishOrder starts to record the end of an order that the balancer has finished, unless that has been
 // done. It reports whether the host may remove the request, as no receipt is pending for its client.
-func (p *Proxy) endRecorded(r *Request) bool {
-	if r.orderRecord.phase == orderInProgress {
-		p.recordEnd(r)
+func (p *Proxy) finishOrder(r *Request) bool {
+	if r.orderState.phase == orderInProgress {
+		p.writeOrderEnd(r)
 	}
-	return !r.orderRecord.reportReceipt
+	return !r.orderState.reportReceipt
 }
 
-// withdrawRecorded withdraws an order whose client has left while the balancer does not have it. It
+// cancelOrder withdraws an order whose client has left while the balancer does not have it. It
 // reports whether that was all there was to do.
-func (p *Proxy) withdrawRecorded(r *Request) bool {
-	switch order := r.orderRecord; {
+func (p *Proxy) cancelOrder(r *Request) bool {
+	switch order := r.orderState; {
 	case order.phase == orderTaking && !r.done:
 		r.done = true
 	case order.reportReceipt:
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -217,9 +217,9 @@
 		if c.ended { // the client has been sent the end; it repeats a request that crosses it on another connection
 			p.releaseValue(&Request{Command: cmd.Command, longBytes: cmd.longBytes})
 			c.input.noteConsumed(false) // the input read after this command is dropped too
-			hung := c.writeClosed
+			writeClosed := c.writeClosed
 			p.endEvent()
-			if !hung { // answers to earlier commands are still outstanding
+			if !writeClosed { // answers to earlier commands are still outstanding
 				c.awaitAnswers()
 			}
 			// Closing at once with unread input would reset the connection, and the client might not see its end.
--- a/internal/proxy/redis_front.go
+++ b/internal/proxy/redis_front.go
@@ -111,17 +111,17 @@
 }
 
 // EndIdle ends the connections that are idle and reports whether others remain.
-func (f *redisFront) EndIdle() (owed bool) {
+func (f *redisFront) EndIdle() (answersPending bool) {
 	for c := range f.clients {
 		// A connection with unread input is idle, but its sending side is not closed.
 		if f.proxy.now-c.lastActive >= drainQuietTime || f.proxy.now-f.endingSince >= lastRequestsTime {
 			c.finishSending(false)
 		}
 		if !c.isIdle() || !c.writeClosed && !c.sender.Failed() {
-			owed = true
+			answersPending = true
 		}
 	}
-	return owed
+	return answersPending
 }
 
 // EndAll ends every connection after its last answer, whatever further input it has: its client sees the
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -16,13 +16,13 @@
 // attempt is one attempt of a request at a member: an exchange made by this process or by the client of a Carrier.
 type attempt struct {
 	upstream.Exchange
-	request    *Request // nil once the request is released
-	memberID   logic.MemberID
-	startedAt  time.Duration
-	meterID    uint64 // its number in Config.ZoneMeter; 0: not metered
-	index      int32
-	byCarrier  bool // its client makes the attempt, see Carrier
-	handedOver bool // its client has been notified of it
+	request          *Request // nil once the request is released
+	memberID         logic.MemberID
+	startedAt        time.Duration
+	meterID          uint64 // its number in Config.ZoneMeter; 0: not metered
+	index            int32
+	byExternalSender bool // its client makes the attempt, see Carrier
+	announced        bool // its client has been notified of it
 	// awaitsRecord means that the attempt waits for the record of orders to permit it; until then it cannot have run.
 	awaitsRecord bool
 }
@@ -39,12 +39,12 @@
 
 // Served passes the value of the first valid answer to the client.
 func (a *attempt) Served(value []byte) {
-	if r := a.request; r.orderRecord != nil {
+	if r := a.request; r.orderState != nil {
 		r.proxy.handleReceipt(r, value)
 	} else if !r.done {
 		r.done = true
 		r.Responder.Answer(Answer{Kind: Served, Value: value})
-		r.proxy.fenceReads(r)
+		r.proxy.closeReadGroups(r)
 		if r.join != nil {
 			r.proxy.shareAnswer(r, value)
 		}
@@ -69,7 +69,7 @@
 		return nil
 	}
 	r.done = true
-	p.fenceReads(r)
+	p.closeReadGroups(r)
 	p.stopSharing(r)
 	p.balancer.StreamStarted(p.now, r.id, int(a.index))
 	return to
@@ -90,7 +90,7 @@
 // that client has left and others share the answer, the latest of their deadlines. Every deadline that is sent to a
 // member or caller is derived from it.
 func (r *Request) currentDeadline() time.Duration {
-	if r.join != nil && r.Responder == (discardingTaker{}) {
+	if r.join != nil && r.Responder == (discardingResponder{}) {
 		return min(r.deadline, r.proxy.joinTable.LatestDeadline(r.id))
 	}
 	return r.deadline
@@ -102,11 +102,11 @@
 		p.endAttempt(a, logic.StatusNoConn, 0)
 		return
 	}
-	if !a.byCarrier {
+	if !a.byExternalSender {
 		p.upstreams.Abandon(&a.Exchange, s)
 		return
 	}
-	if s == logic.StatusTimeout && !a.handedOver {
+	if s == logic.StatusTimeout && !a.announced {
 		s = logic.StatusConnectFailed
 	}
 	p.endAttempt(a, s, 0)
@@ -121,8 +121,8 @@
 	r := a.request
 	r.outstanding--
 	r.maybeRan = r.maybeRan || !s.NeverRan()
-	if r.orderRecord != nil {
-		r.orderRecord.attemptEnded(a, s)
+	if r.orderState != nil {
+		r.orderState.attemptEnded(a, s)
 	}
 	// The wait for a connection is not the member's latency: counted as such, it would reduce the member's limit.
 	since := a.startedAt
@@ -148,11 +148,11 @@
 // For an attempt made by a Carrier's client it is unknown when it was written and whether it was the first on its
 // connection, so the transit time of a first request is assumed.
 func (p *Proxy) inTransitUntil(a *attempt, s logic.Status) time.Duration {
-	if !a.byCarrier {
+	if !a.byExternalSender {
 		return a.InTransitUntil()
 	}
 	m := p.members[a.memberID]
-	if !a.handedOver || m == nil || s != logic.StatusTimeout && s != logic.StatusCancelled {
+	if !a.announced || m == nil || s != logic.StatusTimeout && s != logic.StatusCancelled {
 		return 0
 	}
 	return a.BeganAt + p.upstreams.FirstTransit()
@@ -165,8 +165,8 @@
 	for _, a := range r.attempts {
 		switch {
 		case a.Ended:
-		case a.byCarrier || a.awaitsRecord:
-			if !a.handedOver {
+		case a.byExternalSender || a.awaitsRecord:
+			if !a.announced {
 				p.endAttempt(a, logic.StatusNoConn, 0)
 			}
 		default:
@@ -181,7 +181,7 @@
 	if r.done && r.outstanding > 0 {
 		p.recallUnsent(r)
 	}
-	if r.done && r.outstanding == 0 && p.requests[r.id] == r && (r.orderRecord == nil || p.endRecorded(r)) {
+	if r.done && r.outstanding == 0 && p.requests[r.id] == r && (r.orderState == nil || p.finishOrder(r)) {
 		delete(p.requests, r.id)
 		p.releaseValue(r)
 		for _, a := range r.attempts { // timers may still refer to them
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -20,14 +20,14 @@
 
 // runClients has the given number of clients read each tiles one after another, and counts the answers by
 // kind.
-func runClients(t *testing.T, p *testProxy, clients, each int) (served, refused, failed int64) {
+func runClients(t *testing.T, p *testProxy, clients, tilesPerClient int) (served, refused, failed int64) {
 	t.Helper()
 	var s, b, f atomic.Int64
 	var g sync.WaitGroup
 	for c := range clients {
 		tc := p.dial()
 		g.Go(func() {
-			for i := range each {
+			for i := range tilesPerClient {
 				key := fmt.Sprintf("a%d", (c*7+i)%500)
 				tc.send(getCommand(key, fmt.Sprintf("id%d-%d-%d", clients, c, i)))
 				switch got := tc.answer(); {
@@ -73,7 +73,7 @@
 			})
 		},
 	} {
-		allAreServed := func(t *testing.T, clients, each int, fresh bool) {
+		allAreServed := func(t *testing.T, clients, tilesPerClient int, fresh bool) {
 			cfg := testConfig()
 			cfg.Descriptors = 1024
 			cfg.Multiplex = 32
@@ -87,8 +87,8 @@
 			if !fresh {
 				runClients(t, p, 32, 6) // lets the balancer learn the capacity of the caches
 			}
-			served, refused, failed := runClients(t, p, clients, each)
-			if served != int64(clients*each) {
+			served, refused, failed := runClients(t, p, clients, tilesPerClient)
+			if served != int64(clients*tilesPerClient) {
 				t.Errorf("%d served, %d refused, %d failed: %v", served, refused, failed, p.Reasons().Attrs())
 			}
 			p.eventually("nothing is in hand", func() bool {
@@ -180,14 +180,14 @@
 		now := time.Hour + time.Duration(rng.IntN(1e6))
 		w := newTimerWheel(tick, now)
 		type set struct {
-			at     time.Duration
-			module bool
+			at      time.Duration
+			isToken bool
 		}
 		model := map[uint64]set{}
 		next := uint64(0)
-		ran := func(token uint64, module bool) {
+		ran := func(token uint64, isToken bool) {
 			s, ok := model[token]
-			if !ok || s.module != module {
+			if !ok || s.isToken != isToken {
 				t.Fatalf("seed %d: timer %d ran and was not set", seed, token)
 			}
 			if now < s.at {
@@ -402,7 +402,7 @@
 // Connections that keep breaking, at all caches: no read fails, hardly any is refused, and no cache is
 // excluded for it.
 func TestRepeatedlyBrokenConnections(t *testing.T) {
-	const caches, clients, each = 6, 40, 10
+	const caches, clients, tilesPerClient = 6, 40, 10
 	for name, answers := range map[string]func(nth int32) int32{
 		"after 1 to 5 answers":          func(nth int32) int32 { return 1 + nth%5 },
 		"every second one at its start": func(nth int32) int32 { return nth % 2 * 1000 },
@@ -429,12 +429,12 @@
 				members = append(members, listEntry(fmt.Sprint("s-", i), node, "large"))
 			}
 			p := startProxy(t, cfg, members...)
-			served, refused, failed := runClients(t, p, clients, each)
-			if failed > 0 || refused > clients*each/50 {
+			served, refused, failed := runClients(t, p, clients, tilesPerClient)
+			if failed > 0 || refused > clients*tilesPerClient/50 {
 				t.Errorf("%d served, %d refused, %d failed: %v", served, refused, failed, p.Reasons().Attrs())
 			}
 			for i := range asked {
-				if n := asked[i].Load(); n < clients*each/caches/4 {
+				if n := asked[i].Load(); n < clients*tilesPerClient/caches/4 {
 					t.Errorf("cache %d was asked %d times only", i, n)
 				}
 			}
@@ -468,26 +468,26 @@
 			}
 		})
 	}
-	var u *pool.Conn[*upstream.Exchange]
-	out := func(n int) func() bool {
+	var cacheConn *pool.Conn[*upstream.Exchange]
+	pipelinedBehind := func(n int) func() bool {
 		return func() bool {
 			for _, m := range p.members {
 				if !m.Origin && len(m.Conns) == 1 {
-					u = m.Conns[0]
+					cacheConn = m.Conns[0]
 				}
 			}
-			return u != nil && u.Current != nil && len(u.Pipelined) == n
+			return cacheConn != nil && cacheConn.Current != nil && len(cacheConn.Pipelined) == n
 		}
 	}
 	ask(0)
-	p.eventually("the first is out", out(0))
+	p.eventually("the first is out", pipelinedBehind(0))
 	for i := 1; i < 4; i++ {
 		ask(i)
 	}
-	p.eventually("three are behind", out(3))
+	p.eventually("three are behind", pipelinedBehind(3))
 	var ended []logic.Outcome
 	p.beginEvent()
-	p.upstreams.Abandon(u.Pipelined[0], logic.StatusTimeout) // as if it had timed out
+	p.upstreams.Abandon(cacheConn.Pipelined[0], logic.StatusTimeout) // as if it had timed out
 	ended = append(ended, p.outcomes...)
 	p.endEvent()
 	if len(ended) != 4 {
@@ -621,19 +621,19 @@
 		c.send(getCommand(fmt.Sprint("a", i), fmt.Sprint("id", i)))
 		readers = append(readers, c)
 	}
-	var u *pool.Conn[*upstream.Exchange]
+	var cacheConn *pool.Conn[*upstream.Exchange]
 	p.eventually("reads are out together and more wait", func() bool {
 		for _, m := range p.members {
 			if !m.Origin && len(m.Conns) == 1 {
-				u = m.Conns[0]
+				cacheConn = m.Conns[0]
 			}
 		}
-		return u != nil && len(u.Pipelined) == together-1 && p.queuedAttempts() > 0
+		return cacheConn != nil && len(cacheConn.Pipelined) == together-1 && p.queuedAttempts() > 0
 	})
 	gone := members[0]
 	gone.Phase = discovery.PhaseTerminating
 	r.publish(discovery.List{Revision: 2, Members: []discovery.Member{gone}})
-	p.eventually("the drain is known", func() bool { return u.Retired && p.queuedAttempts() == 0 })
+	p.eventually("the drain is known", func() bool { return cacheConn.Retired && p.queuedAttempts() == 0 })
 	close(release)
 	served := 0
 	for i, c := range readers {
@@ -647,7 +647,7 @@
 	if served < together {
 		t.Errorf("%d served of the %d that were out", served, together)
 	}
-	p.eventually("its connection has ended", func() bool { return u.Closed })
+	p.eventually("its connection has ended", func() bool { return cacheConn.Closed })
 	if n := asked.Load(); n != together {
 		t.Errorf("the cache was asked %d times, want %d", n, together)
 	}
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -252,7 +252,7 @@
 func (p *Proxy) runToken(token uint64) {
 	if token&7 == hostTimer {
 		id := logic.RequestID(token >> 3)
-		if r := p.requests[id]; r != nil && r.orderRecord != nil {
+		if r := p.requests[id]; r != nil && r.orderState != nil {
 			p.handleRecordTimeout(r)
 		} else {
 			p.followerTimedOut(id)
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -253,17 +253,17 @@
 	var m *member
 	for _, m = range p.members {
 	}
-	var excess *attempt
+	var last *attempt
 	var requests []*Request // one for each attempt: nothing is sent for a finished request
 	for range pool.MaxCacheConns + pool.MaxWaiting + 1 {
-		r := &Request{proxy: p.Proxy, Responder: discardingTaker{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
-		excess = &attempt{request: r, memberID: m.id}
-		excess.ExpiresAt = p.now + testTimeout
-		r.attempts, r.outstanding = append(r.attempts, excess), r.outstanding+1
-		p.startExchange(m, excess)
+		r := &Request{proxy: p.Proxy, Responder: discardingResponder{}, Command: Command{Message: upstream.Message{Key: []byte("k"), ReqID: []byte("i"), Attrs: []byte("c=tile-read")}}}
+		last = &attempt{request: r, memberID: m.id}
+		last.ExpiresAt = p.now + testTimeout
+		r.attempts, r.outstanding = append(r.attempts, last), r.outstanding+1
+		p.startExchange(m, last)
 		requests = append(requests, r)
 	}
-	if !excess.Ended || len(p.outcomes) != 1 {
+	if !last.Ended || len(p.outcomes) != 1 {
 		t.Error("an attempt too many waits")
 	} else if s := p.outcomes[0].Status; s != logic.StatusNoConn {
 		t.Errorf("the pool's own shortage is told as status %d of the cache", s)
--- a/internal/proxy/wall_test.go
+++ b/internal/proxy/wall_test.go
@@ -32,7 +32,7 @@
 			for age, want := range map[time.Duration]bool{100 * time.Millisecond: true, 10 * time.Hour: false} {
 				e := listEntry("s-1", "127.0.0.1:1", "large")
 				e.UpSinceMS = float64((now - age).Milliseconds())
-				started := p.startedAt(MemberID(e.ID), p.listedStart(e))
+				started := p.balancerClockStart(MemberID(e.ID), p.wallClockStart(e))
 				cold := p.now-started < cfg.Settings.SlowStartDuration
 				if cold != want {
 					t.Errorf("a member that started %v ago counts as started %v ago", age, p.now-started)
