--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -52,7 +52,7 @@
 	p.startAttempt(r, a, m)
 }
 
-// startAttempt starts the exchange of an attempt, in this process or at the client of a Carrier.
+// startAttempt starts the exchange of an attempt, in this process or at the client of an ExternalSender.
 func (p *Proxy) startAttempt(r *Request, a *attempt, m *member) {
 	if p.cfg.ZoneMeter != nil && !m.Origin {
 		a.meterID = p.cfg.ZoneMeter.AttemptStarted(p.now, p.zoneIndex(m.listed.Locality), uint64(m.id))
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Requests of a client that disconnects are withdrawn during a stop too, even if commands behind them were not read.
+// Requests of a client that disconnects are cancelled during a stop too, even if commands behind them were not read.
 func TestAttemptClientDisconnectsDuringStop(t *testing.T) {
 	l := newRequestLog()
 	addr, open := blockedMember(t, l, "large")
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -25,7 +25,7 @@
 	"linenloom/logic"
 )
 
-// tokenIssuer signs tokens and maintains the key file of a Gate.
+// tokenIssuer signs tokens and maintains the key file of a callers.Authenticator.
 type tokenIssuer struct {
 	t    *testing.T
 	file string
@@ -270,7 +270,7 @@
 }
 
 // An order that may have run is answered as failed, even if its proof has been revoked meanwhile: if it
-// were told only about its proof, its client would authenticate again and repeat the order.
+// were answered only with the error of its proof, its client would authenticate again and repeat the order.
 func TestOrderThatMayHaveRunIsNotDenied(t *testing.T) {
 	expiring := &expiringCallers{}
 	cfg := testConfig()
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -140,11 +140,11 @@
 func TestFurtherAttemptSendsRemainingDeadline(t *testing.T) {
 	const busyOrigin = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, first := range map[string]string{
-		"missed":      missReply,
-		"failed":      "-ERR failed\r\n",
-		"turned away": "-BUSY\r\n",
-		"spoilt":      "\x8fb2\xf4\r\n",
-		"silent":      "",
+		"missed":    missReply,
+		"failed":    "-ERR failed\r\n",
+		"refused":   "-BUSY\r\n",
+		"malformed": "\x8fb2\xf4\r\n",
+		"silent":    "",
 	} {
 		t.Run("a read, "+name, func(t *testing.T) {
 			t.Parallel()
@@ -183,7 +183,7 @@
 			checker.expectAttempts(1, true)
 		})
 	}
-	t.Run("an order, turned away", func(t *testing.T) {
+	t.Run("an order, refused", func(t *testing.T) {
 		t.Parallel()
 		cfg := testConfig()
 		checker := checkDeadlines(t, &cfg)
@@ -433,8 +433,8 @@
 // time that is left when it is sent.
 func TestDelayedAttemptsSendRemainingDeadline(t *testing.T) {
 	for name, wait := range map[string]time.Duration{
-		"time enough":           8 * time.Second,
-		"over before the event": 4100 * time.Millisecond, // the attempts after that are not sent
+		"deadline after the event":         8 * time.Second,
+		"deadline passes during the event": 4100 * time.Millisecond, // attempts that begin later are not sent
 	} {
 		t.Run(name, func(t *testing.T) { testDelayedAttempts(t, wait) })
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -17,7 +17,7 @@
 	// closeLinger is how long clients have to see the end of their connections. A connection that is closed
 	// at once with unread input is reset, and the client can lose its last answer.
 	closeLinger = 100 * time.Millisecond
-	// A process that was told to stop may be killed once the longest deadline (at most maxKillDeadline) and
+	// A process that was signalled to stop may be killed once the longest deadline (at most maxKillDeadline) and
 	// killGrace have passed. By endMargin before that, every accepted request has its answer, if only that
 	// it was refused or may have run: requests that are still outstanding then are at hanging members, and
 	// their deadline would come too late. The cost: requests that would have been answered that late.
@@ -27,7 +27,7 @@
 )
 
 // drain carries out a planned stop: connections are still accepted for a while, then those that are idle
-// are ended one by one until no answer is owed.
+// are ended one by one until no answer is pending.
 func (p *Proxy) drain() {
 	stopRequestedAt := time.Now()
 	for _, f := range p.fronts {
@@ -62,7 +62,7 @@
 	time.Sleep(closeLinger)
 }
 
-// awaitIdle waits until no answer is owed, or until end.
+// awaitIdle waits until no answer is pending, or until end.
 func (p *Proxy) awaitIdle(end time.Time) {
 	for time.Now().Before(end) && p.endIdle() {
 		time.Sleep(pendingPollInterval)
@@ -94,7 +94,7 @@
 	}
 }
 
-// endIdle ends idle connections at all fronts and reports whether any front still owes an answer.
+// endIdle ends idle connections at all fronts and reports whether any front still has a pending answer.
 func (p *Proxy) endIdle() (answersPending bool) {
 	p.beginEvent()
 	defer p.endEvent()
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -25,7 +25,7 @@
 	Drain()
 	// StopAccepting stops accepting clients. Requests that were accepted are still answered.
 	StopAccepting()
-	// EndIdle ends the connections of clients that are owed no answer and reports whether other clients
+	// EndIdle ends the connections of clients without a pending answer and reports whether other clients
 	// remain.
 	EndIdle() bool
 	// EndAll reports that every accepted request has its answer, and that commands that arrive from now on
@@ -36,7 +36,7 @@
 	// FreeDescriptor closes an idle descriptor whose loss harms no request, and reports whether there was
 	// one.
 	FreeDescriptor() bool
-	// Close closes whatever is still open; no answer is owed on it any more.
+	// Close closes all connections that are still open; no answer is pending on them any more.
 	Close()
 }
 
@@ -56,8 +56,8 @@
 	ArrivedAt time.Duration
 }
 
-// Request is a client's command from its last byte to its answer, and on to the end of its last attempt.
-// The front creates it, fills in the Command and the Responder, and submits it.
+// Request is a client's command that has been read in full. It exists until it is answered and its last
+// attempt has ended. The front creates it, fills in the Command and the Responder, and submits it.
 type Request struct {
 	Command
 	Responder   Responder
@@ -73,7 +73,7 @@
 	deadline    time.Duration
 	attempts    []*attempt  // by number
 	outstanding int         // attempts without an outcome
-	done        bool        // the final answer is decided, or nobody waits for it
+	done        bool        // the final answer is decided, or no client waits for it
 	maybeRan    bool        // an attempt that has ended may have run
 	tokenUsed   bool        // it uses the id of its token
 	denied      error       // why it was not sent: its proof is no longer valid
@@ -97,7 +97,7 @@
 type Answer struct {
 	Kind       Kind
 	Value      []byte        // valid during the call only
-	Body       *Body         // the value, if shared with others; a receiver that keeps it calls Keep and Release
+	Body       *Body         // the value, if shared with others; a receiver that keeps it calls Retain and Release
 	RetryAfter time.Duration // how long a refused client should wait before it retries; 0: not stated
 	Reason     logic.Reason  // of a refusal or failure
 }
@@ -124,8 +124,8 @@
 	Origin  bool   // the member is an origin
 }
 
-// Announce records that the client is now being told of the attempt: from here on it may have run. It
-// reports whether the attempt still stands; an attempt that has ended, or whose member is no longer ready,
+// Announce records that the client is now being notified of the attempt: from here on it may have run. It
+// reports whether the attempt is still valid; an attempt that has ended, or whose member is no longer ready,
 // must not be sent to the client. Announce may be called again for an attempt that was announced and has
 // certainly not been sent yet: if its member has gone, the attempt never ran.
 func (x *Attempt) Announce() bool {
@@ -141,7 +141,7 @@
 	return true
 }
 
-// Announced reports whether the client has been told of the attempt.
+// Announced reports whether the client has been notified of the attempt.
 func (x *Attempt) Announced() bool { return x.attempt.announced }
 
 // Ended reports whether the attempt has its outcome.
@@ -233,7 +233,7 @@
 var ErrIDInUse = errors.New("the id is in use")
 
 // Submit accepts a request, under the host's lock. An error means that the Balancer has not seen the
-// request and never will; any error but ErrBusy is about the request itself or its caller (identity.WhyOf).
+// request and never will; any error but ErrBusy is about the request itself or its caller (identity.ReasonOf).
 // The answer may be delivered before Submit returns.
 func (p *Proxy) Submit(r *Request) error {
 	err := p.submit(r)
@@ -284,8 +284,8 @@
 	return nil
 }
 
-// earliestArrival returns the earliest time at which the last byte of a request may have arrived, given
-// when it was read; 0 stands for now.
+// earliestArrival returns the earliest time at which the last byte of a request may have arrived, given the
+// time at which it was read; 0 stands for now.
 func (p *Proxy) earliestArrival(readAt time.Duration) time.Duration {
 	if readAt == 0 {
 		return p.now
@@ -332,7 +332,7 @@
 	p.DeliverOutcomes()
 }
 
-// Cancel reports that nobody waits for the request any more. Attempts that have not been sent are dropped;
+// Cancel reports that no client waits for the request any more. Attempts that have not been sent are dropped;
 // attempts in flight end by themselves.
 func (p *Proxy) Cancel(r *Request) {
 	if r.id == 0 {
@@ -343,8 +343,8 @@
 	}
 	if !r.done {
 		r.done = true
-		// recall must precede RequestCancelled, which cancels the outstanding attempts: a cancelled attempt may
-		// have run, and one that was never sent must not be reported so.
+		// recallUnsent must precede RequestCancelled, which cancels the outstanding attempts: a cancelled attempt
+		// counts as one that may have run, and an attempt that was never sent must not be reported so.
 		p.recallUnsent(r)
 		p.balancer.RequestCancelled(p.now, r.id)
 	}
--- a/internal/proxy/givenup_test.go
+++ b/internal/proxy/givenup_test.go
@@ -70,7 +70,7 @@
 				}
 			})
 		}, setCommand("p", "1", "a pass"), "-ERR", reasons.Failed, logic.MayHaveRun},
-		"an order that is turned away each time": {missReply, func(t *testing.T) string {
+		"an order that is refused each time": {missReply, func(t *testing.T) string {
 			return startOrigin(t, func(*http.Request) string {
 				return "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 			})
--- a/internal/proxy/intake.go
+++ b/internal/proxy/intake.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// inputConn is the receiving side of a client's connection. It tells at any moment whether input has been
+// inputConn is the receiving side of a client's connection. It reports at any moment whether input has been
 // read that its reader goroutine has not processed yet: a reader that has input may have to wait for the
 // core, or for the host's lock, before it can report it.
 type inputConn struct {
@@ -70,6 +70,6 @@
 	return t.n, nil
 }
 
-// noteConsumed records, under the host's lock, that the reader has processed its input; more tells that
-// there is further input after it.
+// noteConsumed records, under the host's lock, that the reader has processed its input; more reports
+// that there is further input after it.
 func (t *inputConn) noteConsumed(more bool) { t.mayHoldData.Store(more) }
--- a/internal/proxy/join.go
+++ b/internal/proxy/join.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// discardingResponder discards the answer of a leading read whose client has left while others still follow it.
+// discardingResponder is the Responder of a leading read whose client has left while other reads still follow it. It
+// discards the answer.
 type discardingResponder struct{}
 
 func (discardingResponder) Answer(Answer) {}
@@ -215,7 +216,7 @@
 		}
 		passed = true
 		follower := p.requests[next]
-		if follower == nil || follower.done { // withdrawn or answered; try the next
+		if follower == nil || follower.done { // cancelled or answered; try the next
 			p.lostLeads = append(p.lostLeads, next)
 			continue
 		}
@@ -228,7 +229,7 @@
 }
 
 // stopSharing ends the sharing of a read whose answer is streamed to its client and cannot be shared.
-// Its followers go on independently.
+// Its followers continue independently.
 func (p *Proxy) stopSharing(r *Request) {
 	if r.join == nil || !r.join.lead {
 		return
@@ -242,8 +243,8 @@
 	}
 }
 
-// cancelJoined withdraws a read whose client has left. A lead with followers continues for them. It
-// reports whether that was all there was to do.
+// cancelJoined cancels a read whose client has left, if it leads or follows others. A lead with followers continues for
+// them. It reports whether the caller need not cancel anything else.
 func (p *Proxy) cancelJoined(r *Request) bool {
 	switch {
 	case r.join == nil || r.done:
@@ -273,8 +274,8 @@
 	}
 }
 
-// closeReadGroups prevents reads that arrive from now on from sharing an attempt that began before a write
-// of the key was answered or may have run.
+// closeReadGroups closes the groups of coalesced reads of the key of a write that was answered or may have run: reads
+// that arrive from now on do not share an attempt that began before.
 func (p *Proxy) closeReadGroups(r *Request) {
 	if p.joinTable != nil && r.Write {
 		p.joinTable.Fence(string(r.Key))
--- a/internal/proxy/join_test.go
+++ b/internal/proxy/join_test.go
@@ -125,7 +125,7 @@
 				gated.answers <- hitReply("v")
 			}
 		},
-		"its answer is spoilt": func(gated *gatedCache, lead *testClient) {
+		"its answer is malformed": func(gated *gatedCache, lead *testClient) {
 			gated.answers <- "*3\r\n$6\r\nspo"
 			for range 200 {
 				gated.answers <- hitReply("v")
@@ -306,7 +306,8 @@
 // answers, all whose deadline has not passed are served; the others were refused before.
 func TestThousandFollowersOfAStalledLead(t *testing.T) {
 	gated := newGatedCache()
-	var advance func(*testProxy, time.Duration) // it stands still until all have arrived, however long the machine takes
+	// advance moves the clock. The test calls it only once all reads have arrived, however long the machine takes.
+	var advance func(*testProxy, time.Duration)
 	p := startJoining(t, joinLimits, gated.answer, func(cfg *Config) { advance = manualClock(cfg) })
 	lead := p.dial()
 	lead.send(getWithin("a", "lead", "300"))
@@ -408,7 +409,7 @@
 		answerOrigin func(n int32, asked func(), free chan struct{}, k string) string
 		otherKeys    int // number of other keys requested from the origin before
 	}{
-		"turned away": {lead: "-BUSY", maxAttempts: 8,
+		"refused": {lead: "-BUSY", maxAttempts: 8,
 			answerCache: func(n int32, asked func(), _ net.Conn, _ string) string {
 				if asked(); n <= 4 {
 					return "-BUSY\r\n"
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -14,8 +14,8 @@
 // Values larger than resp.MaxValue are long. A long value that is read is streamed to the client at the
 // client's pace as the member sends it, so that only one incoming and one outgoing piece are in memory.
 // A long value that is written is held completely, since it may have to be sent again. The memory for
-// these is limited, and further ones are not read until there is memory. This costs their clients
-// nothing, as their deadlines count from the last byte.
+// written long values is limited: a further value is read once there is memory for it, or is refused after
+// maxLongValueWait. The wait takes nothing from the client's deadline, which counts from the last byte.
 const (
 	// longMemoryShare is the share of the memory for long values that are written, in addition to bufferMemoryShare.
 	longMemoryShare = 0.25
@@ -38,7 +38,7 @@
 type budgetReservation struct {
 	bytes   int
 	granted chan struct{} // closed when the reservation is granted
-	done    bool          // granted or cancelled
+	done    bool          // granted, or cancelled while it was waiting
 }
 
 // reserve requests a reservation of memory.
@@ -49,7 +49,8 @@
 	return reservation
 }
 
-// grantWaiting grants the reservations that fit, and one in any case if none is in use.
+// grantWaiting grants the waiting reservations that fit, in order. If no memory is in use, the first one is granted
+// whatever its size.
 func (b *longValueBudget) grantWaiting(maxBytes int) {
 	for len(b.waiting) > 0 {
 		next := b.waiting[0]
@@ -114,7 +115,7 @@
 	case <-timer.C:
 	case <-r.cancelled:
 	}
-	r.proxy.Do(func() {
+	r.proxy.Do(func() { // the reservation is cancelled only below, so done means granted here
 		if granted = r.done; !granted {
 			r.ReleaseLocked()
 		}
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -316,7 +316,7 @@
 			slow.send(whole[sent : sent+1])
 			sent++
 		}
-		c := p.dial() // closed if nobody has stalled for long enough yet; the loop tries again
+		c := p.dial() // closed if no other client has stalled for long enough yet; the loop tries again
 		c.send(getCommand("k", fmt.Sprint("new", time.Now().UnixNano())))
 		if c.answer() == "v" {
 			served++ // and it keeps its connection
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -95,7 +95,7 @@
 	redis        *redisFront
 
 	mu          sync.Mutex
-	now         time.Duration // Balancer's clock when the lock was taken or an attempt has been started since
+	now         time.Duration // by the Balancer's clock: when the lock was taken, or refreshNow was called after that
 	eventBegan  time.Duration // when the lock was taken
 	stalls      arrival.Stalls
 	started     time.Time
@@ -111,7 +111,7 @@
 	joinTable          *joining.Table    // nil: reads are not coalesced, except for fetches by the Balancer
 	lostLeads          []logic.RequestID // leading reads without an answer, whose lead is to be passed on
 	followersToAnswer  []logic.RequestID // followers whose answer is available
-	answeringFollowers bool              // a goroutine delivers the pending shares
+	answeringFollowers bool              // a goroutine answers followersToAnswer
 	joinStats          JoinCounts
 	openOrders         int // recorded orders in progress
 	recordClosed       bool
@@ -155,7 +155,7 @@
 	// The Balancer's clock is monotonic and starts at the wall-clock time, so that all start times are positive.
 	p.clockOffset = time.Duration(p.started.UnixNano())
 	if cfg.Clock != nil {
-		p.clockOffset = time.Hour
+		p.clockOffset = time.Hour // any positive time, as Config.Clock starts at 0
 	}
 	p.now = p.clockOffset
 	p.stalls.MaxGap = maxEventGap
@@ -205,8 +205,8 @@
 	p.endEvent()
 	goroutines.Go(func() { p.sweep(background) })
 
-	// Clients come once PING is answered, and with an outdated list their first requests would fail. If the first
-	// call to discovery is delayed for longer than this wait, the configuration's list is used.
+	// Clients connect as soon as PING is answered, and with an outdated list their first requests would fail. If the
+	// first call to discovery is delayed for longer than firstListTimeout, the configuration's list is used.
 	if firstWatch.initialDelay < firstListTimeout {
 		firstWatch.awaitFirstList(ctx, firstListTimeout)
 	}
@@ -462,8 +462,8 @@
 	return reasons.New(logic.ClassNames(s.Classes), tenants)
 }
 
-// newReasonAttrs returns log attributes: the counts of waits, refusals and failures by reason since the last call. The
-// caller holds the lock.
+// newReasonAttrs returns log attributes with the counts of waits, refusals and failures by reason since the last call.
+// The caller holds the lock.
 func (p *Proxy) newReasonAttrs() []any {
 	attrs := p.reasons.Since(p.reasonsLogged).Attrs()
 	if len(attrs) > 0 {
@@ -508,10 +508,10 @@
 	return time.Duration(p.outOfUse.UpSince(e.ID, e.UpSinceMS) * float64(time.Millisecond))
 }
 
-// balancerClockStart returns when a member started, by the Balancer's clock. It is computed once per listed start: the wall
-// clock may be stepped while this process runs, and may have been wrong when the process started. Of the start by
-// the wall clock's current offset and by its offset at the start of the process, the later one is used: a cold member
-// that counts as older than it is would be overloaded.
+// balancerClockStart returns when a member started, by the Balancer's clock. It is computed once per listed start: the
+// wall clock may be stepped while this process runs, and may have been wrong when the process started. Two estimates
+// are made, one with the wall clock's offset now and one with its offset at the start of the process, and the later is
+// used: a cold member that counts as older than it is would be overloaded.
 func (p *Proxy) balancerClockStart(id logic.MemberID, listedStart time.Duration) time.Duration {
 	if listedStart <= 0 {
 		return 0
@@ -571,6 +571,8 @@
 func (h host) ScheduleTimer(d upstream.Timer) { h.schedule(timerEntry{Timer: d}) }
 func (h host) ScheduleWake(at time.Duration)  { h.poolTimer.Reset(at - h.now) }
 
+// HasDescriptor reports whether a connection to a member may be opened. With evict, half of the reserved descriptors
+// may be used, and an idle connection is closed if those are not enough.
 func (h host) HasDescriptor(evict bool) bool {
 	if !evict {
 		return h.openDescriptors() < h.cfg.Descriptors-reservedDescriptors
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// takeNotRun reports whether the next change must tell the record that the order was sent but has not
-// run, and resets that state.
+// takeNotRun reports whether the next change must report to the record that the order was sent but has
+// not run, and resets that state.
 func (c *orderState) takeNotRun() (notRun bool) {
 	notRun = c.sent && c.notRun
 	if notRun {
@@ -82,7 +82,8 @@
 	return notRun
 }
 
-// submitToRecord puts an order on record before the balancer sees it.
+// submitToRecord puts an order on record before the balancer sees it. An order is named by its idempotency key, or by
+// its request ID if it has no key.
 func (p *Proxy) submitToRecord(r *Request, balancerRequest logic.Request) {
 	order := orders.Order{Name: orders.Name{Key: string(r.ReqID)}, Digest: r.digest()}
 	for name, value := range upstream.Attributes(r.Attrs) {
@@ -90,7 +91,8 @@
 		case "t":
 			order.Tenant = string(value)
 		case "k":
-			// The request ID differs with every retry, so a retry can be recognized by its key only.
+			// The key replaces the request ID as the order's name: the request ID differs with every retry, so a
+			// retry can be recognized by its key only.
 			order.Key, order.Retry = string(value), balancerRequest.Retry
 		}
 	}
@@ -109,7 +111,7 @@
 	})
 }
 
-// digest returns a hash of the order's content, which tells it from a different order with the same name.
+// digest returns a hash of the order's content, which distinguishes it from a different order with the same name.
 func (r *Request) digest() (digest [sha256.Size]byte) {
 	hash := sha256.New()
 	for _, part := range [...][]byte{r.Key, r.Value} {
@@ -170,8 +172,8 @@
 	return reasons.RecordFault
 }
 
-// settleOrder marks an order as one for which nothing more is to be recorded. A process that stops
-// hands the record to its successor after its last such order.
+// settleOrder marks an order as one for which nothing more is to be recorded. A process that stops closes the record
+// once all its orders are settled, and its successor opens it.
 func (p *Proxy) settleOrder(c *orderState) {
 	c.phase = orderSettled
 	p.openOrders--
@@ -214,7 +216,7 @@
 func (p *Proxy) handleSendRecorded(r *Request, a *attempt, err error) {
 	order := r.orderState
 	a.awaitsRecord = false
-	order.sent, order.notRun = err == nil, err == nil
+	order.sent, order.notRun = err == nil, err == nil // if recorded, it counts as sent, but was not sent yet
 	m := p.members[a.memberID]
 	switch {
 	case a.Ended:
@@ -318,8 +320,8 @@
 	}
 }
 
-// finishOrder starts to record the end of an order that the balancer has finished, unless that has been
-// done. It reports whether the host may remove the request, as no receipt is pending for its client.
+// finishOrder starts to record the end of an order that the balancer has finished, unless that was started
+// before. It reports whether the host may remove the request, as no receipt is pending for its client.
 func (p *Proxy) finishOrder(r *Request) bool {
 	if r.orderState.phase == orderInProgress {
 		p.writeOrderEnd(r)
@@ -327,8 +329,8 @@
 	return !r.orderState.reportReceipt
 }
 
-// cancelOrder withdraws an order whose client has left while the balancer does not have it. It
-// reports whether that was all there was to do.
+// cancelOrder cancels an order whose client has disconnected, if the balancer does not have it: the record has not
+// accepted it yet, or its receipt is being written. It reports whether the caller need not cancel anything else.
 func (p *Proxy) cancelOrder(r *Request) bool {
 	switch order := r.orderState; {
 	case order.phase == orderTaking && !r.done:
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// Two clients send the same order at the same time: one gets it run, the other is told that the outcome
-// is unknown. It runs once.
+// Two clients send the same order at the same time: for one of them it runs, and the other gets the answer that the
+// outcome is unknown. It runs once.
 func TestTheSameOrderTwiceConcurrently(t *testing.T) {
 	counter := newCountingOrigin(t)
 	free := make(chan struct{})
@@ -188,7 +188,7 @@
 }
 
 // The disk fails at each step of an order. The order is refused as never run, or has run once and its
-// client is told that the outcome is unknown. Reads are served throughout, and orders work again as
+// client gets the answer that the outcome is unknown. Reads are served throughout, and orders work again as
 // soon as the disk does.
 func TestRecordDiskFailsWhileServing(t *testing.T) {
 	bad := errors.New("input/output error")
--- a/internal/proxy/redis.go
+++ b/internal/proxy/redis.go
@@ -95,8 +95,8 @@
 	denied error           // why the caller could not be authenticated
 }
 
-// pendingAnswer is an answer that a connection owes, in the order of its commands. A reply that involves no
-// member (to PING, or an error) is one too, so that answers keep their order.
+// pendingAnswer is the answer to a command of a connection. Answers are sent in the order of the commands. A reply that
+// involves no member (to PING, or an error) is one too, so that answers keep their order.
 type pendingAnswer struct {
 	Request
 	client       *client
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -34,17 +34,17 @@
 	arrival          arrival.Connection // estimates when input arrived; used by the reader goroutine only
 	lastByteAt       atomic.Int64       // when input of a partial command last arrived, since the start of the proxy
 	commandStartedAt time.Duration      // when the partial command began
-	resume           chan struct{}
-	lastActive       time.Duration // when the client connected, or last had an answer pending
-	hasRequested     bool          // at least one command has been read in full
-	reused           bool          // more than one command has been read in full
-	keepOpen         bool          // stays open after its first answer
-	faultyCommands   int           // commands that could not be executed
-	ended            bool          // no further command is read or answered
-	writeClosed      bool          // the sending side is closed
-	valueWait        chan struct{} // set while a long value waits for memory; closed when the client disconnects
-	closed           bool
-	deadlineSet      bool // a read deadline is set for the rest of a command
+	resume           chan struct{}      // closed when the suspended reader may go on; nil: it is not suspended
+	lastActive       time.Duration      // when the client connected, or last had an answer pending
+	hasRequested     bool               // at least one command has been read in full
+	reused           bool               // more than one command has been read in full
+	keepOpen         bool               // stays open after its first answer
+	faultyCommands   int                // commands that could not be executed
+	ended            bool               // no further command is accepted; answers to earlier ones may be pending
+	writeClosed      bool               // the sending side is closed, after the last answer
+	valueWait        chan struct{}      // set while a long value waits for memory; closed when the client disconnects
+	closed           bool               // the connection's descriptor is closed
+	deadlineSet      bool               // a read deadline is set for the rest of a command
 
 	sendingBodies []*Body // shared values that are being written
 
@@ -117,12 +117,14 @@
 		c.finishSending(false)
 		return
 	}
+	// The percentage is divided by 300 for a third of the capacity, see minReuseShare.
 	if !f.draining && f.reuseShare < minReuseShare && f.activeClients >= f.proxy.cfg.Descriptors*activeClientPercent/300 && !c.keepOpen && !c.reused && c.isIdle() && c.hasNoInput() {
 		c.close()
 	}
 }
 
-// isIdle reports whether no answer is owed on the connection, as far as its commands have been accepted.
+// isIdle reports whether no answer is pending or being written on the connection and no command has been read in part.
+// Unread input does not count.
 func (c *client) isIdle() bool {
 	return len(c.pending) == 0 && !c.sender.Busy() && !c.midCommand
 }
@@ -168,8 +170,9 @@
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// finishSending closes the sending side once everything pending is answered. The client sees the end and
-// closes the connection.
+// finishSending closes the sending side if no answer is pending and either no input is unread or no further command is
+// accepted; the client then sees the end of the stream and closes the connection. Otherwise it is called again after
+// later answers. If final is set, no further command is accepted, whatever input has arrived.
 func (c *client) finishSending(final bool) {
 	c.ended = c.ended || final
 	if c.isIdle() && !c.sender.Failed() && !c.writeClosed && (c.ended || c.hasNoInput()) {
@@ -214,7 +217,7 @@
 		p.beginEvent()
 		c.midCommand = false
 		c.input.noteConsumed(c.reader.Buffered() > 0)
-		if c.ended { // the client has been sent the end; it repeats a request that crosses it on another connection
+		if c.ended { // no command is accepted any more; its client sends the request again on another connection
 			p.releaseValue(&Request{Command: cmd.Command, longBytes: cmd.longBytes})
 			c.input.noteConsumed(false) // the input read after this command is dropped too
 			writeClosed := c.writeClosed
--- a/internal/proxy/redis_front.go
+++ b/internal/proxy/redis_front.go
@@ -95,7 +95,7 @@
 	return err
 }
 
-// Drain tells clients nothing yet: connections may still arrive for a while. From now on connections are no
+// Drain does not notify clients yet: connections may still arrive for a while. From now on connections are no
 // longer closed after an answer to free their descriptors: clients that have no other proxy to go to yet,
 // as another is down too, go on using their open connections.
 func (f *redisFront) Drain() { f.proxy.Do(func() { f.draining = true }) }
@@ -145,7 +145,7 @@
 // FreeDescriptor closes the idle client whose loss costs least.
 func (f *redisFront) FreeDescriptor() bool { return f.evictClient() }
 
-// Close closes whatever is still open.
+// Close closes the listener and all connections that are still open.
 func (f *redisFront) Close() {
 	if f.listener != nil {
 		f.listener.Close()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,7 +13,8 @@
 	"linenloom/logic"
 )
 
-// attempt is one attempt of a request at a member: an exchange made by this process or by the client of a Carrier.
+// attempt is one attempt of a request at a member: an exchange made by this process or by the
+// client of an ExternalSender.
 type attempt struct {
 	upstream.Exchange
 	request          *Request // nil once the request is released
@@ -21,8 +22,8 @@
 	startedAt        time.Duration
 	meterID          uint64 // its number in Config.ZoneMeter; 0: not metered
 	index            int32
-	byExternalSender bool // its client makes the attempt, see Carrier
-	announced        bool // its client has been notified of it
+	byExternalSender bool // the client makes the attempt itself, see ExternalSender
+	announced        bool // the client was notified of the attempt, see Attempt.Announce
 	// awaitsRecord means that the attempt waits for the record of orders to permit it; until then it cannot have run.
 	awaitsRecord bool
 }
@@ -145,8 +146,8 @@
 }
 
 // inTransitUntil returns until when an attempt that has ended with a status may still reach its member; 0: it cannot.
-// For an attempt made by a Carrier's client it is unknown when it was written and whether it was the first on its
-// connection, so the transit time of a first request is assumed.
+// For an attempt made by the client of an ExternalSender it is unknown when it was written and whether it was the first
+// on its connection, so the transit time of a first request is assumed.
 func (p *Proxy) inTransitUntil(a *attempt, s logic.Status) time.Duration {
 	if !a.byExternalSender {
 		return a.InTransitUntil()
@@ -256,8 +257,8 @@
 }
 
 const (
-	// idRetention is the minimum time for which an id counts as in use after its request was accepted. Ids are new
-	// with every request, so a repeated one belongs to another client or to a duplicate.
+	// idRetention is the minimum time for which an id counts as in use after its request was accepted. Every request
+	// has a new id, so a repeated id means a collision with another client's request or a command that was sent twice.
 	idRetention = 6 * time.Second
 	// maxIDsPerGeneration limits the ids in each of the two generations of idHistory.
 	maxIDsPerGeneration = 8192
--- a/internal/proxy/scale_test.go
+++ b/internal/proxy/scale_test.go
@@ -18,8 +18,8 @@
 	"linenloom/logic"
 )
 
-// runClients has the given number of clients read each tiles one after another, and counts the answers by
-// kind.
+// runClients starts the given number of clients, each of which reads tilesPerClient tiles one after another,
+// and counts the answers by kind.
 func runClients(t *testing.T, p *testProxy, clients, tilesPerClient int) (served, refused, failed int64) {
 	t.Helper()
 	var s, b, f atomic.Int64
@@ -53,7 +53,7 @@
 	const caches = 8
 	healthy := func(a memberCommand) string { return hitReply("value of " + a.key) }
 	for name, faultyCache := range map[string]func(t *testing.T) string{
-		"all are well": func(t *testing.T) string { return startCache(t, healthy) },
+		"all are healthy": func(t *testing.T) string { return startCache(t, healthy) },
 		"one is silent": func(t *testing.T) string {
 			return serveConns(t, func(conn net.Conn) { readAll(conn) })
 		},
@@ -63,7 +63,7 @@
 				serveCache(conn, healthy, n.Add(1)%3 == 0)
 			})
 		},
-		"one takes four connections": func(t *testing.T) string {
+		"one accepts four connections": func(t *testing.T) string {
 			var open atomic.Int32
 			return serveConns(t, func(conn net.Conn) {
 				defer open.Add(-1)
@@ -317,7 +317,7 @@
 		"the end":          nil,
 	} {
 		for _, outstanding := range []int{1, 2, 32} {
-			t.Run(fmt.Sprintf("%s, %d out", name, outstanding), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d outstanding", name, outstanding), func(t *testing.T) {
 				var most atomic.Int32
 				p := startPipelined(t, func(conn net.Conn, in *resp.Reader, nth int32) {
 					for {
@@ -325,7 +325,7 @@
 						if err != nil {
 							return
 						}
-						if nth > 1 || key[0] == 'w' {
+						if nth > 1 || key[0] == 'w' { // keys with w are the warm-up reads of startPipelined
 							fmt.Fprint(conn, hitReply("value of "+key))
 							continue
 						}
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -15,8 +15,8 @@
 	"linenloom/logic"
 )
 
-// A process that is told to stop may be killed after its longest deadline (at most 3 s) and 0.7 s. Whatever
-// hangs, every accepted request has an answer by then: requests that certainly never ran, or may be
+// A process that is signalled to stop may be killed after its longest deadline (at most 3 s) and 0.7 s.
+// Whatever hangs, every accepted request has an answer by then: requests that certainly never ran, or may be
 // repeated, are refused, and for the rest nothing is promised.
 func TestStopWithHangingMembers(t *testing.T) {
 	requests := newRequestLog()
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -251,7 +251,7 @@
 	p.eventually("the member is known", func() bool { return len(p.members) == 1 })
 	p.beginEvent()
 	var m *member
-	for _, m = range p.members {
+	for _, m = range p.members { // there is only one
 	}
 	var last *attempt
 	var requests []*Request // one for each attempt: nothing is sent for a finished request
