--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -45,20 +45,20 @@
 		p.endAttempt(a, logic.StatusConnectFailed, 0)
 		return
 	}
-	if r.orderRecord != nil {
-		p.sendRecorded(r, a, m)
+	if r.orderState != nil {
+		p.sendAfterRecording(r, a, m)
 		return
 	}
 	p.startAttempt(r, a, m)
 }
 
-// startAttempt starts the exchange of an attempt, in this process or at the client of a Carrier.
+// startAttempt starts the exchange of an attempt, in this process or at the client of an ExternalSender.
 func (p *Proxy) startAttempt(r *Request, a *attempt, m *member) {
 	if p.cfg.ZoneMeter != nil && !m.Origin {
 		a.meterID = p.cfg.ZoneMeter.AttemptStarted(p.now, p.zoneIndex(m.listed.Locality), uint64(m.id))
 	}
 	if c, ok := r.Responder.(ExternalSender); ok {
-		a.byCarrier = true
+		a.byExternalSender = true
 		p.schedule(timerEntry{Timer: upstream.Timer{At: a.ExpiresAt}, attempt: a})
 		c.Assign(&Attempt{proxy: p, attempt: a, Addr: m.Addr, Origin: m.Origin})
 		return
@@ -97,7 +97,7 @@
 			p.cfg.ZoneMeter.OriginRefused(p.now)
 		}
 		r.Responder.Answer(a)
-		p.fenceReads(r)
+		p.closeReadGroups(r)
 		p.leadEnded(r)
 		p.releaseIfOver(r)
 	}
