--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -53,16 +53,16 @@
 	t *testing.T
 }
 
-// slots limits the number of concurrent clusters. A busy machine slows all zones alike, but tests have a
+// runningClusters limits the number of concurrent clusters. A busy machine slows all zones alike, but tests have a
 // time limit.
-var slots = make(chan struct{}, 2)
+var runningClusters = make(chan struct{}, 2)
 
 // newHarness starts a cluster of six proxies and three zones of four warm and filled caches each, unless
 // the options say otherwise.
 func newHarness(t *testing.T, options Options) *harness {
 	t.Helper()
-	slots <- struct{}{}
-	t.Cleanup(func() { <-slots })
+	runningClusters <- struct{}{}
+	t.Cleanup(func() { <-runningClusters })
 	var load Load
 	self, err := os.Executable()
 	if err != nil {
@@ -134,8 +134,8 @@
 	err := Eventually(fmt.Sprintf("all say that %s is %s", zone, state), func() bool {
 		for _, p := range h.Proxies {
 			skip := false
-			for _, b := range except {
-				skip = skip || b == p.Name
+			for _, exceptName := range except {
+				skip = skip || exceptName == p.Name
 			}
 			if skip {
 				continue
@@ -469,8 +469,8 @@
 	h.blockZones(true, "c")
 	h.awaitState("c", "trying")
 	for range 3 {
-		since, from := h.Proxies[4].Pid(), time.Now()
-		if err := h.Proxies[4].Upgrade(); err != nil || h.Proxies[4].Pid() == since {
+		pidBefore, from := h.Proxies[4].Pid(), time.Now()
+		if err := h.Proxies[4].Upgrade(); err != nil || h.Proxies[4].Pid() == pidBefore {
 			t.Fatal(err)
 		}
 		// connections without a request are closed, and a request may be sent at the same moment
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -36,8 +36,8 @@
 	deadline      = 3 * time.Second
 )
 
-// counts counts the outcomes of the requests of one second.
-type counts struct{ asked, served, refused, late, failed atomic.Int64 }
+// outcomeCounts counts the outcomes of the requests of one second.
+type outcomeCounts struct{ asked, served, refused, late, failed atomic.Int64 }
 
 // Run runs the demo command and returns its exit status.
 func Run(args []string) int {
@@ -71,8 +71,8 @@
 		return err
 	}
 	defer fleet.Close()
-	for _, b := range fleet.Caches {
-		b.SetService(2*time.Millisecond, 16)
+	for _, cache := range fleet.Caches {
+		cache.SetService(2*time.Millisecond, 16)
 	}
 	fleet.Origin.SetService(60*time.Millisecond, 12)
 	text, err := fleet.Config("demo", "127.0.0.1:0", "1", 128, 1024)
@@ -93,7 +93,7 @@
 
 	fmt.Fprintf(out, "a proxy on %s, %d caches, one slow origin, %d clients; press Ctrl-C to end\n", lbProxy.Addr(), cacheCount, clients)
 	fmt.Fprintln(out, "second   asked  served refused    late  failed   fetched  event, and the most frequent reason for refusals or failures")
-	var requests counts
+	var requests outcomeCounts
 	var group sync.WaitGroup
 	trafficContext, endTraffic := context.WithCancel(ctx)
 	defer endTraffic()
@@ -111,14 +111,14 @@
 		case <-tick.C:
 		}
 		fetches := fleet.Origin.Fetches()
-		event := applyEvent(fleet, second)
+		remark := applyEvent(fleet, second)
 		reasonCounts := lbProxy.Reasons()
 		if mostFrequent := mostFrequentReason(reasonCounts.Since(previous)); mostFrequent != "" {
-			event = strings.TrimPrefix(event+"; "+mostFrequent, "; ")
+			remark = strings.TrimPrefix(remark+"; "+mostFrequent, "; ")
 		}
 		previous = reasonCounts
 		fmt.Fprintf(out, "%6d %7d %7d %7d %7d %7d %9d  %s\n", second, requests.asked.Swap(0), requests.served.Swap(0), requests.refused.Swap(0),
-			requests.late.Swap(0), requests.failed.Swap(0), fetches-fetchedBefore, event)
+			requests.late.Swap(0), requests.failed.Swap(0), fetches-fetchedBefore, remark)
 		fetchedBefore = fetches
 	}
 	fmt.Fprintln(out, "\ndraining: accepted requests are answered, then the proxy stops")
@@ -184,7 +184,7 @@
 }
 
 // runClient reads one tile after another and sends an order now and then.
-func runClient(ctx context.Context, addr string, index int, requests *counts) {
+func runClient(ctx context.Context, addr string, index int, requests *outcomeCounts) {
 	rng := rand.New(rand.NewPCG(1, uint64(index)))
 	keyPopularity := rand.NewZipf(rng, 1.1, 4, keyCount-1)
 	var conn net.Conn
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -35,10 +35,10 @@
 	watcher := &outputWatcher{pattern: regexp.MustCompile(`(?m)^ +\d+ +\d+ +[1-9]\d* `), matched: make(chan struct{})}
 	done := make(chan error, 1)
 	go func() { done <- runDemo(ctx, watcher, 4) }()
-	const patience = 20 * time.Second
+	const timeout = 20 * time.Second
 	select {
 	case <-watcher.matched:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		t.Error("nothing was served")
 	}
 	stop()
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		t.Fatal("it did not end")
 	}
 	if out := watcher.text.String(); !strings.HasSuffix(out, "ended\n") {
--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -36,14 +36,14 @@
 	{name: "order, the origin resets once it has run", write: true, injectFault: func(f *standin.Fleet) { f.Origin.SetResetAfterRun(true) }, wantPrefix: "-ERR"},
 	{name: "order, the origin turns it away each time", write: true, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Busy) }, wantPrefix: "-BUSY"},
 	{name: "read, every box fails", write: false, injectFault: func(f *standin.Fleet) {
-		for _, b := range f.Caches {
-			b.SetFault(standin.Failing)
+		for _, cache := range f.Caches {
+			cache.SetFault(standin.Failing)
 		}
 	}, wantPrefix: "-BUSY"},
 	{name: "read, missed, and the origin answers 500", write: false, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Failing) }, wantPrefix: "-BUSY"},
 	{name: "read, every box finds fault with it", injectFault: func(f *standin.Fleet) {
-		for _, b := range f.Caches {
-			b.SetFault(standin.Rejecting)
+		for _, cache := range f.Caches {
+			cache.SetFault(standin.Rejecting)
 		}
 	}, wantPrefix: "-ERR", onlyFronts: "RESP2 answer"},
 	{name: "read, every box is cold: the cold budget", injectFault: func(f *standin.Fleet) {
@@ -55,8 +55,8 @@
 		}
 	}, wantPrefix: "-BUSY", someServed: true},
 	{name: "read, every box stalls: out of its client's time", injectFault: func(f *standin.Fleet) {
-		for _, b := range f.Caches {
-			b.SetFault(standin.Stall)
+		for _, cache := range f.Caches {
+			cache.SetFault(standin.Stall)
 		}
 	}, wantPrefix: "-BUSY", deadline: 150 * time.Millisecond, onlyFronts: "RESP2"},
 	{name: "read, missed, and the origin resets", write: false, injectFault: func(f *standin.Fleet) { f.Origin.SetFault(standin.Reset) }, wantPrefix: "-BUSY"},
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -26,8 +26,8 @@
 	}},
 	{"waiting for another's fetch when the boxes leave the list (shared_fetch)", func(e *Env) (time.Duration, int, error) {
 		return e.measureRemoval("shared", func(int) string { return "m" }, func(f *standin.Fleet) {
-			for _, b := range f.Caches {
-				f.Remove(b)
+			for _, cache := range f.Caches {
+				f.Remove(cache)
 			}
 		})
 	}},
@@ -150,8 +150,8 @@
 	}()
 	allWaiting := func() bool {
 		n := int(refusedEarly.Load())
-		for _, b := range fleet.Caches {
-			_, misses := b.Reads()
+		for _, cache := range fleet.Caches {
+			_, misses := cache.Reads()
 			n += misses
 		}
 		return n >= readCount || key(0) == key(1) && fleet.Origin.Received() > 0
@@ -225,9 +225,9 @@
 		keys = append(keys, fmt.Sprint("k", i))
 	}
 	fleet.Fill(keys...)
-	for _, b := range fleet.Caches {
-		b.SetService(450*time.Millisecond, 0)
-		b.OnRead(func(id string) {
+	for _, cache := range fleet.Caches {
+		cache.SetService(450*time.Millisecond, 0)
+		cache.OnRead(func(id string) {
 			mu.Lock()
 			sentIDs[id] = true
 			mu.Unlock()
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -194,8 +194,8 @@
 		}
 	}
 	names := map[logic.MemberID]string{proxy.MemberID("o-1"): "o-1"}
-	for _, b := range fleet.Caches {
-		names[proxy.MemberID(b.ID)] = b.ID
+	for _, cache := range fleet.Caches {
+		names[proxy.MemberID(cache.ID)] = cache.ID
 	}
 	host.mu.Lock()
 	defer host.mu.Unlock()
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	operateClients    = 24
-	operateRounds     = 6
-	silentConnections = 40
+	operateClients            = 24
+	operateRounds             = 6
+	idleManagementConnections = 40
 	// classEffectiveAfter is the time after SIGHUP from which clients may name a new class. drainGrace is the
 	// time after the answer to a maintenance request from which no request may go to the cache under
 	// maintenance.
@@ -72,13 +72,13 @@
 	clients := run.clients
 	report.AddValue("requests served", float64(clients.Served.Load()))
 	report.AddValue("requests that crossed the close of a connection, and went out again", float64(clients.ClosedUnread.Load()))
-	report.Equal("connections refused, processes stopped", float64(run.stopped.connectionsRefused), 0)
-	report.Equal("connections broken under a request, processes stopped", float64(run.stopped.connectionsBroken), 0)
-	report.Equal("refused or failed, processes stopped", float64(run.stopped.refusedOrFailed), 0)
-	report.AddValue("connections refused, processes killed", float64(run.killed.connectionsRefused))
-	report.AtMost("connections broken, processes killed: one for each client and kill", float64(run.killed.connectionsBroken), operateClients*operateRounds/2)
-	report.Equal("orders that have run, unanswered, processes stopped", float64(run.unanswered), 0)
-	report.AddValue("orders without an answer, processes killed", float64(run.unresolved))
+	report.Equal("connections refused, processes stopped", float64(run.faultsOfStops.connectionsRefused), 0)
+	report.Equal("connections broken under a request, processes stopped", float64(run.faultsOfStops.connectionsBroken), 0)
+	report.Equal("refused or failed, processes stopped", float64(run.faultsOfStops.refusedOrFailed), 0)
+	report.AddValue("connections refused, processes killed", float64(run.faultsOfKills.connectionsRefused))
+	report.AtMost("connections broken, processes killed: one for each client and kill", float64(run.faultsOfKills.connectionsBroken), operateClients*operateRounds/2)
+	report.Equal("orders that have run, unanswered, processes stopped", float64(run.unansweredExecutions), 0)
+	report.AddValue("orders without an answer, processes killed", float64(run.unresolvedOrders))
 	report.Equal("late", float64(clients.Late.Load()), 0)
 	repeatedOrders := 0
 	for _, n := range fleet.Origin.Executions() {
@@ -87,7 +87,7 @@
 		}
 	}
 	report.Equal("orders run twice", float64(repeatedOrders), 0)
-	report.Equal("requests to a box that is out, 250 ms after the yes", float64(run.afterDrain), 0)
+	report.Equal("requests to a box that is out, 250 ms after the yes", float64(run.requestsAfterDrain), 0)
 	report.Equal("calls answered wrongly", float64(run.wrongStatuses), 0)
 	report.AtMost("slowest call, ms", milliseconds(run.slowestCall), 1000)
 	report.AddValue("longest time without an answer to anybody, ms", milliseconds(run.longestGap))
@@ -99,8 +99,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// clientFaults counts the faults that clients saw during some rounds.
-type clientFaults struct{ connectionsRefused, connectionsBroken, refusedOrFailed int64 }
+// clientFaultCounts counts the faults that clients saw during some rounds.
+type clientFaultCounts struct{ connectionsRefused, connectionsBroken, refusedOrFailed int64 }
 
 type operation struct {
 	env            *Env
@@ -112,11 +112,11 @@
 	configPath     string
 	class          string
 
-	stopped, killed           clientFaults
-	afterDrain, wrongStatuses int
-	unanswered                int // orders that a stopped process carried out without an answer
-	unresolved                int // orders without an answer when the process was killed
-	slowestCall, longestGap   time.Duration
+	faultsOfStops, faultsOfKills      clientFaultCounts
+	requestsAfterDrain, wrongStatuses int
+	unansweredExecutions              int // orders that a stopped process carried out without an answer
+	unresolvedOrders                  int // orders without an answer when the process was killed
+	slowestCall, longestGap           time.Duration
 }
 
 // configure writes the configuration, which has the round's class in addition to the usual ones.
@@ -179,24 +179,24 @@
 func (o *operation) runRound(round int) error {
 	before := o.currentFaults()
 	cache := o.fleet.Caches[round%len(o.fleet.Caches)]
-	var silentConns []net.Conn
-	for i := range silentConnections {
+	var idleConns []net.Conn
+	for i := range idleManagementConnections {
 		conn, err := net.Dial("tcp", o.managementAddr)
 		if err != nil {
 			return err
 		}
-		if silentConns = append(silentConns, conn); i%2 == 0 {
+		if idleConns = append(idleConns, conn); i%2 == 0 {
 			io.WriteString(conn, "PUT /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 8\r\n\r\ns-")
 		}
 	}
 	o.call("PUT", "/maintenance/enter", cache.ID, 200)
 	o.call("PUT", "/maintenance/enter", cache.ID, 200)
 	o.call("PUT", "/maintenance/enter", "nobody", 404)
-	for _, c := range silentConns {
+	for _, c := range idleConns {
 		c.Close()
 	}
 	time.Sleep(drainGrace)
-	begunAfterGrace := cache.Received()
+	receivedAfterGrace := cache.Received()
 
 	// The reload adds a class; clients name it once it is in effect.
 	o.class = fmt.Sprint("round-", round)
@@ -227,27 +227,27 @@
 	if err := o.clients.AwaitServed(500); err != nil {
 		return err
 	}
-	o.afterDrain += cache.Received() - begunAfterGrace
+	o.requestsAfterDrain += cache.Received() - receivedAfterGrace
 	o.call("PUT", "/maintenance/exit", cache.ID, 200)
-	begunAtReturn := cache.Received()
-	if err := eventually("the cache is used again", func() bool { return cache.Received() > begunAtReturn }); err != nil {
+	receivedAtReturn := cache.Received()
+	if err := eventually("the cache is used again", func() bool { return cache.Received() > receivedAtReturn }); err != nil {
 		return err
 	}
 	o.clients.SetClass("tile-read") // the next configuration drops this round's class
 	if err := o.clients.AwaitServed(200); err != nil {
 		return err
 	}
-	total := &o.stopped
+	total := &o.faultsOfStops
 	if kill {
-		total = &o.killed
+		total = &o.faultsOfKills
 	}
 	unanswered := o.clients.UnansweredOrders()
 	if kill {
-		o.unresolved += len(unanswered)
+		o.unresolvedOrders += len(unanswered)
 	} else {
 		executions := o.fleet.Origin.Executions()
 		for _, key := range unanswered {
-			o.unanswered += executions[key]
+			o.unansweredExecutions += executions[key]
 		}
 	}
 	after := o.currentFaults()
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func (o *operation) currentFaults() clientFaults {
+func (o *operation) currentFaults() clientFaultCounts {
 	clients := o.clients
-	return clientFaults{clients.ConnectionsRefused.Load(), clients.ConnectionsBroken.Load(), clients.Refused.Load() + clients.Failed.Load()}
+	return clientFaultCounts{clients.ConnectionsRefused.Load(), clients.ConnectionsBroken.Load(), clients.Refused.Load() + clients.Failed.Load()}
 }
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -37,7 +37,7 @@
 		}
 		faults += len(result.Faults)
 		total.Sent, total.Served, total.Refused, total.Failed = total.Sent+result.Sent, total.Served+result.Served, total.Refused+result.Refused, total.Failed+result.Failed
-		total.Attempts, total.Further = total.Attempts+result.Attempts, total.Further+result.Further
+		total.Attempts, total.FurtherAttempts = total.Attempts+result.Attempts, total.FurtherAttempts+result.FurtherAttempts
 	}
 	name := fmt.Sprintf("seeds %d to %d: ", env.FirstSeed, env.FirstSeed+uint64(env.SeedCount)-1)
 	report.AddValue(name+"requests", float64(total.Sent))
@@ -45,7 +45,7 @@
 	report.AddValue(name+"refused", float64(total.Refused))
 	report.AddValue(name+"failed", float64(total.Failed))
 	report.AddValue(name+"attempts", float64(total.Attempts))
-	report.AddValue(name+"further attempts", float64(total.Further))
+	report.AddValue(name+"further attempts", float64(total.FurtherAttempts))
 	report.AddValue(name+"plays too disturbed for a verdict", float64(disturbed))
 	report.AddValue(name+"plays that kept every rule", float64(passed))
 	report.Equal(name+"plays that broke one", float64(failed), 0)
--- a/internal/lab/successor.go
+++ b/internal/lab/successor.go
@@ -131,8 +131,8 @@
 		return counts, err
 	}
 	defer closeRun()
-	for _, b := range run.fleet.Caches {
-		b.SetService(successorCacheTime, successorCacheConcurrency)
+	for _, cache := range run.fleet.Caches {
+		cache.SetService(successorCacheTime, successorCacheConcurrency)
 	}
 	run.fleet.Origin.SetService(successorFetchTime, successorFetchConcurrency)
 
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	zoneReadRate       = 720 // reads per second over all proxies
-	zoneCaches         = 5
-	warmCacheRate      = 60 // reads per second that a warm cache can serve
-	zoneServiceTime    = 12 * time.Millisecond
-	zoneOutage         = 6 * time.Second
-	zoneLongOutage     = 40 * time.Second // with the last seed
-	zoneWarmUpTime     = 8900 * time.Millisecond
-	zoneRecoveryTime   = zoneWarmUpTime * 3 / 2
-	zoneSeeds          = 6
-	zoneSeedsAlone     = 2 // seeds that also run with proxies that do not know each other
-	zoneParallelRuns   = 3
-	ordinaryTimeFactor = 30
+	zoneReadRate             = 720 // reads per second over all proxies
+	zoneCaches               = 5
+	warmCacheRate            = 60 // reads per second that a warm cache can serve
+	zoneServiceTime          = 12 * time.Millisecond
+	zoneOutage               = 6 * time.Second
+	zoneLongOutage           = 40 * time.Second // with the last seed
+	zoneWarmUpTime           = 8900 * time.Millisecond
+	zoneRecoveryTime         = zoneWarmUpTime * 3 / 2
+	zoneSeeds                = 6
+	zoneSeedsUnjoined        = 2 // seeds that also run with proxies that do not know each other
+	zoneParallelRuns         = 3
+	ordinaryFaultsTimeFactor = 30
 )
 
 var zoneNames = []string{"a", "b", "c"}
 
 // zoneRun is one run of a zone that fails and comes back cold, in front of a number of proxies.
 type zoneRun struct {
-	proxies        int
-	seed           uint64
-	crossZoneShare float64
-	slowCaches     bool // caches get 40 times slower instead of silent
-	together       bool
+	proxies       int
+	seed          uint64
+	crossZoneCost float64
+	slowCaches    bool // caches get 40 times slower instead of silent
+	joined        bool
 
-	lastLeftAfter, leaveSpread time.Duration // time until the last proxy left the zone, and from the first to the last
-	attempts                   float64       // sent to the zone in the first 6 seconds
-	inTime                     float64       // share of the reads of the first 2 seconds
-	overloadedCaches           int           // caches overloaded when the zone came back
-	refusedReads               int           // after the zone came back
-	recoveredAfter             time.Duration // time until the zone had its full share of traffic again
-	violations                 []string
+	timeUntilAllLeft, timeFromFirstToLastLeave time.Duration // time until the last proxy left the zone, and from the first to the last
+	attempts                                   float64       // sent to the zone in the first 6 seconds
+	inTime                                     float64       // share of the reads of the first 2 seconds
+	overloadedCaches                           int           // caches overloaded when the zone came back
+	refusedReads                               int           // after the zone came back
+	recoveredAfter                             time.Duration // time until the zone had its full share of traffic again
+	violations                                 []string
 }
 
 func (z *zoneRun) String() string {
@@ -53,22 +53,22 @@
 	if z.slowCaches {
 		fault = "slow"
 	}
-	if z.crossZoneShare > 0 {
+	if z.crossZoneCost > 0 {
 		table = "a table by zone"
 	}
 	return fmt.Sprintf("%d proxies, %s, %s", z.proxies, table, fault)
 }
 
 // zoneCluster starts proxies in front of three zones whose caches hold all keys.
-func (e *Env) zoneCluster(name string, proxies int, seed uint64, crossZoneShare float64, together bool) (*cluster.Cluster, *cluster.Clients, error) {
+func (e *Env) zoneCluster(name string, proxies int, seed uint64, crossZoneCost float64, joined bool) (*cluster.Cluster, *cluster.Clients, error) {
 	dir := filepath.Join(e.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
 	rules := standin.Settings()["rules"].(map[string]any)
 	rules["cold_ms"] = float64(zoneWarmUpTime.Milliseconds())
-	testCluster, err := cluster.New(cluster.Options{Zones: zoneNames, CachesPerZone: zoneCaches, Proxies: proxies, ServiceTime: zoneServiceTime, Seed: seed, CrossZoneCost: crossZoneShare,
-		OriginServiceTime: 60 * time.Millisecond, OriginConcurrency: 24, JoinInstances: together, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
+	testCluster, err := cluster.New(cluster.Options{Zones: zoneNames, CachesPerZone: zoneCaches, Proxies: proxies, ServiceTime: zoneServiceTime, Seed: seed, CrossZoneCost: crossZoneCost,
+		OriginServiceTime: 60 * time.Millisecond, OriginConcurrency: 24, JoinInstances: joined, Program: filepath.Join(e.Bin, "linenproc"), Dir: dir,
 		Settings: map[string]any{"rules": rules}})
 	if err != nil {
 		return nil, nil, err
@@ -85,7 +85,7 @@
 }
 
 func (z *zoneRun) run(ctx context.Context, env *Env, name string) error {
-	testCluster, clients, err := env.zoneCluster(name, z.proxies, z.seed, z.crossZoneShare, z.together)
+	testCluster, clients, err := env.zoneCluster(name, z.proxies, z.seed, z.crossZoneCost, z.joined)
 	if err != nil {
 		return err
 	}
@@ -93,17 +93,17 @@
 	sleep(ctx, 4*time.Second)
 	failedAt := time.Now()
 	setFailed := func(on bool) {
-		for _, b := range testCluster.Fleet.CachesIn("c") {
+		for _, cache := range testCluster.Fleet.CachesIn("c") {
 			if z.slowCaches {
 				serviceTime := zoneServiceTime
 				if on {
 					serviceTime *= 40
 				}
-				b.SetService(serviceTime, 0)
+				cache.SetService(serviceTime, 0)
 				continue
 			}
 			for _, p := range testCluster.Proxies {
-				testCluster.Link(p.Name, b.ID).SetBoth(cluster.Impairment{Blocked: on})
+				testCluster.Link(p.Name, cache.ID).SetBoth(cluster.Impairment{Blocked: on})
 			}
 		}
 	}
@@ -113,21 +113,21 @@
 		outage = zoneLongOutage
 	}
 	sleep(ctx, outage)
-	for _, b := range testCluster.Fleet.CachesIn("c") { // restarted caches, without values
-		b.Clear()
-		b.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: zoneWarmUpTime, WarmRate: warmCacheRate, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
+	for _, cache := range testCluster.Fleet.CachesIn("c") { // restarted caches, without values
+		cache.Clear()
+		cache.SetColdStart(standin.ColdStart{StartedAt: time.Now(), InitialShare: 0.3, Duration: zoneWarmUpTime, WarmRate: warmCacheRate, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond})
 		for _, p := range testCluster.Proxies {
-			testCluster.Link(p.Name, b.ID).Reset()
+			testCluster.Link(p.Name, cache.ID).Reset()
 		}
 	}
 	setFailed(false)
 	recoveredAt := time.Now()
-	for z.recoveredAfter = math.MaxInt64; z.together && time.Since(recoveredAt) < zoneRecoveryTime && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
+	for z.recoveredAfter = math.MaxInt64; z.joined && time.Since(recoveredAt) < zoneRecoveryTime && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
 		if view, err := testCluster.Proxies[0].View(); err == nil && view.Zones[2].LocalShare == 1 && z.recoveredAfter == math.MaxInt64 {
 			z.recoveredAfter = time.Since(recoveredAt)
 		}
 	}
-	if !z.together {
+	if !z.joined {
 		sleep(ctx, zoneRecoveryTime)
 	}
 	clients.Stop()
@@ -150,15 +150,15 @@
 		first, last = min(first, leftAt.Sub(failedAt)), max(last, leftAt.Sub(failedAt))
 		z.attempts += float64(testCluster.RequestsSent(p.Name, "c", failedAt, failedAt.Add(zoneOutage)))
 	}
-	z.lastLeftAfter, z.leaveSpread = last, last-first
+	z.timeUntilAllLeft, z.timeFromFirstToLastLeave = last, last-first
 	z.inTime, _ = clients.ShareInTime(failedAt, failedAt.Add(2*time.Second))
 	for _, request := range clients.Requests(recoveredAt, time.Now()) {
 		if request.Outcome == cluster.Refused && !request.IsOrder {
 			z.refusedReads++
 		}
 	}
-	for _, b := range testCluster.Fleet.Caches {
-		if b.Overloaded() {
+	for _, cache := range testCluster.Fleet.Caches {
+		if cache.Overloaded() {
 			z.overloadedCaches++
 		}
 	}
@@ -177,14 +177,14 @@
 	report := &Report{Scenario: "zones"}
 	var runs []*zoneRun
 	for _, n := range []int{6, 24} {
-		for _, crossZoneShare := range []float64{0, 0.06} {
+		for _, crossZoneCost := range []float64{0, 0.06} {
 			for _, slow := range []bool{false, true} {
 				for seed := range uint64(zoneSeeds) {
-					for _, together := range []bool{true, false} {
-						if !together && seed >= zoneSeedsAlone {
+					for _, joined := range []bool{true, false} {
+						if !joined && seed >= zoneSeedsUnjoined {
 							continue
 						}
-						runs = append(runs, &zoneRun{proxies: n, seed: seed + 1, crossZoneShare: crossZoneShare, slowCaches: slow, together: together})
+						runs = append(runs, &zoneRun{proxies: n, seed: seed + 1, crossZoneCost: crossZoneCost, slowCaches: slow, joined: joined})
 					}
 				}
 			}
@@ -198,8 +198,8 @@
 		if err := run.run(ctx, env, fmt.Sprint("zones", i)); err != nil {
 			return fmt.Errorf("%v: %w", run, err)
 		}
-		env.Log("%v, seed %d, together %v: left after %v, spread %v, attempts %.0f, in time %.3f, refused %d, recovered after %v, overloaded caches %d, violations %v", run, run.seed, run.together,
-			run.lastLeftAfter, run.leaveSpread, run.attempts, run.inTime, run.refusedReads, run.recoveredAfter.Round(100*time.Millisecond), run.overloadedCaches, run.violations)
+		env.Log("%v, seed %d, together %v: left after %v, spread %v, attempts %.0f, in time %.3f, refused %d, recovered after %v, overloaded caches %d, violations %v", run, run.seed, run.joined,
+			run.timeUntilAllLeft, run.timeFromFirstToLastLeave, run.attempts, run.inTime, run.refusedReads, run.recoveredAfter.Round(100*time.Millisecond), run.overloadedCaches, run.violations)
 		return nil
 	}); err != nil {
 		return report, err
@@ -216,14 +216,14 @@
 func (e *Env) runParallel(ctx context.Context, n int, task func(i int) error) error {
 	var group sync.WaitGroup
 	errs := make(chan error, n)
-	slots := make(chan struct{}, zoneParallelRuns)
+	runningTasks := make(chan struct{}, zoneParallelRuns)
 	for i := range n {
-		slots <- struct{}{}
+		runningTasks <- struct{}{}
 		if ctx.Err() != nil || len(errs) > 0 {
 			break
 		}
 		group.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-runningTasks }()
 			if err := task(i); err != nil {
 				errs <- err
 			}
@@ -244,7 +244,7 @@
 		}
 		group := runsByName[name]
 		index := 0
-		if z.together {
+		if z.joined {
 			index = 1
 		}
 		group[index] = append(group[index], z)
@@ -265,21 +265,21 @@
 		return sum
 	}
 	for _, name := range names {
-		alone, together := runsByName[name][0], runsByName[name][1]
-		lastLeftAfter := func(z *zoneRun) float64 { return z.lastLeftAfter.Seconds() }
-		report.AtMost(name+": left by all after, s, at the worst", worst(together, lastLeftAfter), 1)
-		report.AtMost(name+": the last after the first, s, at the worst", worst(together, func(z *zoneRun) float64 { return z.leaveSpread.Seconds() }), 0.3)
+		unjoined, joined := runsByName[name][0], runsByName[name][1]
+		timeUntilAllLeft := func(z *zoneRun) float64 { return z.timeUntilAllLeft.Seconds() }
+		report.AtMost(name+": left by all after, s, at the worst", worst(joined, timeUntilAllLeft), 1)
+		report.AtMost(name+": the last after the first, s, at the worst", worst(joined, func(z *zoneRun) float64 { return z.timeFromFirstToLastLeave.Seconds() }), 0.3)
 		attempts := func(z *zoneRun) float64 { return z.attempts }
-		report.AtMost(name+": attempts spent on it in 6 s, of those alone", mean(together, attempts)/max(1, mean(alone, attempts)), 1.0/3)
-		report.AtLeast(name+": in time in the first 2 s, at the worst", -worst(together, func(z *zoneRun) float64 { return -z.inTime }), 0.97)
-		report.Equal(name+": boxes pushed over on the return", worst(together, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
-		report.Equal(name+": boxes pushed over on the return, alone", worst(alone, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
-		report.Equal(name+": reads refused on the return, at the worst", worst(together, func(z *zoneRun) float64 { return float64(z.refusedReads) }), 0)
-		report.AtMost(name+": whole again after, s, at the worst", worst(together, func(z *zoneRun) float64 { return z.recoveredAfter.Seconds() }), zoneRecoveryTime.Seconds())
-		report.Equal(name+": rules broken", worst(append(slices.Clone(together), alone...), func(z *zoneRun) float64 { return float64(len(z.violations)) }), 0)
-		report.AddValue(name+": attempts spent on it in 6 s, mean", mean(together, attempts))
-		report.AddValue(name+": alone, left after, s, at the worst", worst(alone, lastLeftAfter))
-		report.AddValue(name+": alone, in time in the first 2 s, mean", mean(alone, func(z *zoneRun) float64 { return z.inTime }))
+		report.AtMost(name+": attempts spent on it in 6 s, of those alone", mean(joined, attempts)/max(1, mean(unjoined, attempts)), 1.0/3)
+		report.AtLeast(name+": in time in the first 2 s, at the worst", -worst(joined, func(z *zoneRun) float64 { return -z.inTime }), 0.97)
+		report.Equal(name+": boxes pushed over on the return", worst(joined, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
+		report.Equal(name+": boxes pushed over on the return, alone", worst(unjoined, func(z *zoneRun) float64 { return float64(z.overloadedCaches) }), 0)
+		report.Equal(name+": reads refused on the return, at the worst", worst(joined, func(z *zoneRun) float64 { return float64(z.refusedReads) }), 0)
+		report.AtMost(name+": whole again after, s, at the worst", worst(joined, func(z *zoneRun) float64 { return z.recoveredAfter.Seconds() }), zoneRecoveryTime.Seconds())
+		report.Equal(name+": rules broken", worst(append(slices.Clone(joined), unjoined...), func(z *zoneRun) float64 { return float64(len(z.violations)) }), 0)
+		report.AddValue(name+": attempts spent on it in 6 s, mean", mean(joined, attempts))
+		report.AddValue(name+": alone, left after, s, at the worst", worst(unjoined, timeUntilAllLeft))
+		report.AddValue(name+": alone, in time in the first 2 s, mean", mean(unjoined, func(z *zoneRun) float64 { return z.inTime }))
 	}
 }
 
@@ -288,8 +288,8 @@
 func (e *Env) measureInstanceCost(ctx context.Context, report *Report, n int) error {
 	const measureTime = 8 * time.Second
 	var p99, cpu [2]float64
-	for variant, together := range []bool{false, true} {
-		testCluster, clients, err := e.zoneCluster(fmt.Sprint("cost", n, variant), n, 1, 0, together)
+	for variant, joined := range []bool{false, true} {
+		testCluster, clients, err := e.zoneCluster(fmt.Sprint("cost", n, variant), n, 1, 0, joined)
 		if err != nil {
 			return err
 		}
@@ -304,7 +304,7 @@
 		startedAt, cpuBefore, bytesBefore := time.Now(), totalCPU(), testCluster.GossipBytes()
 		sleep(ctx, measureTime)
 		cpu[variant] = float64(totalCPU()-cpuBefore) / float64(time.Millisecond) / float64(n) / measureTime.Seconds()
-		if together {
+		if joined {
 			report.AddValue(fmt.Sprintf("%d instances: bytes a second that each sends", n), float64(testCluster.GossipBytes()-bytesBefore)/float64(n)/measureTime.Seconds())
 		}
 		clients.Stop()
@@ -333,16 +333,16 @@
 	defer testCluster.Close()
 	startedAt, faults := time.Now(), 0
 	var undo func()
-	for time.Since(startedAt) < time.Duration(e.Seconds)*ordinaryTimeFactor*time.Second && ctx.Err() == nil {
+	for time.Since(startedAt) < time.Duration(e.Seconds)*ordinaryFaultsTimeFactor*time.Second && ctx.Err() == nil {
 		if undo != nil {
 			undo()
 			sleep(ctx, 2*time.Second)
 		}
-		cache := testCluster.Fleet.Caches[faults*7%len(testCluster.Fleet.Caches)]
+		faultyCache := testCluster.Fleet.Caches[faults*7%len(testCluster.Fleet.Caches)]
 		switch faults % 6 {
 		case 0, 1, 2, 3:
-			cache.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[faults%4])
-			undo = func() { cache.SetFault(standin.Healthy) }
+			faultyCache.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[faults%4])
+			undo = func() { faultyCache.SetFault(standin.Healthy) }
 		case 4: // all caches slower, by as much as the fleet's owners have seen
 			for _, b := range testCluster.Fleet.Caches {
 				b.SetService(3*zoneServiceTime, 0)
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -55,7 +55,7 @@
 	Scenario                      string // derived from the seed
 	Sent, Served, Refused, Failed int
 	NotAccepted                   int // requests that crossed the end of their connection, or found no listener
-	Attempts, Further             int
+	Attempts, FurtherAttempts     int
 	Faults                        []string
 	SchedulingDelay               time.Duration // maximum scheduling delay of the test's own goroutines
 }
@@ -82,7 +82,7 @@
 	handshakeDelay   time.Duration
 	drainCache       bool // a cache begins to drain just before the restart
 	moveDiscovery    bool // the reload changes the address of discovery
-	clients          int
+	clientCount      int
 	pipelines        bool
 }
 
@@ -90,7 +90,7 @@
 
 // newScenario generates a scenario.
 func newScenario(random *rand.Rand) scenario {
-	s := scenario{stalledDirection: -1, clients: 24 + random.IntN(24), pipelines: random.IntN(2) == 0}
+	s := scenario{stalledDirection: -1, clientCount: 24 + random.IntN(24), pipelines: random.IntN(2) == 0}
 	s.deadline = []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[random.IntN(4)]
 	if random.IntN(3) == 0 {
 		s.idleConns = descriptors/2 + random.IntN(descriptors/2)
@@ -135,7 +135,7 @@
 		signals = append(signals, fmt.Sprintf("%v at %v", at.signal, at.after.Round(time.Millisecond)))
 	}
 	return fmt.Sprintf("deadline %v; %s; %d clients, pipelines %v, %d idle connections; hanging: %d caches, origin %v, one direction of a link %v; handshake delay %v, drain %v, discovery moves %v",
-		s.deadline, strings.Join(signals, ", "), s.clients, s.pipelines, s.idleConns, s.hangingCaches, s.hangingOrigin, s.stalledDirection >= 0, s.handshakeDelay, s.drainCache, s.moveDiscovery)
+		s.deadline, strings.Join(signals, ", "), s.clientCount, s.pipelines, s.idleConns, s.hangingCaches, s.hangingOrigin, s.stalledDirection >= 0, s.handshakeDelay, s.drainCache, s.moveDiscovery)
 }
 
 // restartRun is one planned restart.
@@ -164,7 +164,7 @@
 	if err != nil {
 		return result, fmt.Errorf("seed %d: %w", o.Seed, err)
 	}
-	result.Attempts, result.Further = run.duplicates.Attempts()
+	result.Attempts, result.FurtherAttempts = run.duplicates.Attempts()
 	run.clients.countOutcomes(result)
 	result.Faults = run.faults
 	return result, nil
@@ -190,7 +190,7 @@
 	for range p.idleConns {
 		p.clients.openIdle()
 	}
-	p.clients.start(p.scenario.clients)
+	p.clients.start(p.scenario.clientCount)
 	// The load before the first signal is defined by its length, and no event ends it.
 	time.Sleep(300*time.Millisecond + time.Duration(p.random.IntN(400))*time.Millisecond)
 	p.injectFaults()
@@ -233,7 +233,7 @@
 	if err := relay(p.fleet.Origin.ID, p.fleet.Origin.Addr(), true, p.delays[cacheCount]); err != nil {
 		return err
 	}
-	viewMember := func(m discovery.Member) discovery.Member {
+	withRelayAddr := func(m discovery.Member) discovery.Member {
 		m.HostPort = relayAddrs[m.ID]
 		return m
 	}
@@ -241,7 +241,7 @@
 		return err
 	}
 	for i := range p.configs {
-		if p.configs[i], err = p.makeConfig(viewMember); err != nil {
+		if p.configs[i], err = p.makeConfig(withRelayAddr); err != nil {
 			return err
 		}
 	}
@@ -250,7 +250,7 @@
 }
 
 // makeConfig returns a configuration with a discovery address of its own.
-func (p *restartRun) makeConfig(viewMember func(discovery.Member) discovery.Member) ([]byte, error) {
+func (p *restartRun) makeConfig(withRelayAddr func(discovery.Member) discovery.Member) ([]byte, error) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
 		class := c.(map[string]any)
@@ -266,12 +266,12 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	if file["discovery"], err = p.fleet.Registry.ListenView(viewMember); err != nil {
+	if file["discovery"], err = p.fleet.Registry.ListenView(withRelayAddr); err != nil {
 		return nil, err
 	}
 	known := p.fleet.Registry.List()
 	for i, m := range known.Members {
-		known.Members[i] = viewMember(m)
+		known.Members[i] = withRelayAddr(m)
 	}
 	file["known"] = known
 	return json.Marshal(file)
@@ -367,7 +367,7 @@
 		verdict = "disturbed"
 	}
 	return fmt.Sprintf("seed %d: %s; %d sent, %d served, %d refused, %d failed, %d not accepted; %d attempts, %d further; scheduling delay %v; %s",
-		r.Seed, verdict, r.Sent, r.Served, r.Refused, r.Failed, r.NotAccepted, r.Attempts, r.Further, r.SchedulingDelay.Round(time.Millisecond), r.Scenario)
+		r.Seed, verdict, r.Sent, r.Served, r.Refused, r.Failed, r.NotAccepted, r.Attempts, r.FurtherAttempts, r.SchedulingDelay.Round(time.Millisecond), r.Scenario)
 }
 
 // maxDisturbedRuns bounds the runs that are made for a verdict on a busy machine.
--- a/internal/restarts/restarts_test.go
+++ b/internal/restarts/restarts_test.go
@@ -20,8 +20,8 @@
 	os.Exit(m.Run())
 }
 
-// slots limits the number of concurrent runs, as each run depends on its own scheduling delay.
-var slots = make(chan struct{}, 2)
+// runningRestarts limits the number of concurrent runs, as each run depends on its own scheduling delay.
+var runningRestarts = make(chan struct{}, 2)
 
 // Planned restarts with fixed seeds keep every rule. A run on a machine too busy for a verdict doesn't
 // count and is repeated, but a fault found in it does count.
@@ -33,8 +33,8 @@
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			runningRestarts <- struct{}{}
+			defer func() { <-runningRestarts }()
 			r, err := RunUntilConclusive(Options{Program: self, Env: []string{proxyEnv + "=1"}, Dir: t.TempDir(), Seed: seed}, func(r *Result) { t.Log(r) })
 			if err != nil {
 				t.Fatal(err)
--- a/internal/standin/copies.go
+++ b/internal/standin/copies.go
@@ -158,12 +158,12 @@
 	if a.answeredAt > 0 {
 		a.arrivedAt = min(a.arrivedAt, a.answeredAt)
 	}
-	earlier := 0
+	otherArrivals := 0
 	for _, other := range c.attempts[id] {
 		if other == a || other.arrivedAt == 0 {
 			continue
 		}
-		earlier++
+		otherArrivals++
 		first, second := other, a
 		if other.arrivedAt > a.arrivedAt {
 			first, second = a, other
@@ -172,7 +172,7 @@
 			c.violations = append(c.violations, fmt.Sprintf("request %s: duplicate attempt at %s (%v) while one is outstanding at %s (%v)", id, second.member, second, first.member, first))
 		}
 	}
-	if earlier > 0 {
+	if otherArrivals > 0 {
 		c.furtherAttempts++
 	}
 }
