--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -17,9 +17,9 @@
 
 func keyName(n int) string { return fmt.Sprint("k", n) }
 
-// crossingTime bounds the time between a request's last byte and the end of its connection if the two may
+// closeRaceWindow bounds the time between a request's last byte and the end of its connection if the two may
 // have crossed in transit.
-const crossingTime = 20 * time.Millisecond
+const closeRaceWindow = 20 * time.Millisecond
 
 // outcome is the outcome of a request.
 type outcome uint8
@@ -236,14 +236,14 @@
 // connection, if they were sent while it was idle and no attempt of them was written; otherwise they are
 // lost. While idle connections use up the descriptors, a new connection may be closed unread.
 func (c *clients) recordCut(pending []*request, first bool, at time.Time, err error) {
-	for _, lost := range pending {
-		lost.endedAt = at
-		lost.detail = fmt.Sprintf("no answer: %v", err)
+	for _, unansweredRequest := range pending {
+		unansweredRequest.endedAt = at
+		unansweredRequest.detail = fmt.Sprintf("no answer: %v", err)
 		var netErr net.Error
 		timedOut := errors.As(err, &netErr) && netErr.Timeout()
-		unread := at.Sub(lost.sentAt) < crossingTime || c.run.idleConns > 0 && pending[0].firstOnConn
-		if first && !timedOut && unread && c.run.duplicates.Written("", lost.id) == 0 {
-			lost.outcome = notAccepted
+		unread := at.Sub(unansweredRequest.sentAt) < closeRaceWindow || c.run.idleConns > 0 && pending[0].firstOnConn
+		if first && !timedOut && unread && c.run.duplicates.Written("", unansweredRequest.id) == 0 {
+			unansweredRequest.outcome = notAccepted
 		}
 	}
 }
