--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -53,8 +53,8 @@
 	t *testing.T
 }
 
-// runningClusters limits the number of concurrent clusters. A busy machine slows all zones alike, but tests have a
-// time limit.
+// runningClusters limits the number of concurrent clusters. The scenarios tolerate a busy machine, which slows
+// all zones alike, but with more clusters they would exceed the tests' time limit.
 var runningClusters = make(chan struct{}, 2)
 
 // newHarness starts a cluster of six proxies and three zones of four warm and filled caches each, unless
@@ -103,7 +103,7 @@
 	return h
 }
 
-// letRun waits while the load runs. The load is defined by its length, and no event ends it.
+// letRun keeps the load running for a period. It sleeps on purpose: there is no event to wait for.
 func (h *harness) letRun(d time.Duration) { time.Sleep(d) }
 
 // blockZones blocks the links between all proxies and the caches of zones, or restores them.
@@ -127,7 +127,8 @@
 	}
 }
 
-// awaitState waits until all running proxies report a zone in a state.
+// awaitState waits until all proxies but the excepted ones report a zone in a state. A proxy that does not
+// answer counts as not reporting it, so proxies that are stopped or paused have to be excepted.
 func (h *harness) awaitState(zone, state string, except ...string) time.Duration {
 	h.t.Helper()
 	startedAt := time.Now()
@@ -192,7 +193,8 @@
 	}
 }
 
-// requireState fails the test if a running proxy reports a zone in another state within a period.
+// requireState fails the test if a running proxy reports a zone in another state within a period. It ignores
+// proxies that do not answer.
 func (h *harness) requireState(zone, state string, d time.Duration) {
 	h.t.Helper()
 	delay := standin.MeasureSchedulingDelay()
@@ -253,14 +255,18 @@
 	options Options
 	run     func(h *harness)
 }{
-	"silent, back cold":                  {run: silentThenCold},
+	// zone c stops answering and returns with empty caches
+	"silent, back cold": {run: silentThenCold},
+	// the same with a cost for requests that cross zones, and therefore a slot table per zone
 	"silent, a table by zone, back cold": {options: Options{CrossZoneCost: 0.06}, run: silentThenCold},
+	// the caches of zone c become too slow, and then as fast as before
 	"slow, back warm": {run: func(h *harness) {
 		h.setServiceTime(unresponsiveServiceTime, "c")
 		h.awaitState("c", "trying")
 		h.setServiceTime(h.ServiceTime, "c")
 		h.awaitState("c", "in")
 	}},
+	// half of the answers of zone c are errors; when the fault ends, half of its caches are empty
 	"half of the answers fail, back half cold": {run: func(h *harness) {
 		h.setFault(standin.Intermittent, "c")
 		h.awaitState("c", "trying")
@@ -270,12 +276,14 @@
 		h.setFault(standin.Healthy, "c")
 		h.awaitState("c", "in")
 	}},
+	// the caches of zone c refuse all requests
 	"refusing": {run: func(h *harness) {
 		h.setFault(standin.Busy, "c")
 		h.awaitState("c", "trying")
 		h.setFault(standin.Healthy, "c")
 		h.awaitState("c", "in")
 	}},
+	// requests reach zone c, but its answers are blocked
 	"one way only": {run: func(h *harness) {
 		for _, p := range h.Proxies {
 			for _, cache := range h.CachesIn("c") {
@@ -286,6 +294,7 @@
 		h.blockZones(false, "c")
 		h.awaitState("c", "in")
 	}},
+	// both zones of a region fail, and one is reachable again before the other
 	"a region of two zones of four": {options: Options{Zones: []string{"a", "b", "c", "d"}, Proxies: 8, Regions: map[string][]string{"south": {"c", "d"}}},
 		run: func(h *harness) {
 			h.blockZones(true, "c", "d")
@@ -297,6 +306,7 @@
 			h.awaitState("c", "in")
 			h.awaitState("d", "in")
 		}},
+	// the proxies of zone c are killed, and its caches go on
 	"a zone's proxies are gone, and its boxes live": {run: func(h *harness) {
 		for _, p := range h.Proxies {
 			if p.Zone == "c" {
@@ -306,6 +316,7 @@
 		}
 		h.requireState("c", "in", 4*time.Second)
 	}},
+	// zone c is partitioned from the others, and requests are answered on both sides
 	"cut off with proxies, boxes and clients": {run: func(h *harness) {
 		there := append(h.ProxiesIn("c"), h.CachesIn("c")...)
 		here := append(h.ProxiesIn("a", "b"), h.CachesIn("a", "b")...)
@@ -321,6 +332,8 @@
 		h.partition(false, here, there)
 		h.awaitState("c", "in")
 	}},
+	// messages between proxies are lost, then delayed, then blocked between two halves of the proxies, while zone
+	// c fails and returns
 	"messages lost, late, and cut between two halves": {run: func(h *harness) {
 		var names []string
 		for _, p := range h.Proxies {
@@ -339,6 +352,7 @@
 		h.partition(false, names[:3], names[3:])
 		h.awaitState("c", "in")
 	}},
+	// the leader is paused while zone c fails; while the zone returns, one proxy is restarted and two are killed
 	"paused through it, started in the middle, killed on the return": {run: func(h *harness) {
 		leader := h.Proxies[0]
 		h.ExpectLoss(leader.Name, time.Now(), time.Now().Add(10*time.Second))
@@ -371,6 +385,7 @@
 		}
 		h.awaitState("c", "in", "n3", "n4")
 	}},
+	// a second zone fails half a second after the first, and the third stays in use
 	"two zones half a second apart": {run: func(h *harness) {
 		h.blockZones(true, "c")
 		h.letRun(500 * time.Millisecond)
@@ -382,6 +397,7 @@
 		h.awaitState("b", "in")
 		h.awaitState("c", "in")
 	}},
+	// no proxy leaves a zone when all zones are slow alike, when the origin is slow, or when one cache stalls
 	"a cause common to all leaves nobody": {run: func(h *harness) {
 		h.setServiceTime(unresponsiveServiceTime, zoneNames...)
 		h.requireState("a", "in", 0)
@@ -396,6 +412,7 @@
 		bad.SetFault(standin.Stall)
 		h.requireAllInUse(3 * time.Second)
 	}},
+	// zone c fails again each time it returns, and stays out of use for longer each time
 	"a zone that flaps waits longer each time": {run: func(h *harness) {
 		var out []time.Duration
 		for range 3 {
@@ -410,6 +427,7 @@
 		}
 		h.awaitState("c", "in")
 	}},
+	// an operator takes zone c out of use; it stays out after the proxy that received the call is killed
 	"out by hand": {run: func(h *harness) {
 		report, err := h.Proxies[4].SetZoneMode("out", "c")
 		from := time.Now().Add(250 * time.Millisecond)
@@ -510,7 +528,7 @@
 }
 
 // The program and settings version of each instance is reported to all others and changes with a reload.
-// An instance's own number, zone or address makes no other version.
+// Differences in number, zone or address between instances do not count as another settings version.
 func TestVersionsAreReported(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, Options{OperatorConfig: "[joining]\n"})
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -6,10 +6,10 @@
 )
 
 // Guards against counting another cluster's requests, which made a scenario fail at times: 75 requests
-// were counted to a zone that was out by hand, all on one proxy's link, at the rate of a proxy's whole
-// traffic, while the test's own goroutines were late by 6 ms. The suspected cause is a reused port, at
-// which a proxy of another test on this machine goes on sending. A link counts its cluster's own requests,
-// and the others apart.
+// were counted to a zone that an operator had taken out of use, all on one proxy's link, at the rate of a
+// proxy's whole traffic, while the test's own goroutines were scheduled 6 ms late. The suspected cause is a
+// reused port to which a proxy of another test on this machine goes on sending. A link counts its cluster's
+// own requests and those of others separately.
 func TestLinksCountTheirOwnRequests(t *testing.T) {
 	start := time.Now()
 	l := newLink(start, []byte("127-1-1-"))
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -19,7 +19,7 @@
 
 // Schedule generates faults of all kinds from a seed: a zone or a cache that is silent, slow, failing or
 // refusing; proxies killed or paused; messages between instances lost, delayed or blocked; connections
-// reset; zones set out by hand. At most half of the proxies are down at once.
+// reset; zones taken out of use by an operator. At most half of the proxies are down at once.
 func (c *Cluster) Schedule(clients *Clients, seed uint64, duration time.Duration) []Event {
 	random := rand.New(rand.NewPCG(seed, 23))
 	var names []string
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -210,7 +210,7 @@
 	return stats
 }
 
-// checkBounds checks that each instance uses at least one zone unless one is set out by hand, and that a
+// checkBounds checks that each instance uses at least one zone unless an operator took one out, and that a
 // zone's share rises no faster than it may.
 func (f *ZoneModel) checkBounds() {
 	for i, m := range f.machines {
@@ -265,7 +265,7 @@
 func (f *ZoneModel) Violations() []string { return f.violations }
 
 // Finish repairs all zones, restarts crashed instances, and checks that in the end every zone is fully in
-// use except those set out by hand.
+// use except those that an operator took out.
 func (f *ZoneModel) Finish() {
 	for z := range f.failing {
 		f.failing[z] = false
