--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -36,7 +36,7 @@
 	deadline      = 3 * time.Second
 )
 
-// outcomeCounts counts the outcomes of the requests of one second.
+// outcomeCounts holds the numbers of requests sent and of their outcomes within one second.
 type outcomeCounts struct{ asked, served, refused, late, failed atomic.Int64 }
 
 // Run runs the demo command and returns its exit status.
@@ -183,7 +183,8 @@
 	return ""
 }
 
-// runClient reads one tile after another and sends an order now and then.
+// runClient reads one key after another (class tile-read) and sends an order (class pass-order) as every 40th
+// request.
 func runClient(ctx context.Context, addr string, index int, requests *outcomeCounts) {
 	rng := rand.New(rand.NewPCG(1, uint64(index)))
 	keyPopularity := rand.NewZipf(rng, 1.1, 4, keyCount-1)
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -56,7 +56,7 @@
 	if err := run.clients.AwaitServed(500); err != nil {
 		return report, err
 	}
-	run.clients.LongestGap()
+	run.clients.LongestGap() // discards the gap of the start, as the call resets the value
 	for round := range operateRounds {
 		env.Log("operate: round %d of %d", round+1, operateRounds)
 		if err := run.runRound(round); err != nil {
@@ -112,11 +112,14 @@
 	configPath     string
 	class          string
 
-	faultsOfStops, faultsOfKills      clientFaultCounts
+	// faults in the rounds that stop the predecessor process, and in those that kill it
+	faultsOfStops, faultsOfKills clientFaultCounts
+	// requests that caches under maintenance received after drainGrace, and calls with an unexpected status
 	requestsAfterDrain, wrongStatuses int
 	unansweredExecutions              int // orders that a stopped process carried out without an answer
 	unresolvedOrders                  int // orders without an answer when the process was killed
-	slowestCall, longestGap           time.Duration
+	// the slowest management call, and the longest time in which no client received an answer
+	slowestCall, longestGap time.Duration
 }
 
 // configure writes the configuration, which has the round's class in addition to the usual ones.
@@ -179,6 +182,8 @@
 func (o *operation) runRound(round int) error {
 	before := o.currentFaults()
 	cache := o.fleet.Caches[round%len(o.fleet.Caches)]
+	// Connections that never send a complete request must not delay the calls: every second one sends half a
+	// request, the others nothing.
 	var idleConns []net.Conn
 	for i := range idleManagementConnections {
 		conn, err := net.Dial("tcp", o.managementAddr)
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -26,24 +26,26 @@
 	zoneSeeds                = 6
 	zoneSeedsUnjoined        = 2 // seeds that also run with proxies that do not know each other
 	zoneParallelRuns         = 3
-	ordinaryFaultsTimeFactor = 30
+	ordinaryFaultsTimeFactor = 30 // seconds of ordinary faults per second of Env.Seconds
 )
 
 var zoneNames = []string{"a", "b", "c"}
 
-// zoneRun is one run of a zone that fails and comes back cold, in front of a number of proxies.
+// zoneRun is one run in which a zone behind a number of proxies fails and returns cold. In the claims, "alone"
+// and "apart" mean proxies that are not joined, and "together" means joined ones.
 type zoneRun struct {
 	proxies       int
 	seed          uint64
-	crossZoneCost float64
-	slowCaches    bool // caches get 40 times slower instead of silent
-	joined        bool
+	crossZoneCost float64 // see cluster.Options
+	slowCaches    bool    // caches get 40 times slower instead of silent
+	joined        bool    // the proxies know one another and decide on zones together
 
-	timeUntilAllLeft, timeFromFirstToLastLeave time.Duration // time until the last proxy left the zone, and from the first to the last
+	// time from the failure until the last proxy left the zone, and from the first proxy to the last
+	timeUntilAllLeft, timeFromFirstToLastLeave time.Duration
 	attempts                                   float64       // sent to the zone in the first 6 seconds
 	inTime                                     float64       // share of the reads of the first 2 seconds
-	overloadedCaches                           int           // caches overloaded when the zone came back
-	refusedReads                               int           // after the zone came back
+	overloadedCaches                           int           // caches overloaded when the zone returned
+	refusedReads                               int           // after the zone returned
 	recoveredAfter                             time.Duration // time until the zone had its full share of traffic again
 	violations                                 []string
 }
@@ -59,7 +61,8 @@
 	return fmt.Sprintf("%d proxies, %s, %s", z.proxies, table, fault)
 }
 
-// zoneCluster starts proxies in front of three zones whose caches hold all keys.
+// zoneCluster starts proxies in front of three zones whose caches hold all keys. Proxies that are joined decide
+// on zones together.
 func (e *Env) zoneCluster(name string, proxies int, seed uint64, crossZoneCost float64, joined bool) (*cluster.Cluster, *cluster.Clients, error) {
 	dir := filepath.Join(e.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -122,6 +125,7 @@
 	}
 	setFailed(false)
 	recoveredAt := time.Now()
+	// View lists the zones in the order of zoneNames, so Zones[2] is the failed zone c.
 	for z.recoveredAfter = math.MaxInt64; z.joined && time.Since(recoveredAt) < zoneRecoveryTime && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
 		if view, err := testCluster.Proxies[0].View(); err == nil && view.Zones[2].LocalShare == 1 && z.recoveredAfter == math.MaxInt64 {
 			z.recoveredAfter = time.Since(recoveredAt)
@@ -137,7 +141,8 @@
 
 // measure computes the results from the requests seen at both ends of the links.
 func (z *zoneRun) measure(testCluster *cluster.Cluster, clients *cluster.Clients, failedAt, recoveredAt time.Time) {
-	const trialInterval = 300 * time.Millisecond // at most one read in this time goes to a left zone on trial
+	// A proxy that has left a zone sends it at most one read, as a trial, in this time; up to 2 are tolerated.
+	const trialInterval = 300 * time.Millisecond
 	var first, last time.Duration = math.MaxInt64, 0
 	for _, p := range testCluster.Proxies {
 		if testCluster.RequestsSent(p.Name, "c", failedAt.Add(-2*time.Second), failedAt) < 10 {
@@ -198,7 +203,7 @@
 		if err := run.run(ctx, env, fmt.Sprint("zones", i)); err != nil {
 			return fmt.Errorf("%v: %w", run, err)
 		}
-		env.Log("%v, seed %d, together %v: left after %v, spread %v, attempts %.0f, in time %.3f, refused %d, recovered after %v, overloaded caches %d, violations %v", run, run.seed, run.joined,
+		env.Log("%v, seed %d, joined %v: left after %v, spread %v, attempts %.0f, in time %.3f, refused %d, recovered after %v, overloaded caches %d, violations %v", run, run.seed, run.joined,
 			run.timeUntilAllLeft, run.timeFromFirstToLastLeave, run.attempts, run.inTime, run.refusedReads, run.recoveredAfter.Round(100*time.Millisecond), run.overloadedCaches, run.violations)
 		return nil
 	}); err != nil {
@@ -324,7 +329,7 @@
 }
 
 // runOrdinaryFaults injects faults of daily operation, for which no proxy may leave a zone: caches that fail
-// one by one, a release, and slower caches everywhere.
+// one by one, a rolling restart of a zone's caches, and slower caches everywhere.
 func (e *Env) runOrdinaryFaults(ctx context.Context, report *Report) error {
 	testCluster, clients, err := e.zoneCluster("ordinary", 6, 1, 0, true)
 	if err != nil {
@@ -343,7 +348,7 @@
 		case 0, 1, 2, 3:
 			faultyCache.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[faults%4])
 			undo = func() { faultyCache.SetFault(standin.Healthy) }
-		case 4: // all caches slower, by as much as the fleet's owners have seen
+		case 4: // all caches are three times slower, a slowdown that occurs in operation
 			for _, b := range testCluster.Fleet.Caches {
 				b.SetService(3*zoneServiceTime, 0)
 			}
