--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -17,8 +17,8 @@
 
 func keyName(n int) string { return fmt.Sprint("k", n) }
 
-// closeRaceWindow bounds the time between a request's last byte and the end of its connection if the two may
-// have crossed in transit.
+// closeRaceWindow bounds the time between a request's last byte and the end of its connection within which the
+// proxy may have closed the connection before the request reached it.
 const closeRaceWindow = 20 * time.Millisecond
 
 // outcome is the outcome of a request.
@@ -232,9 +232,9 @@
 	return "value of " + r.key + " "
 }
 
-// recordCut records that a connection ended with unanswered requests. They may have crossed the end of the
-// connection, if they were sent while it was idle and no attempt of them was written; otherwise they are
-// lost. While idle connections use up the descriptors, a new connection may be closed unread.
+// recordCut records that a connection ended with unanswered requests. The proxy may have closed the connection
+// before they reached it, if they were sent while it was idle and no attempt of them was written; otherwise
+// they are lost. While idle connections use up the descriptors, a new connection may be closed unread.
 func (c *clients) recordCut(pending []*request, first bool, at time.Time, err error) {
 	for _, unansweredRequest := range pending {
 		unansweredRequest.endedAt = at
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -21,15 +21,13 @@
 )
 
 const (
-	// maxKillDelay and killMargin determine the kill: it comes the longest deadline, but at most maxKillDelay,
-	// plus killMargin after the first terminating signal.
+	// The process is killed min(deadline, maxKillDelay) + killMargin after the first terminating signal.
 	maxKillDelay = 3 * time.Second
 	killMargin   = 700 * time.Millisecond
 	// answerGrace is how long after its timeout an answer still counts as late. After that it is lost.
 	answerGrace = 500 * time.Millisecond
-	// departureGrace is how long after its client has disconnected an attempt may begin, and drainGrace
-	// how long after its member was reported as draining. The protocol adds ruleSlack to each of its
-	// limits.
+	// An attempt may begin up to departureGrace after its client has disconnected, and up to drainGrace after
+	// its member was reported as draining. The protocol adds ruleSlack to each of its limits.
 	departureGrace = 100 * time.Millisecond
 	drainGrace     = 250 * time.Millisecond
 	ruleSlack      = 50 * time.Millisecond
@@ -54,7 +52,7 @@
 	Seed                          uint64
 	Scenario                      string // derived from the seed
 	Sent, Served, Refused, Failed int
-	NotAccepted                   int // requests that crossed the end of their connection, or found no listener
+	NotAccepted                   int // requests sent while the proxy closed the connection, or refused a connection
 	Attempts, FurtherAttempts     int
 	Faults                        []string
 	SchedulingDelay               time.Duration // maximum scheduling delay of the test's own goroutines
@@ -72,7 +70,7 @@
 
 // scenario is derived from the seed.
 type scenario struct {
-	deadline         time.Duration // the longest
+	deadline         time.Duration // of all classes
 	signals          []signalAt
 	idleConns        int // connections that never send a complete request
 	hangingCaches    int
@@ -191,7 +189,7 @@
 		p.clients.openIdle()
 	}
 	p.clients.start(p.scenario.clientCount)
-	// The load before the first signal is defined by its length, and no event ends it.
+	// Sleeps on purpose: the load runs for a random time before the first signal.
 	time.Sleep(300*time.Millisecond + time.Duration(p.random.IntN(400))*time.Millisecond)
 	p.injectFaults()
 	time.Sleep(time.Duration(p.random.IntN(150)) * time.Millisecond)
@@ -249,7 +247,8 @@
 	return p.writeConfig(0)
 }
 
-// makeConfig returns a configuration with a discovery address of its own.
+// makeConfig returns a configuration with a discovery address of its own. withRelayAddr replaces a member's
+// address by that of its relay.
 func (p *restartRun) makeConfig(withRelayAddr func(discovery.Member) discovery.Member) ([]byte, error) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
@@ -329,8 +328,8 @@
 	p.process.Kill()
 	p.clients.stopAfterKill()
 	// A signal may end the process by its default action once the drain is over. A process that ends by
-	// SIGTERM has not crashed, and requests lost by that are found as lost. Its exit status is checked by
-	// TestEndsWellUnderRepeatedSignals.
+	// SIGTERM has not crashed, and the clients report requests that are lost in this way. The exit status is
+	// checked by TestRepeatedSignalsExitCleanly.
 	if ended && !state.Success() && !endedBy(state, syscall.SIGTERM, syscall.SIGINT) {
 		p.addFault("the process ended with %v: %v", state, p.process.LogLines("panic"))
 	}
@@ -346,7 +345,7 @@
 	p.faults = append(p.faults, fmt.Sprintf(format, args...))
 }
 
-// check evaluates the run.
+// check adds the faults that the duplicate checker, the clients and the origin have found.
 func (p *restartRun) check() {
 	p.faults = append(p.faults, p.duplicates.Violations()...)
 	p.faults = append(p.faults, p.clients.violations()...)
@@ -359,7 +358,7 @@
 
 // String summarizes a run in one line.
 func (r *Result) String() string {
-	verdict := "kept"
+	verdict := "passed"
 	switch {
 	case len(r.Faults) > 0:
 		verdict = fmt.Sprintf("%d faults", len(r.Faults))
--- a/internal/standin/copies.go
+++ b/internal/standin/copies.go
@@ -11,11 +11,11 @@
 // it: an attempt counts from when its last byte has reached its member, and is a duplicate if an attempt
 // that arrived before is still outstanding, neither answered nor abandoned by closing its connection.
 // Relays report what they forward. The texts of Violations give the times at the proxy (written,
-// connection ended) and at the members (came, its end came).
+// connection ended) and at the members (arrived, close arrived).
 type DuplicateChecker struct {
 	// MaxInTransit bounds how long an attempt may be in transit and still count. One that a link has held
-	// for longer, as a blocked link does until it is restored, arrives later than any time that a proxy
-	// could wait for. 0 means that all attempts count.
+	// for longer, as a blocked link does until it is restored, arrives later than a proxy can be
+	// expected to wait. 0 means that all attempts count.
 	MaxInTransit time.Duration
 
 	mu              sync.Mutex
@@ -33,7 +33,7 @@
 	// when the last byte was about to be written to the member
 	forwardedAt time.Duration
 	answeredAt  time.Duration
-	// whether the proxy has closed the connection, reported or not; may be nil
+	// whether the proxy has closed the connection, even if recordClose was not called yet; may be nil
 	peerClosed func() bool
 }
 
@@ -135,8 +135,8 @@
 	a.forwardedAt = c.now()
 }
 
-// detectClosed sets the end of a request's other attempts whose connections are closed but not yet
-// reported as such: the report of a closed connection may come after a later write to another connection.
+// detectClosed sets the end of a request's other attempts whose connections are closed without a
+// call of recordClose yet: the call may come after a later write to another connection.
 func (c *DuplicateChecker) detectClosed(id string, except *trackedAttempt) {
 	for _, other := range c.attempts[id] {
 		if other != except && other.answeredAt == 0 && other.closedAt == 0 && other.peerClosed != nil && other.peerClosed() {
@@ -146,8 +146,8 @@
 }
 
 // recordArrival records that the last byte of an attempt has arrived at its member, and checks for
-// duplicates. The report may be late: the attempt arrived when it was written to the member, and no later
-// than its answer.
+// duplicates. The call may be late: the attempt arrived when it was written to the member, and no later than
+// its answer.
 func (c *DuplicateChecker) recordArrival(id string, a *trackedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,7 +219,7 @@
 	for _, step := range []struct {
 		name string
 		at   time.Duration
-	}{{"written", a.writtenAt}, {"came", a.arrivedAt}, {"answered", a.answeredAt}, {"connection ended", a.closedAt}, {"its end came", a.closeArrivedAt}} {
+	}{{"written", a.writtenAt}, {"arrived", a.arrivedAt}, {"answered", a.answeredAt}, {"connection ended", a.closedAt}, {"close arrived", a.closeArrivedAt}} {
 		if step.at > 0 {
 			fmt.Fprintf(&text, ", %s at %.1f ms", step.name, float64(step.at)/float64(time.Millisecond))
 		}
--- a/internal/standin/copies_test.go
+++ b/internal/standin/copies_test.go
@@ -60,8 +60,8 @@
 // Guards against false duplicates on a busy machine: the goroutine that forwards an attempt may report its
 // arrival only after its answer has passed. The attempt arrived before it was answered, so attempts that
 // arrive after the answer are no duplicates. A run of all tests beside three others reported one at s-2
-// (written at 836.9 ms, came at 873.6 ms, answered at 840.8 ms) while one was outstanding at the origin
-// (written at 845.8 ms, came at 873.6 ms).
+// (written at 836.9 ms, arrived at 873.6 ms, answered at 840.8 ms) while one was outstanding at the origin
+// (written at 845.8 ms, arrived at 873.6 ms).
 func TestDuplicatesWithDelayedReports(t *testing.T) {
 	answered := func(c *DuplicateChecker, a *trackedAttempt) { c.recordAnswer(a) }
 	forwarded := func(c *DuplicateChecker, a *trackedAttempt) { c.recordForwarding("id", a) }
