--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -349,19 +349,19 @@
 			faultyCache.SetFault([]standin.Fault{standin.Stall, standin.Failing, standin.Busy, standin.Reset}[faults%4])
 			undo = func() { faultyCache.SetFault(standin.Healthy) }
 		case 4: // all caches are three times slower, a slowdown that occurs in operation
-			for _, b := range testCluster.Fleet.Caches {
-				b.SetService(3*zoneServiceTime, 0)
+			for _, cache := range testCluster.Fleet.Caches {
+				cache.SetService(3*zoneServiceTime, 0)
 			}
 			undo = func() {
-				for _, b := range testCluster.Fleet.Caches {
-					b.SetService(zoneServiceTime, 0)
+				for _, cache := range testCluster.Fleet.Caches {
+					cache.SetService(zoneServiceTime, 0)
 				}
 			}
 		case 5: // a zone's caches restart one by one, without values
-			for _, b := range testCluster.Fleet.CachesIn(zoneNames[faults%3]) {
-				b.Clear()
+			for _, cache := range testCluster.Fleet.CachesIn(zoneNames[faults%3]) {
+				cache.Clear()
 				for _, p := range testCluster.Proxies {
-					testCluster.Link(p.Name, b.ID).Reset()
+					testCluster.Link(p.Name, cache.ID).Reset()
 				}
 				sleep(ctx, 500*time.Millisecond)
 			}
