--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -124,7 +124,7 @@
 // outcome of each request.
 type Choices struct{ Members, Outcomes []string }
 
-// RunChoices plays a fixed sequence of requests through one front end or the other: reads of keys with uneven
+// RunChoices sends a fixed sequence of requests through one front end or the other: reads of keys with uneven
 // popularity and some orders, with a cold cache, one that fails for a while, one that is full for a while,
 // and one that drains. Requests run one at a time and the clock is simulated, so that the same outcomes occur
 // at the same times.
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	cert := signed.TLSCertificate()
-	// The certificate is sent whichever roots the listener says that it accepts, so that the listener has
+	// The certificate is sent whichever roots the listener announces as accepted, so that the listener has
 	// to verify a certificate of the wrong root.
 	config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &cert, nil }
 	return config, nil
