--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
 // Package demo shows newcomers what the proxy does: it starts a proxy in front of a fleet of simulated
-// servers in the same process, sends traffic, lets caches drain, stall and be replaced by cold ones, and prints the
-// outcomes of the requests second by second. It takes no part in serving.
+// servers in the same process, sends traffic, lets caches drain, stall and be replaced by cold ones, and
+// prints the outcomes of the requests second by second. It takes no part in serving.
 package demo
 
 import (
