--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -124,7 +124,7 @@
 // outcome of each request.
 type Choices struct{ Members, Outcomes []string }
 
-// RunChoices plays a fixed sequence of requests through one front end or the other: reads of keys with uneven
+// RunChoices sends a fixed sequence of requests through one front end or the other: reads of keys with uneven
 // popularity and some orders, with a cold cache, one that fails for a while, one that is full for a while,
 // and one that drains. Requests run one at a time and the clock is simulated, so that the same outcomes occur
 // at the same times.
@@ -194,8 +194,8 @@
 		}
 	}
 	names := map[logic.MemberID]string{proxy.MemberID("o-1"): "o-1"}
-	for _, b := range fleet.Caches {
-		names[proxy.MemberID(b.ID)] = b.ID
+	for _, cache := range fleet.Caches {
+		names[proxy.MemberID(cache.ID)] = cache.ID
 	}
 	host.mu.Lock()
 	defer host.mu.Unlock()
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -21,15 +21,13 @@
 )
 
 const (
-	// maxKillDelay and killMargin determine the kill: it comes the longest deadline, but at most maxKillDelay,
-	// plus killMargin after the first terminating signal.
+	// The process is killed min(deadline, maxKillDelay) + killMargin after the first terminating signal.
 	maxKillDelay = 3 * time.Second
 	killMargin   = 700 * time.Millisecond
 	// answerGrace is how long after its timeout an answer still counts as late. After that it is lost.
 	answerGrace = 500 * time.Millisecond
-	// departureGrace is how long after its client has disconnected an attempt may begin, and drainGrace
-	// how long after its member was reported as draining. The protocol adds ruleSlack to each of its
-	// limits.
+	// An attempt may begin up to departureGrace after its client has disconnected, and up to drainGrace after
+	// its member was reported as draining. The protocol adds ruleSlack to each of its limits.
 	departureGrace = 100 * time.Millisecond
 	drainGrace     = 250 * time.Millisecond
 	ruleSlack      = 50 * time.Millisecond
@@ -54,8 +52,8 @@
 	Seed                          uint64
 	Scenario                      string // derived from the seed
 	Sent, Served, Refused, Failed int
-	NotAccepted                   int // requests that crossed the end of their connection, or found no listener
-	Attempts, Further             int
+	NotAccepted                   int // requests sent while the proxy closed the connection, or refused a connection
+	Attempts, FurtherAttempts     int
 	Faults                        []string
 	SchedulingDelay               time.Duration // maximum scheduling delay of the test's own goroutines
 }
@@ -72,7 +70,7 @@
 
 // scenario is derived from the seed.
 type scenario struct {
-	deadline         time.Duration // the longest
+	deadline         time.Duration // of all classes
 	signals          []signalAt
 	idleConns        int // connections that never send a complete request
 	hangingCaches    int
@@ -82,7 +80,7 @@
 	handshakeDelay   time.Duration
 	drainCache       bool // a cache begins to drain just before the restart
 	moveDiscovery    bool // the reload changes the address of discovery
-	clients          int
+	clientCount      int
 	pipelines        bool
 }
 
@@ -90,7 +88,7 @@
 
 // newScenario generates a scenario.
 func newScenario(random *rand.Rand) scenario {
-	s := scenario{stalledDirection: -1, clients: 24 + random.IntN(24), pipelines: random.IntN(2) == 0}
+	s := scenario{stalledDirection: -1, clientCount: 24 + random.IntN(24), pipelines: random.IntN(2) == 0}
 	s.deadline = []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[random.IntN(4)]
 	if random.IntN(3) == 0 {
 		s.idleConns = descriptors/2 + random.IntN(descriptors/2)
@@ -135,7 +133,7 @@
 		signals = append(signals, fmt.Sprintf("%v at %v", at.signal, at.after.Round(time.Millisecond)))
 	}
 	return fmt.Sprintf("deadline %v; %s; %d clients, pipelines %v, %d idle connections; hanging: %d caches, origin %v, one direction of a link %v; handshake delay %v, drain %v, discovery moves %v",
-		s.deadline, strings.Join(signals, ", "), s.clients, s.pipelines, s.idleConns, s.hangingCaches, s.hangingOrigin, s.stalledDirection >= 0, s.handshakeDelay, s.drainCache, s.moveDiscovery)
+		s.deadline, strings.Join(signals, ", "), s.clientCount, s.pipelines, s.idleConns, s.hangingCaches, s.hangingOrigin, s.stalledDirection >= 0, s.handshakeDelay, s.drainCache, s.moveDiscovery)
 }
 
 // restartRun is one planned restart.
@@ -164,7 +162,7 @@
 	if err != nil {
 		return result, fmt.Errorf("seed %d: %w", o.Seed, err)
 	}
-	result.Attempts, result.Further = run.duplicates.Attempts()
+	result.Attempts, result.FurtherAttempts = run.duplicates.Attempts()
 	run.clients.countOutcomes(result)
 	result.Faults = run.faults
 	return result, nil
@@ -190,8 +188,8 @@
 	for range p.idleConns {
 		p.clients.openIdle()
 	}
-	p.clients.start(p.scenario.clients)
-	// The load before the first signal is defined by its length, and no event ends it.
+	p.clients.start(p.scenario.clientCount)
+	// Sleeps on purpose: the load runs for a random time before the first signal.
 	time.Sleep(300*time.Millisecond + time.Duration(p.random.IntN(400))*time.Millisecond)
 	p.injectFaults()
 	time.Sleep(time.Duration(p.random.IntN(150)) * time.Millisecond)
@@ -233,7 +231,7 @@
 	if err := relay(p.fleet.Origin.ID, p.fleet.Origin.Addr(), true, p.delays[cacheCount]); err != nil {
 		return err
 	}
-	viewMember := func(m discovery.Member) discovery.Member {
+	withRelayAddr := func(m discovery.Member) discovery.Member {
 		m.HostPort = relayAddrs[m.ID]
 		return m
 	}
@@ -241,7 +239,7 @@
 		return err
 	}
 	for i := range p.configs {
-		if p.configs[i], err = p.makeConfig(viewMember); err != nil {
+		if p.configs[i], err = p.makeConfig(withRelayAddr); err != nil {
 			return err
 		}
 	}
@@ -249,8 +247,9 @@
 	return p.writeConfig(0)
 }
 
-// makeConfig returns a configuration with a discovery address of its own.
-func (p *restartRun) makeConfig(viewMember func(discovery.Member) discovery.Member) ([]byte, error) {
+// makeConfig returns a configuration with a discovery address of its own. withRelayAddr replaces a member's
+// address by that of its relay.
+func (p *restartRun) makeConfig(withRelayAddr func(discovery.Member) discovery.Member) ([]byte, error) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
 		class := c.(map[string]any)
@@ -266,12 +265,12 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	if file["discovery"], err = p.fleet.Registry.ListenView(viewMember); err != nil {
+	if file["discovery"], err = p.fleet.Registry.ListenView(withRelayAddr); err != nil {
 		return nil, err
 	}
 	known := p.fleet.Registry.List()
 	for i, m := range known.Members {
-		known.Members[i] = viewMember(m)
+		known.Members[i] = withRelayAddr(m)
 	}
 	file["known"] = known
 	return json.Marshal(file)
@@ -329,8 +328,8 @@
 	p.process.Kill()
 	p.clients.stopAfterKill()
 	// A signal may end the process by its default action once the drain is over. A process that ends by
-	// SIGTERM has not crashed, and requests lost by that are found as lost. Its exit status is checked by
-	// TestEndsWellUnderRepeatedSignals.
+	// SIGTERM has not crashed, and the clients report requests that are lost in this way. The exit status is
+	// checked by TestRepeatedSignalsExitCleanly.
 	if ended && !state.Success() && !endedBy(state, syscall.SIGTERM, syscall.SIGINT) {
 		p.addFault("the process ended with %v: %v", state, p.process.LogLines("panic"))
 	}
@@ -346,7 +345,7 @@
 	p.faults = append(p.faults, fmt.Sprintf(format, args...))
 }
 
-// check evaluates the run.
+// check adds the faults that the duplicate checker, the clients and the origin have found.
 func (p *restartRun) check() {
 	p.faults = append(p.faults, p.duplicates.Violations()...)
 	p.faults = append(p.faults, p.clients.violations()...)
@@ -359,7 +358,7 @@
 
 // String summarizes a run in one line.
 func (r *Result) String() string {
-	verdict := "kept"
+	verdict := "passed"
 	switch {
 	case len(r.Faults) > 0:
 		verdict = fmt.Sprintf("%d faults", len(r.Faults))
@@ -367,7 +366,7 @@
 		verdict = "disturbed"
 	}
 	return fmt.Sprintf("seed %d: %s; %d sent, %d served, %d refused, %d failed, %d not accepted; %d attempts, %d further; scheduling delay %v; %s",
-		r.Seed, verdict, r.Sent, r.Served, r.Refused, r.Failed, r.NotAccepted, r.Attempts, r.Further, r.SchedulingDelay.Round(time.Millisecond), r.Scenario)
+		r.Seed, verdict, r.Sent, r.Served, r.Refused, r.Failed, r.NotAccepted, r.Attempts, r.FurtherAttempts, r.SchedulingDelay.Round(time.Millisecond), r.Scenario)
 }
 
 // maxDisturbedRuns bounds the runs that are made for a verdict on a busy machine.
