--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -88,7 +88,7 @@
 	Backoff      *Backoff      // delays between calls
 	InitialDelay time.Duration // delay before the first call
 	HasMembers   bool          // members are known; an empty list would remove them
-	OnList       func(List) (newest int64, taken bool)
+	OnList       func(List) (newest int64, accepted bool)
 	OnOpen       func() // may be nil
 	OnBreak      func()
 	Log          *slog.Logger
@@ -170,10 +170,10 @@
 // before.
 var errStaleList = errors.New("discovery list is older than the known list")
 
-// revisionsReset reports whether a whole list that is older than the known one is valid all the same. A
+// noteOlderList reports whether a whole list that is older than the known one is valid all the same. A
 // stale list would put members back in use that drain by now. A discovery service that is behind catches
 // up within catchUpTimeout; one that stays behind for longer has restarted its revision numbers.
-func (w *Watcher) revisionsReset() bool {
+func (w *Watcher) noteOlderList() bool {
 	if w.behindSince.IsZero() {
 		w.behindSince = time.Now()
 	}
@@ -205,7 +205,7 @@
 	if len(list.Members) == 0 && w.HasMembers {
 		return errEmptyList
 	}
-	if list.RevisionsReset = list.Revision < w.Revision; list.RevisionsReset && !w.revisionsReset() {
+	if list.RevisionsReset = list.Revision < w.Revision; list.RevisionsReset && !w.noteOlderList() {
 		return errStaleList
 	}
 	list.Complete = true
@@ -219,9 +219,9 @@
 // apply passes a valid list to OnList. It returns false if a newer list has arrived by another watch
 // meanwhile.
 func (w *Watcher) apply(list List) bool {
-	if newest, taken := w.OnList(list); !taken {
+	if newest, accepted := w.OnList(list); !accepted {
 		w.Revision = newest
-		w.revisionsReset()
+		w.noteOlderList()
 		return false
 	}
 	w.Revision, w.behindSince, w.loggedEmpty = list.Revision, time.Time{}, false
@@ -236,11 +236,11 @@
 	defer cancel(nil)
 	silenceTimer := time.AfterFunc(w.callTimeout, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
-	stalled := &stallTimer{timer: time.AfterFunc(time.Hour, func() {
+	lineTimer := &stallTimer{timer: time.AfterFunc(time.Hour, func() {
 		cancel(fmt.Errorf("a line stalled for %v", lineStallTimeout))
 	})}
-	defer stalled.timer.Stop()
-	w.stallTimer.Store(stalled)
+	defer lineTimer.timer.Stop()
+	w.stallTimer.Store(lineTimer)
 	defer w.stallTimer.Store(nil)
 	u := url.URL{Scheme: "http", Host: w.Addr, Path: "/registry/instances", RawQuery: url.Values{
 		"watch": {"1"}, "from": {strconv.FormatInt(w.Revision, 10)}}.Encode()}
@@ -263,7 +263,7 @@
 	objects := newObjectReader(resp.Body)
 	for {
 		object, err := objects.next()
-		stalled.update(0, objects.started)
+		lineTimer.update(0, objects.started)
 		objects.started = 0
 		if err == nil {
 			silenceTimer.Reset(w.silenceTimeout)
@@ -298,7 +298,7 @@
 			w.loggedEmpty = true
 			continue
 		case list.Complete && list.Revision < w.Revision:
-			if list.RevisionsReset = w.revisionsReset(); !list.RevisionsReset {
+			if list.RevisionsReset = w.noteOlderList(); !list.RevisionsReset {
 				return lines, errStaleList
 			}
 		}
@@ -337,15 +337,15 @@
 	received, parsed int // number of objects that have begun
 }
 
-func (a *stallTimer) update(came, read int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.received, a.parsed = a.received+came, a.parsed+read
+func (t *stallTimer) update(received, parsed int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.received, t.parsed = t.received+received, t.parsed+parsed
 	switch {
-	case a.received == a.parsed:
-		a.timer.Stop()
-	case came > 0:
-		a.timer.Reset(lineStallTimeout)
+	case t.received == t.parsed:
+		t.timer.Stop()
+	case received > 0:
+		t.timer.Reset(lineStallTimeout)
 	}
 }
 
@@ -368,8 +368,8 @@
 		}
 		c.headerDone, c.header, got = true, nil, rest
 	}
-	if a := c.watcher.stallTimer.Load(); a != nil && len(got) > 0 {
-		a.update(bytes.Count(got, []byte{'{'}), 0)
+	if lineTimer := c.watcher.stallTimer.Load(); lineTimer != nil && len(got) > 0 {
+		lineTimer.update(bytes.Count(got, []byte{'{'}), 0)
 	}
 	return n, err
 }
--- a/internal/discovery/frames.go
+++ b/internal/discovery/frames.go
@@ -24,27 +24,27 @@
 // next returns the next object, or an empty slice for an empty line. The slice is valid until the next
 // call. Data that is not an object is returned up to the end of its line. Along with an error, next
 // returns the part of an object that was read before it.
-func (f *objectReader) next() ([]byte, error) {
-	f.buf = f.buf[:0]
+func (r *objectReader) next() ([]byte, error) {
+	r.buf = r.buf[:0]
 	depth, inString, escaped, notObject := 0, false, false, false
 	for {
-		c, err := f.reader.ReadByte()
+		c, err := r.reader.ReadByte()
 		if err != nil {
-			return f.buf, err
+			return r.buf, err
 		}
-		if len(f.buf) == 0 && (c == ' ' || c == '\t' || c == '\r') {
+		if len(r.buf) == 0 && (c == ' ' || c == '\t' || c == '\r') {
 			continue
 		}
 		if c == '{' {
-			f.started++
+			r.started++
 		}
-		if c == '\n' && (len(f.buf) == 0 || notObject) {
-			return f.buf, nil
+		if c == '\n' && (len(r.buf) == 0 || notObject) {
+			return r.buf, nil
 		}
-		if len(f.buf) == maxListBytes {
-			return f.buf, errObjectTooLong
+		if len(r.buf) == maxListBytes {
+			return r.buf, errObjectTooLong
 		}
-		f.buf = append(f.buf, c)
+		r.buf = append(r.buf, c)
 		switch {
 		case notObject:
 		case inString:
@@ -62,7 +62,7 @@
 			depth++
 		case c == '}' || c == ']':
 			if depth--; depth <= 0 {
-				return f.buf, nil
+				return r.buf, nil
 			}
 		}
 		if depth == 0 { // the first byte does not open an object
--- a/internal/instances/delegate.go
+++ b/internal/instances/delegate.go
@@ -117,10 +117,10 @@
 // debugHandler logs memberlist's own messages, which are meant for its developers, at debug level.
 type debugHandler struct{ slog.Handler }
 
-func (q debugHandler) Handle(ctx context.Context, r slog.Record) error {
+func (h debugHandler) Handle(ctx context.Context, r slog.Record) error {
 	r.Level = slog.LevelDebug
-	if !q.Enabled(ctx, r.Level) {
+	if !h.Enabled(ctx, r.Level) {
 		return nil
 	}
-	return q.Handler.Handle(ctx, r)
+	return h.Handler.Handle(ctx, r)
 }
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -109,8 +109,8 @@
 		i.self.Zone = o.Zones[o.Zone]
 	}
 	var err error
-	for at := range o.Listen {
-		if err = i.listen(at); err == nil {
+	for index := range o.Listen {
+		if err = i.listen(index); err == nil {
 			break
 		}
 	}
@@ -125,15 +125,15 @@
 func (i *Instances) Join() { i.join(joinTimeout) }
 
 // listen starts memberlist on one of the configured addresses.
-func (i *Instances) listen(at int) error {
-	addr := i.options.Listen[at]
+func (i *Instances) listen(index int) error {
+	addr := i.options.Listen[index]
 	config := memberlist.DefaultLANConfig()
 	config.Name = fmt.Sprintf("%s@%d", i.options.Name, i.self.StartedAtMS)
 	config.Label = i.options.Cluster
 	config.BindAddr, config.BindPort = addr.Addr().String(), int(addr.Port())
 	config.AdvertisePort = config.BindPort
-	if len(i.options.Advertise) > at {
-		config.AdvertiseAddr, config.AdvertisePort = i.options.Advertise[at].Addr().String(), int(i.options.Advertise[at].Port())
+	if len(i.options.Advertise) > index {
+		config.AdvertiseAddr, config.AdvertisePort = i.options.Advertise[index].Addr().String(), int(i.options.Advertise[index].Port())
 	}
 	if len(i.options.Keys) > 0 {
 		ring, err := memberlist.NewKeyring(i.options.Keys, i.options.Keys[0])
@@ -239,22 +239,22 @@
 // only that a member left, and not why.
 func (i *Instances) announceLeave() {
 	i.mu.Lock()
-	all := i.otherMembers()
+	members := i.otherMembers()
 	i.mu.Unlock()
-	i.sendReliably(all, (&zones.Message{From: i.self.Number, ShuttingDown: true}).Append(nil))
+	i.sendReliably(members, (&zones.Message{From: i.self.Number, ShuttingDown: true}).Append(nil))
 }
 
 // sendReliably sends a message over connections to the instances that are alive, and waits for at most
 // sendTimeout. It returns the names of those that were reached.
-func (i *Instances) sendReliably(all []member, text []byte) map[string]bool {
+func (i *Instances) sendReliably(members []member, message []byte) map[string]bool {
 	var mu sync.Mutex
 	reached := map[string]bool{}
 	done := make(chan struct{})
 	var g sync.WaitGroup
-	for _, m := range all {
+	for _, m := range members {
 		if m.lostAt.IsZero() {
 			g.Go(func() {
-				if i.memberlist.SendReliable(m.node, text) == nil {
+				if i.memberlist.SendReliable(m.node, message) == nil {
 					mu.Lock()
 					reached[m.Name] = true
 					mu.Unlock()
@@ -287,24 +287,24 @@
 // otherMembers returns a copy of the known instances, the latest incarnation of each name, ordered by
 // number. It drops those that left and those lost for longer than Forget. The lock must be held.
 func (i *Instances) otherMembers() []member {
-	all := make([]member, 0, len(i.known))
+	members := make([]member, 0, len(i.known))
 	for name, m := range i.known {
 		if !m.lostAt.IsZero() && (m.announcedLeave || time.Since(m.lostAt) > i.options.ForgetAfter) {
 			delete(i.known, name)
 			continue
 		}
-		all = append(all, *m)
+		members = append(members, *m)
 	}
-	slices.SortFunc(all, func(a, b member) int {
+	slices.SortFunc(members, func(a, b member) int {
 		return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Name, b.Name))
 	})
-	return all
+	return members
 }
 
 // zonePeers converts the members to the form that the zones machine takes.
-func (i *Instances) zonePeers(all []member) []zones.Peer {
-	peers := make([]zones.Peer, 0, len(all))
-	for _, m := range all {
+func (i *Instances) zonePeers(members []member) []zones.Peer {
+	peers := make([]zones.Peer, 0, len(members))
+	for _, m := range members {
 		if m.Number != i.self.Number && m.DecidesZones && !i.superseded {
 			peers = append(peers, zones.Peer{Number: m.Number, Zone: slices.Index(i.options.Zones, m.Zone), Alive: m.lostAt.IsZero()})
 		}
@@ -319,8 +319,8 @@
 	}
 	capacity := i.proxy.ZoneCapacity()
 	i.mu.Lock()
-	all := i.otherMembers()
-	peers := i.zonePeers(all)
+	members := i.otherMembers()
+	peers := i.zonePeers(members)
 	i.proxy.UpdateZoneShares(func(now time.Duration) []logic.ZoneShare {
 		stats, originRefusals := i.options.Meter.ZoneStats(now)
 		i.options.Machine.SetPeers(peers)
@@ -335,19 +335,19 @@
 	changes := i.options.Machine.Changes()
 	// While all zones are healthy, messages are sent less often. Any change or fault restores the full
 	// rate at once.
-	every := idleReportTicks
+	ticksBetweenMessages := idleReportTicks
 	if i.leading {
-		every = idleLeaderTicks
+		ticksBetweenMessages = idleLeaderTicks
 	}
 	if len(changes) > 0 || !i.options.Machine.Healthy() {
-		every = 1
+		ticksBetweenMessages = 1
 	}
-	if i.ticks%every != 0 {
+	if i.ticks%ticksBetweenMessages != 0 {
 		i.mu.Unlock()
 		return
 	}
 	own := i.options.Machine.OwnReport()
-	for _, m := range all {
+	for _, m := range members {
 		if m.state() != "there" {
 			own.Suspects = append(own.Suspects, m.Number)
 		}
@@ -363,7 +363,7 @@
 	i.mu.Unlock()
 	i.logChanges(changes)
 	b := msg.Append(nil)
-	for _, m := range all {
+	for _, m := range members {
 		if m.lostAt.IsZero() && (toAll || slices.Contains(leaders, m.Number)) {
 			i.send(m.node, b)
 		}
@@ -422,9 +422,9 @@
 	if i.options.Machine != nil {
 		changes = i.options.Machine.Changes()
 	}
-	var all []member
+	var members []member
 	if isNew {
-		all = i.otherMembers()
+		members = i.otherMembers()
 	}
 	i.mu.Unlock()
 	i.logChanges(changes)
@@ -432,13 +432,13 @@
 		return
 	}
 	// Other instances may not have it either, if their link to the leader is cut.
-	pass := zones.Message{From: i.self.Number, Verdict: msg.Verdict, Overrides: msg.Overrides}
-	text := pass.Append(nil)
-	rand.Shuffle(len(all), func(x, y int) { all[x], all[y] = all[y], all[x] })
+	forwarded := zones.Message{From: i.self.Number, Verdict: msg.Verdict, Overrides: msg.Overrides}
+	encoded := forwarded.Append(nil)
+	rand.Shuffle(len(members), func(x, y int) { members[x], members[y] = members[y], members[x] })
 	sent := 0
-	for _, m := range all {
+	for _, m := range members {
 		if sent < forwardFanout && m.lostAt.IsZero() && m.Number != msg.From {
-			i.send(m.node, text)
+			i.send(m.node, encoded)
 			sent++
 		}
 	}
--- a/internal/instances/view.go
+++ b/internal/instances/view.go
@@ -48,37 +48,37 @@
 
 // SetZoneMode applies an operator's override for a zone or region at this instance and sends it to the others.
 // Those that cannot be reached now receive it with a later message.
-func (i *Instances) SetZoneMode(name string, mode zones.Mode, who string) (told mgmt.CallReport, err error) {
+func (i *Instances) SetZoneMode(name string, mode zones.Mode, who string) (report mgmt.CallReport, err error) {
 	if i.options.Machine == nil {
-		return told, fmt.Errorf("[zones] is not in the operator's file")
+		return report, fmt.Errorf("[zones] is not in the operator's file")
 	}
-	at := i.options.Regions[name]
+	zoneIndexes := i.options.Regions[name]
 	if z := slices.Index(i.options.Zones, name); z >= 0 {
-		at = []int{z}
+		zoneIndexes = []int{z}
 	}
-	if len(at) == 0 {
-		return told, fmt.Errorf("no zone or region has the name %q; there are %s", name, strings.Join(i.options.Zones, ", "))
+	if len(zoneIndexes) == 0 {
+		return report, fmt.Errorf("no zone or region has the name %q; there are %s", name, strings.Join(i.options.Zones, ", "))
 	}
 	i.mu.Lock()
 	i.proxy.UpdateZoneShares(func(now time.Duration) []logic.ZoneShare {
-		err = i.options.Machine.SetOverride(now, zones.Override{Mode: mode, TimestampMS: time.Now().UnixMilli(), Requester: who}, at...)
+		err = i.options.Machine.SetOverride(now, zones.Override{Mode: mode, TimestampMS: time.Now().UnixMilli(), Requester: who}, zoneIndexes...)
 		return i.changedShares()
 	})
 	if err != nil {
 		i.mu.Unlock()
-		return told, err
+		return report, err
 	}
 	msg := zones.Message{From: i.self.Number, Overrides: i.options.Machine.Overrides()}
-	all := i.otherMembers()
+	members := i.otherMembers()
 	i.mu.Unlock()
-	reached := i.sendReliably(all, msg.Append(nil))
-	told = mgmt.CallReport{Notified: []string{i.self.Name}, Missed: []string{}}
-	for _, m := range all {
+	reached := i.sendReliably(members, msg.Append(nil))
+	report = mgmt.CallReport{Notified: []string{i.self.Name}, Missed: []string{}}
+	for _, m := range members {
 		if reached[m.Name] {
-			told.Notified = append(told.Notified, m.Name)
+			report.Notified = append(report.Notified, m.Name)
 		} else {
-			told.Missed = append(told.Missed, m.Name)
+			report.Missed = append(report.Missed, m.Name)
 		}
 	}
-	return told, nil
+	return report, nil
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -26,8 +26,8 @@
 const (
 	// readTimeout is how long a call may take to arrive. Callers that send nothing or half a call are
 	// disconnected after that.
-	readTimeout  = 2 * time.Second
-	responseTime = time.Second
+	readTimeout     = 2 * time.Second
+	responseTimeout = time.Second
 	// maxConnections bounds the open connections. A further one replaces the oldest, which can only be
 	// one that stays silent.
 	maxConnections = 16
@@ -76,7 +76,7 @@
 	mux.HandleFunc("PUT /maintenance/exit", f.exit)
 	f.mux = mux
 	f.server = &http.Server{
-		Handler: mux, ReadTimeout: readTimeout, WriteTimeout: readTimeout + responseTime, MaxHeaderBytes: maxHeaderBytes,
+		Handler: mux, ReadTimeout: readTimeout, WriteTimeout: readTimeout + responseTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	f.server.SetKeepAlivesEnabled(false) // one call per connection
@@ -226,8 +226,8 @@
 }
 
 // change records a call and applies it, and only then responds with success.
-func (f *Front) change(w http.ResponseWriter, r *http.Request, out bool,
-	to func(maintenance.Set, string) (maintenance.Set, error)) {
+func (f *Front) change(w http.ResponseWriter, r *http.Request, takeOut bool,
+	update func(maintenance.Set, string) (maintenance.Set, error)) {
 	id, ok := readBody(w, r, "the id of a member")
 	if !ok {
 		return
@@ -240,13 +240,13 @@
 		http.Error(w, fmt.Sprintf("no member has the id %q", id), http.StatusNotFound)
 		return
 	}
-	set, err := f.dir.Update(func(s maintenance.Set) (maintenance.Set, error) { return to(s, id) })
+	set, err := f.dir.Update(func(s maintenance.Set) (maintenance.Set, error) { return update(s, id) })
 	if err != nil {
-		f.log.Error("call to take a member out of use or back in use failed; nothing has changed", "member", id, "out", out, "err", err)
+		f.log.Error("call to take a member out of use or back in use failed; nothing has changed", "member", id, "out", takeOut, "err", err)
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	f.proxy.UpdateMaintenance(set)
-	f.log.Info("maintenance", "member", id, "out", out, "all_out", set.CountOut())
-	fmt.Fprintf(w, "%s out=%t\n", id, out)
+	f.log.Info("maintenance", "member", id, "out", takeOut, "all_out", set.CountOut())
+	fmt.Fprintf(w, "%s out=%t\n", id, takeOut)
 }
--- a/internal/mgmt/orders.go
+++ b/internal/mgmt/orders.go
@@ -20,8 +20,8 @@
 // Orders is the record of orders, as operators may list and settle unknown orders while it serves. Its
 // methods may wait for a disk.
 type Orders interface {
-	ListUnknown(most int) (some []orders.Entry, all int, err error)
-	Settle(n orders.Name, s orders.State, receipt []byte, by string) error
+	ListUnknown(limit int) (list []orders.Entry, total int, err error)
+	Settle(n orders.Name, s orders.State, receipt []byte, operator string) error
 }
 
 // HandleOrders registers the calls for a record of orders. It must be called before Serve.
@@ -49,7 +49,7 @@
 			return
 		}
 	}
-	some, all, err := o.ListUnknown(limit)
+	list, total, err := o.ListUnknown(limit)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -57,8 +57,8 @@
 	response := struct {
 		All    int            `json:"all"`
 		Orders []unknownOrder `json:"orders"`
-	}{all, []unknownOrder{}}
-	for _, e := range some {
+	}{total, []unknownOrder{}}
+	for _, e := range list {
 		response.Orders = append(response.Orders, unknownOrder{e.Tenant, e.Key, time.Unix(0, int64(e.ChangedAt)).UTC(), e.Attempts, e.Member})
 	}
 	writeJSON(w, response)
@@ -67,36 +67,36 @@
 // settle records the outcome of an unknown order. It responds with success only once the record is on
 // stable storage.
 func (f *Front) settle(o Orders, w http.ResponseWriter, r *http.Request) {
-	var ask struct{ Tenant, Key, As, By, Receipt string }
-	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSettleBytes))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&ask); err != nil {
+	var request struct{ Tenant, Key, As, By, Receipt string }
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSettleBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&request); err != nil {
 		http.Error(w, `the body is {"tenant", "key", "as", "by", "receipt"}: `+err.Error(), http.StatusBadRequest)
 		return
 	}
-	s, ok := map[string]orders.State{"done": orders.Done, "never_ran": orders.NeverRan}[ask.As]
+	s, ok := map[string]orders.State{"done": orders.Done, "never_ran": orders.NeverRan}[request.As]
 	switch {
 	case !ok:
-		http.Error(w, fmt.Sprintf("as is %q; it can be done or never_ran", ask.As), http.StatusBadRequest)
+		http.Error(w, fmt.Sprintf("as is %q; it can be done or never_ran", request.As), http.StatusBadRequest)
 		return
-	case strings.TrimSpace(ask.By) == "" || len(ask.By) > orders.MaxTextBytes:
+	case strings.TrimSpace(request.By) == "" || len(request.By) > orders.MaxTextBytes:
 		http.Error(w, "by, who has looked it up, is missing or too long", http.StatusBadRequest)
 		return
-	case s == orders.NeverRan && ask.Receipt != "":
+	case s == orders.NeverRan && request.Receipt != "":
 		http.Error(w, "an order that never ran has no receipt", http.StatusBadRequest)
 		return
 	}
-	err := o.Settle(orders.Name{Tenant: ask.Tenant, Key: ask.Key}, s, []byte(ask.Receipt), ask.By)
+	err := o.Settle(orders.Name{Tenant: request.Tenant, Key: request.Key}, s, []byte(request.Receipt), request.By)
 	switch {
 	case errors.Is(err, orders.ErrOperatorName):
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case errors.Is(err, orders.ErrNotUnknown):
 		http.Error(w, err.Error(), http.StatusConflict)
 	case err != nil:
-		f.log.Error("call to settle an order failed", "tenant", ask.Tenant, "key", ask.Key, "err", err)
+		f.log.Error("call to settle an order failed", "tenant", request.Tenant, "key", request.Key, "err", err)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		f.log.Info("order settled", "tenant", ask.Tenant, "key", ask.Key, "as", ask.As, "by", ask.By)
-		fmt.Fprintf(w, "%s as=%s\n", ask.Key, ask.As)
+		f.log.Info("order settled", "tenant", request.Tenant, "key", request.Key, "as", request.As, "by", request.By)
+		fmt.Fprintf(w, "%s as=%s\n", request.Key, request.As)
 	}
 }
--- a/internal/orders/keeper/keeper.go
+++ b/internal/orders/keeper/keeper.go
@@ -113,7 +113,7 @@
 		}
 		k.mu.Unlock()
 		if full {
-			return nil, ledger.ErrDiskOverloaded
+			return nil, ledger.ErrTooManyPending
 		}
 		<-k.ready
 		k.mu.Lock()
@@ -126,14 +126,14 @@
 }
 
 // start runs f in a goroutine, or closed if the record is closed.
-func (k *Keeper) start(f func(), closed func()) {
+func (k *Keeper) start(task func(), onClosed func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.closed {
-		go closed()
+		go onClosed()
 		return
 	}
-	k.tasks.Go(f)
+	k.tasks.Go(task)
 }
 
 // Take decides on a submitted order like ledger.Take. If the end of an order with the same name is
@@ -159,8 +159,8 @@
 	}, func() { done(orders.RecordFull, nil, ErrClosed) })
 }
 
-// markNotRun records that an order that was sent has certainly not run, if notRun is set.
-func (k *Keeper) markNotRun(n orders.Name, notRun bool) error {
+// markIfNotRun records that an order that was sent has certainly not run, if notRun is set.
+func (k *Keeper) markIfNotRun(n orders.Name, notRun bool) error {
 	if !notRun {
 		return nil
 	}
@@ -171,7 +171,7 @@
 // sent before and has certainly not run.
 func (k *Keeper) Send(n orders.Name, member string, notRun bool, done func(error)) {
 	k.start(func() {
-		err := k.markNotRun(n, notRun)
+		err := k.markIfNotRun(n, notRun)
 		if err == nil {
 			err = k.ledger.Send(n, member)
 		}
@@ -193,7 +193,7 @@
 		done(err)
 	}
 	k.start(func() {
-		err := k.markNotRun(n, notRun)
+		err := k.markIfNotRun(n, notRun)
 		if err == nil {
 			err = k.ledger.End(n, s, receipt, reportedBy)
 		}
--- a/internal/orders/ledger/ledger.go
+++ b/internal/orders/ledger/ledger.go
@@ -41,9 +41,9 @@
 // WallClock returns the time since the epoch. Stored times are based on it.
 func WallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// ErrDiskOverloaded reports that an order was not accepted because too many changes wait for the disk.
+// ErrTooManyPending reports that an order was not accepted because too many changes wait for the disk.
 // It has not run and may be submitted again.
-var ErrDiskOverloaded = fmt.Errorf("ledger: the disk is behind: %w", orders.ErrOverloaded)
+var ErrTooManyPending = fmt.Errorf("ledger: the disk is behind: %w", orders.ErrOverloaded)
 
 // Ledger is an open record of orders. It is safe for concurrent use. Each change waits for the disk;
 // concurrent changes share a sync.
@@ -109,10 +109,10 @@
 	return err
 }
 
-// change calls a method of the table and writes the entry that it returns.
-func (l *Ledger) change(decide func(t *orders.Table, now time.Duration) (*orders.Entry, error)) error {
+// applyChange calls a method of the table and writes the entry that it returns.
+func (l *Ledger) applyChange(operation func(t *orders.Table, now time.Duration) (*orders.Entry, error)) error {
 	l.mu.Lock()
-	entry, err := decide(l.table, l.now())
+	entry, err := operation(l.table, l.now())
 	if err == nil && entry != nil {
 		l.pending++
 	}
@@ -126,10 +126,10 @@
 // Take decides on a submitted order. With the verdict Proceed the order is in progress and on record.
 // An error means that it could not be recorded; it has not run.
 func (l *Ledger) Take(o orders.Order) (v orders.Verdict, receipt []byte, err error) {
-	err = l.change(func(t *orders.Table, now time.Duration) (e *orders.Entry, _ error) {
+	err = l.applyChange(func(t *orders.Table, now time.Duration) (e *orders.Entry, _ error) {
 		if l.options.MaxPending > 0 && l.pending >= l.options.MaxPending {
 			if _, known := t.Get(o.Name); !known { // answering a retry of a known order needs no disk write
-				return nil, ErrDiskOverloaded
+				return nil, ErrTooManyPending
 			}
 		}
 		v, receipt, e = t.Take(now, o)
@@ -141,7 +141,7 @@
 // Send records that an order in progress is being sent to a member. The order must be sent only if Send
 // returns nil.
 func (l *Ledger) Send(n orders.Name, member string) error {
-	return l.change(func(t *orders.Table, now time.Duration) (*orders.Entry, error) { return t.Send(now, n, member) })
+	return l.applyChange(func(t *orders.Table, now time.Duration) (*orders.Entry, error) { return t.Send(now, n, member) })
 }
 
 // MarkNotRun records in memory that an order that was sent has certainly not run.
@@ -154,14 +154,14 @@
 // End records how an order in progress has ended. The client may be told the result only if End returns
 // nil; after an error the client of an order that was sent is told that it may have run.
 func (l *Ledger) End(n orders.Name, s orders.State, receipt []byte, reportedBy string) error {
-	return l.change(func(t *orders.Table, now time.Duration) (*orders.Entry, error) {
+	return l.applyChange(func(t *orders.Table, now time.Duration) (*orders.Entry, error) {
 		return t.End(now, n, s, receipt, reportedBy)
 	})
 }
 
 // Settle records the outcome of an unknown order as an operator determined it.
 func (l *Ledger) Settle(n orders.Name, s orders.State, receipt []byte, operator string) error {
-	return l.change(func(t *orders.Table, now time.Duration) (*orders.Entry, error) {
+	return l.applyChange(func(t *orders.Table, now time.Duration) (*orders.Entry, error) {
 		return t.Settle(now, n, s, receipt, operator)
 	})
 }
@@ -209,17 +209,17 @@
 	if !due {
 		return nil
 	}
-	return l.rewrite()
+	return l.compactLocked()
 }
 
 // Compact replaces the content of the log with the current entries. Changes wait until it is finished.
 func (l *Ledger) Compact() error {
 	l.writeLock.Lock()
 	defer l.writeLock.Unlock()
-	return l.rewrite()
+	return l.compactLocked()
 }
 
-func (l *Ledger) rewrite() error {
+func (l *Ledger) compactLocked() error {
 	l.mu.Lock()
 	var records []log.Record
 	l.table.Entries(func(e *orders.Entry) bool {
--- a/internal/orders/ledger/ledger_test.go
+++ b/internal/orders/ledger/ledger_test.go
@@ -305,7 +305,7 @@
 		waiting = ledger.pending
 		ledger.mu.Unlock()
 	}
-	if _, err := take(9); !errors.Is(err, ErrDiskOverloaded) {
+	if _, err := take(9); !errors.Is(err, ErrTooManyPending) {
 		t.Errorf("one more is taken: %v", err)
 	}
 	if v, err := take(0); v != orders.Receipt || err != nil {
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -177,12 +177,12 @@
 }
 
 // ReceiveStatus records the status of a member.
-func (d *Driver) ReceiveStatus(now time.Duration, number int, h MemberStatus) {
+func (d *Driver) ReceiveStatus(now time.Duration, number int, status MemberStatus) {
 	if !slices.Contains(d.memberOrder, number) {
 		return
 	}
-	d.fenced = d.fenced || h.Epoch > d.state.Epoch
-	d.status[number], d.statusAt[number] = h, now
+	d.fenced = d.fenced || status.Epoch > d.state.Epoch
+	d.status[number], d.statusAt[number] = status, now
 }
 
 // Observe passes an observation to the evaluator.
@@ -257,15 +257,15 @@
 // member that falls silent says nothing about the change; the rollout waits for it.
 func (d *Driver) checkStage(now time.Duration) {
 	for _, n := range d.state.NewMembers {
-		h, known := d.status[n]
+		status, known := d.status[n]
 		switch {
-		case h.Failure != "" && h.Epoch == d.state.Epoch:
-			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d: %s", n, h.Failure))
+		case status.Failure != "" && status.Epoch == d.state.Epoch:
+			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d: %s", n, status.Failure))
 			return
-		case h.Version != d.state.To && now-d.phaseSince > d.timeouts.Switch:
+		case status.Version != d.state.To && now-d.phaseSince > d.timeouts.Switch:
 			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d does not run the new version after %v", n, d.timeouts.Switch))
 			return
-		case known && h.Version == d.state.To && now-d.statusAt[n] > d.timeouts.Silence:
+		case known && status.Version == d.state.To && now-d.statusAt[n] > d.timeouts.Silence:
 			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d, which runs the new version, is no longer heard", n))
 			return
 		}
@@ -297,11 +297,11 @@
 
 // Apply accepts an instruction unless it is outdated, and tells whether the member has to switch to
 // another version.
-func (f *Follower) Apply(o Instruction) (changed bool) {
-	if o.Epoch < f.Epoch || o.Epoch == f.Epoch && o.Version != f.Version {
+func (f *Follower) Apply(instruction Instruction) (changed bool) {
+	if instruction.Epoch < f.Epoch || instruction.Epoch == f.Epoch && instruction.Version != f.Version {
 		return false
 	}
-	changed = o.Version != f.Version
-	f.Epoch, f.Version = o.Epoch, o.Version
+	changed = instruction.Version != f.Version
+	f.Epoch, f.Version = instruction.Epoch, instruction.Version
 	return changed
 }
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -58,7 +58,7 @@
 	DecisionStopped                   // the new side does worse
 )
 
-func (r Decision) String() string { return [...]string{"undecided", "done", "stopped"}[r] }
+func (d Decision) String() string { return [...]string{"undecided", "done", "stopped"}[d] }
 
 // Observation covers a period in one zone in which old and new instances served side by side.
 type Observation struct {
