--- a/internal/zones/codec.go
+++ b/internal/zones/codec.go
@@ -55,20 +55,20 @@
 		}
 		b = appendInts(b, int(v.Epoch), v.DecidedBy, len(v.Zones))
 		for _, z := range v.Zones {
-			tied := 0
+			withRegion := 0
 			if z.WithRegion {
-				tied = 1
+				withRegion = 1
 			}
-			b = appendInts(b, int(z.State), int(z.Share), int(z.Flaps), tied, len(z.Probers))
+			b = appendInts(b, int(z.State), int(z.Share), int(z.Flaps), withRegion, len(z.Probers))
 			b = appendInts(b, z.Probers...)
 		}
 	}
 	if len(msg.Overrides) > 0 {
 		flags |= flagOverrides
 		b = appendInts(b, len(msg.Overrides))
-		for _, h := range msg.Overrides {
-			b = appendInts(b, int(h.Mode), int(h.TimestampMS), h.ReceivedBy, len(h.Requester))
-			b = append(b, h.Requester...)
+		for _, override := range msg.Overrides {
+			b = appendInts(b, int(override.Mode), int(override.TimestampMS), override.ReceivedBy, len(override.Requester))
+			b = append(b, override.Requester...)
 		}
 	}
 	if msg.ShuttingDown {
@@ -91,9 +91,9 @@
 	err  error
 }
 
-func (r *reader) uvarint(what string, most uint64) uint64 {
+func (r *reader) uvarint(what string, maxValue uint64) uint64 {
 	n, size := binary.Uvarint(r.rest)
-	if r.err == nil && (size <= 0 || n > most) {
+	if r.err == nil && (size <= 0 || n > maxValue) {
 		r.err = fmt.Errorf("%w: invalid %s", ErrMalformedMessage, what)
 	}
 	if r.err != nil {
@@ -103,7 +103,7 @@
 	return n
 }
 
-func (r *reader) int(what string, most int) int { return int(r.uvarint(what, uint64(most))) }
+func (r *reader) int(what string, maxValue int) int { return int(r.uvarint(what, uint64(maxValue))) }
 
 const (
 	maxInstanceNumber = 1 << 20
@@ -148,14 +148,14 @@
 	if flags&flagOverrides != 0 {
 		msg.Overrides = make([]Override, r.int("calls", MaxZones))
 		for i := range msg.Overrides {
-			h := &msg.Overrides[i]
-			h.Mode, h.TimestampMS, h.ReceivedBy = Mode(r.int("mode", int(modes)-1)), int64(r.uvarint("stamp", maxTimestampMS)), r.int("called", maxInstanceNumber)
+			override := &msg.Overrides[i]
+			override.Mode, override.TimestampMS, override.ReceivedBy = Mode(r.int("mode", int(modes)-1)), int64(r.uvarint("stamp", maxTimestampMS)), r.int("called", maxInstanceNumber)
 			n := r.int("who", MaxRequesterLen)
 			if r.err == nil && n > len(r.rest) {
 				r.err = fmt.Errorf("%w: invalid who", ErrMalformedMessage)
 			}
 			if r.err == nil {
-				h.Requester, r.rest = string(r.rest[:n]), r.rest[n:]
+				override.Requester, r.rest = string(r.rest[:n]), r.rest[n:]
 			}
 		}
 	}
--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -226,37 +226,37 @@
 	if len(v.Zones) != len(m.trackers) || v.Epoch > m.verdict.Epoch+1<<32 {
 		return false
 	}
-	var open, total float64
-	closes := false
+	var capacityInUse, total float64
+	takesZoneOut := false
 	for i, z := range v.Zones {
 		if z.State >= states || z.Share > FullShare || (z.State == StateIn || z.State == StateSuspected) != (z.Share == FullShare) {
 			return false
 		}
 		total += m.capacity[i]
 		if z.Share > 0 || m.overrides[i].Mode == ModeOut {
-			open += m.capacity[i]
+			capacityInUse += m.capacity[i]
 		} else if m.verdict.Zones[i].Share > 0 {
-			closes = true
+			takesZoneOut = true
 		}
 	}
-	return !closes || open >= capacityTolerance*m.config.MinCapacityShare*total
+	return !takesZoneOut || capacityInUse >= capacityTolerance*m.config.MinCapacityShare*total
 }
 
 func (m *Machine) adopt(now time.Duration, v Verdict) {
 	for i := range v.Zones {
-		was := m.verdict.Zones[i]
-		if was.State == v.Zones[i].State && was.Share == v.Zones[i].Share {
+		previous := m.verdict.Zones[i]
+		if previous.State == v.Zones[i].State && previous.Share == v.Zones[i].Share {
 			continue
 		}
-		w := &m.trackers[i]
-		if v.Zones[i].State == StateIn && was.State == StateReturning {
-			w.returnedAt = now
+		tracker := &m.trackers[i]
+		if v.Zones[i].State == StateIn && previous.State == StateReturning {
+			tracker.returnedAt = now
 		}
-		w.since, w.goodTicks, w.mixedTicks = now, 0, 0
+		tracker.since, tracker.goodTicks, tracker.mixedTicks = now, 0, 0
 		if v.Zones[i].State != StateSuspected && v.Zones[i].State != StateLeaving {
-			w.badTicks = 0
+			tracker.badTicks = 0
 		}
-		m.changes = append(m.changes[max(0, len(m.changes)-256):], Change{i, was, v.Zones[i], v.Epoch, v.DecidedBy})
+		m.changes = append(m.changes[max(0, len(m.changes)-256):], Change{i, previous, v.Zones[i], v.Epoch, v.DecidedBy})
 	}
 	m.verdict = v
 }
@@ -265,15 +265,15 @@
 var ErrNoZoneLeft = errors.New("zones: no other zone is in use; bring one back first")
 
 // SetOverride applies an operator's override at this instance, to one zone or all zones of a region.
-func (m *Machine) SetOverride(now time.Duration, h Override, zones ...int) error {
-	if h.Mode == ModeOut && !m.anyInUse(zones) {
+func (m *Machine) SetOverride(now time.Duration, override Override, zones ...int) error {
+	if override.Mode == ModeOut && !m.anyInUse(zones) {
 		return ErrNoZoneLeft
 	}
-	h.ReceivedBy = m.config.Number
+	override.ReceivedBy = m.config.Number
 	for _, z := range zones {
-		stamped := h
+		stamped := override
 		// A clock that was set back must not lose an override.
-		stamped.TimestampMS = max(h.TimestampMS, m.overrides[z].TimestampMS+1)
+		stamped.TimestampMS = max(override.TimestampMS, m.overrides[z].TimestampMS+1)
 		m.overrides[z] = stamped
 	}
 	m.updateShares(now)
@@ -296,9 +296,9 @@
 	if len(overrides) != len(m.overrides) {
 		return false
 	}
-	for i, h := range overrides {
-		if h.Mode < modes && len(h.Requester) <= MaxRequesterLen && h.supersedes(m.overrides[i]) {
-			m.overrides[i], isNew = h, true
+	for i, override := range overrides {
+		if override.Mode < modes && len(override.Requester) <= MaxRequesterLen && override.supersedes(m.overrides[i]) {
+			m.overrides[i], isNew = override, true
 		}
 	}
 	if isNew {
@@ -356,19 +356,19 @@
 // that were recently present. A side of a partition without a quorum takes no zone out of use and raises
 // no share. Of two equal halves, the one with the lowest instance number has the quorum.
 func (m *Machine) hasQuorum() bool {
-	here, lowest := 1, m.config.Number
-	lowestHere := true
+	present, lowest := 1, m.config.Number
+	lowestPresent := true
 	for _, p := range m.peers {
 		ok := m.hasFreshReport(p.Number)
 		if ok {
-			here++
+			present++
 		}
 		if p.Number < lowest {
-			lowest, lowestHere = p.Number, ok
+			lowest, lowestPresent = p.Number, ok
 		}
 	}
-	all := len(m.peers) + 1
-	return 2*here > all || 2*here == all && lowestHere
+	total := len(m.peers) + 1
+	return 2*present > total || 2*present == total && lowestPresent
 }
 
 // zoneOpinion sums up what the instances observe of a zone.
@@ -389,7 +389,7 @@
 func (o zoneOpinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
 
 // classify returns the instance's vote on the zone: bad, good, mixed (votes alone), or none.
-func (s ZoneStats) classify() (bad, good, votes bool) {
+func (s ZoneStats) classify() (bad, good, hasVote bool) {
 	if s.Judged < minJudged || s.Bad > s.Judged || s.TrimmedBad > s.TrimmedJudged || s.TrimmedJudged > s.Judged {
 		return false, false, false // too few attempts, or inconsistent counts
 	}
@@ -405,25 +405,25 @@
 
 // opinions combines the fresh reports by zone, and counts the instances that report refusals at the
 // origin.
-func (m *Machine) opinions() (all []zoneOpinion, refusing int) {
+func (m *Machine) opinions() (all []zoneOpinion, refusingInstances int) {
 	all = make([]zoneOpinion, len(m.trackers))
-	silents := make([]int, len(m.trackers)) // number of bad votes that report silence
+	silentVotes := make([]int, len(m.trackers)) // number of bad votes that report silence
 	addReport := func(r *Report) {
 		if r.OriginRefusals > 0 {
-			refusing++
+			refusingInstances++
 		}
 		for i, s := range r.Zones {
-			bad, good, votes := s.classify()
+			bad, good, hasVote := s.classify()
 			o := &all[i]
 			switch {
 			case bad:
 				o.bad++
 				if float64(s.Silent) >= silentRatio*float64(s.Bad) {
-					silents[i]++
+					silentVotes[i]++
 				}
 			case good:
 				o.good++
-			case votes:
+			case hasVote:
 				o.mixed++
 			case s.Bad <= s.Judged:
 				o.pooledJudged, o.pooledBad = o.pooledJudged+min(s.Judged, minJudged), o.pooledBad+min(s.Bad, minJudged)
@@ -436,7 +436,7 @@
 	}
 	for i := range all {
 		o := &all[i]
-		o.silent = o.bad > 0 && silents[i] == o.bad
+		o.silent = o.bad > 0 && silentVotes[i] == o.bad
 		// A zone that was left gets few attempts, and has already been found bad: the attempts of all
 		// instances count together.
 		if s := m.verdict.Zones[i].State; (s == StateTrying || s == StateReturning) && o.voters() < minVoters && o.pooledJudged >= minJudged {
@@ -450,22 +450,22 @@
 			}
 		}
 	}
-	return all, refusing
+	return all, refusingInstances
 }
 
 // decide evaluates all zones once, as the leader, and starts a new epoch if anything changes.
 func (m *Machine) decide() {
-	all, refusing := m.opinions()
+	all, refusingInstances := m.opinions()
 	next := m.verdict.clone()
 	for i := range next.Zones {
-		w, o := &m.trackers[i], all[i]
-		w.badTicks, w.goodTicks, w.mixedTicks = nextStreak(w.badTicks, o.isBad()), nextStreak(w.goodTicks, o.isGood()), nextStreak(w.mixedTicks, !o.isBad() && !o.isGood() && o.voters() > 0)
+		tracker, o := &m.trackers[i], all[i]
+		tracker.badTicks, tracker.goodTicks, tracker.mixedTicks = nextStreak(tracker.badTicks, o.isBad()), nextStreak(tracker.goodTicks, o.isGood()), nextStreak(tracker.mixedTicks, !o.isBad() && !o.isGood() && o.voters() > 0)
 		if o.isBad() {
-			w.lastBadAt = m.now
+			tracker.lastBadAt = m.now
 		}
 	}
 	for i := range next.Zones {
-		m.stepZone(i, &next, all, refusing)
+		m.stepZone(i, &next, all, refusingInstances)
 	}
 	m.markLeaving(&next, all)
 	if !sameZones(&next, &m.verdict) {
@@ -489,28 +489,28 @@
 }
 
 // stepZone advances the state of one zone. Leaving a zone is decided by markLeaving.
-func (m *Machine) stepZone(i int, next *Verdict, all []zoneOpinion, refusing int) {
-	z, w, was := &next.Zones[i], &m.trackers[i], m.verdict.Zones[i]
-	age := m.now - w.since
-	switch h := m.overrides[i]; {
-	case h.Mode == ModeHold:
+func (m *Machine) stepZone(i int, next *Verdict, all []zoneOpinion, refusingInstances int) {
+	z, tracker, previous := &next.Zones[i], &m.trackers[i], m.verdict.Zones[i]
+	age := m.now - tracker.since
+	switch override := m.overrides[i]; {
+	case override.Mode == ModeHold:
 		return
-	case h.Mode == ModeOut:
+	case override.Mode == ModeOut:
 		if z.State != StateOut {
 			*z = Zone{State: StateOut}
 		}
 		return
 	}
-	switch was.State {
+	switch previous.State {
 	case StateIn:
-		if z.Flaps > 0 && m.now-w.returnedAt > flapWindow {
+		if z.Flaps > 0 && m.now-tracker.returnedAt > flapWindow {
 			z.Flaps = 0
 		}
 		if all[i].isBad() {
 			z.State = StateSuspected
 		}
 	case StateSuspected:
-		if m.now-w.lastBadAt > suspicionTimeout {
+		if m.now-tracker.lastBadAt > suspicionTimeout {
 			z.State = StateIn
 		}
 	case StateLeaving:
@@ -526,13 +526,13 @@
 		case m.readyToReturn(i):
 			z.State, z.Share, z.Probers = StateReturning, shareStep, nil
 		// The rest of its region stays out.
-		case z.WithRegion && w.goodTicks >= goodProbeTicks && age > regionWaitTimeout:
+		case z.WithRegion && tracker.goodTicks >= goodProbeTicks && age > regionWaitTimeout:
 			z.WithRegion = false
 		default:
 			z.Probers = m.selectProbers(i, all[i], age)
 		}
 	case StateReturning:
-		m.stepReturn(i, z, all[i], refusing, age)
+		m.stepReturn(i, z, all[i], refusingInstances, age)
 	}
 }
 
@@ -571,17 +571,17 @@
 
 // stepReturn raises a zone's share by one step if the last step went well, and lowers it if results are
 // mixed.
-func (m *Machine) stepReturn(i int, z *Zone, o zoneOpinion, refusing int, age time.Duration) {
-	w := &m.trackers[i]
-	every := m.config.WarmupTime * shareStep / FullShare
+func (m *Machine) stepReturn(i int, z *Zone, o zoneOpinion, refusingInstances int, age time.Duration) {
+	tracker := &m.trackers[i]
+	stepDuration := m.config.WarmupTime * shareStep / FullShare
 	switch {
-	case time.Duration(w.mixedTicks)*TickInterval >= mixedTimeout && age >= mixedTimeout:
+	case time.Duration(tracker.mixedTicks)*TickInterval >= mixedTimeout && age >= mixedTimeout:
 		z.Share = max(shareStep, z.Share-shareStep)
-		w.mixedTicks = 0
-	case age < every:
+		tracker.mixedTicks = 0
+	case age < stepDuration:
 	case !o.isGood() && o.voters() > 0: // the next step waits until the last one is seen to go well
-	case o.voters() == 0 && age < 2*every: // too few attempts to tell: continue, but more slowly
-	case refusing > 0 && age < maxRefusalSteps*every:
+	case o.voters() == 0 && age < 2*stepDuration: // too few attempts to tell: continue, but more slowly
+	case refusingInstances > 0 && age < maxRefusalSteps*stepDuration:
 	default:
 		if z.Share = min(FullShare, z.Share+shareStep); z.Share == FullShare {
 			z.State, z.WithRegion = StateIn, false
@@ -627,59 +627,59 @@
 func (m *Machine) markLeaving(next *Verdict, all []zoneOpinion) {
 	failing := func(i int) bool {
 		s := m.verdict.Zones[i].State
-		sure := m.trackers[i].badTicks >= confirmTicks || m.trackers[i].badTicks > 0 && all[i].silent && all[i].bad >= minSilentVoters
-		return m.overrides[i].Mode == ModeAuto && sure && (s == StateSuspected || s == StateReturning || s == StateIn && next.Zones[i].State == StateSuspected)
+		confirmed := m.trackers[i].badTicks >= confirmTicks || m.trackers[i].badTicks > 0 && all[i].silent && all[i].bad >= minSilentVoters
+		return m.overrides[i].Mode == ModeAuto && confirmed && (s == StateSuspected || s == StateReturning || s == StateIn && next.Zones[i].State == StateSuspected)
 	}
-	var open, total float64
-	well := false // some zone that stays in use is good
-	var left []int
+	var capacityInUse, total float64
+	goodZoneInUse := false // some zone that stays in use is good
+	var zonesOut []int
 	for i := range next.Zones {
 		total += m.capacity[i]
 		if next.Zones[i].Share > 0 {
-			open += m.capacity[i]
+			capacityInUse += m.capacity[i]
 		}
 		if s := m.verdict.Zones[i].State; s != StateIn && s != StateSuspected && m.overrides[i].Mode == ModeAuto {
-			left = append(left, i)
+			zonesOut = append(zonesOut, i)
 		}
 		switch o := all[i]; {
 		case next.Zones[i].Share < FullShare || failing(i):
 		case o.isGood():
-			well = true
+			goodZoneInUse = true
 		case o.bad+o.mixed > 0 && m.trackers[i].badTicks+m.trackers[i].mixedTicks < maxUnsettledTicks:
 			return // it may be about to fail too: no zone is left for a cause common to all
 		}
 	}
-	if !well {
+	if !goodZoneInUse {
 		return // no good zone would take over the load
 	}
-	var order []int
+	var failingZones []int
 	for i := range next.Zones {
 		if failing(i) {
-			order = append(order, i)
+			failingZones = append(failingZones, i)
 		}
 	}
 	// The most certain failures come first: silent before slow, then by the number of bad ticks.
-	slices.SortStableFunc(order, func(a, b int) int {
+	slices.SortStableFunc(failingZones, func(a, b int) int {
 		return cmp.Or(-cmp.Compare(boolToInt(all[a].silent), boolToInt(all[b].silent)), -cmp.Compare(m.trackers[a].badTicks, m.trackers[b].badTicks))
 	})
-	for _, i := range order {
-		unit := m.failingGroup(i, failing)
+	for _, i := range failingZones {
+		group := m.failingGroup(i, failing)
 		var cost float64
-		done := false
-		for _, j := range unit {
-			done = done || next.Zones[j].State == StateLeaving
+		alreadyLeaving := false
+		for _, j := range group {
+			alreadyLeaving = alreadyLeaving || next.Zones[j].State == StateLeaving
 			if next.Zones[j].Share > 0 {
 				cost += m.capacity[j]
 			}
 		}
 		// No more than one zone or region is out at a time, unless the zone is silent to all voters.
-		others := slices.ContainsFunc(left, func(j int) bool { return !slices.Contains(m.region(i), j) })
-		if done || others && !all[i].silent || open-cost < m.config.MinCapacityShare*total {
+		otherRegionOut := slices.ContainsFunc(zonesOut, func(j int) bool { return !slices.Contains(m.region(i), j) })
+		if alreadyLeaving || otherRegionOut && !all[i].silent || capacityInUse-cost < m.config.MinCapacityShare*total {
 			continue
 		}
-		open -= cost
-		left = append(left, unit...)
-		for _, j := range unit {
+		capacityInUse -= cost
+		zonesOut = append(zonesOut, group...)
+		for _, j := range group {
 			z := &next.Zones[j]
 			flaps := z.Flaps
 			if m.verdict.Zones[j].State == StateReturning || m.trackers[j].returnedAt > 0 && m.now-m.trackers[j].returnedAt < flapWindow {
@@ -705,16 +705,16 @@
 // failingGroup returns the zones that are left together with a zone: its region if every zone of it that
 // is in use fails, else the zone alone.
 func (m *Machine) failingGroup(i int, failing func(int) bool) []int {
-	unit := []int{}
+	group := []int{}
 	for _, j := range m.region(i) {
 		switch {
 		case failing(j):
-			unit = append(unit, j)
+			group = append(group, j)
 		case m.verdict.Zones[j].Share > 0:
 			return []int{i}
 		}
 	}
-	return unit
+	return group
 }
 
 // updateShares makes the share of each zone at this instance follow the verdict and the overrides: down
@@ -723,25 +723,25 @@
 func (m *Machine) updateShares(now time.Duration) {
 	// A verdict and an override decided at the same time may have closed all zones. Then every zone that
 	// no operator has taken out is used, with the limited rise.
-	none := !m.anyInUse(nil)
+	noZoneInUse := !m.anyInUse(nil)
 	for i := range m.limiters {
-		g, target := &m.limiters[i], float64(m.verdict.Zones[i].Share)/FullShare
-		if none || m.ticked && now-m.leaderHeardAt > noLeaderTimeout && m.overrides[i].Mode != ModeHold {
+		limiter, target := &m.limiters[i], float64(m.verdict.Zones[i].Share)/FullShare
+		if noZoneInUse || m.ticked && now-m.leaderHeardAt > noLeaderTimeout && m.overrides[i].Mode != ModeHold {
 			target = 1
 		}
 		if m.overrides[i].Mode == ModeOut {
 			target = 0
 		}
 		if target == 0 {
-			*g = shareLimiter{zeroAt: now, rampingUp: true}
+			*limiter = shareLimiter{zeroAt: now, rampingUp: true}
 			continue
 		}
 		limit := 1.0
-		if g.rampingUp && m.config.WarmupTime > 0 {
-			limit = 2.0*shareStep/FullShare + (now-g.zeroAt).Seconds()/m.config.WarmupTime.Seconds()
-			g.rampingUp = limit < 1
+		if limiter.rampingUp && m.config.WarmupTime > 0 {
+			limit = 2.0*shareStep/FullShare + (now-limiter.zeroAt).Seconds()/m.config.WarmupTime.Seconds()
+			limiter.rampingUp = limit < 1
 		}
-		g.share = min(target, limit)
+		limiter.share = min(target, limit)
 	}
 }
 
--- a/internal/zones/meter.go
+++ b/internal/zones/meter.go
@@ -87,7 +87,7 @@
 }
 
 // AttemptEnded records the outcome of an attempt.
-func (m *Meter) AttemptEnded(now time.Duration, number uint64, how Outcome, elapsed time.Duration) {
+func (m *Meter) AttemptEnded(now time.Duration, number uint64, outcome Outcome, elapsed time.Duration) {
 	m.advance(now)
 	i := int(number - m.dropped - 1)
 	if number <= m.dropped || i >= len(m.tracked) {
@@ -95,15 +95,15 @@
 	}
 	a := &m.tracked[i]
 	slow := elapsed > m.slowThreshold(a.zone)
-	answered := how == OutcomeAnswered || how == OutcomeMiss
+	answered := outcome == OutcomeAnswered || outcome == OutcomeMiss
 	switch {
 	case a.judged && answered && m.currentSlot-a.slot < slotCount && a.slot > 0: // answered late, so not silent
 		m.count(a, a.slot, tally{silent: -1})
 	case a.judged:
-	case how == OutcomeNone:
+	case outcome == OutcomeNone:
 	case answered && !slow:
 		t := tally{judged: 1}
-		if how == OutcomeMiss {
+		if outcome == OutcomeMiss {
 			t.misses = 1
 		}
 		m.count(a, m.currentSlot, t)
@@ -112,7 +112,7 @@
 		z.meanSeconds += (elapsed.Seconds() - z.meanSeconds) * max(0.005, 1/float64(z.answers))
 	default:
 		t := tally{judged: 1, bad: 1}
-		if how == OutcomeFailed {
+		if outcome == OutcomeFailed {
 			t.silent = 1
 		}
 		m.count(a, m.currentSlot, t)
@@ -128,15 +128,15 @@
 
 func (m *Meter) count(a *trackedAttempt, slot int64, t tally) {
 	m.zones[a.zone].slots[slot%slotCount].add(t)
-	b := m.nodes[a.node]
-	if b == nil {
+	counts := m.nodes[a.node]
+	if counts == nil {
 		if len(m.nodes) >= maxNodes {
 			return
 		}
-		b = &nodeCounts{zone: int(a.zone)}
-		m.nodes[a.node] = b
+		counts = &nodeCounts{zone: int(a.zone)}
+		m.nodes[a.node] = counts
 	}
-	b.slots[slot%slotCount].add(t)
+	counts.slots[slot%slotCount].add(t)
 }
 
 func (t *tally) add(o tally) {
@@ -151,14 +151,14 @@
 		return
 	}
 	for s := max(m.currentSlot+1, slot-slotCount+1); s <= slot; s++ {
-		at := s % slotCount
+		index := s % slotCount
 		for i := range m.zones {
-			m.zones[i].slots[at] = tally{}
+			m.zones[i].slots[index] = tally{}
 		}
-		for _, b := range m.nodes {
-			b.slots[at] = tally{}
+		for _, counts := range m.nodes {
+			counts.slots[index] = tally{}
 		}
-		m.refusals[at] = 0
+		m.refusals[index] = 0
 	}
 	m.currentSlot = slot
 	for i := range m.tracked {
@@ -188,25 +188,25 @@
 		return t
 	}
 	byZone := make([][]tally, len(m.zones))
-	for _, b := range m.nodes {
-		if t := sum(&b.slots); t.judged > 0 {
-			byZone[b.zone] = append(byZone[b.zone], t)
+	for _, node := range m.nodes {
+		if t := sum(&node.slots); t.judged > 0 {
+			byZone[node.zone] = append(byZone[node.zone], t)
 		}
 	}
 	for i := range m.zones {
 		t := sum(&m.zones[i].slots)
 		s := ZoneStats{Judged: t.judged, Bad: t.bad, Silent: t.silent, Misses: t.misses}
 		var recent tally
-		for at := max(0, m.currentSlot-recentSlots+1); at <= m.currentSlot; at++ {
-			recent.add(m.zones[i].slots[at%slotCount])
+		for recentSlot := max(0, m.currentSlot-recentSlots+1); recentSlot <= m.currentSlot; recentSlot++ {
+			recent.add(m.zones[i].slots[recentSlot%slotCount])
 		}
 		if recent.judged > 0 && float64(recent.silent) >= unansweredRatio*float64(recent.judged) {
 			s.RecentUnanswered = recent.judged
 		}
 		counts := byZone[i]
 		slices.SortFunc(counts, func(a, b tally) int { return b.bad - a.bad })
-		for _, b := range counts[min(len(counts), (len(counts)+2)/3):] {
-			s.TrimmedJudged, s.TrimmedBad = s.TrimmedJudged+b.judged, s.TrimmedBad+b.bad
+		for _, count := range counts[min(len(counts), (len(counts)+2)/3):] {
+			s.TrimmedJudged, s.TrimmedBad = s.TrimmedJudged+count.judged, s.TrimmedBad+count.bad
 		}
 		stats = append(stats, s)
 	}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -106,8 +106,8 @@
 // MaxRequesterLen is the maximum length of Override.Requester in bytes.
 const MaxRequesterLen = 32
 
-func (h Override) supersedes(o Override) bool {
-	return cmp.Or(cmp.Compare(h.TimestampMS, o.TimestampMS), cmp.Compare(o.ReceivedBy, h.ReceivedBy), cmp.Compare(h.Mode, o.Mode)) > 0
+func (override Override) supersedes(other Override) bool {
+	return cmp.Or(cmp.Compare(override.TimestampMS, other.TimestampMS), cmp.Compare(other.ReceivedBy, override.ReceivedBy), cmp.Compare(override.Mode, other.Mode)) > 0
 }
 
 // ZoneStats counts one instance's recent attempts in a zone. An attempt is judged when it ends or has
