--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -24,14 +24,15 @@
 
 const (
 	// silenceTimeout is how long a watch may be silent before it counts as broken. Discovery sends a
-	// heartbeat every 2 s. A change counts as announced 6 s after the watch fell silent; by then even a
-	// second watch that is silent from its first line on must have been replaced. A heartbeat that is
-	// late by more than 0.4 s ends a healthy watch, which costs one more call.
+	// heartbeat every 2 s. A change counts as announced 6 s after the watch fell silent. By then a third
+	// watch must be open, even if the second one received no line: two silence timeouts, the second call
+	// (agentCallTimeout) and two reconnect delays take less than that. A heartbeat that is late by more
+	// than 0.4 s ends a healthy watch, which costs one more call.
 	silenceTimeout = 2400 * time.Millisecond
 	// callTimeout is how long a discovery service that is polled may take to begin its response. Whatever
 	// its load, it rejects a call that has waited too long within 2 s; a service that sends nothing by
-	// then has not received the call. An agent responds at once: agentCallTimeout leaves time for a
-	// machine that is short of CPU.
+	// then has not received the call. A discovery agent that serves only this proxy (see Backoff) responds
+	// at once: agentCallTimeout leaves time for a machine that is short of CPU.
 	callTimeout      = 2200 * time.Millisecond
 	agentCallTimeout = 750 * time.Millisecond
 	dialTimeout      = time.Second
@@ -77,8 +78,8 @@
 //
 // It calls OnList with each list, one at a time. OnList returns the newest known revision and whether it
 // accepted the list: another watch may have delivered a newer one since this watch began. OnOpen is
-// called each time discovery has accepted a watch: the changes after Revision are then on their way, and
-// if there are none the first line is the next change. OnBreak is called each time a watch ends.
+// called each time discovery has accepted a watch. The watch then delivers all changes after Revision,
+// those that have already happened first. OnBreak is called each time a watch ends.
 type Watcher struct {
 	Addr     string
 	Revision int64 // the newest known revision
@@ -122,7 +123,7 @@
 			return
 		}
 		wait := w.Backoff.RetryDelay
-		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // no sign of load, so a long delay has no use
+		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // neither error is a sign of load, so a short delay is enough
 			wait = w.Backoff.ReconnectDelay
 		}
 		if n > 0 {
@@ -170,9 +171,10 @@
 // before.
 var errStaleList = errors.New("discovery list is older than the known list")
 
-// noteOlderList reports whether a whole list that is older than the known one is valid all the same. A
-// stale list would put members back in use that drain by now. A discovery service that is behind catches
-// up within catchUpTimeout; one that stays behind for longer has restarted its revision numbers.
+// noteOlderList records that discovery has sent a whole list that is older than the known one. It
+// returns true if discovery has restarted its revision numbers, which makes the list valid. Otherwise the
+// list is stale and would put members back in use that drain by now. A discovery service that is behind
+// catches up within catchUpTimeout; one that stays behind for longer has restarted its revision numbers.
 func (w *Watcher) noteOlderList() bool {
 	if w.behindSince.IsZero() {
 		w.behindSince = time.Now()
@@ -280,6 +282,7 @@
 			err = json.Unmarshal(object, &list)
 		}
 		if err != nil {
+			// A truncated line may have announced that members drain; these entries are applied all the same.
 			if drained := salvageDrains(object, w.Revision); len(drained) > 0 {
 				w.OnList(List{Revision: w.Revision, Members: drained})
 			}
@@ -328,15 +331,17 @@
 	return &watchConn{Conn: c, watcher: w}, nil
 }
 
-// stallTimer fires when a line, or an object on several lines, pauses after it has begun. An object,
-// inner ones included, has begun once its first byte is received, and is pending until it is parsed:
-// net/http holds back the received part of a chunk until the chunk is whole or the connection ends.
+// stallTimer fires when a line, or an object on several lines, pauses after it has begun. It compares the
+// number of objects, nested ones included, whose first byte the connection has received with the number
+// whose first byte the parser has read. The two differ while a line is incomplete, because net/http holds
+// back the received part of a chunk until the chunk is whole or the connection ends.
 type stallTimer struct {
 	mu               sync.Mutex
 	timer            *time.Timer
-	received, parsed int // number of objects that have begun
+	received, parsed int // number of objects that have begun on the connection and in the parser
 }
 
+// update adds objects that have begun, and starts, restarts or stops the timer.
 func (t *stallTimer) update(received, parsed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/instances/delegate.go
+++ b/internal/instances/delegate.go
@@ -93,8 +93,8 @@
 // NotifyUpdate records changed metadata of an instance.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
-// NotifyLeave records an instance that left or is no longer heard. The end of a predecessor process
-// changes nothing.
+// NotifyLeave records an instance that left or that memberlist has declared dead. The end of a
+// predecessor process changes nothing.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	m, err := parseMeta(n.Meta)
 	if err != nil {
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -34,8 +34,8 @@
 	// any lost datagram.
 	inboxSize = 1024
 	// rejoinInterval is the mean time between attempts to join the configured addresses while one of
-	// them is not an alive member. Without them, a partition that outlasts memberlist's memory of dead
-	// members would be permanent.
+	// them is not an alive member. Without these attempts, a partition that outlasts memberlist's memory
+	// of dead members would be permanent.
 	rejoinInterval = 5 * time.Second
 	// joinTimeout is how long the start waits for the state of the other instances.
 	joinTimeout  = 2 * time.Second
@@ -244,8 +244,8 @@
 	i.sendReliably(members, (&zones.Message{From: i.self.Number, ShuttingDown: true}).Append(nil))
 }
 
-// sendReliably sends a message over connections to the instances that are alive, and waits for at most
-// sendTimeout. It returns the names of those that were reached.
+// sendReliably sends an encoded message over connections to those of the given members that are alive,
+// and waits for at most sendTimeout. It returns the names of those that were reached.
 func (i *Instances) sendReliably(members []member, message []byte) map[string]bool {
 	var mu sync.Mutex
 	reached := map[string]bool{}
@@ -284,8 +284,9 @@
 	}
 }
 
-// otherMembers returns a copy of the known instances, the latest incarnation of each name, ordered by
-// number. It drops those that left and those lost for longer than Forget. The lock must be held.
+// otherMembers forgets the instances that have left and those that have been lost for longer than
+// ForgetAfter. It returns a copy of the remaining ones, the latest incarnation of each name, ordered by
+// number. The lock must be held.
 func (i *Instances) otherMembers() []member {
 	members := make([]member, 0, len(i.known))
 	for name, m := range i.known {
@@ -431,7 +432,8 @@
 	if !isNew {
 		return
 	}
-	// Other instances may not have it either, if their link to the leader is cut.
+	// Other instances may not have received the verdict or override either, if their link to the leader
+	// is cut.
 	forwarded := zones.Message{From: i.self.Number, Verdict: msg.Verdict, Overrides: msg.Overrides}
 	encoded := forwarded.Append(nil)
 	rand.Shuffle(len(members), func(x, y int) { members[x], members[y] = members[y], members[x] })
@@ -444,7 +446,7 @@
 	}
 }
 
-// applyMessage passes a message to the machine, and the resulting shares to the balancer. It tells
+// applyMessage passes a message to the machine, and the resulting shares to the balancer. It reports
 // whether the message had a new verdict or override. The lock must be held.
 func (i *Instances) applyMessage(msg *zones.Message) (isNew bool) {
 	if i.options.Machine == nil || msg.From == i.self.Number {
@@ -484,7 +486,8 @@
 	return msg.Append(nil)
 }
 
-// mergeState applies the encoded state of an instance that joins, or that this one joined.
+// mergeState applies the encoded state of another instance. If the state was exchanged in a join and this
+// instance has not ticked yet, it starts from that state; otherwise the state is merged like a message.
 func (i *Instances) mergeState(b []byte, join bool) {
 	msg, err := zones.Decode(b)
 	if err != nil || i.options.Machine == nil {
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,7 +1,7 @@
 // Package mgmt serves the operators' HTTP/1.1 API: whether the proxy serves, and which members are out of
-// use. It makes no decisions: internal/maintenance makes them, internal/handover keeps the record, and
-// the proxy applies it. It takes no client requests. It is a proxy.Front so that the host counts its
-// descriptors and closes it at the end.
+// use. It makes no decisions: internal/maintenance makes them, internal/handover keeps the record of
+// members out of use, and the proxy applies that record. It takes no client requests. It is a proxy.Front
+// so that the host counts its descriptors and closes it at the end.
 package mgmt
 
 import (
@@ -26,15 +26,16 @@
 const (
 	// readTimeout is how long a call may take to arrive. Callers that send nothing or half a call are
 	// disconnected after that.
-	readTimeout     = 2 * time.Second
+	readTimeout = 2 * time.Second
+	// responseTimeout is how long a response may take, in addition to readTimeout.
 	responseTimeout = time.Second
-	// maxConnections bounds the open connections. A further one replaces the oldest, which can only be
-	// one that stays silent.
+	// maxConnections bounds the open connections. A further one replaces the oldest. As calls are short,
+	// that is usually one on which no whole call has arrived.
 	maxConnections = 16
 	maxBodyBytes   = 1 << 10
 	maxHeaderBytes = 8 << 10
-	// recordPollInterval is how often the record is read: a call to one process has to apply to the other
-	// one too.
+	// recordPollInterval is how often the record of members out of use is read. While two processes of the
+	// proxy run, during a handover, a call to one of them has to apply to both.
 	recordPollInterval = 50 * time.Millisecond
 )
 
@@ -86,7 +87,7 @@
 // Addr returns the address of the listener.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// Serve accepts calls until Close, and follows the record meanwhile.
+// Serve accepts calls until Close. Meanwhile it applies changes of the record of members out of use.
 func (f *Front) Serve() error {
 	go f.followRecord()
 	if err := f.server.Serve(boundedListener{f.listener, f}); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// followRecord applies changes that another process has made to the record.
+// followRecord applies changes that another process has made to the record of members out of use.
 func (f *Front) followRecord() {
 	tick := time.NewTicker(recordPollInterval)
 	defer tick.Stop()
@@ -111,7 +112,7 @@
 			f.log.Error("the record of members out of use can't be read; the known one stays in force", "err", err)
 		}
 		if faulty = err != nil; changed && !faulty {
-			f.log.Info("members out of use have changed, by the record of another process", "count", set.CountOut())
+			f.log.Info("another process has changed the members out of use", "count", set.CountOut())
 			f.proxy.UpdateMaintenance(set)
 		}
 	}
@@ -225,7 +226,8 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// change records a call and applies it, and only then responds with success.
+// change updates the record of members out of use for a call and applies it, and only then responds with
+// success. takeOut tells for the log and the response whether the call takes the member out of use.
 func (f *Front) change(w http.ResponseWriter, r *http.Request, takeOut bool,
 	update func(maintenance.Set, string) (maintenance.Set, error)) {
 	id, ok := readBody(w, r, "the id of a member")
--- a/internal/orders/keeper/keeper.go
+++ b/internal/orders/keeper/keeper.go
@@ -16,7 +16,8 @@
 	"linenloom/internal/store/disk"
 )
 
-// ErrClosed reports that the record is closed. The requested change was not made.
+// ErrClosed reports that the record is closed. The requested change was not made. It wraps ErrOverloaded,
+// as a new order that is refused for either reason has not run and may be submitted again.
 var ErrClosed = fmt.Errorf("keeper: the record of orders is closed: %w", orders.ErrOverloaded)
 
 // openRetryInterval is the interval at which a successor process tries to open the record until its
@@ -100,8 +101,8 @@
 	}
 }
 
-// awaitOpen waits until the ledger is open. At most MaxPending orders may wait; an order that is
-// refused here has not run.
+// awaitOpen waits until the ledger is open. At most MaxPending orders may wait; a further one is refused
+// with ErrTooManyPending and has not run.
 func (k *Keeper) awaitOpen() (*ledger.Ledger, error) {
 	select {
 	case <-k.ready:
@@ -125,7 +126,7 @@
 	return k.ledger, k.openErr
 }
 
-// start runs f in a goroutine, or closed if the record is closed.
+// start runs task in a goroutine, or onClosed instead if the record is closed.
 func (k *Keeper) start(task func(), onClosed func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -138,7 +139,7 @@
 
 // Take decides on a submitted order like ledger.Take. If the end of an order with the same name is
 // being written, Take waits for it: its client was told at once that the order never ran and must not
-// be told on a retry that it is in progress.
+// be told on a retry that it is in progress. If done gets an error, the verdict beside it means nothing.
 func (k *Keeper) Take(o orders.Order, done func(orders.Verdict, []byte, error)) {
 	if k.options.RunUnknownRetries {
 		o.Retry = false
@@ -159,7 +160,7 @@
 	}, func() { done(orders.RecordFull, nil, ErrClosed) })
 }
 
-// markIfNotRun records that an order that was sent has certainly not run, if notRun is set.
+// markIfNotRun records, if notRun is set, that an order that was sent has certainly not run.
 func (k *Keeper) markIfNotRun(n orders.Name, notRun bool) error {
 	if !notRun {
 		return nil
@@ -179,7 +180,8 @@
 	}, func() { done(ErrClosed) })
 }
 
-// End records how an order in progress has ended. notRun is as for Send.
+// End records how an order in progress has ended. notRun is as for Send. reportedBy is "", or
+// orders.ReportedByCaller or orders.ReportedByStreaming if the order is Done and its receipt is missing.
 func (k *Keeper) End(n orders.Name, s orders.State, receipt []byte, reportedBy string, notRun bool, done func(error)) {
 	ended := make(chan struct{})
 	k.mu.Lock()
--- a/internal/orders/ledger/ledger.go
+++ b/internal/orders/ledger/ledger.go
@@ -25,7 +25,7 @@
 type Options struct {
 	orders.Limits
 	SegmentSize int64
-	// CompactAfter is the minimum number of log entries in excess of the orders before the log is
+	// CompactAfter is the number of log entries, beyond twice the number of orders, from which the log is
 	// compacted.
 	CompactAfter int
 	// MaxPending is the number of changes that may wait for the disk before new orders are refused; 0
@@ -41,9 +41,9 @@
 // WallClock returns the time since the epoch. Stored times are based on it.
 func WallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// ErrTooManyPending reports that an order was not accepted because too many changes wait for the disk.
-// It has not run and may be submitted again.
-var ErrTooManyPending = fmt.Errorf("ledger: the disk is behind: %w", orders.ErrOverloaded)
+// ErrTooManyPending reports that an order was not accepted because too many changes wait for the disk, or
+// too many orders for the record to open (package keeper). It has not run and may be submitted again.
+var ErrTooManyPending = fmt.Errorf("ledger: too many changes are pending: %w", orders.ErrOverloaded)
 
 // Ledger is an open record of orders. It is safe for concurrent use. Each change waits for the disk;
 // concurrent changes share a sync.
@@ -109,7 +109,7 @@
 	return err
 }
 
-// applyChange calls a method of the table and writes the entry that it returns.
+// applyChange calls operation, which changes the table, and writes the entry that it returns.
 func (l *Ledger) applyChange(operation func(t *orders.Table, now time.Duration) (*orders.Entry, error)) error {
 	l.mu.Lock()
 	entry, err := operation(l.table, l.now())
@@ -219,6 +219,8 @@
 	return l.compactLocked()
 }
 
+// compactLocked replaces the content of the log with the current entries and sets compactionErr. The
+// caller holds writeLock for writing.
 func (l *Ledger) compactLocked() error {
 	l.mu.Lock()
 	var records []log.Record
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -98,7 +98,7 @@
 	ErrPending       = errors.New("orders: an entry of it is not durable yet")
 	ErrNotUnknown    = errors.New("orders: only an unknown order can be settled")
 	// ErrOverloaded is wrapped by errors that report that an order was not accepted because too many
-	// changes wait for the disk. The order has not run.
+	// changes wait for the disk or the record is closed. The order has not run.
 	ErrOverloaded   = errors.New("too much waits for the record of orders")
 	ErrOperatorName = errors.New("orders: that is no operator's name")
 )
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -129,7 +129,7 @@
 
 // NewDriver returns a driver for a rollout whose plan and stages have passed their checks. last is the
 // stored state, or for a new rollout a state with both versions and an epoch above that of any earlier
-// rollout. Evidence is not stored: a new driver restarts its stage.
+// rollout. Observations are not stored: a new driver restarts its stage.
 func NewDriver(now time.Duration, p Plan, stages []Stage, t Timeouts, members []Member, last State) *Driver {
 	d := &Driver{plan: p, stages: stages, timeouts: t, memberOrder: SpreadOverZones(members), state: last, evaluator: NewEvaluator(p), status: map[int]MemberStatus{},
 		statusAt: map[int]time.Duration{}, phaseSince: now}
@@ -158,7 +158,7 @@
 	return s
 }
 
-// Fenced tells whether another driver has taken over the rollout.
+// Fenced reports whether another driver has taken over the rollout.
 func (d *Driver) Fenced() bool { return d.fenced }
 
 // Instructions returns the instruction for each member, or nil if this driver is fenced.
@@ -193,7 +193,7 @@
 	return d.evaluator.Observe(o)
 }
 
-// allSwitched tells whether all members that are to run the new version do so.
+// allSwitched reports whether all members that are to run the new version do so.
 func (d *Driver) allSwitched() bool {
 	return !slices.ContainsFunc(d.state.NewMembers, func(n int) bool { return d.status[n].Version != d.state.To })
 }
@@ -211,17 +211,17 @@
 func (d *Driver) Command(now time.Duration, command string) error {
 	switch p := d.state.Phase; {
 	case d.fenced:
-		return fmt.Errorf("rollout: another driver has taken over this change")
+		return fmt.Errorf("rollout: another driver has taken over this rollout")
 	case command == "pause" && (p == PhaseRunning || p == PhaseAwaitingApproval):
-		d.transition(now, PhasePaused, "by hand")
+		d.transition(now, PhasePaused, "by an operator")
 	case command == "go" && p == PhaseAwaitingApproval:
 		d.advance(now)
 	case command == "go" && p == PhasePaused:
-		d.transition(now, PhaseRunning, "by hand")
+		d.transition(now, PhaseRunning, "by an operator")
 	case command == "back" && (p == PhaseRunning || p == PhaseAwaitingApproval || p == PhasePaused || p == PhaseCompleted):
-		d.transition(now, PhaseRollingBack, "by hand")
+		d.transition(now, PhaseRollingBack, "by an operator")
 	default:
-		return fmt.Errorf("rollout: %s is not possible while a change is %v", command, p)
+		return fmt.Errorf("rollout: %s is not possible in phase %v of the rollout", command, p)
 	}
 	return nil
 }
@@ -238,7 +238,7 @@
 	d.transition(now, PhaseRunning, fmt.Sprintf("stage %d", d.state.Stage+1))
 }
 
-// Tick performs the periodic work. It tells whether the state has changed and has to be stored before
+// Tick performs the periodic work. It reports whether the state has changed and has to be stored before
 // Instructions are sent.
 func (d *Driver) Tick(now time.Duration) (changed bool) {
 	epoch := d.state.Epoch
@@ -252,9 +252,9 @@
 	return d.state.Epoch != epoch
 }
 
-// checkStage evaluates the running stage. A new member that rejected its instruction, did not switch or
-// fell silent is attributed to the change until shown otherwise, and the change is rolled back. An old
-// member that falls silent says nothing about the change; the rollout waits for it.
+// checkStage evaluates the running stage. If a new member rejects its instruction, does not switch or
+// falls silent, the change is taken to be the cause and is rolled back. The silence of an old member
+// says nothing about the change; the rollout waits for that member.
 func (d *Driver) checkStage(now time.Duration) {
 	for _, n := range d.state.NewMembers {
 		status, known := d.status[n]
@@ -266,7 +266,7 @@
 			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d does not run the new version after %v", n, d.timeouts.Switch))
 			return
 		case known && status.Version == d.state.To && now-d.statusAt[n] > d.timeouts.Silence:
-			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d, which runs the new version, is no longer heard", n))
+			d.transition(now, PhaseRollingBack, fmt.Sprintf("member %d, which runs the new version, has stopped reporting", n))
 			return
 		}
 	}
@@ -295,8 +295,8 @@
 	Version string // version to run
 }
 
-// Apply accepts an instruction unless it is outdated, and tells whether the member has to switch to
-// another version.
+// Apply accepts an instruction unless it is outdated or has the epoch of the accepted one and another
+// version. It reports whether the member has to switch to another version.
 func (f *Follower) Apply(instruction Instruction) (changed bool) {
 	if instruction.Epoch < f.Epoch || instruction.Epoch == f.Epoch && instruction.Version != f.Version {
 		return false
--- a/internal/rollout/driver_test.go
+++ b/internal/rollout/driver_test.go
@@ -120,13 +120,13 @@
 				c.Command(c.now, "back")
 			}
 			return goodObservation
-		}, PhaseRolledBack, 6, "by hand"},
+		}, PhaseRolledBack, 6, "by an operator"},
 		"paused": {func(c *testRollout, s int) Observation {
 			if s == 3 {
 				c.Command(c.now, "pause")
 			}
 			return goodObservation
-		}, PhasePaused, 1, "by hand"},
+		}, PhasePaused, 1, "by an operator"},
 	} {
 		ch := newTestRollout(initialState, noLoss)
 		most := 0
@@ -141,7 +141,7 @@
 			t.Errorf("%s: %d still run the new version", name, ch.runningNew())
 		}
 	}
-	if err := newTestRollout(initialState, noLoss).Command(0, "go"); err == nil || !strings.Contains(err.Error(), "while a change is going") {
+	if err := newTestRollout(initialState, noLoss).Command(0, "go"); err == nil || !strings.Contains(err.Error(), "in phase going of the rollout") {
 		t.Error(err)
 	}
 }
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -92,13 +92,13 @@
 	return sum
 }
 
-// Worse tells whether the new side is worse, with a probability of at most alpha that this is wrong.
+// Worse reports whether the new side is worse, with a probability of at most alpha that this is wrong.
 func (t *SequentialTest) Worse(alpha float64) bool { return t.peakEvidence >= 1/alpha }
 
 // normalQuantile90 is the quantile of the standard normal distribution at 0.9.
 const normalQuantile90 = 1.2815515655446004
 
-// HasPower tells whether there was enough traffic to detect a regression of this size (a share of the
+// HasPower reports whether there was enough traffic to detect a regression of this size (a share of the
 // results, such as 0.03) by now with a probability of nine in ten. The growth of the evidence under the
 // regression is a sum over requests. Its mean and spread are computed for the old side's observed share
 // and the factor that fits the regression best.
--- a/internal/store/log/log.go
+++ b/internal/store/log/log.go
@@ -243,8 +243,9 @@
 	return tail, nil
 }
 
-// checkLaterSegments checks the segments after the last valid one. A crash may leave a segment without
-// a valid header, but not with records written after a record that was durable.
+// checkLaterSegments checks the segments after the last valid one. A crash may leave such a segment
+// without a valid header or a complete first group. Damage is reported if it holds a record that states
+// that the next record of the log, which was not found, was durable.
 func (l *Log) checkLaterSegments(segments []segment, generation uint64) error {
 	for _, s := range segments {
 		if s.fileGeneration <= generation {
@@ -322,9 +323,10 @@
 			return nil, fmt.Errorf("log: record %d: %w", r.Sequence, err)
 		}
 		if !sizeKnown {
-			// The record confirms the records before it and the segment. Only the first record of a
-			// group confirms everything up to its own offset: the records before a later member of the
-			// group belong to the same group, and nothing has confirmed them yet.
+			// The record states that all records up to durable are on stable storage. All records of a
+			// group state the same: if records 5 to 7 are a group, each states that record 4 is durable.
+			// Record 5, for which 5 <= 4+1, therefore confirms all data before its own offset. The data
+			// before record 6 includes record 5, which nothing has confirmed yet.
 			if durable >= link.firstSequence && r.Sequence <= durable+1 {
 				l.validGeneration, l.validSize = link.fileGeneration, offset
 			}
@@ -459,8 +461,8 @@
 	}
 	if err != nil {
 		// The new segment may be complete on the disk and would then be the latest valid one, so
-		// nothing may be appended to an older segment. The next segment follows the data that was valid
-		// before and is later than both.
+		// nothing may be appended to an older segment. The header of the next segment refers to the data
+		// that was valid before the compaction, and its generation is above that of the failed segment.
 		return fmt.Errorf("log: compaction: %w", err)
 	}
 	l.file, l.validGeneration, l.validSize = file, l.latestGeneration, size
--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -24,24 +24,24 @@
 	minJudged       = 5    // fewer judged attempts at an instance give it no vote
 	badRatio        = 0.4  // share of bad attempts from which an instance votes a zone bad
 	trimmedBadRatio = 0.25 // the same without the worst third of the nodes: the zone is at fault, not a few nodes
-	goodRatio       = 0.2
-	silentRatio     = 0.9 // share of the bad attempts that had no answer at all
-	minVoters       = 2   // a single instance never gets a zone taken out of use for the others
+	goodRatio       = 0.2  // share of bad attempts up to which an instance votes a zone good
+	silentRatio     = 0.9  // share of the bad attempts that had no answer at all
+	minVoters       = 2    // a single instance never gets a zone taken out of use for the others
 
 	confirmTicks      = 2                // consecutive bad ticks before a zone is left
-	minSilentVoters   = 3                // instances that all see silence, at most a third against: one tick is enough
-	maxUnsettledTicks = 10               // ticks for which a zone neither good nor bad delays the decision on another
-	suspicionTimeout  = time.Second      // without a bad tick ends a suspicion
-	ackTimeout        = time.Second      // for all instances to confirm that they have left a zone
-	minOutTime        = time.Second / 2  // before the first probes
-	maxOutTime        = 30 * time.Second // upper bound for a flapping zone
+	minSilentVoters   = 3                // bad votes, all of them for silence, with which one bad tick is enough
+	maxUnsettledTicks = 10               // ticks for which a zone that is neither good nor bad delays leaving another
+	suspicionTimeout  = time.Second      // time without a bad tick that ends a suspicion
+	ackTimeout        = time.Second      // time for all instances to confirm that they have left a zone
+	minOutTime        = time.Second / 2  // time out of use before the first probes, doubled by each flap
+	maxOutTime        = 30 * time.Second // upper bound of that time for a flapping zone
 	flapWindow        = time.Minute      // a zone that fails again within this time of its return stays out longer
 	goodProbeTicks    = 10               // consecutive good ticks that end probing
-	regionWaitTimeout = 15 * time.Second // a zone that answers waits no longer for its region
+	regionWaitTimeout = 15 * time.Second // longest time for which a zone that answers waits for the rest of its region
 	shareStep         = 10               // in hundredths of a zone's usual load
-	maxRefusalSteps   = 3                // step durations for which refusals at the origin may delay the next step
+	maxRefusalSteps   = 3                // number of step durations for which refusals at the origin may delay the next step
 	mixedTimeout      = time.Second      // mixed results for this long lower the share
-	noLeaderTimeout   = 5 * time.Second  // without a leader with a quorum: use all zones, as without [zones]
+	noLeaderTimeout   = 5 * time.Second  // time without a leader with a quorum after which all zones are used, as without [zones]
 	capacityTolerance = 0.8              // factor on MinCapacityShare when checking a verdict: member lists may differ
 )
 
@@ -147,7 +147,7 @@
 	return all
 }
 
-// hasFreshReport tells whether another instance's latest report still counts.
+// hasFreshReport reports whether another instance's latest report still counts.
 func (m *Machine) hasFreshReport(number int) bool {
 	r := m.reports[number]
 	return r != nil && m.now-r.receivedAt <= reportMaxAge
@@ -195,7 +195,7 @@
 }
 
 // ReceiveVerdict takes a verdict from another instance, which decided it if fromLeader is set, and
-// forwards it otherwise. It tells whether the verdict was new.
+// forwards it otherwise. It reports whether the verdict was new.
 func (m *Machine) ReceiveVerdict(now time.Duration, from int, v Verdict, fromLeader bool) (isNew bool) {
 	if !m.isLivePeer(from) {
 		return false
@@ -207,7 +207,7 @@
 	return m.acceptVerdict(now, v)
 }
 
-// isLivePeer tells whether the number belongs to another instance that is alive.
+// isLivePeer reports whether the number belongs to another instance that is alive.
 func (m *Machine) isLivePeer(number int) bool {
 	return slices.ContainsFunc(m.peers, func(p Peer) bool { return p.Number == number && p.Alive })
 }
@@ -220,8 +220,8 @@
 	return true
 }
 
-// withinBounds tells whether a verdict keeps the bounds that hold whoever decided it. In particular it
-// may not close a zone where too little capacity would stay in use.
+// withinBounds reports whether a verdict keeps the bounds that hold whichever instance decided it. In
+// particular, it may not take a zone out of use if too little capacity would stay in use.
 func (m *Machine) withinBounds(v *Verdict) bool {
 	if len(v.Zones) != len(m.trackers) || v.Epoch > m.verdict.Epoch+1<<32 {
 		return false
@@ -280,7 +280,7 @@
 	return nil
 }
 
-// anyInUse tells whether any zone except those listed is in use, according to the verdict and the
+// anyInUse reports whether any zone except those listed is in use, according to the verdict and the
 // overrides.
 func (m *Machine) anyInUse(except []int) bool {
 	for i, z := range m.verdict.Zones {
@@ -291,7 +291,7 @@
 	return false
 }
 
-// MergeOverrides merges overrides from another instance. It tells whether any of them was new.
+// MergeOverrides merges overrides from another instance. It reports whether any of them was new.
 func (m *Machine) MergeOverrides(now time.Duration, overrides []Override) (isNew bool) {
 	if len(overrides) != len(m.overrides) {
 		return false
@@ -308,7 +308,7 @@
 }
 
 // Tick performs the periodic work. The statistics and the number of requests refused at the origin are
-// this instance's own, from its Meter. It tells whether this instance leads with a quorum, and whether
+// this instance's own, from its Meter. It reports whether this instance leads with a quorum, and whether
 // the process was suspended, so that the caller has to reset its Meter.
 func (m *Machine) Tick(now time.Duration, stats []ZoneStats, originRefusals int) (leads, paused bool) {
 	if !m.ticked {
@@ -335,7 +335,7 @@
 	return leads, paused
 }
 
-// isLeader tells whether this instance leads: every instance before it in the leader order has been
+// isLeader reports whether this instance leads: every instance before it in the leader order has been
 // silent for leaderLease, and this one has had time to hear from them.
 func (m *Machine) isLeader() bool {
 	if len(m.peers) == 0 || m.now-m.observingSince < leaderLease {
@@ -352,7 +352,7 @@
 	return false
 }
 
-// hasQuorum tells whether this instance and those with fresh reports are more than half of the instances
+// hasQuorum reports whether this instance and those with fresh reports are more than half of the instances
 // that were recently present. A side of a partition without a quorum takes no zone out of use and raises
 // no share. Of two equal halves, the one with the lowest instance number has the quorum.
 func (m *Machine) hasQuorum() bool {
@@ -380,20 +380,23 @@
 
 func (o zoneOpinion) voters() int { return o.bad + o.good + o.mixed }
 
-// isBad tells whether at least two thirds of the voters find the zone bad. One voter is never enough.
+// isBad reports whether at least two thirds of the voters find the zone bad. One voter is never enough.
 func (o zoneOpinion) isBad() bool {
 	return o.voters() >= minVoters && o.bad >= minVoters && 3*o.bad >= 2*o.voters()
 }
 
-// isGood tells whether at least two thirds of the voters find the zone good.
+// isGood reports whether at least two thirds of the voters find the zone good.
 func (o zoneOpinion) isGood() bool { return o.good > 0 && 3*o.good >= 2*o.voters() }
 
-// classify returns the instance's vote on the zone: bad, good, mixed (votes alone), or none.
+// classify returns the instance's vote on the zone. hasVote is false if there are too few attempts for a
+// vote. If only hasVote is true, the vote is that the results are mixed.
 func (s ZoneStats) classify() (bad, good, hasVote bool) {
 	if s.Judged < minJudged || s.Bad > s.Judged || s.TrimmedBad > s.TrimmedJudged || s.TrimmedJudged > s.Judged {
 		return false, false, false // too few attempts, or inconsistent counts
 	}
 	badShare := float64(s.Bad) / float64(s.Judged)
+	// Hardly any recent attempt was answered, which makes the zone bad before the share of bad attempts in
+	// the whole window does.
 	if s.RecentUnanswered >= minJudged && s.RecentUnanswered <= s.Judged {
 		return s.TrimmedJudged == 0 || s.TrimmedBad > 0, false, true // failures beyond the worst third of the nodes
 	}
@@ -525,8 +528,8 @@
 		switch {
 		case m.readyToReturn(i):
 			z.State, z.Share, z.Probers = StateReturning, shareStep, nil
-		// The rest of its region stays out.
 		case z.WithRegion && tracker.goodTicks >= goodProbeTicks && age > regionWaitTimeout:
+			// The zone may return without the rest of its region.
 			z.WithRegion = false
 		default:
 			z.Probers = m.selectProbers(i, all[i], age)
@@ -536,7 +539,7 @@
 	}
 }
 
-// readyToReturn tells whether a zone that is being probed answers, together with all zones linked to it.
+// readyToReturn reports whether a zone that is being probed answers, together with all zones linked to it.
 func (m *Machine) readyToReturn(i int) bool {
 	for _, j := range append(m.linkedZones(i), i) {
 		if m.verdict.Zones[j].State != StateTrying || m.trackers[j].goodTicks < goodProbeTicks {
@@ -613,7 +616,7 @@
 	return numbers
 }
 
-// acknowledged tells whether all instances with fresh reports apply the current verdict.
+// acknowledged reports whether all instances with fresh reports apply the current verdict.
 func (m *Machine) acknowledged() bool {
 	for _, n := range m.freshReporters() {
 		if m.reports[n].Epoch < m.verdict.Epoch {
@@ -631,7 +634,7 @@
 		return m.overrides[i].Mode == ModeAuto && confirmed && (s == StateSuspected || s == StateReturning || s == StateIn && next.Zones[i].State == StateSuspected)
 	}
 	var capacityInUse, total float64
-	goodZoneInUse := false // some zone that stays in use is good
+	goodZoneInUse := false // a zone that stays in use is good
 	var zonesOut []int
 	for i := range next.Zones {
 		total += m.capacity[i]
@@ -646,7 +649,7 @@
 		case o.isGood():
 			goodZoneInUse = true
 		case o.bad+o.mixed > 0 && m.trackers[i].badTicks+m.trackers[i].mixedTicks < maxUnsettledTicks:
-			return // it may be about to fail too: no zone is left for a cause common to all
+			return // this zone may be about to fail too; no zone is left if the cause is common to all
 		}
 	}
 	if !goodZoneInUse {
@@ -721,7 +724,7 @@
 // at once, up no faster than cold cache nodes can take load. As every instance does this for its own
 // part of the traffic, the total is limited too, however many instances there are.
 func (m *Machine) updateShares(now time.Duration) {
-	// A verdict and an override decided at the same time may have closed all zones. Then every zone that
+	// A verdict and an override decided at the same time may have taken all zones out of use. Then every zone that
 	// no operator has taken out is used, with the limited rise.
 	noZoneInUse := !m.anyInUse(nil)
 	for i := range m.limiters {
@@ -767,7 +770,7 @@
 	m.updateShares(now)
 }
 
-// Healthy tells whether all zones get their full share and this instance observes no more than a tenth
+// Healthy reports whether all zones get their full share and this instance observes no more than a tenth
 // of bad attempts in any.
 func (m *Machine) Healthy() bool {
 	for i, z := range m.verdict.Zones {
--- a/internal/zones/meter.go
+++ b/internal/zones/meter.go
@@ -58,7 +58,7 @@
 	node      uint64
 	zone      int32
 	judged    bool
-	slot      int64 // in which it was judged; 0 if it needs no correction
+	slot      int64 // in which it was judged without an answer, which a late answer corrects; 0: no correction
 }
 
 // NewMeter returns a Meter. In any zone, an answer that takes longer than half of aim is slow.
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -59,7 +59,7 @@
 	Zones     []Zone
 }
 
-// newer tells whether v replaces old. If two instances decided the same epoch while there was no single
+// newer reports whether v replaces old. If two instances decided the same epoch while there was no single
 // leader, all instances choose the same one.
 func (v *Verdict) newer(old *Verdict) bool {
 	return v.Epoch > old.Epoch || v.Epoch == old.Epoch && v.Epoch > 0 && v.DecidedBy < old.DecidedBy
@@ -137,7 +137,7 @@
 	Suspects []int
 }
 
-// stale tells whether r is no newer than old.
+// stale reports whether r is no newer than old.
 func (r *Report) stale(old *Report) bool {
 	return r.StartedAtMS < old.StartedAtMS || r.StartedAtMS == old.StartedAtMS && r.Seq <= old.Seq
 }
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -365,7 +365,7 @@
 	})
 }
 
-// A verdict that breaks the bounds, or is older than the current one, is rejected whoever sends it.
+// A verdict that breaks the bounds, or is older than the current one, is rejected, whichever instance sends it.
 func TestInvalidVerdictsAreRejected(t *testing.T) {
 	sim := newSimulation(3, 3, 1, nil)
 	sim.run(2*time.Second, nil)
