--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -123,7 +123,8 @@
 			return
 		}
 		wait := w.Backoff.RetryDelay
-		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // neither error is a sign of load, so a short delay is enough
+		// Neither of these errors is a sign of load, so a short delay is enough.
+		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) {
 			wait = w.Backoff.ReconnectDelay
 		}
 		if n > 0 {
--- a/internal/zones/machine.go
+++ b/internal/zones/machine.go
@@ -39,10 +39,12 @@
 	goodProbeTicks    = 10               // consecutive good ticks that end probing
 	regionWaitTimeout = 15 * time.Second // longest time for which a zone that answers waits for the rest of its region
 	shareStep         = 10               // in hundredths of a zone's usual load
-	maxRefusalSteps   = 3                // number of step durations for which refusals at the origin may delay the next step
+	maxRefusalSteps   = 3                // step durations after which a step is due in spite of refusals at the origin
 	mixedTimeout      = time.Second      // mixed results for this long lower the share
-	noLeaderTimeout   = 5 * time.Second  // time without a leader with a quorum after which all zones are used, as without [zones]
-	capacityTolerance = 0.8              // factor on MinCapacityShare when checking a verdict: member lists may differ
+	// noLeaderTimeout is the time without a leader with a quorum after which all zones are used, as without
+	// [zones].
+	noLeaderTimeout   = 5 * time.Second
+	capacityTolerance = 0.8 // factor on MinCapacityShare when checking a verdict: member lists may differ
 )
 
 // Peer is another instance in the membership list.
