--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -24,10 +24,11 @@
 
 const (
 	// silenceTimeout is how long a watch may be silent before it counts as broken. Discovery sends a
-	// heartbeat every 2 s. A change counts as announced 6 s after the watch fell silent. By then a third
-	// watch must be open, even if the second one received no line: two silence timeouts, the second call
-	// (agentCallTimeout) and two reconnect delays take less than that. A heartbeat that is late by more
-	// than 0.4 s ends a healthy watch, which costs one more call.
+	// heartbeat every 2 s. A change counts as announced 6 s after the watch fell silent. If lists are
+	// pushed, a third watch must be open by then even if the second one was silent from its first line
+	// on: two silence timeouts, one agentCallTimeout and two reconnect delays take less than 6 s. For a
+	// service that is polled, see maxReconnectSpread. A heartbeat that is late by more than 0.4 s ends a
+	// healthy watch, which costs one more call.
 	silenceTimeout = 2400 * time.Millisecond
 	// callTimeout is how long a discovery service that is polled may take to begin its response. Whatever
 	// its load, it rejects a call that has waited too long within 2 s; a service that sends nothing by
