--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -24,14 +24,16 @@
 
 const (
 	// silenceTimeout is how long a watch may be silent before it counts as broken. Discovery sends a
-	// heartbeat every 2 s. A change counts as announced 6 s after the watch fell silent; by then even a
-	// second watch that is silent from its first line on must have been replaced. A heartbeat that is
-	// late by more than 0.4 s ends a healthy watch, which costs one more call.
+	// heartbeat every 2 s. A change counts as announced 6 s after the watch fell silent. If lists are
+	// pushed, a third watch must be open by then even if the second one was silent from its first line
+	// on: two silence timeouts, one agentCallTimeout and two reconnect delays take less than 6 s. For a
+	// service that is polled, see maxReconnectSpread. A heartbeat that is late by more than 0.4 s ends a
+	// healthy watch, which costs one more call.
 	silenceTimeout = 2400 * time.Millisecond
 	// callTimeout is how long a discovery service that is polled may take to begin its response. Whatever
 	// its load, it rejects a call that has waited too long within 2 s; a service that sends nothing by
-	// then has not received the call. An agent responds at once: agentCallTimeout leaves time for a
-	// machine that is short of CPU.
+	// then has not received the call. A discovery agent that serves only this proxy (see Backoff) responds
+	// at once: agentCallTimeout leaves time for a machine that is short of CPU.
 	callTimeout      = 2200 * time.Millisecond
 	agentCallTimeout = 750 * time.Millisecond
 	dialTimeout      = time.Second
@@ -77,8 +79,8 @@
 //
 // It calls OnList with each list, one at a time. OnList returns the newest known revision and whether it
 // accepted the list: another watch may have delivered a newer one since this watch began. OnOpen is
-// called each time discovery has accepted a watch: the changes after Revision are then on their way, and
-// if there are none the first line is the next change. OnBreak is called each time a watch ends.
+// called each time discovery has accepted a watch. The watch then delivers all changes after Revision,
+// those that have already happened first. OnBreak is called each time a watch ends.
 type Watcher struct {
 	Addr     string
 	Revision int64 // the newest known revision
@@ -88,7 +90,7 @@
 	Backoff      *Backoff      // delays between calls
 	InitialDelay time.Duration // delay before the first call
 	HasMembers   bool          // members are known; an empty list would remove them
-	OnList       func(List) (newest int64, taken bool)
+	OnList       func(List) (newest int64, accepted bool)
 	OnOpen       func() // may be nil
 	OnBreak      func()
 	Log          *slog.Logger
@@ -122,7 +124,8 @@
 			return
 		}
 		wait := w.Backoff.RetryDelay
-		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) { // no sign of load, so a long delay has no use
+		// Neither of these errors is a sign of load, so a short delay is enough.
+		if errors.Is(err, errSilent) || errors.Is(err, errStaleList) {
 			wait = w.Backoff.ReconnectDelay
 		}
 		if n > 0 {
@@ -170,10 +173,11 @@
 // before.
 var errStaleList = errors.New("discovery list is older than the known list")
 
-// revisionsReset reports whether a whole list that is older than the known one is valid all the same. A
-// stale list would put members back in use that drain by now. A discovery service that is behind catches
-// up within catchUpTimeout; one that stays behind for longer has restarted its revision numbers.
-func (w *Watcher) revisionsReset() bool {
+// noteOlderList records that discovery has sent a whole list that is older than the known one. It
+// returns true if discovery has restarted its revision numbers, which makes the list valid. Otherwise the
+// list is stale and would put members back in use that drain by now. A discovery service that is behind
+// catches up within catchUpTimeout; one that stays behind for longer has restarted its revision numbers.
+func (w *Watcher) noteOlderList() bool {
 	if w.behindSince.IsZero() {
 		w.behindSince = time.Now()
 	}
@@ -205,7 +209,7 @@
 	if len(list.Members) == 0 && w.HasMembers {
 		return errEmptyList
 	}
-	if list.RevisionsReset = list.Revision < w.Revision; list.RevisionsReset && !w.revisionsReset() {
+	if list.RevisionsReset = list.Revision < w.Revision; list.RevisionsReset && !w.noteOlderList() {
 		return errStaleList
 	}
 	list.Complete = true
@@ -219,9 +223,9 @@
 // apply passes a valid list to OnList. It returns false if a newer list has arrived by another watch
 // meanwhile.
 func (w *Watcher) apply(list List) bool {
-	if newest, taken := w.OnList(list); !taken {
+	if newest, accepted := w.OnList(list); !accepted {
 		w.Revision = newest
-		w.revisionsReset()
+		w.noteOlderList()
 		return false
 	}
 	w.Revision, w.behindSince, w.loggedEmpty = list.Revision, time.Time{}, false
@@ -236,11 +240,11 @@
 	defer cancel(nil)
 	silenceTimer := time.AfterFunc(w.callTimeout, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
-	stalled := &stallTimer{timer: time.AfterFunc(time.Hour, func() {
+	lineTimer := &stallTimer{timer: time.AfterFunc(time.Hour, func() {
 		cancel(fmt.Errorf("a line stalled for %v", lineStallTimeout))
 	})}
-	defer stalled.timer.Stop()
-	w.stallTimer.Store(stalled)
+	defer lineTimer.timer.Stop()
+	w.stallTimer.Store(lineTimer)
 	defer w.stallTimer.Store(nil)
 	u := url.URL{Scheme: "http", Host: w.Addr, Path: "/registry/instances", RawQuery: url.Values{
 		"watch": {"1"}, "from": {strconv.FormatInt(w.Revision, 10)}}.Encode()}
@@ -263,7 +267,7 @@
 	objects := newObjectReader(resp.Body)
 	for {
 		object, err := objects.next()
-		stalled.update(0, objects.started)
+		lineTimer.update(0, objects.started)
 		objects.started = 0
 		if err == nil {
 			silenceTimer.Reset(w.silenceTimeout)
@@ -280,6 +284,7 @@
 			err = json.Unmarshal(object, &list)
 		}
 		if err != nil {
+			// A truncated line may have announced that members drain; these entries are applied all the same.
 			if drained := salvageDrains(object, w.Revision); len(drained) > 0 {
 				w.OnList(List{Revision: w.Revision, Members: drained})
 			}
@@ -298,7 +303,7 @@
 			w.loggedEmpty = true
 			continue
 		case list.Complete && list.Revision < w.Revision:
-			if list.RevisionsReset = w.revisionsReset(); !list.RevisionsReset {
+			if list.RevisionsReset = w.noteOlderList(); !list.RevisionsReset {
 				return lines, errStaleList
 			}
 		}
@@ -328,24 +333,26 @@
 	return &watchConn{Conn: c, watcher: w}, nil
 }
 
-// stallTimer fires when a line, or an object on several lines, pauses after it has begun. An object,
-// inner ones included, has begun once its first byte is received, and is pending until it is parsed:
-// net/http holds back the received part of a chunk until the chunk is whole or the connection ends.
+// stallTimer fires when a line, or an object on several lines, pauses after it has begun. It compares the
+// number of objects, nested ones included, whose first byte the connection has received with the number
+// whose first byte the parser has read. The two differ while a line is incomplete, because net/http holds
+// back the received part of a chunk until the chunk is whole or the connection ends.
 type stallTimer struct {
 	mu               sync.Mutex
 	timer            *time.Timer
-	received, parsed int // number of objects that have begun
+	received, parsed int // number of objects that have begun on the connection and in the parser
 }
 
-func (a *stallTimer) update(came, read int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.received, a.parsed = a.received+came, a.parsed+read
+// update adds objects that have begun, and starts, restarts or stops the timer.
+func (t *stallTimer) update(received, parsed int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.received, t.parsed = t.received+received, t.parsed+parsed
 	switch {
-	case a.received == a.parsed:
-		a.timer.Stop()
-	case came > 0:
-		a.timer.Reset(lineStallTimeout)
+	case t.received == t.parsed:
+		t.timer.Stop()
+	case received > 0:
+		t.timer.Reset(lineStallTimeout)
 	}
 }
 
@@ -368,8 +375,8 @@
 		}
 		c.headerDone, c.header, got = true, nil, rest
 	}
-	if a := c.watcher.stallTimer.Load(); a != nil && len(got) > 0 {
-		a.update(bytes.Count(got, []byte{'{'}), 0)
+	if lineTimer := c.watcher.stallTimer.Load(); lineTimer != nil && len(got) > 0 {
+		lineTimer.update(bytes.Count(got, []byte{'{'}), 0)
 	}
 	return n, err
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -59,7 +59,7 @@
 	Zones     []Zone
 }
 
-// newer tells whether v replaces old. If two instances decided the same epoch while there was no single
+// newer reports whether v replaces old. If two instances decided the same epoch while there was no single
 // leader, all instances choose the same one.
 func (v *Verdict) newer(old *Verdict) bool {
 	return v.Epoch > old.Epoch || v.Epoch == old.Epoch && v.Epoch > 0 && v.DecidedBy < old.DecidedBy
@@ -106,8 +106,8 @@
 // MaxRequesterLen is the maximum length of Override.Requester in bytes.
 const MaxRequesterLen = 32
 
-func (h Override) supersedes(o Override) bool {
-	return cmp.Or(cmp.Compare(h.TimestampMS, o.TimestampMS), cmp.Compare(o.ReceivedBy, h.ReceivedBy), cmp.Compare(h.Mode, o.Mode)) > 0
+func (override Override) supersedes(other Override) bool {
+	return cmp.Or(cmp.Compare(override.TimestampMS, other.TimestampMS), cmp.Compare(other.ReceivedBy, override.ReceivedBy), cmp.Compare(override.Mode, other.Mode)) > 0
 }
 
 // ZoneStats counts one instance's recent attempts in a zone. An attempt is judged when it ends or has
@@ -137,7 +137,7 @@
 	Suspects []int
 }
 
-// stale tells whether r is no newer than old.
+// stale reports whether r is no newer than old.
 func (r *Report) stale(old *Report) bool {
 	return r.StartedAtMS < old.StartedAtMS || r.StartedAtMS == old.StartedAtMS && r.Seq <= old.Seq
 }
