--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -169,13 +169,13 @@
 	a.ReloadFiles()
 }
 
-// Name returns the attribute name under which requests carry a token.
-func (a *Authenticator) Name() string { return a.tokenName }
+// TokenAttribute returns the attribute name under which requests carry a token.
+func (a *Authenticator) TokenAttribute() string { return a.tokenName }
 
-// Prove verifies a token that came from an address. It may take about 100 us and must not be called under a
+// VerifyToken verifies a token that came from an address. It may take about 100 us and must not be called under a
 // contended lock. suspect says that the token's connection has sent an invalid token before; the address
 // may be known for one too.
-func (a *Authenticator) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
+func (a *Authenticator) VerifyToken(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
 	if a.verifier == nil {
 		return nil, &identity.Error{Reason: identity.Forbidden, Detail: "no tokens are taken here"}
 	}
@@ -195,20 +195,20 @@
 	return proof, err
 }
 
-// Holds reports whether a proof is still valid. It does not block.
-func (a *Authenticator) Holds(p *identity.Proof) error {
+// CheckProof reports whether a proof is still valid. It does not block.
+func (a *Authenticator) CheckProof(p *identity.Proof) error {
 	if p.ByCertificate() && a.listenerTLS != nil {
 		return a.listenerTLS.certs.Load().CheckProof(a.now(), p)
 	}
 	return a.keys.Load().CheckProof(a.now(), p)
 }
 
-// May reports whether the holder of a proof may make a request now. An order consumes its token's id.
-func (a *Authenticator) May(p *identity.Proof, request identity.Request) error {
+// Authorize reports whether the holder of a proof may make a request now. An order consumes its token's id.
+func (a *Authenticator) Authorize(p *identity.Proof, request identity.Request) error {
 	if p == nil {
 		return &identity.Error{Reason: identity.NoCredentials}
 	}
-	if err := a.Holds(p); err != nil {
+	if err := a.CheckProof(p); err != nil {
 		return err
 	}
 	a.rightsMu.Lock()
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -83,7 +83,7 @@
 		for range 3 {
 			authenticator.ReloadFiles()
 		}
-		if _, err := authenticator.Prove([]byte(token), netip.Addr{}, false); err != nil {
+		if _, err := authenticator.VerifyToken([]byte(token), netip.Addr{}, false); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if got := log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "old keys stay in force") || !strings.Contains(got, file) {
@@ -98,10 +98,10 @@
 	other, newToken := newKeySet(t, "k1") // another key under the same id
 	write(other)
 	authenticator.ReloadFiles()
-	if _, err := authenticator.Prove([]byte(token), netip.Addr{}, false); identity.ReasonOf(err) != identity.KeyRetired {
+	if _, err := authenticator.VerifyToken([]byte(token), netip.Addr{}, false); identity.ReasonOf(err) != identity.KeyRetired {
 		t.Errorf("by the key before: %v", err)
 	}
-	if _, err := authenticator.Prove([]byte(newToken), netip.Addr{}, false); err != nil {
+	if _, err := authenticator.VerifyToken([]byte(newToken), netip.Addr{}, false); err != nil {
 		t.Errorf("by the new key: %v", err)
 	}
 }
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	proof, err := authenticator.Prove([]byte(token), netip.Addr{}, false)
+	proof, err := authenticator.VerifyToken([]byte(token), netip.Addr{}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,11 +142,11 @@
 			otherTenant.Tenants[0].Name = "else"
 			authenticator.Reload(otherTenant)
 		}
-		if err := authenticator.May(proof, order); identity.ReasonOf(err) != want {
+		if err := authenticator.Authorize(proof, order); identity.ReasonOf(err) != want {
 			t.Errorf("step %d: %v, want %v", i, err, want)
 		}
 	}
-	if err := authenticator.May(nil, order); identity.ReasonOf(err) != identity.NoCredentials {
+	if err := authenticator.Authorize(nil, order); identity.ReasonOf(err) != identity.NoCredentials {
 		t.Errorf("without a proof: %v", err)
 	}
 }
--- a/internal/callers/doors_test.go
+++ b/internal/callers/doors_test.go
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	proof, first, err := authority.handshake(authenticator, 0, "kiosk.example")
-	if err != nil || proof.Tenant != "kiosk" || authenticator.Holds(proof) != nil {
+	if err != nil || proof.Tenant != "kiosk" || authenticator.CheckProof(proof) != nil {
 		t.Fatalf("%+v, %v", proof, err)
 	}
 	if _, _, err := authority.handshake(authenticator, 0, ""); identity.ReasonOf(err) != identity.NoCredentials {
@@ -100,7 +100,7 @@
 	if _, _, err := authority.handshake(authenticator, 1, "kiosk.example"); err == nil || identity.ReasonOf(err) != 0 {
 		t.Errorf("an unknown root: %v", err)
 	}
-	if _, err := authenticator.Prove([]byte("any"), netip.Addr{}, false); identity.ReasonOf(err) != identity.Forbidden {
+	if _, err := authenticator.VerifyToken([]byte("any"), netip.Addr{}, false); identity.ReasonOf(err) != identity.Forbidden {
 		t.Errorf("a token where none are taken: %v", err)
 	}
 	otherAuthority := newAuthority(t)
@@ -123,7 +123,7 @@
 		if n := strings.Count(log.String(), "level=ERROR"); n != 1 {
 			t.Errorf("%s: logged %d times: %s", name, n, &log)
 		}
-		if _, seen, err := authority.handshake(authenticator, 0, "kiosk.example"); err != nil || !seen.Equal(first) || authenticator.Holds(proof) != nil {
+		if _, seen, err := authority.handshake(authenticator, 0, "kiosk.example"); err != nil || !seen.Equal(first) || authenticator.CheckProof(proof) != nil {
 			t.Errorf("%s: what was in force is not: %v", name, err)
 		}
 		authority.write("cert.pem", cert)
@@ -144,22 +144,22 @@
 	authority.write("roots.pem", standin.PEM(authority.Roots[0].Cert, authority.Roots[1].Cert))
 	authenticator.ReloadFiles()
 	secondProof, _, err := authority.handshake(authenticator, 1, "kiosk.example")
-	if err != nil || authenticator.Holds(proof) != nil || authenticator.Holds(secondProof) != nil {
-		t.Fatalf("both roots in force: %v, %v", err, authenticator.Holds(proof))
+	if err != nil || authenticator.CheckProof(proof) != nil || authenticator.CheckProof(secondProof) != nil {
+		t.Fatalf("both roots in force: %v, %v", err, authenticator.CheckProof(proof))
 	}
 	authority.write("roots.pem", standin.PEM(authority.Roots[1].Cert))
 	authenticator.ReloadFiles()
-	if why := identity.ReasonOf(authenticator.Holds(proof)); why != identity.KeyRetired || authenticator.Holds(secondProof) != nil {
-		t.Errorf("the old root is gone: %v, %v", why, authenticator.Holds(secondProof))
+	if why := identity.ReasonOf(authenticator.CheckProof(proof)); why != identity.KeyRetired || authenticator.CheckProof(secondProof) != nil {
+		t.Errorf("the old root is gone: %v, %v", why, authenticator.CheckProof(secondProof))
 	}
-	if err := authenticator.May(proof, identity.Request{Class: "tile-read", Front: "resp2"}); identity.ReasonOf(err) != identity.KeyRetired {
+	if err := authenticator.Authorize(proof, identity.Request{Class: "tile-read", Front: "resp2"}); identity.ReasonOf(err) != identity.KeyRetired {
 		t.Errorf("by a root that is gone: %v", err)
 	}
 	// The rules change.
 	cfg := authority.settings()
 	cfg.Certificates[0].Tenant = "shop"
 	authenticator.Reload(cfg)
-	if why := identity.ReasonOf(authenticator.Holds(secondProof)); why != identity.KeyRetired {
+	if why := identity.ReasonOf(authenticator.CheckProof(secondProof)); why != identity.KeyRetired {
 		t.Errorf("another tenant's now: %v", why)
 	}
 }
@@ -215,12 +215,12 @@
 	authenticator.now = func() time.Time { return now }
 	bad, clean := netip.MustParseAddr("192.0.2.1"), netip.MustParseAddr("192.0.2.2")
 	for range 8 { // each on a connection of its own
-		authenticator.Prove([]byte(forged), bad, false)
+		authenticator.VerifyToken([]byte(forged), bad, false)
 	}
-	if _, err := authenticator.Prove([]byte(good), bad, false); identity.ReasonOf(err) != identity.Overloaded {
+	if _, err := authenticator.VerifyToken([]byte(good), bad, false); identity.ReasonOf(err) != identity.Overloaded {
 		t.Errorf("from the bad address: %v", err)
 	}
-	if _, err := authenticator.Prove([]byte(good), clean, false); err != nil {
+	if _, err := authenticator.VerifyToken([]byte(good), clean, false); err != nil {
 		t.Errorf("from a clean one: %v", err)
 	}
 	for i := range 4 { // further addresses displace it, as the number remembered is limited
--- a/internal/extproc/server/identity.go
+++ b/internal/extproc/server/identity.go
@@ -33,7 +33,7 @@
 		// Callers share connections, so an earlier bad token cannot be attributed to one of them: all use
 		// the half of the signature checks that is open to everyone.
 		var err error
-		if proof, err = callers.Prove([]byte(token), s.remoteIP(), true); err != nil {
+		if proof, err = callers.VerifyToken([]byte(token), s.remoteIP(), true); err != nil {
 			return err
 		}
 	}
--- a/internal/extproc/server/identity_test.go
+++ b/internal/extproc/server/identity_test.go
@@ -24,12 +24,12 @@
 		{Tenant: "app", Fronts: []string{"resp2"}}}, nil), replays: identity.ReplayGuard{MaxIDs: 8}}
 }
 
-func (n *fakeCallers) Name() string           { return "tk" }
+func (n *fakeCallers) TokenAttribute() string { return "tk" }
 func (n *fakeCallers) TLS(string) *tls.Config { return nil }
 func (n *fakeCallers) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
 	return nil, &identity.Error{Reason: identity.NoCredentials}
 }
-func (n *fakeCallers) Prove(token []byte, _ netip.Addr, _ bool) (*identity.Proof, error) {
+func (n *fakeCallers) VerifyToken(token []byte, _ netip.Addr, _ bool) (*identity.Proof, error) {
 	switch name := string(token); name {
 	case "forged":
 		return nil, &identity.Error{Reason: identity.BadSignature}
@@ -40,8 +40,8 @@
 		return &identity.Proof{Tenant: tenant, ID: id, ExpiresAt: time.Now().Add(time.Hour)}, nil
 	}
 }
-func (n *fakeCallers) Holds(*identity.Proof) error { return nil }
-func (n *fakeCallers) May(p *identity.Proof, a identity.Request) error {
+func (n *fakeCallers) CheckProof(*identity.Proof) error { return nil }
+func (n *fakeCallers) Authorize(p *identity.Proof, a identity.Request) error {
 	if err := n.policy.Authorize(time.Now(), p.Tenant, a); err != nil || !a.AtMostOnce {
 		return err
 	}
--- a/internal/extproc/server/secure.go
+++ b/internal/extproc/server/secure.go
@@ -81,7 +81,7 @@
 	}
 	f.nextProofCheck = now + proofCheckInterval
 	for c := range f.certConns {
-		if !c.closing && f.host.Callers().Holds(c.proof) != nil {
+		if !c.closing && f.host.Callers().CheckProof(c.proof) != nil {
 			f.log.Info("client certificate is no longer valid", "tenant", c.proof.Tenant, "subject", c.proof.Subject)
 			c.closing = true
 			c.closeIfUnused()
--- a/internal/proxy/callers.go
+++ b/internal/proxy/callers.go
@@ -15,12 +15,12 @@
 // Callers authenticates and authorizes clients. Prove may take some 100 us and is called without the lock;
 // the other methods do not block.
 type Callers interface {
-	Name() string // name of the attribute that carries a token in a request's list
-	Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error)
+	TokenAttribute() string // name of the attribute that carries a token in a request's list
+	VerifyToken(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error)
 	Certificate(*tls.ConnectionState) (*identity.Proof, error)
 	TLS(front string) *tls.Config // configuration of a front's listener; nil: the front does not use TLS
-	Holds(*identity.Proof) error
-	May(*identity.Proof, identity.Request) error
+	CheckProof(*identity.Proof) error
+	Authorize(*identity.Proof, identity.Request) error
 	Release(*identity.Proof)
 }
 
@@ -37,7 +37,7 @@
 func (c *client) identify(cmd *parsedCommand) {
 	callers := c.proxy.cfg.Callers
 	if cmd.name == "AUTH" {
-		if cmd.proof, cmd.denied = callers.Prove(cmd.token, c.remoteAddr, c.suspect); cmd.denied == nil {
+		if cmd.proof, cmd.denied = callers.VerifyToken(cmd.token, c.remoteAddr, c.suspect); cmd.denied == nil {
 			c.proof = cmd.proof
 		} else {
 			c.proof = nil // a failed attempt to change the identity also ends the previous one
@@ -50,7 +50,7 @@
 		return
 	}
 	cmd.proof = c.proof
-	tokenName := callers.Name()
+	tokenName := callers.TokenAttribute()
 	var err error
 	attrs := make([]byte, 0, len(cmd.Attrs)+32)
 	for name, value := range upstream.Attributes(cmd.Attrs) {
@@ -78,9 +78,9 @@
 func (c *client) proveCached(token []byte) (*identity.Proof, error) {
 	callers := c.proxy.cfg.Callers
 	if c.lastTokenProof != nil && bytes.Equal(token, c.lastToken) {
-		return c.lastTokenProof, callers.Holds(c.lastTokenProof)
+		return c.lastTokenProof, callers.CheckProof(c.lastTokenProof)
 	}
-	p, err := callers.Prove(token, c.remoteAddr, c.suspect)
+	p, err := callers.VerifyToken(token, c.remoteAddr, c.suspect)
 	if err != nil {
 		c.suspect = c.suspect || identity.ReasonOf(err) != identity.Overloaded
 		return nil, err
@@ -101,7 +101,7 @@
 	// With an order record, the record knows which order has used a token, also across a restart, and a
 	// retry of that order may use the token again.
 	once := class.Effect == logic.AtMostOnce && p.cfg.Record == nil
-	err := p.cfg.Callers.May(r.Proof, identity.Request{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, AtMostOnce: once,
+	err := p.cfg.Callers.Authorize(r.Proof, identity.Request{Class: class.Name, Key: r.Key, Front: r.Front, Write: r.Write, AtMostOnce: once,
 		ValueSize: max(len(r.Value), r.longBytes)})
 	r.tokenUsed = err == nil && once
 	return err
@@ -120,7 +120,7 @@
 // must not be sent on a revoked proof, and a read need not be.
 func (p *Proxy) checkProof(r *Request) bool {
 	if r.Proof != nil {
-		r.denied = p.cfg.Callers.Holds(r.Proof)
+		r.denied = p.cfg.Callers.CheckProof(r.Proof)
 	}
 	return r.denied == nil
 }
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -221,17 +221,17 @@
 // expiringCallers is a Callers whose proofs are valid until expired is set.
 type expiringCallers struct{ expired, released atomic.Int32 }
 
-func (f *expiringCallers) Name() string           { return "tk" }
+func (f *expiringCallers) TokenAttribute() string { return "tk" }
 func (f *expiringCallers) TLS(string) *tls.Config { return nil }
 func (f *expiringCallers) Certificate(*tls.ConnectionState) (*identity.Proof, error) {
 	return nil, &identity.Error{Reason: identity.NoCredentials}
 }
-func (f *expiringCallers) Prove([]byte, netip.Addr, bool) (*identity.Proof, error) {
+func (f *expiringCallers) VerifyToken([]byte, netip.Addr, bool) (*identity.Proof, error) {
 	return &identity.Proof{Tenant: "shop", ID: "one"}, nil
 }
-func (f *expiringCallers) May(*identity.Proof, identity.Request) error { return nil }
-func (f *expiringCallers) Release(*identity.Proof)                     { f.released.Add(1) }
-func (f *expiringCallers) Holds(*identity.Proof) error {
+func (f *expiringCallers) Authorize(*identity.Proof, identity.Request) error { return nil }
+func (f *expiringCallers) Release(*identity.Proof)                           { f.released.Add(1) }
+func (f *expiringCallers) CheckProof(*identity.Proof) error {
 	if f.expired.Load() > 0 {
 		return &identity.Error{Reason: identity.KeyRetired}
 	}
@@ -297,14 +297,14 @@
 	checks atomic.Int32
 }
 
-func (b *overloadedCallers) Prove(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
+func (b *overloadedCallers) VerifyToken(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
 	if b.checks.Add(1) > 1 {
 		return nil, &identity.Error{Reason: identity.Overloaded}
 	}
-	return b.expiringCallers.Prove(token, from, suspect)
+	return b.expiringCallers.VerifyToken(token, from, suspect)
 }
 
-func (b *overloadedCallers) May(p *identity.Proof, _ identity.Request) error {
+func (b *overloadedCallers) Authorize(p *identity.Proof, _ identity.Request) error {
 	if p == nil {
 		return &identity.Error{Reason: identity.NoCredentials}
 	}
--- a/internal/proxy/redis_client.go
+++ b/internal/proxy/redis_client.go
@@ -329,7 +329,7 @@
 	}
 	c.countFault(err)
 	c.sendAnswer(o, appendDenied(nil, err))
-	if o.Proof != nil && o.Proof == c.certProof && c.proxy.cfg.Callers.Holds(c.certProof) != nil {
+	if o.Proof != nil && o.Proof == c.certProof && c.proxy.cfg.Callers.CheckProof(c.certProof) != nil {
 		c.finishSending(true) // no further command on this connection can succeed
 	}
 }
--- a/internal/proxy/secure.go
+++ b/internal/proxy/secure.go
@@ -87,7 +87,7 @@
 	}
 	f.nextProofCheck = f.proxy.now + proofCheckInterval
 	for c := range f.clients {
-		if c.certProof != nil && !c.ended && f.proxy.cfg.Callers.Holds(c.certProof) != nil {
+		if c.certProof != nil && !c.ended && f.proxy.cfg.Callers.CheckProof(c.certProof) != nil {
 			f.proxy.log.Info("client certificate is no longer valid; ending its connection", "tenant", c.certProof.Tenant, "subject", c.certProof.Subject)
 			c.finishSending(true)
 		}
