--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -76,7 +76,7 @@
 	}
 	for i := range 2 {
 		progress()
-		begunBefore := fleet.Caches[0].Received()
+		receivedBefore := fleet.Caches[0].Received()
 		process.Process.Signal(syscall.SIGHUP) // a reload during the upgrade
 		next := start(mgmtAddrs[i+1])
 		for range 200 { // idle connections must not block operators' calls at either process
@@ -99,7 +99,7 @@
 			t.Errorf("the process that was followed ended with %v", err)
 		}
 		progress()
-		if got := fleet.Caches[0].Received() - begunBefore; got > 0 {
+		if got := fleet.Caches[0].Received() - receivedBefore; got > 0 {
 			t.Errorf("upgrade %d: %d requests for a box that is out", i+1, got)
 		}
 		process = next
@@ -107,8 +107,8 @@
 	if got := call("PUT", mgmtAddrs[2], "/maintenance/exit", "s-1"); got != 200 {
 		t.Fatalf("exit: %d", got)
 	}
-	begunBefore := fleet.Caches[0].Received()
-	for end := time.Now().Add(waitTimeout); fleet.Caches[0].Received() == begunBefore; time.Sleep(time.Millisecond) {
+	receivedBefore := fleet.Caches[0].Received()
+	for end := time.Now().Add(waitTimeout); fleet.Caches[0].Received() == receivedBefore; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box is back and unused")
 		}
@@ -150,12 +150,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	version := append([]byte(nil), state...)
-	version[5]++
+	otherVersionState := append([]byte(nil), state...)
+	otherVersionState[5]++
 	for _, c := range []struct {
 		text               []byte
 		imported, rejected int
-	}{{state, 3, 0}, {state[:len(state)/2], 3, 1}, {version, 3, 2}, {nil, 3, 3}} {
+	}{{state, 3, 0}, {state[:len(state)/2], 3, 1}, {otherVersionState, 3, 2}, {nil, 3, 3}} {
 		if err := os.WriteFile(stateFiles[0], c.text, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -224,15 +224,15 @@
 	if file.ManyKeys != nil {
 		settings.ManyKeys = file.ManyKeys.Limits()
 	}
-	sharing := startSharing(cfg, &settings, log)
-	defer sharing.dir.Close()
+	handover := startHandover(cfg, &settings, log)
+	defer handover.dir.Close()
 	var record *keeper.Keeper
 	if file.Orders != nil {
 		var fs disk.FS = disk.Dir(file.Orders.Dir)
 		if g.OpenDisk != nil {
 			fs = g.OpenDisk(file.Orders.Dir)
 		}
-		if record, err = keeper.Open(fs, file.Orders.Options(!sharing.noPredecessor), ledger.WallClock, log); err != nil {
+		if record, err = keeper.Open(fs, file.Orders.Options(!handover.startedAlone), ledger.WallClock, log); err != nil {
 			return fmt.Errorf("%s: %w", file.Orders.Dir, err)
 		}
 		defer closeRecord(record, log)
@@ -249,7 +249,7 @@
 	}
 	defer fleet.close()
 	if cfg.Mgmt != "" {
-		calls, err := mgmt.New(server, cfg.Mgmt, sharing.dir, log)
+		calls, err := mgmt.New(server, cfg.Mgmt, handover.dir, log)
 		if err != nil {
 			return err
 		}
@@ -263,7 +263,7 @@
 	}
 	ended := make(chan struct{})
 	defer close(ended)
-	go sharing.run(server, ctx.Done(), ended)
+	go handover.run(server, ctx.Done(), ended)
 	settingsReloader := reloader{proxy: server, cfg: cfg, classes: settings.Settings.Classes, maxAttempts: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, membership: &fleet}
 	if file.ExtProc != nil {
 		if settingsReloader.extproc, err = g.NewExtProc(server, file, log); err != nil {
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -22,8 +22,8 @@
 	reservedDescriptors = 16
 	minSockets          = 64
 	minMemoryMB         = 14
-	// nonHeapBytes is the memory of a process that its runtime does not count.
-	nonHeapBytes = 4 << 20
+	// uncountedBytes is the memory of a process that its runtime does not count.
+	uncountedBytes = 4 << 20
 	// stateTimeout is how long a successor process waits, from its own start, for the learned state of its
 	// predecessor. The predecessor writes it within shareInterval of noticing the successor.
 	stateTimeout      = 250 * time.Millisecond
@@ -33,36 +33,36 @@
 	maxMemoryShare = 0.6
 )
 
-// limitSharing divides the limits of a proxy between two processes while one takes over from the other.
-type limitSharing struct {
-	dir           *handover.Dir
-	cfg           *config
-	log           *slog.Logger
-	alone         bool
-	startedAt     time.Time
-	noPredecessor bool // no process was serving when this one started; never changes
+// processHandover divides the limits of a proxy between two processes while one takes over from the other.
+type processHandover struct {
+	dir               *handover.Dir
+	cfg               *config
+	log               *slog.Logger
+	noPredecessorLeft bool
+	startedAt         time.Time
+	startedAlone      bool // no process was serving when this one started; never changes
 	// The limits in force.
 	sockets  int
 	memoryMB float64
 }
 
-// startSharing opens the directory that the processes of a proxy share and applies its contents to the
+// startHandover opens the directory that the processes of a proxy share and applies its contents to the
 // settings.
-func startSharing(cfg *config, settings *proxy.Config, log *slog.Logger) *limitSharing {
-	s := &limitSharing{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
+func startHandover(cfg *config, settings *proxy.Config, log *slog.Logger) *processHandover {
+	s := &processHandover{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
 	path := os.Getenv("TMPDIR")
 	if address, err := netip.ParseAddrPort(cfg.Listen); err == nil && address.Port() == 0 {
 		path = "" // a random port gives every process another address, so none can be a successor
 	}
 	var err error
-	if s.dir, s.alone, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
+	if s.dir, s.noPredecessorLeft, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
 		log.Warn("no handover directory: members out of use are forgotten when this process ends", "err", err)
 	}
-	s.noPredecessor = s.alone
+	s.startedAlone = s.noPredecessorLeft
 	if settings.OutOfUse, _, err = s.dir.Reload(); err != nil {
 		log.Error("reading the record of members out of use failed", "err", err)
 	}
-	if !s.alone {
+	if !s.noPredecessorLeft {
 		log.Info("taking over from a predecessor process")
 		s.shareLimits(nil)
 		settings.Descriptors, settings.MemoryMB = s.sockets, int(s.memoryMB)
@@ -75,7 +75,7 @@
 
 // readState reads the learned state of the predecessor. If the predecessor still serves, readState waits
 // until it has written its current state.
-func (s *limitSharing) readState() (*inherit.Snapshot, error) {
+func (s *processHandover) readState() (*inherit.Snapshot, error) {
 	for {
 		text, err := s.dir.ReadState(inherit.MaxBytes)
 		if err != nil {
@@ -89,7 +89,7 @@
 			}
 		}
 		// An older state is returned as well; the reader decides by its age how much of it applies.
-		if s.noPredecessor || snapshot != nil && snapshot.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
+		if s.startedAlone || snapshot != nil && snapshot.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
 			return snapshot, err
 		}
 		time.Sleep(statePollInterval)
@@ -97,7 +97,7 @@
 }
 
 // writeState writes the learned state of this process.
-func (s *limitSharing) writeState(p *proxy.Proxy) {
+func (s *processHandover) writeState(p *proxy.Proxy) {
 	if !s.dir.Persistent() {
 		return
 	}
@@ -114,7 +114,7 @@
 func heapLimit(mb float64) int64 { return int64(mb * heapShare * (1 << 20)) }
 
 // run updates the limits until the process is done.
-func (s *limitSharing) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
+func (s *processHandover) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
 	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
 	hasSuccessor := false
@@ -123,26 +123,26 @@
 		case <-quit:
 			return
 		case <-stop: // a planned stop begins: a successor may start
-			if stop = nil; s.alone && !hasSuccessor {
+			if stop = nil; s.noPredecessorLeft && !hasSuccessor {
 				s.writeState(p)
 			}
 		case <-tick.C:
 		}
-		if !s.alone {
-			alone, err := s.dir.Promote()
+		if !s.noPredecessorLeft {
+			predecessorEnded, err := s.dir.Promote()
 			if err != nil {
 				s.log.Error("handover", "err", err)
 			}
-			if s.alone = alone; alone {
+			if s.noPredecessorLeft = predecessorEnded; predecessorEnded {
 				s.log.Info("the predecessor process has ended")
 			}
 		}
 		hadSuccessor := hasSuccessor
-		if hasSuccessor = s.alone && s.dir.HasSuccessor(); hasSuccessor && !hadSuccessor {
+		if hasSuccessor = s.noPredecessorLeft && s.dir.HasSuccessor(); hasSuccessor && !hadSuccessor {
 			s.writeState(p)
 		}
 		switch {
-		case !s.alone || hasSuccessor:
+		case !s.noPredecessorLeft || hasSuccessor:
 			s.shareLimits(p)
 		case s.sockets != s.cfg.Limits.Sockets || s.memoryMB != s.cfg.Limits.MemoryMB: // no other process any more
 			s.apply(p, s.cfg.Limits.Sockets, s.cfg.Limits.MemoryMB)
@@ -151,7 +151,7 @@
 }
 
 // shareLimits sets the limits to what the other process leaves free.
-func (s *limitSharing) shareLimits(p *proxy.Proxy) {
+func (s *processHandover) shareLimits(p *proxy.Proxy) {
 	var mine handover.Usage
 	mine.Memory = memoryInUse()
 	if p != nil {
@@ -161,12 +161,12 @@
 	if err != nil {
 		s.log.Error("handover", "err", err)
 	}
-	remaining := s.cfg.Limits.MemoryMB - float64(theirs.Memory+nonHeapBytes)/(1<<20)
+	remaining := s.cfg.Limits.MemoryMB - float64(theirs.Memory+uncountedBytes)/(1<<20)
 	s.apply(p, max(minSockets, s.cfg.Limits.Sockets-int(theirs.Descriptors)-reservedDescriptors),
 		max(minMemoryMB, math.Floor(min(s.cfg.Limits.MemoryMB*maxMemoryShare, remaining))))
 }
 
-func (s *limitSharing) apply(p *proxy.Proxy, sockets int, memory float64) {
+func (s *processHandover) apply(p *proxy.Proxy, sockets int, memory float64) {
 	if s.sockets, s.memoryMB = sockets, memory; p != nil {
 		p.SetLimits(sockets, int(memory))
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -119,18 +119,18 @@
 
 // Parse decodes and checks the text of a file.
 func Parse(path string, text []byte) (*File, error) {
-	d := &decoder{file: path}
-	r := defaults()
-	d.decode(text, &r)
-	f := &File{Path: path}
-	f.ExtProc = checkTable(d, "extproc", &r.ExtProc, d.checkExtProc)
-	f.Identity = checkTable(d, "identity", &r.Identity, d.checkIdentity)
-	f.Joining = checkTable(d, "joining", &r.Joining, d.checkJoining)
-	f.ManyKeys = checkTable(d, "many_keys", &r.ManyKeys, d.checkManyKeys)
-	f.Orders = checkTable(d, "orders", &r.Orders, d.checkOrders)
-	f.Instances = checkTable(d, "instances", &r.Instances, d.checkInstances)
-	f.Zones = checkTable(d, "zones", &r.Zones, d.checkZones)
-	return f, d.err()
+	fileDecoder := &decoder{file: path}
+	tables := defaults()
+	fileDecoder.decode(text, &tables)
+	file := &File{Path: path}
+	file.ExtProc = checkTable(fileDecoder, "extproc", &tables.ExtProc, fileDecoder.checkExtProc)
+	file.Identity = checkTable(fileDecoder, "identity", &tables.Identity, fileDecoder.checkIdentity)
+	file.Joining = checkTable(fileDecoder, "joining", &tables.Joining, fileDecoder.checkJoining)
+	file.ManyKeys = checkTable(fileDecoder, "many_keys", &tables.ManyKeys, fileDecoder.checkManyKeys)
+	file.Orders = checkTable(fileDecoder, "orders", &tables.Orders, fileDecoder.checkOrders)
+	file.Instances = checkTable(fileDecoder, "instances", &tables.Instances, fileDecoder.checkInstances)
+	file.Zones = checkTable(fileDecoder, "zones", &tables.Zones, fileDecoder.checkZones)
+	return file, fileDecoder.err()
 }
 
 // checkTable checks a table and returns it, or returns nil if the file does not set it.
@@ -332,15 +332,15 @@
 
 // Diff compares f, which is in force, with a new file. It returns the changed keys that require a restart
 // and those that can change while the program runs.
-func (f *File) Diff(now *File) (held, live []string) {
+func (f *File) Diff(updated *File) (restart, live []string) {
 	c := fileChanges{}
-	compareTable(&c, "extproc", f.ExtProc, now.ExtProc)
-	compareTable(&c, "identity", f.Identity, now.Identity)
-	compareTable(&c, "joining", f.Joining, now.Joining)
-	compareTable(&c, "many_keys", f.ManyKeys, now.ManyKeys)
-	compareTable(&c, "instances", f.Instances, now.Instances)
-	compareTable(&c, "zones", f.Zones, now.Zones)
-	compareTable(&c, "orders", f.Orders, now.Orders)
+	compareTable(&c, "extproc", f.ExtProc, updated.ExtProc)
+	compareTable(&c, "identity", f.Identity, updated.Identity)
+	compareTable(&c, "joining", f.Joining, updated.Joining)
+	compareTable(&c, "many_keys", f.ManyKeys, updated.ManyKeys)
+	compareTable(&c, "instances", f.Instances, updated.Instances)
+	compareTable(&c, "zones", f.Zones, updated.Zones)
+	compareTable(&c, "orders", f.Orders, updated.Orders)
 	return c.restart, c.live
 }
 
@@ -381,17 +381,17 @@
 	f.Zones = keepRestartKeys("zones", f.Zones, old.Zones)
 }
 
-func keepRestartKeys[T any](table string, now, old *T) *T {
-	if now == nil || old == nil {
+func keepRestartKeys[T any](table string, updated, old *T) *T {
+	if updated == nil || old == nil {
 		return old
 	}
-	vn, vo := reflect.ValueOf(now).Elem(), reflect.ValueOf(old).Elem()
-	for i := range vn.NumField() {
-		if slices.Contains(restartKeys[table], vn.Type().Field(i).Tag.Get("toml")) {
-			vn.Field(i).Set(vo.Field(i))
+	updatedValue, oldValue := reflect.ValueOf(updated).Elem(), reflect.ValueOf(old).Elem()
+	for i := range updatedValue.NumField() {
+		if slices.Contains(restartKeys[table], updatedValue.Type().Field(i).Tag.Get("toml")) {
+			updatedValue.Field(i).Set(oldValue.Field(i))
 		}
 	}
-	return now
+	return updated
 }
 
 // CheckClasses returns faults for classes that the settings do not have.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -146,16 +146,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fixed, live := old.Diff(now)
-	if strings.Join(fixed, " ") != "extproc.mode" || strings.Join(live, " ") != "extproc.message_timeout" {
-		t.Errorf("fixed %v, live %v", fixed, live)
+	restart, live := old.Diff(now)
+	if strings.Join(restart, " ") != "extproc.mode" || strings.Join(live, " ") != "extproc.message_timeout" {
+		t.Errorf("fixed %v, live %v", restart, live)
 	}
 	if now.KeepRestartKeys(old); now.ExtProc.Mode != "route" || now.ExtProc.MessageTimeout.D() != 250*time.Millisecond {
 		t.Errorf("%+v", now.ExtProc)
 	}
 	none, _ := Parse("f", nil)
-	if fixed, _ := old.Diff(none); len(fixed) != 1 || fixed[0] != "extproc" {
-		t.Errorf("switched off: %v", fixed)
+	if restart, _ := old.Diff(none); len(restart) != 1 || restart[0] != "extproc" {
+		t.Errorf("switched off: %v", restart)
 	}
 }
 
