--- a/internal/extproc/calls.go
+++ b/internal/extproc/calls.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Decision says how a call relates to earlier calls with its request id.
-type Decision uint8
+// CallRelation says how a call relates to earlier calls with its request id.
+type CallRelation uint8
 
 // The decisions.
 const (
-	DecisionNew        Decision = iota // no earlier call stands against it: a new request for the routing module
-	DecisionContinue                   // it asks for the next attempt of a request in progress
-	DecisionReplace                    // the caller abandoned its earlier call; repeating is harmless
-	DecisionInUse                      // another caller's request in progress has the id
-	DecisionMayHaveRun                 // an earlier attempt may have run, and the request must not run twice
-	DecisionTableFull                  // no capacity for another entry; the request never ran
+	RelationNew        CallRelation = iota // no earlier call stands against it: a new request for the routing module
+	RelationContinue                       // it asks for the next attempt of a request in progress
+	RelationReplace                        // the caller abandoned its earlier call; repeating is harmless
+	RelationInUse                          // another caller's request in progress has the id
+	RelationMayHaveRun                     // an earlier attempt may have run, and the request must not run twice
+	RelationTableFull                      // no capacity for another entry; the request never ran
 )
 
 // Entry is the state of a request id.
@@ -30,13 +30,13 @@
 	Reused         bool // the id was used before by a request that ended without running
 	Attempt        int  // the caller's attempt count of the latest call; at least 1
 	ExpiresAt      time.Duration
-	Owner          any // set by package server
+	ServerCall     any // set by package server
 	element        *list.Element
 }
 
 // CallTable remembers request ids: those of requests in progress and, for a retention time, those of ended
 // requests that must not run twice. Its size is limited; when it is full, further requests get
-// DecisionTableFull, as forgetting a request would allow it to run again.
+// RelationTableFull, as forgetting a request would allow it to run again.
 type CallTable struct {
 	maxEntries int
 	retention  time.Duration
@@ -59,39 +59,39 @@
 func (c *CallTable) SetRetention(d time.Duration) { c.retention = d }
 
 // Begin registers a call. attempt is the caller's attempt count, starting at 1, or 0 if it sends none. The
-// entry is a new one for DecisionNew and DecisionReplace, the existing one for DecisionContinue, and nil
-// otherwise. For DecisionReplace, replaced is the entry of the abandoned call. For an order onRecord the
-// record knows the result of earlier attempts, so that the decision is DecisionNew unless a call with the
+// entry is a new one for RelationNew and RelationReplace, the existing one for RelationContinue, and nil
+// otherwise. For RelationReplace, replaced is the entry of the abandoned call. For an order onRecord the
+// record knows the result of earlier attempts, so that the decision is RelationNew unless a call with the
 // id is in progress.
-func (c *CallTable) Begin(id string, attempt int, runOnce, onRecord bool, now time.Duration) (entry, replaced *Entry, decision Decision) {
+func (c *CallTable) Begin(id string, attempt int, runOnce, onRecord bool, now time.Duration) (entry, replaced *Entry, relation CallRelation) {
 	c.removeExpired(now)
 	old, reused := c.byID[id], false
 	switch {
 	case old == nil && runOnce && attempt > 1 && !onRecord:
 		// An earlier attempt went to another processor, or to one that was killed, and its result is
 		// unknown.
-		return nil, nil, DecisionMayHaveRun
+		return nil, nil, RelationMayHaveRun
 	case old == nil:
-		decision = DecisionNew
+		relation = RelationNew
 	case old.Ended && old.MayHaveRun && (runOnce || old.RunOnce) && !onRecord:
-		return nil, nil, DecisionMayHaveRun
+		return nil, nil, RelationMayHaveRun
 	case old.Ended:
 		c.remove(old)
-		reused, decision = true, DecisionNew
+		reused, relation = true, RelationNew
 	case old.AwaitingCaller && (attempt == 0 || attempt > old.Attempt):
 		old.AwaitingCaller, old.Attempt = false, max(attempt, old.Attempt+1)
 		delete(c.awaiting, old)
-		return old, nil, DecisionContinue
+		return old, nil, RelationContinue
 	case attempt > old.Attempt && attempt > 1 && old.Attempt > 0:
 		// The caller has abandoned the earlier call, whose stream has not ended here yet.
 		if runOnce || old.RunOnce {
-			return nil, nil, DecisionMayHaveRun
+			return nil, nil, RelationMayHaveRun
 		}
-		replaced, decision = old, DecisionReplace
+		replaced, relation = old, RelationReplace
 		delete(c.byID, id)
 		delete(c.awaiting, old)
 	default:
-		return nil, nil, DecisionInUse
+		return nil, nil, RelationInUse
 	}
 	if oldest := c.neverRan.Front(); oldest != nil && len(c.byID) >= c.maxEntries {
 		c.remove(oldest.Value.(*Entry))
@@ -100,11 +100,11 @@
 		if replaced != nil {
 			c.byID[id] = replaced
 		}
-		return nil, nil, DecisionTableFull
+		return nil, nil, RelationTableFull
 	}
 	entry = &Entry{ID: id, RunOnce: runOnce, Attempt: max(1, attempt), Reused: reused}
 	c.byID[id] = entry
-	return entry, replaced, decision
+	return entry, replaced, relation
 }
 
 // MayHaveRun reports whether an earlier attempt of a request that must not run twice may have run. It is
@@ -134,7 +134,7 @@
 	if e.Ended {
 		return
 	}
-	e.Ended, e.AwaitingCaller, e.MayHaveRun, e.Owner = true, false, mayHaveRun, nil
+	e.Ended, e.AwaitingCaller, e.MayHaveRun, e.ServerCall = true, false, mayHaveRun, nil
 	delete(c.awaiting, e)
 	if c.byID[e.ID] != e {
 		return // the entry was replaced
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -227,9 +227,9 @@
 			switch op := rng.IntN(5); {
 			case op < 2:
 				attempt := rng.IntN(4)
-				e, replaced, decision := table.Begin(id, attempt, true, false, now)
-				switch decision {
-				case DecisionNew:
+				e, replaced, relation := table.Begin(id, attempt, true, false, now)
+				switch relation {
+				case RelationNew:
 					if entry.e != nil {
 						t.Fatalf("seed %d step %d: fresh while in hand", seed, step)
 					}
@@ -240,15 +240,15 @@
 						t.Fatalf("seed %d step %d: a repeat of something unknown was let through", seed, step)
 					}
 					entry.e, entry.mayHaveRun = e, false
-				case DecisionContinue:
+				case RelationContinue:
 					if e != entry.e || entry.e == nil {
 						t.Fatalf("seed %d step %d: continues another request", seed, step)
 					}
-				case DecisionReplace:
+				case RelationReplace:
 					t.Fatalf("seed %d step %d: %v was replaced", seed, step, replaced)
 				default:
 					if e != nil {
-						t.Fatalf("seed %d step %d: an entry with %v", seed, step, decision)
+						t.Fatalf("seed %d step %d: an entry with %v", seed, step, relation)
 					}
 				}
 			case op == 2 && entry.e != nil && !entry.e.AwaitingCaller:
@@ -286,18 +286,18 @@
 	c := NewCallTable(2, time.Minute)
 	for i, ran := range []bool{true, false} {
 		e, _, d := c.Begin(fmt.Sprint(i), 1, true, false, 0)
-		if d != DecisionNew {
+		if d != RelationNew {
 			t.Fatal(d)
 		}
 		c.End(e, ran, 0)
 	}
-	if _, _, d := c.Begin("2", 1, true, false, 0); d != DecisionNew {
+	if _, _, d := c.Begin("2", 1, true, false, 0); d != RelationNew {
 		t.Errorf("%v with one that never ran to let go of", d)
 	}
-	if _, _, d := c.Begin("3", 1, true, false, 0); d != DecisionTableFull {
+	if _, _, d := c.Begin("3", 1, true, false, 0); d != RelationTableFull {
 		t.Errorf("%v with no room", d)
 	}
-	if _, _, d := c.Begin("0", 1, true, false, 0); d != DecisionMayHaveRun {
+	if _, _, d := c.Begin("0", 1, true, false, 0); d != RelationMayHaveRun {
 		t.Errorf("%v for what may have run", d)
 	}
 }
@@ -305,18 +305,18 @@
 func TestRepeatedReadReplacesEarlierCall(t *testing.T) {
 	c := NewCallTable(4, time.Minute)
 	first, _, _ := c.Begin("r", 1, false, false, 0)
-	if _, _, d := c.Begin("r", 1, false, false, 0); d != DecisionInUse {
+	if _, _, d := c.Begin("r", 1, false, false, 0); d != RelationInUse {
 		t.Errorf("the same id at once: %v", d)
 	}
-	if _, _, d := c.Begin("r", 0, false, false, 0); d != DecisionInUse {
+	if _, _, d := c.Begin("r", 0, false, false, 0); d != RelationInUse {
 		t.Errorf("the same id at once, without a count: %v", d)
 	}
 	second, replaced, d := c.Begin("r", 2, false, false, 0)
-	if d != DecisionReplace || replaced != first {
+	if d != RelationReplace || replaced != first {
 		t.Errorf("the caller's repeat: %v", d)
 	}
 	c.End(first, true, 0)
-	if _, _, d := c.Begin("r", 2, false, false, 0); d != DecisionInUse {
+	if _, _, d := c.Begin("r", 2, false, false, 0); d != RelationInUse {
 		t.Errorf("after the end of what was replaced: %v", d)
 	}
 	c.End(second, true, 0)
--- a/internal/extproc/server/answer.go
+++ b/internal/extproc/server/answer.go
@@ -118,7 +118,7 @@
 }
 
 // sendMember sends the member's address to the caller.
-func (s *stream) sendMember(d decision, body bool) error {
+func (s *stream) sendMember(result routingResult, body bool) error {
 	kind := inHeaders
 	switch {
 	case body:
@@ -127,9 +127,9 @@
 		kind = inDuplex
 	}
 	if s.config.Headers.TryTimeout != "" {
-		return s.send(memberMessage(s.config, d.addrs, d.timeLeft, kind))
+		return s.send(memberMessage(s.config, result.addrs, result.timeLeft, kind))
 	}
-	r, err := s.config.memberMessages.get(s.config, d.addrs, kind)
+	r, err := s.config.memberMessages.get(s.config, result.addrs, kind)
 	if err != nil {
 		return err
 	}
@@ -344,7 +344,7 @@
 		s.front.counts.Served++
 		call.settle()
 		s.delivered = true
-		s.idle = s.outbox == nil // otherwise the end of the body has still to be sent
+		s.drainable = s.outbox == nil // otherwise the end of the body has still to be sent
 		s.expiresAt = s.front.host.Now() + firstMessageTimeout
 	})
 }
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -230,7 +230,7 @@
 func (f *Front) EndIdle() bool {
 	waiting := false
 	for s := range f.streams {
-		if s.idle && (s.outbox == nil || s.outbox.pending.Load() == 0) {
+		if s.drainable && (s.outbox == nil || s.outbox.pending.Load() == 0) {
 			s.endByForce()
 		} else {
 			waiting = true
@@ -253,7 +253,7 @@
 		}
 	}
 	for _, e := range f.calls.Overdue(now) {
-		e.Owner.(*call).abandon()
+		e.ServerCall.(*call).abandon()
 	}
 }
 
@@ -431,7 +431,7 @@
 	reservation  upstream.Reservation // for a long value, which does not count as held
 	partialValue []byte               // a value that is still incomplete
 	settled      bool                 // the caller has its answer or no longer waits for one
-	decided      chan struct{}        // capacity 1: signals a decision
+	resultReady  chan struct{}        // capacity 1: signals a decision
 }
 
 // routedCall is a call whose attempts the caller makes.
@@ -460,7 +460,7 @@
 
 func (c *call) notify() {
 	select {
-	case c.decided <- struct{}{}:
+	case c.resultReady <- struct{}{}:
 	default:
 	}
 }
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -63,7 +63,7 @@
 	reservation upstream.Reservation // capacity for a body over maxBodyBytes; nil: the body counts as held
 	heldWindow  int                  // bytes held for what the caller may send ahead
 	expiresAt   time.Duration        // when the stream is ended as overdue
-	idle        bool                 // everything has been sent; further messages need no answer
+	drainable   bool                 // everything has been sent; further messages need no answer
 	forceEnded  bool
 	forceEnd    chan struct{}
 }
@@ -131,7 +131,7 @@
 			return err
 		}
 		if s.outbox != nil && s.fullyRelayed() {
-			s.front.host.Do(func() { s.idle = true })
+			s.front.host.Do(func() { s.drainable = true })
 		}
 	}
 }
@@ -147,10 +147,10 @@
 
 // forceEndStatus returns the status of a stream that the front end ends.
 func (s *stream) forceEndStatus() error {
-	idle := false
-	s.front.host.Do(func() { idle = s.idle })
+	drainable := false
+	s.front.host.Do(func() { drainable = s.drainable })
 	switch {
-	case idle:
+	case drainable:
 		return nil // everything has been sent
 	case !s.messageOrder.RequestStarted():
 		return status.Error(codes.Unavailable, "no message came; nothing ran")
@@ -187,7 +187,7 @@
 		return s.invalid("%v", err)
 	}
 	if s.observing = s.observing || message.GetObservabilityMode(); s.observing {
-		s.front.host.Do(func() { s.idle, s.expiresAt = true, s.front.host.Now()+passThroughTimeout })
+		s.front.host.Do(func() { s.drainable, s.expiresAt = true, s.front.host.Now()+passThroughTimeout })
 		return nil // the caller proceeds without an answer; choosing a member here would count load that is never sent
 	}
 	switch kind {
@@ -356,7 +356,7 @@
 			return err
 		}
 		// A drain waits for bodies that are relayed on this stream.
-		s.front.host.Do(func() { s.idle, s.expiresAt = s.outbox == nil, s.front.host.Now()+passThroughTimeout })
+		s.front.host.Do(func() { s.drainable, s.expiresAt = s.outbox == nil, s.front.host.Now()+passThroughTimeout })
 		return s.sendPassThrough()
 	}
 	s.target = target
@@ -523,7 +523,7 @@
 	if usable {
 		return s.sendBodyContinue(part)
 	}
-	return s.awaitDecision(ctx, decision{}, true)
+	return s.awaitRouting(ctx, routingResult{}, true)
 }
 
 // bodyComplete submits a write whose body has been received completely.
@@ -545,9 +545,9 @@
 			return err
 		}
 	}
-	var callDecision extproc.Decision
+	var relation extproc.CallRelation
 	var submitErr error
-	var first decision
+	var result routingResult
 	front.host.Do(func() {
 		id := head.requestID
 		if id == "" {
@@ -555,23 +555,23 @@
 		}
 		now := front.host.Now()
 		entry, replaced, found := front.calls.Begin(id, head.attempt, s.runOnce(class), class.Effect == logic.AtMostOnce && front.host.RecordsOrders(), now)
-		if callDecision = found; replaced != nil {
-			replaced.Owner.(*call).abandon()
+		if relation = found; replaced != nil {
+			replaced.ServerCall.(*call).abandon()
 		}
 		s.expiresAt = now + max(0, time.Until(s.deadline)) + overdueGrace
-		switch callDecision {
-		case extproc.DecisionNew, extproc.DecisionReplace:
-			c := &call{front: front, entry: entry, stream: s, decided: make(chan struct{}, 1)}
-			entry.Owner, s.call = c, c
+		switch relation {
+		case extproc.RelationNew, extproc.RelationReplace:
+			c := &call{front: front, entry: entry, stream: s, resultReady: make(chan struct{}, 1)}
+			entry.ServerCall, s.call = c, c
 			submitErr = s.submit(c, id)
-		case extproc.DecisionContinue:
+		case extproc.RelationContinue:
 			front.counts.Continued++
-			s.call = entry.Owner.(*call)
+			s.call = entry.ServerCall.(*call)
 			s.call.stream = s
 			s.call.restrictMembers(head.allowedMembers)
 		}
 		if s.call != nil && submitErr == nil {
-			first = s.checkDecision()
+			result = s.checkRouting()
 		}
 	})
 	switch {
@@ -590,15 +590,15 @@
 		return s.sendDenied(submitErr)
 	case submitErr != nil:
 		return s.sendImmediate(400, []byte(submitErr.Error()), "")
-	case callDecision == extproc.DecisionInUse:
+	case relation == extproc.RelationInUse:
 		return s.sendImmediate(409, []byte("the request id belongs to another request in hand"), "")
-	case callDecision == extproc.DecisionMayHaveRun:
+	case relation == extproc.RelationMayHaveRun:
 		return s.sendFailed("an earlier attempt may have run, and the request must not run twice")
-	case callDecision == extproc.DecisionTableFull:
+	case relation == extproc.RelationTableFull:
 		s.reason = reasons.HostFull
 		return s.sendRefused(0)
 	}
-	return s.awaitDecision(ctx, first, body)
+	return s.awaitRouting(ctx, result, body)
 }
 
 // newID returns an id that no other process generates, for a request whose caller sent none.
@@ -695,34 +695,34 @@
 	return wait - s.config.ReturnMargin.D() - time.Since(s.messageAt)
 }
 
-// decision is the result of waiting for the host.
-type decision struct {
+// routingResult is the result of waiting for the host.
+type routingResult struct {
 	addrs    string // the member's address, followed by comma-separated fallbacks
 	timeLeft time.Duration
 	final    *proxy.Answer
 }
 
-// awaitDecision waits until the host has named a member or given the final answer, and sends it. It extends
+// awaitRouting waits until the host has named a member or given the final answer, and sends it. It extends
 // the caller's message timeout before that expires, and ends the request in time if no extension is
 // possible. d is the decision if there is one already.
-func (s *stream) awaitDecision(ctx context.Context, decided decision, body bool) error {
+func (s *stream) awaitRouting(ctx context.Context, result routingResult, body bool) error {
 	var timer *time.Timer
 	for {
-		if decided == (decision{}) {
-			s.front.host.Do(func() { decided = s.checkDecision() })
+		if result == (routingResult{}) {
+			s.front.host.Do(func() { result = s.checkRouting() })
 		}
 		switch {
-		case decided.final != nil:
-			return s.sendAnswer(decided.final)
-		case decided.addrs != "":
-			return s.sendMember(decided, body)
+		case result.final != nil:
+			return s.sendAnswer(result.final)
+		case result.addrs != "":
+			return s.sendMember(result, body)
 		}
 		if timer == nil {
 			timer = time.NewTimer(s.nextWait())
 			defer timer.Stop()
 		}
 		select {
-		case <-s.call.decided:
+		case <-s.call.resultReady:
 		case <-ctx.Done():
 			return status.FromContextError(ctx.Err()).Err()
 		case <-s.forceEnd:
@@ -740,11 +740,11 @@
 	}
 }
 
-// checkDecision returns what has been decided so far. The host's lock must be held.
-func (s *stream) checkDecision() (d decision) {
+// checkRouting returns what has been decided so far. The host's lock must be held.
+func (s *stream) checkRouting() (result routingResult) {
 	c := s.call
 	if c.finalAnswer != nil {
-		return decision{final: c.finalAnswer}
+		return routingResult{final: c.finalAnswer}
 	}
 	if a := c.attempt; a != nil && !a.Ended() && a.Announce() {
 		s.front.counts.Routed++
@@ -755,9 +755,9 @@
 			}
 		}
 		c.namedAddrs = addrs
-		return decision{addrs: addrs, timeLeft: a.TimeLeft()}
+		return routingResult{addrs: addrs, timeLeft: a.TimeLeft()}
 	}
-	return d
+	return result
 }
 
 // canExtend reports whether the message timeout can be extended; a caller accepts one extension for each
