--- a/cmd/linenloom/main.go
+++ b/cmd/linenloom/main.go
@@ -1,4 +1,4 @@
-// Command linenloom is the proxy. It reads its configuration, serves until it is told to stop, and ends
+// Command linenloom is the proxy. It reads its configuration, serves until a signal stops it, and ends
 // after the last accepted request has been answered.
 package main
 
@@ -37,8 +37,8 @@
 }
 
 // processorName is the program with the external processor and membership. It is separate, since the
-// libraries for these would cost linenloom megabytes that the platform does not have (docs/extproc.md has
-// the figures).
+// libraries for these would cost linenloom megabytes that its memory limit does not allow (docs/extproc.md
+// has the figures).
 const processorName = "linenproc"
 
 // execProcessor replaces this process by the other program, under the same process ID.
--- a/cmd/linenloom/upgrade_test.go
+++ b/cmd/linenloom/upgrade_test.go
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	otherVersionState := append([]byte(nil), state...)
-	otherVersionState[5]++
+	otherVersionState[5]++ // byte 5 is the low byte of the format version
 	for _, c := range []struct {
 		text               []byte
 		imported, rejected int
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -16,8 +16,8 @@
 	"linenloom/internal/wire"
 )
 
-// acceptGrace is how long after the stop signal the platform's front end may still send new connections: up
-// to 0.4 s, plus time for the ones that it has started.
+// acceptGrace is how long after the stop signal new connections may still arrive: the front end that
+// distributes them over the proxies sends them for up to 0.4 s, plus time for the ones that it has started.
 const acceptGrace = 550 * time.Millisecond
 
 // config is the file that LB_CONFIG names.
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -22,25 +22,27 @@
 	reservedDescriptors = 16
 	minSockets          = 64
 	minMemoryMB         = 14
-	// uncountedBytes is the memory of a process that its runtime does not count.
+	// uncountedBytes is the memory of a process that its runtime does not include in its total.
 	uncountedBytes = 4 << 20
 	// stateTimeout is how long a successor process waits, from its own start, for the learned state of its
 	// predecessor. The predecessor writes it within shareInterval of noticing the successor.
 	stateTimeout      = 250 * time.Millisecond
 	statePollInterval = 5 * time.Millisecond
-	// maxMemoryShare is the share of the memory that either process may use, as memory in use cannot be
-	// returned at once.
+	// maxMemoryShare is the share of the memory that either process may use, so that some is free for the
+	// other one: a process can return memory in use only gradually.
 	maxMemoryShare = 0.6
 )
 
-// processHandover divides the limits of a proxy between two processes while one takes over from the other.
+// processHandover divides the limits of a proxy between two processes while one takes over from the other. It
+// also reads what the predecessor process has left, the learned state and the record of members out of use,
+// and writes the learned state for the successor process.
 type processHandover struct {
 	dir               *handover.Dir
 	cfg               *config
 	log               *slog.Logger
-	noPredecessorLeft bool
+	noPredecessorLeft bool // no predecessor process is running; there may be a successor
 	startedAt         time.Time
-	startedAlone      bool // no process was serving when this one started; never changes
+	startedAlone      bool // no other process was serving when this one started; never changes
 	// The limits in force.
 	sockets  int
 	memoryMB float64
@@ -74,7 +76,7 @@
 }
 
 // readState reads the learned state of the predecessor. If the predecessor still serves, readState waits
-// until it has written its current state.
+// until it has written its current state, but at most stateTimeout from its own start.
 func (s *processHandover) readState() (*inherit.Snapshot, error) {
 	for {
 		text, err := s.dir.ReadState(inherit.MaxBytes)
@@ -88,7 +90,7 @@
 				snapshot = &decoded
 			}
 		}
-		// An older state is returned as well; the reader decides by its age how much of it applies.
+		// An older state is returned as well; the proxy decides by its age how much of it to apply.
 		if s.startedAlone || snapshot != nil && snapshot.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
 			return snapshot, err
 		}
@@ -113,7 +115,8 @@
 // heapLimit returns the memory limit of the runtime for a memory limit of the process.
 func heapLimit(mb float64) int64 { return int64(mb * heapShare * (1 << 20)) }
 
-// run updates the limits until the process is done.
+// run updates the limits until quit is closed, when the process ends. stop is closed when a planned stop
+// begins.
 func (s *processHandover) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
 	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
@@ -122,7 +125,7 @@
 		select {
 		case <-quit:
 			return
-		case <-stop: // a planned stop begins: a successor may start
+		case <-stop: // a successor that starts from now on finds the state written here
 			if stop = nil; s.noPredecessorLeft && !hasSuccessor {
 				s.writeState(p)
 			}
@@ -131,7 +134,7 @@
 		if !s.noPredecessorLeft {
 			predecessorEnded, err := s.dir.Promote()
 			if err != nil {
-				s.log.Error("handover", "err", err)
+				s.log.Error("checking for the predecessor process failed", "err", err)
 			}
 			if s.noPredecessorLeft = predecessorEnded; predecessorEnded {
 				s.log.Info("the predecessor process has ended")
@@ -159,7 +162,7 @@
 	}
 	theirs, err := s.dir.ExchangeUsage(mine)
 	if err != nil {
-		s.log.Error("handover", "err", err)
+		s.log.Error("exchanging the usage with the other process failed", "err", err)
 	}
 	remaining := s.cfg.Limits.MemoryMB - float64(theirs.Memory+uncountedBytes)/(1<<20)
 	s.apply(p, max(minSockets, s.cfg.Limits.Sockets-int(theirs.Descriptors)-reservedDescriptors),
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,6 +1,6 @@
-// Package callers runs package identity in a process: it loads the key file, reloads it when it changes,
-// and authenticates and authorizes callers of many connections concurrently. The decisions are those of
-// package identity.
+// Package callers applies the rules of package identity to the connections of a process: it loads the key
+// file, reloads it when it changes, and authenticates and authorizes the callers of many connections
+// concurrently.
 //
 // Tokens are never logged, and a key file is applied completely or not at all: if it cannot be read, the
 // previous keys stay in force.
@@ -23,9 +23,9 @@
 	"linenloom/internal/operator"
 )
 
-// reloadInterval is how often the key file is checked. A key that is removed from the file is refused at
-// most this long after the file was replaced; a key that is retired by its own time is refused from that
-// time on.
+// reloadInterval is how often the key file is checked. A key that is no longer in the file is refused from
+// reloadInterval after the file's replacement at the latest; a key that is retired by its own time is refused
+// from that time on.
 const reloadInterval = time.Second
 
 const maxFileBytes = 256 << 10
@@ -47,10 +47,10 @@
 	replays  identity.ReplayGuard
 	sources  identity.SuspectSources
 
-	rules     []identity.CertRule // guarded by filesMu, like keyText and lastFault
-	filesMu   sync.Mutex          // guards the fields below and rules
-	keyText   []byte              // contents of the key file in force
-	lastFault string              // the error logged last
+	rules     []identity.CertRule
+	filesMu   sync.Mutex // guards rules, keyText and lastFault
+	keyText   []byte     // contents of the key file in force
+	lastFault string     // the error logged last
 }
 
 // New loads the keys. It fails if they cannot be read.
@@ -169,12 +169,12 @@
 	a.ReloadFiles()
 }
 
-// TokenAttribute returns the attribute name under which requests carry a token.
+// TokenAttribute returns the name of the attribute that carries a token in a request.
 func (a *Authenticator) TokenAttribute() string { return a.tokenName }
 
-// VerifyToken verifies a token that came from an address. It may take about 100 us and must not be called under a
-// contended lock. suspect says that the token's connection has sent an invalid token before; the address
-// may be known for one too.
+// VerifyToken verifies a token that came from an address. It may take about 100 us and must not be
+// called under a contended lock. suspect says that the token's connection has sent an invalid token before;
+// the address may also be on record as a source of invalid tokens.
 func (a *Authenticator) VerifyToken(token []byte, from netip.Addr, suspect bool) (*identity.Proof, error) {
 	if a.verifier == nil {
 		return nil, &identity.Error{Reason: identity.Forbidden, Detail: "no tokens are taken here"}
@@ -195,7 +195,7 @@
 	return proof, err
 }
 
-// CheckProof reports whether a proof is still valid. It does not block.
+// CheckProof returns an error if a proof is no longer valid. It does not block.
 func (a *Authenticator) CheckProof(p *identity.Proof) error {
 	if p.ByCertificate() && a.listenerTLS != nil {
 		return a.listenerTLS.certs.Load().CheckProof(a.now(), p)
@@ -203,7 +203,8 @@
 	return a.keys.Load().CheckProof(a.now(), p)
 }
 
-// Authorize reports whether the holder of a proof may make a request now. An order consumes its token's id.
+// Authorize returns nil if the holder of a proof may make a request now, else the reason. An order consumes
+// its token's id.
 func (a *Authenticator) Authorize(p *identity.Proof, request identity.Request) error {
 	if p == nil {
 		return &identity.Error{Reason: identity.NoCredentials}
--- a/internal/callers/doors.go
+++ b/internal/callers/doors.go
@@ -21,7 +21,7 @@
 
 // tlsState holds the TLS settings of listeners: their certificate, the roots for client certificates, and
 // the rules for what those prove. All files are reloaded together. Open connections keep the settings that
-// they were made with, and are closed when Holds rejects their proof.
+// they were made with, and are closed when CheckProof rejects their proof.
 type tlsState struct {
 	files  operator.TLS
 	log    *slog.Logger
--- a/internal/extproc/calls.go
+++ b/internal/extproc/calls.go
@@ -8,9 +8,9 @@
 // CallRelation says how a call relates to earlier calls with its request id.
 type CallRelation uint8
 
-// The decisions.
+// The relations.
 const (
-	RelationNew        CallRelation = iota // no earlier call stands against it: a new request for the routing module
+	RelationNew        CallRelation = iota // no earlier call prevents it: a new request for the routing module
 	RelationContinue                       // it asks for the next attempt of a request in progress
 	RelationReplace                        // the caller abandoned its earlier call; repeating is harmless
 	RelationInUse                          // another caller's request in progress has the id
@@ -22,16 +22,18 @@
 type Entry struct {
 	ID      string
 	RunOnce bool // the request must not run twice
-	// AwaitingCaller means that the next attempt has been named, or is about to be, and the caller is
-	// expected to return for it.
+	// AwaitingCaller means that the caller is asked to make another attempt and is expected to return for it.
+	// The member for that attempt has been chosen, or is about to be.
 	AwaitingCaller bool
 	Ended          bool
 	MayHaveRun     bool // set at the end: an attempt may have run
 	Reused         bool // the id was used before by a request that ended without running
 	Attempt        int  // the caller's attempt count of the latest call; at least 1
-	ExpiresAt      time.Duration
-	ServerCall     any // set by package server
-	element        *list.Element
+	// ExpiresAt is the time until which the caller may return, if AwaitingCaller is set, and the time until
+	// which the entry is remembered, if Ended is set.
+	ExpiresAt  time.Duration
+	ServerCall any // package server's *call for this entry; nil once Ended is set
+	element    *list.Element
 }
 
 // CallTable remembers request ids: those of requests in progress and, for a retention time, those of ended
@@ -41,8 +43,8 @@
 	maxEntries int
 	retention  time.Duration
 	byID       map[string]*Entry
-	mayHaveRun *list.List          // ended entries that may have run, by end
-	neverRan   *list.List          // ended entries that never ran, by end; removed when the table is full
+	mayHaveRun *list.List          // ended entries that may have run, ordered by the time of their end
+	neverRan   *list.List          // ended entries that never ran, ordered likewise; removed when the table is full
 	awaiting   map[*Entry]struct{} // entries whose callers are expected to return
 }
 
@@ -60,9 +62,9 @@
 
 // Begin registers a call. attempt is the caller's attempt count, starting at 1, or 0 if it sends none. The
 // entry is a new one for RelationNew and RelationReplace, the existing one for RelationContinue, and nil
-// otherwise. For RelationReplace, replaced is the entry of the abandoned call. For an order onRecord the
-// record knows the result of earlier attempts, so that the decision is RelationNew unless a call with the
-// id is in progress.
+// otherwise. For RelationReplace, replaced is the entry of the abandoned call. If onRecord is set, the
+// request is an order and the record of orders knows the result of its earlier attempts, so that the relation
+// is RelationNew unless a call with the id is in progress.
 func (c *CallTable) Begin(id string, attempt int, runOnce, onRecord bool, now time.Duration) (entry, replaced *Entry, relation CallRelation) {
 	c.removeExpired(now)
 	old, reused := c.byID[id], false
--- a/internal/extproc/server/givenup_test.go
+++ b/internal/extproc/server/givenup_test.go
@@ -11,7 +11,7 @@
 )
 
 // An order that may have run and cannot be repeated is answered as soon as its outcome is known, in both
-// modes: no response is marked for an attempt that nobody will make, and the routing module's clock is not
+// modes: no response is marked for an attempt that will not be made, and the routing module's clock is not
 // near the order's soft deadline.
 func TestUnrepeatableOrderIsAnsweredAtOnce(t *testing.T) {
 	for _, mode := range []string{"answer", "route"} {
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -86,7 +86,7 @@
 	calls          *extproc.CallTable
 	streams        map[*stream]struct{}
 	conns          int
-	generatedIDs   uint32 // number of request ids generated here
+	generatedIDs   uint32 // number of request ids that this process has generated
 	counts         Counts
 	stuckStreams   []stuckStream
 	certConns      map[*countedConn]struct{} // connections authenticated by a certificate
@@ -206,7 +206,7 @@
 	return c
 }
 
-// Serve accepts calls until StopTaking or Close.
+// Serve accepts calls until StopAccepting or Close.
 func (f *Front) Serve() error {
 	f.log.Info("extproc listens", "addr", f.Addr().String(), "mode", f.config.Load().Mode)
 	defer close(f.quit)
@@ -431,7 +431,7 @@
 	reservation  upstream.Reservation // for a long value, which does not count as held
 	partialValue []byte               // a value that is still incomplete
 	settled      bool                 // the caller has its answer or no longer waits for one
-	resultReady  chan struct{}        // capacity 1: signals a decision
+	resultReady  chan struct{}        // capacity 1: signals that a member was named or the final answer was given
 }
 
 // routedCall is a call whose attempts the caller makes.
@@ -472,7 +472,7 @@
 	}
 	c.settled = true
 	c.front.host.Cancel(&c.request)
-	mayHaveRun := c.request.MayHaveRun() // after Withdraw, which takes back what has not been sent
+	mayHaveRun := c.request.MayHaveRun() // after Cancel, which takes back what has not been sent
 	if c.many != nil {
 		c.many.withdraw()
 	}
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -47,7 +47,7 @@
 	collecting       bool      // the body of a write is still being received
 	bodyLen          int
 	delivering       bool // a successful response has started and is not complete
-	outcomeNote      int  // cache note for the attempt's outcome
+	outcomeNote      int  // what the cache says about the value, for the attempt's outcome (logic.Outcome.Note)
 	proof            *identity.Proof
 	servedElsewhere  bool // the response came from a member that was not named
 	responseBodySeen bool
@@ -63,7 +63,7 @@
 	reservation upstream.Reservation // capacity for a body over maxBodyBytes; nil: the body counts as held
 	heldWindow  int                  // bytes held for what the caller may send ahead
 	expiresAt   time.Duration        // when the stream is ended as overdue
-	drainable   bool                 // everything has been sent; further messages need no answer
+	drainable   bool                 // a drain need not wait for this stream: no message is expected that needs an answer
 	forceEnded  bool
 	forceEnd    chan struct{}
 }
@@ -151,7 +151,7 @@
 	s.front.host.Do(func() { drainable = s.drainable })
 	switch {
 	case drainable:
-		return nil // everything has been sent
+		return nil // nothing that the caller waits for is left to send
 	case !s.messageOrder.RequestStarted():
 		return status.Error(codes.Unavailable, "no message came; nothing ran")
 	}
@@ -284,8 +284,8 @@
 		name := header.GetKey()
 		switch name {
 		case names.RequestID, names.Tenant, names.IdempotencyKey, names.Attempt, authorization:
-			// With two different values, whoever adds a header could choose which one counts (RFC 9110
-			// section 5.3: the field is no list, so only one is allowed).
+			// With two different values, a client or proxy that adds a header could choose which one counts
+			// (RFC 9110 section 5.3: the field is no list, so only one is allowed).
 			for _, earlier := range headers[:i] {
 				if earlier.GetKey() == name && headerValue(earlier) != headerValue(header) {
 					return fmt.Errorf("%s is there more than once", name)
@@ -430,8 +430,9 @@
 	s.collecting = true
 	s.front.host.Do(func() { s.expiresAt = s.front.host.Now() + time.Until(s.deadline) + overdueGrace })
 	if s.bodyMode == fullDuplex {
-		// The caller sends the body anyway, and forwards nothing before the headers are answered. They
-		// never are, as this process makes the exchange.
+		// In full duplex the caller sends the body without a request for it. The headers stay unanswered,
+		// so that the caller forwards nothing: this process makes the exchange. The call is accepted here,
+		// as no response accepts it.
 		return s.acceptCall()
 	}
 	r := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{
@@ -456,8 +457,9 @@
 
 // acceptCall sends the call's response headers, which tell the caller that the call is accepted. Envoy
 // offers a call that fails with UNAVAILABLE to another processor only before these headers
-// (grpc_service.retry_policy); an order that a killed processor had accepted must not be offered again. A
-// caller that sends a body after a response of ours has received the headers already.
+// (grpc_service.retry_policy); an order that a killed processor had accepted must not be offered again.
+// A caller that sends a body after any response on the stream has received the headers with that response, so
+// that acceptCall is not needed then.
 func (s *stream) acceptCall() error { return s.rpc.SendHeader(nil) }
 
 func (s *stream) requestBody(ctx context.Context, part *extprocv3.HttpBody) error {
@@ -536,7 +538,7 @@
 }
 
 // startRequest relates the call to earlier calls with its request id, submits a new request or continues a
-// known one, and sends what is decided.
+// known one, and sends the result of the routing, or the reason why there is none.
 func (s *stream) startRequest(ctx context.Context, body bool) error {
 	front, head := s.front, &s.head
 	class := s.config.classes[s.target.Class]
@@ -702,9 +704,9 @@
 	final    *proxy.Answer
 }
 
-// awaitRouting waits until the host has named a member or given the final answer, and sends it. It extends
-// the caller's message timeout before that expires, and ends the request in time if no extension is
-// possible. d is the decision if there is one already.
+// awaitRouting waits until the host has named a member or given the final answer, and sends the member or the
+// answer to the caller. It extends the caller's message timeout before that expires, and ends the request in
+// time if no extension is possible. result is set if it is known already.
 func (s *stream) awaitRouting(ctx context.Context, result routingResult, body bool) error {
 	var timer *time.Timer
 	for {
@@ -740,7 +742,7 @@
 	}
 }
 
-// checkRouting returns what has been decided so far. The host's lock must be held.
+// checkRouting returns the result of the routing so far, or the zero value if there is none yet. The host's lock must be held.
 func (s *stream) checkRouting() (result routingResult) {
 	c := s.call
 	if c.finalAnswer != nil {
@@ -775,13 +777,13 @@
 	if !s.overrideSent && s.bodyMode != fullDuplex {
 		wait = s.config.MessageTimeout.D() - s.config.ReturnMargin.D() - time.Since(s.messageAt)
 	}
-	// The host ends a request at its deadline, at most one tick late; this bound covers requests that it
-	// cannot end.
+	// The host ends a request at its deadline, at most one tick late; this bound applies to a request
+	// that it has not ended by then.
 	return min(wait, time.Until(s.deadline)+s.config.ReturnMargin.D()/2)
 }
 
-// extendTimeout sends override_message_timeout. The caller ignores a value over its maximum, so the request
-// never exceeds it.
+// extendTimeout sends override_message_timeout. The caller ignores a value over its maximum, so the extension
+// that is sent never exceeds it.
 func (s *stream) extendTimeout() error {
 	s.overrideSent = true
 	extension := min(s.config.MaxMessageTimeout.D(), time.Until(s.deadline)+s.config.ReturnMargin.D())
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -19,7 +19,7 @@
 	// Listen is the addresses for the other instances, over UDP and TCP. The first free one is used, since a
 	// successor process needs a different one than its predecessor.
 	Listen      []string `toml:"listen"`
-	Advertise   []string `toml:"advertise"` // public address of each listen address, told to the others
+	Advertise   []string `toml:"advertise"` // public address of each listen address, announced to the other instances
 	Join        []string `toml:"join"`
 	Cluster     string   `toml:"cluster"`
 	KeyFile     string   `toml:"key_file"`
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file, which enables features beyond the platform's proxy. It reports
-// all errors of a file at once, each with its line. It opens no socket and reads no other file, except the
-// key file of [instances] on request.
+// Package operator reads the operator's file, which enables features that the base configuration
+// (LB_CONFIG) does not have. It reports all errors of a file at once, each with its line. It opens no socket
+// and reads no other file, except the key file of [instances] on request.
 //
 // Without a file, none of the features exists. The file is TOML, which is made for settings that people
 // write and can be read in only one way. An unknown key is an error, so that a typing error cannot silently
@@ -52,7 +52,8 @@
 	// ShedStatus is the status of requests that are refused for lack of capacity.
 	ShedStatus int `toml:"shed_status"`
 	// Fallbacks is the number of fallback members that are named, in order, for a read in mode route. The
-	// caller moves on to them by itself and must do so within FallbackTimeout of the choice.
+	// caller moves on to them by itself and must do so within FallbackTimeout after they were
+	// named.
 	Fallbacks       int        `toml:"fallbacks"`
 	FallbackTimeout Duration   `toml:"fallback_within" json:"FallbackWithin"`
 	Headers         Headers    `toml:"headers"`
@@ -330,7 +331,7 @@
 	"orders":    {"dir", "most", "most_bytes", "keep", "line", "segment", "compact_at", "strangers", "receipts"},
 }
 
-// Diff compares f, which is in force, with a new file. It returns the changed keys that require a restart
+// Diff compares f, which is in force, with updated, a new file. It returns the changed keys that require a restart
 // and those that can change while the program runs.
 func (f *File) Diff(updated *File) (restart, live []string) {
 	c := fileChanges{}
@@ -381,6 +382,8 @@
 	f.Zones = keepRestartKeys("zones", f.Zones, old.Zones)
 }
 
+// keepRestartKeys returns the updated table with old's values of the keys that require a restart. Adding or
+// removing a table requires a restart as well, so that old is returned then.
 func keepRestartKeys[T any](table string, updated, old *T) *T {
 	if updated == nil || old == nil {
 		return old
