--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -210,13 +210,13 @@
 	if err := file.CheckClasses(logic.ClassNames(settings.Settings.Classes)); err != nil {
 		return err
 	}
-	var gate *callers.Authenticator
+	var authenticator *callers.Authenticator
 	if file.Identity != nil {
-		if gate, err = callers.New(file.Identity, log); err != nil {
+		if authenticator, err = callers.New(file.Identity, log); err != nil {
 			return err
 		}
-		settings.Callers = gate
-		go gate.Run(ctx)
+		settings.Callers = authenticator
+		go authenticator.Run(ctx)
 	}
 	if file.Joining != nil {
 		settings.Joining = file.Joining.Limits()
@@ -264,7 +264,7 @@
 	ended := make(chan struct{})
 	defer close(ended)
 	go handover.run(server, ctx.Done(), ended)
-	settingsReloader := reloader{proxy: server, cfg: cfg, classes: settings.Settings.Classes, maxAttempts: settings.Settings.MaxAttempts, file: file, gate: gate, log: log, membership: &fleet}
+	settingsReloader := reloader{proxy: server, cfg: cfg, classes: settings.Settings.Classes, maxAttempts: settings.Settings.MaxAttempts, file: file, authenticator: authenticator, log: log, membership: &fleet}
 	if file.ExtProc != nil {
 		if settingsReloader.extproc, err = g.NewExtProc(server, file, log); err != nil {
 			return err
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -21,10 +21,10 @@
 
 // reloader applies the files' settings after SIGHUP.
 type reloader struct {
-	proxy   *proxy.Proxy
-	extproc Front
-	gate    *callers.Authenticator // nil means that callers are not identified
-	log     *slog.Logger
+	proxy         *proxy.Proxy
+	extproc       Front
+	authenticator *callers.Authenticator // nil means that callers are not identified
+	log           *slog.Logger
 
 	mu              sync.Mutex
 	cfg             *config
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	if r.extproc != nil || r.gate != nil {
+	if r.extproc != nil || r.authenticator != nil {
 		if err := r.file.CheckClasses(logic.ClassNames(next.Settings.Classes)); err != nil {
 			return err
 		}
@@ -85,8 +85,8 @@
 
 // retune changes the classes in two steps: first to what both configurations allow, and to the new ones once
 // no client uses the old ones.
-func (r *reloader) retune(classes []logic.Class, tries int) error {
-	both, minAttempts := retune.Transition(r.classes, classes, r.maxAttempts, tries)
+func (r *reloader) retune(classes []logic.Class, maxAttempts int) error {
+	both, minAttempts := retune.Transition(r.classes, classes, r.maxAttempts, maxAttempts)
 	if err := r.apply(both, minAttempts); err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 		if r.transitionTimer != timer { // another configuration has been loaded in the meantime
 			return
 		}
-		if err := r.apply(classes, tries); err != nil {
+		if err := r.apply(classes, maxAttempts); err != nil {
 			r.log.Error("retune", "err", err)
 		}
 	})
@@ -108,11 +108,11 @@
 	return nil
 }
 
-func (r *reloader) apply(classes []logic.Class, tries int) error {
-	if err := r.proxy.UpdateClasses(classes, tries); err != nil {
+func (r *reloader) apply(classes []logic.Class, maxAttempts int) error {
+	if err := r.proxy.UpdateClasses(classes, maxAttempts); err != nil {
 		return err
 	}
-	r.classes, r.maxAttempts = classes, tries
+	r.classes, r.maxAttempts = classes, maxAttempts
 	if r.extproc != nil {
 		return r.extproc.Reload(r.file)
 	}
@@ -136,12 +136,12 @@
 			return
 		}
 	}
-	if r.gate != nil {
+	if r.authenticator != nil {
 		if err := next.CheckClasses(logic.ClassNames(r.classes)); err != nil {
 			r.log.Error("reload failed, the operator's old file stays in force", "err", err)
 			return
 		}
-		r.gate.Reload(next.Identity)
+		r.authenticator.Reload(next.Identity)
 	}
 	r.file = next
 	r.log.Info("reload of the operator's file is complete", "changed", live)
--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -51,28 +51,28 @@
 // startHandover opens the directory that the processes of a proxy share and applies its contents to the
 // settings.
 func startHandover(cfg *config, settings *proxy.Config, log *slog.Logger) *processHandover {
-	s := &processHandover{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
+	takeover := &processHandover{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
 	path := os.Getenv("TMPDIR")
 	if address, err := netip.ParseAddrPort(cfg.Listen); err == nil && address.Port() == 0 {
 		path = "" // a random port gives every process another address, so none can be a successor
 	}
 	var err error
-	if s.dir, s.noPredecessorLeft, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
+	if takeover.dir, takeover.noPredecessorLeft, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
 		log.Warn("no handover directory: members out of use are forgotten when this process ends", "err", err)
 	}
-	s.startedAlone = s.noPredecessorLeft
-	if settings.OutOfUse, _, err = s.dir.Reload(); err != nil {
+	takeover.startedAlone = takeover.noPredecessorLeft
+	if settings.OutOfUse, _, err = takeover.dir.Reload(); err != nil {
 		log.Error("reading the record of members out of use failed", "err", err)
 	}
-	if !s.noPredecessorLeft {
+	if !takeover.noPredecessorLeft {
 		log.Info("taking over from a predecessor process")
-		s.shareLimits(nil)
-		settings.Descriptors, settings.MemoryMB = s.sockets, int(s.memoryMB)
+		takeover.shareLimits(nil)
+		settings.Descriptors, settings.MemoryMB = takeover.sockets, int(takeover.memoryMB)
 	}
-	if s.dir.Persistent() {
-		settings.LoadSnapshot = s.readState
+	if takeover.dir.Persistent() {
+		settings.LoadSnapshot = takeover.readState
 	}
-	return s
+	return takeover
 }
 
 // readState reads the learned state of the predecessor. If the predecessor still serves, readState waits
--- a/internal/extproc/server/server_test.go
+++ b/internal/extproc/server/server_test.go
@@ -77,9 +77,9 @@
 	return cfg
 }
 
-func newFleet(t *testing.T, boxes int) *standin.Fleet {
+func newFleet(t *testing.T, caches int) *standin.Fleet {
 	t.Helper()
-	fleet, err := standin.NewFleet(boxes, 64)
+	fleet, err := standin.NewFleet(caches, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
