--- a/internal/extproc/server/duplex_test.go
+++ b/internal/extproc/server/duplex_test.go
@@ -265,8 +265,8 @@
 	env.waitIdle()
 }
 
-// Two headers that identify the request differently would let a client or proxy that adds one choose
-// which of them counts.
+// Two headers that identify the request differently would let a client or proxy that adds one
+// choose which of them counts.
 func TestDoubleHeaders(t *testing.T) {
 	fleet := newFleet(t, 1)
 	fleet.Fill("k")
--- a/internal/extproc/server/identity.go
+++ b/internal/extproc/server/identity.go
@@ -12,8 +12,8 @@
 // authenticate proves a caller's identity, if callers are authenticated. The tenant is the proven one,
 // whatever the headers say, and it prefixes the request id, so that no caller can continue, repeat or block
 // another tenant's call by using its id. The token is not passed on: a caller that makes the exchange
-// itself gets a mutation that removes the header (memberMessage). A call that returns for its next attempt must carry
-// a valid token too; the attempt uses the proof of the original request.
+// itself gets a mutation that removes the header (memberMessage). A call that returns for its next attempt
+// must carry a valid token too; the attempt uses the proof of the original request.
 func (s *stream) authenticate() error {
 	callers := s.front.host.Callers()
 	if callers == nil {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// sendDenied answers a caller that is denied (RFC 6750, section 3.1; RFC 6585, section 4). Only if
-// its token was not checked does the answer ask for an unchanged retry.
+// sendDenied answers a caller that is denied (RFC 6750, section 3.1; RFC 6585, section 4). The answer asks for
+// an unchanged retry only if the token was not checked.
 func (s *stream) sendDenied(err error) error {
 	switch identity.ReasonOf(err) {
 	case identity.Overloaded:
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file, which enables features that the base configuration
-// (LB_CONFIG) does not have. It reports all errors of a file at once, each with its line. It opens no socket
-// and reads no other file, except the key file of [instances] on request.
+// Package operator reads the operator's file, which enables features that the base configuration (LB_CONFIG)
+// does not have. It reports all errors of a file at once, each with its line. It opens no socket and reads no
+// other file, except the key file of [instances] on request.
 //
 // Without a file, none of the features exists. The file is TOML, which is made for settings that people
 // write and can be read in only one way. An unknown key is an error, so that a typing error cannot silently
@@ -52,8 +52,7 @@
 	// ShedStatus is the status of requests that are refused for lack of capacity.
 	ShedStatus int `toml:"shed_status"`
 	// Fallbacks is the number of fallback members that are named, in order, for a read in mode route. The
-	// caller moves on to them by itself and must do so within FallbackTimeout after they were
-	// named.
+	// caller moves on to them by itself and must do so within FallbackTimeout after they were named.
 	Fallbacks       int        `toml:"fallbacks"`
 	FallbackTimeout Duration   `toml:"fallback_within" json:"FallbackWithin"`
 	Headers         Headers    `toml:"headers"`
@@ -331,8 +330,8 @@
 	"orders":    {"dir", "most", "most_bytes", "keep", "line", "segment", "compact_at", "strangers", "receipts"},
 }
 
-// Diff compares f, which is in force, with updated, a new file. It returns the changed keys that require a restart
-// and those that can change while the program runs.
+// Diff compares f, which is in force, with updated, a new file. It returns the changed keys that require a
+// restart and those that can change while the program runs.
 func (f *File) Diff(updated *File) (restart, live []string) {
 	c := fileChanges{}
 	compareTable(&c, "extproc", f.ExtProc, updated.ExtProc)
