--- a/cmd/linenloom/leave_test.go
+++ b/cmd/linenloom/leave_test.go
@@ -23,9 +23,9 @@
 const clientGoneDelay = 300 * time.Millisecond
 
 // TestClientLeavesDuringUpgrade has an order wait for a connection to the origin while a successor process
-// starts and the process is stopped by a signal, which a read at a stalled cache delays. The order's client closes
-// its connection: the order must not be sent once the origin is reachable, and the next order has to go to
-// the successor.
+// starts and the process is stopped by a signal, which a read at a stalled cache delays. The order's client
+// closes its connection: the order must not be sent once the origin is reachable, and the next order has to
+// go to the successor.
 func TestClientLeavesDuringUpgrade(t *testing.T) {
 	const waitTimeout = 20 * time.Second
 	fleet, err := standin.NewFleet(1, 100)
--- a/internal/extproc/calls.go
+++ b/internal/extproc/calls.go
@@ -44,7 +44,7 @@
 	retention  time.Duration
 	byID       map[string]*Entry
 	mayHaveRun *list.List          // ended entries that may have run, ordered by the time of their end
-	neverRan   *list.List          // ended entries that never ran, ordered likewise; removed when the table is full
+	neverRan   *list.List          // ended entries that never ran, in the same order; removed when the table is full
 	awaiting   map[*Entry]struct{} // entries whose callers are expected to return
 }
 
--- a/internal/extproc/server/server.go
+++ b/internal/extproc/server/server.go
@@ -431,7 +431,7 @@
 	reservation  upstream.Reservation // for a long value, which does not count as held
 	partialValue []byte               // a value that is still incomplete
 	settled      bool                 // the caller has its answer or no longer waits for one
-	resultReady  chan struct{}        // capacity 1: signals that a member was named or the final answer was given
+	resultReady  chan struct{}        // capacity 1: signals a named member or the final answer
 }
 
 // routedCall is a call whose attempts the caller makes.
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -63,7 +63,7 @@
 	reservation upstream.Reservation // capacity for a body over maxBodyBytes; nil: the body counts as held
 	heldWindow  int                  // bytes held for what the caller may send ahead
 	expiresAt   time.Duration        // when the stream is ended as overdue
-	drainable   bool                 // a drain need not wait for this stream: no message is expected that needs an answer
+	drainable   bool                 // a drain need not wait: no message that needs an answer is expected
 	forceEnded  bool
 	forceEnd    chan struct{}
 }
@@ -742,7 +742,8 @@
 	}
 }
 
-// checkRouting returns the result of the routing so far, or the zero value if there is none yet. The host's lock must be held.
+// checkRouting returns the result of the routing so far, or the zero value if there is none yet. The host's
+// lock must be held.
 func (s *stream) checkRouting() (result routingResult) {
 	c := s.call
 	if c.finalAnswer != nil {
