--- a/internal/app/share.go
+++ b/internal/app/share.go
@@ -22,60 +22,62 @@
 	reservedDescriptors = 16
 	minSockets          = 64
 	minMemoryMB         = 14
-	// nonHeapBytes is the memory of a process that its runtime does not count.
-	nonHeapBytes = 4 << 20
+	// uncountedBytes is the memory of a process that its runtime does not include in its total.
+	uncountedBytes = 4 << 20
 	// stateTimeout is how long a successor process waits, from its own start, for the learned state of its
 	// predecessor. The predecessor writes it within shareInterval of noticing the successor.
 	stateTimeout      = 250 * time.Millisecond
 	statePollInterval = 5 * time.Millisecond
-	// maxMemoryShare is the share of the memory that either process may use, as memory in use cannot be
-	// returned at once.
+	// maxMemoryShare is the share of the memory that either process may use, so that some is free for the
+	// other one: a process can return memory in use only gradually.
 	maxMemoryShare = 0.6
 )
 
-// limitSharing divides the limits of a proxy between two processes while one takes over from the other.
-type limitSharing struct {
-	dir           *handover.Dir
-	cfg           *config
-	log           *slog.Logger
-	alone         bool
-	startedAt     time.Time
-	noPredecessor bool // no process was serving when this one started; never changes
+// processHandover divides the limits of a proxy between two processes while one takes over from the other. It
+// also reads what the predecessor process has left, the learned state and the record of members out of use,
+// and writes the learned state for the successor process.
+type processHandover struct {
+	dir               *handover.Dir
+	cfg               *config
+	log               *slog.Logger
+	noPredecessorLeft bool // no predecessor process is running; there may be a successor
+	startedAt         time.Time
+	startedAlone      bool // no other process was serving when this one started; never changes
 	// The limits in force.
 	sockets  int
 	memoryMB float64
 }
 
-// startSharing opens the directory that the processes of a proxy share and applies its contents to the
+// startHandover opens the directory that the processes of a proxy share and applies its contents to the
 // settings.
-func startSharing(cfg *config, settings *proxy.Config, log *slog.Logger) *limitSharing {
-	s := &limitSharing{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
+func startHandover(cfg *config, settings *proxy.Config, log *slog.Logger) *processHandover {
+	takeover := &processHandover{cfg: cfg, log: log, startedAt: time.Now(), sockets: cfg.Limits.Sockets, memoryMB: cfg.Limits.MemoryMB}
 	path := os.Getenv("TMPDIR")
 	if address, err := netip.ParseAddrPort(cfg.Listen); err == nil && address.Port() == 0 {
 		path = "" // a random port gives every process another address, so none can be a successor
 	}
 	var err error
-	if s.dir, s.alone, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
+	if takeover.dir, takeover.noPredecessorLeft, err = handover.Open(path, cfg.Name+" "+cfg.Listen); err != nil {
 		log.Warn("no handover directory: members out of use are forgotten when this process ends", "err", err)
 	}
-	s.noPredecessor = s.alone
-	if settings.OutOfUse, _, err = s.dir.Reload(); err != nil {
+	takeover.startedAlone = takeover.noPredecessorLeft
+	if settings.OutOfUse, _, err = takeover.dir.Reload(); err != nil {
 		log.Error("reading the record of members out of use failed", "err", err)
 	}
-	if !s.alone {
+	if !takeover.noPredecessorLeft {
 		log.Info("taking over from a predecessor process")
-		s.shareLimits(nil)
-		settings.Descriptors, settings.MemoryMB = s.sockets, int(s.memoryMB)
+		takeover.shareLimits(nil)
+		settings.Descriptors, settings.MemoryMB = takeover.sockets, int(takeover.memoryMB)
 	}
-	if s.dir.Persistent() {
-		settings.LoadSnapshot = s.readState
+	if takeover.dir.Persistent() {
+		settings.LoadSnapshot = takeover.readState
 	}
-	return s
+	return takeover
 }
 
 // readState reads the learned state of the predecessor. If the predecessor still serves, readState waits
-// until it has written its current state.
-func (s *limitSharing) readState() (*inherit.Snapshot, error) {
+// until it has written its current state, but at most stateTimeout from its own start.
+func (s *processHandover) readState() (*inherit.Snapshot, error) {
 	for {
 		text, err := s.dir.ReadState(inherit.MaxBytes)
 		if err != nil {
@@ -88,8 +90,8 @@
 				snapshot = &decoded
 			}
 		}
-		// An older state is returned as well; the reader decides by its age how much of it applies.
-		if s.noPredecessor || snapshot != nil && snapshot.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
+		// An older state is returned as well; the proxy decides by its age how much of it to apply.
+		if s.startedAlone || snapshot != nil && snapshot.TakenMS >= s.startedAt.UnixMilli() || time.Since(s.startedAt) >= stateTimeout {
 			return snapshot, err
 		}
 		time.Sleep(statePollInterval)
@@ -97,7 +99,7 @@
 }
 
 // writeState writes the learned state of this process.
-func (s *limitSharing) writeState(p *proxy.Proxy) {
+func (s *processHandover) writeState(p *proxy.Proxy) {
 	if !s.dir.Persistent() {
 		return
 	}
@@ -113,8 +115,9 @@
 // heapLimit returns the memory limit of the runtime for a memory limit of the process.
 func heapLimit(mb float64) int64 { return int64(mb * heapShare * (1 << 20)) }
 
-// run updates the limits until the process is done.
-func (s *limitSharing) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
+// run updates the limits until quit is closed, when the process ends. stop is closed when a planned stop
+// begins.
+func (s *processHandover) run(p *proxy.Proxy, stop, quit <-chan struct{}) {
 	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
 	hasSuccessor := false
@@ -122,27 +125,27 @@
 		select {
 		case <-quit:
 			return
-		case <-stop: // a planned stop begins: a successor may start
-			if stop = nil; s.alone && !hasSuccessor {
+		case <-stop: // a successor that starts from now on finds the state written here
+			if stop = nil; s.noPredecessorLeft && !hasSuccessor {
 				s.writeState(p)
 			}
 		case <-tick.C:
 		}
-		if !s.alone {
-			alone, err := s.dir.Promote()
+		if !s.noPredecessorLeft {
+			predecessorEnded, err := s.dir.Promote()
 			if err != nil {
-				s.log.Error("handover", "err", err)
+				s.log.Error("checking for the predecessor process failed", "err", err)
 			}
-			if s.alone = alone; alone {
+			if s.noPredecessorLeft = predecessorEnded; predecessorEnded {
 				s.log.Info("the predecessor process has ended")
 			}
 		}
 		hadSuccessor := hasSuccessor
-		if hasSuccessor = s.alone && s.dir.HasSuccessor(); hasSuccessor && !hadSuccessor {
+		if hasSuccessor = s.noPredecessorLeft && s.dir.HasSuccessor(); hasSuccessor && !hadSuccessor {
 			s.writeState(p)
 		}
 		switch {
-		case !s.alone || hasSuccessor:
+		case !s.noPredecessorLeft || hasSuccessor:
 			s.shareLimits(p)
 		case s.sockets != s.cfg.Limits.Sockets || s.memoryMB != s.cfg.Limits.MemoryMB: // no other process any more
 			s.apply(p, s.cfg.Limits.Sockets, s.cfg.Limits.MemoryMB)
@@ -151,7 +154,7 @@
 }
 
 // shareLimits sets the limits to what the other process leaves free.
-func (s *limitSharing) shareLimits(p *proxy.Proxy) {
+func (s *processHandover) shareLimits(p *proxy.Proxy) {
 	var mine handover.Usage
 	mine.Memory = memoryInUse()
 	if p != nil {
@@ -159,14 +162,14 @@
 	}
 	theirs, err := s.dir.ExchangeUsage(mine)
 	if err != nil {
-		s.log.Error("handover", "err", err)
+		s.log.Error("exchanging the usage with the other process failed", "err", err)
 	}
-	remaining := s.cfg.Limits.MemoryMB - float64(theirs.Memory+nonHeapBytes)/(1<<20)
+	remaining := s.cfg.Limits.MemoryMB - float64(theirs.Memory+uncountedBytes)/(1<<20)
 	s.apply(p, max(minSockets, s.cfg.Limits.Sockets-int(theirs.Descriptors)-reservedDescriptors),
 		max(minMemoryMB, math.Floor(min(s.cfg.Limits.MemoryMB*maxMemoryShare, remaining))))
 }
 
-func (s *limitSharing) apply(p *proxy.Proxy, sockets int, memory float64) {
+func (s *processHandover) apply(p *proxy.Proxy, sockets int, memory float64) {
 	if s.sockets, s.memoryMB = sockets, memory; p != nil {
 		p.SetLimits(sockets, int(memory))
 	}
--- a/internal/extproc/server/stream.go
+++ b/internal/extproc/server/stream.go
@@ -47,7 +47,7 @@
 	collecting       bool      // the body of a write is still being received
 	bodyLen          int
 	delivering       bool // a successful response has started and is not complete
-	outcomeNote      int  // cache note for the attempt's outcome
+	outcomeNote      int  // what the cache says about the value, for the attempt's outcome (logic.Outcome.Note)
 	proof            *identity.Proof
 	servedElsewhere  bool // the response came from a member that was not named
 	responseBodySeen bool
@@ -63,7 +63,7 @@
 	reservation upstream.Reservation // capacity for a body over maxBodyBytes; nil: the body counts as held
 	heldWindow  int                  // bytes held for what the caller may send ahead
 	expiresAt   time.Duration        // when the stream is ended as overdue
-	idle        bool                 // everything has been sent; further messages need no answer
+	drainable   bool                 // a drain need not wait: no message that needs an answer is expected
 	forceEnded  bool
 	forceEnd    chan struct{}
 }
@@ -131,7 +131,7 @@
 			return err
 		}
 		if s.outbox != nil && s.fullyRelayed() {
-			s.front.host.Do(func() { s.idle = true })
+			s.front.host.Do(func() { s.drainable = true })
 		}
 	}
 }
@@ -147,11 +147,11 @@
 
 // forceEndStatus returns the status of a stream that the front end ends.
 func (s *stream) forceEndStatus() error {
-	idle := false
-	s.front.host.Do(func() { idle = s.idle })
+	drainable := false
+	s.front.host.Do(func() { drainable = s.drainable })
 	switch {
-	case idle:
-		return nil // everything has been sent
+	case drainable:
+		return nil // nothing that the caller waits for is left to send
 	case !s.messageOrder.RequestStarted():
 		return status.Error(codes.Unavailable, "no message came; nothing ran")
 	}
@@ -187,7 +187,7 @@
 		return s.invalid("%v", err)
 	}
 	if s.observing = s.observing || message.GetObservabilityMode(); s.observing {
-		s.front.host.Do(func() { s.idle, s.expiresAt = true, s.front.host.Now()+passThroughTimeout })
+		s.front.host.Do(func() { s.drainable, s.expiresAt = true, s.front.host.Now()+passThroughTimeout })
 		return nil // the caller proceeds without an answer; choosing a member here would count load that is never sent
 	}
 	switch kind {
@@ -284,8 +284,8 @@
 		name := header.GetKey()
 		switch name {
 		case names.RequestID, names.Tenant, names.IdempotencyKey, names.Attempt, authorization:
-			// With two different values, whoever adds a header could choose which one counts (RFC 9110
-			// section 5.3: the field is no list, so only one is allowed).
+			// With two different values, a client or proxy that adds a header could choose which one counts
+			// (RFC 9110 section 5.3: the field is no list, so only one is allowed).
 			for _, earlier := range headers[:i] {
 				if earlier.GetKey() == name && headerValue(earlier) != headerValue(header) {
 					return fmt.Errorf("%s is there more than once", name)
@@ -356,7 +356,7 @@
 			return err
 		}
 		// A drain waits for bodies that are relayed on this stream.
-		s.front.host.Do(func() { s.idle, s.expiresAt = s.outbox == nil, s.front.host.Now()+passThroughTimeout })
+		s.front.host.Do(func() { s.drainable, s.expiresAt = s.outbox == nil, s.front.host.Now()+passThroughTimeout })
 		return s.sendPassThrough()
 	}
 	s.target = target
@@ -430,8 +430,9 @@
 	s.collecting = true
 	s.front.host.Do(func() { s.expiresAt = s.front.host.Now() + time.Until(s.deadline) + overdueGrace })
 	if s.bodyMode == fullDuplex {
-		// The caller sends the body anyway, and forwards nothing before the headers are answered. They
-		// never are, as this process makes the exchange.
+		// In full duplex the caller sends the body without a request for it. The headers stay unanswered,
+		// so that the caller forwards nothing: this process makes the exchange. The call is accepted here,
+		// as no response accepts it.
 		return s.acceptCall()
 	}
 	r := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{
@@ -456,8 +457,9 @@
 
 // acceptCall sends the call's response headers, which tell the caller that the call is accepted. Envoy
 // offers a call that fails with UNAVAILABLE to another processor only before these headers
-// (grpc_service.retry_policy); an order that a killed processor had accepted must not be offered again. A
-// caller that sends a body after a response of ours has received the headers already.
+// (grpc_service.retry_policy); an order that a killed processor had accepted must not be offered again.
+// A caller that sends a body after any response on the stream has received the headers with that response, so
+// that acceptCall is not needed then.
 func (s *stream) acceptCall() error { return s.rpc.SendHeader(nil) }
 
 func (s *stream) requestBody(ctx context.Context, part *extprocv3.HttpBody) error {
@@ -523,7 +525,7 @@
 	if usable {
 		return s.sendBodyContinue(part)
 	}
-	return s.awaitDecision(ctx, decision{}, true)
+	return s.awaitRouting(ctx, routingResult{}, true)
 }
 
 // bodyComplete submits a write whose body has been received completely.
@@ -536,7 +538,7 @@
 }
 
 // startRequest relates the call to earlier calls with its request id, submits a new request or continues a
-// known one, and sends what is decided.
+// known one, and sends the result of the routing, or the reason why there is none.
 func (s *stream) startRequest(ctx context.Context, body bool) error {
 	front, head := s.front, &s.head
 	class := s.config.classes[s.target.Class]
@@ -545,9 +547,9 @@
 			return err
 		}
 	}
-	var callDecision extproc.Decision
+	var relation extproc.CallRelation
 	var submitErr error
-	var first decision
+	var result routingResult
 	front.host.Do(func() {
 		id := head.requestID
 		if id == "" {
@@ -555,23 +557,23 @@
 		}
 		now := front.host.Now()
 		entry, replaced, found := front.calls.Begin(id, head.attempt, s.runOnce(class), class.Effect == logic.AtMostOnce && front.host.RecordsOrders(), now)
-		if callDecision = found; replaced != nil {
-			replaced.Owner.(*call).abandon()
+		if relation = found; replaced != nil {
+			replaced.ServerCall.(*call).abandon()
 		}
 		s.expiresAt = now + max(0, time.Until(s.deadline)) + overdueGrace
-		switch callDecision {
-		case extproc.DecisionNew, extproc.DecisionReplace:
-			c := &call{front: front, entry: entry, stream: s, decided: make(chan struct{}, 1)}
-			entry.Owner, s.call = c, c
+		switch relation {
+		case extproc.RelationNew, extproc.RelationReplace:
+			c := &call{front: front, entry: entry, stream: s, resultReady: make(chan struct{}, 1)}
+			entry.ServerCall, s.call = c, c
 			submitErr = s.submit(c, id)
-		case extproc.DecisionContinue:
+		case extproc.RelationContinue:
 			front.counts.Continued++
-			s.call = entry.Owner.(*call)
+			s.call = entry.ServerCall.(*call)
 			s.call.stream = s
 			s.call.restrictMembers(head.allowedMembers)
 		}
 		if s.call != nil && submitErr == nil {
-			first = s.checkDecision()
+			result = s.checkRouting()
 		}
 	})
 	switch {
@@ -590,15 +592,15 @@
 		return s.sendDenied(submitErr)
 	case submitErr != nil:
 		return s.sendImmediate(400, []byte(submitErr.Error()), "")
-	case callDecision == extproc.DecisionInUse:
+	case relation == extproc.RelationInUse:
 		return s.sendImmediate(409, []byte("the request id belongs to another request in hand"), "")
-	case callDecision == extproc.DecisionMayHaveRun:
+	case relation == extproc.RelationMayHaveRun:
 		return s.sendFailed("an earlier attempt may have run, and the request must not run twice")
-	case callDecision == extproc.DecisionTableFull:
+	case relation == extproc.RelationTableFull:
 		s.reason = reasons.HostFull
 		return s.sendRefused(0)
 	}
-	return s.awaitDecision(ctx, first, body)
+	return s.awaitRouting(ctx, result, body)
 }
 
 // newID returns an id that no other process generates, for a request whose caller sent none.
@@ -695,34 +697,34 @@
 	return wait - s.config.ReturnMargin.D() - time.Since(s.messageAt)
 }
 
-// decision is the result of waiting for the host.
-type decision struct {
+// routingResult is the result of waiting for the host.
+type routingResult struct {
 	addrs    string // the member's address, followed by comma-separated fallbacks
 	timeLeft time.Duration
 	final    *proxy.Answer
 }
 
-// awaitDecision waits until the host has named a member or given the final answer, and sends it. It extends
-// the caller's message timeout before that expires, and ends the request in time if no extension is
-// possible. d is the decision if there is one already.
-func (s *stream) awaitDecision(ctx context.Context, decided decision, body bool) error {
+// awaitRouting waits until the host has named a member or given the final answer, and sends the member or the
+// answer to the caller. It extends the caller's message timeout before that expires, and ends the request in
+// time if no extension is possible. result is set if it is known already.
+func (s *stream) awaitRouting(ctx context.Context, result routingResult, body bool) error {
 	var timer *time.Timer
 	for {
-		if decided == (decision{}) {
-			s.front.host.Do(func() { decided = s.checkDecision() })
+		if result == (routingResult{}) {
+			s.front.host.Do(func() { result = s.checkRouting() })
 		}
 		switch {
-		case decided.final != nil:
-			return s.sendAnswer(decided.final)
-		case decided.addrs != "":
-			return s.sendMember(decided, body)
+		case result.final != nil:
+			return s.sendAnswer(result.final)
+		case result.addrs != "":
+			return s.sendMember(result, body)
 		}
 		if timer == nil {
 			timer = time.NewTimer(s.nextWait())
 			defer timer.Stop()
 		}
 		select {
-		case <-s.call.decided:
+		case <-s.call.resultReady:
 		case <-ctx.Done():
 			return status.FromContextError(ctx.Err()).Err()
 		case <-s.forceEnd:
@@ -740,11 +742,12 @@
 	}
 }
 
-// checkDecision returns what has been decided so far. The host's lock must be held.
-func (s *stream) checkDecision() (d decision) {
+// checkRouting returns the result of the routing so far, or the zero value if there is none yet. The host's
+// lock must be held.
+func (s *stream) checkRouting() (result routingResult) {
 	c := s.call
 	if c.finalAnswer != nil {
-		return decision{final: c.finalAnswer}
+		return routingResult{final: c.finalAnswer}
 	}
 	if a := c.attempt; a != nil && !a.Ended() && a.Announce() {
 		s.front.counts.Routed++
@@ -755,9 +758,9 @@
 			}
 		}
 		c.namedAddrs = addrs
-		return decision{addrs: addrs, timeLeft: a.TimeLeft()}
+		return routingResult{addrs: addrs, timeLeft: a.TimeLeft()}
 	}
-	return d
+	return result
 }
 
 // canExtend reports whether the message timeout can be extended; a caller accepts one extension for each
@@ -775,13 +778,13 @@
 	if !s.overrideSent && s.bodyMode != fullDuplex {
 		wait = s.config.MessageTimeout.D() - s.config.ReturnMargin.D() - time.Since(s.messageAt)
 	}
-	// The host ends a request at its deadline, at most one tick late; this bound covers requests that it
-	// cannot end.
+	// The host ends a request at its deadline, at most one tick late; this bound applies to a request
+	// that it has not ended by then.
 	return min(wait, time.Until(s.deadline)+s.config.ReturnMargin.D()/2)
 }
 
-// extendTimeout sends override_message_timeout. The caller ignores a value over its maximum, so the request
-// never exceeds it.
+// extendTimeout sends override_message_timeout. The caller ignores a value over its maximum, so the extension
+// that is sent never exceeds it.
 func (s *stream) extendTimeout() error {
 	s.overrideSent = true
 	extension := min(s.config.MaxMessageTimeout.D(), time.Until(s.deadline)+s.config.ReturnMargin.D())
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file, which enables features beyond the platform's proxy. It reports
-// all errors of a file at once, each with its line. It opens no socket and reads no other file, except the
-// key file of [instances] on request.
+// Package operator reads the operator's file, which enables features that the base configuration (LB_CONFIG)
+// does not have. It reports all errors of a file at once, each with its line. It opens no socket and reads no
+// other file, except the key file of [instances] on request.
 //
 // Without a file, none of the features exists. The file is TOML, which is made for settings that people
 // write and can be read in only one way. An unknown key is an error, so that a typing error cannot silently
@@ -52,7 +52,7 @@
 	// ShedStatus is the status of requests that are refused for lack of capacity.
 	ShedStatus int `toml:"shed_status"`
 	// Fallbacks is the number of fallback members that are named, in order, for a read in mode route. The
-	// caller moves on to them by itself and must do so within FallbackTimeout of the choice.
+	// caller moves on to them by itself and must do so within FallbackTimeout after they were named.
 	Fallbacks       int        `toml:"fallbacks"`
 	FallbackTimeout Duration   `toml:"fallback_within" json:"FallbackWithin"`
 	Headers         Headers    `toml:"headers"`
@@ -119,18 +119,18 @@
 
 // Parse decodes and checks the text of a file.
 func Parse(path string, text []byte) (*File, error) {
-	d := &decoder{file: path}
-	r := defaults()
-	d.decode(text, &r)
-	f := &File{Path: path}
-	f.ExtProc = checkTable(d, "extproc", &r.ExtProc, d.checkExtProc)
-	f.Identity = checkTable(d, "identity", &r.Identity, d.checkIdentity)
-	f.Joining = checkTable(d, "joining", &r.Joining, d.checkJoining)
-	f.ManyKeys = checkTable(d, "many_keys", &r.ManyKeys, d.checkManyKeys)
-	f.Orders = checkTable(d, "orders", &r.Orders, d.checkOrders)
-	f.Instances = checkTable(d, "instances", &r.Instances, d.checkInstances)
-	f.Zones = checkTable(d, "zones", &r.Zones, d.checkZones)
-	return f, d.err()
+	fileDecoder := &decoder{file: path}
+	tables := defaults()
+	fileDecoder.decode(text, &tables)
+	file := &File{Path: path}
+	file.ExtProc = checkTable(fileDecoder, "extproc", &tables.ExtProc, fileDecoder.checkExtProc)
+	file.Identity = checkTable(fileDecoder, "identity", &tables.Identity, fileDecoder.checkIdentity)
+	file.Joining = checkTable(fileDecoder, "joining", &tables.Joining, fileDecoder.checkJoining)
+	file.ManyKeys = checkTable(fileDecoder, "many_keys", &tables.ManyKeys, fileDecoder.checkManyKeys)
+	file.Orders = checkTable(fileDecoder, "orders", &tables.Orders, fileDecoder.checkOrders)
+	file.Instances = checkTable(fileDecoder, "instances", &tables.Instances, fileDecoder.checkInstances)
+	file.Zones = checkTable(fileDecoder, "zones", &tables.Zones, fileDecoder.checkZones)
+	return file, fileDecoder.err()
 }
 
 // checkTable checks a table and returns it, or returns nil if the file does not set it.
@@ -330,17 +330,17 @@
 	"orders":    {"dir", "most", "most_bytes", "keep", "line", "segment", "compact_at", "strangers", "receipts"},
 }
 
-// Diff compares f, which is in force, with a new file. It returns the changed keys that require a restart
-// and those that can change while the program runs.
-func (f *File) Diff(now *File) (held, live []string) {
+// Diff compares f, which is in force, with updated, a new file. It returns the changed keys that require a
+// restart and those that can change while the program runs.
+func (f *File) Diff(updated *File) (restart, live []string) {
 	c := fileChanges{}
-	compareTable(&c, "extproc", f.ExtProc, now.ExtProc)
-	compareTable(&c, "identity", f.Identity, now.Identity)
-	compareTable(&c, "joining", f.Joining, now.Joining)
-	compareTable(&c, "many_keys", f.ManyKeys, now.ManyKeys)
-	compareTable(&c, "instances", f.Instances, now.Instances)
-	compareTable(&c, "zones", f.Zones, now.Zones)
-	compareTable(&c, "orders", f.Orders, now.Orders)
+	compareTable(&c, "extproc", f.ExtProc, updated.ExtProc)
+	compareTable(&c, "identity", f.Identity, updated.Identity)
+	compareTable(&c, "joining", f.Joining, updated.Joining)
+	compareTable(&c, "many_keys", f.ManyKeys, updated.ManyKeys)
+	compareTable(&c, "instances", f.Instances, updated.Instances)
+	compareTable(&c, "zones", f.Zones, updated.Zones)
+	compareTable(&c, "orders", f.Orders, updated.Orders)
 	return c.restart, c.live
 }
 
@@ -381,17 +381,19 @@
 	f.Zones = keepRestartKeys("zones", f.Zones, old.Zones)
 }
 
-func keepRestartKeys[T any](table string, now, old *T) *T {
-	if now == nil || old == nil {
+// keepRestartKeys returns the updated table with old's values of the keys that require a restart. Adding or
+// removing a table requires a restart as well, so that old is returned then.
+func keepRestartKeys[T any](table string, updated, old *T) *T {
+	if updated == nil || old == nil {
 		return old
 	}
-	vn, vo := reflect.ValueOf(now).Elem(), reflect.ValueOf(old).Elem()
-	for i := range vn.NumField() {
-		if slices.Contains(restartKeys[table], vn.Type().Field(i).Tag.Get("toml")) {
-			vn.Field(i).Set(vo.Field(i))
+	updatedValue, oldValue := reflect.ValueOf(updated).Elem(), reflect.ValueOf(old).Elem()
+	for i := range updatedValue.NumField() {
+		if slices.Contains(restartKeys[table], updatedValue.Type().Field(i).Tag.Get("toml")) {
+			updatedValue.Field(i).Set(oldValue.Field(i))
 		}
 	}
-	return now
+	return updated
 }
 
 // CheckClasses returns faults for classes that the settings do not have.
