--- a/internal/proxy/callers.go
+++ b/internal/proxy/callers.go
@@ -12,7 +12,7 @@
 	"linenloom/logic"
 )
 
-// Callers authenticates and authorizes clients. Prove may take some 100 us and is called without the lock;
+// Callers authenticates and authorizes clients. VerifyToken may take some 100 us and is called without the lock;
 // the other methods do not block.
 type Callers interface {
 	TokenAttribute() string // name of the attribute that carries a token in a request's list
