--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -358,7 +358,7 @@
 
 // String summarizes a run in one line.
 func (r *Result) String() string {
-	verdict := "passed"
+	verdict := "kept"
 	switch {
 	case len(r.Faults) > 0:
 		verdict = fmt.Sprintf("%d faults", len(r.Faults))
