--- a/internal/cluster/clients.go
+++ b/internal/cluster/clients.go
@@ -17,19 +17,21 @@
 	"linenloom/internal/standin"
 )
 
-// Load is what clients ask of each proxy.
+// Load is what the clients of each proxy send.
 type Load struct {
-	ReadRate  float64 // a second, at each proxy
+	ReadRate  float64 // per second, at each proxy
 	OrderRate float64
-	Keys      int // of reads, with a Zipf-like share each
-	// Deadline is what clients tell, and Aim within what an answer is wanted.
+	Keys      int // of reads, with a Zipf-like distribution
+	// Deadline is the deadline that clients send with each request, and SoftDeadline the time within which
+	// they want an answer.
 	Deadline, SoftDeadline time.Duration
-	// Grace is how late a final answer may come before it is lost: the proxies keep their time, the rig's own clients may not where the
-	// machine is busy. Tests, whose verdict may not hang on speed, give enough that only an answer that never comes is found.
+	// Grace is how long after the deadline an answer may come before it counts as lost. The proxies keep
+	// their deadlines, but the test's own clients may be delayed on a busy machine. Tests, whose verdict
+	// must not depend on speed, allow enough that only missing answers are found.
 	Grace time.Duration
 }
 
-// Request is one request and what became of it.
+// Request is one request and its outcome.
 type Request struct {
 	Proxy   string
 	IsOrder bool
@@ -41,19 +43,19 @@
 	Detail  string // of a failure
 }
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome uint8
 
-// The ends.
+// Outcomes of a request.
 const (
 	Served Outcome = iota
 	Refused
 	Failed
 	NoAnswer    // its connection ended without an answer
-	WrongAnswer // an answer that nobody may give: a value of another key
+	WrongAnswer // an answer with the value of another key
 )
 
-// Clients ask until they are stopped.
+// Clients send requests until they are stopped.
 type Clients struct {
 	cluster     *Cluster
 	load        Load
@@ -61,7 +63,7 @@
 	requests    []Request
 	quit        chan struct{}
 	group       sync.WaitGroup
-	lossPeriods map[string][]span // by proxy: when its process may lose what it had
+	lossPeriods map[string][]span // by proxy: periods in which its process may lose requests
 }
 
 type span struct{ from, to time.Time }
@@ -78,14 +80,16 @@
 	return cl
 }
 
-// ExpectLoss notes that a proxy's process is killed or cut off from its clients: what it had then is the clients' to repeat.
+// ExpectLoss records a period in which a proxy's process is killed or cut off from its clients. Requests
+// in progress then may stay unanswered, as clients would retry them.
 func (cl *Clients) ExpectLoss(proxy string, from, to time.Time) {
 	cl.mu.Lock()
 	cl.lossPeriods[proxy] = append(cl.lossPeriods[proxy], span{from, to})
 	cl.mu.Unlock()
 }
 
-// run asks at a rate, whatever the answers take: each request takes a connection that is idle, or a new one.
+// run sends requests at a fixed rate, however long the answers take. Each request takes an idle connection
+// or a new one.
 func (cl *Clients) run(p *Proxy, rate float64, order bool, stream uint64) {
 	rng := rand.New(rand.NewPCG(cl.cluster.Seed, stream))
 	keys := rand.NewZipf(rng, 1.1, 20, uint64(max(1, cl.load.Keys-1)))
@@ -121,7 +125,7 @@
 	}
 }
 
-// crcTable makes an order's idempotency key of its name.
+// crcTable is used to derive an order's idempotency key from its name.
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
 type conn struct {
@@ -129,7 +133,7 @@
 	in *bufio.Reader
 }
 
-// Retry asks again, as a client that has not heard what became of its request, and tells what it hears then.
+// Retry sends a request again, as a client does that got no answer, and returns it with its new outcome.
 func (cl *Clients) Retry(p *Proxy, a Request) Request {
 	a.SentAt, a.Outcome, a.ID = time.Now(), Served, a.ID+"-again"
 	idle := make(chan *conn, 1)
@@ -165,7 +169,8 @@
 		line, value, err := c.exchange(words)
 		a.Elapsed = time.Since(a.SentAt)
 		switch {
-		case err != nil && line == "" && !fresh && try < 3: // an idle connection that was closed as the request came: it goes again on another
+		// an idle connection was closed as the request was sent: retry on another connection
+		case err != nil && line == "" && !fresh && try < 3:
 			c.Close()
 			continue
 		case err != nil:
@@ -190,7 +195,7 @@
 	}
 }
 
-// exchange asks one thing and reads the answer.
+// exchange sends one command and reads the answer.
 func (c *conn) exchange(words []string) (line, value string, err error) {
 	b := resp.AppendArray(nil, len(words))
 	for _, w := range words {
@@ -214,20 +219,21 @@
 	return line, string(v[:max(0, len(v)-2)]), err
 }
 
-// Stop ends the asking, and waits for the last answers.
+// Stop stops sending and waits for the last answers.
 func (cl *Clients) Stop() {
 	close(cl.quit)
 	cl.group.Wait()
 }
 
-// Requests are those of a time that have ended.
+// Requests returns the finished requests that were sent in a period.
 func (cl *Clients) Requests(from, to time.Time) []Request {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(cl.requests), func(a Request) bool { return a.SentAt.Before(from) || !a.SentAt.Before(to) })
 }
 
-// ShareInTime is the share of the reads of a time that were served within the aim, and how many there were.
+// ShareInTime returns the share of the reads of a period that were served within the soft deadline, and
+// the number of reads.
 func (cl *Clients) ShareInTime(from, to time.Time) (share float64, all int) {
 	good := 0
 	for _, a := range cl.Requests(from, to) {
@@ -241,7 +247,8 @@
 	return float64(good) / float64(max(1, all)), all
 }
 
-// Violations are the rules that were broken, as clients and members saw it, once all has been answered.
+// Violations describes the rules that were broken, as seen by clients and members. It is called once all
+// requests have been answered.
 func (cl *Clients) Violations() (all []string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -278,7 +285,7 @@
 	return all
 }
 
-// ProxyNumber is that of the proxy that was asked.
+// ProxyNumber returns the number of the proxy that received the request.
 func (a Request) ProxyNumber() (n int) {
 	fmt.Sscanf(a.Proxy, "n%d", &n)
 	return n
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,8 +1,9 @@
-// Package cluster is the rig of many processes: real proxies before boxes in several zones, an origin and discovery, on loopback, with a relay
-// of its own on every link between any two of them, and the four rules watched at both ends. It is a helper of tests and of the lab; nothing
-// that serves depends on it.
-//
-// Who connects over a link that is cut finds that the connection comes up and stays silent: loopback knows no connection that never comes up.
+// Package cluster is a test harness of many processes: real proxies with simulated caches in several
+// zones, an origin and discovery, all on loopback. Each link between two of them has its own relay, and
+// the four rules are checked at both ends. Tests and the lab use it; nothing that serves traffic depends
+// on it.
+// A connection opened over a blocked link is established and stays silent, since connections on loopback
+// are always established.
 package cluster
 
 import (
@@ -23,56 +24,58 @@
 	"linenloom/internal/standin"
 )
 
-// Options are a cluster's.
+// Options configure a Cluster.
 type Options struct {
 	Zones             []string
 	CachesPerZone     int // in each zone
-	Proxies           int // dealt out over the zones in turn
+	Proxies           int // assigned to the zones round-robin
 	ServiceTime       time.Duration
-	CacheConcurrency  int // requests that a box works on at once; 0: any number
+	CacheConcurrency  int // concurrent requests of a cache; 0 means unlimited
 	Seed              uint64
-	CrossZoneCost     float64 // what a request that crosses zones costs, in worth; 0: one table for all
+	CrossZoneCost     float64 // cost of a request that crosses zones, in worth; 0 means one table for all zones
 	OriginServiceTime time.Duration
 	OriginConcurrency int
-	// OperatorConfig is further text of each proxy's operator's file, where DIR stands for a folder of its own; Together says whether they know
-	// of one another and decide on zones together.
+	// OperatorConfig is added to each proxy's operator file, with DIR replaced by the proxy's own
+	// directory. JoinInstances makes the proxies join one another and decide on zones together.
 	OperatorConfig string
 	JoinInstances  bool
-	Program        string // the program, and what makes it one
+	Program        string // the proxy program, and the environment that makes it run as a proxy
 	Env            []string
-	Dir            string         // scratch
-	Settings       map[string]any // further settings
+	Dir            string         // scratch directory
+	Settings       map[string]any // replaces fields of the default settings
 	Regions        map[string][]string
-	// Deadlines checks what members are told of deadlines; nil: nobody does. A client's time counts from when its link has passed its request on, and
-	// what a member is told by when it has been written to the member's link, so that the links and the stand-ins take no time of either.
+	// Deadlines checks the deadlines that members receive; it may be nil. A client's time counts from when
+	// its link has forwarded the request, and a member's deadline from when the attempt has been written
+	// to the member's link, so that delays in links and simulated servers don't count.
 	Deadlines *standin.DeadlineChecker
-	// Duplicates checks that members have one attempt of a request at a time; nil: nobody does. A link that is cut, and healed while another attempt is
-	// out, makes it find fault: it holds what was sent for longer than a proxy can wait.
+	// Duplicates checks that members have at most one attempt of a request at a time; it may be nil. A
+	// link that is blocked, and restored while another attempt is outstanding, makes it report a
+	// violation: such a link holds requests for longer than a proxy can wait.
 	Duplicates *standin.DuplicateChecker
 }
 
-// Cluster is all of it.
+// Cluster is a running test cluster.
 type Cluster struct {
 	Options
 	Fleet        *standin.Fleet
 	Proxies      []*Proxy
 	start        time.Time
-	subnet       string // its own addresses: 127.A.B.
+	subnet       string // prefix of its own addresses: 127.A.B.
 	listeners    []net.Listener
 	gossipRelays []*gossipRelay
 	mu           sync.Mutex
 	links        map[[2]string]*Link
 }
 
-// Proxy is one proxy, whatever process serves as it.
+// Proxy is one proxy instance. Its process is replaced by a restart or an upgrade.
 type Proxy struct {
 	*Process
 	Number         int
 	Name           string
 	Zone           string
-	Addr           string // for clients, over a link
+	Addr           string // for clients, through a link
 	ManagementAddr string
-	Dir            string // what lasts
+	Dir            string // persistent state
 	cluster        *Cluster
 	host           string
 	starts         int
@@ -80,21 +83,21 @@
 	args           []string
 }
 
-// subnetCounter counts the clusters of this process, so that each has addresses of its own.
+// subnetCounter counts the clusters of this process, so that each has its own addresses.
 var subnetCounter atomic.Int32
 
 const (
 	servePort  = 16379
-	gossipPort = 17946 // and the next, for a process that takes over; so with mgmtPort
+	gossipPort = 17946 // and the next port, for a successor process; likewise mgmtPort
 	mgmtPort   = 18080
 
 	callTimeout = 5 * time.Second
 )
 
-// gossipKeyHex is a key that is no secret: the same for all clusters.
+// gossipKeyHex is the gossip key of all clusters. It is not secret.
 const gossipKeyHex = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
-// New starts the stand-ins and the links, and no proxy yet.
+// New starts the simulated servers and the links, but no proxies.
 func New(o Options) (*Cluster, error) {
 	c := &Cluster{Options: o, start: time.Now(), links: map[[2]string]*Link{}}
 	err := c.claimSubnet()
@@ -124,7 +127,8 @@
 	return c, nil
 }
 
-// claimSubnet finds a part of the loopback network that no other cluster has, of this process or another.
+// claimSubnet finds a part of the loopback network that is not used by another cluster, in this process or
+// another.
 func (c *Cluster) claimSubnet() (err error) {
 	for range 20 {
 		c.subnet = fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 1+int(subnetCounter.Add(1))%250)
@@ -136,14 +140,16 @@
 	return fmt.Errorf("cluster: no addresses are free: %w", err)
 }
 
-// idPrefix begins the ids of this cluster's requests. Ports are used again, and a proxy of another cluster on this machine may ask for a moment
-// where one of this one's boxes listens now.
+// idPrefix returns the prefix of the ids of this cluster's requests. As ports are reused, a proxy of
+// another cluster on this machine may for a moment send requests to the address of one of this cluster's
+// caches.
 func (c *Cluster) idPrefix() string { return strings.ReplaceAll(c.subnet, ".", "-") }
 
-// proxyName is a proxy's name, as it stands at both ends of its links.
+// proxyName returns the name of a proxy at both ends of its links.
 func proxyName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// Link is the link between two, by their names: a proxy's, a box's, "o-1", "discovery" or "clients".
+// Link returns the link between two parties by name: that of a proxy or a cache, "o-1", "discovery" or
+// "clients".
 func (c *Cluster) Link(from, to string) *Link {
 	l := c.link(from, to)
 	if l == nil {
@@ -152,14 +158,14 @@
 	return l
 }
 
-// link is a link, nil if there is none.
+// link returns a link, or nil if there is none.
 func (c *Cluster) link(from, to string) *Link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.links[[2]string{from, to}]
 }
 
-// addLink makes a link.
+// addLink adds a link.
 func (c *Cluster) addLink(from, to string) *Link {
 	l := newLink(c.start, []byte(c.idPrefix()))
 	c.mu.Lock()
@@ -168,7 +174,7 @@
 	return l
 }
 
-// addRelay makes a link that stands before an address, and returns where.
+// addRelay adds a link with a listener that relays to an address, and returns the address of the listener.
 func (c *Cluster) addRelay(from, to, at, addr string) (string, error) {
 	l, err := net.Listen("tcp", at)
 	if err != nil {
@@ -180,7 +186,7 @@
 	return l.Addr().String(), nil
 }
 
-// prepareProxy makes a proxy's links and files.
+// prepareProxy creates a proxy's links and files.
 func (c *Cluster) prepareProxy(i int) error {
 	name, zone := proxyName(i), c.Zones[i%len(c.Zones)]
 	p := &Proxy{Number: i, Name: name, Zone: zone, cluster: c}
@@ -293,13 +299,13 @@
 	return nil
 }
 
-// tomlList is a list of texts as TOML has it.
+// tomlList formats strings as a TOML list.
 func tomlList(texts []string) string {
-	b, _ := json.Marshal(texts) // it knows no error here, and the two write it alike
+	b, _ := json.Marshal(texts) // cannot fail for strings; JSON and TOML share the format
 	return string(b)
 }
 
-// StartAll starts all proxies, and waits until they know of one another.
+// StartAll starts all proxies, and waits until they have joined one another.
 func (c *Cluster) StartAll() error {
 	errs := make(chan error, len(c.Proxies))
 	for _, p := range c.Proxies {
@@ -328,7 +334,7 @@
 	})
 }
 
-// managementAddr is where it takes operators' calls at a port.
+// managementAddr returns the proxy's management address for a port.
 func (p *Proxy) managementAddr(port int) string { return fmt.Sprintf("%s:%d", p.host, port) }
 
 // Start starts a process for the proxy.
@@ -341,7 +347,7 @@
 	return err
 }
 
-// Upgrade starts a process beside the one that serves, which it takes over from, and ends that one.
+// Upgrade starts a successor process, which takes over from the current process, and stops the latter.
 func (p *Proxy) Upgrade() error {
 	old := p.Process
 	p.starts++
@@ -354,11 +360,11 @@
 	return old.Stop()
 }
 
-// Pause has it stand still, and Continue go on.
+// Pause suspends the process, and Continue resumes it.
 func (p *Proxy) Pause()    { p.Signal(syscall.SIGSTOP) }
 func (p *Proxy) Continue() { p.Signal(syscall.SIGCONT) }
 
-// View is what it tells operators.
+// View returns the proxy's view of the members and zones.
 func (p *Proxy) View() (v mgmt.View, err error) {
 	text, err := mgmt.CallOK("GET", p.ManagementAddr, "/members", "", callTimeout)
 	if err != nil {
@@ -367,13 +373,13 @@
 	return v, json.Unmarshal(text, &v)
 }
 
-// Status is what it tells operators of itself and its members.
+// Status returns the proxy's status page.
 func (p *Proxy) Status() (string, error) {
 	text, err := mgmt.CallOK("GET", p.ManagementAddr, "/status", "", callTimeout)
 	return string(text), err
 }
 
-// SetZoneMode makes an operator's call at it.
+// SetZoneMode sets a zone's mode by an operator's call to the proxy.
 func (p *Proxy) SetZoneMode(mode, zone string) (t mgmt.CallReport, err error) {
 	text, err := mgmt.CallOK("PUT", p.ManagementAddr, "/zones/"+mode, zone+" the rig", callTimeout)
 	if err != nil {
@@ -382,7 +388,7 @@
 	return t, json.Unmarshal(text, &t)
 }
 
-// EachLink does something with each link between two groups, in both directions of who connects.
+// EachLink calls do for each link between two groups, in either direction.
 func (c *Cluster) EachLink(a, b []string, do func(*Link)) {
 	for _, x := range a {
 		for _, y := range b {
@@ -395,7 +401,7 @@
 	}
 }
 
-// ProxiesIn and CachesIn are the names of a zone's.
+// ProxiesIn returns the names of the proxies in the zones, and CachesIn those of the caches.
 func (c *Cluster) ProxiesIn(zones ...string) (names []string) {
 	for _, p := range c.Proxies {
 		if slices.Contains(zones, p.Zone) {
@@ -414,7 +420,7 @@
 	return names
 }
 
-// RequestsSent is how many requests a proxy has sent to a zone's boxes within a time.
+// RequestsSent returns how many requests a proxy has sent to a zone's caches in a period.
 func (c *Cluster) RequestsSent(proxy, zone string, from, to time.Time) (n int) {
 	for _, b := range c.CachesIn(zone) {
 		n += c.Link(proxy, b).RequestsSent(from, to)
@@ -422,7 +428,7 @@
 	return n
 }
 
-// GossipBytes is how many bytes of datagrams the instances have sent one another.
+// GossipBytes returns how many bytes of datagrams the instances have sent to one another.
 func (c *Cluster) GossipBytes() (n int64) {
 	for _, g := range c.gossipRelays {
 		n += g.datagramBytes.Load()
@@ -430,7 +436,7 @@
 	return n
 }
 
-// Close ends all of it.
+// Close stops all processes, links and simulated servers.
 func (c *Cluster) Close() {
 	for _, p := range c.Proxies {
 		if p.Process != nil {
@@ -449,10 +455,10 @@
 	c.Fleet.Close()
 }
 
-// Eventually waits until something has come about that it takes a call to each process to see.
+// Eventually waits until a condition holds whose check takes a call to each process.
 func Eventually(what string, ok func() bool) error { return WaitFor(20*time.Millisecond, what, ok) }
 
-// WaitFor looks again and again until something has come about.
+// WaitFor polls a condition until it holds, or returns an error after WaitTimeout.
 func WaitFor(every time.Duration, what string, ok func() bool) error {
 	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(every) {
 		if ok() {
--- a/internal/cluster/copies_test.go
+++ b/internal/cluster/copies_test.go
@@ -8,11 +8,12 @@
 	"linenloom/internal/standin"
 )
 
-// crossZoneDelay is how long bytes take from one zone to another.
+// crossZoneDelay is the network delay between zones.
 const crossZoneDelay = 15 * time.Millisecond
 
-// Processes in three zones some way apart, before caches that stay silent, turn requests away, drop connections or answer noise: no member has an
-// attempt of a request while another one has one.
+// Proxies in three zones with network delays between them, and caches that stay silent, refuse requests,
+// drop connections or answer malformed bytes: no member receives an attempt of a request while another
+// attempt is outstanding.
 func TestOneAttemptAtATime(t *testing.T) {
 	t.Parallel()
 	copies := standin.NewDuplicateChecker()
--- a/internal/cluster/deadlines_test.go
+++ b/internal/cluster/deadlines_test.go
@@ -8,11 +8,12 @@
 	"linenloom/internal/standin"
 )
 
-// maxPause is for how long a process may be held up at the most.
+// maxPause bounds how long a process is paused.
 const maxPause = 150 * time.Millisecond
 
-// A handful of processes that are held up now and then, some of which hand over to others meanwhile, before caches that stay silent, turn requests
-// away or miss: no member is told of a longer deadline than its client has left, at the first attempt or a further one.
+// Several proxies are paused now and then, and some hand over to successor processes, while caches stay
+// silent, refuse requests or miss: no member receives a longer deadline than its client has left, at the
+// first attempt or a further one.
 func TestNoDeadlineExceedsTheTimeLeft(t *testing.T) {
 	t.Parallel()
 	deadlines := &standin.DeadlineChecker{}
--- a/internal/cluster/disk_test.go
+++ b/internal/cluster/disk_test.go
@@ -6,9 +6,11 @@
 	"time"
 )
 
-// Orders on record on disks that fail: writes cut short, syncs that fail, processes that are killed, and a folder that is as it was at first
-// after a restart, while a zone fails. Clients that hold on to their orders ask again: none runs twice, and none that ran is refused. A sync
-// that says yes and did not, or a copy from the middle of an order, can't be told from an order that never was sent by one process alone.
+// Recorded orders on failing disks: truncated writes, failed syncs, killed processes, and a directory that
+// is empty after a restart, while a zone fails. Clients retry their orders: none runs twice, and none that
+// ran is refused. Not covered, since a single process can't tell it from an order that was never sent: a
+// sync that reports success without persisting, and a copy of the directory taken in the middle of an
+// order.
 func TestUnreliableDisks(t *testing.T) {
 	t.Parallel()
 	s := newHarness(t, Options{OperatorConfig: "[orders]\ndir = \"DIR\"\ncompact_at = 200\nsegment = 65536\n",
--- a/internal/cluster/liar_test.go
+++ b/internal/cluster/liar_test.go
@@ -14,7 +14,7 @@
 	"linenloom/internal/zones"
 )
 
-// rogueInstance is an instance of the installation whose messages are made up. It has the key, and is a member like any other.
+// rogueInstance is an instance with made-up messages. It has the key and is a regular gossip member.
 type rogueInstance struct {
 	memberlist.Delegate
 	list *memberlist.Memberlist
@@ -29,7 +29,8 @@
 
 const rogueNumber = 89
 
-// addRogueInstance has a liar join, and tell everybody at full speed what made returns, until the test ends.
+// addRogueInstance adds a rogue instance, which sends the messages that made returns to all others, one
+// every 2 ms until the test ends.
 func (s *harness) addRogueInstance(made func(n int) zones.Message) {
 	t := s.t
 	t.Helper()
@@ -50,7 +51,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.list.Shutdown() })
-	// Its connections come from an address that no link knows: it is called, and so is there.
+	// Its connections come from an address without a link. The others reach it by calling it instead.
 	if err := Eventually("the liar is a member", func() bool {
 		for _, p := range s.Proxies {
 			raw := net.JoinHostPort(fmt.Sprintf("%s%d", s.subnet, 1+p.Number), fmt.Sprint(gossipPort))
@@ -81,8 +82,8 @@
 	}()
 }
 
-// An instance that lies about every zone, floods and tells an old epoch again and again moves nothing, and neither keeps the others from
-// leaving a zone that fails by telling that all is well.
+// An instance that floods the others with false reports on every zone and with an old epoch changes no
+// decision, and by reporting that all is well it doesn't keep the others from leaving a failing zone.
 func TestRogueInstance(t *testing.T) {
 	t.Parallel()
 	bad := zones.ZoneStats{Judged: 1000, Bad: 1000, Silent: 1000, TrimmedJudged: 600, TrimmedBad: 600}
@@ -99,7 +100,8 @@
 			Verdict: &zones.Verdict{Epoch: 1, DecidedBy: rogueNumber, Zones: []zones.Zone{{Share: zones.FullShare}, {Share: zones.FullShare}, {State: zones.StateOut}}}}
 	})
 	lies <- bad
-	// The first verdict of all is taken from anyone who is a member: what it closes is tried, found well and returned to.
+	// The very first verdict is accepted from any member: the zones that it closes are probed, found
+	// healthy and returned to.
 	s.awaitState("c", "in")
 	s.requireAllInUse(3 * time.Second)
 	lies <- good
--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -16,39 +16,41 @@
 // Direction is a direction of a link.
 type Direction uint8
 
-// The directions.
+// Directions of a link.
 const (
-	Forward Direction = iota // from who connects, or sends the datagram
+	Forward Direction = iota // from the side that connects or sends the datagram
 	Backward
 )
 
-// Impairment is what a link does to what goes over it, in one direction. The zero value is a link that is well.
+// Impairment is what a link does to traffic in one direction. The zero value is a healthy link.
 type Impairment struct {
 	Blocked  bool          // nothing passes; connections stay open and silent
-	Delay    time.Duration // what passes does so later
-	LossRate float64       // share of datagrams lost; of connections, this share is reset as they are opened
+	Delay    time.Duration // added to all traffic
+	LossRate float64       // share of datagrams that are lost, and of connections that are reset on opening
 }
 
-// Link is one way between two processes, on loopback: whatever goes over it goes through here. Cut, it keeps what has come until it is
-// healed, like a network whose ends go on trying; a connection that is opened meanwhile comes up and stays silent.
+// Link relays all traffic between two processes on loopback. While it is blocked it holds what it has
+// received until it is restored, as a network whose ends keep retransmitting; connections opened meanwhile
+// are established and stay silent.
 type Link struct {
 	mu              sync.Mutex
 	impairments     [2]Impairment
-	changed         chan struct{} // closed and made anew with each change
+	changed         chan struct{} // closed and replaced on each change
 	conns           map[net.Conn]struct{}
-	idPrefix        []byte        // begins the ids of the cluster's requests
-	requestBins     map[int64]int // requests of the cluster, by tenths of a second since start
-	foreignRequests int           // commands of somebody else: ports are used again, and another proxy on this machine may ask at one for a while
+	idPrefix        []byte        // of the ids of the cluster's requests
+	requestBins     map[int64]int // the cluster's requests, by tenths of a second since start
+	foreignRequests int           // ports are reused, so another proxy on this machine may connect for a while
 	start           time.Time
-	observe         func(from net.Conn) *standin.Observer // of a connection to a member; nil: none is watched
-	onRequest       func(id, attrs string)                // told of each request that has been passed on; nil: nobody is
+	observe         func(from net.Conn) *standin.Observer // for each connection to a member; may be nil
+	// called for each request that has been forwarded; may be nil
+	onRequest func(id, attrs string)
 }
 
 func newLink(start time.Time, own []byte) *Link {
 	return &Link{changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, idPrefix: own, requestBins: map[int64]int{}, start: start}
 }
 
-// Set sets the trouble of one direction.
+// Set sets the impairment of one direction.
 func (l *Link) Set(w Direction, t Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,13 +59,13 @@
 	l.changed = make(chan struct{})
 }
 
-// SetBoth sets the trouble of both directions.
+// SetBoth sets the impairment of both directions.
 func (l *Link) SetBoth(t Impairment) {
 	l.Set(Forward, t)
 	l.Set(Backward, t)
 }
 
-// Reset ends all connections at once, as a process that dies does.
+// Reset resets all connections, as a crashing process does.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +81,8 @@
 	c.Close()
 }
 
-// RequestsSent is how much has been sent Forth in the tenths of a second from one time to another: by the commands in what arrived.
+// RequestsSent returns how many requests were sent in the Forward direction in a period, to a tenth of a
+// second. It counts the commands in the bytes received.
 func (l *Link) RequestsSent(from, to time.Time) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,28 +103,29 @@
 	l.foreignRequests += max(0, bytes.Count(b, []byte("OBJ."))-own)
 }
 
-// ForeignRequests is how many commands of somebody else have come Forth.
+// ForeignRequests returns how many commands of other clusters were received in the Forward direction.
 func (l *Link) ForeignRequests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.foreignRequests
 }
 
-// observeConns has the connections that come from now on watched.
+// observeConns sets the function that returns the observers of later connections.
 func (l *Link) observeConns(watch func(from net.Conn) *standin.Observer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.observe = watch
 }
 
-// notifyRequests has asked told of each request that has been passed on over connections that come from now on.
+// notifyRequests sets a function that is called for each request that later connections have forwarded.
 func (l *Link) notifyRequests(asked func(id, attrs string)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.onRequest = asked
 }
 
-// awaitPassage waits until a piece that came then may go on; false: its connection has ended.
+// awaitPassage waits until a piece that arrived at the given time may pass. It returns false if the
+// connection has ended.
 func (l *Link) awaitPassage(w Direction, came time.Time, ended <-chan struct{}) bool {
 	return standin.AwaitRelease(ended, func() (bool, time.Time, <-chan struct{}) {
 		l.mu.Lock()
@@ -130,7 +134,7 @@
 	})
 }
 
-// serve relays connections that come to a listener.
+// serve relays the connections of a listener.
 func (l *Link) serve(from net.Listener, to string) {
 	standin.AcceptEach(from, func(conn net.Conn) { go l.relay(conn, to) })
 }
@@ -182,18 +186,20 @@
 	standin.Forward(in, out, ended, l.holdFunc(Forward, ended), standin.ForwardHooks{OnRead: took, BeforeWrite: w.Forwarding, AfterWrite: passed})
 }
 
-// holdFunc has what goes over a connection in one direction wait for its delay. An end passes like all else: a link that is cut hides it.
+// holdFunc returns the hold function of standin.Forward for one direction of a connection. The end of a
+// stream is held as well: a blocked link hides it.
 func (l *Link) holdFunc(w Direction, ended <-chan struct{}) func(came time.Time) bool {
 	return func(came time.Time) bool { return l.awaitPassage(w, came, ended) }
 }
 
-// gossipRelay stands before an instance's address for the others, over UDP and TCP; who sends is told by the address that it comes from.
+// gossipRelay relays UDP and TCP to an instance's gossip address. The source address determines the
+// sending instance.
 type gossipRelay struct {
 	udp           net.PacketConn
 	tcp           net.Listener
 	target        string
 	linkFrom      func(from net.IP) *Link
-	datagramBytes atomic.Int64 // bytes of datagrams that came
+	datagramBytes atomic.Int64 // received
 }
 
 func newGossipRelay(at, to string, link func(net.IP) *Link) (*gossipRelay, error) {
@@ -226,7 +232,7 @@
 func (g *gossipRelay) relayDatagrams() {
 	to, err := net.ResolveUDPAddr("udp", g.target)
 	if err != nil {
-		panic(fmt.Sprintf("cluster: %v", err)) // it was made of an address
+		panic(fmt.Sprintf("cluster: %v", err)) // it was built from an IP and a port
 	}
 	buf := make([]byte, 64<<10)
 	for {
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -5,9 +5,11 @@
 	"time"
 )
 
-// What happens: a scene counts 75 requests to a zone that is out by hand, at times, all over the link of one proxy, at the rate of a proxy's whole
-// traffic, with the rig's own goroutines late by 6 ms. Suspected: a port is used again, and a proxy of another test on this machine goes on asking there;
-// the link counted whatever passed it. It now counts its cluster's own requests, and says how many others there were.
+// Guards against counting another cluster's requests, which made a scenario fail at times: 75 requests
+// were counted to a zone that was out by hand, all on one proxy's link, at the rate of a proxy's whole
+// traffic, while the test's own goroutines were late by 6 ms. The suspected cause is a reused port, at
+// which a proxy of another test on this machine goes on sending. A link counts its cluster's own requests,
+// and the others apart.
 func TestLinksCountTheirOwnRequests(t *testing.T) {
 	start := time.Now()
 	l := newLink(start, []byte("127-1-1-"))
--- a/internal/cluster/process.go
+++ b/internal/cluster/process.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// WaitTimeout bounds every wait for something that must come about; only what fails waits as long.
+// WaitTimeout bounds every wait for a condition. Only a failing test waits that long.
 const WaitTimeout = 20 * time.Second
 
-// maxLogLines bounds what is kept of a process's log.
+// maxLogLines bounds the log lines that are kept for a process.
 const maxLogLines = 20000
 
-// Process is a real program that runs.
+// Process is a running program.
 type Process struct {
 	cmd    *exec.Cmd
 	mu     sync.Mutex
 	lines  []string
-	logged chan struct{} // closed and made anew with each line
+	logged chan struct{} // closed and replaced on each line
 	done   chan struct{}
 }
 
-// Start starts a program and waits until it has said a text on standard error.
+// Start starts a program and waits until a text appears in its log on standard error.
 func Start(ready string, env []string, name string, args ...string) (*Process, error) {
 	p := &Process{cmd: exec.Command(name, args...), logged: make(chan struct{}), done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
@@ -59,7 +59,7 @@
 	return p, nil
 }
 
-// WaitForLog waits until the process has said a text, and returns the first line with it.
+// WaitForLog waits until a text appears in the log, and returns the first line with it.
 func (p *Process) WaitForLog(text string, within time.Duration) (string, error) {
 	limit := time.After(within)
 	for {
@@ -83,23 +83,23 @@
 	}
 }
 
-// LogLines are those of its log with a text.
+// LogLines returns the log lines that contain a text.
 func (p *Process) LogLines(text string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(p.lines), func(l string) bool { return !strings.Contains(l, text) })
 }
 
-// Pid is its process id.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Kill ends the process at once, also one that stands still.
+// Kill kills the process, even while it is paused.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Exited tells whether the process has ended, and how.
+// Exited reports whether the process has exited, and its state.
 func (p *Process) Exited() (ended bool, how *os.ProcessState) {
 	select {
 	case <-p.done:
@@ -109,10 +109,10 @@
 	}
 }
 
-// Signal sends it a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// Stop ends it with SIGTERM.
+// Stop ends the process with SIGTERM.
 func (p *Process) Stop() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -8,7 +8,7 @@
 	"linenloom/internal/standin"
 )
 
-// Event is one fault of a schedule, and how it ends.
+// Event is one fault of a schedule, with its start, duration and end.
 type Event struct {
 	At          time.Duration
 	Description string
@@ -17,15 +17,16 @@
 	Duration    time.Duration
 }
 
-// Schedule makes faults of all kinds that the rig knows, by a seed: a zone or a box silent, slow, failing or refusing, proxies killed or paused,
-// messages between instances lost, late or cut, connections reset, zones taken out by hand. At the most half of the proxies are down at once.
+// Schedule generates faults of all kinds from a seed: a zone or a cache that is silent, slow, failing or
+// refusing; proxies killed or paused; messages between instances lost, delayed or blocked; connections
+// reset; zones set out by hand. At most half of the proxies are down at once.
 func (c *Cluster) Schedule(cl *Clients, seed uint64, d time.Duration) []Event {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	var names []string
 	for _, p := range c.Proxies {
 		names = append(names, p.Name)
 	}
-	busy := map[string]bool{} // proxies that are down at some time: each at most once, so that at most half are
+	busy := map[string]bool{} // proxies that are down at some time, at most half of them and each at most once
 	var all []Event
 	for at := time.Duration(0); at < d; at += time.Duration(500+rng.IntN(2000)) * time.Millisecond {
 		zone := c.Zones[rng.IntN(len(c.Zones))]
@@ -117,7 +118,8 @@
 				return nil
 			}
 		case kind == 10 && c.JoinInstances && !busy[proxy.Name]:
-			// One that is full of work or whose call crosses another may say no; what it says yes to has to end again.
+			// A busy proxy, or one whose call conflicts with another, may reject the call. An accepted
+			// call has to be reverted.
 			e.Description, e.do = zone+" out by hand", func() error { proxy.SetZoneMode("out", zone); return nil }
 			e.undo = func() error {
 				return Eventually("a zone is given back", func() bool { _, err := proxy.SetZoneMode("auto", zone); return err == nil })
@@ -130,7 +132,8 @@
 	return all
 }
 
-// RunEvents has the events come about, each at its time, and ends each after its own. It returns when all have ended.
+// RunEvents starts each event at its time and ends it after its duration. It returns when all events have
+// ended.
 func RunEvents(events []Event, log func(format string, args ...any)) error {
 	began := time.Now()
 	errs := make(chan error, len(events))
--- a/internal/explore/fleet_test.go
+++ b/internal/explore/fleet_test.go
@@ -7,7 +7,7 @@
 	"linenloom/internal/zones"
 )
 
-// Every order of rounds keeps the bounds, and lets all agree again; linenlab explore goes deeper.
+// Every order of rounds keeps the bounds and leads to agreement. The command linenlab explore goes deeper.
 func TestZoneInvariantsHoldInEveryOrder(t *testing.T) {
 	r := Explore(func() Model { return NewZoneModel(ZoneScenario{}) }, Options{Depth: 3, MaxFaults: 3})
 	for _, f := range r.Faults {
@@ -24,7 +24,7 @@
 	}
 }
 
-// Faults that are put in are found.
+// Faults injected into the messages must be found.
 func TestSeededZoneFaultsAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
 		mishear func(to int, m *zones.Message) bool
--- a/internal/explore/scenes.go
+++ b/internal/explore/scenes.go
@@ -28,7 +28,8 @@
 	return []logic.Member{{ID: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}, origin}
 }
 
-// everything that can become of an attempt, but for those that stand for the same to the rules.
+// allOutcomes lists the statuses that an attempt can end with, one of each group that the rules treat
+// alike.
 var allOutcomes = []logic.Status{logic.StatusOK, logic.StatusMiss, logic.StatusFull, logic.StatusError, logic.StatusReset,
 	logic.StatusTimeout, logic.StatusNoConn}
 
@@ -37,7 +38,8 @@
 	return m
 }
 
-// Scenarios are two members, an origin and three requests each, with different troubles, by name.
+// Scenarios returns the scenarios by name: two members, an origin and three requests each, with different
+// faults.
 func Scenarios() map[string]Scenario {
 	drains := func(m logic.Member) logic.Member {
 		return modified(m, func(m *logic.Member) { m.State = logic.Draining })
@@ -49,7 +51,7 @@
 	write := func(id logic.RequestID, class int) logic.Request {
 		return logic.Request{ID: id, Key: uint64(id) + 100, Class: class, Write: true, Deadline: 2 * time.Second}
 	}
-	// A cold one takes the place of the only other cache: whatever comes next has only it.
+	// A cold cache replaces the only other cache, so that all later reads go to it.
 	cold := modified(members()[1], func(m *logic.Member) { m.StartedAt = time.Hour + 400*ms })
 	return map[string]Scenario{
 		"reads of one key": {Settings: testSettings(), Members: members(), Outcomes: allOutcomes, ClientsMayLeave: true,
--- a/internal/knownred/cmd/main.go
+++ b/internal/knownred/cmd/main.go
@@ -1,5 +1,6 @@
-// Command cmd runs all tests but those that KNOWN-RED.txt lists, then those, and prints their verdicts. It fails if any other test fails, and if a
-// listed one is not there, or passes though it is not listed as one that fails at times.
+// Command cmd runs all tests except those listed in KNOWN-RED.txt, then the listed ones, and prints their
+// verdicts. It fails if any other test fails, and if a listed test doesn't exist, or passes without being
+// listed as one that fails at times.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"linenloom/internal/knownred"
 )
 
-// listPath is the list, from the root of the project.
+// listPath is the path of the list from the root of the project.
 const listPath = "KNOWN-RED.txt"
 
 func main() {
@@ -45,13 +46,14 @@
 	return errors.Join(failures...)
 }
 
-// runEntry runs a listed test, or looks for the program of a listed command, which is too long for every run, and prints the verdict.
+// runEntry runs a listed test and prints the verdict. Listed commands take too long for every run; of
+// those it only checks that the program exists.
 func runEntry(e knownred.Entry) error {
 	if e.Command != "" {
 		fmt.Printf("known red: %s is not run here (%s, %s)\n", e.Command, e.Cause, e.Issue)
 		return checkProgram(e.Command)
 	}
-	// A listed test fails by itself: its exit status says nothing more than its output does.
+	// A listed test is expected to fail, so the exit status adds nothing to the output.
 	output, _ := exec.Command("go", "test", "-race", "-count=1", "-v", "-run", e.Pattern(), e.Package).CombinedOutput()
 	verdict := knownred.Judge(e.Test, output)
 	fmt.Printf("known red: %s %s (%s, %s)\n", e.Name(), verdict, e.Cause, e.Issue)
@@ -61,7 +63,8 @@
 	return nil
 }
 
-// checkProgram tells what is wrong with a command of this project's. The operators' bench is not there in every run.
+// checkProgram returns an error if a command names a program of this project that doesn't exist. The
+// operators' bench isn't available in every run.
 func checkProgram(command string) error {
 	program, ok := strings.CutPrefix(command, "go run ")
 	if !ok {
@@ -91,7 +94,7 @@
 	return packages, nil
 }
 
-// runUnlisted tests everything that is not listed.
+// runUnlisted runs all tests that are not listed.
 func runUnlisted(packages []string, entries []knownred.Entry) (failures []error) {
 	plain, skipping := knownred.PlanRun(packages, entries)
 	if err := goTest(plain...); err != nil {
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -1,5 +1,6 @@
-// Package knownred reads the list of failures that are known and not mended, and judges the runs of the tests among them. A test that fails for a
-// real fault may stand there for a while, so that it is kept and seen; the list can neither name what is not there nor hide a test that passes again.
+// Package knownred reads the list of known failures and judges the runs of the tests among them. A test
+// that fails because of a real fault may be listed for a while, so that it is kept and stays visible. The
+// list can neither name a test that doesn't exist nor hide a test that passes again.
 package knownred
 
 import (
@@ -11,17 +12,17 @@
 	"strings"
 )
 
-// Entry is a failure that is known: a test, or a command with its seed.
+// Entry is a known failure: a test, or a command with its seed.
 type Entry struct {
-	Package string // its path from the root, beginning with "./"; empty for a command
-	Test    string // with its part, if only that fails: TestName/part
+	Package string // path from the root, beginning with "./"; empty for a command
+	Test    string // including the subtest, if only that fails: TestName/part
 	Command string // empty for a test
 	Flaky   bool   // the test fails in some runs only
-	Cause   string // and what was seen
+	Cause   string // with the observed failure
 	Issue   string
 }
 
-// Name is what the entry is known by.
+// Name identifies the entry.
 func (e Entry) Name() string {
 	if e.Command != "" {
 		return e.Command
@@ -30,9 +31,9 @@
 }
 
 const (
-	// separator stands between the parts of a line.
+	// separator separates the parts of a line.
 	separator = "|"
-	// flakySuffix ends the first part of a line, if the test fails in some runs only.
+	// flakySuffix ends the first part of a line if the test fails in some runs only.
 	flakySuffix = " (at times)"
 )
 
@@ -40,7 +41,8 @@
 	packagePath = regexp.MustCompile(`^\./[A-Za-z0-9_./-]+$`)
 	testName    = regexp.MustCompile(`^(Test|Fuzz)[A-Za-z0-9_]+(/[^\s/|]+)*$`)
 	issueNumber = regexp.MustCompile(`^issue [0-9]+$`)
-	// commandLine is a program of this project, or of the operators' bench, with the seed that brings the failure.
+	// commandLine matches a program of this project, or of the operators' bench, with the seed that
+	// reproduces the failure.
 	commandLine = regexp.MustCompile(`^(go run \./|\.\./given/)\S+( .*)? --?(seed|first)[ =][0-9]+( |$)`)
 )
 
@@ -50,7 +52,7 @@
 	ErrDuplicate = errors.New("it is listed twice")
 )
 
-// Parse reads a list, one failure a line. Empty lines are passed over.
+// Parse reads a list with one failure per line. Empty lines are ignored.
 func Parse(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	listed := map[string]bool{}
@@ -98,27 +100,27 @@
 	return e, nil
 }
 
-// Verdict is what the run of a listed test has shown.
+// Verdict is the result of running a listed test.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts on a listed test.
 const (
-	Failed  Verdict = iota // as it is known to
-	Passed                 // it has to be taken off the list, unless it fails at times only
-	Missing                // no such test has run
+	Failed  Verdict = iota // as listed
+	Passed                 // has to be removed from the list, unless it is flaky
+	Missing                // no such test was run
 )
 
-// String names a verdict.
+// String describes a verdict.
 func (v Verdict) String() string {
 	return [...]string{"fails, as known", "passes", "is no test"}[v]
 }
 
-// Contradicts tells whether a verdict contradicts the list.
+// Contradicts reports whether a verdict contradicts the entry.
 func (e Entry) Contradicts(v Verdict) bool {
 	return v == Missing || v == Passed && !e.Flaky
 }
 
-// Judge tells what the verbose output of a run of one test says of it.
+// Judge returns the verdict from the verbose output of a run of one test.
 func Judge(test string, output []byte) Verdict {
 	ended := func(how string) bool {
 		return regexp.MustCompile(`(?m)^ *--- ` + how + `: ` + regexp.QuoteMeta(test) + ` `).Match(output)
@@ -132,7 +134,7 @@
 	return Missing
 }
 
-// Pattern is the test as `go test` is told of it, for -run and -skip.
+// Pattern returns the pattern of the test for the -run and -skip flags of `go test`.
 func (e Entry) Pattern() string {
 	parts := strings.Split(e.Test, "/")
 	for i, part := range parts {
@@ -141,14 +143,14 @@
 	return strings.Join(parts, "/")
 }
 
-// Plan is which tests of a package are left out of the ordinary run.
+// Plan is the run of a package without its listed tests.
 type Plan struct {
 	Package string
-	Skip    string // for `go test -skip`; empty: none
+	Skip    string // for `go test -skip`; may be empty
 }
 
-// PlanRun tells how the packages are tested without the listed tests. A test of the same name in another package still runs. Packages are
-// given as in the list.
+// PlanRun plans the run of the packages without the listed tests. A test of the same name in another
+// package is still run. Packages are named as in the list.
 func PlanRun(packages []string, entries []Entry) (plain []string, skipping []Plan) {
 	for _, p := range packages {
 		var tests []string
--- a/internal/restarts/clients.go
+++ b/internal/restarts/clients.go
@@ -12,15 +12,16 @@
 	"time"
 )
 
-// keyCount is how many keys reads ask for.
+// keyCount is the number of keys that are read.
 const keyCount = 120
 
 func keyName(n int) string { return fmt.Sprint("k", n) }
 
-// crossingTime is how soon after its last byte was written a request's connection must have ended for the two to have crossed on the way.
+// crossingTime bounds the time between a request's last byte and the end of its connection if the two may
+// have crossed in transit.
 const crossingTime = 20 * time.Millisecond
 
-// outcome is what became of a request.
+// outcome is the outcome of a request.
 type outcome uint8
 
 const (
@@ -28,32 +29,32 @@
 	served
 	refused
 	failed
-	notAccepted // its connection ended as it was sent
+	notAccepted // the connection ended as the request was sent
 )
 
-// request is one request.
+// request is one request and its outcome.
 type request struct {
 	id, key     string
 	isOrder     bool
 	timeout     time.Duration
-	sentAt      time.Time // its last byte
-	timeoutFrom time.Time // when the answers before it had come
+	sentAt      time.Time // when its last byte was sent
+	timeoutFrom time.Time // when the preceding answers had arrived
 	endedAt     time.Time
 	outcome     outcome
-	clientLeft  bool // its client has closed the connection
-	firstOnConn bool // it is the first on its connection
+	clientLeft  bool // the client has closed the connection
+	firstOnConn bool // the first request on its connection
 	detail      string
 }
 
-// clients use the connections that they have for as long as these stay open.
+// clients reuse their connections for as long as these stay open.
 type clients struct {
 	run           *restartRun
 	seed          uint64
 	mu            sync.Mutex
 	requests      []*request
-	idleConns     []net.Conn // the crowd's
+	idleConns     []net.Conn // connections without a complete request
 	drainedAt     time.Time
-	drainedMember string // the member
+	drainedMember string // the id of the member that drains
 	killedAt      time.Time
 	quit          chan struct{}
 	group         sync.WaitGroup
@@ -63,7 +64,7 @@
 	return &clients{run: p, seed: seed, quit: make(chan struct{})}
 }
 
-// openIdle opens a connection that never asks for anything whole.
+// openIdle opens a connection that never sends a complete request.
 func (c *clients) openIdle() {
 	conn, err := net.DialTimeout("tcp", c.run.listen, time.Second)
 	if err != nil {
@@ -85,7 +86,8 @@
 	}
 }
 
-// stopAfterKill notes that the process was killed: what is unanswered then is lost.
+// stopAfterKill stops all clients and records that the process was killed. Requests that are unanswered
+// then are lost.
 func (c *clients) stopAfterKill() {
 	c.mu.Lock()
 	c.killedAt = time.Now()
@@ -103,7 +105,7 @@
 	c.drainedMember, c.drainedAt = member, time.Now()
 }
 
-// runConn asks on one connection until that ends; false: there are no more.
+// runConn sends requests on one connection until it ends. It returns false when the clients are stopped.
 func (c *clients) runConn(rng *rand.Rand, name string) bool {
 	select {
 	case <-c.quit:
@@ -112,7 +114,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", c.run.listen, time.Second)
 	if err != nil {
-		// Nobody listens any more, or the kernel's line is full of the crowd.
+		// There is no listener any more, or the kernel's accept queue is full of idle connections.
 		select {
 		case <-c.quit:
 			return false
@@ -126,7 +128,7 @@
 		select {
 		case <-c.quit:
 			return false
-		case <-time.After(time.Duration(rng.IntN(8)) * time.Millisecond): // what a client does between requests
+		case <-time.After(time.Duration(rng.IntN(8)) * time.Millisecond): // think time between requests
 		}
 		batch := c.newBatch(rng, fmt.Sprintf("%s-%d", name, n))
 		batch[0].firstOnConn = n == 0
@@ -134,7 +136,8 @@
 		for _, a := range batch {
 			text.WriteString(a.command())
 		}
-		io.WriteString(conn, text.String()) // where it fails the connection has ended, which its reader finds out
+		// if it fails, the connection has ended, and reading the answers reports that
+		io.WriteString(conn, text.String())
 		now := time.Now()
 		c.mu.Lock()
 		for _, a := range batch {
@@ -142,7 +145,7 @@
 		}
 		c.requests = append(c.requests, batch...)
 		c.mu.Unlock()
-		if rng.IntN(60) == 0 { // it leaves
+		if rng.IntN(60) == 0 { // the client disconnects
 			time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 			conn.Close()
 			c.mu.Lock()
@@ -174,7 +177,7 @@
 	return batch
 }
 
-// command is the request as it is written.
+// command returns the request as it is sent.
 func (a *request) command() string {
 	words := []string{"OBJ.GET", a.key, a.id, fmt.Sprintf("c=tile-read,d=%d", a.timeout.Milliseconds())}
 	if a.isOrder {
@@ -188,7 +191,7 @@
 	return text.String()
 }
 
-// readAnswers reads the answers to a batch; false: the connection has ended.
+// readAnswers reads the answers to a batch. It returns false if the connection has ended.
 func (c *clients) readAnswers(conn net.Conn, in *bufio.Reader, batch []*request) bool {
 	for i, a := range batch {
 		conn.SetReadDeadline(a.timeoutFrom.Add(a.timeout + answerGrace + time.Second))
@@ -221,7 +224,7 @@
 	return true
 }
 
-// expected is how the value or the receipt of a request begins.
+// expected returns the prefix of the expected value or receipt.
 func (a *request) expected() string {
 	if a.isOrder {
 		return "receipt of " + a.key
@@ -229,8 +232,9 @@
 	return "value of " + a.key + " "
 }
 
-// recordCut notes that a connection has ended with requests unanswered. They may have crossed the end, if they were sent on one at rest and nobody has
-// heard of them; else they are lost. Where a crowd fills the descriptors, a new connection may be shut unread.
+// recordCut records that a connection ended with unanswered requests. They may have crossed the end of the
+// connection, if they were sent while it was idle and no attempt of them was written; otherwise they are
+// lost. While idle connections use up the descriptors, a new connection may be closed unread.
 func (c *clients) recordCut(rest []*request, first bool, at time.Time, err error) {
 	for _, a := range rest {
 		a.endedAt = at
@@ -261,7 +265,7 @@
 	return line, value, nil
 }
 
-// countOutcomes sums up what became of the requests.
+// countOutcomes adds the outcomes of all requests to the result.
 func (c *clients) countOutcomes(r *Result) {
 	for _, a := range c.requests {
 		r.Sent++
@@ -278,7 +282,7 @@
 	}
 }
 
-// violations are the rules broken for clients.
+// violations describes the rules that were broken for clients.
 func (c *clients) violations() (faults []string) {
 	executions := c.run.fleet.Origin.Executions()
 	for _, a := range c.requests {
--- a/internal/restarts/restarts.go
+++ b/internal/restarts/restarts.go
@@ -1,5 +1,6 @@
-// Package restarts plays planned restarts of the real program by seed: under load, with members that hang, signals in series and clients that use
-// their open connections up to the kill, and says what was broken. It never serves.
+// Package restarts runs planned restarts of the real program from seeds: under load, with hanging members,
+// repeated signals and clients that use their open connections until the kill. It reports the rules that
+// were broken. It is never part of serving.
 package restarts
 
 import (
@@ -20,70 +21,74 @@
 )
 
 const (
-	// maxKillDelay and killMargin: the kill comes the longest deadline, or maxKillDelay if that is shorter, and killMargin after the first signal to end.
+	// The process is killed at the longest deadline, but at most maxKillDelay, plus killMargin after the
+	// first terminating signal.
 	maxKillDelay = 3 * time.Second
 	killMargin   = 700 * time.Millisecond
-	// answerGrace is how long after its time an answer counts as late; later, or never, it is lost.
+	// answerGrace is how long after its timeout an answer still counts as late. After that it is lost.
 	answerGrace = 500 * time.Millisecond
-	// departureGrace is how long after its client has left an attempt may begin, and drainGrace how long after the news that its member drains; the
-	// protocol adds ruleSlack to each of its limits.
+	// departureGrace is how long after its client has disconnected an attempt may begin, and drainGrace
+	// how long after its member was reported as draining. The protocol adds ruleSlack to each of its
+	// limits.
 	departureGrace = 100 * time.Millisecond
 	drainGrace     = 250 * time.Millisecond
 	ruleSlack      = 50 * time.Millisecond
-	// maxSchedulingDelay is by how much the play's own clock may be late before it counts as disturbed: what the rules are checked with.
+	// maxSchedulingDelay is the scheduling delay of the test's own goroutines beyond which a run is
+	// disturbed. It equals the slack of the rules that are checked.
 	maxSchedulingDelay = ruleSlack
 
 	descriptors = 256
 	memoryMB    = 64
 )
 
-// Options are what a play needs.
+// Options configure a run.
 type Options struct {
-	Program string   // the proxy
-	Env     []string // of the program, beside the play's own
-	Dir     string   // scratch, of this play alone
+	Program string   // the proxy program
+	Env     []string // added to the program's environment
+	Dir     string   // scratch directory of this run alone
 	Seed    uint64
 }
 
-// Result is what has become of a play.
+// Result is the result of a run.
 type Result struct {
 	Seed                          uint64
-	Scenario                      string // what was drawn
+	Scenario                      string // derived from the seed
 	Sent, Served, Refused, Failed int
 	NotAccepted                   int // requests that crossed the end of their connection, or found no listener
 	Attempts, Further             int
 	Faults                        []string
-	SchedulingDelay               time.Duration // by how much the play's own clock was late at the most
+	SchedulingDelay               time.Duration // maximum scheduling delay of the test's own goroutines
 }
 
-// Disturbed tells whether the machine was too busy for a verdict. Such a play never counts as passed.
+// Disturbed reports whether the machine was too busy for a verdict. A disturbed run never counts as
+// passed.
 func (r *Result) Disturbed() bool { return r.SchedulingDelay > maxSchedulingDelay }
 
-// signalAt is a signal of a play, and when it is sent, from the first one on.
+// signalAt is a signal and its time relative to the first terminating signal.
 type signalAt struct {
 	signal syscall.Signal
 	after  time.Duration
 }
 
-// scenario is what the seed draws.
+// scenario is derived from the seed.
 type scenario struct {
 	deadline         time.Duration // the longest
 	signals          []signalAt
-	idleConns        int // connections that never ask for anything whole
+	idleConns        int // connections that never send a complete request
 	hangingCaches    int
 	hangingOrigin    bool
-	stalledDirection int // a box whose link stalls in one direction; -1: none
+	stalledDirection int // of the link of one cache; -1 if no link stalls
 	delays           []time.Duration
 	handshakeDelay   time.Duration
-	drainCache       bool // a box begins to drain right before the end
-	moveDiscovery    bool // the reload names another discovery
+	drainCache       bool // a cache begins to drain just before the restart
+	moveDiscovery    bool // the reload changes the address of discovery
 	clients          int
 	pipelines        bool
 }
 
 const cacheCount = 4
 
-// newScenario makes the scene of a seed.
+// newScenario generates a scenario.
 func newScenario(rng *rand.Rand) scenario {
 	s := scenario{stalledDirection: -1, clients: 24 + rng.IntN(24), pipelines: rng.IntN(2) == 0}
 	s.deadline = []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[rng.IntN(4)]
@@ -92,7 +97,8 @@
 	}
 	s.hangingCaches = rng.IntN(cacheCount/2 + 1)
 	s.hangingOrigin = rng.IntN(4) == 0
-	if s.deadline > maxKillDelay { // the kill comes before the requests' own end: what hangs has to be answered ahead of it
+	// the kill comes before the requests' deadlines, so hanging requests must be answered earlier
+	if s.deadline > maxKillDelay {
 		s.hangingCaches, s.hangingOrigin = max(1, s.hangingCaches), true
 	}
 	if rng.IntN(4) == 0 {
@@ -108,19 +114,19 @@
 	for range rng.IntN(5) {
 		more := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT}[rng.IntN(3)]
 		after := time.Duration(rng.IntN(5)) * time.Millisecond
-		if rng.IntN(2) == 0 { // over the whole drain
+		if rng.IntN(2) == 0 { // at any time during the drain
 			after = time.Duration(rng.Int64N(int64(s.killDelay())))
 		}
 		s.signals = append(s.signals, signalAt{more, after})
 	}
-	if rng.IntN(3) == 0 { // a reload right before
+	if rng.IntN(3) == 0 { // a reload just before the restart
 		s.signals = append(s.signals, signalAt{syscall.SIGHUP, -time.Duration(1+rng.IntN(30)) * time.Millisecond})
 		s.moveDiscovery = rng.IntN(2) == 0
 	}
 	return s
 }
 
-// killDelay is when the process is killed, after the first signal to end.
+// killDelay returns when the process is killed, relative to the first terminating signal.
 func (s *scenario) killDelay() time.Duration { return min(s.deadline, maxKillDelay) + killMargin }
 
 func (s *scenario) String() string {
@@ -132,23 +138,23 @@
 		s.deadline, strings.Join(signals, ", "), s.clients, s.pipelines, s.idleConns, s.hangingCaches, s.hangingOrigin, s.stalledDirection >= 0, s.handshakeDelay, s.drainCache, s.moveDiscovery)
 }
 
-// restartRun is one restart.
+// restartRun is one planned restart.
 type restartRun struct {
 	scenario
 	rng         *rand.Rand
 	fleet       *standin.Fleet
-	relays      []*standin.Relay // of the boxes, then the origin's
+	relays      []*standin.Relay // of the caches, then the origin
 	duplicates  *standin.DuplicateChecker
 	process     *cluster.Process
 	listen      string
 	configPath  string
-	configs     [2][]byte // before the reload, and after it
+	configs     [2][]byte // before and after the reload
 	configMutex sync.Mutex
 	clients     *clients
 	faults      []string
 }
 
-// Run plays the restart of a seed.
+// Run runs the planned restart of a seed.
 func Run(o Options) (*Result, error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 60))
 	p := &restartRun{scenario: newScenario(rng), rng: rng, duplicates: standin.NewDuplicateChecker()}
@@ -185,7 +191,7 @@
 		p.clients.openIdle()
 	}
 	p.clients.start(p.scenario.clients)
-	// The load has a length before the first signal; no event ends it.
+	// The load before the first signal is defined by its length, and no event ends it.
 	time.Sleep(300*time.Millisecond + time.Duration(p.rng.IntN(400))*time.Millisecond)
 	p.injectFaults()
 	time.Sleep(time.Duration(p.rng.IntN(150)) * time.Millisecond)
@@ -194,7 +200,7 @@
 	return nil
 }
 
-// setUp makes the fleet, its links and the configurations.
+// setUp creates the fleet, its links and the configurations.
 func (p *restartRun) setUp(o Options) (err error) {
 	if p.fleet, err = standin.NewFleet(cacheCount, 200); err != nil {
 		return err
@@ -243,7 +249,7 @@
 	return p.writeConfig(0)
 }
 
-// makeConfig is a configuration that names a discovery of its own.
+// makeConfig returns a configuration with a discovery address of its own.
 func (p *restartRun) makeConfig(see func(discovery.Member) discovery.Member) ([]byte, error) {
 	settings := standin.Settings()
 	for _, c := range settings["classes"].([]any) {
@@ -271,7 +277,7 @@
 	return json.Marshal(file)
 }
 
-// writeConfig puts a configuration in place, whole at any moment.
+// writeConfig replaces the configuration atomically.
 func (p *restartRun) writeConfig(i int) error {
 	p.configMutex.Lock()
 	defer p.configMutex.Unlock()
@@ -281,7 +287,7 @@
 	return os.Rename(p.configPath+".new", p.configPath)
 }
 
-// injectFaults has members and links hang.
+// injectFaults makes members and links hang.
 func (p *restartRun) injectFaults() {
 	for _, b := range p.fleet.Caches[:p.hangingCaches] {
 		b.SetFault(standin.Stall)
@@ -294,7 +300,7 @@
 	}
 }
 
-// restart sends the signals and kills the process at the earliest moment at which that is allowed.
+// restart sends the signals and kills the process at the earliest time allowed.
 func (p *restartRun) restart() {
 	if p.drainCache {
 		p.fleet.Drain(p.fleet.Caches[cacheCount-2])
@@ -322,14 +328,15 @@
 	ended, how := p.process.Exited()
 	p.process.Kill()
 	p.clients.stopAfterKill()
-	// One of the signals may end it by its default once the drain is over: a process that ends after SIGTERM has not crashed, and what it would
-	// have lost by that is found as lost. Its status is TestEndsWellUnderRepeatedSignals' concern.
+	// A signal may end the process by its default action once the drain is over. A process that ends by
+	// SIGTERM has not crashed, and requests lost by that are found as lost. Its exit status is checked by
+	// TestEndsWellUnderRepeatedSignals.
 	if ended && !how.Success() && !endedBy(how, syscall.SIGTERM, syscall.SIGINT) {
 		p.addFault("the process ended with %v: %v", how, p.process.LogLines("panic"))
 	}
 }
 
-// endedBy tells whether one of some signals has ended a process.
+// endedBy reports whether a process was ended by one of the signals.
 func endedBy(how *os.ProcessState, signals ...syscall.Signal) bool {
 	status, ok := how.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && slices.Contains(signals, status.Signal())
@@ -339,7 +346,7 @@
 	p.faults = append(p.faults, fmt.Sprintf(format, args...))
 }
 
-// check gives the verdict on all that the play has seen.
+// check evaluates the run.
 func (p *restartRun) check() {
 	p.faults = append(p.faults, p.duplicates.Violations()...)
 	p.faults = append(p.faults, p.clients.violations()...)
@@ -350,7 +357,7 @@
 	}
 }
 
-// String sums a play up in one line.
+// String summarizes a run in one line.
 func (r *Result) String() string {
 	verdict := "kept"
 	switch {
@@ -363,10 +370,11 @@
 		r.Seed, verdict, r.Sent, r.Served, r.Refused, r.Failed, r.NotAccepted, r.Attempts, r.Further, r.SchedulingDelay.Round(time.Millisecond), r.Scenario)
 }
 
-// maxDisturbedRuns is how often a play is played for a verdict on a busy machine.
+// maxDisturbedRuns bounds the runs that are made for a verdict on a busy machine.
 const maxDisturbedRuns = 4
 
-// RunUntilConclusive plays the restart of a seed until the machine was quiet enough for a verdict, or a fault was found; log is told of each play.
+// RunUntilConclusive repeats the planned restart of a seed until a run was not disturbed or found a fault.
+// log is called with each result.
 func RunUntilConclusive(o Options, log func(*Result)) (r *Result, err error) {
 	for n := range maxDisturbedRuns {
 		dir := filepath.Join(o.Dir, fmt.Sprintf("play-%d-%d", o.Seed, n))
--- a/internal/restarts/restarts_test.go
+++ b/internal/restarts/restarts_test.go
@@ -8,7 +8,8 @@
 	"linenloom/internal/app"
 )
 
-// proxyEnv makes the test's own program the proxy: one that was built as the tests were.
+// proxyEnv makes the test binary run as the proxy, so that the proxy is built with the same flags as the
+// tests.
 const proxyEnv = "LINENLOOM_RESTARTS_PROXY"
 
 func TestMain(m *testing.M) {
@@ -19,11 +20,11 @@
 	os.Exit(m.Run())
 }
 
-// slots bounds the plays at once: each has its own clock's delays as a bound.
+// slots limits the number of concurrent runs, as each run depends on its own scheduling delay.
 var slots = make(chan struct{}, 2)
 
-// Planned restarts by fixed seeds keep every rule. A play on a machine too busy for a verdict counts for nothing and is played again; a fault in it
-// stays a fault.
+// Planned restarts with fixed seeds keep every rule. A run on a machine too busy for a verdict doesn't
+// count and is repeated, but a fault found in it does count.
 func TestPlannedRestarts(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/standin/accept.go
+++ b/internal/standin/accept.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// acceptRetryDelay is how long a stand-in waits after an error of accept that may pass, as where descriptors are short.
+// acceptRetryDelay is the pause after a temporary accept error, such as a shortage of descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// AcceptEach hands each connection that comes to take, until the listener is closed. Errors that may pass don't end it: a stand-in that no longer
-// takes connections would look like one that hangs.
+// AcceptEach calls take for each accepted connection until the listener is closed. Temporary errors don't
+// end it: a simulated server that no longer accepts connections would look like one that hangs.
 func AcceptEach(l net.Listener, take func(net.Conn)) {
 	for {
 		conn, err := l.Accept()
--- a/internal/standin/accept_test.go
+++ b/internal/standin/accept_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// failingListener fails now and then, as one does where descriptors are short, and is closed after that.
+// failingListener returns the given accept errors (nil means a connection), and then that it is closed.
 type failingListener struct {
 	net.Listener
 	errs []error
--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	// firstPort and lastPort are below the ports that the kernel gives to connections and to listeners that don't name one (32768 and up), so that
-	// nothing else on this machine takes an address between here and the process that is to listen there.
+	// firstPort and lastPort bound a range below the ephemeral ports (32768 and up), which the kernel
+	// assigns to connections and to listeners without a port of their own. Nothing else on this machine
+	// takes an address between FreeAddr and the process that is to listen there.
 	firstPort, lastPort = 12000, 32000
 	maxAddressTries     = 100
 )
 
-// allocated are the addresses that this process has had.
+// allocated holds the ports that this process has already handed out.
 var allocated struct {
 	sync.Mutex
 	ports map[int]bool
 }
 
-// ErrNoAddress tells that no address is free.
+// ErrNoAddress is returned when no free address was found.
 var ErrNoAddress = errors.New("standin: no address is free")
 
-// FreeAddr is a loopback address that nobody listens at, for a process that has to be told one. It is given once.
+// FreeAddr returns a loopback address without a listener, for a process that needs its address configured.
+// Each address is returned once.
 func FreeAddr() (string, error) {
 	allocated.Lock()
 	defer allocated.Unlock()
--- a/internal/standin/address_test.go
+++ b/internal/standin/address_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// What happens, beside other runs of the tests: a port that was free and is let go of is given by the kernel to somebody else, before the process that
-// was told of it listens there. Seen beside three runs of all tests: "listen tcp 127.0.0.1:43619: bind: address already in use".
+// Guards against a free port being assigned by the kernel to another program, when tests run concurrently,
+// before the process that was configured with it listens there: "listen tcp 127.0.0.1:43619: bind: address
+// already in use".
 func TestFreeAddrIsOutsideEphemeralRange(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// Authority is what an installation has for certificates: roots, and the files that a proxy reads, in a folder: cert.pem and key.pem of its
-// listeners, by the first root, and roots.pem, which begins with the first root alone.
+// Authority is the certificate authority of an installation. It holds the root issuers and writes the
+// files that a proxy reads, all in one directory: cert.pem and key.pem of its listeners, signed by the
+// first root, and roots.pem, which at first contains the first root alone.
 type Authority struct {
 	Roots               []*Issuer
 	notBefore, notAfter time.Time
 	dir                 string
 }
 
-// NewAuthority makes so many roots and the files.
+// NewAuthority creates the given number of roots and writes the files.
 func NewAuthority(dir string, roots int) (*Authority, error) {
 	a := &Authority{dir: dir, notBefore: time.Now().Add(-time.Hour), notAfter: time.Now().Add(time.Hour)}
 	for i := range roots {
@@ -33,10 +34,10 @@
 	return a, a.PublishRoots(a.Roots[0])
 }
 
-// Path is where a file of the authority's is.
+// Path returns the path of one of the authority's files.
 func (a *Authority) Path(name string) string { return filepath.Join(a.dir, name) }
 
-// WriteFile replaces a file, whole.
+// WriteFile replaces a file atomically.
 func (a *Authority) WriteFile(name string, text []byte) error {
 	if err := os.WriteFile(a.Path(name)+".new", text, 0o600); err != nil {
 		return err
@@ -44,7 +45,7 @@
 	return os.Rename(a.Path(name)+".new", a.Path(name))
 }
 
-// RenewCertificate puts a new certificate of the listeners' in place.
+// RenewCertificate writes a new certificate and key for the listeners.
 func (a *Authority) RenewCertificate() (Certificate, error) {
 	c, err := a.Roots[0].SignServer(a.notBefore, a.notAfter)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return c, err
 }
 
-// PublishRoots replaces the roots by these.
+// PublishRoots replaces the published roots with the given ones.
 func (a *Authority) PublishRoots(roots ...*Issuer) error {
 	var certs []*x509.Certificate
 	for _, r := range roots {
@@ -69,7 +70,8 @@
 	return a.WriteFile("roots.pem", PEM(certs...))
 }
 
-// ClientConfig is a caller's, with a certificate of this name by this root; without one, if the name is empty.
+// ClientConfig returns a client's TLS configuration, with a certificate for the name signed by the given
+// root, or without a certificate if the name is empty.
 func (a *Authority) ClientConfig(by *Issuer, name string) (*tls.Config, error) {
 	cfg := &tls.Config{ServerName: "127.0.0.1", RootCAs: x509.NewCertPool()}
 	cfg.RootCAs.AddCert(a.Roots[0].Cert)
@@ -81,7 +83,8 @@
 		return nil, err
 	}
 	own := c.TLSCertificate()
-	// Shown whatever roots the listener says that it takes: what it makes of the wrong one is its matter.
+	// The certificate is sent whichever roots the listener says that it accepts, so that the listener has
+	// to verify a certificate of the wrong root.
 	cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &own, nil }
 	return cfg, nil
 }
--- a/internal/standin/cold.go
+++ b/internal/standin/cold.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// ColdStart makes a box start cold: it can do only a part of its work at first, more by and by, and falls over for good when
-// it is sent more than a multiple of what it can for some time.
+// ColdStart makes a cache start cold: its capacity grows from a share to the whole, and the cache fails
+// for good when it receives more than a multiple of its current capacity for some time.
 type ColdStart struct {
 	StartedAt        time.Time
 	InitialShare     float64       // share of its capacity at the start
 	Duration         time.Duration // until it is warm
-	WarmRate         float64       // requests a second that it can do when it is warm
-	OverloadMultiple float64       // sent more than this multiple of what it can
-	OverloadWindow   time.Duration // within this, it falls over
+	WarmRate         float64       // requests per second that it can serve once warm
+	OverloadMultiple float64       // the cache fails beyond this multiple of its capacity
+	OverloadWindow   time.Duration // the time over which requests are counted
 	Now              func() time.Time
 }
 
-// coldStartState is a Cold at work.
+// coldStartState is the state of a cold start in progress.
 type coldStartState struct {
 	ColdStart
-	recent     []time.Time // lately
+	recent     []time.Time // requests of the last OverloadWindow
 	overloaded bool
 }
 
-// SetColdStart makes the box start cold from now on.
+// SetColdStart makes the cache start cold from now on.
 func (b *Cache) SetColdStart(c ColdStart) {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -31,21 +31,22 @@
 	b.mu.Unlock()
 }
 
-// Overloaded tells whether the box has been pushed over.
+// Overloaded reports whether the cache has failed from overload.
 func (b *Cache) Overloaded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.coldStart != nil && b.coldStart.overloaded
 }
 
-// capacityShare is the share of its capacity that the box has.
+// capacityShare returns the share of its capacity that the cache has at a time.
 func (c *coldStartState) capacityShare(at time.Time) float64 {
 	age := min(1, max(0, at.Sub(c.StartedAt).Seconds()/c.Duration.Seconds()))
 	return c.InitialShare + (1-c.InitialShare)*age
 }
 
-// admit takes a request in; false, if the box lies on the ground. Capacity in the window is that of its middle, since it
-// grows evenly; one request is slack for where the window begins.
+// admit counts a request and returns false once the cache has failed from overload. The capacity in the
+// window is that at its middle, since it grows linearly; one request is allowed as slack for where the
+// window begins.
 func (c *coldStartState) admit() bool {
 	now := c.Now()
 	c.recent = append(c.recent, now)
--- a/internal/standin/copies.go
+++ b/internal/standin/copies.go
@@ -7,43 +7,50 @@
 	"time"
 )
 
-// DuplicateChecker checks that no request has two attempts out at once, as the protocol counts: an attempt counts when its last byte has come at its
-// member, and is a second copy if another that came before is out, neither answered nor given up by the end of its connection. Relays report
-// what passes them; the texts of Violations name both orders, the proxy's (written, ended) and the members' (came).
+// DuplicateChecker checks that no request has two attempts outstanding at once, as the protocol defines
+// it: an attempt counts from when its last byte has reached its member, and is a duplicate if an attempt
+// that arrived before is still outstanding, neither answered nor abandoned by closing its connection.
+// Relays report what they forward. The texts of Violations give the times at the proxy (written,
+// connection ended) and at the members (arrived).
 type DuplicateChecker struct {
-	// MaxInTransit is for how long an attempt may be under way and count: one that a link has held for longer, as one that is cut does until it is healed,
-	// comes after any time that a proxy could wait. 0: all count.
+	// MaxInTransit bounds how long an attempt may be in transit and still count. One that a link has held
+	// for longer, as a blocked link does until it is restored, arrives later than any time that a proxy
+	// could wait for. 0 means that all attempts count.
 	MaxInTransit time.Duration
 
 	mu              sync.Mutex
 	start           time.Time
-	attempts        map[string][]*trackedAttempt // by request
+	attempts        map[string][]*trackedAttempt // by request id
 	violations      []string
 	furtherAttempts int
 }
 
-// trackedAttempt is one attempt at a member, by the times at which something became of it; 0: it has not.
+// trackedAttempt is one attempt at a member, with the time of each of its events; 0 if the event has not
+// happened.
 type trackedAttempt struct {
 	member                                         string
 	writtenAt, closedAt, arrivedAt, closeArrivedAt time.Duration
-	forwardedAt                                    time.Duration // when it was about to be written to the member
-	answeredAt                                     time.Duration
-	peerClosed                                     func() bool // looks whether its connection has ended, though that was not reported yet; may be nil
+	// when the last byte was about to be written to the member
+	forwardedAt time.Duration
+	answeredAt  time.Duration
+	// whether the proxy has closed the connection, reported or not; may be nil
+	peerClosed func() bool
 }
 
-// NewDuplicateChecker makes a checker.
+// NewDuplicateChecker returns an empty checker.
 func NewDuplicateChecker() *DuplicateChecker {
 	return &DuplicateChecker{start: time.Now(), attempts: map[string][]*trackedAttempt{}}
 }
 
-// Violations describes the second copies so far.
+// Violations describes the duplicates found so far.
 func (c *DuplicateChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...)
 }
 
-// Attempts counts the attempts that came at members, and those of them that were a request's second or a later one.
+// Attempts counts the attempts that arrived at members, and how many of them were not their request's
+// first.
 func (c *DuplicateChecker) Attempts() (all, further int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,22 +64,23 @@
 	return all, c.furtherAttempts
 }
 
-// Delivered counts the attempts of a request that have come at members.
+// Delivered counts the attempts of a request that have arrived at members.
 func (c *DuplicateChecker) Delivered(id string) int {
 	return c.count(id, func(a *trackedAttempt) bool { return a.arrivedAt > 0 })
 }
 
-// Closed counts the attempts of a request whose connections the proxy has ended.
+// Closed counts the attempts of a request whose connections the proxy has closed.
 func (c *DuplicateChecker) Closed(id string) int {
 	return c.count(id, func(a *trackedAttempt) bool { return a.closedAt > 0 })
 }
 
-// Written counts the attempts of a request that the proxy has written to a member; to any, if none is named.
+// Written counts the attempts of a request that the proxy has written to a member, or to any member if
+// none is named.
 func (c *DuplicateChecker) Written(member, id string) int {
 	return c.count(id, func(a *trackedAttempt) bool { return member == "" || a.member == member })
 }
 
-// LastWrittenAt is when the proxy wrote the latest attempt of a request.
+// LastWrittenAt returns when the proxy wrote the latest attempt of a request.
 func (c *DuplicateChecker) LastWrittenAt(id string) (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +91,7 @@
 	return c.start.Add(attempts[len(attempts)-1].writtenAt), true
 }
 
-// LastWriteTo is when the proxy wrote the latest attempt to a member, and of which request.
+// LastWriteTo returns when the proxy wrote the latest attempt to a member, and the id of its request.
 func (c *DuplicateChecker) LastWriteTo(member string) (at time.Time, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +118,7 @@
 
 func (c *DuplicateChecker) now() time.Duration { return time.Since(c.start) }
 
-// recordWrite notes that the proxy has written the last byte of an attempt.
+// recordWrite records that the proxy has written the last byte of an attempt.
 func (c *DuplicateChecker) recordWrite(member, id string, over func() bool) *trackedAttempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +127,7 @@
 	return a
 }
 
-// recordForwarding notes that the last byte of an attempt is about to be written to its member.
+// recordForwarding records that the last byte of an attempt is about to be written to its member.
 func (c *DuplicateChecker) recordForwarding(id string, a *trackedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,8 +135,8 @@
 	a.forwardedAt = c.now()
 }
 
-// detectClosed dates the ends of a request's other attempts that have not been reported yet: that of a connection may be after what was written to
-// another one later.
+// detectClosed sets the end of a request's other attempts whose connections are closed but not yet
+// reported as such: the report of a closed connection may come after a later write to another connection.
 func (c *DuplicateChecker) detectClosed(id string, but *trackedAttempt) {
 	for _, b := range c.attempts[id] {
 		if b != but && b.answeredAt == 0 && b.closedAt == 0 && b.peerClosed != nil && b.peerClosed() {
@@ -137,8 +145,9 @@
 	}
 }
 
-// recordArrival notes that the last byte of an attempt has come at its member, and gives the verdict on it. Who says so may be late: it came when it was
-// written to the member, and no later than its answer.
+// recordArrival records that the last byte of an attempt has arrived at its member, and checks for
+// duplicates. The report may be late: the attempt arrived when it was written to the member, and no later
+// than its answer.
 func (c *DuplicateChecker) recordArrival(id string, a *trackedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,24 +177,24 @@
 	}
 }
 
-// tooLongInTransit tells whether an attempt was under way for too long to count, when it came.
+// tooLongInTransit reports whether an attempt was in transit for too long to count.
 func (c *DuplicateChecker) tooLongInTransit(a *trackedAttempt) bool {
 	return c.MaxInTransit > 0 && a.arrivedAt-a.writtenAt > c.MaxInTransit
 }
 
-// outstandingAt tells whether an attempt was neither answered nor given up at a time.
+// outstandingAt reports whether an attempt was neither answered nor abandoned at a time.
 func (a *trackedAttempt) outstandingAt(at time.Duration) bool {
 	return (a.answeredAt == 0 || a.answeredAt > at) && (a.closedAt == 0 || a.closedAt > at)
 }
 
-// recordAnswer notes that the member has answered.
+// recordAnswer records that the member has answered.
 func (c *DuplicateChecker) recordAnswer(a *trackedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a.answeredAt = c.now()
 }
 
-// recordClose notes that the proxy has ended the connection of attempts, or its sending on it.
+// recordClose records that the proxy has closed the connection of the attempts, or its sending side.
 func (c *DuplicateChecker) recordClose(attempts []*trackedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,7 +205,7 @@
 	}
 }
 
-// recordCloseAtMember notes that the end of the connection has come at the member.
+// recordCloseAtMember records that the end of the connection has arrived at the member.
 func (c *DuplicateChecker) recordCloseAtMember(attempts []*trackedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -13,7 +13,7 @@
 	"linenloom/internal/discovery"
 )
 
-// Registry is discovery: the list, and watches on it.
+// Registry simulates discovery: it serves the member list and watches on it.
 type Registry struct {
 	server   *http.Server
 	listener net.Listener
@@ -36,7 +36,8 @@
 	return r, nil
 }
 
-// ListenView listens for a proxy that is to see members in its own way: the address of each may differ from one proxy to the next.
+// ListenView starts a listener for one proxy, which sees each member as see returns it. The address of a
+// member may thus differ between proxies.
 func (r *Registry) ListenView(see func(discovery.Member) discovery.Member) (addr string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,10 +51,10 @@
 	return l.Addr().String(), nil
 }
 
-// Addr is where discovery listens.
+// Addr returns the address that discovery listens at.
 func (r *Registry) Addr() string { return r.listener.Addr().String() }
 
-// Close ends discovery; watches end with it.
+// Close stops discovery and all watches.
 func (r *Registry) Close() {
 	close(r.quit)
 	r.server.Close()
@@ -64,14 +65,14 @@
 	}
 }
 
-// List is the whole list.
+// List returns the complete member list.
 func (r *Registry) List() discovery.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return discovery.List{Revision: r.revision, Complete: true, Members: slices.Clone(r.members)}
 }
 
-// Update changes or adds a member and tells every watch.
+// Update adds, changes or removes a member and notifies all watches.
 func (r *Registry) Update(m discovery.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +89,7 @@
 	for c := range r.watches {
 		select {
 		case c <- discovery.List{Revision: r.revision, Members: []discovery.Member{m}}:
-		default: // a watch that does not read: it ends, and asks anew
+		default: // the watch does not read: it ends, and its client has to reconnect
 			close(c)
 			delete(r.watches, c)
 		}
@@ -141,30 +142,30 @@
 	}
 }
 
-// Zone is the one zone of a Fleet, and Kinds are its kinds of machine.
+// Zone is the zone of a single-zone Fleet.
 const Zone = "lab"
 
 // Kinds are the kinds of machine of a Fleet, in the order of its settings.
 var Kinds = []string{"box", "origin"}
 
-// Fleet is boxes, an origin and discovery that belong together.
+// Fleet is a set of caches with their origin and discovery.
 type Fleet struct {
 	Caches    []*Cache
 	Origin    *Origin
 	Registry  *Registry
-	Tenants   []any          // of its settings; none, unless set before Config
-	Zones     []string       // of its settings; the one, unless it was made with several
-	Overrides map[string]any // further settings, in place of the usual
+	Tenants   []any          // of its settings; empty unless set before Config
+	Zones     []string       // of its settings; nil for the single zone
+	Overrides map[string]any // replaces fields of the default settings
 	makeValue func(key string) []byte
 	mu        sync.Mutex
-	missedAt  map[string][]*Cache // by request id, until the origin has answered
-	missOrder []string            // of missed, the oldest first
+	missedAt  map[string][]*Cache // caches that missed, by request id, until the origin has answered
+	missOrder []string            // keys of missedAt, oldest first
 }
 
 // maxTrackedMisses bounds the requests whose misses are remembered.
 const maxTrackedMisses = 4096
 
-// NewFleet starts a fleet of so many boxes, all empty and warm. Values have size bytes.
+// NewFleet starts a fleet with the given number of caches, all empty and warm. Values have size bytes.
 func NewFleet(boxes, size int) (*Fleet, error) {
 	f := &Fleet{missedAt: map[string][]*Cache{}, makeValue: func(key string) []byte { return Value(key, size) }}
 	var err error
@@ -183,7 +184,8 @@
 	return f, nil
 }
 
-// NewZonedFleet starts a fleet of so many boxes in each of several zones; the origin is in the first.
+// NewZonedFleet starts a fleet with the given number of caches in each of several zones. The origin is in
+// the first zone.
 func NewZonedFleet(zones []string, boxes, size int) (*Fleet, error) {
 	f, err := NewFleet(0, size)
 	if err != nil {
@@ -201,7 +203,7 @@
 	return f, nil
 }
 
-// CachesIn is the boxes of a zone.
+// CachesIn returns the caches of a zone.
 func (f *Fleet) CachesIn(zone string) (boxes []*Cache) {
 	for _, b := range f.Caches {
 		if b.Zone == zone {
@@ -211,7 +213,7 @@
 	return boxes
 }
 
-// Value is the value of a key: its name and as much filling as it takes.
+// Value returns the value of a key: its name, padded to the size.
 func Value(key string, size int) []byte {
 	v := append(make([]byte, 0, size), "value of "+key+" "...)
 	for len(v) < size {
@@ -228,12 +230,12 @@
 	return m
 }
 
-// AddCache starts a box and tells discovery; since is when it started, zero for long ago.
+// AddCache starts a cache and registers it with discovery. since is when it started, zero for long ago.
 func (f *Fleet) AddCache(id string, since time.Time) (*Cache, error) {
 	return f.AddCacheIn(Zone, id, since)
 }
 
-// AddCacheIn is Add for a box in a zone.
+// AddCacheIn is AddCache for a cache in a given zone.
 func (f *Fleet) AddCacheIn(zone, id string, since time.Time) (*Cache, error) {
 	b, err := newCache(id, zone, f.recordMiss)
 	if err != nil {
@@ -245,14 +247,14 @@
 	return b, nil
 }
 
-// Drain tells discovery that a box wants nothing new.
+// Drain marks a cache as draining in discovery.
 func (f *Fleet) Drain(b *Cache) {
 	m := f.discoveryEntry(b.ID, b.Addr(), "box", b.Zone, b.startedAt)
 	m.Phase = discovery.PhaseTerminating
 	f.Registry.Update(m)
 }
 
-// Remove tells discovery that a box has gone, and ends it.
+// Remove removes a cache from discovery and closes it.
 func (f *Fleet) Remove(b *Cache) {
 	m := f.discoveryEntry(b.ID, b.Addr(), "box", b.Zone, b.startedAt)
 	m.Phase = discovery.PhaseTerminated
@@ -260,7 +262,7 @@
 	b.Close()
 }
 
-// Fill stores the values of keys on every box.
+// Fill stores the values of keys in every cache.
 func (f *Fleet) Fill(keys ...string) {
 	for _, k := range keys {
 		v := f.makeValue(k)
@@ -270,7 +272,7 @@
 	}
 }
 
-// RemoveOrigin tells discovery that the origin has gone. It goes on answering what it has.
+// RemoveOrigin removes the origin from discovery. The origin goes on answering the requests that it has.
 func (f *Fleet) RemoveOrigin() {
 	m := f.discoveryEntry(f.Origin.ID, f.Origin.Addr(), "origin", f.originZone(), time.Time{})
 	m.Phase = discovery.PhaseTerminated
@@ -284,7 +286,7 @@
 	return Zone
 }
 
-// SetDeadlines has the deadlines that the members are told from now on checked.
+// SetDeadlines sets the checker for the deadlines that the members receive from now on.
 func (f *Fleet) SetDeadlines(d *DeadlineChecker) {
 	f.Origin.SetDeadlines(d)
 	for _, b := range f.Caches {
@@ -292,7 +294,7 @@
 	}
 }
 
-// LastEnded is when a member last ended a request, whatever its end.
+// LastEnded returns when a member last ended a request, whatever its outcome.
 func (f *Fleet) LastEnded() time.Time {
 	last := f.Origin.LastEnded()
 	for _, b := range f.Caches {
@@ -303,7 +305,7 @@
 	return last
 }
 
-// Close ends all of it.
+// Close closes discovery and all members.
 func (f *Fleet) Close() {
 	f.Registry.Close()
 	f.Origin.Close()
@@ -335,10 +337,10 @@
 	}
 }
 
-// ReadSoftDeadline is the aim of the reads in a fleet's settings.
+// ReadSoftDeadline is the soft deadline of reads in the settings of a fleet.
 const ReadSoftDeadline = 800 * time.Millisecond
 
-// Settings are a platform's settings for a fleet, as its configuration has them.
+// Settings returns the platform's settings for a fleet, as they appear in its configuration.
 func Settings() map[string]any {
 	class := func(name string, aim, deadline float64, repeat string, worth float64) map[string]any {
 		return map[string]any{"name": name, "aim_ms": aim, "deadline_ms": deadline, "dedup_scope": "all",
@@ -359,7 +361,7 @@
 	}
 }
 
-// Config is the configuration of a proxy before the fleet, as LB_CONFIG has it.
+// Config returns the configuration of a proxy for the fleet, in the format of LB_CONFIG.
 func (f *Fleet) Config(name, listen, seed string, memoryMB, sockets int) ([]byte, error) {
 	settings := Settings()
 	if f.Zones != nil {
--- a/internal/standin/issuer.go
+++ b/internal/standin/issuer.go
@@ -16,19 +16,21 @@
 	"time"
 )
 
-// Issuer signs certificates, as an installation's own authority would: its own, one for a listener on loopback, and callers'.
+// Issuer signs certificates as an installation's own certificate authority would: for further issuers, for
+// listeners on loopback and for clients.
 type Issuer struct {
 	Cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// Certificate is a certificate with its key.
+// Certificate is a certificate with its private key.
 type Certificate struct {
 	Cert *x509.Certificate
 	Key  *ecdsa.PrivateKey
 }
 
-// NewIssuer makes an issuer that counts from one moment to another, signed by another one or, by nil, by itself.
+// NewIssuer creates an issuer that is valid from one time until another, signed by another issuer or, if
+// that is nil, self-signed.
 func NewIssuer(name string, by *Issuer, from, until time.Time) (*Issuer, error) {
 	c, err := by.sign(&x509.Certificate{Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageCertSign, NotBefore: from, NotAfter: until})
@@ -57,7 +59,7 @@
 	return c, err
 }
 
-// SignClient signs a caller's certificate. Names with a scheme are URIs, the others DNS names.
+// SignClient signs a client certificate. Names with a scheme become URIs, all others DNS names.
 func (i *Issuer) SignClient(from, until time.Time, names ...string) (Certificate, error) {
 	tmpl := &x509.Certificate{Subject: pkix.Name{CommonName: "caller"}, NotBefore: from, NotAfter: until,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
@@ -81,7 +83,7 @@
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}})
 }
 
-// PEM is certificates as files hold them (RFC 7468).
+// PEM encodes certificates in the textual format of RFC 7468.
 func PEM(certs ...*x509.Certificate) (text []byte) {
 	for _, c := range certs {
 		text = append(text, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})...)
@@ -89,7 +91,7 @@
 	return text
 }
 
-// KeyPEM is the key as files hold it (RFC 5208).
+// KeyPEM encodes the private key as PKCS #8 (RFC 5208) in PEM format.
 func (c Certificate) KeyPEM() ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(c.Key)
 	if err != nil {
@@ -98,7 +100,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// TLSCertificate is the certificate as a caller shows it.
+// TLSCertificate returns the certificate for use in a TLS configuration.
 func (c Certificate) TLSCertificate() tls.Certificate {
 	return tls.Certificate{Certificate: [][]byte{c.Cert.Raw}, PrivateKey: c.Key}
 }
--- a/internal/standin/lateness.go
+++ b/internal/standin/lateness.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// samplingInterval is how often Lateness looks.
+// samplingInterval is how often SchedulingDelay takes a sample.
 const samplingInterval = 5 * time.Millisecond
 
-// SchedulingDelay measures by how much the goroutines of a test are late on a busy machine, so that its verdict does not hang on that.
+// SchedulingDelay measures how late goroutines are scheduled on a busy machine, so that a test's verdict
+// does not depend on it.
 type SchedulingDelay struct {
 	quit     chan struct{}
 	stop     sync.Once
@@ -16,7 +17,7 @@
 	maxDelay time.Duration
 }
 
-// MeasureSchedulingDelay begins to measure.
+// MeasureSchedulingDelay starts a measurement.
 func MeasureSchedulingDelay() *SchedulingDelay {
 	l := &SchedulingDelay{quit: make(chan struct{})}
 	l.group.Go(func() {
@@ -33,7 +34,7 @@
 	return l
 }
 
-// Stop tells how late they were at the most. It may be called again.
+// Stop ends the measurement and returns the maximum delay. It may be called more than once.
 func (l *SchedulingDelay) Stop() time.Duration {
 	l.stop.Do(func() { close(l.quit) })
 	l.group.Wait()
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// Origin is the origin: HTTP/1.1, slow, with few places. It counts how often each write has run.
+// Origin simulates the origin: an HTTP/1.1 server, slow and with little capacity. It counts how often each
+// write has been executed.
 type Origin struct {
 	member
 	onFetched     func(id, key string, value []byte)
 	makeValue     func(key string) []byte
-	executions    map[string]int // by key: executions of writes
+	executions    map[string]int // executions of writes by key
 	fetches       int
 	resetAfterRun bool
 }
@@ -25,7 +26,7 @@
 	return o, o.listen(o.serve)
 }
 
-// Executions is how often the write of each key has run.
+// Executions returns how often the write of each key has been executed.
 func (o *Origin) Executions() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -36,14 +37,14 @@
 	return ran
 }
 
-// Fetches is how many reads have been answered.
+// Fetches returns how many reads have been answered.
 func (o *Origin) Fetches() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.fetches
 }
 
-// SetResetAfterRun makes the origin carry writes out and then drop the connection without an answer.
+// SetResetAfterRun makes the origin execute writes and then drop the connection without an answer.
 func (o *Origin) SetResetAfterRun(on bool) {
 	o.mu.Lock()
 	o.resetAfterRun = on
@@ -88,7 +89,7 @@
 	}
 	if r.Method != http.MethodGet {
 		o.mu.Lock()
-		o.executions[key]++ // from its last byte on, whatever becomes of the answer
+		o.executions[key]++ // counts from the last byte of the request, whatever the answer
 		reset := o.resetAfterRun
 		o.mu.Unlock()
 		if !o.sleep(service) || reset {
@@ -113,7 +114,8 @@
 	return writeHTTP(conn, 200, "", value)
 }
 
-// ServeOrigin answers what comes whole on a connection to an origin, until that ends: with what answer makes of the request's key and id.
+// ServeOrigin answers the requests on a connection to an origin until it ends. answer returns the body for
+// a request's key and id.
 func ServeOrigin(in *bufio.Reader, out io.Writer, answer func(key, id string) string) {
 	for {
 		r, err := http.ReadRequest(in)
@@ -130,5 +132,5 @@
 	}
 }
 
-// heartbeatInterval is how often a watch hears something while nothing changes.
+// heartbeatInterval is the time between heartbeats on a watch without changes.
 const heartbeatInterval = 2 * time.Second
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -7,33 +7,35 @@
 	"time"
 )
 
-// Relay is the network between proxies and a member: it holds what passes, each way for a time of its own, keeps its order, and has what passes
-// watched for the checker of copies. An end of a connection passes like all else.
+// Relay simulates the network between proxies and a member. It delays each direction separately, keeps the
+// order of bytes, and reports to the duplicate checker. The end of a connection is forwarded with the same
+// delay.
 type Relay struct {
 	member     string
-	origin     bool // HTTP/1.1 is spoken, else RESP
+	origin     bool // speaks HTTP/1.1, otherwise RESP
 	target     string
 	duplicates *DuplicateChecker // may be nil
 	listener   net.Listener
 
 	mu             sync.Mutex
 	delay          func() (there, back time.Duration) // of the next connection
-	handshakeDelay func() time.Duration               // by which its first message comes later; nil: none
+	handshakeDelay func() time.Duration               // extra delay of a connection's first message; may be nil
 	stalled        [2]bool
-	changed        chan struct{} // closed and made anew with each change
+	changed        chan struct{} // closed and replaced on each change
 	conns          map[net.Conn]struct{}
 }
 
-// The two ways of a relay.
+// Directions of a relay.
 const (
-	ToMember = iota // to the member
+	ToMember = iota // from the proxy to the member
 	FromMember
 )
 
-// dialTimeout is how long a relay waits for its member.
+// dialTimeout bounds how long a relay waits for its member.
 const dialTimeout = 5 * time.Second
 
-// NewRelay makes a relay before the member at an address; origin tells that HTTP is spoken there. Every connection has the same delays.
+// NewRelay starts a relay for the member at an address; origin means that the member speaks HTTP. All
+// connections have the same delays.
 func NewRelay(member, to string, origin bool, there, back time.Duration, copies *DuplicateChecker) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,24 +48,24 @@
 	return r, nil
 }
 
-// Addr is where proxies find the member.
+// Addr returns the address at which proxies reach the member.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetDelay changes how the delays of a connection are found, for connections that come from now on.
+// SetDelay sets the function that returns the delays of later connections.
 func (r *Relay) SetDelay(delay func() (there, back time.Duration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = delay
 }
 
-// SetHandshake changes by how much later the first message of a connection comes, for connections that come from now on.
+// SetHandshake sets the function that returns the extra delay of the first message of later connections.
 func (r *Relay) SetHandshake(handshake func() time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handshakeDelay = handshake
 }
 
-// Stall holds everything that goes one way, until it is called again.
+// Stall holds everything that is sent in one direction, until it is called again with false.
 func (r *Relay) Stall(way int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +74,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Reset breaks all connections off.
+// Reset resets all connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,13 +86,13 @@
 	}
 }
 
-// Close ends the relay and its connections.
+// Close closes the relay and its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.Reset()
 }
 
-// register notes the two connections of a relayed one, and finds its delays.
+// register records both connections of a relayed connection and returns its delays.
 func (r *Relay) register(in, out net.Conn) (there, back, handshake time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +134,7 @@
 		defer end()
 		hold := func(came time.Time) bool {
 			until := came.Add(there + handshake)
-			handshake = 0 // what is behind waits in line
+			handshake = 0 // later messages queue behind the first
 			return r.awaitRelease(ToMember, until, ended)
 		}
 		Forward(in, out, ended, hold, ForwardHooks{OnRead: w.ProxyWrote, BeforeWrite: w.Forwarding, AfterWrite: w.MemberReceived})
@@ -145,7 +147,7 @@
 	ways.Wait()
 }
 
-// awaitRelease waits until what is held may pass; false: the connection has ended.
+// awaitRelease waits until a held message may pass. It returns false if the connection has ended.
 func (r *Relay) awaitRelease(way int, until time.Time, ended <-chan struct{}) bool {
 	return AwaitRelease(ended, func() (bool, time.Time, <-chan struct{}) {
 		r.mu.Lock()
@@ -154,8 +156,9 @@
 	})
 }
 
-// AwaitRelease waits until something that is held may pass; false: ended was closed before that. state tells whether it is held for good, until when if not,
-// and what is closed when either of them changes.
+// AwaitRelease waits until a held message may pass. It returns false if ended is closed before. state
+// returns whether the message is held indefinitely, otherwise until when, and a channel that is closed
+// when either changes.
 func AwaitRelease(ended <-chan struct{}, state func() (held bool, until time.Time, changed <-chan struct{})) bool {
 	for {
 		held, until, changed := state()
@@ -176,15 +179,18 @@
 	}
 }
 
-// maxPiecesInTransit bounds the pieces that are on their way in one direction of a connection: beyond that the sender waits, as TCP has it.
+// maxPiecesInTransit bounds the pieces in transit in one direction of a connection. Beyond that the sender
+// blocks, as with TCP flow control.
 const maxPiecesInTransit = 128
 
-// ForwardHooks is told of what passes in one direction of a connection: each piece as it comes (Took), right before it is written on (Giving), and once it
-// has been (Gave). A nil piece is the end; a nil function hears nothing.
+// ForwardHooks are called for each piece in one direction of a connection: OnRead after reading it,
+// BeforeWrite just before writing it and AfterWrite after writing it. A nil piece is the end of the
+// stream. Hooks may be nil.
 type ForwardHooks struct{ OnRead, BeforeWrite, AfterWrite func([]byte) }
 
-// Forward passes what comes on one connection on to another, in its order, until its end has passed or ended is closed. hold waits until a piece that came
-// then may go on, false: the connection is over.
+// Forward copies from one connection to another in order, until the end of the stream has been forwarded
+// or ended is closed. hold waits until a piece that arrived at the given time may pass, and returns false
+// if the connection is over.
 func Forward(from, to net.Conn, ended <-chan struct{}, hold func(came time.Time) bool, told ForwardHooks) {
 	type piece struct {
 		bytes []byte
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -14,48 +14,51 @@
 	"linenloom/internal/sender"
 )
 
-// Observer finds the attempts in what passes on a connection between a proxy and a member, and reports them to the checker of copies. Each of its
-// methods takes a piece, or nil for the end. Without a checker it does nothing.
+// Observer finds attempts in the bytes on a connection between a proxy and a member, and reports them to a
+// DuplicateChecker. Each of its methods takes a piece of the stream, or nil for its end. Without a checker
+// it reports nothing.
 type Observer struct {
-	duplicates *DuplicateChecker // nil: nobody counts them
+	duplicates *DuplicateChecker // may be nil
 	onRequest  func(id, attrs string)
 	member     string
-	origin     bool // HTTP/1.1 is spoken, else RESP
+	origin     bool // speaks HTTP/1.1, otherwise RESP
 	peerClosed func() bool
 
 	mu               sync.Mutex
-	requestBytes     []byte // of the proxy's messages, what is not whole yet
-	answerBytes      []byte // of the member's
-	writtenOffset    int64  // bytes that the proxy has written
-	forwardingOffset int64  // of them, those that have come at the member or are being written to it
+	requestBytes     []byte // the proxy's incomplete message
+	answerBytes      []byte // the member's incomplete answer
+	writtenOffset    int64  // bytes of complete messages written by the proxy
+	forwardingOffset int64  // bytes that have been or are being written to the member
 	deliveredOffset  int64
-	attempts         []*observedAttempt // in order
-	nextForwarded    int                // the first of them that is not being written to the member
-	nextDelivered    int                // the first of them that has not come at the member
-	nextAnswered     int                // the first that has no answer
+	attempts         []*observedAttempt // in the order of writing
+	nextForwarded    int                // the first attempt that is not being written to the member
+	nextDelivered    int                // the first attempt that has not arrived at the member
+	nextAnswered     int                // the first attempt without an answer
 }
 
 type observedAttempt struct {
-	*trackedAttempt // nil for what is no attempt
+	*trackedAttempt // nil for a message that is no attempt
 	id              string
-	endOffset       int64 // of its last byte, in what the proxy writes
+	endOffset       int64 // of its last byte in the proxy's stream
 }
 
-// Observe begins to watch a connection from a proxy to a member. A nil checker watches nothing.
+// Observe returns an Observer for a connection from a proxy to a member. With a nil checker it reports
+// nothing.
 func (c *DuplicateChecker) Observe(member string, origin bool, from net.Conn) *Observer {
 	return &Observer{duplicates: c, member: member, origin: origin, peerClosed: func() bool { return peerClosed(from) }}
 }
 
-// ObserveRequests makes a Watch that counts nothing, and tells of each request in what is written, with its id and its list of names and values.
+// ObserveRequests returns an Observer without a checker. It calls heard with the id and the attributes of
+// each request that is written.
 func ObserveRequests(heard func(id, attrs string)) *Observer { return &Observer{onRequest: heard} }
 
-// NotifyRequests has a Watch tell of each attempt as well, as the proxy has written it.
+// NotifyRequests makes an Observer call heard for each attempt as well, when the proxy has written it.
 func (w *Observer) NotifyRequests(heard func(id, attrs string)) *Observer {
 	w.onRequest = heard
 	return w
 }
 
-// peerClosed tells whether the other side of a connection has ended it, also behind bytes that nobody has read yet.
+// peerClosed reports whether the peer of a connection has closed it, even behind unread bytes.
 func peerClosed(conn net.Conn) (ended bool) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -65,7 +68,7 @@
 	return ended || err != nil
 }
 
-// ProxyWrote takes what the proxy has written.
+// ProxyWrote processes bytes that the proxy has written.
 func (w *Observer) ProxyWrote(b []byte) {
 	if w.duplicates == nil && w.onRequest == nil {
 		return
@@ -100,7 +103,7 @@
 	}
 }
 
-// unanswered is what the proxy has written and the member has not answered.
+// unanswered returns the attempts that the proxy has written and the member has not answered.
 func (w *Observer) unanswered() (all []*trackedAttempt) {
 	for _, a := range w.attempts[w.nextAnswered:] {
 		if a.trackedAttempt != nil {
@@ -110,7 +113,8 @@
 	return all
 }
 
-// Forwarding takes what is about to be written to the member. What the member says before that is no answer to it.
+// Forwarding processes bytes that are about to be written to the member. Bytes that the member sends
+// before that are no answer to them.
 func (w *Observer) Forwarding(b []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,7 +126,7 @@
 	}
 }
 
-// MemberReceived takes what has come at the member.
+// MemberReceived processes bytes that have arrived at the member.
 func (w *Observer) MemberReceived(b []byte) {
 	if w.duplicates == nil {
 		return
@@ -141,7 +145,7 @@
 	}
 }
 
-// MemberReplied takes what the member has written.
+// MemberReplied processes bytes that the member has written.
 func (w *Observer) MemberReplied(b []byte) {
 	if w.duplicates == nil || b == nil {
 		return
@@ -165,7 +169,8 @@
 	}
 }
 
-// nextMessage measures the message that w.in begins with; id is empty where it is no attempt, n is 0 where it is not whole.
+// nextMessage parses the message at the start of w.requestBytes and returns its length. The id is empty if
+// the message is no attempt, and n is 0 if it is incomplete.
 func (w *Observer) nextMessage() (id, attrs string, n int) {
 	text := bytes.NewReader(w.requestBytes)
 	buffered := bufio.NewReader(text)
@@ -190,7 +195,7 @@
 	return id, attrs, length()
 }
 
-// nextAnswer measures the answer that w.answers begins with; 0, where it is not whole.
+// nextAnswer returns the length of the answer at the start of w.answerBytes, or 0 if it is incomplete.
 func (w *Observer) nextAnswer() int {
 	text := bytes.NewReader(w.answerBytes)
 	buffered := bufio.NewReader(text)
@@ -210,7 +215,7 @@
 
 var errMalformedReply = errors.New("standin: no reply")
 
-// skipReply reads over one reply.
+// skipReply reads and discards one reply.
 func skipReply(in *bufio.Reader) error {
 	line, err := in.ReadString('\n')
 	if err != nil || len(line) < 3 {
